--- a/benchmarks/caller_books.py
+++ b/benchmarks/caller_books.py
@@ -11,6 +11,7 @@
 the mean of an add. Aims: at 100,000 callers a twentieth of the dict's memory, the ten heaviest found, an add below six
 times the dict's.
 """
+
 from __future__ import annotations
 
 import json
@@ -58,13 +59,20 @@
         sketch, us, held = measured(lambda: HeavyCallers(ROOM), HeavyCallers.add, callers)
         heavy = {caller for caller, _ in Counter(callers).most_common(10)}
         found = len(heavy & {caller for caller, _ in sketch.most(10)})
-        rows.append({"callers": count, "dict_us": round(plain_us, 2), "sketch_us": round(us, 2),
-                     "dict_kb": round(plain_bytes / 1000), "sketch_kb": round(held / 1000), "found": found})
+        rows.append(
+            {
+                "callers": count,
+                "dict_us": round(plain_us, 2),
+                "sketch_us": round(us, 2),
+                "dict_kb": round(plain_bytes / 1000),
+                "sketch_kb": round(held / 1000),
+                "found": found,
+            }
+        )
         table.add_row(*(str(value) for value in rows[-1].values()))
     Console().print(table)
     last = rows[-1]
-    holds = (20 * last["sketch_kb"] <= last["dict_kb"] and last["found"] == 10
-             and last["sketch_us"] <= 6 * last["dict_us"])
+    holds = 20 * last["sketch_kb"] <= last["dict_kb"] and last["found"] == 10 and last["sketch_us"] <= 6 * last["dict_us"]
     print(json.dumps({"rows": rows, "holds": holds}))
     return 0 if holds else 1
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -13,6 +13,7 @@
 The ratio is need over bound. It breaks where the fit reaches the bound, between the last run within it and the first over it.
 Rows without a run say their arithmetic and are marked as reckoned.
 """
+
 from __future__ import annotations
 
 import importlib
@@ -30,25 +31,43 @@
 
 ROOT = Path(__file__).parent.parent
 OUR_PACKAGE = "mulleinhatch"
-BEYOND = 1.2            # times the largest size of a run, from which a need is marked as set out beyond its points
-OFF = 0.15              # by which a run at another size may miss the fit
-NEAR = 3.0              # times the target size, up to which what breaks later is listed too
+BEYOND = 1.2  # times the largest size of a run, from which a need is marked as set out beyond its points
+OFF = 0.15  # by which a run at another size may miss the fit
+NEAR = 3.0  # times the target size, up to which what breaks later is listed too
 MARK = "<!-- from the records: "
-STEPS = 200             # of halving, when a size is sought
-ROW_KEYS = {"role": str, "kind": str, "what": str, "mechanism": str, "record": str, "cost": str, "reckoned": str,
-            "value": float, "unit": str, "size": str, "at": float, "factor": float, "times": str, "bound": (str, float),
-            "bound_text": str, "missing": str, "if_recorded": str, "replaced_by": str, "adds": bool}
+STEPS = 200  # of halving, when a size is sought
+ROW_KEYS = {
+    "role": str,
+    "kind": str,
+    "what": str,
+    "mechanism": str,
+    "record": str,
+    "cost": str,
+    "reckoned": str,
+    "value": float,
+    "unit": str,
+    "size": str,
+    "at": float,
+    "factor": float,
+    "times": str,
+    "bound": (str, float),
+    "bound_text": str,
+    "missing": str,
+    "if_recorded": str,
+    "replaced_by": str,
+    "adds": bool,
+}
 KINDS = ("state", "messages", "processor time", "memory", "time")
 
 
 class Bound(NamedTuple):
     value: float
-    text: str       # where it comes from
+    text: str  # where it comes from
 
 
 class Missing(NamedTuple):
     name: str
-    on_it: tuple[str, ...]      # modules that stand on it
+    on_it: tuple[str, ...]  # modules that stand on it
     stands_on: tuple[str, ...]  # other missing ones that it needs itself
     why: str
 
@@ -60,14 +79,14 @@
     kind: str
     what: str
     mechanism: str
-    cost: Cost | None           # None: reckoned
+    cost: Cost | None  # None: reckoned
     record: Record | None
     times: tuple[Cost, ...]
     factor: float
     reckoned: str
-    value: float                # reckoned, at the target size
+    value: float  # reckoned, at the target size
     unit: str
-    size: str                   # what it grows with; empty: with nothing
+    size: str  # what it grows with; empty: with nothing
     target: float
     bound: Bound | None
     missing: str
@@ -151,6 +170,7 @@
 
 # Reading what is declared.
 
+
 def read_book(folder: Path = RECORDED) -> Book:
     path = folder / "rows.toml"
     try:
@@ -167,7 +187,7 @@
     for place, row in enumerate(told["row"]):
         where = f"{path.name}: row {place + 1} ({row.get('what', '?')})"
         _keys(where, row)
-        _bound(where, row, bounds)      # of rows that wait for their record, too
+        _bound(where, row, bounds)  # of rows that wait for their record, too
         if _recorded(row.get("if_recorded", ""), records):
             rows.append(_row(where, row, told, bounds, missing, records))
     roles = dict(told["roles"])
@@ -177,8 +197,9 @@
 
 
 def _missing(where: str, told: list[dict[str, Any]]) -> dict[str, Missing]:
-    missing = {one["name"]: Missing(one["name"], tuple(one["on_it"]), tuple(one.get("stands_on", ())), one["why"])
-               for one in told}
+    missing = {
+        one["name"]: Missing(one["name"], tuple(one["on_it"]), tuple(one.get("stands_on", ())), one["why"]) for one in told
+    }
     for one in missing.values():
         for module in one.on_it:
             _importable(f"{where} {one.name!r}", module)
@@ -224,8 +245,14 @@
     return kind if isinstance(kind, tuple) else (kind,)
 
 
-def _row(where: str, row: dict[str, Any], told: dict[str, Any], bounds: dict[str, Bound], missing: dict[str, Missing],
-         records: dict[str, Record]) -> Row:
+def _row(
+    where: str,
+    row: dict[str, Any],
+    told: dict[str, Any],
+    bounds: dict[str, Bound],
+    missing: dict[str, Missing],
+    records: dict[str, Record],
+) -> Row:
     for module in row["mechanism"].split(", "):
         if module != "none":
             _importable(where, module)
@@ -241,10 +268,25 @@
     if size and "at" not in row and size not in told["sizes"]:
         raise Unfit(f"{where}: size: there is no target for {size!r}")
     target = float(row["at"]) if "at" in row else float(told["sizes"][size]) if size else 1.0
-    found = Row(row["role"], row["kind"], row["what"], row["mechanism"], cost, record, times, float(row.get("factor", 1.0)),
-                row.get("reckoned", ""), float(row.get("value", 0.0)), unit, size, target, _bound(where, row, bounds),
-                row.get("missing", ""), row.get("replaced_by", "") if row.get("replaced_by", "") in records else "",
-                row.get("adds", False))
+    found = Row(
+        row["role"],
+        row["kind"],
+        row["what"],
+        row["mechanism"],
+        cost,
+        record,
+        times,
+        float(row.get("factor", 1.0)),
+        row.get("reckoned", ""),
+        float(row.get("value", 0.0)),
+        unit,
+        size,
+        target,
+        _bound(where, row, bounds),
+        row.get("missing", ""),
+        row.get("replaced_by", "") if row.get("replaced_by", "") in records else "",
+        row.get("adds", False),
+    )
     if found.missing and found.missing not in missing:
         raise Unfit(f"{where}: missing: {found.missing!r} is told of nowhere")
     if found.ratio > 1.0 and not found.missing and not found.replaced_by:
@@ -294,6 +336,7 @@
 
 # The tables.
 
+
 def number(value: float, figures: int = 3) -> str:
     """
     >>> number(28704.4), number(0.012345), number(3.0), number(0.0), number(1234567.8), number(1024.0), number(1.5e-6)
@@ -364,10 +407,19 @@
 
 def role_table(book: Book, role: str) -> str:
     rows = [row for row in book.rows if row.role == role]
-    lines = [(row.kind, row.what, f"{number(row.at_target)} {row.unit}".strip(), slope_text(row),
-              f"`{row.record.name}`" if row.record else "no run", bound_text(row.bound),
-              number(row.ratio) if row.bound else "-", mechanism_text(row)) for row in sorted(
-                  rows, key=lambda row: KINDS.index(row.kind))]
+    lines = [
+        (
+            row.kind,
+            row.what,
+            f"{number(row.at_target)} {row.unit}".strip(),
+            slope_text(row),
+            f"`{row.record.name}`" if row.record else "no run",
+            bound_text(row.bound),
+            number(row.ratio) if row.bound else "-",
+            mechanism_text(row),
+        )
+        for row in sorted(rows, key=lambda row: KINDS.index(row.kind))
+    ]
     return table(("kind", "what", "at the target", "slope", "run", "bound", "need / bound", "carried by"), lines)
 
 
@@ -382,8 +434,14 @@
         if len({row.unit for row in rows}) > 1:
             raise Unfit(f"rows.toml: adds: {', '.join(row.what for row in rows)} add up in different units")
         whole = sum(row.at_target for row in rows)
-        lines.append(("; ".join(f"{row.what}: {number(row.at_target)}" for row in rows), f"{number(whole)} {rows[0].unit}",
-                      bound_text(bound), number(whole / bound.value)))
+        lines.append(
+            (
+                "; ".join(f"{row.what}: {number(row.at_target)}" for row in rows),
+                f"{number(whole)} {rows[0].unit}",
+                bound_text(bound),
+                number(whole / bound.value),
+            )
+        )
     return table(("parts", "together", "bound", "need / bound"), lines)
 
 
@@ -400,9 +458,20 @@
 
 
 def breaks_table(book: Book) -> str:
-    return table(("what", "role", "breaks at", "share of the target size", "need / bound", "behind it", "missing"), [
-        (row.what, row.role, *breaks_text(row), number(row.ratio), f"run `{row.record.name}`" if row.record else "reckoned",
-         row.missing if row.ratio > 1.0 else "") for row in breaking(book)])
+    return table(
+        ("what", "role", "breaks at", "share of the target size", "need / bound", "behind it", "missing"),
+        [
+            (
+                row.what,
+                row.role,
+                *breaks_text(row),
+                number(row.ratio),
+                f"run `{row.record.name}`" if row.record else "reckoned",
+                row.missing if row.ratio > 1.0 else "",
+            )
+            for row in breaking(book)
+        ],
+    )
 
 
 def next_missing(book: Book) -> list[tuple[Missing, Row]]:
@@ -412,8 +481,10 @@
     for row in breaking(book):
         if row.ratio > 1.0:
             first.setdefault(row.missing, row)
-    left = sorted(((book.missing[name], row) for name, row in first.items()),
-                  key=lambda told: (not told[0].on_it, told[1].share, -told[1].ratio))
+    left = sorted(
+        ((book.missing[name], row) for name, row in first.items()),
+        key=lambda told: (not told[0].on_it, told[1].share, -told[1].ratio),
+    )
     order: list[tuple[Missing, Row]] = []
     while left:
         names = {missing.name for missing, _ in left}
@@ -427,37 +498,73 @@
 
 def missing_table(book: Book) -> str:
     order = next_missing(book)
-    lines = [(str(place + 1), missing.name, row.what, breaks_text(row)[1],
-              ", ".join(f"`{module}`" for module in missing.on_it) or "nothing", ", ".join(missing.stands_on) or "none missing",
-              missing.why)
-             for place, (missing, row) in enumerate(order)]
+    lines = [
+        (
+            str(place + 1),
+            missing.name,
+            row.what,
+            breaks_text(row)[1],
+            ", ".join(f"`{module}`" for module in missing.on_it) or "nothing",
+            ", ".join(missing.stands_on) or "none missing",
+            missing.why,
+        )
+        for place, (missing, row) in enumerate(order)
+    ]
     head = f"Missing first: **{order[0][0].name}**.\n\n" if order else "Nothing is missing.\n\n"
     head_line = ("order", "mechanism", "its first bound to break", "at share", "stand on it", "stands itself on", "why")
     return head + table(head_line, lines)
 
 
 def events_table(book: Book) -> str:
-    return table(("event", "figures", "run"), [
-        (event, "; ".join(f"{name}: {number(value, 4) if isinstance(value, (int, float)) else value}"
-                          for name, value in figures.items()), f"`{record.name}`")
-        for record in book.records.values() for event, figures in record.events.items()])
+    return table(
+        ("event", "figures", "run"),
+        [
+            (
+                event,
+                "; ".join(
+                    f"{name}: {number(value, 4) if isinstance(value, (int, float)) else value}"
+                    for name, value in figures.items()
+                ),
+                f"`{record.name}`",
+            )
+            for record in book.records.values()
+            for event, figures in record.events.items()
+        ],
+    )
 
 
 def runs_table(book: Book) -> str:
-    return table(("run", "commit", "command", "seed", "notes"), [
-        (f"`{record.name}`", record.commit, f"`{record.command}`", str(record.seed), " ".join(
-            note if note.endswith(".") else note + "." for note in record.notes)) for record in book.records.values()])
+    return table(
+        ("run", "commit", "command", "seed", "notes"),
+        [
+            (
+                f"`{record.name}`",
+                record.commit,
+                f"`{record.command}`",
+                str(record.seed),
+                " ".join(note if note.endswith(".") else note + "." for note in record.notes),
+            )
+            for record in book.records.values()
+        ],
+    )
 
 
 def tables(book: Book) -> dict[str, str]:
     """By the name that stands in the page's markers."""
-    return {"target": table(("what", "target"), book.target), **{role: role_table(book, role) for role in book.roles},
-            "together": together_table(book), "breaks": breaks_table(book), "missing": missing_table(book),
-            "events": events_table(book), "runs": runs_table(book)}
+    return {
+        "target": table(("what", "target"), book.target),
+        **{role: role_table(book, role) for role in book.roles},
+        "together": together_table(book),
+        "breaks": breaks_table(book),
+        "missing": missing_table(book),
+        "events": events_table(book),
+        "runs": runs_table(book),
+    }
 
 
 # The page.
 
+
 def marks(name: str) -> tuple[str, str]:
     return f"{MARK}{name} -->\n", "\n<!-- end -->"
 
@@ -518,8 +625,17 @@
         print(f"capacity: {error}", file=sys.stderr)
         return 1
     over = [row for row in breaking(book) if row.ratio > 1.0]
-    print(json.dumps({"benchmark": "capacity", "rows": len(book.rows), "over": len(over),
-                      "missing": [missing.name for missing, _ in next_missing(book)], "holds": True}))
+    print(
+        json.dumps(
+            {
+                "benchmark": "capacity",
+                "rows": len(book.rows),
+                "over": len(over),
+                "missing": [missing.name for missing, _ in next_missing(book)],
+                "holds": True,
+            }
+        )
+    )
     return 0
 
 
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -1,4 +1,5 @@
 """Which form a cost by size has: constant, line or logarithm; and the cost as the record that the capacity page is made of."""
+
 from __future__ import annotations
 
 import json
@@ -8,9 +9,9 @@
 
 from benchmarks.records import Fit, fitted
 
-FLAT = 0.03             # a constant that is off by no more than this is the whole truth
-CHECK = 0.15            # by which a fit may be off at a size that it was not made from
-WORTH = 0.02            # of residual that a slope must take away, where a cost is not flat by that bound
+FLAT = 0.03  # a constant that is off by no more than this is the whole truth
+CHECK = 0.15  # by which a fit may be off at a size that it was not made from
+WORTH = 0.02  # of residual that a slope must take away, where a cost is not flat by that bound
 FORMS = ("constant", "linear", "log2")
 
 
@@ -48,9 +49,16 @@
 
 def cost(unit: str, points: list[tuple[int, float]], checked: tuple[int, float] | None = None) -> dict[str, Any]:
     best = fit([(float(size), value) for size, value in points])
-    return {"unit": unit, "size": "members", "points": [[size, rounded(value)] for size, value in points], "form": best.form,
-            "constant": rounded(best.constant), "slope": rounded(best.slope), "residual": round(best.residual, 4),
-            "checked": [checked[0], rounded(checked[1])] if checked else None}
+    return {
+        "unit": unit,
+        "size": "members",
+        "points": [[size, rounded(value)] for size, value in points],
+        "form": best.form,
+        "constant": rounded(best.constant),
+        "slope": rounded(best.slope),
+        "residual": round(best.residual, 4),
+        "checked": [checked[0], rounded(checked[1])] if checked else None,
+    }
 
 
 def rounded(value: float) -> float:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,6 +20,7 @@
 Each starts processes of its own. `late` is how late the stand-ins were: above 0.1 s the machine was too busy and the run tells
 nothing. What was run is taken down by the interpreters, on one clock: a window is shortened by four times that lateness.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -41,8 +42,8 @@
 
 KNOWN, BACK, USED, EVEN = 3.0, 3.0, 0.9, 0.9
 CPU, MEMORY_MB, GROWTH = 0.02, 6.0, 1.3
-RUNNABLE = 48           # instances whose ops one machine can run beside their stand-ins
-UNITS = 40              # of a total, for each instance a window
+RUNNABLE = 48  # instances whose ops one machine can run beside their stand-ins
+UNITS = 40  # of a total, for each instance a window
 Holds = dict[str, bool]
 
 
@@ -74,8 +75,11 @@
 async def members(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
     stalled = places(2, 1 + max(1, count // 20))
     length = 6.5 if quick else 20.0
-    script = f"at 0 lossy all 0.2 for {length}\n" + "\n".join(
-        f"at {at:.1f} stall {stalled} for 2" for at in (1.0, 5.0, 9.0, 13.0) if at + 3.0 < length) + f"\nat {length + 1} kill 1"
+    script = (
+        f"at 0 lossy all 0.2 for {length}\n"
+        + "\n".join(f"at {at:.1f} stall {stalled} for 2" for at in (1.0, 5.0, 9.0, 13.0) if at + 3.0 < length)
+        + f"\nat {length + 1} kill 1"
+    )
     async with FleetRig(FleetCase(count, script, seed=seed, run_for=length), folder) as rig:
         names = {node.name for node in rig.nodes}
         joined = await together(rig, names, 30.0)
@@ -90,10 +94,21 @@
         told = await rig.finish()
         counters = await rig.nodes[0].counters()
     false = max(false, declared(views, names - {"n1"}))
-    return ({"joined": joined, "known": known, "false": false, "late": told["late"],
-             "suspected": counters.get("fleet_suspected"), "refuted": counters.get("fleet_refuted")},
-            {f"known in {KNOWN:g} s": known is not None and known <= KNOWN, "no living one declared gone": false == 0,
-             "all joined": joined is not None})
+    return (
+        {
+            "joined": joined,
+            "known": known,
+            "false": false,
+            "late": told["late"],
+            "suspected": counters.get("fleet_suspected"),
+            "refuted": counters.get("fleet_refuted"),
+        },
+        {
+            f"known in {KNOWN:g} s": known is not None and known <= KNOWN,
+            "no living one declared gone": false == 0,
+            "all joined": joined is not None,
+        },
+    )
 
 
 async def cut(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
@@ -109,8 +124,10 @@
         await rig.until(0.5 + length)
         back = await together(rig, names, 10.0)
         told = await rig.finish()
-    return ({"frozen": frozen, "false": false, "back": back, "late": told["late"]},
-            {f"views one in {BACK:g} s": back is not None and back <= BACK, "nobody declared gone": false == 0})
+    return (
+        {"frozen": frozen, "false": false, "back": back, "late": told["late"]},
+        {f"views one in {BACK:g} s": back is not None and back <= BACK, "nobody declared gone": false == 0},
+    )
 
 
 async def used(case: FleetCase, folder: Path, since: float, first: int) -> dict[str, Any]:
@@ -125,11 +142,17 @@
     starts = [[at - zero for at, _ in host["starts"]] for host in told["ran"]]
     span = case.run_for - since
     counted = [sum(since <= at < case.run_for for at in own) for own in starts]
-    by_second = [round(sum(second <= at < second + 1 for own in starts for at in own) / case.total * case.window, 2)
-                 for second in range(int(case.run_for))]
-    return {"by second": by_second, "most": most_in_window([at for own in starts for at in own], window) / case.total,
-            "used": sum(counted) / (case.total * span), "first half": sum(counted[:first]) / (0.5 * case.total * span),
-            "late": told["late"]}
+    by_second = [
+        round(sum(second <= at < second + 1 for own in starts for at in own) / case.total * case.window, 2)
+        for second in range(int(case.run_for))
+    ]
+    return {
+        "by second": by_second,
+        "most": most_in_window([at for own in starts for at in own], window) / case.total,
+        "used": sum(counted) / (case.total * span),
+        "first half": sum(counted[:first]) / (0.5 * case.total * span),
+        "late": told["late"],
+    }
 
 
 def demand(count: int, run_for: float, seed: int, script: str = "", leases: bool = True) -> FleetCase:
@@ -146,8 +169,10 @@
     count = min(count, RUNNABLE)
     run_for, since = (22.0, 12.0) if quick else (40.0, 15.0)
     with_leases = await used(demand(count, run_for, seed), folder, since, count // 2)
-    return ({**with_leases, "even split would be": (1.0 + 0.53) / 2},
-            {f"{USED:g} of the total used": with_leases["used"] >= USED, "total kept": with_leases["most"] <= 1.0})
+    return (
+        {**with_leases, "even split would be": (1.0 + 0.53) / 2},
+        {f"{USED:g} of the total used": with_leases["used"] >= USED, "total kept": with_leases["most"] <= 1.0},
+    )
 
 
 async def even(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
@@ -164,7 +189,7 @@
         if fleet:
             await together(rig, {node.name for node in rig.nodes}, 30.0)
             await rig.go()
-        await asyncio.sleep(2.0 if count < 50 else 10.0)      # until the joining has been told on to all
+        await asyncio.sleep(2.0 if count < 50 else 10.0)  # until the joining has been told on to all
         before, begun = rig.usage(), time.monotonic()
         sent = [(await node.counters()).get("fleet_bytes_sent", 0) for node in rig.nodes[:4]]
         await asyncio.sleep(seconds)
@@ -177,29 +202,54 @@
 
 async def cost(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
     seconds, few = (6.0, 8) if quick else (15.0, 20)
-    told = {name: await usage(many, seed, seconds, fleet, folder)
-            for name, many, fleet in (("none", few, False), ("few", few, True), ("many", count, True))}
+    told = {
+        name: await usage(many, seed, seconds, fleet, folder)
+        for name, many, fleet in (("none", few, False), ("few", few, True), ("many", count, True))
+    }
     cpu, mb = told["many"]["cpu"] - told["none"]["cpu"], told["many"]["mb"] - told["none"]["mb"]
-    growth = max(told["many"]["bytes"] / told["few"]["bytes"],
-                 (told["many"]["cpu"] - told["none"]["cpu"]) / max(1e-4, told["few"]["cpu"] - told["none"]["cpu"]))
-    return ({"core": cpu, "mb": mb, "growth": growth, "bytes a second": told["many"]["bytes"],
-             "at few": told["few"]["cpu"] - told["none"]["cpu"]},
-            {f"under {CPU:g} of a core": cpu < CPU, f"under {MEMORY_MB:g} MB more": mb < MEMORY_MB,
-             f"at {count} within {GROWTH:g} of {few}": growth <= GROWTH})
+    growth = max(
+        told["many"]["bytes"] / told["few"]["bytes"],
+        (told["many"]["cpu"] - told["none"]["cpu"]) / max(1e-4, told["few"]["cpu"] - told["none"]["cpu"]),
+    )
+    return (
+        {
+            "core": cpu,
+            "mb": mb,
+            "growth": growth,
+            "bytes a second": told["many"]["bytes"],
+            "at few": told["few"]["cpu"] - told["none"]["cpu"],
+        },
+        {
+            f"under {CPU:g} of a core": cpu < CPU,
+            f"under {MEMORY_MB:g} MB more": mb < MEMORY_MB,
+            f"at {count} within {GROWTH:g} of {few}": growth <= GROWTH,
+        },
+    )
 
 
 async def beside(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
     figures: dict[str, Any] = {}
     for name, how in (("leases", {}), ("even", {"leases": False}), ("gossip", {"leases": False, "gossip": True})):
-        world = FleetWorld(Plan(12, "at 24 cut 0-5 from 6-11 for 8", seed=seed, budgets=(("quota", 1200, 1.0),),
-                                demand=lambda place, now: 1.6 if place < 6 else 0.53, **how)).play(14.0)
+        world = FleetWorld(
+            Plan(
+                12,
+                "at 24 cut 0-5 from 6-11 for 8",
+                seed=seed,
+                budgets=(("quota", 1200, 1.0),),
+                demand=lambda place, now: 1.6 if place < 6 else 0.53,
+                **how,
+            )
+        ).play(14.0)
         before = Counter(world.took)
         world.play(24.0)
         calm = (sum(world.took.values()) - sum(before.values())) / 12_000.0
         world.play(34.0)
         figures[name] = {"used": round(calm, 3), "most": round(world.most_used[0] / 1200, 3)}
-    return figures, {"leases use more than even parts": figures["leases"]["used"] > figures["even"]["used"] + 0.1,
-                     "total kept": figures["leases"]["most"] <= 1.0, "gossip overruns": figures["gossip"]["most"] > 1.0}
+    return figures, {
+        "leases use more than even parts": figures["leases"]["used"] > figures["even"]["used"] + 0.1,
+        "total kept": figures["leases"]["most"] <= 1.0,
+        "gossip overruns": figures["gossip"]["most"] > 1.0,
+    }
 
 
 async def own_script(count: int, seed: int, text: str, seconds: float, folder: Path) -> tuple[dict[str, Any], Holds]:
--- a/benchmarks/loudest.py
+++ b/benchmarks/loudest.py
@@ -9,6 +9,7 @@
 
 Aim: the four loudest are found, in under a tenth of the room and six times the time.
 """
+
 from __future__ import annotations
 
 import json
@@ -31,8 +32,10 @@
     """A long tail with four that ask a lot: 4, 3, 2 and 1.5% of all."""
     draw = random.Random(seed)
     loud = [f"loud {place}" for place in range(LOUD)]
-    return [draw.choices(loud, (4.0, 3.0, 2.0, 1.5))[0] if draw.random() < 0.105 else f"tenant {draw.randrange(TENANTS)}"
-            for _ in range(count)]
+    return [
+        draw.choices(loud, (4.0, 3.0, 2.0, 1.5))[0] if draw.random() < 0.105 else f"tenant {draw.randrange(TENANTS)}"
+        for _ in range(count)
+    ]
 
 
 def timed(names: list[str], add: Any) -> float:
@@ -49,6 +52,7 @@
 
     def count(now: float, name: str) -> None:
         plain[name] += 1
+
     sketch = Loudest(KEPT)
     held = {}
     for what, add in (("dict", count), ("sketch", sketch.add)):
@@ -58,8 +62,10 @@
         tracemalloc.stop()
     found = {loud.name for loud in sketch.most(len(names) / 50_000.0, LOUD)}
     true = {name for name, _ in plain.most_common(LOUD)}
-    cost = {"dict": min(timed(names, count) for _ in range(ROUNDS)),
-            "sketch": min(timed(names, Loudest(KEPT).add) for _ in range(ROUNDS))}
+    cost = {
+        "dict": min(timed(names, count) for _ in range(ROUNDS)),
+        "sketch": min(timed(names, Loudest(KEPT).add) for _ in range(ROUNDS)),
+    }
     print(f"{'':8}{'us an op':>10}{'KB held':>10}{'names':>10}")
     for what, names_held in (("dict", len(plain)), ("sketch", len(sketch.counts))):
         print(f"{what:8}{cost[what]:10.2f}{held[what]:10.0f}{names_held:10}")
--- a/benchmarks/nack_cost.py
+++ b/benchmarks/nack_cost.py
@@ -12,6 +12,7 @@
 door a nack costs a third of one read in full, or less. (A quarter was wished for; docs/design/storms.md says what stands
 in the way.)
 """
+
 from __future__ import annotations
 
 import json
@@ -30,8 +31,15 @@
 def cost(operator: str, seconds: float, seed: int, full: float = 0.0) -> tuple[float, float]:
     """Microseconds of CPU a nack, and nacks a second; `full` is what an op read in full costs beside."""
     first, last = 4.0, 4.0 + seconds
-    told = played(Case(f"at 1 freeze 0 for {last}\nat {first} look 0\nat {last} look 0", run_for=last + 1.0, rate=60.0,
-                       operator=operator, seed=seed))
+    told = played(
+        Case(
+            f"at 1 freeze 0 for {last}\nat {first} look 0\nat {last} look 0",
+            run_for=last + 1.0,
+            rate=60.0,
+            operator=operator,
+            seed=seed,
+        )
+    )
     (cpu, at, before), (cpu_after, at_after, after) = told["looks"]
     nacks = after["answers_429"] - before["answers_429"]
     if full:
@@ -51,8 +59,18 @@
     table.add_row("at the door", f"{door[0]:.0f}", f"{door[1]:.0f}")
     Console().print(table)
     ratio = door[0] / full[0]
-    print(json.dumps({"full_us": round(full[0], 1), "door_us": round(door[0], 1), "ratio": round(ratio, 3),
-                      "aim": AIM, "wished": 0.25, "holds": ratio <= AIM}))
+    print(
+        json.dumps(
+            {
+                "full_us": round(full[0], 1),
+                "door_us": round(door[0], 1),
+                "ratio": round(ratio, 3),
+                "aim": AIM,
+                "wished": 0.25,
+                "holds": ratio <= AIM,
+            }
+        )
+    )
     return 0 if ratio <= AIM else 1
 
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -13,6 +13,7 @@
 be bounded is: the sketch of tenants, the storm books and an op's decision cost at their largest size at most twice what they
 cost at the size before. Two sizes of one run are compared, so a busy machine moves both.
 """
+
 from __future__ import annotations
 
 import json
@@ -56,11 +57,11 @@
 from mulleinhatch.upkeep.register import Ballot, Kept
 from mulleinhatch.upkeep.table import MOST_OUT, Permit, Table
 
-HEADERS = 28            # bytes of UDP and IPv4 before each datagram
-PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000      # of the target
-HEADROOM = 2.0          # of a tenant's total over its mean rate at the peak
-LETTERS = 4             # that a member sends, and hears, a beat: two probes and their answers
-BEATS = 10              # a second
+HEADERS = 28  # bytes of UDP and IPv4 before each datagram
+PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
+HEADROOM = 2.0  # of a tenant's total over its mean rate at the peak
+LETTERS = 4  # that a member sends, and hears, a beat: two probes and their answers
+BEATS = 10  # a second
 TURNS, QUICK_TURNS = 7, 3
 Points = list[tuple[float, float]]
 
@@ -91,14 +92,22 @@
         self.quick, self.seed, self.turns = quick, seed, QUICK_TURNS if quick else TURNS
         self.costs: dict[str, dict[str, Any]] = {}
         self.events: dict[str, dict[str, float]] = {}
-        self.bounded: dict[str, Points] = {}        # by cost: what must not grow beyond its bound
+        self.bounded: dict[str, Points] = {}  # by cost: what must not grow beyond its bound
 
     def sizes(self, *all_sizes: int) -> tuple[int, ...]:
         """In a quick run without the largest."""
         return all_sizes[:3] if self.quick else all_sizes
 
-    def add(self, name: str, unit: str, size: str, points: Points, form: str, bounded: bool = False,
-            checked: tuple[float, float] | None = None) -> None:
+    def add(
+        self,
+        name: str,
+        unit: str,
+        size: str,
+        points: Points,
+        form: str,
+        bounded: bool = False,
+        checked: tuple[float, float] | None = None,
+    ) -> None:
         self.costs[name] = cost(unit, size, points, form, checked)
         if bounded:
             self.bounded[name] = points
@@ -111,11 +120,12 @@
         memory = [(count, held(all_parts, count)) for count in (*sizes, *([last] if last else []))]
         spent = [(count, BEATS * self._beat_of(count)) for count in (*sizes, *([last] if last else []))]
         for name, unit, points in (("control.budgets_memory", "bytes", memory), ("control.budgets_cpu", "cores", spent)):
-            self.add(name, unit, "budgets", points[:len(sizes)], "linear", checked=points[-1] if last else None)
+            self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
         bytes_a_second, datagrams = [], []
         for count in (1, 4, 8, 16):
-            world = FleetWorld(Plan(25, until=15.0, budgets=tuple((f"b{place}", 100, 1.0) for place in range(count)),
-                                    seed=self.seed))
+            world = FleetWorld(
+                Plan(25, until=15.0, budgets=tuple((f"b{place}", 100, 1.0) for place in range(count)), seed=self.seed)
+            )
             before = Counter(world.play(5.0).counts)
             world.play(6.0 if self.quick else 15.0)
             per = 25 * (world.now - 5.0)
@@ -139,6 +149,7 @@
                     part.spare(now, 0.5)
                 for _ in range(1 + LETTERS):
                     part.pieces(now)
+
         return cpu(beat, max(1, 1_000 // count), self.turns)
 
     def few(self) -> None:
@@ -159,21 +170,35 @@
         whole = sum(1.0 / rank for rank in range(1, TENANTS + 1))
         totals = sorted(max(1, int(HEADROOM * PEAK / whole / rank)) for rank in range(1, TENANTS + 1))
         self.events["even parts (totals are reckoned)"] = {
-            "median tenant's total, runs a second": totals[TENANTS // 2], "largest": totals[-1],
-            **{f"tenants under one run a second at {seats:,} seats": rounded(bisect_right(totals, seats - 1) / TENANTS, 6)
-               for seats in (25, 100, 400, MEMBERS)}}
+            "median tenant's total, runs a second": totals[TENANTS // 2],
+            "largest": totals[-1],
+            **{
+                f"tenants under one run a second at {seats:,} seats": rounded(bisect_right(totals, seats - 1) / TENANTS, 6)
+                for seats in (25, 100, 400, MEMBERS)
+            },
+        }
 
     # Storm books and sketches.
 
     def storms(self) -> None:
         # At whole generations of the books, where they hold the most that they ever do.
         usual, callers = StormBounds(), self.sizes(16_384, 32_768, 49_152)
-        self.add("request.storms_memory", "bytes", "callers", [
-            (count, held(full_desk, usual, count)) for count in callers], "constant", bounded=True)
+        self.add(
+            "request.storms_memory",
+            "bytes",
+            "callers",
+            [(count, held(full_desk, usual, count)) for count in callers],
+            "constant",
+            bounded=True,
+        )
         raised = self.sizes(1_000, 4_000, 16_000, CALLERS)
-        self.add("request.storms_memory_unbounded", "bytes", "callers", [
-            (count, held(full_desk, usual._replace(callers_kept=count, repeats_kept=count), count))
-            for count in raised], "linear")
+        self.add(
+            "request.storms_memory_unbounded",
+            "bytes",
+            "callers",
+            [(count, held(full_desk, usual._replace(callers_kept=count, repeats_kept=count), count)) for count in raised],
+            "linear",
+        )
         spent = []
         for count in callers:
             spent.append((count, 1e6 * cpu(tries_of(full_desk(usual, count), count, self.seed), 5_000, self.turns)))
@@ -184,8 +209,13 @@
         for count in self.sizes(1_000, 10_000, 100_000, TENANTS):
             names = Names(count, self.seed)
             memory.append((count, held(filled, names, adds)))
-            spent.append((count, 1e6 * cpu(adding(filled(names, adds), names, adds), 20_000, self.turns)
-                          - 1e6 * cpu(names.next, 20_000, self.turns)))
+            spent.append(
+                (
+                    count,
+                    1e6 * cpu(adding(filled(names, adds), names, adds), 20_000, self.turns)
+                    - 1e6 * cpu(names.next, 20_000, self.turns),
+                )
+            )
         self.add("request.loudest_memory", "bytes", "tenants", memory, "constant", bounded=True)
         self.add("request.loudest_cpu", "us a request", "tenants", spent, "constant", bounded=True)
 
@@ -210,8 +240,9 @@
     def settings(self) -> None:
         """The file that carries configuration today, whole at each change."""
         for name, size, sizes, rows in (
-                ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenants_told),
-                ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), classes_told)):
+            ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenants_told),
+            ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), classes_told),
+        ):
             self.add(name, "bytes", size, [(count, float(len(json.dumps(rows(count))))) for count in sizes], "linear")
 
     # Voters.
@@ -237,8 +268,9 @@
             spent.append((count, 1e6 * cpu(answered, max(2, 1_000 // count), turns, core, query)))
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
         for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
-            self.add(name, "bytes", "permits", [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MOST_OUT)],
-                     "linear")
+            self.add(
+                name, "bytes", "permits", [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MOST_OUT)], "linear"
+            )
 
     # The operator's tools.
 
@@ -309,14 +341,21 @@
 
 def tries_of(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
     draw = random.Random(seed)
-    return lambda: one_try(desk, draw.randrange(callers), draw.randrange(10 ** 9))
+    return lambda: one_try(desk, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
-    return {"op_types": [{"effect": Effect.RETRYABLE, "importance": float(place % 10), "target_latency": 1.0, "op_timeout": 2.0}
-                         for place in range(classes)],
-            "tenants": [{"fraction": 1.0, "quota_per_s": 100.0} for _ in range(tenants)], "cores": 4, "crowd_per_core": 8.0,
-            "callers": 100, "instances": MEMBERS}
+    return {
+        "op_types": [
+            {"effect": Effect.RETRYABLE, "importance": float(place % 10), "target_latency": 1.0, "op_timeout": 2.0}
+            for place in range(classes)
+        ],
+        "tenants": [{"fraction": 1.0, "quota_per_s": 100.0} for _ in range(tenants)],
+        "cores": 4,
+        "crowd_per_core": 8.0,
+        "callers": 100,
+        "instances": MEMBERS,
+    }
 
 
 def cycle(hatch: Hatch, tenants: int, classes: int, seed: int) -> Callable[[], None]:
@@ -326,13 +365,15 @@
     def one() -> None:
         turn = next(clock)
         now = turn / 275.0
-        hatch.op_read(now, turn + 1, draw.randrange(classes), 0.0, 1.0, draw.randrange(tenants), 0, turn % 100, 0.002, 1.0,
-                      False)
+        hatch.op_read(
+            now, turn + 1, draw.randrange(classes), 0.0, 1.0, draw.randrange(tenants), 0, turn % 100, 0.002, 1.0, False
+        )
         started = [decision.ref for decision in decisions(hatch, now) if decision.verb is Verb.RUN]
         for ref in started:
             hatch.run_ended(now + 0.002, ref, Ending.OK)
         for _ in decisions(hatch, now + 0.002):
             pass
+
     return one
 
 
@@ -346,8 +387,10 @@
 
 
 def classes_told(count: int) -> list[dict[str, Any]]:
-    return [{"name": f"route-{place:05}", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}
-            for place in range(count)]
+    return [
+        {"name": f"route-{place:05}", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}
+        for place in range(count)
+    ]
 
 
 class Asking(Machines):
@@ -379,8 +422,10 @@
     fleet = Fleet(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
     core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
     requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
-    letters = [Letter(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
-               for place, request in enumerate(requests)]
+    letters = [
+        Letter(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
+        for place, request in enumerate(requests)
+    ]
     for letter, request in zip(letters, requests):
         core.fleet.letter(1.0, letter)
         core.requests[request.name] = Known(request, 1.0)
@@ -396,8 +441,17 @@
 
 def table_bytes(out: int, letters: int) -> int:
     """The largest word that carries the table: what a voter tells one that lost its disk."""
-    table = Table(tuple(f"v{place}".ljust(letters, "x") for place in range(7)), MOST_OUT, MOST_OUT, 8_000, 0, tuple(
-        Permit(f"n{place}".ljust(letters, "x"), "r1z1", 8_000 - place, "release".ljust(letters, "x")) for place in range(out)))
+    table = Table(
+        tuple(f"v{place}".ljust(letters, "x") for place in range(7)),
+        MOST_OUT,
+        MOST_OUT,
+        8_000,
+        0,
+        tuple(
+            Permit(f"n{place}".ljust(letters, "x"), "r1z1", 8_000 - place, "release".ljust(letters, "x"))
+            for place in range(out)
+        ),
+    )
     ballot = Ballot(8_000, "n1.1700000000000.12")
     return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(ballot, ballot, table, 16_000), False)))
 
@@ -412,10 +466,29 @@
     side.core = core = Fleet(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
     for number in range(1, count):
         name, address = f"n{number}", f"10.1.{number // 250}.{number % 250}:7300"
-        report = Report(name, 1_700_000_000_000, 1, 0.0, [1_000] * len(FIGURES), [1],
-                        [(f"tenant {(4 * number * differ + one) % TENANTS}", 5.0) for one in range(4)])
-        core.letter(now, Letter(words.VERSION, "f", name, address, 1_700_000_000_000, 0, "word",
-                                rumours=[Rumour(name, address, 1_700_000_000_000, 0, words.ALIVE)], reports=[report]))
+        report = Report(
+            name,
+            1_700_000_000_000,
+            1,
+            0.0,
+            [1_000] * len(FIGURES),
+            [1],
+            [(f"tenant {(4 * number * differ + one) % TENANTS}", 5.0) for one in range(4)],
+        )
+        core.letter(
+            now,
+            Letter(
+                words.VERSION,
+                "f",
+                name,
+                address,
+                1_700_000_000_000,
+                0,
+                "word",
+                rumours=[Rumour(name, address, 1_700_000_000_000, 0, words.ALIVE)],
+                reports=[report],
+            ),
+        )
     core.beat(now, Local())
     return side
 
@@ -433,16 +506,27 @@
 
 def record(parts: Parts, names: list[str], at: str, load: float) -> None:
     """Each run leaves a note of its commit and of how busy the machine was."""
-    busy = (f"{at}, {','.join(names)}: load average {load:.1f} at start, {os.getloadavg()[0]:.1f} at the end, "
-            f"on {os.cpu_count()} cores.")
+    busy = (
+        f"{at}, {','.join(names)}: load average {load:.1f} at start, {os.getloadavg()[0]:.1f} at the end, "
+        f"on {os.cpu_count()} cores."
+    )
     path, old = RECORDED / "parts.json", {}
     if len(names) < len(PARTS) and path.exists():
         old = json.loads(path.read_text())
     busy_before = [note for note in old.get("notes", []) if " load average " in note]
-    keep("parts", {"commit": old.get("commit", at), "benchmark": "parts",
-                   "command": f"python -m benchmarks.parts --record --seed {parts.seed}", "seed": parts.seed,
-                   "mechanism": "parts", "costs": {**old.get("costs", {}), **parts.costs},
-                   "events": {**old.get("events", {}), **parts.events}, "notes": [*NOTES, *busy_before, busy]})
+    keep(
+        "parts",
+        {
+            "commit": old.get("commit", at),
+            "benchmark": "parts",
+            "command": f"python -m benchmarks.parts --record --seed {parts.seed}",
+            "seed": parts.seed,
+            "mechanism": "parts",
+            "costs": {**old.get("costs", {}), **parts.costs},
+            "events": {**old.get("events", {}), **parts.events},
+            "notes": [*NOTES, *busy_before, busy],
+        },
+    )
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -467,14 +551,16 @@
     return 0 if all(holds.values()) else 1
 
 
-NOTES = ["Memory by tracemalloc; CPU of one process, medians of 7 turns (3 at the largest sizes of voters and answers).",
-         "control.budgets_cpu drives Part alone with 3,600 seats: a letter carries 16 budgets at most.",
-         "control.budgets_bytes: 25 members in virtual time, sent and received, UDP and IPv4 headers in.",
-         "control.few_bytes: the same among 4 to 64 members, without budgets.",
-         "voter.messages, voter.bytes: in virtual time, of one of three voters, heard and said; one permit, all others wait.",
-         "request.storms_memory: at whole generations of the books, where they hold the most.",
-         "request.storms_memory_unbounded: callers-kept and repeats-kept raised to the number of callers.",
-         "tools.fleet_answer_cpu: all members name the same four loudest tenants; _tenants_differ: each names four others."]
+NOTES = [
+    "Memory by tracemalloc; CPU of one process, medians of 7 turns (3 at the largest sizes of voters and answers).",
+    "control.budgets_cpu drives Part alone with 3,600 seats: a letter carries 16 budgets at most.",
+    "control.budgets_bytes: 25 members in virtual time, sent and received, UDP and IPv4 headers in.",
+    "control.few_bytes: the same among 4 to 64 members, without budgets.",
+    "voter.messages, voter.bytes: in virtual time, of one of three voters, heard and said; one permit, all others wait.",
+    "request.storms_memory: at whole generations of the books, where they hold the most.",
+    "request.storms_memory_unbounded: callers-kept and repeats-kept raised to the number of callers.",
+    "tools.fleet_answer_cpu: all members name the same four loudest tenants; _tenants_differ: each names four others.",
+]
 
 
 if __name__ == "__main__":
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -4,6 +4,7 @@
 span orders of magnitude, and the plain errors of the largest would hide all others. The residual is the largest error at the
 points, as a share of what was measured there. `Unfit` names file and key of what is wrong.
 """
+
 from __future__ import annotations
 
 import json
@@ -14,8 +15,8 @@
 
 RECORDED = Path(__file__).parent / "recorded"
 FORMS = ("constant", "log2", "linear", "square")
-LEAST_POINTS = 3        # of a cost that is said to grow: two points lie on any line
-SLACK = 1e-3            # of a figure, as records are rounded
+LEAST_POINTS = 3  # of a cost that is said to grow: two points lie on any line
+SLACK = 1e-3  # of a figure, as records are rounded
 
 
 class Unfit(ValueError):
@@ -53,14 +54,14 @@
 
 class Cost(NamedTuple):
     unit: str
-    size: str                               # what the points are over: members, tenants, ...
+    size: str  # what the points are over: members, tenants, ...
     points: list[tuple[float, float]]
     fit: Fit
-    checked: tuple[float, float] | None     # a run at another size, that the fit was not made from
+    checked: tuple[float, float] | None  # a run at another size, that the fit was not made from
 
 
 class Record(NamedTuple):
-    name: str       # of the file, without its ending
+    name: str  # of the file, without its ending
     commit: str
     benchmark: str
     command: str
@@ -90,7 +91,7 @@
     both = sum(weight * (place - mean_place) * (value - mean) for weight, place, (_, value) in zip(weights, places, points))
     slope = both / spread if spread else 0.0
     constant = mean - slope * mean_place
-    fit = Fit(form, constant if abs(constant) > 1e-9 * abs(mean) else 0.0, slope)     # else a trace of rounding alone
+    fit = Fit(form, constant if abs(constant) > 1e-9 * abs(mean) else 0.0, slope)  # else a trace of rounding alone
     return fit._replace(residual=residual(fit, points))
 
 
@@ -99,14 +100,22 @@
     return max(abs(fit.at(size) - value) / (abs(value) or 1.0) for size, value in points)
 
 
-def cost(unit: str, size: str, points: list[tuple[float, float]], form: str,
-         checked: tuple[float, float] | None = None) -> dict[str, Any]:
+def cost(
+    unit: str, size: str, points: list[tuple[float, float]], form: str, checked: tuple[float, float] | None = None
+) -> dict[str, Any]:
     """One cost as a record keeps it."""
     points = [(size, rounded(value)) for size, value in points]
     fit = fitted(points, form)
-    return {"unit": unit, "size": size, "points": points, "form": fit.form, "constant": rounded(fit.constant, 6),
-            "slope": rounded(fit.slope, 6), "residual": rounded(fit.residual, 4),
-            "checked": checked and [checked[0], rounded(checked[1])]}
+    return {
+        "unit": unit,
+        "size": size,
+        "points": points,
+        "form": fit.form,
+        "constant": rounded(fit.constant, 6),
+        "slope": rounded(fit.slope, 6),
+        "residual": rounded(fit.residual, 4),
+        "checked": checked and [checked[0], rounded(checked[1])],
+    }
 
 
 def rounded(value: float, figures: int = 4) -> float:
@@ -119,16 +128,25 @@
 
 def commit() -> str:
     """The short hash of what is measured, with `+` where program text differs from it."""
+
     def git(*words: str) -> str:
         return subprocess.run(["git", *words], capture_output=True, text=True, check=True, cwd=RECORDED.parent).stdout.strip()
+
     return git("rev-parse", "--short", "HEAD") + ("+" if git("status", "--porcelain", "--", "../mulleinhatch") else "")
 
 
 def keep(name: str, told: dict[str, Any], folder: Path = RECORDED) -> Path:
     """Written a cost a line, so that a new run shows in a diff as what it changed."""
     inner = {key: {name: json.dumps(value) for name, value in told[key].items()} for key in ("costs", "events")}
-    lines = [f" {json.dumps(key)}: " + ("{\n" + ",\n".join(f"  {json.dumps(name)}: {text}" for name, text in inner[key].items())
-                                       + "\n }" if inner.get(key) else json.dumps(value)) for key, value in told.items()]
+    lines = [
+        f" {json.dumps(key)}: "
+        + (
+            "{\n" + ",\n".join(f"  {json.dumps(name)}: {text}" for name, text in inner[key].items()) + "\n }"
+            if inner.get(key)
+            else json.dumps(value)
+        )
+        for key, value in told.items()
+    ]
     path = folder / f"{name}.json"
     path.write_text("{\n" + ",\n".join(lines) + "\n}\n")
     return path
@@ -184,15 +202,23 @@
         raise Unfit(f"{path.name}: {way}.points: {len(sizes)} sizes are too few for a {form} fit")
     fit = Fit(form, *(float(_want(path, told, key, float, way)) for key in ("constant", "slope", "residual")))
     checked = told.get("checked")
-    found = Cost(_want(path, told, "unit", str, way), _want(path, told, "size", str, way), points, fit,
-                 None if checked is None else _pair(path, f"{way}.checked", checked))
+    found = Cost(
+        _want(path, told, "unit", str, way),
+        _want(path, told, "size", str, way),
+        points,
+        fit,
+        None if checked is None else _pair(path, f"{way}.checked", checked),
+    )
     _reproduces(path, way, found)
     return found
 
 
 def _pair(path: Path, where: str, told: Any) -> tuple[float, float]:
-    if not isinstance(told, list) or len(told) != 2 or not all(
-            isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value) for value in told):
+    if (
+        not isinstance(told, list)
+        or len(told) != 2
+        or not all(isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value) for value in told)
+    ):
         raise Unfit(f"{path.name}: {where}: {told!r} is no pair of size and value")
     if told[0] <= 0:
         raise Unfit(f"{path.name}: {where}: {told[0]!r} is no size")
@@ -207,11 +233,14 @@
     again = [fitted(found.points, found.fit.form, relative) for relative in (True, False)]
     if not any(_same(found.fit, fit, found.points) for fit in again):
         name = "constant" if found.fit.form == "constant" else "slope"
-        raise Unfit(f"{path.name}: {way}.{name}: {found.fit.constant:g} and {found.fit.slope:g} are recorded, least squares "
-                    f"over the points give {again[0].constant:g} and {again[0].slope:g}")
+        raise Unfit(
+            f"{path.name}: {way}.{name}: {found.fit.constant:g} and {found.fit.slope:g} are recorded, least squares "
+            f"over the points give {again[0].constant:g} and {again[0].slope:g}"
+        )
 
 
 def _same(one: Fit, other: Fit, points: list[tuple[float, float]]) -> bool:
     """Whether two fits say the same at each point, and of the slope, but for the rounding of what is recorded."""
     return all(abs(one.at(size) - other.at(size)) <= SLACK * (abs(value) or 1.0) for size, value in points) and (
-        abs(one.slope - other.slope) <= SLACK * abs(other.slope) + 1e-12)
+        abs(one.slope - other.slope) <= SLACK * abs(other.slope) + 1e-12
+    )
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -31,6 +31,7 @@
 Virtual time: all but CPU seconds and memory is the same on any machine. CPU is thread time in the cores, so a busy machine's
 shared caches and sibling threads show in it; `load` tells how busy it was. Sizes of events are scaled with the members.
 """
+
 from __future__ import annotations
 
 import importlib
@@ -58,7 +59,7 @@
 BYTES, CORE, STATE_MB = 3000.0, 0.02, 8.0
 KNOWN, IN_SUMS, AGAIN, JOINED, BURST = 5.0, 7.0, 10.0, 30.0, 2.0
 TARGET = 3600
-A_DAY = 8000.0          # restarts and replacements, at the target
+A_DAY = 8000.0  # restarts and replacements, at the target
 AN_HOUR = 333
 ROLE = "instance.control"
 Holds = dict[str, bool]
@@ -69,13 +70,13 @@
     """How much is played; seconds are virtual."""
 
     slopes: tuple[int, ...]
-    checked: int            # of the full part
+    checked: int  # of the full part
     events: int
-    settle: float           # after joining, until nothing of it is told on
-    calm: float             # measured
+    settle: float  # after joining, until nothing of it is told on
+    calm: float  # measured
     cut: float
-    minute: float           # in which an hour's churn comes, or all restart
-    start: float            # in which the full part's members start
+    minute: float  # in which an hour's churn comes, or all restart
+    start: float  # in which the full part's members start
 
 
 def sizes(levels: bool, quick: bool, members: int) -> Sizes:
@@ -142,15 +143,36 @@
         states = [state for answer in world.ask("state", sample) for state in answer]
         memory, wrong = world.memory(), world.counts()["wrong"]
     kinds = {f"state.{kind}": sum(state[kind] for state in states) / len(states) for kind in states[0]}
-    return {"bytes": traffic.mean, "bytes_sent": traffic.sent, "bytes_received": traffic.heard,
-            "datagrams_sent": traffic.sent_count, "datagrams_received": traffic.heard_count, "core": sum(cpu) / members,
-            "state": sum(kinds.values()), **kinds, "memory": memory, "worst 10 s": traffic.worst,
-            "worst second": traffic.second, "worst core": max(cpu), "joined": joined, "wrong": wrong,
-            "speed": round(world.now / (time.monotonic() - begun), 3), "load": os.getloadavg()[0]}
-
-
-COSTS = {"bytes": "bytes/s", "bytes_sent": "bytes/s", "bytes_received": "bytes/s", "datagrams_sent": "datagrams/s",
-         "datagrams_received": "datagrams/s", "core": "cores", "state": "bytes", "memory": "bytes"}
+    return {
+        "bytes": traffic.mean,
+        "bytes_sent": traffic.sent,
+        "bytes_received": traffic.heard,
+        "datagrams_sent": traffic.sent_count,
+        "datagrams_received": traffic.heard_count,
+        "core": sum(cpu) / members,
+        "state": sum(kinds.values()),
+        **kinds,
+        "memory": memory,
+        "worst 10 s": traffic.worst,
+        "worst second": traffic.second,
+        "worst core": max(cpu),
+        "joined": joined,
+        "wrong": wrong,
+        "speed": round(world.now / (time.monotonic() - begun), 3),
+        "load": os.getloadavg()[0],
+    }
+
+
+COSTS = {
+    "bytes": "bytes/s",
+    "bytes_sent": "bytes/s",
+    "bytes_received": "bytes/s",
+    "datagrams_sent": "datagrams/s",
+    "datagrams_received": "datagrams/s",
+    "core": "cores",
+    "state": "bytes",
+    "memory": "bytes",
+}
 
 
 def unit(cost: str) -> str:
@@ -190,10 +212,17 @@
 
     def measured(self, members: int, figures: Figures) -> Figures:
         print(f"{members} members: {told_in_line(figures)}", file=sys.stderr, flush=True)
-        self.notes.append(f"{members} members calm: {figures['speed']} virtual s a second by {self.told.shards(members)} "
-                          f"processes, load {figures['load']:.0f}")
-        self.judge("slopes", {f"nobody living declared gone at {members}": figures["wrong"] == 0,
-                              f"{members} joined": figures["joined"] is not None})
+        self.notes.append(
+            f"{members} members calm: {figures['speed']} virtual s a second by {self.told.shards(members)} "
+            f"processes, load {figures['load']:.0f}"
+        )
+        self.judge(
+            "slopes",
+            {
+                f"nobody living declared gone at {members}": figures["wrong"] == 0,
+                f"{members} joined": figures["joined"] is not None,
+            },
+        )
         return figures
 
     def play_full(self) -> None:
@@ -205,10 +234,15 @@
             self.notes.append(f"played as a whole: {members} of {told.members}")
         figures = self.measured(members, calm(told, members, told.sizes.start))
         self.full = members, figures
-        self.judge("full", {
-            f"{BYTES:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= BYTES,
-            f"{CORE:g} of a core": figures["core"] < CORE, f"{STATE_MB:g} MB": figures["memory"] < STATE_MB * 1e6,
-            f"joined in {JOINED:g} s": figures["joined"] is not None and figures["joined"] <= JOINED})
+        self.judge(
+            "full",
+            {
+                f"{BYTES:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= BYTES,
+                f"{CORE:g} of a core": figures["core"] < CORE,
+                f"{STATE_MB:g} MB": figures["memory"] < STATE_MB * 1e6,
+                f"joined in {JOINED:g} s": figures["joined"] is not None and figures["joined"] <= JOINED,
+            },
+        )
         for name, cost in self.costs().items():
             if cost["checked"]:
                 off = abs(self.fit_of(cost).at(members) / max(cost["checked"][1], 1e-9) - 1.0)
@@ -242,6 +276,7 @@
             figures["speed"] = round(figures.pop("virtual") / (time.monotonic() - begun), 3)
             print(f"{name}: {told_in_line(figures)}", file=sys.stderr, flush=True)
             return figures, holds
+
         for name, (figures, holds) in zip(names, self.side_by_side(self.told.sizes.events, play, names)):
             self.events[name] = figures
             self.judge(name, holds)
@@ -249,21 +284,45 @@
     # What comes out.
 
     def record(self, command: str) -> Figures:
-        return {"commit": self.commit, "benchmark": "scale", "command": command, "seed": self.told.seed,
-                "mechanism": "levels" if self.told.levels else "flat", "costs": self.costs(), "events": self.events,
-                "notes": self.notes}
+        return {
+            "commit": self.commit,
+            "benchmark": "scale",
+            "command": command,
+            "seed": self.told.seed,
+            "mechanism": "levels" if self.told.levels else "flat",
+            "costs": self.costs(),
+            "events": self.events,
+            "notes": self.notes,
+        }
 
     def print(self, console: Console) -> None:
         if costs := self.costs():
-            table = Table("cost of an instance", "unit", *(str(size) for size in self.by_size), "fit", "off at most",
-                          f"at {self.told.members}", "played", title="slopes")
+            table = Table(
+                "cost of an instance",
+                "unit",
+                *(str(size) for size in self.by_size),
+                "fit",
+                "off at most",
+                f"at {self.told.members}",
+                "played",
+                title="slopes",
+            )
             for name, cost in costs.items():
                 best = self.fit_of(cost)
-                form = {"constant": f"{best.constant:.4g}", "linear": f"{best.constant:.4g} + {best.slope:.4g} x members",
-                        "log2": f"{best.constant:.4g} + {best.slope:.4g} x log2(members)"}[best.form]
-                table.add_row(name.removeprefix(f"{ROLE}."), cost["unit"], *(f"{value:.4g}" for _, value in cost["points"]),
-                              form, f"{best.residual:.1%}", f"{best.at(self.told.members):.4g}",
-                              f"{cost['checked'][1]:.4g} at {cost['checked'][0]}" if cost["checked"] else "")
+                form = {
+                    "constant": f"{best.constant:.4g}",
+                    "linear": f"{best.constant:.4g} + {best.slope:.4g} x members",
+                    "log2": f"{best.constant:.4g} + {best.slope:.4g} x log2(members)",
+                }[best.form]
+                table.add_row(
+                    name.removeprefix(f"{ROLE}."),
+                    cost["unit"],
+                    *(f"{value:.4g}" for _, value in cost["points"]),
+                    form,
+                    f"{best.residual:.1%}",
+                    f"{best.at(self.told.members):.4g}",
+                    f"{cost['checked'][1]:.4g} at {cost['checked'][0]}" if cost["checked"] else "",
+                )
             console.print(table)
         table = Table("part", "figures", "missed", title="calm, events")
         if self.full:
@@ -281,6 +340,7 @@
 
 # Events.
 
+
 class Event(NamedTuple):
     """`script` is told the moment at which it may begin, and may ask the world; `dead` are those that it kills and keeps down
     for `down` seconds; it is over `lasts` after its begin."""
@@ -288,11 +348,11 @@
     script: Callable[[World, float], str]
     lasts: float
     dead: Callable[[World], list[int]] | None = None
-    died: float = 0.0           # after the begin
+    died: float = 0.0  # after the begin
     down: float = 12.0
-    members: int = 0            # 0: as many as the events' size
+    members: int = 0  # 0: as many as the events' size
     again: float = AGAIN
-    burst: float = 0.0          # most of the mean instance's bytes over its calm mean; 0: no aim
+    burst: float = 0.0  # most of the mean instance's bytes over its calm mean; 0: no aim
 
 
 def played(told: Told, event: Event) -> tuple[Figures, Holds]:
@@ -324,13 +384,28 @@
         wrong = world.counts()["wrong"] - wrong
         core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
         ground = world.ground
-    figures: Figures = {"members": members, "joined": joined, "calm bytes": before.mean, "worst 10 s": after.worst,
-                        "mean 10 s": after.mean_worst, "worst second": after.second,
-                        "over calm": after.mean_second / max(1.0, before.mean), "core": core, "wrong": wrong,
-                        "frozen": frozen, "sums short in calm": short, "again": again, "virtual": virtual}
-    holds: Holds = {"joined": joined is not None, f"{BYTES:g} bytes/s in any 10 s": after.worst <= BYTES,
-                    f"{CORE:g} of a core": core < CORE, "no living one declared gone": wrong == 0,
-                    f"one again in {event.again:g} s": again is not None and again <= event.again}
+    figures: Figures = {
+        "members": members,
+        "joined": joined,
+        "calm bytes": before.mean,
+        "worst 10 s": after.worst,
+        "mean 10 s": after.mean_worst,
+        "worst second": after.second,
+        "over calm": after.mean_second / max(1.0, before.mean),
+        "core": core,
+        "wrong": wrong,
+        "frozen": frozen,
+        "sums short in calm": short,
+        "again": again,
+        "virtual": virtual,
+    }
+    holds: Holds = {
+        "joined": joined is not None,
+        f"{BYTES:g} bytes/s in any 10 s": after.worst <= BYTES,
+        f"{CORE:g} of a core": core < CORE,
+        "no living one declared gone": wrong == 0,
+        f"one again in {event.again:g} s": again is not None and again <= event.again,
+    }
     places = {look.place for look in looks}
     if dead:
         died = begin + event.died
@@ -351,8 +426,11 @@
 
 
 def regions_cut(begin: float, lasts: float, regions: int = 3) -> str:
-    return "\n".join(f"at {begin + 0.5:.2f} cut region{one} from region{other} for {lasts:g}"
-                     for one in range(regions) for other in range(one + 1, regions))
+    return "\n".join(
+        f"at {begin + 0.5:.2f} cut region{one} from region{other} for {lasts:g}"
+        for one in range(regions)
+        for other in range(one + 1, regions)
+    )
 
 
 def middle(world: World) -> int:
@@ -362,8 +440,12 @@
 
 
 def dead(told: Told) -> tuple[Figures, Holds]:
-    return played(told, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {middle(world)} for 12", 13.0,
-                              lambda world: [middle(world)], 0.5))
+    return played(
+        told,
+        Event(
+            lambda world, begin: f"at {begin + 0.5:.2f} kill {middle(world)} for 12", 13.0, lambda world: [middle(world)], 0.5
+        ),
+    )
 
 
 def loss(told: Told) -> tuple[Figures, Holds]:
@@ -373,6 +455,7 @@
         stalls = [f"at {begin + at:.2f} stall {listed(draw.sample(rest, max(1, members // 20)))} for 2" for at in (1.0, 7.0)]
         kill = f"at {begin + 12.0:.2f} kill {middle(world)} for 12"
         return "\n".join([f"at {begin:.2f} lossy all 0.05 for 25", *stalls, kill])
+
     return played(told, Event(script, 25.0, lambda world: [middle(world)], 12.0))
 
 
@@ -385,23 +468,28 @@
         # At a small size and a short time less than one would go; one goes then.
         rated = max(rate * members / TARGET, 86_400.0 / lasts)
         return churn(draw_of(told), members, rated, begin, lasts)
+
     return played(told, Event(script, lasts + 8.0))
 
 
 def rack(told: Told) -> tuple[Figures, Holds]:
     """40 of a zone's 400, and so a tenth of a smaller zone: more would be most of a group."""
+
     def places(world: World) -> list[int]:
         size = max(2, RACK * world.plan.members // TARGET)
         first = world.ground.firsts[1] + 2
         return [place for place in range(first, first + size) if place not in world.ground.watched()]
-    return played(told, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0,
-                              places, 0.5))
+
+    return played(
+        told, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0, places, 0.5)
+    )
 
 
 def zone(told: Told) -> tuple[Figures, Holds]:
     def places(world: World) -> list[int]:
         first, last = world.ground.places_of("zone1")
         return list(range(first, last + 1))
+
     return played(told, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill zone1 for 14", 15.0, places, 0.5))
 
 
@@ -416,8 +504,10 @@
 
 def restart(told: Told) -> tuple[Figures, Holds]:
     lasts = told.sizes.minute
-    return played(told, Event(lambda world, begin: restart_all(draw_of(told), world.plan.members, begin, lasts),
-                              lasts + 1.0, again=JOINED))
+    return played(
+        told,
+        Event(lambda world, begin: restart_all(draw_of(told), world.plan.members, begin, lasts), lasts + 1.0, again=JOINED),
+    )
 
 
 def start(told: Told) -> tuple[Figures, Holds]:
@@ -430,16 +520,35 @@
         looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
         traffic = traffic_of(world.traffic(0, int(world.now)))
     sums = in_sums(looks, {look.place for look in looks}, lasts, virtual, 0.99)
-    figures = {"members": members, "joined": joined, "in sums": sums, "worst 10 s": traffic.worst,
-               "worst second": traffic.second, "wrong": wrong, "virtual": virtual}
-    return figures, {f"joined in {JOINED:g} s": joined is not None and joined <= JOINED,
-                     f"in sums in {JOINED:g} s": sums is not None and sums <= JOINED,
-                     f"{BYTES:g} bytes/s in any 10 s": traffic.worst <= BYTES, "no living one declared gone": wrong == 0}
+    figures = {
+        "members": members,
+        "joined": joined,
+        "in sums": sums,
+        "worst 10 s": traffic.worst,
+        "worst second": traffic.second,
+        "wrong": wrong,
+        "virtual": virtual,
+    }
+    return figures, {
+        f"joined in {JOINED:g} s": joined is not None and joined <= JOINED,
+        f"in sums in {JOINED:g} s": sums is not None and sums <= JOINED,
+        f"{BYTES:g} bytes/s in any 10 s": traffic.worst <= BYTES,
+        "no living one declared gone": wrong == 0,
+    }
 
 
 EVENTS: dict[str, Callable[[Told], tuple[Figures, Holds]]] = {
-    "dead": dead, "loss": loss, "churn": lambda told: churned(told, False), "burst": lambda told: churned(told, True),
-    "rack": rack, "zone": zone, "cut": cut, "hour": hour, "restart": restart, "start": start}
+    "dead": dead,
+    "loss": loss,
+    "churn": lambda told: churned(told, False),
+    "burst": lambda told: churned(told, True),
+    "rack": rack,
+    "zone": zone,
+    "cut": cut,
+    "hour": hour,
+    "restart": restart,
+    "start": start,
+}
 NOT_QUICK = ("hour",)
 PARTS = ("slopes", "full", "events", "instance")
 
@@ -449,8 +558,13 @@
     with World(told.plan(told.members, script=script), told.shards(told.members)) as world:
         world.play(seconds)
         traffic, wrong = traffic_of(world.traffic(0, seconds)), world.counts()["wrong"]
-        run.events["faults"] = {"members": told.members, "worst 10 s": traffic.worst, "worst second": traffic.second,
-                                "wrong": wrong, "one": world.one()}
+        run.events["faults"] = {
+            "members": told.members,
+            "worst 10 s": traffic.worst,
+            "worst second": traffic.second,
+            "wrong": wrong,
+            "one": world.one(),
+        }
     run.judge("faults", {"no living one declared gone": wrong == 0})
 
 
@@ -514,9 +628,20 @@
     record = run.record(command)
     if options["--record"]:
         fits.written(Path(options["--record"]), record)
-    print(json.dumps({"members": told.members, "mechanism": record["mechanism"], "costs": record["costs"],
-                      "events": run.events, "instance": extra, "notes": run.notes, "missed": run.missed,
-                      "holds": not run.missed}))
+    print(
+        json.dumps(
+            {
+                "members": told.members,
+                "mechanism": record["mechanism"],
+                "costs": record["costs"],
+                "events": run.events,
+                "instance": extra,
+                "notes": run.notes,
+                "missed": run.missed,
+                "holds": not run.missed,
+            }
+        )
+    )
     return 1 if run.missed else 0
 
 
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -19,6 +19,7 @@
 are read anew; in full, fits of CPU and memory of settings within 15% of their checks. What a size needs beside its bound is no
 aim here: docs/CAPACITY.md has that table. A busy machine shows in how late the driver itself is, and misses the first aim.
 """
+
 from __future__ import annotations
 
 import json
@@ -42,12 +43,12 @@
 from mulleinhatch.standins.lone import Driving, Lone, driven, settings
 from mulleinhatch.standins.rig import free_port, keep_environment
 
-ADDED_MOST, CORE_MOST = 2.6, 0.9        # milliseconds at p99; share of a core
-LATE_MOST, CALM_LEAST = 0.0005, 500      # seconds that a driver is late in a calm slice at most; answers that are enough
-CALM, ZONE_GONE, REGION_GONE = 275, 309, 413        # requests a second
+ADDED_MOST, CORE_MOST = 2.6, 0.9  # milliseconds at p99; share of a core
+LATE_MOST, CALM_LEAST = 0.0005, 500  # seconds that a driver is late in a calm slice at most; answers that are enough
+CALM, ZONE_GONE, REGION_GONE = 275, 309, 413  # requests a second
 CHANGES_A_DAY = 5700
 CHECK_WITHIN = 0.15
-WARM = 2.0      # seconds at the calm rate, after which caches and pools are what they will be
+WARM = 2.0  # seconds at the calm rate, after which caches and pools are what they will be
 
 
 class Book:
@@ -60,8 +61,8 @@
         self.events: dict[str, dict[str, float]] = {}
         self.holds: dict[str, bool] = {}
         self.notes: list[str] = []
-        self.late: list[float] = []     # p99 of the driver's own lateness, ms
-        self.lost = self.broken = 0     # requests without an answer; of these with a connection that ended or never stood
+        self.late: list[float] = []  # p99 of the driver's own lateness, ms
+        self.lost = self.broken = 0  # requests without an answer; of these with a connection that ended or never stood
 
     def drive(self, lone: Lone, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
         return self.heard(driven(lone, rate, run_for, seed=self.seed, **habits))
@@ -77,8 +78,12 @@
         points = [(float(at), float(f"{value:.5g}")) for at, value in points]
         kept = points if len(points) < 5 else points[:-1]
         self.costs[f"instance.{name}"] = {
-            "unit": unit, "size": size, "points": kept, **worthwhile(kept)._asdict(),
-            "checked": None if kept is points else points[-1]}
+            "unit": unit,
+            "size": size,
+            "points": kept,
+            **worthwhile(kept)._asdict(),
+            "checked": None if kept is points else points[-1],
+        }
 
     def is_wait(self, name: str) -> bool:
         """Whether it is time on the clock, in which others on the machine have their part; CPU and memory are the process's."""
@@ -95,6 +100,7 @@
 
 # What it adds to a request.
 
+
 def quantile(values: list[float], part: float) -> float:
     return sorted(values)[min(len(values) - 1, int(part * len(values)))]
 
@@ -107,16 +113,20 @@
     for number in range(count):
         habits = {"skip": 0.5, "seed": book.seed + number, "keep": True}
         alone = book.heard(Driving(beside, rate, seconds + 0.5, wire="link", **habits).done())
-        rounds.append((alone, book.heard(driven(lone, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000,
-                                                **habits))))
+        rounds.append(
+            (alone, book.heard(driven(lone, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **habits)))
+        )
     calm = [[latency for run in side for latency in calm_latencies(run, LATE_MOST)] for side in zip(*rounds)]
     enough = min(map(len, calm)) >= CALM_LEAST
     sides = calm if enough else [[latency for run in side for _, latency in run["kept"]] for side in zip(*rounds)]
     told = {"rate": rate, "pairs": count, "calm": int(enough), "alone_n": len(sides[0]), "through_n": len(sides[1])}
     for name, part in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
         alone_ms, through_ms = (1000.0 * quantile(side, part) for side in sides)
-        told |= {f"alone_{name}": round(alone_ms, 3), f"through_{name}": round(through_ms, 3),
-                 f"added_{name}": round(through_ms - alone_ms, 3)}
+        told |= {
+            f"alone_{name}": round(alone_ms, 3),
+            f"through_{name}": round(through_ms, 3),
+            f"added_{name}": round(through_ms - alone_ms, 3),
+        }
     told["pair_p99"] = round(median(t["latency_ms"]["p99"] - a["latency_ms"]["p99"] for a, t in rounds), 3)
     told["driver_late_p99"] = median(run["late_ms"]["p99"] for pair in rounds for run in pair)
     told["cpu_ms"] = round(median(through["cpu_ms"] for _, through in rounds), 4)
@@ -150,35 +160,62 @@
     broke = next((row for row in by_rate if not holds_up(row)), by_rate[-1])
     most = max((row["rate"] for row in by_rate if row["rate"] < broke["rate"]), default=0)
     book.figures["added"] = {"rows": rows, "rising": rising, "most": most}
-    steady = by_rate if by_rate[-1] is not broke else by_rate[:-1]      # beyond what it carries, waits grow with the run
-    for name, unit, key in (("request.added_p50", "ms", "added_p50"), ("request.added_p99", "ms", "added_p99"),
-                            ("request.cpu", "ms of CPU a request", "cpu_ms"), ("request.core", "share of a core", "core")):
+    steady = by_rate if by_rate[-1] is not broke else by_rate[:-1]  # beyond what it carries, waits grow with the run
+    for name, unit, key in (
+        ("request.added_p50", "ms", "added_p50"),
+        ("request.added_p99", "ms", "added_p99"),
+        ("request.cpu", "ms of CPU a request", "cpu_ms"),
+        ("request.core", "share of a core", "core"),
+    ):
         book.cost(name, unit, "requests/s", [(row["rate"], row[key]) for row in steady])
     for event, row in zip(("calm rate", "a zone gone", "a region gone"), rows):
-        book.events[event] = {key: row[key] for key in ("rate", "calm", "through_n", "added_p50", "added_p99", "added_p99.9",
-                                                         "pair_p99", "alone_p99", "driver_late_p99", "cpu_ms", "core")}
+        book.events[event] = {
+            key: row[key]
+            for key in (
+                "rate",
+                "calm",
+                "through_n",
+                "added_p50",
+                "added_p99",
+                "added_p99.9",
+                "pair_p99",
+                "alone_p99",
+                "driver_late_p99",
+                "cpu_ms",
+                "core",
+            )
+        }
     book.events["most that one instance carries"] = {
-        "rate": most, "broke_at": broke["rate"], "broke_added_p99": broke["added_p99"], "broke_core": broke["core"]}
+        "rate": most,
+        "broke_at": broke["rate"],
+        "broke_added_p99": broke["added_p99"],
+        "broke_core": broke["core"],
+    }
     for word, row in zip(("at 275/s", "a zone gone", "a region gone"), rows):
         book.holds[f"added p99 within {ADDED_MOST} ms: {word}"] = row["added_p99"] <= ADDED_MOST
 
 
-
 # What is open, and who asks.
 
+
 def connections(book: Book, folder: Path) -> None:
     sizes, rows = ((50, 200, 500, 1000) if book.quick else (50, 200, 500, 1000, 2000)), []
     with Lone(folder, settings(1000), sockets=8192) as lone:
         book.drive(lone, CALM, WARM, tenants=1000)
         for size in sizes:
             told = book.drive(lone, 50, 2.0 if book.quick else 8.0, idle=size, tenants=1000, connections=16)
-            rows.append({"connections": size, "memory_mb": told["memory"] / 1e6, "core": told["core"],
-                         "cpu_ms": told["cpu_ms"]})
+            rows.append(
+                {"connections": size, "memory_mb": told["memory"] / 1e6, "core": told["core"], "cpu_ms": told["cpu_ms"]}
+            )
             time.sleep(0.5)
     book.figures["connections"] = rows
     book.cost("request.connections_memory", "MB", "connections", [(row["connections"], row["memory_mb"]) for row in rows])
-    book.cost("request.connections_core", "share of a core at 50 requests/s", "connections",
-              [(row["connections"], row["core"]) for row in rows])
+    book.cost(
+        "request.connections_core",
+        "share of a core at 50 requests/s",
+        "connections",
+        [(row["connections"], row["core"]) for row in rows],
+    )
 
 
 def callers(book: Book, folder: Path) -> None:
@@ -196,21 +233,32 @@
     book.cost("request.callers_memory", "MB", "callers", [(row["callers"], row["memory_mb"]) for row in rows])
     book.cost("request.callers_cpu", "ms of CPU a request", "callers", [(row["callers"], row["cpu_ms"]) for row in rows])
     if not book.quick:
-        with Lone(folder, settings()) as lone:      # as many requests, ten callers: what is by requests, and not by callers
+        with Lone(folder, settings()) as lone:  # as many requests, ten callers: what is by requests, and not by callers
             book.drive(lone, rate, (warm + had) / rate, callers=10, repeats=0.2, connections=256)
             book.events["as many requests of ten callers"] = {"requests": warm + had, "memory_mb": lone.memory() / 1e6}
 
 
 # What it is told.
 
+
 def started(book: Book, folder: Path, told: dict[str, Any], run_for: float, **habits: Any) -> dict[str, float]:
     with Lone(folder, told) as lone:
-        row = {"json_mb": lone.json_bytes / 1e6, "ready_s": lone.ready_s, "ready_cpu_s": lone.ready_cpu_s,
-               "serving_s": lone.serving_s, "serving_cpu_s": lone.serving_cpu_s,
-               "memory_mb": lone.ready_bytes / 1e6, "peak_mb": lone.peak_bytes / 1e6}
+        row = {
+            "json_mb": lone.json_bytes / 1e6,
+            "ready_s": lone.ready_s,
+            "ready_cpu_s": lone.ready_cpu_s,
+            "serving_s": lone.serving_s,
+            "serving_cpu_s": lone.serving_cpu_s,
+            "memory_mb": lone.ready_bytes / 1e6,
+            "peak_mb": lone.peak_bytes / 1e6,
+        }
         used = book.drive(lone, CALM, run_for, connections=256, **habits)
-        row |= {"cpu_ms": used["cpu_ms"], "p99_ms": used["latency_ms"]["p99"], "used_memory_mb": used["memory"] / 1e6,
-                "rejected": used["answered"] - used["statuses"].get("200", 0)}
+        row |= {
+            "cpu_ms": used["cpu_ms"],
+            "p99_ms": used["latency_ms"]["p99"],
+            "used_memory_mb": used["memory"] / 1e6,
+            "rejected": used["answered"] - used["statuses"].get("200", 0),
+        }
         if "tenants" in habits:
             # Who sends bad requests is read more slowly the more it sent: many connections, a small rate.
             unknown = book.drive(lone, 60, 2.0 if book.quick else 6.0, connections=400, tenant="x%07d", **habits)
@@ -220,19 +268,31 @@
 
 def tenants(book: Book, folder: Path) -> None:
     sizes = (10, 1000, 5000, 25_000) if book.quick else (10, 1000, 25_000, 100_000, 250_000)
-    rows = [{"tenants": size, **started(book, folder, settings(size), 2.0 if book.quick else 8.0, tenants=size, callers=1000)}
-            for size in sizes]
+    rows = [
+        {"tenants": size, **started(book, folder, settings(size), 2.0 if book.quick else 8.0, tenants=size, callers=1000)}
+        for size in sizes
+    ]
     book.figures["tenants"] = rows
     settings_costs(book, "tenants", rows)
-    book.cost("request.tenants_unknown_cpu", "ms of CPU a request", "tenants",
-              [(row["tenants"], row["unknown_cpu_ms"]) for row in rows])
+    book.cost(
+        "request.tenants_unknown_cpu",
+        "ms of CPU a request",
+        "tenants",
+        [(row["tenants"], row["unknown_cpu_ms"]) for row in rows],
+    )
 
 
 def settings_costs(book: Book, size: str, rows: list[dict[str, float]]) -> None:
-    for name, unit, key in (("json", "MB", "json_mb"), ("ready", "s", "ready_s"), ("ready_cpu", "s of CPU", "ready_cpu_s"),
-                            ("serving", "s", "serving_s"), ("start_cpu", "s of CPU", "serving_cpu_s"),
-                            ("memory", "MB", "memory_mb"), ("peak", "MB resident at most", "peak_mb"),
-                            ("used_memory", "MB", "used_memory_mb")):
+    for name, unit, key in (
+        ("json", "MB", "json_mb"),
+        ("ready", "s", "ready_s"),
+        ("ready_cpu", "s of CPU", "ready_cpu_s"),
+        ("serving", "s", "serving_s"),
+        ("start_cpu", "s of CPU", "serving_cpu_s"),
+        ("memory", "MB", "memory_mb"),
+        ("peak", "MB resident at most", "peak_mb"),
+        ("used_memory", "MB", "used_memory_mb"),
+    ):
         book.cost(f"settings.{size}_{name}", unit, size, [(row[size], row[key]) for row in rows])
     book.cost(f"request.{size}_cpu", "ms of CPU a request", size, [(row[size], row["cpu_ms"]) for row in rows])
 
@@ -241,8 +301,9 @@
     """Four distinct worths, as a deployment has few; then as many as there are classes."""
     sizes = (10, 100, 1000, 5000) if book.quick else (10, 100, 1000, 10_000, 44_000)
     run_for = 2.0 if book.quick else 8.0
-    rows = [{"classes": size, **started(book, folder, settings(0, size), run_for, classes=size, callers=1000)}
-            for size in sizes]
+    rows = [
+        {"classes": size, **started(book, folder, settings(0, size), run_for, classes=size, callers=1000)} for size in sizes
+    ]
     book.figures["routes"] = rows
     settings_costs(book, "classes", rows)
     each = []
@@ -255,14 +316,25 @@
 
 # What is told anew.
 
+
 def reload_row(book: Book, folder: Path, size: int, times: int) -> dict[str, float]:
     """Each with one tenant's quota changed, under an even stream of requests on connections that are open before."""
     told, rate = settings(size), 40.0
     with Lone(folder, told, sockets=4096) as lone:
         book.drive(lone, CALM, 0.5 * WARM, tenants=size)
         guess = 0.5 + 2.0 * lone.ready_cpu_s
-        driving = Driving(lone.port, rate, 2.0 + times * (guess + 0.7), even=True, keep=True, connections=400, opened=400,
-                          tenants=size, callers=1000, seed=book.seed)
+        driving = Driving(
+            lone.port,
+            rate,
+            2.0 + times * (guess + 0.7),
+            even=True,
+            keep=True,
+            connections=400,
+            opened=400,
+            tenants=size,
+            callers=1000,
+            seed=book.seed,
+        )
         time.sleep(0.5)
         cpu, at = lone.cpu(), time.monotonic()
         time.sleep(1.0)
@@ -288,20 +360,32 @@
     calm = [latency for due, latency in report["kept"] if due < spans[0][0] - 0.05]
     ends = sorted(due + latency for due, latency in report["kept"])
     gap = max(later - earlier for earlier, later in zip(ends, ends[1:]))
-    return {"tenants": size, "reloads": counted.get("reloads", 0), "cpu_s": round(median(spent), 4),
-            "stall_s": round(max(late), 4), "calm_p100_s": round(max(calm), 4), "gap_s": round(gap, 4),
-            "before_mb": round(before / 1e6, 2), "after_first_mb": round(kept[0] / 1e6, 2),
-            "after_last_mb": round(kept[-1] / 1e6, 2), "peak_mb": round(peak / 1e6, 2), "left": left, "lost": report["lost"],
-            "rejected": report["answered"] - report["statuses"].get("200", 0),
-            "core_at_target": round(median(spent) * CHANGES_A_DAY / 86_400, 5)}
+    return {
+        "tenants": size,
+        "reloads": counted.get("reloads", 0),
+        "cpu_s": round(median(spent), 4),
+        "stall_s": round(max(late), 4),
+        "calm_p100_s": round(max(calm), 4),
+        "gap_s": round(gap, 4),
+        "before_mb": round(before / 1e6, 2),
+        "after_first_mb": round(kept[0] / 1e6, 2),
+        "after_last_mb": round(kept[-1] / 1e6, 2),
+        "peak_mb": round(peak / 1e6, 2),
+        "left": left,
+        "lost": report["lost"],
+        "rejected": report["answered"] - report["statuses"].get("200", 0),
+        "core_at_target": round(median(spent) * CHANGES_A_DAY / 86_400, 5),
+    }
 
 
 def reload(book: Book, folder: Path) -> None:
     sizes, times = ((1000, 2500, 5000, 25_000), 1) if book.quick else ((1000, 5000, 25_000, 100_000, 250_000), 3)
     rows = [reload_row(book, folder, size, times) for size in sizes]
     book.figures["reload"] = rows
-    points = {key: [(row["tenants"], row[key]) for row in rows]
-              for key in ("cpu_s", "stall_s", "after_last_mb", "peak_mb", "core_at_target")}
+    points = {
+        key: [(row["tenants"], row[key]) for row in rows]
+        for key in ("cpu_s", "stall_s", "after_last_mb", "peak_mb", "core_at_target")
+    }
     book.cost("settings.reload_cpu", "s of CPU a reload", "tenants", points["cpu_s"])
     book.cost("settings.reload_stall", "s that requests waited at most", "tenants", points["stall_s"])
     book.cost("settings.reload_memory", "MB after the last reload", "tenants", points["after_last_mb"])
@@ -310,13 +394,20 @@
     book.notes.append(f"reload: of the changed tenants nothing came into force, left until a restart: {rows[-1]['left']}")
     for row in rows:
         book.events[f"reload with {row['tenants']} tenants"] = {
-            key: value for key, value in row.items() if key not in ("tenants", "left")}
+            key: value for key, value in row.items() if key not in ("tenants", "left")
+        }
     book.holds["no request lost in a reload"] = not sum(row["lost"] for row in rows)
     book.holds["each reload came through"] = all(row["reloads"] == times for row in rows)
 
 
 PARTS: dict[str, Callable[[Book, Path], None]] = {
-    "added": added, "connections": connections, "callers": callers, "tenants": tenants, "routes": routes, "reload": reload}
+    "added": added,
+    "connections": connections,
+    "callers": callers,
+    "tenants": tenants,
+    "routes": routes,
+    "reload": reload,
+}
 
 
 def measured(quick: bool, seed: int, parts: list[str]) -> Book:
@@ -328,10 +419,12 @@
         with tempfile.TemporaryDirectory() as folder:
             PARTS[part](book, Path(folder))
         late = book.late or [0.0]
-        book.notes.append(f"{part}: load average {before:.1f} at start, {os.getloadavg()[0]:.1f} at end of "
-                          f"{time.monotonic() - since:.0f} s on {os.cpu_count()} cores; the driver itself was late by "
-                          f"{median(late):.2f} ms at p99 of its median run, {max(late):.2f} ms of its worst; "
-                          f"{book.lost - lost} requests lost, {book.broken - broken} of them with their connection")
+        book.notes.append(
+            f"{part}: load average {before:.1f} at start, {os.getloadavg()[0]:.1f} at end of "
+            f"{time.monotonic() - since:.0f} s on {os.cpu_count()} cores; the driver itself was late by "
+            f"{median(late):.2f} ms at p99 of its median run, {max(late):.2f} ms of its worst; "
+            f"{book.lost - lost} requests lost, {book.broken - broken} of them with their connection"
+        )
     book.holds["no request lost"] = not book.lost
     off = {name: part for name, part in ((name, book.off(name)) for name in book.costs) if part is not None}
     steady = [part for name, part in off.items() if name.startswith("instance.settings.") and not book.is_wait(name)]
@@ -350,8 +443,9 @@
 
 def commit() -> str:
     try:
-        return subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=True,
-                              cwd=Path(__file__).parent).stdout.strip()
+        return subprocess.run(
+            ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=True, cwd=Path(__file__).parent
+        ).stdout.strip()
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
 
@@ -360,9 +454,16 @@
     """Parts that are not of this run stay as they were recorded; each note begins with its part."""
     old = json.loads(path.read_text()) if path.exists() and len(parts) < len(PARTS) else {}
     notes = [note for note in old.get("notes", []) if note.partition(":")[0] not in parts]
-    told = {"commit": commit(), "benchmark": "scale_instance", "command": command, "seed": book.seed, "mechanism": "instance",
-            "costs": {**old.get("costs", {}), **book.costs}, "events": {**old.get("events", {}), **book.events},
-            "notes": [*notes, *(f"{note}; commit {commit()}" for note in book.notes)]}
+    told = {
+        "commit": commit(),
+        "benchmark": "scale_instance",
+        "command": command,
+        "seed": book.seed,
+        "mechanism": "instance",
+        "costs": {**old.get("costs", {}), **book.costs},
+        "events": {**old.get("events", {}), **book.events},
+        "notes": [*notes, *(f"{note}; commit {commit()}" for note in book.notes)],
+    }
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(told, indent=1) + "\n")
 
@@ -378,8 +479,15 @@
     table = Table("cost", "unit", "form", "constant", "slope", "residual", "off at check", title="costs by size")
     for name, cost in book.costs.items():
         off = book.off(name)
-        table.add_row(name, f"{cost['unit']} by {cost['size']}", cost["form"], f"{cost['constant']:.4g}",
-                      f"{cost['slope']:.4g}", f"{cost['residual']:.1%}", "" if off is None else f"{off:.1%}")
+        table.add_row(
+            name,
+            f"{cost['unit']} by {cost['size']}",
+            cost["form"],
+            f"{cost['constant']:.4g}",
+            f"{cost['slope']:.4g}",
+            f"{cost['residual']:.1%}",
+            "" if off is None else f"{off:.1%}",
+        )
     console.print(table)
     for note in book.notes:
         console.print(note)
@@ -396,8 +504,12 @@
     parts = [told["--only"]] if told["--only"] else list(PARTS)
     book = measured(told["--quick"], int(told["--seed"]), parts)
     if told["--record"]:
-        words = [word for key in ("--quick", "--seed", "--only") if told[key] for word in ([key] if told[key] is True
-                                                                                          else [key, told[key]])]
+        words = [
+            word
+            for key in ("--quick", "--seed", "--only")
+            if told[key]
+            for word in ([key] if told[key] is True else [key, told[key]])
+        ]
         record(Path(told["--record"]), book, " ".join(["python -m benchmarks.scale_instance", *words]), parts)
     show(book)
     print(json.dumps({"benchmark": "scale_instance", "figures": book.figures, "holds": book.holds}))
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -10,6 +10,7 @@
 
 Aims: each planted defect is found within 60 s; without one nothing is found.
 """
+
 from __future__ import annotations
 
 import itertools
@@ -43,8 +44,20 @@
         console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.as_text(finding.short)}")
     missed = [f"found: {name}" for name, seconds in found.items() if seconds is None]
     missed += [f"nothing without a defect: {finding.what}" for finding in plain.findings]
-    print(json.dumps({"histories": plain.histories, "a minute": round(a_minute), "states": plain.states, "growth": plain.growth,
-                      "found": found, "worst": plain.worst, "missed": missed, "holds": not missed}))
+    print(
+        json.dumps(
+            {
+                "histories": plain.histories,
+                "a minute": round(a_minute),
+                "states": plain.states,
+                "growth": plain.growth,
+                "found": found,
+                "worst": plain.worst,
+                "missed": missed,
+                "holds": not missed,
+            }
+        )
+    )
     return 1 if missed else 0
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -19,6 +19,7 @@
 Of processes, a second run of a sign-off is an instance's fault but where its caller sent it again after a kill broke the
 connection, to another life: such are counted beside (`standins/second_runs.py`).
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -48,8 +49,10 @@
 
 def cases(count: int, length: float) -> dict[str, tuple[str, float, Load]]:
     """By name: fault script, how long, load."""
+
     def some(first: int, share: float) -> str:
         return f"{first}-{first + max(1, round(share * count)) - 1}"
+
     holes = ",".join(str(place) for place in range(0, count, 8))
     half, callers = count // 2, max(4, count // 2)
     return {
@@ -58,14 +61,23 @@
         "1.1 of capacity": ("", length, Load(1.1, callers=callers)),
         "a third slower by 2.5": ("", length, Load(callers=callers, speeds=(1.0, 1.0, 0.4))),
         "black hole, one in eight": (f"at 6 failing {holes} 1.0 for {length}", length, Load(0.8, callers=callers)),
-        "three in ten cold at once": (f"at 6 kill {some(0, 0.3)} for 1\nat 7 slow {some(0, 0.3)} by 3 for 4", length + 2.0,
-                                      Load(0.6, callers=callers)),
-        "fleet state in halves": (f"at 6 cut 0-{half - 1} from {half}-{count - 1} for {length - 4}", length,
-                                  Load(callers=callers)),
-        "three in ten replaced in 7 s": ("\n".join(f"at {6 + 7 * turn / max(1, 0.3 * count):.2f} kill {turn} for 1"
-                                                   for turn in range(round(0.3 * count))), length + 6.0,
-                                         Load(0.6, callers=callers)),
-        "stalls": ("at 6 stall 3,9 for 2\nat 9 stall 12 for 2", length, Load(callers=callers))}
+        "three in ten cold at once": (
+            f"at 6 kill {some(0, 0.3)} for 1\nat 7 slow {some(0, 0.3)} by 3 for 4",
+            length + 2.0,
+            Load(0.6, callers=callers),
+        ),
+        "fleet state in halves": (
+            f"at 6 cut 0-{half - 1} from {half}-{count - 1} for {length - 4}",
+            length,
+            Load(callers=callers),
+        ),
+        "three in ten replaced in 7 s": (
+            "\n".join(f"at {6 + 7 * turn / max(1, 0.3 * count):.2f} kill {turn} for 1" for turn in range(round(0.3 * count))),
+            length + 6.0,
+            Load(0.6, callers=callers),
+        ),
+        "stalls": ("at 6 stall 3,9 for 2\nat 9 stall 12 for 2", length, Load(callers=callers)),
+    }
 
 
 def play(job: tuple[str, str, int, int, str, float, Load, bool]) -> tuple[str, str, dict[str, float], Any]:
@@ -83,8 +95,11 @@
         chosen = {"own script": (script, length, Load(callers=max(4, count // 2)))}
     elif quick:
         chosen = {name: chosen[name] for name in list(chosen)[:3]}
-    jobs = [(name, mode, count, seed, text, last, load, plot is not None and mode in ("alone", "spread"))
-            for name, (text, last, load) in chosen.items() for mode in (*MODES, "one line")]
+    jobs = [
+        (name, mode, count, seed, text, last, load, plot is not None and mode in ("alone", "spread"))
+        for name, (text, last, load) in chosen.items()
+        for mode in (*MODES, "one line")
+    ]
     with multiprocessing.Pool() as pool:
         told = pool.map(play, jobs, chunksize=1)
     figures: dict[str, dict[str, dict[str, float]]] = {}
@@ -115,12 +130,21 @@
 
 def draw(maps: list[tuple[str, list[list[float]]]], path: str) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(len(maps), 1, figsize=(10, 3.2 * len(maps)), squeeze=False)
     for axis, (title, busy) in zip(axes[:, 0], maps):
-        axis.imshow([list(row) for row in zip(*busy)], aspect="auto", vmin=0.0, vmax=1.0, cmap="viridis",
-                    interpolation="nearest", extent=(SETTLED, SETTLED + 0.5 * len(busy), len(busy[0]) - 0.5, -0.5))
+        axis.imshow(
+            [list(row) for row in zip(*busy)],
+            aspect="auto",
+            vmin=0.0,
+            vmax=1.0,
+            cmap="viridis",
+            interpolation="nearest",
+            extent=(SETTLED, SETTLED + 0.5 * len(busy), len(busy[0]) - 0.5, -0.5),
+        )
         axis.set_title(title)
         axis.set_ylabel("instance")
     axes[-1, 0].set_xlabel("seconds; dark is idle")
@@ -160,11 +184,22 @@
 async def processes(count: int, seed: int, length: float, script: str | None, folder: Path) -> tuple[dict, Holds]:
     cores, work = (2, 200.0) if count <= 50 else (1, 400.0)
     rate = 0.9 * count * cores / work * 1000.0
-    few = f"0-{max(4, count // 5 - 1)}"       # known to callers of three tenths of the load, as five are of 24
+    few = f"0-{max(4, count // 5 - 1)}"  # known to callers of three tenths of the load, as five are of 24
     figures: dict[str, Any] = {}
     for name, spread in (("alone", ""), ("spread", "-")):
-        case = FleetCase(count, script or "", run_for=length, cores=cores, work_ms=work, seed=seed, signoffs=0.15, tries=4,
-                         heeding=0.8, loads=((few, 0.3 * rate), ("all", 0.7 * rate)), spread=spread)
+        case = FleetCase(
+            count,
+            script or "",
+            run_for=length,
+            cores=cores,
+            work_ms=work,
+            seed=seed,
+            signoffs=0.15,
+            tries=4,
+            heeding=0.8,
+            loads=((few, 0.3 * rate), ("all", 0.7 * rate)),
+            spread=spread,
+        )
         (folder / name).mkdir()
         async with FleetRig(case, folder / name) as rig:
             names = {node.name for node in rig.nodes}
@@ -174,7 +209,7 @@
             before = rig.usage()
             await rig.until(length)
             after = rig.usage()
-            counts = [Counter(await node.counters()) for node in rig.nodes[::max(1, count // 48)]]
+            counts = [Counter(await node.counters()) for node in rig.nodes[:: max(1, count // 48)]]
             told = await rig.finish()
         cpu = sum(now[0] - then[0] for now, then in zip(after, before) if now and then)
         worth = {"read": 1.0, "signoff": 5.0}
@@ -185,18 +220,25 @@
             print(f"{name}: {fault}", file=sys.stderr)
         ops = sum(sum(stub["first"].values()) for stub in told["stubs"])
         figures[name] = {
-            "in_time": round(in_time / asked, 3), "p50": max(stub["latency"]["50"] for stub in told["stubs"]),
-            "p99": max(stub["latency"]["99"] for stub in told["stubs"]), "cpu_ms_an_op": round(1000.0 * cpu / ops, 2),
+            "in_time": round(in_time / asked, 3),
+            "p50": max(stub["latency"]["50"] for stub in told["stubs"]),
+            "p99": max(stub["latency"]["99"] for stub in told["stubs"]),
+            "cpu_ms_an_op": round(1000.0 * cpu / ops, 2),
             "memory_mb": round(max(told[1] for told in after if told) / 1e6, 1),
             "nacked": sum(stub["counts"]["nacked"] for stub in told["stubs"]),
             "handed": sum(count["decided_hand"] for count in counts),
-            "sign-offs twice": len(second.faults), "repeated after a kill": len(second.repeats),
-            "wrong": sum(stub["counts"]["wrong"] for stub in told["stubs"]), "late": round(told["late"], 3),
-            "errors inside": sum(count["errors_inside"] + count["spread_errors_inside"] for count in counts)}
-    holds = {"no sign-off twice": not any(row["sign-offs twice"] for row in figures.values()),
-             "no answer of a stranger": not figures["spread"]["wrong"],
-             "no error inside": not figures["spread"]["errors inside"],
-             "the machine was not too busy to tell": figures["spread"]["late"] <= 0.1}
+            "sign-offs twice": len(second.faults),
+            "repeated after a kill": len(second.repeats),
+            "wrong": sum(stub["counts"]["wrong"] for stub in told["stubs"]),
+            "late": round(told["late"], 3),
+            "errors inside": sum(count["errors_inside"] + count["spread_errors_inside"] for count in counts),
+        }
+    holds = {
+        "no sign-off twice": not any(row["sign-offs twice"] for row in figures.values()),
+        "no answer of a stranger": not figures["spread"]["wrong"],
+        "no error inside": not figures["spread"]["errors inside"],
+        "the machine was not too busy to tell": figures["spread"]["late"] <= 0.1,
+    }
     if script is None:
         holds["in time well above today's"] = figures["spread"]["in_time"] >= figures["alone"]["in_time"]
     return figures, holds
@@ -215,8 +257,13 @@
     quick, seed, script = told["--quick"], int(told["--seed"]), None
     if told["--faults"]:
         script = Path(told["--faults"]).read_text()
-    parts = [told["--only"]] if told["--only"] else ["virtual", "processes"] if script is not None else [
-        "estimates", "virtual", "processes"]
+    parts = (
+        [told["--only"]]
+        if told["--only"]
+        else ["virtual", "processes"]
+        if script is not None
+        else ["estimates", "virtual", "processes"]
+    )
     if unknown := set(parts) - {"estimates", "virtual", "processes"}:
         sys.exit(f"spread: no part {sorted(unknown)[0]!r}; there are: estimates, virtual, processes")
     result, missed, console = {}, {}, Console(width=150)
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -13,6 +13,7 @@
 than needed: from when nothing held it up any more. Aims: nine in ten ready within 10 s, all in the end; the wait beyond need
 under 1.5 s for nine in ten of the held up, beside the median start of the others.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -32,7 +33,7 @@
 
 from mulleinhatch.standins.rig import keep_environment
 
-HELD, LATE, GIVE_UP = 1.0, 1.5, 30.0     # seconds
+HELD, LATE, GIVE_UP = 1.0, 1.5, 30.0  # seconds
 CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -42,9 +43,18 @@
 
 
 def told(name: str, port: int, link: int) -> dict[str, Any]:
-    return {"name": name, "listen": f"127.0.0.1:{port}", "vm": f"127.0.0.1:{link}", "seed": "5", "stop_ms": 100,
-            "settings": {"classes": [{"name": "read", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}],
-                         "family_info": {"cores": 1, "gauges": ["core_use"]}, "tick": 2.0}}
+    return {
+        "name": name,
+        "listen": f"127.0.0.1:{port}",
+        "vm": f"127.0.0.1:{link}",
+        "seed": "5",
+        "stop_ms": 100,
+        "settings": {
+            "classes": [{"name": "read", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}],
+            "family_info": {"cores": 1, "gauges": ["core_use"]},
+            "tick": 2.0,
+        },
+    }
 
 
 async def healthy(port: int) -> bool:
@@ -82,7 +92,8 @@
         server = None if self.cause == "interpreter late" else await asyncio.start_server(self.greet, "127.0.0.1", self.link)
         since = time.monotonic()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", self.path, "--log", "error")
+            sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", self.path, "--log", "error"
+        )
         if holder:
             asyncio.get_running_loop().call_later(HELD, holder.close)
         if server is None:
@@ -128,14 +139,20 @@
     for cause in ("nothing", "address held", "interpreter late"):
         ready = [one.ready for one in ones if one.cause == cause]
         beyond = [one.beyond_need for one in ones if one.cause == cause]
-        figures[cause] = {"median": quantile(ready, 0.5), "nine": quantile(ready, 0.9), "most": max(ready),
-                          "beyond": quantile(beyond, 0.9)}
+        figures[cause] = {
+            "median": quantile(ready, 0.5),
+            "nine": quantile(ready, 0.9),
+            "most": max(ready),
+            "beyond": quantile(beyond, 0.9),
+        }
         table.add_row(cause, str(len(ready)), *(f"{figures[cause][name]:.2f}" for name in ("median", "nine", "most", "beyond")))
     Console().print(table)
     usual = figures["nothing"]["median"]
-    holds = {"nine in ten within 10 s": quantile([one.ready for one in ones], 0.9) <= 10.0,
-             "all ready": max(one.ready for one in ones) < GIVE_UP,
-             "no wait beyond need": max(figures["address held"]["beyond"], figures["interpreter late"]["beyond"]) < 1.5 + usual}
+    holds = {
+        "nine in ten within 10 s": quantile([one.ready for one in ones], 0.9) <= 10.0,
+        "all ready": max(one.ready for one in ones) < GIVE_UP,
+        "no wait beyond need": max(figures["address held"]["beyond"], figures["interpreter late"]["beyond"]) < 1.5 + usual,
+    }
     print(json.dumps({"benchmark": "starts", "count": count, "figures": figures, "holds": holds}))
     return 0 if all(holds.values()) else 1
 
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -12,6 +12,7 @@
 process. Aims: 24 bytes an op; a seek 50 times faster than a scan; 100 MB for the merge; 5% of the CPU of an op as the service
 spends it (0.6 ms on the platform), told here beside the reducer alone.
 """
+
 from __future__ import annotations
 
 import io
@@ -40,7 +41,7 @@
 from mulleinhatch.traces.merging import merge
 from mulleinhatch.traces.recorder import VERBS, Recorder
 
-OP_CPU = 0.6e-3         # seconds of CPU that an op costs the whole instance, as measured on the platform
+OP_CPU = 0.6e-3  # seconds of CPU that an op costs the whole instance, as measured on the platform
 BYTES, SEEK, MERGE_MB, SHARE = 24.0, 50.0, 100.0, 0.05
 
 
@@ -49,9 +50,23 @@
     draw, now = random.Random(seed), 0.0
     for op in range(1, ops + 1):
         now = round(now + draw.expovariate(150.0), 6)
-        yield Record(kinds.READ, now, (op, f"{draw.getrandbits(64):016x}", draw.randrange(3), draw.randrange(20) / 1000.0,
-                                       draw.randrange(2000, 4500) / 1000.0, draw.randrange(4), 0, draw.randrange(5),
-                                       draw.randrange(2000, 4000) / 100_000.0, draw.randrange(150, 450) / 10.0, 0))
+        yield Record(
+            kinds.READ,
+            now,
+            (
+                op,
+                f"{draw.getrandbits(64):016x}",
+                draw.randrange(3),
+                draw.randrange(20) / 1000.0,
+                draw.randrange(2000, 4500) / 1000.0,
+                draw.randrange(4),
+                0,
+                draw.randrange(5),
+                draw.randrange(2000, 4000) / 100_000.0,
+                draw.randrange(150, 450) / 10.0,
+                0,
+            ),
+        )
         yield Record(kinds.DECIDED_FOR, now, (VERBS[Verb.RUN], op, 0.0, 0, 0.0, "order"))
         yield Record(kinds.PULLED, now, ())
         now = round(now + draw.expovariate(150.0) / 2.0, 6)
@@ -96,9 +111,16 @@
         for record in records:
             builder.add(record)
         writer.write(builder.block())
+
     deployment = {"op_types": [{"importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5}], "cores": 4, "callers": 5}
-    reducer = Reducer(deployment, ["read"], [], 7, StormBounds(),
-                      (lambda hatch, now, cold, since: Recorder(hatch, now, cold, since, hand_on)) if traced else None)
+    reducer = Reducer(
+        deployment,
+        ["read"],
+        [],
+        7,
+        StormBounds(),
+        (lambda hatch, now, cold, since: Recorder(hatch, now, cold, since, hand_on)) if traced else None,
+    )
     reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
     start, now = time.process_time(), 0.0
     for op in range(ops):
@@ -121,7 +143,7 @@
         seek, scan = seek_and_scan(paths[0])
         for number, path in enumerate(paths[1:], 1):
             made(path, merged_ops, seed + number, f"n{number + 1}")
-        files = [open(path, "rb") for path in paths[1:]]    # noqa: SIM115
+        files = [open(path, "rb") for path in paths[1:]]  # noqa: SIM115
         tracemalloc.start()
         start = time.perf_counter()
         with open(Path(folder) / "merged.mht", "wb") as file:
@@ -131,21 +153,39 @@
         for one in files:
             one.close()
     path_ops = 4000 if quick else 20_000
-    op_path(path_ops, True)     # warms what both use
-    turns = [(op_path(path_ops, False), op_path(path_ops, True)) for _ in range(7)]    # in turns: the machine's pace drifts
+    op_path(path_ops, True)  # warms what both use
+    turns = [(op_path(path_ops, False), op_path(path_ops, True)) for _ in range(7)]  # in turns: the machine's pace drifts
     plain, traced = median(one for one, _ in turns), median(other for _, other in turns)
     more = median(other - one for one, other in turns)
-    figures = {"records": records, "bytes_an_op": round(size / ops, 1), "written_a_second": round(records / written),
-               "read_a_second": round(count / read), "seek_ms": round(1000 * seek, 2), "scan_ms": round(1000 * scan, 1),
-               "seek_faster": round(scan / seek, 1), "merged": merged, "merge_s": round(merging, 1),
-               "merge_mb": round(merge_mb, 1), "op_us_plain": round(1e6 * plain, 1), "op_us_traced": round(1e6 * traced, 1),
-               "share_of_an_op": round(more / OP_CPU, 3)}
+    figures = {
+        "records": records,
+        "bytes_an_op": round(size / ops, 1),
+        "written_a_second": round(records / written),
+        "read_a_second": round(count / read),
+        "seek_ms": round(1000 * seek, 2),
+        "scan_ms": round(1000 * scan, 1),
+        "seek_faster": round(scan / seek, 1),
+        "merged": merged,
+        "merge_s": round(merging, 1),
+        "merge_mb": round(merge_mb, 1),
+        "op_us_plain": round(1e6 * plain, 1),
+        "op_us_traced": round(1e6 * traced, 1),
+        "share_of_an_op": round(more / OP_CPU, 3),
+    }
     table = Table("", "")
     for name, value in figures.items():
         table.add_row(name.replace("_", " "), str(value))
     Console().print(table)
-    missed = [name for name, kept in (("bytes", size / ops <= BYTES), ("seek", quick or scan / seek >= SEEK),
-                                      ("merge memory", merge_mb <= MERGE_MB), ("cpu", more / OP_CPU <= SHARE)) if not kept]
+    missed = [
+        name
+        for name, kept in (
+            ("bytes", size / ops <= BYTES),
+            ("seek", quick or scan / seek >= SEEK),
+            ("merge memory", merge_mb <= MERGE_MB),
+            ("cpu", more / OP_CPU <= SHARE),
+        )
+        if not kept
+    ]
     print(json.dumps({**figures, "missed": missed, "holds": not missed}))
     return 1 if missed else 0
 
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -13,6 +13,7 @@
 An independent watcher counts processes that do not run, whatever the program says: never over the bound. Aims: all done within
 1.5 times the least possible time without faults, and service no worse than by the list.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -31,18 +32,33 @@
 from mulleinhatch.standins.outings import Outings
 from mulleinhatch.standins.rig import keep_environment
 
-WORKS, STOPS = 1.0, 1.0     # seconds of the work, and from the permit to the stop
-STARTS = 4.3                # seconds from a process's start until it was found fit and its permit is back
+WORKS, STOPS = 1.0, 1.0  # seconds of the work, and from the permit to the stop
+STARTS = 4.3  # seconds from a process's start until it was found fit and its permit is back
 ZONES = "xyz"
 
 
 def case(count: int, seed: int, script: str, length: float, zone_most: int) -> FleetCase:
-    zones = "\n".join(f"  {zone} " + " ".join(f'"n{place}"' for place in range(number, count, len(ZONES)))
-                      for number, zone in enumerate(ZONES))
-    lines = (f' voters "n0" "n1" "n2" "n3" "n4"\n most {min(12, zone_most * len(ZONES))}\n zone-most {zone_most}\n'
-             f' folder "{{folder}}"\n control "{{control}}"\n zones {{{{\n{zones}\n }}}}')
-    return FleetCase(count, script, run_for=length, seed=seed, upkeep=lines, cores=2, work_ms=20.0, tries=6, heeding=0.8,
-                     directory=True, loads=(("all", min(6.0 * count, 150.0)),))
+    zones = "\n".join(
+        f"  {zone} " + " ".join(f'"n{place}"' for place in range(number, count, len(ZONES)))
+        for number, zone in enumerate(ZONES)
+    )
+    lines = (
+        f' voters "n0" "n1" "n2" "n3" "n4"\n most {min(12, zone_most * len(ZONES))}\n zone-most {zone_most}\n'
+        f' folder "{{folder}}"\n control "{{control}}"\n zones {{{{\n{zones}\n }}}}'
+    )
+    return FleetCase(
+        count,
+        script,
+        run_for=length,
+        seed=seed,
+        upkeep=lines,
+        cores=2,
+        work_ms=20.0,
+        tries=6,
+        heeding=0.8,
+        directory=True,
+        loads=(("all", min(6.0 * count, 150.0)),),
+    )
 
 
 async def roll(told: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
@@ -69,9 +85,14 @@
         told_after = await rig.finish()
     stubs = told_after["stubs"]
     asked, in_time = (sum(sum(stub[what].values()) for stub in stubs) for what in ("first", "in_time"))
-    return {"most out": outings.most, "most of a zone": max(outings.zone_most.values(), default=0),
-            "done": len(outings.done), "seconds": round(done - begun, 1) if done else None,
-            "in time": round(in_time / max(1, asked), 4), "late": round(max(told_after["late"], outings.late), 3)}
+    return {
+        "most out": outings.most,
+        "most of a zone": max(outings.zone_most.values(), default=0),
+        "done": len(outings.done),
+        "seconds": round(done - begun, 1) if done else None,
+        "in time": round(in_time / max(1, asked), 4),
+        "late": round(max(told_after["late"], outings.late), 3),
+    }
 
 
 def least(count: int, zone_most: int) -> float:
@@ -87,8 +108,10 @@
     count = int(told["--instances"] or (12 if quick else 60))
     zone_most, within = (1 if count <= 15 else 3), float(told["--for"])
     expected = least(count, zone_most)
-    usual = (f"at 4 cut 0-{count // 3} from {count // 3 + 1}-{count - 1} for 8\nat 14 lossy all 0.2 for 10\n"
-             f"at 26 stall 1,{count - 1} for 3")
+    usual = (
+        f"at 4 cut 0-{count // 3} from {count // 3 + 1}-{count - 1} for 8\nat 14 lossy all 0.2 for 10\n"
+        f"at 26 stall 1,{count - 1} for 3"
+    )
     script = Path(told["--faults"]).read_text() if told["--faults"] else usual
     runs = {"permits": ("", "permits")}
     if not quick:
@@ -104,8 +127,9 @@
     holds = {}
     for name, sums in figures.items():
         if name.startswith("permits"):
-            holds[f"{name}: never over the bound"] = (sums["most out"] <= zone_most * len(ZONES)
-                                                      and sums["most of a zone"] <= zone_most)
+            holds[f"{name}: never over the bound"] = (
+                sums["most out"] <= zone_most * len(ZONES) and sums["most of a zone"] <= zone_most
+            )
             holds[f"{name}: all done"] = sums["done"] == count
     if "permits" in figures and figures["permits"]["seconds"]:
         holds["within 1.5 times the least"] = figures["permits"]["seconds"] <= 1.5 * expected
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -10,6 +10,7 @@
 Each alarm is set, and nine of ten are cancelled before their time, as time-outs are. Aim: at the most alarms no more than
 twice the heap's time, and no more than a half of its entries held.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -71,8 +72,15 @@
     table, rows = Table("alarms", "heap s", "wheel s", "heap held", "wheel held"), []
     for count in (10_000, 100_000) if told["--quick"] else (10_000, 100_000, 1_000_000):
         heap, wheel = played(Heap(), count, int(told["--seed"])), played(Wheel(0.0), count, int(told["--seed"]))
-        rows.append({"alarms": count, "heap_s": round(heap[0], 3), "wheel_s": round(wheel[0], 3), "heap_held": heap[1],
-                     "wheel_held": wheel[1]})
+        rows.append(
+            {
+                "alarms": count,
+                "heap_s": round(heap[0], 3),
+                "wheel_s": round(wheel[0], 3),
+                "heap_held": heap[1],
+                "wheel_held": wheel[1],
+            }
+        )
         table.add_row(*(str(value) for value in rows[-1].values()))
     Console().print(table)
     last = rows[-1]
--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -61,13 +61,15 @@
 check reads what serve would be told and names the faulty key. counters asks a running instance for its own.
 demo starts an instance with stand-ins round it, on loopback, and shows how it comes through an outage.
 """
+
 from __future__ import annotations
 
 import sys
 from importlib import import_module
 
-if sys.argv[1:2] == ["serve"]:      # what is imported below takes its time, in which a signal may come
+if sys.argv[1:2] == ["serve"]:  # what is imported below takes its time, in which a signal may come
     from mulleinhatch.program import signals
+
     signals.heard_early()
 
 from docopt import docopt  # noqa: E402
--- a/mulleinhatch/benchlink/__main__.py
+++ b/mulleinhatch/benchlink/__main__.py
@@ -1,4 +1,5 @@
 """Frames on standard input and output, one `Hatch` for each instance the wire names."""
+
 from __future__ import annotations
 
 import struct
@@ -105,10 +106,20 @@
     @staticmethod
     def tell(hatch: Hatch, code: int, frame: Frame, now: float, place: int) -> None:
         if code == REQUEST_CODE:
-            (ref, age, wait, tenant, _, repeat_of, op_type, caller, _, bits, work,
-             held_kb) = frame.take(REQUEST)
-            hatch.op_read(now, ref, op_type, age / 1000.0, wait / 1000.0, tenant, repeat_of, caller,
-                          work / 1000.0 if bits & HINT else 0.0, held_kb, bool(bits & FURTHER_TRY))
+            (ref, age, wait, tenant, _, repeat_of, op_type, caller, _, bits, work, held_kb) = frame.take(REQUEST)
+            hatch.op_read(
+                now,
+                ref,
+                op_type,
+                age / 1000.0,
+                wait / 1000.0,
+                tenant,
+                repeat_of,
+                caller,
+                work / 1000.0 if bits & HINT else 0.0,
+                held_kb,
+                bool(bits & FURTHER_TRY),
+            )
         elif code == RESULT_CODE:
             ref, ending, _ = frame.take(RESULT)
             hatch.run_ended(now, ref, ending)
--- a/mulleinhatch/chance.py
+++ b/mulleinhatch/chance.py
@@ -1,4 +1,5 @@
 """Chance from a seed: the same seed draws the same everywhere, so pure modules may use it."""
+
 from __future__ import annotations
 
 
@@ -14,14 +15,14 @@
     __slots__ = ("state",)
 
     def __init__(self, seed: int) -> None:
-        self.state = seed % 2 ** 64
+        self.state = seed % 2**64
 
     def below(self, count: int) -> int:
         return self._next() % count
 
     def part(self) -> float:
-        return self._next() / 2 ** 31
+        return self._next() / 2**31
 
     def _next(self) -> int:
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2 ** 64
+        self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2**64
         return self.state >> 33
--- a/mulleinhatch/commands/check.py
+++ b/mulleinhatch/commands/check.py
@@ -1,4 +1,5 @@
 """Reads what `serve` would be told, the operator's file too, and names the faulty key."""
+
 from __future__ import annotations
 
 import os
--- a/mulleinhatch/commands/counters.py
+++ b/mulleinhatch/commands/counters.py
@@ -1,4 +1,5 @@
 """Asks a running instance, at its listening address, for its counters."""
+
 from __future__ import annotations
 
 import sys
--- a/mulleinhatch/commands/demo.py
+++ b/mulleinhatch/commands/demo.py
@@ -1,4 +1,5 @@
 """A calm minute with an outage in it: a real instance, stand-in callers and interpreter, shown live."""
+
 from __future__ import annotations
 
 import asyncio
@@ -22,8 +23,8 @@
     raise SystemExit(2) from None
 
 OUTAGE = "at 20 kill 0 for 6"
-RATE, CAN = 64.0, 80.0      # ops a second asked for, and that the stand-in interpreter can do
-LOOK = 0.5                  # seconds between two looks at the counters
+RATE, CAN = 64.0, 80.0  # ops a second asked for, and that the stand-in interpreter can do
+LOOK = 0.5  # seconds between two looks at the counters
 STAGES = ("calm", "rising", "storm", "recovering")
 BARS = " ▁▂▃▄▅▆▇█"
 
@@ -38,20 +39,29 @@
 
     def look(self, at: float, counters: dict[str, int]) -> None:
         span = max(0.05, at - self.at)
-        self.rates = {name: max(0.0, counters.get(count, 0) - self.counters.get(count, 0)) / span
-                      for name, count in (("acked", "answers_200"), ("nacked", "answers_429"),
-                                          ("of these at the door", "turned_back"))}
+        self.rates = {
+            name: max(0.0, counters.get(count, 0) - self.counters.get(count, 0)) / span
+            for name, count in (("acked", "answers_200"), ("nacked", "answers_429"), ("of these at the door", "turned_back"))
+        }
         self.acked.append(self.rates["acked"])
         self.at, self.counters = at, counters
 
     def words(self) -> list[tuple[str, str]]:
         if not self.counters:
             return [("instance", "down"), ("stage", "-"), ("acked a second", "0")]
-        rows = [("instance", "up"), ("stage", STAGES[self.counters.get("storm_stage", 0)]),
-                *((f"{name}, a second" if "door" in name else f"{name} a second", f"{rate:.0f}")
-                  for name, rate in self.rates.items())]
-        return [*rows, ("waiting or running", str(self.counters.get("ops_owed", 0))),
-                ("connections", str(self.counters.get("connections_open", 0)))]
+        rows = [
+            ("instance", "up"),
+            ("stage", STAGES[self.counters.get("storm_stage", 0)]),
+            *(
+                (f"{name}, a second" if "door" in name else f"{name} a second", f"{rate:.0f}")
+                for name, rate in self.rates.items()
+            ),
+        ]
+        return [
+            *rows,
+            ("waiting or running", str(self.counters.get("ops_owed", 0))),
+            ("connections", str(self.counters.get("connections_open", 0))),
+        ]
 
     def table(self) -> Table:
         table = Table(title=f"{self.at:.0f} of {self.seconds:.0f} s", width=74)
@@ -92,8 +102,10 @@
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     case = Case(script, seconds, RATE, patience=15.0, heeding=0.3, loads=1)
-    console.print(f"{RATE:.0f} ops a second of the {CAN:.0f} that can be done, callers that try again after 50 ms for 15 s, "
-                  f"three of ten heed advice.\nWhat goes wrong: {'; '.join(script.splitlines())}")
+    console.print(
+        f"{RATE:.0f} ops a second of the {CAN:.0f} that can be done, callers that try again after 50 ms for 15 s, "
+        f"three of ten heed advice.\nWhat goes wrong: {'; '.join(script.splitlines())}"
+    )
     with tempfile.TemporaryDirectory() as folder:
         raw = asyncio.run(shown(Rig(case, Path(folder)), Picture(seconds), console))
     figures = outcome(case, raw)
@@ -102,14 +114,15 @@
     table.add_column("")
     table.add_column("")
     for name, text in (
-            ("first tries acked within 1.8 s before the outage", f"{figures['calm']:.0%}"),
-            (f"and after its end, at {ends:.0f} s", f"{figures['in_time']:.0%}"),
-            ("nine of ten in time again", "never" if back is None else f"{back:.1f} s after the end"),
-            ("tries, acked, nacked", f"{counts['tries']}, {counts['acked']}, {counts['nacked']}"),
-            ("most tries in a second", f"{figures['most_tries']:.0f}"),
-            ("without an answer in their time; ran twice", f"{figures['lost']}; {figures['twice']}"),
-            ("core used, at most, 10 s after the end", f"{figures['core']:.2f}"),
-            ("memory, at most", f"{figures['memory_mb']:.0f} MB")):
+        ("first tries acked within 1.8 s before the outage", f"{figures['calm']:.0%}"),
+        (f"and after its end, at {ends:.0f} s", f"{figures['in_time']:.0%}"),
+        ("nine of ten in time again", "never" if back is None else f"{back:.1f} s after the end"),
+        ("tries, acked, nacked", f"{counts['tries']}, {counts['acked']}, {counts['nacked']}"),
+        ("most tries in a second", f"{figures['most_tries']:.0f}"),
+        ("without an answer in their time; ran twice", f"{figures['lost']}; {figures['twice']}"),
+        ("core used, at most, 10 s after the end", f"{figures['core']:.2f}"),
+        ("memory, at most", f"{figures['memory_mb']:.0f} MB"),
+    ):
         table.add_row(name, text)
     console.print(table)
     return 0
--- a/mulleinhatch/commands/fleet.py
+++ b/mulleinhatch/commands/fleet.py
@@ -1,4 +1,5 @@
 """What a running instance knows of its fleet: members, budgets, judgements, or all of it live."""
+
 from __future__ import annotations
 
 import json
@@ -11,7 +12,7 @@
 from mulleinhatch.program import operator
 from mulleinhatch.protocol.http import FLEET_PATH
 
-LOOK = 0.5      # seconds between two looks
+LOOK = 0.5  # seconds between two looks
 
 
 def ask(address: str) -> dict[str, Any]:
@@ -28,15 +29,26 @@
 
 
 def budgets(told: dict[str, Any]) -> list[tuple[str, ...]]:
-    return [("budget", "total", "even", "may use", "lent", "borrowed", "demand"), *(
-        (row["name"], f"{row['total']} in {row['window']:g} s" if row["window"] else f"{row['total']} in hand",
-         *(f"{row[key]:g}" for key in ("home", "usable", "lent", "borrowed", "demand"))) for row in told["budgets"])]
+    return [
+        ("budget", "total", "even", "may use", "lent", "borrowed", "demand"),
+        *(
+            (
+                row["name"],
+                f"{row['total']} in {row['window']:g} s" if row["window"] else f"{row['total']} in hand",
+                *(f"{row[key]:g}" for key in ("home", "usable", "lent", "borrowed", "demand")),
+            )
+            for row in told["budgets"]
+        ),
+    ]
 
 
 def judgements(told: dict[str, Any]) -> list[tuple[str, ...]]:
-    return [("subject", "verdict"), *((subject, "out") for subject in told["out"]),
-            *((subject, f"ill for {voice} alone: look there") for voice, subject in told["alone"]),
-            *([("-", f"{told['held_back']} more are ill, and kept: too many at once")] if told["held_back"] else [])]
+    return [
+        ("subject", "verdict"),
+        *((subject, "out") for subject in told["out"]),
+        *((subject, f"ill for {voice} alone: look there") for voice, subject in told["alone"]),
+        *([("-", f"{told['held_back']} more are ill, and kept: too many at once")] if told["held_back"] else []),
+    ]
 
 
 def text(rows: list[tuple[str, ...]]) -> str:
@@ -52,20 +64,30 @@
     state = "FROZEN: most are silent to us, nobody is declared gone" if told["frozen"] else "as heard"
     known = told["others_free"] >= 0.0
     free = f"{told['others_free']:.0%} of the others' places free" if known else "how the others fare is not known"
-    return (f"fleet {told['fleet']}, {state}; {free}{'; ANOTHER INSTANCE HAS OUR NAME' if told['doubled'] else ''}"
-            f"{'; THE OTHERS JUDGE US ILL' if told['judged_ill'] else ''}")
+    return (
+        f"fleet {told['fleet']}, {state}; {free}{'; ANOTHER INSTANCE HAS OUR NAME' if told['doubled'] else ''}"
+        f"{'; THE OTHERS JUDGE US ILL' if told['judged_ill'] else ''}"
+    )
 
 
 def loudest(told: dict[str, Any]) -> list[tuple[str, ...]]:
-    return [("loudest tenant", "least a second", "most", "of", "silent"), *(
-        (name, f"{least:.1f}", f"{most:.1f}", str(count), str(silent))
-        for name, least, most, count, silent, _ in told["loudest"])]
+    return [
+        ("loudest tenant", "least a second", "most", "of", "silent"),
+        *(
+            (name, f"{least:.1f}", f"{most:.1f}", str(count), str(silent))
+            for name, least, most, count, silent, _ in told["loudest"]
+        ),
+    ]
 
 
 def sums(told: dict[str, Any]) -> list[tuple[str, ...]]:
-    return [("over the fleet", "least", "most", "of", "silent"), *(
-        (figure, f"{row['least']:.0f}", f"{row['most']:.0f}", str(row["members"]), str(row["silent"]))
-        for figure, row in told["sums"].items())]
+    return [
+        ("over the fleet", "least", "most", "of", "silent"),
+        *(
+            (figure, f"{row['least']:.0f}", f"{row['most']:.0f}", str(row["members"]), str(row["silent"]))
+            for figure, row in told["sums"].items()
+        ),
+    ]
 
 
 def levels(told: dict[str, Any]) -> list[tuple[str, ...]]:
@@ -77,10 +99,19 @@
     rows = [("level", "name", "members", "silent", "heard", *figures)]
     names = {"group": known["group"], "zone": known["zone"], "region": known["region"], "fleet": told["fleet"]}
     for level, total in known["totals"].items():
-        rows.append((level, f"{names[level]} (ours)", str(total["members"]), str(total["silent"]), f"{total['oldest']:.0f} s",
-                     *(f"{total['figures'][figure]:.0f}" for figure in figures)))
-    return rows + [(row["level"], row["name"], str(row["members"]), str(row["silent"]), f"{row['heard']:.0f} s")
-                   for row in known["parts"]]
+        rows.append(
+            (
+                level,
+                f"{names[level]} (ours)",
+                str(total["members"]),
+                str(total["silent"]),
+                f"{total['oldest']:.0f} s",
+                *(f"{total['figures'][figure]:.0f}" for figure in figures),
+            )
+        )
+    return rows + [
+        (row["level"], row["name"], str(row["members"]), str(row["silent"]), f"{row['heard']:.0f} s") for row in known["parts"]
+    ]
 
 
 def watch(address: str) -> None:
@@ -94,8 +125,9 @@
         while True:
             try:
                 told = ask(address)
-                shown = [Text(head(told))] + [Text(text(rows)) for rows in (
-                    members(told), budgets(told), sums(told), loudest(told), judgements(told))]
+                shown = [Text(head(told))] + [
+                    Text(text(rows)) for rows in (members(told), budgets(told), sums(told), loudest(told), judgements(told))
+                ]
             except (OSError, ValueError) as error:
                 shown = [Text(f"{address}: {error}")]
             live.update(Group(*shown))
@@ -104,6 +136,7 @@
 
 def spread_shown(told: dict[str, Any], address: str, fleet: dict[str, Any]) -> int:
     from mulleinhatch.commands import spread
+
     if not fleet.get("spread"):
         print(f"mulleinhatch: {address}: the instance there spreads no load", file=sys.stderr)
         return 1
--- a/mulleinhatch/commands/search.py
+++ b/mulleinhatch/commands/search.py
@@ -1,4 +1,5 @@
 """A search for failures of a whole fleet, in virtual time: a campaign, or one history again."""
+
 from __future__ import annotations
 
 import itertools
@@ -41,6 +42,8 @@
     for name in told["FILE"]:
         found = play.play(campaign.replayed(Path(name).read_text()))
         failed += bool(found.what)
-        print(f"{name}: {found.what or 'all held'}; in time {found.before:.2f} before, {found.worst:.2f} in the worst second, "
-              f"{found.after:.2f} after")
+        print(
+            f"{name}: {found.what or 'all held'}; in time {found.before:.2f} before, {found.worst:.2f} in the worst second, "
+            f"{found.after:.2f} after"
+        )
     return 1 if failed else 0
--- a/mulleinhatch/commands/serve.py
+++ b/mulleinhatch/commands/serve.py
@@ -1,4 +1,5 @@
 """One service instance, in the foreground until SIGTERM and the end of its grace."""
+
 from __future__ import annotations
 
 import asyncio
@@ -18,6 +19,7 @@
 
     def placed() -> Placement:
         return placement(os.environ, told["--config"], told["--operator"])
+
     try:
         place = placed()
     except Misplaced as error:
--- a/mulleinhatch/commands/spread.py
+++ b/mulleinhatch/commands/spread.py
@@ -1,11 +1,12 @@
 """Who carries what in a fleet: a table, live, and over time as a heat map (PNG)."""
+
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 from typing import Any
 
-LOOK = 0.5      # seconds between two looks
+LOOK = 0.5  # seconds between two looks
 COLUMNS = ("instance", "busy", "held", "room", "load", "pace", "acked", "nacked", "failed", "age")
 
 
@@ -13,9 +14,16 @@
     """The others by their reports and, first, the instance that is asked."""
     here = next((row["name"] for row in told["members"] if row["state"] == "self"), "-")
     own = told["spread"]
-    ours = {"name": f"{here} (asked)", "age": 0.0, "held": own["held"], "running": own["places"] - own["room"],
-            "room": own["room"], "places": own["places"], "pace": own["pace"]["value"] if own["pace"] else 0.0,
-            "load": own["load"]}
+    ours = {
+        "name": f"{here} (asked)",
+        "age": 0.0,
+        "held": own["held"],
+        "running": own["places"] - own["room"],
+        "room": own["room"],
+        "places": own["places"],
+        "pace": own["pace"]["value"] if own["pace"] else 0.0,
+        "load": own["load"],
+    }
     return [ours, *told["carried"]]
 
 
@@ -31,23 +39,43 @@
     >>> [row[:4] for row in rows(told)]
     [('instance', 'busy', 'held', 'room'), ('a (asked)', '0%', '0', '2'), ('b', '50%', '2', '1')]
     """
+
     def of(row: dict[str, Any], figure: str) -> str:
         return f"{row[figure]:.1f}" if figure in row else "-"
-    return [COLUMNS, *((row["name"], f"{busy(row):.0%}", f"{row['held']:.0f}", f"{row['room']:.0f}", f"{row['load']:.2f}",
-                        f"{row['pace']:.2f}", of(row, "acked"), of(row, "nacked"), of(row, "failed"), f"{row['age']:.1f} s")
-                       for row in carried(told))]
+
+    return [
+        COLUMNS,
+        *(
+            (
+                row["name"],
+                f"{busy(row):.0%}",
+                f"{row['held']:.0f}",
+                f"{row['room']:.0f}",
+                f"{row['load']:.2f}",
+                f"{row['pace']:.2f}",
+                of(row, "acked"),
+                of(row, "nacked"),
+                of(row, "failed"),
+                f"{row['age']:.1f} s",
+            )
+            for row in carried(told)
+        ),
+    ]
 
 
 def head(told: dict[str, Any]) -> str:
     own = told["spread"]
     back = f"; nothing is handed over: {own['held_back']}" if own["held_back"] else ""
-    return (f"{own['offers_out']} offers given, {own['offers_held']} held, {own['away']} ops at peers; fleet's load "
-            f"{own['fleet_load']:.2f}, wished elsewhere {own['wish']:.0%}{back}")
+    return (
+        f"{own['offers_out']} offers given, {own['offers_held']} held, {own['away']} ops at peers; fleet's load "
+        f"{own['fleet_load']:.2f}, wished elsewhere {own['wish']:.0%}{back}"
+    )
 
 
 def live(ask: Callable[[], dict[str, Any]], text: Callable[[list[tuple[str, ...]]], str]) -> None:
     from rich.live import Live
     from rich.text import Text
+
     with Live(refresh_per_second=4) as shown:
         while True:
             try:
@@ -61,8 +89,10 @@
 def plot(ask: Callable[[], dict[str, Any]], seconds: float, path: str) -> int:
     """Busy share by instance over time; how many looks it is made of."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     begun, looks = time.monotonic(), []
     while time.monotonic() - begun < seconds:
         try:
@@ -78,9 +108,15 @@
     """`looks` are moments and the busy share of each instance that was known then; white where one was not."""
     names = sorted({name for _, shares in looks for name in shares})
     figure, axes = pyplot.subplots(figsize=(10, max(2.5, 0.12 * len(names))))
-    image = axes.imshow([[shares.get(name, float("nan")) for _, shares in looks] for name in names], aspect="auto", vmin=0.0,
-                        vmax=1.0, cmap="viridis", interpolation="nearest",
-                        extent=(looks[0][0] if looks else 0.0, looks[-1][0] if looks else 1.0, len(names) - 0.5, -0.5))
+    image = axes.imshow(
+        [[shares.get(name, float("nan")) for _, shares in looks] for name in names],
+        aspect="auto",
+        vmin=0.0,
+        vmax=1.0,
+        cmap="viridis",
+        interpolation="nearest",
+        extent=(looks[0][0] if looks else 0.0, looks[-1][0] if looks else 1.0, len(names) - 0.5, -0.5),
+    )
     if len(names) <= 40:
         axes.set_yticks(range(len(names)), names, fontsize=7)
     axes.set_xlabel("seconds")
--- a/mulleinhatch/commands/trace.py
+++ b/mulleinhatch/commands/trace.py
@@ -1,4 +1,5 @@
 """Trace files: what is in them, a part of one, several as one, without names, sums, and a replay."""
+
 from __future__ import annotations
 
 import contextlib
@@ -22,8 +23,7 @@
 
 
 def run(told: dict[str, Any]) -> int:
-    tools = {"info": info, "cut": cut_out, "merge": merged, "anonymise": anonymised, "summary": summed,
-             "replay": replayed}
+    tools = {"info": info, "cut": cut_out, "merge": merged, "anonymise": anonymised, "summary": summed, "replay": replayed}
     try:
         return next(tool for name, tool in tools.items() if told[name])(told)
     except (OSError, Unreadable, Damaged, Incomplete, ValueError) as error:
@@ -33,9 +33,12 @@
 
 def missing(trace: Trace) -> str:
     """What could not be read, in a line each."""
-    return "".join(f"  lost at byte {lost.place}: {lost.why}"
-                   + (f", {lost.records} records, {lost.last - lost.first:.3f} s" if lost.records else "") + "\n"
-                   for lost in trace.lost)
+    return "".join(
+        f"  lost at byte {lost.place}: {lost.why}"
+        + (f", {lost.records} records, {lost.last - lost.first:.3f} s" if lost.records else "")
+        + "\n"
+        for lost in trace.lost
+    )
 
 
 def info(told: dict[str, Any]) -> int:
@@ -47,9 +50,11 @@
             first = min((row.first for row in trace.rows), default=0.0)
             last = max((row.last for row in trace.rows), default=0.0)
             damaged = sum(trace.block(row) is None for row in trace.rows)
-            print(f"{path}: version {trace.major}.{trace.minor}, instance {trace.facts.instance}, file {trace.facts.number}, "
-                  f"{trace.size} bytes, {len(trace.rows)} blocks, {records} records, {first:.3f} to {last:.3f} s, "
-                  f"{'indexed' if trace.indexed else 'no index: not ended, or cut'}")
+            print(
+                f"{path}: version {trace.major}.{trace.minor}, instance {trace.facts.instance}, file {trace.facts.number}, "
+                f"{trace.size} bytes, {len(trace.rows)} blocks, {records} records, {first:.3f} to {last:.3f} s, "
+                f"{'indexed' if trace.indexed else 'no index: not ended, or cut'}"
+            )
             print(missing(trace), end="")
             whole &= not damaged and not trace.lost
     return 0 if whole else 1
@@ -66,9 +71,13 @@
 def cut_out(told: dict[str, Any]) -> int:
     with open(told["FILE"][0], "rb") as source:
         trace = Trace(source)
-        wanted = Wanted(told["--since"] and float(told["--since"]), told["--until"] and float(told["--until"]),
-                        place(trace.facts.tenants, told["--tenant"], "tenant"),
-                        place(trace.facts.op_types, told["--op-type"], "op type"), told["--op"])
+        wanted = Wanted(
+            told["--since"] and float(told["--since"]),
+            told["--until"] and float(told["--until"]),
+            place(trace.facts.tenants, told["--tenant"], "tenant"),
+            place(trace.facts.op_types, told["--op-type"], "op type"),
+            told["--op"],
+        )
         with open(told["--out"], "xb") as file:
             count = cut(trace, file, wanted)
         print(f"{told['--out']}: {count} records")
@@ -98,8 +107,10 @@
         print(f"{told['--out']}: {count} records")
         for note in notes:
             stepped = f", the clock stepped {note['clock_stepped']:+.3f} s" if note["clock_stepped"] else ""
-            print(f"  {note['instance']} (node {note['node']}, file {note['file']}, version {note['version']}): "
-                  f"offset {note['offset']:.6f} s{stepped}")
+            print(
+                f"  {note['instance']} (node {note['node']}, file {note['file']}, version {note['version']}): "
+                f"offset {note['offset']:.6f} s{stepped}"
+            )
         print("".join(missing(trace) for trace in traces), end="")
     return 0
 
--- a/mulleinhatch/commands/upkeep.py
+++ b/mulleinhatch/commands/upkeep.py
@@ -1,4 +1,5 @@
 """Machines out for work: ask, cancel, see the order and who is out, and what a person may change."""
+
 from __future__ import annotations
 
 import json
@@ -42,23 +43,32 @@
 
 
 def out(told: dict[str, Any]) -> list[tuple[str, ...]]:
-    return [("out", "zone", "permit", "why", "over the bound because"), *(
-        (permit["name"], permit["zone"] or "-", str(permit["fence"]), permit["why"], permit["over"] or "-")
-        for permit in told["table"]["out"])]
+    return [
+        ("out", "zone", "permit", "why", "over the bound because"),
+        *(
+            (permit["name"], permit["zone"] or "-", str(permit["fence"]), permit["why"], permit["over"] or "-")
+            for permit in told["table"]["out"]
+        ),
+    ]
 
 
 def waiting(told: dict[str, Any]) -> list[tuple[str, ...]]:
     def at(row: dict[str, Any]) -> str:
         return "-" if row["at"] is None else "now" if row["at"] <= time.time() + 1.0 else f"in {row['at'] - time.time():.0f} s"
-    return [("place", "waits", "would go", "why"), *(
-        (str(place) if row["may"] else "-", row["name"], at(row), row["why"]) for place, row in enumerate(told["order"]))]
+
+    return [
+        ("place", "waits", "would go", "why"),
+        *((str(place) if row["may"] else "-", row["name"], at(row), row["why"]) for place, row in enumerate(told["order"])),
+    ]
 
 
 def head(told: dict[str, Any]) -> str:
     table = told["table"]
     frozen = f"; FROZEN: {table['frozen']}" if table["frozen"] else ""
-    return (f"{len(table['out'])} of {table['most']} out, {table['zone_most']} a zone; voters {' '.join(table['voters'])} "
-            f"(epoch {table['epoch']}); {told['name']} is {told['state']}{frozen}\n")
+    return (
+        f"{len(table['out'])} of {table['most']} out, {table['zone_most']} a zone; voters {' '.join(table['voters'])} "
+        f"(epoch {table['epoch']}); {told['name']} is {told['state']}{frozen}\n"
+    )
 
 
 def stands(told: dict[str, Any], name: str) -> int:
@@ -82,9 +92,17 @@
             raise ValueError("--control HOST:PORT, or --operator FILE with upkeep.control, is wanted")
         if told["ask"]:
             latest = time.time() + seconds(told["--by"]) if told["--by"] else 0.0
-            answer = ask(address, do="ask", kind=told["--reason"], seconds=seconds(told["--for"]), latest=latest,
-                         urgency=2 if told["--emergency"] else 0, names=[told["NAME"]] if told["NAME"] else None,
-                         zone=told["--zone"], all=told["--all"])
+            answer = ask(
+                address,
+                do="ask",
+                kind=told["--reason"],
+                seconds=seconds(told["--for"]),
+                latest=latest,
+                urgency=2 if told["--emergency"] else 0,
+                names=[told["NAME"]] if told["NAME"] else None,
+                zone=told["--zone"],
+                all=told["--all"],
+            )
         elif told["cancel"]:
             answer = ask(address, do="cancel")
         elif told["freeze"]:
--- a/mulleinhatch/commands/version.py
+++ b/mulleinhatch/commands/version.py
@@ -1,4 +1,5 @@
 """Prints the version."""
+
 from __future__ import annotations
 
 from importlib import metadata
--- a/mulleinhatch/decide/hatch.py
+++ b/mulleinhatch/decide/hatch.py
@@ -5,6 +5,7 @@
 and then pulls `next_decision` until it gives None. The types that pass are in `interface.py`; the mechanism
 and its exceptions are told in `docs/design.md`. Times are seconds on the host's clock.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -24,50 +25,50 @@
 from mulleinhatch.interface import Advice, Decision, Deployment, Effect, Ending, OpType, Ref, Verb
 from mulleinhatch.rings import BUCKET, BUCKETS, Ring
 
-TENANT_ROOM = 2.0       # a tenant's running share over its fraction of the service: traffic is never even
-BEAT = 0.1              # how often the hold is rescored and pressure is judged while there is work
-GAUGE_SPAN = 0.5        # seconds that the gauge of core use covers: full for less, it tells nothing
-FULL_ENOUGH = 0.5       # seconds at the running limit before mu is believed
-CALM_WAIT = 0.18        # the share of the shortest target latency that the hold's wait may take before advice
-ADVICE_GAIN = 0.3       # how fast the advice follows that wait, a second
-CROWD_SHARE = 0.6       # of the crowd survived: ops return from calls together, and reading runs beside
-MEMORY_SHARE = 0.9      # of the memory: what is read while a batch is under way comes on top
+TENANT_ROOM = 2.0  # a tenant's running share over its fraction of the service: traffic is never even
+BEAT = 0.1  # how often the hold is rescored and pressure is judged while there is work
+GAUGE_SPAN = 0.5  # seconds that the gauge of core use covers: full for less, it tells nothing
+FULL_ENOUGH = 0.5  # seconds at the running limit before mu is believed
+CALM_WAIT = 0.18  # the share of the shortest target latency that the hold's wait may take before advice
+ADVICE_GAIN = 0.3  # how fast the advice follows that wait, a second
+CROWD_SHARE = 0.6  # of the crowd survived: ops return from calls together, and reading runs beside
+MEMORY_SHARE = 0.9  # of the memory: what is read while a batch is under way comes on top
 UNREAD_WEIGHT, UNREAD_MEMORY = 0.1, 2.0  # of one op in the mean time unread; how long that outlives it
-SICK_RUN, SICK_ERRORS = 1.2, 0.5     # of the shortest target latency by a mean run; of recent runs that fail
-SICK_FIRST, SICK_LONGEST = 4.0, 32.0     # seconds of bad health, doubled before each spell
-HINTED_SPREAD, UNKNOWN_SPREAD = 0.5, 1.0     # of its expected run that the bound leaves an op besides
-LONG_SHOT = 0.4         # of the mean run, when chances are that an op of unknown cost is shorter
-OVER_SHARE = 20.0       # points that an op goes back when all its tenant's traffic is beyond its quota
-ANSWER_MARGIN = 0.03    # before a due time: a timer may come late
-MANY_LINKS, IDLE_KEPT = 16, 2.0    # connections a core from which idle ones may be closed, after seconds
-FEW_NACKS = 0.1         # of what is read: above it a full table turns callers away at less cost than nacks
-STOP_MARGIN = 0.15      # before the process is stopped: nothing is owed after that
+SICK_RUN, SICK_ERRORS = 1.2, 0.5  # of the shortest target latency by a mean run; of recent runs that fail
+SICK_FIRST, SICK_LONGEST = 4.0, 32.0  # seconds of bad health, doubled before each spell
+HINTED_SPREAD, UNKNOWN_SPREAD = 0.5, 1.0  # of its expected run that the bound leaves an op besides
+LONG_SHOT = 0.4  # of the mean run, when chances are that an op of unknown cost is shorter
+OVER_SHARE = 20.0  # points that an op goes back when all its tenant's traffic is beyond its quota
+ANSWER_MARGIN = 0.03  # before a due time: a timer may come late
+MANY_LINKS, IDLE_KEPT = 16, 2.0  # connections a core from which idle ones may be closed, after seconds
+FEW_NACKS = 0.1  # of what is read: above it a full table turns callers away at less cost than nacks
+STOP_MARGIN = 0.15  # before the process is stopped: nothing is owed after that
 CROWDED_RETRIES = 0.25  # share of marked retries among reads from which the whole fleet counts as full
-CALL_CROWDED = 3.0      # call time over the best seen from which the dependency counts as crowded
-CALL_SHRINK, CALL_GROW = 0.9, 1.1    # of the calls in hand, a beat
-CALL_FLOOR = 0.4        # of our share of what the dependency survives, when even calls far apart are slow
-CALLS_ENOUGH, CALLS_USUAL = 4, 16    # calls a call time leans on, now and usually: the least of few is luck
-CALL_MEMORY = 2.5       # seconds without a call in which a slow one is forgotten: else none would ask again
-CALL_ROOM = 3.0         # calls in hand over one more than their mean: unused room fills when calls slow
-BEST_DRIFT = 0.01       # a second: a best call time that is never met again is forgotten
-HEAR_ROOM, HEAR_LEAST = 0.95, 0.02    # of what can be served, in a storm: first tries and retries; retries
-STORM_BACK = 10.0       # points that a retry goes back in a storm: first tries become retries behind it
-HEAR_STEP = 0.1         # change of that rate, as a share, that is worth a word
-OTHERS_FULL = 0.05      # of what the others can serve that is free: with less nobody is to ask them either
-HAND_WAIT = 0.03        # of the shortest target latency: a longer line is worth handing over from
+CALL_CROWDED = 3.0  # call time over the best seen from which the dependency counts as crowded
+CALL_SHRINK, CALL_GROW = 0.9, 1.1  # of the calls in hand, a beat
+CALL_FLOOR = 0.4  # of our share of what the dependency survives, when even calls far apart are slow
+CALLS_ENOUGH, CALLS_USUAL = 4, 16  # calls a call time leans on, now and usually: the least of few is luck
+CALL_MEMORY = 2.5  # seconds without a call in which a slow one is forgotten: else none would ask again
+CALL_ROOM = 3.0  # calls in hand over one more than their mean: unused room fills when calls slow
+BEST_DRIFT = 0.01  # a second: a best call time that is never met again is forgotten
+HEAR_ROOM, HEAR_LEAST = 0.95, 0.02  # of what can be served, in a storm: first tries and retries; retries
+STORM_BACK = 10.0  # points that a retry goes back in a storm: first tries become retries behind it
+HEAR_STEP = 0.1  # change of that rate, as a share, that is worth a word
+OTHERS_FULL = 0.05  # of what the others can serve that is free: with less nobody is to ask them either
+HAND_WAIT = 0.03  # of the shortest target latency: a longer line is worth handing over from
 PROVES_UNRUN = (Ending.FULL, Ending.UNREACHABLE, Ending.MOOT)
 
 
 class Stage(Enum):
     HELD = "held"
-    FOLLOWING = "following"    # a repeat of an op that is still held here
-    REPEATING = "repeating"    # takes its answer from the op that it repeats
+    FOLLOWING = "following"  # a repeat of an op that is still held here
+    REPEATING = "repeating"  # takes its answer from the op that it repeats
     RUNNING = "running"
     PAUSED = "paused"
-    STALLED = "stalled"        # needs a call
+    STALLED = "stalled"  # needs a call
     CALLING = "calling"
-    HANDED = "handed"          # a peer has it
-    __hash__ = object.__hash__    # members are single; Enum's own hash is Python code on every step
+    HANDED = "handed"  # a peer has it
+    __hash__ = object.__hash__  # members are single; Enum's own hash is Python code on every step
 
 
 AT_CALL = (Stage.STALLED, Stage.CALLING)
@@ -104,7 +105,7 @@
         self.arrived = self.due = self.aim = self.since = self.spent = self.call_until = 0.0
         self.stage = Stage.HELD
         self.further_try = self.hinted = self.ran = self.answered = self.kept = self.unwanted = False
-        self.handed = False     # it came from a peer, or was with one: once is the most
+        self.handed = False  # it came from a peer, or was with one: once is the most
         self.leader: Op | None = None
         self.call_ending: int | None = None
 
@@ -118,8 +119,7 @@
         self.ageing_rate = ageing_rate(max((row.target for row in self.rows), default=BASE_SPAN))
         self.shortest_target = min((row.target for row in self.rows), default=math.inf)
         self.shares = [TENANT_ROOM * tenant.get("fraction", 1.0) for tenant in get("tenants", [])]
-        self.quotas = [tenant.get("quota_per_s", math.inf) / max(1, get("instances", 1))
-                       for tenant in get("tenants", [])]
+        self.quotas = [tenant.get("quota_per_s", math.inf) / max(1, get("instances", 1)) for tenant in get("tenants", [])]
         self.tenant_reads = [Ring() for _ in self.quotas]
         self.callers, self.gauges = max(1, get("callers", 1)), get("gauges", [])
         self.crowd, self.cold_for = get("crowd_per_core", 2.0), get("cold_for", 0.0)
@@ -131,7 +131,7 @@
         self.calls_share = get("calls_share", 0.0) if get("shared_dependency", False) else math.inf
         self.calls_window, self.linger = get("calls_window") or 1.0, get("call_linger", 0.0)
         self.margin = ANSWER_MARGIN + 2 * get("tick", 0.0)
-        self.chance = seed % 2 ** 64
+        self.chance = seed % 2**64
         self.started = self.now = self.sweep_at = self.judged_at = now
         self.ops: dict[Ref, Op] = {}
         self.at: dict[Stage, dict[Ref, Op]] = {stage: {} for stage in Stage}
@@ -160,19 +160,42 @@
         self.parts: dict[int, tuple[float, Sequence[tuple[float, float]]]] = {}
         self.part_used: dict[int, list[float]] = {}
         self.caps: dict[int, tuple[float, Sequence[tuple[float, float]]]] = {}
-        self.others_room, self.ill, self.wished, self.hear_most, self.offered = -1., False, 0., math.inf, 0
-        self.steps = (self._forget, self._place, self._give_up, self._stop_unwanted, self._serve_call,
-                      self._follow, self._start, self._hand, self._advise, self._hear, self._wake)
+        self.others_room, self.ill, self.wished, self.hear_most, self.offered = -1.0, False, 0.0, math.inf, 0
+        self.steps = (
+            self._forget,
+            self._place,
+            self._give_up,
+            self._stop_unwanted,
+            self._serve_call,
+            self._follow,
+            self._start,
+            self._hand,
+            self._advise,
+            self._hear,
+            self._wake,
+        )
 
     # Bookkeeping: what the host reports.
 
-    def op_read(self, now: float, ref: Ref, op_type: int, age: float, wait: float, tenant: int,
-                repeat_of: Ref, caller: int, work: float, held_kb: float, further_try: bool) -> None:
+    def op_read(
+        self,
+        now: float,
+        ref: Ref,
+        op_type: int,
+        age: float,
+        wait: float,
+        tenant: int,
+        repeat_of: Ref,
+        caller: int,
+        work: float,
+        held_kb: float,
+        further_try: bool,
+    ) -> None:
         self._pass_time(now)
         row = self.rows[op_type]
         if work > 0.0:
             self.hints.add(now, 1.0)
-            self.hinted.add(now, min(work, row.op_timeout))    # a bad one of an hour must not spoil the mean
+            self.hinted.add(now, min(work, row.op_timeout))  # a bad one of an hour must not spoil the mean
         op = Op(ref, row, tenant if self.shares else caller, work or self._mean_work(), held_kb)
         op.arrived, op.since, op.further_try, op.hinted = now - age, now, further_try, work > 0.0
         op.due = now + wait if wait > 0.0 else max(now, op.arrived + row.op_timeout)
@@ -181,14 +204,14 @@
         op.aim = min(op.due, op.arrived + row.target - max(0.0, before))
         op.leader = self.ops.get(repeat_of) if repeat_of else None
         if repeat_of and (op.leader is None or op.leader.ran):
-            op.ran = True    # some try has run: from here on it may not be nacked
+            op.ran = True  # some try has run: from here on it may not be nacked
         self.ops[ref] = self.at[Stage.HELD][ref] = self.unplaced[ref] = op
         self.kb += held_kb
         self.sweep_at = min(self.sweep_at, op.due - self.margin)
         self.reads.add(now, 1.0)
         op.over = self._over_share(op)
         self.retries.add(now, float(further_try))
-        self.unread += UNREAD_WEIGHT * (min(age, row.op_timeout) - self.unread)    # none is worth more
+        self.unread += UNREAD_WEIGHT * (min(age, row.op_timeout) - self.unread)  # none is worth more
 
     def _over_share(self, op: Op) -> float:
         """Points by which an op goes back for its tenant's first tries here beyond its part of the quota."""
@@ -256,14 +279,13 @@
         self._pass_time(now)
         self.storm, self.first_tries = on, first_tries
 
-    def part_told(self, now: float, tenant: int, window: float,
-                  pieces: Sequence[tuple[float, float]]) -> None:
+    def part_told(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
         """From a host whose instances share totals: the runs of a tenant that this one may start in any
         window, or have in hand where that is 0, as units and until when they are ours."""
         self._pass_time(now)
         (self.parts if window else self.caps)[tenant] = window, pieces
 
-    def calls_told(self, now: float, share: float) -> None:    # our part, where the instances settle it
+    def calls_told(self, now: float, share: float) -> None:  # our part, where the instances settle it
         self._pass_time(now)
         self.calls_share = share
 
@@ -386,8 +408,8 @@
 
     def _draw(self) -> float:
         """Below 1, by chance: instances that fell ill together must not ask for trade again together."""
-        self.chance = (self.chance * 6364136223846793005 + 1442695040888963407) % 2 ** 64
-        return (self.chance >> 33) / 2 ** 31
+        self.chance = (self.chance * 6364136223846793005 + 1442695040888963407) % 2**64
+        return (self.chance >> 33) / 2**31
 
     def _move(self, op: Op, stage: Stage) -> None:
         if op.stage is stage:
@@ -409,7 +431,7 @@
         self.tenant_running[op.tenant] -= in_hand
         if op.kept and not op.ran:
             self.to_forget.append(op.ref)
-        if not op.ran:    # one may run: the first stands in its place, the others wait for that one
+        if not op.ran:  # one may run: the first stands in its place, the others wait for that one
             heir = None
             for follower in [other for other in self.at[Stage.FOLLOWING].values() if other.leader is op]:
                 follower.leader, heir = heir, heir or follower
@@ -437,7 +459,7 @@
 
     def _priority(self, op: Op) -> float:
         if op.aim < self.now + (self._call_wait() if op.stage in AT_CALL else 0.0):
-            return math.inf    # only late worth is left: it must not delay what can still be in time
+            return math.inf  # only late worth is left: it must not delay what can still be in time
         back = STORM_BACK if self.storm and op.further_try else 0.0
         return effective_priority(op.row.base + op.over + back, self.now - op.arrived, self.ageing_rate)
 
@@ -510,10 +532,16 @@
     def _over_part(self, op: Op) -> bool:
         """L_max of a tenant whose runs the fleet shares out: what its part starts in this one's time."""
         rate = self._part_rate(op.tenant)
-        held = sum(other.tenant == op.tenant and other.ref not in self.unplaced
-                   for other in self.at[Stage.HELD].values() if other is not op)
-        return rate < math.inf and held >= rate * max(0.0, self._wait_allowed(op, op.aim)) and not (
-            held == 0 and self._part_left(op.tenant))
+        held = sum(
+            other.tenant == op.tenant and other.ref not in self.unplaced
+            for other in self.at[Stage.HELD].values()
+            if other is not op
+        )
+        return (
+            rate < math.inf
+            and held >= rate * max(0.0, self._wait_allowed(op, op.aim))
+            and not (held == 0 and self._part_left(op.tenant))
+        )
 
     def _held_wait(self) -> float:
         work = sum(op.work for op in self.at[Stage.HELD].values())
@@ -574,8 +602,7 @@
 
     def _work_ahead(self, op: Op) -> float:
         own = self._priority(op)
-        return sum(other.work for other in self.at[Stage.HELD].values()
-                   if other is not op and self._priority(other) <= own)
+        return sum(other.work for other in self.at[Stage.HELD].values() if other is not op and self._priority(other) <= own)
 
     def _over_bound(self, op: Op, ahead: float | None = None) -> bool:
         """L_max = mu x W_max, over what would start before it; its own type is part of that."""
@@ -731,8 +758,9 @@
         if self.advice is None or abs(shut - self.told_shut) < 0.02:
             return None
         self.told_shut, open_part = shut, 1.0 - shut
-        level = {Advice.FLOOR: shut, Advice.WEIGHT: open_part,
-                 Advice.ALLOWANCE: open_part * 4 * self.cores / self.callers}[self.advice]
+        level = {Advice.FLOOR: shut, Advice.WEIGHT: open_part, Advice.ALLOWANCE: open_part * 4 * self.cores / self.callers}[
+            self.advice
+        ]
         return Decision(Verb.ADVISE, level=level)
 
     def _hear(self) -> Decision | None:
--- a/mulleinhatch/fleet/budgets.py
+++ b/mulleinhatch/fleet/budgets.py
@@ -5,6 +5,7 @@
 stretched by the drift, counted from a later moment than the taker's. So no word between them has to arrive for the sum
 to stay within the total. `Part` is one budget in one instance; the model checker (`standins/checker.py`) drives it.
 """
+
 from __future__ import annotations
 
 from math import inf, sqrt
@@ -12,22 +13,22 @@
 
 from mulleinhatch.fleet.bounds import BudgetBounds
 
-ASK_EVERY, ASK_AGAIN = 0.7, 2.0     # seconds with an answer; and times that without one
-ROOM, KEEP = 1.0, 2.0               # square roots of its demand beside it: kept or wished for, and given back above
-GIVERS = 4                          # asked at a time
-TRIES = 4                           # asks without more, after which no more is hoped for from there
-COLLECT = 3.0                       # seconds that what was set aside for an asker waits for its next ask
-Asker = tuple[str, int]             # name and life
+ASK_EVERY, ASK_AGAIN = 0.7, 2.0  # seconds with an answer; and times that without one
+ROOM, KEEP = 1.0, 2.0  # square roots of its demand beside it: kept or wished for, and given back above
+GIVERS = 4  # asked at a time
+TRIES = 4  # asks without more, after which no more is hoped for from there
+COLLECT = 3.0  # seconds that what was set aside for an asker waits for its next ask
+Asker = tuple[str, int]  # name and life
 
 
 class Ask(NamedTuple):
     number: int
-    have: int       # the asker uses no more of ours than this from now on
+    have: int  # the asker uses no more of ours than this from now on
     want: int
 
 
 class Give(NamedTuple):
-    number: int     # of the ask that it answers
+    number: int  # of the ask that it answers
     have: int
 
 
@@ -73,10 +74,10 @@
         # What an earlier life of ours lent is not known here: until that is back for certain nothing is ours.
         self.ours_from = now + self._lent_for() + self._rest()
         self.loans: dict[Asker, Loan] = {}
-        self.cooling: list[tuple[float, int]] = []      # until when it may still have been used by others
+        self.cooling: list[tuple[float, int]] = []  # until when it may still have been used by others
         self.borrowed: dict[str, Borrowed] = {}
         self.number = 0
-        self.stripped = False       # another instance goes by our name
+        self.stripped = False  # another instance goes by our name
 
     def _lent_for(self) -> float:
         return self.bounds.lease * (1.0 + self.bounds.drift)
@@ -124,13 +125,15 @@
 
     def pieces(self, now: float) -> list[tuple[float, float]]:
         """What may be used, as units and until when: our own without an end, since only we can give it away."""
-        return [(float(self.own(now)), inf), *((float(have.amount), have.until) for have in self.borrowed.values()
-                                               if have.amount and now < have.until)]
+        return [
+            (float(self.own(now)), inf),
+            *((float(have.amount), have.until) for have in self.borrowed.values() if have.amount and now < have.until),
+        ]
 
     def _pass_time(self, now: float) -> None:
         for asker, loan in list(self.loans.items()):
             if loan.aside and now > loan.ready + COLLECT:
-                loan.aside = 0      # nobody used it: it is ours again at once
+                loan.aside = 0  # nobody used it: it is ours again at once
             if loan.amount and now >= loan.until:
                 self._cools(loan.until, loan.amount)
                 loan.amount = 0
@@ -199,24 +202,32 @@
         lacks = self._wished(demand, ROOM) - self.usable(now)
         held = {giver: have.amount for giver, have in self.borrowed.items() if now < have.until}
         if lacks <= 0:
-            give_back = self.usable(now) - self._wished(demand, KEEP)      # between the two nothing moves
+            give_back = self.usable(now) - self._wished(demand, KEEP)  # between the two nothing moves
             wants = {}
             for giver in sorted(held):
                 back = max(0, min(held[giver], give_back))
                 wants[giver], give_back = held[giver] - back, give_back - back
         else:
             # What was asked for a moment ago is set aside by now, and no longer in its giver's reports.
-            wants = {giver: max(held.get(giver, 0), have.want if have.tries < TRIES else 0)
-                     for giver, have in self.borrowed.items() if giver in held or have.want}
+            wants = {
+                giver: max(held.get(giver, 0), have.want if have.tries < TRIES else 0)
+                for giver, have in self.borrowed.items()
+                if giver in held or have.want
+            }
             lacks -= sum(want - held.get(giver, 0) for giver, want in wants.items())
-            chosen = [(giver, spare) for giver, spare in spares
-                      if spare > 0 and giver != self.name and wants.get(giver, 0) <= held.get(giver, 0)
-                      and not self._gave_nothing(now, giver)][:GIVERS]
+            chosen = [
+                (giver, spare)
+                for giver, spare in spares
+                if spare > 0
+                and giver != self.name
+                and wants.get(giver, 0) <= held.get(giver, 0)
+                and not self._gave_nothing(now, giver)
+            ][:GIVERS]
             whole = sum(spare for _, spare in chosen)
             for giver, spare in chosen if lacks > 0 else ():
                 wants[giver] = held.get(giver, 0) + min(spare, -(-lacks * spare // whole))
                 if giver in self.borrowed:
-                    self.borrowed[giver].tries = 0      # else what it sets aside now would not be collected
+                    self.borrowed[giver].tries = 0  # else what it sets aside now would not be collected
         for giver, want in wants.items():
             have = self.borrowed.get(giver)
             if have and now - have.asked_at < self.ask_every * (1.0 if have.answered else ASK_AGAIN):
--- a/mulleinhatch/fleet/core.py
+++ b/mulleinhatch/fleet/core.py
@@ -3,6 +3,7 @@
 Members, counts, budgets and judgements each keep their own state; here their words are put into letters that fit, and taken
 apart again. What is local is told at each beat as `Local`; what the module may hear is asked of `parts`.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -20,17 +21,17 @@
 from mulleinhatch.fleet.words import MOST_BYTES, Letter, Report, Trade, Unfit
 
 MOST_MEMBERS = 1000
-ENVELOPE = 64           # bytes of a letter beside its names and lists, at most
-RUMOURS = 780           # bytes of it for rumours, at most; reports get the rest
+ENVELOPE = 64  # bytes of a letter beside its names and lists, at most
+RUMOURS = 780  # bytes of it for rumours, at most; reports get the rest
 JUDGE_EVERY = 0.5
-MOST_OPINIONS = 3       # in a report
-SMOOTH = 3.0            # seconds that demand is smoothed over
+MOST_OPINIONS = 3  # in a report
+SMOOTH = 3.0  # seconds that demand is smoothed over
 # In levels, where bytes are few:
-REPORTS = 150           # bytes of a letter for reports
-TOLD_REPORTS = 3        # times that a report is passed on by each
-SPARING = 1000.0        # bytes over the pace beyond which others' reports are not passed on
-OPINIONS_EVERY = 4      # reports
-LOUD_IN_LEVELS = 1      # tenants that a report names
+REPORTS = 150  # bytes of a letter for reports
+TOLD_REPORTS = 3  # times that a report is passed on by each
+SPARING = 1000.0  # bytes over the pace beyond which others' reports are not passed on
+OPINIONS_EVERY = 4  # reports
+LOUD_IN_LEVELS = 1  # tenants that a report names
 
 
 def interpreter_of(name: str) -> str:
@@ -44,7 +45,7 @@
     figures: list[int] = [0] * len(FIGURES)
     demands: tuple[float, ...] = ()
     loudest: list[tuple[str, float]] = []
-    opinions: list[tuple[str, int, int]] = []       # subject, percent of the evidence that is bad, pieces of it
+    opinions: list[tuple[str, int, int]] = []  # subject, percent of the evidence that is bad, pieces of it
 
 
 class Fleet:
@@ -67,18 +68,18 @@
         self.most = MOST_GROUP if place else MOST_MEMBERS
         self.known = Counts(self.most, bounds.fresh)
         self.levels = Levels(bounds, place, self.members, self.known, seed + 5, now) if place else None
-        self.ours = Counts(1)       # our own report as others see it
+        self.ours = Counts(1)  # our own report as others see it
         self.verdicts = Verdicts()
         seat = f"{place.region}/{place.zone}/{name}" if place else name
         self.parts = [Part(budget, seat, now, bounds.ask_every) for budget in bounds.budgets]
         self.local, self.demands, self.beat_at = Local(), [0.0] * len(self.parts), now
         self.counts: Counter[str] = Counter()
         self.reported_at, self.judged_at, self.reports = -1e9, now, 0
-        self.order: list[str] = []      # whose reports are passed on next
-        self.passed: dict[str, tuple[int, int]] = {}    # in levels: number of the report, how often we passed it on
+        self.order: list[str] = []  # whose reports are passed on next
+        self.passed: dict[str, tuple[int, int]] = {}  # in levels: number of the report, how often we passed it on
         self.out: list[str] = []
-        self.ops_at = ""    # where peers may send ops, if they may
-        self.want = 0       # ops that we hold and would hand over, told in each letter
+        self.ops_at = ""  # where peers may send ops, if they may
+        self.want = 0  # ops that we hold and would hand over, told in each letter
         # For who stands on us: each letter of a member's present life.
         self.listeners: list[Callable[[float, Letter], None]] = []
         # Of interpreters as the host says, and of members by our own probes, as in our last report.
@@ -89,7 +90,7 @@
     def beat(self, now: float, local: Local) -> list[tuple[str, bytes]]:
         self.local = local
         weight, self.beat_at = min(1.0, (now - self.beat_at) / SMOOTH), now
-        for place, demand in enumerate(local.demands[:len(self.demands)]):
+        for place, demand in enumerate(local.demands[: len(self.demands)]):
             self.demands[place] += weight * (demand - self.demands[place])
         if now - self.reported_at >= self.bounds.report_every:
             self._report(now)
@@ -211,8 +212,9 @@
     def _ask(self, now: float, place: int, part: Part, giver: str, want: int) -> tuple[str, dict]:
         ask = part.ask(now, giver, want)
         self.counts["asks"] += 1
-        return self.members.view[giver].address, self._short({"what": "word", "to": giver, "trades": [
-            Trade(place, ask.number, False, ask.have, ask.want)]})
+        return self.members.view[giver].address, self._short(
+            {"what": "word", "to": giver, "trades": [Trade(place, ask.number, False, ask.have, ask.want)]}
+        )
 
     def _short(self, told: dict) -> dict:
         """In levels what is traded goes without what is told along."""
@@ -228,8 +230,13 @@
                 part.given(now, letter.sender, Give(trade.number, trade.have))
                 self.counts["gives_heard"] += 1
             return None
-        give = part.asked(now, (letter.sender, letter.life), Ask(trade.number, trade.have, trade.want),
-                          part.spare(now, demand), part.needed(now, demand))
+        give = part.asked(
+            now,
+            (letter.sender, letter.life),
+            Ask(trade.number, trade.have, trade.want),
+            part.spare(now, demand),
+            part.needed(now, demand),
+        )
         return give and Trade(trade.budget, give.number, True, give.have, 0, letter.life)
 
     def part(self, now: float, place: int, lasts: float = 0.0) -> int:
@@ -267,27 +274,65 @@
         local = self.local
         spares = [part.spare(now, self._demand(place)) for place, part in enumerate(self.parts)]
         loud = MOST_LOUD if not self.levels else LOUD_IN_LEVELS if self.reports % OPINIONS_EVERY == 0 else 0
-        return Report(self.name, self.members.life, self.reports, max(0.0, now - self.reported_at),
-                      local.figures, spares, local.loudest[:loud], self.said, self.ops_at)
+        return Report(
+            self.name,
+            self.members.life,
+            self.reports,
+            max(0.0, now - self.reported_at),
+            local.figures,
+            spares,
+            local.loudest[:loud],
+            self.said,
+            self.ops_at,
+        )
 
     def _sent(self, now: float, address: str, told: dict) -> tuple[str, bytes]:
         members, to = self.members, told.get("to", "")
         trades, offers = told.get("trades", []), told.get("offers", [])
-        room = (MOST_BYTES - ENVELOPE - len(members.name) - len(members.address) - len(self.bounds.fleet)
-                - len(told.get("about", "")) - 40 * len(trades) - 45 * len(offers))
+        room = (
+            MOST_BYTES
+            - ENVELOPE
+            - len(members.name)
+            - len(members.address)
+            - len(self.bounds.fleet)
+            - len(told.get("about", ""))
+            - 40 * len(trades)
+            - 45 * len(offers)
+        )
         upward = told.get("upward", b"")
         if self.levels and not upward and to in members.view and "short" not in told:
             upward = self.levels.to_mate(now, told["what"] == "ping")
         room -= len(upward)
-        rumours = members.doubt(now, to) if "short" in told else members.rumours(
-            now, room - 60 if "new" in told else min(RUMOURS, room), to, "new" in told)
-        room -= sum(34 + len(rumour.name) + len(rumour.address) for rumour in rumours) if not self.levels else sum(
-            25 + len(rumour.name) + len(rumour.address) for rumour in rumours)
+        rumours = (
+            members.doubt(now, to)
+            if "short" in told
+            else members.rumours(now, room - 60 if "new" in told else min(RUMOURS, room), to, "new" in told)
+        )
+        room -= (
+            sum(34 + len(rumour.name) + len(rumour.address) for rumour in rumours)
+            if not self.levels
+            else sum(25 + len(rumour.name) + len(rumour.address) for rumour in rumours)
+        )
         reports = [] if "short" in told else self._passed_to_mates(now, room, to) if self.levels else self._passed_on(now, room)
-        letter = Letter(words.VERSION, self.bounds.fleet, members.name, members.address, members.life, members.incarnation,
-                        told["what"], told.get("number", 0), told.get("about", ""), rumours,
-                        reports, trades, self.want, offers, told.get("more", b""),
-                        self.levels.place.key if self.levels else 0, upward)
+        letter = Letter(
+            words.VERSION,
+            self.bounds.fleet,
+            members.name,
+            members.address,
+            members.life,
+            members.incarnation,
+            told["what"],
+            told.get("number", 0),
+            told.get("about", ""),
+            rumours,
+            reports,
+            trades,
+            self.want,
+            offers,
+            told.get("more", b""),
+            self.levels.place.key if self.levels else 0,
+            upward,
+        )
         data = words.encode(letter)
         self.counts["datagrams_sent"] += 1
         self.counts["bytes_sent"] += len(data)
@@ -317,15 +362,26 @@
                 break
             self.order.pop()
             room -= self._size(report)
-            chosen.append(Report(report.name, report.life, report.number, now - row.made_at, report.figures, report.spares,
-                                 report.loudest, report.opinions, report.at))
+            chosen.append(
+                Report(
+                    report.name,
+                    report.life,
+                    report.number,
+                    now - row.made_at,
+                    report.figures,
+                    report.spares,
+                    report.loudest,
+                    report.opinions,
+                    report.at,
+                )
+            )
         return chosen
 
     def _passed_to_mates(self, now: float, room: int, to: str) -> list[Report]:
         """Those that we passed on least, the newest first, each some times: most mates then hear it, and the rest its next."""
         room, chosen = min(room, REPORTS), []
         line = []
-        busy = self.levels.pace.over > SPARING      # who speaks for the group leaves it to the others
+        busy = self.levels.pace.over > SPARING  # who speaks for the group leaves it to the others
         if self.reports:
             line.append((self._times(self.name, self.reports), 0.0, self.name))
         for name, row in self.known.rows.items():
@@ -336,8 +392,9 @@
             report = self._own_report(now)
             if name != self.name:
                 told = self.known.rows[name].report
-                report = Report(told.name, told.life, told.number, age, told.figures, told.spares, told.loudest, told.opinions,
-                                told.at)
+                report = Report(
+                    told.name, told.life, told.number, age, told.figures, told.spares, told.loudest, told.opinions, told.at
+                )
             room -= words.size(report)
             if times >= TOLD_REPORTS or room < 0:
                 break
@@ -354,6 +411,11 @@
     @staticmethod
     def _size(report: Report) -> int:
         whole = [*report.figures, *report.spares]
-        return (35 + len(report.name) + len(report.at)
-                + sum(2 if figure < 128 else 3 if figure < 1 << 16 else 9 for figure in whole)
-                + sum(12 + len(name) for name, _ in report.loudest) + sum(14 + len(name) for name, *_ in report.opinions))
+        return (
+            35
+            + len(report.name)
+            + len(report.at)
+            + sum(2 if figure < 128 else 3 if figure < 1 << 16 else 9 for figure in whole)
+            + sum(12 + len(name) for name, _ in report.loudest)
+            + sum(14 + len(name) for name, *_ in report.opinions)
+        )
--- a/mulleinhatch/fleet/counts.py
+++ b/mulleinhatch/fleet/counts.py
@@ -3,6 +3,7 @@
 A figure from elsewhere has an age. Who is silent may have done anything from nothing to all that it can, so a sum is a range:
 its least is what is known, its most adds what the silent ones could have done. Bounded: a row a member, four tenants each.
 """
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -11,14 +12,29 @@
 from mulleinhatch.fleet.words import Report
 
 # New ones go to the end: in a fleet of two versions the older one's reports are shorter, and lack them.
-FIGURES = ("first_tries", "repeats", "acked", "nacked", "held", "running", "capacity", "healthy", "failed", "room", "places",
-           "pace_runs", "pace", "load_ops", "load")     # of the last four: evidence in tenths, figures in thousandths
-RATED = ("first_tries", "repeats", "acked", "nacked", "failed")     # counted since the start of a life; the rest as it stands
+FIGURES = (
+    "first_tries",
+    "repeats",
+    "acked",
+    "nacked",
+    "held",
+    "running",
+    "capacity",
+    "healthy",
+    "failed",
+    "room",
+    "places",
+    "pace_runs",
+    "pace",
+    "load_ops",
+    "load",
+)  # of the last four: evidence in tenths, figures in thousandths
+RATED = ("first_tries", "repeats", "acked", "nacked", "failed")  # counted since the start of a life; the rest as it stands
 PLACE = {figure: place for place, figure in enumerate(FIGURES)}
-OLDEST = 8              # figures of the first version
-FRESH = 2.0             # seconds: an older report is of a silent member
-MOST_LOUD = 4           # tenants that a report names
-OLD = 30.0              # and after these its row is dropped
+OLDEST = 8  # figures of the first version
+FRESH = 2.0  # seconds: an older report is of a silent member
+MOST_LOUD = 4  # tenants that a report names
+OLD = 30.0  # and after these its row is dropped
 
 
 class Range(NamedTuple):
@@ -84,7 +100,7 @@
             self.rows[report.name] = Row(report, made_at)
             return True
         if made_at - row.made_at >= 0.5 * min(FRESH, self.fresh) or row.before is row.report:
-            row.before, row.before_at = row.report, row.made_at     # rates over half a second of luck tell nothing
+            row.before, row.before_at = row.report, row.made_at  # rates over half a second of luck tell nothing
         row.report, row.made_at = report, max(made_at, row.made_at + 1e-6)
         return True
 
@@ -98,10 +114,12 @@
 
     def tenant(self, now: float, name: str) -> Range:
         """Ops a second of a tenant: who does not name it among its loudest has at most as much of it as of its least loud."""
+
         def told(row: Row) -> tuple[float, float]:
             loudest = row.report.loudest
             value = next((rate for tenant, rate in loudest if tenant == name), None)
             return value or 0.0, value if value is not None else loudest[-1][1] if len(loudest) == MOST_LOUD else 0.0
+
         return self._sum(now, told)
 
     def loudest(self, now: float, places: int) -> list[tuple[str, Range]]:
--- a/mulleinhatch/fleet/judgements.py
+++ b/mulleinhatch/fleet/judgements.py
@@ -4,21 +4,22 @@
 Nobody is judged out on one voice, no more than a share at a time, nobody where most look ill (then it is something that
 all share), and who hears nothing judges nothing. What one voice alone finds bad is that voice's own trouble.
 """
+
 from __future__ import annotations
 
 from typing import NamedTuple
 
-ENOUGH = 20             # pieces of evidence that make a whole voice
-OLD = 6.0               # seconds after which a voice counts for nothing
-VOICES = 2.0            # whole voices at least
-OUT, BACK = 0.6, 0.3    # of the weight that finds it ill: from here it is out, below there it is back
-MOST_OUT = 0.2          # of a kind's subjects at a time, one at least
-MOST_ILL = 0.5          # ill ones of a kind beyond which nobody is out
-ALONE = 0.8             # of one voice's evidence that is bad where all the others find the subject well
+ENOUGH = 20  # pieces of evidence that make a whole voice
+OLD = 6.0  # seconds after which a voice counts for nothing
+VOICES = 2.0  # whole voices at least
+OUT, BACK = 0.6, 0.3  # of the weight that finds it ill: from here it is out, below there it is back
+MOST_OUT = 0.2  # of a kind's subjects at a time, one at least
+MOST_ILL = 0.5  # ill ones of a kind beyond which nobody is out
+ALONE = 0.8  # of one voice's evidence that is bad where all the others find the subject well
 
 
 class Opinion(NamedTuple):
-    bad: float          # share of its evidence
+    bad: float  # share of its evidence
     evidence: int
     at: float
 
@@ -40,9 +41,9 @@
     def __init__(self, most: int = 4096) -> None:
         self.most = most
         self.opinions: dict[str, dict[str, Opinion]] = {}
-        self.out: dict[str, float] = {}             # since when
-        self.alone: set[tuple[str, str]] = set()    # voices that find ill what others find well
-        self.held_back = 0      # verdicts that a bound forbade, at the last look
+        self.out: dict[str, float] = {}  # since when
+        self.alone: set[tuple[str, str]] = set()  # voices that find ill what others find well
+        self.held_back = 0  # verdicts that a bound forbade, at the last look
 
     def heard(self, now: float, voice: str, subject: str, bad: float, evidence: int, age: float = 0.0) -> None:
         if subject not in self.opinions and len(self.opinions) >= self.most:
@@ -70,10 +71,15 @@
         if cut_off:
             return sorted(self.out)
         shares = {subject: self.share(now, subject, voices) for subject in self.opinions}
-        self.out = {subject: since for subject, since in self.out.items()
-                    if subject in shares and shares[subject][1] > 0.0 and shares[subject][0] >= BACK}
-        ill = sorted((subject for subject, (share, whole) in shares.items() if share >= OUT and whole >= VOICES),
-                     key=lambda subject: (-shares[subject][0], subject))
+        self.out = {
+            subject: since
+            for subject, since in self.out.items()
+            if subject in shares and shares[subject][1] > 0.0 and shares[subject][0] >= BACK
+        }
+        ill = sorted(
+            (subject for subject, (share, whole) in shares.items() if share >= OUT and whole >= VOICES),
+            key=lambda subject: (-shares[subject][0], subject),
+        )
         self.held_back = 0
         if len(ill) > MOST_ILL * len(shares):
             self.held_back = len(ill)
@@ -85,7 +91,10 @@
                     self.out[subject] = now
                 elif subject not in self.out:
                     self.held_back += 1
-        self.alone = {(voice, subject) for subject, said in self.opinions.items() for voice, opinion in said.items()
-                      if opinion.bad >= ALONE and len(said) > 2 and all(
-                          other.bad < BACK for name, other in said.items() if name != voice)}
+        self.alone = {
+            (voice, subject)
+            for subject, said in self.opinions.items()
+            for voice, opinion in said.items()
+            if opinion.bad >= ALONE and len(said) > 2 and all(other.bad < BACK for name, other in said.items() if name != voice)
+        }
         return sorted(self.out)
