--- a/mulleinhatch/fleet/levels.py
+++ b/mulleinhatch/fleet/levels.py
@@ -6,6 +6,7 @@
 Finkel, Manber 1988); for each other zone and region one of them, chosen by the same hash, keeps the link. What is new in
 who is there is passed on at once, all else in turn, and all of it within a bound of bytes a second. `Fleet` calls it.
 """
+
 from __future__ import annotations
 
 import struct
@@ -24,29 +25,29 @@
 from mulleinhatch.fleet.mates import Mates
 from mulleinhatch.fleet.words import ALIVE, GROUP, REGION, SUSPECT, ZONE, Letter, Sum, Upward, decode_upward, encode_upward
 
-SUMMED = FIGURES[:11]   # what is a sum over members; the rest are means with evidence of their own
-MOST_GROUP = 96         # members of a group
-MOST_ROWS = (63, 15, 15)            # other groups of the zone, zones of the region, regions
-STALE = (10.0, 12.0, 16.0)           # seconds without a word of it, by level: its members count as silent
-PATIENCE = 2.0          # times as long for who speaks for nobody
-MESH_ROUND, STANDBY_EVERY = 2.0, 4.0    # seconds for as many words of a speaker as its zone's groups have bits; of the next one
-LINK_EVERY, LINK_AGAIN = 2.5, 5.0   # seconds between words to another zone or region, by who keeps the link and by the second
+SUMMED = FIGURES[:11]  # what is a sum over members; the rest are means with evidence of their own
+MOST_GROUP = 96  # members of a group
+MOST_ROWS = (63, 15, 15)  # other groups of the zone, zones of the region, regions
+STALE = (10.0, 12.0, 16.0)  # seconds without a word of it, by level: its members count as silent
+PATIENCE = 2.0  # times as long for who speaks for nobody
+MESH_ROUND, STANDBY_EVERY = 2.0, 4.0  # seconds for as many words of a speaker as its zone's groups have bits; of the next one
+LINK_EVERY, LINK_AGAIN = 2.5, 5.0  # seconds between words to another zone or region, by who keeps the link and by the second
 BEYOND_EVERY, SEEDS_EVERY = 5.0, 20.0
-ALONE_EVERY, ALONE_MOST, ALONE_MORE = 1.0, 8.0, 0.7     # seconds between words to seeds of who knows no mate: growing
-SETTLE = 5.0            # seconds after its start for which a member speaks for nobody: it knows too few yet
-GAP, AGAIN = 0.1, 0.4   # seconds between words about news, and of what another group's speaker missed
-TELL_ALL_EVERY = 0.5    # seconds between words of all mates, to those that see others there
-REFRESH = (8.0, 4.0, 4.0)           # seconds after which a row is passed on between groups though nothing changed
-REFRESH_MATES = 12.0                # and between mates
-TOLD_MESH, TOLD_MATES = 3, 3        # times that news is passed on
-FAN_MESH, FAN_MATES = 2, 2          # groups and mates to whom it is passed on at once; the other times go with other words
-LINK_TOLD = 2           # times that news goes over a link at once: one may be lost
-WORTH = 0.125           # change of a figure from which our sum is told anew
+ALONE_EVERY, ALONE_MOST, ALONE_MORE = 1.0, 8.0, 0.7  # seconds between words to seeds of who knows no mate: growing
+SETTLE = 5.0  # seconds after its start for which a member speaks for nobody: it knows too few yet
+GAP, AGAIN = 0.1, 0.4  # seconds between words about news, and of what another group's speaker missed
+TELL_ALL_EVERY = 0.5  # seconds between words of all mates, to those that see others there
+REFRESH = (8.0, 4.0, 4.0)  # seconds after which a row is passed on between groups though nothing changed
+REFRESH_MATES = 12.0  # and between mates
+TOLD_MESH, TOLD_MATES = 3, 3  # times that news is passed on
+FAN_MESH, FAN_MATES = 2, 2  # groups and mates to whom it is passed on at once; the other times go with other words
+LINK_TOLD = 2  # times that news goes over a link at once: one may be lost
+WORTH = 0.125  # change of a figure from which our sum is told anew
 SUMS_TO_MATES, SUMS_TO_GROUPS = 3, 6
-MOST_UPWARD = 640       # bytes
-HEADERS = 28            # bytes of IP and UDP a datagram
-PACE, URGENT, OPTIONAL = 2600.0, 4000.0, 8000.0     # bytes a second in and out; what may be over when news, or turns, still go
-NEWCOMERS = 128         # places of which those that asked last are kept, to introduce them to each other
+MOST_UPWARD = 640  # bytes
+HEADERS = 28  # bytes of IP and UDP a datagram
+PACE, URGENT, OPTIONAL = 2600.0, 4000.0, 8000.0  # bytes a second in and out; what may be over when news, or turns, still go
+NEWCOMERS = 128  # places of which those that asked last are kept, to introduce them to each other
 CONTACTS = 4
 
 
@@ -63,10 +64,10 @@
 class Place(NamedTuple):
     region: str
     zone: str
-    group: str      # its number of how many, as `3/16`
+    group: str  # its number of how many, as `3/16`
     index: int
     groups: int
-    key: int        # of 32 bits, in each letter: who has the same is a mate
+    key: int  # of 32 bits, in each letter: who has the same is a mate
 
 
 def place_of(bounds: FleetBounds, name: str) -> Place | None:
@@ -93,27 +94,31 @@
         try:
             packed += struct.pack("!4BH", *map(int, host.split(".")), int(port))
         except (struct.error, ValueError):
-            continue        # a number that no address has
-    return packed[:6 * CONTACTS]
+            continue  # a number that no address has
+    return packed[: 6 * CONTACTS]
 
 
 def unpack(packed: bytes) -> list[str]:
-    return ["%d.%d.%d.%d:%d" % told for told in struct.iter_unpack("!4BH", packed[:len(packed) // 6 * 6])]
+    return ["%d.%d.%d.%d:%d" % told for told in struct.iter_unpack("!4BH", packed[: len(packed) // 6 * 6])]
 
 
 class Total(NamedTuple):
     """Of a group, zone, region or the fleet, as far as is known here."""
 
-    members: int            # that are there
-    silent: int             # those of whom no figures count: of them, or of a part that nothing is heard of
-    unknown: float          # requests a second that the silent could serve: what a sum may be more
-    oldest: float           # seconds: of the figures that count
+    members: int  # that are there
+    silent: int  # those of whom no figures count: of them, or of a part that nothing is heard of
+    unknown: float  # requests a second that the silent could serve: what a sum may be more
+    oldest: float  # seconds: of the figures that count
     figures: dict[str, float]
 
     def plus(self, other: Total) -> Total:
-        return Total(self.members + other.members, self.silent + other.silent, self.unknown + other.unknown,
-                     max(self.oldest, other.oldest), {name: value + other.figures.get(name, 0.0)
-                                                      for name, value in self.figures.items()})
+        return Total(
+            self.members + other.members,
+            self.silent + other.silent,
+            self.unknown + other.unknown,
+            max(self.oldest, other.oldest),
+            {name: value + other.figures.get(name, 0.0) for name, value in self.figures.items()},
+        )
 
     def most(self, figure: str) -> float:
         return self.figures[figure] + self.unknown
@@ -137,23 +142,33 @@
 
     def __init__(self, told: Sum, made_at: float) -> None:
         self.sum, self.made_at = told, made_at
-        self.seen_at = made_at      # when somebody spoke for it: told on in a byte, where its figures go in turn
+        self.seen_at = made_at  # when somebody spoke for it: told on in a byte, where its figures go in turn
         self.contacts: list[str] = []
-        self.to_groups, self.to_mates = TOLD_MESH, TOLD_MATES      # times that it still is to be passed on as news
+        self.to_groups, self.to_mates = TOLD_MESH, TOLD_MATES  # times that it still is to be passed on as news
         self.groups_at = self.mates_at = -1e9
 
     def total(self, now: float, patience: float = 1.0) -> Total:
         told, age = self.sum, now - self.made_at
         if now - self.seen_at > patience * STALE[told.level]:
-            return Total(0, told.members, float(told.unknown + (told.figures[PLACE_OF_CAPACITY:] or [0])[0]),
-                         0.0, dict.fromkeys(SUMMED, 0.0))
+            return Total(
+                0,
+                told.members,
+                float(told.unknown + (told.figures[PLACE_OF_CAPACITY:] or [0])[0]),
+                0.0,
+                dict.fromkeys(SUMMED, 0.0),
+            )
         figures = dict(zip(SUMMED, map(float, told.figures)))
-        return Total(told.members, told.silent, float(told.unknown), age + told.oldest / 10.0,
-                     {name: figures.get(name, 0.0) for name in SUMMED})
+        return Total(
+            told.members,
+            told.silent,
+            float(told.unknown),
+            age + told.oldest / 10.0,
+            {name: figures.get(name, 0.0) for name in SUMMED},
+        )
 
 
 PLACE_OF_CAPACITY = SUMMED.index("capacity")
-Names = tuple[int, str]     # level and name of a row
+Names = tuple[int, str]  # level and name of a row
 
 
 class Levels:
@@ -164,20 +179,20 @@
         self.draw, self.started = Chance(seed).below, now
         self.pace = Pace(PACE, now)
         self.rows: dict[Names, Known] = {}
-        self.own: Row | None = None     # our own report, for what is counted a second
-        self.told: Sum | None = None    # of our group, as we told it last
+        self.own: Row | None = None  # our own report, for what is counted a second
+        self.told: Sum | None = None  # of our group, as we told it last
         self.told_at = self.mesh_at = self.urgent_at = self.seeds_at = self.beyond_at = now - 0.01 * self.draw(70)
         self.told_all_at = self.again_at = now
         self.own_news, self.step = 0, 0
-        self.asks, self.turn = 0, self.draw(64)     # of seeds while alone; whose turn it is
+        self.asks, self.turn = 0, self.draw(64)  # of seeds while alone; whose turn it is
         self.link_at: dict[Names, float] = {}
-        self.link_told: dict[Names, tuple[list[int], int]] = {}     # members that we told of on it last, and how often
+        self.link_told: dict[Names, tuple[list[int], int]] = {}  # members that we told of on it last, and how often
         self.newcomers: dict[Names, list[str]] = {}
         self.asked_at: dict[str, float] = {}
         self.counts: Counter[str] = Counter()
         self.ranked: list[str] = []
         self.mesh_every = MESH_ROUND / max(2, (place.groups - 1).bit_length())
-        self.patience = 1.0     # who does not speak hears of other parts by its mates alone, which takes longer
+        self.patience = 1.0  # who does not speak hears of other parts by its mates alone, which takes longer
 
     # Who speaks.
 
@@ -200,8 +215,14 @@
             ways.append((ZONE, self.place.zone))
         place = 0
         for level, own in ways:
-            names = [own, *(name for (row_level, name), row in self.rows.items()
-                            if row_level == level and now - row.seen_at <= STALE[level])]
+            names = [
+                own,
+                *(
+                    name
+                    for (row_level, name), row in self.rows.items()
+                    if row_level == level and now - row.seen_at <= STALE[level]
+                ),
+            ]
             names.sort(key=lambda name: score(link[1], name), reverse=True)
             place += names.index(own)
         return place
@@ -239,18 +260,31 @@
         return {"group": group, "zone": zone, "region": region, "fleet": region.plus(self._beside(now, REGION))}
 
     def _sum(self, level: int, name: str, total: Total, contacts: Iterable[str]) -> Sum:
-        return Sum(level, name, 0, total.members, total.silent, int(total.unknown), ceil(10.0 * total.oldest),
-                   [int(total.figures[figure]) for figure in SUMMED], pack(contacts))
+        return Sum(
+            level,
+            name,
+            0,
+            total.members,
+            total.silent,
+            int(total.unknown),
+            ceil(10.0 * total.oldest),
+            [int(total.figures[figure]) for figure in SUMMED],
+            pack(contacts),
+        )
 
     def _tell_own(self, now: float) -> None:
         """A new version of our group's sum where it changed by what is worth a word, or is old."""
         total, told = self._group(now), self.told
-        contacts = [self.members.address if name == self.members.name else self.members.view[name].address
-                    for name in self.ranked[:2]]
+        contacts = [
+            self.members.address if name == self.members.name else self.members.view[name].address for name in self.ranked[:2]
+        ]
         fresh = self._sum(GROUP, self.place.group, total, contacts)
         news = told is None or told.members != fresh.members or told.contacts != fresh.contacts
-        changed = told is not None and now - self.told_at >= 2.0 and any(
-            abs(one - other) > WORTH * max(one, other) + 4 for one, other in zip(told.figures, fresh.figures))
+        changed = (
+            told is not None
+            and now - self.told_at >= 2.0
+            and any(abs(one - other) > WORTH * max(one, other) + 4 for one, other in zip(told.figures, fresh.figures))
+        )
         if news or changed or now - self.told_at >= REFRESH[GROUP]:
             self.told, self.told_at = fresh, now
             self.own_news = TOLD_MESH if news else 1
@@ -267,14 +301,15 @@
     def _aged(now: float, row: Known) -> Sum:
         """Its age is rounded up: passed round and round it must not stay young. Of two parts of a group that do not know each
         other each names two contacts: the third is of the other part, and by it they become one."""
-        return msgspec.structs.replace(row.sum, age=min(864_000, int(10.0 * (now - row.made_at)) + 1),
-                                       contacts=pack(row.contacts[:3]))
+        return msgspec.structs.replace(
+            row.sum, age=min(864_000, int(10.0 * (now - row.made_at)) + 1), contacts=pack(row.contacts[:3])
+        )
 
     def _parts(self) -> tuple[list[Names], bytes]:
         """What ages are told of, in order, and two bytes by which another knows that it tells of the same."""
         groups = [(GROUP, f"{index}/{self.place.groups}") for index in range(self.place.groups)]
         named = sorted(names for names in self.rows if names[0] != GROUP)
-        return groups + named, (score(*(name for _, name in named)) & 0xffff).to_bytes(2)
+        return groups + named, (score(*(name for _, name in named)) & 0xFFFF).to_bytes(2)
 
     def _ages(self, now: float, speaks: bool) -> bytes:
         """Two bytes for each part: tenths of a second, and members by which it shows who missed news of them."""
@@ -282,9 +317,9 @@
         ages = bytearray(check)
         for names in parts:
             if row := self.rows.get(names):
-                ages += bytes((min(255, int(10.0 * (now - row.seen_at)) + 1), row.sum.members & 0xff))
+                ages += bytes((min(255, int(10.0 * (now - row.seen_at)) + 1), row.sum.members & 0xFF))
             elif speaks and self.told and names[1] == self.place.group:
-                ages += bytes((0, self.told.members & 0xff))
+                ages += bytes((0, self.told.members & 0xFF))
             else:
                 ages += b"\xff\0"
         return bytes(ages)
@@ -293,17 +328,17 @@
         """What the other heard lately we need not hear again; told are the parts of which one of us missed news."""
         differ: list[Known] = []
         parts, check = self._parts()
-        same = ages[:2] == check and len(ages) == 2 + 2 * len(parts)    # else only the groups' places are sure
-        told = struct.iter_unpack("2B", ages[2:len(ages) // 2 * 2])
-        for names, (age, members) in zip(parts if same else parts[:self.place.groups], told):
+        same = ages[:2] == check and len(ages) == 2 + 2 * len(parts)  # else only the groups' places are sure
+        told = struct.iter_unpack("2B", ages[2 : len(ages) // 2 * 2])
+        for names, (age, members) in zip(parts if same else parts[: self.place.groups], told):
             row = self.rows.get(names)
             if row is None:
                 continue
-            if age < 255 and members == row.sum.members & 0xff:
+            if age < 255 and members == row.sum.members & 0xFF:
                 row.seen_at = max(row.seen_at, now - age / 10.0)
             elif now - row.seen_at <= STALE[row.sum.level]:
                 differ.append(row)
-        return differ + [self.rows[names] for names in parts[self.place.groups:] if not same]
+        return differ + [self.rows[names] for names in parts[self.place.groups :] if not same]
 
     def _told_again(self, now: float, address: str, differ: list[Known]) -> Iterator[tuple[str, dict]]:
         """To another group's speaker at once: our next word would go to somebody else. Where it knows better than we do, it
@@ -335,12 +370,16 @@
         for member in self.members.view.values():
             if member.state <= SUSPECT:
                 seen ^= score(member.name)
-        return seen & 0xffff or 1
+        return seen & 0xFFFF or 1
 
     def tells_all(self, now: float, upward: Upward) -> bool:
         """Whether who asked is told of all mates: it sees others there than we do. Not often, where many come and go."""
-        if (not upward.view or upward.view == self.view() or now - self.told_all_at < TELL_ALL_EVERY
-                or self.pace.over > 2.0 * OPTIONAL):
+        if (
+            not upward.view
+            or upward.view == self.view()
+            or now - self.told_all_at < TELL_ALL_EVERY
+            or self.pace.over > 2.0 * OPTIONAL
+        ):
             return False
         self.told_all_at = now
         return True
@@ -352,7 +391,7 @@
             self.own_news -= 1
             chosen.append(own)
         due = [row for (level, _), row in self.rows.items() if row.to_groups or now - row.groups_at >= REFRESH[level]]
-        for row in sorted(due, key=lambda row: (-row.to_groups, row.groups_at))[:SUMS_TO_GROUPS - len(chosen)]:
+        for row in sorted(due, key=lambda row: (-row.to_groups, row.groups_at))[: SUMS_TO_GROUPS - len(chosen)]:
             row.to_groups, row.groups_at = max(0, row.to_groups - 1), now
             chosen.append(self._aged(now, row))
         return self._fitting(self._named(ages=self._ages(now, self.rank() == 0), sums=chosen))
@@ -362,16 +401,25 @@
         by them it finds those."""
         totals = self.totals(now)
         contacts = [self.members.address, *self._others_contacts(now)]
-        own = (self._sum(REGION, self.place.region, totals["region"], contacts) if level == REGION else
-               self._sum(ZONE, self.place.zone, totals["zone"], contacts))
-        rows = [self._aged(now, row) for (row_level, _), row in self.rows.items()
-                if row_level >= level and now - row.seen_at <= STALE[row_level]]
+        own = (
+            self._sum(REGION, self.place.region, totals["region"], contacts)
+            if level == REGION
+            else self._sum(ZONE, self.place.zone, totals["zone"], contacts)
+        )
+        rows = [
+            self._aged(now, row)
+            for (row_level, _), row in self.rows.items()
+            if row_level >= level and now - row.seen_at <= STALE[row_level]
+        ]
         return [own, *rows]
 
     def _others_contacts(self, now: float) -> list[str]:
         """A speaker of another group, to be asked if all of ours are gone."""
-        groups = sorted(name for (level, name), row in self.rows.items()
-                        if level == GROUP and row.contacts and now - row.seen_at <= STALE[GROUP])
+        groups = sorted(
+            name
+            for (level, name), row in self.rows.items()
+            if level == GROUP and row.contacts and now - row.seen_at <= STALE[GROUP]
+        )
         return self.rows[GROUP, groups[self.draw(len(groups))]].contacts[:1] if groups else []
 
     def _named(self, **told: object) -> Upward:
@@ -397,7 +445,7 @@
         alone = len(self.ranked) == 1
         groups = 1 + sum(level == GROUP for level, _ in self.rows)
         every = SEEDS_EVERY if groups >= self.place.groups else LINK_AGAIN
-        if alone:       # each seed once: then whoever of our group asks any of them is told of us
+        if alone:  # each seed once: then whoever of our group asks any of them is told of us
             every = min(ALONE_MOST, ALONE_EVERY + ALONE_MORE * max(0, self.asks - len(self.bounds.seeds)))
         if (alone or rank == 0) and now - self.seeds_at >= every:
             self.seeds_at = now
@@ -462,8 +510,14 @@
                 self.link_at.pop(names, None)
                 continue
             totals = totals or self.totals(now)
-            counted = [totals["region"].members] if names[0] == REGION else [totals["zone"].members, *(
-                other.sum.members for (level, _), other in self.rows.items() if level == REGION)]
+            counted = (
+                [totals["region"].members]
+                if names[0] == REGION
+                else [
+                    totals["zone"].members,
+                    *(other.sum.members for (level, _), other in self.rows.items() if level == REGION),
+                ]
+            )
             before, times = self.link_told.get(names, ([], 0))
             times = times if before == counted else 0
             news = place == 0 and self.pace.over < URGENT and times < LINK_TOLD
@@ -490,7 +544,7 @@
         if len(self.asked_at) > 64:
             del self.asked_at[min(self.asked_at, key=lambda other: self.asked_at[other])]
         sums = []
-        if self.speaks(now) and len(self.ranked) > 1:   # who is alone wants nothing but contacts
+        if self.speaks(now) and len(self.ranked) > 1:  # who is alone wants nothing but contacts
             sums = [*((own,) if (own := self._own_sum(now)) else ()), *self._abroad(now, REGION)[:1], *self._abroad(now, ZONE)]
         upward = self._fitting(self._named(wants=True, sums=sums, view=self.view()))
         return address, {"what": "ping", "number": 0, "short": True, "upward": upward}
@@ -514,7 +568,7 @@
             news |= self._take(now, told, mate, upward)
             yield from self._of_our_group(now, told)
         differ = self._take_ages(now, upward.ages) if upward.ages and (mate or self._in_our_zone(upward)) else []
-        if mate:        # it has asked us, or is answered soon: with our next word to it
+        if mate:  # it has asked us, or is answered soon: with our next word to it
             for row in differ:
                 row.to_mates = max(1, row.to_mates)
         else:
@@ -545,8 +599,11 @@
         names, made_at = (told.level, told.name), now - told.age / 10.0
         row = self.rows.get(names)
         if row is None:
-            if (sum(level == told.level for level, _ in self.rows) >= MOST_ROWS[told.level]
-                    or told.age / 10.0 > self.bounds.forget or not self._fits(told)):
+            if (
+                sum(level == told.level for level, _ in self.rows) >= MOST_ROWS[told.level]
+                or told.age / 10.0 > self.bounds.forget
+                or not self._fits(told)
+            ):
                 self.counts["sums_refused"] += 1
                 return False
             row = self.rows[names] = Known(told, made_at)
@@ -594,8 +651,10 @@
                 contacts = [*(row.contacts[:2] if row else ()), *self.newcomers.get(near, ())]
                 contacts = [address for address in dict.fromkeys(contacts) if address != letter.address][:CONTACTS]
                 if near in self.newcomers or len(self.newcomers) < NEWCOMERS:
-                    self.newcomers[near] = [letter.address, *(other for other in self.newcomers.get(near, ())
-                                                              if other != letter.address)][:2]
+                    self.newcomers[near] = [
+                        letter.address,
+                        *(other for other in self.newcomers.get(near, ()) if other != letter.address),
+                    ][:2]
             # Who told of no sum speaks for nobody: it wants to know where to go, and that soon.
             sums = self._for(now, upward) if upward.sums else []
             told["upward"] = self._fitting(self._named(contacts=pack(contacts), sums=sums))
--- a/mulleinhatch/fleet/loudest.py
+++ b/mulleinhatch/fleet/loudest.py
@@ -3,19 +3,20 @@
 A plain dict by tenant grows with every name that callers make up; this holds `room` names, and whoever asks for more than
 `total / room` is among them. Each count carries how much of it may be another's.
 """
+
 from __future__ import annotations
 
 import heapq
 from typing import NamedTuple
 
-FADE_EVERY = 1.0        # seconds
-FADE = 0.7              # of each count that is left after it: a rate over some 3 s
+FADE_EVERY = 1.0  # seconds
+FADE = 0.7  # of each count that is left after it: a rate over some 3 s
 
 
 class Loud(NamedTuple):
     name: str
-    rate: float         # a second, at the most
-    over: float         # of which so much may be others'
+    rate: float  # a second, at the most
+    over: float  # of which so much may be others'
 
 
 class Loudest:
@@ -30,10 +31,10 @@
 
     def __init__(self, room: int) -> None:
         self.room = room
-        self.counts: dict[str, list[float]] = {}    # by name: count, of which others'
-        self.line: list[tuple[float, str]] = []     # a heap: counts as they stood when it was looked at last
+        self.counts: dict[str, list[float]] = {}  # by name: count, of which others'
+        self.line: list[tuple[float, str]] = []  # a heap: counts as they stood when it was looked at last
         self.faded_at: float | None = None
-        self.weight = 0.0       # seconds that a count covers, faded as they are
+        self.weight = 0.0  # seconds that a count covers, faded as they are
 
     def add(self, now: float, name: str, count: float = 1.0) -> None:
         self._fade(now)
@@ -62,8 +63,9 @@
                 self.faded_at = now
                 break
             self.weight = FADE * (self.weight + FADE_EVERY)
-            self.counts = {name: [FADE * count, FADE * over] for name, (count, over) in self.counts.items()
-                           if FADE * count >= 0.05}
+            self.counts = {
+                name: [FADE * count, FADE * over] for name, (count, over) in self.counts.items() if FADE * count >= 0.05
+            }
             self.line = sorted((count, name) for name, (count, _) in self.counts.items())
 
     def most(self, now: float, places: int) -> list[Loud]:
--- a/mulleinhatch/fleet/mates.py
+++ b/mulleinhatch/fleet/mates.py
@@ -4,6 +4,7 @@
 one. Before anybody is declared gone each mate has asked it itself, and who refutes tells all its mates at once: in a
 group of a few dozen that costs little, and a stall of two seconds among lost letters declares nobody.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -12,11 +13,11 @@
 from mulleinhatch.fleet.members import Members
 from mulleinhatch.fleet.words import ALIVE, GONE, LEFT, SUSPECT, Letter, Rumour
 
-RING_EVERY, OTHERS_EVERY = 1.0, 3.0     # seconds between probes of the next on the ring, and of one by chance
-UNASKED = 1.75          # seconds without a word of the one before us, after which we ask it
-GONE_EVERY = 4.0        # seconds between words to one of the gone
-CHECKS = (0.0, 1.2)     # seconds after a suspicion began at which each mate asks for itself
-REFUTED_TIMES = 2       # beats at which who refutes tells all
+RING_EVERY, OTHERS_EVERY = 1.0, 3.0  # seconds between probes of the next on the ring, and of one by chance
+UNASKED = 1.75  # seconds without a word of the one before us, after which we ask it
+GONE_EVERY = 4.0  # seconds between words to one of the gone
+CHECKS = (0.0, 1.2)  # seconds after a suspicion began at which each mate asks for itself
+REFUTED_TIMES = 2  # beats at which who refutes tells all
 LIVED_ELSEWHERE = "moved"
 
 
@@ -36,7 +37,7 @@
         self.others_at = now - OTHERS_EVERY * self.draw(100) / 100.0
         self.watched_at = self.gone_at = now
         self.refuting = 0
-        self.checked: dict[str, int] = {}       # by suspect: how often we asked it ourselves
+        self.checked: dict[str, int] = {}  # by suspect: how often we asked it ourselves
 
     def _ask_around(self, now: float) -> Iterator[tuple[str, dict]]:
         yield from self._refute()
@@ -113,14 +114,14 @@
     def rumours(self, now: float, room: int, to: str, new: bool = False) -> list[Rumour]:
         """News, and whatever is wrong with whom it goes to; all to a `new` one, which sees others there than we do."""
         chosen: dict[str, Rumour] = {}
-        if self.left:       # else the letter itself says that we live
+        if self.left:  # else the letter itself says that we live
             room -= self._add(chosen, Rumour(self.name, self.address, self.life, self.incarnation, LEFT), room)
         if (member := self.view.get(to)) and member.state != ALIVE:
             room -= self._add(chosen, self._rumour(now, member), room)
         room -= self._add_news(now, chosen, room)
         if new:
             there = [member for member in self.view.values() if member.state <= SUSPECT and member.name != to]
-            start = self.draw(len(there)) if there else 0       # where not all fit, others another time
+            start = self.draw(len(there)) if there else 0  # where not all fit, others another time
             for member in there[start:] + there[:start]:
                 room -= self._add(chosen, self._rumour(now, member), room)
         return list(chosen.values())
--- a/mulleinhatch/fleet/members.py
+++ b/mulleinhatch/fleet/members.py
@@ -4,6 +4,7 @@
 late itself, or to whom many fall silent at once, declares nobody gone; and who spoke to us himself a moment ago is not
 gone whatever others say. A beat costs the same whatever the fleet's size. `docs/design/fleet.md` has the table of states.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -14,17 +15,17 @@
 from mulleinhatch.fleet.bounds import FleetBounds
 from mulleinhatch.fleet.words import ALIVE, GONE, LEFT, STATES, SUSPECT, Letter, Rumour
 
-HEARD_LATELY = 1.0      # seconds: who spoke to us in this time is not declared gone
-OUTCOMES = 16           # of our own last probes, by which we judge whether it is we who hear nothing
+HEARD_LATELY = 1.0  # seconds: who spoke to us in this time is not declared gone
+OUTCOMES = 16  # of our own last probes, by which we judge whether it is we who hear nothing
 FEW_OUTCOMES = 4
-EVIDENCE_FADES = 3.0    # seconds after which a probe's outcome counts half
-TOLD_OF = 2             # members that we tell our opinion of at a time: the worst one, and one by turns
-TOLD_TIMES = 1.0        # of a rumour, for each doubling of the fleet
-SEEDS_EVERY = 10        # beats, for each 16 members
-MOST_NEWS = 24          # in a letter
-OUTSIDE = 0.4           # of the members: so many silent, and the view is frozen; half, less what is not known yet
-GONE_COUNTS = 10.0      # seconds that one declared gone still counts as silent: else a part would go on, one by one
-DOUBLED_FOR = 3.0       # seconds that a second instance of our name counts after a word of it
+EVIDENCE_FADES = 3.0  # seconds after which a probe's outcome counts half
+TOLD_OF = 2  # members that we tell our opinion of at a time: the worst one, and one by turns
+TOLD_TIMES = 1.0  # of a rumour, for each doubling of the fleet
+SEEDS_EVERY = 10  # beats, for each 16 members
+MOST_NEWS = 24  # in a letter
+OUTSIDE = 0.4  # of the members: so many silent, and the view is frozen; half, less what is not known yet
+GONE_COUNTS = 10.0  # seconds that one declared gone still counts as silent: else a part would go on, one by one
+DOUBLED_FOR = 3.0  # seconds that a second instance of our name counts after a word of it
 
 
 class Member:
@@ -59,22 +60,34 @@
     def __init__(self, name: str, address: str, life: int, bounds: FleetBounds, seed: int, now: float) -> None:
         self.name, self.address, self.life, self.incarnation = name, address, life, 0
         self.bounds, self.draw = bounds, Chance(seed).below
-        self.view: dict[str, Member] = {}       # of the others
+        self.view: dict[str, Member] = {}  # of the others
         self.probes: dict[int, Probe] = {}
-        self.helping: dict[int, tuple[str, int, str]] = {}      # number of our ping: for whom, its number, about whom
+        self.helping: dict[int, tuple[str, int, str]] = {}  # number of our ping: for whom, its number, about whom
         self.rounds: list[str] = []
         self.outcomes: list[bool] = []
-        self.evidence: dict[str, list[float]] = {}      # by member: probes that failed, all, when it was faded last
-        self.told_of = 0        # whose turn it is to be told of
+        self.evidence: dict[str, list[float]] = {}  # by member: probes that failed, all, when it was faded last
+        self.told_of = 0  # whose turn it is to be told of
         self.number = 0
         self.beat_at, self.started, self.seed_in = now, now, SEEDS_EVERY
         self.frozen = self.left = False
-        self.patient_until = -1e9       # others' suspicions tell nothing until then
+        self.patient_until = -1e9  # others' suspicions tell nothing until then
         self.doubled_at, self.outlived = -1e9, False
-        self.news: dict[str, int] = {}      # names that changed, and how often that was told on; the longest untold first
+        self.news: dict[str, int] = {}  # names that changed, and how often that was told on; the longest untold first
         self.changes: list[Change] = []
-        self.counts = dict.fromkeys(("probes", "probes_failed", "suspected", "declared_gone", "refuted", "beats_late",
-                                     "earlier_lives", "frozen", "thawed"), 0)
+        self.counts = dict.fromkeys(
+            (
+                "probes",
+                "probes_failed",
+                "suspected",
+                "declared_gone",
+                "refuted",
+                "beats_late",
+                "earlier_lives",
+                "frozen",
+                "thawed",
+            ),
+            0,
+        )
 
     # What others need to know.
 
@@ -189,7 +202,7 @@
         return [able.pop(self.draw(len(able))) for _ in range(min(count, len(able)))]
 
     def _outcome(self, now: float, name: str, good: bool) -> None:
-        self.outcomes = [*self.outcomes[1 - OUTCOMES:], good]
+        self.outcomes = [*self.outcomes[1 - OUTCOMES :], good]
         failed, whole = self._faded(now, name)
         self.evidence[name] = [failed + (not good), whole + 1.0, now]
 
@@ -210,7 +223,7 @@
             failed, whole = self._faded(now, name)
             if whole >= 0.5:
                 said.append((name, round(100.0 * failed / whole), max(1, round(whole))))
-        worst = sorted(said, key=lambda told: (-told[1], told[0]))[:TOLD_OF // 2]
+        worst = sorted(said, key=lambda told: (-told[1], told[0]))[: TOLD_OF // 2]
         rest = [told for told in said if told not in worst]
         self.told_of += TOLD_OF // 2
         return worst + [rest[(self.told_of + turn) % len(rest)] for turn in range(min(len(rest), TOLD_OF - len(worst)))]
@@ -244,8 +257,11 @@
         if self.frozen:
             return
         for member in self.view.values():
-            if (member.state == SUSPECT and now - member.since >= self.bounds.suspect_for
-                    and not self.heard_lately(now, member.name)):
+            if (
+                member.state == SUSPECT
+                and now - member.since >= self.bounds.suspect_for
+                and not self.heard_lately(now, member.name)
+            ):
                 self._become(now, member, GONE, "silent")
                 self.counts["declared_gone"] += 1
 
@@ -265,7 +281,7 @@
         known = self.view.get(letter.sender)
         if known and letter.life < known.life:
             self.counts["earlier_lives"] += 1
-            yield letter.address, {"what": "word", "to": letter.sender}     # it may be a second one of that name
+            yield letter.address, {"what": "word", "to": letter.sender}  # it may be a second one of that name
             return
         self._take(now, Rumour(letter.sender, letter.address, letter.life, letter.incarnation, ALIVE))
         member = self.view[letter.sender]
@@ -279,7 +295,7 @@
             about = self.view.get(letter.about)
             if about and about.state <= SUSPECT:
                 to, number = self._probe(now, about)
-                del self.probes[self.number]    # it is not our own: no accusation follows
+                del self.probes[self.number]  # it is not our own: no accusation follows
                 self.helping[self.number] = letter.sender, letter.number, letter.about
                 yield to, number
         elif letter.what == "ack":
@@ -327,11 +343,16 @@
             if again and now >= self.patient_until:
                 member.since = min(member.since, max(now - rumour.age, self.started))
             return
-        if rumour.state == SUSPECT and not self.frozen and now < self.patient_until and rumour.life == member.life and (
-                rumour.incarnation == member.incarnation):
-            return      # of the time when we heard nothing, or from one that does so still
+        if (
+            rumour.state == SUSPECT
+            and not self.frozen
+            and now < self.patient_until
+            and rumour.life == member.life
+            and (rumour.incarnation == member.incarnation)
+        ):
+            return  # of the time when we heard nothing, or from one that does so still
         if rumour.state == GONE and (self.frozen or self.heard_lately(now, rumour.name)):
-            return      # the part that hears nothing declares nobody, and who speaks is there
+            return  # the part that hears nothing declares nobody, and who speaks is there
         was = member.state
         member.address, member.life, member.incarnation = rumour.address, rumour.life, rumour.incarnation
         member.state = rumour.state
--- a/mulleinhatch/fleet/words.py
+++ b/mulleinhatch/fleet/words.py
@@ -2,6 +2,7 @@
 
 No datagram is answered at length, and none that is not of this fleet, this version and a good form is answered at all.
 """
+
 from __future__ import annotations
 
 from typing import Annotated
@@ -15,8 +16,8 @@
 Name = Annotated[str, Meta(min_length=1, max_length=40)]
 # Numbers alone: a name would be looked up by whoever sends there, and hold its loop for as long as that takes.
 Address = Annotated[str, Meta(min_length=9, max_length=21, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
-Number = Annotated[int, Meta(ge=0, le=2 ** 62)]
-Amount = Annotated[int, Meta(ge=0, le=10 ** 12)]
+Number = Annotated[int, Meta(ge=0, le=2**62)]
+Amount = Annotated[int, Meta(ge=0, le=10**12)]
 Age = Annotated[float, Meta(ge=0.0, le=86_400.0)]
 Figure = Annotated[float, Meta(ge=0.0, le=1e12)]
 ALIVE, SUSPECT, GONE, LEFT = 0, 1, 2, 3
@@ -31,7 +32,7 @@
     life: Number
     incarnation: Number
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
-    age: Age = 0.0          # seconds since it was suspected first
+    age: Age = 0.0  # seconds since it was suspected first
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
@@ -40,13 +41,13 @@
 
     name: Name
     life: Number
-    number: Number          # grows with each report of this life
-    age: Age                # since it was made
-    figures: Annotated[list[Amount], Meta(max_length=16)]     # whole numbers: most of a letter is these
+    number: Number  # grows with each report of this life
+    age: Age  # since it was made
+    figures: Annotated[list[Amount], Meta(max_length=16)]  # whole numbers: most of a letter is these
     spares: Annotated[list[Amount], Meta(max_length=16)] = []
     loudest: Annotated[list[tuple[Name, Figure]], Meta(max_length=4)] = []
     opinions: Annotated[list[tuple[Name, Annotated[int, Meta(ge=0, le=100)], Amount]], Meta(max_length=4)] = []
-    at: Annotated[str, Meta(max_length=21, pattern=r"^([0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5})?$")] = ""    # where its ops go
+    at: Annotated[str, Meta(max_length=21, pattern=r"^([0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5})?$")] = ""  # where its ops go
 
 
 class Trade(msgspec.Struct, array_like=True, frozen=True):
@@ -57,15 +58,15 @@
     give: bool
     have: Amount
     want: Amount = 0
-    life: Number = 0        # of the asker, in a give: an earlier life's answer is none of ours
+    life: Number = 0  # of the asker, in a give: an earlier life's answer is none of ours
 
 
 class Offer(msgspec.Struct, array_like=True, frozen=True):
     """Room for one op, for the member it is sent to."""
 
-    number: Number          # grows with each offer of this life
-    lasts: Annotated[float, Meta(ge=0.0, le=60.0)]      # seconds
-    at: Address             # where the op goes
+    number: Number  # grows with each offer of this life
+    lasts: Annotated[float, Meta(ge=0.0, le=60.0)]  # seconds
+    at: Address  # where the op goes
 
 
 class Letter(msgspec.Struct, array_like=True, frozen=True):
@@ -76,19 +77,19 @@
     life: Number
     incarnation: Number
     what: Annotated[str, Meta(pattern=r"^(ping|ack|help|word)$")]
-    number: Number = 0                  # of the ping that is sent, helped with or answered
-    about: Annotated[str, Meta(max_length=40)] = ""     # whom a helper asked, or is to ask
+    number: Number = 0  # of the ping that is sent, helped with or answered
+    about: Annotated[str, Meta(max_length=40)] = ""  # whom a helper asked, or is to ask
     rumours: Annotated[list[Rumour], Meta(max_length=40)] = []
     reports: Annotated[list[Report], Meta(max_length=40)] = []
     trades: Annotated[list[Trade], Meta(max_length=32)] = []
-    want: Annotated[int, Meta(ge=0, le=1_000_000)] = 0      # ops that the sender holds and would hand over
+    want: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # ops that the sender holds and would hand over
     offers: Annotated[list[Offer], Meta(max_length=16)] = []
-    more: Annotated[bytes, Meta(max_length=1000)] = b""     # of who stands on the fleet: not looked into here
-    place: Number = 0           # of the sender's group (`levels.Place.key`); 0 of a member that knows of no levels
-    upward: Annotated[bytes, Meta(max_length=1000)] = b""   # an `Upward`, read on its own: a bad one costs no letter
+    more: Annotated[bytes, Meta(max_length=1000)] = b""  # of who stands on the fleet: not looked into here
+    place: Number = 0  # of the sender's group (`levels.Place.key`); 0 of a member that knows of no levels
+    upward: Annotated[bytes, Meta(max_length=1000)] = b""  # an `Upward`, read on its own: a bad one costs no letter
 
 
-Packed = Annotated[bytes, Meta(max_length=24)]      # up to four IPv4 addresses with their ports, six bytes each
+Packed = Annotated[bytes, Meta(max_length=24)]  # up to four IPv4 addresses with their ports, six bytes each
 PlaceName = Annotated[str, Meta(min_length=1, max_length=32)]
 GROUP, ZONE, REGION = 0, 1, 2
 LEVELS = ("group", "zone", "region")
@@ -99,10 +100,10 @@
 
     level: Annotated[int, Meta(ge=GROUP, le=REGION)]
     name: PlaceName
-    age: Annotated[int, Meta(ge=0, le=864_000)]     # tenths of a second
-    members: Amount         # that serve as far as is known
-    silent: Amount          # and of them those whose figures are too old to count
-    unknown: Amount         # requests a second that the silent could serve
+    age: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second
+    members: Amount  # that serve as far as is known
+    silent: Amount  # and of them those whose figures are too old to count
+    unknown: Amount  # requests a second that the silent could serve
     oldest: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second: of the figures that count
     figures: Annotated[list[Amount], Meta(max_length=16)]
     contacts: Packed = b""  # members who speak for it
@@ -114,11 +115,11 @@
     region: Annotated[str, Meta(max_length=32)] = ""
     zone: Annotated[str, Meta(max_length=32)] = ""
     group: Annotated[str, Meta(max_length=32)] = ""
-    wants: bool = False     # asks for contacts nearer to its own place
+    wants: bool = False  # asks for contacts nearer to its own place
     contacts: Packed = b""  # the answer to that
     ages: Annotated[bytes, Meta(max_length=128)] = b""  # since somebody spoke for each part: `Levels._ages`
     sums: Annotated[list[Sum], Meta(max_length=16)] = []
-    view: Annotated[int, Meta(ge=0, le=0xffff)] = 0     # of whom the sender, a mate, thinks there: who sees others tells it all
+    view: Annotated[int, Meta(ge=0, le=0xFFFF)] = 0  # of whom the sender, a mate, thinks there: who sees others tells it all
 
 
 _encoder = msgspec.msgpack.Encoder()
--- a/mulleinhatch/holds.py
+++ b/mulleinhatch/holds.py
@@ -1,4 +1,5 @@
 """What must hold: an assertion in debug runs; in release runs (`python -O`) a count, and service goes on."""
+
 from __future__ import annotations
 
 from collections import Counter
--- a/mulleinhatch/jobs/scheduler.py
+++ b/mulleinhatch/jobs/scheduler.py
@@ -3,6 +3,7 @@
 A job is a name; its work is the runner's matter. The runner asks `next_step`, carries that out, and tells `stepped` what it
 took. A step is paid for afterwards, by what it really cost: budgets go into debt, and the debt is waited for.
 """
+
 from __future__ import annotations
 
 import math
@@ -12,17 +13,17 @@
 
 from mulleinhatch.jobs.wheel import Wheel
 
-AGEING = 10.0           # seconds of waiting that are worth one priority: none waits for ever
-OVERDUE = 10.0          # priorities that a passed deadline is worth
-FIRST_RETRY, LONGEST_RETRY = 1.0, 300.0     # seconds after a failure, doubled for each in a row
-PRESSED_PART = 0.1      # of the budgets, for jobs past their deadline while the service is pressed
-MOST_DEBT = 10.0        # seconds of its budget that a step may cost: a wrong figure must not stop all work
+AGEING = 10.0  # seconds of waiting that are worth one priority: none waits for ever
+OVERDUE = 10.0  # priorities that a passed deadline is worth
+FIRST_RETRY, LONGEST_RETRY = 1.0, 300.0  # seconds after a failure, doubled for each in a row
+PRESSED_PART = 0.1  # of the budgets, for jobs past their deadline while the service is pressed
+MOST_DEBT = 10.0  # seconds of its budget that a step may cost: a wrong figure must not stop all work
 
 
 class State(Enum):
     READY = "ready"
     RUNNING = "running"
-    WAITING = "waiting"     # for its time: not yet due, or to be tried again
+    WAITING = "waiting"  # for its time: not yet due, or to be tried again
 
 
 class Outcome(Enum):
@@ -32,9 +33,9 @@
 
 
 class Budgets(NamedTuple):
-    cpu_share: float = 0.05         # of one core
+    cpu_share: float = 0.05  # of one core
     bytes_a_second: float = 20e6
-    at_once: int = 1                # steps under way
+    at_once: int = 1  # steps under way
     most_jobs: int = 1000
 
 
@@ -94,8 +95,9 @@
         self.running = 0
         self.counts: Counter[str] = Counter()
 
-    def submit(self, now: float, name: str, priority: float = 5.0, after: float = 0.0, within: float = math.inf,
-               every: float = 0.0) -> None:
+    def submit(
+        self, now: float, name: str, priority: float = 5.0, after: float = 0.0, within: float = math.inf, every: float = 0.0
+    ) -> None:
         """A job from now on, or `after` so many seconds; past `within` it steps even while the service is pressed. With
         `every` it comes again so long after each end. One that is known keeps its place; only what was asked for changes."""
         if name in self.jobs:
@@ -131,8 +133,7 @@
         self._pass_time(now)
         if self.running >= self.budgets.at_once or self._free_at(now) > now:
             return None
-        ready = [job for job in self.jobs.values() if job.state is State.READY
-                 and (not self.pressed or job.deadline <= now)]
+        ready = [job for job in self.jobs.values() if job.state is State.READY and (not self.pressed or job.deadline <= now)]
         if not ready:
             return None
         job = min(ready, key=lambda job: self._place(now, job))
@@ -159,7 +160,7 @@
             self._drop(job)
         elif outcome is Outcome.FAILED:
             self.counts["job_failures"] += 1
-            self._wait(job, now + min(LONGEST_RETRY, FIRST_RETRY * 2.0 ** job.failures))
+            self._wait(job, now + min(LONGEST_RETRY, FIRST_RETRY * 2.0**job.failures))
             job.failures = min(job.failures + 1, 30)
         elif outcome is Outcome.DONE:
             self.counts["jobs_done"] += 1
@@ -178,7 +179,7 @@
         if not self.jobs:
             return math.inf
         ready = [job for job in self.jobs.values() if job.state is State.READY]
-        moments = [now + 1.0] if len(self.wheel) else []     # a waiting one: the wheel is looked at once a second
+        moments = [now + 1.0] if len(self.wheel) else []  # a waiting one: the wheel is looked at once a second
         if any(not self.pressed or job.deadline <= now for job in ready) and self.running < self.budgets.at_once:
             moments.append(self._free_at(now))
         elif ready:
--- a/mulleinhatch/jobs/wheel.py
+++ b/mulleinhatch/jobs/wheel.py
@@ -1,6 +1,7 @@
 """A timer wheel: alarms in slots of time, several wheels for the far ones (Varghese and Lauck, "Hashed and hierarchical timing
 wheels", 1987). Adding, cancelling and firing cost the same however many wait; `python -m benchmarks.wheel` beside a heap.
 """
+
 from __future__ import annotations
 
 from collections.abc import Hashable
@@ -24,7 +25,7 @@
         self.tick, self.start, self.at = tick, now, 0
         self.wheels: list[list[dict[Hashable, int]]] = [[{} for _ in range(SLOTS)] for _ in range(WHEELS)]
         self.places: dict[Hashable, dict[Hashable, int]] = {}
-        self.counts = [0] * WHEELS      # alarms in each wheel: empty ones need no turning
+        self.counts = [0] * WHEELS  # alarms in each wheel: empty ones need no turning
         self.levels: dict[Hashable, int] = {}
 
     def set(self, name: Hashable, at: float) -> None:
--- a/mulleinhatch/program/calls.py
+++ b/mulleinhatch/program/calls.py
@@ -2,6 +2,7 @@
 
 The service instance makes the call and not the interpreter, so that the decisions say when, for how long, and whether at all.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -15,7 +16,7 @@
 from mulleinhatch.transport.peers import BrokenOff, Peers, Unreached
 
 LOG = logging.getLogger(__name__)
-LINKS_MOST = 64         # connections at a time: of the descriptors that are no callers'
+LINKS_MOST = 64  # connections at a time: of the descriptors that are no callers'
 
 
 class Dependency:
--- a/mulleinhatch/program/fleet.py
+++ b/mulleinhatch/program/fleet.py
@@ -1,4 +1,5 @@
 """The fleet's I/O: one UDP socket, one timer, and the core's words carried out. Imported only where a fleet is told of."""
+
 from __future__ import annotations
 
 import asyncio
@@ -24,13 +25,13 @@
     from mulleinhatch.program.upkeep import UpkeepSide
 
 LOG = logging.getLogger(__name__)
-A_TURN = 64             # datagrams read before others have their turn
+A_TURN = 64  # datagrams read before others have their turn
 RECEIVE_ROOM = 1 << 18  # bytes of the socket's queue: what came while we stood still says who is there
-TENANTS_KEPT = 256      # with a count of their own
-RECENT, WORTH_A_WORD = 6.0, 0.1     # seconds over which runs tell of our interpreter; share that fails from which we speak
+TENANTS_KEPT = 256  # with a count of their own
+RECENT, WORTH_A_WORD = 6.0, 0.1  # seconds over which runs tell of our interpreter; share that fails from which we speak
 # Counters whose first count is worth a line: what came was dropped.
 DROPPED = ("unfit_", "members_refused", "names_elsewhere", "letters_without_levels", "upward_unfit", "sums_refused")
-RUN_CLOSES = 2.0        # seconds that a call may take, of a part that bounds what is in hand
+RUN_CLOSES = 2.0  # seconds that a call may take, of a part that bounds what is in hand
 
 
 class FleetSide:
@@ -46,13 +47,14 @@
         self.timer: asyncio.TimerHandle | None = None
         self.told_pieces: dict[str, list[tuple[float, float]]] = {}
         # What each tenant with a part was asked for: by window of its budget, now and before.
-        self.asked: dict[str, list[int]] = {budget.tenant: [0, 0] for budget in self.bounds.budgets
-                                            if budget.tenant and budget.window}
+        self.asked: dict[str, list[int]] = {
+            budget.tenant: [0, 0] for budget in self.bounds.budgets if budget.tenant and budget.window
+        }
         self.window_at: dict[str, float] = {}
         self.loudest = Loudest(TENANTS_KEPT)
-        self.ended, self.recent, self.recent_at = (0, 0), [0.0, 0.0], 0.0      # runs and errors: at the last look, and faded
+        self.ended, self.recent, self.recent_at = (0, 0), [0.0, 0.0], 0.0  # runs and errors: at the last look, and faded
         self.hear_most, self.shut = math.inf, 0.0
-        self.dropped: set[str] = set()      # of these a line was written
+        self.dropped: set[str] = set()  # of these a line was written
         self.told_others: tuple[float, bool, float, float] = (-1.0, False, math.inf, 0.0)
 
     def listen(self) -> None:
@@ -66,9 +68,11 @@
         self.core = Fleet(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
         if self.placement.spread:
             from mulleinhatch.program.spread import SpreadSide
+
             self.spread = SpreadSide(self.placement, self.core, self.reducer, self.take, self._send)
         if self.placement.upkeep:
             from mulleinhatch.program.upkeep import UpkeepSide
+
             self.upkeep = UpkeepSide(self.placement, self.core, self.reducer, self._send, self.leaves)
         self.reducer.on_tenant = self._asked_for if self.reducer.tenants else None
         LOG.info("fleet", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
@@ -107,9 +111,14 @@
             if budget.retries:
                 demands.append(self.reducer.storms.watch.repeat_rate * budget.window if self.reducer.storms else 0.0)
                 continue
-            if counts is None:      # of what is in hand: what waits for it, too
-                demands.append(float(sum(owed.tenant == budget.tenant for owed in self.reducer.owed.values())
-                                     if budget.tenant else self.reducer.unended))
+            if counts is None:  # of what is in hand: what waits for it, too
+                demands.append(
+                    float(
+                        sum(owed.tenant == budget.tenant for owed in self.reducer.owed.values())
+                        if budget.tenant
+                        else self.reducer.unended
+                    )
+                )
                 continue
             since = self.window_at.setdefault(budget.tenant, now)
             if now - since >= budget.window:
@@ -126,10 +135,18 @@
         repeats = storms.counts["repeats_read"] if storms else 0
         # What peers hand over is their demand: counted twice, the fleet looks as if it could spare nobody.
         reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.turned if storms else 0)
-        figures = [max(0, reads - repeats), repeats, counts["run_ok"], counts["decided_nack"],
-                   max(0, len(reducer.owed) - reducer.unended - reducer.away), max(0, reducer.unended),
-                   round(min(1e9, hatch.capacity())) if hatch else 0, int(reducer.healthy and hatch is not None),
-                   counts["run_error"], reducer.room_told(now)]
+        figures = [
+            max(0, reads - repeats),
+            repeats,
+            counts["run_ok"],
+            counts["decided_nack"],
+            max(0, len(reducer.owed) - reducer.unended - reducer.away),
+            max(0, reducer.unended),
+            round(min(1e9, hatch.capacity())) if hatch else 0,
+            int(reducer.healthy and hatch is not None),
+            counts["run_error"],
+            reducer.room_told(now),
+        ]
         opinions = self._of_our_interpreter(now)
         if self.spread:
             figures += self.spread.core.figures(now)
@@ -180,7 +197,7 @@
         for _ in range(A_TURN):
             try:
                 data = self.socket.recv(MOST_BYTES + 1)
-            except OSError:     # nothing more, or the word of a closed port
+            except OSError:  # nothing more, or the word of a closed port
                 return
             try:
                 now = time.monotonic()
@@ -197,7 +214,7 @@
     def _send(self, errands: list[tuple[str, bytes]]) -> None:
         for address, data in errands:
             host, _, port = address.rpartition(":")
-            with contextlib.suppress(OSError, OverflowError):      # it may be down, or a name that nobody knows
+            with contextlib.suppress(OSError, OverflowError):  # it may be down, or a name that nobody knows
                 self.socket.sendto(data, (host, int(port)))
 
     def _tell_parts(self, now: float) -> None:
@@ -221,8 +238,13 @@
         """How the others fare, when it changed by what is worth a word."""
         told = (self.core.free(now), self.core.judged_ill(), self.hear_most, self.shut)
         before = self.told_others
-        if (told[1] is not before[1] or (told[0] < 0.0) is not (before[0] < 0.0) or told[2] != before[2]
-                or abs(told[0] - before[0]) > 0.02 or abs(told[3] - before[3]) > 0.01):
+        if (
+            told[1] is not before[1]
+            or (told[0] < 0.0) is not (before[0] < 0.0)
+            or told[2] != before[2]
+            or abs(told[0] - before[0]) > 0.02
+            or abs(told[3] - before[3]) > 0.01
+        ):
             self.told_others = told
             self.take(Happening.OTHERS, *told)
 
@@ -230,48 +252,108 @@
         """What the command line shows."""
         core, now = self.core, time.monotonic()
         members = core.members
-        rows = [{"name": members.name, "address": members.address, "state": "left" if members.left else "self", "heard": 0.0,
-                 "life": members.life, "incarnation": members.incarnation}]
-        rows += [{"name": member.name, "address": member.address, "state": STATES[member.state], "life": member.life,
-                  "incarnation": member.incarnation, "heard": round(min(1e6, now - member.heard_at), 2)}
-                 for member in members.view.values()]
+        rows = [
+            {
+                "name": members.name,
+                "address": members.address,
+                "state": "left" if members.left else "self",
+                "heard": 0.0,
+                "life": members.life,
+                "incarnation": members.incarnation,
+            }
+        ]
+        rows += [
+            {
+                "name": member.name,
+                "address": member.address,
+                "state": STATES[member.state],
+                "life": member.life,
+                "incarnation": member.incarnation,
+                "heard": round(min(1e6, now - member.heard_at), 2),
+            }
+            for member in members.view.values()
+        ]
         budgets = []
         for place, (budget, part) in enumerate(zip(self.bounds.budgets, core.parts)):
-            budgets.append({
-                "name": budget.name, "total": budget.total, "window": budget.window, "tenant": budget.tenant,
-                "retries": budget.retries,
-                "home": part.home, "own": part.own(now), "usable": part.usable(now), "demand": round(core.demands[place], 1),
-                "lent": sum(loan.amount for loan in part.loans.values()),
-                "borrowed": sum(have.amount for have in part.borrowed.values() if now < have.until)})
+            budgets.append(
+                {
+                    "name": budget.name,
+                    "total": budget.total,
+                    "window": budget.window,
+                    "tenant": budget.tenant,
+                    "retries": budget.retries,
+                    "home": part.home,
+                    "own": part.own(now),
+                    "usable": part.usable(now),
+                    "demand": round(core.demands[place], 1),
+                    "lent": sum(loan.amount for loan in part.loans.values()),
+                    "borrowed": sum(have.amount for have in part.borrowed.values() if now < have.until),
+                }
+            )
         sums: dict[str, Any] = {figure: core.known.total(now, figure)._asdict() for figure in FIGURES}
         loudest = [(name, *known) for name, known in core.known.loudest(now, 8)]
-        return json.dumps({"fleet": self.bounds.fleet, "frozen": members.frozen, "doubled": members.doubled(now),
-                           "members": rows, "budgets": budgets, "sums": sums, "out": core.out,
-                           "loudest": loudest,
-                           "judged_ill": core.judged_ill(), "others_free": round(core.free(now), 3),
-                           "alone": sorted(core.verdicts.alone), "held_back": core.verdicts.held_back,
-                           "levels": self._levels(now),
-                           "spread": self.spread and self.spread.told(now), "carried": self._carried(now)}).encode()
+        return json.dumps(
+            {
+                "fleet": self.bounds.fleet,
+                "frozen": members.frozen,
+                "doubled": members.doubled(now),
+                "members": rows,
+                "budgets": budgets,
+                "sums": sums,
+                "out": core.out,
+                "loudest": loudest,
+                "judged_ill": core.judged_ill(),
+                "others_free": round(core.free(now), 3),
+                "alone": sorted(core.verdicts.alone),
+                "held_back": core.verdicts.held_back,
+                "levels": self._levels(now),
+                "spread": self.spread and self.spread.told(now),
+                "carried": self._carried(now),
+            }
+        ).encode()
 
     def _levels(self, now: float) -> dict[str, Any] | None:
         """Where this member stands, whether it speaks for its group, and what is known of each level."""
         levels = self.core.levels
         if not levels:
             return None
-        return {"region": levels.place.region, "zone": levels.place.zone, "group": levels.place.group,
-                "speaks": levels.speaks(now), "over_pace": round(levels.pace.over),
-                "totals": {name: total._asdict() for name, total in self.core.totals(now).items()},
-                "parts": [{"level": LEVELS[level], "name": name, "members": row.sum.members, "silent": row.sum.silent,
-                           "heard": round(min(1e6, now - row.seen_at), 1), "made": round(min(1e6, now - row.made_at), 1)}
-                          for (level, name), row in sorted(levels.rows.items())]}
+        return {
+            "region": levels.place.region,
+            "zone": levels.place.zone,
+            "group": levels.place.group,
+            "speaks": levels.speaks(now),
+            "over_pace": round(levels.pace.over),
+            "totals": {name: total._asdict() for name, total in self.core.totals(now).items()},
+            "parts": [
+                {
+                    "level": LEVELS[level],
+                    "name": name,
+                    "members": row.sum.members,
+                    "silent": row.sum.silent,
+                    "heard": round(min(1e6, now - row.seen_at), 1),
+                    "made": round(min(1e6, now - row.made_at), 1),
+                }
+                for (level, name), row in sorted(levels.rows.items())
+            ],
+        }
 
     def _carried(self, now: float) -> list[dict[str, Any]]:
         """Who carries what, of the others, by their last reports."""
         if not self.spread:
             return []
-        return [{"name": name, "age": round(now - row.made_at, 2), **{figure: round(row.value(figure), 1) for figure in (
-            "held", "running", "room", "places", "acked", "nacked", "failed")}, "pace": row.value("pace") / 1000.0,
-            "load": row.value("load") / 1000.0} for name, row in sorted(self.core.known.rows.items())]
+        return [
+            {
+                "name": name,
+                "age": round(now - row.made_at, 2),
+                **{
+                    figure: round(row.value(figure), 1)
+                    for figure in ("held", "running", "room", "places", "acked", "nacked", "failed")
+                },
+                "pace": row.value("pace") / 1000.0,
+                "load": row.value("load") / 1000.0,
+            }
+            for name, row in sorted(self.core.known.rows.items())
+        ]
 
     def counted(self) -> dict[str, int]:
         if not self.core:
@@ -279,6 +361,11 @@
         members = self.core.members
         spread = {**(self.spread.counted() if self.spread else {}), **(self.upkeep.counted() if self.upkeep else {})}
         counts = {**self.core.counts, **members.counts, **(self.core.levels.counts if self.core.levels else {})}
-        return {**self.counts, **spread, **{f"fleet_{name}": count for name, count in counts.items()},
-                "fleet_members": len(members.alive()) + 1, "fleet_is_frozen": int(members.frozen),
-                "fleet_is_doubled": int(members.doubled(time.monotonic()))}
+        return {
+            **self.counts,
+            **spread,
+            **{f"fleet_{name}": count for name, count in counts.items()},
+            "fleet_members": len(members.alive()) + 1,
+            "fleet_is_frozen": int(members.frozen),
+            "fleet_is_doubled": int(members.doubled(time.monotonic())),
+        }
--- a/mulleinhatch/program/front.py
+++ b/mulleinhatch/program/front.py
@@ -2,6 +2,7 @@
 
 Another protocol is another front with the same errands.
 """
+
 from __future__ import annotations
 
 import logging
@@ -16,25 +17,30 @@
 from mulleinhatch.transport.connections import Connections
 
 LOG = logging.getLogger(__name__)
-UNFIT = {"tenant": 400, "id in use": 409, "key in use": 422}    # the status of what is no op for us, 404 for all else
+UNFIT = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
 
 
 class HttpFront:
-    def __init__(self, most: int, take: Callable[..., None], count: Callable[[str], None],
-                 counters: Callable[[], str]) -> None:
+    def __init__(self, most: int, take: Callable[..., None], count: Callable[[str], None], counters: Callable[[], str]) -> None:
         self.take, self.count, self.counters = take, count, counters
-        self.connections = Connections(most, http.RequestReader, time.monotonic, on_message=self.request,
-                                       on_broken=self.broken, on_late=self.late, on_lost=self.lost,
-                                       count=count)
-        self.closing: set[int] = set()      # places whose caller asked that the connection be closed
+        self.connections = Connections(
+            most,
+            http.RequestReader,
+            time.monotonic,
+            on_message=self.request,
+            on_broken=self.broken,
+            on_late=self.late,
+            on_lost=self.lost,
+            count=count,
+        )
+        self.closing: set[int] = set()  # places whose caller asked that the connection be closed
         self.leaving = False
         self.turned_back: Callable[..., float | None] | None = None
         self.level: Callable[[], float | None] = lambda: None
-        self.on_hand: Callable[[bytes], None] | None = None      # told of an op that came from a peer, by its offer
-        self.fleet: Callable[[], bytes] | None = None      # what is known of the others, as JSON
+        self.on_hand: Callable[[bytes], None] | None = None  # told of an op that came from a peer, by its offer
+        self.fleet: Callable[[], bytes] | None = None  # what is known of the others, as JSON
 
-    def request(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes],
-                body: bytes) -> None:
+    def request(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         if fields.get(b"connection", b"").lower() == b"close":
             self.closing.add(place)
         try:
@@ -92,8 +98,14 @@
         if told is None:
             return None
         soon = now < back_at - PUNCTUAL
-        seconds = self.turned_back(now, *told, punctual=back_at > 0.0 and not soon, stubborn=soon, place=place,
-                                   figures=partial(http.short_figures, data))
+        seconds = self.turned_back(
+            now,
+            *told,
+            punctual=back_at > 0.0 and not soon,
+            stubborn=soon,
+            place=place,
+            figures=partial(http.short_figures, data),
+        )
         if seconds is None:
             return None
         self.count("answers_429")
@@ -102,8 +114,7 @@
     def nack(self, place: int, hold_off: float, not_elsewhere: bool, level: float | None) -> None:
         if hold_off > 0.0:
             self.connections.told_back(place, time.monotonic() + hold_off)
-        self._write(place, 503 if self.leaving else 429, level=level, hold_off=hold_off,
-                    not_elsewhere=not_elsewhere)
+        self._write(place, 503 if self.leaving else 429, level=level, hold_off=hold_off, not_elsewhere=not_elsewhere)
 
     def fail(self, place: int, level: float | None) -> None:
         self._write(place, 500, level=level)
--- a/mulleinhatch/program/instance.py
+++ b/mulleinhatch/program/instance.py
@@ -1,4 +1,5 @@
 """One service instance: joins the layers and has what the reducer asks for carried out."""
+
 from __future__ import annotations
 
 import asyncio
@@ -29,15 +30,15 @@
     from mulleinhatch.traces.recorder import Recorder
 
 LOG = logging.getLogger(__name__)
-DESCRIPTORS_KEPT = 16       # of the limit, for all that is no client connection
-LINKS_KEPT = 64             # and for calls of a dependency
-LISTEN_FOR = 15.0           # seconds: a predecessor killed a moment ago may still hold the address
-LISTEN_RETRY, LISTEN_RETRY_MOST = 0.02, 0.25    # seconds between tries, doubled in between, drawn by half
-SHUT_BEFORE, SHUT_EVERY = 0.12, 0.02    # seconds before the stop: later than the module's last answers; until all have heard it
-OUTLIVE_STOP = 0.5          # seconds: whoever stops us does it at the time told; to end first would lose ops
+DESCRIPTORS_KEPT = 16  # of the limit, for all that is no client connection
+LINKS_KEPT = 64  # and for calls of a dependency
+LISTEN_FOR = 15.0  # seconds: a predecessor killed a moment ago may still hold the address
+LISTEN_RETRY, LISTEN_RETRY_MOST = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
+SHUT_BEFORE, SHUT_EVERY = 0.12, 0.02  # seconds before the stop: later than the module's last answers; until all have heard it
+OUTLIVE_STOP = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
 REPORT_EVERY = reports.LISTED_FOR / 6
 SWEEP_EVERY = 0.25
-TAKEN_OVER = ("interpreter", "directory", "dependency", "stop_after", "descriptors")     # by a reload, of the placement
+TAKEN_OVER = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
 
 
 def connections_held(placement: Placement) -> int:
@@ -52,8 +53,14 @@
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
         self.fleet: FleetSide | None = None
-        self.reducer = Reducer(placement.deployment, placement.op_types, placement.tenants, placement.seed,
-                               placement.storms, self._recorded if placement.traces else None)
+        self.reducer = Reducer(
+            placement.deployment,
+            placement.op_types,
+            placement.tenants,
+            placement.seed,
+            placement.storms,
+            self._recorded if placement.traces else None,
+        )
         self.front = front = HttpFront(connections_held(placement), self.take, self.count, self.counters)
         if placement.storms:
             front.turned_back, front.level = self.reducer.turned_back, lambda: self.reducer.level
@@ -64,24 +71,38 @@
         self.dependency: Dependency | None = None
         if placement.dependency:
             from mulleinhatch.program.calls import Dependency
+
             self.dependency = Dependency(*placement.dependency, self.take, self.count)
         self.port = 0
-        self.listed_open: bool | None = None    # not reported until the interpreter is up
+        self.listed_open: bool | None = None  # not reported until the interpreter is up
         # Callers close their own before: what outlives that was left by one that asks no more.
         self.idle_kept = placement.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
         self.errands: dict[Errand, Callable[..., None]] = {
-            Errand.ACK: front.ack, Errand.NACK: front.nack, Errand.FAIL: front.fail,
-            Errand.REFUSE: front.refuse, Errand.HEALTH: front.health, Errand.ABANDON: front.abandon,
-            Errand.GREET: interpreter.greet, Errand.RENEW: interpreter.renew, Errand.RUN: interpreter.run,
-            Errand.GAUGES: interpreter.gauges, Errand.CALL: self._call, Errand.RESOLVE: interpreter.resolve,
+            Errand.ACK: front.ack,
+            Errand.NACK: front.nack,
+            Errand.FAIL: front.fail,
+            Errand.REFUSE: front.refuse,
+            Errand.HEALTH: front.health,
+            Errand.ABANDON: front.abandon,
+            Errand.GREET: interpreter.greet,
+            Errand.RENEW: interpreter.renew,
+            Errand.RUN: interpreter.run,
+            Errand.GAUGES: interpreter.gauges,
+            Errand.CALL: self._call,
+            Errand.RESOLVE: interpreter.resolve,
             Errand.SKIP: interpreter.skip,
-            Errand.ALARM: self._alarm, Errand.LISTING: self._listing, Errand.TRIM: self._trim,
-            Errand.LEAVE: self._leave, Errand.TURN_BACK: front.turn_back}
+            Errand.ALARM: self._alarm,
+            Errand.LISTING: self._listing,
+            Errand.TRIM: self._trim,
+            Errand.LEAVE: self._leave,
+            Errand.TURN_BACK: front.turn_back,
+        }
 
     def _recorded(self, hatch: Hatch, now: float, cold: bool, since: float) -> Recorder:
         """What stands between reducer and module where traces are written; its libraries are loaded for it alone."""
         from mulleinhatch.program.tracing import Tracing
+
         self.tracing = Tracing(self.placement)
         return self.tracing.recorded(hatch, now, cold, since)
 
@@ -119,7 +140,7 @@
     def _call(self, ref: str, seconds: float, query: bytes) -> None:
         if self.dependency:
             self.dependency.call(ref, seconds, query)
-        else:   # nobody told of one, and the run must not wait for ever
+        else:  # nobody told of one, and the run must not wait for ever
             asyncio.get_running_loop().call_soon(self.take, Happening.CALL_ENDED, ref, Ending.UNREACHABLE, b"")
 
     def _listing(self, is_open: bool) -> None:
@@ -161,6 +182,7 @@
         LOG.info("listening", extra={"fields": {"name": self.placement.name, "port": self.port}})
         if self.placement.fleet:
             from mulleinhatch.program.fleet import FleetSide
+
             self.fleet = FleetSide(self.placement, self.reducer, self.take, self.leave)
             self.fleet.listen()
             self.front.fleet = self.fleet.told
@@ -211,8 +233,7 @@
             self.count("reloads_refused")
             LOG.error("reload refused", extra={"fields": {"error": error}})
             return
-        left = [key for key in new._fields if key not in TAKEN_OVER
-                and getattr(new, key) != getattr(self.placement, key)]
+        left = [key for key in new._fields if key not in TAKEN_OVER and getattr(new, key) != getattr(self.placement, key)]
         self.count("reloads")
         LOG.info("reloaded", extra={"fields": {"left_until_restart": ",".join(left)}})
         self.placement = self.placement._replace(**{key: getattr(new, key) for key in TAKEN_OVER})
@@ -229,11 +250,17 @@
         storms = self.reducer.storms.counted() if self.reducer.storms else {}
         traces = self.tracing.keeper.counts if self.tracing else {}
         fleet = self.fleet.counted() if self.fleet else {}
-        return {**self.counts, **self.reducer.counts, **storms, **traces, **fleet,
-                "connections_open": len(self.front.connections.open),
-                "ops_owed": len(self.reducer.owed),
-                "advice_percent": round(100.0 * (self.reducer.level or 0.0)),
-                **{"broken_" + what.replace(" ", "_"): count for what, count in BROKEN.items()}}
+        return {
+            **self.counts,
+            **self.reducer.counts,
+            **storms,
+            **traces,
+            **fleet,
+            "connections_open": len(self.front.connections.open),
+            "ops_owed": len(self.reducer.owed),
+            "advice_percent": round(100.0 * (self.reducer.level or 0.0)),
+            **{"broken_" + what.replace(" ", "_"): count for what, count in BROKEN.items()},
+        }
 
     def counters(self) -> str:
         return "".join(f"{name}={count}\n" for name, count in sorted(self.counted().items()))
--- a/mulleinhatch/program/interpreter.py
+++ b/mulleinhatch/program/interpreter.py
@@ -1,4 +1,5 @@
 """The interpreter's side: notices of the link become happenings, errands become commands."""
+
 from __future__ import annotations
 
 import logging
@@ -17,9 +18,8 @@
     def __init__(self, host: str, port: int, take: Callable[..., None], count: Callable[[str], None]) -> None:
         self.take, self.count = take, count
         self.complained: set[str] = set()
-        self.spoilt: set[str] = set()       # runs whose end came spoilt once
-        self.link = Link(host, port, on_open=lambda: take(Happening.LINK_OPENED), on_line=self.line,
-                         count=count)
+        self.spoilt: set[str] = set()  # runs whose end came spoilt once
+        self.link = Link(host, port, on_open=lambda: take(Happening.LINK_OPENED), on_line=self.line, count=count)
 
     def line(self, line: bytes) -> None:
         try:
@@ -60,8 +60,13 @@
         what, status = told.get("t"), told.get("status")
         if what == "VALUE":
             ending = link.ENDINGS.get(status, Ending.ERROR)
-            self.take(Happening.RUN_ENDED, link.whole(told["no"]), link.text(told["rid"]), ending,
-                      link.result(told, ending is Ending.OK))
+            self.take(
+                Happening.RUN_ENDED,
+                link.whole(told["no"]),
+                link.text(told["rid"]),
+                ending,
+                link.result(told, ending is Ending.OK),
+            )
         elif what == "AWAIT":
             self.take(Happening.CALL_WANTED, link.whole(told["no"]), link.text(told["rid"]), link.result(told, True))
         elif what == "TOPS":
--- a/mulleinhatch/program/logs.py
+++ b/mulleinhatch/program/logs.py
@@ -1,4 +1,5 @@
 """The log on standard error, one line an event, key=value."""
+
 from __future__ import annotations
 
 import logging
@@ -14,9 +15,13 @@
     """
 
     def format(self, record: logging.LogRecord) -> str:
-        pairs = {"time": f"{record.created:.3f}", "level": record.levelname.lower(),
-                 "part": record.name.rpartition(".")[2], "event": record.getMessage(),
-                 **getattr(record, "fields", {})}
+        pairs = {
+            "time": f"{record.created:.3f}",
+            "level": record.levelname.lower(),
+            "part": record.name.rpartition(".")[2],
+            "event": record.getMessage(),
+            **getattr(record, "fields", {}),
+        }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
         return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
--- a/mulleinhatch/program/operator.py
+++ b/mulleinhatch/program/operator.py
@@ -2,6 +2,7 @@
 
 Imported only where such a file is named, so that an instance without one carries neither library.
 """
+
 from __future__ import annotations
 
 import re
@@ -56,7 +57,7 @@
 
 
 class Budget(msgspec.Struct, forbid_unknown_fields=True, rename="kebab"):
-    total: Annotated[int, Meta(ge=1, le=10 ** 9)]
+    total: Annotated[int, Meta(ge=1, le=10**9)]
     tenant: str = ""
     calls: bool = False
     retries: bool = False
@@ -118,20 +119,20 @@
     voters: tuple[str, ...]
     most: int
     zone_most: int
-    zones: tuple[tuple[str, str], ...]      # member and its zone
-    folder: str = ""        # where a voter keeps what it promised; empty: nowhere, and it abstains after a start
-    control: str = ""       # loopback host:port where people ask
-    freeze_after: float = 0.0   # seconds in which one that came back is not fit, and the rest is stopped; 0: not by itself
-    ask_when_ill: float = 0.0   # seconds of bad health after which an instance asks by itself; 0: never
-    ill_for: float = 600.0      # seconds that it then asks for
+    zones: tuple[tuple[str, str], ...]  # member and its zone
+    folder: str = ""  # where a voter keeps what it promised; empty: nowhere, and it abstains after a start
+    control: str = ""  # loopback host:port where people ask
+    freeze_after: float = 0.0  # seconds in which one that came back is not fit, and the rest is stopped; 0: not by itself
+    ask_when_ill: float = 0.0  # seconds of bad health after which an instance asks by itself; 0: never
+    ill_for: float = 600.0  # seconds that it then asks for
 
 
 class Operator(NamedTuple):
     storms: StormBounds | None
-    traces: Any = None      # the bounds of a trace's files, a `TraceBounds`
-    fleet: Any = None       # of what passes between instances, a `FleetBounds`
-    spread: Any = None      # of load over them, a `SpreadBounds`
-    upkeep: Any = None      # of machines out for work, an `UpkeepBounds`
+    traces: Any = None  # the bounds of a trace's files, a `TraceBounds`
+    fleet: Any = None  # of what passes between instances, a `FleetBounds`
+    spread: Any = None  # of load over them, a `SpreadBounds`
+    upkeep: Any = None  # of machines out for work, an `UpkeepBounds`
 
 
 def read(path: str) -> Operator:
@@ -175,11 +176,17 @@
     storms = msgspec.structs.asdict(checked.storms)
     enabled = storms.pop("enabled")
     if checked.storms.storm_share < checked.storms.rising_share:
-        raise BadOperatorFile(f"{path}:{_line(text, ('storms', 'storm-share'))}: storms.storm-share: "
-                              f"{checked.storms.storm_share:g} is below rising-share")
-    return Operator(StormBounds(**storms) if enabled else None, _traces(checked.traces),
-                    checked.fleet and _fleet(checked.fleet, text, path), checked.spread and _spread(checked, text, path),
-                    checked.upkeep and _upkeep(checked, text, path))
+        raise BadOperatorFile(
+            f"{path}:{_line(text, ('storms', 'storm-share'))}: storms.storm-share: "
+            f"{checked.storms.storm_share:g} is below rising-share"
+        )
+    return Operator(
+        StormBounds(**storms) if enabled else None,
+        _traces(checked.traces),
+        checked.fleet and _fleet(checked.fleet, text, path),
+        checked.spread and _spread(checked, text, path),
+        checked.upkeep and _upkeep(checked, text, path),
+    )
 
 
 def _complaint(error: msgspec.ValidationError, above: tuple[str, ...], text: str, path: str) -> BadOperatorFile:
@@ -215,6 +222,7 @@
 
 def _spread(checked: OperatorFile, text: str, path: str) -> Any:
     from mulleinhatch.spread.bounds import SpreadBounds
+
     if checked.fleet is None:
         raise BadOperatorFile(f"{path}:{_line(text, ('spread',))}: spread: wants a fleet node: load is spread over its members")
     told = msgspec.structs.asdict(checked.spread)
@@ -225,17 +233,38 @@
     told, voters = checked.upkeep, checked.upkeep.voters
     voters = (voters,) if isinstance(voters, str) else tuple(voters)
     zones = [(name, zone) for zone, names in told.zones.items() for name in ((names,) if isinstance(names, str) else names)]
-    wrong = ("wants a fleet node: who goes is settled among its members" if checked.fleet is None else
-             "voters: 1 to 9 are wanted" if not 1 <= len(voters) <= 9 else
-             "voters: told twice" if len(set(voters)) < len(voters) else
-             "there is no order yet among members of several groups: not beside fleet.zone" if checked.fleet.zone else
-             "zones: a member in two" if len({name for name, _ in zones}) < len(zones) else
-             "control: only on loopback" if told.control and not told.control.startswith("127.") else "")
+    wrong = (
+        "wants a fleet node: who goes is settled among its members"
+        if checked.fleet is None
+        else "voters: 1 to 9 are wanted"
+        if not 1 <= len(voters) <= 9
+        else "voters: told twice"
+        if len(set(voters)) < len(voters)
+        else "there is no order yet among members of several groups: not beside fleet.zone"
+        if checked.fleet.zone
+        else "zones: a member in two"
+        if len({name for name, _ in zones}) < len(zones)
+        else "control: only on loopback"
+        if told.control and not told.control.startswith("127.")
+        else ""
+    )
     if wrong:
-        raise BadOperatorFile(f"{path}:{_line(text, ('upkeep',))}: upkeep.{wrong}" if ":" in wrong else
-                              f"{path}:{_line(text, ('upkeep',))}: upkeep: {wrong}")
-    return UpkeepBounds(voters, told.most, told.zone_most, tuple(zones), told.folder, told.control or "",
-                        told.freeze_after, told.ask_when_ill, told.ill_for)
+        raise BadOperatorFile(
+            f"{path}:{_line(text, ('upkeep',))}: upkeep.{wrong}"
+            if ":" in wrong
+            else f"{path}:{_line(text, ('upkeep',))}: upkeep: {wrong}"
+        )
+    return UpkeepBounds(
+        voters,
+        told.most,
+        told.zone_most,
+        tuple(zones),
+        told.folder,
+        told.control or "",
+        told.freeze_after,
+        told.ask_when_ill,
+        told.ill_for,
+    )
 
 
 def _fleet(told: FleetFile, text: str, path: str) -> Any:
@@ -243,34 +272,62 @@
 
     def several(value: str | list[str]) -> tuple[str, ...]:
         return (value,) if isinstance(value, str) else tuple(value)
+
     _placed(told, text, path)
     budgets = []
     for name, budget in told.budgets.items():
         seats, way = several(budget.seats or told.seats), ("fleet", "budgets", name)
-        wrong = ("seats: nobody has an even part" if not seats else "seats: told twice" if len(set(seats)) < len(seats) else
-                 f"total: {budget.total} is less than one for each of {len(seats)} seats" if budget.total < len(seats) else
-                 "tenant: either a tenant's runs, calls or retries"
-                 if bool(budget.tenant) + budget.calls + budget.retries != 1 else
-                 "window: retries are counted over a window" if budget.retries and not budget.window else
-                 f"seats: {plain!r} names no place: with a zone a seat is told as region/zone/name" if told.zone and (
-                     plain := next((seat for seat in seats if len(seat.split("/")) != 3), "")) else "")
+        wrong = (
+            "seats: nobody has an even part"
+            if not seats
+            else "seats: told twice"
+            if len(set(seats)) < len(seats)
+            else f"total: {budget.total} is less than one for each of {len(seats)} seats"
+            if budget.total < len(seats)
+            else "tenant: either a tenant's runs, calls or retries"
+            if bool(budget.tenant) + budget.calls + budget.retries != 1
+            else "window: retries are counted over a window"
+            if budget.retries and not budget.window
+            else f"seats: {plain!r} names no place: with a zone a seat is told as region/zone/name"
+            if told.zone and (plain := next((seat for seat in seats if len(seat.split("/")) != 3), ""))
+            else ""
+        )
         if wrong:
             raise BadOperatorFile(f"{path}:{_line(text, way)}: {'.'.join(way)}.{wrong}")
         window = 0.0 if budget.calls else budget.window
-        budgets.append(BudgetBounds(name, budget.total, seats, window, budget.lease, budget.drift, budget.tenant,
-                                    budget.retries))
+        budgets.append(
+            BudgetBounds(name, budget.total, seats, window, budget.lease, budget.drift, budget.tenant, budget.retries)
+        )
     host, _, port = told.listen.rpartition(":")
-    return FleetBounds(told.name, (host, int(port)), told.advertise or "", several(told.seeds), told.beat,
-                       status=told.status or "", suspect_for=told.suspect_for, budgets=tuple(budgets),
-                       zone=told.zone or "", region=told.region or "", groups=told.groups or 1, beyond=several(told.beyond))
+    return FleetBounds(
+        told.name,
+        (host, int(port)),
+        told.advertise or "",
+        several(told.seeds),
+        told.beat,
+        status=told.status or "",
+        suspect_for=told.suspect_for,
+        budgets=tuple(budgets),
+        zone=told.zone or "",
+        region=told.region or "",
+        groups=told.groups or 1,
+        beyond=several(told.beyond),
+    )
 
 
 def _placed(told: FleetFile, text: str, path: str) -> None:
     """Errors: a place told by half. Two of one name in different places own different seats, so a seat names its place."""
-    wrong = (("region", "zone: missing beside region") if told.region and not told.zone else
-             ("zone", "region: missing beside zone") if told.zone and not told.region else
-             ("groups", "groups: wants a zone and a region") if told.groups is not None and not told.zone else
-             ("beyond", "beyond: wants a zone and a region") if told.beyond and not told.zone else None)
+    wrong = (
+        ("region", "zone: missing beside region")
+        if told.region and not told.zone
+        else ("zone", "region: missing beside zone")
+        if told.zone and not told.region
+        else ("groups", "groups: wants a zone and a region")
+        if told.groups is not None and not told.zone
+        else ("beyond", "beyond: wants a zone and a region")
+        if told.beyond and not told.zone
+        else None
+    )
     if wrong:
         raise BadOperatorFile(f"{path}:{_line(text, ('fleet', wrong[0]))}: fleet.{wrong[1]}")
 
--- a/mulleinhatch/program/placement.py
+++ b/mulleinhatch/program/placement.py
@@ -1,4 +1,5 @@
 """Where an instance is placed: all it is told at start is read, checked and given defaults here alone."""
+
 from __future__ import annotations
 
 import ipaddress
@@ -26,18 +27,18 @@
     listen: Address
     interpreter: Address
     directory: Address | None
-    dependency: Address | None      # that runs call, and the instance for them
+    dependency: Address | None  # that runs call, and the instance for them
     seed: int
-    stop_after: float       # seconds from the notice to leave to the stop
+    stop_after: float  # seconds from the notice to leave to the stop
     descriptors: int
     op_types: list[str]
     tenants: list[str]
     deployment: Deployment
-    storms: StormBounds | None = StormBounds()     # None: no storm books are kept
-    traces: Any = None      # `TraceBounds` where traces are written
-    fleet: Any = None       # `FleetBounds` where instances speak with each other
-    spread: Any = None      # `SpreadBounds` where load is spread over them
-    upkeep: Any = None      # `UpkeepBounds` where they settle who goes out for work
+    storms: StormBounds | None = StormBounds()  # None: no storm books are kept
+    traces: Any = None  # `TraceBounds` where traces are written
+    fleet: Any = None  # `FleetBounds` where instances speak with each other
+    spread: Any = None  # `SpreadBounds` where load is spread over them
+    upkeep: Any = None  # `UpkeepBounds` where they settle who goes out for work
 
 
 def address(key: str, text: object) -> Address:
@@ -138,11 +139,15 @@
         raise Misplaced("limits: an object is wanted")
     deployment_facts = facts(settings)
     return Placement(
-        name=str(told["name"]), listen=address("listen", told["listen"]),
+        name=str(told["name"]),
+        listen=address("listen", told["listen"]),
         interpreter=address("vm", told["vm"]),
         directory=address("lookup", told["lookup"]) if "lookup" in told else None,
         dependency=address("db", told["db"]) if "db" in told else None,
-        seed=seed("seed", told["seed"]), stop_after=number("stop_ms", told.get("stop_ms", 3000), 0) / 1000.0,
+        seed=seed("seed", told["seed"]),
+        stop_after=number("stop_ms", told.get("stop_ms", 3000), 0) / 1000.0,
         descriptors=int(number("limits.sockets", limits.get("sockets", 1024), 16)),
         op_types=names("settings.classes", settings.get("classes", [])),
-        tenants=names("settings.tenants", settings.get("tenants", [])), deployment=deployment_facts)
+        tenants=names("settings.tenants", settings.get("tenants", [])),
+        deployment=deployment_facts,
+    )
--- a/mulleinhatch/program/signals.py
+++ b/mulleinhatch/program/signals.py
@@ -3,6 +3,7 @@
 SIGHUP and SIGUSR1 end a process that does not handle them, and a SIGHUP that is only ignored while the start takes its time
 would leave the addresses of before in force for good. Imports nothing that takes time: it is called before what does.
 """
+
 from __future__ import annotations
 
 import signal
--- a/mulleinhatch/program/spread.py
+++ b/mulleinhatch/program/spread.py
@@ -1,4 +1,5 @@
 """The spread's I/O: ops go to peers over the callers' protocol, the core's words are carried. Imported only where it is on."""
+
 from __future__ import annotations
 
 import asyncio
@@ -18,15 +19,21 @@
 from mulleinhatch.transport.peers import BrokenOff, Peers, Unreached
 
 LOG = logging.getLogger(__name__)
-ANSWER_ROOM = 0.08      # seconds that a peer's answer has to come back before ours is due
-NUDGE = 0.005           # seconds until others hear of what changed here
-AT_MOST = 30.0          # seconds for an op that tells no time
-UNRUN = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)     # by these it never ran there
+ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
+NUDGE = 0.005  # seconds until others hear of what changed here
+AT_MOST = 30.0  # seconds for an op that tells no time
+UNRUN = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # by these it never ran there
 
 
 class SpreadSide:
-    def __init__(self, placement: Placement, fleet: Fleet, reducer: Reducer, take: Callable[..., None],
-                 send: Callable[[list[tuple[str, bytes]]], None]) -> None:
+    def __init__(
+        self,
+        placement: Placement,
+        fleet: Fleet,
+        reducer: Reducer,
+        take: Callable[..., None],
+        send: Callable[[list[tuple[str, bytes]]], None],
+    ) -> None:
         bounds = placement.spread
         if not bounds.at:
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
@@ -62,8 +69,13 @@
 
     def _here(self) -> Here:
         reducer = self.reducer
-        return Here(reducer.room(time.monotonic()), reducer.handable(), int(reducer.hatch.limit) if reducer.hatch else 1,
-                    reducer.stop_at is not None, bool(reducer.storms and reducer.storms.on))
+        return Here(
+            reducer.room(time.monotonic()),
+            reducer.handable(),
+            int(reducer.hatch.limit) if reducer.hatch else 1,
+            reducer.stop_at is not None,
+            bool(reducer.storms and reducer.storms.on),
+        )
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
         letters = self.core.beat(now, self._here())
@@ -101,11 +113,39 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _hand(self, offer: Offered, ref: str, op_type: str, tenant: str, body: bytes, age: float, left: float,
-                    caller: int, work: float, kb: float, again: bool, rank: float, key: str) -> None:
+    async def _hand(
+        self,
+        offer: Offered,
+        ref: str,
+        op_type: str,
+        tenant: str,
+        body: bytes,
+        age: float,
+        left: float,
+        caller: int,
+        work: float,
+        kb: float,
+        again: bool,
+        rank: float,
+        key: str,
+    ) -> None:
         wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
-        pieces = http.handed(ref, op_type, tenant, body, 1000.0 * (time.time() - age), 1000.0 * (age + wait) if wait else 0.0,
-                             caller, work, kb, again, rank, offer.number, offer.at, key)
+        pieces = http.handed(
+            ref,
+            op_type,
+            tenant,
+            body,
+            1000.0 * (time.time() - age),
+            1000.0 * (age + wait) if wait else 0.0,
+            caller,
+            work,
+            kb,
+            again,
+            rank,
+            offer.number,
+            offer.at,
+            key,
+        )
         ending, result = Ending.INTERRUPTED, b""
         try:
             status, result = await self.peers.ask(offer.at, pieces, wait or AT_MOST)
@@ -120,8 +160,9 @@
             LOG.exception("error inside", extra={"fields": {"at": "hand-over"}})
         finally:
             now = time.monotonic()
-            self.core.ended(now, offer, ending in (Ending.ERROR, Ending.INTERRUPTED),
-                            ending in (Ending.UNREACHABLE, Ending.INTERRUPTED))
+            self.core.ended(
+                now, offer, ending in (Ending.ERROR, Ending.INTERRUPTED), ending in (Ending.UNREACHABLE, Ending.INTERRUPTED)
+            )
             self.take(Happening.HAND_ENDED, ref, ending, result if ending is Ending.OK else b"")
 
     def close(self) -> None:
@@ -132,14 +173,32 @@
     def told(self, now: float) -> dict[str, Any]:
         core = self.core
         pace = core.estimate(now)
-        return {"room": core.here.room, "held": core.here.held, "places": core.here.places, "wish": round(core.wish, 3),
-                "load": round(core.seen.own, 3), "fleet_load": round(core.seen.fleet, 3),
-                "pace": pace and {"value": round(pace.value, 3), "least": round(pace.least, 3), "most": round(pace.most, 3),
-                                  "age": round(min(1e6, pace.age), 1)},
-                "offers_out": core.giver.outstanding(now), "offers_held": core.taker.count(now), "away": self.reducer.away,
-                "held_back": core.held_back()}
+        return {
+            "room": core.here.room,
+            "held": core.here.held,
+            "places": core.here.places,
+            "wish": round(core.wish, 3),
+            "load": round(core.seen.own, 3),
+            "fleet_load": round(core.seen.fleet, 3),
+            "pace": pace
+            and {
+                "value": round(pace.value, 3),
+                "least": round(pace.least, 3),
+                "most": round(pace.most, 3),
+                "age": round(min(1e6, pace.age), 1),
+            },
+            "offers_out": core.giver.outstanding(now),
+            "offers_held": core.taker.count(now),
+            "away": self.reducer.away,
+            "held_back": core.held_back(),
+        }
 
     def counted(self) -> dict[str, int]:
         core = self.core
-        return {**self.counts, **core.giver.counts, **core.taker.counts,
-                **{f"spread_{name}": count for name, count in core.counts.items()}, "ops_at_peers": self.reducer.away}
+        return {
+            **self.counts,
+            **core.giver.counts,
+            **core.taker.counts,
+            **{f"spread_{name}": count for name, count in core.counts.items()},
+            "ops_at_peers": self.reducer.away,
+        }
--- a/mulleinhatch/program/tasks.py
+++ b/mulleinhatch/program/tasks.py
@@ -3,6 +3,7 @@
 An exception in a task that nobody awaits ends it for good and says so when it is collected, if at all: an instance whose
 report loop ended so is delisted, and never heard of again.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -13,8 +14,8 @@
 from mulleinhatch.chance import Chance
 
 LOG = logging.getLogger(__name__)
-FIRST_PAUSE, LAST_PAUSE = 0.05, 2.0     # seconds before a task that failed runs again, doubled in between
-SOUND_FOR = 10.0        # seconds after which a task counts as sound again
+FIRST_PAUSE, LAST_PAUSE = 0.05, 2.0  # seconds before a task that failed runs again, doubled in between
+SOUND_FOR = 10.0  # seconds after which a task counts as sound again
 
 
 class Tasks:
@@ -31,6 +32,7 @@
 
     def every(self, name: str, seconds: float, work: Callable[[], None]) -> None:
         """One failing turn costs that turn alone."""
+
         async def turns() -> None:
             while True:
                 try:
@@ -38,6 +40,7 @@
                 except Exception:
                     self._failed(name)
                 await asyncio.sleep(seconds)
+
         self.keep(name, turns)
 
     async def _kept(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
--- a/mulleinhatch/program/tracing.py
+++ b/mulleinhatch/program/tracing.py
@@ -1,4 +1,5 @@
 """Traces of this instance: joins the recorder, which the reducer fills, with the keeper, which writes in its own thread."""
+
 from __future__ import annotations
 
 import math
@@ -14,7 +15,7 @@
 from mulleinhatch.traces.replay import told_out
 from mulleinhatch.traces.writer import Keeper
 
-FLUSH_EVERY = 1.0       # seconds that a record waits for others, at most: what a kill costs
+FLUSH_EVERY = 1.0  # seconds that a record waits for others, at most: what a kill costs
 
 
 class Tracing:
@@ -29,8 +30,18 @@
 
     def _facts(self, number: int) -> Facts:
         place = self.placement
-        return Facts(place.name, place.seed, self.clock, self.wall, number, told_out(place.deployment), place.op_types,
-                     place.tenants, self.policy, f"mulleinhatch {__version__}")
+        return Facts(
+            place.name,
+            place.seed,
+            self.clock,
+            self.wall,
+            number,
+            told_out(place.deployment),
+            place.op_types,
+            place.tenants,
+            self.policy,
+            f"mulleinhatch {__version__}",
+        )
 
     def recorded(self, hatch: Hatch, now: float, cold: bool, since: float) -> Recorder:
         self.recorder = Recorder(hatch, now, cold, since, self.keeper.batch)
--- a/mulleinhatch/program/upkeep.py
+++ b/mulleinhatch/program/upkeep.py
@@ -1,4 +1,5 @@
 """Upkeep's I/O: the voter's file, what people ask for on a loopback port of its own, and leaving when a permit is there."""
+
 from __future__ import annotations
 
 import asyncio
@@ -20,15 +21,21 @@
 
 LOG = logging.getLogger(__name__)
 MOST_HISTORY = 1 << 20  # bytes of the file of what happened; then the older half goes
-FIT_AFTER = 2.0         # seconds of good health until one that returned counts as fit
+FIT_AFTER = 2.0  # seconds of good health until one that returned counts as fit
 LONGEST_LINE = 8192
-ANSWER_WITHIN = 10.0    # seconds for a person's change to be agreed
-HISTORY = 256           # changes that are remembered
+ANSWER_WITHIN = 10.0  # seconds for a person's change to be agreed
+HISTORY = 256  # changes that are remembered
 
 
 class UpkeepSide:
-    def __init__(self, placement: Placement, fleet: Fleet, reducer: Reducer, send: Callable[[list[tuple[str, bytes]]], None],
-                 leave: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        placement: Placement,
+        fleet: Fleet,
+        reducer: Reducer,
+        send: Callable[[list[tuple[str, bytes]]], None],
+        leave: Callable[[], None],
+    ) -> None:
         told = placement.upkeep
         self.placement, self.reducer, self.send, self.leave = placement, reducer, send, leave
         self.store, kept = None, None
@@ -40,8 +47,7 @@
                 raise Misplaced(f"upkeep.folder: {error}") from None
         zones = dict(told.zones)
         bounds = Bounds(told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after)
-        self.core = Upkeep(bounds, fleet,
-                           placement.seed + 3, time.monotonic(), kept, self.store and self.store.keep)
+        self.core = Upkeep(bounds, fleet, placement.seed + 3, time.monotonic(), kept, self.store and self.store.keep)
         self.fit_since: float | None = None
         self.left = False
         self.server: asyncio.AbstractServer | None = None
@@ -81,7 +87,7 @@
         try:
             if path.exists() and path.stat().st_size > MOST_HISTORY:
                 lines = path.read_bytes().splitlines(keepends=True)
-                path.write_bytes(b"".join(lines[len(lines) // 2:]))
+                path.write_bytes(b"".join(lines[len(lines) // 2 :]))
             with open(path, "a") as file:
                 file.write(json.dumps([round(time.time(), 3), state, why]) + "\n")
         except OSError as error:
@@ -93,7 +99,7 @@
         lines = (self.store.folder / "history").read_text().splitlines()[-HISTORY:]
         told = []
         for line in lines:
-            with contextlib.suppress(ValueError):       # one that a crash cut short
+            with contextlib.suppress(ValueError):  # one that a crash cut short
                 told.append(json.loads(line))
         return told
 
@@ -134,8 +140,13 @@
     async def _done(self, told: dict[str, Any]) -> dict[str, Any]:
         what, core = told["do"], self.core
         if what == "ask":
-            one = self._request(str(told["kind"]), float(told["seconds"]), wished=float(told.get("wished", 0.0)),
-                                latest=float(told.get("latest", 0.0)), urgency=int(told.get("urgency", 0)))
+            one = self._request(
+                str(told["kind"]),
+                float(told["seconds"]),
+                wished=float(told.get("wished", 0.0)),
+                latest=float(told.get("latest", 0.0)),
+                urgency=int(told.get("urgency", 0)),
+            )
             core.ask_others(time.monotonic(), self._several(one, told.get("names"), told.get("zone"), bool(told.get("all"))))
         elif what == "cancel":
             core.cancel()
@@ -199,19 +210,35 @@
         table = core.voter.kept.table or core.known if core.voter and not core.voter.abstains else core.known
         wall = time.time()
         zones = Counter(permit.zone for permit in table.out)
-        places = order([known.request for known in core.requests.values()], [permit.name for permit in table.out], dict(zones),
-                       wall)
+        places = order(
+            [known.request for known in core.requests.values()], [permit.name for permit in table.out], dict(zones), wall
+        )
         out = {permit.name: (permit.zone, wall) for permit in table.out}
         going = schedule(places, out, table.most, table.zone_most, wall)
-        return {"name": core.name, "state": core.state.value, "fence": core.fence,
-                "voter": None if core.voter is None else "abstains" if core.voter.abstains else "votes",
-                "table": table._asdict() | {"out": [permit._asdict() for permit in table.out]},
-                "order": [{"name": place.request.name, "may": place.may, "why": ", ".join(place.reasons),
-                           "at": going.get(place.request.name)} for place in places],
-                "places": {name: {"place": reply.place, "of": reply.waiting, "may_go": reply.may_go, "why": reply.why}
-                           for name, reply in core.told_by_voters(now).items()},
-                "history": self._remembered()}
+        return {
+            "name": core.name,
+            "state": core.state.value,
+            "fence": core.fence,
+            "voter": None if core.voter is None else "abstains" if core.voter.abstains else "votes",
+            "table": table._asdict() | {"out": [permit._asdict() for permit in table.out]},
+            "order": [
+                {
+                    "name": place.request.name,
+                    "may": place.may,
+                    "why": ", ".join(place.reasons),
+                    "at": going.get(place.request.name),
+                }
+                for place in places
+            ],
+            "places": {
+                name: {"place": reply.place, "of": reply.waiting, "may_go": reply.may_go, "why": reply.why}
+                for name, reply in core.told_by_voters(now).items()
+            },
+            "history": self._remembered(),
+        }
 
     def counted(self) -> dict[str, int]:
         return {f"upkeep_{name}": count for name, count in self.core.counts.items()} | {
-            "upkeep_state": list(State).index(self.core.state), "upkeep_out": len(self.core.known.out)}
+            "upkeep_state": list(State).index(self.core.state),
+            "upkeep_out": len(self.core.known.out),
+        }
--- a/mulleinhatch/protocol/http.py
+++ b/mulleinhatch/protocol/http.py
@@ -1,4 +1,5 @@
 """Heads of HTTP/1.1, parsed in the buffer that the socket filled, and the answers as pieces to gather."""
+
 from __future__ import annotations
 
 import math
@@ -6,27 +7,39 @@
 
 from mulleinhatch.interface import Ending
 
-MOST_HEAD, MOST_BODY = 8192, 2048       # bytes of a request
-SMALL_BUFFER = 2048     # until a message needs more: an idle connection must not cost as much as a busy one
+MOST_HEAD, MOST_BODY = 8192, 2048  # bytes of a request
+SMALL_BUFFER = 2048  # until a message needs more: an idle connection must not cost as much as a busy one
 HEAD_END, LINE_END = b"\r\n\r\n", b"\r\n"
 HEAD_LINES = re.compile(rb"(?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*\r\n)*")
 BARE_END = re.compile(rb"(?<!\r)\n")
 NUMBER = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
 OP_ID = re.compile(rb"[0-9A-Fa-f]{16}")
-LONGEST = 3600.0        # seconds of an age or a wait: what tells of more is no figure of ours
-LEAST_KB, MOST_KB = 1e-9, 2000.0     # memory that an op may book
-PLACES = 15             # after the point, of a figure that is read
-MOST_RANK = 1.0 - 1e-15     # the highest that can be written
-NEIGHBOURS = 4          # floats looked at on either side for the figure that a unit was taken from
-CLOCK_SLACK = 1.0       # seconds that an arrival may lie ahead of our clock
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           408: b"Request Timeout", 409: b"Conflict", 411: b"Length Required", 413: b"Content Too Large",
-           422: b"Unprocessable Content", 429: b"Too Many Requests", 431: b"Request Header Fields Too Large",
-           500: b"Internal Server Error", 502: b"Bad Gateway", 503: b"Service Unavailable",
-           504: b"Gateway Timeout"}
+LONGEST = 3600.0  # seconds of an age or a wait: what tells of more is no figure of ours
+LEAST_KB, MOST_KB = 1e-9, 2000.0  # memory that an op may book
+PLACES = 15  # after the point, of a figure that is read
+MOST_RANK = 1.0 - 1e-15  # the highest that can be written
+NEIGHBOURS = 4  # floats looked at on either side for the figure that a unit was taken from
+CLOCK_SLACK = 1.0  # seconds that an arrival may lie ahead of our clock
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    411: b"Length Required",
+    413: b"Content Too Large",
+    422: b"Unprocessable Content",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 ONLY_ONCE = (b"content-length", b"transfer-encoding", b"connection", b"host", b"idempotency-key")
-HAND = b"x-hand"        # on an op that a peer hands over: the number of the offer, 0 for none; it is handed on once at most
-MOST_RESULT = 65536     # bytes of a peer's answer
+HAND = b"x-hand"  # on an op that a peer hands over: the number of the offer, 0 for none; it is handed on once at most
+MOST_RESULT = 65536  # bytes of a peer's answer
 ANSWER_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
 CALL_PATH = b"/v1/exec"
 OP_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
@@ -66,10 +79,10 @@
         if self.end == len(self.buffer):
             begun = self.buffer
             self._hold(MOST_HEAD + MOST_BODY)
-            self.buffer[:self.end] = begun
+            self.buffer[: self.end] = begun
         elif not self.end and len(self.buffer) > SMALL_BUFFER:
             self._hold(SMALL_BUFFER)
-        return self.view[self.end:]
+        return self.view[self.end :]
 
     def filled(self, count: int) -> None:
         self.end += count
@@ -80,8 +93,8 @@
     def message(self) -> tuple[bytes, bytes, dict[bytes, bytes], bytes] | None:
         """Method, path, fields by lower-case name, body; None until the rest has come. After a BadRequest
         it is not known where the next request begins."""
-        while self.end >= len(LINE_END) and self.view[:len(LINE_END)] == LINE_END:
-            self._shift(len(LINE_END))    # some senders end the request before with one line too many
+        while self.end >= len(LINE_END) and self.view[: len(LINE_END)] == LINE_END:
+            self._shift(len(LINE_END))  # some senders end the request before with one line too many
         head_end = self.buffer.find(HEAD_END, max(0, self.searched - len(HEAD_END)), self.end)
         if head_end < 0:
             return self._no_head_yet()
@@ -107,7 +120,7 @@
 
     def _no_head_yet(self) -> None:
         if BARE_END.search(self.buffer, max(0, self.searched - 1), self.end):
-            raise BadRequest("line end")    # others take it for an end: who waits for ours would hear nothing
+            raise BadRequest("line end")  # others take it for an end: who waits for ours would hear nothing
         if self.end > MOST_HEAD:
             raise BadRequest("head too long", 431)
         self.searched = self.end
@@ -141,15 +154,16 @@
         """What came after the request is moved to the front; with one request at a time it is nothing."""
         rest = self.end - taken
         if rest:
-            self.buffer[:rest] = self.buffer[taken:self.end]
+            self.buffer[:rest] = self.buffer[taken : self.end]
         self.end, self.searched = rest, 0
 
 
-SHORT_REQUEST = re.compile(     # one pass in C: the fields that count, and no other that only a full reading may judge
+SHORT_REQUEST = re.compile(  # one pass in C: the fields that count, and no other that only a full reading may judge
     rb"(?i)POST /svc/([^ ?/\r\n]+) HTTP/1\.1\r\n(?:X-(?:Request-Id: ([0-9a-f]{16})|Caller: ([0-9]{1,9})|Retry: (1)|"
     rb"Tenant: ([^\r\n]*)|Object: ([^\r\n]*)|(?!Request-Id|Caller|Retry|Tenant|Object)[a-z-]+:[^\r\n]*)\r\n|"
     rb"Content-Length: ([0-9]{1,4})\r\n|Idempotency-Key: ([^\r\n]*)\r\n|"
-    rb"(?!X-|Content-Length|Idempotency-Key|Transfer-|Connection|Expect|Upgrade)[a-z0-9-]+:[^\r\n]*\r\n)*\r\n")
+    rb"(?!X-|Content-Length|Idempotency-Key|Transfer-|Connection|Expect|Upgrade)[a-z0-9-]+:[^\r\n]*\r\n)*\r\n"
+)
 
 
 def short_look(data: bytes) -> tuple | None:
@@ -169,8 +183,15 @@
     end = found.end()
     if not ref or not length or end + int(length) != len(data) or data[:end].lower().count(b"\ncontent-length") != 1:
         return None
-    return (ref.decode(), op_type.decode("latin-1"), tenant.decode("latin-1"), int(caller or 0), again == b"1",
-            (key or thing).decode("latin-1"), data[end:])
+    return (
+        ref.decode(),
+        op_type.decode("latin-1"),
+        tenant.decode("latin-1"),
+        int(caller or 0),
+        again == b"1",
+        (key or thing).decode("latin-1"),
+        data[end:],
+    )
 
 
 FIGURES = re.compile(rb"(?i)\r\nX-(Rank|Cost-Ms|Memory-Kb): *([0-9]{1,15}(?:\.[0-9]{1,15})?) *(?=\r\n)")
@@ -186,8 +207,7 @@
     return told.get(b"rank", 0.0), 0.001 * told.get(b"cost-ms", 0.0), told.get(b"memory-kb", 0.0)
 
 
-TURNED_BACK = b"".join([b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n%b%b",
-                        b"X-Dont-Retry: 1\r\n\r\n"])
+TURNED_BACK = b"".join([b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n%b%b", b"X-Dont-Retry: 1\r\n\r\n"])
 
 
 def turned_back(level: float | None, hold_off: float) -> bytes:
@@ -203,8 +223,14 @@
     return TURNED_BACK % (signal, back)
 
 
-def number(fields: dict[bytes, bytes], name: bytes, least: float = 0.0, below: float = math.inf,
-           absent: float | None = 0.0, unit: float = 1.0) -> float:
+def number(
+    fields: dict[bytes, bytes],
+    name: bytes,
+    least: float = 0.0,
+    below: float = math.inf,
+    absent: float | None = 0.0,
+    unit: float = 1.0,
+) -> float:
     """A plain decimal figure in its range; one that must be there has no `absent`.
 
     >>> number({b"x-rank": b"0.5"}, b"x-rank", below=1.0), number({}, b"x-rank")
@@ -232,12 +258,19 @@
     arrived = number(fields, b"x-request-start", now - LONGEST, now + CLOCK_SLACK, absent=None, unit=0.001)
     patience = number(fields, b"x-timeout-ms", below=LONGEST, unit=0.001)
     key = fields.get(b"idempotency-key") or fields.get(b"x-object", b"")
-    return (ref.decode(), path.rpartition(b"/")[2].decode("latin-1"),
-            fields.get(b"x-tenant", b"").decode("latin-1"), max(0.0, now - arrived),
-            max(0.001, arrived + patience - now) if patience > 0.0 else 0.0,
-            int(number(fields, b"x-caller")), number(fields, b"x-cost-ms", below=LONGEST, unit=0.001),
-            number(fields, b"x-memory-kb", least=LEAST_KB, below=MOST_KB, absent=None), b"x-retry" in fields,
-            key.decode("latin-1"), number(fields, b"x-rank", below=1.0))
+    return (
+        ref.decode(),
+        path.rpartition(b"/")[2].decode("latin-1"),
+        fields.get(b"x-tenant", b"").decode("latin-1"),
+        max(0.0, now - arrived),
+        max(0.001, arrived + patience - now) if patience > 0.0 else 0.0,
+        int(number(fields, b"x-caller")),
+        number(fields, b"x-cost-ms", below=LONGEST, unit=0.001),
+        number(fields, b"x-memory-kb", least=LEAST_KB, below=MOST_KB, absent=None),
+        b"x-retry" in fields,
+        key.decode("latin-1"),
+        number(fields, b"x-rank", below=1.0),
+    )
 
 
 def figure(value: float, unit: float = 1.0) -> str:
@@ -257,17 +290,34 @@
     return f"{near:.{PLACES}f}"
 
 
-def handed(ref: str, op_type: str, tenant: str, body: bytes, started_ms: float, wait_ms: float, caller: int, work: float,
-           kb: float, again: bool, rank: float, offer: int, host: str, key: str = "") -> list[bytes]:
+def handed(
+    ref: str,
+    op_type: str,
+    tenant: str,
+    body: bytes,
+    started_ms: float,
+    wait_ms: float,
+    caller: int,
+    work: float,
+    kb: float,
+    again: bool,
+    rank: float,
+    offer: int,
+    host: str,
+    key: str = "",
+) -> list[bytes]:
     """The request by which an op goes to a peer, in the callers' own protocol, as pieces for one gathered write. Key and
     figures are the caller's to the last digit: by them the peer knows a retry that comes to it."""
-    head = (f"POST /svc/{op_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {ref}\r\nX-Request-Start: {started_ms:.0f}\r\n"
-            f"X-Caller: {caller}\r\nX-Memory-Kb: {figure(max(kb, LEAST_KB))}\r\n"
-            f"X-Rank: {figure(min(rank, MOST_RANK))}\r\nX-Hand: {offer}\r\n"
-            + (f"X-Timeout-Ms: {wait_ms:.0f}\r\n" if wait_ms > 0.0 else "")
-            + (f"X-Cost-Ms: {figure(work, 0.001)}\r\n" if work else "")
-            + (f"X-Object: {key}\r\n" if key else "")
-            + (f"X-Tenant: {tenant}\r\n" if tenant else "") + ("X-Retry: 1\r\n" if again else ""))
+    head = (
+        f"POST /svc/{op_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {ref}\r\nX-Request-Start: {started_ms:.0f}\r\n"
+        f"X-Caller: {caller}\r\nX-Memory-Kb: {figure(max(kb, LEAST_KB))}\r\n"
+        f"X-Rank: {figure(min(rank, MOST_RANK))}\r\nX-Hand: {offer}\r\n"
+        + (f"X-Timeout-Ms: {wait_ms:.0f}\r\n" if wait_ms > 0.0 else "")
+        + (f"X-Cost-Ms: {figure(work, 0.001)}\r\n" if work else "")
+        + (f"X-Object: {key}\r\n" if key else "")
+        + (f"X-Tenant: {tenant}\r\n" if tenant else "")
+        + ("X-Retry: 1\r\n" if again else "")
+    )
     return [head.encode("latin-1"), b"Content-Length: %d\r\n\r\n" % len(body), body]
 
 
@@ -288,21 +338,28 @@
         raise BadRequest("answer line")
     if not HEAD_LINES.fullmatch(head, line.end(), len(head) - len(LINE_END)):
         raise BadRequest("answer field")
-    pairs = [field.partition(b":") for field in head[line.end():-len(HEAD_END)].split(LINE_END)]
+    pairs = [field.partition(b":") for field in head[line.end() : -len(HEAD_END)].split(LINE_END)]
     fields = {name.lower(): text.strip(b" \t") for name, _, text in pairs}
     if line[1].startswith(b"1"):
         return int(line[1]), 0, False
     length = fields.get(b"content-length", b"")
-    if not length.isdigit() or len(length) > 9 or int(length) > MOST_RESULT or (
-            b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1):
+    if (
+        not length.isdigit()
+        or len(length) > 9
+        or int(length) > MOST_RESULT
+        or (b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1)
+    ):
         raise BadRequest("answer length")
     return int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close"
 
 
 def call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
     """A call of the dependency, as pieces for one gathered write: what the run asks for, unchanged, and for how long."""
-    return [b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n" % (
-        CALL_PATH, host.encode(), ref.encode("latin-1"), max(1, int(wait_ms)), len(query)), query]
+    return [
+        b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n"
+        % (CALL_PATH, host.encode(), ref.encode("latin-1"), max(1, int(wait_ms)), len(query)),
+        query,
+    ]
 
 
 def call_told(head: bytes) -> tuple[int, int, bool]:
@@ -323,8 +380,14 @@
     return Ending.FULL if unstarted else Ending.TIMEOUT if status in (408, 504) else Ending.ERROR, length, last
 
 
-def answer(status: int, body: bytes = b"", level: float | None = None, hold_off: float = 0.0,
-           not_elsewhere: bool = False, close: bool = False) -> list[bytes]:
+def answer(
+    status: int,
+    body: bytes = b"",
+    level: float | None = None,
+    hold_off: float = 0.0,
+    not_elsewhere: bool = False,
+    close: bool = False,
+) -> list[bytes]:
     """Status line, fields and body as pieces for one gathered write.
 
     >>> b"".join(answer(429, level=0.5, hold_off=0.25, not_elsewhere=True)).split(LINE_END)[1:5]
--- a/mulleinhatch/protocol/link.py
+++ b/mulleinhatch/protocol/link.py
@@ -1,4 +1,5 @@
 """Lines of the interpreter's link: commands out, notices in."""
+
 from __future__ import annotations
 
 import json
--- a/mulleinhatch/protocol/reports.py
+++ b/mulleinhatch/protocol/reports.py
@@ -1,7 +1,8 @@
 """Reports to the directory: one datagram each."""
+
 from __future__ import annotations
 
-LISTED_FOR = 3.0        # seconds that an entry outlives its last report
+LISTED_FOR = 3.0  # seconds that an entry outlives its last report
 
 
 def report(name: str, is_open: bool) -> bytes:
--- a/mulleinhatch/rings.py
+++ b/mulleinhatch/rings.py
@@ -1,7 +1,8 @@
 """What was measured over time, in fixed buckets that are used again: below the decisions and the storm books."""
+
 from __future__ import annotations
 
-BUCKET, BUCKETS = 0.25, 10   # what "recent" means: long against a run, short against a slowdown
+BUCKET, BUCKETS = 0.25, 10  # what "recent" means: long against a run, short against a slowdown
 
 
 class Ring:
--- a/mulleinhatch/routing/reducer.py
+++ b/mulleinhatch/routing/reducer.py
@@ -4,6 +4,7 @@
 that carry them out, in order. It reads no clock and touches no socket; places are the numbers of the
 connections that wait for an answer.
 """
+
 from __future__ import annotations
 
 import math
@@ -21,61 +22,61 @@
 from mulleinhatch.storms.desk import Desk
 from mulleinhatch.storms.twins import Likeness, finer, likeness
 
-READINGS_LAST = 1.0     # seconds: gauges that stopped coming tell nothing of the cores now
-RUN_GAP = 1.0           # seconds in which no run ended, though some were asked for: the interpreter stood still
-PARKED_MOST = 1.0       # seconds that a retry waits for a word on its twin: a run and the next request of its caller
-PARKED_MARGIN = 0.5     # and no longer than leaves the module time to decide on it
-NOTICES_KEPT = 4000     # by the interpreter: a number further on than that is no next one
-LINGER = 10.0           # seconds after its arrival in which a try may be read, where the op type names no time
-ENDED_SPAN, ENDED_ROOM = 10.0, 8192     # seconds for which the id of an op that ran is known, and at most so many in each
+READINGS_LAST = 1.0  # seconds: gauges that stopped coming tell nothing of the cores now
+RUN_GAP = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
+PARKED_MOST = 1.0  # seconds that a retry waits for a word on its twin: a run and the next request of its caller
+PARKED_MARGIN = 0.5  # and no longer than leaves the module time to decide on it
+NOTICES_KEPT = 4000  # by the interpreter: a number further on than that is no next one
+LINGER = 10.0  # seconds after its arrival in which a try may be read, where the op type names no time
+ENDED_SPAN, ENDED_ROOM = 10.0, 8192  # seconds for which the id of an op that ran is known, and at most so many in each
 RUN_COUNTS = {ending: "run_" + ending.name.lower() for ending in Ending}
 
 
 class Happening(Enum):
-    INTERPRETER_UP = "interpreter up"    # is cold, seconds since
+    INTERPRETER_UP = "interpreter up"  # is cold, seconds since
     LINK_OPENED = "link opened"
     LINE_BROKEN = "line broken"
-    OP_READ = "op read"          # place, ref, op type, tenant, age, wait, caller, work, kb, again, key, body, rank, from a peer
-    RUN_ENDED = "run ended"      # number of the notice, ref, ending, result
+    OP_READ = "op read"  # place, ref, op type, tenant, age, wait, caller, work, kb, again, key, body, rank, from a peer
+    RUN_ENDED = "run ended"  # number of the notice, ref, ending, result
     RUN_UNKNOWN = "run unknown"  # ref
     CALL_WANTED = "call wanted"  # number of the notice, ref, what it asks for
-    CALL_ENDED = "call ended"    # ref, ending, result
-    NOTICE_PASSED = "notice passed"      # number: of one that says nothing to us
-    RUN_SPOILT = "run spoilt"    # ref: it ended, and how can't be read
-    GAUGES = "gauges"            # mark, readings
-    ALARM = "alarm"              # token
-    CHECKED = "checked"          # place
+    CALL_ENDED = "call ended"  # ref, ending, result
+    NOTICE_PASSED = "notice passed"  # number: of one that says nothing to us
+    RUN_SPOILT = "run spoilt"  # ref: it ended, and how can't be read
+    GAUGES = "gauges"  # mark, readings
+    ALARM = "alarm"  # token
+    CHECKED = "checked"  # place
     CALLER_LOST = "caller lost"  # place
-    LEAVE = "leave"              # seconds until the stop
-    PART = "part"                # tenant, window, pieces of units and their ends: what the fleet leaves us of a total
-    CALLS = "calls"              # share
-    OTHERS = "others"            # their free share, whether they judge us ill, retries a second left to us, share wished away
-    OFFERS = "offers"            # how many ops peers have room for just now
-    HAND_ENDED = "hand ended"    # ref, ending, result: what became of an op at a peer
+    LEAVE = "leave"  # seconds until the stop
+    PART = "part"  # tenant, window, pieces of units and their ends: what the fleet leaves us of a total
+    CALLS = "calls"  # share
+    OTHERS = "others"  # their free share, whether they judge us ill, retries a second left to us, share wished away
+    OFFERS = "offers"  # how many ops peers have room for just now
+    HAND_ENDED = "hand ended"  # ref, ending, result: what became of an op at a peer
 
-    __hash__ = object.__hash__    # members are single: Enum's own hash is Python code, often run
+    __hash__ = object.__hash__  # members are single: Enum's own hash is Python code, often run
 
 
 class Errand(Enum):
-    ACK = "ack"                  # place, result, level
-    NACK = "nack"                # place, seconds to stay away, not elsewhere either, level
-    FAIL = "fail"                # place, level
-    REFUSE = "refuse"            # place, what makes it no op for us
-    HEALTH = "health"            # place, good, level: the answer to a check
-    ABANDON = "abandon"          # place: its answer goes elsewhere
-    LISTING = "listing"          # open: what the directory is to be told
-    TURN_BACK = "turn back"      # whether retries may be nacked before they are read in full
-    LEAVE = "leave"              # seconds until the stop
-    GREET = "greet"              # number of the last notice
-    RENEW = "renew"              # the link
-    RUN = "run"                  # ref, op type, body
-    CALL = "call"                # ref, seconds, what it asks for
-    RESOLVE = "resolve"          # ref, result: the run goes on with what its call gave
-    SKIP = "skip"                # ref: the run goes on without its call
-    GAUGES = "gauges"            # mark
-    ALARM = "alarm"              # seconds, token
-    TRIM = "trim"                # seconds that an idle connection is kept
-    HAND = "hand"                # ref, op type, tenant, body, age, seconds left, caller, work, kb, again, rank, key
+    ACK = "ack"  # place, result, level
+    NACK = "nack"  # place, seconds to stay away, not elsewhere either, level
+    FAIL = "fail"  # place, level
+    REFUSE = "refuse"  # place, what makes it no op for us
+    HEALTH = "health"  # place, good, level: the answer to a check
+    ABANDON = "abandon"  # place: its answer goes elsewhere
+    LISTING = "listing"  # open: what the directory is to be told
+    TURN_BACK = "turn back"  # whether retries may be nacked before they are read in full
+    LEAVE = "leave"  # seconds until the stop
+    GREET = "greet"  # number of the last notice
+    RENEW = "renew"  # the link
+    RUN = "run"  # ref, op type, body
+    CALL = "call"  # ref, seconds, what it asks for
+    RESOLVE = "resolve"  # ref, result: the run goes on with what its call gave
+    SKIP = "skip"  # ref: the run goes on without its call
+    GAUGES = "gauges"  # mark
+    ALARM = "alarm"  # seconds, token
+    TRIM = "trim"  # seconds that an idle connection is kept
+    HAND = "hand"  # ref, op type, tenant, body, age, seconds left, caller, work, kb, again, rank, key
 
     __hash__ = object.__hash__
 
@@ -93,60 +94,75 @@
     [('ack', 4, b'out', None)]
     """
 
-    def __init__(self, deployment: Deployment, op_types: Sequence[str], tenants: Sequence[str],
-                 seed: int, storms: StormBounds | None = None,
-                 record: Callable[[Hatch, float, bool, float], Any] | None = None) -> None:
+    def __init__(
+        self,
+        deployment: Deployment,
+        op_types: Sequence[str],
+        tenants: Sequence[str],
+        seed: int,
+        storms: StormBounds | None = None,
+        record: Callable[[Hatch, float, bool, float], Any] | None = None,
+    ) -> None:
         """`record` puts something between us and the module that keeps what passes, given when the instance started."""
         self.record = record
         self.deployment, self.seed = deployment, seed
         hold_off = deployment.get("max_hold_off", 0.0) if deployment.get("hold_off_allowed", False) else 0.0
         self.storms = storms and Desk(storms, hold_off, seed)
-        self.may_repeat = {name for name, op_type in zip(op_types, deployment.get("op_types", []))
-                           if op_type.get("effect", Effect.NON_RETRYABLE) is Effect.RETRYABLE}
-        self.once = {name for name, op_type in zip(op_types, deployment.get("op_types", []))
-                     if op_type.get("effect", Effect.NON_RETRYABLE) is Effect.NON_RETRYABLE}
-        self.ended_at = self.idle_until = -math.inf     # when a run last ended; when one was asked for with none in hand
-        self.unended = 0        # runs asked for that have not ended
-        self.back = 0           # retries turned back that the module has not heard of
+        self.may_repeat = {
+            name
+            for name, op_type in zip(op_types, deployment.get("op_types", []))
+            if op_type.get("effect", Effect.NON_RETRYABLE) is Effect.RETRYABLE
+        }
+        self.once = {
+            name
+            for name, op_type in zip(op_types, deployment.get("op_types", []))
+            if op_type.get("effect", Effect.NON_RETRYABLE) is Effect.NON_RETRYABLE
+        }
+        self.ended_at = self.idle_until = -math.inf  # when a run last ended; when one was asked for with none in hand
+        self.unended = 0  # runs asked for that have not ended
+        self.back = 0  # retries turned back that the module has not heard of
         self.op_types = {name: place for place, name in enumerate(op_types)}
         self.tenants = {name: place for place, name in enumerate(tenants)}
-        self.hatch: Any = None      # the module, or what stands before it
+        self.hatch: Any = None  # the module, or what stands before it
         self.owed: dict[str, Owed] = {}
         self.places: dict[int, str] = {}
         self.followers: dict[str, list[str]] = {}
         # By op type, of keyed ones: the window of a repeat, and how long after its arrival one may be read.
-        self.windows = {name: (op_type.get("repeat_window", 0.0), op_type.get("op_timeout") or LINGER)
-                        for name, op_type in zip(op_types, deployment.get("op_types", []))
-                        if op_type.get("effect") is Effect.KEYED}
+        self.windows = {
+            name: (op_type.get("repeat_window", 0.0), op_type.get("op_timeout") or LINGER)
+            for name, op_type in zip(op_types, deployment.get("op_types", []))
+            if op_type.get("effect") is Effect.KEYED
+        }
         self.keys = Keys()
-        self.ended = Lately(ENDED_SPAN, ENDED_ROOM)     # ids of ops that may not run twice, and may have run
+        self.ended = Lately(ENDED_SPAN, ENDED_ROOM)  # ids of ops that may not run twice, and may have run
         self.healthy, self.level = True, None
         self.readings: Sequence[float] = ()
         self.read_at = -math.inf
         self.last_notice = self.marks = 0
-        self.renewed_at = -1    # the last notice when the link was made anew for a broken line
-        self.unconfirmed: dict[str, int] = {}    # runs asked for, each after so many gauge marks
-        self.going_on: dict[str, tuple[int, tuple]] = {}     # what runs were told at a call, each after so many marks
-        self.greeted = False    # a new link has said nothing with a number yet
+        self.renewed_at = -1  # the last notice when the link was made anew for a broken line
+        self.unconfirmed: dict[str, int] = {}  # runs asked for, each after so many gauge marks
+        self.going_on: dict[str, tuple[int, tuple]] = {}  # what runs were told at a call, each after so many marks
+        self.greeted = False  # a new link has said nothing with a number yet
         self.resync: float = 0
-        self.heard_at = math.inf    # when the interpreter last said something about runs or gauges
+        self.heard_at = math.inf  # when the interpreter last said something about runs or gauges
         self.stop_at: float | None = None
-        self.warm_at = -math.inf    # at the slowest warming
+        self.warm_at = -math.inf  # at the slowest warming
         self.counts: Counter[str] = Counter()
-        self.parked: dict[str, tuple[float, float, Owed, Likeness, tuple]] = {}     # until, since, op, likeness, told
+        self.parked: dict[str, tuple[float, float, Owed, Likeness, tuple]] = {}  # until, since, op, likeness, told
         self.calls_share: float | None = None
-        self.on_run: Callable[[float, float, float, bool], None] | None = None   # told of runs: seconds, work, failed or not
-        self.on_op: Callable[[float, float], None] | None = None        # told of the work of each op of our own callers
-        self.on_tenant: Callable[[float, str], None] | None = None      # told of each op that is read, for its demand
+        self.on_run: Callable[[float, float, float, bool], None] | None = None  # told of runs: seconds, work, failed or not
+        self.on_op: Callable[[float, float], None] | None = None  # told of the work of each op of our own callers
+        self.on_tenant: Callable[[float, str], None] | None = None  # told of each op that is read, for its demand
         # By tenant, and whether it is a rate or a cap: window, pieces.
         self.parts: dict[tuple[str, bool], tuple[float, Sequence[tuple[float, float]]]] = {}
         self.others: tuple[float, bool, float, float] | None = None
-        self.away = 0           # ops that peers have
-        self.hands = False      # whether ops may be handed to peers: then what a peer must be told is kept
+        self.away = 0  # ops that peers have
+        self.hands = False  # whether ops may be handed to peers: then what a peer must be told is kept
         self.errands: list[tuple] = []
         self.handlers = {happening: getattr(self, "_" + happening.name.lower()) for happening in Happening}
-        self.verbs = {verb: ("decided_" + verb.name.lower(), getattr(self, "_do_" + verb.name.lower(),
-                                                                     self._do_other)) for verb in Verb}
+        self.verbs = {
+            verb: ("decided_" + verb.name.lower(), getattr(self, "_do_" + verb.name.lower(), self._do_other)) for verb in Verb
+        }
 
     def reduce(self, now: float, happening: Happening, *told: object) -> list[tuple]:
         """The errands stay in `errands` until the next happening, for a host that meets an error here."""
@@ -169,7 +185,7 @@
         which runs asked for last never arrived. Asked before the interpreter is up, they never come."""
         if self.hatch is None:
             if self.record:
-                now, since = round(now, 6), round(since, 6)     # what is kept is what the module hears
+                now, since = round(now, 6), round(since, 6)  # what is kept is what the module hears
             self.hatch = Hatch({**self.deployment, "fresh_start": cold}, self.seed, now - since)
             if cold:
                 self.warm_at = now - since + self.deployment.get("cold_for", 0.0)
@@ -209,9 +225,24 @@
             self.renewed_at = self.last_notice
             self.errands.append((Errand.RENEW,))
 
-    def _op_read(self, now: float, place: int, ref: str, op_type: str, tenant: str, age: float, wait: float,
-                 caller: int, work: float, kb: float, again: bool, key: str, body: bytes, rank: float = 0.0,
-                 handed: bool = False) -> None:
+    def _op_read(
+        self,
+        now: float,
+        place: int,
+        ref: str,
+        op_type: str,
+        tenant: str,
+        age: float,
+        wait: float,
+        caller: int,
+        work: float,
+        kb: float,
+        again: bool,
+        key: str,
+        body: bytes,
+        rank: float = 0.0,
+        handed: bool = False,
+    ) -> None:
         self.counts["ops_read"] += 1
         if self.storms:
             self.storms.runs.asks_again(place)
@@ -235,13 +266,31 @@
                 owed.told, owed.from_peer = (now - age, caller, work, kb, again, rank), handed
                 self.counts["ops_from_peers"] += handed
             like = likeness(caller, op_type, tenant, key, body, rank, work, kb) if self.storms else None
-            if like and again and op_type in self.once and self.storms.runs.doubt(
-                    now, like, self.storms.tries.figures_stay(now)):
+            if (
+                like
+                and again
+                and op_type in self.once
+                and self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now))
+            ):
                 return self._park(now, owed, like, told)
             self._take_in(now, owed, like, *told)
 
-    def _take_in(self, now: float, owed: Owed, like: Likeness | None, op_type: str, tenant: str, age: float, wait: float,
-                 caller: int, work: float, kb: float, again: bool, key: str, rank: float) -> None:
+    def _take_in(
+        self,
+        now: float,
+        owed: Owed,
+        like: Likeness | None,
+        op_type: str,
+        tenant: str,
+        age: float,
+        wait: float,
+        caller: int,
+        work: float,
+        kb: float,
+        again: bool,
+        key: str,
+        rank: float,
+    ) -> None:
         if op_type in self.windows:
             owed.repeats = self._standing(now, owed)
         if self.on_tenant:
@@ -252,9 +301,10 @@
             repeat, owed.looks = self.storms.tries.read(now, like, again, op_type in self.once)
             self.storms.read(now, caller, repeat, age)
             self.storms.counts["repeats_unmarked"] += repeat and not again
-            again = again or repeat and self.storms.on      # unmarked, it is one more of those that crowd
-        self.hatch.op_read(now, owed.ref, self.op_types[op_type], age, wait,
-                           self.tenants.get(tenant, 0), owed.repeats, caller, work, kb, again)
+            again = again or repeat and self.storms.on  # unmarked, it is one more of those that crowd
+        self.hatch.op_read(
+            now, owed.ref, self.op_types[op_type], age, wait, self.tenants.get(tenant, 0), owed.repeats, caller, work, kb, again
+        )
         if owed.from_peer:
             self.hatch.came_handed(now, owed.ref)
 
@@ -271,7 +321,7 @@
     def _unpark(self, now: float) -> None:
         for ref, (until, since, owed, like, told) in list(self.parked.items()):
             if owed.place is None:
-                del self.parked[ref]    # its caller is gone
+                del self.parked[ref]  # its caller is gone
             elif not self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now)):
                 del self.parked[ref]
                 self.storms.counts["retries_told_apart"] += 1
@@ -312,12 +362,24 @@
 
     def _may_have_run(self, owed: Owed, like: Likeness, now: float) -> None:
         self.counts["repeats_of_run"] += 1
-        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(now, like.plain)   # perhaps a twin's
+        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(now, like.plain)  # perhaps a twin's
         self._answer(now, owed, Errand.FAIL)
 
-    def turned_back(self, now: float, ref: str, op_type: str, tenant: str, caller: int, again: bool, key: str,
-                    body: bytes, punctual: bool, stubborn: bool, place: int = -1,
-                    figures: Callable[[], tuple[float, float, float]] = lambda: (0.0, 0.0, 0.0)) -> float | None:
+    def turned_back(
+        self,
+        now: float,
+        ref: str,
+        op_type: str,
+        tenant: str,
+        caller: int,
+        again: bool,
+        key: str,
+        body: bytes,
+        punctual: bool,
+        stubborn: bool,
+        place: int = -1,
+        figures: Callable[[], tuple[float, float, float]] = lambda: (0.0, 0.0, 0.0),
+    ) -> float | None:
         """Asked for a try before it is read in full: seconds that its nack tells to stay away, or None where it
         goes the ordinary way. Only a repeat is turned back, by the rate that the module named, and none of an op
         that may have run here or is under way. It counts as read, and is no op: it never comes to the module. `figures`
@@ -326,7 +388,7 @@
         if ref in self.owed or op_type not in self.op_types or key and self.keys.known((op_type, tenant, key)):
             return None
         plain, once = b"", op_type in self.once
-        if not again or once:    # else its likeness tells nothing new, and costs
+        if not again or once:  # else its likeness tells nothing new, and costs
             plain = fingerprint(caller, op_type, tenant, key, body)
             if not desk.tries.known(now, plain, lambda: finer(plain, *figures())) if not again else plain in desk.runs.by_plain:
                 return None
@@ -359,8 +421,10 @@
 
     def handable(self) -> int:
         """Ops held here that might go to a peer."""
-        return sum(not (owed.running or owed.handed or owed.from_peer or owed.place is None or owed.op_type in self.windows)
-                   for owed in self.owed.values())
+        return sum(
+            not (owed.running or owed.handed or owed.from_peer or owed.place is None or owed.op_type in self.windows)
+            for owed in self.owed.values()
+        )
 
     def connected(self) -> None:
         """A caller's connection was accepted: counted alone, for hundreds come at once and nothing is decided by one."""
@@ -461,7 +525,7 @@
                 self._left(owed)
             owed.may_have_run = False
             self._end_run(now, ref, Ending.MOOT, b"")
-            self.keys.forget(ref)   # nothing ran for its key
+            self.keys.forget(ref)  # nothing ran for its key
 
     def _end_run(self, now: float, ref: str, ending: Ending, result: bytes) -> None:
         owed = self.owed.get(ref)
@@ -475,7 +539,7 @@
         if ending is Ending.MOOT and self.storms:
             self.storms.runs.settled(ref)
         if ending is Ending.STOPPED and owed.place is not None:
-            ending = Ending.ERROR    # nobody here stopped it, and the module would take it for paused
+            ending = Ending.ERROR  # nobody here stopped it, and the module would take it for paused
         self.counts[RUN_COUNTS[ending]] += 1
         if self.on_run and ending in (Ending.OK, Ending.ERROR):
             self.on_run(now, now - owed.started, owed.told[2] if owed.told else 0.0, ending is Ending.ERROR)
@@ -488,7 +552,7 @@
         """A run that was asked for before gauges that have come is with the interpreter, unless a link was
         lost between: behind the mark set then, it never arrived."""
         if mark > self.marks:
-            self.counts["notices_strange"] += 1     # nobody asked for these: what it would confirm may be under way
+            self.counts["notices_strange"] += 1  # nobody asked for these: what it would confirm may be under way
             return
         self.readings, self.read_at, self.heard_at = readings, now, now
         before = [ref for ref, asked in self.unconfirmed.items() if asked < mark]
@@ -530,7 +594,7 @@
 
     def _leave(self, now: float, grace: float) -> None:
         if self.stop_at is not None:
-            return    # the first notice counts
+            return  # the first notice counts
         self.healthy, self.stop_at = False, now + grace
         self.errands.append((Errand.LEAVE, grace))
         if self.hatch:
@@ -588,8 +652,9 @@
                 self.storms.runs.started(now, owed.ref, Likeness(*owed.looks), owed.due)
             arrived, *figures = owed.told
             left = owed.due - now if owed.due < math.inf else 0.0
-            self.errands.append((Errand.HAND, owed.ref, owed.op_type, owed.tenant, owed.body, now - arrived, left, *figures,
-                                 owed.key))
+            self.errands.append(
+                (Errand.HAND, owed.ref, owed.op_type, owed.tenant, owed.body, now - arrived, left, *figures, owed.key)
+            )
 
     def _do_run(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
--- a/mulleinhatch/routing/tables.py
+++ b/mulleinhatch/routing/tables.py
@@ -1,4 +1,5 @@
 """Ops that are owed something, and what is remembered by key."""
+
 from __future__ import annotations
 
 import heapq
@@ -8,23 +9,42 @@
 class Owed:
     """An op between its reading and the last that is expected of it: its answer, and the end of its run."""
 
-    __slots__ = ("ref", "place", "op_type", "tenant", "key", "body", "repeats", "running",
-                 "arrived", "due", "looks", "handed", "from_peer", "told", "started", "may_have_run", "query", "in_doubt")
-
-    def __init__(self, ref: str, place: int, op_type: str, tenant: str, key: str, body: bytes,
-                 arrived: float, due: float) -> None:
+    __slots__ = (
+        "ref",
+        "place",
+        "op_type",
+        "tenant",
+        "key",
+        "body",
+        "repeats",
+        "running",
+        "arrived",
+        "due",
+        "looks",
+        "handed",
+        "from_peer",
+        "told",
+        "started",
+        "may_have_run",
+        "query",
+        "in_doubt",
+    )
+
+    def __init__(
+        self, ref: str, place: int, op_type: str, tenant: str, key: str, body: bytes, arrived: float, due: float
+    ) -> None:
         self.ref, self.op_type, self.tenant, self.key, self.body = ref, op_type, tenant, key, body
         self.arrived, self.due = arrived, due
         self.may_have_run = False
-        self.in_doubt = False   # it may have ended, and the word on that is lost
-        self.query = b""        # what its run asks for at a call
-        self.repeats = ""       # the op that stands for its key
-        self.looks: tuple[bytes, ...] = ()      # what the storm books know its tries by
-        self.place: int | None = place      # the connection that waits; None once answered or gone
+        self.in_doubt = False  # it may have ended, and the word on that is lost
+        self.query = b""  # what its run asks for at a call
+        self.repeats = ""  # the op that stands for its key
+        self.looks: tuple[bytes, ...] = ()  # what the storm books know its tries by
+        self.place: int | None = place  # the connection that waits; None once answered or gone
         self.running = False
-        self.handed = self.from_peer = False    # a peer has it; it came from one
-        self.started = 0.0      # when its run was asked for
-        self.told: tuple = ()   # what a peer must be told of it, where ops are handed over: when it arrived, and its figures
+        self.handed = self.from_peer = False  # a peer has it; it came from one
+        self.started = 0.0  # when its run was asked for
+        self.told: tuple = ()  # what a peer must be told of it, where ops are handed over: when it arrived, and its figures
 
     @property
     def same(self) -> tuple[str, str, bytes]:
@@ -37,10 +57,10 @@
 
 
 class Entry(NamedTuple):
-    until: float            # who reached the machine before that is a repeat, however late it is read
-    gone: float             # when nobody of these can be read any more
-    place: tuple[str, str, str]     # op type, tenant, key: a key of another of these is another key
-    looks: bytes            # what a repeat has in common with it
+    until: float  # who reached the machine before that is a repeat, however late it is read
+    gone: float  # when nobody of these can be read any more
+    place: tuple[str, str, str]  # op type, tenant, key: a key of another of these is another key
+    looks: bytes  # what a repeat has in common with it
 
 
 class Keys:
@@ -60,7 +80,7 @@
     """
 
     def __init__(self) -> None:
-        self.entries: dict[tuple[str, str, str], list[str]] = {}     # the newest last
+        self.entries: dict[tuple[str, str, str], list[str]] = {}  # the newest last
         self.kept: dict[str, Entry] = {}
         self.results: dict[str, bytes] = {}
         self.ends: list[tuple[float, str]] = []
--- a/mulleinhatch/spread/core.py
+++ b/mulleinhatch/spread/core.py
@@ -4,6 +4,7 @@
 leaving instance only gives away; in a storm nothing passes (a repeat handed on is a repeat still); who hears nobody, is
 frozen or of whose fleet most look ill neither offers nor asks; without offers it may guess by two reports. All is counted.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -18,21 +19,21 @@
 from mulleinhatch.spread.offers import NEEDS_LAST, Giver, Offered, Taker
 from mulleinhatch.spread.shares import Seen, Share
 
-PACE_MEMORY = 10.0      # seconds over which runs, and ops that came, tell of us
+PACE_MEMORY = 10.0  # seconds over which runs, and ops that came, tell of us
 LOAD_MEMORY = 8.0
-ASKED = 2               # members that are told a beat what we want, besides those that are written to anyway
-GUESS_FRESH = 1.0       # seconds: an older report is nothing to guess by
-GUESS_ROOM = 2          # places free at least, less what we sent there since
-FAILING, FEW_RUNS = 0.5, 4.0    # of own runs: who fails that many offers no room, however idle it looks
-EVEN_EVERY = 0.5        # seconds between looks at how full the fleet is
+ASKED = 2  # members that are told a beat what we want, besides those that are written to anyway
+GUESS_FRESH = 1.0  # seconds: an older report is nothing to guess by
+GUESS_ROOM = 2  # places free at least, less what we sent there since
+FAILING, FEW_RUNS = 0.5, 4.0  # of own runs: who fails that many offers no room, however idle it looks
+EVEN_EVERY = 0.5  # seconds between looks at how full the fleet is
 
 
 class Here(NamedTuple):
     """What this instance knows of itself just now."""
 
-    room: int               # ops that could start at once
-    held: int               # that it holds and might hand over
-    places: int             # ops that may run at a time
+    room: int  # ops that could start at once
+    held: int  # that it holds and might hand over
+    places: int  # ops that may run at a time
     leaving: bool = False
     storm: bool = False
 
@@ -47,13 +48,13 @@
         self.failed = Window(PACE_MEMORY)
         self.needs: dict[str, tuple[int, float]] = {}
         self.lives: dict[str, int] = {}
-        self.sent_to: dict[str, list[float]] = {}       # guesses of ours, by member
+        self.sent_to: dict[str, list[float]] = {}  # guesses of ours, by member
         self.counts: Counter[str] = Counter()
         self.here = Here(0, 0, 1)
         self.started, self.evened_at = now, now
         self.seen = Seen(0.0, -1.0)
         self.wish = 0.0
-        self.letters: list[tuple[str, bytes]] = []      # to be sent since the last beat
+        self.letters: list[tuple[str, bytes]] = []  # to be sent since the last beat
         self.guessed_at = now
         fleet.listeners.append(self._letter)
 
@@ -72,8 +73,9 @@
         self.here = here
         letters, self.letters = self.letters, []
         self._forget(now)
-        self.taker.shunned = {name for name in self.fleet.members.alive()
-                              if name in self.fleet.out or interpreter_of(name) in self.fleet.out}
+        self.taker.shunned = {
+            name for name in self.fleet.members.alive() if name in self.fleet.out or interpreter_of(name) in self.fleet.out
+        }
         held_back = self.held_back()
         if held_back:
             self.counts["held_back_" + held_back] += 1
@@ -152,8 +154,11 @@
         """Those that told of room lately, by chance; others where too few did."""
         fleet = self.fleet
         there = fleet.members.alive()
-        with_room = [name for name, row in fleet.known.rows.items()
-                     if now - row.made_at <= fleet.known.fresh and row.value("room") > 0.0 and name in fleet.members.view]
+        with_room = [
+            name
+            for name, row in fleet.known.rows.items()
+            if now - row.made_at <= fleet.known.fresh and row.value("room") > 0.0 and name in fleet.members.view
+        ]
         chosen = [with_room.pop(self.taker.draw(len(with_room))) for _ in range(min(ASKED, len(with_room)))]
         while len(chosen) < min(ASKED, len(there)):
             name = there.pop(self.taker.draw(len(there)))
@@ -184,9 +189,15 @@
         """Of two by chance the one with more room by its report, less what we sent there since; at most one a beat."""
         if not self.bounds.guesses or now - self.guessed_at < self.fleet.bounds.beat:
             return None
-        known = [(row.value("room") - len(self.sent_to.get(name, ())), name, row) for name, row in self.fleet.known.rows.items()
-                 if now - row.made_at <= GUESS_FRESH and row.report.at and self.taker.well(now, name)
-                 and row.value("healthy") and name in self.fleet.members.view]
+        known = [
+            (row.value("room") - len(self.sent_to.get(name, ())), name, row)
+            for name, row in self.fleet.known.rows.items()
+            if now - row.made_at <= GUESS_FRESH
+            and row.report.at
+            and self.taker.well(now, name)
+            and row.value("healthy")
+            and name in self.fleet.members.view
+        ]
         known = [told for told in known if told[0] >= GUESS_ROOM]
         if len(known) < 2:
             return None
@@ -205,8 +216,13 @@
     def figures(self, now: float) -> list[int]:
         """Ours for the report, by `FIGURES`: places, evidence and figures of pace and load."""
         pace, load = self.pace.evidence(now), self._own_load(now)
-        return [self.here.places, round(10 * pace.count), round(1000 * min(1e6, pace.mean)),
-                round(10 * load.count), round(1000 * min(1e6, load.mean))]
+        return [
+            self.here.places,
+            round(10 * pace.count),
+            round(1000 * min(1e6, pace.mean)),
+            round(10 * load.count),
+            round(1000 * min(1e6, load.mean)),
+        ]
 
     def estimate(self, now: float) -> Estimate | None:
         """Our pace, drawn towards that of our like."""
@@ -221,8 +237,13 @@
         return usual([self._evidence(row, "pace_runs", "pace") for row in rows], SCATTER)
 
     def _fresh(self, now: float) -> list[Row]:
-        return [row for name, row in self.fleet.known.rows.items() if now - row.made_at <= self.fleet.known.fresh
-                and (member := self.fleet.members.view.get(name)) and member.state <= words.SUSPECT]
+        return [
+            row
+            for name, row in self.fleet.known.rows.items()
+            if now - row.made_at <= self.fleet.known.fresh
+            and (member := self.fleet.members.view.get(name))
+            and member.state <= words.SUSPECT
+        ]
 
     @staticmethod
     def _evidence(row: Row, count: str, figure: str) -> Evidence:
--- a/mulleinhatch/spread/estimates.py
+++ b/mulleinhatch/spread/estimates.py
@@ -5,22 +5,23 @@
 and the less its like differ (empirical Bayes; the spread between them by DerSimonian and Laird's moments). It has a range and
 an age. Seconds of a slot for a second of work, in whatever unit all report.
 """
+
 from __future__ import annotations
 
 from collections.abc import Sequence
 from math import sqrt
 from typing import NamedTuple
 
-SCATTER = 0.6           # of single runs about their mean, as a share of it, until own runs tell
-FEW = 8.0               # runs from which their own scatter is believed
-TWO_SIDED = 2.0         # standard deviations to the ends of a range
+SCATTER = 0.6  # of single runs about their mean, as a share of it, until own runs tell
+FEW = 8.0  # runs from which their own scatter is believed
+TWO_SIDED = 2.0  # standard deviations to the ends of a range
 
 
 class Estimate(NamedTuple):
     value: float
     least: float
     most: float
-    age: float          # seconds since the newest evidence of its own
+    age: float  # seconds since the newest evidence of its own
 
 
 class Evidence(NamedTuple):
@@ -41,8 +42,11 @@
 
     def _fade(self, now: float) -> None:
         if now > self.at:
-            left = max(0.0, 1.0 - (now - self.at) / self.memory) if now - self.at < 0.1 * self.memory else (
-                2.718281828459045 ** (-(now - self.at) / self.memory))
+            left = (
+                max(0.0, 1.0 - (now - self.at) / self.memory)
+                if now - self.at < 0.1 * self.memory
+                else (2.718281828459045 ** (-(now - self.at) / self.memory))
+            )
             self.count, self.total, self.squares, self.at = left * self.count, left * self.total, left * self.squares, now
 
     def add(self, now: float, value: float) -> None:
--- a/mulleinhatch/spread/offers.py
+++ b/mulleinhatch/spread/offers.py
@@ -5,18 +5,19 @@
 until its own clock says that it is over, counted from when it came, which is later than when it was given; one that comes on
 an offer that is over is an op like any other. Each is used once.
 """
+
 from __future__ import annotations
 
 from typing import NamedTuple
 
 from mulleinhatch.chance import Chance
 
-SLACK = 0.1             # seconds that an op may be under way after its offer's end
-MOST_HELD = 64          # offers that a taker keeps
-FADES = 5.0             # seconds after which what a peer did with our ops counts half
-BAD, BAD_ENOUGH = 0.5, 1.5      # share of bad ends from which a peer's offers are left alone, and bad ones at least
-REST = 3.0              # seconds for which a peer that broke off or was not there is left alone
-NEEDS_LAST = 1.5        # seconds that a word on what somebody holds is worth an offer
+SLACK = 0.1  # seconds that an op may be under way after its offer's end
+MOST_HELD = 64  # offers that a taker keeps
+FADES = 5.0  # seconds after which what a peer did with our ops counts half
+BAD, BAD_ENOUGH = 0.5, 1.5  # share of bad ends from which a peer's offers are left alone, and bad ones at least
+REST = 3.0  # seconds for which a peer that broke off or was not there is left alone
+NEEDS_LAST = 1.5  # seconds that a word on what somebody holds is worth an offer
 
 
 class Given(NamedTuple):
@@ -81,7 +82,7 @@
 
 class Offered(NamedTuple):
     giver: str
-    at: str             # host:port where its ops go
+    at: str  # host:port where its ops go
     number: int
     until: float
 
@@ -118,8 +119,8 @@
         self.draw = Chance(seed).below
         self.offers: list[Offered] = []
         self.deeds: dict[str, Deeds] = {}
-        self.last: dict[str, int] = {}      # by giver: the highest number heard; a repeated datagram brings nothing new
-        self.shunned: set[str] = set()      # by the fleet's verdict
+        self.last: dict[str, int] = {}  # by giver: the highest number heard; a repeated datagram brings nothing new
+        self.shunned: set[str] = set()  # by the fleet's verdict
         self.counts = dict.fromkeys(("offers_heard", "offers_unused", "offers_shunned"), 0)
 
     def heard(self, now: float, giver: str, at: str, number: int, lasts: float) -> None:
--- a/mulleinhatch/spread/shares.py
+++ b/mulleinhatch/spread/shares.py
@@ -4,26 +4,27 @@
 of its own, so that no two hundred step at once; the step back is as bounded. Nobody moves on one report: the fleet's figure
 needs half of the members. One that returns begins with its door half shut and opens it as far as its pace is that of its like.
 """
+
 from __future__ import annotations
 
 from typing import NamedTuple
 
 from mulleinhatch.chance import Chance
 
-LEAST_LOAD = 0.5        # under it nothing is wished elsewhere
-DEAD_BAND = 0.05        # of the fleet's load: chance alone is more than that
-MOST = 0.8              # wished elsewhere at most: who sent all away would never learn that it has room
-GAIN = 0.5              # of the way to what would be even, a step
-RETURNING = 0.5         # of what comes, wished elsewhere by one that just returned
-AS_USUAL = 1.3          # of its like's pace: from there on it is warm
+LEAST_LOAD = 0.5  # under it nothing is wished elsewhere
+DEAD_BAND = 0.05  # of the fleet's load: chance alone is more than that
+MOST = 0.8  # wished elsewhere at most: who sent all away would never learn that it has room
+GAIN = 0.5  # of the way to what would be even, a step
+RETURNING = 0.5  # of what comes, wished elsewhere by one that just returned
+AS_USUAL = 1.3  # of its like's pace: from there on it is warm
 
 
 class Seen(NamedTuple):
     """What is known when a step is due: loads are work asked for over what can be served."""
 
     own: float
-    fleet: float            # below 0 where it is not known
-    pace: float = 0.0       # our own over that of our like; 0 where it is not known
+    fleet: float  # below 0 where it is not known
+    pace: float = 0.0  # our own over that of our like; 0 where it is not known
 
 
 class Share:
--- a/mulleinhatch/standins/checker.py
+++ b/mulleinhatch/standins/checker.py
@@ -4,6 +4,7 @@
 too, must stay within the total. Time goes in ticks; clocks may run apart. A state is what the parts and the words on their
 way are, not how they came about, so each is looked at once.
 """
+
 from __future__ import annotations
 
 import random
@@ -15,15 +16,15 @@
 from mulleinhatch.standins import exploring
 
 NAMES = ("a", "b", "c")
-ASKS = ((1, 0), (2, 0), (0, 1))     # who may ask whom
-MOST_WORDS = 3                      # on their way at a time
-WINDOW, LEASE = 2, 3                # ticks
+ASKS = ((1, 0), (2, 0), (0, 1))  # who may ask whom
+MOST_WORDS = 3  # on their way at a time
+WINDOW, LEASE = 2, 3  # ticks
 
 
 class Model(NamedTuple):
     part: type[Part] = Part
     drift: float = 0.25
-    rates: tuple[float, float, float] = (1.1, 0.9, 1.0)     # of the members' clocks
+    rates: tuple[float, float, float] = (1.1, 0.9, 1.0)  # of the members' clocks
     needed: int = 0
 
     @property
@@ -37,9 +38,9 @@
     def __init__(self, model: Model) -> None:
         self.parts: list[Part | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
         self.lives = [1, 1, 1]
-        self.words: list[tuple[int, int, int, Any]] = []    # from, its life, to, what
+        self.words: list[tuple[int, int, int, Any]] = []  # from, its life, to, what
         self.tick = 0
-        self.most = [[0, 0, 0] for _ in range(WINDOW)]      # by tick of the window, the newest last
+        self.most = [[0, 0, 0] for _ in range(WINDOW)]  # by tick of the window, the newest last
 
     def local(self, model: Model, place: int) -> float:
         return self.tick * model.rates[place]
@@ -92,7 +93,7 @@
         give = part.asked(now, (NAMES[sender], life), word, spare=part.own(now), needed=model.needed)
         if give and len(state.words) < MOST_WORDS:
             state.words.append((to, state.lives[to], sender, (life, give)))
-    elif word[0] == state.lives[to]:    # an answer to an earlier life of the asker finds nobody
+    elif word[0] == state.lives[to]:  # an answer to an earlier life of the asker finds nobody
         part.given(now, NAMES[sender], word[1])
 
 
@@ -107,15 +108,22 @@
     return f"{together} of {model.bounds.total} in one window" if together > model.bounds.total else ""
 
 
-def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10 ** 9) -> tuple[int, str]:
+def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
     """All that can happen in `depth` steps after those `before`: how many states, and the first history that breaks the
     total, empty if none does."""
     start = State(model)
     for action in before:
         act(model, start, action)
         broken(model, start)
-    return exploring.explore(start, actions, lambda state, action: act(model, state, action),
-                             lambda state: broken(model, state), depth, before, most_states)
+    return exploring.explore(
+        start,
+        actions,
+        lambda state, action: act(model, state, action),
+        lambda state: broken(model, state),
+        depth,
+        before,
+        most_states,
+    )
 
 
 def wander(model: Model, seed: int, walks: int, steps: int) -> str:
@@ -132,5 +140,14 @@
     return ""
 
 
-LENT = (("ask", 1, 0, 2), ("deliver", 0), ("lose", 0), ("tick",), ("tick",), ("tick",),
-        ("ask", 1, 0, 2), ("deliver", 0), ("deliver", 0))
+LENT = (
+    ("ask", 1, 0, 2),
+    ("deliver", 0),
+    ("lose", 0),
+    ("tick",),
+    ("tick",),
+    ("tick",),
+    ("ask", 1, 0, 2),
+    ("deliver", 0),
+    ("deliver", 0),
+)
--- a/mulleinhatch/standins/directory.py
+++ b/mulleinhatch/standins/directory.py
@@ -4,6 +4,7 @@
 on; one that reports `closed` is listed as taking no work. Each line that comes over TCP is answered by one JSON list of the
 names that take work, as it was BEHIND seconds ago. On SIGTERM it prints what it heard.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -27,7 +28,7 @@
     def __init__(self, behind: float) -> None:
         self.behind = behind
         self.heard: deque[tuple[float, str, bool]] = deque()
-        self.last: dict[str, tuple[float, bool]] = {}       # as the lists know it: when, open
+        self.last: dict[str, tuple[float, bool]] = {}  # as the lists know it: when, open
         self.counts = {"reports": 0, "broken": 0}
 
     def report(self, now: float, datagram: bytes) -> None:
@@ -66,6 +67,7 @@
             pass
         finally:
             writer.close()
+
     await loop.create_datagram_endpoint(lambda: Reports(listing), ("127.0.0.1", udp))
     server = await asyncio.start_server(asked, "127.0.0.1", tcp)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
--- a/mulleinhatch/standins/exploring.py
+++ b/mulleinhatch/standins/exploring.py
@@ -1,4 +1,5 @@
 """Every order of what can happen to a state, each state looked at once: what both model checkers share."""
+
 from __future__ import annotations
 
 import pickle
@@ -7,8 +8,15 @@
 from typing import Any
 
 
-def explore(start: Any, actions: Callable[[Any], Iterable[tuple]], act: Callable[[Any, tuple], None],
-            broken: Callable[[Any], str], depth: int, before: tuple[tuple, ...], most_states: int) -> tuple[int, str]:
+def explore(
+    start: Any,
+    actions: Callable[[Any], Iterable[tuple]],
+    act: Callable[[Any, tuple], None],
+    broken: Callable[[Any], str],
+    depth: int,
+    before: tuple[tuple, ...],
+    most_states: int,
+) -> tuple[int, str]:
     """All that can happen in `depth` steps to `start`, which stands after `before`: how many states, and the first history
     in which something does not hold, empty where there is none."""
     seen: set[bytes] = set()
--- a/mulleinhatch/standins/faults.py
+++ b/mulleinhatch/standins/faults.py
@@ -23,6 +23,7 @@
     at 4 failing 3 0.5 for 10             # that share of its runs fails
     at 4 directory off for 10
 """
+
 from __future__ import annotations
 
 import math
@@ -34,13 +35,13 @@
 
 
 class Fault(NamedTuple):
-    at: float           # seconds from the first op
-    what: str           # kill, start, freeze, thaw, leave, look, silent, garble, quiet
+    at: float  # seconds from the first op
+    what: str  # kill, start, freeze, thaw, leave, look, silent, garble, quiet
     places: tuple[int, ...]
     count: int = 0
-    others: tuple[int, ...] = ()    # cut from, deaf to
-    amount: float = 0.0             # share, seconds, times
-    until: float = math.inf         # when what was said with `for` is over
+    others: tuple[int, ...] = ()  # cut from, deaf to
+    amount: float = 0.0  # share, seconds, times
+    until: float = math.inf  # when what was said with `for` is over
 
 
 LINKS = ("cut", "deaf", "lossy", "repeated", "swapped", "delayed")
@@ -82,8 +83,10 @@
 
 def amount(faults: list[Fault], what: str, now: float, place: int) -> float:
     """The largest of such faults that hold there then."""
-    return max((fault.amount for fault in faults if fault.what == what and fault.at <= now < fault.until
-                and place in fault.places), default=0.0)
+    return max(
+        (fault.amount for fault in faults if fault.what == what and fault.at <= now < fault.until and place in fault.places),
+        default=0.0,
+    )
 
 
 def read(text: str, instances: int = 1000) -> list[Fault]:
--- a/mulleinhatch/standins/fleet_rig.py
+++ b/mulleinhatch/standins/fleet_rig.py
@@ -3,6 +3,7 @@
 Faults come by script (`faults.py`). What is said of the fleet is looked at from outside: what each instance tells over HTTP,
 what the interpreters ran and when, what the operating system says of the processes. Each is ended by its id.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -22,9 +23,9 @@
 from mulleinhatch.standins import faults
 
 UP_WITHIN = 40.0
-STARTS_AT_A_TIME = 16   # processes that start together: more only wait for the cores
+STARTS_AT_A_TIME = 16  # processes that start together: more only wait for the cores
 LOOK_WAIT = 2.0
-LOOKED_AT = 24          # instances of a large fleet that are asked for their views
+LOOKED_AT = 24  # instances of a large fleet that are asked for their views
 
 
 class FleetCase(NamedTuple):
@@ -33,7 +34,7 @@
     instances: int
     script: str = ""
     run_for: float = 10.0
-    total: int = 0              # runs of the tenant that the fleet may start in a window; 0: no budget
+    total: int = 0  # runs of the tenant that the fleet may start in a window; 0: no budget
     window: float = 1.0
     leases: bool = True
     loads: tuple[tuple[str, float], ...] = ()
@@ -42,26 +43,39 @@
     cores: int = 4
     seed: int = 1
     seeds: int = 3
-    directory: bool = False     # stubs know the instances that it lists, a second late; else all of them
-    fleet: bool = True          # False: the same processes with no fleet, for what it costs
+    directory: bool = False  # stubs know the instances that it lists, a second late; else all of them
+    fleet: bool = True  # False: the same processes with no fleet, for what it costs
     lease: float = 5.0
-    spread: str = ""            # lines of a `spread` node; "-" for an empty one; none: load is not spread
-    upkeep: str = ""            # lines of an `upkeep` node, "{folder}" and "{control}" filled in
-    signoffs: float = 0.0       # share of the ops that may not run twice
-    tries: int = 1              # of an op
+    spread: str = ""  # lines of a `spread` node; "-" for an empty one; none: load is not spread
+    upkeep: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
+    signoffs: float = 0.0  # share of the ops that may not run twice
+    tries: int = 1  # of an op
     heeding: float = 0.0
 
 
 def settings(case: FleetCase) -> dict[str, Any]:
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
-    return {"classes": [{"name": "read", "effect": "safe", "worth": 1.0, **timing},
-                        *([{"name": "signoff", "effect": "unsafe", "worth": 5.0, **timing}] if case.signoffs else [])],
-            "tenants": [{"name": "t", "share": 1.0}],
-            "family_info": {"cores": case.cores, "gauges": ["core_use", "on_cores", "heap_share", "links"],
-                            "memory_kb": 60_000.0, "run_factor": 4.0, "key_kb": 1.0, "say": "floor",
-                            "callers": 8, "idle": 15_000.0},
-            "tick": 2.0, "servers": case.instances, "limits": {"retry_after": True, "max_retry_after": 5000.0},
-            "rules": {"drain_grace": 2500.0, "tip_multiple": 8.0, "cold": 0.0, "cold_from": 1.0}}
+    return {
+        "classes": [
+            {"name": "read", "effect": "safe", "worth": 1.0, **timing},
+            *([{"name": "signoff", "effect": "unsafe", "worth": 5.0, **timing}] if case.signoffs else []),
+        ],
+        "tenants": [{"name": "t", "share": 1.0}],
+        "family_info": {
+            "cores": case.cores,
+            "gauges": ["core_use", "on_cores", "heap_share", "links"],
+            "memory_kb": 60_000.0,
+            "run_factor": 4.0,
+            "key_kb": 1.0,
+            "say": "floor",
+            "callers": 8,
+            "idle": 15_000.0,
+        },
+        "tick": 2.0,
+        "servers": case.instances,
+        "limits": {"retry_after": True, "max_retry_after": 5000.0},
+        "rules": {"drain_grace": 2500.0, "tip_multiple": 8.0, "cold": 0.0, "cold_from": 1.0},
+    }
 
 
 class Node:
@@ -74,31 +88,55 @@
 
     async def start(self) -> None:
         rig, case = self.rig, self.rig.case
-        told = {"name": self.name, "listen": f"127.0.0.1:{self.port}", "vm": f"127.0.0.1:{rig.links[self.place]}",
-                **({"lookup": f"127.0.0.1:{rig.reports[0]}"} if case.directory else {}),
-                "seed": f"{case.seed * 10_000 + self.place:x}", "stop_ms": 1000,
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": settings(case)}
+        told = {
+            "name": self.name,
+            "listen": f"127.0.0.1:{self.port}",
+            "vm": f"127.0.0.1:{rig.links[self.place]}",
+            **({"lookup": f"127.0.0.1:{rig.reports[0]}"} if case.directory else {}),
+            "seed": f"{case.seed * 10_000 + self.place:x}",
+            "stop_ms": 1000,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "settings": settings(case),
+        }
         config, operator = rig.folder / f"{self.name}.json", rig.folder / f"{self.name}.kdl"
         config.write_text(json.dumps(told))
         names = " ".join(f'"n{place}"' for place in range(case.instances))
         seeds = " ".join(f'"127.0.0.1:{rig.here[place]}"' for place in rig.seeds)
-        budget = (f'budgets {{\n t {{\n tenant "t"\n total {case.total}\n window {case.window}\n lease {case.lease}\n }}\n }}'
-                  if case.total else "")
-        operator.write_text(f'fleet {{\n name "rig"\n listen "127.0.0.1:{self.udp}"\n status "127.0.0.1:{self.port}"\n'
-                            f' advertise "127.0.0.1:{rig.here[self.place]}"\n seeds {seeds}\n beat {case.beat}\n'
-                            f' seats {names}\n {budget}\n}}\n' if case.fleet else "")
+        budget = (
+            f'budgets {{\n t {{\n tenant "t"\n total {case.total}\n window {case.window}\n lease {case.lease}\n }}\n }}'
+            if case.total
+            else ""
+        )
+        operator.write_text(
+            f'fleet {{\n name "rig"\n listen "127.0.0.1:{self.udp}"\n status "127.0.0.1:{self.port}"\n'
+            f' advertise "127.0.0.1:{rig.here[self.place]}"\n seeds {seeds}\n beat {case.beat}\n'
+            f" seats {names}\n {budget}\n}}\n"
+            if case.fleet
+            else ""
+        )
         if case.spread:
             with open(operator, "a") as more:
                 more.write(f'spread {{\n at "127.0.0.1:{self.port}"\n {case.spread.strip("-")}\n}}\n')
         if case.upkeep:
             with open(operator, "a") as more:
-                lines = case.upkeep.format(folder=rig.folder / f"votes-{self.name}",
-                                           control=f"127.0.0.1:{rig.controls[self.place]}")
+                lines = case.upkeep.format(
+                    folder=rig.folder / f"votes-{self.name}", control=f"127.0.0.1:{rig.controls[self.place]}"
+                )
                 more.write(f"upkeep {{\n{lines}\n}}\n")
         with open(rig.folder / f"{self.name}.log", "a") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", str(config), "--operator", str(operator),
-                stderr=log, stdin=asyncio.subprocess.DEVNULL)
+                sys.executable,
+                "-O",
+                "-m",
+                "mulleinhatch",
+                "serve",
+                "--config",
+                str(config),
+                "--operator",
+                str(operator),
+                stderr=log,
+                stdin=asyncio.subprocess.DEVNULL,
+            )
         self.watched, self.stalled = psutil.Process(self.process.pid), False
 
     @property
@@ -169,17 +207,17 @@
         self.faults = faults.read(case.script, case.instances)
         count = case.instances
         udp, tcp = free_ports(2 * count + 2, socket.SOCK_DGRAM), free_ports(3 * count + 1, socket.SOCK_STREAM)
-        self.here, self.udp, self.reports = udp[:count], udp[count:2 * count], udp[2 * count:]
-        self.links, self.ports, self.controls, self.lists = tcp[:count], tcp[count:2 * count], tcp[2 * count:-1], tcp[-1]
+        self.here, self.udp, self.reports = udp[:count], udp[count : 2 * count], udp[2 * count :]
+        self.links, self.ports, self.controls, self.lists = tcp[:count], tcp[count : 2 * count], tcp[2 * count : -1], tcp[-1]
         step = max(1, case.instances // case.seeds)
-        self.seeds = list(range(0, case.instances, step))[:case.seeds]
+        self.seeds = list(range(0, case.instances, step))[: case.seeds]
         self.directory: asyncio.subprocess.Process | None = None
         self.nodes = [Node(self, place) for place in range(case.instances)]
         self.host: asyncio.subprocess.Process | None = None
         self.relay: asyncio.subprocess.Process | None = None
         self.start_at = 0.0
         self.late = 0.0
-        self.deaths: list[tuple[int, float, float]] = []    # place, and between which times it was killed
+        self.deaths: list[tuple[int, float, float]] = []  # place, and between which times it was killed
         self.loads: list[asyncio.subprocess.Process] = []
         self.scripted: asyncio.Task[None] | None = None
 
@@ -192,11 +230,11 @@
                 self.directory = await self._stand_in("directory", str(self.reports[1]), str(self.lists), "1.0")
                 await self.directory.stdout.readline()
             for first in range(0, len(self.nodes), STARTS_AT_A_TIME):
-                await asyncio.gather(*(node.start() for node in self.nodes[first:first + STARTS_AT_A_TIME]))
-                await asyncio.gather(*(self._is_up(node) for node in self.nodes[first:first + STARTS_AT_A_TIME]))
+                await asyncio.gather(*(node.start() for node in self.nodes[first : first + STARTS_AT_A_TIME]))
+                await asyncio.gather(*(self._is_up(node) for node in self.nodes[first : first + STARTS_AT_A_TIME]))
             self.relay = await self._stand_in("relay")
             self.start_at = time.time() + 1.0
-            await self._tell_relay(self.start_at + 10_000.0)      # nothing goes wrong until `go`
+            await self._tell_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
             return self
         except BaseException:
             await self.__aexit__()
@@ -204,12 +242,24 @@
 
     async def _stand_in(self, name: str, *told: str) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
-            sys.executable, "-m", f"mulleinhatch.standins.{name}", *told, stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE, limit=1 << 26)
+            sys.executable,
+            "-m",
+            f"mulleinhatch.standins.{name}",
+            *told,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            limit=1 << 26,
+        )
 
     async def _tell_relay(self, start_at: float) -> None:
-        told = {"here": self.here, "there": [node.udp for node in self.nodes], "script": self.case.script,
-                "start_at": start_at, "seed": self.case.seed, "directory": self.reports if self.case.directory else None}
+        told = {
+            "here": self.here,
+            "there": [node.udp for node in self.nodes],
+            "script": self.case.script,
+            "start_at": start_at,
+            "seed": self.case.seed,
+            "directory": self.reports if self.case.directory else None,
+        }
         self.relay.stdin.write(json.dumps(told).encode() + b"\n")
         await self.relay.stdin.drain()
         await self.relay.stdout.readline()
@@ -231,14 +281,26 @@
         case = self.case
         for number, (places, rate) in enumerate(case.loads):
             chosen = faults.numbers(places, self.case.instances)
-            habits = {"instances": [["127.0.0.1", self.nodes[place].port] for place in chosen],
-                      "kinds": [{"name": "read", "share": 1.0 - case.signoffs},
-                                *([{"name": "signoff", "share": case.signoffs, "repeats": "unsafe"}] if case.signoffs else [])],
-                      "heeding": case.heeding, "start_at": self.start_at, "run_for": self.case.run_for,
-                      "rate": rate, "seed": 100 * self.case.seed + number, "first_caller": 4 * number, "patience": 4.5,
-                      "work_ms": self.case.work_ms, "connections": 24, "most_tries": case.tries, "tenant": "t",
-                      "names": [self.nodes[place].name for place in chosen],
-                      "directory": self.lists if self.case.directory else 0}
+            habits = {
+                "instances": [["127.0.0.1", self.nodes[place].port] for place in chosen],
+                "kinds": [
+                    {"name": "read", "share": 1.0 - case.signoffs},
+                    *([{"name": "signoff", "share": case.signoffs, "repeats": "unsafe"}] if case.signoffs else []),
+                ],
+                "heeding": case.heeding,
+                "start_at": self.start_at,
+                "run_for": self.case.run_for,
+                "rate": rate,
+                "seed": 100 * self.case.seed + number,
+                "first_caller": 4 * number,
+                "patience": 4.5,
+                "work_ms": self.case.work_ms,
+                "connections": 24,
+                "most_tries": case.tries,
+                "tenant": "t",
+                "names": [self.nodes[place].name for place in chosen],
+                "directory": self.lists if self.case.directory else 0,
+            }
             load = await self._stand_in("stubs")
             load.stdin.write(json.dumps(habits).encode() + b"\n")
             await load.stdin.drain()
@@ -286,7 +348,7 @@
 
     async def views(self) -> dict[str, dict[str, Any]]:
         """By name, what each that answers knows of the fleet; of a large one every so many, or the look itself is a load."""
-        nodes = self.nodes[::max(1, self.case.instances // LOOKED_AT)]
+        nodes = self.nodes[:: max(1, self.case.instances // LOOKED_AT)]
         told = await asyncio.gather(*(node.fleet() for node in nodes))
         return {node.name: view for node, view in zip(nodes, told) if view}
 
@@ -321,7 +383,7 @@
             await self.scripted
         stubs = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
         for stub, (places, _) in zip(stubs, self.case.loads):
-            known = faults.numbers(places, self.case.instances)     # a stub numbers those it knows
+            known = faults.numbers(places, self.case.instances)  # a stub numbers those it knows
             stub["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in stub["broken_once"].items()}
         self.host.terminate()
         ran = json.loads((await self.host.communicate())[0])
@@ -348,7 +410,9 @@
     return len(views) >= min(len(names), LOOKED_AT - 1) and all(
         {row["name"] for row in view["members"] if row["state"] in ("alive", "self")} == names
         and not any(row["state"] == "suspect" for row in view["members"])
-        for name, view in views.items() if name in names)
+        for name, view in views.items()
+        if name in names
+    )
 
 
 def most_in_window(starts: list[float], window: float) -> int:
--- a/mulleinhatch/standins/heavy.py
+++ b/mulleinhatch/standins/heavy.py
@@ -6,6 +6,7 @@
 requests, for what the instance adds. One thread over epoll; the wait for the next request is a `select` on the epoll's
 descriptor, which takes microseconds where epoll rounds up to a millisecond. Times are seconds of the monotonic clock.
 """
+
 from __future__ import annotations
 
 import json
@@ -26,32 +27,32 @@
 DONE = re.compile(rb'"t": ?"VALUE".*?"rid": ?"([0-9a-f]{16})"')
 QUANTILES = (50, 90, 99, 99.9, 100)
 CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
-SLICE = 0.1         # seconds over which the driver's own lateness is kept
-STRIDE = 7919       # a prime: the names are gone through out of order, each once before one comes again
+SLICE = 0.1  # seconds over which the driver's own lateness is kept
+STRIDE = 7919  # a prime: the names are gone through out of order, each once before one comes again
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a driver does; rates are requests a second, times seconds."""
 
-    port: int                       # on loopback
+    port: int  # on loopback
     rate: float
     run_for: float
-    wire: str = "http"              # or "link": the interpreter's own protocol
+    wire: str = "http"  # or "link": the interpreter's own protocol
     seed: int = 1
-    even: bool = False              # evenly spaced, not by a Poisson process
-    skip: float = 0.0               # from the start, in which latencies are not counted
-    drain: float = 6.0              # after the last request, in which answers may still come: longer than a request waits
-    work_ms: float = 1.0            # of a request, on one core of the interpreter
-    connections: int = 64           # at most; they are kept
-    opened: int = 0                 # of these, before the first request: no connect then waits for a server that stands still
-    idle: int = 0                   # connections that are opened first, asked on once and left alone
-    first: int = 0                  # of the callers, tenants and classes, for runs that go on where one left off
+    even: bool = False  # evenly spaced, not by a Poisson process
+    skip: float = 0.0  # from the start, in which latencies are not counted
+    drain: float = 6.0  # after the last request, in which answers may still come: longer than a request waits
+    work_ms: float = 1.0  # of a request, on one core of the interpreter
+    connections: int = 64  # at most; they are kept
+    opened: int = 0  # of these, before the first request: no connect then waits for a server that stands still
+    idle: int = 0  # connections that are opened first, asked on once and left alone
+    first: int = 0  # of the callers, tenants and classes, for runs that go on where one left off
     callers: int = 4
-    tenants: int = 0                # 0: no tenant is named
-    tenant: str = "t%07d"           # the form of their names
+    tenants: int = 0  # 0: no tenant is named
+    tenant: str = "t%07d"  # the form of their names
     classes: int = 1
-    repeats: float = 0.0            # share that is marked as a further try
-    keep: bool = False              # report each answer, [when due, latency], and the driver's lateness by slices
+    repeats: float = 0.0  # share that is marked as a further try
+    keep: bool = False  # report each answer, [when due, latency], and the driver's lateness by slices
 
 
 def checked(told: bytes) -> Habits:
@@ -88,13 +89,13 @@
         self.epoll = select.epoll()
         self.wires: dict[int, Wire] = {}
         self.free: list[Wire] = []
-        self.waiting: deque[tuple[float, int]] = deque()    # due, number: no connection was free
-        self.refs: dict[bytes, float] = {}                  # on the link: when the run was due
-        self.latency, self.late = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)    # microseconds
+        self.waiting: deque[tuple[float, int]] = deque()  # due, number: no connection was free
+        self.refs: dict[bytes, float] = {}  # on the link: when the run was due
+        self.latency, self.late = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)  # microseconds
         self.sent = self.answered = self.broken = self.waited = 0
         self.statuses: dict[str, int] = {}
         self.kept: list[tuple[float, float]] = []
-        self.late_in: dict[int, float] = {}     # by slice of the clock: how late at most
+        self.late_in: dict[int, float] = {}  # by slice of the clock: how late at most
         self.count_from = 0.0
         self.rest: list[socket.socket] = []
 
@@ -131,10 +132,12 @@
             return b'{"t":"APPLY","rid":"%b","route":"c0","b64":"%b"}\n' % (ref.encode(), b64encode(body))
         tenant = f"X-Tenant: {habits.tenant % (place * STRIDE % habits.tenants)}\r\n" if habits.tenants else ""
         again = "X-Retry: 1\r\n" if habits.repeats and self.draw.random() < habits.repeats else ""
-        return (f"POST /svc/c{place * STRIDE % habits.classes} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {ref}\r\n"
-                f"X-Request-Start: {time.time() * 1000.0:.0f}\r\nX-Caller: {place * STRIDE % habits.callers}\r\n"
-                f"X-Timeout-Ms: 4000\r\nX-Cost-Ms: {habits.work_ms:.2f}\r\nX-Memory-Kb: 20.0\r\n"
-                f"X-Rank: {self.draw.random():.4f}\r\n{again}{tenant}Content-Length: {len(body)}\r\n\r\n").encode() + body
+        return (
+            f"POST /svc/c{place * STRIDE % habits.classes} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {ref}\r\n"
+            f"X-Request-Start: {time.time() * 1000.0:.0f}\r\nX-Caller: {place * STRIDE % habits.callers}\r\n"
+            f"X-Timeout-Ms: 4000\r\nX-Cost-Ms: {habits.work_ms:.2f}\r\nX-Memory-Kb: 20.0\r\n"
+            f"X-Rank: {self.draw.random():.4f}\r\n{again}{tenant}Content-Length: {len(body)}\r\n\r\n"
+        ).encode() + body
 
     def play(self) -> None:
         habits = self.habits
@@ -182,7 +185,7 @@
     def _write(self, wire: Wire, data: bytes) -> None:
         try:
             if wire.sock.send(data) < len(data):
-                self._lose(wire)    # a peer that reads nothing for so long that a whole buffer stands full
+                self._lose(wire)  # a peer that reads nothing for so long that a whole buffer stands full
         except OSError:
             self._lose(wire)
 
@@ -228,7 +231,7 @@
         if not found or len(wire.data) < found.end() + int(found[2]) or wire.due == 0.0:
             return
         due, wire.due, last = wire.due, 0.0, b"Connection: close" in found[0]
-        wire.data = wire.data[found.end() + int(found[2]):]
+        wire.data = wire.data[found.end() + int(found[2]) :]
         self._over(found[1].decode(), due, now)
         if last:
             self._lose(wire)
@@ -247,12 +250,23 @@
 
     def report(self) -> dict[str, Any]:
         """Latencies in milliseconds; lost is what had no answer, whether its connection ended or its time."""
+
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"p{q:g}": histogram.get_value_at_percentile(q) / 1000.0 for q in QUANTILES}
-        return {"sent": self.sent, "answered": self.answered, "lost": self.sent - self.answered, "broken": self.broken,
-                "waited": self.waited, "statuses": self.statuses, "latency_ms": quantiles(self.latency),
-                "late_ms": quantiles(self.late), "cpu_s": time.process_time(), "kept": self.kept,
-                "late_in": self.late_in if self.habits.keep else {}}
+
+        return {
+            "sent": self.sent,
+            "answered": self.answered,
+            "lost": self.sent - self.answered,
+            "broken": self.broken,
+            "waited": self.waited,
+            "statuses": self.statuses,
+            "latency_ms": quantiles(self.latency),
+            "late_ms": quantiles(self.late),
+            "cpu_s": time.process_time(),
+            "kept": self.kept,
+            "late_in": self.late_in if self.habits.keep else {},
+        }
 
 
 def calm_latencies(told: dict[str, Any], most: float) -> list[float]:
@@ -263,8 +277,11 @@
     [1.0, 2.0]
     """
     late = {int(place): seconds for place, seconds in told["late_in"].items()}
-    return [latency for due, latency in told["kept"]
-            if max(late.get(int(due / SLICE), 0.0), late.get(int(due / SLICE) - 1, 0.0)) <= most]
+    return [
+        latency
+        for due, latency in told["kept"]
+        if max(late.get(int(due / SLICE), 0.0), late.get(int(due / SLICE) - 1, 0.0)) <= most
+    ]
 
 
 def main() -> None:
