--- a/mulleinhatch/standins/hollow.py
+++ b/mulleinhatch/standins/hollow.py
@@ -8,6 +8,7 @@
 
     at 4 replace 3,9 for 2                # they end; after 2 s others start in their places, by new names and addresses
 """
+
 from __future__ import annotations
 
 import random
@@ -18,12 +19,12 @@
 from mulleinhatch.fleet.core import Local
 from mulleinhatch.standins import faults
 
-LINKS = ((0.004, 0.006), (0.005, 0.008), (0.030, 0.045))    # seconds of a datagram with both loops: in a zone, a region, beyond
-LOOKAHEAD = min(low for low, _ in LINKS)    # nothing arrives sooner: so far may a process run ahead of the others
-HEADERS = 28            # bytes of UDP and IP round a datagram
-RACK = 40               # instances
-PORT = 7300             # of an address's first holder; who replaces it has the next
-OPS = 275.0             # a second that each says it takes: figures of a usual length make reports of a usual length
+LINKS = ((0.004, 0.006), (0.005, 0.008), (0.030, 0.045))  # seconds of a datagram with both loops: in a zone, a region, beyond
+LOOKAHEAD = min(low for low, _ in LINKS)  # nothing arrives sooner: so far may a process run ahead of the others
+HEADERS = 28  # bytes of UDP and IP round a datagram
+RACK = 40  # instances
+PORT = 7300  # of an address's first holder; who replaces it has the next
+OPS = 275.0  # a second that each says it takes: figures of a usual length make reports of a usual length
 TENANTS = 250_000
 FLAT_BEAT, LEVELS_BEAT = 0.1, 0.25
 KINDS = re.compile(r"\b(zone|region|rack)(\d+)\b")
@@ -34,20 +35,20 @@
 
     members: int = 225
     regions: int = 3
-    zones: int = 3              # of each region
-    levels: bool = False        # zone, region and group are told; else one flat fleet
-    group_size: int = 25        # with levels: members in a group, about
-    beat: float = 0.0           # 0: the mechanism's own
+    zones: int = 3  # of each region
+    levels: bool = False  # zone, region and group are told; else one flat fleet
+    group_size: int = 25  # with levels: members in a group, about
+    beat: float = 0.0  # 0: the mechanism's own
     script: str = ""
     seed: int = 1
-    start_within: float = 0.1   # all start in this time
-    introduced: bool = False    # flat: each knows all from the start, by letters that are no part of the count
-    busy: bool = True           # figures as long as those of an instance that takes 275 ops a second; else zeros
+    start_within: float = 0.1  # all start in this time
+    introduced: bool = False  # flat: each knows all from the start, by letters that are no part of the count
+    busy: bool = True  # figures as long as those of an instance that takes 275 ops a second; else zeros
     spread: bool = False
-    upkeep: int = 0             # voters; 0: no upkeep
-    budgets: tuple[tuple[str, int, float], ...] = ()    # name, total, window
-    demand: float = 1.0         # units asked for over the even part
-    watched: int = 1            # in each zone, members whose sums are looked at each quarter of a second
+    upkeep: int = 0  # voters; 0: no upkeep
+    budgets: tuple[tuple[str, int, float], ...] = ()  # name, total, window
+    demand: float = 1.0  # units asked for over the even part
+    watched: int = 1  # in each zone, members whose sums are looked at each quarter of a second
 
 
 class BadPlan(ValueError):
@@ -134,8 +135,9 @@
             size = plan.members // len(self.firsts)
             seeds = tuple(self.address(first + place, 0) for place in sorted({0, 1, size // 2}))
             beyond = tuple(self.address(other + turn, 0) for turn in (0, 1) for other in self.firsts if other != first)
-            told.append(usual._replace(seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups,
-                                       beyond=beyond))
+            told.append(
+                usual._replace(seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups, beyond=beyond)
+            )
         return told
 
     def watched(self) -> list[int]:
@@ -150,27 +152,50 @@
     def __init__(self, plan: Plan, draw: random.Random) -> None:
         self.busy = plan.busy
         self.rate = OPS * draw.uniform(0.7, 1.3)
-        self.loudest = [(f"tenant-{draw.randrange(TENANTS)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2))
-                        for turn in range(4)] if plan.busy else []
+        self.loudest = (
+            [(f"tenant-{draw.randrange(TENANTS)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2)) for turn in range(4)]
+            if plan.busy
+            else []
+        )
 
     def local(self, age: float, demands: tuple[float, ...]) -> Local:
         if not self.busy:
             return Local(demands=demands)
         ops = self.rate * age
-        figures = [int(ops), int(0.01 * ops), int(0.98 * ops), int(0.015 * ops), 12, 40, 300, 1, int(0.001 * ops), 8, 48,
-                   100, 1000, 100, 850]
+        figures = [
+            int(ops),
+            int(0.01 * ops),
+            int(0.98 * ops),
+            int(0.015 * ops),
+            12,
+            40,
+            300,
+            1,
+            int(0.001 * ops),
+            8,
+            48,
+            100,
+            1000,
+            100,
+            850,
+        ]
         return Local(figures, demands, self.loudest)
 
 
 # Weather.
 
-def churn(draw: random.Random, members: int, a_day: float, start: float, length: float, replaced: float = 0.3,
-          away: float = 5.0) -> str:
+
+def churn(
+    draw: random.Random, members: int, a_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
+) -> str:
     """Restarts and replacements at a rate, by chance over the time; nobody twice. `away` is the mean time out, in seconds."""
     count = round(a_day * length / 86_400.0)
     chosen = draw.sample(range(members), min(members, count))
-    return "\n".join(f"at {start + draw.uniform(0.0, length):.3f} {'replace' if draw.random() < replaced else 'kill'} {place} "
-                     f"for {away * draw.uniform(0.5, 1.5):.3f}" for place in chosen)
+    return "\n".join(
+        f"at {start + draw.uniform(0.0, length):.3f} {'replace' if draw.random() < replaced else 'kill'} {place} "
+        f"for {away * draw.uniform(0.5, 1.5):.3f}"
+        for place in chosen
+    )
 
 
 def restart_all(draw: random.Random, members: int, start: float, length: float, away: float = 1.0) -> str:
@@ -206,9 +231,9 @@
             lines.append(f"at {at:.2f} kill {one} for {last:.2f}")
         elif kind == "stall":
             lines.append(f"at {at:.2f} stall {listed(draw.sample(speakers, min(3, len(speakers))))} for {last:.2f}")
-        elif kind == "pair":        # it comes back, slower than another took its place: both speak for a moment
+        elif kind == "pair":  # it comes back, slower than another took its place: both speak for a moment
             lines += [f"at {at + turn * last:.2f} stall {one} for {0.4 * last:.2f}" for turn in (0.0, 0.6)]
-        elif kind == "alone":       # it hears other zones and not its own
+        elif kind == "alone":  # it hears other zones and not its own
             others = [place for place in range(members) if ground.zone[place] == ground.zone[one] and place != one]
             lines.append(f"at {at:.2f} cut {one} from {listed(others)} for {last:.2f}")
         elif kind in ("deaf", "cut"):
--- a/mulleinhatch/standins/hollow_checks.py
+++ b/mulleinhatch/standins/hollow_checks.py
@@ -1,4 +1,5 @@
 """What is found of a world of hollow instances from outside, by what was counted and by which places ran in truth."""
+
 from __future__ import annotations
 
 import random
@@ -10,21 +11,21 @@
 from mulleinhatch.standins.hollow_shards import World
 from mulleinhatch.standins.hollow_world import Gone, Look
 
-WINDOW = 10             # seconds that the bound on bytes is a mean of
-CLOCKS = 0.98           # a window of the slowest clock is longer than one of ours
+WINDOW = 10  # seconds that the bound on bytes is a mean of
+CLOCKS = 0.98  # a window of the slowest clock is longer than one of ours
 
 
 class Traffic(NamedTuple):
     """Bytes a second, sent and received, with headers."""
 
-    mean: float             # of all instances over the whole time
-    worst: float            # the most of one instance in the mean of any 10 s
-    mean_worst: float       # the mean instance's, in the same sense
-    second: float           # the most of one instance in any second
-    mean_second: float      # the mean instance's
-    sent: float             # means, of them
+    mean: float  # of all instances over the whole time
+    worst: float  # the most of one instance in the mean of any 10 s
+    mean_worst: float  # the mean instance's, in the same sense
+    second: float  # the most of one instance in any second
+    mean_second: float  # the mean instance's
+    sent: float  # means, of them
     heard: float
-    sent_count: float       # datagrams a second
+    sent_count: float  # datagrams a second
     heard_count: float
 
 
@@ -48,8 +49,14 @@
     seconds, members = len(both[0]), len(both)
     mean = [sum(column) / members for column in zip(*both)]
     sums = [sum(sum(books[kind]) for books in told.values()) / members / seconds for kind in range(4)]
-    return Traffic(sum(mean) / seconds, max(any_window(book) for book in both), any_window(mean),
-                   float(max(max(book) for book in both)), max(mean), *sums)
+    return Traffic(
+        sum(mean) / seconds,
+        max(any_window(book) for book in both),
+        any_window(mean),
+        float(max(max(book) for book in both)),
+        max(mean),
+        *sums,
+    )
 
 
 def known_after(gone: Iterable[Gone], holders: dict[int, int], died: float, share: float) -> float | None:
@@ -98,15 +105,16 @@
 
 def over_budgets(used: list[list[float]], budgets: Iterable[tuple[str, int, float]]) -> int:
     """Units beyond a total in any window, of the budget that was worst."""
-    return max((max(0, most_used(times, window) - total) for times, (_, total, window) in zip(used, budgets) if window),
-               default=0)
+    return max(
+        (max(0, most_used(times, window) - total) for times, (_, total, window) in zip(used, budgets) if window), default=0
+    )
 
 
 class History(NamedTuple):
-    script: str             # with the seed it plays the same again
-    one_again: float | None     # seconds after its end until views are one and sums right, in steps of half a second
-    wrong: list[Gone]       # living ones declared gone, those stalled or cut off for long too
-    over: int               # units beyond a budget's total in any window
+    script: str  # with the seed it plays the same again
+    one_again: float | None  # seconds after its end until views are one and sums right, in steps of half a second
+    wrong: list[Gone]  # living ones declared gone, those stalled or cut off for long too
+    over: int  # units beyond a budget's total in any window
 
 
 def history(plan: Plan, seed: int, calm: float = 20.0, length: float = 20.0, within: float = 30.0) -> History:
--- a/mulleinhatch/standins/hollow_shards.py
+++ b/mulleinhatch/standins/hollow_shards.py
@@ -3,6 +3,7 @@
 Conservative: no datagram takes less than `LOOKAHEAD`, so each process may play so far beyond the earliest event of all
 without hearing of the others. What crosses is handed over at the border, and ordered by (time, sender, sequence).
 """
+
 from __future__ import annotations
 
 import contextlib
@@ -80,7 +81,7 @@
 def work(plan: Plan, owner: list[int], index: int, pipe: Connection, ends: list[Connection]) -> None:
     """A process: plays windows and answers questions until its pipe closes. What breaks here is told to the other end."""
     for end in ends:
-        end.close()     # inherited: while one is open here, none is seen to close
+        end.close()  # inherited: while one is open here, none is seen to close
     # The cores make no cycles that matter here; walks over all instances' objects would count as each one's CPU.
     gc.disable()
     try:
@@ -112,19 +113,18 @@
         self.plan, self.ground, self.now = plan, Ground(plan), 0.0
         shards = min(shards, plan.members)
         self.owner = owners(self.ground, shards)
-        self.ground.faults(plan.script)     # before processes are started for it
+        self.ground.faults(plan.script)  # before processes are started for it
         self.pipes: list[Connection | Inline] = []
         self.processes: list[multiprocessing.Process] = []
         self.batches: list[list[bytes]] = [[] for _ in range(shards)]
-        self.first = math.inf       # arrival of the earliest datagram that waits at the border
+        self.first = math.inf  # arrival of the earliest datagram that waits at the border
         context = multiprocessing.get_context("fork")
         for index in range(shards):
             if not processes:
                 self.pipes.append(Inline(Player(plan, self.owner, index)))
                 continue
             here, there = context.Pipe()
-            process = context.Process(target=work, args=(plan, self.owner, index, there, [*self.pipes, here]),
-                                      daemon=True)
+            process = context.Process(target=work, args=(plan, self.owner, index, there, [*self.pipes, here]), daemon=True)
             process.start()
             there.close()
             self.pipes.append(here)
@@ -248,8 +248,13 @@
             alike += views
             unfit, running = unfit + wrong, running + count
         groups = len(self.ground.firsts) * self.ground.groups if self.plan.levels else 1
-        return (running > 0 and not unfit and len(alike) <= groups and all(count == size for (_, size), count in alike.items())
-                and sum(alike.values()) == running)
+        return (
+            running > 0
+            and not unfit
+            and len(alike) <= groups
+            and all(count == size for (_, size), count in alike.items())
+            and sum(alike.values()) == running
+        )
 
     def used(self) -> list[list[float]]:
         """By budget: when units were used, in order."""
--- a/mulleinhatch/standins/hollow_world.py
+++ b/mulleinhatch/standins/hollow_world.py
@@ -4,6 +4,7 @@
 sequence). What is said of the instances is seen from outside: which places run is known by the script, not by asking them.
 Bytes and datagrams are counted by instance and second, with 28 bytes of headers each; CPU is the thread's time in the cores.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -30,12 +31,12 @@
 from mulleinhatch.upkeep.core import Bounds as UpkeepBounds
 from mulleinhatch.upkeep.core import Upkeep
 
-GRACE = 2.0                 # seconds from the notice to leave to the end
-QUEUE = 200                 # datagrams that a stopped process's socket holds
-WATCH_EVERY = 0.25          # seconds between looks at the watched members' sums
-MOST_KEPT = 200_000         # changes and wrong declarations that are kept one by one
-BEAT, USE = -1, -2          # what an event is that is no datagram
-Event = tuple[float, int, int, int, Any]        # when, sender (-1: the script), sequence, to whom, datagram or what else
+GRACE = 2.0  # seconds from the notice to leave to the end
+QUEUE = 200  # datagrams that a stopped process's socket holds
+WATCH_EVERY = 0.25  # seconds between looks at the watched members' sums
+MOST_KEPT = 200_000  # changes and wrong declarations that are kept one by one
+BEAT, USE = -1, -2  # what an event is that is no datagram
+Event = tuple[float, int, int, int, Any]  # when, sender (-1: the script), sequence, to whom, datagram or what else
 
 
 class Gone(NamedTuple):
@@ -45,7 +46,7 @@
     observer: int
     subject: int
     why: str
-    wrong: bool             # this life of it ran just then
+    wrong: bool  # this life of it ran just then
 
 
 class Look(NamedTuple):
@@ -56,19 +57,40 @@
     members: int
     silent: int
     oldest: float
-    living: int             # in truth
+    living: int  # in truth
 
 
 class Hollow:
     """One instance: its cores, its clock, its chance, its books."""
 
-    __slots__ = ("place", "core", "spread", "upkeep", "stalled", "waiting", "chance", "rate", "offset", "sequence", "lives",
-                 "says", "meters", "born", "sent", "heard", "sent_count", "heard_count", "cpu", "calls", "digest")
+    __slots__ = (
+        "place",
+        "core",
+        "spread",
+        "upkeep",
+        "stalled",
+        "waiting",
+        "chance",
+        "rate",
+        "offset",
+        "sequence",
+        "lives",
+        "says",
+        "meters",
+        "born",
+        "sent",
+        "heard",
+        "sent_count",
+        "heard_count",
+        "cpu",
+        "calls",
+        "digest",
+    )
 
     def __init__(self, plan: Plan, place: int) -> None:
         draw = random.Random(plan.seed * 1_000_003 + place)
         self.place, self.chance = place, draw
-        self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)    # nobody's clock is right
+        self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.core: Fleet | None = None
         self.spread: Spread | None = None
         self.upkeep: Upkeep | None = None
@@ -86,8 +108,9 @@
         self.plan, self.ground, self.now, self.index = plan, Ground(plan), 0.0, index
         self.owner = owner or [0] * plan.members
         self.bounds = self.ground.bounds()
-        self.nodes: list[Hollow | None] = [Hollow(plan, place) if who == index else None
-                                           for place, who in enumerate(self.owner)]
+        self.nodes: list[Hollow | None] = [
+            Hollow(plan, place) if who == index else None for place, who in enumerate(self.owner)
+        ]
         self.events: list[Event] = []
         self.out: dict[int, list[Event]] = {}
         self.turn = 0
@@ -190,8 +213,14 @@
         now = self.now * node.rate + node.offset
         bounds = self.bounds[self.ground.zone[place]]
         generation = self.generation[place]
-        node.core = Fleet(bounds, self.ground.name(place, generation), self.ground.address(place, generation),
-                          self.life[place], node.chance.getrandbits(48), now)
+        node.core = Fleet(
+            bounds,
+            self.ground.name(place, generation),
+            self.ground.address(place, generation),
+            self.life[place],
+            node.chance.getrandbits(48),
+            now,
+        )
         node.spread = node.upkeep = None
         if plan.spread:
             at = node.core.members.address
@@ -211,9 +240,11 @@
         """Letters that name all others, as a member that knows them would write, and none of it news to be told on."""
         ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
-            some = names[first:first + 12]
-            told = [words.Rumour(ground.name(place, 0), ground.address(place, 0), self.life_from(self.starts[place]), 0, ALIVE)
-                    for place in some]
+            some = names[first : first + 12]
+            told = [
+                words.Rumour(ground.name(place, 0), ground.address(place, 0), self.life_from(self.starts[place]), 0, ALIVE)
+                for place in some
+            ]
             letter = words.Letter(words.VERSION, "hollow", told[0].name, told[0].address, told[0].life, 0, "word", rumours=told)
             node.core.datagram(now, words.encode(letter))
         node.core.members.news.clear()
@@ -243,7 +274,7 @@
             for place in fault.places:
                 if (node := self.nodes[place]) and node.core:
                     was, node.stalled = node.stalled, what == "stall"
-                    if was and not node.stalled:    # else it was started anew meanwhile
+                    if was and not node.stalled:  # else it was started anew meanwhile
                         self._go_on(node)
         elif what in faults.LINKS:
             self.active.append(fault)
@@ -404,8 +435,16 @@
 
     def traffic(self, first: int, last: int) -> dict[int, tuple[array, array, array, array]]:
         """By place: bytes sent and heard, datagrams sent and heard, for the seconds from `first` to before `last`."""
-        return {node.place: (node.sent[first:last], node.heard[first:last], node.sent_count[first:last],
-                             node.heard_count[first:last]) for node in self.nodes if node}
+        return {
+            node.place: (
+                node.sent[first:last],
+                node.heard[first:last],
+                node.sent_count[first:last],
+                node.heard_count[first:last],
+            )
+            for node in self.nodes
+            if node
+        }
 
     def mark(self) -> None:
         for node in self.nodes:
@@ -468,8 +507,14 @@
 
 KINDS_OF_STATE: tuple[tuple[str, Callable[[Hollow], Any]], ...] = (
     ("members", lambda node: node.core.members.view),
-    ("membership", lambda node: [getattr(node.core.members, name) for name in (
-        "probes", "helping", "rounds", "evidence", "news", "outcomes") if hasattr(node.core.members, name)]),
+    (
+        "membership",
+        lambda node: [
+            getattr(node.core.members, name)
+            for name in ("probes", "helping", "rounds", "evidence", "news", "outcomes")
+            if hasattr(node.core.members, name)
+        ],
+    ),
     ("reports", lambda node: node.core.known.rows),
     ("verdicts", lambda node: node.core.verdicts.__dict__),
     ("budgets", lambda node: [part.__dict__ for part in node.core.parts]),
@@ -503,8 +548,12 @@
         elif isinstance(one, list | tuple | set | frozenset | deque):
             todo += one
         else:
-            todo += [getattr(one, name) for kind in type(one).__mro__ for name in getattr(kind, "__slots__", ())
-                     if isinstance(name, str) and hasattr(one, name) and name not in ("__weakref__", "__dict__")]
+            todo += [
+                getattr(one, name)
+                for kind in type(one).__mro__
+                for name in getattr(kind, "__slots__", ())
+                if isinstance(name, str) and hasattr(one, name) and name not in ("__weakref__", "__dict__")
+            ]
             todo += [getattr(one, name) for name in getattr(type(one), "__struct_fields__", ())]
             todo.append(getattr(one, "__dict__", None))
     return size
--- a/mulleinhatch/standins/interpreter.py
+++ b/mulleinhatch/standins/interpreter.py
@@ -5,6 +5,7 @@
 PLACE`, which asks for the number of runs begun there, on standard input, and prints a list. A
 body says what an op takes and who it is, as `50.0 OP ...`: work in milliseconds on one core, then a name of the op.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -20,8 +21,8 @@
 from typing import Any
 
 NOTICES_KEPT = 4000
-STOOD_STILL = 1.0       # seconds late from which it was stopped, not slow
-GAUGE_SPAN = 0.5        # seconds that the gauge of core use covers
+STOOD_STILL = 1.0  # seconds late from which it was stopped, not slow
+GAUGE_SPAN = 0.5  # seconds that the gauge of core use covers
 
 
 class Cores:
@@ -35,7 +36,7 @@
 
     def __init__(self, cores: int, speed: Any) -> None:
         self.cores, self.speed = cores, speed
-        self.progress, self.at, self.busy = 0.0, 0.0, 0.0      # busy: core seconds used since the start
+        self.progress, self.at, self.busy = 0.0, 0.0, 0.0  # busy: core seconds used since the start
         self.running: list[tuple[float, str]] = []
 
     def _rate(self, now: float) -> float:
@@ -76,12 +77,12 @@
         self.late_most = self.late_before = 0.0
         self.busy_then: deque[tuple[float, float]] = deque([(self.born, 0.0)])
         self.wanted: float | None = None
-        self.slowed, self.failing = 1.0, 0.0        # by script: times as slow, share of the runs that fail
+        self.slowed, self.failing = 1.0, 0.0  # by script: times as slow, share of the runs that fail
         self.draw = random.Random(1)
-        self.starts: list[tuple[float, str]] = []   # when each run began, on the system's clock, and its op type
+        self.starts: list[tuple[float, str]] = []  # when each run began, on the system's clock, and its op type
         self.keep_starts = False
-        self.life = 1           # one more with each reset
-        self.once: list[tuple[float, int, str, str]] = []   # of runs that may not be had twice: when, life, id of the try, op
+        self.life = 1  # one more with each reset
+        self.once: list[tuple[float, int, str, str]] = []  # of runs that may not be had twice: when, life, id of the try, op
 
     def reset(self) -> None:
         """Gone with its instance and started anew: runs, notices and link; what it ran stays known to us."""
@@ -113,18 +114,24 @@
     def command(self, told: dict[str, Any]) -> None:
         now = time.monotonic()
         if told["t"] == "CONNECT":
-            self.say(json.dumps({"t": "BANNER", "status": "new" if self.warming else "old",
-                                 "time_ms": 1000.0 * (now - self.born)}).encode())
-            for notice in self.notices[max(0, told["no"] + 1 - self.first_kept):]:
+            self.say(
+                json.dumps(
+                    {"t": "BANNER", "status": "new" if self.warming else "old", "time_ms": 1000.0 * (now - self.born)}
+                ).encode()
+            )
+            for notice in self.notices[max(0, told["no"] + 1 - self.first_kept) :]:
                 self.say(notice)
         elif told["t"] == "TOP":
-            self.say(json.dumps({"t": "TOPS", "mark": told["mark"],
-                                 "v": [self.core_use(now), len(self.cores.running), 0.1, 1]}).encode())
+            self.say(
+                json.dumps(
+                    {"t": "TOPS", "mark": told["mark"], "v": [self.core_use(now), len(self.cores.running), 0.1, 1]}
+                ).encode()
+            )
         elif told["t"] == "APPLY" and told["rid"] not in self.bodies:
             body = b64decode(told["b64"])
             work, who, *_ = body.split(b" ")
             if who == b"alike":
-                self.alike.append(told["rid"])      # who it is the stubs know by its id
+                self.alike.append(told["rid"])  # who it is the stubs know by its id
             else:
                 self.ran[f"{told['route']} {who.decode()}"] += 1
             self.bodies[told["rid"]] = body, now
@@ -153,10 +160,18 @@
         for ref in self.cores.ended(now):
             body, since = self.bodies.pop(ref)
             number = self.first_kept + len(self.notices)
-            self.notices.append(json.dumps({"t": "VALUE", "no": number, "rid": ref,
-                                            "status": "bad" if self.draw.random() < self.failing else "good",
-                                            "time_ms": 1000.0 * (now - since),
-                                            "b64": b64encode(b"done " + body).decode()}).encode())
+            self.notices.append(
+                json.dumps(
+                    {
+                        "t": "VALUE",
+                        "no": number,
+                        "rid": ref,
+                        "status": "bad" if self.draw.random() < self.failing else "good",
+                        "time_ms": 1000.0 * (now - since),
+                        "b64": b64encode(b"done " + body).decode(),
+                    }
+                ).encode()
+            )
             self.say(self.notices[-1])
         if len(self.notices) > 2 * NOTICES_KEPT:
             self.first_kept += NOTICES_KEPT
@@ -177,8 +192,12 @@
 
     def report(self) -> dict[str, Any]:
         twice = Counter(name.split(" ")[0] for name, count in self.ran.items() if count > 1)
-        return {"ran": sum(self.ran.values()) + len(self.alike), "alike": self.alike, "twice": dict(twice),
-                "late_most": round(self.late_most, 4)}
+        return {
+            "ran": sum(self.ran.values()) + len(self.alike),
+            "alike": self.alike,
+            "twice": dict(twice),
+            "late_most": round(self.late_most, 4),
+        }
 
 
 async def main(port: int, cores: int, speed: float, warming: float) -> None:
@@ -225,17 +244,30 @@
             host.failing = float(amount[0])
         elif word == "begun":
             print(len(host.starts), flush=True)
+
     loop.add_reader(sys.stdin.fileno(), hear)
     print("up", flush=True)
     await stop.wait()
-    print(json.dumps([{**host.report(), "starts": host.starts, "once": host.once,
-                       "signoffs": {name: count for name, count in host.ran.items() if name.startswith("signoff ")}}
-                      for host in hosts]), flush=True)
-    os._exit(0)     # the links are open still, and their readers would only complain
+    print(
+        json.dumps(
+            [
+                {
+                    **host.report(),
+                    "starts": host.starts,
+                    "once": host.once,
+                    "signoffs": {name: count for name, count in host.ran.items() if name.startswith("signoff ")},
+                }
+                for host in hosts
+            ]
+        ),
+        flush=True,
+    )
+    os._exit(0)  # the links are open still, and their readers would only complain
 
 
 if __name__ == "__main__" and "," in sys.argv[1]:
-    asyncio.run(several([int(port) for port in sys.argv[1].split(",")], int(sys.argv[2]), float(sys.argv[3]),
-                        float(sys.argv[4])))
+    asyncio.run(
+        several([int(port) for port in sys.argv[1].split(",")], int(sys.argv[2]), float(sys.argv[3]), float(sys.argv[4]))
+    )
 elif __name__ == "__main__":
     asyncio.run(main(int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3]), float(sys.argv[4])))
--- a/mulleinhatch/standins/lone.py
+++ b/mulleinhatch/standins/lone.py
@@ -3,6 +3,7 @@
 CPU seconds are user and system time of all threads, to the nanosecond where the system tells it; memory is what belongs to
 the process alone (USS), in bytes. Who makes a `Lone` ends it by `stop`, or uses it in a `with`.
 """
+
 from __future__ import annotations
 
 import json
@@ -21,9 +22,9 @@
 
 from mulleinhatch.standins.rig import free_port
 
-UP_WITHIN = 120.0       # seconds: the largest settings take their time, on a busy machine the more
-CORES = 8               # of the interpreter: such that short work never waits for one
-WORTHS = 4              # distinct worths of the classes
+UP_WITHIN = 120.0  # seconds: the largest settings take their time, on a busy machine the more
+CORES = 8  # of the interpreter: such that short work never waits for one
+WORTHS = 4  # distinct worths of the classes
 
 
 def settings(tenants: int = 0, classes: int = 1, worths: int = WORTHS, quota: float = 20.0) -> dict[str, Any]:
@@ -32,16 +33,28 @@
         raise ValueError(f"{tenants} tenants, {classes} classes of {worths} worths: sizes below what there can be")
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
     told: dict[str, Any] = {
-        "classes": [{"name": f"c{place}", "effect": "safe", "worth": 1.0 + place % worths, **timing}
-                    for place in range(classes)],
-        "family_info": {"cores": CORES, "gauges": ["core_use", "on_cores", "heap_share", "links"], "memory_kb": 60_000.0,
-                        "run_factor": 4.0, "key_kb": 1.0, "say": "floor", "callers": 1000},
-        "tick": 2.0, "servers": 3600, "limits": {"retry_after": True, "max_retry_after": 30_000.0},
-        "rules": {"drain_grace": 2500.0, "tip_multiple": 8.0, "cold": 0.0, "cold_from": 1.0}}
+        "classes": [
+            {"name": f"c{place}", "effect": "safe", "worth": 1.0 + place % worths, **timing} for place in range(classes)
+        ],
+        "family_info": {
+            "cores": CORES,
+            "gauges": ["core_use", "on_cores", "heap_share", "links"],
+            "memory_kb": 60_000.0,
+            "run_factor": 4.0,
+            "key_kb": 1.0,
+            "say": "floor",
+            "callers": 1000,
+        },
+        "tick": 2.0,
+        "servers": 3600,
+        "limits": {"retry_after": True, "max_retry_after": 30_000.0},
+        "rules": {"drain_grace": 2500.0, "tip_multiple": 8.0, "cold": 0.0, "cold_from": 1.0},
+    }
     if tenants:
         fraction = min(1.0, 4.0 / tenants)
-        told["tenants"] = [{"name": f"t{place:07d}", "fraction": fraction, "quota_per_s": 3600 * quota}
-                           for place in range(tenants)]
+        told["tenants"] = [
+            {"name": f"t{place:07d}", "fraction": fraction, "quota_per_s": 3600 * quota} for place in range(tenants)
+        ]
     return told
 
 
@@ -74,8 +87,11 @@
             extra = ["--operator", str(folder / "operator.kdl")]
         began = time.monotonic()
         with open(self.log, "ab") as log:
-            self.process = subprocess.Popen([sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config",
-                                             str(self.config), *extra], stderr=log, env=environ)
+            self.process = subprocess.Popen(
+                [sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", str(self.config), *extra],
+                stderr=log,
+                env=environ,
+            )
         self.watched = psutil.Process(self.process.pid)
         try:
             self._until_live(began)
@@ -91,16 +107,25 @@
 
     def write(self, told: dict[str, Any]) -> None:
         """The file of the next start or reload, whole or not at all."""
-        whole = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "vm": f"127.0.0.1:{self.link}", "seed": "5",
-                 "stop_ms": 100, "limits": {"sockets": self.sockets}, "settings": told}
+        whole = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "vm": f"127.0.0.1:{self.link}",
+            "seed": "5",
+            "stop_ms": 100,
+            "limits": {"sockets": self.sockets},
+            "settings": told,
+        }
         new = self.config.with_suffix(".new")
         new.write_text(json.dumps(whole))
         new.replace(self.config)
 
     @staticmethod
     def _interpreter(port: int) -> subprocess.Popen[bytes]:
-        process = subprocess.Popen([sys.executable, "-m", "mulleinhatch.standins.interpreter", str(port), str(CORES), "1.0",
-                                    "0.0"], stdout=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "mulleinhatch.standins.interpreter", str(port), str(CORES), "1.0", "0.0"],
+            stdout=subprocess.DEVNULL,
+        )
         until = time.monotonic() + 15.0
         while time.monotonic() < until:
             try:
@@ -118,7 +143,7 @@
         self.ready_s, self.ready_cpu_s = time.monotonic() - began, self.cpu()
         self._until("serving", began, self._request)
         self.serving_s, self.serving_cpu_s = time.monotonic() - began, self.cpu()
-        time.sleep(0.3)     # its first gauges
+        time.sleep(0.3)  # its first gauges
         self.ready_bytes, self.peak_bytes = self.memory(), self.peak()
 
     def _until(self, what: str, began: float, asked: Callable[[], str]) -> None:
@@ -136,9 +161,11 @@
     def _request(self) -> str:
         ref, tenant = f"{random.getrandbits(64):016x}", f"X-Tenant: {self.first_tenant}\r\n" if self.first_tenant else ""
         body = f"0.10 {ref}"
-        return self._said(f"POST /svc/c0 HTTP/1.1\r\nHost: x\r\nX-Request-Id: {ref}\r\nX-Request-Start: "
-                          f"{1000.0 * time.time():.0f}\r\nX-Memory-Kb: 1.0\r\nX-Timeout-Ms: 4000\r\nConnection: close\r\n"
-                          f"{tenant}Content-Length: {len(body)}\r\n\r\n{body}")
+        return self._said(
+            f"POST /svc/c0 HTTP/1.1\r\nHost: x\r\nX-Request-Id: {ref}\r\nX-Request-Start: "
+            f"{1000.0 * time.time():.0f}\r\nX-Memory-Kb: 1.0\r\nX-Timeout-Ms: 4000\r\nConnection: close\r\n"
+            f"{tenant}Content-Length: {len(body)}\r\n\r\n{body}"
+        )
 
     def ask(self, path: str) -> str:
         return self._said(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -189,8 +216,9 @@
 
     def __init__(self, port: int, rate: float, run_for: float, **habits: Any) -> None:
         self.run_for = run_for
-        self.process = subprocess.Popen([sys.executable, "-m", "mulleinhatch.standins.heavy"], stdin=subprocess.PIPE,
-                                        stdout=subprocess.PIPE)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "mulleinhatch.standins.heavy"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        )
         self.process.stdin.write(json.dumps({"port": port, "rate": rate, "run_for": run_for, **habits}).encode() + b"\n")
         self.process.stdin.flush()
         if self.process.stdout.readline() != b"up\n":
--- a/mulleinhatch/standins/outings.py
+++ b/mulleinhatch/standins/outings.py
@@ -2,6 +2,7 @@
 
 It knows nothing of permits: a machine is out while its process does not run. By list, without agreement, it takes them itself.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 class Seen(NamedTuple):
-    at: float               # of the script's clock
+    at: float  # of the script's clock
     place: int
     out: bool
 
@@ -26,8 +27,8 @@
         self.seen: list[Seen] = []
         self.most = 0
         self.zone_most: dict[str, int] = {}
-        self.done: dict[int, float] = {}        # when it was back
-        self.crashed: set[int] = set()          # what a script killed is no outing
+        self.done: dict[int, float] = {}  # when it was back
+        self.crashed: set[int] = set()  # what a script killed is no outing
         self.tasks: set[asyncio.Task[None]] = set()
         self.watching: asyncio.Task[None] | None = None
         self.late = 0.0
--- a/mulleinhatch/standins/permits.py
+++ b/mulleinhatch/standins/permits.py
@@ -5,6 +5,7 @@
 start anew; a voter may lose its disk; the voters may change; a person may release a machine that serves. A state is what all
 of them are, not how it came about, so each is looked at once.
 """
+
 from __future__ import annotations
 
 import random
@@ -22,13 +23,13 @@
     voters: int = 5
     askers: int = 2
     most: int = 1
-    wipes: bool = False         # voters may lose their disks
-    elects: bool = False        # the voters may change
-    releases: bool = False      # a person gives back the permit of one that serves, by what a voter shows
+    wipes: bool = False  # voters may lose their disks
+    elects: bool = False  # the voters may change
+    releases: bool = False  # a person gives back the permit of one that serves, by what a voter shows
     voter: type[Voter] = Voter
     round: type[Round] = Round
     table: type[Table] = Table
-    waits: bool = True          # who lost its disk waits until no round of before is under way
+    waits: bool = True  # who lost its disk waits until no round of before is under way
 
 
 class Go:
@@ -64,22 +65,22 @@
     def __init__(self, name: str, known: Table) -> None:
         self.name, self.known, self.life, self.number = name, known, 0, 0
         self.round: Round | None = None
-        self.fence = 0          # of the permit by which it is out
-        self.down = False       # crashed
-        self.is_out = False     # really
+        self.fence = 0  # of the permit by which it is out
+        self.down = False  # crashed
+        self.is_out = False  # really
 
 
 class State:
     def __init__(self, model: Model) -> None:
-        names = tuple("abcdefghi"[:model.voters])
+        names = tuple("abcdefghi"[: model.voters])
         first = model.table(voters=names, most=model.most, zone_most=model.most)
-        spare = "abcdefghi"[model.voters:model.voters + (2 if model.elects else 0)]
+        spare = "abcdefghi"[model.voters : model.voters + (2 if model.elects else 0)]
         self.voters = {name: model.voter(name, Kept()) for name in (*names, *spare)}
         self.askers = [Asker(f"n{place}", first) for place in range(model.askers)]
         if model.elects or model.releases:
             self.askers.append(Asker("operator", first))
-        self.copies: list[tuple[int, int, str, Ask]] = []      # asker, its life, voter, ask
-        self.wiped: dict[str, list[tuple[int, int]]] = {}       # voters without a disk, and the rounds of that time
+        self.copies: list[tuple[int, int, str, Ask]] = []  # asker, its life, voter, ask
+        self.wiped: dict[str, list[tuple[int, int]]] = {}  # voters without a disk, and the rounds of that time
 
 
 def actions(model: Model, state: State) -> Iterator[tuple]:
@@ -92,8 +93,11 @@
                 for target, other in enumerate(state.askers):
                     for name, voter in state.voters.items():
                         # Who asks just now may be out by the time that the word arrives: a person must not release it.
-                        if not (other.is_out or other.down or other.round) and voter.kept.table and (
-                                voter.kept.table.permit(other.name)):
+                        if (
+                            not (other.is_out or other.down or other.round)
+                            and voter.kept.table
+                            and (voter.kept.table.permit(other.name))
+                        ):
                             yield "release", place, target, name
             if asker.round is None and model.elects:
                 for voters in _electorates(model, state, asker.known):
@@ -115,18 +119,18 @@
         for name in state.voters:
             if name in state.wiped:
                 yield "learn", name
-            elif not state.wiped:       # a minority at a time
+            elif not state.wiped:  # a minority at a time
                 yield "wipe", name
 
 
 def _electorates(model: Model, state: State, known: Table) -> Iterator[tuple[str, ...]]:
     names = tuple(state.voters)
-    yield names[:model.voters + 1]
+    yield names[: model.voters + 1]
     yield names
-    yield names[:model.voters]
+    yield names[: model.voters]
     if model.voters > 2:
-        yield names[:model.voters - 1]
-        yield names[model.voters - 2:model.voters]
+        yield names[: model.voters - 1]
+        yield names[model.voters - 2 : model.voters]
 
 
 def act(model: Model, state: State, action: tuple) -> None:
@@ -153,10 +157,14 @@
         name = told[0]
         # As many others as a majority of the voters that the latest of them names; rounds of before the loss are over.
         under_way = model.waits and any(
-            state.askers[place].life == life and state.askers[place].round for place, life in state.wiped[name])
+            state.askers[place].life == life and state.askers[place].round for place, life in state.wiped[name]
+        )
         others = [voter.kept for voter in state.voters.values() if voter.name != name and not voter.abstains]
-        if not under_way and not (model.waits and state.copies) and state.voters[name].learn(
-                others[:model.voters // 2 + 1], model.voters):
+        if (
+            not under_way
+            and not (model.waits and state.copies)
+            and state.voters[name].learn(others[: model.voters // 2 + 1], model.voters)
+        ):
             del state.wiped[name]
     else:
         _asker_does(model, state, what, *told)
@@ -179,11 +187,10 @@
             name = state.askers[more[0]].name
             change = Back(name, state.voters[more[1]].kept.table.permit(name).fence)
         else:
-            change = (Go(asker.name) if what == "want" else Back(asker.name, asker.fence) if what == "return"
-                      else Elect(more[0]))
+            change = Go(asker.name) if what == "want" else Back(asker.name, asker.fence) if what == "return" else Elect(more[0])
         asker.round = model.round(f"{asker.name}.{asker.life}", asker.number, asker.known, change)
         if what == "return":
-            asker.is_out = False        # it serves from here on; the permit follows
+            asker.is_out = False  # it serves from here on; the permit follows
 
 
 def _heard(asker: Asker, answer: object) -> None:
@@ -208,17 +215,37 @@
     return f"{' and '.join(out)} are out, {model.most} may be" if len(out) > model.most else ""
 
 
-def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10 ** 9) -> tuple[int, str]:
+def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
     """All that can happen in `depth` steps after those `before`: how many states, and the first history over the bound."""
     start = State(model)
     for action in before:
         act(model, start, action)
-    return exploring.explore(start, lambda state: actions(model, state), lambda state, action: act(model, state, action),
-                             lambda state: broken(model, state), depth, before, most_states)
-
-
-LIKELY = {"step": 6.0, "lost": 1.0, "copy": 1.0, "deliver": 1.0, "stop": 0.4, "crash": 0.2, "restart": 1.0, "want": 2.0,
-          "return": 2.0, "elect": 0.6, "release": 1.0, "wipe": 0.3, "learn": 2.0}
+    return exploring.explore(
+        start,
+        lambda state: actions(model, state),
+        lambda state, action: act(model, state, action),
+        lambda state: broken(model, state),
+        depth,
+        before,
+        most_states,
+    )
+
+
+LIKELY = {
+    "step": 6.0,
+    "lost": 1.0,
+    "copy": 1.0,
+    "deliver": 1.0,
+    "stop": 0.4,
+    "crash": 0.2,
+    "restart": 1.0,
+    "want": 2.0,
+    "return": 2.0,
+    "elect": 0.6,
+    "release": 1.0,
+    "wipe": 0.3,
+    "learn": 2.0,
+}
 
 
 def wander(model: Model, seed: int, walks: int, steps: int, before: tuple[tuple, ...] = ()) -> tuple[int, str]:
--- a/mulleinhatch/standins/relay.py
+++ b/mulleinhatch/standins/relay.py
@@ -4,6 +4,7 @@
 others reach it here and its own, the directory's two ports if there is one, the script, and when its zero is. On SIGTERM
 it prints what passed, and how late it was itself.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -31,9 +32,9 @@
         self.start_at = told["start_at"]
         self.draw = random.Random(told.get("seed", 1))
         self.sockets: list[socket.socket] = []
-        self.directory = told.get("directory")      # the port here and its own
+        self.directory = told.get("directory")  # the port here and its own
         self.counts = {"passed": 0, "dropped": 0, "strangers": 0, "bytes": 0, "to_directory": 0}
-        self.by_sender = [[0, 0] for _ in self.here]        # datagrams and bytes
+        self.by_sender = [[0, 0] for _ in self.here]  # datagrams and bytes
         self.late = 0.0
 
     def open(self) -> None:
@@ -86,8 +87,13 @@
             self.counts["dropped"] += 1
             return
         lossy, repeated, swapped, delayed = (
-            max(faults.amount(self.noise, what, now, place) for place in (sender, to))
-            for what in ("lossy", "repeated", "swapped", "delayed")) if self.noise else (0.0,) * 4
+            (
+                max(faults.amount(self.noise, what, now, place) for place in (sender, to))
+                for what in ("lossy", "repeated", "swapped", "delayed")
+            )
+            if self.noise
+            else (0.0,) * 4
+        )
         for _ in range(1 + (self.draw.random() < repeated)):
             if self.draw.random() < lossy:
                 self.counts["dropped"] += 1
--- a/mulleinhatch/standins/rig.py
+++ b/mulleinhatch/standins/rig.py
@@ -3,6 +3,7 @@
 Everything is on loopback and bounded in time. What measures is measured, too: the processes' CPU and memory each
 quarter of a second, and how late stubs, interpreters and the rig itself were.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -23,9 +24,9 @@
 
 from mulleinhatch.standins import faults
 
-SAMPLE = 0.25           # seconds between two looks at the processes
-WINDOW = 2.0            # seconds over which a core counts as busy
-LEAD = 1.5              # seconds from the start of the stubs to their first op
+SAMPLE = 0.25  # seconds between two looks at the processes
+WINDOW = 2.0  # seconds over which a core counts as busy
+LEAD = 1.5  # seconds from the start of the stubs to their first op
 UP_WITHIN = 15.0
 GARBLE = b"\x00\x17garbled \xff line\r\nContent-Length: -7\r\n\r\n"
 
@@ -39,36 +40,50 @@
     patience: float = 30.0
     heeding: float = 0.0
     marked: float = 1.0
-    alike: float = 0.0          # share of the ops whose bodies are all the same
-    steady: float = 1.0         # share of the clients whose rank and cost stay over the tries of an op
+    alike: float = 0.0  # share of the ops whose bodies are all the same
+    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of an op
     instances: int = 1
     cores: int = 4
     work_ms: float = 50.0
-    loads: int = 2              # stub processes
-    cold_speed: float = 1.0     # of a fresh interpreter
-    warming: float = 0.0        # seconds until it is warm
+    loads: int = 2  # stub processes
+    cold_speed: float = 1.0  # of a fresh interpreter
+    warming: float = 0.0  # seconds until it is warm
     seed: int = 1
-    operator: str = ""          # the operator's file, as KDL
+    operator: str = ""  # the operator's file, as KDL
     longest_hold_off: float = 30.0
 
 
-KINDS = [{"name": "read", "share": 0.70, "repeats": "safe"}, {"name": "update", "share": 0.12, "repeats": "safe"},
-         {"name": "signoff", "share": 0.10, "repeats": "unsafe"}, {"name": "stamp", "share": 0.08, "repeats": "keyed"}]
+KINDS = [
+    {"name": "read", "share": 0.70, "repeats": "safe"},
+    {"name": "update", "share": 0.12, "repeats": "safe"},
+    {"name": "signoff", "share": 0.10, "repeats": "unsafe"},
+    {"name": "stamp", "share": 0.08, "repeats": "keyed"},
+]
 
 
 def settings(case: Case) -> dict[str, Any]:
     """What the instances are told of the deployment."""
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
     worth = {"read": 1.0, "update": 2.0, "signoff": 5.0, "stamp": 5.0}
-    return {"classes": [{"name": kind["name"], "effect": kind["repeats"], "worth": worth[kind["name"]], **timing}
-                        for kind in KINDS],
-            "family_info": {"cores": case.cores, "gauges": ["core_use", "on_cores", "heap_share", "links"],
-                            "memory_kb": 60_000.0, "run_factor": 4.0, "key_kb": 1.0, "say": "floor",
-                            "callers": 4 * case.loads, "idle": 15_000.0},
-            "tick": 2.0, "servers": case.instances, "limits": {"retry_after": True,
-                                                              "max_retry_after": 1000.0 * case.longest_hold_off},
-            "rules": {"drain_grace": 2500.0, "tip_multiple": 8.0, "cold": 1000.0 * case.warming,
-                      "cold_from": case.cold_speed}}
+    return {
+        "classes": [
+            {"name": kind["name"], "effect": kind["repeats"], "worth": worth[kind["name"]], **timing} for kind in KINDS
+        ],
+        "family_info": {
+            "cores": case.cores,
+            "gauges": ["core_use", "on_cores", "heap_share", "links"],
+            "memory_kb": 60_000.0,
+            "run_factor": 4.0,
+            "key_kb": 1.0,
+            "say": "floor",
+            "callers": 4 * case.loads,
+            "idle": 15_000.0,
+        },
+        "tick": 2.0,
+        "servers": case.instances,
+        "limits": {"retry_after": True, "max_retry_after": 1000.0 * case.longest_hold_off},
+        "rules": {"drain_grace": 2500.0, "tip_multiple": 8.0, "cold": 1000.0 * case.warming, "cold_from": case.cold_speed},
+    }
 
 
 def free_port() -> int:
@@ -90,19 +105,40 @@
 
     async def start(self) -> None:
         case, self.life = self.case, self.life + 1
-        told = {"name": f"n{self.number}", "listen": f"127.0.0.1:{self.port}", "vm": f"127.0.0.1:{self.link}",
-                "seed": f"{case.seed * 1000 + self.number * 10 + self.life:x}", "stop_ms": 3000,
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings(case)}
+        told = {
+            "name": f"n{self.number}",
+            "listen": f"127.0.0.1:{self.port}",
+            "vm": f"127.0.0.1:{self.link}",
+            "seed": f"{case.seed * 1000 + self.number * 10 + self.life:x}",
+            "stop_ms": 3000,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings(case),
+        }
         config, operator = self.folder / f"n{self.number}.json", self.folder / "operator.kdl"
         config.write_text(json.dumps(told))
         operator.write_text(case.operator)
         self.interpreter = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "mulleinhatch.standins.interpreter", str(self.link), str(case.cores),
-            str(case.cold_speed), str(case.warming), stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "mulleinhatch.standins.interpreter",
+            str(self.link),
+            str(case.cores),
+            str(case.cold_speed),
+            str(case.warming),
+            stdout=asyncio.subprocess.PIPE,
+        )
         with open(self.folder / f"n{self.number}.log", "a") as log:
             self.instance = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", str(config),
-                *(["--operator", str(operator)] if case.operator else []), stderr=log)
+                sys.executable,
+                "-O",
+                "-m",
+                "mulleinhatch",
+                "serve",
+                "--config",
+                str(config),
+                *(["--operator", str(operator)] if case.operator else []),
+                stderr=log,
+            )
         self.watched = psutil.Process(self.instance.pid)
 
     async def stop(self) -> dict[str, Any]:
@@ -144,9 +180,9 @@
         self.case, self.folder, self.on_sample = case, folder, on_sample
         self.faults = faults.read(case.script)
         self.places = [Place(case, number, folder) for number in range(case.instances)]
-        self.samples: list[tuple[float, list[float | None], list[int]]] = []     # at, CPU seconds, memory
+        self.samples: list[tuple[float, list[float | None], list[int]]] = []  # at, CPU seconds, memory
         self.late = 0.0
-        self.looks: list[tuple[float, float, dict[str, int]]] = []     # CPU seconds, at, counters
+        self.looks: list[tuple[float, float, dict[str, int]]] = []  # CPU seconds, at, counters
         self.noise: list[asyncio.Task[None]] = []
         self.start_at = math.inf
 
@@ -165,8 +201,15 @@
             sampling.cancel()
             counters = [await place.counters() for place in self.places]
             ran = [[*place.lost_lives, await place.stop()] for place in self.places]
-            return {"stubs": [json.loads(out) for out, _ in done], "counters": counters, "ran": ran,
-                    "samples": self.samples, "looks": self.looks, "rig_late": self.late, "end": faults.end_of(self.faults)}
+            return {
+                "stubs": [json.loads(out) for out, _ in done],
+                "counters": counters,
+                "ran": ran,
+                "samples": self.samples,
+                "looks": self.looks,
+                "rig_late": self.late,
+                "end": faults.end_of(self.faults),
+            }
         finally:
             for task in self.noise:
                 task.cancel()
@@ -188,15 +231,25 @@
 
     async def _load(self, number: int) -> asyncio.subprocess.Process:
         case = self.case
-        habits = {"instances": [["127.0.0.1", place.port] for place in self.places], "kinds": KINDS,
-                  "start_at": self.start_at, "run_for": case.run_for, "rate": case.rate / case.loads,
-                  "seed": 100 * case.seed + number, "first_caller": 4 * number, "patience": case.patience,
-                  "heeding": case.heeding, "marked": case.marked, "work_ms": case.work_ms,
-                  "alike": case.alike, "steady": case.steady,
-                  "connections": 900 // case.loads}
+        habits = {
+            "instances": [["127.0.0.1", place.port] for place in self.places],
+            "kinds": KINDS,
+            "start_at": self.start_at,
+            "run_for": case.run_for,
+            "rate": case.rate / case.loads,
+            "seed": 100 * case.seed + number,
+            "first_caller": 4 * number,
+            "patience": case.patience,
+            "heeding": case.heeding,
+            "marked": case.marked,
+            "work_ms": case.work_ms,
+            "alike": case.alike,
+            "steady": case.steady,
+            "connections": 900 // case.loads,
+        }
         load = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "mulleinhatch.standins.stubs", stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "mulleinhatch.standins.stubs", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
+        )
         load.stdin.write(json.dumps(habits).encode() + b"\n")
         await load.stdin.drain()
         return load
@@ -283,6 +336,7 @@
 
 def played_beside(cases: list[Case], on_sample: Callable[[Rig], None] | None = None) -> list[dict[str, Any]]:
     """Several runs at one time, for a comparison under the same conditions: each takes four processes or more."""
+
     async def all_of_them() -> list[dict[str, Any]]:
         with tempfile.TemporaryDirectory() as folder:
             rigs = []
@@ -291,6 +345,7 @@
                 place.mkdir()
                 rigs.append(Rig(case, place, on_sample))
             return list(await asyncio.gather(*(rig.play() for rig in rigs)))
+
     return asyncio.run(all_of_them())
 
 
@@ -307,7 +362,7 @@
     start, stop = round(end * per), round(case.run_for * per)
     after, served = sum(first.get(b, 0) for b in range(start, stop)), sum(good.get(b, 0) for b in range(start, stop))
     back, late = None, 0
-    for at in range(stop - 2 * per, start - 1, -1):     # backwards: the last two seconds that were not good
+    for at in range(stop - 2 * per, start - 1, -1):  # backwards: the last two seconds that were not good
         wanted, got = (sum(of.get(b, 0) for b in range(at, at + 2 * per)) for of in (first, good))
         if got < 0.9 * wanted:
             break
@@ -321,24 +376,35 @@
             twice[name] = twice.get(name, 0) + count
         late = max(late, life.get("late_most", 0.0))
         # Ops that look alike are counted by the ids of their tries, in each life: who they are the stubs alone know.
-        owners = [(number, refs[ref]) for ref in life.get("alike", ()) for number, refs in enumerate(
-            stub["refs"] for stub in told["stubs"]) if ref in refs]
+        owners = [
+            (number, refs[ref])
+            for ref in life.get("alike", ())
+            for number, refs in enumerate(stub["refs"] for stub in told["stubs"])
+            if ref in refs
+        ]
         twice["signoff"] = twice.get("signoff", 0) + len(owners) - len(set(owners))
     counts = {name: sum(stub["counts"][name] for stub in told["stubs"]) for name in told["stubs"][0]["counts"]}
     tries = {}
     for stub in told["stubs"]:
         for key, count in stub["tries"].items():
             tries[int(key)] = tries.get(int(key), 0) + count
-    return {"in_time": served / max(1, after), "calm": sum(good.get(b, 0) for b in before) / max(1, calm),
-            "back_after": back, "core": core_use(told["samples"], end + 10.0),
-            "core_all": core_use(told["samples"], 0.0),
-            "memory_mb": max(max(sample[2]) for sample in told["samples"]) / 1e6,
-            "lost": counts["unanswered"], "wrong": counts["wrong"],
-            "twice": twice.get("signoff", 0) + twice.get("stamp", 0), "most_tries": max(tries.values()) / bucket,
-            "told": max((stub["told"] for stub in told["stubs"]), key=lambda told: told["50"]),
-            "late": max([late, told["rig_late"], *(stub["late"]["99"] for stub in told["stubs"])]),
-            "counts": counts, "counters": told["counters"],
-            "series": {"first": first, "good": good, "tries": tries}}
+    return {
+        "in_time": served / max(1, after),
+        "calm": sum(good.get(b, 0) for b in before) / max(1, calm),
+        "back_after": back,
+        "core": core_use(told["samples"], end + 10.0),
+        "core_all": core_use(told["samples"], 0.0),
+        "memory_mb": max(max(sample[2]) for sample in told["samples"]) / 1e6,
+        "lost": counts["unanswered"],
+        "wrong": counts["wrong"],
+        "twice": twice.get("signoff", 0) + twice.get("stamp", 0),
+        "most_tries": max(tries.values()) / bucket,
+        "told": max((stub["told"] for stub in told["stubs"]), key=lambda told: told["50"]),
+        "late": max([late, told["rig_late"], *(stub["late"]["99"] for stub in told["stubs"])]),
+        "counts": counts,
+        "counters": told["counters"],
+        "series": {"first": first, "good": good, "tries": tries},
+    }
 
 
 def keep_environment() -> None:
--- a/mulleinhatch/standins/search/campaign.py
+++ b/mulleinhatch/standins/search/campaign.py
@@ -1,4 +1,5 @@
 """A campaign: histories drawn, played side by side, weighted towards kinds that met new states; what failed is made short."""
+
 from __future__ import annotations
 
 import json
@@ -13,27 +14,27 @@
 from mulleinhatch.standins.search.histories import KINDS, History, drawn
 from mulleinhatch.standins.search.play import Found, kind_of, play
 
-BATCH = 2               # histories a process between two looks at the weights
-NOVEL = 0.05            # of weight for each new state, LEAST at least and MOST at most
+BATCH = 2  # histories a process between two looks at the weights
+NOVEL = 0.05  # of weight for each new state, LEAST at least and MOST at most
 LEAST, MOST = 0.5, 4.0
 
 
 class Finding(NamedTuple):
     history: History
     what: str
-    short: History          # the shortest that still fails so
-    tries: int              # that it took
+    short: History  # the shortest that still fails so
+    tries: int  # that it took
 
 
 class Campaign(NamedTuple):
     histories: int
     seconds: float
     states: int
-    growth: list[int]       # states known after each batch
+    growth: list[int]  # states known after each batch
     kinds: dict[str, int]
     findings: list[Finding]
-    worst: list[tuple[float, int]]          # service in the worst second, and the seed
-    slowest: list[tuple[float, int]]        # recovery, and the seed
+    worst: list[tuple[float, int]]  # service in the worst second, and the seed
+    slowest: list[tuple[float, int]]  # recovery, and the seed
 
 
 def _played(job: tuple[int, dict[str, float], str]) -> tuple[History, Found]:
@@ -52,32 +53,43 @@
         tries += 1
         with defects.planted(defect):
             return kind_of(play(other).what) == kind
+
     chunk = max(1, len(history.lines) // 2)
     while chunk and tries < most:
         at = 0
         while at < len(history.lines) and tries < most:
-            less = history._replace(lines=history.lines[:at] + history.lines[at + chunk:])
+            less = history._replace(lines=history.lines[:at] + history.lines[at + chunk :])
             if less.lines != history.lines and fails(less):
                 history = less
             else:
                 at += chunk
         chunk //= 2
-    for plainer in (history._replace(upkeep=False), history._replace(load=history.load._replace(speeds=(), one=0.0)),
-                    history._replace(load=history.load._replace(uneven=0.0, heeding=0.0))):
+    for plainer in (
+        history._replace(upkeep=False),
+        history._replace(load=history.load._replace(speeds=(), one=0.0)),
+        history._replace(load=history.load._replace(uneven=0.0, heeding=0.0)),
+    ):
         if plainer != history and tries < most and fails(plainer):
             history = plainer
     return history, tries
 
 
-def campaign(seeds: Iterator[int], within: float, defect: str = "", stop_at_first: bool = False, most: int = 10 ** 9,
-             processes: int | None = None, told: Callable[[str], None] = lambda line: None) -> Campaign:
+def campaign(
+    seeds: Iterator[int],
+    within: float,
+    defect: str = "",
+    stop_at_first: bool = False,
+    most: int = 10**9,
+    processes: int | None = None,
+    told: Callable[[str], None] = lambda line: None,
+) -> Campaign:
     begun, states, growth = time.monotonic(), set[tuple](), list[int]()
     weights, novel, kinds = dict.fromkeys(KINDS, 1.0), Counter[str](), Counter[str]()
     findings: list[Finding] = []
     seen: set[str] = set()
     worst, slowest, count = [], [], 0
     with multiprocessing.Pool(processes) as pool:
-        workers = pool._processes       # as many as it made
+        workers = pool._processes  # as many as it made
         while time.monotonic() - begun < within and count < most and not (stop_at_first and findings):
             jobs = [(next(seeds), dict(weights), defect) for _ in range(min(BATCH * workers, most - count))]
             for history, found in pool.imap_unordered(_played, jobs):
@@ -97,8 +109,16 @@
             growth.append(len(states))
             weights = {kind: min(MOST, max(LEAST, 1.0 + NOVEL * novel[kind] / max(1, kinds[kind]))) for kind in KINDS}
             novel = Counter({kind: 0.7 * value for kind, value in novel.items()})
-    return Campaign(count, time.monotonic() - begun, len(states), growth, dict(kinds), findings, sorted(worst)[:5],
-                    sorted(slowest, reverse=True)[:5])
+    return Campaign(
+        count,
+        time.monotonic() - begun,
+        len(states),
+        growth,
+        dict(kinds),
+        findings,
+        sorted(worst)[:5],
+        sorted(slowest, reverse=True)[:5],
+    )
 
 
 def as_text(history: History) -> str:
@@ -107,8 +127,13 @@
     >>> history = drawn(5); replayed(as_text(history)) == history
     True
     """
-    told = {"seed": history.seed, "instances": history.instances, "kinds": history.kinds, "load": history.load._asdict(),
-            "upkeep": history.upkeep}
+    told = {
+        "seed": history.seed,
+        "instances": history.instances,
+        "kinds": history.kinds,
+        "load": history.load._asdict(),
+        "upkeep": history.upkeep,
+    }
     return f"# {json.dumps(told)}\n{history.script}\n"
 
 
@@ -116,6 +141,7 @@
     head, _, script = text.partition("\n")
     told = json.loads(head.removeprefix("#"))
     from mulleinhatch.standins.virtual_spread import Load
+
     load = Load(**{**told["load"], "speeds": tuple(told["load"]["speeds"])})
     lines = tuple(line for line in script.splitlines() if line.strip())
     return History(told["seed"], told["instances"], tuple(told["kinds"]), lines, load, told["upkeep"])
@@ -128,8 +154,10 @@
 
     import jinja2
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3))
     left.plot(done.growth)
     left.set_title("states met, by batch")
@@ -140,12 +168,22 @@
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=90)
     pyplot.close(figure)
-    sums = {"histories": done.histories, "seconds": round(done.seconds, 1), "states": done.states, "kinds": done.kinds,
-            "findings": [{"what": finding.what, "script": as_text(finding.short), "tries": finding.tries}
-                         for finding in done.findings],
-            "worst": done.worst, "slowest": [[at if at < 1e9 else None, seed] for at, seed in done.slowest]}
-    page = jinja2.Environment(autoescape=True).from_string(PAGE).render(
-        done=sums, before=before, plot=base64.b64encode(data.getvalue()).decode())
+    sums = {
+        "histories": done.histories,
+        "seconds": round(done.seconds, 1),
+        "states": done.states,
+        "kinds": done.kinds,
+        "findings": [
+            {"what": finding.what, "script": as_text(finding.short), "tries": finding.tries} for finding in done.findings
+        ],
+        "worst": done.worst,
+        "slowest": [[at if at < 1e9 else None, seed] for at, seed in done.slowest],
+    }
+    page = (
+        jinja2.Environment(autoescape=True)
+        .from_string(PAGE)
+        .render(done=sums, before=before, plot=base64.b64encode(data.getvalue()).decode())
+    )
     path.write_text(page)
     path.with_suffix(".json").write_text(json.dumps(sums, indent=1))
     return sums
--- a/mulleinhatch/standins/search/defects.py
+++ b/mulleinhatch/standins/search/defects.py
@@ -1,4 +1,5 @@
 """Defects planted one at a time, to see whether the search finds them: each takes one thing out of the program."""
+
 from __future__ import annotations
 
 import contextlib
@@ -40,8 +41,15 @@
     "a broken link proves that nothing ran": [(Reducer, "_hand_ended", _reruns_reducer)],
     "a voter promises nothing": [(Voter, "_may", lambda voter, ballot: True)],
     "one voter is a majority": [(Round, "_is_majority", lambda done, count: count >= 1)],
-    "the bound is not looked at": [(Table, "go", lambda table, name, zone, *more: table if table.permit(name) else
-                                    table._with(out=(*table.out, _permit(table, name, zone))))],
+    "the bound is not looked at": [
+        (
+            Table,
+            "go",
+            lambda table, name, zone, *more: (
+                table if table.permit(name) else table._with(out=(*table.out, _permit(table, name, zone)))
+            ),
+        )
+    ],
     "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
     "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
@@ -52,6 +60,7 @@
 
 def _permit(table: Table, name: str, zone: str) -> Any:
     from mulleinhatch.upkeep.table import Permit
+
     return Permit(name, zone, table.version + 1, "")
 
 
--- a/mulleinhatch/standins/search/histories.py
+++ b/mulleinhatch/standins/search/histories.py
@@ -3,6 +3,7 @@
 What is near fails together; slow is as likely as dead; links fail one way or in part; what went comes back, sometimes again and
 again. A kind is drawn the more often the more new states it led to.
 """
+
 from __future__ import annotations
 
 import random
@@ -10,18 +11,32 @@
 
 from mulleinhatch.standins.virtual_spread import Load
 
-FIRST, LENGTH = 8.0, 8.0        # seconds: when faults may begin, and within which all begin
-KINDS = ("zone dies", "zone slow", "zone cut", "one way", "loss", "delay", "stalls", "black hole", "flapping", "rolling",
-         "chain", "voters", "some die for good", "leaves")
+FIRST, LENGTH = 8.0, 8.0  # seconds: when faults may begin, and within which all begin
+KINDS = (
+    "zone dies",
+    "zone slow",
+    "zone cut",
+    "one way",
+    "loss",
+    "delay",
+    "stalls",
+    "black hole",
+    "flapping",
+    "rolling",
+    "chain",
+    "voters",
+    "some die for good",
+    "leaves",
+)
 
 
 class History(NamedTuple):
     seed: int
     instances: int
     kinds: tuple[str, ...]
-    lines: tuple[str, ...]      # of the fault script
+    lines: tuple[str, ...]  # of the fault script
     load: Load
-    upkeep: bool                # all are asked to go out for work when the faults begin
+    upkeep: bool  # all are asked to go out for work when the faults begin
 
     @property
     def script(self) -> str:
@@ -36,10 +51,17 @@
     lines: list[str] = []
     for kind in kinds:
         lines += _lines(kind, draw, instances)
-    load = Load(draw.choice((0.3, 0.6, 0.9, 1.1)), callers=draw.choice((2, 4, 8)), listed=draw.choice((2, 3, 5)),
-                heeding=draw.choice((0.0, 0.5, 1.0)), uneven=draw.choice((0.0, 1.0, 3.0)), mixed=draw.random() < 0.5,
-                list_delay=draw.choice((0.5, 2.0)), one=draw.choice((0.0, 0.0, 0.33)),
-                speeds=draw.choice(((), (), (1.0, 0.5), (1.0, 1.0, 0.4))))
+    load = Load(
+        draw.choice((0.3, 0.6, 0.9, 1.1)),
+        callers=draw.choice((2, 4, 8)),
+        listed=draw.choice((2, 3, 5)),
+        heeding=draw.choice((0.0, 0.5, 1.0)),
+        uneven=draw.choice((0.0, 1.0, 3.0)),
+        mixed=draw.random() < 0.5,
+        list_delay=draw.choice((0.5, 2.0)),
+        one=draw.choice((0.0, 0.0, 0.33)),
+        speeds=draw.choice(((), (), (1.0, 0.5), (1.0, 1.0, 0.4))),
+    )
     return History(seed, instances, kinds, tuple(lines), load, draw.random() < 0.5)
 
 
@@ -60,13 +82,18 @@
         deaf, to = (zone, rest) if draw.random() < 0.5 else (rest, zone)
         return [f"at {at:.2f} deaf {deaf} to {to} for {last:.2f}"]
     if kind == "loss":
-        return [f"at {at:.2f} {what} all {draw.uniform(0.1, 0.4):.2f} for {last:.2f}"
-                for what in ("lossy", "repeated", "swapped") if draw.random() < 0.6]
+        return [
+            f"at {at:.2f} {what} all {draw.uniform(0.1, 0.4):.2f} for {last:.2f}"
+            for what in ("lossy", "repeated", "swapped")
+            if draw.random() < 0.6
+        ]
     if kind == "delay":
         return [f"at {at:.2f} delayed {zone} {draw.uniform(0.1, 0.6):.2f} for {last:.2f}"]
     if kind == "stalls":
-        return [f"at {at + draw.uniform(0.0, 2.0):.2f} stall {draw.randrange(instances)} for {draw.uniform(0.3, 4.0):.2f}"
-                for _ in range(draw.randint(1, 3))]
+        return [
+            f"at {at + draw.uniform(0.0, 2.0):.2f} stall {draw.randrange(instances)} for {draw.uniform(0.3, 4.0):.2f}"
+            for _ in range(draw.randint(1, 3))
+        ]
     if kind == "black hole":
         return [f"at {at:.2f} failing {one} 1.0 for {last:.2f}"]
     if kind == "flapping":
--- a/mulleinhatch/standins/search/play.py
+++ b/mulleinhatch/standins/search/play.py
@@ -1,4 +1,5 @@
 """One history played: reducers, modules, fleet, spread and upkeep cores together, checked from outside; the states it met."""
+
 from __future__ import annotations
 
 import math
@@ -13,21 +14,21 @@
 from mulleinhatch.standins.virtual_spread import TARGET, TIMEOUT, SpreadWorld
 from mulleinhatch.standins.virtual_upkeep import WithUpkeep, asked_all
 
-AGREE_WITHIN = 4.0      # seconds after the last fault until views are one
+AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
 RECOVERS_WITHIN = 12.0  # seconds after it until service is back: who was ill asks for trade again after 3 to 10 s
-BACK = 0.9              # of the service before the faults: under it, with no cause left, it is down by itself
-UPKEEP_WITHIN = 60.0    # seconds after the last fault until all that were asked have been out
-LOOK = 0.25             # seconds between looks at states
-MOST_OWED = 400         # ops that one instance may owe answers at a time
+BACK = 0.9  # of the service before the faults: under it, with no cause left, it is down by itself
+UPKEEP_WITHIN = 60.0  # seconds after the last fault until all that were asked have been out
+LOOK = 0.25  # seconds between looks at states
+MOST_OWED = 400  # ops that one instance may owe answers at a time
 
 
 class Found(NamedTuple):
-    what: str           # empty: all held
+    what: str  # empty: all held
     states: frozenset[tuple]
-    before: float       # share in time before the faults
-    worst: float        # of any second
-    after: float        # once recovered
-    recovered: float    # seconds after the last fault
+    before: float  # share in time before the faults
+    worst: float  # of any second
+    after: float  # once recovered
+    recovered: float  # seconds after the last fault
     handed: int
     outings: int
 
@@ -40,7 +41,7 @@
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
         self.ready(most=2, voters=3, disks=True, works=1.0)
         self.history = history
-        self.by_second: dict[int, list[float]] = {}     # asked, in time, by the second in which an op was born
+        self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which an op was born
         self.states: set[tuple] = set()
         self.answered_late = 0
         if history.upkeep:
@@ -78,13 +79,32 @@
             if node.core is None:
                 continue
             members = Counter(member.state for member in node.core.members.view.values())
-            self.states.add((node.stalled, node.core.members.frozen, min(2, members[1]), min(2, members[2]), min(1, members[3]),
-                             node.spread.held_back(), self.cores[node.name].state.value, node.reducer.healthy,
-                             bool(node.reducer.away), node.reducer.stop_at is not None, bool(node.core.out)))
+            self.states.add(
+                (
+                    node.stalled,
+                    node.core.members.frozen,
+                    min(2, members[1]),
+                    min(2, members[2]),
+                    min(1, members[3]),
+                    node.spread.held_back(),
+                    self.cores[node.name].state.value,
+                    node.reducer.healthy,
+                    bool(node.reducer.away),
+                    node.reducer.stop_at is not None,
+                    bool(node.core.out),
+                )
+            )
             if len(node.reducer.owed) > MOST_OWED:
                 raise Broken(f"at {self.now:.2f} {node.name} owes {len(node.reducer.owed)} ops")
-            late = [ref for ref, owed in node.reducer.owed.items()
-                    if owed.place is not None and owed.due < node.clock(self.now) - 0.3] if not node.stalled else []
+            late = (
+                [
+                    ref
+                    for ref, owed in node.reducer.owed.items()
+                    if owed.place is not None and owed.due < node.clock(self.now) - 0.3
+                ]
+                if not node.stalled
+                else []
+            )
             if late and self.now > self.end + TIMEOUT:
                 raise Broken(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
 
@@ -100,15 +120,21 @@
     try:
         world.play(world.end + AGREE_WITHIN)
         agreed = [world.play(world.end + AGREE_WITHIN + 0.25 * look).views_agree() for look in range(12)]
-        going = bool(history.upkeep)        # while some go and come back views are never one for long
+        going = bool(history.upkeep)  # while some go and come back views are never one for long
         if not any(agreed) and not going:
             raise Broken(f"views are not one {AGREE_WITHIN + 3.0:.0f} s after the last fault")
         world.play(world.end + RECOVERS_WITHIN + 6.0)
         quiet = world.end + RECOVERS_WITHIN
         before, after = world.share(FIRST - 4.0, FIRST), world.share(quiet, quiet + 4.0)
         dead = sum(node.core is None for node in world.nodes) / len(world.nodes)
-        recovered = next((float(second) for second in range(0, 30) if world.share(
-            world.end + second, world.end + second + 2) >= BACK * before), math.inf)
+        recovered = next(
+            (
+                float(second)
+                for second in range(0, 30)
+                if world.share(world.end + second, world.end + second + 2) >= BACK * before
+            ),
+            math.inf,
+        )
         if after < BACK * before * (1.0 - 2.0 * dead) and not going:
             raise Broken(f"service is {after:.2f} long after the last fault, {before:.2f} before")
         if going:
@@ -116,7 +142,7 @@
             gone = len(world.nodes) - len(lives)
             voters = set(world.permits.voters)
             if voters - lives:
-                lives -= voters     # with one dead for good the others stay: a majority of the voters must
+                lives -= voters  # with one dead for good the others stay: a majority of the voters must
             while world.now < world.end + UPKEEP_WITHIN and not lives <= world.been.keys():
                 world.play(world.now + 1.0)
             if not lives <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
@@ -124,9 +150,16 @@
     except Broken as error:
         what = str(error)
     worst = min((sums[1] / sums[0] for second, sums in world.by_second.items() if sums[0] and second >= FIRST - 2), default=1.0)
-    return Found(what, frozenset(world.states), world.share(FIRST - 4.0, FIRST), worst,
-                 world.share(world.end + RECOVERS_WITHIN, world.end + RECOVERS_WITHIN + 4), recovered,
-                 world.handed["to offers"] + world.handed["to guesses"], sum(world.been.values()))
+    return Found(
+        what,
+        frozenset(world.states),
+        world.share(FIRST - 4.0, FIRST),
+        worst,
+        world.share(world.end + RECOVERS_WITHIN, world.end + RECOVERS_WITHIN + 4),
+        recovered,
+        world.handed["to offers"] + world.handed["to guesses"],
+        sum(world.been.values()),
+    )
 
 
 def _dies_for_good(history: History, place: int) -> bool:
@@ -141,4 +174,3 @@
 def kind_of(what: str) -> str:
     """What went wrong without its figures and names: shrinking must keep that."""
     return " ".join(word for word in what.split() if word.isalpha())
-
--- a/mulleinhatch/standins/second_runs.py
+++ b/mulleinhatch/standins/second_runs.py
@@ -5,6 +5,7 @@
 sent there: the next instance can't know what the dead one ran. Nothing else explains a second run. All is told by those who
 saw it from outside: interpreters, caller stubs, the rig. Times are seconds on the system's clock, of one machine.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
@@ -14,17 +15,17 @@
 class Run(NamedTuple):
     """As an interpreter saw it begin."""
 
-    op: str             # who it is, by its body
+    op: str  # who it is, by its body
     at: float
     place: int
-    life: int           # of the interpreter there, which dies with its instance
-    ref: str            # id of the try
+    life: int  # of the interpreter there, which dies with its instance
+    ref: str  # id of the try
 
 
 class BrokenTry(NamedTuple):
     """A try whose connection ended before its answer, as a stub saw it."""
 
-    place: int          # where the stub sent it
+    place: int  # where the stub sent it
     sent_at: float
     broken_at: float
 
@@ -38,8 +39,8 @@
 
 
 class SecondRuns(NamedTuple):
-    faults: list[str]       # of instances, in words
-    repeats: list[str]      # ops that their callers sent again after a death, and that ran again by it
+    faults: list[str]  # of instances, in words
+    repeats: list[str]  # ops that their callers sent again after a death, and that ran again by it
 
 
 def judged(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
@@ -59,9 +60,12 @@
     faults: list[str] = []
     repeats: list[str] = []
     for op, its in by_op.items():
-        wrong = [f"{op} ran at {first.place} as {first.ref}, and at {later.place} as {later.ref}: {why}"
-                 for number, later in enumerate(its) for first in its[:number]
-                 if (why := _fault(first, later, broken.get(first.ref), deaths))]
+        wrong = [
+            f"{op} ran at {first.place} as {first.ref}, and at {later.place} as {later.ref}: {why}"
+            for number, later in enumerate(its)
+            for first in its[:number]
+            if (why := _fault(first, later, broken.get(first.ref), deaths))
+        ]
         faults += wrong
         repeats += [op] if len(its) > 1 and not wrong else []
     return SecondRuns(faults, repeats)
@@ -81,8 +85,10 @@
 def _by_a_death(broken: BrokenTry, deaths: list[Death]) -> bool:
     """It was sent before that process was gone, and its connection ended after the kill had begun. An instance that lives, or
     leaves, and ends a connection that it owes an answer on is no excuse."""
-    return any(death.place == broken.place and broken.sent_at <= death.gone_at and death.begun_at <= broken.broken_at
-               for death in deaths)
+    return any(
+        death.place == broken.place and broken.sent_at <= death.gone_at and death.begun_at <= broken.broken_at
+        for death in deaths
+    )
 
 
 def of_fleet(told: Mapping[str, Any]) -> SecondRuns:
--- a/mulleinhatch/standins/stubs.py
+++ b/mulleinhatch/standins/stubs.py
@@ -4,6 +4,7 @@
 time, or on SIGTERM, it prints one JSON line. Ops come by a Poisson process whatever becomes of the earlier ones; an op
 is tried until it is acked, failed for good, or its client's patience is over.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -21,14 +22,14 @@
 
 ANSWER = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n((?:[^\r\n]+\r\n)*)\r\n")
 FIELD = re.compile(rb"(?i)(content-length|retry-after-ms|x-dont-retry|connection): ([^\r\n]*)\r\n")
-BUCKET = 0.25           # seconds of a count
-LIST_EVERY = 0.5        # seconds between two lists of the directory
+BUCKET = 0.25  # seconds of a count
+LIST_EVERY = 0.5  # seconds between two lists of the directory
 
 
 class OpKind(msgspec.Struct, frozen=True):
     name: str
     share: float
-    repeats: str = "safe"       # safe: after any failure; keyed: with its key; unsafe: after a nack or a broken link
+    repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a nack or a broken link
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -36,26 +37,26 @@
 
     instances: list[tuple[str, int]]
     kinds: list[OpKind]
-    start_at: float                 # on the system's clock
+    start_at: float  # on the system's clock
     run_for: float
     rate: float
     seed: int = 1
     first_caller: int = 0
     callers: int = 4
-    patience: float = 4.5           # of a client, over all its tries
-    try_wait: float = 4.5           # of a stub for one try
-    pause: float = 0.05             # before the next try
-    heeding: float = 0.0            # clients that stay away as long as they are told
-    marked: float = 1.0             # clients whose further tries are marked
+    patience: float = 4.5  # of a client, over all its tries
+    try_wait: float = 4.5  # of a stub for one try
+    pause: float = 0.05  # before the next try
+    heeding: float = 0.0  # clients that stay away as long as they are told
+    marked: float = 1.0  # clients whose further tries are marked
     work_ms: float = 50.0
     most_tries: int = 1_000_000
-    connections: int = 900          # an instance
-    alike: float = 0.0              # ops whose bodies are all the same
-    steady: float = 1.0             # clients whose rank and cost stay over the tries of an op
+    connections: int = 900  # an instance
+    alike: float = 0.0  # ops whose bodies are all the same
+    steady: float = 1.0  # clients whose rank and cost stay over the tries of an op
     tenant: str = ""
-    names: list[str] = []           # of the instances, as the directory has them
-    directory: int = 0              # its TCP port on loopback; 0: all instances are known, and always
-    second_copy: float = 0.0        # seconds after which a safe op is sent once more beside; 0: never
+    names: list[str] = []  # of the instances, as the directory has them
+    directory: int = 0  # its TCP port on loopback; 0: all instances are known, and always
+    second_copy: float = 0.0  # seconds after which a safe op is sent once more beside; 0: never
 
 
 class Op(NamedTuple):
@@ -82,7 +83,7 @@
         self.transport: asyncio.Transport | None = None
         self.data = b""
         self.op: Op | None = None
-        self.ref, self.sent_at = "", 0.0    # of the try that is on it
+        self.ref, self.sent_at = "", 0.0  # of the try that is on it
         self.sent = 0
         self.timer: asyncio.TimerHandle | None = None
 
@@ -110,7 +111,7 @@
         length = int(fields.get(b"content-length", b"0"))
         if len(self.data) < found.end() + length:
             return
-        body, self.data = self.data[found.end():found.end() + length], b""
+        body, self.data = self.data[found.end() : found.end() + length], b""
         op, self.op = self.op, None
         self.timer.cancel()
         if fields.get(b"connection") == b"close":
@@ -138,20 +139,21 @@
         self.idle: list[list[Wire]] = [[] for _ in habits.instances]
         self.open = [0] * len(habits.instances)
         self.numbers = 0
-        self.first: dict[int, int] = {}         # bucket of birth: ops
-        self.in_time: dict[int, int] = {}       # and those acked within the target
+        self.first: dict[int, int] = {}  # bucket of birth: ops
+        self.in_time: dict[int, int] = {}  # and those acked within the target
         self.tries: dict[int, int] = {}
         self.by_kind: dict[str, list[int]] = {kind.name: [0, 0, 0, 0] for kind in habits.kinds}
-        self.counts = dict.fromkeys(("acked", "nacked", "failed", "unanswered", "broken", "refused", "gave_up", "wrong",
-                                     "second_copies", "tries"), 0)
-        self.late = HdrHistogram(1, 60_000, 3)      # milliseconds that our own timers were late
-        self.waits = HdrHistogram(1, 60_000, 3)     # milliseconds that nacks told
+        self.counts = dict.fromkeys(
+            ("acked", "nacked", "failed", "unanswered", "broken", "refused", "gave_up", "wrong", "second_copies", "tries"), 0
+        )
+        self.late = HdrHistogram(1, 60_000, 3)  # milliseconds that our own timers were late
+        self.waits = HdrHistogram(1, 60_000, 3)  # milliseconds that nacks told
         self.latency = HdrHistogram(1, 120_000, 3)  # of acked ops, from their first try
         self.target = 1.8
         self.tasks: set[asyncio.Task[Any]] = set()
         self.waiting = 0
-        self.listed = list(range(len(habits.instances)))    # places that the last list named
-        self.refs: dict[str, int] = {}      # by id of a try that may not run twice: its op
+        self.listed = list(range(len(habits.instances)))  # places that the last list named
+        self.refs: dict[str, int] = {}  # by id of a try that may not run twice: its op
         # And those whose connections broke before an answer: index in `instances`, when it was sent, and when that was seen.
         self.broken_once: dict[str, tuple[int, float, float]] = {}
 
@@ -164,7 +166,7 @@
                     writer.write(b"LIST\n")
                     names = set(json.loads(await reader.readline()))
                     listed = [place for place, name in enumerate(self.habits.names) if name in names]
-                    self.listed = listed or self.listed     # an empty list would leave nobody to ask
+                    self.listed = listed or self.listed  # an empty list would leave nobody to ask
                     await asyncio.sleep(LIST_EVERY)
             except (OSError, ValueError):
                 await asyncio.sleep(LIST_EVERY)
@@ -187,9 +189,15 @@
         draw, habits = self.draw, self.habits
         kind = draw.choices(habits.kinds, [kind.share for kind in habits.kinds])[0]
         self.numbers += 1
-        op = Op(self.numbers, kind, habits.first_caller + draw.randrange(habits.callers), at,
-                draw.random() < habits.heeding, draw.random() < habits.marked,
-                *self.looks(kind))
+        op = Op(
+            self.numbers,
+            kind,
+            habits.first_caller + draw.randrange(habits.callers),
+            at,
+            draw.random() < habits.heeding,
+            draw.random() < habits.marked,
+            *self.looks(kind),
+        )
         bucket = int((at - habits.start_at) / BUCKET)
         self.first[bucket] = self.first.get(bucket, 0) + 1
         self.by_kind[kind.name][0] += 1
@@ -203,8 +211,7 @@
         draw, habits = self.draw, self.habits
         work, alike = habits.work_ms * draw.uniform(0.7, 1.3), draw.random() < habits.alike
         body = f"{habits.work_ms:.1f} alike {'x' * 180}" if alike else f"{work:.1f} {habits.seed}-{self.numbers} of a caller"
-        return (work, [0, False, draw.randrange(len(self.open))], body.encode(), draw.random(),
-                draw.random() < habits.steady)
+        return (work, [0, False, draw.randrange(len(self.open))], body.encode(), draw.random(), draw.random() < habits.steady)
 
     def copy(self, op: Op) -> None:
         if not op.state[1]:
@@ -235,8 +242,9 @@
 
     async def connect(self, op: Op, place: int) -> None:
         try:
-            _, wire = await asyncio.wait_for(asyncio.get_running_loop().create_connection(
-                lambda: Wire(self, place), *self.habits.instances[place]), 1.0)
+            _, wire = await asyncio.wait_for(
+                asyncio.get_running_loop().create_connection(lambda: Wire(self, place), *self.habits.instances[place]), 1.0
+            )
         except (TimeoutError, OSError):
             self.open[place] -= 1
             self.refused(op)
@@ -253,12 +261,20 @@
         ref, body = f"{draw.getrandbits(64):016x}", op.body
         if op.kind.repeats == "unsafe":
             self.refs[ref] = op.number
-        wire.send(op, ref, (f"POST /svc/{op.kind.name} HTTP/1.1\r\nHost: origin.svc\r\n"
-                       f"X-Request-Id: {ref}\r\nX-Request-Start: {now * 1000:.0f}\r\n"
-                       f"X-Caller: {op.caller}\r\nX-Timeout-Ms: {1000.0 * wait:.0f}\r\n"
-                       f"X-Cost-Ms: {cost:.2f}\r\nX-Memory-Kb: 20.0\r\nX-Rank: {rank:.4f}\r\n{again}{key}"
-                       f"{f'X-Tenant: {habits.tenant}' + chr(13) + chr(10) if habits.tenant else ''}"
-                       f"Content-Length: {len(body)}\r\n\r\n").encode() + body, wait + 0.25)
+        wire.send(
+            op,
+            ref,
+            (
+                f"POST /svc/{op.kind.name} HTTP/1.1\r\nHost: origin.svc\r\n"
+                f"X-Request-Id: {ref}\r\nX-Request-Start: {now * 1000:.0f}\r\n"
+                f"X-Caller: {op.caller}\r\nX-Timeout-Ms: {1000.0 * wait:.0f}\r\n"
+                f"X-Cost-Ms: {cost:.2f}\r\nX-Memory-Kb: 20.0\r\nX-Rank: {rank:.4f}\r\n{again}{key}"
+                f"{f'X-Tenant: {habits.tenant}' + chr(13) + chr(10) if habits.tenant else ''}"
+                f"Content-Length: {len(body)}\r\n\r\n"
+            ).encode()
+            + body,
+            wait + 0.25,
+        )
 
     # What becomes of a try.
 
@@ -310,10 +326,21 @@
     def report(self) -> dict[str, Any]:
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {str(q): histogram.get_value_at_percentile(q) / 1000.0 for q in (50, 95, 99, 100)}
-        return {"first": self.first, "in_time": self.in_time, "tries": self.tries, "counts": self.counts,
-                "by_kind": self.by_kind, "late": quantiles(self.late), "told": quantiles(self.waits),
-                "latency": quantiles(self.latency), "waiting": self.waiting, "bucket": BUCKET,
-                "refs": self.refs, "broken_once": self.broken_once}
+
+        return {
+            "first": self.first,
+            "in_time": self.in_time,
+            "tries": self.tries,
+            "counts": self.counts,
+            "by_kind": self.by_kind,
+            "late": quantiles(self.late),
+            "told": quantiles(self.waits),
+            "latency": quantiles(self.latency),
+            "waiting": self.waiting,
+            "bucket": BUCKET,
+            "refs": self.refs,
+            "broken_once": self.broken_once,
+        }
 
 
 async def main() -> None:
@@ -322,7 +349,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         await task
-        await asyncio.sleep(load.target + 0.2)      # the last ops have their time, too
+        await asyncio.sleep(load.target + 0.2)  # the last ops have their time, too
     except asyncio.CancelledError:
         pass
     print(json.dumps(load.report()), flush=True)
--- a/mulleinhatch/standins/virtual.py
+++ b/mulleinhatch/standins/virtual.py
@@ -3,6 +3,7 @@
 No socket and no clock: an hour passes in seconds and the same seed gives the same history to the last answer. What must
 hold is checked at each step, whatever the player is told to let happen; `Broken` names the first thing that did not.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -16,8 +17,8 @@
 from mulleinhatch.storms.bounds import StormBounds
 
 USUAL = StormBounds()
-PAUSE = 0.05            # seconds before the next try of a caller that heeds nothing
-ANSWER_SLACK = 0.15     # seconds past its time that an answer may take
+PAUSE = 0.05  # seconds before the next try of a caller that heeds nothing
+ANSWER_SLACK = 0.15  # seconds past its time that an answer may take
 KINDS = (("read", Effect.RETRYABLE, 0.8), ("signoff", Effect.NON_RETRYABLE, 0.1), ("stamp", Effect.KEYED, 0.1))
 
 
@@ -32,17 +33,17 @@
     heeding: float = 0.0
     marked: float = 1.0
     patience: float = 10.0
-    outage: tuple[float, float] = (4.0, 8.0)    # from when to when
-    kind: str = "kill"          # kill: the instance starts anew; freeze: runs stand still; refuse: nobody connects
+    outage: tuple[float, float] = (4.0, 8.0)  # from when to when
+    kind: str = "kill"  # kill: the instance starts anew; freeze: runs stand still; refuse: nobody connects
     load_until: float = 20.0
     until: float = 40.0
     cores: int = 4
     work: float = 0.05
     callers: int = 8
-    reconnects: float = 0.0     # chance that a caller uses a new connection for a try
-    alike: float = 0.0          # share of the ops whose bodies are all the same
-    steady: float = 1.0         # share of the clients whose rank and cost stay over the tries of an op
-    lost_acks: float = 0.0      # chance that a connection is reset as an ack arrives: its caller may try again
+    reconnects: float = 0.0  # chance that a caller uses a new connection for a try
+    alike: float = 0.0  # share of the ops whose bodies are all the same
+    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of an op
+    lost_acks: float = 0.0  # chance that a connection is reset as an ack arrives: its caller may try again
 
 
 class Op:
@@ -66,8 +67,9 @@
 
 
 class World:
-    def __init__(self, weather: Weather, seed: int, storms: StormBounds | None = USUAL,
-                 record: Callable[..., Any] | None = None) -> None:
+    def __init__(
+        self, weather: Weather, seed: int, storms: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
+    ) -> None:
         self.record = record
         self.weather, self.draw, self.storms = weather, random.Random(seed), storms
         self.now, self.turn = 0.0, 0
@@ -76,11 +78,11 @@
         self.in_time: Counter[int] = Counter()
         self.counts: Counter[str] = Counter()
         self.stages: list[tuple[float, str]] = []
-        self.slots: list[tuple[float, float]] = []      # when each slot lies, and the rate that it was given at
+        self.slots: list[tuple[float, float]] = []  # when each slot lies, and the rate that it was given at
         self.life, self.up, self.alive, self.frozen = 0, False, False, False
         self.number = self.places = 0
-        self.effect: dict[int, bool] = {}       # by number of the op: whether it may not run again
-        self.number_of: dict[str, int] = {}     # by id of the try: the number of its op
+        self.effect: dict[int, bool] = {}  # by number of the op: whether it may not run again
+        self.number_of: dict[str, int] = {}  # by id of the try: the number of its op
         self._start()
         self.at(0.0, self._born)
         self.at(weather.outage[0], self._fall)
@@ -102,17 +104,23 @@
     def _start(self) -> None:
         weather = self.weather
         deployment: Deployment = {
-            "op_types": [{"effect": kind[1], "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5,
-                          "repeat_window": 60.0} for kind in KINDS],
-            "cores": weather.cores, "crowd_per_core": 8.0, "callers": weather.callers, "hold_off_allowed": True,
-            "max_hold_off": 10.0}
+            "op_types": [
+                {"effect": kind[1], "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5, "repeat_window": 60.0}
+                for kind in KINDS
+            ],
+            "cores": weather.cores,
+            "crowd_per_core": 8.0,
+            "callers": weather.callers,
+            "hold_off_allowed": True,
+            "max_hold_off": 10.0,
+        }
         self.life, self.up, self.alive = self.life + 1, True, True
         self.deployment = deployment
         self.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], self.life, self.storms, self.record)
         self.running: dict[str, float] = {}
         self.ran: Counter[int] = Counter()
-        self.waiting: dict[int, tuple[Op, str, float]] = {}     # by place: op, id, due time
-        self.idle: list[int] = []       # connections with nothing open, the last used last
+        self.waiting: dict[int, tuple[Op, str, float]] = {}  # by place: op, id, due time
+        self.idle: list[int] = []  # connections with nothing open, the last used last
         self.notices = 0
         self.shed = False
         if self.reducer.storms:
@@ -129,6 +137,7 @@
             if calendar.booked > booked and seconds > least:
                 self.slots.append((now + seconds, rate))
             return seconds
+
         calendar.book = spied
 
     def take(self, happening: Happening, *told: Any) -> None:
@@ -220,8 +229,18 @@
         key = f"k{op.number}" if op.kind[1] is Effect.KEYED else ""
         if self.shed:
             soon = self.now < back_at - 0.02
-            seconds = self.reducer.turned_back(self.now, ref, *told, again, key, op.body, place=self._place(op),
-                                               punctual=back_at > 0.0 and not soon, stubborn=soon, figures=lambda: figures)
+            seconds = self.reducer.turned_back(
+                self.now,
+                ref,
+                *told,
+                again,
+                key,
+                op.body,
+                place=self._place(op),
+                punctual=back_at > 0.0 and not soon,
+                stubborn=soon,
+                figures=lambda: figures,
+            )
             if seconds is not None:
                 self.counts["turned back"] += 1
                 if op.kind[1] is not Effect.RETRYABLE and self.ran[op.number]:
@@ -281,7 +300,7 @@
         for place, (_, _, due) in self.waiting.items():
             if self.up and self.now > due + ANSWER_SLACK:
                 raise Broken(f"at {self.now:.3f} place {place} waits past its time")
-            break       # the oldest place that waits tells of the others: waits differ by the patience at most
+            break  # the oldest place that waits tells of the others: waits differ by the patience at most
         desk = self.reducer.storms
         if desk is None:
             return
--- a/mulleinhatch/standins/virtual_fleet.py
+++ b/mulleinhatch/standins/virtual_fleet.py
@@ -3,6 +3,7 @@
 One seed, one history. What must hold is checked from outside at each step: no more of a budget used in any window than its
 total, whoever used it, no negative part, and nobody declared gone by the smaller part of a cut fleet.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -19,10 +20,10 @@
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.virtual import Broken
 
-LINK = (0.0003, 0.002)      # seconds that a datagram takes
-GRACE = 2.0                 # seconds from the notice to leave to the end
-CUT_OFF = 2.0               # seconds after which a part knows that it is one
-QUEUE = 200                 # datagrams that a stopped process's socket holds
+LINK = (0.0003, 0.002)  # seconds that a datagram takes
+GRACE = 2.0  # seconds from the notice to leave to the end
+CUT_OFF = 2.0  # seconds after which a part knows that it is one
+QUEUE = 200  # datagrams that a stopped process's socket holds
 
 
 class Plan(NamedTuple):
@@ -32,11 +33,11 @@
     script: str = ""
     until: float = 15.0
     beat: float = 0.1
-    budgets: tuple[tuple[str, int, float], ...] = (("quota", 400, 1.0),)    # name, total, window
+    budgets: tuple[tuple[str, int, float], ...] = (("quota", 400, 1.0),)  # name, total, window
     demand: Callable[[int, float], float] = lambda place, now: 1.0
-    clocks: tuple[float, ...] = ()      # rates, by place; else within 1%
-    leases: bool = True                 # False: even parts that nobody lends
-    gossip: bool = False                # the total over all that are heard of, with no leases: what others might do
+    clocks: tuple[float, ...] = ()  # rates, by place; else within 1%
+    leases: bool = True  # False: even parts that nobody lends
+    gossip: bool = False  # the total over all that are heard of, with no leases: what others might do
     seed: int = 1
 
 
@@ -47,7 +48,7 @@
         self.place, self.name, self.address = place, f"n{place}", f"10.0.0.1:{place}"
         rates = world.plan.clocks
         self.rate = rates[place % len(rates)] if rates else world.draw.uniform(0.99, 1.01)
-        self.offset = world.draw.uniform(-3600.0, 3600.0)       # nobody's clock is right
+        self.offset = world.draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.life, self.lives = 0, 0
         self.core: Fleet | None = None
         self.stalled = False
@@ -64,16 +65,20 @@
         self.faults = faults.read(plan.script, plan.instances)
         names = tuple(f"n{place}" for place in range(plan.instances))
         self.budgets = tuple(BudgetBounds(name, total, names, window) for name, total, window in plan.budgets)
-        self.bounds = FleetBounds("virtual", seeds=("10.0.0.1:0", "10.0.0.1:1", f"10.0.0.1:{plan.instances // 2}"),
-                                  beat=plan.beat, budgets=self.budgets)
+        self.bounds = FleetBounds(
+            "virtual",
+            seeds=("10.0.0.1:0", "10.0.0.1:1", f"10.0.0.1:{plan.instances // 2}"),
+            beat=plan.beat,
+            budgets=self.budgets,
+        )
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.used: list[deque[float]] = [deque() for _ in self.budgets]
         self.most_used = [0] * len(self.budgets)
-        self.took: Counter[int] = Counter()         # by place: units used
+        self.took: Counter[int] = Counter()  # by place: units used
         self.wanted: Counter[int] = Counter()
         self.counts: Counter[str] = Counter()
-        self.declared: list[tuple[float, int, str]] = []        # when, by whom, whom
-        self.false: list[tuple[float, int, str]] = []           # and of them those that lived and could be reached by most
+        self.declared: list[tuple[float, int, str]] = []  # when, by whom, whom
+        self.false: list[tuple[float, int, str]] = []  # and of them those that lived and could be reached by most
         self.nodes = [Node(self, place) for place in range(plan.instances)]
         self.links = [fault for fault in self.faults if fault.what in ("cut", "deaf")]
         for node in self.nodes:
@@ -127,7 +132,7 @@
                 node.stalled = True
             elif fault.what == "go" and node.core:
                 node.stalled = False
-                self._beat(node, node.lives, again=False)       # its timer is overdue, its socket full
+                self._beat(node, node.lives, again=False)  # its timer is overdue, its socket full
                 waiting = list(node.waiting)
                 node.waiting.clear()
                 for data in waiting:
@@ -166,11 +171,15 @@
                 continue
             lossy, repeated, swapped, delayed = (
                 max(faults.amount(self.faults, what, self.now, place) for place in (node.place, to))
-                for what in ("lossy", "repeated", "swapped", "delayed"))
+                for what in ("lossy", "repeated", "swapped", "delayed")
+            )
             for _ in range(1 + (self.draw.random() < repeated)):
                 if self.draw.random() >= lossy:
-                    late = self.draw.uniform(*LINK) + delayed + (self.draw.uniform(0.0, 0.3) if self.draw.random() < swapped
-                                                                  else 0.0)
+                    late = (
+                        self.draw.uniform(*LINK)
+                        + delayed
+                        + (self.draw.uniform(0.0, 0.3) if self.draw.random() < swapped else 0.0)
+                    )
                     self.at(self.now + late, self._arrives, self.nodes[to], data)
 
     def _arrives(self, node: Node, data: bytes) -> None:
@@ -216,14 +225,24 @@
 
     def _hears(self, node: Node) -> int:
         """How many others it can hear and be heard by just now."""
-        return sum(other is not node and other.core is not None and not other.stalled
-                   and faults.passes(self.links, self.now, node.place, other.place)
-                   and faults.passes(self.links, self.now, other.place, node.place) for other in self.nodes)
+        return sum(
+            other is not node
+            and other.core is not None
+            and not other.stalled
+            and faults.passes(self.links, self.now, node.place, other.place)
+            and faults.passes(self.links, self.now, other.place, node.place)
+            for other in self.nodes
+        )
 
     def _in_hearing(self, node: Node) -> int:
         """How many others it can hear just now, whether they hear it or not: by that it judges itself."""
-        return sum(other is not node and other.core is not None and not other.stalled
-                   and faults.passes(self.links, self.now, other.place, node.place) for other in self.nodes)
+        return sum(
+            other is not node
+            and other.core is not None
+            and not other.stalled
+            and faults.passes(self.links, self.now, other.place, node.place)
+            for other in self.nodes
+        )
 
     def _declared(self, node: Node) -> None:
         for change in node.core.members.changes:
@@ -258,8 +277,9 @@
 
     def known_gone(self, name: str) -> float:
         """The share of the others that see it as gone."""
-        others = [node.core.members.view.get(name) for node in self.nodes
-                  if node.core and not node.stalled and node.name != name]
+        others = [
+            node.core.members.view.get(name) for node in self.nodes if node.core and not node.stalled and node.name != name
+        ]
         return sum(member is not None and member.state >= GONE for member in others) / max(1, len(others))
 
 
@@ -277,7 +297,7 @@
             lines.append(f"at {at:.2f} cut {one} from {other} for {last:.2f}")
         elif kind == "deaf":
             lines.append(f"at {at:.2f} deaf {one} to {other} for {last:.2f}")
-        elif kind == "chain":       # the first third hears the second, the second the third
+        elif kind == "chain":  # the first third hears the second, the second the third
             third = max(1, instances // 3)
             lines.append(f"at {at:.2f} cut 0-{third - 1} from {instances - third}-{instances - 1} for {last:.2f}")
         elif kind == "flap":
--- a/mulleinhatch/standins/virtual_spread.py
+++ b/mulleinhatch/standins/virtual_spread.py
@@ -5,6 +5,7 @@
 `freshest` (hand-over to anybody, or to whom the last report shows the most room). `common_queue` is the
 limit: one line for all servers.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -29,13 +30,13 @@
 MODES = ("alone", "advice", "spread", "random", "freshest")
 KINDS = (("read", Effect.RETRYABLE, 1.0, 0.85), ("signoff", Effect.NON_RETRYABLE, 5.0, 0.15))
 TARGET, TIMEOUT = 1.8, 4.5
-PAUSE = 0.05            # seconds before a caller's next try
+PAUSE = 0.05  # seconds before a caller's next try
 MOST_TRIES = 4
-NUDGE = 0.005           # seconds from what happens to a word on it
-LOOK = 0.05             # seconds between looks at who is idle
-CONNECT = 0.5           # seconds until a peer that does not answer counts as not there
-SETTLED = 4.0           # seconds until views and pace are known; nothing is measured before
-BAD_SPEED = 0.1         # of a run's time that one takes which fails
+NUDGE = 0.005  # seconds from what happens to a word on it
+LOOK = 0.05  # seconds between looks at who is idle
+CONNECT = 0.5  # seconds until a peer that does not answer counts as not there
+SETTLED = 4.0  # seconds until views and pace are known; nothing is measured before
+BAD_SPEED = 0.1  # of a run's time that one takes which fails
 
 
 class Load(NamedTuple):
@@ -43,19 +44,19 @@
 
     load: float = 0.9
     cores: int = 2
-    work: float = 0.3           # seconds of a core, mean; runs scatter
+    work: float = 0.3  # seconds of a core, mean; runs scatter
     callers: int = 12
-    listed: int = 5             # instances that a caller knows
-    mixed: bool = False         # lists drawn by chance; else neighbours, so that busy callers know the same few
-    one: float = 0.0            # of all ops by one caller
-    uneven: float = 1.0         # how unevenly callers ask: 0 all alike, 1 the busiest three times the idlest
+    listed: int = 5  # instances that a caller knows
+    mixed: bool = False  # lists drawn by chance; else neighbours, so that busy callers know the same few
+    one: float = 0.0  # of all ops by one caller
+    uneven: float = 1.0  # how unevenly callers ask: 0 all alike, 1 the busiest three times the idlest
     heeding: float = 0.8
-    list_delay: float = 1.0     # seconds until callers learn who is gone or new
-    speeds: tuple[float, ...] = ()      # by place, repeated; else all 1
+    list_delay: float = 1.0  # seconds until callers learn who is gone or new
+    speeds: tuple[float, ...] = ()  # by place, repeated; else all 1
     marked: bool = True
-    cold_speed: float = 1.0     # of an instance that comes back, at first
-    cold_for: float = 0.0       # seconds until it is warm
-    busy_callers: int = 0       # so many instances alone are known to callers; 0: all
+    cold_speed: float = 1.0  # of an instance that comes back, at first
+    cold_for: float = 0.0  # seconds until it is warm
+    busy_callers: int = 0  # so many instances alone are known to callers; 0: all
 
 
 class Op:
@@ -75,21 +76,24 @@
         self.spread: Spread | None = None
         self.reducer: Reducer | None = None
         self.cores: Cores | None = None
-        self.waiting_ops: dict[int, Callable[..., None]] = {}   # by place on it: what is done with its answer
-        self.works: dict[str, tuple[float, bool, float]] = {}   # runs: work left to do, whether they fail, when they began
+        self.waiting_ops: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
+        self.works: dict[str, tuple[float, bool, float]] = {}  # runs: work left to do, whether they fail, when they began
         self.ends = 0
         self.places = self.notices = 0
         self.nudged = False
-        self.level = 0.0        # what callers were told last
+        self.level = 0.0  # what callers were told last
         self.cold_since = -math.inf
-        self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []      # while it is stalled
+        self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while it is stalled
 
 
 class SpreadWorld(FleetWorld):
     def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: SpreadBounds = USUAL) -> None:
         assert mode in MODES
-        self.load, self.mode, self.spread_bounds = load, mode, bounds._replace(hand_over=mode not in ("alone", "advice"),
-                                                                                  advice=mode == "advice" or bounds.advice)
+        self.load, self.mode, self.spread_bounds = (
+            load,
+            mode,
+            bounds._replace(hand_over=mode not in ("alone", "advice"), advice=mode == "advice" or bounds.advice),
+        )
         super().__init__(plan._replace(budgets=()))
         draw = self.calls = random.Random(plan.seed + 77)
         self.nodes = [Service(self, place) for place in range(plan.instances)]
@@ -100,14 +104,18 @@
             self.at(fault.at, self._fault, fault)
         speeds = load.speeds or (1.0,)
         self.speeds = [speeds[place % len(speeds)] for place in range(plan.instances)]
-        self.capacity = sum(self.speeds) * load.cores / load.work      # ops a second
+        self.capacity = sum(self.speeds) * load.cores / load.work  # ops a second
         # Each caller knows `listed` next to each other: busy callers' instances are the busy ones.
         step = plan.instances / load.callers
-        self.lists = [[int(caller * step + turn) % plan.instances for turn in range(min(load.listed, plan.instances))]
-                      for caller in range(load.callers)]
+        self.lists = [
+            [int(caller * step + turn) % plan.instances for turn in range(min(load.listed, plan.instances))]
+            for caller in range(load.callers)
+        ]
         if load.busy_callers:
-            self.lists = [[(caller + turn) % load.busy_callers for turn in range(min(load.listed, load.busy_callers))]
-                          for caller in range(load.callers)]
+            self.lists = [
+                [(caller + turn) % load.busy_callers for turn in range(min(load.listed, load.busy_callers))]
+                for caller in range(load.callers)
+            ]
         if load.mixed:
             self.lists = [draw.sample(range(plan.instances), min(load.listed, plan.instances)) for _ in range(load.callers)]
         weights = [1.0 + 2.0 * load.uneven * caller / max(1, load.callers - 1) for caller in range(load.callers)]
@@ -124,11 +132,11 @@
         self.idle_then: list[tuple[float, list[int]]] = []
         self.arrivals: Counter[tuple[int, int]] = Counter()
         self.ran: Counter[int] = Counter()
-        self.once: set[int] = set()     # numbers of non-retryable ops
+        self.once: set[int] = set()  # numbers of non-retryable ops
         self.handed = Counter[str]()
-        self.handed_cold: dict[tuple[int, int], list[float]] = {}    # by place and life: seconds since its start
+        self.handed_cold: dict[tuple[int, int], list[float]] = {}  # by place and life: seconds since its start
         self.nacked_at = -1.0
-        self.busy: list[list[float]] = []       # each half second, the share of each instance's cores in use
+        self.busy: list[list[float]] = []  # each half second, the share of each instance's cores in use
         self.wishes: list[list[float]] = []
         self.at(SETTLED - 2.0, self._born)
         self.at(SETTLED, self._look)
@@ -148,11 +156,20 @@
             if self.mode in ("random", "freshest"):
                 self._compared(node)
         deployment: Deployment = {
-            "op_types": [{"effect": kind[1], "importance": kind[2], "target_latency": TARGET, "op_timeout": TIMEOUT}
-                         for kind in KINDS],
-            "cores": load.cores, "crowd_per_core": 8.0, "callers": load.callers, "hold_off_allowed": True,
-            "max_hold_off": 3.0, "gauges": ["core_use"], "advice": Advice.FLOOR, "drain_grace": 2.0,
-            "cold_for": load.cold_for, "cold_speed": load.cold_speed}
+            "op_types": [
+                {"effect": kind[1], "importance": kind[2], "target_latency": TARGET, "op_timeout": TIMEOUT} for kind in KINDS
+            ],
+            "cores": load.cores,
+            "crowd_per_core": 8.0,
+            "callers": load.callers,
+            "hold_off_allowed": True,
+            "max_hold_off": 3.0,
+            "gauges": ["core_use"],
+            "advice": Advice.FLOOR,
+            "drain_grace": 2.0,
+            "cold_for": load.cold_for,
+            "cold_speed": load.cold_speed,
+        }
         node.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], node.place + 1)
         node.cores, node.works, node.waiting_ops, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
         node.notices, node.level = 0, 0.0
@@ -177,8 +194,11 @@
 
         def choices() -> list[tuple[float, str]]:
             now = node.clock(self.now)
-            rows = [(row.value("room"), name) for name, row in node.core.known.rows.items()
-                    if now - row.made_at <= FRESH and name in node.core.members.view]
+            rows = [
+                (row.value("room"), name)
+                for name, row in node.core.known.rows.items()
+                if now - row.made_at <= FRESH and name in node.core.members.view
+            ]
             return rows if self.mode == "random" else [row for row in rows if row[0] >= 1.0]
 
         def take(now: float) -> Offered | None:
@@ -187,6 +207,7 @@
                 return None
             name = self.draw.choice(rows)[1] if self.mode == "random" else max(rows)[1]
             return Offered(name, f"10.0.0.1:{name[1:]}", 0, now)
+
         spread.take, spread.offered = take, lambda now: 4 if choices() else 0
 
     def _fault(self, fault: faults.Fault) -> None:
@@ -235,9 +256,18 @@
         """What it says of itself in its reports."""
         now, reducer = node.clock(self.now), node.reducer
         counts = reducer.counts
-        figures = [counts["ops_read"] - counts["ops_from_peers"], 0, counts["run_ok"], counts["decided_nack"],
-                   len(reducer.owed) - reducer.unended - reducer.away, reducer.unended, round(reducer.hatch.capacity()),
-                   int(reducer.healthy), counts["run_error"], reducer.room_told(now)]
+        figures = [
+            counts["ops_read"] - counts["ops_from_peers"],
+            0,
+            counts["run_ok"],
+            counts["decided_nack"],
+            len(reducer.owed) - reducer.unended - reducer.away,
+            reducer.unended,
+            round(reducer.hatch.capacity()),
+            int(reducer.healthy),
+            counts["run_error"],
+            reducer.room_told(now),
+        ]
         opinions = []
         if node.spread:
             figures += node.spread.figures(now)
@@ -274,8 +304,12 @@
             return
         for errand, *fields in node.reducer.reduce(node.clock(self.now), happening, *told):
             self._do(node, errand, fields)
-        if (node.spread and self.spread_bounds.hand_over and not node.nudged
-                and happening in (Happening.OP_READ, Happening.RUN_ENDED)):
+        if (
+            node.spread
+            and self.spread_bounds.hand_over
+            and not node.nudged
+            and happening in (Happening.OP_READ, Happening.RUN_ENDED)
+        ):
             node.nudged = True
             self.at(self.now + NUDGE, self._nudged, node, node.lives)
 
@@ -305,8 +339,12 @@
             if answered is None:
                 raise Broken(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
             node.level = fields[-1] or 0.0
-            self.at(self.now + self.draw.uniform(*LINK), answered, errand.value,
-                    fields[1] if errand is Errand.ACK else fields[1:3] if errand is Errand.NACK else b"")
+            self.at(
+                self.now + self.draw.uniform(*LINK),
+                answered,
+                errand.value,
+                fields[1] if errand is Errand.ACK else fields[1:3] if errand is Errand.NACK else b"",
+            )
 
     def _for_life(self, node: Service, life: int, happening: Happening, *told: Any) -> None:
         if node.lives == life:
@@ -319,8 +357,11 @@
         self.ran[int(number)] += 1
         if self.ran[int(number)] > 1 and int(number) in self.once:
             raise Broken(f"at {self.now:.3f} a non-retryable op runs a second time, on {node.name}")
-        slow = max(1.0, faults.amount(self.faults, "slow", self.now, node.place)) / self.speeds[node.place] / self.warmth(
-            self.now - node.cold_since)
+        slow = (
+            max(1.0, faults.amount(self.faults, "slow", self.now, node.place))
+            / self.speeds[node.place]
+            / self.warmth(self.now - node.cold_since)
+        )
         bad = self.draw.random() < faults.amount(self.faults, "failing", self.now, node.place)
         node.works[ref] = (float(work), bad, self.now)
         node.cores.start(self.now, ref, float(work) * slow * (BAD_SPEED if bad else 1.0))
@@ -360,8 +401,22 @@
 
     # Hand-over.
 
-    def _hand(self, node: Service, ref: str, op_type: str, tenant: str, body: bytes, age: float, left: float, caller: int,
-              work: float, kb: float, again: bool, rank: float, key: str) -> None:
+    def _hand(
+        self,
+        node: Service,
+        ref: str,
+        op_type: str,
+        tenant: str,
+        body: bytes,
+        age: float,
+        left: float,
+        caller: int,
+        work: float,
+        kb: float,
+        again: bool,
+        rank: float,
+        key: str,
+    ) -> None:
         offer = node.spread.take(node.clock(self.now))
         life = node.lives
         if offer is None:
@@ -377,22 +432,50 @@
             ended.append(ending)
             self.handed[ending.name.lower()] += 1
             if node.lives == life and node.core:
-                node.spread.ended(node.clock(self.now), offer, ending in (Ending.ERROR, Ending.INTERRUPTED),
-                                  ending in (Ending.UNREACHABLE, Ending.INTERRUPTED))
+                node.spread.ended(
+                    node.clock(self.now),
+                    offer,
+                    ending in (Ending.ERROR, Ending.INTERRUPTED),
+                    ending in (Ending.UNREACHABLE, Ending.INTERRUPTED),
+                )
                 self._take(node, Happening.HAND_ENDED, ref, ending, result)
+
         there = faults.passes(self.links, self.now, node.place, peer.place) and faults.passes(
-            self.links, self.now, peer.place, node.place)
+            self.links, self.now, peer.place, node.place
+        )
         if not there or peer.core is None:
             self.at(self.now + (LINK[1] if there else CONNECT), over, Ending.UNREACHABLE)
             return
         if left:
             self.at(self.now + max(0.01, left - 0.08), over, Ending.INTERRUPTED)
-        self.at(self.now + self.draw.uniform(*LINK), self._arrives_handed, node, peer, peer.lives, offer, over,
-                (ref, op_type, tenant, age, max(0.01, left - 0.08) if left else 0.0, caller, work, kb, again, key, body, rank,
-                 True))
-
-    def _arrives_handed(self, node: Service, peer: Service, life: int, offer: Offered, over: Callable[..., None],
-                        told: tuple) -> None:
+        self.at(
+            self.now + self.draw.uniform(*LINK),
+            self._arrives_handed,
+            node,
+            peer,
+            peer.lives,
+            offer,
+            over,
+            (
+                ref,
+                op_type,
+                tenant,
+                age,
+                max(0.01, left - 0.08) if left else 0.0,
+                caller,
+                work,
+                kb,
+                again,
+                key,
+                body,
+                rank,
+                True,
+            ),
+        )
+
+    def _arrives_handed(
+        self, node: Service, peer: Service, life: int, offer: Offered, over: Callable[..., None], told: tuple
+    ) -> None:
         if peer.core is None or peer.lives != life:
             over(Ending.INTERRUPTED)
             return
@@ -404,8 +487,11 @@
         def answered(what: str, result: Any) -> None:
             passes = faults.passes(self.links, self.now, peer.place, node.place)
             if passes:
-                over({"ack": Ending.OK, "fail": Ending.ERROR, "broken": Ending.INTERRUPTED}.get(what, Ending.FULL),
-                     result if what == "ack" else b"")
+                over(
+                    {"ack": Ending.OK, "fail": Ending.ERROR, "broken": Ending.INTERRUPTED}.get(what, Ending.FULL),
+                    result if what == "ack" else b"",
+                )
+
         self._read(peer, answered, told)
 
     def _read(self, node: Service, answered: Callable[..., None], told: tuple) -> None:
@@ -458,10 +544,29 @@
 
         def answered(what: str, result: Any) -> None:
             self._answered(op, chosen, what, result, heeds)
+
         self.at(self.now + wait + 0.2, self._too_late, op)
-        self.at(self.now + self.draw.uniform(*LINK), self._reads, node, life, answered, (
-            ref, op.kind[0], "", 0.0, wait, op.caller, op.work, 1.0, op.tries > 1 and load.marked, "",
-            b"%d %.6f" % (op.number, op.work), op.rank))
+        self.at(
+            self.now + self.draw.uniform(*LINK),
+            self._reads,
+            node,
+            life,
+            answered,
+            (
+                ref,
+                op.kind[0],
+                "",
+                0.0,
+                wait,
+                op.caller,
+                op.work,
+                1.0,
+                op.tries > 1 and load.marked,
+                "",
+                b"%d %.6f" % (op.number, op.work),
+                op.rank,
+            ),
+        )
 
     def _reads(self, node: Service, life: int, answered: Callable[..., None], told: tuple) -> None:
         if node.core is None or node.lives != life:
@@ -509,8 +614,13 @@
         held = {node.place: len(node.reducer.owed) - node.reducer.unended - node.reducer.away for node in up}
         needing = sum(count > 0 for count in held.values()) > 0 or self.now - self.nacked_at < LOOK
         if needing:
-            idle = sum(not node.works and not held[node.place] and node.reducer.stop_at is None
-                       and faults.amount(self.faults, "failing", self.now, node.place) < 0.5 for node in up)
+            idle = sum(
+                not node.works
+                and not held[node.place]
+                and node.reducer.stop_at is None
+                and faults.amount(self.faults, "failing", self.now, node.place) < 0.5
+                for node in up
+            )
             self.idle_needed += LOOK * idle
         if len(self.busy) < 2.0 * (self.now - SETTLED):
             self.busy.append([min(1.0, len(node.works) / self.load.cores) if node.core else -1.0 for node in self.nodes])
@@ -521,12 +631,19 @@
         latencies = sorted(self.latencies) or [math.inf]
         seconds = sorted({second for _, second in self.arrivals})[:-1]
         mean = sum(self.arrivals[place, second] for place in range(self.plan.instances) for second in seconds) / max(
-            1, len(seconds) * self.plan.instances)
+            1, len(seconds) * self.plan.instances
+        )
         most = max((self.arrivals[place, second] for place in range(self.plan.instances) for second in seconds), default=0)
-        return {"in_time": self.in_time / max(1.0, self.asked), "idle_needed": self.idle_needed,
-                "most_over_mean": most / max(1e-9, mean), "p50": latencies[len(latencies) // 2],
-                "p99": latencies[int(0.99 * (len(latencies) - 1))], "nacked": self.counts["nacked"],
-                "handed": self.handed["to offers"] + self.handed["to guesses"], "refused by peers": self.handed["full"]}
+        return {
+            "in_time": self.in_time / max(1.0, self.asked),
+            "idle_needed": self.idle_needed,
+            "most_over_mean": most / max(1e-9, mean),
+            "p50": latencies[len(latencies) // 2],
+            "p99": latencies[int(0.99 * (len(latencies) - 1))],
+            "nacked": self.counts["nacked"],
+            "handed": self.handed["to offers"] + self.handed["to guesses"],
+            "refused by peers": self.handed["full"],
+        }
 
 
 def common_queue(plan: Plan, load: Load) -> dict[str, float]:
@@ -562,5 +679,8 @@
                 moment += work / -speed
         heapq.heappush(free, (moment, speed))
     latencies.sort()
-    return {"in_time": in_time / max(1.0, asked), "p50": latencies[len(latencies) // 2],
-            "p99": latencies[int(0.99 * (len(latencies) - 1))]}
+    return {
+        "in_time": in_time / max(1.0, asked),
+        "p50": latencies[len(latencies) // 2],
+        "p99": latencies[int(0.99 * (len(latencies) - 1))],
+    }
--- a/mulleinhatch/standins/virtual_upkeep.py
+++ b/mulleinhatch/standins/virtual_upkeep.py
@@ -2,6 +2,7 @@
 
 Who gets a permit goes out and starts anew when its work is done; more out by permit than the bound raises `Broken`.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -22,7 +23,7 @@
         self.has_disks, self.works, self.most_out, self.most = disks, works, 0, most
         self.permits = Bounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
         self.cores: dict[str, Upkeep] = {}
-        self.outside: set[str] = set()      # by permit, and not back yet
+        self.outside: set[str] = set()  # by permit, and not back yet
         self.been: Counter[str] = Counter()
         self.to_go: set[str] = set()
         self.unfit: set[str] = set()
@@ -35,8 +36,15 @@
 
         def keep(kept: Kept) -> None:
             self.disks[node.name] = kept
-        self.cores[node.name] = Upkeep(self.permits, node.core, node.lives * 100 + node.place, node.clock(self.now),
-                                       self.disks[node.name] if self.has_disks else None, keep if self.has_disks else None)
+
+        self.cores[node.name] = Upkeep(
+            self.permits,
+            node.core,
+            node.lives * 100 + node.place,
+            node.clock(self.now),
+            self.disks[node.name] if self.has_disks else None,
+            keep if self.has_disks else None,
+        )
 
     def _beat(self, node: Node, life: int, again: bool = True) -> None:
         if node.core and node.lives == life and not node.stalled:
@@ -68,8 +76,16 @@
 
 
 class Machines(WithUpkeep, FleetWorld):
-    def __init__(self, count: int, script: str = "", most: int = 1, voters: int = 3, seed: int = 1, disks: bool = True,
-                 works: float = 1.0) -> None:
+    def __init__(
+        self,
+        count: int,
+        script: str = "",
+        most: int = 1,
+        voters: int = 3,
+        seed: int = 1,
+        disks: bool = True,
+        works: float = 1.0,
+    ) -> None:
         super().__init__(Plan(count, script, until=1e9, budgets=(), seed=seed))
         self.ready(most, voters, disks, works)
 
--- a/mulleinhatch/start.py
+++ b/mulleinhatch/start.py
@@ -1,4 +1,5 @@
 """What an instance is told at start, in the words of `interface.Deployment`. What is not there stays out."""
+
 from __future__ import annotations
 
 import math
@@ -69,8 +70,11 @@
     >>> told({"tick": "2.0", "novel": "1"}, {"tick": ("tick", seconds), "servers": ("instances", whole)})
     {'tick': 0.002}
     """
-    values = {name: value(read, pairs[prefix + path], prefix + path)
-              for path, (name, read) in reading.items() if prefix + path in pairs}
+    values = {
+        name: value(read, pairs[prefix + path], prefix + path)
+        for path, (name, read) in reading.items()
+        if prefix + path in pairs
+    }
     return {name: value for name, value in values.items() if value is not None}
 
 
@@ -88,8 +92,7 @@
         tree = {"count": len(tree), **{str(place): item for place, item in enumerate(tree)}}
     if isinstance(tree, dict):
         dot = path + "." if path else ""
-        return {name: text for key, item in tree.items()
-                for name, text in pairs_of_tree(item, dot + key).items()}
+        return {name: text for key, item in tree.items() for name, text in pairs_of_tree(item, dot + key).items()}
     return {path: ",".join(map(word, tree)) if isinstance(tree, list) else word(tree)}
 
 
--- a/mulleinhatch/storms/books.py
+++ b/mulleinhatch/storms/books.py
@@ -3,6 +3,7 @@
 `HeavyCallers` is the space-saving sketch (Metwally, Agrawal, El Abbadi: "Efficient computation of frequent and top-k
 elements in data streams", 2005): a caller without a count takes over the smallest one, and inherits it as its error.
 """
+
 from __future__ import annotations
 
 from collections.abc import Hashable
@@ -26,7 +27,7 @@
         self.room, self.total = room, 0
         self.counts: dict[Hashable, int] = {}
         self.errors: dict[Hashable, int] = {}
-        self.order: list[tuple[int, int, Hashable]] = []     # counts as they were: the least is put right at need
+        self.order: list[tuple[int, int, Hashable]] = []  # counts as they were: the least is put right at need
         self.turn = 0
 
     def add(self, caller: Hashable, times: int = 1) -> None:
@@ -60,8 +61,7 @@
     def fade(self) -> None:
         """Halves all: who was loud a while ago counts for less. What falls to nothing is dropped."""
         self.counts = {caller: count // 2 for caller, count in self.counts.items() if count > 1}
-        self.errors = {caller: error // 2 for caller, error in self.errors.items()
-                       if error > 1 and caller in self.counts}
+        self.errors = {caller: error // 2 for caller, error in self.errors.items() if error > 1 and caller in self.counts}
         self.total //= 2
         self.order = [(count, turn, caller) for turn, (caller, count) in enumerate(self.counts.items())]
         self.turn = len(self.order)
--- a/mulleinhatch/storms/budget.py
+++ b/mulleinhatch/storms/budget.py
@@ -1,9 +1,10 @@
 """How many retries are heard: a rate, most of it first for callers who come when they were told to."""
+
 from __future__ import annotations
 
 import math
 
-BURST = 0.5     # seconds' worth of the rate that is saved up: retries come in bunches
+BURST = 0.5  # seconds' worth of the rate that is saved up: retries come in bunches
 
 
 class Bucket:
@@ -40,7 +41,7 @@
     def __init__(self, heeding_part: float) -> None:
         self.heeding_part, self.rate, self.filled = heeding_part, math.inf, 0.0
         self.punctual, self.others = Bucket(1.0), Bucket(1.0)
-        self.none_before = 0.0      # no token of any kind until then: thousands ask in between
+        self.none_before = 0.0  # no token of any kind until then: thousands ask in between
 
     def limit(self, now: float, rate: float) -> None:
         """Retries a second from now on; what was saved up at a higher rate is cut back."""
--- a/mulleinhatch/storms/calendar.py
+++ b/mulleinhatch/storms/calendar.py
@@ -3,6 +3,7 @@
 One time is kept, not a page a slot: slots are given out in order, so the next free one says all there is to know
 (the virtual scheduling form of the generic cell rate algorithm, ITU-T I.371).
 """
+
 from __future__ import annotations
 
 
--- a/mulleinhatch/storms/desk.py
+++ b/mulleinhatch/storms/desk.py
@@ -1,4 +1,5 @@
 """All that is known of a storm at one instance, and the one word on each try that comes while it lasts."""
+
 from __future__ import annotations
 
 import math
@@ -11,8 +12,8 @@
 from mulleinhatch.storms.twins import Runs, Tries
 from mulleinhatch.storms.watch import Stage, Watch
 
-FADE_EVERY = 2.0        # seconds after which what a caller did counts half
-PUNCTUAL = 0.02         # seconds too soon that still count as when told: clocks and rounding
+FADE_EVERY = 2.0  # seconds after which what a caller did counts half
+PUNCTUAL = 0.02  # seconds too soon that still count as when told: clocks and rounding
 
 
 class Desk:
@@ -33,16 +34,16 @@
     def __init__(self, bounds: StormBounds, longest_hold_off: float, seed: int) -> None:
         self.bounds = bounds
         self.watch = Watch(bounds)
-        self.callers = HeavyCallers(bounds.callers_kept)    # by their repeats
+        self.callers = HeavyCallers(bounds.callers_kept)  # by their repeats
         self.calendar = Calendar(min(bounds.horizon, longest_hold_off))
         self.budget = RetryBudget(bounds.heeding_part)
         self.tries, self.runs = Tries(bounds.repeats_kept), Runs(bounds.repeats_kept)
         self.counts: Counter[str] = Counter()
-        self.chance = seed % 2 ** 64
+        self.chance = seed % 2**64
         self.loud: int | None = None
         self.faded_at = 0.0
-        self.promised_until = 0.0    # the last come-back that was told to a caller who may heed it
-        self.turned = self.stubborn = 0     # tries turned back, and those of them that came before their time
+        self.promised_until = 0.0  # the last come-back that was told to a caller who may heed it
+        self.turned = self.stubborn = 0  # tries turned back, and those of them that came before their time
         self.told: tuple[bool, float] = (False, 0.0)
 
     @property
@@ -106,16 +107,24 @@
         return seconds
 
     def _draw(self) -> float:
-        self.chance = (self.chance * 6364136223846793005 + 1442695040888963407) % 2 ** 64
-        return (self.chance >> 33) / 2 ** 31
+        self.chance = (self.chance * 6364136223846793005 + 1442695040888963407) % 2**64
+        return (self.chance >> 33) / 2**31
 
     def counted(self) -> dict[str, int]:
         watch = self.watch
-        return {**self.counts, **self.tries.counts, "likenesses_kept": len(self.tries.outstanding) + len(self.tries.done),
-                "runs_in_doubt": len(self.runs), "turned_back": self.turned, "turned_back_stubborn": self.stubborn,
-                "storm_stage": list(Stage).index(watch.stage),
-                "storms": watch.entered[Stage.STORM], "storm_first_tries_a_second": round(watch.first_rate),
-                "storm_repeats_a_second": round(watch.repeat_rate),
-                "storm_connects_a_second": round(watch.connect_rate),
-                "storm_callers_known": len(self.callers), "storm_slots": self.calendar.booked,
-                "storm_slots_over": self.calendar.overbooked}
+        return {
+            **self.counts,
+            **self.tries.counts,
+            "likenesses_kept": len(self.tries.outstanding) + len(self.tries.done),
+            "runs_in_doubt": len(self.runs),
+            "turned_back": self.turned,
+            "turned_back_stubborn": self.stubborn,
+            "storm_stage": list(Stage).index(watch.stage),
+            "storms": watch.entered[Stage.STORM],
+            "storm_first_tries_a_second": round(watch.first_rate),
+            "storm_repeats_a_second": round(watch.repeat_rate),
+            "storm_connects_a_second": round(watch.connect_rate),
+            "storm_callers_known": len(self.callers),
+            "storm_slots": self.calendar.booked,
+            "storm_slots_over": self.calendar.overbooked,
+        }
--- a/mulleinhatch/storms/twins.py
+++ b/mulleinhatch/storms/twins.py
@@ -4,6 +4,7 @@
 A likeness that was seen on two ops at once, or again after an ack, is shared and proves nothing from then on; then the
 finer one decides, by the figures that belong to one client's op. `docs/design/lookalikes.md` has the table.
 """
+
 from __future__ import annotations
 
 import math
@@ -14,10 +15,10 @@
 
 from mulleinhatch.storms.books import Lately, fingerprint
 
-SPAN = 10.0             # seconds in which a nacked op is known again; twice that at most
-RUN_SPAN = 30.0         # and one that ran, when its answer may not have arrived
-STEADY_FOR, STEADY_ENOUGH = 5.0, 64     # seconds and retries, all with the figures of a try before, until figures tell
-IN_TIME = 0.25          # seconds before its time that an answer must leave to have found its caller waiting
+SPAN = 10.0  # seconds in which a nacked op is known again; twice that at most
+RUN_SPAN = 30.0  # and one that ran, when its answer may not have arrived
+STEADY_FOR, STEADY_ENOUGH = 5.0, 64  # seconds and retries, all with the figures of a try before, until figures tell
+IN_TIME = 0.25  # seconds before its time that an answer must leave to have found its caller waiting
 
 
 class Likeness(NamedTuple):
@@ -27,8 +28,7 @@
     fine: bytes
 
 
-def likeness(caller: int, op_type: str, tenant: str, key: str, body: bytes, rank: float, work: float,
-             kb: float) -> Likeness:
+def likeness(caller: int, op_type: str, tenant: str, key: str, body: bytes, rank: float, work: float, kb: float) -> Likeness:
     plain = fingerprint(caller, op_type, tenant, key, body)
     return Likeness(plain, finer(plain, rank, work, kb))
 
@@ -102,8 +102,8 @@
         self.outstanding = Tally(SPAN, room)
         self.done, self.shared = Lately(SPAN, room), Lately(SPAN, room)
         self.counts: Counter[str] = Counter()
-        self.steady = 0     # marked retries in a row that came with the figures of a try before
-        self.unsteady_at = -math.inf    # when one came with others
+        self.steady = 0  # marked retries in a row that came with the figures of a try before
+        self.unsteady_at = -math.inf  # when one came with others
 
     def read(self, now: float, like: Likeness, again: bool, watched: bool = False) -> tuple[bool, tuple[bytes, ...]]:
         """Whether it is a repeat, marked or not. `watched` ones, of op types that may not run twice, tell whether the
@@ -134,8 +134,12 @@
         """Whether an unmarked try that was not read in full yet repeats a nacked one for certain. One that looks like
         what waits here or was acked must be read, and compared."""
         what = fine() if self.shared.seen(now, plain) else plain
-        return (self.outstanding.has(now, what) and what not in self.open and not self.done.seen(now, what)
-                and not self.shared.seen(now, what))
+        return (
+            self.outstanding.has(now, what)
+            and what not in self.open
+            and not self.done.seen(now, what)
+            and not self.shared.seen(now, what)
+        )
 
     def turned_back(self, now: float, plain: bytes, fine: Callable[[], bytes], again: bool) -> None:
         """Nacked before it was read in full, perhaps once more: it stays known for as long as it keeps coming. Of a marked
@@ -179,7 +183,7 @@
 
 class Run(NamedTuple):
     like: Likeness
-    due: float      # until when its caller waits
+    due: float  # until when its caller waits
 
 
 class Runs:
@@ -198,8 +202,8 @@
         self.room, self.turned = room, 0.0
         self.new: dict[str, Run] = {}
         self.old: dict[str, Run] = {}
-        self.by_plain: dict[bytes, dict[str, bytes]] = {}       # and there by id: the fine likeness
-        self.answers: dict[int, str] = {}       # by connection: the run whose ack was the last word on it
+        self.by_plain: dict[bytes, dict[str, bytes]] = {}  # and there by id: the fine likeness
+        self.answers: dict[int, str] = {}  # by connection: the run whose ack was the last word on it
 
     def _turn(self, now: float) -> None:
         if now - self.turned >= RUN_SPAN or len(self.new) >= self.room:
--- a/mulleinhatch/storms/watch.py
+++ b/mulleinhatch/storms/watch.py
@@ -4,6 +4,7 @@
 what a few seconds of it cost; a slow dependency is asked for the same ops a few times more; one loud caller is told
 from a storm by its part of the repeats. `docs/design/storms.md` has the table of states.
 """
+
 from __future__ import annotations
 
 import math
@@ -12,13 +13,13 @@
 from mulleinhatch.rings import Ring
 from mulleinhatch.storms.bounds import StormBounds
 
-BEAT = 0.25             # seconds between judgements
-SEEN, SEEN_BUCKETS = 0.25, 4    # the second that is looked at
-CALM_SHARE = 0.25       # of what is read that repeats, below which it is no longer rising
-CALM_FOR = 1.0          # seconds of that
-EASED_FOR = 1.0         # seconds under one repeat for each op that can be served, until it is recovering
-USUAL = 0.02            # a beat, how fast the usual rate of first tries follows
-LATE_READ = 0.5         # mean age in seconds from which reading can't keep up: an outage of its own
+BEAT = 0.25  # seconds between judgements
+SEEN, SEEN_BUCKETS = 0.25, 4  # the second that is looked at
+CALM_SHARE = 0.25  # of what is read that repeats, below which it is no longer rising
+CALM_FOR = 1.0  # seconds of that
+EASED_FOR = 1.0  # seconds under one repeat for each op that can be served, until it is recovering
+USUAL = 0.02  # a beat, how fast the usual rate of first tries follows
+LATE_READ = 0.5  # mean age in seconds from which reading can't keep up: an outage of its own
 
 
 class Stage(Enum):
@@ -50,7 +51,7 @@
         self.reads, self.repeats, self.connects, self.ages = (Ring(SEEN, SEEN_BUCKETS) for _ in range(4))
         self.usual = self.first_rate = self.repeat_rate = self.connect_rate = 0.0
         self.judged_at = -math.inf
-        self.eased = self.likely = 0.0      # seconds: looking calmer, like a storm
+        self.eased = self.likely = 0.0  # seconds: looking calmer, like a storm
         self.outage_at: float | None = None
         self.entered: dict[Stage, int] = dict.fromkeys(Stage, 0)
 
@@ -72,8 +73,12 @@
         """One beat; `capacity` is the ops a second that can be served, 0 where that is not known."""
         span = BEAT if self.judged_at == -math.inf else now - self.judged_at
         self.judged_at = now
-        for ring, amount in ((self.reads, self.new_reads), (self.repeats, self.new_repeats),
-                             (self.connects, self.new_connects), (self.ages, self.new_age)):
+        for ring, amount in (
+            (self.reads, self.new_reads),
+            (self.repeats, self.new_repeats),
+            (self.connects, self.new_connects),
+            (self.ages, self.new_age),
+        ):
             ring.add(now, amount)
         self.new_reads = self.new_repeats = self.new_connects = 0
         self.new_age = 0.0
@@ -93,7 +98,7 @@
         served. Each way back asks for less than the way there, and for longer: it must not flap."""
         bounds = self.bounds
         stormy = share >= bounds.storm_share and multiple >= bounds.storm_multiple
-        self.likely = self.likely + min(span, 2.0 * BEAT) if stormy else 0.0    # a stall of ours is no storm
+        self.likely = self.likely + min(span, 2.0 * BEAT) if stormy else 0.0  # a stall of ours is no storm
         if self.stage is Stage.CALM:
             if share >= bounds.rising_share and multiple >= 0.5 * bounds.storm_multiple:
                 self._enter(Stage.RISING)
--- a/mulleinhatch/traces/aliases.py
+++ b/mulleinhatch/traces/aliases.py
@@ -1,6 +1,7 @@
 """Aliases for what names somebody: the same key and text give the same alias, in whatever file; without the key there is no way
 back. Shape and length stay: a hexadecimal id is one again, a letter is a letter, a number keeps its digits.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
@@ -13,7 +14,7 @@
 
 ROUNDS = 8
 HEX = frozenset("0123456789abcdef")
-LEAST_KEY = 16          # bytes: a shorter key could be tried out
+LEAST_KEY = 16  # bytes: a shorter key could be tried out
 
 
 class Aliases:
@@ -44,8 +45,7 @@
     def text(self, text: str) -> str:
         """Letters and digits by others, the rest as it stands; letters beyond ASCII become plain ones."""
         drawn = self._stream(text, 2 * len(text))
-        return "".join(self._letter(letter, drawn[2 * place] << 8 | drawn[2 * place + 1])
-                       for place, letter in enumerate(text))
+        return "".join(self._letter(letter, drawn[2 * place] << 8 | drawn[2 * place + 1]) for place, letter in enumerate(text))
 
     @staticmethod
     def _letter(letter: str, draw: int) -> str:
@@ -75,9 +75,19 @@
 
 def anonymous_facts(facts: Facts, aliases: Aliases) -> Facts:
     """Seed and deployment stay: a replay needs them, and they name nobody."""
-    return Facts(aliases.text(facts.instance), facts.seed, facts.clock, facts.wall, facts.number, facts.deployment,
-                 facts.op_types, [aliases.text(tenant) for tenant in facts.tenants], facts.policy, facts.made_by,
-                 [{**one, "instance": aliases.text(str(one.get("instance", "")))} for one in facts.merged])
+    return Facts(
+        aliases.text(facts.instance),
+        facts.seed,
+        facts.clock,
+        facts.wall,
+        facts.number,
+        facts.deployment,
+        facts.op_types,
+        [aliases.text(tenant) for tenant in facts.tenants],
+        facts.policy,
+        facts.made_by,
+        [{**one, "instance": aliases.text(str(one.get("instance", "")))} for one in facts.merged],
+    )
 
 
 def anonymous(records: Iterable[Record], aliases: Aliases) -> Iterator[Record]:
--- a/mulleinhatch/traces/block.py
+++ b/mulleinhatch/traces/block.py
@@ -3,6 +3,7 @@
 Layout (little endian), as `docs/design/traces.md` tells byte by byte: a head of 64 bytes, then the body, compressed by
 zstandard. The checksum (xxh3, 64 bits) covers the head before it and the body as stored.
 """
+
 from __future__ import annotations
 
 import struct
@@ -20,10 +21,10 @@
 MAGIC = b"mhtBLOCK"
 # magic, major, reserved, stored bytes, raw bytes, records, first and last time, newest op before it; then the checksum
 HEAD = struct.Struct("<8sHHIIIddQ")
-SUM = struct.Struct("<QQ")      # checksum, and eight bytes that are zero
+SUM = struct.Struct("<QQ")  # checksum, and eight bytes that are zero
 HEAD_SIZE = HEAD.size + SUM.size
-MOST_STORED, MOST_RAW, MOST_RECORDS = 8 << 20, 16 << 20, 1 << 20     # what no block of ours exceeds, and no reader believes
-TIMES, KINDS_COLUMN, TEXTS = 0, 1, 2        # columns that belong to no kind
+MOST_STORED, MOST_RAW, MOST_RECORDS = 8 << 20, 16 << 20, 1 << 20  # what no block of ours exceeds, and no reader believes
+TIMES, KINDS_COLUMN, TEXTS = 0, 1, 2  # columns that belong to no kind
 PACKER = zstandard.ZstdCompressor(level=3, write_content_size=True)
 HEX = frozenset("0123456789abcdef")
 
@@ -69,8 +70,10 @@
         puts = self.puts[kind.code] = []
         for place, (_, codec) in enumerate(kind.columns):
             column = self.columns[kind.code, place] = Out()
-            puts.append({"whole": column.whole, "number": column.number}.get(codec) or partial(
-                {"op": self._op, "numbers": self._numbers, "ref": self._ref, "text": self._text}[codec], column))
+            puts.append(
+                {"whole": column.whole, "number": column.number}.get(codec)
+                or partial({"op": self._op, "numbers": self._numbers, "ref": self._ref, "text": self._text}[codec], column)
+            )
         return puts
 
     def _op(self, column: Out, value: int) -> None:
@@ -109,9 +112,12 @@
 
     def block(self) -> bytes:
         out = Out()
-        columns = [(TIMES, 0, bytes(self.times.data)), (KINDS_COLUMN, 0, bytes(self.kinds)),
-                   (TEXTS, 0, _texts_out(list(self.texts))),
-                   *((code + 2, place, bytes(column.data)) for (code, place), column in sorted(self.columns.items()))]
+        columns = [
+            (TIMES, 0, bytes(self.times.data)),
+            (KINDS_COLUMN, 0, bytes(self.kinds)),
+            (TEXTS, 0, _texts_out(list(self.texts))),
+            *((code + 2, place, bytes(column.data)) for (code, place), column in sorted(self.columns.items())),
+        ]
         out.whole(len(columns))
         for code, place, data in columns:
             out.whole(code)
@@ -119,8 +125,9 @@
             out.whole(len(data))
         raw = bytes(out.data) + b"".join(data for _, _, data in columns)
         stored = PACKER.compress(raw)
-        head = HEAD.pack(MAGIC, self.major, 0, len(stored), len(raw), len(self.kinds), self.first, self.last,
-                         self.newest_before)
+        head = HEAD.pack(
+            MAGIC, self.major, 0, len(stored), len(raw), len(self.kinds), self.first, self.last, self.newest_before
+        )
         return head + SUM.pack(xxh3_64_intdigest(stored, xxh3_64_intdigest(head)), 0) + stored
 
 
@@ -158,9 +165,9 @@
     head = head_of(data)
     if len(data) < HEAD_SIZE + head.stored:
         raise Damaged("a block is cut")
-    body = memoryview(data)[HEAD_SIZE:HEAD_SIZE + head.stored]
+    body = memoryview(data)[HEAD_SIZE : HEAD_SIZE + head.stored]
     checksum, zero = SUM.unpack_from(data, HEAD.size)
-    if zero or checksum != xxh3_64_intdigest(body, xxh3_64_intdigest(data[:HEAD.size])):
+    if zero or checksum != xxh3_64_intdigest(body, xxh3_64_intdigest(data[: HEAD.size])):
         raise Damaged("a block's checksum does not fit")
     return head
 
@@ -173,7 +180,8 @@
         self.unknown: Counter[int] = Counter()
         try:
             raw = zstandard.ZstdDecompressor(max_window_size=1 << 24).decompress(
-                data[HEAD_SIZE:HEAD_SIZE + self.head.stored], max_output_size=self.head.raw, allow_extra_data=False)
+                data[HEAD_SIZE : HEAD_SIZE + self.head.stored], max_output_size=self.head.raw, allow_extra_data=False
+            )
         except zstandard.ZstdError as error:
             raise Damaged(f"a block can't be decompressed: {error}") from None
         if len(raw) != self.head.raw:
@@ -200,13 +208,16 @@
         return In(self.columns.get((code, place), b""))
 
     def counts(self) -> Counter[str]:
-        return Counter({KINDS[code].name if code in KINDS else f"kind {code}": count
-                        for code, count in Counter(self.kinds).items()})
+        return Counter(
+            {KINDS[code].name if code in KINDS else f"kind {code}": count for code, count in Counter(self.kinds).items()}
+        )
 
     def records(self) -> Iterator[Record]:
         times, micro, newest = self._column(TIMES), _micro(self.head.first), self.head.newest
-        columns = {code: [(codec, self._column(code + 2, place)) for place, (_, codec) in enumerate(kind.columns)]
-                   for code, kind in KINDS.items()}
+        columns = {
+            code: [(codec, self._column(code + 2, place)) for place, (_, codec) in enumerate(kind.columns)]
+            for code, kind in KINDS.items()
+        }
         for code in self.kinds:
             apart = times.whole()
             micro += -(apart + 1) // 2 if apart & 1 else apart // 2
--- a/mulleinhatch/traces/codec.py
+++ b/mulleinhatch/traces/codec.py
@@ -1,12 +1,13 @@
 """Columns of bytes: whole numbers, exact floats, ids, texts. Reading past the end, or past any bound, is `Damaged`."""
+
 from __future__ import annotations
 
 import struct
 
 MICRO = 1e6
-EXACT = 2 ** 52         # whole microseconds up to which a float is told as one
+EXACT = 2**52  # whole microseconds up to which a float is told as one
 F64 = struct.Struct("<d")
-MOST_NUMBERS = 256      # in one value of several
+MOST_NUMBERS = 256  # in one value of several
 
 
 class Damaged(ValueError):
@@ -81,7 +82,7 @@
         return (value >> 2) / MICRO if value & 2 else (value >> 2) * 1000 / MICRO
 
     def raw(self, count: int) -> bytes:
-        data = self.data[self.at:self.at + count]
+        data = self.data[self.at : self.at + count]
         if len(data) < count:
             raise Damaged("a column is too short")
         self.at += count
--- a/mulleinhatch/traces/cutting.py
+++ b/mulleinhatch/traces/cutting.py
@@ -1,4 +1,5 @@
 """Part of a trace as a trace: by time, tenant, op type, op. One pass, one block in memory."""
+
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
@@ -9,7 +10,7 @@
 from mulleinhatch.traces.file import Facts, Trace, Writer
 from mulleinhatch.traces.kinds import Record
 
-BLOCK_RECORDS = 16384   # larger blocks are smaller an op; a live file's are as the writer was handed them
+BLOCK_RECORDS = 16384  # larger blocks are smaller an op; a live file's are as the writer was handed them
 
 
 class Wanted(NamedTuple):
@@ -39,7 +40,7 @@
         place = OP_PLACES[record.kind.code]
         if record.kind is kinds.READ:
             op, ref, op_type, _, _, tenant, *_ = record.values
-            if (wanted.tenant in (None, tenant) and wanted.op_type in (None, op_type) and wanted.ref in (None, ref)):
+            if wanted.tenant in (None, tenant) and wanted.op_type in (None, op_type) and wanted.ref in (None, ref):
                 ops.add(op)
                 yield record
         elif not wanted.is_of_ops() or place is not None and record.values[place] in ops:
--- a/mulleinhatch/traces/file.py
+++ b/mulleinhatch/traces/file.py
@@ -3,6 +3,7 @@
 What can be read is read: a block that is damaged is left out alone, a file that is cut is read up to the break, and an
 index that is missing or lies is made anew from the blocks' heads.
 """
+
 from __future__ import annotations
 
 import io
@@ -19,12 +20,12 @@
 from mulleinhatch.traces.kinds import MAJORS, MINOR, Record
 
 MAGIC = b"mhtTRACE"
-START = struct.Struct("<8sHHIQ")        # magic, major, minor, bytes of the facts, their checksum
+START = struct.Struct("<8sHHIQ")  # magic, major, minor, bytes of the facts, their checksum
 MOST_FACTS = 4 << 20
-INDEX_MAGIC, INDEX_ROW = b"mhtINDEX", struct.Struct("<QIIdd")     # place, stored bytes, records, first and last time
-INDEX_HEAD, INDEX_TAIL = struct.Struct("<8sI"), struct.Struct("<IQ8s")      # rows; rows, checksum, magic again
+INDEX_MAGIC, INDEX_ROW = b"mhtINDEX", struct.Struct("<QIIdd")  # place, stored bytes, records, first and last time
+INDEX_HEAD, INDEX_TAIL = struct.Struct("<8sI"), struct.Struct("<IQ8s")  # rows; rows, checksum, magic again
 MOST_ROWS = 1 << 22
-LOOK_FOR = 1 << 16      # bytes read at once when the next block is looked for
+LOOK_FOR = 1 << 16  # bytes read at once when the next block is looked for
 
 
 class Unreadable(ValueError):
@@ -39,7 +40,7 @@
     seed: int
     clock: float = 0.0
     wall: float = 0.0
-    number: int = 0                 # of the file, of those that this life of the instance wrote
+    number: int = 0  # of the file, of those that this life of the instance wrote
     deployment: dict[str, Any] = {}
     op_types: list[str] = []
     tenants: list[str] = []
@@ -152,7 +153,7 @@
         body = self._read(place, size)
         if xxh3_64_intdigest(body) != checksum:
             return None
-        rows = [Row(*row) for row in INDEX_ROW.iter_unpack(body[INDEX_HEAD.size:])]
+        rows = [Row(*row) for row in INDEX_ROW.iter_unpack(body[INDEX_HEAD.size :])]
         at = self.start
         for row in rows:
             if row.place != at or row.stored > block.MOST_STORED:
@@ -196,7 +197,7 @@
             if found >= 0:
                 return place - len(kept) + found
             place += LOOK_FOR
-            kept = data[-len(block.MAGIC) + 1:]
+            kept = data[-len(block.MAGIC) + 1 :]
         return None
 
     def block(self, row: Row) -> Block | None:
--- a/mulleinhatch/traces/merging.py
+++ b/mulleinhatch/traces/merging.py
@@ -3,6 +3,7 @@
 Each node's own clock only goes forward, so its records stay in its own order whatever the system's clock did; where that
 stepped between two files of a node, or two nodes disagree, the offsets that were taken are told in the new file's facts.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -16,7 +17,7 @@
 from mulleinhatch.traces.file import Facts, Trace
 from mulleinhatch.traces.kinds import MAJORS, Record
 
-STEP = 0.05             # seconds that the system's clock may drift between two files of one life before it counts as a step
+STEP = 0.05  # seconds that the system's clock may drift between two files of one life before it counts as a step
 
 
 class Source(NamedTuple):
@@ -46,9 +47,17 @@
         node, offset = lives.setdefault(life, (len(lives) + 1, seen + (told or {}).get(facts.instance, 0.0)))
         stepped = seen + (told or {}).get(facts.instance, 0.0) - offset
         sources.append(Source(trace, node, offset, min((row.first for row in trace.rows), default=0.0) + offset))
-        notes.append({"instance": facts.instance, "seed": facts.seed, "node": node, "file": facts.number,
-                      "offset": round(offset, 6), "clock_stepped": round(stepped, 6) if abs(stepped) > STEP else 0.0,
-                      "version": trace.major})
+        notes.append(
+            {
+                "instance": facts.instance,
+                "seed": facts.seed,
+                "node": node,
+                "file": facts.number,
+                "offset": round(offset, 6),
+                "clock_stepped": round(stepped, 6) if abs(stepped) > STEP else 0.0,
+                "version": trace.major,
+            }
+        )
     return sorted(sources, key=lambda source: (source.first, source.node)), notes
 
 
@@ -65,6 +74,7 @@
                 count += 1
                 last = max(last, record.time + source.offset)
                 yield last, node, count, record
+
     for time, node, _, record in heapq.merge(*(of(node) for node in sorted(by_node))):
         yield time, node, record
 
@@ -88,7 +98,7 @@
                 repeat_of = known.get(values[6], 0)
                 values = (newest, *values[1:6], repeat_of, *values[7:])
             else:
-                values = (*values[:place], known.get(values[place], 0), *values[place + 1:])
+                values = (*values[:place], known.get(values[place], 0), *values[place + 1 :])
             if record.kind is kinds.RUN_ENDED:
                 known.pop(record.values[place], None)
         if record.kind is kinds.DECIDED:
--- a/mulleinhatch/traces/recorder.py
+++ b/mulleinhatch/traces/recorder.py
@@ -3,6 +3,7 @@
 It has the face that the reducer uses of a `Hatch`. Times and what is measured on the way in are rounded to a microsecond before
 the module hears them, so that a file holds exactly what it heard.
 """
+
 from __future__ import annotations
 
 import math
@@ -12,8 +13,8 @@
 from mulleinhatch.interface import Decision, Ref, Verb
 from mulleinhatch.traces import kinds
 
-BATCH = 4096            # records that are handed on together
-VERBS = {verb: place for place, verb in enumerate(Verb)}    # new verbs go to the end: files hold these numbers
+BATCH = 4096  # records that are handed on together
+VERBS = {verb: place for place, verb in enumerate(Verb)}  # new verbs go to the end: files hold these numbers
 BY_PLACE = dict(enumerate(Verb))
 
 
@@ -24,8 +25,7 @@
 class Recorder:
     """`hand_on` gets each full batch, with the number of the newest op before it; `flush` hands on what there is."""
 
-    def __init__(self, hatch: Hatch, now: float, cold: bool, since: float,
-                 hand_on: Callable[[list[tuple], int], None]) -> None:
+    def __init__(self, hatch: Hatch, now: float, cold: bool, since: float, hand_on: Callable[[list[tuple], int], None]) -> None:
         self.hatch, self.hand_on = hatch, hand_on
         self.batch: list[tuple] = []
         self.numbers: dict[Ref, int] = {}
@@ -34,7 +34,7 @@
         self._add(kinds.START, round(now, 6), int(cold), since)
 
     def _add(self, kind: kinds.Kind, now: float, *values: object) -> None:
-        self.batch.append((kind, now, values))    # a `Record` but in name: that costs more than all else here
+        self.batch.append((kind, now, values))  # a `Record` but in name: that costs more than all else here
 
     def _time(self, now: float) -> float:
         """To the microsecond; one happening asks for the same time again and again."""
@@ -52,12 +52,37 @@
 
     # What the reducer tells the module.
 
-    def op_read(self, now: float, ref: Ref, op_type: int, age: float, wait: float, tenant: int, repeat_of: Ref,
-                caller: int, work: float, held_kb: float, further_try: bool) -> None:
+    def op_read(
+        self,
+        now: float,
+        ref: Ref,
+        op_type: int,
+        age: float,
+        wait: float,
+        tenant: int,
+        repeat_of: Ref,
+        caller: int,
+        work: float,
+        held_kb: float,
+        further_try: bool,
+    ) -> None:
         now, age, wait, work = self._time(now), _micro(age), _micro(wait), _micro(work)
         self.newest = self.numbers[ref] = self.newest + 1
-        self._add(kinds.READ, now, self.newest, str(ref), op_type, age, wait, tenant, self.numbers.get(repeat_of, 0), caller,
-                  work, held_kb, int(further_try))
+        self._add(
+            kinds.READ,
+            now,
+            self.newest,
+            str(ref),
+            op_type,
+            age,
+            wait,
+            tenant,
+            self.numbers.get(repeat_of, 0),
+            caller,
+            work,
+            held_kb,
+            int(further_try),
+        )
         self.hatch.op_read(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, held_kb, further_try)
 
     def run_ended(self, now: float, ref: Ref, ending: int) -> None:
@@ -148,8 +173,16 @@
                 self.flush()
             return None
         wake = decision.verb is Verb.WAKE
-        self._add(kinds.DECIDED_FOR, now, VERBS[decision.verb], 0 if wake else self.numbers.get(decision.ref, 0),
-                  decision.seconds, int(decision.flag), float(decision.ref) if wake else decision.level, decision.cause)
+        self._add(
+            kinds.DECIDED_FOR,
+            now,
+            VERBS[decision.verb],
+            0 if wake else self.numbers.get(decision.ref, 0),
+            decision.seconds,
+            int(decision.flag),
+            float(decision.ref) if wake else decision.level,
+            decision.cause,
+        )
         return decision
 
     def note(self, now: float, what: str, detail: str = "") -> None:
--- a/mulleinhatch/traces/replay.py
+++ b/mulleinhatch/traces/replay.py
@@ -2,6 +2,7 @@
 
 Same text, same decisions, to the last: that is the proof that a trace holds all that the module heard.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -48,14 +49,21 @@
     cause: str = ""
 
     def __str__(self) -> str:
-        more = [word for word, there in ((self.cause, self.cause), (f"{self.seconds:.3f} s", self.seconds),
-                                         (f"level {self.level:.4f}", self.level)) if there]
+        more = [
+            word
+            for word, there in (
+                (self.cause, self.cause),
+                (f"{self.seconds:.3f} s", self.seconds),
+                (f"level {self.level:.4f}", self.level),
+            )
+            if there
+        ]
         return " ".join([self.verb, f"op {self.op}" if self.op else "", *more, "flag" if self.flag else ""]).strip()
 
 
 class Difference(NamedTuple):
     time: float
-    pull: int               # how many times decisions had been asked for
+    pull: int  # how many times decisions had been asked for
     recorded: list[Said]
     replayed: list[Said]
 
@@ -65,7 +73,7 @@
     decisions: int
     differences: int
     first: Difference | None
-    recorded: Counter[str]      # by verb
+    recorded: Counter[str]  # by verb
     replayed: Counter[str]
 
 
@@ -96,8 +104,9 @@
         elif kind is kinds.READ:
             op, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
             self.refs[op], self.numbers[ref] = ref, op
-            self.hatch.op_read(now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, kb,
-                               bool(again))
+            self.hatch.op_read(
+                now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, kb, bool(again)
+            )
         elif kind is kinds.RUN_ENDED:
             self.hatch.run_ended(now, self._ref(values[0]), values[1])
         elif kind is kinds.CALL_WANTED:
@@ -136,8 +145,14 @@
 
     def _said(self, decision: Decision) -> Said:
         wake = decision.verb is Verb.WAKE
-        return Said(decision.verb.value, 0 if wake else self.numbers.get(decision.ref, 0), decision.seconds,
-                    bool(decision.flag), float(decision.ref) if wake else decision.level, getattr(decision, "cause", ""))
+        return Said(
+            decision.verb.value,
+            0 if wake else self.numbers.get(decision.ref, 0),
+            decision.seconds,
+            bool(decision.flag),
+            float(decision.ref) if wake else decision.level,
+            getattr(decision, "cause", ""),
+        )
 
 
 def said(record: Record) -> Said:
@@ -159,8 +174,9 @@
             player.tell(record)
 
 
-def replay(records: Iterable[Record], facts: Any, make: Callable[[Deployment, int, float], Any] = Hatch,
-           to_the_end: bool = False) -> Outcome:
+def replay(
+    records: Iterable[Record], facts: Any, make: Callable[[Deployment, int, float], Any] = Hatch, to_the_end: bool = False
+) -> Outcome:
     """Compares pull by pull; with `to_the_end` it goes on behind the first difference, where what is told is still what
     happened, not what would have followed."""
     count = decisions = differences = 0
@@ -178,4 +194,3 @@
             if not to_the_end:
                 break
     return Outcome(count, decisions, differences, first, recorded_all, replayed_all)
-
--- a/mulleinhatch/traces/summary.py
+++ b/mulleinhatch/traces/summary.py
@@ -2,6 +2,7 @@
 
 Counts are those of the live counters of the same run (`decided_...`, `run_...`, `ops_read`), to the last op.
 """
+
 from __future__ import annotations
 
 from collections import Counter
@@ -30,7 +31,7 @@
         self.seconds: dict[int, Counter[str]] = {}
         self.held, self.ran = HdrHistogram(1, MOST_MS, 3), HdrHistogram(1, MOST_MS, 3)
         self.told = HdrHistogram(1, MOST_MS, 3)
-        self.live: dict[int, tuple[int, int, float, float]] = {}    # op: type, tenant, read at, run at
+        self.live: dict[int, tuple[int, int, float, float]] = {}  # op: type, tenant, read at, run at
         self.first: float | None = None
         self.last = 0.0
 
@@ -88,6 +89,7 @@
     def told_all(self) -> dict[str, Any]:
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"{at}%": histogram.get_value_at_percentile(at) / 1000.0 for at in PERCENTILES}
+
         first = self.first or 0.0
         by_type: dict[str, dict[str, int]] = {}
         for (name, what), count in sorted(self.by_type.items()):
@@ -95,11 +97,19 @@
         by_tenant: dict[str, dict[str, int]] = {}
         for (name, what), count in sorted(self.by_tenant.items()):
             by_tenant.setdefault(name, {})[what] = count
-        return {"seconds": round(self.last - first, 6), "counts": dict(sorted(self.counts.items())),
-                "by_op_type": by_type, "by_tenant": by_tenant,
-                "held_s": quantiles(self.held), "ran_s": quantiles(self.ran), "hold_off_s": quantiles(self.told),
-                "rates": [{"second": second - int(first), **dict(sorted(counts.items()))}
-                          for second, counts in sorted(self.seconds.items())]}
+        return {
+            "seconds": round(self.last - first, 6),
+            "counts": dict(sorted(self.counts.items())),
+            "by_op_type": by_type,
+            "by_tenant": by_tenant,
+            "held_s": quantiles(self.held),
+            "ran_s": quantiles(self.ran),
+            "hold_off_s": quantiles(self.told),
+            "rates": [
+                {"second": second - int(first), **dict(sorted(counts.items()))}
+                for second, counts in sorted(self.seconds.items())
+            ],
+        }
 
 
 def _ms(seconds: float) -> int:
--- a/mulleinhatch/traces/writer.py
+++ b/mulleinhatch/traces/writer.py
@@ -3,6 +3,7 @@
 The instance's loop only hands lists over. When the disk is slow or full, whole batches are dropped, counted, and marked in the
 file by a record of the gap; no op ever waits.
 """
+
 from __future__ import annotations
 
 import contextlib
@@ -22,16 +23,16 @@
 from mulleinhatch.traces.kinds import MAJORS, Record
 
 LOG = logging.getLogger(__name__)
-WAITING = 16            # batches that wait for the disk, at most: some MB
+WAITING = 16  # batches that wait for the disk, at most: some MB
 SUFFIX, OPEN_SUFFIX = ".mht", ".mht.part"
-RETRY_AFTER = 5.0       # seconds without a try after the disk refused
+RETRY_AFTER = 5.0  # seconds without a try after the disk refused
 
 
 class TraceBounds(NamedTuple):
     folder: str
-    file_mb: float = 64.0       # a file is ended at that size
-    file_age: float = 600.0     # or after so many seconds
-    total_mb: float = 1024.0    # the oldest files of this instance go beyond it
+    file_mb: float = 64.0  # a file is ended at that size
+    file_age: float = 600.0  # or after so many seconds
+    total_mb: float = 1024.0  # the oldest files of this instance go beyond it
 
 
 class Keeper:
@@ -41,7 +42,7 @@
         self.bounds, self.facts, self.major = bounds, facts, major
         self.counts: Counter[str] = Counter()
         self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(WAITING)
-        self.lock = threading.Lock()    # loop and thread both drop
+        self.lock = threading.Lock()  # loop and thread both drop
         self.dropped, self.dropped_until = 0, 0.0
         self.number, self.refused_at = 0, -RETRY_AFTER
         self.writer: Writer | None = None
@@ -93,8 +94,7 @@
             self.writer.file.flush()
             self.counts["trace_records"] += len(records)
             self.counts["trace_bytes"] = self.counts["trace_bytes_before"] + self.writer.place
-            if (self.writer.place > 1e6 * self.bounds.file_mb
-                    or time.monotonic() - self.opened > self.bounds.file_age):
+            if self.writer.place > 1e6 * self.bounds.file_mb or time.monotonic() - self.opened > self.bounds.file_age:
                 self._end_file()
         except OSError as error:
             LOG.warning("trace not written", extra={"fields": {"error": error}})
@@ -113,7 +113,7 @@
         folder = Path(self.bounds.folder)
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / f"{facts.instance}-{stamp}-{os.getpid()}-{self.number:05d}{OPEN_SUFFIX}"
-        file = open(self.path, "xb")    # noqa: SIM115 (`_end_file` closes it)
+        file = open(self.path, "xb")  # noqa: SIM115 (`_end_file` closes it)
         self.writer = Writer(file, facts, self.major)
         self.opened = time.monotonic()
         self._expire(facts.instance)
@@ -131,8 +131,10 @@
             self.counts["trace_files"] += 1
 
     def _expire(self, instance: str) -> None:
-        files = sorted((path for path in Path(self.bounds.folder).glob(f"{instance}-*{SUFFIX}*") if path != self.path),
-                       key=lambda path: path.name)
+        files = sorted(
+            (path for path in Path(self.bounds.folder).glob(f"{instance}-*{SUFFIX}*") if path != self.path),
+            key=lambda path: path.name,
+        )
         total = sum(path.stat().st_size for path in files)
         while files and total > 1e6 * self.bounds.total_mb:
             oldest = files.pop(0)
--- a/mulleinhatch/transport/connections.py
+++ b/mulleinhatch/transport/connections.py
@@ -7,6 +7,7 @@
 end and thrown away. A look for unread bytes and then a close leaves a moment between the two in which a request may come:
 the close is then a reset, and the answer before it may go with it. `docs/design/crossings.md` has the table.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -27,21 +28,21 @@
 from mulleinhatch.transport.stream import GatheringStream
 
 LOG = logging.getLogger(__name__)
-BACKLOG = 256           # what is not accepted yet may hold a whole request already, and its time runs
-ACCEPT_RETRY = 0.06     # seconds until a listener without descriptors looks again: more than `CROSSING`
-ACCEPT_ENDS = (errno.EAGAIN, errno.ECONNABORTED, errno.EINTR, errno.EPROTO)     # none is left, or it went while it waited
-CROSSING = 0.05         # seconds in which a request may cross the end of its connection; its caller sends it once more
-ROOM_PART = 16          # of the places, one in so many is kept free: an ended connection holds its own until the peer closes
-ACCEPTS_A_TURN = 16     # a flood of new connections must not keep the loop from those it has
-NEW_WAIT, SHEDS_A_TURN = 0.2, 256     # seconds that new ones may have to wait before they are closed unheard
-FIRST_WAIT = 2.0        # seconds in which a new connection is to bring its first message
-MESSAGE_WAIT = 2.0      # seconds in which a message is to come whole, and an answer to be read
-LINGER, LINGER_BYTES = 2.0, 64 << 20    # what is still read of a peer after its last answer, and thrown away
-BLAME_PAUSE, BLAMED_MOST = 0.1, 10      # seconds before more is read, for each bad request of a connection
-OWED = 4                # the rank of those that make no room
-LOOKS = 8               # at spare connections of a rank, for one new one: each look is a system call
-LOOK = 4096             # bytes of a request that are looked at before it is read in full
-WASTE = memoryview(bytearray(65536))    # where all that is thrown away is read into
+BACKLOG = 256  # what is not accepted yet may hold a whole request already, and its time runs
+ACCEPT_RETRY = 0.06  # seconds until a listener without descriptors looks again: more than `CROSSING`
+ACCEPT_ENDS = (errno.EAGAIN, errno.ECONNABORTED, errno.EINTR, errno.EPROTO)  # none is left, or it went while it waited
+CROSSING = 0.05  # seconds in which a request may cross the end of its connection; its caller sends it once more
+ROOM_PART = 16  # of the places, one in so many is kept free: an ended connection holds its own until the peer closes
+ACCEPTS_A_TURN = 16  # a flood of new connections must not keep the loop from those it has
+NEW_WAIT, SHEDS_A_TURN = 0.2, 256  # seconds that new ones may have to wait before they are closed unheard
+FIRST_WAIT = 2.0  # seconds in which a new connection is to bring its first message
+MESSAGE_WAIT = 2.0  # seconds in which a message is to come whole, and an answer to be read
+LINGER, LINGER_BYTES = 2.0, 64 << 20  # what is still read of a peer after its last answer, and thrown away
+BLAME_PAUSE, BLAMED_MOST = 0.1, 10  # seconds before more is read, for each bad request of a connection
+OWED = 4  # the rank of those that make no room
+LOOKS = 8  # at spare connections of a rank, for one new one: each look is a system call
+LOOK = 4096  # bytes of a request that are looked at before it is read in full
+WASTE = memoryview(bytearray(65536))  # where all that is thrown away is read into
 
 
 class Reader(Protocol):
@@ -57,16 +58,16 @@
 class Connection:
     def __init__(self, number: int, stream: GatheringStream, reader: Reader, now: float) -> None:
         self.number, self.stream, self.reader, self.quiet_since = number, stream, reader, now
-        self.due = now + FIRST_WAIT     # by then the peer must have done its next step
-        self.owing = False       # a message was taken that has no answer yet
-        self.last = False        # the answer written is the last one here
-        self.heard = False       # a message was taken from it
-        self.again = False       # more than one
-        self.blamed = 0          # bad requests
-        self.ended_at = math.inf     # when our side of it ended
+        self.due = now + FIRST_WAIT  # by then the peer must have done its next step
+        self.owing = False  # a message was taken that has no answer yet
+        self.last = False  # the answer written is the last one here
+        self.heard = False  # a message was taken from it
+        self.again = False  # more than one
+        self.blamed = 0  # bad requests
+        self.ended_at = math.inf  # when our side of it ended
         self.settled = asyncio.Event()
         self.shelf: dict[int, Connection] = {}
-        self.back_at = 0.0       # when its caller was told to come back
+        self.back_at = 0.0  # when its caller was told to come back
 
     def is_idle(self) -> bool:
         """Waits for its peer, and nothing was read for it, not even in this turn of the loop."""
@@ -87,10 +88,17 @@
 
 
 class Connections:
-    def __init__(self, most: int, reader: Callable[[], Reader], clock: Callable[[], float],
-                 on_message: Callable[..., None], on_broken: Callable[[int, ValueError], None],
-                 on_late: Callable[[int], None], on_lost: Callable[[int], None],
-                 count: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        most: int,
+        reader: Callable[[], Reader],
+        clock: Callable[[], float],
+        on_message: Callable[..., None],
+        on_broken: Callable[[int, ValueError], None],
+        on_late: Callable[[int], None],
+        on_lost: Callable[[int], None],
+        count: Callable[[str], None],
+    ) -> None:
         self.most, self.reader, self.clock, self.count = most, reader, clock, count
         self.on_message, self.on_broken, self.on_late, self.on_lost = on_message, on_broken, on_late, on_lost
         self.open: dict[int, Connection] = {}
@@ -99,10 +107,10 @@
         self.accepted = 0
         self.turn_back: Callable[[int, float, bytes, float], tuple[bytes, float] | None] | None = None
         self.on_connected: Callable[[], None] | None = None
-        self.waiting_since = math.inf    # from then on there were always more new ones than could be taken
+        self.waiting_since = math.inf  # from then on there were always more new ones than could be taken
         self.tasks: set[asyncio.Task[Any]] = set()
         self.listeners: list[socket.socket] = []
-        self.closing = False     # `shut`: each answer is the last one of its connection
+        self.closing = False  # `shut`: each answer is the last one of its connection
 
     def listen(self, host: str, port: int) -> int:
         """Starts listening; the port that was bound."""
@@ -117,7 +125,7 @@
         late = now - self.waiting_since > NEW_WAIT
         for _ in range(SHEDS_A_TURN if late else ACCEPTS_A_TURN):
             if len(self.open) > self.most and not self._make_room():
-                self._pause_listening(listener)     # taken and closed it would be lost; here it may come in time
+                self._pause_listening(listener)  # taken and closed it would be lost; here it may come in time
                 return
             try:
                 sock = listener.accept()[0]
@@ -173,7 +181,7 @@
     def _end_spare(self) -> None:
         """One that is owed nothing makes room, and none with something unread: it may be a whole request."""
         if len(self.shelves[0]) > self.most // ROOM_PART:
-            return      # enough are on their way out
+            return  # enough are on their way out
         for shelf in self.shelves[1:OWED]:
             for spare in islice(shelf.values(), LOOKS):
                 if spare.is_spare():
@@ -233,7 +241,7 @@
         if connection.blamed:
             await asyncio.sleep(BLAME_PAUSE * min(connection.blamed, BLAMED_MOST))
         elif reader.started():
-            await asyncio.sleep(0)    # one that sends ahead takes turns with the others
+            await asyncio.sleep(0)  # one that sends ahead takes turns with the others
         connection.due = self.clock() + MESSAGE_WAIT if reader.started() else math.inf
 
     async def _linger(self, connection: Connection) -> None:
@@ -249,8 +257,13 @@
     def _at_the_door(self, connection: Connection) -> bool:
         """While `turn_back` is set, a request that lies there whole is looked at before its coroutine is woken, and
         answered where it stands if that says so: a small part of what it costs to read it in full."""
-        if (self.turn_back is None or connection.owing or connection.last or connection.reader.started()
-                or connection.stream.writing()):
+        if (
+            self.turn_back is None
+            or connection.owing
+            or connection.last
+            or connection.reader.started()
+            or connection.stream.writing()
+        ):
             return False
         sock, now = connection.stream.socket, self.clock()
         try:
@@ -277,7 +290,7 @@
     def _drop(self, connection: Connection) -> None:
         connection.stream.doorman = None
         connection.stream.close()
-        connection.stream.error = None      # a reset's traceback holds the stream: a cycle that stays until a full collection
+        connection.stream.error = None  # a reset's traceback holds the stream: a cycle that stays until a full collection
         connection.settled.set()
         connection.shelf.pop(connection.number, None)
         if self.open.pop(connection.number, None) and connection.owing:
@@ -324,7 +337,7 @@
                 self._end_late(connection)
             elif connection.is_idle() and connection.quiet_since < now - longest_idle:
                 self._end_idle(connection, "connections_trimmed")
-        for _ in range(len(self.open) - self.most):     # the bound was lowered
+        for _ in range(len(self.open) - self.most):  # the bound was lowered
             self._end_spare()
 
     def _end_late(self, connection: Connection) -> None:
@@ -332,12 +345,12 @@
             self._drop(connection)
         elif not connection.reader.started():
             self._end_idle(connection, "connections_silent")
-        elif connection.stream.reading() and not connection.stream.has_unread():    # else it is we who are late
+        elif connection.stream.reading() and not connection.stream.has_unread():  # else it is we who are late
             self._end_begun(connection)
 
     def _end_begun(self, connection: Connection) -> None:
         """Half a request gets an answer, too: the rest of it may come in this moment."""
-        connection.owing = True     # the answer shelves it
+        connection.owing = True  # the answer shelves it
         self.on_late(connection.number)
         connection.stream.end_writing()
 
@@ -367,7 +380,7 @@
         self.listeners, self.closing = [], True
         for connection in list(self.open.values()):
             if connection.owing or connection.last or not connection.stream.reading() or connection.stream.has_unread():
-                continue    # it has an answer coming, and that is the last one
+                continue  # it has an answer coming, and that is the last one
             if connection.reader.started():
                 self._end_begun(connection)
             else:
--- a/mulleinhatch/transport/datagrams.py
+++ b/mulleinhatch/transport/datagrams.py
@@ -1,4 +1,5 @@
 """Datagrams, sent and forgotten."""
+
 from __future__ import annotations
 
 import socket
--- a/mulleinhatch/transport/link.py
+++ b/mulleinhatch/transport/link.py
@@ -1,4 +1,5 @@
 """A link of lines that is kept open: connected again whenever it ends."""
+
 from __future__ import annotations
 
 import asyncio
@@ -13,16 +14,17 @@
 from mulleinhatch.transport.stream import GatheringStream
 
 LOG = logging.getLogger(__name__)
-FIRST_RETRY, LAST_RETRY = 0.02, 0.5     # seconds between tries to connect, doubled in between, drawn by half
-CONNECT_WAIT = 1.0      # seconds for one try: an address that is gone may not answer at all
+FIRST_RETRY, LAST_RETRY = 0.02, 0.5  # seconds between tries to connect, doubled in between, drawn by half
+CONNECT_WAIT = 1.0  # seconds for one try: an address that is gone may not answer at all
 LONGEST_LINE = 1 << 20  # bytes: far beyond any notice, so that one that is spoilt is read and passed over, not come back to
 
 
 class Link:
     """Always to the address told last: a move ends the try, the pause or the successor that was on its way elsewhere."""
 
-    def __init__(self, host: str, port: int, on_open: Callable[[], None], on_line: Callable[[bytes], None],
-                 count: Callable[[str], None]) -> None:
+    def __init__(
+        self, host: str, port: int, on_open: Callable[[], None], on_line: Callable[[bytes], None], count: Callable[[str], None]
+    ) -> None:
         self.address, self.on_open, self.on_line, self.count = (host, port), on_open, on_line, count
         self.stream: GatheringStream | None = None
         self.successor: asyncio.Task[tuple[tuple[str, int], GatheringStream]] | None = None
@@ -35,7 +37,7 @@
             while True:
                 try:
                     await self._once(*await (self.successor or self._connected()))
-                except (OSError, UnsatisfiableReadError) as error:    # a closed stream is an OSError
+                except (OSError, UnsatisfiableReadError) as error:  # a closed stream is an OSError
                     LOG.debug("link ended", extra={"fields": {"error": error}})
         finally:
             if self.successor:
@@ -76,7 +78,7 @@
         self.count("link_opened")
         try:
             self.on_open()
-            if address != self.address:     # moved between its connecting and now
+            if address != self.address:  # moved between its connecting and now
                 self._succeed()
             while True:
                 self.on_line(await stream.read_until(b"\n", max_bytes=LONGEST_LINE))
--- a/mulleinhatch/transport/peers.py
+++ b/mulleinhatch/transport/peers.py
@@ -1,4 +1,5 @@
 """Connections to peers, one request at a time on each, kept for the next one: bytes out, head and body in."""
+
 from __future__ import annotations
 
 import asyncio
@@ -9,10 +10,10 @@
 
 from mulleinhatch.transport.stream import GatheringStream
 
-CONNECT_WAIT = 0.5      # seconds: a peer that is gone may not answer at all, and the op has little time
+CONNECT_WAIT = 0.5  # seconds: a peer that is gone may not answer at all, and the op has little time
 MOST_HEAD = 8192
-IDLE_KEPT = 5.0         # seconds
-MOST_INTERIM = 8        # answers that only announce another one
+IDLE_KEPT = 5.0  # seconds
+MOST_INTERIM = 8  # answers that only announce another one
 
 
 class Unreached(OSError):
--- a/mulleinhatch/transport/stream.py
+++ b/mulleinhatch/transport/stream.py
@@ -1,4 +1,5 @@
 """Tornado's IOStream with gathered writes, and deaf to its peer while an answer is under way."""
+
 from __future__ import annotations
 
 import contextlib
@@ -10,8 +11,8 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-CHUNK = 8192            # read at once where no buffer is given: each read makes a new one, and clears it
-RESET = 7               # the state of a TCP socket whose peer reset it, first byte of TCP_INFO
+CHUNK = 8192  # read at once where no buffer is given: each read makes a new one, and clears it
+RESET = 7  # the state of a TCP socket whose peer reset it, first byte of TCP_INFO
 
 
 class GatheringStream(IOStream):
@@ -43,7 +44,7 @@
         system calls for each op would be much of what it costs."""
         if not self.parked or not events & IOLoop.READ:
             if self.doorman and events == IOLoop.READ and self.doorman():
-                return    # what came is answered already; the read that waits goes on waiting
+                return  # what came is answered already; the read that waits goes on waiting
             super()._handle_events(fd, events)
             return
         self.io_loop.remove_handler(self.fileno())
