--- a/mulleinhatch/upkeep/core.py
+++ b/mulleinhatch/upkeep/core.py
@@ -3,6 +3,7 @@
 Stands on `fleet/` for members and letters. `keep` writes what a voter promised before it is said; where it fails nothing is
 said. Two clocks are told: `now` runs evenly (waiting, sending again), `wall` is Unix time (wishes); safety leans on neither.
 """
+
 from __future__ import annotations
 
 import math
@@ -21,26 +22,26 @@
 from mulleinhatch.upkeep.table import Refused, Table
 from mulleinhatch.upkeep.words import Answered, Asked, Please, Query, Reply, Tell, Thanks, Told, Unfit
 
-QUERY_EVERY, QUERY_FAR = 0.5, 2.0   # seconds between asks where we stand; with many before us
+QUERY_EVERY, QUERY_FAR = 0.5, 2.0  # seconds between asks where we stand; with many before us
 FAR = 10
-AGAIN = 0.25            # seconds until a step is asked again of who has not answered
-ROUND_LASTS = 3.0       # seconds after which a round is given up: a voter without a disk waits for as long, and more
-ABSTAINS = 4.0          # seconds: that with the drift of clocks
-BACK_OFF = (0.2, 1.0)   # seconds, drawn, until the next round after a beaten one
-REPLY_LASTS = 3.0       # seconds that a voter's word on our place counts
-REQUEST_LASTS = 6.0     # seconds that a request counts at a voter without being told again
+AGAIN = 0.25  # seconds until a step is asked again of who has not answered
+ROUND_LASTS = 3.0  # seconds after which a round is given up: a voter without a disk waits for as long, and more
+ABSTAINS = 4.0  # seconds: that with the drift of clocks
+BACK_OFF = (0.2, 1.0)  # seconds, drawn, until the next round after a beaten one
+REPLY_LASTS = 3.0  # seconds that a voter's word on our place counts
+REQUEST_LASTS = 6.0  # seconds that a request counts at a voter without being told again
 MOST_REQUESTS = 1000
-PLEASE_LASTS = 60.0     # seconds for which others are asked that do not answer
-MARGIN = 0.1            # of the load that the rest must be able to carry besides
+PLEASE_LASTS = 60.0  # seconds for which others are asked that do not answer
+MARGIN = 0.1  # of the load that the rest must be able to carry besides
 
 
 class State(Enum):
     SERVING = "serving"
-    WAITING = "waiting"         # has a request, is not first yet
-    ASKING = "asking"           # a round for a permit is under way
-    GOING = "going"             # holds a permit and leaves service
-    CHECKING = "checking"       # back, holds a permit still, not found fit yet
-    RETURNING = "returning"     # a round to give it back is under way
+    WAITING = "waiting"  # has a request, is not first yet
+    ASKING = "asking"  # a round for a permit is under way
+    GOING = "going"  # holds a permit and leaves service
+    CHECKING = "checking"  # back, holds a permit still, not found fit yet
+    RETURNING = "returning"  # a round to give it back is under way
 
 
 class Bounds(NamedTuple):
@@ -48,8 +49,8 @@
     most: int = 1
     zone_most: int = 1
     zone: str = ""
-    zones: tuple[tuple[str, str], ...] = ()     # of the others, by name, for those that are gone
-    freeze_after: float = 0.0       # seconds in which one that came back is not fit: then nobody else goes; 0: never by itself
+    zones: tuple[tuple[str, str], ...] = ()  # of the others, by name, for those that are gone
+    freeze_after: float = 0.0  # seconds in which one that came back is not fit: then nobody else goes; 0: never by itself
 
 
 class Known(NamedTuple):
@@ -58,8 +59,15 @@
 
 
 class Upkeep:
-    def __init__(self, bounds: Bounds, fleet: Fleet, seed: int, now: float, kept: Kept | None = None,
-                 keep: Callable[[Kept], None] | None = None) -> None:
+    def __init__(
+        self,
+        bounds: Bounds,
+        fleet: Fleet,
+        seed: int,
+        now: float,
+        kept: Kept | None = None,
+        keep: Callable[[Kept], None] | None = None,
+    ) -> None:
         """`kept`: what a voter's disk held, None where it held nothing; `keep` writes it, None where there is no disk."""
         self.bounds, self.fleet, self.name = bounds, fleet, fleet.name
         self._draw = Chance(seed).part
@@ -68,10 +76,10 @@
         self.voter = Voter(self.name, kept or Kept(), abstains=kept is None) if self.name in bounds.voters else None
         self.keep = keep
         self.started = now
-        self.told: dict[str, Told] = {}         # by voter, while we abstain
-        self.writes: dict[str, int] = {}        # the most writes heard of, by voter
-        self.remembered = 0     # and the most that others heard of from us
-        self.requests: dict[str, Known] = {}    # as a voter
+        self.told: dict[str, Told] = {}  # by voter, while we abstain
+        self.writes: dict[str, int] = {}  # the most writes heard of, by voter
+        self.remembered = 0  # and the most that others heard of from us
+        self.requests: dict[str, Known] = {}  # as a voter
         self.request: Request | None = None
         self.state = State.SERVING
         self.fence = 0
@@ -79,12 +87,12 @@
         self.round: Round | None = None
         self.round_at = self.sent_at = self.asked_at = -1e9
         self.rounds, self.number, self.next_round = 0, 0, now
-        self.please: dict[str, tuple[Request, float]] = {}      # whom a person wants asked, and until when
+        self.please: dict[str, tuple[Request, float]] = {}  # whom a person wants asked, and until when
         self.pleased_at = now
-        self.back_at, self.froze = math.inf, False      # since when we are back and not fit
+        self.back_at, self.froze = math.inf, False  # since when we are back and not fit
         self.letters: list[tuple[str, bytes]] = []
         self.counts: Counter[str] = Counter()
-        self.changes: list[tuple[str, str]] = []        # state and why, a line of the log each
+        self.changes: list[tuple[str, str]] = []  # state and why, a line of the log each
         self.wall = 0.0
         self.now_heard = now
         fleet.listeners.append(self._letter)
@@ -142,15 +150,20 @@
         elif self.state is State.WAITING and now >= self.next_round and self._is_turn(now):
             self._become(State.ASKING, "its turn")
             self._begin(now, self._go)
-        elif self.state is State.CHECKING and self.bounds.freeze_after and not self.froze and (
-                now - self.back_at > self.bounds.freeze_after and now >= self.next_round):
+        elif (
+            self.state is State.CHECKING
+            and self.bounds.freeze_after
+            and not self.froze
+            and (now - self.back_at > self.bounds.freeze_after and now >= self.next_round)
+        ):
             # What made us ill may make the next ones ill, too.
             self._begin(now, self._freeze)
         if self.please and now - self.pleased_at >= QUERY_EVERY:
             self._say_please(now)
         places = self._place(now)
         if now - self.asked_at >= (QUERY_FAR if places > FAR else QUERY_EVERY) and (
-                self.request or self.state is not State.SERVING or now - self.started < 2.0 * ABSTAINS):
+            self.request or self.state is not State.SERVING or now - self.started < 2.0 * ABSTAINS
+        ):
             self.asked_at = now
             self._tell_voters(Query(self.request if self.state in (State.WAITING, State.ASKING) else None))
         for name in [name for name, known in self.requests.items() if now - known.at > REQUEST_LASTS]:
@@ -357,8 +370,9 @@
             self.requests.pop(sender, None)
         table = self.voter.kept.table or self.first
         zones = Counter(permit.zone for permit in table.out)
-        places = order([known.request for known in self.requests.values()], [permit.name for permit in table.out],
-                       dict(zones), self.wall)
+        places = order(
+            [known.request for known in self.requests.values()], [permit.name for permit in table.out], dict(zones), self.wall
+        )
         able = [place for place in places if place.may]
         at, why = next(((at, place.reasons) for at, place in enumerate(able) if place.request.name == sender), (-1, ()))
         if at < 0:
@@ -367,9 +381,21 @@
         room = 0 if table.frozen or self.voter.abstains else max(0, table.most - len(table.out))
         if room and at >= 0 and zones[able[at].request.zone] >= table.zone_most:
             room = 0
-        self._to(sender, Reply(permit.fence if permit else 0, at, len(able), room, ", ".join(why)[:120],
-                               table.version if self.voter.kept.table else 0, self.writes.get(sender, 0),
-                               self.voter.kept.writes, table.frozen, self.voter.kept.promised.number))
+        self._to(
+            sender,
+            Reply(
+                permit.fence if permit else 0,
+                at,
+                len(able),
+                room,
+                ", ".join(why)[:120],
+                table.version if self.voter.kept.table else 0,
+                self.writes.get(sender, 0),
+                self.voter.kept.writes,
+                table.frozen,
+                self.voter.kept.promised.number,
+            ),
+        )
 
     def _learn(self, now: float) -> None:
         """After a loss: from a majority of the others, once no round of before can be under way. A fleet that starts for the
--- a/mulleinhatch/upkeep/order.py
+++ b/mulleinhatch/upkeep/order.py
@@ -4,13 +4,14 @@
 was out longest ago first. Each place carries its reasons. What is not allowed at all (too early, postponed, the only copy of
 something) stands behind, with why.
 """
+
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-SOON = 2.0              # times its own length: with less left than that before its latest time it goes before others
+SOON = 2.0  # times its own length: with less left than that before its latest time it goes before others
 
 
 class Request(NamedTuple):
@@ -18,15 +19,15 @@
 
     name: str
     zone: str
-    kind: str               # kernel, disk, release, ill, memory: for people, and for freezing a kind
-    seconds: float          # how long it will be out
+    kind: str  # kernel, disk, release, ill, memory: for people, and for freezing a kind
+    seconds: float  # how long it will be out
     asked: float
-    wished: float = 0.0     # not before
-    latest: float = 0.0     # at the latest; 0: any time
-    urgency: int = 0        # 2: an emergency
+    wished: float = 0.0  # not before
+    latest: float = 0.0  # at the latest; 0: any time
+    urgency: int = 0  # 2: an emergency
     last_out: float = 0.0
     ill: bool = False
-    only_copy: bool = False     # of something that is needed: moved first
+    only_copy: bool = False  # of something that is needed: moved first
 
 
 class Place(NamedTuple):
@@ -56,8 +57,10 @@
     places: list[Place] = []
     waiting = {request.name: request for request, _ in able}
     while waiting:
-        chosen = min(waiting.values(), key=lambda request: (_class(request, now), before[request.zone], request.last_out,
-                                                            request.asked, request.name))
+        chosen = min(
+            waiting.values(),
+            key=lambda request: (_class(request, now), before[request.zone], request.last_out, request.asked, request.name),
+        )
         del waiting[chosen.name]
         places.append(Place(chosen, True, _reasons(chosen, now, before[chosen.zone])))
         before[chosen.zone] += 1
@@ -100,8 +103,9 @@
     return capacity_least - own >= demand_most * (1.0 + margin)
 
 
-def schedule(places: Sequence[Place], out: dict[str, tuple[str, float]], most: int, zone_most: int,
-             now: float) -> dict[str, float]:
+def schedule(
+    places: Sequence[Place], out: dict[str, tuple[str, float]], most: int, zone_most: int, now: float
+) -> dict[str, float]:
     """When each would go if nothing goes wrong: by name, Unix seconds. `out`: zone and when it will be back, by name.
 
     >>> asked = [Request(name, "x", "kernel", 60.0, 0.0) for name in "abc"]
--- a/mulleinhatch/upkeep/register.py
+++ b/mulleinhatch/upkeep/register.py
@@ -5,6 +5,7 @@
 agreed, whoever dies, and the next round of anybody learns it. What a voter promised or took is durable before it is said:
 `Voter` gives what is to be written, and its answer goes out after. Words may be lost, repeated, late and out of order.
 """
+
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -32,16 +33,16 @@
 
 class Ask(NamedTuple):
     ballot: Ballot
-    table: Table | None = None      # to be taken; None: a promise is asked for
-    first: Table | None = None      # the table that the operator's file names, for who has none yet
+    table: Table | None = None  # to be taken; None: a promise is asked for
+    first: Table | None = None  # the table that the operator's file names, for who has none yet
 
 
 class Answer(NamedTuple):
     voter: str
-    ballot: Ballot          # that it answers
-    taken: bool             # of a prepare: promised; of an accept: accepted
+    ballot: Ballot  # that it answers
+    taken: bool  # of a prepare: promised; of an accept: accepted
     accept: bool
-    promised: Ballot        # the highest it gave
+    promised: Ballot  # the highest it gave
     accepted: Ballot = NONE
     table: Table | None = None
     writes: int = 0
@@ -105,11 +106,11 @@
         """`name` is new with each life, or two tables could go under one ballot. `known`: the latest table
         heard of, which names the voters; `number` above all that were seen."""
         self.ballot, self.known, self.change = Ballot(number, name), known, change
-        self.table: Table | None = None     # what is proposed, and in the end agreed
+        self.table: Table | None = None  # what is proposed, and in the end agreed
         self.answers: dict[str, Answer] = {}
-        self.ended = ""         # agreed, refused, beaten (try again with a higher number), moved (other voters)
+        self.ended = ""  # agreed, refused, beaten (try again with a higher number), moved (other voters)
         self.why = ""
-        self.highest = number   # of the ballots seen
+        self.highest = number  # of the ballots seen
 
     def asks(self) -> list[tuple[str, Ask]]:
         """To the voters that have not answered this step."""
--- a/mulleinhatch/upkeep/store.py
+++ b/mulleinhatch/upkeep/store.py
@@ -1,4 +1,5 @@
 """What a voter keeps, on disk: written whole beside, flushed, renamed; with magic, version, checksum and a lock."""
+
 from __future__ import annotations
 
 import fcntl
@@ -25,7 +26,7 @@
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.path = self.folder / "voter"
-        self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)    # for as long as the process lives
+        self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)  # for as long as the process lives
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -39,11 +40,11 @@
         except FileNotFoundError:
             return None
         body = data[HEAD:]
-        if data[:len(MAGIC)] != MAGIC or len(data) < HEAD:
+        if data[: len(MAGIC)] != MAGIC or len(data) < HEAD:
             raise Damaged(f"{self.path}: no file of a voter; move it away, and the voter learns from the others")
         if data[len(MAGIC)] != VERSION:
             raise Damaged(f"{self.path}: version {data[len(MAGIC)]}, this text reads {VERSION}")
-        if int.from_bytes(data[len(MAGIC) + 1:HEAD], "big") != zlib.crc32(body):
+        if int.from_bytes(data[len(MAGIC) + 1 : HEAD], "big") != zlib.crc32(body):
             raise Damaged(f"{self.path}: damaged; move it away, and the voter learns from the others")
         try:
             return msgspec.msgpack.decode(body, type=Kept)
@@ -58,7 +59,7 @@
             file.flush()
             os.fsync(file.fileno())
         os.replace(beside, self.path)
-        folder = os.open(self.folder, os.O_RDONLY)      # the rename itself must outlive a loss of power
+        folder = os.open(self.folder, os.O_RDONLY)  # the rename itself must outlive a loss of power
         try:
             os.fsync(folder)
         finally:
--- a/mulleinhatch/upkeep/table.py
+++ b/mulleinhatch/upkeep/table.py
@@ -3,13 +3,14 @@
 A permit has no end by a clock: who holds it may be stopped for any time and then go on, and a bound that trusted a lease would
 be broken by that. It is given back by its holder, or taken by a person who says why. Its fence is the version that granted it.
 """
+
 from __future__ import annotations
 
 from collections.abc import Collection
 from typing import NamedTuple
 
 MOST_VOTERS = 9
-MOST_OUT = 12           # the table must fit a datagram, and with hundreds of instances more at a time want another bound
+MOST_OUT = 12  # the table must fit a datagram, and with hundreds of instances more at a time want another bound
 LONGEST_WHY = 40
 
 
@@ -22,7 +23,7 @@
     zone: str
     fence: int
     why: str
-    over: str = ""      # a person's reason to go over the bound
+    over: str = ""  # a person's reason to go over the bound
 
 
 class Table(NamedTuple):
@@ -46,7 +47,7 @@
     version: int = 0
     epoch: int = 0
     out: tuple[Permit, ...] = ()
-    frozen: str = ""                # why nobody goes
+    frozen: str = ""  # why nobody goes
 
     def permit(self, name: str) -> Permit | None:
         return next((permit for permit in self.out if permit.name == name), None)
@@ -60,8 +61,9 @@
         if self.frozen and not over:
             raise Refused(f"frozen: {self.frozen}")
         if permit := self.permit(name):
-            return self._with(out=tuple(other for other in self.out if other is not permit) + (
-                permit._replace(fence=self.version + 1),))
+            return self._with(
+                out=tuple(other for other in self.out if other is not permit) + (permit._replace(fence=self.version + 1),)
+            )
         missing = {other: where for other, where in (gone or {}).items() if other != name and not self.permit(other)}
         count = len(self.out) + len(missing)
         if count >= self.most and not over:
--- a/mulleinhatch/upkeep/words.py
+++ b/mulleinhatch/upkeep/words.py
@@ -1,4 +1,5 @@
 """What passes between askers and voters, in the `more` of the fleet's letters: MessagePack, checked into these structs."""
+
 from __future__ import annotations
 
 from typing import Annotated
@@ -21,27 +22,27 @@
     """To a voter: my request, if I have one, and where I stand. Voters ask each other so, too."""
 
     request: Request | None = None
-    cancelled: bool = False     # I want no more
+    cancelled: bool = False  # I want no more
 
 
 class Reply(Word):
     """What that voter knows: the fence of your permit (0: none), your place among those that wait, how many may go now."""
 
     fence: int
-    place: int                  # from 0; -1: not among them
+    place: int  # from 0; -1: not among them
     waiting: int
-    may_go: int                 # bound less who is out
+    may_go: int  # bound less who is out
     why: Annotated[str, Meta(max_length=120)] = ""
-    version: int = 0            # of the table that it keeps; 0: none
-    your_writes: int = 0        # the most writes that it heard of from you, as a voter
-    writes: int = 0             # its own
+    version: int = 0  # of the table that it keeps; 0: none
+    your_writes: int = 0  # the most writes that it heard of from you, as a voter
+    writes: int = 0  # its own
     frozen: Text = ""
-    number: int = 0             # of the highest ballot that it promised: a lower one would only be beaten
+    number: int = 0  # of the highest ballot that it promised: a lower one would only be beaten
 
 
 class Asked(Word):
     ask: Ask
-    number: int                 # of the sending: its answer names it
+    number: int  # of the sending: its answer names it
 
 
 class Answered(Word):
@@ -55,7 +56,7 @@
 
 class Told(Word):
     kept: Kept
-    empty: bool                 # has nothing either, and does not serve as a voter
+    empty: bool  # has nothing either, and does not serve as a voter
 
 
 class Please(Word):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -3,6 +3,7 @@
 A line is somebody, then what is done or must be seen: `a` to `z` are callers, one connection each. `told`
 lines change what the instance is told at start. Whoever hears waits for it, briefly.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -30,16 +31,26 @@
 
 def told_at_start() -> dict:
     op_type = {"aim": 1000.0, "deadline": 2000.0, "late_worth": 0.0, "memory_span": 5000.0}
-    return {"name": "n1", "listen": "127.0.0.1:0", "vm": "127.0.0.1:1", "lookup": "127.0.0.1:2",
-            "seed": "8c1f30d27a5be964",
-            "stop_ms": 1000, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": {"classes": [{"name": "read", "effect": "safe", "worth": 1.0, **op_type},
-                                     {"name": "sign", "effect": "unsafe", "worth": 5.0, **op_type},
-                                     {"name": "keyed", "effect": "keyed", "worth": 5.0, **op_type}],
-                         "family_info": {"cores": 1, "gauges": ["core_use", "on_cores"], "memory_kb": 1e6,
-                                         "say": "floor", "callers": 2}, "tick": 2.0,
-                         "limits": {"retry_after": True, "max_retry_after": 1000.0},
-                         "rules": {"drain_grace": 300.0, "tip_multiple": 8.0}}}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "vm": "127.0.0.1:1",
+        "lookup": "127.0.0.1:2",
+        "seed": "8c1f30d27a5be964",
+        "stop_ms": 1000,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": {
+            "classes": [
+                {"name": "read", "effect": "safe", "worth": 1.0, **op_type},
+                {"name": "sign", "effect": "unsafe", "worth": 5.0, **op_type},
+                {"name": "keyed", "effect": "keyed", "worth": 5.0, **op_type},
+            ],
+            "family_info": {"cores": 1, "gauges": ["core_use", "on_cores"], "memory_kb": 1e6, "say": "floor", "callers": 2},
+            "tick": 2.0,
+            "limits": {"retry_after": True, "max_retry_after": 1000.0},
+            "rules": {"drain_grace": 300.0, "tip_multiple": 8.0},
+        },
+    }
 
 
 class Interpreter:
@@ -67,7 +78,7 @@
 
     def greet(self) -> None:
         if self.up and self.writer:
-            for message in (self.up, *self.notices[self.read_no:]):
+            for message in (self.up, *self.notices[self.read_no :]):
                 self.say(message)
 
     def say(self, message: dict) -> None:
@@ -127,15 +138,14 @@
         return int(head[0].split()[1]), fields, body.decode()
 
     def reset(self) -> None:
-        self.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                                                        struct.pack("ii", 1, 0))
+        self.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 class SocketPlay:
     def __init__(self) -> None:
         self.told_first = told_at_start()
-        self.more: dict = {}    # of the placement, what the JSON does not say
+        self.more: dict = {}  # of the placement, what the JSON does not say
         self.interpreter = Interpreter()
         self.database = Database()
         self.callers: dict[str, Caller] = {}
@@ -203,8 +213,7 @@
 
     async def directory_moves(self) -> None:
         self.directory = Directory()
-        datagrams, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: self.directory, ("127.0.0.1", 0))
+        datagrams, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self.directory, ("127.0.0.1", 0))
         self.told_first["lookup"] = "127.0.0.1:%d" % datagrams.get_extra_info("sockname")[1]
 
     async def interpreter_up(self, status: str = "old", ms: str = "3600000") -> None:
@@ -273,7 +282,8 @@
     async def database_answers(self, ref: str, status: str, text: str = "", *more: str) -> None:
         fields = "".join(word.replace("=", ": ") + "\r\n" for word in more)
         self.database.waiting.pop(op_id(ref)).write(
-            f"HTTP/1.1 {status} Some\r\n{fields}Content-Length: {len(text)}\r\n\r\n{text}".encode())
+            f"HTTP/1.1 {status} Some\r\n{fields}Content-Length: {len(text)}\r\n\r\n{text}".encode()
+        )
 
     async def database_writes(self, ref: str, *words: str) -> None:
         self.database.waiting.pop(op_id(ref)).write(" ".join(words).encode().decode("unicode_escape").encode())
@@ -322,12 +332,22 @@
         is read only now."""
         told = dict(word.split("=", 1) for word in more if "=" in word)
         arrived = time.time() * 1000 - float(told.pop("ago", 0))
-        fields = {"X-Request-Id": op_id(ref), "X-Request-Start": f"{arrived:.0f}", "X-Caller": "1",
-                  "X-Timeout-Ms": "1500", "X-Cost-Ms": "20", "X-Memory-Kb": "10", **told}
+        fields = {
+            "X-Request-Id": op_id(ref),
+            "X-Request-Start": f"{arrived:.0f}",
+            "X-Caller": "1",
+            "X-Timeout-Ms": "1500",
+            "X-Cost-Ms": "20",
+            "X-Memory-Kb": "10",
+            **told,
+        }
         body = fields.pop("body", f"in-{ref}").encode()
         head = "".join(f"{name}: {text}\r\n" for name, text in fields.items())
-        await self.write(who, f"POST /svc/{op_type} HTTP/1.1\r\nHost: origin.svc\r\n{head}"
-                              f"Content-Length: {len(body)}\r\n\r\n".encode() + body, "and-ends" in more)
+        await self.write(
+            who,
+            f"POST /svc/{op_type} HTTP/1.1\r\nHost: origin.svc\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body,
+            "and-ends" in more,
+        )
 
     async def caller_floods(self, who: str, count: str) -> None:
         """A body far too long, all of it sent before the answer is read."""
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,5 @@
 """Budgets: every order of what can happen to a part, each guard taken out by itself, and histories by chance."""
+
 from __future__ import annotations
 
 import pytest
@@ -11,8 +12,16 @@
 # Each history stands a few steps before the place where one guard is all that holds.
 # A give under way while all is handed back; lent, and an ask of before on its way; a give that takes five ticks.
 LATE_GIVE = (*LENT, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
-OLD_ASK = (("ask", 1, 0, 0), ("ask", 1, 0, 2), ("deliver", 1), ("lose", 1), *TICK3, ("ask", 1, 0, 2), ("deliver", 1),
-           ("deliver", 1))
+OLD_ASK = (
+    ("ask", 1, 0, 0),
+    ("ask", 1, 0, 2),
+    ("deliver", 1),
+    ("lose", 1),
+    *TICK3,
+    ("ask", 1, 0, 2),
+    ("deliver", 1),
+    ("deliver", 1),
+)
 SLOW_GIVE = (*LENT[:-1], *TICK3, ("tick",), ("tick",))
 APART = {"rates": (1.5, 0.6, 1.0)}
 
@@ -47,26 +56,37 @@
         pass
 
 
-@pytest.mark.parametrize("before", [(), LENT, LATE_GIVE, OLD_ASK, SLOW_GIVE],
-                         ids=["new", "lent", "late give", "old ask", "slow give"])
+@pytest.mark.parametrize(
+    "before", [(), LENT, LATE_GIVE, OLD_ASK, SLOW_GIVE], ids=["new", "lent", "late give", "old ask", "slow give"]
+)
 def test_no_order_of_four_steps_breaks_a_total(before: tuple) -> None:
     states, history = explore(Model(), 4, before)
     assert not history, history
     assert states > 500
 
 
-@pytest.mark.parametrize("part, before, model", [
-    (NoRest, (), {}), (AnyAnswer, LATE_GIVE, {}), (AnyAsk, OLD_ASK, {}), (FromArrival, SLOW_GIVE, {}), (NoQuarantine, LENT, {}),
-    (NoCooling, LENT, {}), (Part, LENT, {**APART, "drift": 0.0})],
-    ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"])
+@pytest.mark.parametrize(
+    "part, before, model",
+    [
+        (NoRest, (), {}),
+        (AnyAnswer, LATE_GIVE, {}),
+        (AnyAsk, OLD_ASK, {}),
+        (FromArrival, SLOW_GIVE, {}),
+        (NoQuarantine, LENT, {}),
+        (NoCooling, LENT, {}),
+        (Part, LENT, {**APART, "drift": 0.0}),
+    ],
+    ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"],
+)
 def test_the_checker_finds_what_each_guard_is_for(part: type[Part], before: tuple, model: dict) -> None:
     """Without it the same search finds a total exceeded: else the guard, or the search, would be for nothing."""
     _, history = explore(Model(part, **model), 6, before, most_states=60_000)
     assert "in one window" in history
 
 
-@pytest.mark.parametrize("model", [Model(), Model(needed=1), Model(**APART, drift=1.5)],
-                         ids=["plain", "takes back", "clocks apart"])
+@pytest.mark.parametrize(
+    "model", [Model(), Model(needed=1), Model(**APART, drift=1.5)], ids=["plain", "takes back", "clocks apart"]
+)
 def test_long_histories_by_chance(model: Model) -> None:
     assert wander(model, seed=3, walks=1200, steps=40) == ""
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,5 @@
 """docs/CAPACITY.md says what the records under benchmarks/recorded/ give, and what is wrong in either is found."""
+
 from __future__ import annotations
 
 import doctest
@@ -46,6 +47,7 @@
 
 # Page and records.
 
+
 def test_the_page_says_what_the_records_give(book: capacity.Book) -> None:
     assert capacity.parted(PAGE.read_text(), capacity.tables(book)) == []
 
@@ -62,7 +64,7 @@
     at = text.index(begin)
     figure = re.compile(r"\| ([\d.,]+) \| `mulleinhatch").search(text, at)
     page = tmp_path / "CAPACITY.md"
-    page.write_text(text[:figure.start(1)] + "0.123" + text[figure.end(1):])
+    page.write_text(text[: figure.start(1)] + "0.123" + text[figure.end(1) :])
     found = capacity.parted(page.read_text(), capacity.tables(book))
     assert len(found) == 1 and found[0].startswith("voter, line")
     assert capacity.main(["--check", "--page", str(page)]) == 1
@@ -80,13 +82,18 @@
 
 # Records and their fits.
 
+
 def independent(points: list[tuple[float, float]], form: str, relative: bool) -> tuple[float, float]:
     """Constant and slope by the normal equations, written out: beside `records.fitted`."""
-    shape = {"constant": lambda size: 0.0, "linear": lambda size: size, "square": lambda size: size ** 2,
-             "log2": lambda size: math.log2(size)}[form]
+    shape = {
+        "constant": lambda size: 0.0,
+        "linear": lambda size: size,
+        "square": lambda size: size**2,
+        "log2": lambda size: math.log2(size),
+    }[form]
     n = sx = sy = sxx = sxy = 0.0
     for size, value in points:
-        weight = value ** -2 if relative and value else 1.0
+        weight = value**-2 if relative and value else 1.0
         x = shape(size)
         n, sx, sy, sxx, sxy = n + weight, sx + weight * x, sy + weight * value, sxx + weight * x * x, sxy + weight * x * value
     if form == "constant":
@@ -103,9 +110,14 @@
 def test_least_squares_give_what_is_recorded(record: str, name: str) -> None:
     cost = records.read_all()[record].costs[name]
     fits = [independent(cost.points, cost.fit.form, relative) for relative in (True, False)]
-    assert any(all(cost.fit.at(size) == pytest.approx(constant + slope * records.scale(cost.fit.form, size), rel=2e-3)
-                   for size, _ in cost.points) and cost.fit.slope == pytest.approx(slope, rel=2e-3, abs=1e-12)
-               for constant, slope in fits)
+    assert any(
+        all(
+            cost.fit.at(size) == pytest.approx(constant + slope * records.scale(cost.fit.form, size), rel=2e-3)
+            for size, _ in cost.points
+        )
+        and cost.fit.slope == pytest.approx(slope, rel=2e-3, abs=1e-12)
+        for constant, slope in fits
+    )
     off = max(abs(cost.fit.at(size) / value - 1.0) for size, value in cost.points if value)
     assert off == pytest.approx(cost.fit.residual, rel=2e-2, abs=2e-3)
 
@@ -151,22 +163,34 @@
         capacity.read_book(folder)
 
 
-@pytest.mark.parametrize("text, why", [
-    ("{", r"parts\.json: can't be read"), ("[]", r"parts\.json: an object is wanted"),
-    ("{}", r"parts\.json: commit: missing")])
+@pytest.mark.parametrize(
+    "text, why",
+    [
+        ("{", r"parts\.json: can't be read"),
+        ("[]", r"parts\.json: an object is wanted"),
+        ("{}", r"parts\.json: commit: missing"),
+    ],
+)
 def test_bad_json_names_file_and_key(folder: Path, text: str, why: str) -> None:
     (folder / "parts.json").write_text(text)
     with pytest.raises(Unfit, match=why):
         capacity.read_book(folder)
 
 
-@pytest.mark.parametrize("values, why", [
-    ({"form": "cubic"}, r"form: 'cubic'"), ({"slope": "3"}, r"slope: '3' is no number"),
-    ({"points": [[1, 2]]}, r"points: 1 sizes"), ({"points": [[1, 2], [0, 3], [4, 5]]}, r"points\.1: 0 is no size"),
-    ({"points": [[1, 2], [2], [4, 5]]}, r"points\.1"),
-    ({"unit": None}, r"unit: None is no str"), ({"residual": True}, r"residual: True"),
-    ({"checked": 7}, r"checked: 7 is no pair"),
-    ({"constant": math.inf}, r"constant: inf")])
+@pytest.mark.parametrize(
+    "values, why",
+    [
+        ({"form": "cubic"}, r"form: 'cubic'"),
+        ({"slope": "3"}, r"slope: '3' is no number"),
+        ({"points": [[1, 2]]}, r"points: 1 sizes"),
+        ({"points": [[1, 2], [0, 3], [4, 5]]}, r"points\.1: 0 is no size"),
+        ({"points": [[1, 2], [2], [4, 5]]}, r"points\.1"),
+        ({"unit": None}, r"unit: None is no str"),
+        ({"residual": True}, r"residual: True"),
+        ({"checked": 7}, r"checked: 7 is no pair"),
+        ({"constant": math.inf}, r"constant: inf"),
+    ],
+)
 def test_a_bad_cost_names_its_key(folder: Path, values: dict[str, object], why: str) -> None:
     changed(folder / "parts.json", "voter.bytes", **values)
     with pytest.raises(Unfit, match=rf"parts\.json: costs\.voter\.bytes\.{why}"):
@@ -175,6 +199,7 @@
 
 # Rows.
 
+
 def declared(folder: Path, was: str, now: str) -> None:
     path = folder / "rows.toml"
     text = path.read_text()
@@ -182,19 +207,27 @@
     path.write_text(text.replace(was, now, 1))
 
 
-@pytest.mark.parametrize("was, now, why", [
-    ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = "mulleinhatch.upkeep.orders"', r"no module that can be imported"),
-    ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = "json"', r"no module of mulleinhatch"),
-    ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = ""', r"mechanism: missing"),
-    ('bound = "mulleinhatch.fleet.core:MOST_MEMBERS"', 'bound = "mulleinhatch.fleet.core:MOST"', r"is no number"),
-    ('bound = "control_core"', 'bound = "control_cores"', r"no module of mulleinhatch"),
-    ('kind = "memory"', 'kind = "room"', r"kind: 'room'"),
-    ('factor = 1e-6', 'faktor = 1e-6', r"faktor: no such key"),
-    ('missing = "configuration in versions"\n', '', r"over its bound"),
-    ('missing = "configuration in versions"\n', 'missing = "no such"\n', r"told of nowhere"),
-    ('value = 15.9\n', '', r"has a value"),
-    ('cost = "tools.fleet_answer_bytes"\n', '', r"neither a record's cost nor reckoned"),
-    ('role = "tools"', 'role = "tool"', r"role 'tool' is none")])
+@pytest.mark.parametrize(
+    "was, now, why",
+    [
+        (
+            'mechanism = "mulleinhatch.upkeep.order"',
+            'mechanism = "mulleinhatch.upkeep.orders"',
+            r"no module that can be imported",
+        ),
+        ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = "json"', r"no module of mulleinhatch"),
+        ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = ""', r"mechanism: missing"),
+        ('bound = "mulleinhatch.fleet.core:MOST_MEMBERS"', 'bound = "mulleinhatch.fleet.core:MOST"', r"is no number"),
+        ('bound = "control_core"', 'bound = "control_cores"', r"no module of mulleinhatch"),
+        ('kind = "memory"', 'kind = "room"', r"kind: 'room'"),
+        ("factor = 1e-6", "faktor = 1e-6", r"faktor: no such key"),
+        ('missing = "configuration in versions"\n', "", r"over its bound"),
+        ('missing = "configuration in versions"\n', 'missing = "no such"\n', r"told of nowhere"),
+        ("value = 15.9\n", "", r"has a value"),
+        ('cost = "tools.fleet_answer_bytes"\n', "", r"neither a record's cost nor reckoned"),
+        ('role = "tools"', 'role = "tool"', r"role 'tool' is none"),
+    ],
+)
 def test_a_wrong_row_is_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
     with pytest.raises(Unfit, match=why):
@@ -204,8 +237,11 @@
 def test_ratios_and_breaks(book: capacity.Book) -> None:
     """Of each row, by arithmetic of its own."""
     for row in book.rows:
-        need = row.factor * (row.value if row.cost is None else row.cost.fit.constant + row.cost.fit.slope * records.scale(
-            row.cost.fit.form, row.target))
+        need = row.factor * (
+            row.value
+            if row.cost is None
+            else row.cost.fit.constant + row.cost.fit.slope * records.scale(row.cost.fit.form, row.target)
+        )
         for cost in row.times:
             need *= cost.fit.constant + cost.fit.slope * records.scale(cost.fit.form, row.target)
         told = [*row.cost.points, *([row.cost.checked] if row.cost.checked else [])] if row.cost and not row.times else []
@@ -222,11 +258,16 @@
                 assert (row.share < 1.0) == (row.ratio > 1.0), row.what
 
 
-@pytest.mark.parametrize("points, checked, ratio, breaks", [
-    ([(10, 1000.0), (20, 1100.0), (40, 1300.0)], 3300.0, 1.1, 100.0),       # by the fit 0.63, at 210
-    ([(10, 1000.0), (20, 2000.0), (40, 4000.0)], 2700.0, 0.9, 30.0)])       # by the fit 3.3; over its bound at 40 all the same
-def test_a_run_at_the_target_size_counts_before_the_fit(tmp_path: Path, points: list[tuple[float, float]], checked: float,
-                                                        ratio: float, breaks: float) -> None:
+@pytest.mark.parametrize(
+    "points, checked, ratio, breaks",
+    [
+        ([(10, 1000.0), (20, 1100.0), (40, 1300.0)], 3300.0, 1.1, 100.0),  # by the fit 0.63, at 210
+        ([(10, 1000.0), (20, 2000.0), (40, 4000.0)], 2700.0, 0.9, 30.0),
+    ],
+)  # by the fit 3.3; over its bound at 40 all the same
+def test_a_run_at_the_target_size_counts_before_the_fit(
+    tmp_path: Path, points: list[tuple[float, float]], checked: float, ratio: float, breaks: float
+) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", points, "linear")
     changed(tmp_path / "flat.json", "bytes", checked=[100, checked])
@@ -258,16 +299,27 @@
     order = [missing for missing, _ in capacity.next_missing(book)]
     assert sorted(missing.name for missing in order) == sorted(shares)
     for place, missing in enumerate(order):
-        behind = order[place + 1:]
+        behind = order[place + 1 :]
         assert not {one.name for one in behind} & set(missing.stands_on)
         free = [one for one in behind if not {other.name for other in order[place:]} & set(one.stands_on)]
         assert all((not missing.on_it, shares[missing.name]) <= (not one.on_it, shares[one.name]) for one in free)
 
 
-@pytest.mark.parametrize("was, now, why", [
-    ('stands_on = ["fleet state in levels"]', 'stands_on = ["fleet state"]', r"stands_on: 'fleet state' is told of nowhere"),
-    ('name = "fleet state in levels"', 'name = "fleet state in levels"\nstands_on = ["configuration in versions"]',
-     r"stand on each other")])
+@pytest.mark.parametrize(
+    "was, now, why",
+    [
+        (
+            'stands_on = ["fleet state in levels"]',
+            'stands_on = ["fleet state"]',
+            r"stands_on: 'fleet state' is told of nowhere",
+        ),
+        (
+            'name = "fleet state in levels"',
+            'name = "fleet state in levels"\nstands_on = ["configuration in versions"]',
+            r"stand on each other",
+        ),
+    ],
+)
 def test_mechanisms_that_stand_on_each_other_are_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
     with pytest.raises(Unfit, match=why):
@@ -309,9 +361,20 @@
 
 
 def small_record(folder: Path, name: str, points: list[tuple[float, float]], form: str) -> None:
-    records.keep(name, {"commit": "abc1234", "benchmark": "scale", "command": "none", "seed": 1, "mechanism": name,
-                        "costs": {"bytes": records.cost("bytes/s", "members", points, form)}, "events": {}, "notes": []},
-                 folder)
+    records.keep(
+        name,
+        {
+            "commit": "abc1234",
+            "benchmark": "scale",
+            "command": "none",
+            "seed": 1,
+            "mechanism": name,
+            "costs": {"bytes": records.cost("bytes/s", "members", points, form)},
+            "events": {},
+            "notes": [],
+        },
+        folder,
+    )
 
 
 def test_a_row_counts_once_its_record_is_there(tmp_path: Path) -> None:
@@ -329,6 +392,7 @@
 
 # The benchmark of single parts.
 
+
 def test_a_voter_answers_what_is_timed() -> None:
     core, query = parts.asked_voter(12)
     assert len(core.requests) == 12
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -3,6 +3,7 @@
 `docs/design/crossings.md` has the table. What forces an order: a hook between two steps, a loop that does not run, small
 buffers, clocks that the test sets. No sleep decides what is seen; waits only bound how long a test may hang.
 """
+
 from __future__ import annotations
 
 import asyncio
@@ -46,10 +47,17 @@
         self.counts: Counter[str] = Counter()
         self.heard: list[int] = []
         self.late: list[int] = []
-        self.now = 0.0      # added to the clock
+        self.now = 0.0  # added to the clock
         self.connections = Connections(
-            most, http.RequestReader, lambda: time.monotonic() + self.now, on_message=self.message, on_broken=self.broken,
-            on_late=self.too_late, on_lost=lambda _: None, count=lambda what: self.counts.update([what]))
+            most,
+            http.RequestReader,
+            lambda: time.monotonic() + self.now,
+            on_message=self.message,
+            on_broken=self.broken,
+            on_late=self.too_late,
+            on_lost=lambda _: None,
+            count=lambda what: self.counts.update([what]),
+        )
         self.port = self.connections.listen("127.0.0.1", 0)
         self.body = b""
 
@@ -74,9 +82,13 @@
 
     async def taken(self, count: int = 1) -> list[Connection]:
         """All that are open, once there are so many and each waits for its peer."""
-        return await until(lambda: len(self.connections.open) >= count and all(
-            connection.stream.reading() for connection in self.connections.open.values()) and list(
-                self.connections.open.values()))
+        return await until(
+            lambda: (
+                len(self.connections.open) >= count
+                and all(connection.stream.reading() for connection in self.connections.open.values())
+                and list(self.connections.open.values())
+            )
+        )
 
 
 async def until(what: Callable[[], object]) -> object:
@@ -148,18 +160,21 @@
             caller.send(CHECK)
             arrived(connection.stream.socket)
             return found
+
         connection.stream.has_unread = looked
         end(place)
         assert await read_to_end(caller) == b""
         assert place.heard == []
         caller.close()
         await until(lambda: not place.connections.open)
+
     run(cross())
 
 
 @pytest.mark.parametrize("end", [trimmed, silent, evicted, shut])
 def test_a_request_read_in_this_turn_of_the_loop_is_answered(end: Callable[[Place], None]) -> None:
     """Its bytes are out of the socket, and its coroutine has not run yet: neither look can see it."""
+
     async def cross() -> None:
         place = Place()
         caller = place.caller()
@@ -171,6 +186,7 @@
         answer = await asyncio.get_running_loop().sock_recv(caller, 4096)
         assert answer.startswith(b"HTTP/1.1 200") and len(place.heard) == 1
         caller.close()
+
     run(cross())
 
 
@@ -179,9 +195,10 @@
         place = Place()
         caller, _ = await half_a_line(place)
         place.connections.shut()
-        caller.send(CHECK[9:])      # the rest of it is read, and not run
+        caller.send(CHECK[9:])  # the rest of it is read, and not run
         assert (await read_to_end(caller)).startswith(b"HTTP/1.1 408") and place.heard == []
         caller.close()
+
     run(cross())
 
 
@@ -197,6 +214,7 @@
         place.now = 0.0
         assert len(await read_to_end(caller)) > len(place.body)
         caller.close()
+
     run(cross())
 
 
@@ -214,6 +232,7 @@
         assert place.heard == []
         quiet.close()
         loud.close()
+
     run(cross())
 
 
@@ -224,6 +243,7 @@
         connection = (await place.taken())[0]
         assert connection.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         caller.close()
+
     run(look())
 
 
@@ -232,7 +252,7 @@
         place = Place()
         callers = [place.caller() for _ in range(20)]
         for caller in callers:
-            caller.send(CHECK)      # accepted by the system, not by us: the loop has not run
+            caller.send(CHECK)  # accepted by the system, not by us: the loop has not run
         place.connections.shut()
         with pytest.raises(ConnectionRefusedError):
             place.caller()
@@ -240,7 +260,8 @@
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
         assert len(place.heard) == 20
-        place.connections.shut()    # again, as until the stop
+        place.connections.shut()  # again, as until the stop
+
     run(cross())
 
 
@@ -254,6 +275,7 @@
         place.connections._resume_listening(listener)
         await asyncio.sleep(0)
         assert not failed
+
     run(cross())
 
 
@@ -268,17 +290,20 @@
 
         def fileno(self) -> int:
             return 10_000
+
     async def cross() -> None:
         place, listener = Place(), Listener()
         paused = []
         place.connections._pause_listening = paused.append
         place.connections._accept(listener, 0)
         assert paused == [listener] and listener.tries == 1
+
     run(cross())
 
 
 def test_idle_callers_fill_the_places_and_a_new_one_is_served_in_its_time() -> None:
     """They never close, not even when we end: their places come free after what may cross."""
+
     async def cross() -> None:
         place = Place(most=20)
         idle = [place.caller() for _ in range(40)]
@@ -294,6 +319,7 @@
         assert not place.counts["connections_shed"]
         for caller in idle:
             caller.close()
+
     run(cross())
 
 
@@ -317,11 +343,13 @@
         place.connections.answer(place.heard[5], http.answer(200))
         assert (await asyncio.get_running_loop().sock_recv(later, 4096)).startswith(b"HTTP/1.1 200")
         later.close()
+
     run(cross())
 
 
 def test_bad_senders_on_all_places_make_room() -> None:
     """Each sends well-formed requests for nothing, one behind another, and reads no answer."""
+
     async def cross() -> None:
         place = Place(most=8)
 
@@ -329,6 +357,7 @@
             place.heard.append(number)
             place.connections.blame(number)
             place.connections.answer(number, http.answer(404))
+
         place.connections.on_message = bad
         bads = [place.caller() for _ in range(8)]
         for caller in bads:
@@ -342,11 +371,13 @@
         assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(good, 4096), SOON)).startswith(b"HTTP/1.1 200")
         for caller in (*bads, good):
             caller.close()
+
     run(cross())
 
 
 class Counted(http.RequestReader):
     """Gives room so often that any request would be read, and then an error: what would go round for ever fails here."""
+
     rooms = 0
 
     def room(self) -> memoryview:
@@ -365,6 +396,7 @@
 @pytest.mark.parametrize("head", [http.MOST_HEAD, http.MOST_HEAD + 1, http.MOST_HEAD + 1000, http.MOST_HEAD + http.MOST_BODY])
 def test_a_long_head_that_comes_whole_with_a_part_of_its_body_leaves_the_others_served(head: int) -> None:
     """It lies there whole before the first read: its end is found in the same read in which it grew too long."""
+
     async def cross() -> None:
         place = Place()
         place.connections.reader = Counted
@@ -383,6 +415,7 @@
         assert not place.counts["errors_inside"]
         for caller in (long, other):
             caller.close()
+
     run(cross())
 
 
@@ -399,6 +432,7 @@
         assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
         assert await read_to_end(stuck) == b""
         other.close()
+
     run(cross())
 
 
@@ -414,10 +448,12 @@
             turns.append(1)
             if len(turns) < 3:
                 raise RuntimeError("a fault on no list")
+
         tasks.every("reports", 0.001, work)
         await until(lambda: len(turns) >= 5)
         tasks.cancel()
         assert counts["errors_inside"] == 2
+
     run(cross())
 
 
@@ -429,10 +465,12 @@
         async def work() -> None:
             at.append(time.monotonic())
             raise RuntimeError("a fault on no list")
+
         tasks.keep("link", work)
         await until(lambda: len(at) >= 4)
         tasks.cancel()
         assert counts["errors_inside"] >= 4 and at[3] - at[0] > 0.15
+
     run(cross())
 
 
@@ -446,6 +484,7 @@
         def fails(*_: object) -> bool:
             failed.append(1)
             raise ValueError("an address that nobody foresaw")
+
         play.instance.datagrams.send = fails
         play.instance.front.connections.sweep = fails
         await until(lambda: len(failed) >= 2)
@@ -456,6 +495,7 @@
         assert play.instance.counts["errors_inside"]
         play.instance.stopped.set()
         await play.serving
+
     run(cross())
 
 
@@ -497,6 +537,7 @@
         await until(lambda: third.links)
         await until(lambda: link.stream and link.stream.socket.getpeername()[1] == ports[2])
         tasks.cancel()
+
     run(cross())
 
 
@@ -506,7 +547,7 @@
         port = await far.listen()
         with socket.create_server(("127.0.0.1", 0), backlog=0) as deaf:
             fillers = []
-            for _ in range(4):      # its backlog is full: who comes now hears nothing
+            for _ in range(4):  # its backlog is full: who comes now hears nothing
                 filler = socket.socket()
                 filler.setblocking(False)
                 filler.connect_ex(deaf.getsockname())
@@ -522,6 +563,7 @@
             tasks.cancel()
             for filler in fillers:
                 filler.close()
+
     run(cross())
 
 
@@ -535,6 +577,7 @@
         await asyncio.sleep(0.05)
         assert link.successor is None and counts["link_opened"] == 1
         tasks.cancel()
+
     run(cross())
 
 
@@ -546,13 +589,15 @@
         def none(*more: object) -> socket.socket:
             tries.append(1)
             raise OSError(errno.EMFILE, "no descriptor")
+
         monkeypatch.setattr("mulleinhatch.transport.link.socket.socket", none)
         link, tasks, _ = linked(port)
-        await asyncio.wait_for(asyncio.sleep(0.2), SOON)    # a loop that spins never comes back to this
+        await asyncio.wait_for(asyncio.sleep(0.2), SOON)  # a loop that spins never comes back to this
         assert 1 <= len(tries) < 30
         monkeypatch.setattr("mulleinhatch.transport.link.socket.socket", real)
         await until(lambda: link.stream)
         tasks.cancel()
+
     run(cross())
 
 
@@ -564,6 +609,7 @@
             lines.append(line)
             if len(lines) == 1:
                 raise RuntimeError("a fault on no list")
+
         port = await far.listen()
         link, tasks, counts = linked(port, fails)
         await until(lambda: far.links)
@@ -573,6 +619,7 @@
         await until(lambda: lines == [b"one\n", b"two\n"])
         assert counts["errors_inside"] == 1
         tasks.cancel()
+
     run(cross())
 
 
@@ -588,7 +635,8 @@
 async def started_with(told: dict, path: Path, *, then: Callable[[asyncio.subprocess.Process], object]) -> tuple[int, str]:
     path.write_text(json.dumps(told))
     process = await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", shell_line(), cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE)
+        "/bin/sh", "-c", shell_line(), cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE
+    )
     await then(process)
     log = (await asyncio.wait_for(process.communicate(), SOON + 5.0))[1].decode()
     return process.returncode, log
@@ -601,18 +649,23 @@
 
 def test_hangups_from_the_first_moment_neither_end_it_nor_are_missed(tmp_path: Path) -> None:
     """They come in every moment of the start, the last one before it listens; the address named last is the one in force."""
+
     async def cross() -> None:
         old, new, path = Far(), Far(), tmp_path / "told.json"
-        told = {**told_at_start(), "vm": f"127.0.0.1:{await old.listen()}", "listen": f"127.0.0.1:{free_port()}",
-                "stop_ms": 200}
+        told = {
+            **told_at_start(),
+            "vm": f"127.0.0.1:{await old.listen()}",
+            "listen": f"127.0.0.1:{free_port()}",
+            "stop_ms": 200,
+        }
         moved = json.dumps({**told, "vm": f"127.0.0.1:{await new.listen()}"})
 
         async def hang_up(process: asyncio.subprocess.Process) -> None:
             replaced = False
-            await until(lambda: "mulleinhatch" in psutil.Process(process.pid).cmdline())     # it is not the shell any more
+            await until(lambda: "mulleinhatch" in psutil.Process(process.pid).cmdline())  # it is not the shell any more
             while not old.links and not new.links:
                 process.send_signal(signal.SIGHUP)
-                if not replaced:        # whole at each moment, as a file that is replaced
+                if not replaced:  # whole at each moment, as a file that is replaced
                     (tmp_path / "next.json").write_text(moved)
                     os.replace(tmp_path / "next.json", path)
                     replaced = True
@@ -620,8 +673,10 @@
                 assert process.returncode is None
             await until(lambda: new.links)
             process.terminate()
+
         status, log = await started_with(told, path, then=hang_up)
         assert status == 0 and "Traceback" not in log, log
+
     run(cross())
 
 
@@ -638,15 +693,25 @@
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.05)
                 holder.close()
+
             status, log = await started_with(told, tmp_path / "told.json", then=leave)
         assert status == 0 and "Traceback" not in log and "event=stopped" in log, log
+
     run(cross())
 
 
-@pytest.mark.parametrize("key, value, complaint", [
-    ("vm", "::1:80", "vm:"), ("vm", "interpreter:80", "vm:"), ("lookup", "[::1]:80", "lookup:"),
-    ("lookup", "127.0.0.1:٣", "lookup:"),
-    ("stop_ms", float("nan"), "stop_ms:"), ("stop_ms", float("inf"), "stop_ms:"), ("limits", [1], "limits:")])
+@pytest.mark.parametrize(
+    "key, value, complaint",
+    [
+        ("vm", "::1:80", "vm:"),
+        ("vm", "interpreter:80", "vm:"),
+        ("lookup", "[::1]:80", "lookup:"),
+        ("lookup", "127.0.0.1:٣", "lookup:"),
+        ("stop_ms", float("nan"), "stop_ms:"),
+        ("stop_ms", float("inf"), "stop_ms:"),
+        ("limits", [1], "limits:"),
+    ],
+)
 def test_a_faulty_reload_leaves_the_old_in_force_and_names_the_key(key: str, value: object, complaint: str) -> None:
     async def cross() -> None:
         play = SocketPlay()
@@ -659,12 +724,18 @@
             placed(play.told_first)
         play.instance.stopped.set()
         await play.serving
+
     run(cross())
 
 
-@pytest.mark.parametrize("path, value, complaint", [
-    ("tick", float("nan"), "settings.tick"), ("family_info", {"cores": float("inf")}, "settings.family_info.cores"),
-    ("classes", [{"name": "a"}, {"name": "a"}], "settings.classes")])
+@pytest.mark.parametrize(
+    "path, value, complaint",
+    [
+        ("tick", float("nan"), "settings.tick"),
+        ("family_info", {"cores": float("inf")}, "settings.family_info.cores"),
+        ("classes", [{"name": "a"}, {"name": "a"}], "settings.classes"),
+    ],
+)
 def test_settings_that_are_no_figures_end_the_start_with_their_key(path: str, value: object, complaint: str) -> None:
     told = told_at_start()
     told["settings"][path] = value
@@ -674,6 +745,7 @@
 
 def test_callers_that_reset_after_our_end_leave_nothing_behind() -> None:
     """The error of a stream holds its traceback, that one the stream: thousands of them stayed until a full collection."""
+
     async def cross() -> None:
         place = Place()
         gc.collect()
@@ -692,4 +764,5 @@
             assert sum(isinstance(thing, GatheringStream) for thing in gc.get_objects()) <= 1
         finally:
             gc.enable()
+
     run(cross())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,5 @@
 """The fleet: hard cases and histories by chance in virtual time, datagrams of every kind, and real processes with faults."""
+
 from __future__ import annotations
 
 import asyncio
@@ -36,18 +37,40 @@
     instances = draw.choice((3, 4, 5, 6, 8, 12))
     script = weather(draw, instances, 7.0, 6.0)
     end = max(7.0, faults.end_of(faults.read(script, instances)))
-    world = FleetWorld(Plan(instances, script, seed=seed, clocks=draw.choice(((), (0.99, 1.01))), demand=uneven,
-                            budgets=(("quota", 20 * instances, 1.0),)))
+    world = FleetWorld(
+        Plan(
+            instances,
+            script,
+            seed=seed,
+            clocks=draw.choice(((), (0.99, 1.01))),
+            demand=uneven,
+            budgets=(("quota", 20 * instances, 1.0),),
+        )
+    )
     world.play(end + 3.0)
     agreed = [world.play(end + 3.0 + 0.2 * look).views_agree() for look in range(5)]
-    assert any(agreed), (script, [(node.name, member.name, member.state) for node in world.nodes if node.core
-                                  for member in node.core.members.view.values() if member.state])
-
-
-@pytest.mark.parametrize("script, cut_off", [
-    ("at 5 cut 0-5 from 6-11 for 8", set(range(12))), ("at 5 cut 3 from 0-2,4-11 for 8", {3}),
-    ("at 5 deaf 0-2 to 3-11 for 8", {0, 1, 2}), ("at 5 cut 0-3 from 4-11 for 8", {0, 1, 2, 3})],
-    ids=["halves", "one", "one way", "a third"])
+    assert any(agreed), (
+        script,
+        [
+            (node.name, member.name, member.state)
+            for node in world.nodes
+            if node.core
+            for member in node.core.members.view.values()
+            if member.state
+        ],
+    )
+
+
+@pytest.mark.parametrize(
+    "script, cut_off",
+    [
+        ("at 5 cut 0-5 from 6-11 for 8", set(range(12))),
+        ("at 5 cut 3 from 0-2,4-11 for 8", {3}),
+        ("at 5 deaf 0-2 to 3-11 for 8", {0, 1, 2}),
+        ("at 5 cut 0-3 from 4-11 for 8", {0, 1, 2, 3}),
+    ],
+    ids=["halves", "one", "one way", "a third"],
+)
 def test_the_part_that_hears_little_freezes_and_declares_nobody(script: str, cut_off: set[int]) -> None:
     world = FleetWorld(Plan(12, script)).play(9.0)
     assert frozen(world) >= cut_off
@@ -57,10 +80,17 @@
     assert world.views_agree() and not frozen(world)
 
 
-@pytest.mark.parametrize("script", [
-    "at 5 cut 0-2 from 9-11 for 8", "at 5 lossy all 0.3 for 8\nat 5 swapped all 0.3 for 8\nat 5 repeated all 0.3 for 8",
-    "at 5 stall 2,7 for 2", "at 5 delayed all 0.1 for 6", "at 5 lossy all 0.2 for 8\nat 6 stall 4 for 2"],
-    ids=["chain", "loss and order", "stalls", "delay", "loss and a stall"])
+@pytest.mark.parametrize(
+    "script",
+    [
+        "at 5 cut 0-2 from 9-11 for 8",
+        "at 5 lossy all 0.3 for 8\nat 5 swapped all 0.3 for 8\nat 5 repeated all 0.3 for 8",
+        "at 5 stall 2,7 for 2",
+        "at 5 delayed all 0.1 for 6",
+        "at 5 lossy all 0.2 for 8\nat 6 stall 4 for 2",
+    ],
+    ids=["chain", "loss and order", "stalls", "delay", "loss and a stall"],
+)
 def test_nobody_that_lives_is_declared_gone(script: str) -> None:
     for seed in range(3):
         world = FleetWorld(Plan(12, script, seed=seed)).play(16.0)
@@ -93,32 +123,42 @@
 
 def test_a_giver_that_dies_with_a_give_under_way() -> None:
     """Its loans run out, its even part waits until its former loans are back, and comes back with it."""
-    plan = Plan(4, "at 10 lossy all 0.5 for 3\nat 11 kill 2 for 2", until=30.0, budgets=(("quota", 200, 1.0),), seed=5,
-                demand=lambda place, now: 2.5 if place < 2 else 0.2)
+    plan = Plan(
+        4,
+        "at 10 lossy all 0.5 for 3\nat 11 kill 2 for 2",
+        until=30.0,
+        budgets=(("quota", 200, 1.0),),
+        seed=5,
+        demand=lambda place, now: 2.5 if place < 2 else 0.2,
+    )
     world = FleetWorld(plan).play(30.0)
     assert world.views_agree() and world.most_used[0] > 130
 
 
 def test_parts_follow_demand_and_a_cut_off_half_keeps_its_even_part() -> None:
     def used(leases: bool, script: str = "") -> tuple[float, float]:
-        world = FleetWorld(Plan(8, script, leases=leases, budgets=(("quota", 800, 1.0),),
-                                demand=lambda place, now: 1.6 if place < 4 else 0.4)).play(14.0)
+        world = FleetWorld(
+            Plan(8, script, leases=leases, budgets=(("quota", 800, 1.0),), demand=lambda place, now: 1.6 if place < 4 else 0.4)
+        ).play(14.0)
         before = Counter(world.took)
         world.play(24.0)
         took = Counter(world.took)
         took.subtract(before)
         return sum(took.values()) / 8000.0, sum(took[place] for place in range(4)) / 4000.0
+
     shared, _ = used(True)
     assert shared >= 0.9 > 0.75 > used(False)[0]
     _, cut_off_half = used(True, "at 8 cut 0-3 from 4-7 for 20")
-    assert cut_off_half >= 0.93      # of its even part; the rest is chance within each window
+    assert cut_off_half >= 0.93  # of its even part; the rest is chance within each window
 
 
 def test_two_of_one_name_hear_of_each_other_and_one_gives_way() -> None:
     bounds = FleetBounds("f", seeds=("10.0.0.1:0",))
-    fleet = {"10.0.0.1:0": Fleet(bounds, "a", "10.0.0.1:0", 5, 1, 0.0),
-             "10.0.0.1:1": Fleet(bounds, "b", "10.0.0.1:1", 5, 2, 0.0),
-             "10.0.0.1:2": Fleet(bounds, "b", "10.0.0.1:2", 9, 3, 0.0)}
+    fleet = {
+        "10.0.0.1:0": Fleet(bounds, "a", "10.0.0.1:0", 5, 1, 0.0),
+        "10.0.0.1:1": Fleet(bounds, "b", "10.0.0.1:1", 5, 2, 0.0),
+        "10.0.0.1:2": Fleet(bounds, "b", "10.0.0.1:2", 9, 3, 0.0),
+    }
     for turn in range(1, 30):
         waiting = [errand for core in fleet.values() for errand in core.beat(0.1 * turn, Local())]
         while waiting:
@@ -129,14 +169,24 @@
 
 
 def test_no_datagram_is_too_long_whatever_is_to_be_told() -> None:
-    fleet = Fleet(FleetBounds("a fleet of a long name", seeds=("10.0.0.1:0",)), "n" * 40, "127.0.0.100:65535", 10 ** 13, 1, 0.0)
-    fleet.beat(0.0, Local([10 ** 9] * len(FIGURES), (), [("tenant" * 6, 1e9)] * 4,
-                          [("interpreter of x" * 2, 100, 10 ** 9)] * 4))
+    fleet = Fleet(FleetBounds("a fleet of a long name", seeds=("10.0.0.1:0",)), "n" * 40, "127.0.0.100:65535", 10**13, 1, 0.0)
+    fleet.beat(0.0, Local([10**9] * len(FIGURES), (), [("tenant" * 6, 1e9)] * 4, [("interpreter of x" * 2, 100, 10**9)] * 4))
     for number in range(1200):
         name = f"{'m' * 30}{number}"
-        report = Report(name, 2 ** 40, number + 1, 0.1, [10 ** 9] * len(FIGURES), [10 ** 9] * 8, [("t" * 40, 1e8)] * 4, [])
-        letter = Letter(words.VERSION, "a fleet of a long name", name, f"127.0.100.100:{number}", 2 ** 40, 3, "ping", number,
-                        "", [Rumour(f"{'r' * 35}{number}", "127.0.100.1:1000", 2 ** 40, 1, 1, 0.3)], [report])
+        report = Report(name, 2**40, number + 1, 0.1, [10**9] * len(FIGURES), [10**9] * 8, [("t" * 40, 1e8)] * 4, [])
+        letter = Letter(
+            words.VERSION,
+            "a fleet of a long name",
+            name,
+            f"127.0.100.100:{number}",
+            2**40,
+            3,
+            "ping",
+            number,
+            "",
+            [Rumour(f"{'r' * 35}{number}", "127.0.100.1:1000", 2**40, 1, 1, 0.3)],
+            [report],
+        )
         for _, data in fleet.datagram(0.001 * number, words.encode(letter)):
             assert len(data) <= words.MOST_BYTES
     assert len(fleet.members.view) <= 1001 + 1000 and len(fleet.known.rows) <= 1000
@@ -145,14 +195,15 @@
 
 def test_bad_datagrams_are_counted_and_dropped() -> None:
     draw, fleet = random.Random(2), Fleet(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
-    good = words.encode(Letter(words.VERSION, "f", "b", "10.0.0.1:1", 7, 0, "ping", 3, "",
-                               [Rumour("c", "10.0.0.1:2", 4, 0, 0)]))
+    good = words.encode(
+        Letter(words.VERSION, "f", "b", "10.0.0.1:1", 7, 0, "ping", 3, "", [Rumour("c", "10.0.0.1:2", 4, 0, 0)])
+    )
     assert fleet.datagram(0.1, good)
     for _ in range(3000):
         data = bytearray(good)
         for _ in range(draw.randrange(1, 4)):
             data[draw.randrange(len(data))] = draw.randrange(256)
-        fleet.datagram(0.1, bytes(data[:draw.randrange(1, len(data) + 1)]))
+        fleet.datagram(0.1, bytes(data[: draw.randrange(1, len(data) + 1)]))
     assert fleet.counts["unfit_garbage"] > 1000
     newer = words.encode(Letter(words.VERSION + 1, "f", "b", "10.0.0.1:1", 7, 0, "ping"))
     assert fleet.datagram(0.1, newer) == [] and fleet.counts["unfit_other_version"] >= 1
@@ -170,8 +221,18 @@
     counts = Counts(100)
     for name, at in (("a", 10.0), ("b", 10.0), ("c", 4.0)):
         for number in (1, 2):
-            counts.heard(at + number - 2, Report(name, 1, number, 0.0, [0, 0, 30 * number, 0, 2, 3, 50, 1], [],
-                                                 [("loud", 9.0), ("x", 4.0), ("y", 3.0), ("z", 2.0)]))
+            counts.heard(
+                at + number - 2,
+                Report(
+                    name,
+                    1,
+                    number,
+                    0.0,
+                    [0, 0, 30 * number, 0, 2, 3, 50, 1],
+                    [],
+                    [("loud", 9.0), ("x", 4.0), ("y", 3.0), ("z", 2.0)],
+                ),
+            )
     acked = counts.total(10.0, "acked")
     assert (acked.least, acked.most, acked.members, acked.silent, acked.oldest) == (60.0, 110.0, 3, 1, 6.0)
     assert (counts.tenant(10.0, "loud").least, counts.tenant(10.0, "quiet").most) == (18.0, 54.0)
@@ -187,6 +248,7 @@
             for subject in range(10):
                 verdicts.heard(1.0, voice, f"s{subject}", 1.0 if subject < ill else 0.0, 1000)
         return verdicts.judge(1.0, voices, cut_off)
+
     assert judged(1, 1) == [] and judged(1, 3) == ["s0"] and judged(4, 10) == ["s0", "s1"]
     assert judged(6, 10) == [] and judged(1, 10, cut_off=True) == []
 
@@ -201,17 +263,29 @@
     assert said == [True, True, True, True, False, False, True]
 
 
-@pytest.mark.parametrize("text, complaint", [
-    ('fleet {\n name "x"\n listen "nowhere"\n}', ":3: fleet.listen: Expected `str`"),
-    ('fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a" "b"\n budgets {\n  q total=1 tenant="t"\n }\n}',
-     ":6: fleet.budgets.q.total: 1 is"),
-    ('fleet {\n name "x"\n listen "10.0.0.1:1"\n budgets {\n  q total=9 tenant="t"\n }\n}',
-     ":5: fleet.budgets.q.seats: nobody"),
-    ('fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q total=9\n }\n}',
-     ":6: fleet.budgets.q.tenant: either"),
-    ('fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q totl=9\n }\n}',
-     ":6: fleet.budgets.q.totl: no such key"),
-    ('fleet {\n name "x"\n}', ":1: fleet")])
+@pytest.mark.parametrize(
+    "text, complaint",
+    [
+        ('fleet {\n name "x"\n listen "nowhere"\n}', ":3: fleet.listen: Expected `str`"),
+        (
+            'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a" "b"\n budgets {\n  q total=1 tenant="t"\n }\n}',
+            ":6: fleet.budgets.q.total: 1 is",
+        ),
+        (
+            'fleet {\n name "x"\n listen "10.0.0.1:1"\n budgets {\n  q total=9 tenant="t"\n }\n}',
+            ":5: fleet.budgets.q.seats: nobody",
+        ),
+        (
+            'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q total=9\n }\n}',
+            ":6: fleet.budgets.q.tenant: either",
+        ),
+        (
+            'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q totl=9\n }\n}',
+            ":6: fleet.budgets.q.totl: no such key",
+        ),
+        ('fleet {\n name "x"\n}', ":1: fleet"),
+    ],
+)
 def test_the_faulty_line_of_a_fleet_is_named(text: str, complaint: str) -> None:
     with pytest.raises(operator.BadOperatorFile) as error:
         operator.told(text)
@@ -222,8 +296,15 @@
     """Six real processes: a cut of two, a kill with a return, a stall; the tenant's total holds in every window of what the
     interpreters ran, views are one again after each, and nobody that lives is declared gone by who was cut off."""
     keep_environment()
-    case = FleetCase(6, "at 1 cut 0-1 from 2-5 for 4\nat 7 kill 3 for 1\nat 7 stall 4 for 1.2", run_for=11.0, total=120,
-                     lease=1.0, loads=(("0-2", 100.0), ("3-5", 30.0)), cores=8)
+    case = FleetCase(
+        6,
+        "at 1 cut 0-1 from 2-5 for 4\nat 7 kill 3 for 1\nat 7 stall 4 for 1.2",
+        run_for=11.0,
+        total=120,
+        lease=1.0,
+        loads=(("0-2", 100.0), ("3-5", 30.0)),
+        cores=8,
+    )
 
     async def play() -> tuple[dict, dict, float | None, float | None]:
         async with FleetRig(case, tmp_path) as rig:
@@ -237,6 +318,7 @@
             await rig.until(8.3)
             back = await rig.wait_for(lambda views: whole(views, names), 10.0)
             return cut, await rig.finish(), healed, back
+
     cut, told, healed, back = asyncio.run(asyncio.wait_for(play(), 80.0))
     assert all(cut[name]["frozen"] for name in ("n0", "n1")) and not cut["n3"]["frozen"]
     assert not [row for name in ("n0", "n1") for row in cut[name]["members"] if row["state"] == "gone"]
@@ -249,8 +331,15 @@
     """Two of four are killed, and come back while no report arrives: the fleet knows them at once, the stubs keep the last
     list, and once the directory hears again all four serve."""
     keep_environment()
-    case = FleetCase(4, "at 1 directory off for 4\nat 1 kill 0,1 for 1", run_for=10.0, lease=1.0, loads=(("all", 60.0),),
-                     cores=8, directory=True)
+    case = FleetCase(
+        4,
+        "at 1 directory off for 4\nat 1 kill 0,1 for 1",
+        run_for=10.0,
+        lease=1.0,
+        loads=(("all", 60.0),),
+        cores=8,
+        directory=True,
+    )
 
     async def play() -> tuple[dict, float | None]:
         async with FleetRig(case, tmp_path) as rig:
@@ -260,6 +349,7 @@
             await rig.until(2.5)
             back = await rig.wait_for(lambda views: whole(views, names), 8.0)
             return await rig.finish(), back
+
     told, back = asyncio.run(asyncio.wait_for(play(), 60.0))
     assert back is not None and told["relay"]["directory"]["reports"] > 20 and not told["relay"]["directory"]["broken"]
     end = max(at for host in told["ran"] for at, _ in host["starts"])
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,5 @@
 """The wheel beside a sorted list, the scheduler under a seeded player."""
+
 from __future__ import annotations
 
 import math
@@ -43,8 +44,13 @@
         now += draw.uniform(0.0, 0.2)
         if draw.random() < 0.05:
             try:
-                jobs.submit(now, f"job {draw.randrange(30)}", priority=draw.randrange(8), within=draw.choice((5.0, math.inf)),
-                            after=draw.choice((0.0, 3.0)))
+                jobs.submit(
+                    now,
+                    f"job {draw.randrange(30)}",
+                    priority=draw.randrange(8),
+                    within=draw.choice((5.0, math.inf)),
+                    after=draw.choice((0.0, 3.0)),
+                )
             except Full:
                 assert len(jobs.jobs) == 20
         if draw.random() < 0.01:
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,5 @@
 """Fleet state in levels: letters of every kind by hand, histories by chance in virtual time, and guards that are missed."""
+
 from __future__ import annotations
 
 import random
@@ -54,8 +55,16 @@
     for one in cores:
         for other in cores:
             if one is not other:
-                letter = Letter(1, "f", one.name, one.members.address, one.members.life, 0, "word",
-                                place=one.levels.place.key if one.levels else 0)
+                letter = Letter(
+                    1,
+                    "f",
+                    one.name,
+                    one.members.address,
+                    one.members.life,
+                    0,
+                    "word",
+                    place=one.levels.place.key if one.levels else 0,
+                )
                 other.datagram(now, words.encode(letter))
 
 
@@ -67,8 +76,19 @@
     """A letter of a member of that place."""
     place = place_of(bounds, sender)
     told = {"what": "word", "life": 7, **told}
-    return words.encode(Letter(1, "f", sender, f"10.0.0.2:{7000 + int(sender[1:])}", told["life"], 0, told["what"],
-                               place=place.key if place else 0, upward=words.encode_upward(upward) if upward else b""))
+    return words.encode(
+        Letter(
+            1,
+            "f",
+            sender,
+            f"10.0.0.2:{7000 + int(sender[1:])}",
+            told["life"],
+            0,
+            told["what"],
+            place=place.key if place else 0,
+            upward=words.encode_upward(upward) if upward else b"",
+        )
+    )
 
 
 def total(level: int, name: str, members: int, age: int = 0, contacts: bytes = b"") -> Sum:
@@ -77,9 +97,10 @@
 
 # Who hears whom.
 
+
 def test_a_member_of_another_group_is_answered_and_becomes_no_mate() -> None:
     one, other = core(names(0, 1)[0]), names(1, 1)[0]
-    (address, data), = one.datagram(1.0, word(other, what="ping"))
+    ((address, data),) = one.datagram(1.0, word(other, what="ping"))
     assert address == f"10.0.0.2:{7000 + int(other[1:])}" and words.decode(data, "f").what == "ack"
     assert one.members.view == {} and one.totals(1.0)["fleet"].members == 1
 
@@ -100,7 +121,7 @@
     one = core("n0")
     doubt = words.Rumour("n0", one.members.address, 7, 0, words.SUSPECT, 0.5)
     letter = Letter(1, "f", "n1", "10.0.0.1:7001", 7, 0, "ping", 4, rumours=[doubt])
-    (_, data), = one.datagram(1.0, words.encode(letter))
+    ((_, data),) = one.datagram(1.0, words.encode(letter))
     assert words.decode(data, "f").incarnation == 1
 
 
@@ -131,20 +152,40 @@
 
 # Sums.
 
+
 def test_sums_add_up_and_none_is_counted_twice() -> None:
     one = core(names(0, 1)[0])
     mate = names(0, 2)[1]
-    one.datagram(1.0, word(mate, upward=Upward(sums=[
-        total(GROUP, "1/4", 20), total(GROUP, "0/4", 99), total(ZONE, "y", 80), total(ZONE, "z", 99),
-        total(REGION, "s", 300), total(REGION, "r", 99)])))
+    one.datagram(
+        1.0,
+        word(
+            mate,
+            upward=Upward(
+                sums=[
+                    total(GROUP, "1/4", 20),
+                    total(GROUP, "0/4", 99),
+                    total(ZONE, "y", 80),
+                    total(ZONE, "z", 99),
+                    total(REGION, "s", 300),
+                    total(REGION, "r", 99),
+                ]
+            ),
+        ),
+    )
     assert [one.totals(1.0)[level].members for level in ("group", "zone", "region", "fleet")] == [2, 22, 102, 402]
 
 
 def test_a_stranger_tells_of_what_it_stands_in_and_of_nothing_else() -> None:
     one = core(names(0, 1)[0])
     abroad, near = HERE._replace(region="s", zone="q"), HERE._replace(zone="y")
-    one.datagram(1.0, word("n5", abroad, Upward("s", "q", "1/4", sums=[
-        total(REGION, "s", 300), total(ZONE, "q", 100), total(GROUP, "1/4", 25)])))
+    one.datagram(
+        1.0,
+        word(
+            "n5",
+            abroad,
+            Upward("s", "q", "1/4", sums=[total(REGION, "s", 300), total(ZONE, "q", 100), total(GROUP, "1/4", 25)]),
+        ),
+    )
     one.datagram(1.0, word("n5", near, Upward("r", "y", "1/4", sums=[total(ZONE, "y", 80), total(GROUP, "2/4", 25)])))
     assert set(one.levels.rows) == {(REGION, "s"), (ZONE, "y")}
 
@@ -156,7 +197,7 @@
     assert (row.total(last, patience).members, row.total(last + 0.1, patience).members) == (80, 0)
     assert (row.total(last + 0.1, patience).silent, row.total(last + 0.1, patience).most("acked")) == (80, 80.0)
     now, born, worn = 10.0, row.made_at, row
-    for _ in range(50):     # passed on within 33 ms a hop, its age rounded down each time it would stay young
+    for _ in range(50):  # passed on within 33 ms a hop, its age rounded down each time it would stay young
         told = Levels._aged(now, worn)
         now += 0.033
         worn = levels.Known(told, now - 0.033 - told.age / 10.0)
@@ -184,14 +225,21 @@
     one.datagram(10.0, word(mate, upward=Upward(sums=[total(GROUP, "1/4", 20)])))
     ages = bytearray(one.levels._ages(10.1, False))
     assert not one.datagram(10.1, word(other, upward=Upward("r", "z", "2/4", ages=bytes(ages))))
-    ages[2 + 2 * 1:2 + 2 * 1 + 2] = 3, 12
-    (address, data), = one.datagram(10.5, word(other, upward=Upward("r", "z", "2/4", ages=bytes(ages))))
+    ages[2 + 2 * 1 : 2 + 2 * 1 + 2] = 3, 12
+    ((address, data),) = one.datagram(10.5, word(other, upward=Upward("r", "z", "2/4", ages=bytes(ages))))
     told = words.decode_upward(words.decode(data, "f").upward)
     assert address.startswith("10.0.0.2") and [(row.name, row.members) for row in told.sums] == [("1/4", 20)]
 
 
-@pytest.mark.parametrize("upward", [b"\xc1", b"\x00" * 40, msgspec.msgpack.encode(["r", "z", "0/4", False, b"", b"", [[7]]]),
-                                    msgspec.msgpack.encode(["r" * 400])])
+@pytest.mark.parametrize(
+    "upward",
+    [
+        b"\xc1",
+        b"\x00" * 40,
+        msgspec.msgpack.encode(["r", "z", "0/4", False, b"", b"", [[7]]]),
+        msgspec.msgpack.encode(["r" * 400]),
+    ],
+)
 def test_what_is_no_upward_is_counted_and_the_rest_of_the_letter_holds(upward: bytes) -> None:
     one, mate = core(names(0, 1)[0]), names(0, 2)[1]
     letter = Letter(1, "f", mate, "10.0.0.1:7900", 7, 0, "word", place=one.levels.place.key, upward=upward)
@@ -216,6 +264,7 @@
 
 # Who speaks.
 
+
 def group_of_five(now: float = 0.0) -> list[Fleet]:
     cores = [core(name, now=now) for name in names(0, 5)]
     introduce(cores, now)
@@ -253,6 +302,7 @@
 
 # Histories.
 
+
 def settled(world: World, within: float = 45.0) -> bool:
     until = world.now + within
     while world.now < until:
@@ -273,7 +323,7 @@
 def test_all_join_and_the_sums_count_them(joined: World) -> None:
     speakers = joined.speakers()
     assert len(speakers) == 9, "one a group"
-    for _ in range(20):         # views are one: the sums follow
+    for _ in range(20):  # views are one: the sums follow
         if {look.members for look in joined.listed("looks")[-9:]} == {90}:
             return
         joined.play(joined.now + 0.5)
@@ -301,6 +351,7 @@
 
 # Planted defects: each guard is missed when it is taken out.
 
+
 def test_missed_without_the_checks_of_suspects(monkeypatch: pytest.MonkeyPatch) -> None:
     """A suspect that none but one of its mates ever asked can't answer them: they hear of it by the others alone."""
     cores = group_of_five()
@@ -328,6 +379,7 @@
             if address == suspect.members.address:
                 suspect.datagram(now, data)
         return [address for address, data in suspect.beat(now + 0.25, BUSY) if words.decode(data, "f").incarnation]
+
     with monkeypatch.context() as without:
         without.setattr(mates.Mates, "doubt", lambda self, now, to: [])
         without.setattr(mates.Mates, "rumours", lambda self, *told: [])
@@ -369,16 +421,22 @@
     assert told().fleet.zone == "" and place_of(told().fleet, "n1") is None
 
 
-@pytest.mark.parametrize("lines, error", [
-    (['zone "z1"'], "operator.kdl:4: fleet.region: missing beside zone"),
-    (['region "eu"'], "operator.kdl:4: fleet.zone: missing beside region"),
-    (['zone ""', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
-    (['zone "a/b"', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
-    (['zone "z1"', 'region "eu"', "groups 65"], "operator.kdl:6: fleet.groups: Expected"),
-    (["groups 4"], "operator.kdl:4: fleet.groups: wants a zone"),
-    (['beyond "10.0.0.9:7300"'], "operator.kdl:4: fleet.beyond: wants a zone"),
-    (['zone "z1"', 'region "eu"', 'seats "n0"', "budgets {", "q total=4 calls=#true", "}"],
-     "fleet.budgets.q.seats: 'n0' names no place")])
+@pytest.mark.parametrize(
+    "lines, error",
+    [
+        (['zone "z1"'], "operator.kdl:4: fleet.region: missing beside zone"),
+        (['region "eu"'], "operator.kdl:4: fleet.zone: missing beside region"),
+        (['zone ""', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
+        (['zone "a/b"', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
+        (['zone "z1"', 'region "eu"', "groups 65"], "operator.kdl:6: fleet.groups: Expected"),
+        (["groups 4"], "operator.kdl:4: fleet.groups: wants a zone"),
+        (['beyond "10.0.0.9:7300"'], "operator.kdl:4: fleet.beyond: wants a zone"),
+        (
+            ['zone "z1"', 'region "eu"', 'seats "n0"', "budgets {", "q total=4 calls=#true", "}"],
+            "fleet.budgets.q.seats: 'n0' names no place",
+        ),
+    ],
+)
 def test_a_place_told_by_half_is_named_with_its_line(lines: list[str], error: str) -> None:
     with pytest.raises(operator.BadOperatorFile) as caught:
         told(*lines)
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -1,4 +1,5 @@
 """Ops that look the same: what proves a repeat, what tells twins apart, and which error is possible where."""
+
 from __future__ import annotations
 
 import random
@@ -33,10 +34,20 @@
     """Acks lost on the way, figures that stay or are drawn anew, any share alike; marked retries, as the protocol has them."""
     draw = random.Random(4)
     for seed in range(12):
-        weather = Weather(rate=draw.uniform(8.0, 24.0), cores=1, heeding=draw.choice((0.0, 0.5)), patience=8.0,
-                          kind=draw.choice(("kill", "freeze", "refuse")), outage=(2.0, draw.uniform(3.0, 6.0)),
-                          load_until=12.0, until=24.0, alike=draw.choice((0.3, 1.0)), steady=draw.choice((0.0, 0.5, 1.0)),
-                          lost_acks=0.05, reconnects=draw.choice((0.0, 0.3)))
+        weather = Weather(
+            rate=draw.uniform(8.0, 24.0),
+            cores=1,
+            heeding=draw.choice((0.0, 0.5)),
+            patience=8.0,
+            kind=draw.choice(("kill", "freeze", "refuse")),
+            outage=(2.0, draw.uniform(3.0, 6.0)),
+            load_until=12.0,
+            until=24.0,
+            alike=draw.choice((0.3, 1.0)),
+            steady=draw.choice((0.0, 0.5, 1.0)),
+            lost_acks=0.05,
+            reconnects=draw.choice((0.0, 0.3)),
+        )
         world = World(weather, seed).play()
         assert not world.ran_twice(), (seed, weather)
         assert not world.reducer.parked and not world.reducer.storms.tries.open, seed
@@ -51,8 +62,11 @@
         self.said = self.reads(0.1, 1, "first", rank=0.25, again=False)
 
     def happens(self, now: float, *told: object) -> list[tuple]:
-        return [(errand, *more[:1]) for errand, *more in self.reducer.reduce(now, *told)
-                if errand in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)]
+        return [
+            (errand, *more[:1])
+            for errand, *more in self.reducer.reduce(now, *told)
+            if errand in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)
+        ]
 
     def reads(self, now: float, place: int, ref: str, rank: float, again: bool = True) -> list[tuple]:
         return self.happens(now, Happening.OP_READ, place, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, again, "", b"", rank)
@@ -61,9 +75,9 @@
 def test_a_twin_waits_until_the_other_answer_was_read() -> None:
     pair = Pair()
     assert pair.said == [(Errand.RUN, "first")]
-    assert pair.reads(0.2, 2, "twin", rank=0.75) == []          # perhaps the first one's retry, with another rank
+    assert pair.reads(0.2, 2, "twin", rank=0.75) == []  # perhaps the first one's retry, with another rank
     assert pair.happens(0.3, Happening.RUN_ENDED, 1, "first", Ending.OK, b"x") == [(Errand.ACK, 1)]
-    assert pair.happens(0.4, Happening.CHECKED, 1) == [(Errand.RUN, "twin")]    # it asks again: it has its answer
+    assert pair.happens(0.4, Happening.CHECKED, 1) == [(Errand.RUN, "twin")]  # it asks again: it has its answer
     assert pair.reducer.storms.counts["retries_told_apart"] == 1
 
 
@@ -123,12 +137,18 @@
 def test_figures_at_the_door_are_those_of_a_full_reading() -> None:
     draw = random.Random(3)
     for _ in range(300):
-        head = [b"X-Request-Id: 0123456789abcdef", b"X-Request-Start: 1000", b"X-Memory-Kb: %.3f" % draw.uniform(1, 1900),
-                b"X-Rank: %.4f" % draw.uniform(0, 0.99), b"x-cost-ms:  %.2f" % draw.uniform(0, 5e3), b"X-Load: 5"]
+        head = [
+            b"X-Request-Id: 0123456789abcdef",
+            b"X-Request-Start: 1000",
+            b"X-Memory-Kb: %.3f" % draw.uniform(1, 1900),
+            b"X-Rank: %.4f" % draw.uniform(0, 0.99),
+            b"x-cost-ms:  %.2f" % draw.uniform(0, 5e3),
+            b"X-Load: 5",
+        ]
         draw.shuffle(head)
         data = b"POST /svc/read HTTP/1.1\r\n" + b"\r\n".join(head) + b"\r\nContent-Length: 16\r\n\r\n\r\nX-Rank: 0.99\r\n"
         reader = RequestReader()
-        reader.room()[:len(data)] = data
+        reader.room()[: len(data)] = data
         reader.filled(len(data))
         *told, rank = op_told(b"/svc/read", reader.message()[2], 1.0)
         assert short_figures(data) == (rank, told[6], told[7])
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -1,4 +1,5 @@
 """What the module makes of the others' figures, how these are known, and what it hands over."""
+
 from __future__ import annotations
 
 import random
@@ -15,22 +16,36 @@
 from mulleinhatch.interface import Advice, Decision, Effect, Ending, Verb
 from mulleinhatch.program import operator
 
-OP_TYPES = [{"effect": effect, "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5, "repeat_window": 60.0}
-            for effect in (Effect.RETRYABLE, Effect.NON_RETRYABLE, Effect.KEYED)]
+OP_TYPES = [
+    {"effect": effect, "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5, "repeat_window": 60.0}
+    for effect in (Effect.RETRYABLE, Effect.NON_RETRYABLE, Effect.KEYED)
+]
 
 
 class Told:
     """A module with one core; runs end when the test says so."""
 
     def __init__(self, **more: object) -> None:
-        self.hatch = Hatch({"op_types": OP_TYPES, "cores": 1, "tenants": [{"fraction": 1.0}], "callers": 4,
-                            "hold_off_allowed": True, "max_hold_off": 5.0, **more}, 7, 0.0)
+        self.hatch = Hatch(
+            {
+                "op_types": OP_TYPES,
+                "cores": 1,
+                "tenants": [{"fraction": 1.0}],
+                "callers": 4,
+                "hold_off_allowed": True,
+                "max_hold_off": 5.0,
+                **more,
+            },
+            7,
+            0.0,
+        )
 
     def pull(self, now: float) -> list[Decision]:
         return [decision for decision in iter(lambda: self.hatch.next_decision(now), None) if decision.verb is not Verb.WAKE]
 
-    def read(self, now: float, ref: str, op_type: int = 0, work: float = 0.5, wait: float = 4.0,
-             handed: bool = False) -> list[tuple[Verb, str]]:
+    def read(
+        self, now: float, ref: str, op_type: int = 0, work: float = 0.5, wait: float = 4.0, handed: bool = False
+    ) -> list[tuple[Verb, str]]:
         self.hatch.op_read(now, ref, op_type, 0.0, wait, 0, "", 1, work, 1.0, False)
         if handed:
             self.hatch.came_handed(now, ref)
@@ -67,9 +82,18 @@
     assert (Verb.HAND, "b") in told.read(2.0, "b")
 
 
-@pytest.mark.parametrize("op_type, ending, then", [
-    (0, Ending.OK, "closed"), (0, Ending.ERROR, "closed"), (0, Ending.FULL, "held"), (0, Ending.UNREACHABLE, "held"),
-    (0, Ending.INTERRUPTED, "held"), (1, Ending.INTERRUPTED, "closed"), (1, Ending.FULL, "held")])
+@pytest.mark.parametrize(
+    "op_type, ending, then",
+    [
+        (0, Ending.OK, "closed"),
+        (0, Ending.ERROR, "closed"),
+        (0, Ending.FULL, "held"),
+        (0, Ending.UNREACHABLE, "held"),
+        (0, Ending.INTERRUPTED, "held"),
+        (1, Ending.INTERRUPTED, "closed"),
+        (1, Ending.FULL, "held"),
+    ],
+)
 def test_what_becomes_of_an_op_at_a_peer(op_type: int, ending: Ending, then: str) -> None:
     """A link that broke tells nothing: what may not run twice is over here, what may runs here, and none goes on again."""
     told = warm()
@@ -96,7 +120,7 @@
     told.read(0.0, "running")
     told.read(0.0, "a", work=0.01)
     told.hatch.offers_told(0.1, 3)
-    assert told.pull(0.1) == []     # a short line is not worth it
+    assert told.pull(0.1) == []  # a short line is not worth it
     told.hatch.leave_notice(0.2, 2.5)
     assert (Verb.HAND, "a") in [(decision.verb, decision.ref) for decision in told.pull(0.2)]
 
@@ -125,7 +149,7 @@
     assert {decision.verb: decision for decision in told.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
     told.read(0.2, "running", wait=3.0)
     told.read(0.2, "held", wait=1.0)
-    told.hatch.leave_notice(0.3, 0.1)       # nothing is free elsewhere: nobody else is to be asked, either
+    told.hatch.leave_notice(0.3, 0.1)  # nothing is free elsewhere: nobody else is to be asked, either
     nacks = [decision for decision in told.pull(0.3) if decision.verb is Verb.NACK]
     assert [(nack.ref, nack.flag) for nack in nacks] == [("held", True)]
 
@@ -178,8 +202,9 @@
     fleet.beat(1.3, Local([0] * len(FIGURES)))
 
 
-@pytest.mark.parametrize("budget, kind", [
-    ('tenant="t" window=0.0', "cap"), ("retries=#true", "retries"), ("calls=#true", "calls")])
+@pytest.mark.parametrize(
+    "budget, kind", [('tenant="t" window=0.0', "cap"), ("retries=#true", "retries"), ("calls=#true", "calls")]
+)
 def test_budgets_of_each_kind_in_the_operators_file(budget: str, kind: str) -> None:
     text = f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n seats "a" "b"\n budgets {{\n  q total=9 {budget}\n }}\n}}'
     [bounds] = operator.told(text).fleet.budgets
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,5 @@
 """Hollow instances: one seed one history, by however many processes; what is counted, what checkers and fits find."""
+
 from __future__ import annotations
 
 import json
@@ -17,8 +18,10 @@
 from mulleinhatch.standins.hollow_shards import Stopped, World
 from mulleinhatch.standins.hollow_world import Gone, Look, Shard
 
-STORMY = ("at 1 lossy all 0.1 for 2\nat 1.5 kill 3 for 1\nat 1.2 stall 4,5 for 0.7\nat 2 replace 7 for 0.5\n"
-          "at 1 cut zone0 from zone2 for 1")
+STORMY = (
+    "at 1 lossy all 0.1 for 2\nat 1.5 kill 3 for 1\nat 1.2 stall 4,5 for 0.7\nat 2 replace 7 for 0.5\n"
+    "at 1 cut zone0 from zone2 for 1"
+)
 
 
 def played(shards: int, seed: int = 1, until: float = 3.0, processes: bool = False, **more: object) -> tuple[dict, dict, list]:
@@ -59,6 +62,7 @@
     def hears(shard: Shard, node: object, data: bytes) -> None:
         received.append(len(data))
         heard(shard, node, data)
+
     monkeypatch.setattr(Shard, "_send", sends)
     monkeypatch.setattr(Shard, "_heard", hears)
     with World(Plan(members=9), processes=False) as world:
@@ -83,7 +87,7 @@
 def test_views_are_one_after_joining_and_not_while_cut() -> None:
     script = "at 2 cut region0 from region1 for 3\nat 2 cut region2 from region1 for 3"
     with World(Plan(members=9, script=script), processes=False) as world:
-        assert not world.one()      # nobody runs yet
+        assert not world.one()  # nobody runs yet
         assert world.play(2.0).one()
         assert not world.play(4.5).one()
         assert world.frozen() > 0 or world.counts()["wrong"] > 0
@@ -134,8 +138,11 @@
 
 
 def test_sums_that_count_the_dead_or_miss_the_living_are_found() -> None:
-    looks = [Look(at, place, members, 0, 0.0, 9) for place, told in ((1, (10, 10, 9, 9)), (2, (10, 9, 9, 9)))
-             for at, members in zip((1.0, 1.5, 2.0, 2.5), told)]
+    looks = [
+        Look(at, place, members, 0, 0.0, 9)
+        for place, told in ((1, (10, 10, 9, 9)), (2, (10, 9, 9, 9)))
+        for at, members in zip((1.0, 1.5, 2.0, 2.5), told)
+    ]
     assert in_sums(looks, {1, 2}, 0.5, 3.0) == 1.5 and in_sums(looks, {2}, 0.5, 3.0) == 1.0
     assert in_sums(looks, {1, 3}, 0.5, 3.0) is None and in_sums(looks, {1}, 0.5, 1.8) is None
     assert in_sums([Look(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0) == 0.0
@@ -186,13 +193,17 @@
     assert len(ground.faults(churn(draw, 3600, 8000.0, 5.0, 3600.0))) == 2 * 333
     assert len(ground.faults(restart_all(draw, 3600, 5.0, 60.0))) == 7200
     for seed in range(30):
-        ends = [fault.until if fault.until < math.inf else fault.at
-                for fault in ground.faults(weather(random.Random(seed), ground, [3, 5, 400], 10.0, 20.0))]
+        ends = [
+            fault.until if fault.until < math.inf else fault.at
+            for fault in ground.faults(weather(random.Random(seed), ground, [3, 5, 400], 10.0, 20.0))
+        ]
         assert max(ends, default=30.0) <= 30.01
 
 
-@pytest.mark.parametrize(("plan", "says"), [
-    (Plan(members=1), "1 members"), (Plan(members=9, script="at 1 kill zone9"), "zone9"), (Plan(group_size=1), "group")])
+@pytest.mark.parametrize(
+    ("plan", "says"),
+    [(Plan(members=1), "1 members"), (Plan(members=9, script="at 1 kill zone9"), "zone9"), (Plan(group_size=1), "group")],
+)
 def test_a_plan_that_does_not_fit_is_told(plan: Plan, says: str) -> None:
     with pytest.raises(BadPlan, match=says):
         World(plan, 1)
@@ -209,9 +220,17 @@
             world.script("at 1 kill 2")
 
 
-@pytest.mark.parametrize(("argv", "says"), [
-    (["--members", "many"], "numbers"), (["--members", "3"], "least"), (["--workers", "30"], "least"),
-    (["--only", "nothing"], "no part 'nothing'"), (["--faults", "/nowhere"], "nowhere"), (["--for", "0"], "least")])
+@pytest.mark.parametrize(
+    ("argv", "says"),
+    [
+        (["--members", "many"], "numbers"),
+        (["--members", "3"], "least"),
+        (["--workers", "30"], "least"),
+        (["--only", "nothing"], "no part 'nothing'"),
+        (["--faults", "/nowhere"], "nowhere"),
+        (["--for", "0"], "least"),
+    ],
+)
 def test_bad_arguments_get_a_clear_error(argv: list[str], says: str) -> None:
     with pytest.raises(SystemExit, match=says):
         scale.main(["--quick", "--flat", *argv])
@@ -236,5 +255,5 @@
     with World(plan, 2) as world:
         world.play(15.0)
         assert world.one() and world.ground.groups == 2
-        world.play(20.0)        # sums follow views, and are to be right within 30 s
+        world.play(20.0)  # sums follow views, and are to be right within 30 s
         assert {look.members for look in world.listed("looks") if look.at > 18.0} == {90}
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -1,4 +1,5 @@
 """What measures an instance at the target size must itself be right: waits are seen, lost answers counted, settings taken."""
+
 from __future__ import annotations
 
 import json
@@ -45,6 +46,7 @@
             except OSError:
                 return
             threading.Thread(target=converse, args=(sock,), daemon=True).start()
+
     threading.Thread(target=accept, daemon=True).start()
     try:
         yield listener.getsockname()[1]
@@ -70,11 +72,12 @@
         if still[0] <= now < still[1]:
             time.sleep(still[1] - now)
         return GOOD
+
     with server(answer) as port:
         told = played(port, connections=2)
     assert told["lost"] == 0 and told["answered"] == told["sent"] > 50
     assert told["latency_ms"]["p100"] >= 350.0
-    assert sum(latency >= 0.1 for _, latency in told["kept"]) >= 25     # of 40 due in the standstill
+    assert sum(latency >= 0.1 for _, latency in told["kept"]) >= 25  # of 40 due in the standstill
     assert told["waited"] >= 25
 
 
@@ -82,7 +85,7 @@
     with server(lambda data: GOOD) as port:
         driver = Driver(Habits(port=port, rate=100.0, run_for=0.1))
         driver.settle()
-        driver._send(time.monotonic() - 0.25, 0)     # it leaves a quarter of a second late
+        driver._send(time.monotonic() - 0.25, 0)  # it leaves a quarter of a second late
         while driver.outstanding():
             driver._hear(time.monotonic() + 0.1)
     assert driver.report()["latency_ms"]["p100"] >= 250.0
@@ -100,6 +103,7 @@
     def answer(data: bytes) -> bytes | None:
         came.append(data)
         return None if len(came) % 5 == 0 else GOOD
+
     with server(answer) as port:
         told = played(port)
     assert told["broken"] == told["lost"] == len(came) // 5 > 5
@@ -111,6 +115,7 @@
 
     def answer(data: bytes) -> bytes:
         return rejected if b"X-Retry" in data else GOOD
+
     with server(answer) as port:
         told = played(port, repeats=0.5)
     assert told["lost"] == 0 and told["statuses"]["429"] + told["statuses"]["200"] == told["sent"]
@@ -120,8 +125,10 @@
 def test_on_the_link_runs_without_a_notice_are_lost() -> None:
     def answer(data: bytes) -> bytes:
         refs = re.findall(rb'"rid":"([0-9a-f]{16})"', data)
-        return b"".join(b'{"t": "VALUE", "no": 1, "rid": "%b", "status": "good", "b64": ""}\n' % ref
-                        for ref in refs if ref < b"8")
+        return b"".join(
+            b'{"t": "VALUE", "no": 1, "rid": "%b", "status": "good", "b64": ""}\n' % ref for ref in refs if ref < b"8"
+        )
+
     with server(answer) as port:
         told = played(port, wire="link", drain=0.1)
     assert 10 < told["lost"] < told["sent"] - 10 and told["lost"] + told["answered"] == told["sent"]
@@ -130,14 +137,24 @@
 @pytest.mark.parametrize("tenants,classes", [(0, 1), (3, 2), (2000, 1), (5, 3000)])
 def test_settings_of_any_size_are_taken(tmp_path: Path, tenants: int, classes: int) -> None:
     config = tmp_path / "config.json"
-    config.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:8080", "vm": "127.0.0.1:9300", "seed": "5",
-                                  "settings": settings(tenants, classes)}))
+    config.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:8080",
+                "vm": "127.0.0.1:9300",
+                "seed": "5",
+                "settings": settings(tenants, classes),
+            }
+        )
+    )
     place = placement({}, str(config))
     assert (len(place.tenants), len(place.op_types)) == (tenants, classes)
     assert all(tenant["fraction"] > 0 and tenant["quota_per_s"] > 0 for tenant in place.deployment["tenants"])
     environ = {name: text for name, text in os.environ.items() if not name.startswith("NODE_")}
-    said = subprocess.run([sys.executable, "-m", "mulleinhatch", "check", "--config", str(config)], capture_output=True,
-                          text=True, env=environ)
+    said = subprocess.run(
+        [sys.executable, "-m", "mulleinhatch", "check", "--config", str(config)], capture_output=True, text=True, env=environ
+    )
     assert said.returncode == 0 and f"{classes} op types, {tenants} tenants" in said.stdout
 
 
@@ -168,19 +185,29 @@
         Lone(tmp_path, told)
 
 
-@pytest.mark.parametrize("words,named", [(["--only", "everything"], "added, connections, callers"),
-                                         (["--seed", "x"], "no whole number")])
+@pytest.mark.parametrize(
+    "words,named", [(["--only", "everything"], "added, connections, callers"), (["--seed", "x"], "no whole number")]
+)
 def test_bad_arguments_are_named(capsys: pytest.CaptureFixture[str], words: list[str], named: str) -> None:
     assert scale_instance.main(words) == 2
     assert named in capsys.readouterr().err
 
 
-@pytest.mark.parametrize("habits,named", [({"rate": -1, "run_for": 1}, "rate: -1.0 is not above zero"),
-                                          ({"rate": 1, "run_for": 1, "wire": "udp"}, "neither http nor link"),
-                                          ({"rate": 1, "run_for": 1, "raet": 1}, "unknown field `raet`")])
+@pytest.mark.parametrize(
+    "habits,named",
+    [
+        ({"rate": -1, "run_for": 1}, "rate: -1.0 is not above zero"),
+        ({"rate": 1, "run_for": 1, "wire": "udp"}, "neither http nor link"),
+        ({"rate": 1, "run_for": 1, "raet": 1}, "unknown field `raet`"),
+    ],
+)
 def test_a_driver_names_what_is_wrong_with_its_habits(habits: dict, named: str) -> None:
-    said = subprocess.run([sys.executable, "-m", "mulleinhatch.standins.heavy"], capture_output=True, text=True,
-                          input=json.dumps({"port": 1, **habits}) + "\n")
+    said = subprocess.run(
+        [sys.executable, "-m", "mulleinhatch.standins.heavy"],
+        capture_output=True,
+        text=True,
+        input=json.dumps({"port": 1, **habits}) + "\n",
+    )
     assert said.returncode == 1 and named in said.stderr
 
 
@@ -216,4 +243,12 @@
     assert sorted(told["costs"]) == ["instance.settings.routes_memory", "instance.settings.tenants_memory"]
     assert len(told["notes"]) == 2 and told["mechanism"] == "instance" and told["benchmark"] == "scale_instance"
     assert set(told["costs"]["instance.settings.routes_memory"]) == {
-        "unit", "size", "points", "form", "constant", "slope", "residual", "checked"}
+        "unit",
+        "size",
+        "points",
+        "form",
+        "constant",
+        "slope",
+        "residual",
+        "checked",
+    }
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -3,6 +3,7 @@
 A scenario is a deployment, then lines of time and happening; `>` lists every decision that follows, in order,
 `~` some of them; wake-ups are left out. `all nack 3` and the like count what came so far.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -41,8 +42,7 @@
 
 
 def spoken(decision: Decision) -> str:
-    told = {Verb.HEALTH: " good" if decision.flag else " bad", Verb.ADVISE: "",
-            Verb.TRIM: f" {decision.seconds:.0f}"}
+    told = {Verb.HEALTH: " good" if decision.flag else " bad", Verb.ADVISE: "", Verb.TRIM: f" {decision.seconds:.0f}"}
     if decision.verb is Verb.NACK and decision.flag:
         return f"nack {decision.ref} for good"
     return decision.verb.value + told.get(decision.verb, f" {decision.ref}")
@@ -90,9 +90,19 @@
     def report(self, what: str, ref: int, more: dict) -> None:
         hatch, get = self.hatch, more.get
         if what == "op":
-            hatch.op_read(self.now, ref, get("type", 0), get("age", 0.0), get("wait", 0.0), get("tenant", 0),
-                          get("repeats", 0), get("caller", 0), get("work", 0.0), get("kb", 1.0),
-                          bool(get("again", 0)))
+            hatch.op_read(
+                self.now,
+                ref,
+                get("type", 0),
+                get("age", 0.0),
+                get("wait", 0.0),
+                get("tenant", 0),
+                get("repeats", 0),
+                get("caller", 0),
+                get("work", 0.0),
+                get("kb", 1.0),
+                bool(get("again", 0)),
+            )
         elif what == "ended":
             hatch.run_ended(self.now, ref, get("ending", 1))
         elif what == "wants-call":
@@ -122,8 +132,9 @@
 
 
 def adapter(wire: bytes) -> subprocess.CompletedProcess:
-    return subprocess.run([sys.executable, "-m", "mulleinhatch.benchlink"], input=wire, capture_output=True,
-                          cwd=ROOT.parent, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "mulleinhatch.benchlink"], input=wire, capture_output=True, cwd=ROOT.parent, timeout=60
+    )
 
 
 def batch(body: bytes, number: int = 1) -> bytes:
@@ -140,8 +151,9 @@
     assert done.stdout[12:24] == b"\x50\x00\x03\x41" + struct.pack(">Q", 77)
 
 
-@pytest.mark.parametrize("wire, complaint", [
-    (batch(b"\x0a\x00\x03\xee"), b"byte 19"), (batch(b"\x0a\x00"), b"byte 17"), (batch(b"")[:9], b"byte 9")])
+@pytest.mark.parametrize(
+    "wire, complaint", [(batch(b"\x0a\x00\x03\xee"), b"byte 19"), (batch(b"\x0a\x00"), b"byte 17"), (batch(b"")[:9], b"byte 9")]
+)
 def test_bad_wire_ends_with_one_line(wire: bytes, complaint: bytes) -> None:
     done = adapter(wire)
     assert done.returncode != 0 and done.stderr.count(b"\n") == 1 and complaint in done.stderr
@@ -154,6 +166,7 @@
 
 def test_a_stream_closed_a_moment_ago_has_nothing_unread() -> None:
     """Its connection stands among the spare ones until its coroutine runs; looking at it ended every accept."""
+
     async def look() -> bool:
         ours, theirs = socket.socketpair()
         stream = GatheringStream(ours)
@@ -162,15 +175,16 @@
         stream.close()
         theirs.close()
         return before and not stream.has_unread()
+
     assert asyncio.run(look())
 
 
 def test_new_connections_that_waited_long_are_closed_unheard() -> None:
     """What lies in the backlog has its time running: those that can't be taken soon must fail, not be lost."""
+
     async def crowd() -> tuple[int, int, int]:
         now, counts = [5.0], Counter()
-        connections = Connections(100, RequestReader, lambda: now[0], *[print] * 4,
-                                  count=lambda what: counts.update([what]))
+        connections = Connections(100, RequestReader, lambda: now[0], *[print] * 4, count=lambda what: counts.update([what]))
         with socket.create_server(("127.0.0.1", 0), backlog=64) as listener:
             listener.setblocking(False)
             callers = [socket.create_connection(listener.getsockname()) for _ in range(40)]
@@ -182,17 +196,17 @@
             for sock in callers:
                 sock.close()
         return taken, counts["connections_shed"], len(connections.open)
+
     taken, shed, open_at_last = asyncio.run(crowd())
     assert 0 < taken < 40 and taken + shed == 40 and open_at_last == taken + 1
 
 
 def test_a_request_cut_at_every_byte() -> None:
-    text = (b"POST /svc/read HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 3\r\n\r\n\r\n!"
-            b"GET /x HTTP/1.1\r\n\r\n")
+    text = b"POST /svc/read HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 3\r\n\r\n\r\n!GET /x HTTP/1.1\r\n\r\n"
     for cut in range(len(text) + 1):
         reader, found = RequestReader(), []
         for piece in (text[:cut], text[cut:]):
-            reader.room()[:len(piece)] = piece
+            reader.room()[: len(piece)] = piece
             reader.filled(len(piece))
             while message := reader.message():
                 found.append((message[1], message[3]))
@@ -221,8 +235,13 @@
 
 def command(folder: Path, told: dict, *words: str) -> subprocess.CompletedProcess:
     (folder / "told.json").write_text(json.dumps(told))
-    return subprocess.run([sys.executable, "-m", "mulleinhatch", *words, "--config", folder / "told.json"],
-                          capture_output=True, text=True, cwd=ROOT.parent, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "mulleinhatch", *words, "--config", folder / "told.json"],
+        capture_output=True,
+        text=True,
+        cwd=ROOT.parent,
+        timeout=60,
+    )
 
 
 async def from_start_to_stop(told: dict, path: Path) -> tuple[int, str]:
@@ -232,12 +251,11 @@
     server = await asyncio.start_server(interpreter.serve, "127.0.0.1", 0)
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    told = {**told, "vm": "127.0.0.1:%d" % server.sockets[0].getsockname()[1], "stop_ms": 300,
-            "listen": f"127.0.0.1:{port}"}
+    told = {**told, "vm": "127.0.0.1:%d" % server.sockets[0].getsockname()[1], "stop_ms": 300, "listen": f"127.0.0.1:{port}"}
     path.write_text(json.dumps(told))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", path, cwd=ROOT.parent,
-        stderr=asyncio.subprocess.PIPE)
+        sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", path, cwd=ROOT.parent, stderr=asyncio.subprocess.PIPE
+    )
     assert (await interpreter.heard.get())["t"] == "CONNECT"
     play = SocketPlay()
     play.instance = argparse.Namespace(port=port)
@@ -264,9 +282,16 @@
     assert done.returncode == 1 and done.stderr.count("\n") == 1 and "127.0.0.1" in done.stderr, done.stderr
 
 
-@pytest.mark.parametrize("path, value, complaint", [
-    ("vm", "nowhere", "vm:"), ("stop_ms", "soon", "stop_ms:"), ("limits.sockets", 3, "limits.sockets:"),
-    ("settings.classes", ["read"], "settings.classes:"), ("settings.tick", "x", "settings.tick:")])
+@pytest.mark.parametrize(
+    "path, value, complaint",
+    [
+        ("vm", "nowhere", "vm:"),
+        ("stop_ms", "soon", "stop_ms:"),
+        ("limits.sockets", 3, "limits.sockets:"),
+        ("settings.classes", ["read"], "settings.classes:"),
+        ("settings.tick", "x", "settings.tick:"),
+    ],
+)
 def test_the_faulty_key_is_named(tmp_path: Path, path: str, value: object, complaint: str) -> None:
     told = told_at_start()
     place, (*way, last) = told, path.split(".")
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,5 @@
 """The search: kept histories hold, the same seed is the same history, what is planted is found, shrinking keeps what fails."""
+
 from __future__ import annotations
 
 from pathlib import Path
@@ -30,8 +31,10 @@
     assert play(drawn(6)) == play(drawn(6))
 
 
-@pytest.mark.parametrize("defect, seed", [("the bound is not looked at", 21), ("an offer counts half", 10),
-                                          ("one that leaves forgets what it holds", 28)])
+@pytest.mark.parametrize(
+    "defect, seed",
+    [("the bound is not looked at", 21), ("an offer counts half", 10), ("one that leaves forgets what it holds", 28)],
+)
 def test_what_is_planted_is_found(defect: str, seed: int) -> None:
     history = drawn(seed)
     with defects.planted(defect):
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,5 @@
 """Even load: pure parts, histories in virtual time with faults, and real processes that hand ops to each other."""
+
 from __future__ import annotations
 
 import asyncio
@@ -24,8 +25,9 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.sampled_from(("give", "came", "late", "wait")), st.integers(0, 6), st.integers(0, 20)),
-                max_size=60))
+@given(
+    st.lists(st.tuples(st.sampled_from(("give", "came", "late", "wait")), st.integers(0, 6), st.integers(0, 20)), max_size=60)
+)
 def test_never_more_offers_than_room_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
     giver, now = Giver(0.3, 8, 1), 0.0
     for what, amount, other in steps:
@@ -36,7 +38,7 @@
         elif what == "came":
             giver.came(now, other)
         elif what == "late":
-            giver.came(now, 10 ** 6)    # an offer of an earlier life
+            giver.came(now, 10**6)  # an offer of an earlier life
         now += 0.1 * (what == "wait")
 
 
@@ -44,7 +46,7 @@
     taker = Taker(1)
     for _ in range(3):
         taker.heard(0.0, "a", "127.0.0.1:1", 5, 0.3)
-    taker.heard(0.0, "a", "127.0.0.1:1", 4, 0.3)        # swapped on the way
+    taker.heard(0.0, "a", "127.0.0.1:1", 4, 0.3)  # swapped on the way
     assert taker.take(0.1).number == 5 and taker.take(0.1) is None
     taker.new_life("a")
     taker.heard(0.2, "a", "127.0.0.1:1", 1, 0.3)
@@ -119,7 +121,7 @@
     pieces = http.handed("00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1")
     reader = http.RequestReader()
     data = b"".join(pieces)
-    reader.room()[:len(data)] = data
+    reader.room()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
     ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http.op_told(path, fields, 1e9 + 0.5)
@@ -127,8 +129,15 @@
     assert (age, wait, work, fields[http.HAND]) == (pytest.approx(0.5), pytest.approx(1.0), 0.05, b"17") and kb > 0.0
 
 
-@pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", b"\x00\r\n\r\n",
-                                  b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"HTTP/1.1 200 OK\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"\x00\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
+    ],
+)
 def test_a_peers_answer_that_is_none(head: bytes) -> None:
     with pytest.raises(ValueError):
         http.answer_told(head)
@@ -143,13 +152,19 @@
 
 # Virtual time: one answer an op, no non-retryable op run twice and offers within room are checked at each step.
 
+
 @pytest.mark.parametrize("seed", range(5))
 def test_histories_by_chance(seed: int) -> None:
     draw = random.Random(seed)
     instances = draw.choice((3, 5, 8, 12))
     script = weather(draw, instances, 5.0, 4.0)
-    load = Load(draw.choice((0.5, 0.9, 1.2)), callers=draw.choice((2, 6)), heeding=draw.random(),
-                speeds=draw.choice(((), (1.0, 0.4))), mixed=draw.random() < 0.5)
+    load = Load(
+        draw.choice((0.5, 0.9, 1.2)),
+        callers=draw.choice((2, 6)),
+        heeding=draw.random(),
+        speeds=draw.choice(((), (1.0, 0.4))),
+        mixed=draw.random() < 0.5,
+    )
     until = max(12.0, faults.end_of(faults.read(script, instances)) + 3.0)
     world = SpreadWorld(Plan(instances, script, until=until, seed=seed), load).play()
     assert world.in_time > 0.0
@@ -197,12 +212,21 @@
 
 # Processes.
 
+
 def test_processes_hand_over_through_a_stall_and_a_failing_peer(tmp_path: Path) -> None:
     """Six real ones, two of them asked half as much again as they can do: the rest take it. A stalled taker, one that fails
     all it runs, one that leaves: no sign-off runs twice, no answer is lost or a stranger's."""
     keep_environment()
-    case = FleetCase(6, "at 3 stall 4 for 1.5\nat 5 failing 5 1.0 for 3\nat 9 leave 0", run_for=11.0, cores=2, work_ms=100.0,
-                     loads=(("0-1", 60.0), ("2-5", 20.0)), spread="-", signoffs=0.2)
+    case = FleetCase(
+        6,
+        "at 3 stall 4 for 1.5\nat 5 failing 5 1.0 for 3\nat 9 leave 0",
+        run_for=11.0,
+        cores=2,
+        work_ms=100.0,
+        loads=(("0-1", 60.0), ("2-5", 20.0)),
+        spread="-",
+        signoffs=0.2,
+    )
 
     async def play() -> tuple[dict, list[Counter[str]], dict]:
         async with FleetRig(case, tmp_path) as rig:
@@ -213,6 +237,7 @@
             counts = [Counter(await node.counters()) for node in rig.nodes]
             views = await rig.views()
             return await rig.finish(), counts, views
+
     told, counts, views = asyncio.run(asyncio.wait_for(play(), 60.0))
     assert views["n2"]["spread"]["places"] >= 2 and len(views["n2"]["carried"]) == 5
     busy, free = counts[0] + counts[1], counts[2] + counts[3] + counts[4] + counts[5]
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -1,4 +1,5 @@
 """Storms: the watch by scenarios, the books against plain ones, the player in virtual time, what the door believes."""
+
 from __future__ import annotations
 
 import asyncio
@@ -23,7 +24,7 @@
 from standins import SocketPlay
 
 ROOT = Path(__file__).parent
-SETTLED = 12.0      # seconds after the last input in which every history must be calm again
+SETTLED = 12.0  # seconds after the last input in which every history must be calm again
 
 
 class Skies:
@@ -113,11 +114,23 @@
     assert 0.8 * 5.0 * 60.0 <= heard <= 5.0 * 60.0 + 6.0
 
 
-SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)    # it can do 20 a second
-WEATHERS = [SMALL, *(SMALL._replace(**other) for other in (
-    {"heeding": 0.8}, {"heeding": 1.0, "patience": 20.0}, {"marked": 0.0}, {"kind": "freeze"},
-    {"kind": "refuse", "reconnects": 0.5}, {"rate": 12.0, "outage": (4.0, 5.0)}, {"rate": 30.0, "load_until": 10.0},
-    {"patience": 4.5, "heeding": 0.3, "marked": 0.5}))]
+SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # it can do 20 a second
+WEATHERS = [
+    SMALL,
+    *(
+        SMALL._replace(**other)
+        for other in (
+            {"heeding": 0.8},
+            {"heeding": 1.0, "patience": 20.0},
+            {"marked": 0.0},
+            {"kind": "freeze"},
+            {"kind": "refuse", "reconnects": 0.5},
+            {"rate": 12.0, "outage": (4.0, 5.0)},
+            {"rate": 30.0, "load_until": 10.0},
+            {"patience": 4.5, "heeding": 0.3, "marked": 0.5},
+        )
+    ),
+]
 
 
 @pytest.mark.parametrize("weather", WEATHERS, ids=lambda weather: f"{weather.kind}-{weather.rate:g}-{weather.heeding}")
@@ -126,7 +139,7 @@
     last = weather.load_until + weather.patience
     world = World(weather._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
-    world.reducer.reduce(last + SETTLED, Happening.CHECKED, 0)      # an idle instance judges when it next hears anything
+    world.reducer.reduce(last + SETTLED, Happening.CHECKED, 0)  # an idle instance judges when it next hears anything
     assert world.reducer.storms.watch.stage is Stage.CALM, world.stages
     assert not world.waiting
 
@@ -134,10 +147,18 @@
 def test_virtual_seeds_permute_the_weather() -> None:
     draw = random.Random(9)
     for seed in range(12):
-        weather = Weather(rate=draw.uniform(8.0, 24.0), cores=1, heeding=draw.choice((0.0, 0.3, 0.8, 1.0)),
-                          marked=draw.choice((0.0, 0.5, 1.0)), patience=draw.choice((4.5, 8.0)),
-                          kind=draw.choice(("kill", "freeze", "refuse")), outage=(2.0, draw.uniform(3.0, 7.0)),
-                          load_until=10.0, until=30.0, reconnects=draw.choice((0.0, 0.3)))
+        weather = Weather(
+            rate=draw.uniform(8.0, 24.0),
+            cores=1,
+            heeding=draw.choice((0.0, 0.3, 0.8, 1.0)),
+            marked=draw.choice((0.0, 0.5, 1.0)),
+            patience=draw.choice((4.5, 8.0)),
+            kind=draw.choice(("kill", "freeze", "refuse")),
+            outage=(2.0, draw.uniform(3.0, 7.0)),
+            load_until=10.0,
+            until=30.0,
+            reconnects=draw.choice((0.0, 0.3)),
+        )
         world = World(weather, seed).play()
         assert not world.ran_twice(), (seed, weather)
 
@@ -157,45 +178,65 @@
 def test_the_door_believes_nothing_that_a_full_reading_does_not() -> None:
     """Whatever it takes for a whole request must be one, alone, with the same id, path and body: else bytes of one
     request would be thrown away with another, or one be hidden."""
-    plain = (b"POST /svc/read HTTP/1.1\r\nHost: a\r\nX-Request-Id: 0123456789abcdef\r\nX-Request-Start: 1000\r\n"
-             b"X-Caller: 4\r\nX-Memory-Kb: 2\r\nX-Retry: 1\r\nContent-Length: 4\r\n\r\nabcd")
+    plain = (
+        b"POST /svc/read HTTP/1.1\r\nHost: a\r\nX-Request-Id: 0123456789abcdef\r\nX-Request-Start: 1000\r\n"
+        b"X-Caller: 4\r\nX-Memory-Kb: 2\r\nX-Retry: 1\r\nContent-Length: 4\r\n\r\nabcd"
+    )
     assert short_look(plain)
     assert not any(short_look(plain[:cut]) for cut in range(len(plain)))
     draw, believed = random.Random(4), 0
-    scraps = [b"\r\n", b"\n", b" ", b"Content-Length: 4\r\n", b"content-length : 9\r\n", b"Transfer-Encoding: x\r\n",
-              b"X-Retry: 1\r\n", b"\x00", b"GET / HTTP/1.1\r\n\r\n", b"0", b"9", b":", b"X-Caller: 5\r\n"]
+    scraps = [
+        b"\r\n",
+        b"\n",
+        b" ",
+        b"Content-Length: 4\r\n",
+        b"content-length : 9\r\n",
+        b"Transfer-Encoding: x\r\n",
+        b"X-Retry: 1\r\n",
+        b"\x00",
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"0",
+        b"9",
+        b":",
+        b"X-Caller: 5\r\n",
+    ]
     for _ in range(20_000):
         data = bytearray(plain)
         for _ in range(draw.randrange(1, 4)):
             at = draw.randrange(len(data))
-            data[at:at + draw.randrange(3)] = draw.choice(scraps)
+            data[at : at + draw.randrange(3)] = draw.choice(scraps)
         looked = short_look(bytes(data))
         if looked is None:
             continue
         believed += 1
         reader = RequestReader()
-        reader.room()[:len(data)] = data
+        reader.room()[: len(data)] = data
         reader.filled(len(data))
         try:
             _, path, fields, body = reader.message()
             told = op_told(path, fields, 1.0)
         except BadRequest:
-            continue        # a refusal there, a refusal here
+            continue  # a refusal there, a refusal here
         assert not reader.started() and body == looked[6], data
         assert (told[0], told[1], told[2], told[8], told[9]) == (*looked[:3], looked[4], looked[5]), data
     assert believed > 500
 
 
-@pytest.mark.parametrize("text, complaint", [
-    ("storms {\n  settle 0\n}", ":2: storms.settle: Expected `float` > 0.0"),
-    ("storms {\n  settle 3\n  loud-share 1.5\n}", ":3: storms.loud-share: Expected `float` <= 1.0"),
-    ("storms {\n  settle 3\n  settle 4\n}", ":3: storms.settle: told twice"),
-    ("storms settle=3 {\n  settle 4\n}", ":1: storms.settle: told twice"),
-    ("\nstroms {\n}", ":2: stroms: no such key"),
-    ("storms 5", ":1: storms: Expected `object`"),
-    ("storms {\n  callers-kept 2.5\n}", ":2: storms.callers-kept: Expected `int`"),
-    ("storms {\n  storm-share 0.2\n}", ":2: storms.storm-share: 0.2 is below rising-share"),
-    ("storms {\n  settle 3\n", ":2:"), ("storms {\n  settle \"3\n}", ":2:")])
+@pytest.mark.parametrize(
+    "text, complaint",
+    [
+        ("storms {\n  settle 0\n}", ":2: storms.settle: Expected `float` > 0.0"),
+        ("storms {\n  settle 3\n  loud-share 1.5\n}", ":3: storms.loud-share: Expected `float` <= 1.0"),
+        ("storms {\n  settle 3\n  settle 4\n}", ":3: storms.settle: told twice"),
+        ("storms settle=3 {\n  settle 4\n}", ":1: storms.settle: told twice"),
+        ("\nstroms {\n}", ":2: stroms: no such key"),
+        ("storms 5", ":1: storms: Expected `object`"),
+        ("storms {\n  callers-kept 2.5\n}", ":2: storms.callers-kept: Expected `int`"),
+        ("storms {\n  storm-share 0.2\n}", ":2: storms.storm-share: 0.2 is below rising-share"),
+        ("storms {\n  settle 3\n", ":2:"),
+        ('storms {\n  settle "3\n}', ":2:"),
+    ],
+)
 def test_the_faulty_line_of_the_operators_file_is_named(text: str, complaint: str) -> None:
     with pytest.raises(operator.BadOperatorFile) as error:
         operator.told(text)
@@ -215,6 +256,7 @@
 def test_hundreds_connect_at_once_and_nobody_starves() -> None:
     """A fresh instance under a burst of connects: an open connection gets its checks answered meanwhile, alarms go off in
     time, and each new connection is served or closed, none left hanging."""
+
     async def burst() -> tuple[float, list[bytes], int]:
         play = SocketPlay()
         await play.start()
@@ -233,6 +275,7 @@
                     return b""
                 finally:
                     writer.close()
+
             crowd = asyncio.gather(*(newcomer(number) for number in range(400)))
             while not crowd.done():
                 asked = loop.time()
@@ -244,6 +287,7 @@
         finally:
             play.instance.stopped.set()
             await play.serving
+
     slowest, answers, late = asyncio.run(asyncio.wait_for(burst(), 20))
     assert set(answers) <= {b"HTTP/1.1 200", b""} and answers.count(b"HTTP/1.1 200") > 200
     assert slowest < 1.5 and late < 1000, (slowest, late)
@@ -251,6 +295,7 @@
 
 def test_runs_that_stopped_ending_count_as_an_outage() -> None:
     """A frozen interpreter is one, an idle instance is none: behind an outage a storm is seen sooner."""
+
     def outage_after(gap: float, in_hand: bool) -> bool:
         reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], 7, StormBounds())
         reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
@@ -261,6 +306,7 @@
                 reducer.reduce(0.0, Happening.RUN_ENDED, 1, "r1", Ending.OK, b"")
         reducer.reduce(gap, Happening.RUN_ENDED, 2, "r2", Ending.OK, b"")
         return reducer.storms.watch.outage_at is not None
+
     assert outage_after(5.0, in_hand=True)
     assert not outage_after(0.2, in_hand=True) and not outage_after(5.0, in_hand=False)
 
@@ -268,12 +314,15 @@
 def test_no_time_is_told_where_the_settings_allow_none() -> None:
     """A longest hold-off may be told beside the word that none is allowed; the door must heed that as the module does."""
     for allowed in (False, True):
-        reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7,
-                          StormBounds())
+        reducer = Reducer(
+            {"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7, StormBounds()
+        )
         reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
         reducer.storms.limit(0.0, 0.001)
-        told = [reducer.turned_back(0.1, f"r{number}", "read", "", 4, True, "", b"", punctual=False, stubborn=number > 2)
-                for number in range(6)]
+        told = [
+            reducer.turned_back(0.1, f"r{number}", "read", "", 4, True, "", b"", punctual=False, stubborn=number > 2)
+            for number in range(6)
+        ]
         assert max(told) > 0.0 if allowed else set(told) == {0.0}
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,5 @@
 """Traces: round trips, replays without one differing decision, files cut, flipped, hostile."""
+
 from __future__ import annotations
 
 import asyncio
@@ -31,22 +32,27 @@
 from standins import SocketPlay
 
 SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 5.0), load_until=9.0, patience=4.5, until=20.0, heeding=0.5)
-VALUES = {"op": some.integers(0, 2 ** 40), "whole": some.integers(0, 2 ** 50), "number": some.floats(allow_nan=False),
-          "numbers": some.lists(some.floats(allow_nan=False), max_size=8).map(tuple),
-          "ref": some.one_of(some.text(max_size=20), some.from_regex("[0-9a-f]{16}", fullmatch=True)),
-          "text": some.text(max_size=40)}
+VALUES = {
+    "op": some.integers(0, 2**40),
+    "whole": some.integers(0, 2**50),
+    "number": some.floats(allow_nan=False),
+    "numbers": some.lists(some.floats(allow_nan=False), max_size=8).map(tuple),
+    "ref": some.one_of(some.text(max_size=20), some.from_regex("[0-9a-f]{16}", fullmatch=True)),
+    "text": some.text(max_size=40),
+}
 
 
 def record_of(kind: kinds.Kind) -> some.SearchStrategy[Record]:
     return some.tuples(*(VALUES[codec] for _, codec in kind.columns)).flatmap(
-        lambda values: some.integers(0, 10 ** 13).map(lambda micro: Record(kind, micro / 1e6, values)))
+        lambda values: some.integers(0, 10**13).map(lambda micro: Record(kind, micro / 1e6, values))
+    )
 
 
 RECORDS = some.lists(some.one_of([record_of(kind) for kind in kinds.KINDS.values()]), min_size=1, max_size=60)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(RECORDS, some.integers(0, 2 ** 40))
+@given(RECORDS, some.integers(0, 2**40))
 def test_any_records_come_back_as_they_were(records: list[Record], newest: int) -> None:
     built = Builder(2, newest)
     for record in records:
@@ -72,6 +78,7 @@
         batches: list[tuple[list[Record], int]] = []
         lives.append((Recorder(hatch, now, cold, since, lambda *batch: batches.append(batch)), batches))
         return lives[-1][0]
+
     world = World(weather, seed, record=record).play()
     recorder, batches = lives[-1]
     recorder.flush()
@@ -81,7 +88,7 @@
     for records, newest in batches:
         for start in range(0, len(records), 500):
             built = Builder(2, newest)
-            for one in records[start:start + 500]:
+            for one in records[start : start + 500]:
                 built.add(one)
             writer.write(built.block())
             newest = built.newest
@@ -94,8 +101,10 @@
     return traced(SMALL, 3)
 
 
-@pytest.mark.parametrize("seed, change", [(1, {}), (2, {"kind": "freeze"}), (3, {"heeding": 1.0, "marked": 0.3}),
-                                          (4, {"rate": 40.0, "kind": "refuse"})])
+@pytest.mark.parametrize(
+    "seed, change",
+    [(1, {}), (2, {"kind": "freeze"}), (3, {"heeding": 1.0, "marked": 0.3}), (4, {"rate": 40.0, "kind": "refuse"})],
+)
 def test_a_replay_decides_the_same_to_the_last(seed: int, change: dict) -> None:
     world, data = traced(SMALL._replace(**change), seed)
     trace = Trace(io.BytesIO(data))
@@ -109,8 +118,8 @@
     records = list(trace.records())
     at = next(place for place, one in enumerate(records) if one.kind is kinds.READ and place > 500)
     values = list(records[at].values)
-    values[4] = 0.01        # it hears of a shorter wait than the module did
-    outcome = replay([*records[:at], records[at]._replace(values=tuple(values)), *records[at + 1:]], trace.facts)
+    values[4] = 0.01  # it hears of a shorter wait than the module did
+    outcome = replay([*records[:at], records[at]._replace(values=tuple(values)), *records[at + 1 :]], trace.facts)
     assert outcome.differences == 1 and outcome.first.time >= records[at].time
 
 
@@ -142,8 +151,9 @@
         assert sum(row.records for row in trace.rows) == expected, end
         cut_in = [row for row in (before, last) if row.place + HEAD_SIZE <= end < row.place + HEAD_SIZE + row.stored]
         assert [(lost.records, lost.first, lost.last) for lost in trace.lost if lost.records] == [
-            (row.records, row.first, row.last) for row in cut_in], end
-    trace = Trace(io.BytesIO(data[:last.place + HEAD_SIZE + 5]))
+            (row.records, row.first, row.last) for row in cut_in
+        ], end
+    trace = Trace(io.BytesIO(data[: last.place + HEAD_SIZE + 5]))
     assert len(list(trace.records())) == sum(row.records for row in whole.rows[:-1])
 
 
@@ -164,11 +174,16 @@
         assert len(list(scanned.records())) == total - row.records and scanned.lost
 
 
-@pytest.mark.parametrize("spoil, complaint", [
-    (lambda data: b"", "empty"), (lambda data: b"something else", "no trace file"),
-    (lambda data: data[:START.size + 9], "damaged"),
-    (lambda data: START.pack(b"mhtTRACE", 3, 0, 5, 0) + data[START.size:], "version 3.0"),
-    (lambda data: START.pack(b"mhtTRACE", 2, 0, 2 ** 32 - 1, 0) + data[START.size:], "damaged")])
+@pytest.mark.parametrize(
+    "spoil, complaint",
+    [
+        (lambda data: b"", "empty"),
+        (lambda data: b"something else", "no trace file"),
+        (lambda data: data[: START.size + 9], "damaged"),
+        (lambda data: START.pack(b"mhtTRACE", 3, 0, 5, 0) + data[START.size :], "version 3.0"),
+        (lambda data: START.pack(b"mhtTRACE", 2, 0, 2**32 - 1, 0) + data[START.size :], "damaged"),
+    ],
+)
 def test_what_is_no_trace_is_said_to_be_none(told: tuple[World, bytes], spoil, complaint: str) -> None:
     with pytest.raises(Unreadable, match=complaint):
         Trace(io.BytesIO(spoil(told[1])))
@@ -181,11 +196,17 @@
     return head + block.SUM.pack(block.xxh3_64_intdigest(stored, block.xxh3_64_intdigest(head)), 0) + stored
 
 
-HUGE = b"\xff" * 9 + b"\x01"        # 2^64 - 1
-HOSTILE = {"a bomb": packed(bytes(64 << 20), raw_size=1000), "columns without end": packed(HUGE),
-           "a column of 2^63": packed(b"\x01\x00\x00" + HUGE), "texts without end": packed(b"\x01\x02\x00\x0a" + HUGE),
-           "a text of 2^63": packed(b"\x01\x02\x00\x0b\x01" + HUGE), "a number without end": packed(b"\xff" * 40),
-           "nothing": packed(b""), "more records than it has": packed(b"\x00", records=1 << 20)}
+HUGE = b"\xff" * 9 + b"\x01"  # 2^64 - 1
+HOSTILE = {
+    "a bomb": packed(bytes(64 << 20), raw_size=1000),
+    "columns without end": packed(HUGE),
+    "a column of 2^63": packed(b"\x01\x00\x00" + HUGE),
+    "texts without end": packed(b"\x01\x02\x00\x0a" + HUGE),
+    "a text of 2^63": packed(b"\x01\x02\x00\x0b\x01" + HUGE),
+    "a number without end": packed(b"\xff" * 40),
+    "nothing": packed(b""),
+    "more records than it has": packed(b"\x00", records=1 << 20),
+}
 
 
 @pytest.mark.parametrize("name", HOSTILE)
@@ -198,8 +219,12 @@
     """Rows that point at each other, or outside, with a right checksum: the blocks are looked for themselves."""
     whole = Trace(io.BytesIO(told[1]))
     end = whole.rows[-1].place + HEAD_SIZE + whole.rows[-1].stored
-    for rows in ([row._replace(place=whole.rows[0].place) for row in whole.rows], whole.rows[:-1],
-                 [*whole.rows[:-1], whole.rows[-1]._replace(stored=1 << 31)], whole.rows[::-1]):
+    for rows in (
+        [row._replace(place=whole.rows[0].place) for row in whole.rows],
+        whole.rows[:-1],
+        [*whole.rows[:-1], whole.rows[-1]._replace(stored=1 << 31)],
+        whole.rows[::-1],
+    ):
         trace = Trace(io.BytesIO(told[1][:end] + index_bytes(rows)))
         assert not trace.indexed and trace.rows == whole.rows
 
@@ -211,7 +236,7 @@
         data = bytearray(told[1])
         for _ in range(draw.randrange(1, 20)):
             at = draw.randrange(len(data))
-            data[at:at + draw.randrange(8)] = draw.randbytes(draw.randrange(8))
+            data[at : at + draw.randrange(8)] = draw.randbytes(draw.randrange(8))
         try:
             list(Trace(io.BytesIO(bytes(data))).records())
         except Unreadable:
@@ -274,6 +299,7 @@
 
 def test_an_instance_on_sockets_is_traced_and_replayed(tmp_path: Path) -> None:
     """From the start to the stop of a real instance: its file has what its counters have, and replays to the last."""
+
     async def life() -> dict[str, int]:
         play = SocketPlay()
         play.more = {"traces": TraceBounds(str(tmp_path))}
@@ -296,6 +322,7 @@
             play.instance.stopped.set()
             await play.serving
         return play.instance.counted()
+
     counted = asyncio.run(asyncio.wait_for(life(), 20))
     (path,) = tmp_path.glob("n1-*.mht")
     with open(path, "rb") as file:
@@ -323,8 +350,12 @@
 
 def test_files_of_several_nodes_versions_and_clocks_are_merged() -> None:
     """Two versions, two nodes of one name, and a clock that stepped back between two files of one life."""
-    parts = [node_file("n1", 1, 1, 5000.0, [101.0, 103.0]), node_file("n1", 1, 2, 4990.0, [105.0, 107.0]),
-             node_file("n1", 2, 1, 5000.5, [101.0, 104.0], major=1), node_file("n2", 3, 1, 5000.0, [102.0])]
+    parts = [
+        node_file("n1", 1, 1, 5000.0, [101.0, 103.0]),
+        node_file("n1", 1, 2, 4990.0, [105.0, 107.0]),
+        node_file("n1", 2, 1, 5000.5, [101.0, 104.0], major=1),
+        node_file("n2", 3, 1, 5000.0, [102.0]),
+    ]
     file = io.BytesIO()
     count, notes = merge([Trace(io.BytesIO(part)) for part in parts], file)
     trace = Trace(file)
@@ -349,12 +380,14 @@
     refs = {record.values[1] for record in source.records() if record.kind is kinds.READ}
     data = file.getvalue()
     trace = Trace(file)
-    raw = data + b"".join(repr(sorted(Block(data[row.place:row.place + HEAD_SIZE + row.stored]).columns.items())).encode()
-                          + b"".join(Block(data[row.place:row.place + HEAD_SIZE + row.stored]).columns.values())
-                          for row in trace.rows)
+    raw = data + b"".join(
+        repr(sorted(Block(data[row.place : row.place + HEAD_SIZE + row.stored]).columns.items())).encode()
+        + b"".join(Block(data[row.place : row.place + HEAD_SIZE + row.stored]).columns.values())
+        for row in trace.rows
+    )
     for ref in refs:
         assert ref.encode() not in raw and bytes.fromhex(ref) not in raw
-    assert b"n1" not in data[:START.size + 30]
+    assert b"n1" not in data[: START.size + 30]
     outcome = replay(trace.records(), trace.facts)
     assert outcome.differences == 0 and outcome.decisions > 100
     part = Trace(io.BytesIO(node_file("n1", 1, 1, 0.0, [101.0])))
@@ -369,8 +402,9 @@
     gate = threading.Event()
 
     def facts(number: int) -> Facts:
-        gate.wait(10.0)     # the disk hangs at the first file
+        gate.wait(10.0)  # the disk hangs at the first file
         return Facts("n1", 7)
+
     keeper = Keeper(TraceBounds(str(tmp_path)), facts)
     notes = [Record(kinds.NOTE, place / 10.0, ("note", "")) for place in range(10)]
     for _ in range(30):
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -1,4 +1,5 @@
 """Upkeep: the agreed table, and permits under every order of loss, repetition, crash, lost disks and new voters."""
+
 from __future__ import annotations
 
 import asyncio
@@ -68,35 +69,70 @@
 
 
 # Two voters join at once, one of the old has taken it, and an asker has heard of it: then the old and the new need not meet.
-HALF_ELECTED = (("elect", 2, tuple("abcde")), ("step", 2, "a"), ("step", 2, "b"), ("step", 2, "a"), ("stop", 2),
-                ("want", 0), ("step", 0, "c"), ("step", 0, "a"), ("step", 0, "b"),      # its ballot is too low
-                ("want", 0), ("step", 0, "a"), ("step", 0, "c"),                        # hears of the five
-                ("want", 0), *(("step", 0, name) for name in "adeade"))                 # and goes by three of them
+HALF_ELECTED = (
+    ("elect", 2, tuple("abcde")),
+    ("step", 2, "a"),
+    ("step", 2, "b"),
+    ("step", 2, "a"),
+    ("stop", 2),
+    ("want", 0),
+    ("step", 0, "c"),
+    ("step", 0, "a"),
+    ("step", 0, "b"),  # its ballot is too low
+    ("want", 0),
+    ("step", 0, "a"),
+    ("step", 0, "c"),  # hears of the five
+    ("want", 0),
+    *(("step", 0, name) for name in "adeade"),
+)  # and goes by three of them
 # An accept was taken and counted by a voter that then lost its disk, and learned before the round was over.
 FORGOTTEN_YES = (("want", 0), ("step", 0, "a"), ("step", 0, "b"), ("step", 0, "b"), ("wipe", "b"), ("learn", "b"))
 # A permit is left of one that serves again, a person decides to take it, and before the word arrives its holder goes again.
-LATE_RELEASE = (("want", 0), *(("step", 0, name) for name in "abab"), ("return", 0), ("stop", 0),
-                *((("release", 2, 0, "a"), ("stop", 2)) * 4), ("release", 2, 0, "a"),
-                ("want", 0), *(("step", 0, name) for name in "abab"))
+LATE_RELEASE = (
+    ("want", 0),
+    *(("step", 0, name) for name in "abab"),
+    ("return", 0),
+    ("stop", 0),
+    *((("release", 2, 0, "a"), ("stop", 2)) * 4),
+    ("release", 2, 0, "a"),
+    ("want", 0),
+    *(("step", 0, name) for name in "abab"),
+)
 BEFORE = {"overlap": HALF_ELECTED, "wait after a lost disk": FORGOTTEN_YES, "new fence": LATE_RELEASE, "fence": LATE_RELEASE}
-GUARDS = {"promise": Model(3, voter=NoPromise), "majority": Model(5, round=NoMajority),
-          "own answers": Model(3, round=AnyAnswer), "durable promise": Model(3, wipes=True, voter=NoAbstaining),
-          "overlap": Model(3, elects=True, table=NoOverlap),
-          "wait after a lost disk": Model(3, wipes=True, waits=False), "fence": Model(3, releases=True, table=NoFence),
-          "new fence": Model(3, releases=True, table=OldFence)}
-
-
-@pytest.mark.parametrize("model, depth", [(Model(3), 5), (Model(3, wipes=True), 4), (Model(3, elects=True), 4), (Model(5), 4)],
-                         ids=["three voters", "lost disks", "new voters", "five voters"])
+GUARDS = {
+    "promise": Model(3, voter=NoPromise),
+    "majority": Model(5, round=NoMajority),
+    "own answers": Model(3, round=AnyAnswer),
+    "durable promise": Model(3, wipes=True, voter=NoAbstaining),
+    "overlap": Model(3, elects=True, table=NoOverlap),
+    "wait after a lost disk": Model(3, wipes=True, waits=False),
+    "fence": Model(3, releases=True, table=NoFence),
+    "new fence": Model(3, releases=True, table=OldFence),
+}
+
+
+@pytest.mark.parametrize(
+    "model, depth",
+    [(Model(3), 5), (Model(3, wipes=True), 4), (Model(3, elects=True), 4), (Model(5), 4)],
+    ids=["three voters", "lost disks", "new voters", "five voters"],
+)
 def test_no_order_of_what_can_happen_takes_too_many_out(model: Model, depth: int) -> None:
     states, history = explore(model, depth)
     assert not history and states > 500
 
 
-@pytest.mark.parametrize("model", [
-    Model(5), Model(5, wipes=True), Model(5, elects=True), Model(3, askers=3, most=2, wipes=True),
-    Model(3, elects=True, wipes=True), Model(3, releases=True)],
-                         ids=["plain", "lost disks", "new voters", "two of three", "both", "released"])
+@pytest.mark.parametrize(
+    "model",
+    [
+        Model(5),
+        Model(5, wipes=True),
+        Model(5, elects=True),
+        Model(3, askers=3, most=2, wipes=True),
+        Model(3, elects=True, wipes=True),
+        Model(3, releases=True),
+    ],
+    ids=["plain", "lost disks", "new voters", "two of three", "both", "released"],
+)
 def test_no_long_history_takes_too_many_out(model: Model) -> None:
     agreed, history = wander(model, 1, 120, 120)
     assert not history and agreed > 50, history
@@ -155,6 +191,7 @@
 
 # The order.
 
+
 @pytest.mark.parametrize("before, model", [(LATE_RELEASE, Model(3, releases=True))])
 def test_from_the_same_histories_nothing_is_found_with_the_guard(before: tuple, model: Model) -> None:
     agreed, history = wander(model, 2, 300, 100, before)
@@ -166,18 +203,37 @@
 
 
 def test_the_order_is_the_same_whoever_computes_it_and_in_whatever_order_it_heard() -> None:
-    requests = [asked(f"n{number}", f"z{number % 3}", last_out=float(number % 5), urgency=number % 3, ill=number % 7 == 0)
-                for number in range(40)]
+    requests = [
+        asked(f"n{number}", f"z{number % 3}", last_out=float(number % 5), urgency=number % 3, ill=number % 7 == 0)
+        for number in range(40)
+    ]
     told = order(requests, ["n3"], {"z1": 1}, 100.0)
     assert told == order(requests[::-1], ["n3"], {"z1": 1}, 100.0) and len(told) == 39
     assert [place.request.urgency for place in told[:13]].count(2) == 13
 
 
 def test_the_ill_go_first_then_who_would_miss_its_time_and_the_only_copy_stays() -> None:
-    places = order([asked("well"), asked("late", latest=200.0), asked("ill", ill=True), asked("fire", urgency=2),
-                    asked("copy", only_copy=True), asked("later", wished=500.0)], (), {}, 100.0)
+    places = order(
+        [
+            asked("well"),
+            asked("late", latest=200.0),
+            asked("ill", ill=True),
+            asked("fire", urgency=2),
+            asked("copy", only_copy=True),
+            asked("later", wished=500.0),
+        ],
+        (),
+        {},
+        100.0,
+    )
     assert [(place.request.name, place.may) for place in places] == [
-        ("fire", True), ("ill", True), ("late", True), ("well", True), ("copy", False), ("later", False)]
+        ("fire", True),
+        ("ill", True),
+        ("late", True),
+        ("well", True),
+        ("copy", False),
+        ("later", False),
+    ]
     assert "not before 500" in places[-1].reasons[0]
 
 
@@ -188,6 +244,7 @@
 
 # What a voter keeps.
 
+
 def test_a_file_cut_or_changed_at_any_byte_is_refused_and_never_read_as_a_vote(tmp_path: Path) -> None:
     store = Store(str(tmp_path))
     assert store.read() is None
@@ -196,7 +253,7 @@
     assert store.read() == kept
     data = store.path.read_bytes()
     for at in range(len(data)):
-        for changed in (data[:at], data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1:]):
+        for changed in (data[:at], data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]):
             store.path.write_bytes(changed)
             with pytest.raises(Damaged, match=str(store.path)):
                 store.read()
@@ -208,6 +265,7 @@
 
 # One fleet in virtual time, real cores.
 
+
 def agreed(machines: Machines, change: Callable[[Table], Table]) -> None:
     """A person's change by n0, again while others ask at the same time."""
     for _ in range(20):
@@ -219,11 +277,18 @@
     raise AssertionError(done.why)
 
 
-@pytest.mark.parametrize("script, within", [
-    ("", 30.0), ("at 6 cut 0-2 from 3-5 for 6\nat 14 lossy all 0.3 for 6", 50.0), ("at 6 cut 0 from 1-5 for 8", 40.0),
-    ("at 6 stall 1,3 for 5\nat 12 kill 0 for 2", 50.0), ("at 6 lossy all 0.3 for 9\nat 6 repeated all 0.3 for 9", 50.0),
-    ("at 6 kill 0-2 for 3", 50.0)],
-    ids=["calm", "cuts and loss", "a voter cut", "stalls and a crash", "loss", "all voters crash"])
+@pytest.mark.parametrize(
+    "script, within",
+    [
+        ("", 30.0),
+        ("at 6 cut 0-2 from 3-5 for 6\nat 14 lossy all 0.3 for 6", 50.0),
+        ("at 6 cut 0 from 1-5 for 8", 40.0),
+        ("at 6 stall 1,3 for 5\nat 12 kill 0 for 2", 50.0),
+        ("at 6 lossy all 0.3 for 9\nat 6 repeated all 0.3 for 9", 50.0),
+        ("at 6 kill 0-2 for 3", 50.0),
+    ],
+    ids=["calm", "cuts and loss", "a voter cut", "stalls and a crash", "loss", "all voters crash"],
+)
 def test_all_go_one_at_a_time_whatever_happens(script: str, within: float) -> None:
     machines = Machines(6, script)
     machines.to_go = {f"n{place}" for place in range(6)}
@@ -249,7 +314,7 @@
         draw = random.Random(seed)
         count = draw.choice((4, 5, 7))
         script = weather(draw, count, 6.0, 6.0)
-        if not disks:       # a voter that crashes while another is out would be one too many: promised with disks alone
+        if not disks:  # a voter that crashes while another is out would be one too many: promised with disks alone
             script = "\n".join(line for line in script.splitlines() if " kill " not in line) + "\nat 9 kill 3 for 1"
         machines = Machines(count, script, seed=seed, disks=disks, most=2, voters=3)
         machines.to_go = {f"n{place}" for place in range(count)}
@@ -321,8 +386,9 @@
     machines.unfit = {"n4"}
     machines.play(8.0)
     for until, names in ((14.0, ["n4"]), (40.0, ["n5", "n2"])):
-        machines.cores["n0"].ask_others(machines.nodes[0].clock(machines.now),
-                                        [Request(name, "z", "release", 1.0, 0.0) for name in names])
+        machines.cores["n0"].ask_others(
+            machines.nodes[0].clock(machines.now), [Request(name, "z", "release", 1.0, 0.0) for name in names]
+        )
         machines.play(until)
     assert set(machines.been) == {"n4"}
     assert machines.cores["n0"].voter.kept.table.frozen == "n4 came back and is not fit"
@@ -333,10 +399,16 @@
     assert set(machines.been) == {"n4", "n5", "n2"}
 
 
-@pytest.mark.parametrize("lines, complaint", [
-    ('voters "a" "a"', "upkeep.voters: told twice"), ('most 1', "upkeep: Object missing required field `voters`"),
-    ('voters "a"\n control "10.1.1.1:5"', "upkeep.control: only on loopback"), ('voters "a"\n most 99', "upkeep.most"),
-    ('voters "a"\n zones {\n  x "a" "b"\n  y "b"\n }', "upkeep.zones: a member in two")])
+@pytest.mark.parametrize(
+    "lines, complaint",
+    [
+        ('voters "a" "a"', "upkeep.voters: told twice"),
+        ("most 1", "upkeep: Object missing required field `voters`"),
+        ('voters "a"\n control "10.1.1.1:5"', "upkeep.control: only on loopback"),
+        ('voters "a"\n most 99', "upkeep.most"),
+        ('voters "a"\n zones {\n  x "a" "b"\n  y "b"\n }', "upkeep.zones: a member in two"),
+    ],
+)
 def test_a_faulty_upkeep_node_is_named(lines: str, complaint: str) -> None:
     with pytest.raises(operator.BadOperatorFile, match=complaint):
         operator.told(f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n}}\nupkeep {{\n {lines}\n}}')
@@ -346,15 +418,17 @@
     """Six real ones in two zones, all asked at once: two at most out, one a zone, counted by their processes; and all were."""
     keep_environment()
     zones = {place: "xy"[place % 2] for place in range(6)}
-    lines = ('voters "n0" "n1" "n2"\n most 2\n zone-most 1\n folder "{folder}"\n control "{control}"\n'
-             ' zones {{\n x "n0" "n2" "n4"\n y "n1" "n3" "n5"\n }}')
+    lines = (
+        'voters "n0" "n1" "n2"\n most 2\n zone-most 1\n folder "{folder}"\n control "{control}"\n'
+        ' zones {{\n x "n0" "n2" "n4"\n y "n1" "n3" "n5"\n }}'
+    )
     case = FleetCase(6, "at 2 cut 0 from 1-5 for 3\nat 6 stall 3 for 2", upkeep=lines, cores=2)
 
     async def play() -> tuple[Outings, float | None, list[dict]]:
         async with FleetRig(case, tmp_path) as rig:
             names = {node.name for node in rig.nodes}
             assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await asyncio.sleep(5.0)        # voters that start for the first time abstain for so long
+            await asyncio.sleep(5.0)  # voters that start for the first time abstain for so long
             await rig.go()
             outings = Outings(rig, 0.5, zones)
             outings.start()
@@ -362,6 +436,7 @@
             done = await outings.all_done(set(zones), 60.0)
             await outings.stop()
             return outings, done, list(told)
+
     outings, done, told = asyncio.run(asyncio.wait_for(play(), 110.0))
     assert not any("error" in one for one in told), told
     assert done is not None, (outings.done, outings.seen)
