--- a/mulleinhatch/views/planning.py
+++ b/mulleinhatch/consensus/view_planner.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
+from mulleinhatch.consensus.paxos import identities
 from mulleinhatch.messages.cluster import Member, View
-from mulleinhatch.views.ballots import identities
 
 
 @dataclass(frozen=True)
--- a/mulleinhatch/control_plane/core.py
+++ b/mulleinhatch/control_plane/core.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from mulleinhatch.consensus.view_planner import Health, first_view, next_view
 from mulleinhatch.control_plane.catch_up import CatchUp
 from mulleinhatch.control_plane.changes import ChangeAnswer, Changes
 from mulleinhatch.control_plane.disk import Disk, Restored, commit_record, stubs_record
@@ -27,7 +28,6 @@
 from mulleinhatch.services.http_client import Caller, CallFailed
 from mulleinhatch.services.settings import Settings
 from mulleinhatch.services.supervisor import supervise
-from mulleinhatch.views.planning import Health, first_view, next_view
 
 LOG = logging.getLogger(__name__)
 CALL_S = 0.7  # for a message between core machines
--- a/mulleinhatch/control_plane/departure.py
+++ b/mulleinhatch/control_plane/departure.py
@@ -5,8 +5,8 @@
 import asyncio
 import logging
 
+from mulleinhatch.consensus.paxos import identities
 from mulleinhatch.control_plane.core import Core
-from mulleinhatch.views.ballots import identities
 
 LOG = logging.getLogger(__name__)
 LEAST_S = 1.0  # from the notice to the end: what was asked before is answered
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from mulleinhatch.consensus.paxos import identities
+from mulleinhatch.consensus.view_planner import Health
 from mulleinhatch.messages.cluster import Heartbeat, HeartbeatAnswer, Member, View
-from mulleinhatch.views.ballots import identities
-from mulleinhatch.views.planning import Health
 
 ALIVE_S = 1.0  # a peer that did not answer for so long is out of reach
 AUTHORITY_S = 1.0  # how long the word of a majority that our view is the newest may be relied on, from when it was asked
--- a/mulleinhatch/control_plane/votes.py
+++ b/mulleinhatch/control_plane/votes.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, TypeVar
 
+from mulleinhatch.consensus.paxos import Outcome, Proposal, Voter, identities, majority
 from mulleinhatch.control_plane.answers import Answers
 from mulleinhatch.control_plane.disk import Restored, settled_record
 from mulleinhatch.messages.cluster import (
@@ -19,7 +20,6 @@
     VoterState,
 )
 from mulleinhatch.storage.records import Record, RecordKind
-from mulleinhatch.views.ballots import Outcome, Proposal, Voter, identities, majority
 
 if TYPE_CHECKING:
     from mulleinhatch.control_plane.core import Core
--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -16,8 +16,8 @@
 
 from dataclasses import dataclass
 
+from mulleinhatch.consensus.paxos import identities
 from mulleinhatch.messages.cluster import AppendAnswer, AppendRequest, Entry, Member, Snapshot, View
-from mulleinhatch.views.ballots import identities
 
 MOST_ENTRIES = 64  # entries in one append
 NEVER = 2**63  # an index that is never reached: who is not settled itself settles nobody
--- a/mulleinhatch/standins/virtual_core/defects.py
+++ b/mulleinhatch/standins/virtual_core/defects.py
@@ -14,6 +14,8 @@
 
 from result import Err
 
+from mulleinhatch.consensus import view_planner as planning
+from mulleinhatch.consensus.paxos import Voter
 from mulleinhatch.control_plane import departure
 from mulleinhatch.control_plane.changes import ChangeAnswer, Changes
 from mulleinhatch.control_plane.peers import Peers
@@ -21,8 +23,6 @@
 from mulleinhatch.messages.cluster import LeaveAnswer
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ControlState, Verdict
-from mulleinhatch.views import planning
-from mulleinhatch.views.ballots import Voter
 
 
 class Defect(Enum):
--- a/mulleinhatch/standins/virtual_core/watch.py
+++ b/mulleinhatch/standins/virtual_core/watch.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from mulleinhatch.consensus.paxos import identities, majority
 from mulleinhatch.control_plane.peers import AUTHORITY_S
 from mulleinhatch.standins.virtual_core.machines import Machine
 from mulleinhatch.standins.virtual_core.outside import DataPlane, Sent
-from mulleinhatch.views.ballots import identities, majority
 
 CONTACT_S, CONFIGURATION_APPLY_S, DRAIN_S = 3.0, 2.0, 2.0
 LOOK_SLACK_S = 0.1
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -6,9 +6,9 @@
 import unittest
 from collections.abc import Container
 
+from mulleinhatch.consensus.paxos import Outcome, Proposal, Voter, identities
+from mulleinhatch.consensus.view_planner import Health, next_view
 from mulleinhatch.messages.cluster import AcceptRequest, Ballot, Member, PrepareRequest, View, VoterState
-from mulleinhatch.views.ballots import Outcome, Proposal, Voter, identities
-from mulleinhatch.views.planning import Health, next_view
 
 
 def member(name: str, place: str = "") -> Member:
