--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -10,8 +10,8 @@
 from schema import And, Optional, Or, Schema, SchemaError
 
 from mulleinhatch.configuration.document import read_json
-from mulleinhatch.control_plane.changes import ChangeAnswer
-from mulleinhatch.control_plane.core import Core
+from mulleinhatch.control_plane.configuration_changes import ChangeAnswer
+from mulleinhatch.control_plane.node import Core
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_server import BINARY_TYPE, WebAnswer, WebRequest
 
--- a/mulleinhatch/control_plane/catch_up.py
+++ b/mulleinhatch/control_plane/catch_up.py
@@ -10,7 +10,7 @@
 from mulleinhatch.replication.chain import Write
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.core import Core
+    from mulleinhatch.control_plane.node import Core
 
 LOG = logging.getLogger(__name__)
 RETRY_S = 0.1
--- a/mulleinhatch/control_plane/changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -19,7 +19,7 @@
 from mulleinhatch.replication.state import EntryKind, Refusal, Verdict
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.core import Core
+    from mulleinhatch.control_plane.node import Core
 
 LOG = logging.getLogger(__name__)
 CHANGE_WAIT_S = 0.9  # how long an operator's change waits before it gets no clear answer
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mulleinhatch.control_plane.core import Core
+from mulleinhatch.control_plane.node import Core
 from mulleinhatch.messages.cluster import PollAnswer, PollRequest
 
 LONGEST_WAIT_S = 5.0
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -14,7 +14,7 @@
 from mulleinhatch.messages.cluster import Heartbeat, HeartbeatAnswer
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.core import Core
+    from mulleinhatch.control_plane.node import Core
 
 HEARTBEAT_S = 0.3
 BEAT_GAP_S = 0.03  # between heartbeats that are sent for news
--- a/mulleinhatch/control_plane/core.py
+++ b/mulleinhatch/control_plane/node.py
@@ -15,13 +15,13 @@
 
 from mulleinhatch.consensus.view_planner import Health, first_view, next_view
 from mulleinhatch.control_plane.catch_up import CatchUp
-from mulleinhatch.control_plane.changes import ChangeAnswer, Changes
-from mulleinhatch.control_plane.disk import Disk, Restored, commit_record, stubs_record
+from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, Changes
 from mulleinhatch.control_plane.heartbeats import HEARTBEAT_S, Heartbeats
-from mulleinhatch.control_plane.log import ReplicatedLog
 from mulleinhatch.control_plane.peers import ALIVE_S, Peers
 from mulleinhatch.control_plane.registry import Registry
-from mulleinhatch.control_plane.votes import Votes
+from mulleinhatch.control_plane.replicated_log import ReplicatedLog
+from mulleinhatch.control_plane.state_store import Disk, Restored, commit_record, stubs_record
+from mulleinhatch.control_plane.view_change import Votes
 from mulleinhatch.messages.cluster import Member, View
 from mulleinhatch.networking.http_client import Caller, CallFailed
 from mulleinhatch.process.settings import Settings
--- a/mulleinhatch/control_plane/stub_work.py
+++ b/mulleinhatch/control_plane/placement/backend_state.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import dataclass, field
 
-from mulleinhatch.control_plane.holdings import Holding, Order
+from mulleinhatch.control_plane.placement.holdings import Holding, Order
 
 
 @dataclass
--- a/mulleinhatch/control_plane/orders.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -14,12 +14,12 @@
 from collections.abc import Callable
 
 from mulleinhatch.configuration.routes import Engine, RouteTable, build_table
-from mulleinhatch.control_plane.ceiling import LoadCeiling
-from mulleinhatch.control_plane.core import Core
-from mulleinhatch.control_plane.demand import Demand
-from mulleinhatch.control_plane.holdings import Holding, Operation, Order, StubView
-from mulleinhatch.control_plane.placement import Planner
-from mulleinhatch.control_plane.stub_work import Report, StubWork, UnderWay, read_report
+from mulleinhatch.control_plane.node import Core
+from mulleinhatch.control_plane.placement.backend_state import Report, StubWork, UnderWay, read_report
+from mulleinhatch.control_plane.placement.demand import Demand
+from mulleinhatch.control_plane.placement.holdings import Holding, Operation, Order, StubView
+from mulleinhatch.control_plane.placement.load_rate_limiter import LoadCeiling
+from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.leadership.holder import HolderRole, RoleState, Sight
 from mulleinhatch.messages.cluster import DemandAnswer, DemandReport, HeldModel, PendingLoad, Stub
 from mulleinhatch.networking.http_client import Caller, CallFailed, WholeAnswer
--- a/mulleinhatch/control_plane/placement.py
+++ b/mulleinhatch/control_plane/placement/planner.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from mulleinhatch.configuration.routes import Engine, ModelFacts
-from mulleinhatch.control_plane.demand import Wanted
-from mulleinhatch.control_plane.holdings import Operation, Order, StubView, model_mb, used_adapters, used_mb
-from mulleinhatch.control_plane.value import HELD_VALUE, LEAST_RATE, ModelValue
+from mulleinhatch.control_plane.placement.demand import Wanted
+from mulleinhatch.control_plane.placement.holdings import Operation, Order, StubView, model_mb, used_adapters, used_mb
+from mulleinhatch.control_plane.placement.value import HELD_VALUE, LEAST_RATE, ModelValue
 from mulleinhatch.membership.rendezvous import weight
 
 KEEP_ADVANTAGE = 3.0  # what stands is worth this much more than what would come: nothing comes and goes for noise
--- a/mulleinhatch/control_plane/value.py
+++ b/mulleinhatch/control_plane/placement/value.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Mapping, Sequence
 
-from mulleinhatch.control_plane.demand import Wanted
-from mulleinhatch.control_plane.holdings import StubView
+from mulleinhatch.control_plane.placement.demand import Wanted
+from mulleinhatch.control_plane.placement.holdings import StubView
 
 RUNNING_A_COPY = 8.0  # requests under way that one copy should carry
 ROUNDING = 0.7  # a further copy before the others are quite full
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from mulleinhatch.control_plane.api import ControlApi, internal_api
-from mulleinhatch.control_plane.core import Core
-from mulleinhatch.control_plane.departure import leave
 from mulleinhatch.control_plane.distribution import Distribution
-from mulleinhatch.control_plane.orders import Orders
+from mulleinhatch.control_plane.node import Core
+from mulleinhatch.control_plane.placement.controller import Orders
+from mulleinhatch.control_plane.shutdown import leave
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_client import Caller
 from mulleinhatch.networking.http_server import WebHub
--- a/mulleinhatch/control_plane/log.py
+++ b/mulleinhatch/control_plane/replicated_log.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from mulleinhatch.control_plane.disk import REWRITE_AT, commit_record, entry_records, settled_record, stubs_record
+from mulleinhatch.control_plane.state_store import REWRITE_AT, commit_record, entry_records, settled_record, stubs_record
 from mulleinhatch.messages.cluster import AppendAnswer, AppendRequest, Member
 from mulleinhatch.replication.chain import NEVER, Write
 from mulleinhatch.replication.state import CHANGES
 from mulleinhatch.storage.records import Record, RecordKind
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.core import Core
+    from mulleinhatch.control_plane.node import Core
 
 APPEND_S = 1.0
 RETRY_S = 0.1
--- a/mulleinhatch/control_plane/departure.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -6,7 +6,7 @@
 import logging
 
 from mulleinhatch.consensus.paxos import identities
-from mulleinhatch.control_plane.core import Core
+from mulleinhatch.control_plane.node import Core
 
 LOG = logging.getLogger(__name__)
 LEAST_S = 1.0  # from the notice to the end: what was asked before is answered
--- a/mulleinhatch/control_plane/votes.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from mulleinhatch.consensus.paxos import Outcome, Proposal, Voter, identities, majority
-from mulleinhatch.control_plane.answers import Answers
-from mulleinhatch.control_plane.disk import Restored, settled_record
+from mulleinhatch.control_plane.quorum_calls import Answers
+from mulleinhatch.control_plane.state_store import Restored, settled_record
 from mulleinhatch.messages.cluster import (
     AcceptRequest,
     Ballot,
@@ -22,7 +22,7 @@
 from mulleinhatch.storage.records import Record, RecordKind
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.core import Core
+    from mulleinhatch.control_plane.node import Core
 
 Said = TypeVar("Said")
 
--- a/mulleinhatch/standins/virtual_core/defects.py
+++ b/mulleinhatch/standins/virtual_core/defects.py
@@ -16,10 +16,10 @@
 
 from mulleinhatch.consensus import view_planner as planning
 from mulleinhatch.consensus.paxos import Voter
-from mulleinhatch.control_plane import departure
-from mulleinhatch.control_plane.changes import ChangeAnswer, Changes
+from mulleinhatch.control_plane import shutdown as departure
+from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, Changes
 from mulleinhatch.control_plane.peers import Peers
-from mulleinhatch.control_plane.votes import Votes
+from mulleinhatch.control_plane.view_change import Votes
 from mulleinhatch.messages.cluster import LeaveAnswer
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ControlState, Verdict
@@ -134,7 +134,7 @@
     if defect is Defect.SHORT_CHAIN:
         real = planning.next_view
         return [
-            mock.patch("mulleinhatch.control_plane.core.next_view", lambda view, health, tolerated: real(view, health, 0)),
+            mock.patch("mulleinhatch.control_plane.node.next_view", lambda view, health, tolerated: real(view, health, 0)),
             mock.patch.object(Changes, "_leads", lambda self: self._core.replica.is_head),
         ]
     if defect is Defect.ADD_NEWCOMER:
--- a/mulleinhatch/standins/virtual_core/machines.py
+++ b/mulleinhatch/standins/virtual_core/machines.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from mulleinhatch.control_plane.api import ControlApi, InternalApi, internal_api
-from mulleinhatch.control_plane.core import Core
-from mulleinhatch.control_plane.disk import Disk, replay
 from mulleinhatch.control_plane.distribution import Distribution
+from mulleinhatch.control_plane.node import Core
+from mulleinhatch.control_plane.state_store import Disk, replay
 from mulleinhatch.messages import cluster
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.standins.virtual_core.defects import Defect
--- a/mulleinhatch/standins/virtual_core/troubles.py
+++ b/mulleinhatch/standins/virtual_core/troubles.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from mulleinhatch.control_plane import departure
+from mulleinhatch.control_plane import shutdown as departure
 from mulleinhatch.standins.virtual_core.machines import Machine
 
 CATCH_UP_S = 4.0  # a machine that is back counts as lost so long
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -9,12 +9,12 @@
 
 from mulleinhatch.configuration.routes import Engine, ModelFacts
 from mulleinhatch.control_plane.api import read_stub
-from mulleinhatch.control_plane.demand import Demand, Wanted
-from mulleinhatch.control_plane.holdings import Holding, Operation, StubView, used_mb
 from mulleinhatch.control_plane.peers import ALIVE_S, Peers
-from mulleinhatch.control_plane.placement import Planner
+from mulleinhatch.control_plane.placement.backend_state import read_report
+from mulleinhatch.control_plane.placement.demand import Demand, Wanted
+from mulleinhatch.control_plane.placement.holdings import Holding, Operation, StubView, used_mb
+from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.control_plane.registry import Registry
-from mulleinhatch.control_plane.stub_work import read_report
 from mulleinhatch.leadership.holder import HolderRole, RoleState, Sight
 from mulleinhatch.messages.cluster import (
     DemandReport,
--- a/tests/system/test_demand.py
+++ b/tests/system/test_demand.py
@@ -3,7 +3,7 @@
 import math
 import unittest
 
-from mulleinhatch.control_plane.demand import FORGET_S, Demand
+from mulleinhatch.control_plane.placement.demand import FORGET_S, Demand
 from mulleinhatch.messages.cluster import DemandReport, ModelDemand
 
 
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 from mulleinhatch.configuration.document import Document
-from mulleinhatch.control_plane.orders import Orders
+from mulleinhatch.control_plane.placement.controller import Orders
 from mulleinhatch.control_plane.registry import Registry
 from mulleinhatch.messages.cluster import DemandReport, HeldModel, ModelDemand, Stub
 from mulleinhatch.networking.http_client import CallFailed
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from unittest import mock
 
-from mulleinhatch.control_plane.disk import commit_record, entry_records, replay
+from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot, View, VoterState
 from mulleinhatch.storage import journal as journal_module
 from mulleinhatch.storage.journal import NAME, Journal
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -6,7 +6,7 @@
 import logging
 import unittest
 
-from mulleinhatch.control_plane.orders import Orders
+from mulleinhatch.control_plane.placement.controller import Orders
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.process.supervision import supervise
 from mulleinhatch.standins.virtual_time import VirtualLoop
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from mulleinhatch.control_plane import departure
+from mulleinhatch.control_plane import shutdown as departure
 from mulleinhatch.messages.cluster import PollAnswer, PollRequest
 from mulleinhatch.networking.http_server import WebRequest
 from mulleinhatch.standins.virtual_core import Defect, History, World, play_script
