--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -18,7 +18,7 @@
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot
 from mulleinhatch.replication.state import DIGESTS_KEPT, ControlState, EntryKind
-from mulleinhatch.storage.journal import Journal
+from mulleinhatch.storage.append_log import Journal
 from mulleinhatch.storage.records import Record, RecordKind
 
 ROUTES = 40
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -20,7 +20,7 @@
 from mulleinhatch.control_plane.placement.holdings import Holding, Operation, Order, StubView
 from mulleinhatch.control_plane.placement.load_rate_limiter import LoadCeiling
 from mulleinhatch.control_plane.placement.planner import Planner
-from mulleinhatch.leadership.holder import HolderRole, RoleState, Sight
+from mulleinhatch.leadership.lease import HolderRole, RoleState, Sight
 from mulleinhatch.messages.cluster import DemandAnswer, DemandReport, HeldModel, PendingLoad, Stub
 from mulleinhatch.networking.http_client import Caller, CallFailed, WholeAnswer
 from mulleinhatch.networking.http_server import JSON_TYPE
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from mulleinhatch.messages.cluster import Entry, Heartbeat, Snapshot, Stub, VoterState
-from mulleinhatch.storage.journal import Journal
+from mulleinhatch.storage.append_log import Journal
 from mulleinhatch.storage.records import Record, RecordKind
 
 LOG = logging.getLogger(__name__)
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -15,7 +15,7 @@
 from mulleinhatch.control_plane.placement.holdings import Holding, Operation, StubView, used_mb
 from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.control_plane.registry import Registry
-from mulleinhatch.leadership.holder import HolderRole, RoleState, Sight
+from mulleinhatch.leadership.lease import HolderRole, RoleState, Sight
 from mulleinhatch.messages.cluster import (
     DemandReport,
     HeartbeatAnswer,
--- a/tests/system/test_journal_faults.py
+++ b/tests/system/test_journal_faults.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from mulleinhatch.storage import journal as journal_module
-from mulleinhatch.storage.journal import BESIDE, NAME, Journal
+from mulleinhatch.storage.append_log import BESIDE, NAME, Journal
 from mulleinhatch.storage.records import MAGIC, NotOurFile, OtherVersion, Record, decode
 
 FOLDER = Path("/data")
@@ -296,7 +296,7 @@
         disk = FakeDisk()
         disk.names[NAME] = File()
         disk.names[NAME].data = bytearray(b"something else altogether")
-        with self.assertLogs("mulleinhatch.storage.journal", "ERROR"):
+        with self.assertLogs("mulleinhatch.storage.append_log", "ERROR"):
             self.assertEqual(started(disk), [])
         self.assertEqual(bytes(disk.names[f"{NAME}.foreign"].data), b"something else altogether")
         self.assertNotIn(BESIDE, disk.names)
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -11,7 +11,7 @@
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot, View, VoterState
 from mulleinhatch.storage import journal as journal_module
-from mulleinhatch.storage.journal import NAME, Journal
+from mulleinhatch.storage.append_log import NAME, Journal
 from mulleinhatch.storage.records import MAGIC, NotOurFile, Record, RecordKind, decode, encode
 
 RECORDS = [Record(RecordKind.IDENTITY, b"disk-1"), Record(RecordKind.ENTRY, b"x" * 300), Record(RecordKind.COMMIT, b"12345678")]
