--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -36,7 +36,8 @@
 from rich.table import Table as Shown
 
 from benchmarks.records import RECORDED, commit, cost, keep, rounded
-from mulleinhatch.decide import Hatch
+from mulleinhatch.admission import Hatch
+from mulleinhatch.admission.interface import Deployment, Effect, Ending, Verb
 from mulleinhatch.fleet import words
 from mulleinhatch.fleet.bounds import BudgetBounds, FleetBounds
 from mulleinhatch.fleet.budgets import Part
@@ -44,7 +45,6 @@
 from mulleinhatch.fleet.counts import FIGURES
 from mulleinhatch.fleet.loudest import Loudest
 from mulleinhatch.fleet.words import Letter, Report, Rumour
-from mulleinhatch.interface import Deployment, Effect, Ending, Verb
 from mulleinhatch.program.fleet import TENANTS_KEPT, FleetSide
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
 from mulleinhatch.standins.virtual_upkeep import Machines
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -30,7 +30,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.interface import Ending, Verb
+from mulleinhatch.admission.interface import Ending, Verb
 from mulleinhatch.routing.reducer import Happening, Reducer
 from mulleinhatch.storms.bounds import StormBounds
 from mulleinhatch.traces import kinds
--- a/mulleinhatch/decide/__init__.py
+++ b/mulleinhatch/admission/__init__.py
@@ -3,6 +3,6 @@
 Called by the hosts of `Hatch` and by the system's data plane; pure.
 """
 
-from mulleinhatch.decide.hatch import FULL_ENOUGH, PROVES_UNRUN, Hatch, Row, Stage, rows_of
+from mulleinhatch.admission.controller import FULL_ENOUGH, PROVES_UNRUN, Hatch, Row, Stage, rows_of
 
 __all__ = ["FULL_ENOUGH", "PROVES_UNRUN", "Hatch", "Row", "Stage", "rows_of"]
--- a/mulleinhatch/decide/hatch.py
+++ b/mulleinhatch/admission/controller.py
@@ -14,7 +14,8 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from mulleinhatch.decide.mechanism import (
+from mulleinhatch.admission.interface import Advice, Decision, Deployment, Effect, Ending, OpType, Ref, Verb
+from mulleinhatch.admission.mechanism import (
     BASE_SPAN,
     account_cap,
     ageing_rate,
@@ -22,7 +23,6 @@
     class_bound,
     effective_priority,
 )
-from mulleinhatch.interface import Advice, Decision, Deployment, Effect, Ending, OpType, Ref, Verb
 from mulleinhatch.rings import BUCKET, BUCKETS, Ring
 
 TENANT_ROOM = 2.0  # a tenant's running share over its fraction of the service: traffic is never even
--- a/mulleinhatch/benchlink/__main__.py
+++ b/mulleinhatch/benchlink/__main__.py
@@ -6,8 +6,8 @@
 import sys
 from typing import BinaryIO
 
-from mulleinhatch.decide import Hatch
-from mulleinhatch.interface import Decision, Verb
+from mulleinhatch.admission import Hatch
+from mulleinhatch.admission.interface import Decision, Verb
 from mulleinhatch.start import deployment, pairs_of_lines
 
 BATCH = struct.Struct(">IdI")
--- a/mulleinhatch/data_plane/admission.py
+++ b/mulleinhatch/data_plane/admission.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from mulleinhatch.admission.mechanism import account_cap, ageing_rate, bases, class_bound, effective_priority
 from mulleinhatch.data_plane.snapshot import ModelName
-from mulleinhatch.decide.mechanism import account_cap, ageing_rate, bases, class_bound, effective_priority
 
 FULL_ENOUGH_S = 0.5  # at the running limit, with work held, before mu is believed
 MU_WINDOW_S = 10.0
--- a/mulleinhatch/networking/http.py
+++ b/mulleinhatch/networking/http.py
@@ -5,7 +5,7 @@
 import math
 import re
 
-from mulleinhatch.interface import Ending
+from mulleinhatch.admission.interface import Ending
 
 MOST_HEAD, MOST_BODY = 8192, 2048  # bytes of a request
 SMALL_BUFFER = 2048  # until a message needs more: an idle connection must not cost as much as a busy one
--- a/mulleinhatch/program/calls.py
+++ b/mulleinhatch/program/calls.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from mulleinhatch.interface import Ending
+from mulleinhatch.admission.interface import Ending
 from mulleinhatch.networking import http
 from mulleinhatch.routing.reducer import Happening
 from mulleinhatch.transport.peers import BrokenOff, Peers, Unreached
--- a/mulleinhatch/program/instance.py
+++ b/mulleinhatch/program/instance.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from mulleinhatch.admission.interface import Ending
 from mulleinhatch.holds import BROKEN
-from mulleinhatch.interface import Ending
 from mulleinhatch.program import signals
 from mulleinhatch.program.front import HttpFront
 from mulleinhatch.program.interpreter import Interpreter
@@ -23,7 +23,7 @@
 from mulleinhatch.transport.datagrams import Datagrams
 
 if TYPE_CHECKING:
-    from mulleinhatch.decide import Hatch
+    from mulleinhatch.admission import Hatch
     from mulleinhatch.program.calls import Dependency
     from mulleinhatch.program.fleet import FleetSide
     from mulleinhatch.program.tracing import Tracing
--- a/mulleinhatch/program/interpreter.py
+++ b/mulleinhatch/program/interpreter.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from mulleinhatch.interface import Ending
+from mulleinhatch.admission.interface import Ending
 from mulleinhatch.protocol import link
 from mulleinhatch.routing.reducer import Happening
 from mulleinhatch.transport.link import Link
--- a/mulleinhatch/program/placement.py
+++ b/mulleinhatch/program/placement.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from mulleinhatch.interface import Deployment
+from mulleinhatch.admission.interface import Deployment
 from mulleinhatch.start import deployment, pairs_of_tree
 from mulleinhatch.storms.bounds import StormBounds
 
--- a/mulleinhatch/program/spread.py
+++ b/mulleinhatch/program/spread.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from mulleinhatch.admission.interface import Ending
 from mulleinhatch.fleet.core import Fleet
-from mulleinhatch.interface import Ending
 from mulleinhatch.networking import http
 from mulleinhatch.program.placement import Placement
 from mulleinhatch.routing.reducer import Happening, Reducer
--- a/mulleinhatch/program/tracing.py
+++ b/mulleinhatch/program/tracing.py
@@ -7,8 +7,9 @@
 from hashlib import sha256
 from pathlib import Path
 
-from mulleinhatch import __version__, decide
-from mulleinhatch.decide import Hatch
+from mulleinhatch import __version__
+from mulleinhatch import admission as decide
+from mulleinhatch.admission import Hatch
 from mulleinhatch.program.placement import Placement
 from mulleinhatch.traces.file import Facts
 from mulleinhatch.traces.recorder import Recorder
--- a/mulleinhatch/protocol/link.py
+++ b/mulleinhatch/protocol/link.py
@@ -5,7 +5,7 @@
 import json
 from base64 import b64decode, b64encode
 
-from mulleinhatch.interface import Ending
+from mulleinhatch.admission.interface import Ending
 
 ENDINGS = {"good": Ending.OK, "bad": Ending.ERROR, "cut": Ending.STOPPED, "gone": Ending.MOOT}
 
--- a/mulleinhatch/routing/reducer.py
+++ b/mulleinhatch/routing/reducer.py
@@ -13,9 +13,9 @@
 from enum import Enum
 from typing import Any
 
-from mulleinhatch.decide import PROVES_UNRUN, Hatch
+from mulleinhatch.admission import PROVES_UNRUN, Hatch
+from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
 from mulleinhatch.holds import must_hold
-from mulleinhatch.interface import Decision, Deployment, Effect, Ending, Verb
 from mulleinhatch.routing.tables import Keys, Owed
 from mulleinhatch.storms.books import Lately, fingerprint
 from mulleinhatch.storms.bounds import StormBounds
--- a/mulleinhatch/standins/search/defects.py
+++ b/mulleinhatch/standins/search/defects.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from mulleinhatch.decide import PROVES_UNRUN, Hatch, Stage
+from mulleinhatch.admission import PROVES_UNRUN, Hatch, Stage
+from mulleinhatch.admission.interface import Ending
 from mulleinhatch.fleet.members import Members
-from mulleinhatch.interface import Ending
 from mulleinhatch.routing.reducer import Reducer
 from mulleinhatch.spread.offers import Giver
 from mulleinhatch.upkeep.register import Round, Voter
--- a/mulleinhatch/standins/virtual.py
+++ b/mulleinhatch/standins/virtual.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from mulleinhatch.interface import Deployment, Effect, Ending
+from mulleinhatch.admission.interface import Deployment, Effect, Ending
 from mulleinhatch.routing.reducer import Errand, Happening, Reducer
 from mulleinhatch.storms.bounds import StormBounds
 
--- a/mulleinhatch/standins/virtual_spread.py
+++ b/mulleinhatch/standins/virtual_spread.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from mulleinhatch.admission.interface import Advice, Deployment, Effect, Ending
 from mulleinhatch.fleet.counts import FRESH
-from mulleinhatch.interface import Advice, Deployment, Effect, Ending
 from mulleinhatch.routing.reducer import Errand, Happening, Reducer
 from mulleinhatch.spread.bounds import SpreadBounds
 from mulleinhatch.spread.core import Here, Spread
--- a/mulleinhatch/start.py
+++ b/mulleinhatch/start.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mulleinhatch.interface import Advice, Deployment, Effect, StopMode
+from mulleinhatch.admission.interface import Advice, Deployment, Effect, StopMode
 
 EFFECTS = {"safe": Effect.RETRYABLE, "keyed": Effect.KEYED, "unsafe": Effect.NON_RETRYABLE}
 
--- a/mulleinhatch/traces/recorder.py
+++ b/mulleinhatch/traces/recorder.py
@@ -9,8 +9,8 @@
 import math
 from collections.abc import Callable, Sequence
 
-from mulleinhatch.decide import Hatch
-from mulleinhatch.interface import Decision, Ref, Verb
+from mulleinhatch.admission import Hatch
+from mulleinhatch.admission.interface import Decision, Ref, Verb
 from mulleinhatch.traces import kinds
 
 BATCH = 4096  # records that are handed on together
--- a/mulleinhatch/traces/replay.py
+++ b/mulleinhatch/traces/replay.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from mulleinhatch.decide import Hatch
-from mulleinhatch.interface import Advice, Decision, Deployment, Effect, StopMode, Verb
+from mulleinhatch.admission import Hatch
+from mulleinhatch.admission.interface import Advice, Decision, Deployment, Effect, StopMode, Verb
 from mulleinhatch.traces import kinds
 from mulleinhatch.traces.kinds import Record
 from mulleinhatch.traces.recorder import BY_PLACE
--- a/mulleinhatch/traces/summary.py
+++ b/mulleinhatch/traces/summary.py
@@ -11,7 +11,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from mulleinhatch.interface import Ending, Verb
+from mulleinhatch.admission.interface import Ending, Verb
 from mulleinhatch.traces import kinds
 from mulleinhatch.traces.kinds import Record
 from mulleinhatch.traces.recorder import BY_PLACE
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinhatch.interface import Effect, Ending
+from mulleinhatch.admission.interface import Effect, Ending
 from mulleinhatch.networking.http import RequestReader, op_told, short_figures
 from mulleinhatch.routing.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.standins.virtual import Weather, World
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from mulleinhatch.decide import Hatch
+from mulleinhatch.admission import Hatch
+from mulleinhatch.admission.interface import Advice, Decision, Effect, Ending, Verb
 from mulleinhatch.fleet.bounds import FleetBounds
 from mulleinhatch.fleet.core import Fleet, Local, interpreter_of
 from mulleinhatch.fleet.counts import FIGURES, Counts
 from mulleinhatch.fleet.loudest import Loudest
 from mulleinhatch.fleet.words import ALIVE, Report, Rumour
-from mulleinhatch.interface import Advice, Decision, Effect, Ending, Verb
 from mulleinhatch.program import operator
 
 OP_TYPES = [
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -18,8 +18,8 @@
 
 import pytest
 
-from mulleinhatch.decide import Hatch
-from mulleinhatch.interface import Advice, Decision, Effect, StopMode, Verb
+from mulleinhatch.admission import Hatch
+from mulleinhatch.admission.interface import Advice, Decision, Effect, StopMode, Verb
 from mulleinhatch.networking.http import HEAD_END, MOST_BODY, MOST_HEAD, BadRequest, RequestReader
 from mulleinhatch.transport.connections import Connections
 from mulleinhatch.transport.stream import GatheringStream
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mulleinhatch.interface import Decision, Effect, Verb
+from mulleinhatch.admission.interface import Decision, Effect, Verb
 from mulleinhatch.networking import http
 from mulleinhatch.routing.reducer import Errand, Happening, Reducer
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mulleinhatch.interface import Ending
+from mulleinhatch.admission.interface import Ending
 from mulleinhatch.networking.http import BadRequest, RequestReader, op_told, short_look
 from mulleinhatch.program import operator
 from mulleinhatch.routing.reducer import Happening, Reducer
