--- a/mulleinhatch/admission/controller.py
+++ b/mulleinhatch/admission/controller.py
@@ -23,7 +23,7 @@
     class_bound,
     effective_priority,
 )
-from mulleinhatch.rings import BUCKET, BUCKETS, Ring
+from mulleinhatch.sliding_window import BUCKET, BUCKETS, Ring
 
 TENANT_ROOM = 2.0  # a tenant's running share over its fraction of the service: traffic is never even
 BEAT = 0.1  # how often the hold is rescored and pressure is judged while there is work
--- a/mulleinhatch/fleet/members.py
+++ b/mulleinhatch/fleet/members.py
@@ -11,9 +11,9 @@
 from itertools import islice
 from typing import NamedTuple
 
-from mulleinhatch.chance import Chance
 from mulleinhatch.fleet.bounds import FleetBounds
 from mulleinhatch.fleet.words import ALIVE, GONE, LEFT, STATES, SUSPECT, Letter, Rumour
+from mulleinhatch.random_source import Chance
 
 HEARD_LATELY = 1.0  # seconds: who spoke to us in this time is not declared gone
 OUTCOMES = 16  # of our own last probes, by which we judge whether it is we who hear nothing
--- a/mulleinhatch/program/instance.py
+++ b/mulleinhatch/program/instance.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.holds import BROKEN
+from mulleinhatch.invariants import BROKEN
 from mulleinhatch.program import signals
 from mulleinhatch.program.front import HttpFront
 from mulleinhatch.program.interpreter import Interpreter
--- a/mulleinhatch/program/tasks.py
+++ b/mulleinhatch/program/tasks.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from mulleinhatch.chance import Chance
+from mulleinhatch.random_source import Chance
 
 LOG = logging.getLogger(__name__)
 FIRST_PAUSE, LAST_PAUSE = 0.05, 2.0  # seconds before a task that failed runs again, doubled in between
--- a/mulleinhatch/spread/offers.py
+++ b/mulleinhatch/spread/offers.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from mulleinhatch.chance import Chance
+from mulleinhatch.random_source import Chance
 
 SLACK = 0.1  # seconds that an op may be under way after its offer's end
 MOST_HELD = 64  # offers that a taker keeps
--- a/mulleinhatch/spread/shares.py
+++ b/mulleinhatch/spread/shares.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from mulleinhatch.chance import Chance
+from mulleinhatch.random_source import Chance
 
 LEAST_LOAD = 0.5  # under it nothing is wished elsewhere
 DEAD_BAND = 0.05  # of the fleet's load: chance alone is more than that
--- a/mulleinhatch/storms/watch.py
+++ b/mulleinhatch/storms/watch.py
@@ -10,7 +10,7 @@
 import math
 from enum import Enum
 
-from mulleinhatch.rings import Ring
+from mulleinhatch.sliding_window import Ring
 from mulleinhatch.storms.bounds import StormBounds
 
 BEAT = 0.25  # seconds between judgements
--- a/mulleinhatch/transport/connections.py
+++ b/mulleinhatch/transport/connections.py
@@ -24,7 +24,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
 
-from mulleinhatch.holds import must_hold
+from mulleinhatch.invariants import must_hold
 from mulleinhatch.transport.stream import GatheringStream
 
 LOG = logging.getLogger(__name__)
--- a/mulleinhatch/upkeep/core.py
+++ b/mulleinhatch/upkeep/core.py
@@ -12,10 +12,10 @@
 from enum import Enum
 from typing import NamedTuple
 
-from mulleinhatch.chance import Chance
 from mulleinhatch.fleet import words as fleet_words
 from mulleinhatch.fleet.core import Fleet
 from mulleinhatch.fleet.words import Letter
+from mulleinhatch.random_source import Chance
 from mulleinhatch.upkeep import words
 from mulleinhatch.upkeep.order import Request, carries, order
 from mulleinhatch.upkeep.register import Kept, Round, Voter
