--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -45,7 +45,7 @@
 from mulleinhatch.fleet.counts import FIGURES
 from mulleinhatch.fleet.loudest import Loudest
 from mulleinhatch.fleet.words import Letter, Report, Rumour
-from mulleinhatch.program.fleet import TENANTS_KEPT, FleetSide
+from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
 from mulleinhatch.standins.virtual_upkeep import Machines
 from mulleinhatch.storms.bounds import StormBounds
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -23,7 +23,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.jobs.wheel import Wheel
+from mulleinhatch.instance.jobs.wheel import Wheel
 
 
 class Heap:
--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -68,7 +68,7 @@
 from importlib import import_module
 
 if sys.argv[1:2] == ["serve"]:  # what is imported below takes its time, in which a signal may come
-    from mulleinhatch.program import signals
+    from mulleinhatch.instance.runtime import signals
 
     signals.heard_early()
 
--- a/mulleinhatch/benchlink/__main__.py
+++ b/mulleinhatch/benchlink/__main__.py
@@ -8,7 +8,7 @@
 
 from mulleinhatch.admission import Hatch
 from mulleinhatch.admission.interface import Decision, Verb
-from mulleinhatch.start import deployment, pairs_of_lines
+from mulleinhatch.instance.deployment_settings import deployment, pairs_of_lines
 
 BATCH = struct.Struct(">IdI")
 REPLY = struct.Struct(">III")
--- a/mulleinhatch/commands/check.py
+++ b/mulleinhatch/commands/check.py
@@ -6,8 +6,8 @@
 import sys
 from typing import Any
 
-from mulleinhatch.program.logs import start_logging
-from mulleinhatch.program.placement import Misplaced, placement
+from mulleinhatch.instance.runtime.instance_settings import Misplaced, placement
+from mulleinhatch.instance.runtime.logs import start_logging
 
 
 def run(told: dict[str, Any]) -> int:
--- a/mulleinhatch/commands/serve.py
+++ b/mulleinhatch/commands/serve.py
@@ -7,10 +7,10 @@
 import sys
 from typing import Any
 
-from mulleinhatch.program import signals
-from mulleinhatch.program.instance import Instance
-from mulleinhatch.program.logs import start_logging
-from mulleinhatch.program.placement import Misplaced, Placement, placement
+from mulleinhatch.instance.runtime import signals
+from mulleinhatch.instance.runtime.instance import Instance
+from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement, placement
+from mulleinhatch.instance.runtime.logs import start_logging
 
 
 def run(told: dict[str, Any]) -> int:
--- a/mulleinhatch/commands/trace.py
+++ b/mulleinhatch/commands/trace.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 try:
-    from mulleinhatch.traces.aliases import Aliases, anonymous, anonymous_facts
-    from mulleinhatch.traces.codec import Damaged
-    from mulleinhatch.traces.cutting import Wanted, cut, write
-    from mulleinhatch.traces.file import Trace, Unreadable
-    from mulleinhatch.traces.merging import merge
-    from mulleinhatch.traces.replay import Incomplete, Outcome, replay
-    from mulleinhatch.traces.summary import summary
+    from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
+    from mulleinhatch.instance.traces.codec import Damaged
+    from mulleinhatch.instance.traces.cutting import Wanted, cut, write
+    from mulleinhatch.instance.traces.file import Trace, Unreadable
+    from mulleinhatch.instance.traces.merging import merge
+    from mulleinhatch.instance.traces.replay import Incomplete, Outcome, replay
+    from mulleinhatch.instance.traces.summary import summary
 except ImportError as error:
     print(f"mulleinhatch: trace needs {error.name}: pip install 'mulleinhatch[traces]'", file=sys.stderr)
     raise SystemExit(2) from None
--- a/mulleinhatch/jobs/scheduler.py
+++ b/mulleinhatch/instance/jobs/scheduler.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from mulleinhatch.jobs.wheel import Wheel
+from mulleinhatch.instance.jobs.wheel import Wheel
 
 AGEING = 10.0  # seconds of waiting that are worth one priority: none waits for ever
 OVERDUE = 10.0  # priorities that a passed deadline is worth
--- a/mulleinhatch/routing/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -15,8 +15,8 @@
 
 from mulleinhatch.admission import PROVES_UNRUN, Hatch
 from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
+from mulleinhatch.instance.request_state_machine.tables import Keys, Owed
 from mulleinhatch.invariants import must_hold
-from mulleinhatch.routing.tables import Keys, Owed
 from mulleinhatch.storms.books import Lately, fingerprint
 from mulleinhatch.storms.bounds import StormBounds
 from mulleinhatch.storms.desk import Desk
--- a/mulleinhatch/program/front.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -11,10 +11,10 @@
 from functools import partial
 from typing import Any
 
+from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http
-from mulleinhatch.routing.reducer import Happening
 from mulleinhatch.storms.desk import PUNCTUAL
-from mulleinhatch.transport.connections import Connections
 
 LOG = logging.getLogger(__name__)
 UNFIT = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
--- a/mulleinhatch/program/calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 
 from mulleinhatch.admission.interface import Ending
+from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.transport.peers import BrokenOff, Peers, Unreached
 from mulleinhatch.networking import http
-from mulleinhatch.routing.reducer import Happening
-from mulleinhatch.transport.peers import BrokenOff, Peers, Unreached
 
 LOG = logging.getLogger(__name__)
 LINKS_MOST = 64  # connections at a time: of the descriptors that are no callers'
--- a/mulleinhatch/program/fleet.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -17,12 +17,12 @@
 from mulleinhatch.fleet.counts import FIGURES, MOST_LOUD
 from mulleinhatch.fleet.loudest import Loudest
 from mulleinhatch.fleet.words import LEVELS, MOST_BYTES, STATES
-from mulleinhatch.program.placement import Placement
-from mulleinhatch.routing.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.runtime.instance_settings import Placement
 
 if TYPE_CHECKING:
-    from mulleinhatch.program.spread import SpreadSide
-    from mulleinhatch.program.upkeep import UpkeepSide
+    from mulleinhatch.instance.runtime.load_balancing import SpreadSide
+    from mulleinhatch.instance.runtime.maintenance import UpkeepSide
 
 LOG = logging.getLogger(__name__)
 A_TURN = 64  # datagrams read before others have their turn
@@ -67,11 +67,11 @@
         # back the others tell (`Members._our_name`).
         self.core = Fleet(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
         if self.placement.spread:
-            from mulleinhatch.program.spread import SpreadSide
+            from mulleinhatch.instance.runtime.load_balancing import SpreadSide
 
             self.spread = SpreadSide(self.placement, self.core, self.reducer, self.take, self._send)
         if self.placement.upkeep:
-            from mulleinhatch.program.upkeep import UpkeepSide
+            from mulleinhatch.instance.runtime.maintenance import UpkeepSide
 
             self.upkeep = UpkeepSide(self.placement, self.core, self.reducer, self._send, self.leaves)
         self.reducer.on_tenant = self._asked_for if self.reducer.tenants else None
--- a/mulleinhatch/program/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -12,22 +12,22 @@
 from typing import TYPE_CHECKING, Any
 
 from mulleinhatch.admission.interface import Ending
+from mulleinhatch.instance.protocol import reports
+from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.runtime import signals
+from mulleinhatch.instance.runtime.background_tasks import Tasks
+from mulleinhatch.instance.runtime.caller_listener import HttpFront
+from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement
+from mulleinhatch.instance.runtime.interpreter_link import Interpreter
+from mulleinhatch.instance.transport.datagrams import Datagrams
 from mulleinhatch.invariants import BROKEN
-from mulleinhatch.program import signals
-from mulleinhatch.program.front import HttpFront
-from mulleinhatch.program.interpreter import Interpreter
-from mulleinhatch.program.placement import Misplaced, Placement
-from mulleinhatch.program.tasks import Tasks
-from mulleinhatch.protocol import reports
-from mulleinhatch.routing.reducer import Errand, Happening, Reducer
-from mulleinhatch.transport.datagrams import Datagrams
 
 if TYPE_CHECKING:
     from mulleinhatch.admission import Hatch
-    from mulleinhatch.program.calls import Dependency
-    from mulleinhatch.program.fleet import FleetSide
-    from mulleinhatch.program.tracing import Tracing
-    from mulleinhatch.traces.recorder import Recorder
+    from mulleinhatch.instance.runtime.dependency_calls import Dependency
+    from mulleinhatch.instance.runtime.gossip import FleetSide
+    from mulleinhatch.instance.runtime.tracing import Tracing
+    from mulleinhatch.instance.traces.recorder import Recorder
 
 LOG = logging.getLogger(__name__)
 DESCRIPTORS_KEPT = 16  # of the limit, for all that is no client connection
@@ -70,7 +70,7 @@
         self.tasks = Tasks(self.count, placement.seed)
         self.dependency: Dependency | None = None
         if placement.dependency:
-            from mulleinhatch.program.calls import Dependency
+            from mulleinhatch.instance.runtime.dependency_calls import Dependency
 
             self.dependency = Dependency(*placement.dependency, self.take, self.count)
         self.port = 0
@@ -101,7 +101,7 @@
 
     def _recorded(self, hatch: Hatch, now: float, cold: bool, since: float) -> Recorder:
         """What stands between reducer and module where traces are written; its libraries are loaded for it alone."""
-        from mulleinhatch.program.tracing import Tracing
+        from mulleinhatch.instance.runtime.tracing import Tracing
 
         self.tracing = Tracing(self.placement)
         return self.tracing.recorded(hatch, now, cold, since)
@@ -181,7 +181,7 @@
         self.port = await self._listen()
         LOG.info("listening", extra={"fields": {"name": self.placement.name, "port": self.port}})
         if self.placement.fleet:
-            from mulleinhatch.program.fleet import FleetSide
+            from mulleinhatch.instance.runtime.gossip import FleetSide
 
             self.fleet = FleetSide(self.placement, self.reducer, self.take, self.leave)
             self.fleet.listen()
--- a/mulleinhatch/program/placement.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Deployment
-from mulleinhatch.start import deployment, pairs_of_tree
+from mulleinhatch.instance.deployment_settings import deployment, pairs_of_tree
 from mulleinhatch.storms.bounds import StormBounds
 
 LOG = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
     ('127.0.0.4', 8080)
     >>> address("vm", "127.0.0.4")
     Traceback (most recent call last):
-    mulleinhatch.program.placement.Misplaced: vm: '127.0.0.4' is no host:port of IPv4 numbers
+    mulleinhatch.instance.runtime.instance_settings.Misplaced: vm: '127.0.0.4' is no host:port of IPv4 numbers
     """
     host, _, port = str(text).rpartition(":")
     try:
@@ -116,7 +116,7 @@
     if not path:
         return {}
     try:
-        from mulleinhatch.program import operator
+        from mulleinhatch.instance.runtime import operator_file as operator
     except ImportError as error:
         raise Misplaced(f"{path}: {error.name} is not installed: pip install 'mulleinhatch[operator]'") from None
     try:
@@ -129,7 +129,7 @@
     """
     >>> placed({"name": "n1", "listen": "127.0.0.1:0", "seed": "a"})
     Traceback (most recent call last):
-    mulleinhatch.program.placement.Misplaced: vm: missing
+    mulleinhatch.instance.runtime.instance_settings.Misplaced: vm: missing
     """
     for key in ("name", "listen", "vm", "seed", "settings"):
         if key not in told:
--- a/mulleinhatch/program/interpreter.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.protocol import link
-from mulleinhatch.routing.reducer import Happening
-from mulleinhatch.transport.link import Link
+from mulleinhatch.instance.protocol import link
+from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.transport.link import Link
 
 LOG = logging.getLogger(__name__)
 SPOILT_MOST = 1000
--- a/mulleinhatch/program/upkeep.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from mulleinhatch.fleet.core import Fleet
-from mulleinhatch.program.placement import Misplaced, Placement
-from mulleinhatch.routing.reducer import Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
+from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement
 from mulleinhatch.upkeep.core import Bounds, State, Upkeep
 from mulleinhatch.upkeep.order import Request, order, schedule
 from mulleinhatch.upkeep.store import Damaged, Store
--- a/mulleinhatch/program/operator.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -158,10 +158,10 @@
     >>> told("storms enabled=#false").storms
     >>> told("storms {\\n    settle 5\\n    confirm soon\\n}")
     Traceback (most recent call last):
-    mulleinhatch.program.operator.BadOperatorFile: operator.kdl:3: storms.confirm: Expected `float`, got `str`
+    mulleinhatch.instance.runtime.operator_file.BadOperatorFile: operator.kdl:3: storms.confirm: Expected `float`, got `str`
     >>> told("storms {\\n    setle 5\\n}")
     Traceback (most recent call last):
-    mulleinhatch.program.operator.BadOperatorFile: operator.kdl:2: storms.setle: no such key
+    mulleinhatch.instance.runtime.operator_file.BadOperatorFile: operator.kdl:2: storms.setle: no such key
     """
     try:
         document = ckdl.parse(text)
@@ -214,7 +214,7 @@
     if told is None:
         return None
     try:
-        from mulleinhatch.traces.writer import TraceBounds
+        from mulleinhatch.instance.traces.writer import TraceBounds
     except ImportError as error:
         raise BadOperatorFile(f"traces: {error.name} is not installed: pip install 'mulleinhatch[traces]'") from None
     return TraceBounds(**msgspec.structs.asdict(told))
--- a/mulleinhatch/program/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -10,11 +10,11 @@
 from mulleinhatch import __version__
 from mulleinhatch import admission as decide
 from mulleinhatch.admission import Hatch
-from mulleinhatch.program.placement import Placement
-from mulleinhatch.traces.file import Facts
-from mulleinhatch.traces.recorder import Recorder
-from mulleinhatch.traces.replay import told_out
-from mulleinhatch.traces.writer import Keeper
+from mulleinhatch.instance.runtime.instance_settings import Placement
+from mulleinhatch.instance.traces.file import Facts
+from mulleinhatch.instance.traces.recorder import Recorder
+from mulleinhatch.instance.traces.replay import told_out
+from mulleinhatch.instance.traces.writer import Keeper
 
 FLUSH_EVERY = 1.0  # seconds that a record waits for others, at most: what a kill costs
 
--- a/mulleinhatch/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -8,9 +8,9 @@
 from hashlib import blake2b
 from string import ascii_lowercase, ascii_uppercase, digits
 
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.file import Facts
-from mulleinhatch.traces.kinds import Record
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.file import Facts
+from mulleinhatch.instance.traces.kinds import Record
 
 ROUNDS = 8
 HEX = frozenset("0123456789abcdef")
--- a/mulleinhatch/traces/block.py
+++ b/mulleinhatch/instance/traces/block.py
@@ -15,8 +15,8 @@
 import zstandard
 from xxhash import xxh3_64_intdigest
 
-from mulleinhatch.traces.codec import MICRO, MOST_NUMBERS, Damaged, In, Out
-from mulleinhatch.traces.kinds import DECIDED, DECIDED_FOR, KINDS, Kind, Record
+from mulleinhatch.instance.traces.codec import MICRO, MOST_NUMBERS, Damaged, In, Out
+from mulleinhatch.instance.traces.kinds import DECIDED, DECIDED_FOR, KINDS, Kind, Record
 
 MAGIC = b"mhtBLOCK"
 # magic, major, reserved, stored bytes, raw bytes, records, first and last time, newest op before it; then the checksum
--- a/mulleinhatch/traces/cutting.py
+++ b/mulleinhatch/instance/traces/cutting.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable, Iterator
 from typing import BinaryIO, NamedTuple
 
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.block import Builder
-from mulleinhatch.traces.file import Facts, Trace, Writer
-from mulleinhatch.traces.kinds import Record
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.block import Builder
+from mulleinhatch.instance.traces.file import Facts, Trace, Writer
+from mulleinhatch.instance.traces.kinds import Record
 
 BLOCK_RECORDS = 16384  # larger blocks are smaller an op; a live file's are as the writer was handed them
 
--- a/mulleinhatch/traces/file.py
+++ b/mulleinhatch/instance/traces/file.py
@@ -14,10 +14,10 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
-from mulleinhatch.traces import block
-from mulleinhatch.traces.block import HEAD_SIZE, Block, Head
-from mulleinhatch.traces.codec import Damaged
-from mulleinhatch.traces.kinds import MAJORS, MINOR, Record
+from mulleinhatch.instance.traces import block
+from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, Head
+from mulleinhatch.instance.traces.codec import Damaged
+from mulleinhatch.instance.traces.kinds import MAJORS, MINOR, Record
 
 MAGIC = b"mhtTRACE"
 START = struct.Struct("<8sHHIQ")  # magic, major, minor, bytes of the facts, their checksum
@@ -100,7 +100,7 @@
 
 class Trace:
     """
-    >>> from mulleinhatch.traces.kinds import NOTE
+    >>> from mulleinhatch.instance.traces.kinds import NOTE
     >>> file = io.BytesIO()
     >>> writer, built = Writer(file, Facts("n1", 7)), block.Builder(2, 0)
     >>> built.add(Record(NOTE, 1.5, ("start", "")))
--- a/mulleinhatch/traces/merging.py
+++ b/mulleinhatch/instance/traces/merging.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.cutting import OP_PLACES, write
-from mulleinhatch.traces.file import Facts, Trace
-from mulleinhatch.traces.kinds import MAJORS, Record
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.cutting import OP_PLACES, write
+from mulleinhatch.instance.traces.file import Facts, Trace
+from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
 STEP = 0.05  # seconds that the system's clock may drift between two files of one life before it counts as a step
 
--- a/mulleinhatch/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -11,7 +11,7 @@
 
 from mulleinhatch.admission import Hatch
 from mulleinhatch.admission.interface import Decision, Ref, Verb
-from mulleinhatch.traces import kinds
+from mulleinhatch.instance.traces import kinds
 
 BATCH = 4096  # records that are handed on together
 VERBS = {verb: place for place, verb in enumerate(Verb)}  # new verbs go to the end: files hold these numbers
--- a/mulleinhatch/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -11,9 +11,9 @@
 
 from mulleinhatch.admission import Hatch
 from mulleinhatch.admission.interface import Advice, Decision, Deployment, Effect, StopMode, Verb
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.kinds import Record
-from mulleinhatch.traces.recorder import BY_PLACE
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.kinds import Record
+from mulleinhatch.instance.traces.recorder import BY_PLACE
 
 WORDS = {kind.value: kind for family in (Effect, Advice, StopMode) for kind in family}
 NAMED = ("effect", "stop_mode", "advice")
--- a/mulleinhatch/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -12,9 +12,9 @@
 from hdrh.histogram import HdrHistogram
 
 from mulleinhatch.admission.interface import Ending, Verb
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.kinds import Record
-from mulleinhatch.traces.recorder import BY_PLACE
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.kinds import Record
+from mulleinhatch.instance.traces.recorder import BY_PLACE
 
 MOST_MS = 600_000
 PERCENTILES = (50, 90, 99, 100)
--- a/mulleinhatch/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.block import Builder
-from mulleinhatch.traces.file import Facts, Writer
-from mulleinhatch.traces.kinds import MAJORS, Record
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.block import Builder
+from mulleinhatch.instance.traces.file import Facts, Writer
+from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
 LOG = logging.getLogger(__name__)
 WAITING = 16  # batches that wait for the disk, at most: some MB
--- a/mulleinhatch/transport/connections.py
+++ b/mulleinhatch/instance/transport/connections.py
@@ -24,8 +24,8 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
 
+from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.invariants import must_hold
-from mulleinhatch.transport.stream import GatheringStream
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 256  # what is not accepted yet may hold a whole request already, and its time runs
--- a/mulleinhatch/transport/link.py
+++ b/mulleinhatch/instance/transport/link.py
@@ -11,7 +11,7 @@
 
 from tornado.iostream import StreamClosedError, UnsatisfiableReadError
 
-from mulleinhatch.transport.stream import GatheringStream
+from mulleinhatch.instance.transport.stream import GatheringStream
 
 LOG = logging.getLogger(__name__)
 FIRST_RETRY, LAST_RETRY = 0.02, 0.5  # seconds between tries to connect, doubled in between, drawn by half
--- a/mulleinhatch/transport/peers.py
+++ b/mulleinhatch/instance/transport/peers.py
@@ -8,7 +8,7 @@
 
 from tornado.iostream import StreamClosedError, UnsatisfiableReadError
 
-from mulleinhatch.transport.stream import GatheringStream
+from mulleinhatch.instance.transport.stream import GatheringStream
 
 CONNECT_WAIT = 0.5  # seconds: a peer that is gone may not answer at all, and the op has little time
 MOST_HEAD = 8192
--- a/mulleinhatch/standins/search/defects.py
+++ b/mulleinhatch/standins/search/defects.py
@@ -9,7 +9,7 @@
 from mulleinhatch.admission import PROVES_UNRUN, Hatch, Stage
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.fleet.members import Members
-from mulleinhatch.routing.reducer import Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.spread.offers import Giver
 from mulleinhatch.upkeep.register import Round, Voter
 from mulleinhatch.upkeep.table import Table
--- a/mulleinhatch/standins/search/play.py
+++ b/mulleinhatch/standins/search/play.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from mulleinhatch.routing.reducer import Happening
+from mulleinhatch.instance.request_state_machine.reducer import Happening
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.search.histories import FIRST, History
 from mulleinhatch.standins.virtual import Broken
--- a/mulleinhatch/standins/virtual.py
+++ b/mulleinhatch/standins/virtual.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Deployment, Effect, Ending
-from mulleinhatch.routing.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.storms.bounds import StormBounds
 
 USUAL = StormBounds()
--- a/mulleinhatch/standins/virtual_spread.py
+++ b/mulleinhatch/standins/virtual_spread.py
@@ -17,7 +17,7 @@
 
 from mulleinhatch.admission.interface import Advice, Deployment, Effect, Ending
 from mulleinhatch.fleet.counts import FRESH
-from mulleinhatch.routing.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.spread.bounds import SpreadBounds
 from mulleinhatch.spread.core import Here, Spread
 from mulleinhatch.spread.offers import Offered
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -15,8 +15,8 @@
 from base64 import b64decode, b64encode
 from pathlib import Path
 
-from mulleinhatch.program.instance import Instance
-from mulleinhatch.program.placement import placed
+from mulleinhatch.instance.runtime.instance import Instance
+from mulleinhatch.instance.runtime.instance_settings import placed
 
 SOON = 3.0
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mulleinhatch.admission.interface import Effect
-from mulleinhatch.routing.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.standins.virtual_fleet import Plan
 from mulleinhatch.standins.virtual_spread import Load, SpreadWorld
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,13 +26,13 @@
 import pytest
 from tornado.ioloop import IOLoop
 
+from mulleinhatch.instance.runtime.background_tasks import Tasks
+from mulleinhatch.instance.runtime.instance_settings import Misplaced, placed
+from mulleinhatch.instance.transport import connections as transport
+from mulleinhatch.instance.transport.connections import Connection, Connections
+from mulleinhatch.instance.transport.link import CONNECT_WAIT, Link
+from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http
-from mulleinhatch.program.placement import Misplaced, placed
-from mulleinhatch.program.tasks import Tasks
-from mulleinhatch.transport import connections as transport
-from mulleinhatch.transport.connections import Connection, Connections
-from mulleinhatch.transport.link import CONNECT_WAIT, Link
-from mulleinhatch.transport.stream import GatheringStream
 from standins import SocketPlay, told_at_start
 
 ROOT = Path(__file__).parent.parent
@@ -590,11 +590,11 @@
             tries.append(1)
             raise OSError(errno.EMFILE, "no descriptor")
 
-        monkeypatch.setattr("mulleinhatch.transport.link.socket.socket", none)
+        monkeypatch.setattr("mulleinhatch.instance.transport.link.socket.socket", none)
         link, tasks, _ = linked(port)
         await asyncio.wait_for(asyncio.sleep(0.2), SOON)  # a loop that spins never comes back to this
         assert 1 <= len(tries) < 30
-        monkeypatch.setattr("mulleinhatch.transport.link.socket.socket", real)
+        monkeypatch.setattr("mulleinhatch.instance.transport.link.socket.socket", real)
         await until(lambda: link.stream)
         tasks.cancel()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from mulleinhatch.fleet.counts import FIGURES, Counts
 from mulleinhatch.fleet.judgements import Verdicts
 from mulleinhatch.fleet.words import Letter, Report, Rumour
-from mulleinhatch.program import operator
+from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, most_in_window, whole
 from mulleinhatch.standins.rig import keep_environment
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mulleinhatch.jobs.scheduler import Budgets, Full, Outcome, Scheduler, State
-from mulleinhatch.jobs.wheel import Wheel
+from mulleinhatch.instance.jobs.scheduler import Budgets, Full, Outcome, Scheduler, State
+from mulleinhatch.instance.jobs.wheel import Wheel
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -13,7 +13,7 @@
 from mulleinhatch.fleet.core import Fleet, Local
 from mulleinhatch.fleet.levels import Levels, place_of, unpack
 from mulleinhatch.fleet.words import GROUP, LEFT, REGION, ZONE, Letter, Sum, Upward
-from mulleinhatch.program import operator
+from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.standins.hollow import Ground, Plan, weather
 from mulleinhatch.standins.hollow_checks import over_budgets
 from mulleinhatch.standins.hollow_shards import World
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -7,8 +7,8 @@
 import pytest
 
 from mulleinhatch.admission.interface import Effect, Ending
+from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.networking.http import RequestReader, op_told, short_figures
-from mulleinhatch.routing.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.standins.virtual import Weather, World
 from mulleinhatch.storms.bounds import StormBounds
 from mulleinhatch.storms.twins import Likeness, Runs, Tally, Tries
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -14,7 +14,7 @@
 from mulleinhatch.fleet.counts import FIGURES, Counts
 from mulleinhatch.fleet.loudest import Loudest
 from mulleinhatch.fleet.words import ALIVE, Report, Rumour
-from mulleinhatch.program import operator
+from mulleinhatch.instance.runtime import operator_file as operator
 
 OP_TYPES = [
     {"effect": effect, "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5, "repeat_window": 60.0}
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -19,7 +19,7 @@
 from benchmarks import scale_instance
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
-from mulleinhatch.program.placement import placement
+from mulleinhatch.instance.runtime.instance_settings import placement
 from mulleinhatch.standins.heavy import Driver, Habits
 from mulleinhatch.standins.lone import Lone, cpu_seconds, driven, settings
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -20,9 +20,9 @@
 
 from mulleinhatch.admission import Hatch
 from mulleinhatch.admission.interface import Advice, Decision, Effect, StopMode, Verb
+from mulleinhatch.instance.transport.connections import Connections
+from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking.http import HEAD_END, MOST_BODY, MOST_HEAD, BadRequest, RequestReader
-from mulleinhatch.transport.connections import Connections
-from mulleinhatch.transport.stream import GatheringStream
 from standins import Interpreter, SocketPlay, told_at_start
 
 ROOT = Path(__file__).parent
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from mulleinhatch.admission.interface import Decision, Effect, Verb
+from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.networking import http
-from mulleinhatch.routing.reducer import Errand, Happening, Reducer
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
 from mulleinhatch.standins.rig import keep_environment
 from mulleinhatch.standins.second_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking import http
-from mulleinhatch.program import operator
 from mulleinhatch.spread.bounds import SpreadBounds
 from mulleinhatch.spread.estimates import SCATTER, Evidence, Window, drawn, usual
 from mulleinhatch.spread.offers import Giver, Taker
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -10,9 +10,9 @@
 import pytest
 
 from mulleinhatch.admission.interface import Ending
+from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking.http import BadRequest, RequestReader, op_told, short_look
-from mulleinhatch.program import operator
-from mulleinhatch.routing.reducer import Happening, Reducer
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.virtual import Weather, World
 from mulleinhatch.storms.books import HeavyCallers, Lately
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -15,20 +15,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
+from mulleinhatch.instance.traces import block, cutting, kinds
+from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
+from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, Builder
+from mulleinhatch.instance.traces.codec import Damaged, In, Out
+from mulleinhatch.instance.traces.cutting import Wanted, chosen, cut
+from mulleinhatch.instance.traces.file import START, Facts, Trace, Unreadable, Writer, index_bytes
+from mulleinhatch.instance.traces.kinds import Record
+from mulleinhatch.instance.traces.merging import merge
+from mulleinhatch.instance.traces.recorder import Recorder
+from mulleinhatch.instance.traces.replay import Incomplete, replay, told_out
+from mulleinhatch.instance.traces.summary import summary
+from mulleinhatch.instance.traces.writer import Keeper, TraceBounds
 from mulleinhatch.standins.virtual import KINDS as OP_KINDS
 from mulleinhatch.standins.virtual import Weather, World
-from mulleinhatch.traces import block, cutting, kinds
-from mulleinhatch.traces.aliases import Aliases, anonymous, anonymous_facts
-from mulleinhatch.traces.block import HEAD_SIZE, Block, Builder
-from mulleinhatch.traces.codec import Damaged, In, Out
-from mulleinhatch.traces.cutting import Wanted, chosen, cut
-from mulleinhatch.traces.file import START, Facts, Trace, Unreadable, Writer, index_bytes
-from mulleinhatch.traces.kinds import Record
-from mulleinhatch.traces.merging import merge
-from mulleinhatch.traces.recorder import Recorder
-from mulleinhatch.traces.replay import Incomplete, replay, told_out
-from mulleinhatch.traces.summary import summary
-from mulleinhatch.traces.writer import Keeper, TraceBounds
 from standins import SocketPlay
 
 SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 5.0), load_until=9.0, patience=4.5, until=20.0, heeding=0.5)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mulleinhatch.program import operator
+from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
 from mulleinhatch.standins.outings import Outings
 from mulleinhatch.standins.permits import Model, explore, wander
