--- a/benchmarks/loudest.py
+++ b/benchmarks/loudest.py
@@ -22,7 +22,7 @@
 
 from docopt import docopt
 
-from mulleinhatch.fleet.loudest import Loudest
+from mulleinhatch.instance.gossip.heavy_hitters import Loudest
 
 TENANTS, KEPT, LOUD = 100_000, 256, 4
 ROUNDS = 3
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -38,13 +38,13 @@
 from benchmarks.records import RECORDED, commit, cost, keep, rounded
 from mulleinhatch.admission import Hatch
 from mulleinhatch.admission.interface import Deployment, Effect, Ending, Verb
-from mulleinhatch.fleet import words
-from mulleinhatch.fleet.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.fleet.budgets import Part
-from mulleinhatch.fleet.core import Fleet, Local
-from mulleinhatch.fleet.counts import FIGURES
-from mulleinhatch.fleet.loudest import Loudest
-from mulleinhatch.fleet.words import Letter, Report, Rumour
+from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
+from mulleinhatch.instance.gossip.budgets import Part
+from mulleinhatch.instance.gossip.core import Fleet, Local
+from mulleinhatch.instance.gossip.counters import FIGURES
+from mulleinhatch.instance.gossip.heavy_hitters import Loudest
+from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
 from mulleinhatch.standins.virtual_upkeep import Machines
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -50,7 +50,7 @@
 from rich.table import Table
 
 from benchmarks import fits, records
-from mulleinhatch.fleet.core import MOST_MEMBERS
+from mulleinhatch.instance.gossip.core import MOST_MEMBERS
 from mulleinhatch.standins.faults import BadScript
 from mulleinhatch.standins.hollow import RACK, BadPlan, Ground, Plan, churn, knows_levels, listed, restart_all
 from mulleinhatch.standins.hollow_checks import in_sums, known_after, traffic_of
--- a/mulleinhatch/fleet/levels.py
+++ b/mulleinhatch/instance/gossip/aggregation_tree.py
@@ -19,10 +19,21 @@
 
 import msgspec
 
-from mulleinhatch.fleet.bounds import FleetBounds
-from mulleinhatch.fleet.counts import FIGURES, Counts, Row
-from mulleinhatch.fleet.mates import Mates
-from mulleinhatch.fleet.words import ALIVE, GROUP, REGION, SUSPECT, ZONE, Letter, Sum, Upward, decode_upward, encode_upward
+from mulleinhatch.instance.gossip.bounds import FleetBounds
+from mulleinhatch.instance.gossip.counters import FIGURES, Counts, Row
+from mulleinhatch.instance.gossip.messages import (
+    ALIVE,
+    GROUP,
+    REGION,
+    SUSPECT,
+    ZONE,
+    Letter,
+    Sum,
+    Upward,
+    decode_upward,
+    encode_upward,
+)
+from mulleinhatch.instance.gossip.peer_groups import Mates
 from mulleinhatch.random_source import Chance
 
 SUMMED = FIGURES[:11]  # what is a sum over members; the rest are means with evidence of their own
--- a/mulleinhatch/fleet/budgets.py
+++ b/mulleinhatch/instance/gossip/budgets.py
@@ -11,7 +11,7 @@
 from math import inf, sqrt
 from typing import NamedTuple
 
-from mulleinhatch.fleet.bounds import BudgetBounds
+from mulleinhatch.instance.gossip.bounds import BudgetBounds
 
 ASK_EVERY, ASK_AGAIN = 0.7, 2.0  # seconds with an answer; and times that without one
 ROOM, KEEP = 1.0, 2.0  # square roots of its demand beside it: kept or wished for, and given back above
--- a/mulleinhatch/fleet/core.py
+++ b/mulleinhatch/instance/gossip/core.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from mulleinhatch.fleet import words
-from mulleinhatch.fleet.bounds import FleetBounds, levelled
-from mulleinhatch.fleet.budgets import Ask, Give, Part
-from mulleinhatch.fleet.counts import FIGURES, MOST_LOUD, Counts
-from mulleinhatch.fleet.judgements import Verdicts
-from mulleinhatch.fleet.levels import MOST_GROUP, Levels, Total, place_of
-from mulleinhatch.fleet.mates import Mates
-from mulleinhatch.fleet.members import Change, Members
-from mulleinhatch.fleet.words import MOST_BYTES, Letter, Report, Trade, Unfit
+from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip.aggregation_tree import MOST_GROUP, Levels, Total, place_of
+from mulleinhatch.instance.gossip.bounds import FleetBounds, levelled
+from mulleinhatch.instance.gossip.budgets import Ask, Give, Part
+from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD, Counts
+from mulleinhatch.instance.gossip.members import Change, Members
+from mulleinhatch.instance.gossip.messages import MOST_BYTES, Letter, Report, Trade, Unfit
+from mulleinhatch.instance.gossip.outlier_detection import Verdicts
+from mulleinhatch.instance.gossip.peer_groups import Mates
 
 MOST_MEMBERS = 1000
 ENVELOPE = 64  # bytes of a letter beside its names and lists, at most
--- a/mulleinhatch/fleet/counts.py
+++ b/mulleinhatch/instance/gossip/counters.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from mulleinhatch.fleet.words import Report
+from mulleinhatch.instance.gossip.messages import Report
 
 # New ones go to the end: in a fleet of two versions the older one's reports are shorter, and lack them.
 FIGURES = (
--- a/mulleinhatch/fleet/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -11,8 +11,8 @@
 from itertools import islice
 from typing import NamedTuple
 
-from mulleinhatch.fleet.bounds import FleetBounds
-from mulleinhatch.fleet.words import ALIVE, GONE, LEFT, STATES, SUSPECT, Letter, Rumour
+from mulleinhatch.instance.gossip.bounds import FleetBounds
+from mulleinhatch.instance.gossip.messages import ALIVE, GONE, LEFT, STATES, SUSPECT, Letter, Rumour
 from mulleinhatch.random_source import Chance
 
 HEARD_LATELY = 1.0  # seconds: who spoke to us in this time is not declared gone
--- a/mulleinhatch/fleet/words.py
+++ b/mulleinhatch/instance/gossip/messages.py
@@ -148,10 +148,10 @@
     True
     >>> decode(encode(letter), "g")
     Traceback (most recent call last):
-    mulleinhatch.fleet.words.Unfit: other_fleet
+    mulleinhatch.instance.gossip.messages.Unfit: other_fleet
     >>> decode(b"\\x93\\x02", "f")
     Traceback (most recent call last):
-    mulleinhatch.fleet.words.Unfit: garbage
+    mulleinhatch.instance.gossip.messages.Unfit: garbage
     """
     if len(datagram) > MOST_BYTES:
         raise Unfit("too_long")
--- a/mulleinhatch/fleet/mates.py
+++ b/mulleinhatch/instance/gossip/peer_groups.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Iterator
 
-from mulleinhatch.fleet.bounds import FleetBounds
-from mulleinhatch.fleet.members import Members
-from mulleinhatch.fleet.words import ALIVE, GONE, LEFT, SUSPECT, Letter, Rumour
+from mulleinhatch.instance.gossip.bounds import FleetBounds
+from mulleinhatch.instance.gossip.members import Members
+from mulleinhatch.instance.gossip.messages import ALIVE, GONE, LEFT, SUSPECT, Letter, Rumour
 
 RING_EVERY, OTHERS_EVERY = 1.0, 3.0  # seconds between probes of the next on the ring, and of one by chance
 UNASKED = 1.75  # seconds without a word of the one before us, after which we ask it
@@ -23,7 +23,7 @@
 
 class Mates(Members):
     """
-    >>> from mulleinhatch.fleet.words import STATES
+    >>> from mulleinhatch.instance.gossip.messages import STATES
     >>> one = Mates("a", "10.0.0.1:1", 7, FleetBounds("f"), 1, 0.0)
     >>> _ = list(one.heard(0.1, Letter(1, "f", "b", "10.0.0.1:2", 7, 0, "ping", 3)))
     >>> one.moved(0.2, "b", 8); STATES[one.view["b"].state], one.alive()
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from mulleinhatch.fleet.core import Fleet, Local, interpreter_of
-from mulleinhatch.fleet.counts import FIGURES, MOST_LOUD
-from mulleinhatch.fleet.loudest import Loudest
-from mulleinhatch.fleet.words import LEVELS, MOST_BYTES, STATES
+from mulleinhatch.instance.gossip.core import Fleet, Local, interpreter_of
+from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD
+from mulleinhatch.instance.gossip.heavy_hitters import Loudest
+from mulleinhatch.instance.gossip.messages import LEVELS, MOST_BYTES, STATES
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.fleet.core import Fleet
+from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import BrokenOff, Peers, Unreached
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mulleinhatch.fleet.core import Fleet
+from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement
 from mulleinhatch.upkeep.core import Bounds, State, Upkeep
--- a/mulleinhatch/instance/runtime/operator_file.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -268,7 +268,7 @@
 
 
 def _fleet(told: FleetFile, text: str, path: str) -> Any:
-    from mulleinhatch.fleet.bounds import BudgetBounds, FleetBounds
+    from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
 
     def several(value: str | list[str]) -> tuple[str, ...]:
         return (value,) if isinstance(value, str) else tuple(value)
--- a/mulleinhatch/spread/core.py
+++ b/mulleinhatch/spread/core.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from typing import NamedTuple
 
-from mulleinhatch.fleet import words
-from mulleinhatch.fleet.core import Fleet, interpreter_of
-from mulleinhatch.fleet.counts import Row
-from mulleinhatch.fleet.words import Letter, Offer
+from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip.core import Fleet, interpreter_of
+from mulleinhatch.instance.gossip.counters import Row
+from mulleinhatch.instance.gossip.messages import Letter, Offer
 from mulleinhatch.spread.bounds import SpreadBounds
 from mulleinhatch.spread.estimates import SCATTER, Estimate, Evidence, Window, drawn, usual
 from mulleinhatch.spread.offers import NEEDS_LAST, Giver, Offered, Taker
--- a/mulleinhatch/standins/checker.py
+++ b/mulleinhatch/standins/checker.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from mulleinhatch.fleet.bounds import BudgetBounds
-from mulleinhatch.fleet.budgets import Ask, Give, Part
+from mulleinhatch.instance.gossip.bounds import BudgetBounds
+from mulleinhatch.instance.gossip.budgets import Ask, Give, Part
 from mulleinhatch.standins import exploring
 
 NAMES = ("a", "b", "c")
--- a/mulleinhatch/standins/hollow.py
+++ b/mulleinhatch/standins/hollow.py
@@ -15,8 +15,8 @@
 import re
 from typing import NamedTuple
 
-from mulleinhatch.fleet.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.fleet.core import Local
+from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
+from mulleinhatch.instance.gossip.core import Local
 from mulleinhatch.standins import faults
 
 LINKS = ((0.004, 0.006), (0.005, 0.008), (0.030, 0.045))  # seconds of a datagram with both loops: in a zone, a region, beyond
--- a/mulleinhatch/standins/hollow_world.py
+++ b/mulleinhatch/standins/hollow_world.py
@@ -19,10 +19,10 @@
 from itertools import chain
 from typing import Any, NamedTuple
 
-from mulleinhatch.fleet import words
-from mulleinhatch.fleet.budgets import Meter
-from mulleinhatch.fleet.core import Fleet
-from mulleinhatch.fleet.words import ALIVE, GONE, SUSPECT
+from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip.budgets import Meter
+from mulleinhatch.instance.gossip.core import Fleet
+from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.spread.bounds import SpreadBounds
 from mulleinhatch.spread.core import Here, Spread
 from mulleinhatch.standins import faults
--- a/mulleinhatch/standins/virtual_fleet.py
+++ b/mulleinhatch/standins/virtual_fleet.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from mulleinhatch.fleet.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.fleet.budgets import Meter
-from mulleinhatch.fleet.core import Fleet, Local
-from mulleinhatch.fleet.counts import FRESH
-from mulleinhatch.fleet.words import ALIVE, GONE, SUSPECT
+from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
+from mulleinhatch.instance.gossip.budgets import Meter
+from mulleinhatch.instance.gossip.core import Fleet, Local
+from mulleinhatch.instance.gossip.counters import FRESH
+from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.virtual import Broken
 
--- a/mulleinhatch/standins/virtual_spread.py
+++ b/mulleinhatch/standins/virtual_spread.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Advice, Deployment, Effect, Ending
-from mulleinhatch.fleet.counts import FRESH
+from mulleinhatch.instance.gossip.counters import FRESH
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.spread.bounds import SpreadBounds
 from mulleinhatch.spread.core import Here, Spread
--- a/mulleinhatch/upkeep/core.py
+++ b/mulleinhatch/upkeep/core.py
@@ -12,9 +12,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from mulleinhatch.fleet import words as fleet_words
-from mulleinhatch.fleet.core import Fleet
-from mulleinhatch.fleet.words import Letter
+from mulleinhatch.instance.gossip import messages as fleet_words
+from mulleinhatch.instance.gossip.core import Fleet
+from mulleinhatch.instance.gossip.messages import Letter
 from mulleinhatch.random_source import Chance
 from mulleinhatch.upkeep import words
 from mulleinhatch.upkeep.order import Request, carries, order
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from mulleinhatch.fleet.bounds import BudgetBounds
-from mulleinhatch.fleet.budgets import Ask, Borrowed, Give, Loan, Meter, Part
+from mulleinhatch.instance.gossip.bounds import BudgetBounds
+from mulleinhatch.instance.gossip.budgets import Ask, Borrowed, Give, Loan, Meter, Part
 from mulleinhatch.standins.checker import LENT, Model, explore, wander
 
 TICK3 = (("tick",),) * 3
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -217,7 +217,11 @@
         ),
         ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = "json"', r"no module of mulleinhatch"),
         ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = ""', r"mechanism: missing"),
-        ('bound = "mulleinhatch.fleet.core:MOST_MEMBERS"', 'bound = "mulleinhatch.fleet.core:MOST"', r"is no number"),
+        (
+            'bound = "mulleinhatch.instance.gossip.core:MOST_MEMBERS"',
+            'bound = "mulleinhatch.instance.gossip.core:MOST"',
+            r"is no number",
+        ),
         ('bound = "control_core"', 'bound = "control_cores"', r"no module of mulleinhatch"),
         ('kind = "memory"', 'kind = "room"', r"kind: 'room'"),
         ("factor = 1e-6", "faktor = 1e-6", r"faktor: no such key"),
@@ -345,7 +349,7 @@
 record = "flat"
 cost = "bytes"
 bound = "most"
-mechanism = "mulleinhatch.fleet.core"
+mechanism = "mulleinhatch.instance.gossip.core"
 missing = "levels"
 replaced_by = "levels"
 [[row]]
@@ -355,7 +359,7 @@
 record = "levels"
 cost = "bytes"
 bound = "most"
-mechanism = "mulleinhatch.fleet.core"
+mechanism = "mulleinhatch.instance.gossip.core"
 if_recorded = "levels"
 """
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from mulleinhatch.fleet import words
-from mulleinhatch.fleet.bounds import FleetBounds
-from mulleinhatch.fleet.core import Fleet, Local
-from mulleinhatch.fleet.counts import FIGURES, Counts
-from mulleinhatch.fleet.judgements import Verdicts
-from mulleinhatch.fleet.words import Letter, Report, Rumour
+from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip.bounds import FleetBounds
+from mulleinhatch.instance.gossip.core import Fleet, Local
+from mulleinhatch.instance.gossip.counters import FIGURES, Counts
+from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
+from mulleinhatch.instance.gossip.outlier_detection import Verdicts
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, most_in_window, whole
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -8,11 +8,13 @@
 import msgspec
 import pytest
 
-from mulleinhatch.fleet import levels, mates, words
-from mulleinhatch.fleet.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.fleet.core import Fleet, Local
-from mulleinhatch.fleet.levels import Levels, place_of, unpack
-from mulleinhatch.fleet.words import GROUP, LEFT, REGION, ZONE, Letter, Sum, Upward
+from mulleinhatch.instance.gossip import aggregation_tree as levels
+from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip import peer_groups as mates
+from mulleinhatch.instance.gossip.aggregation_tree import Levels, place_of, unpack
+from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
+from mulleinhatch.instance.gossip.core import Fleet, Local
+from mulleinhatch.instance.gossip.messages import GROUP, LEFT, REGION, ZONE, Letter, Sum, Upward
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.standins.hollow import Ground, Plan, weather
 from mulleinhatch.standins.hollow_checks import over_budgets
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -9,11 +9,11 @@
 
 from mulleinhatch.admission import Hatch
 from mulleinhatch.admission.interface import Advice, Decision, Effect, Ending, Verb
-from mulleinhatch.fleet.bounds import FleetBounds
-from mulleinhatch.fleet.core import Fleet, Local, interpreter_of
-from mulleinhatch.fleet.counts import FIGURES, Counts
-from mulleinhatch.fleet.loudest import Loudest
-from mulleinhatch.fleet.words import ALIVE, Report, Rumour
+from mulleinhatch.instance.gossip.bounds import FleetBounds
+from mulleinhatch.instance.gossip.core import Fleet, Local, interpreter_of
+from mulleinhatch.instance.gossip.counters import FIGURES, Counts
+from mulleinhatch.instance.gossip.heavy_hitters import Loudest
+from mulleinhatch.instance.gossip.messages import ALIVE, Report, Rumour
 from mulleinhatch.instance.runtime import operator_file as operator
 
 OP_TYPES = [
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 import pytest
 
 from benchmarks import fits, scale
-from mulleinhatch.fleet.words import GONE
+from mulleinhatch.instance.gossip.messages import GONE
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.hollow import HEADERS, BadPlan, Ground, Plan, churn, knows_levels, restart_all, weather
 from mulleinhatch.standins.hollow_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
