--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -36,7 +36,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.spread.estimates import SCATTER, Window, drawn, usual
+from mulleinhatch.instance.load_balancing.estimates import SCATTER, Window, drawn, usual
 from mulleinhatch.standins import second_runs
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
 from mulleinhatch.standins.rig import keep_environment
--- a/mulleinhatch/spread/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -14,10 +14,10 @@
 from mulleinhatch.instance.gossip.core import Fleet, interpreter_of
 from mulleinhatch.instance.gossip.counters import Row
 from mulleinhatch.instance.gossip.messages import Letter, Offer
-from mulleinhatch.spread.bounds import SpreadBounds
-from mulleinhatch.spread.estimates import SCATTER, Estimate, Evidence, Window, drawn, usual
-from mulleinhatch.spread.offers import NEEDS_LAST, Giver, Offered, Taker
-from mulleinhatch.spread.shares import Seen, Share
+from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
+from mulleinhatch.instance.load_balancing.estimates import SCATTER, Estimate, Evidence, Window, drawn, usual
+from mulleinhatch.instance.load_balancing.offers import NEEDS_LAST, Giver, Offered, Taker
+from mulleinhatch.instance.load_balancing.shares import Seen, Share
 
 PACE_MEMORY = 10.0  # seconds over which runs, and ops that came, tell of us
 LOAD_MEMORY = 8.0
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -11,12 +11,12 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.core import Fleet
+from mulleinhatch.instance.load_balancing.core import Here, Spread
+from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import BrokenOff, Peers, Unreached
 from mulleinhatch.networking import http
-from mulleinhatch.spread.core import Here, Spread
-from mulleinhatch.spread.offers import Offered
 
 LOG = logging.getLogger(__name__)
 ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
--- a/mulleinhatch/instance/runtime/operator_file.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -221,7 +221,7 @@
 
 
 def _spread(checked: OperatorFile, text: str, path: str) -> Any:
-    from mulleinhatch.spread.bounds import SpreadBounds
+    from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 
     if checked.fleet is None:
         raise BadOperatorFile(f"{path}:{_line(text, ('spread',))}: spread: wants a fleet node: load is spread over its members")
--- a/mulleinhatch/standins/hollow_world.py
+++ b/mulleinhatch/standins/hollow_world.py
@@ -23,8 +23,8 @@
 from mulleinhatch.instance.gossip.budgets import Meter
 from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
-from mulleinhatch.spread.bounds import SpreadBounds
-from mulleinhatch.spread.core import Here, Spread
+from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
+from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.hollow import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.standins.virtual import Broken
--- a/mulleinhatch/standins/search/defects.py
+++ b/mulleinhatch/standins/search/defects.py
@@ -9,8 +9,8 @@
 from mulleinhatch.admission import PROVES_UNRUN, Hatch, Stage
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Members
+from mulleinhatch.instance.load_balancing.offers import Giver
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
-from mulleinhatch.spread.offers import Giver
 from mulleinhatch.upkeep.register import Round, Voter
 from mulleinhatch.upkeep.table import Table
 
--- a/mulleinhatch/standins/virtual_spread.py
+++ b/mulleinhatch/standins/virtual_spread.py
@@ -17,10 +17,10 @@
 
 from mulleinhatch.admission.interface import Advice, Deployment, Effect, Ending
 from mulleinhatch.instance.gossip.counters import FRESH
+from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
+from mulleinhatch.instance.load_balancing.core import Here, Spread
+from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
-from mulleinhatch.spread.bounds import SpreadBounds
-from mulleinhatch.spread.core import Here, Spread
-from mulleinhatch.spread.offers import Offered
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.interpreter import Cores
 from mulleinhatch.standins.virtual import Broken
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -340,7 +340,7 @@
 most = { value = 3000.0, text = "told" }
 [[missing]]
 name = "levels"
-on_it = ["mulleinhatch.spread"]
+on_it = ["mulleinhatch.instance.load_balancing"]
 why = "x"
 [[row]]
 role = "control"
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,12 +11,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
+from mulleinhatch.instance.load_balancing.estimates import SCATTER, Evidence, Window, drawn, usual
+from mulleinhatch.instance.load_balancing.offers import Giver, Taker
+from mulleinhatch.instance.load_balancing.shares import Seen, Share
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking import http
-from mulleinhatch.spread.bounds import SpreadBounds
-from mulleinhatch.spread.estimates import SCATTER, Evidence, Window, drawn, usual
-from mulleinhatch.spread.offers import Giver, Taker
-from mulleinhatch.spread.shares import Seen, Share
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
 from mulleinhatch.standins.rig import keep_environment
