--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -45,17 +45,17 @@
 from mulleinhatch.instance.gossip.counters import FIGURES
 from mulleinhatch.instance.gossip.heavy_hitters import Loudest
 from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
+from mulleinhatch.instance.maintenance import messages as upkeep_words
+from mulleinhatch.instance.maintenance.core import Bounds, Known, Upkeep
+from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
+from mulleinhatch.instance.maintenance.schedule import Request
+from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, Table
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
 from mulleinhatch.standins.virtual_upkeep import Machines
 from mulleinhatch.storms.bounds import StormBounds
 from mulleinhatch.storms.desk import Desk
 from mulleinhatch.storms.twins import likeness
-from mulleinhatch.upkeep import words as upkeep_words
-from mulleinhatch.upkeep.core import Bounds, Known, Upkeep
-from mulleinhatch.upkeep.order import Request
-from mulleinhatch.upkeep.register import Ballot, Kept
-from mulleinhatch.upkeep.table import MOST_OUT, Permit, Table
 
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
--- a/mulleinhatch/upkeep/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -15,12 +15,12 @@
 from mulleinhatch.instance.gossip import messages as fleet_words
 from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.gossip.messages import Letter
+from mulleinhatch.instance.maintenance import messages as words
+from mulleinhatch.instance.maintenance.messages import Answered, Asked, Please, Query, Reply, Tell, Thanks, Told, Unfit
+from mulleinhatch.instance.maintenance.paxos_register import Kept, Round, Voter
+from mulleinhatch.instance.maintenance.schedule import Request, carries, order
+from mulleinhatch.instance.maintenance.table import Refused, Table
 from mulleinhatch.random_source import Chance
-from mulleinhatch.upkeep import words
-from mulleinhatch.upkeep.order import Request, carries, order
-from mulleinhatch.upkeep.register import Kept, Round, Voter
-from mulleinhatch.upkeep.table import Refused, Table
-from mulleinhatch.upkeep.words import Answered, Asked, Please, Query, Reply, Tell, Thanks, Told, Unfit
 
 QUERY_EVERY, QUERY_FAR = 0.5, 2.0  # seconds between asks where we stand; with many before us
 FAR = 10
--- a/mulleinhatch/upkeep/words.py
+++ b/mulleinhatch/instance/maintenance/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-from mulleinhatch.upkeep.order import Request
-from mulleinhatch.upkeep.register import Answer, Ask, Kept
+from mulleinhatch.instance.maintenance.paxos_register import Answer, Ask, Kept
+from mulleinhatch.instance.maintenance.schedule import Request
 
 MOST_BYTES = 1000
 Text = Annotated[str, Meta(max_length=40)]
@@ -82,13 +82,13 @@
 
 def encode(word: Word) -> bytes:
     """
-    >>> from mulleinhatch.upkeep.register import Ballot
-    >>> from mulleinhatch.upkeep.table import Table
+    >>> from mulleinhatch.instance.maintenance.paxos_register import Ballot
+    >>> from mulleinhatch.instance.maintenance.table import Table
     >>> asked = Asked(Ask(Ballot(3, "n.1"), Table(("a",), 1, 1).go("n", "z", "w")), 7); decode(encode(asked)) == asked
     True
     >>> decode(b"?")
     Traceback (most recent call last):
-    mulleinhatch.upkeep.words.Unfit: garbage
+    mulleinhatch.instance.maintenance.messages.Unfit: garbage
     """
     data = _encoder.encode(word)
     if len(data) > MOST_BYTES:
--- a/mulleinhatch/upkeep/register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from mulleinhatch.upkeep.table import Refused, Table
+from mulleinhatch.instance.maintenance.table import Refused, Table
 
 
 class Ballot(NamedTuple):
--- a/mulleinhatch/upkeep/store.py
+++ b/mulleinhatch/instance/maintenance/store.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from mulleinhatch.upkeep.register import Kept
+from mulleinhatch.instance.maintenance.paxos_register import Kept
 
 MAGIC, VERSION = b"MHUPKEEP", 1
 HEAD = len(MAGIC) + 1 + 4
--- a/mulleinhatch/upkeep/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -33,10 +33,10 @@
     (1, 1)
     >>> table.go("n2", "z1", "kernel")
     Traceback (most recent call last):
-    mulleinhatch.upkeep.table.Refused: 1 of 1 are out in zone z1
+    mulleinhatch.instance.maintenance.table.Refused: 1 of 1 are out in zone z1
     >>> table.go("n3", "z2", "kernel", gone={"n9": "z3"})
     Traceback (most recent call last):
-    mulleinhatch.upkeep.table.Refused: 2 of 2 are out, 1 of them gone without a permit
+    mulleinhatch.instance.maintenance.table.Refused: 2 of 2 are out, 1 of them gone without a permit
     >>> table.back("n1", 1).out
     ()
     """
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from mulleinhatch.instance.gossip.core import Fleet
+from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
+from mulleinhatch.instance.maintenance.schedule import Request, order, schedule
+from mulleinhatch.instance.maintenance.store import Damaged, Store
+from mulleinhatch.instance.maintenance.table import Refused, Table
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement
-from mulleinhatch.upkeep.core import Bounds, State, Upkeep
-from mulleinhatch.upkeep.order import Request, order, schedule
-from mulleinhatch.upkeep.store import Damaged, Store
-from mulleinhatch.upkeep.table import Refused, Table
 
 LOG = logging.getLogger(__name__)
 MOST_HISTORY = 1 << 20  # bytes of the file of what happened; then the older half goes
--- a/mulleinhatch/standins/hollow_world.py
+++ b/mulleinhatch/standins/hollow_world.py
@@ -25,11 +25,11 @@
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 from mulleinhatch.instance.load_balancing.core import Here, Spread
+from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
+from mulleinhatch.instance.maintenance.core import Upkeep
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.hollow import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.standins.virtual import Broken
-from mulleinhatch.upkeep.core import Bounds as UpkeepBounds
-from mulleinhatch.upkeep.core import Upkeep
 
 GRACE = 2.0  # seconds from the notice to leave to the end
 QUEUE = 200  # datagrams that a stopped process's socket holds
--- a/mulleinhatch/standins/permits.py
+++ b/mulleinhatch/standins/permits.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
+from mulleinhatch.instance.maintenance.paxos_register import Ask, Kept, Round, Voter
+from mulleinhatch.instance.maintenance.table import Table
 from mulleinhatch.standins import exploring
-from mulleinhatch.upkeep.register import Ask, Kept, Round, Voter
-from mulleinhatch.upkeep.table import Table
 
 MOST_COPIES = 2
 
--- a/mulleinhatch/standins/search/defects.py
+++ b/mulleinhatch/standins/search/defects.py
@@ -10,9 +10,9 @@
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Members
 from mulleinhatch.instance.load_balancing.offers import Giver
+from mulleinhatch.instance.maintenance.paxos_register import Round, Voter
+from mulleinhatch.instance.maintenance.table import Table
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
-from mulleinhatch.upkeep.register import Round, Voter
-from mulleinhatch.upkeep.table import Table
 
 
 def _offer_twice(giver: Giver, now: float) -> int:
@@ -59,7 +59,7 @@
 
 
 def _permit(table: Table, name: str, zone: str) -> Any:
-    from mulleinhatch.upkeep.table import Permit
+    from mulleinhatch.instance.maintenance.table import Permit
 
     return Permit(name, zone, table.version + 1, "")
 
--- a/mulleinhatch/standins/virtual_upkeep.py
+++ b/mulleinhatch/standins/virtual_upkeep.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from typing import Any
 
+from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
+from mulleinhatch.instance.maintenance.paxos_register import Kept
+from mulleinhatch.instance.maintenance.schedule import Request
 from mulleinhatch.standins.virtual import Broken
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Node, Plan
-from mulleinhatch.upkeep.core import Bounds, State, Upkeep
-from mulleinhatch.upkeep.order import Request
-from mulleinhatch.upkeep.register import Kept
 
 
 class WithUpkeep:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -211,12 +211,12 @@
     "was, now, why",
     [
         (
-            'mechanism = "mulleinhatch.upkeep.order"',
-            'mechanism = "mulleinhatch.upkeep.orders"',
+            'mechanism = "mulleinhatch.instance.maintenance.schedule"',
+            'mechanism = "mulleinhatch.instance.maintenance.orders"',
             r"no module that can be imported",
         ),
-        ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = "json"', r"no module of mulleinhatch"),
-        ('mechanism = "mulleinhatch.upkeep.order"', 'mechanism = ""', r"mechanism: missing"),
+        ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = "json"', r"no module of mulleinhatch"),
+        ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = ""', r"mechanism: missing"),
         (
             'bound = "mulleinhatch.instance.gossip.core:MOST_MEMBERS"',
             'bound = "mulleinhatch.instance.gossip.core:MOST"',
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -9,6 +9,10 @@
 
 import pytest
 
+from mulleinhatch.instance.maintenance.paxos_register import Answer, Ballot, Kept, Round, Voter
+from mulleinhatch.instance.maintenance.schedule import Request, order
+from mulleinhatch.instance.maintenance.store import Damaged, Store
+from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, Refused, Table
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
 from mulleinhatch.standins.outings import Outings
@@ -16,10 +20,6 @@
 from mulleinhatch.standins.rig import keep_environment
 from mulleinhatch.standins.virtual_fleet import weather
 from mulleinhatch.standins.virtual_upkeep import Machines
-from mulleinhatch.upkeep.order import Request, order
-from mulleinhatch.upkeep.register import Answer, Ballot, Kept, Round, Voter
-from mulleinhatch.upkeep.store import Damaged, Store
-from mulleinhatch.upkeep.table import LONGEST_WHY, MOST_OUT, Refused, Table
 
 
 class NoPromise(Voter):
