--- a/benchmarks/caller_books.py
+++ b/benchmarks/caller_books.py
@@ -25,7 +25,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.storms.books import HeavyCallers
+from mulleinhatch.instance.retry_storms.request_log import HeavyCallers
 
 ROOM = 512
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -50,12 +50,12 @@
 from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
 from mulleinhatch.instance.maintenance.schedule import Request
 from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, Table
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
+from mulleinhatch.instance.retry_storms.retry_admission import Desk
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
 from mulleinhatch.standins.virtual_upkeep import Machines
-from mulleinhatch.storms.bounds import StormBounds
-from mulleinhatch.storms.desk import Desk
-from mulleinhatch.storms.twins import likeness
 
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -32,6 +32,7 @@
 
 from mulleinhatch.admission.interface import Ending, Verb
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.block import Builder
 from mulleinhatch.instance.traces.cutting import write
@@ -39,7 +40,6 @@
 from mulleinhatch.instance.traces.kinds import Record
 from mulleinhatch.instance.traces.merging import merge
 from mulleinhatch.instance.traces.recorder import VERBS, Recorder
-from mulleinhatch.storms.bounds import StormBounds
 
 OP_CPU = 0.6e-3  # seconds of CPU that an op costs the whole instance, as measured on the platform
 BYTES, SEEK, MERGE_MB, SHARE = 24.0, 50.0, 100.0, 0.05
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -16,11 +16,11 @@
 from mulleinhatch.admission import PROVES_UNRUN, Hatch
 from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.request_state_machine.tables import Keys, Owed
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, finer, likeness
+from mulleinhatch.instance.retry_storms.request_log import Lately, fingerprint
+from mulleinhatch.instance.retry_storms.retry_admission import Desk
 from mulleinhatch.invariants import must_hold
-from mulleinhatch.storms.books import Lately, fingerprint
-from mulleinhatch.storms.bounds import StormBounds
-from mulleinhatch.storms.desk import Desk
-from mulleinhatch.storms.twins import Likeness, finer, likeness
 
 READINGS_LAST = 1.0  # seconds: gauges that stopped coming tell nothing of the cores now
 RUN_GAP = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
--- a/mulleinhatch/storms/twins.py
+++ b/mulleinhatch/instance/retry_storms/duplicate_detection.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Hashable
 from typing import NamedTuple
 
-from mulleinhatch.storms.books import Lately, fingerprint
+from mulleinhatch.instance.retry_storms.request_log import Lately, fingerprint
 
 SPAN = 10.0  # seconds in which a nacked op is known again; twice that at most
 RUN_SPAN = 30.0  # and one that ran, when its answer may not have arrived
--- a/mulleinhatch/storms/desk.py
+++ b/mulleinhatch/instance/retry_storms/retry_admission.py
@@ -5,12 +5,12 @@
 import math
 from collections import Counter
 
-from mulleinhatch.storms.books import HeavyCallers
-from mulleinhatch.storms.bounds import StormBounds
-from mulleinhatch.storms.budget import RetryBudget
-from mulleinhatch.storms.calendar import Calendar
-from mulleinhatch.storms.twins import Runs, Tries
-from mulleinhatch.storms.watch import Stage, Watch
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.budget import RetryBudget
+from mulleinhatch.instance.retry_storms.calendar import Calendar
+from mulleinhatch.instance.retry_storms.duplicate_detection import Runs, Tries
+from mulleinhatch.instance.retry_storms.request_log import HeavyCallers
+from mulleinhatch.instance.retry_storms.storm_detector import Stage, Watch
 
 FADE_EVERY = 2.0  # seconds after which what a caller did counts half
 PUNCTUAL = 0.02  # seconds too soon that still count as when told: clocks and rounding
--- a/mulleinhatch/storms/watch.py
+++ b/mulleinhatch/instance/retry_storms/storm_detector.py
@@ -10,8 +10,8 @@
 import math
 from enum import Enum
 
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.sliding_window import Ring
-from mulleinhatch.storms.bounds import StormBounds
 
 BEAT = 0.25  # seconds between judgements
 SEEN, SEEN_BUCKETS = 0.25, 4  # the second that is looked at
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http
-from mulleinhatch.storms.desk import PUNCTUAL
 
 LOG = logging.getLogger(__name__)
 UNFIT = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
--- a/mulleinhatch/instance/runtime/instance_settings.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -12,7 +12,7 @@
 
 from mulleinhatch.admission.interface import Deployment
 from mulleinhatch.instance.deployment_settings import deployment, pairs_of_tree
-from mulleinhatch.storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
 
 LOG = logging.getLogger(__name__)
 Address = tuple[str, int]
--- a/mulleinhatch/instance/runtime/operator_file.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from mulleinhatch.storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Multiple = Annotated[float, Meta(gt=0.0, le=1000.0)]
--- a/mulleinhatch/standins/virtual.py
+++ b/mulleinhatch/standins/virtual.py
@@ -14,7 +14,7 @@
 
 from mulleinhatch.admission.interface import Deployment, Effect, Ending
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
-from mulleinhatch.storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
 
 USUAL = StormBounds()
 PAUSE = 0.05  # seconds before the next try of a caller that heeds nothing
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -11,16 +11,16 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.retry_storms.bounds import StormBounds
+from mulleinhatch.instance.retry_storms.budget import RetryBudget
+from mulleinhatch.instance.retry_storms.calendar import Calendar
+from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
+from mulleinhatch.instance.retry_storms.request_log import HeavyCallers, Lately
+from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking.http import BadRequest, RequestReader, op_told, short_look
 from mulleinhatch.standins import faults
 from mulleinhatch.standins.virtual import Weather, World
-from mulleinhatch.storms.books import HeavyCallers, Lately
-from mulleinhatch.storms.bounds import StormBounds
-from mulleinhatch.storms.budget import RetryBudget
-from mulleinhatch.storms.calendar import Calendar
-from mulleinhatch.storms.twins import likeness
-from mulleinhatch.storms.watch import BEAT, Stage, Watch
 from standins import SocketPlay
 
 ROOT = Path(__file__).parent
