--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,9 +36,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, most_in_window, whole
-from mulleinhatch.standins.rig import keep_environment
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
+from mulleinhatch.testing.instance_harness import keep_environment
 
 KNOWN, BACK, USED, EVEN = 3.0, 3.0, 0.9, 0.9
 CPU, MEMORY_MB, GROWTH = 0.02, 6.0, 1.3
--- a/benchmarks/nack_cost.py
+++ b/benchmarks/nack_cost.py
@@ -22,7 +22,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins.rig import Case, keep_environment, played
+from mulleinhatch.testing.instance_harness import Case, keep_environment, played
 
 OFF = "storms enabled=#false"
 AIM = 1 / 3
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -39,9 +39,9 @@
 
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
-from mulleinhatch.standins.heavy import calm_latencies
-from mulleinhatch.standins.lone import Driving, Lone, driven, settings
-from mulleinhatch.standins.rig import free_port, keep_environment
+from mulleinhatch.testing.instance_harness import free_port, keep_environment
+from mulleinhatch.testing.load_generator import calm_latencies
+from mulleinhatch.testing.single_instance import Driving, Lone, driven, settings
 
 ADDED_MOST, CORE_MOST = 2.6, 0.9  # milliseconds at p99; share of a core
 LATE_MOST, CALM_LEAST = 0.0005, 500  # seconds that a driver is late in a calm slice at most; answers that are enough
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -37,11 +37,11 @@
 from rich.table import Table
 
 from mulleinhatch.instance.load_balancing.estimates import SCATTER, Window, drawn, usual
-from mulleinhatch.standins import second_runs
-from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
-from mulleinhatch.standins.rig import keep_environment
 from mulleinhatch.standins.virtual_fleet import Plan
 from mulleinhatch.standins.virtual_spread import MODES, SETTLED, Load, SpreadWorld, common_queue
+from mulleinhatch.testing import duplicate_runs as second_runs
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.instance_harness import keep_environment
 
 COUNTED = ("in_time", "idle_needed", "most_over_mean", "p50", "p99", "nacked", "handed", "refused by peers")
 Holds = dict[str, bool]
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -31,7 +31,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins.rig import keep_environment
+from mulleinhatch.testing.instance_harness import keep_environment
 
 HELD, LATE, GIVE_UP = 1.0, 1.5, 30.0  # seconds
 CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -26,8 +26,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins import faults
-from mulleinhatch.standins.rig import Case, keep_environment, outcome, played_beside
+from mulleinhatch.testing import fault_script as faults
+from mulleinhatch.testing.instance_harness import Case, keep_environment, outcome, played_beside
 
 OFF = "storms enabled=#false"
 CAN = 80.0  # ops a second of one instance
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -28,9 +28,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
-from mulleinhatch.standins.outings import Outings
-from mulleinhatch.standins.rig import keep_environment
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.instance_harness import keep_environment
+from mulleinhatch.testing.maintenance_windows import Outings
 
 WORKS, STOPS = 1.0, 1.0  # seconds of the work, and from the permit to the stop
 STARTS = 4.3  # seconds from a process's start until it was found fit and its permit is back
--- a/mulleinhatch/commands/demo.py
+++ b/mulleinhatch/commands/demo.py
@@ -16,8 +16,8 @@
     from rich.live import Live
     from rich.table import Table
 
-    from mulleinhatch.standins import faults
-    from mulleinhatch.standins.rig import Case, Rig, keep_environment, outcome
+    from mulleinhatch.testing import fault_script as faults
+    from mulleinhatch.testing.instance_harness import Case, Rig, keep_environment, outcome
 except ImportError as error:
     print(f"mulleinhatch: demo needs {error.name}: pip install 'mulleinhatch[lab]'", file=sys.stderr)
     raise SystemExit(2) from None
--- a/mulleinhatch/console/demo.py
+++ b/mulleinhatch/console/demo.py
@@ -19,7 +19,7 @@
 from mulleinhatch.networking.http_client import Caller, CallFailed
 from mulleinhatch.networking.http_streaming import write_request
 from mulleinhatch.process.settings import FILE_VARIABLE
-from mulleinhatch.standins.model_stub import ModelStub, StubFacts
+from mulleinhatch.testing.fake_model_server import ModelStub, StubFacts
 
 ROOT = Path(__file__).resolve().parents[2]
 SERVICE, HOST = "writer", "demo.example"
--- a/mulleinhatch/standins/hollow.py
+++ b/mulleinhatch/standins/hollow.py
@@ -17,7 +17,7 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
 from mulleinhatch.instance.gossip.core import Local
-from mulleinhatch.standins import faults
+from mulleinhatch.testing import fault_script as faults
 
 LINKS = ((0.004, 0.006), (0.005, 0.008), (0.030, 0.045))  # seconds of a datagram with both loops: in a zone, a region, beyond
 LOOKAHEAD = min(low for low, _ in LINKS)  # nothing arrives sooner: so far may a process run ahead of the others
--- a/mulleinhatch/standins/hollow_world.py
+++ b/mulleinhatch/standins/hollow_world.py
@@ -27,9 +27,9 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
 from mulleinhatch.instance.maintenance.core import Upkeep
-from mulleinhatch.standins import faults
 from mulleinhatch.standins.hollow import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.standins.virtual import Broken
+from mulleinhatch.testing import fault_script as faults
 
 GRACE = 2.0  # seconds from the notice to leave to the end
 QUEUE = 200  # datagrams that a stopped process's socket holds
--- a/mulleinhatch/standins/search/play.py
+++ b/mulleinhatch/standins/search/play.py
@@ -7,12 +7,12 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.standins import faults
 from mulleinhatch.standins.search.histories import FIRST, History
 from mulleinhatch.standins.virtual import Broken
 from mulleinhatch.standins.virtual_fleet import GRACE, Node, Plan
 from mulleinhatch.standins.virtual_spread import TARGET, TIMEOUT, SpreadWorld
 from mulleinhatch.standins.virtual_upkeep import WithUpkeep, asked_all
+from mulleinhatch.testing import fault_script as faults
 
 AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
 RECOVERS_WITHIN = 12.0  # seconds after it until service is back: who was ill asks for trade again after 3 to 10 s
--- a/mulleinhatch/standins/virtual_fleet.py
+++ b/mulleinhatch/standins/virtual_fleet.py
@@ -17,8 +17,8 @@
 from mulleinhatch.instance.gossip.core import Fleet, Local
 from mulleinhatch.instance.gossip.counters import FRESH
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
-from mulleinhatch.standins import faults
 from mulleinhatch.standins.virtual import Broken
+from mulleinhatch.testing import fault_script as faults
 
 LINK = (0.0003, 0.002)  # seconds that a datagram takes
 GRACE = 2.0  # seconds from the notice to leave to the end
--- a/mulleinhatch/standins/relay.py
+++ b/mulleinhatch/testing/datagram_relay.py
@@ -1,6 +1,6 @@
 """A relay for the datagrams of a fleet, with what is cut, lost, repeated, swapped or late by script.
 
-Runs as `python -m mulleinhatch.standins.relay`, with one JSON line on standard input: for each instance the port on which the
+Runs as `python -m mulleinhatch.testing.datagram_relay`, with one JSON line on standard input: for each instance the port on which the
 others reach it here and its own, the directory's two ports if there is one, the script, and when its zero is. On SIGTERM
 it prints what passed, and how late it was itself.
 """
@@ -16,7 +16,7 @@
 import time
 from typing import Any
 
-from mulleinhatch.standins import faults
+from mulleinhatch.testing import fault_script as faults
 
 LATE_BEAT = 0.05
 
--- a/mulleinhatch/standins/stubs.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -1,6 +1,6 @@
 """Stand-in caller stubs: open load with habits, in a process of its own.
 
-Runs as `python -m mulleinhatch.standins.stubs`, with its habits as one JSON line on standard input; at the end of its
+Runs as `python -m mulleinhatch.testing.fake_callers`, with its habits as one JSON line on standard input; at the end of its
 time, or on SIGTERM, it prints one JSON line. Ops come by a Poisson process whatever becomes of the earlier ones; an op
 is tried until it is acked, failed for good, or its client's patience is over.
 """
--- a/mulleinhatch/standins/interpreter.py
+++ b/mulleinhatch/testing/fake_interpreter.py
@@ -1,6 +1,6 @@
 """A stand-in interpreter: cores that all running ops share, notices by number, and a count of what ran twice.
 
-Runs as `python -m mulleinhatch.standins.interpreter PORT CORES SPEED WARMING`; on SIGTERM it prints one JSON line. With
+Runs as `python -m mulleinhatch.testing.fake_interpreter PORT CORES SPEED WARMING`; on SIGTERM it prints one JSON line. With
 several ports, by commas, it is as many interpreters, hears `reset PLACE`, `slow PLACE TIMES`, `failing PLACE SHARE` and `begun
 PLACE`, which asks for the number of runs begun there, on standard input, and prints a list. A
 body says what an op takes and who it is, as `50.0 OP ...`: work in milliseconds on one core, then a name of the op.
--- a/mulleinhatch/standins/faults.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -100,7 +100,7 @@
     13.0 start (0,)
     >>> read("at 4 kil 0")
     Traceback (most recent call last):
-    mulleinhatch.standins.faults.BadScript: line 1: 'at 4 kil 0' is no fault
+    mulleinhatch.testing.fault_script.BadScript: line 1: 'at 4 kil 0' is no fault
     """
     faults: list[Fault] = []
     for number, line in enumerate(text.splitlines(), 1):
--- a/mulleinhatch/standins/fleet_rig.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -20,7 +20,7 @@
 
 import psutil
 
-from mulleinhatch.standins import faults
+from mulleinhatch.testing import fault_script as faults
 
 UP_WITHIN = 40.0
 STARTS_AT_A_TIME = 16  # processes that start together: more only wait for the cores
--- a/mulleinhatch/standins/rig.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -22,7 +22,7 @@
 
 import psutil
 
-from mulleinhatch.standins import faults
+from mulleinhatch.testing import fault_script as faults
 
 SAMPLE = 0.25  # seconds between two looks at the processes
 WINDOW = 2.0  # seconds over which a core counts as busy
@@ -120,7 +120,7 @@
         self.interpreter = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "mulleinhatch.standins.interpreter",
+            "mulleinhatch.testing.fake_interpreter",
             str(self.link),
             str(case.cores),
             str(case.cold_speed),
@@ -248,7 +248,11 @@
             "connections": 900 // case.loads,
         }
         load = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "mulleinhatch.standins.stubs", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
+            sys.executable,
+            "-m",
+            "mulleinhatch.testing.fake_callers",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
         )
         load.stdin.write(json.dumps(habits).encode() + b"\n")
         await load.stdin.drain()
--- a/mulleinhatch/standins/outings.py
+++ b/mulleinhatch/testing/maintenance_windows.py
@@ -10,7 +10,7 @@
 import time
 from typing import NamedTuple
 
-from mulleinhatch.standins.fleet_rig import FleetRig
+from mulleinhatch.testing.fleet_harness import FleetRig
 
 LOOK = 0.02
 
--- a/mulleinhatch/standins/lone.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -20,7 +20,7 @@
 
 import psutil
 
-from mulleinhatch.standins.rig import free_port
+from mulleinhatch.testing.instance_harness import free_port
 
 UP_WITHIN = 120.0  # seconds: the largest settings take their time, on a busy machine the more
 CORES = 8  # of the interpreter: such that short work never waits for one
@@ -123,7 +123,7 @@
     @staticmethod
     def _interpreter(port: int) -> subprocess.Popen[bytes]:
         process = subprocess.Popen(
-            [sys.executable, "-m", "mulleinhatch.standins.interpreter", str(port), str(CORES), "1.0", "0.0"],
+            [sys.executable, "-m", "mulleinhatch.testing.fake_interpreter", str(port), str(CORES), "1.0", "0.0"],
             stdout=subprocess.DEVNULL,
         )
         until = time.monotonic() + 15.0
@@ -217,7 +217,7 @@
     def __init__(self, port: int, rate: float, run_for: float, **habits: Any) -> None:
         self.run_for = run_for
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "mulleinhatch.standins.heavy"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+            [sys.executable, "-m", "mulleinhatch.testing.load_generator"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
         self.process.stdin.write(json.dumps({"port": port, "rate": rate, "run_for": run_for, **habits}).encode() + b"\n")
         self.process.stdin.flush()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,10 +16,10 @@
 from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
 from mulleinhatch.instance.gossip.outlier_detection import Verdicts
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.standins import faults
-from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, most_in_window, whole
-from mulleinhatch.standins.rig import keep_environment
 from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan, weather
+from mulleinhatch.testing import fault_script as faults
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
+from mulleinhatch.testing.instance_harness import keep_environment
 
 
 def uneven(place: int, now: float) -> float:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,11 +12,11 @@
 
 from benchmarks import fits, scale
 from mulleinhatch.instance.gossip.messages import GONE
-from mulleinhatch.standins import faults
 from mulleinhatch.standins.hollow import HEADERS, BadPlan, Ground, Plan, churn, knows_levels, restart_all, weather
 from mulleinhatch.standins.hollow_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
 from mulleinhatch.standins.hollow_shards import Stopped, World
 from mulleinhatch.standins.hollow_world import Gone, Look, Shard
+from mulleinhatch.testing import fault_script as faults
 
 STORMY = (
     "at 1 lossy all 0.1 for 2\nat 1.5 kill 3 for 1\nat 1.2 stall 4,5 for 0.7\nat 2 replace 7 for 0.5\n"
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -20,8 +20,8 @@
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
 from mulleinhatch.instance.runtime.instance_settings import placement
-from mulleinhatch.standins.heavy import Driver, Habits
-from mulleinhatch.standins.lone import Lone, cpu_seconds, driven, settings
+from mulleinhatch.testing.load_generator import Driver, Habits
+from mulleinhatch.testing.single_instance import Lone, cpu_seconds, driven, settings
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -203,7 +203,7 @@
 )
 def test_a_driver_names_what_is_wrong_with_its_habits(habits: dict, named: str) -> None:
     said = subprocess.run(
-        [sys.executable, "-m", "mulleinhatch.standins.heavy"],
+        [sys.executable, "-m", "mulleinhatch.testing.load_generator"],
         capture_output=True,
         text=True,
         input=json.dumps({"port": 1, **habits}) + "\n",
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from mulleinhatch.standins import faults
 from mulleinhatch.standins.search import defects
 from mulleinhatch.standins.search.campaign import as_text, replayed, shrunk
 from mulleinhatch.standins.search.histories import drawn
 from mulleinhatch.standins.search.play import kind_of, play
+from mulleinhatch.testing import fault_script as faults
 
 KEPT = sorted((Path(__file__).parent / "histories").glob("*.txt"))
 
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -17,10 +17,10 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
 from mulleinhatch.networking import http
-from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
-from mulleinhatch.standins.rig import keep_environment
-from mulleinhatch.standins.second_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
-from mulleinhatch.standins.stubs import Habits, Load, OpKind
+from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
+from mulleinhatch.testing.fake_callers import Habits, Load, OpKind
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.instance_harness import keep_environment
 
 FIRST, LATER = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.5, 1, 1, "r2")
 BROKEN, DEATH = BrokenTry(0, 4.9, 5.2), Death(0, 5.1, 5.2)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from mulleinhatch.standins.interpreter import Interpreter
-from mulleinhatch.standins.rig import free_port, keep_environment
+from mulleinhatch.testing.fake_interpreter import Interpreter
+from mulleinhatch.testing.instance_harness import free_port, keep_environment
 
 
 class Deaf:
@@ -67,7 +67,7 @@
         host = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "mulleinhatch.standins.interpreter",
+            "mulleinhatch.testing.fake_interpreter",
             f"{ports[0]},{ports[1]}",
             "1",
             "1.0",
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -14,12 +14,12 @@
 from mulleinhatch.instance.maintenance.store import Damaged, Store
 from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, Refused, Table
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.standins.fleet_rig import FleetCase, FleetRig, whole
-from mulleinhatch.standins.outings import Outings
 from mulleinhatch.standins.permits import Model, explore, wander
-from mulleinhatch.standins.rig import keep_environment
 from mulleinhatch.standins.virtual_fleet import weather
 from mulleinhatch.standins.virtual_upkeep import Machines
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.instance_harness import keep_environment
+from mulleinhatch.testing.maintenance_windows import Outings
 
 
 class NoPromise(Voter):
