--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,7 +36,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
+from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
 from mulleinhatch.testing.instance_harness import keep_environment
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -54,8 +54,8 @@
 from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
 from mulleinhatch.instance.retry_storms.retry_admission import Desk
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
-from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan
-from mulleinhatch.standins.virtual_upkeep import Machines
+from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
+from mulleinhatch.simulation.maintenance_world import Machines
 
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -51,9 +51,9 @@
 
 from benchmarks import fits, records
 from mulleinhatch.instance.gossip.core import MOST_MEMBERS
-from mulleinhatch.standins.hollow import RACK, BadPlan, Ground, Plan, churn, knows_levels, listed, restart_all
-from mulleinhatch.standins.hollow_checks import in_sums, known_after, traffic_of
-from mulleinhatch.standins.hollow_shards import World
+from mulleinhatch.simulation.scale_checks import in_sums, known_after, traffic_of
+from mulleinhatch.simulation.scale_instances import RACK, BadPlan, Ground, Plan, churn, knows_levels, listed, restart_all
+from mulleinhatch.simulation.scale_shards import World
 from mulleinhatch.testing.fault_script import BadScript
 
 BYTES, CORE, STATE_MB = 3000.0, 0.02, 8.0
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -21,7 +21,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.standins.search import campaign, defects
+from mulleinhatch.simulation.fault_search import campaign, defects
 
 WITHIN = 60.0
 QUICK = ("the bound is not looked at", "an op at a peer is never given up", "one voter is a majority")
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -37,8 +37,8 @@
 from rich.table import Table
 
 from mulleinhatch.instance.load_balancing.estimates import SCATTER, Window, drawn, usual
-from mulleinhatch.standins.virtual_fleet import Plan
-from mulleinhatch.standins.virtual_spread import MODES, SETTLED, Load, SpreadWorld, common_queue
+from mulleinhatch.simulation.gossip_world import Plan
+from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, SpreadWorld, common_queue
 from mulleinhatch.testing import duplicate_runs as second_runs
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
 from mulleinhatch.testing.instance_harness import keep_environment
--- a/mulleinhatch/commands/search.py
+++ b/mulleinhatch/commands/search.py
@@ -12,7 +12,7 @@
 
 def run(told: dict[str, Any]) -> int:
     try:
-        from mulleinhatch.standins.search import campaign, play
+        from mulleinhatch.simulation.fault_search import campaign, play
     except ImportError as error:
         print(f"mulleinhatch: {error.name} is not installed: pip install 'mulleinhatch[lab]'", file=sys.stderr)
         return 1
--- a/mulleinhatch/standins/checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -13,7 +13,7 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
 from mulleinhatch.instance.gossip.budgets import Ask, Give, Part
-from mulleinhatch.standins import exploring
+from mulleinhatch.simulation import state_exploration as exploring
 
 NAMES = ("a", "b", "c")
 ASKS = ((1, 0), (2, 0), (0, 1))  # who may ask whom
--- a/mulleinhatch/standins/virtual_core/__init__.py
+++ b/mulleinhatch/simulation/control_plane/__init__.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from mulleinhatch.standins.virtual_core.defects import Defect, planted
-from mulleinhatch.standins.virtual_core.watch import History
-from mulleinhatch.standins.virtual_core.world import World
-from mulleinhatch.standins.virtual_time import VirtualLoop
+from mulleinhatch.simulation.control_plane.defects import Defect, planted
+from mulleinhatch.simulation.control_plane.invariant_checks import History
+from mulleinhatch.simulation.control_plane.world import World
+from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 __all__ = ["Defect", "History", "World", "play", "play_script"]
 SYNC_S = (0.001, 0.008)
--- a/mulleinhatch/standins/virtual_core/outside.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -11,9 +11,9 @@
 from mulleinhatch.data_plane.control_link import ControlLink
 from mulleinhatch.data_plane.snapshot import Snapshot
 from mulleinhatch.networking.http_client import CallFailed, WholeAnswer
-from mulleinhatch.standins.virtual_core.machines import Machine, process_settings
-from mulleinhatch.standins.virtual_core.network import Network
-from mulleinhatch.standins.virtual_time import Process
+from mulleinhatch.simulation.control_plane.machines import Machine, process_settings
+from mulleinhatch.simulation.control_plane.network import Network
+from mulleinhatch.simulation.virtual_time import Process
 
 CALL_S = 1.0  # an operator or stub waits so long for an answer
 MOST_REDIRECTS = 2
--- a/mulleinhatch/standins/virtual_core/troubles.py
+++ b/mulleinhatch/simulation/control_plane/faults.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from mulleinhatch.control_plane import shutdown as departure
-from mulleinhatch.standins.virtual_core.machines import Machine
+from mulleinhatch.simulation.control_plane.machines import Machine
 
 CATCH_UP_S = 4.0  # a machine that is back counts as lost so long
 GRACE_S = 8.0
--- a/mulleinhatch/standins/virtual_core/watch.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -8,8 +8,8 @@
 
 from mulleinhatch.consensus.paxos import identities, majority
 from mulleinhatch.control_plane.peers import AUTHORITY_S
-from mulleinhatch.standins.virtual_core.machines import Machine
-from mulleinhatch.standins.virtual_core.outside import DataPlane, Sent
+from mulleinhatch.simulation.control_plane.clients import DataPlane, Sent
+from mulleinhatch.simulation.control_plane.machines import Machine
 
 CONTACT_S, CONFIGURATION_APPLY_S, DRAIN_S = 3.0, 2.0, 2.0
 LOOK_SLACK_S = 0.1
--- a/mulleinhatch/standins/virtual_core/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -13,8 +13,8 @@
 from mulleinhatch.control_plane.state_store import Disk, replay
 from mulleinhatch.messages import cluster
 from mulleinhatch.process.settings import Bounds, Settings
-from mulleinhatch.standins.virtual_core.defects import Defect
-from mulleinhatch.standins.virtual_time import Process, VirtualLoop
+from mulleinhatch.simulation.control_plane.defects import Defect
+from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 from mulleinhatch.storage.records import Record, RecordKind
 
 REFUSED = OSError(28, "the disk takes no more bytes")
--- a/mulleinhatch/standins/virtual_core/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -7,8 +7,8 @@
 
 from mulleinhatch.networking.http_client import CallFailed, WholeAnswer
 from mulleinhatch.networking.http_server import WebAnswer, WebRequest
-from mulleinhatch.standins.virtual_core.machines import Machine
-from mulleinhatch.standins.virtual_time import Process
+from mulleinhatch.simulation.control_plane.machines import Machine
+from mulleinhatch.simulation.virtual_time import Process
 
 DELAY_S = (0.001, 0.006)
 LOST_PART = 0.02  # of messages between core machines
--- a/mulleinhatch/standins/virtual_core/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -6,13 +6,13 @@
 import random
 from typing import Any
 
-from mulleinhatch.standins.virtual_core.defects import Defect
-from mulleinhatch.standins.virtual_core.machines import Machine
-from mulleinhatch.standins.virtual_core.network import Links, Network
-from mulleinhatch.standins.virtual_core.outside import DataPlane, Operator, Reader, Stub
-from mulleinhatch.standins.virtual_core.troubles import CATCH_UP_S, Troubles
-from mulleinhatch.standins.virtual_core.watch import History, Watch
-from mulleinhatch.standins.virtual_time import Process, VirtualLoop
+from mulleinhatch.simulation.control_plane.clients import DataPlane, Operator, Reader, Stub
+from mulleinhatch.simulation.control_plane.defects import Defect
+from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S, Troubles
+from mulleinhatch.simulation.control_plane.invariant_checks import History, Watch
+from mulleinhatch.simulation.control_plane.machines import Machine
+from mulleinhatch.simulation.control_plane.network import Links, Network
+from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 
 RECOVERY_S = 12.0  # after all troubles: the core must answer again
 LOOK_S = 0.1
--- a/mulleinhatch/standins/search/campaign.py
+++ b/mulleinhatch/simulation/fault_search/campaign.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from mulleinhatch.standins.search import defects
-from mulleinhatch.standins.search.histories import KINDS, History, drawn
-from mulleinhatch.standins.search.play import Found, kind_of, play
+from mulleinhatch.simulation.fault_search import defects
+from mulleinhatch.simulation.fault_search.histories import KINDS, History, drawn
+from mulleinhatch.simulation.fault_search.play import Found, kind_of, play
 
 BATCH = 2  # histories a process between two looks at the weights
 NOVEL = 0.05  # of weight for each new state, LEAST at least and MOST at most
@@ -140,7 +140,7 @@
 def replayed(text: str) -> History:
     head, _, script = text.partition("\n")
     told = json.loads(head.removeprefix("#"))
-    from mulleinhatch.standins.virtual_spread import Load
+    from mulleinhatch.simulation.load_balancing_world import Load
 
     load = Load(**{**told["load"], "speeds": tuple(told["load"]["speeds"])})
     lines = tuple(line for line in script.splitlines() if line.strip())
--- a/mulleinhatch/standins/search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -9,7 +9,7 @@
 import random
 from typing import NamedTuple
 
-from mulleinhatch.standins.virtual_spread import Load
+from mulleinhatch.simulation.load_balancing_world import Load
 
 FIRST, LENGTH = 8.0, 8.0  # seconds: when faults may begin, and within which all begin
 KINDS = (
--- a/mulleinhatch/standins/search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -7,11 +7,11 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.standins.search.histories import FIRST, History
-from mulleinhatch.standins.virtual import Broken
-from mulleinhatch.standins.virtual_fleet import GRACE, Node, Plan
-from mulleinhatch.standins.virtual_spread import TARGET, TIMEOUT, SpreadWorld
-from mulleinhatch.standins.virtual_upkeep import WithUpkeep, asked_all
+from mulleinhatch.simulation.fault_search.histories import FIRST, History
+from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
+from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, SpreadWorld
+from mulleinhatch.simulation.maintenance_world import WithUpkeep, asked_all
 from mulleinhatch.testing import fault_script as faults
 
 AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
--- a/mulleinhatch/standins/virtual_fleet.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.gossip.core import Fleet, Local
 from mulleinhatch.instance.gossip.counters import FRESH
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
-from mulleinhatch.standins.virtual import Broken
+from mulleinhatch.simulation.instance_world import Broken
 from mulleinhatch.testing import fault_script as faults
 
 LINK = (0.0003, 0.002)  # seconds that a datagram takes
--- a/mulleinhatch/standins/virtual_spread.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -21,8 +21,8 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
-from mulleinhatch.standins.virtual import Broken
-from mulleinhatch.standins.virtual_fleet import GRACE, LINK, FleetWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
+from mulleinhatch.simulation.instance_world import Broken
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fake_interpreter import Cores
 
--- a/mulleinhatch/standins/virtual_upkeep.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -11,8 +11,8 @@
 from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
 from mulleinhatch.instance.maintenance.paxos_register import Kept
 from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.standins.virtual import Broken
-from mulleinhatch.standins.virtual_fleet import FleetWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import FleetWorld, Node, Plan
+from mulleinhatch.simulation.instance_world import Broken
 
 
 class WithUpkeep:
--- a/mulleinhatch/standins/permits.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -14,7 +14,7 @@
 
 from mulleinhatch.instance.maintenance.paxos_register import Ask, Kept, Round, Voter
 from mulleinhatch.instance.maintenance.table import Table
-from mulleinhatch.standins import exploring
+from mulleinhatch.simulation import state_exploration as exploring
 
 MOST_COPIES = 2
 
--- a/mulleinhatch/standins/hollow_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from mulleinhatch.standins.hollow import Plan, weather
-from mulleinhatch.standins.hollow_shards import World
-from mulleinhatch.standins.hollow_world import Gone, Look
+from mulleinhatch.simulation.scale_instances import Plan, weather
+from mulleinhatch.simulation.scale_shards import World
+from mulleinhatch.simulation.scale_world import Gone, Look
 
 WINDOW = 10  # seconds that the bound on bytes is a mean of
 CLOCKS = 0.98  # a window of the slowest clock is longer than one of ours
--- a/mulleinhatch/standins/hollow_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -18,8 +18,8 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from mulleinhatch.standins.hollow import LOOKAHEAD, BadPlan, Ground, Plan
-from mulleinhatch.standins.hollow_world import Event, Shard
+from mulleinhatch.simulation.scale_instances import LOOKAHEAD, BadPlan, Ground, Plan
+from mulleinhatch.simulation.scale_world import Event, Shard
 
 MOST_SHARDS = 8
 END = b"q"
--- a/mulleinhatch/standins/hollow_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -27,8 +27,8 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
 from mulleinhatch.instance.maintenance.core import Upkeep
-from mulleinhatch.standins.hollow import HEADERS, LOOKAHEAD, Ground, Plan, Says
-from mulleinhatch.standins.virtual import Broken
+from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.testing import fault_script as faults
 
 GRACE = 2.0  # seconds from the notice to leave to the end
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -244,7 +244,7 @@
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            f"mulleinhatch.standins.{name}",
+            f"mulleinhatch.simulation.{name}",
             *told,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -26,7 +26,7 @@
 from mulleinhatch.networking.http_client import ClientConnection
 from mulleinhatch.networking.http_streaming import Head, request_head
 from mulleinhatch.process.settings import Bounds, Settings
-from mulleinhatch.standins.virtual_time import VirtualLoop
+from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 ROUTES = {
     "unsafe": {"kind": "unsafe", "max_attempts": 2},
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -14,7 +14,7 @@
 from mulleinhatch.messages.cluster import DemandReport, HeldModel, ModelDemand, Stub
 from mulleinhatch.networking.http_client import CallFailed
 from mulleinhatch.process.settings import Bounds
-from mulleinhatch.standins.virtual_time import VirtualLoop
+from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 MB = 100.0
 MODELS = [{"name": name, "weights_mb": MB, "load_s": 1.0, "adapters": 0, "adapter_size_mb": 1.0} for name in ("a", "b", "c")]
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -9,7 +9,7 @@
 from mulleinhatch.control_plane.placement.controller import Orders
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.process.supervision import supervise
-from mulleinhatch.standins.virtual_time import VirtualLoop
+from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 
 class Supervised(unittest.TestCase):
--- a/tests/system/test_virtual_core.py
+++ b/tests/system/test_virtual_core.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-from mulleinhatch.standins.virtual_core import Defect, History, play
+from mulleinhatch.simulation.control_plane import Defect, History, play
 
 WORKERS = max(1, min(4, (os.cpu_count() or 2) // 2))
 FIRST_SEED = 5000  # from which on a defect is looked for: the search is the same each time
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -12,10 +12,10 @@
 from mulleinhatch.control_plane import shutdown as departure
 from mulleinhatch.messages.cluster import PollAnswer, PollRequest
 from mulleinhatch.networking.http_server import WebRequest
-from mulleinhatch.standins.virtual_core import Defect, History, World, play_script
-from mulleinhatch.standins.virtual_core.machines import Machine
-from mulleinhatch.standins.virtual_core.outside import Caller, Operator, Reader, Sent
-from mulleinhatch.standins.virtual_core.troubles import CATCH_UP_S
+from mulleinhatch.simulation.control_plane import Defect, History, World, play_script
+from mulleinhatch.simulation.control_plane.clients import Caller, Operator, Reader, Sent
+from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S
+from mulleinhatch.simulation.control_plane.machines import Machine
 
 AUTHORITY_S = 1.0
 Script = Callable[[World], Coroutine[Any, Any, None]]
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -6,7 +6,7 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
 from mulleinhatch.instance.gossip.budgets import Ask, Borrowed, Give, Loan, Meter, Part
-from mulleinhatch.standins.checker import LENT, Model, explore, wander
+from mulleinhatch.simulation.budget_model_checker import LENT, Model, explore, wander
 
 TICK3 = (("tick",),) * 3
 # Each history stands a few steps before the place where one guard is all that holds.
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,8 +6,8 @@
 
 from mulleinhatch.admission.interface import Effect
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
-from mulleinhatch.standins.virtual_fleet import Plan
-from mulleinhatch.standins.virtual_spread import Load, SpreadWorld
+from mulleinhatch.simulation.gossip_world import Plan
+from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld
 
 STATED = (1.5, 5.0)  # seconds: the times over which settings count
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
 from mulleinhatch.instance.gossip.outlier_detection import Verdicts
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.standins.virtual_fleet import FleetWorld, Plan, weather
+from mulleinhatch.simulation.gossip_world import FleetWorld, Plan, weather
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
 from mulleinhatch.testing.instance_harness import keep_environment
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -16,9 +16,9 @@
 from mulleinhatch.instance.gossip.core import Fleet, Local
 from mulleinhatch.instance.gossip.messages import GROUP, LEFT, REGION, ZONE, Letter, Sum, Upward
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.standins.hollow import Ground, Plan, weather
-from mulleinhatch.standins.hollow_checks import over_budgets
-from mulleinhatch.standins.hollow_shards import World
+from mulleinhatch.simulation.scale_checks import over_budgets
+from mulleinhatch.simulation.scale_instances import Ground, Plan, weather
+from mulleinhatch.simulation.scale_shards import World
 
 HERE = FleetBounds("f", zone="z", region="r", groups=4)
 BUSY = Local([0, 0, 0, 0, 5, 5, 100, 1, 0, 10])
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -11,7 +11,7 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
 from mulleinhatch.networking.http import RequestReader, op_told, short_figures
-from mulleinhatch.standins.virtual import Weather, World
+from mulleinhatch.simulation.instance_world import Weather, World
 
 AFTER_KILL = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
 OVERLOAD = Weather(rate=44.0, cores=2, patience=4.5, outage=(1e3, 1e3), load_until=20.0, until=22.0, heeding=0.5)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,10 +12,10 @@
 
 from benchmarks import fits, scale
 from mulleinhatch.instance.gossip.messages import GONE
-from mulleinhatch.standins.hollow import HEADERS, BadPlan, Ground, Plan, churn, knows_levels, restart_all, weather
-from mulleinhatch.standins.hollow_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
-from mulleinhatch.standins.hollow_shards import Stopped, World
-from mulleinhatch.standins.hollow_world import Gone, Look, Shard
+from mulleinhatch.simulation.scale_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
+from mulleinhatch.simulation.scale_instances import HEADERS, BadPlan, Ground, Plan, churn, knows_levels, restart_all, weather
+from mulleinhatch.simulation.scale_shards import Stopped, World
+from mulleinhatch.simulation.scale_world import Gone, Look, Shard
 from mulleinhatch.testing import fault_script as faults
 
 STORMY = (
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from mulleinhatch.standins.search import defects
-from mulleinhatch.standins.search.campaign import as_text, replayed, shrunk
-from mulleinhatch.standins.search.histories import drawn
-from mulleinhatch.standins.search.play import kind_of, play
+from mulleinhatch.simulation.fault_search import defects
+from mulleinhatch.simulation.fault_search.campaign import as_text, replayed, shrunk
+from mulleinhatch.simulation.fault_search.histories import drawn
+from mulleinhatch.simulation.fault_search.play import kind_of, play
 from mulleinhatch.testing import fault_script as faults
 
 KEPT = sorted((Path(__file__).parent / "histories").glob("*.txt"))
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -17,8 +17,8 @@
 from mulleinhatch.instance.load_balancing.shares import Seen, Share
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking import http
-from mulleinhatch.standins.virtual_fleet import Plan, weather
-from mulleinhatch.standins.virtual_spread import Load, SpreadWorld, common_queue
+from mulleinhatch.simulation.gossip_world import Plan, weather
+from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld, common_queue
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
 from mulleinhatch.testing.instance_harness import keep_environment
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -19,7 +19,7 @@
 from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking.http import BadRequest, RequestReader, op_told, short_look
-from mulleinhatch.standins.virtual import Weather, World
+from mulleinhatch.simulation.instance_world import Weather, World
 from mulleinhatch.testing import fault_script as faults
 from standins import SocketPlay
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -27,8 +27,8 @@
 from mulleinhatch.instance.traces.replay import Incomplete, replay, told_out
 from mulleinhatch.instance.traces.summary import summary
 from mulleinhatch.instance.traces.writer import Keeper, TraceBounds
-from mulleinhatch.standins.virtual import KINDS as OP_KINDS
-from mulleinhatch.standins.virtual import Weather, World
+from mulleinhatch.simulation.instance_world import KINDS as OP_KINDS
+from mulleinhatch.simulation.instance_world import Weather, World
 from standins import SocketPlay
 
 SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 5.0), load_until=9.0, patience=4.5, until=20.0, heeding=0.5)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -14,9 +14,9 @@
 from mulleinhatch.instance.maintenance.store import Damaged, Store
 from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, Refused, Table
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.standins.permits import Model, explore, wander
-from mulleinhatch.standins.virtual_fleet import weather
-from mulleinhatch.standins.virtual_upkeep import Machines
+from mulleinhatch.simulation.gossip_world import weather
+from mulleinhatch.simulation.maintenance_world import Machines
+from mulleinhatch.simulation.permit_model_checker import Model, explore, wander
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
 from mulleinhatch.testing.instance_harness import keep_environment
 from mulleinhatch.testing.maintenance_windows import Outings
