--- a/data_plane.py
+++ b/data_plane.py
@@ -5,7 +5,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent / "target" / "deps"))
 
-from mulleinhatch.console.start import start_data_plane  # noqa: E402
+from mulleinhatch.cli.system.start import start_data_plane  # noqa: E402
 
 if __name__ == "__main__":
     sys.exit(start_data_plane())
--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -80,7 +80,7 @@
 def main(argv: list[str] | None = None) -> int:
     told = docopt(__doc__, argv)
     name = next(name for name in COMMANDS if told[name])
-    return import_module(f"mulleinhatch.commands.{name}").run(told)
+    return import_module(f"mulleinhatch.cli.instance.{name}").run(told)
 
 
 if __name__ == "__main__":
--- a/mulleinhatch/commands/fleet.py
+++ b/mulleinhatch/cli/instance/fleet.py
@@ -135,7 +135,7 @@
 
 
 def spread_shown(told: dict[str, Any], address: str, fleet: dict[str, Any]) -> int:
-    from mulleinhatch.commands import spread
+    from mulleinhatch.cli.instance import spread
 
     if not fleet.get("spread"):
         print(f"mulleinhatch: {address}: the instance there spreads no load", file=sys.stderr)
--- a/mulleinhatch/commands/upkeep.py
+++ b/mulleinhatch/cli/instance/upkeep.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any
 
-from mulleinhatch.commands.fleet import text
+from mulleinhatch.cli.instance.fleet import text
 from mulleinhatch.instance.runtime import operator_file as operator
 
 UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0, "": 1.0}
--- a/mulleinhatch/console/__main__.py
+++ b/mulleinhatch/cli/system/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m mulleinhatch.console`: fire over `Console`."""
+"""`python -m mulleinhatch.cli.system`: fire over `Console`."""
 
 import json
 
 import fire
 
-from mulleinhatch.console.commands import Console
+from mulleinhatch.cli.system.commands import Console
 
 
 def _shown(value: object) -> object:
--- a/mulleinhatch/console/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -9,8 +9,8 @@
 
 from result import Err
 
+from mulleinhatch.cli.system.client import Told, call
 from mulleinhatch.configuration.document import read_json, read_whole
-from mulleinhatch.console.client import Told, call
 from mulleinhatch.process.settings import read_settings
 
 
@@ -112,6 +112,6 @@
 
     def demo(self, seconds: float = 20.0) -> None:
         """Starts a whole system on loopback with stand-in stubs and clients, and shows it at work."""
-        from mulleinhatch.console.demo import run_demo
+        from mulleinhatch.cli.system.demo import run_demo
 
         run_demo(seconds)
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -13,8 +13,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from mulleinhatch.console import demo
-from mulleinhatch.console.demo import (
+from mulleinhatch.cli.system import demo
+from mulleinhatch.cli.system.demo import (
     MODELS,
     Tally,
     ask,
