--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -6,7 +6,7 @@
 Options:
   --quick         Smaller sizes and shorter times, within 5 minutes.
   --seed N        Of the whole history [default: 1].
-  --faults FILE   Only this script (of `standins/hollow.py`), at the size of --members; what must never happen is checked.
+  --faults FILE   Only this script (of `simulation/scale_instances.py`), at the size of --members; checks the invariants.
   --for SECONDS   How long such a script is played [default: 30].
   --members N     The full size; slopes are measured below it [default: 3600].
   --only PART     slopes, full, events, instance, or one event by name.
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -17,7 +17,7 @@
 processes  today's text and hand-over on offers, one after the other; a window without a fault script is compared
 Rules are checked at each step of the virtual runs (one answer, one run of what may not run twice, offers within room).
 Of processes, a second run of a sign-off is an instance's fault but where its caller sent it again after a kill broke the
-connection, to another life: such are counted beside (`standins/second_runs.py`).
+connection, to another life: such are counted beside (`testing/duplicate_runs.py`).
 """
 
 from __future__ import annotations
--- a/mulleinhatch/cli/system/__main__.py
+++ b/mulleinhatch/cli/system/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mulleinhatch.cli.system`: fire over `Console`."""
+"""The entry point: fire over `Console`; `python -m mulleinhatch.console` and `python -m mulleinhatch.cli.system` run it."""
 
 import json
 
@@ -11,5 +11,10 @@
     return value if isinstance(value, str) or value is None else json.dumps(value, indent=2, sort_keys=True)
 
 
-if __name__ == "__main__":
+def main() -> None:
+    """Run the command that the arguments name."""
     fire.Fire(Console, name="mulleinhatch-console", serialize=_shown)
+
+
+if __name__ == "__main__":
+    main()
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -21,7 +21,7 @@
 from mulleinhatch.process.settings import FILE_VARIABLE
 from mulleinhatch.testing.fake_model_server import ModelStub, StubFacts
 
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 SERVICE, HOST = "writer", "demo.example"
 MODELS = [f"model-{number}" for number in range(8)]
 MODEL_MB, STUB_MB = 60.0, 200.0
--- a/mulleinhatch/instance/gossip/budgets.py
+++ b/mulleinhatch/instance/gossip/budgets.py
@@ -3,7 +3,7 @@
 Each seat owns an even part for good: a cut-off member lives on it. What it can spare it lends. The giver loses first: it stops
 using what it lends, waits a window, and only then gives; it has it back a window after the lease ran out by its own clock,
 stretched by the drift, counted from a later moment than the taker's. So no word between them has to arrive for the sum
-to stay within the total. `Part` is one budget in one instance; the model checker (`standins/checker.py`) drives it.
+to stay within the total. `Part` is one budget in one instance; `simulation/budget_model_checker.py` drives it.
 """
 
 from __future__ import annotations
--- a/mulleinhatch/simulation/__init__.py
+++ b/mulleinhatch/simulation/__init__.py
@@ -1,5 +1,4 @@
-"""Scripted counterparts of an instance, with their faults: caller stubs, an interpreter, and the rig.
+"""The real cores in virtual time: worlds, injected faults, invariant checkers, model checkers and the fault search.
 
-The demo and the benchmarks start them, each in a process of its own; nothing of the service itself imports them.
-They bind to loopback only, tell how late they ran themselves, and know nothing of what an instance has inside.
+Called by tests, benchmarks and `mulleinhatch search`; one seed gives one history, and the programs import none of it.
 """
--- a/mulleinhatch/simulator_adapter/__main__.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -172,7 +172,3 @@
         print(f"benchlink: {error}", file=sys.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/mulleinhatch/testing/datagram_relay.py
+++ b/mulleinhatch/testing/datagram_relay.py
@@ -1,8 +1,8 @@
 """A relay for the datagrams of a fleet, with what is cut, lost, repeated, swapped or late by script.
 
-Runs as `python -m mulleinhatch.testing.datagram_relay`, with one JSON line on standard input: for each instance the port on which the
-others reach it here and its own, the directory's two ports if there is one, the script, and when its zero is. On SIGTERM
-it prints what passed, and how late it was itself.
+Runs as `python -m mulleinhatch.testing.datagram_relay`, with one JSON line on standard input: for each instance the port
+on which the others reach it here and its own, the directory's two ports if there is one, the script, and when its zero is.
+On SIGTERM it prints what passed, and how late it was itself.
 """
 
 from __future__ import annotations
--- a/mulleinhatch/testing/fake_directory.py
+++ b/mulleinhatch/testing/fake_directory.py
@@ -1,7 +1,7 @@
 """A stand-in directory: reports come by UDP, lists are asked for over TCP, a while behind as those of the platform are.
 
-Runs as `python -m mulleinhatch.testing.fake_directory UDP-PORT TCP-PORT BEHIND`. An instance is listed while it reports, and 3 s
-on; one that reports `closed` is listed as taking no work. Each line that comes over TCP is answered by one JSON list of the
+Runs as `python -m mulleinhatch.testing.fake_directory UDP-PORT TCP-PORT BEHIND`. An instance is listed while it reports, and
+3 s on; one that reports `closed` is listed as taking no work. Each line that comes over TCP is answered by one JSON list of the
 names that take work, as it was BEHIND seconds ago. On SIGTERM it prints what it heard.
 """
 
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -224,15 +224,15 @@
     async def __aenter__(self) -> FleetRig:
         try:
             links = ",".join(map(str, self.links)) + ("," if len(self.links) == 1 else "")
-            self.host = await self._stand_in("interpreter", links, str(self.case.cores), "1.0", "0.0")
+            self.host = await self._stand_in("fake_interpreter", links, str(self.case.cores), "1.0", "0.0")
             await self.host.stdout.readline()
             if self.case.directory:
-                self.directory = await self._stand_in("directory", str(self.reports[1]), str(self.lists), "1.0")
+                self.directory = await self._stand_in("fake_directory", str(self.reports[1]), str(self.lists), "1.0")
                 await self.directory.stdout.readline()
             for first in range(0, len(self.nodes), STARTS_AT_A_TIME):
                 await asyncio.gather(*(node.start() for node in self.nodes[first : first + STARTS_AT_A_TIME]))
                 await asyncio.gather(*(self._is_up(node) for node in self.nodes[first : first + STARTS_AT_A_TIME]))
-            self.relay = await self._stand_in("relay")
+            self.relay = await self._stand_in("datagram_relay")
             self.start_at = time.time() + 1.0
             await self._tell_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
             return self
@@ -244,7 +244,7 @@
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            f"mulleinhatch.simulation.{name}",
+            f"mulleinhatch.testing.{name}",
             *told,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
@@ -275,7 +275,7 @@
         """Starts the script and the stubs; a new relay takes the place of the calm one."""
         self.relay.terminate()
         await self.relay.communicate()
-        self.relay = await self._stand_in("relay")
+        self.relay = await self._stand_in("datagram_relay")
         self.start_at = time.time() + 0.5
         await self._tell_relay(self.start_at)
         case = self.case
@@ -301,7 +301,7 @@
                 "names": [self.nodes[place].name for place in chosen],
                 "directory": self.lists if self.case.directory else 0,
             }
-            load = await self._stand_in("stubs")
+            load = await self._stand_in("fake_callers")
             load.stdin.write(json.dumps(habits).encode() + b"\n")
             await load.stdin.drain()
             self.loads.append(load)
--- a/mulleinhatch/testing/load_generator.py
+++ b/mulleinhatch/testing/load_generator.py
@@ -1,9 +1,9 @@
 """A lean driver of open load: requests leave when they are due, whatever became of those before, and a latency counts from the
 moment the request was due, so that a server that stands still shows in each request that it kept waiting.
 
-Runs as `python -m mulleinhatch.testing.load_generator`, its habits as one JSON line on standard input; it prints `up`, and at the end
-of its time one JSON line. It speaks HTTP/1.1 to a service instance, or the interpreter's link to an interpreter: the same
-requests, for what the instance adds. One thread over epoll; the wait for the next request is a `select` on the epoll's
+Runs as `python -m mulleinhatch.testing.load_generator`, its habits as one JSON line on standard input; it prints `up`, and at
+the end of its time one JSON line. It speaks HTTP/1.1 to a service instance, or the interpreter's link to an interpreter:
+the same requests, for what the instance adds. One thread over epoll; the wait for the next request is a `select` on the epoll's
 descriptor, which takes microseconds where epoll rounds up to a millisecond. Times are seconds of the monotonic clock.
 """
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -133,7 +133,7 @@
 
 def adapter(wire: bytes) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "mulleinhatch.simulator_adapter"], input=wire, capture_output=True, cwd=ROOT.parent, timeout=60
+        [sys.executable, "-m", "mulleinhatch.benchlink"], input=wire, capture_output=True, cwd=ROOT.parent, timeout=60
     )
 
 
