--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -27,7 +27,7 @@
 
 from docopt import docopt
 
-from benchmarks.records import RECORDED, Cost, Record, Unfit, read_all
+from benchmarks.records import RECORDED, Cost, InvalidRecordError, Record, read_all
 
 ROOT = Path(__file__).parent.parent
 OUR_PACKAGE = "mulleinhatch"
@@ -176,10 +176,10 @@
     try:
         told = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
-        raise Unfit(f"{path.name}: can't be read: {error}") from None
+        raise InvalidRecordError(f"{path.name}: can't be read: {error}") from None
     for key in ("target", "roles", "sizes", "bounds", "missing", "row"):
         if key not in told:
-            raise Unfit(f"{path.name}: {key}: missing")
+            raise InvalidRecordError(f"{path.name}: {key}: missing")
     records = read_all(folder)
     bounds = {name: Bound(float(bound["value"]), bound["text"]) for name, bound in told["bounds"].items()}
     missing = _missing(f"{path.name}: missing", told["missing"])
@@ -192,7 +192,7 @@
             rows.append(_row(where, row, told, bounds, missing, records))
     roles = dict(told["roles"])
     if lost := [row.role for row in rows if row.role not in roles]:
-        raise Unfit(f"{path.name}: role {lost[0]!r} is none of {', '.join(roles)}")
+        raise InvalidRecordError(f"{path.name}: role {lost[0]!r} is none of {', '.join(roles)}")
     return Book([(what, target) for what, target in told["target"]], roles, rows, missing, records)
 
 
@@ -205,7 +205,7 @@
             _importable(f"{where} {one.name!r}", module)
         for name in one.stands_on:
             if name not in missing:
-                raise Unfit(f"{where} {one.name!r}: stands_on: {name!r} is told of nowhere")
+                raise InvalidRecordError(f"{where} {one.name!r}: stands_on: {name!r} is told of nowhere")
     _grounded(missing)
     return missing
 
@@ -217,7 +217,7 @@
         for name in able:
             del left[name]
     if left:
-        raise Unfit(f"rows.toml: missing: {', '.join(sorted(left))} stand on each other")
+        raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(left))} stand on each other")
 
 
 def _recorded(told: str, records: dict[str, Record]) -> bool:
@@ -230,15 +230,15 @@
     for key, value in row.items():
         kind = ROW_KEYS.get(key)
         if kind is None:
-            raise Unfit(f"{where}: {key}: no such key")
+            raise InvalidRecordError(f"{where}: {key}: no such key")
         number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not (number and float in _kinds(kind) or isinstance(value, kind) and not isinstance(value, float)):
-            raise Unfit(f"{where}: {key}: {value!r} does not do")
+            raise InvalidRecordError(f"{where}: {key}: {value!r} does not do")
     for key in ("role", "kind", "what", "mechanism"):
         if not row.get(key):
-            raise Unfit(f"{where}: {key}: missing")
+            raise InvalidRecordError(f"{where}: {key}: missing")
     if row["kind"] not in KINDS:
-        raise Unfit(f"{where}: kind: {row['kind']!r} is none of {', '.join(KINDS)}")
+        raise InvalidRecordError(f"{where}: kind: {row['kind']!r} is none of {', '.join(KINDS)}")
 
 
 def _kinds(kind: type | tuple[type, ...]) -> tuple[type, ...]:
@@ -259,14 +259,14 @@
     record = cost = None
     if "reckoned" in row:
         if "value" not in row or "cost" in row:
-            raise Unfit(f"{where}: value: what is reckoned has a value, and no cost")
+            raise InvalidRecordError(f"{where}: value: what is reckoned has a value, and no cost")
         unit, size = row.get("unit", ""), row.get("size", "")
     else:
         record, cost = _cost(where, row.get("record", ""), row.get("cost", ""), records)
         unit, size = row.get("unit", cost.unit), cost.size
     times = tuple(_cost(where, row["record"], name, records)[1] for name in row.get("times", "").split(", ") if name)
     if size and "at" not in row and size not in told["sizes"]:
-        raise Unfit(f"{where}: size: there is no target for {size!r}")
+        raise InvalidRecordError(f"{where}: size: there is no target for {size!r}")
     target = float(row["at"]) if "at" in row else float(told["sizes"][size]) if size else 1.0
     found = Row(
         row["role"],
@@ -288,19 +288,21 @@
         row.get("adds", False),
     )
     if found.missing and found.missing not in missing:
-        raise Unfit(f"{where}: missing: {found.missing!r} is told of nowhere")
+        raise InvalidRecordError(f"{where}: missing: {found.missing!r} is told of nowhere")
     if found.ratio > 1.0 and not found.missing and not found.replaced_by:
-        raise Unfit(f"{where}: missing: over its bound ({found.ratio:.3g}), and no mechanism is named that is missing")
+        raise InvalidRecordError(
+            f"{where}: missing: over its bound ({found.ratio:.3g}), and no mechanism is named that is missing"
+        )
     return found
 
 
 def _cost(where: str, record: str, name: str, records: dict[str, Record]) -> tuple[Record, Cost]:
     if not record or not name:
-        raise Unfit(f"{where}: cost: neither a record's cost nor reckoned")
+        raise InvalidRecordError(f"{where}: cost: neither a record's cost nor reckoned")
     if record not in records:
-        raise Unfit(f"{where}: record: there is no {record}.json, and the row is not reckoned")
+        raise InvalidRecordError(f"{where}: record: there is no {record}.json, and the row is not reckoned")
     if name not in records[record].costs:
-        raise Unfit(f"{where}: cost: {record}.json has no {name}, and the row is not reckoned")
+        raise InvalidRecordError(f"{where}: cost: {record}.json has no {name}, and the row is not reckoned")
     return records[record], records[record].costs[name]
 
 
@@ -319,19 +321,19 @@
     for part in name.split("."):
         value = getattr(value, part, None)
     if not isinstance(value, (int, float)) or isinstance(value, bool):
-        raise Unfit(f"{where}: bound: {told} is no number")
+        raise InvalidRecordError(f"{where}: bound: {told} is no number")
     return Bound(float(value), f"`{name}` of `{module}`")
 
 
 def _importable(where: str, module: str) -> None:
     if module.split(".")[0] != OUR_PACKAGE:
-        raise Unfit(f"{where}: {module!r} is no module of {OUR_PACKAGE}")
+        raise InvalidRecordError(f"{where}: {module!r} is no module of {OUR_PACKAGE}")
     try:
         found = importlib.util.find_spec(module)
     except (ImportError, ValueError):
         found = None
     if found is None:
-        raise Unfit(f"{where}: {module!r} is no module that can be imported")
+        raise InvalidRecordError(f"{where}: {module!r} is no module that can be imported")
 
 
 # The tables.
@@ -432,7 +434,7 @@
     lines = []
     for bound, rows in sums.items():
         if len({row.unit for row in rows}) > 1:
-            raise Unfit(f"rows.toml: adds: {', '.join(row.what for row in rows)} add up in different units")
+            raise InvalidRecordError(f"rows.toml: adds: {', '.join(row.what for row in rows)} add up in different units")
         whole = sum(row.at_target for row in rows)
         lines.append(
             (
@@ -490,7 +492,7 @@
         names = {missing.name for missing, _ in left}
         able = next((told for told in left if not names & set(told[0].stands_on)), None)
         if able is None:
-            raise Unfit(f"rows.toml: missing: {', '.join(sorted(names))} stand on each other")
+            raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(names))} stand on each other")
         left.remove(able)
         order.append(able)
     return order
@@ -600,7 +602,7 @@
     for name, text in wanted.items():
         inside = shown(page, name)
         if inside is None:
-            raise Unfit(f"the page has no markers for {name}, or not once and in order")
+            raise InvalidRecordError(f"the page has no markers for {name}, or not once and in order")
         begin, end = marks(name)
         page = page.replace(begin + inside + end, begin + text + end)
     return page
@@ -621,7 +623,7 @@
         else:
             for name, text in wanted.items():
                 print(f"\n{name}\n\n{text}")
-    except (Unfit, OSError) as error:
+    except (InvalidRecordError, OSError) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 1
     over = [row for row in breaking(book) if row.ratio > 1.0]
--- a/benchmarks/days/__main__.py
+++ b/benchmarks/days/__main__.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from benchmarks.days.matrix import cells, day_of, kinds_of, shorter
-from benchmarks.days.playing import DayFailed, Played, play
+from benchmarks.days.playing import DayFailedError, Played, play
 from benchmarks.days.points import POINTS, point_day
 
 Day = dict[str, Any]
@@ -57,7 +57,7 @@
     for candidate in shorter(day):
         try:
             again = play(bench, path, candidate, "a day that broke, made shorter")
-        except DayFailed:
+        except DayFailedError:
             continue
         if rules & set(again.rules):
             return _shrunk(bench, path, candidate, rules)
@@ -79,7 +79,7 @@
         for number, (path, day, future) in enumerate(running, 1):
             try:
                 played = future.result()
-            except DayFailed as error:
+            except DayFailedError as error:
                 print(f"{number}/{len(running)} not played: {error}", file=sys.stderr)
                 continue
             file.write(played.line() + "\n")
--- a/benchmarks/days/playing.py
+++ b/benchmarks/days/playing.py
@@ -34,7 +34,7 @@
         return json.dumps(asdict(self), sort_keys=True)
 
 
-class DayFailed(RuntimeError):
+class DayFailedError(RuntimeError):
     """The bench played no day; the message holds the end of what it printed."""
 
 
@@ -46,7 +46,7 @@
         command = [str(bench), "run", str(site), str(file), "--report", str(report), "--why", why]
         run = subprocess.run(command, capture_output=True, text=True)
         if not report.exists():
-            raise DayFailed(f"{day['name']}: {(run.stdout + run.stderr)[-600:]}")
+            raise DayFailedError(f"{day['name']}: {(run.stdout + run.stderr)[-600:]}")
         told = json.loads(report.read_text())
     return Played(
         site.stem,
--- a/benchmarks/pairs/__main__.py
+++ b/benchmarks/pairs/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from benchmarks.pairs.comparing import mean_parts, pair
-from benchmarks.pairs.playing import Book, Outcome, PlayFailed, Task, build, play, read_marks
+from benchmarks.pairs.playing import Book, Outcome, PlayFailedError, Task, build, play, read_marks
 from benchmarks.pairs.variants import Variant, digest, prepare, read_variant
 
 LEAST_SHOWN = 0.003  # of worth: parts and prices that differ by less are not printed
@@ -58,7 +58,7 @@
             return
         try:
             book.add(task, play(bench, roots[variant], site, task, f"{chosen.why}: text {variant.name}"))
-        except PlayFailed as error:
+        except PlayFailedError as error:
             print(f"not played: {error}", flush=True)
 
     with ThreadPoolExecutor(chosen.jobs) as pool:
--- a/benchmarks/pairs/playing.py
+++ b/benchmarks/pairs/playing.py
@@ -35,7 +35,7 @@
     broken: tuple[str, ...] = ()
 
 
-class PlayFailed(RuntimeError):
+class PlayFailedError(RuntimeError):
     """The bench gave no report; the message holds the end of what it printed."""
 
 
@@ -81,7 +81,7 @@
     """Builds a text once, so that plays at the same time do not."""
     run = subprocess.run([str(bench), "build"], cwd=root, capture_output=True, text=True)
     if run.returncode:
-        raise PlayFailed(f"{root.name}: not built: {(run.stdout + run.stderr)[-600:]}")
+        raise PlayFailedError(f"{root.name}: not built: {(run.stdout + run.stderr)[-600:]}")
 
 
 def play(bench: Path, root: Path, site: Path, task: Task, why: str) -> Outcome:
@@ -93,7 +93,7 @@
         command += ["--report", str(report), "--why", why]
         run = subprocess.run(command, cwd=root, capture_output=True, text=True)
         if not report.exists():
-            raise PlayFailed(f"{task}: {(run.stdout + run.stderr)[-600:]}")
+            raise PlayFailedError(f"{task}: {(run.stdout + run.stderr)[-600:]}")
         return read_outcome(json.loads(report.read_text()), read_marks(site)[task.day])
 
 
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -2,7 +2,7 @@
 
 A cost is a constant, or a line over a size, its base-2 logarithm or its square, by least squares of the relative errors: sizes
 span orders of magnitude, and the plain errors of the largest would hide all others. The residual is the largest error at the
-points, as a share of what was measured there. `Unfit` names file and key of what is wrong.
+points, as a share of what was measured there. `InvalidRecordError` names file and key of what is wrong.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 SLACK = 1e-3  # of a figure, as records are rounded
 
 
-class Unfit(ValueError):
+class InvalidRecordError(ValueError):
     """A record, or what is made of it, can't be used; the text names file and key."""
 
 
@@ -160,46 +160,46 @@
     try:
         told = json.loads(path.read_text())
     except (OSError, ValueError) as error:
-        raise Unfit(f"{path.name}: can't be read: {error}") from None
+        raise InvalidRecordError(f"{path.name}: can't be read: {error}") from None
     if not isinstance(told, dict):
-        raise Unfit(f"{path.name}: an object is wanted")
+        raise InvalidRecordError(f"{path.name}: an object is wanted")
     text = {key: _want(path, told, key, str) for key in ("commit", "benchmark", "command", "mechanism")}
     for key, value in text.items():
         if not value:
-            raise Unfit(f"{path.name}: {key}: empty")
+            raise InvalidRecordError(f"{path.name}: {key}: empty")
     costs = {name: _cost(path, f"costs.{name}", one) for name, one in _want(path, told, "costs", dict).items()}
     events = _want(path, told, "events", dict)
     for name, figures in events.items():
         if not isinstance(figures, dict):
-            raise Unfit(f"{path.name}: events.{name}: an object of figures is wanted")
+            raise InvalidRecordError(f"{path.name}: events.{name}: an object of figures is wanted")
     notes = told.get("notes", [])
     if not isinstance(notes, list) or not all(isinstance(note, str) for note in notes):
-        raise Unfit(f"{path.name}: notes: a list of texts is wanted")
+        raise InvalidRecordError(f"{path.name}: notes: a list of texts is wanted")
     return Record(path.stem, seed=_want(path, told, "seed", int), costs=costs, events=events, notes=notes, **text)
 
 
 def _want(path: Path, told: dict[str, Any], key: str, kind: type, way: str = "") -> Any:
     where = f"{path.name}: {way}{'.' if way else ''}{key}"
     if key not in told:
-        raise Unfit(f"{where}: missing")
+        raise InvalidRecordError(f"{where}: missing")
     value = told[key]
     if isinstance(value, bool) or not isinstance(value, (int, float) if kind is float else kind):
-        raise Unfit(f"{where}: {value!r} is no {'number' if kind is float else kind.__name__}")
+        raise InvalidRecordError(f"{where}: {value!r} is no {'number' if kind is float else kind.__name__}")
     if kind is float and not math.isfinite(value):
-        raise Unfit(f"{where}: {value!r} is no finite number")
+        raise InvalidRecordError(f"{where}: {value!r} is no finite number")
     return value
 
 
 def _cost(path: Path, way: str, told: Any) -> Cost:
     if not isinstance(told, dict):
-        raise Unfit(f"{path.name}: {way}: an object is wanted")
+        raise InvalidRecordError(f"{path.name}: {way}: an object is wanted")
     points = [_pair(path, f"{way}.points.{place}", pair) for place, pair in enumerate(_want(path, told, "points", list, way))]
     form = _want(path, told, "form", str, way)
     if form not in FORMS:
-        raise Unfit(f"{path.name}: {way}.form: {form!r} is none of {', '.join(FORMS)}")
+        raise InvalidRecordError(f"{path.name}: {way}.form: {form!r} is none of {', '.join(FORMS)}")
     sizes = {size for size, _ in points}
     if len(sizes) < (1 if form == "constant" else LEAST_POINTS):
-        raise Unfit(f"{path.name}: {way}.points: {len(sizes)} sizes are too few for a {form} fit")
+        raise InvalidRecordError(f"{path.name}: {way}.points: {len(sizes)} sizes are too few for a {form} fit")
     fit = Fit(form, *(float(_want(path, told, key, float, way)) for key in ("constant", "slope", "residual")))
     checked = told.get("checked")
     found = Cost(
@@ -219,9 +219,9 @@
         or len(told) != 2
         or not all(isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value) for value in told)
     ):
-        raise Unfit(f"{path.name}: {where}: {told!r} is no pair of size and value")
+        raise InvalidRecordError(f"{path.name}: {where}: {told!r} is no pair of size and value")
     if told[0] <= 0:
-        raise Unfit(f"{path.name}: {where}: {told[0]!r} is no size")
+        raise InvalidRecordError(f"{path.name}: {where}: {told[0]!r} is no size")
     return float(told[0]), float(told[1])
 
 
@@ -229,11 +229,13 @@
     """The fit as recorded must meet its own points within its own residual."""
     off = residual(found.fit, found.points)
     if off > found.fit.residual * (1.0 + SLACK) + SLACK:
-        raise Unfit(f"{path.name}: {way}: the fit misses its points by {off:.2%}, its residual says {found.fit.residual:.2%}")
+        raise InvalidRecordError(
+            f"{path.name}: {way}: the fit misses its points by {off:.2%}, its residual says {found.fit.residual:.2%}"
+        )
     again = [fitted(found.points, found.fit.form, relative) for relative in (True, False)]
     if not any(_same(found.fit, fit, found.points) for fit in again):
         name = "constant" if found.fit.form == "constant" else "slope"
-        raise Unfit(
+        raise InvalidRecordError(
             f"{path.name}: {way}.{name}: {found.fit.constant:g} and {found.fit.slope:g} are recorded, least squares "
             f"over the points give {again[0].constant:g} and {again[0].slope:g}"
         )
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -52,9 +52,18 @@
 from benchmarks import fits, records
 from mulleinhatch.instance.gossip.core import MOST_MEMBERS
 from mulleinhatch.simulation.scale_checks import in_sums, known_after, traffic_of
-from mulleinhatch.simulation.scale_instances import RACK, BadPlan, Ground, Plan, churn, knows_levels, listed, restart_all
+from mulleinhatch.simulation.scale_instances import (
+    RACK,
+    Ground,
+    InvalidPlanError,
+    Plan,
+    churn,
+    knows_levels,
+    listed,
+    restart_all,
+)
 from mulleinhatch.simulation.scale_shards import World
-from mulleinhatch.testing.fault_script import BadScript
+from mulleinhatch.testing.fault_script import FaultScriptError
 
 BYTES, CORE, STATE_MB = 3000.0, 0.02, 8.0
 KNOWN, IN_SUMS, AGAIN, JOINED, BURST = 5.0, 7.0, 10.0, 30.0, 2.0
@@ -608,7 +617,7 @@
         try:
             script = Path(options["--faults"]).read_text()
             Ground(told.plan(told.members)).faults(script)
-        except (OSError, BadScript, BadPlan) as error:
+        except (OSError, FaultScriptError, InvalidPlanError) as error:
             sys.exit(f"scale: {error}")
         own_script(run, script, float(options["--for"]))
     else:
--- a/mulleinhatch/cli/instance/check.py
+++ b/mulleinhatch/cli/instance/check.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any
 
-from mulleinhatch.instance.runtime.instance_settings import Misplaced, placement
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placement
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
@@ -14,7 +14,7 @@
     start_logging(told["--log"])
     try:
         place = placement(os.environ, told["--config"], told["--operator"])
-    except Misplaced as error:
+    except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     storms = "storm books kept" if place.storms else "no storm books"
--- a/mulleinhatch/cli/instance/fleet.py
+++ b/mulleinhatch/cli/instance/fleet.py
@@ -159,7 +159,7 @@
     try:
         if not address:
             if not told["--operator"]:
-                raise operator.BadOperatorFile("--operator FILE or --at HOST:PORT is wanted")
+                raise operator.OperatorFileError("--operator FILE or --at HOST:PORT is wanted")
             address = operator.fleet_status(told["--operator"])
         if told["watch"]:
             watch(address)
@@ -171,7 +171,7 @@
     except urllib.error.HTTPError:
         print(f"mulleinhatch: {address}: the instance there is in no fleet", file=sys.stderr)
         return 1
-    except (operator.BadOperatorFile, OSError, ValueError) as error:
+    except (operator.OperatorFileError, OSError, ValueError) as error:
         print(f"mulleinhatch: {address + ': ' if address else ''}{error}", file=sys.stderr)
         return 1
     rows = members if told["members"] else budgets if told["budgets"] else levels if told["levels"] else judgements
--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.instance import Instance
-from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement, placement
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement, placement
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
@@ -22,12 +22,12 @@
 
     try:
         place = placed()
-    except Misplaced as error:
+    except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     try:
         asyncio.run(Instance(place, placed).serve())
-    except Misplaced as error:
+    except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -11,11 +11,11 @@
 
 try:
     from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
-    from mulleinhatch.instance.traces.codec import Damaged
+    from mulleinhatch.instance.traces.codec import CorruptTraceError
     from mulleinhatch.instance.traces.cutting import Wanted, cut, write
-    from mulleinhatch.instance.traces.file import Trace, Unreadable
+    from mulleinhatch.instance.traces.file import Trace, UnreadableTraceError
     from mulleinhatch.instance.traces.merging import merge
-    from mulleinhatch.instance.traces.replay import Incomplete, Outcome, replay
+    from mulleinhatch.instance.traces.replay import IncompleteTraceError, Outcome, replay
     from mulleinhatch.instance.traces.summary import summary
 except ImportError as error:
     print(f"mulleinhatch: trace needs {error.name}: pip install 'mulleinhatch[traces]'", file=sys.stderr)
@@ -26,7 +26,7 @@
     tools = {"info": info, "cut": cut_out, "merge": merged, "anonymise": anonymised, "summary": summed, "replay": replayed}
     try:
         return next(tool for name, tool in tools.items() if told[name])(told)
-    except (OSError, Unreadable, Damaged, Incomplete, ValueError) as error:
+    except (OSError, UnreadableTraceError, CorruptTraceError, IncompleteTraceError, ValueError) as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 1
 
--- a/mulleinhatch/cli/instance/upkeep.py
+++ b/mulleinhatch/cli/instance/upkeep.py
@@ -117,7 +117,7 @@
             answer = ask(address, do="voters", voters=told["VOTER"])
         else:
             answer = ask(address, do="show")
-    except (operator.BadOperatorFile, AttributeError, OSError, ValueError) as error:
+    except (operator.OperatorFileError, AttributeError, OSError, ValueError) as error:
         what = "no upkeep node in the operator's file" if isinstance(error, AttributeError) else error
         print(f"mulleinhatch: {what}", file=sys.stderr)
         return 1
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mulleinhatch.networking.http_client import Caller, CallFailed
+from mulleinhatch.networking.http_client import Caller, CallError
 from mulleinhatch.networking.http_streaming import write_request
 from mulleinhatch.process.settings import FILE_VARIABLE
 from mulleinhatch.testing.fake_model_server import ModelStub, StubFacts
@@ -124,7 +124,7 @@
                 return
             if answer.status == 307:
                 at = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
-        except CallFailed:
+        except CallError:
             at = address
         await asyncio.sleep(0.2)
     raise TimeoutError("no control plane took the configuration; see the logs in the demonstration's folder")
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -23,7 +23,7 @@
 from mulleinhatch.control_plane.state_store import Disk, Restored, commit_record, stubs_record
 from mulleinhatch.control_plane.view_change import Votes
 from mulleinhatch.messages.cluster import Member, View
-from mulleinhatch.networking.http_client import Caller, CallFailed
+from mulleinhatch.networking.http_client import Caller, CallError
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 from mulleinhatch.replication.chain import Replica
@@ -227,7 +227,7 @@
         """Sends a message to a core machine; CallFailed where no proper answer comes."""
         whole = await self.caller.request(address, "POST", f"/internal/{path}", bytes(message), within)
         if whole.status != 200:
-            raise CallFailed(address, f"status {whole.status}")
+            raise CallError(address, f"status {whole.status}")
         return answer.parse(whole.body)
 
     def beat_soon(self) -> None:
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -22,7 +22,7 @@
 from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.leadership.lease import HolderRole, RoleState, Sight
 from mulleinhatch.messages.cluster import DemandAnswer, DemandReport, HeldModel, PendingLoad, Stub
-from mulleinhatch.networking.http_client import Caller, CallFailed, WholeAnswer
+from mulleinhatch.networking.http_client import Caller, CallError, WholeAnswer
 from mulleinhatch.networking.http_server import JSON_TYPE
 from mulleinhatch.process.settings import Bounds
 
@@ -207,7 +207,7 @@
         try:
             answer = await self._caller.request(stub.address, "GET", "/report", b"", REPORT_S)
             report = read_report(answer.body) if answer.status == 200 else None
-        except (CallFailed, ValueError):
+        except (CallError, ValueError):
             self._caller.forget(stub.address)
             report = None
         finally:
@@ -307,7 +307,7 @@
             return
         try:
             answer = await self._post(stub, order, work.revision)
-        except CallFailed as error:
+        except CallError as error:
             self._unanswered(stub, under_way, error)
             return
         self._answered(stub, work, under_way, answer)
@@ -332,7 +332,7 @@
             stub.address, "POST", "/order", json.dumps(body).encode(), ORDER_S, JSON_TYPE, expected
         )
 
-    def _unanswered(self, stub: Stub, under_way: UnderWay, error: CallFailed) -> None:
+    def _unanswered(self, stub: Stub, under_way: UnderWay, error: CallError) -> None:
         """An order that got no answer may have been taken."""
         self._caller.forget(stub.address)
         under_way.certain = False
@@ -357,7 +357,7 @@
         unload.followed = True
         try:
             answer = await self._post(stub, load, under_way.revision)
-        except CallFailed as error:
+        except CallError as error:
             self._take_over(stub, work, under_way)
             self._unanswered(stub, under_way, error)
             return True
--- a/mulleinhatch/data_plane/front.py
+++ b/mulleinhatch/data_plane/front.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from mulleinhatch.configuration.routes import Limits
-from mulleinhatch.networking.http import BadRequest
+from mulleinhatch.networking.http import BadRequestError
 from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, MessageReader, reason, write_answer
 
 LOG = logging.getLogger(__name__)
@@ -110,7 +110,7 @@
     def _read(self) -> None:
         try:
             self._read_message()
-        except BadRequest as error:
+        except BadRequestError as error:
             self._closing = True
             self.refuse(error.status, f"the request can't be read: {error.cause}")
 
@@ -126,7 +126,7 @@
         piece = self._reader.body()
         self._size += len(piece)
         if self._size > limits.max_body_bytes:
-            raise BadRequest("body too long", 413)
+            raise BadRequestError("body too long", 413)
         if piece:
             self._body.append(piece)
             if not self._reader.done:
@@ -137,9 +137,9 @@
     def _begin_body(self, limits: Limits) -> None:
         head = self._head
         if head.length is not None and head.length > limits.max_body_bytes:
-            raise BadRequest("body too long", 413)
+            raise BadRequestError("body too long", 413)
         if head.minor and not head.first.get(b"host"):
-            raise BadRequest("host")
+            raise BadRequestError("host")
         if head.first.get(b"expect", b"").lower() == b"100-continue" and not self._reader.done:
             self.transport.write(CONTINUE)
 
--- a/mulleinhatch/instance/gossip/core.py
+++ b/mulleinhatch/instance/gossip/core.py
@@ -16,7 +16,7 @@
 from mulleinhatch.instance.gossip.budgets import Ask, Give, Part
 from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD, Counts
 from mulleinhatch.instance.gossip.members import Change, Members
-from mulleinhatch.instance.gossip.messages import MOST_BYTES, Letter, Report, Trade, Unfit
+from mulleinhatch.instance.gossip.messages import MOST_BYTES, InvalidMessageError, Letter, Report, Trade
 from mulleinhatch.instance.gossip.outlier_detection import Verdicts
 from mulleinhatch.instance.gossip.peer_groups import Mates
 
@@ -114,7 +114,7 @@
             self.levels.pace.add(now, len(data))
         try:
             letter = words.decode(data, self.bounds.fleet)
-        except Unfit as error:
+        except InvalidMessageError as error:
             self.counts[f"unfit_{error}"] += 1
             return []
         return [self._sent(now, *errand) for errand in self.letter(now, letter)]
--- a/mulleinhatch/instance/gossip/messages.py
+++ b/mulleinhatch/instance/gossip/messages.py
@@ -128,7 +128,7 @@
 _first = msgspec.msgpack.Decoder(list)
 
 
-class Unfit(ValueError):
+class InvalidMessageError(ValueError):
     """The text is the counter that it goes by: garbage, other_version, other_fleet, too_long."""
 
 
@@ -148,21 +148,21 @@
     True
     >>> decode(encode(letter), "g")
     Traceback (most recent call last):
-    mulleinhatch.instance.gossip.messages.Unfit: other_fleet
+    mulleinhatch.instance.gossip.messages.InvalidMessageError: other_fleet
     >>> decode(b"\\x93\\x02", "f")
     Traceback (most recent call last):
-    mulleinhatch.instance.gossip.messages.Unfit: garbage
+    mulleinhatch.instance.gossip.messages.InvalidMessageError: garbage
     """
     if len(datagram) > MOST_BYTES:
-        raise Unfit("too_long")
+        raise InvalidMessageError("too_long")
     try:
         letter = _decoder.decode(datagram)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Unfit(_why(datagram)) from None
+        raise InvalidMessageError(_why(datagram)) from None
     if letter.version != VERSION:
-        raise Unfit("other_version")
+        raise InvalidMessageError("other_version")
     if letter.fleet != fleet:
-        raise Unfit("other_fleet")
+        raise InvalidMessageError("other_fleet")
     return letter
 
 
--- a/mulleinhatch/instance/jobs/scheduler.py
+++ b/mulleinhatch/instance/jobs/scheduler.py
@@ -68,7 +68,7 @@
         self.owed = min(self.owed + max(0.0, amount), MOST_DEBT * self.rate)
 
 
-class Full(Exception):
+class QueueFullError(Exception):
     """More jobs than the bound: the submitter has to come again."""
 
 
@@ -107,7 +107,7 @@
             return
         if len(self.jobs) >= self.budgets.most_jobs:
             self.counts["jobs_refused"] += 1
-            raise Full(f"{name}: {len(self.jobs)} jobs are waiting")
+            raise QueueFullError(f"{name}: {len(self.jobs)} jobs are waiting")
         job = self.jobs[name] = Job(name, priority, now, now + within, every)
         if after > 0.0:
             self._wait(job, now + after)
--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -16,10 +16,20 @@
 from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.gossip.messages import Letter
 from mulleinhatch.instance.maintenance import messages as words
-from mulleinhatch.instance.maintenance.messages import Answered, Asked, Please, Query, Reply, Tell, Thanks, Told, Unfit
+from mulleinhatch.instance.maintenance.messages import (
+    Answered,
+    Asked,
+    InvalidMessageError,
+    Please,
+    Query,
+    Reply,
+    Tell,
+    Thanks,
+    Told,
+)
 from mulleinhatch.instance.maintenance.paxos_register import Kept, Round, Voter
 from mulleinhatch.instance.maintenance.schedule import Request, carries, order
-from mulleinhatch.instance.maintenance.table import Refused, Table
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
 from mulleinhatch.random_source import Chance
 
 QUERY_EVERY, QUERY_FAR = 0.5, 2.0  # seconds between asks where we stand; with many before us
@@ -127,7 +137,7 @@
     def change(self, now: float, change: Callable[[Table], Table]) -> Round:
         """A person's: freeze, bounds, voters, release; its end is seen in the round."""
         if self.round:
-            raise Refused("a round is under way here: again in a moment")
+            raise PermitRefusedError("a round is under way here: again in a moment")
         return self._begin(now, change)
 
     def told_by_voters(self, now: float) -> dict[str, Reply]:
@@ -285,7 +295,7 @@
             return
         try:
             self.letters += self.fleet.word_to(self.now_heard, name, more=words.encode(word))
-        except Unfit as error:
+        except InvalidMessageError as error:
             self.counts[f"words_{error}".replace(" ", "_")] += 1
 
     def _tell_voters(self, word: words.Word) -> None:
@@ -297,7 +307,7 @@
             self.now_heard = now
             try:
                 self._word(now, letter.sender, words.decode(letter.more))
-            except Unfit:
+            except InvalidMessageError:
                 self.counts["words_unfit"] += 1
 
     def _word(self, now: float, sender: str, word: words.Word) -> None:
--- a/mulleinhatch/instance/maintenance/messages.py
+++ b/mulleinhatch/instance/maintenance/messages.py
@@ -76,7 +76,7 @@
 _decoder = msgspec.msgpack.Decoder(Any_)
 
 
-class Unfit(ValueError):
+class InvalidMessageError(ValueError):
     pass
 
 
@@ -88,11 +88,11 @@
     True
     >>> decode(b"?")
     Traceback (most recent call last):
-    mulleinhatch.instance.maintenance.messages.Unfit: garbage
+    mulleinhatch.instance.maintenance.messages.InvalidMessageError: garbage
     """
     data = _encoder.encode(word)
     if len(data) > MOST_BYTES:
-        raise Unfit("too long")
+        raise InvalidMessageError("too long")
     return data
 
 
@@ -100,4 +100,4 @@
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Unfit("garbage") from None
+        raise InvalidMessageError("garbage") from None
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from mulleinhatch.instance.maintenance.table import Refused, Table
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
 
 
 class Ballot(NamedTuple):
@@ -144,5 +144,5 @@
             return
         try:
             self.table, self.answers = self.change(table), {}
-        except Refused as error:
+        except PermitRefusedError as error:
             self.known, self.ended, self.why = table, "refused", str(error)
--- a/mulleinhatch/instance/maintenance/store.py
+++ b/mulleinhatch/instance/maintenance/store.py
@@ -15,7 +15,7 @@
 HEAD = len(MAGIC) + 1 + 4
 
 
-class Damaged(ValueError):
+class CorruptFileError(ValueError):
     """The text names the file and what is wrong with it."""
 
 
@@ -31,7 +31,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise Damaged(f"{self.folder}: another process keeps its votes here") from None
+            raise CorruptFileError(f"{self.folder}: another process keeps its votes here") from None
 
     def read(self) -> Kept | None:
         """None where there is nothing yet. What is damaged is no vote: a voter that guesses would break its promises."""
@@ -41,15 +41,15 @@
             return None
         body = data[HEAD:]
         if data[: len(MAGIC)] != MAGIC or len(data) < HEAD:
-            raise Damaged(f"{self.path}: no file of a voter; move it away, and the voter learns from the others")
+            raise CorruptFileError(f"{self.path}: no file of a voter; move it away, and the voter learns from the others")
         if data[len(MAGIC)] != VERSION:
-            raise Damaged(f"{self.path}: version {data[len(MAGIC)]}, this text reads {VERSION}")
+            raise CorruptFileError(f"{self.path}: version {data[len(MAGIC)]}, this text reads {VERSION}")
         if int.from_bytes(data[len(MAGIC) + 1 : HEAD], "big") != zlib.crc32(body):
-            raise Damaged(f"{self.path}: damaged; move it away, and the voter learns from the others")
+            raise CorruptFileError(f"{self.path}: damaged; move it away, and the voter learns from the others")
         try:
             return msgspec.msgpack.decode(body, type=Kept)
         except msgspec.MsgspecError as error:
-            raise Damaged(f"{self.path}: {error}") from None
+            raise CorruptFileError(f"{self.path}: {error}") from None
 
     def keep(self, kept: Kept) -> None:
         body = msgspec.msgpack.encode(kept)
--- a/mulleinhatch/instance/maintenance/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -14,7 +14,7 @@
 LONGEST_WHY = 40
 
 
-class Refused(ValueError):
+class PermitRefusedError(ValueError):
     """The text says why, for people."""
 
 
@@ -33,10 +33,10 @@
     (1, 1)
     >>> table.go("n2", "z1", "kernel")
     Traceback (most recent call last):
-    mulleinhatch.instance.maintenance.table.Refused: 1 of 1 are out in zone z1
+    mulleinhatch.instance.maintenance.table.PermitRefusedError: 1 of 1 are out in zone z1
     >>> table.go("n3", "z2", "kernel", gone={"n9": "z3"})
     Traceback (most recent call last):
-    mulleinhatch.instance.maintenance.table.Refused: 2 of 2 are out, 1 of them gone without a permit
+    mulleinhatch.instance.maintenance.table.PermitRefusedError: 2 of 2 are out, 1 of them gone without a permit
     >>> table.back("n1", 1).out
     ()
     """
@@ -59,7 +59,7 @@
         """`gone` are members that crashed, with their zones: they are out, too. Who has a permit still gets it under a new
         fence: a word on the old one, decided while it served, must not take it from under one that is out."""
         if self.frozen and not over:
-            raise Refused(f"frozen: {self.frozen}")
+            raise PermitRefusedError(f"frozen: {self.frozen}")
         if permit := self.permit(name):
             return self._with(
                 out=tuple(other for other in self.out if other is not permit) + (permit._replace(fence=self.version + 1),)
@@ -68,16 +68,16 @@
         count = len(self.out) + len(missing)
         if count >= self.most and not over:
             beside = f", {len(missing)} of them gone without a permit" if missing else ""
-            raise Refused(f"{count} of {self.most} are out{beside}")
+            raise PermitRefusedError(f"{count} of {self.most} are out{beside}")
         in_zone = sum(permit.zone == zone for permit in self.out) + sum(where == zone for where in missing.values())
         if in_zone >= self.zone_most and not over:
-            raise Refused(f"{in_zone} of {self.zone_most} are out in zone {zone}")
+            raise PermitRefusedError(f"{in_zone} of {self.zone_most} are out in zone {zone}")
         voters = sum(voter in missing or self.permit(voter) is not None for voter in self.voters if voter != name)
         if name in self.voters and voters >= max(1, (len(self.voters) - 1) // 2) and not over:
             # With a majority gone nobody could give back a permit; without disks, nothing agreed would be left.
-            raise Refused(f"{voters} of {len(self.voters)} voters are out already")
+            raise PermitRefusedError(f"{voters} of {len(self.voters)} voters are out already")
         if len(self.out) >= MOST_OUT:
-            raise Refused(f"{MOST_OUT} are out, and no more can be told of")
+            raise PermitRefusedError(f"{MOST_OUT} are out, and no more can be told of")
         return self._with(out=(*self.out, Permit(name, zone, self.version + 1, why[:LONGEST_WHY], over[:LONGEST_WHY])))
 
     def back(self, name: str, fence: int) -> Table:
@@ -92,16 +92,16 @@
 
     def bounds(self, most: int, zone_most: int) -> Table:
         if not (0 <= most <= MOST_OUT and 0 <= zone_most <= MOST_OUT):
-            raise Refused(f"a bound is 0 to {MOST_OUT}")
+            raise PermitRefusedError(f"a bound is 0 to {MOST_OUT}")
         return self._with(most=most, zone_most=zone_most)
 
     def electorate(self, voters: Collection[str]) -> Table:
         """One joins or one leaves: majorities of before and after then share a voter."""
         new = tuple(sorted(set(voters)))
         if not 1 <= len(new) <= MOST_VOTERS:
-            raise Refused(f"1 to {MOST_VOTERS} voters are wanted")
+            raise PermitRefusedError(f"1 to {MOST_VOTERS} voters are wanted")
         if not self._overlap(new):
-            raise Refused("one voter at a time: else a majority of the old and one of the new need not meet")
+            raise PermitRefusedError("one voter at a time: else a majority of the old and one of the new need not meet")
         return self if new == self.voters else self._with(voters=new, epoch=self.epoch + 1)
 
     def _overlap(self, new: tuple[str, ...]) -> bool:
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -45,13 +45,13 @@
             self.closing.add(place)
         try:
             self._route(place, method, path.partition(b"?")[0], fields, body)
-        except http.BadRequest as error:
+        except http.BadRequestError as error:
             self._write(place, self._blame(place, error))
 
     def _route(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         if path.startswith(http.OP_PATH):
             if method != b"POST":
-                raise http.BadRequest("method", 405)
+                raise http.BadRequestError("method", 405)
             *told, rank = http.op_told(path, fields, time.time())
             handed = http.HAND in fields and self.on_hand is not None
             if handed:
@@ -64,21 +64,21 @@
         elif path == http.FLEET_PATH and self.fleet:
             self._write(place, 200, self.fleet())
         else:
-            raise http.BadRequest("path", 404)
+            raise http.BadRequestError("path", 404)
 
-    def _blame(self, place: int, error: http.BadRequest) -> int:
+    def _blame(self, place: int, error: http.BadRequestError) -> int:
         self.connections.blame(place)
         self.count("bad_" + error.cause.replace(" ", "_"))
         LOG.debug("bad request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
 
-    def broken(self, place: int, error: http.BadRequest) -> None:
+    def broken(self, place: int, error: http.BadRequestError) -> None:
         """Where the next request would begin is not known: the connection ends with this answer."""
         self.closing.add(place)
         self._write(place, self._blame(place, error))
 
     def late(self, place: int) -> None:
-        self.broken(place, http.BadRequest("slow sender", 408))
+        self.broken(place, http.BadRequestError("slow sender", 408))
 
     def lost(self, place: int) -> None:
         self.closing.discard(place)
@@ -121,7 +121,7 @@
 
     def refuse(self, place: int, what: str) -> None:
         """A request in good form that this deployment, or what else is open here, has no place for."""
-        self._write(place, self._blame(place, http.BadRequest(what, UNFIT.get(what, 404))))
+        self._write(place, self._blame(place, http.BadRequestError(what, UNFIT.get(what, 404))))
 
     def health(self, place: int, good: bool, level: float | None) -> None:
         self._write(place, 200 if good else 503, level=level)
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -12,7 +12,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.transport.peers import BrokenOff, Peers, Unreached
+from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 from mulleinhatch.networking import http
 
 LOG = logging.getLogger(__name__)
@@ -36,9 +36,9 @@
         try:
             status, result = await self.peers.ask(self.at, http.call(ref, query, 1000.0 * seconds, self.at), seconds)
             ending = Ending(status)
-        except Unreached:
+        except ConnectFailedError:
             ending = Ending.UNREACHABLE
-        except BrokenOff as error:
+        except ConnectionLostError as error:
             ending = Ending.TIMEOUT if time.monotonic() >= until else Ending.INTERRUPTED
             LOG.debug("call broke off", extra={"fields": {"ref": ref, "error": error}})
         except Exception:
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import Tasks
 from mulleinhatch.instance.runtime.caller_listener import HttpFront
-from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 from mulleinhatch.instance.runtime.interpreter_link import Interpreter
 from mulleinhatch.instance.transport.datagrams import Datagrams
 from mulleinhatch.invariants import BROKEN
@@ -229,7 +229,7 @@
         """The file is checked whole before anything is touched; a faulty one leaves the old in force."""
         try:
             new = self.placed_anew()
-        except Misplaced as error:
+        except InvalidSettingsError as error:
             self.count("reloads_refused")
             LOG.error("reload refused", extra={"fields": {"error": error}})
             return
--- a/mulleinhatch/instance/runtime/instance_settings.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 
 
-class Misplaced(ValueError):
+class InvalidSettingsError(ValueError):
     """What was told at start does not do; the text names the faulty key."""
 
 
@@ -48,7 +48,7 @@
     ('127.0.0.4', 8080)
     >>> address("vm", "127.0.0.4")
     Traceback (most recent call last):
-    mulleinhatch.instance.runtime.instance_settings.Misplaced: vm: '127.0.0.4' is no host:port of IPv4 numbers
+    mulleinhatch.instance.runtime.instance_settings.InvalidSettingsError: vm: '127.0.0.4' is no host:port of IPv4 numbers
     """
     host, _, port = str(text).rpartition(":")
     try:
@@ -56,13 +56,13 @@
     except ValueError:
         host = ""
     if not host or not port.isascii() or not port.isdigit() or len(port) > 5 or int(port) > 65535:
-        raise Misplaced(f"{key}: {text!r} is no host:port of IPv4 numbers")
+        raise InvalidSettingsError(f"{key}: {text!r} is no host:port of IPv4 numbers")
     return host, int(port)
 
 
 def number(key: str, value: object, least: float) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < math.inf:
-        raise Misplaced(f"{key}: {value!r} is no number of {least:g} or more")
+        raise InvalidSettingsError(f"{key}: {value!r} is no number of {least:g} or more")
     return value
 
 
@@ -70,39 +70,39 @@
     try:
         return int(str(text), 16)
     except ValueError:
-        raise Misplaced(f"{key}: {text!r} is no hexadecimal number") from None
+        raise InvalidSettingsError(f"{key}: {text!r} is no hexadecimal number") from None
 
 
 def names(key: str, items: object) -> list[str]:
     if not isinstance(items, list) or not all(isinstance(item, dict) and "name" in item for item in items):
-        raise Misplaced(f"{key}: a list of objects with a name each is wanted")
+        raise InvalidSettingsError(f"{key}: a list of objects with a name each is wanted")
     found = [str(item["name"]) for item in items]
     if len(set(found)) < len(found):
-        raise Misplaced(f"{key}: a name comes twice")
+        raise InvalidSettingsError(f"{key}: a name comes twice")
     return found
 
 
 def facts(settings: Any) -> Deployment:
     if not isinstance(settings, dict):
-        raise Misplaced("settings: an object is wanted")
+        raise InvalidSettingsError("settings: an object is wanted")
     try:
         return deployment(pairs_of_tree(settings))
     except ValueError as error:
-        raise Misplaced(f"settings.{error}") from None
+        raise InvalidSettingsError(f"settings.{error}") from None
 
 
 def placement(environ: Mapping[str, str], path: str | None = None, operator: str | None = None) -> Placement:
     path = path or environ.get("NODE_CONFIG")
     if not path:
-        raise Misplaced("NODE_CONFIG: not set")
+        raise InvalidSettingsError("NODE_CONFIG: not set")
     try:
         told = json.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
-        raise Misplaced(f"NODE_CONFIG: {path} can't be read: {error}") from None
+        raise InvalidSettingsError(f"NODE_CONFIG: {path} can't be read: {error}") from None
     except RecursionError:
-        raise Misplaced(f"NODE_CONFIG: {path} can't be read: nested too deep") from None
+        raise InvalidSettingsError(f"NODE_CONFIG: {path} can't be read: nested too deep") from None
     if not isinstance(told, dict):
-        raise Misplaced("NODE_CONFIG: an object is wanted")
+        raise InvalidSettingsError("NODE_CONFIG: an object is wanted")
     for key in ("name", "listen"):
         text = environ.get("NODE_" + key.upper())
         if text and text != told.setdefault(key, text):
@@ -118,25 +118,25 @@
     try:
         from mulleinhatch.instance.runtime import operator_file as operator
     except ImportError as error:
-        raise Misplaced(f"{path}: {error.name} is not installed: pip install 'mulleinhatch[operator]'") from None
+        raise InvalidSettingsError(f"{path}: {error.name} is not installed: pip install 'mulleinhatch[operator]'") from None
     try:
         return operator.read(path)._asdict()
-    except operator.BadOperatorFile as error:
-        raise Misplaced(str(error)) from None
+    except operator.OperatorFileError as error:
+        raise InvalidSettingsError(str(error)) from None
 
 
 def placed(told: dict[str, Any]) -> Placement:
     """
     >>> placed({"name": "n1", "listen": "127.0.0.1:0", "seed": "a"})
     Traceback (most recent call last):
-    mulleinhatch.instance.runtime.instance_settings.Misplaced: vm: missing
+    mulleinhatch.instance.runtime.instance_settings.InvalidSettingsError: vm: missing
     """
     for key in ("name", "listen", "vm", "seed", "settings"):
         if key not in told:
-            raise Misplaced(f"{key}: missing")
+            raise InvalidSettingsError(f"{key}: missing")
     settings, limits = told["settings"], told.get("limits", {})
     if not isinstance(limits, dict):
-        raise Misplaced("limits: an object is wanted")
+        raise InvalidSettingsError("limits: an object is wanted")
     deployment_facts = facts(settings)
     return Placement(
         name=str(told["name"]),
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -15,7 +15,7 @@
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.transport.peers import BrokenOff, Peers, Unreached
+from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 from mulleinhatch.networking import http
 
 LOG = logging.getLogger(__name__)
@@ -151,9 +151,9 @@
             status, result = await self.peers.ask(offer.at, pieces, wait or AT_MOST)
             ending = Ending.OK if status == 200 else Ending.FULL if status in UNRUN else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
-        except Unreached:
+        except ConnectFailedError:
             ending = Ending.UNREACHABLE
-        except BrokenOff as error:
+        except ConnectionLostError as error:
             LOG.debug("hand-over broke off", extra={"fields": {"ref": ref, "peer": offer.giver, "error": error}})
         except Exception:
             self.counts["spread_errors_inside"] += 1
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -14,10 +14,10 @@
 from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
 from mulleinhatch.instance.maintenance.schedule import Request, order, schedule
-from mulleinhatch.instance.maintenance.store import Damaged, Store
-from mulleinhatch.instance.maintenance.table import Refused, Table
+from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
-from mulleinhatch.instance.runtime.instance_settings import Misplaced, Placement
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 
 LOG = logging.getLogger(__name__)
 MOST_HISTORY = 1 << 20  # bytes of the file of what happened; then the older half goes
@@ -43,8 +43,8 @@
             try:
                 self.store = Store(told.folder)
                 kept = self.store.read()
-            except (Damaged, OSError) as error:
-                raise Misplaced(f"upkeep.folder: {error}") from None
+            except (CorruptFileError, OSError) as error:
+                raise InvalidSettingsError(f"upkeep.folder: {error}") from None
         zones = dict(told.zones)
         bounds = Bounds(told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after)
         self.core = Upkeep(bounds, fleet, placement.seed + 3, time.monotonic(), kept, self.store and self.store.keep)
@@ -130,7 +130,7 @@
         try:
             told = json.loads(await asyncio.wait_for(reader.readline(), ANSWER_WITHIN))
             answer = await self._done(told)
-        except (Refused, KeyError, TypeError, ValueError, TimeoutError) as error:
+        except (PermitRefusedError, KeyError, TypeError, ValueError, TimeoutError) as error:
             answer = {"error": str(error) or type(error).__name__}
         with contextlib.suppress(OSError):
             writer.write(json.dumps(answer).encode() + b"\n")
@@ -163,12 +163,12 @@
         elif what == "over":
             name, why = str(told["name"]), str(told["why"])
             if not why:
-                raise Refused("a reason is wanted to go over the bound")
+                raise PermitRefusedError("a reason is wanted to go over the bound")
             LOG.warning("over the bound by hand", extra={"fields": {"name": name, "why": why}})
             zone = dict(self.placement.upkeep.zones).get(name, "")
             await self._agreed(lambda table: table.go(name, zone, "by hand", over=why))
         elif what != "show":
-            raise Refused(f"no such word: {what}")
+            raise PermitRefusedError(f"no such word: {what}")
         return self.told()
 
     def _several(self, one: Request, names: list[str] | None, zone: str | None, everybody: bool) -> list[Request]:
@@ -177,12 +177,12 @@
         there = [self.placement.name, *self.core.fleet.members.alive()]
         if names:
             if unknown := sorted(set(names) - set(there)):
-                raise Refused(f"{unknown[0]} is not there")
+                raise PermitRefusedError(f"{unknown[0]} is not there")
             chosen = list(names)
         elif zone:
             chosen = [name for name in there if zones.get(name) == zone]
             if not chosen:
-                raise Refused(f"nobody of zone {zone} is there")
+                raise PermitRefusedError(f"nobody of zone {zone} is there")
         else:
             chosen = there if everybody else [self.placement.name]
         return [one._replace(name=name, zone=zones.get(name, "")) for name in chosen]
@@ -191,7 +191,7 @@
     def _released(table: Table, name: str) -> Table:
         permit = table.permit(name)
         if permit is None:
-            raise Refused(f"{name} holds no permit")
+            raise PermitRefusedError(f"{name} holds no permit")
         return table.back(name, permit.fence)
 
     async def _agreed(self, change: Callable[[Table], Table]) -> None:
@@ -203,7 +203,7 @@
                 self.send(self.core.said())
             await asyncio.sleep(0.02)
         if done is None or done.ended != "agreed":
-            raise Refused(done.why if done and done.why else "no majority of the voters answers")
+            raise PermitRefusedError(done.why if done and done.why else "no majority of the voters answers")
 
     def told(self) -> dict[str, Any]:
         core, now = self.core, time.monotonic()
--- a/mulleinhatch/instance/runtime/operator_file.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -29,7 +29,7 @@
 UNKNOWN = re.compile(r"unknown field `([^`]*)`")
 
 
-class BadOperatorFile(ValueError):
+class OperatorFileError(ValueError):
     """The text names file, line and key."""
 
 
@@ -139,7 +139,7 @@
     try:
         text = Path(path).read_text()
     except (OSError, ValueError) as error:
-        raise BadOperatorFile(f"{path}: can't be read: {error}") from None
+        raise OperatorFileError(f"{path}: can't be read: {error}") from None
     return told(text, path)
 
 
@@ -147,7 +147,7 @@
     """Where the command line asks: `status` of the fleet."""
     fleet = read(path).fleet
     if fleet is None or not fleet.status:
-        raise BadOperatorFile(f"{path}: fleet.status: missing, or name the instance by --at")
+        raise OperatorFileError(f"{path}: fleet.status: missing, or name the instance by --at")
     return fleet.status
 
 
@@ -158,15 +158,15 @@
     >>> told("storms enabled=#false").storms
     >>> told("storms {\\n    settle 5\\n    confirm soon\\n}")
     Traceback (most recent call last):
-    mulleinhatch.instance.runtime.operator_file.BadOperatorFile: operator.kdl:3: storms.confirm: Expected `float`, got `str`
+    mulleinhatch.instance.runtime.operator_file.OperatorFileError: operator.kdl:3: storms.confirm: Expected `float`, got `str`
     >>> told("storms {\\n    setle 5\\n}")
     Traceback (most recent call last):
-    mulleinhatch.instance.runtime.operator_file.BadOperatorFile: operator.kdl:2: storms.setle: no such key
+    mulleinhatch.instance.runtime.operator_file.OperatorFileError: operator.kdl:2: storms.setle: no such key
     """
     try:
         document = ckdl.parse(text)
     except ckdl.ParseError as error:
-        raise BadOperatorFile(f"{path}:{_line_of_break(text)}: {error}") from None
+        raise OperatorFileError(f"{path}:{_line_of_break(text)}: {error}") from None
     tree = _tree(document.nodes, text, path, ())
     checked_budgets(tree, text, path)
     try:
@@ -176,7 +176,7 @@
     storms = msgspec.structs.asdict(checked.storms)
     enabled = storms.pop("enabled")
     if checked.storms.storm_share < checked.storms.rising_share:
-        raise BadOperatorFile(
+        raise OperatorFileError(
             f"{path}:{_line(text, ('storms', 'storm-share'))}: storms.storm-share: "
             f"{checked.storms.storm_share:g} is below rising-share"
         )
@@ -189,14 +189,14 @@
     )
 
 
-def _complaint(error: msgspec.ValidationError, above: tuple[str, ...], text: str, path: str) -> BadOperatorFile:
+def _complaint(error: msgspec.ValidationError, above: tuple[str, ...], text: str, path: str) -> OperatorFileError:
     found, unknown = PATH.search(str(error)), UNKNOWN.search(str(error))
     way = (*above, *(tuple(found[1].split(".")) if found and found[1] else ()))
     if unknown:
         way, what = (*way, unknown[1]), "no such key"
     else:
         what = str(error).partition(" - at")[0]
-    return BadOperatorFile(f"{path}:{_line(text, way)}: {'.'.join(way)}: {what}")
+    return OperatorFileError(f"{path}:{_line(text, way)}: {'.'.join(way)}: {what}")
 
 
 def checked_budgets(tree: dict[str, Any], text: str, path: str) -> None:
@@ -216,7 +216,7 @@
     try:
         from mulleinhatch.instance.traces.writer import TraceBounds
     except ImportError as error:
-        raise BadOperatorFile(f"traces: {error.name} is not installed: pip install 'mulleinhatch[traces]'") from None
+        raise OperatorFileError(f"traces: {error.name} is not installed: pip install 'mulleinhatch[traces]'") from None
     return TraceBounds(**msgspec.structs.asdict(told))
 
 
@@ -224,7 +224,9 @@
     from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 
     if checked.fleet is None:
-        raise BadOperatorFile(f"{path}:{_line(text, ('spread',))}: spread: wants a fleet node: load is spread over its members")
+        raise OperatorFileError(
+            f"{path}:{_line(text, ('spread',))}: spread: wants a fleet node: load is spread over its members"
+        )
     told = msgspec.structs.asdict(checked.spread)
     return SpreadBounds(**{**told, "at": told["at"] or ""})
 
@@ -249,7 +251,7 @@
         else ""
     )
     if wrong:
-        raise BadOperatorFile(
+        raise OperatorFileError(
             f"{path}:{_line(text, ('upkeep',))}: upkeep.{wrong}"
             if ":" in wrong
             else f"{path}:{_line(text, ('upkeep',))}: upkeep: {wrong}"
@@ -293,7 +295,7 @@
             else ""
         )
         if wrong:
-            raise BadOperatorFile(f"{path}:{_line(text, way)}: {'.'.join(way)}.{wrong}")
+            raise OperatorFileError(f"{path}:{_line(text, way)}: {'.'.join(way)}.{wrong}")
         window = 0.0 if budget.calls else budget.window
         budgets.append(
             BudgetBounds(name, budget.total, seats, window, budget.lease, budget.drift, budget.tenant, budget.retries)
@@ -329,7 +331,7 @@
         else None
     )
     if wrong:
-        raise BadOperatorFile(f"{path}:{_line(text, ('fleet', wrong[0]))}: fleet.{wrong[1]}")
+        raise OperatorFileError(f"{path}:{_line(text, ('fleet', wrong[0]))}: fleet.{wrong[1]}")
 
 
 def _tree(nodes: list[Any], text: str, path: str, way: tuple[str, ...]) -> dict[str, Any]:
@@ -338,13 +340,13 @@
     for node in nodes:
         here = (*way, node.name)
         if node.name in tree:
-            raise BadOperatorFile(f"{path}:{_line(text, here, last=True)}: {'.'.join(here)}: told twice")
+            raise OperatorFileError(f"{path}:{_line(text, here, last=True)}: {'.'.join(here)}: told twice")
         if node.children or node.properties or not node.args:
             if node.args:
-                raise BadOperatorFile(f"{path}:{_line(text, here)}: {'.'.join(here)}: a value beside named ones")
+                raise OperatorFileError(f"{path}:{_line(text, here)}: {'.'.join(here)}: a value beside named ones")
             inner = _tree(node.children, text, path, here)
             if both := sorted(set(inner) & set(node.properties)):
-                raise BadOperatorFile(f"{path}:{_line(text, here)}: {'.'.join((*here, both[0]))}: told twice")
+                raise OperatorFileError(f"{path}:{_line(text, here)}: {'.'.join((*here, both[0]))}: told twice")
             tree[node.name] = {**node.properties, **inner}
         else:
             tree[node.name] = node.args[0] if len(node.args) == 1 else node.args
--- a/mulleinhatch/instance/traces/block.py
+++ b/mulleinhatch/instance/traces/block.py
@@ -15,7 +15,7 @@
 import zstandard
 from xxhash import xxh3_64_intdigest
 
-from mulleinhatch.instance.traces.codec import MICRO, MOST_NUMBERS, Damaged, In, Out
+from mulleinhatch.instance.traces.codec import MICRO, MOST_NUMBERS, CorruptTraceError, In, Out
 from mulleinhatch.instance.traces.kinds import DECIDED, DECIDED_FOR, KINDS, Kind, Record
 
 MAGIC = b"mhtBLOCK"
@@ -144,19 +144,19 @@
 def _texts_in(column: In) -> list[str]:
     count = column.whole()
     if count > len(column.data):
-        raise Damaged("more texts than bytes")
+        raise CorruptTraceError("more texts than bytes")
     return [column.raw(column.whole()).decode("utf-8", "surrogateescape") for _ in range(count)]
 
 
 def head_of(data: bytes) -> Head:
     """The head alone, bounds looked at before anything is believed; `data` holds `HEAD_SIZE` bytes."""
     if len(data) < HEAD_SIZE:
-        raise Damaged("a block's head is cut")
+        raise CorruptTraceError("a block's head is cut")
     magic, major, _, stored, raw, records, first, last, newest = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Damaged("no block begins here")
+        raise CorruptTraceError("no block begins here")
     if stored > MOST_STORED or raw > MOST_RAW or records > MOST_RECORDS:
-        raise Damaged(f"a block of {stored} bytes, {raw} raw, {records} records")
+        raise CorruptTraceError(f"a block of {stored} bytes, {raw} raw, {records} records")
     return Head(major, stored, raw, records, first, last, newest)
 
 
@@ -164,11 +164,11 @@
     """Head and checksum of a whole block."""
     head = head_of(data)
     if len(data) < HEAD_SIZE + head.stored:
-        raise Damaged("a block is cut")
+        raise CorruptTraceError("a block is cut")
     body = memoryview(data)[HEAD_SIZE : HEAD_SIZE + head.stored]
     checksum, zero = SUM.unpack_from(data, HEAD.size)
     if zero or checksum != xxh3_64_intdigest(body, xxh3_64_intdigest(data[: HEAD.size])):
-        raise Damaged("a block's checksum does not fit")
+        raise CorruptTraceError("a block's checksum does not fit")
     return head
 
 
@@ -183,25 +183,25 @@
                 data[HEAD_SIZE : HEAD_SIZE + self.head.stored], max_output_size=self.head.raw, allow_extra_data=False
             )
         except zstandard.ZstdError as error:
-            raise Damaged(f"a block can't be decompressed: {error}") from None
+            raise CorruptTraceError(f"a block can't be decompressed: {error}") from None
         if len(raw) != self.head.raw:
-            raise Damaged("a block is of another length than it says")
+            raise CorruptTraceError("a block is of another length than it says")
         self.columns = self._split(raw)
         self.texts = _texts_in(self._column(TEXTS))
         self.kinds = self._column(KINDS_COLUMN).data
         if len(self.kinds) != self.head.records:
-            raise Damaged("a block has other records than it says")
+            raise CorruptTraceError("a block has other records than it says")
 
     @staticmethod
     def _split(raw: bytes) -> dict[tuple[int, int], bytes]:
         into = In(raw)
         count = into.whole()
         if count > len(raw):
-            raise Damaged("more columns than bytes")
+            raise CorruptTraceError("more columns than bytes")
         told = [(into.whole(), into.whole(), into.whole()) for _ in range(count)]
         columns = {(code, place): into.raw(size) for code, place, size in told}
         if not into.over():
-            raise Damaged("bytes behind the last column")
+            raise CorruptTraceError("bytes behind the last column")
         return columns
 
     def _column(self, code: int, place: int = 0) -> In:
@@ -242,14 +242,14 @@
                 return 0
             value = newest - (told - 1) // 2 if told & 1 else newest + told // 2
             if value <= 0:
-                raise Damaged("an op before the first")
+                raise CorruptTraceError("an op before the first")
             return value
         if codec == "number":
             return column.number()
         if codec == "numbers":
             count = column.whole()
             if count > MOST_NUMBERS:
-                raise Damaged(f"{count} numbers in one value")
+                raise CorruptTraceError(f"{count} numbers in one value")
             return tuple(column.number() for _ in range(count))
         place = column.whole()
         if codec == "ref":
@@ -257,13 +257,13 @@
                 return column.raw(8).hex()
             place -= 1
         if place >= len(self.texts):
-            raise Damaged("a text that is not in the table")
+            raise CorruptTraceError("a text that is not in the table")
         return self.texts[place]
 
 
 def _micro(time: float) -> int:
     if not abs(time) < 1e12:
-        raise Damaged(f"a time of {time}")
+        raise CorruptTraceError(f"a time of {time}")
     return round(time * MICRO)
 
 
--- a/mulleinhatch/instance/traces/codec.py
+++ b/mulleinhatch/instance/traces/codec.py
@@ -1,4 +1,4 @@
-"""Columns of bytes: whole numbers, exact floats, ids, texts. Reading past the end, or past any bound, is `Damaged`."""
+"""Columns of bytes: whole numbers, exact floats, ids, texts. Reading past any bound raises `CorruptTraceError`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 MOST_NUMBERS = 256  # in one value of several
 
 
-class Damaged(ValueError):
+class CorruptTraceError(ValueError):
     """What was read can't have been written; the text says what."""
 
 
@@ -64,7 +64,7 @@
         data, at = self.data, self.at
         while True:
             if at >= len(data) or shift > 63:
-                raise Damaged("a number has no end")
+                raise CorruptTraceError("a number has no end")
             byte = data[at]
             at += 1
             value |= (byte & 127) << shift
@@ -78,13 +78,13 @@
         if value == 1:
             return F64.unpack(self.raw(8))[0]
         if value & 1 or value > 4 * EXACT + 2:
-            raise Damaged("a float in no known form")
+            raise CorruptTraceError("a float in no known form")
         return (value >> 2) / MICRO if value & 2 else (value >> 2) * 1000 / MICRO
 
     def raw(self, count: int) -> bytes:
         data = self.data[self.at : self.at + count]
         if len(data) < count:
-            raise Damaged("a column is too short")
+            raise CorruptTraceError("a column is too short")
         self.at += count
         return data
 
--- a/mulleinhatch/instance/traces/file.py
+++ b/mulleinhatch/instance/traces/file.py
@@ -16,7 +16,7 @@
 
 from mulleinhatch.instance.traces import block
 from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, Head
-from mulleinhatch.instance.traces.codec import Damaged
+from mulleinhatch.instance.traces.codec import CorruptTraceError
 from mulleinhatch.instance.traces.kinds import MAJORS, MINOR, Record
 
 MAGIC = b"mhtTRACE"
@@ -28,7 +28,7 @@
 LOOK_FOR = 1 << 16  # bytes read at once when the next block is looked for
 
 
-class Unreadable(ValueError):
+class UnreadableTraceError(ValueError):
     """No trace file, or one of a later major version."""
 
 
@@ -117,19 +117,19 @@
         file.seek(0)
         start = file.read(START.size)
         if not start:
-            raise Unreadable("the file is empty")
+            raise UnreadableTraceError("the file is empty")
         if len(start) < START.size or start[:8] != MAGIC:
-            raise Unreadable("this is no trace file")
+            raise UnreadableTraceError("this is no trace file")
         _, self.major, self.minor, size, checksum = START.unpack(start)
         if self.major not in MAJORS:
-            raise Unreadable(f"version {self.major}.{self.minor}: this text reads {', '.join(map(str, MAJORS))}")
+            raise UnreadableTraceError(f"version {self.major}.{self.minor}: this text reads {', '.join(map(str, MAJORS))}")
         body = file.read(size) if size <= MOST_FACTS else b""
         if len(body) < size or xxh3_64_intdigest(body) != checksum:
-            raise Unreadable("the facts at its start are damaged")
+            raise UnreadableTraceError("the facts at its start are damaged")
         try:
             self.facts = msgspec.msgpack.decode(body, type=Facts)
         except msgspec.DecodeError as error:
-            raise Unreadable(f"the facts at its start: {error}") from None
+            raise UnreadableTraceError(f"the facts at its start: {error}") from None
         self.start = START.size + size
         self.lost: list[Lost] = []
         self.unknown = 0
@@ -170,7 +170,7 @@
                 break
             try:
                 head = block.head_of(data)
-            except Damaged as error:
+            except CorruptTraceError as error:
                 after = self._next(place + 1)
                 self.lost.append(Lost(place, str(error)))
                 if after is None:
@@ -204,7 +204,7 @@
         """The block, or None and an entry in `lost`."""
         try:
             return Block(self._read(row.place, HEAD_SIZE + row.stored))
-        except Damaged as error:
+        except CorruptTraceError as error:
             self.lost.append(Lost(row.place, str(error), row.records, row.first, row.last))
             return None
 
@@ -220,6 +220,6 @@
                 for record in read.records():
                     if (since is None or record.time >= since) and (until is None or record.time <= until):
                         yield record
-            except Damaged as error:
+            except CorruptTraceError as error:
                 self.lost.append(Lost(0, str(error), head.records, head.first, head.last))
             self.unknown += sum(read.unknown.values())
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -77,7 +77,7 @@
     replayed: Counter[str]
 
 
-class Incomplete(ValueError):
+class IncompleteTraceError(ValueError):
     """The trace does not begin with the start of an instance, or lacks a part: nothing after that can be replayed."""
 
 
@@ -92,15 +92,15 @@
     def tell(self, record: Record) -> None:
         kind, now, values = record
         if kind is kinds.NODE:
-            raise Incomplete("a merged file is of several modules: replay the files it was made of")
+            raise IncompleteTraceError("a merged file is of several modules: replay the files it was made of")
         if kind is kinds.GAP:
-            raise Incomplete(f"{values[0]} records are missing at {now:.3f}: the disk was too slow for them")
+            raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow for them")
         if kind is kinds.START:
             cold, since = values
             deployment = {**told_in(self.facts.deployment), "fresh_start": bool(cold)}
             self.hatch = self.make(deployment, self.facts.seed, now - since)
         elif self.hatch is None:
-            raise Incomplete("the trace begins after the start of its instance: replay its first file, uncut")
+            raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, uncut")
         elif kind is kinds.READ:
             op, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
             self.refs[op], self.numbers[ref] = ref, op
--- a/mulleinhatch/instance/transport/peers.py
+++ b/mulleinhatch/instance/transport/peers.py
@@ -16,11 +16,11 @@
 MOST_INTERIM = 8  # answers that only announce another one
 
 
-class Unreached(OSError):
+class ConnectFailedError(OSError):
     """Nothing of the request left: no peer can have run it."""
 
 
-class BrokenOff(OSError):
+class ConnectionLostError(OSError):
     """The request may have been read, and what became of it is not known."""
 
 
@@ -43,11 +43,11 @@
             body = await asyncio.wait_for(stream.read_bytes(length), until - self.clock()) if length else b""
             if stream.has_more():
                 # Nothing else was asked for: its length is wrong, or the bytes before it were not its own.
-                raise BrokenOff("more came than one answer")
+                raise ConnectionLostError("more came than one answer")
             keep = not last
             return status, body
         except (TimeoutError, OSError, StreamClosedError, UnsatisfiableReadError, ValueError) as error:
-            raise BrokenOff(str(error)) from None
+            raise ConnectionLostError(str(error)) from None
         finally:
             self._done(address, stream, keep)
 
@@ -58,7 +58,7 @@
             told = self.told(head)
             if not 100 <= told[0] < 200:
                 return told
-        raise BrokenOff("one interim answer after another")
+        raise ConnectionLostError("one interim answer after another")
 
     async def _connected(self, address: str, within: float) -> GatheringStream:
         """A kept one that the peer has not closed meanwhile, else a new one."""
@@ -70,7 +70,7 @@
                 return stream
             self._close(address, stream)
         if self.open.get(address, 0) >= self.most:
-            raise Unreached("as many connections as are kept to a peer are in use")
+            raise ConnectFailedError("as many connections as are kept to a peer are in use")
         self.open[address] = self.open.get(address, 0) + 1
         stream = GatheringStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         host, _, port = address.rpartition(":")
@@ -79,7 +79,7 @@
         except BaseException as error:
             self._close(address, stream)
             if isinstance(error, TimeoutError | OSError | StreamClosedError):
-                raise Unreached(str(error)) from None
+                raise ConnectFailedError(str(error)) from None
             raise
         return stream
 
--- a/mulleinhatch/networking/http.py
+++ b/mulleinhatch/networking/http.py
@@ -45,7 +45,7 @@
 OP_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     """What is wrong with a request, in a few words to count by, and the status that says so."""
 
     def __init__(self, cause: str, status: int = 400) -> None:
@@ -91,7 +91,7 @@
         return self.end > 0
 
     def message(self) -> tuple[bytes, bytes, dict[bytes, bytes], bytes] | None:
-        """Method, path, fields by lower-case name, body; None until the rest has come. After a BadRequest
+        """Method, path, fields by lower-case name, body; None until the rest has come. After a BadRequestError
         it is not known where the next request begins."""
         while self.end >= len(LINE_END) and self.view[: len(LINE_END)] == LINE_END:
             self._shift(len(LINE_END))  # some senders end the request before with one line too many
@@ -101,11 +101,11 @@
         if head_end + len(HEAD_END) > MOST_HEAD:
             # Not only while its end is awaited: the buffer holds a head and a body at their most. A longer head that came whole
             # in one read would leave no room for the rest of its body, and who waits for that reads nothing for ever.
-            raise BadRequest("head too long", 431)
+            raise BadRequestError("head too long", 431)
         line_end = self.buffer.find(LINE_END, 0, head_end + len(LINE_END))
         words = bytes(self.view[:line_end]).split(b" ")
         if len(words) != 3 or words[2] not in (b"HTTP/1.1", b"HTTP/1.0") or b"\n" in words[1]:
-            raise BadRequest("request line")
+            raise BadRequestError("request line")
         fields = self._fields(line_end + len(LINE_END), head_end + len(LINE_END))
         if words[2] == b"HTTP/1.0":
             fields.setdefault(b"connection", b"close")
@@ -120,21 +120,21 @@
 
     def _no_head_yet(self) -> None:
         if BARE_END.search(self.buffer, max(0, self.searched - 1), self.end):
-            raise BadRequest("line end")  # others take it for an end: who waits for ours would hear nothing
+            raise BadRequestError("line end")  # others take it for an end: who waits for ours would hear nothing
         if self.end > MOST_HEAD:
-            raise BadRequest("head too long", 431)
+            raise BadRequestError("head too long", 431)
         self.searched = self.end
 
     def _fields(self, start: int, end: int) -> dict[bytes, bytes]:
         """Of what we read no field may come twice: which one counts would be anybody's guess."""
         if not HEAD_LINES.fullmatch(self.buffer, start, end):
-            raise BadRequest("header line")
+            raise BadRequestError("header line")
         fields: dict[bytes, bytes] = {}
         for line in bytes(self.view[start:end]).split(LINE_END)[:-1]:
             name, _, text = line.partition(b":")
             name = name.lower()
             if name in fields and (name.startswith(b"x-") or name in ONLY_ONCE):
-                raise BadRequest("repeated field")
+                raise BadRequestError("repeated field")
             fields[name] = text.strip(b" \t")
         return fields
 
@@ -142,12 +142,12 @@
     def _length(fields: dict[bytes, bytes]) -> int:
         if b"transfer-encoding" in fields:
             # With a length beside it another request may hide in the body: neither is believed.
-            raise BadRequest("transfer coding", 400 if b"content-length" in fields else 411)
+            raise BadRequestError("transfer coding", 400 if b"content-length" in fields else 411)
         length = fields.get(b"content-length", b"0")
         if not length.isdigit():
-            raise BadRequest("content length")
+            raise BadRequestError("content length")
         if len(length) > 9 or int(length) > MOST_BODY:
-            raise BadRequest("body too long", 413)
+            raise BadRequestError("body too long", 413)
         return int(length)
 
     def _shift(self, taken: int) -> None:
@@ -237,14 +237,14 @@
     (0.5, 0.0)
     >>> number({b"x-rank": b"1e-1"}, b"x-rank")
     Traceback (most recent call last):
-    mulleinhatch.networking.http.BadRequest: x-rank
+    mulleinhatch.networking.http.BadRequestError: x-rank
     """
     text = fields.get(name)
     if text is None and absent is not None:
         return absent
     value = float(text) * unit if text is not None and NUMBER.fullmatch(text) else math.nan
     if not least <= value < below:
-        raise BadRequest(name.decode("latin-1"))
+        raise BadRequestError(name.decode("latin-1"))
     return value
 
 
@@ -252,9 +252,9 @@
     """What the reducer is told of an op: id, op type, tenant, age, wait, caller, work, kb, again, key, rank."""
     ref = fields.get(b"x-request-id", b"")
     if not OP_ID.fullmatch(ref):
-        raise BadRequest("x-request-id")
+        raise BadRequestError("x-request-id")
     if fields.get(b"x-retry", b"1") != b"1":
-        raise BadRequest("x-retry")
+        raise BadRequestError("x-retry")
     arrived = number(fields, b"x-request-start", now - LONGEST, now + CLOCK_SLACK, absent=None, unit=0.001)
     patience = number(fields, b"x-timeout-ms", below=LONGEST, unit=0.001)
     key = fields.get(b"idempotency-key") or fields.get(b"x-object", b"")
@@ -329,15 +329,15 @@
     (103, 0, False)
     >>> answer_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nContent-Length: 6\\r\\n\\r\\n")
     Traceback (most recent call last):
-    mulleinhatch.networking.http.BadRequest: answer length
+    mulleinhatch.networking.http.BadRequestError: answer length
     >>> answer_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nConnection: close\\r\\n\\r\\n")
     (200, 5, True)
     """
     line = ANSWER_LINE.match(head)
     if line is None:
-        raise BadRequest("answer line")
+        raise BadRequestError("answer line")
     if not HEAD_LINES.fullmatch(head, line.end(), len(head) - len(LINE_END)):
-        raise BadRequest("answer field")
+        raise BadRequestError("answer field")
     pairs = [field.partition(b":") for field in head[line.end() : -len(HEAD_END)].split(LINE_END)]
     fields = {name.lower(): text.strip(b" \t") for name, _, text in pairs}
     if line[1].startswith(b"1"):
@@ -349,7 +349,7 @@
         or int(length) > MOST_RESULT
         or (b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1)
     ):
-        raise BadRequest("answer length")
+        raise BadRequestError("answer length")
     return int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close"
 
 
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Protocol
 
-from mulleinhatch.networking.http import BadRequest
+from mulleinhatch.networking.http import BadRequestError
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_request
 
 MOST_ANSWER_HEAD = 65536
@@ -96,7 +96,7 @@
             return
         try:
             self._read()
-        except BadRequest:
+        except BadRequestError:
             self._lose(Loss.BROKEN)
 
     def _read(self) -> None:
@@ -196,7 +196,7 @@
     body: bytes
 
 
-class CallFailed(OSError):
+class CallError(OSError):
     """No answer came; the message names the address. Ask another instance, or again later."""
 
     def __init__(self, address: str, why: str, sent: bool = True) -> None:
@@ -234,7 +234,7 @@
 
     def _fail(self, why: str) -> None:
         if not self.future.done():
-            self.future.set_exception(CallFailed("connection", why))
+            self.future.set_exception(CallError("connection", why))
 
 
 class Caller:
@@ -258,7 +258,7 @@
             async with asyncio.timeout(within):
                 return await self._request(address, method, path, body, content_type, fields)
         except TimeoutError:
-            raise CallFailed(address, f"no answer in {within:.1f} s") from None
+            raise CallError(address, f"no answer in {within:.1f} s") from None
 
     async def _request(
         self, address: str, method: str, path: str, body: bytes, content_type: str, fields: tuple[tuple[bytes, bytes], ...]
@@ -270,7 +270,7 @@
             try:
                 connection = await connect(address)
             except OSError as error:
-                raise CallFailed(address, f"no connection ({type(error).__name__})", sent=False) from None
+                raise CallError(address, f"no connection ({type(error).__name__})", sent=False) from None
         sink = _Collector()
         try:
             connection.send(data, sink)
--- a/mulleinhatch/networking/http_streaming.py
+++ b/mulleinhatch/networking/http_streaming.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mulleinhatch.networking.http import HEAD_END, HEAD_LINES, LINE_END, REASONS, BadRequest
+from mulleinhatch.networking.http import HEAD_END, HEAD_LINES, LINE_END, REASONS, BadRequestError
 
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
 MOST_CHUNK_LINE = 256  # bytes of a chunk's size line
@@ -48,16 +48,16 @@
 
 
 def _split_fields(block: bytes) -> tuple[tuple[tuple[bytes, bytes], ...], dict[bytes, bytes]]:
-    """The fields of a head; BadRequest where a line is none or a field that must be single comes twice with two values."""
+    """The fields of a head; BadRequestError where a line is none or a field that must be single comes twice with two values."""
     if not HEAD_LINES.fullmatch(block):
-        raise BadRequest("header line")
+        raise BadRequestError("header line")
     fields, first = [], {}
     for line in block.split(LINE_END)[:-1]:
         name, _, text = line.partition(b":")
         text = text.strip(b" \t")
         lower = name.lower()
         if lower in first and lower in SINGLE_FIELDS:
-            raise BadRequest("repeated field")
+            raise BadRequestError("repeated field")
         first[lower] = first[lower] + b"," + text if lower in first else text
         fields.append((name, text))
     return tuple(fields), first
@@ -69,12 +69,12 @@
     length = first.get(b"content-length")
     if coding is not None:
         if length is not None or coding.lower() != b"chunked" or not minor:
-            raise BadRequest("transfer coding")
+            raise BadRequestError("transfer coding")
         return None, True
     if length is None:
         return None, False
     if not length.isdigit() or len(length) > 12:
-        raise BadRequest("content length")
+        raise BadRequestError("content length")
     return int(length), False
 
 
@@ -87,7 +87,7 @@
     """
     line = REQUEST_LINE.match(data)
     if line is None:
-        raise BadRequest("request line")
+        raise BadRequestError("request line")
     fields, first = _split_fields(data[line.end() : -len(LINE_END)])
     minor = int(line.group(3))
     length, chunked = _framing(first, minor)
@@ -110,7 +110,7 @@
     """
     line = STATUS_LINE.match(data)
     if line is None:
-        raise BadRequest("answer line")
+        raise BadRequestError("answer line")
     fields, first = _split_fields(data[line.end() : -len(LINE_END)])
     minor, status = int(line.group(1)), int(line.group(2))
     if to_head or status in NO_BODY_STATUS or status < 200:
@@ -134,7 +134,7 @@
     """One message after another on one side of a connection.
 
     `feed` takes bytes; `head()` gives the next head once it is whole; `body()` what has come of its body; `done` tells that the
-    message is complete, and `next()` goes on to the one after. BadRequest where the bytes are no message.
+    message is complete, and `next()` goes on to the one after. BadRequestError where the bytes are no message.
 
     >>> reader = MessageReader(answers=True)
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhi\\r")
@@ -174,11 +174,11 @@
         end = buffer.find(HEAD_END, max(0, self._searched - len(HEAD_END)))
         if end < 0:
             if len(buffer) > self.most_head:
-                raise BadRequest("head too long", 431)
+                raise BadRequestError("head too long", 431)
             self._searched = len(buffer)
             return None
         if end + len(HEAD_END) > self.most_head:
-            raise BadRequest("head too long", 431)
+            raise BadRequestError("head too long", 431)
         data = bytes(buffer[: end + len(HEAD_END)])
         del buffer[: end + len(HEAD_END)]
         self._searched = 0
@@ -221,7 +221,7 @@
         if end < 0 and len(self._buffer) <= most:
             return None
         if end < 0 or end > most:
-            raise BadRequest("chunk line")
+            raise BadRequestError("chunk line")
         line = bytes(self._buffer[:end])
         del self._buffer[: end + len(LINE_END)]
         return line
@@ -234,7 +234,7 @@
                 return False
             size = CHUNK_SIZE.match(line)
             if size is None:
-                raise BadRequest("chunk size")
+                raise BadRequestError("chunk size")
             self._left = int(size.group(1), 16)
             self._stage = _Stage.CHUNK if self._left else _Stage.TRAILER
             return True
@@ -247,7 +247,7 @@
             if len(self._buffer) < len(LINE_END):
                 return False
             if self._buffer[:2] != LINE_END:
-                raise BadRequest("chunk end")
+                raise BadRequestError("chunk end")
             del self._buffer[:2]
             self._stage = _Stage.CHUNK_LINE
             return True
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from mulleinhatch.networking.http_client import CallFailed, WholeAnswer
+from mulleinhatch.networking.http_client import CallError, WholeAnswer
 from mulleinhatch.networking.http_server import WebAnswer, WebRequest
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.virtual_time import Process
@@ -62,7 +62,7 @@
         except TimeoutError:
             answer = None
         if answer is None:
-            raise CallFailed(address, "no answer")
+            raise CallError(address, "no answer")
         return WholeAnswer(answer.status, answer.headers, answer.body)  # type: ignore[arg-type]
 
     def _passes(self, one: Any, other: Any) -> bool:
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -9,7 +9,7 @@
 from mulleinhatch.instance.request_state_machine.reducer import Happening
 from mulleinhatch.simulation.fault_search.histories import FIRST, History
 from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
-from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, SpreadWorld
 from mulleinhatch.simulation.maintenance_world import WithUpkeep, asked_all
 from mulleinhatch.testing import fault_script as faults
@@ -58,7 +58,7 @@
         if node.lives == life and node.core:
             for ref, owed in node.reducer.owed.items():
                 if owed.place is not None and not node.stalled:
-                    raise Broken(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
+                    raise InvariantBrokenError(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
             self._gone(node, life)
             self.at(self.now + self.works, self.start, node)
 
@@ -95,7 +95,7 @@
                 )
             )
             if len(node.reducer.owed) > MOST_OWED:
-                raise Broken(f"at {self.now:.2f} {node.name} owes {len(node.reducer.owed)} ops")
+                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {len(node.reducer.owed)} ops")
             late = (
                 [
                     ref
@@ -106,7 +106,7 @@
                 else []
             )
             if late and self.now > self.end + TIMEOUT:
-                raise Broken(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
+                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
 
     def share(self, since: float, until: float) -> float:
         seconds = [self.by_second.get(second, (0.0, 0.0)) for second in range(int(since), int(until))]
@@ -122,7 +122,7 @@
         agreed = [world.play(world.end + AGREE_WITHIN + 0.25 * look).views_agree() for look in range(12)]
         going = bool(history.upkeep)  # while some go and come back views are never one for long
         if not any(agreed) and not going:
-            raise Broken(f"views are not one {AGREE_WITHIN + 3.0:.0f} s after the last fault")
+            raise InvariantBrokenError(f"views are not one {AGREE_WITHIN + 3.0:.0f} s after the last fault")
         world.play(world.end + RECOVERS_WITHIN + 6.0)
         quiet = world.end + RECOVERS_WITHIN
         before, after = world.share(FIRST - 4.0, FIRST), world.share(quiet, quiet + 4.0)
@@ -136,7 +136,7 @@
             math.inf,
         )
         if after < BACK * before * (1.0 - 2.0 * dead) and not going:
-            raise Broken(f"service is {after:.2f} long after the last fault, {before:.2f} before")
+            raise InvariantBrokenError(f"service is {after:.2f} long after the last fault, {before:.2f} before")
         if going:
             lives = {node.name for node in world.nodes if not _dies_for_good(history, node.place)}
             gone = len(world.nodes) - len(lives)
@@ -146,8 +146,8 @@
             while world.now < world.end + UPKEEP_WITHIN and not lives <= world.been.keys():
                 world.play(world.now + 1.0)
             if not lives <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
-                raise Broken(f"{sorted(lives - world.been.keys())} were asked and never went out")
-    except Broken as error:
+                raise InvariantBrokenError(f"{sorted(lives - world.been.keys())} were asked and never went out")
+    except InvariantBrokenError as error:
         what = str(error)
     worst = min((sums[1] / sums[0] for second, sums in world.by_second.items() if sums[0] and second >= FIRST - 2), default=1.0)
     return Found(
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.gossip.core import Fleet, Local
 from mulleinhatch.instance.gossip.counters import FRESH
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
-from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
 
 LINK = (0.0003, 0.002)  # seconds that a datagram takes
@@ -166,7 +166,7 @@
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(data)
             if len(data) > 1200:
-                raise Broken(f"at {self.now:.3f} a datagram of {len(data)} bytes")
+                raise InvariantBrokenError(f"at {self.now:.3f} a datagram of {len(data)} bytes")
             if not faults.passes(self.links, self.now, node.place, to):
                 continue
             lossy, repeated, swapped, delayed = (
@@ -209,7 +209,7 @@
             heard = sum(node.clock(self.now) - row.made_at <= FRESH for row in node.core.known.rows.values())
             part = bounds.total // (1 + heard)
         if part < 0:
-            raise Broken(f"at {self.now:.3f} {node.name} holds a part of {part}")
+            raise InvariantBrokenError(f"at {self.now:.3f} {node.name} holds a part of {part}")
         if node.meters[budget].take(node.clock(self.now), part):
             self.took[node.place] += 1
             used = self.used[budget]
@@ -219,7 +219,9 @@
                 used.popleft()
             self.most_used[budget] = max(self.most_used[budget], len(used))
             if len(used) > bounds.total and not self.plan.gossip:
-                raise Broken(f"at {self.now:.3f} {len(used)} of {bounds.total} of {bounds.name} used in one window")
+                raise InvariantBrokenError(
+                    f"at {self.now:.3f} {len(used)} of {bounds.total} of {bounds.name} used in one window"
+                )
 
     # What must hold of members.
 
@@ -251,7 +253,7 @@
                 self.declared.append((self.now, node.place, change.name))
                 lived = other.core is not None and not other.stalled
                 if lived and 2 * self._in_hearing(node) < self._living() - 1 and self._settled():
-                    raise Broken(f"at {self.now:.3f} {node.name}, cut off from most, declared {other.name} gone")
+                    raise InvariantBrokenError(f"at {self.now:.3f} {node.name}, cut off from most, declared {other.name} gone")
                 if lived and 2 * self._hears(other) >= self._living() - 1 and self._settled():
                     self.false.append((self.now, node.place, change.name))
         node.core.members.changes.clear()
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -1,7 +1,8 @@
 """Callers, connections and an interpreter in virtual time round a real `Reducer`: one seed, one history.
 
 No socket and no clock: an hour passes in seconds and the same seed gives the same history to the last answer. What must
-hold is checked at each step, whatever the player is told to let happen; `Broken` names the first thing that did not.
+hold is checked at each step, whatever the player is told to let happen; `InvariantBrokenError` names the first
+thing that did not.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 KINDS = (("read", Effect.RETRYABLE, 0.8), ("signoff", Effect.NON_RETRYABLE, 0.1), ("stamp", Effect.KEYED, 0.1))
 
 
-class Broken(AssertionError):
+class InvariantBrokenError(AssertionError):
     """A rule or a bound did not hold; the text says when."""
 
 
@@ -244,7 +245,7 @@
             if seconds is not None:
                 self.counts["turned back"] += 1
                 if op.kind[1] is not Effect.RETRYABLE and self.ran[op.number]:
-                    raise Broken(f"at {self.now:.3f} an op that ran was nacked: {op.number}")
+                    raise InvariantBrokenError(f"at {self.now:.3f} an op that ran was nacked: {op.number}")
                 self._nacked(op, seconds)
                 return
         place = self._place(op)
@@ -262,10 +263,10 @@
 
     def _answered(self, errand: Errand, place: int, *told: Any) -> None:
         if place not in self.waiting:
-            raise Broken(f"at {self.now:.3f} a second answer, or one to nobody")
+            raise InvariantBrokenError(f"at {self.now:.3f} a second answer, or one to nobody")
         op, ref, due = self.waiting.pop(place)
         if self.now > due + ANSWER_SLACK:
-            raise Broken(f"at {self.now:.3f} an answer came {self.now - due:.2f} s late")
+            raise InvariantBrokenError(f"at {self.now:.3f} an answer came {self.now - due:.2f} s late")
         self.counts[errand.value] += 1
         self.idle.append(place)
         if errand is Errand.ACK:
@@ -279,7 +280,7 @@
             op.over = True
         elif errand is Errand.NACK:
             if op.kind[1] is not Effect.RETRYABLE and ref in self.running:
-                raise Broken(f"at {self.now:.3f} an op that runs was nacked")
+                raise InvariantBrokenError(f"at {self.now:.3f} an op that runs was nacked")
             self._nacked(op, told[0])
         elif op.kind[1] is Effect.NON_RETRYABLE:
             op.over = True
@@ -299,16 +300,16 @@
     def _check(self) -> None:
         for place, (_, _, due) in self.waiting.items():
             if self.up and self.now > due + ANSWER_SLACK:
-                raise Broken(f"at {self.now:.3f} place {place} waits past its time")
+                raise InvariantBrokenError(f"at {self.now:.3f} place {place} waits past its time")
             break  # the oldest place that waits tells of the others: waits differ by the patience at most
         desk = self.reducer.storms
         if desk is None:
             return
         for bucket in (desk.budget.punctual, desk.budget.others):
             if not 0.0 <= bucket.tokens <= bucket.most + 1e-9:
-                raise Broken(f"at {self.now:.3f} a budget of {bucket.tokens}")
+                raise InvariantBrokenError(f"at {self.now:.3f} a budget of {bucket.tokens}")
         if len(desk.callers) > desk.bounds.callers_kept or len(desk.tries.outstanding) > 2 * desk.bounds.repeats_kept:
-            raise Broken(f"at {self.now:.3f} the books outgrew their bound")
+            raise InvariantBrokenError(f"at {self.now:.3f} the books outgrew their bound")
         stage = desk.watch.stage.value
         if not self.stages or self.stages[-1][1] != stage:
             self.stages.append((self.now, stage))
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -22,7 +22,7 @@
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
-from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fake_interpreter import Cores
 
@@ -279,7 +279,9 @@
         if giver.counts["offers_given"] > getattr(node, "given", 0):
             node.given = giver.counts["offers_given"]
             if sum(given.until > now for given in giver.given.values()) > max(0, node.spread.here.room):
-                raise Broken(f"at {self.now:.3f} {node.name} offers {len(giver.given)} with room for {node.spread.here.room}")
+                raise InvariantBrokenError(
+                    f"at {self.now:.3f} {node.name} offers {len(giver.given)} with room for {node.spread.here.room}"
+                )
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.spread:
@@ -337,7 +339,7 @@
         elif errand in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
             answered = node.waiting_ops.pop(fields[0], None)
             if answered is None:
-                raise Broken(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
+                raise InvariantBrokenError(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
             node.level = fields[-1] or 0.0
             self.at(
                 self.now + self.draw.uniform(*LINK),
@@ -353,10 +355,10 @@
     def _run(self, node: Service, ref: str, body: bytes) -> None:
         number, work = body.split()
         if ref in node.works:
-            raise Broken(f"at {self.now:.3f} {node.name} runs {ref} twice at a time")
+            raise InvariantBrokenError(f"at {self.now:.3f} {node.name} runs {ref} twice at a time")
         self.ran[int(number)] += 1
         if self.ran[int(number)] > 1 and int(number) in self.once:
-            raise Broken(f"at {self.now:.3f} a non-retryable op runs a second time, on {node.name}")
+            raise InvariantBrokenError(f"at {self.now:.3f} a non-retryable op runs a second time, on {node.name}")
         slow = (
             max(1.0, faults.amount(self.faults, "slow", self.now, node.place))
             / self.speeds[node.place]
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -1,6 +1,7 @@
 """Upkeep in virtual time, on any world of fleet cores: real upkeep cores, disks and clocks that are the player's.
 
-Who gets a permit goes out and starts anew when its work is done; more out by permit than the bound raises `Broken`.
+Who gets a permit goes out and starts anew when its work is done; more out by permit than the bound
+raises `InvariantBrokenError`.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from mulleinhatch.instance.maintenance.paxos_register import Kept
 from mulleinhatch.instance.maintenance.schedule import Request
 from mulleinhatch.simulation.gossip_world import FleetWorld, Node, Plan
-from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.instance_world import InvariantBrokenError
 
 
 class WithUpkeep:
@@ -67,7 +68,9 @@
             self.outside.add(node.name)
             self.most_out = max(self.most_out, len(self.outside))
             if len(self.outside) > self.most:
-                raise Broken(f"at {self.now:.2f} {' and '.join(sorted(self.outside))} are out, {self.most} may be")
+                raise InvariantBrokenError(
+                    f"at {self.now:.2f} {' and '.join(sorted(self.outside))} are out, {self.most} may be"
+                )
             self.goes_out(node)
 
     def goes_out(self, node: Node) -> None:
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -51,7 +51,7 @@
     watched: int = 1  # in each zone, members whose sums are looked at each quarter of a second
 
 
-class BadPlan(ValueError):
+class InvalidPlanError(ValueError):
     """The text says what does not fit."""
 
 
@@ -72,11 +72,11 @@
     def __init__(self, plan: Plan) -> None:
         zones = plan.regions * plan.zones
         if plan.members < 2 or zones < 1 or plan.members % zones and plan.levels:
-            raise BadPlan(f"{plan.members} members do not fit evenly into {zones} zones")
+            raise InvalidPlanError(f"{plan.members} members do not fit evenly into {zones} zones")
         if plan.group_size < 2:
-            raise BadPlan("a group has two members at least")
+            raise InvalidPlanError("a group has two members at least")
         if plan.levels and not knows_levels():
-            raise BadPlan("fleet state in levels is not there: FleetBounds has no zone")
+            raise InvalidPlanError("fleet state in levels is not there: FleetBounds has no zone")
         self.plan = plan
         self.zone = [place * zones // plan.members for place in range(plan.members)]
         self.region = [zone // plan.zones for zone in self.zone]
@@ -102,14 +102,14 @@
             return int(number) * RACK, min(int(number) * RACK + RACK, self.plan.members) - 1
         where = self.zone if what == "zone" else self.region
         if int(number) not in where:
-            raise BadPlan(f"there is no {kind}")
+            raise InvalidPlanError(f"there is no {kind}")
         return where.index(int(number)), len(where) - 1 - where[::-1].index(int(number))
 
     def translated(self, script: str) -> str:
         return KINDS.sub(lambda found: "{}-{}".format(*self.places_of(found[0])), script)
 
     def faults(self, script: str) -> list[faults.Fault]:
-        """Errors: `faults.BadScript` names the line, `BadPlan` the place kind."""
+        """Errors: `faults.FaultScriptError` names the line, `InvalidPlanError` the place kind."""
         return faults.read(self.translated(script), self.plan.members)
 
     def link(self, sender: int, to: int) -> tuple[float, float]:
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -18,7 +18,7 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from mulleinhatch.simulation.scale_instances import LOOKAHEAD, BadPlan, Ground, Plan
+from mulleinhatch.simulation.scale_instances import LOOKAHEAD, Ground, InvalidPlanError, Plan
 from mulleinhatch.simulation.scale_world import Event, Shard
 
 MOST_SHARDS = 8
@@ -95,7 +95,7 @@
         pipe.send_bytes(b"!" + traceback.format_exc().encode())
 
 
-class Stopped(RuntimeError):
+class ShardStoppedError(RuntimeError):
     """A process of the world broke off; the text is its traceback."""
 
 
@@ -109,7 +109,7 @@
     def __init__(self, plan: Plan, shards: int = 1, processes: bool = True) -> None:
         """`processes`: a process for each shard; else all in this one, in turn."""
         if not 1 <= shards <= MOST_SHARDS:
-            raise BadPlan(f"{shards} processes: 1 to {MOST_SHARDS} are allowed")
+            raise InvalidPlanError(f"{shards} processes: 1 to {MOST_SHARDS} are allowed")
         self.plan, self.ground, self.now = plan, Ground(plan), 0.0
         shards = min(shards, plan.members)
         self.owner = owners(self.ground, shards)
@@ -159,9 +159,9 @@
         try:
             data = self.pipes[index].recv_bytes()
         except EOFError:
-            raise Stopped(f"process {index} ended") from None
+            raise ShardStoppedError(f"process {index} ended") from None
         if data[:1] == b"!":
-            raise Stopped(data[1:].decode())
+            raise ShardStoppedError(data[1:].decode())
         return marshal.loads(data)
 
     def play(self, until: float) -> World:
@@ -193,7 +193,7 @@
         for index, pipe in enumerate(self.pipes):
             data = pipe.recv_bytes()
             if data[:1] == b"!":
-                raise Stopped(data[1:].decode())
+                raise ShardStoppedError(data[1:].decode())
             answer, self.nexts[index] = pickle.loads(data)
             answers.append(answer)
         return answers
@@ -266,4 +266,4 @@
         return sum(self.ask("memory")) / self.plan.members
 
 
-__all__ = ["Event", "Stopped", "World", "owners", "resident"]
+__all__ = ["Event", "ShardStoppedError", "World", "owners", "resident"]
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -27,7 +27,7 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
 from mulleinhatch.instance.maintenance.core import Upkeep
-from mulleinhatch.simulation.instance_world import Broken
+from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.testing import fault_script as faults
 
@@ -145,7 +145,7 @@
         """Faults from now on; what lies before is refused."""
         for fault in self.ground.faults(text):
             if fault.at < self.now:
-                raise faults.BadScript(f"at {fault.at:g} is over: it is {self.now:g}")
+                raise faults.FaultScriptError(f"at {fault.at:g} is over: it is {self.now:g}")
             self._at(fault.at, ("fault", fault))
 
     def next(self) -> float:
@@ -281,7 +281,7 @@
             self._links(None)
             self._at(fault.until, ("links", fault))
         else:
-            raise faults.BadScript(f"{what} is nothing that a hollow instance meets")
+            raise faults.FaultScriptError(f"{what} is nothing that a hollow instance meets")
 
     def _go_on(self, node: Hollow) -> None:
         """Its timer is overdue, its socket full."""
@@ -372,7 +372,7 @@
         place, second, owner, chance = node.place, int(self.now), self.owner, node.chance.random
         for address, data in datagrams:
             if len(data) > words.MOST_BYTES:
-                raise Broken(f"at {self.now:.3f} a datagram of {len(data)} bytes")
+                raise InvariantBrokenError(f"at {self.now:.3f} a datagram of {len(data)} bytes")
             node.sent[second] += len(data) + HEADERS
             node.sent_count[second] += 1
             node.digest = zlib.crc32(data, node.digest)
@@ -427,7 +427,7 @@
         now = self.now * node.rate + node.offset
         part = self._part(node, now, budget)
         if part < 0:
-            raise Broken(f"at {self.now:.3f} {node.core.name} holds a part of {part}")
+            raise InvariantBrokenError(f"at {self.now:.3f} {node.core.name} holds a part of {part}")
         if node.meters[budget].take(now, part):
             self.used[budget].append(self.now)
 
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -37,7 +37,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedFrameError(Exception):
     """The wire broke its form; the text says what and at which byte of the input."""
 
 
@@ -49,7 +49,7 @@
 
     def take(self, shape: struct.Struct) -> tuple:
         if self.at + shape.size > len(self.body):
-            raise Malformed(f"record cut short at byte {self.start + self.at}")
+            raise MalformedFrameError(f"record cut short at byte {self.start + self.at}")
         fields = shape.unpack_from(self.body, self.at)
         self.at += shape.size
         return fields
@@ -76,7 +76,7 @@
                 (instance,) = frame.take(U16)
                 continue
             if instance is None:
-                raise Malformed(f"record {code} before any instance at byte {place}")
+                raise MalformedFrameError(f"record {code} before any instance at byte {place}")
             touched[instance], self.current = None, instance
             if code == CREATE:
                 seed, size = *frame.take(U64), *frame.take(U32)
@@ -84,7 +84,7 @@
             elif code == KILLED:
                 self.hatches.pop(instance, None)
             elif instance not in self.hatches:
-                raise Malformed(f"record {code} for instance {instance}, not started, at byte {place}")
+                raise MalformedFrameError(f"record {code} for instance {instance}, not started, at byte {place}")
             else:
                 self.tell(self.hatches[instance], code, frame, now, place)
         records: list[bytes] = []
@@ -100,7 +100,7 @@
         try:
             facts = deployment(pairs_of_lines(profile.decode()))
         except ValueError as error:
-            raise Malformed(f"unreadable opening pairs at byte {place}: {error}") from None
+            raise MalformedFrameError(f"unreadable opening pairs at byte {place}: {error}") from None
         return Hatch(facts, seed, now)
 
     @staticmethod
@@ -136,7 +136,7 @@
             token, count = *frame.take(U64), *frame.take(U8)
             hatch.woken(now, token, frame.take(struct.Struct(f">{count}f")))
         else:
-            raise Malformed(f"unknown record code {code} at byte {place}")
+            raise MalformedFrameError(f"unknown record code {code} at byte {place}")
 
 
 def decisions(hatch: Hatch, now: float) -> list[Decision]:
@@ -147,14 +147,14 @@
     link, read = Link(), 0
     while header := source.read(BATCH.size):
         if len(header) < BATCH.size:
-            raise Malformed(f"batch header cut short at byte {read + len(header)}")
+            raise MalformedFrameError(f"batch header cut short at byte {read + len(header)}")
         size, clock, number = BATCH.unpack(header)
         body = source.read(size)
         if len(body) < size:
-            raise Malformed(f"batch {number} cut short at byte {read + BATCH.size + len(body)}")
+            raise MalformedFrameError(f"batch {number} cut short at byte {read + BATCH.size + len(body)}")
         try:
             count, records = link.answer(Frame(body, read + BATCH.size), clock / 1000.0)
-        except Malformed:
+        except MalformedFrameError:
             raise
         except Exception as error:  # whatever the module throws, the host is told in the wire's own way
             text = f"{type(error).__name__}: {error}".encode()[:65535]
@@ -168,7 +168,7 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as error:
+    except MalformedFrameError as error:
         print(f"benchlink: {error}", file=sys.stderr)
         return 1
     return 0
--- a/mulleinhatch/storage/append_log.py
+++ b/mulleinhatch/storage/append_log.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from mulleinhatch.storage.records import MAGIC, Contents, NotOurFile, Record, decode, encode
+from mulleinhatch.storage.records import MAGIC, Contents, ForeignFileError, Record, decode, encode
 
 LOG = logging.getLogger(__name__)
 NAME, BESIDE = "control.log", "control.new"
@@ -85,7 +85,7 @@
     def _read(self) -> Contents:
         try:
             return decode(_read_whole(self._path))
-        except NotOurFile as error:
+        except ForeignFileError as error:
             aside = self._path.with_name(f"{NAME}.foreign")
             LOG.error("a file that is not ours was set aside", extra={"error": str(error), "now": str(aside)})
             os.replace(self._path, aside)
--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -52,11 +52,11 @@
     valid_size: int
 
 
-class NotOurFile(ValueError):
+class ForeignFileError(ValueError):
     """The file begins with something else."""
 
 
-class OtherVersion(ValueError):
+class UnsupportedVersionError(ValueError):
     """The file was written by a version of this program that this one can't read."""
 
 
@@ -73,8 +73,8 @@
         if _torn(header):
             return Contents([], 0)
         if header.startswith(FORMAT):
-            raise OtherVersion("the control state file is of another version; start the version that wrote it")
-        raise NotOurFile("not a control state file; move it away, and the state comes from the other machines")
+            raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
+        raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
     records, at = [], len(MAGIC)
     while at + RECORD.size <= len(data):
         length, checksum, kind = RECORD.unpack_from(data, at)
--- a/mulleinhatch/testing/fake_model_server.py
+++ b/mulleinhatch/testing/fake_model_server.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from mulleinhatch.data_plane.exchange import read_prompt
-from mulleinhatch.networking.http import BadRequest
-from mulleinhatch.networking.http_client import Caller, CallFailed
+from mulleinhatch.networking.http import BadRequestError
+from mulleinhatch.networking.http_client import Caller, CallError
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_answer
 
 LOG = logging.getLogger(__name__)
@@ -97,7 +97,7 @@
             try:
                 await self._caller.request(address, "DELETE", f"/instances/{self.id}", b"", 1.0)
                 break
-            except CallFailed:
+            except CallError:
                 continue
         await self.crash()
 
@@ -136,7 +136,7 @@
                 )
                 if answer.status == 200:
                     return
-            except CallFailed:
+            except CallError:
                 pass
             self.control.append(self.control.pop(0))
 
@@ -155,7 +155,7 @@
                         body += messages.body()
                     messages.next()
                     await self._answer(head, body, writer)
-        except (OSError, BadRequest, asyncio.CancelledError):
+        except (OSError, BadRequestError, asyncio.CancelledError):
             pass
         finally:
             self._connections.discard(writer)
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -30,7 +30,7 @@
 from typing import NamedTuple
 
 
-class BadScript(ValueError):
+class FaultScriptError(ValueError):
     """The text names the line."""
 
 
@@ -100,7 +100,7 @@
     13.0 start (0,)
     >>> read("at 4 kil 0")
     Traceback (most recent call last):
-    mulleinhatch.testing.fault_script.BadScript: line 1: 'at 4 kil 0' is no fault
+    mulleinhatch.testing.fault_script.FaultScriptError: line 1: 'at 4 kil 0' is no fault
     """
     faults: list[Fault] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -109,7 +109,7 @@
             try:
                 faults += of(words, instances)
             except (ValueError, IndexError, KeyError):
-                raise BadScript(f"line {number}: {' '.join(words)!r} is no fault") from None
+                raise FaultScriptError(f"line {number}: {' '.join(words)!r} is no fault") from None
     return sorted(faults, key=lambda fault: fault.at)
 
 
--- a/tests/system/test_journal_faults.py
+++ b/tests/system/test_journal_faults.py
@@ -14,9 +14,9 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from mulleinhatch.storage import journal as journal_module
+from mulleinhatch.storage import append_log as journal_module
 from mulleinhatch.storage.append_log import BESIDE, NAME, Journal
-from mulleinhatch.storage.records import MAGIC, NotOurFile, OtherVersion, Record, decode
+from mulleinhatch.storage.records import MAGIC, ForeignFileError, Record, UnsupportedVersionError, decode
 
 FOLDER = Path("/data")
 FIRST, SECOND, THIRD, WHOLE = (Record(kind, text) for kind, text in ((1, b"disk"), (3, b"one"), (3, b"two"), (4, b"both")))
@@ -286,12 +286,12 @@
         disk = FakeDisk()
         disk.names[NAME] = File()
         disk.names[NAME].data = bytearray(b"MHCTL\x00\x02\n rest")
-        with self.assertRaisesRegex(OtherVersion, "start the version that wrote it"):
+        with self.assertRaisesRegex(UnsupportedVersionError, "start the version that wrote it"):
             started(disk)
         self.assertEqual(list(disk.names), [NAME])
 
     def test_a_foreign_file_is_set_aside_and_kept(self):
-        with self.assertRaises(NotOurFile):
+        with self.assertRaises(ForeignFileError):
             decode(b"something else altogether")
         disk = FakeDisk()
         disk.names[NAME] = File()
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -12,7 +12,7 @@
 from mulleinhatch.control_plane.placement.controller import Orders
 from mulleinhatch.control_plane.registry import Registry
 from mulleinhatch.messages.cluster import DemandReport, HeldModel, ModelDemand, Stub
-from mulleinhatch.networking.http_client import CallFailed
+from mulleinhatch.networking.http_client import CallError
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
@@ -52,7 +52,7 @@
         self.answers.append(status)
         if len(self.answers) in self.lost_answers:
             await asyncio.sleep(timeout)
-            raise CallFailed(address, "no answer")
+            raise CallError(address, "no answer")
         return SimpleNamespace(status=status, body=b"")
 
     def forget(self, address: str) -> None:
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -25,7 +25,7 @@
     put_configuration,
     start_plane,
 )
-from mulleinhatch.networking.http_client import Caller, CallFailed, WholeAnswer
+from mulleinhatch.networking.http_client import Caller, CallError, WholeAnswer
 
 CORES, FRONTS = 3, 2
 BOUND_S = 30.0
@@ -80,7 +80,7 @@
         for _ in range(3):
             try:
                 answer = await self.caller.request(address, method, path, body, 2.0, "application/json", fields)
-            except CallFailed:
+            except CallError:
                 return None
             if answer.status != 307:
                 return answer
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -10,9 +10,9 @@
 
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot, View, VoterState
-from mulleinhatch.storage import journal as journal_module
+from mulleinhatch.storage import append_log as journal_module
 from mulleinhatch.storage.append_log import NAME, Journal
-from mulleinhatch.storage.records import MAGIC, NotOurFile, Record, RecordKind, decode, encode
+from mulleinhatch.storage.records import MAGIC, ForeignFileError, Record, RecordKind, decode, encode
 
 RECORDS = [Record(RecordKind.IDENTITY, b"disk-1"), Record(RecordKind.ENTRY, b"x" * 300), Record(RecordKind.COMMIT, b"12345678")]
 
@@ -40,7 +40,7 @@
             self.assertLess(len(records), len(RECORDS))
 
     def test_another_file_is_refused(self):
-        with self.assertRaises(NotOurFile):
+        with self.assertRaises(ForeignFileError):
             decode(b"something else altogether")
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 import pytest
 
 from benchmarks import capacity, parts, records
-from benchmarks.records import Unfit
+from benchmarks.records import InvalidRecordError
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "CAPACITY.md"
@@ -127,7 +127,7 @@
     name = some_cost(form)
     slope = records.read_all()["parts"].costs[name].fit.slope
     changed(folder / "parts.json", name, slope=1.05 * slope)
-    with pytest.raises(Unfit, match=rf"parts\.json: costs\.{re.escape(name)}"):
+    with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.{re.escape(name)}"):
         capacity.read_book(folder)
 
 
@@ -135,7 +135,7 @@
     name = some_cost("linear")
     slope = records.read_all()["parts"].costs[name].fit.slope
     changed(folder / "parts.json", name, slope=1.05 * slope, residual=0.9)
-    with pytest.raises(Unfit, match=rf"costs\.{re.escape(name)}\.slope"):
+    with pytest.raises(InvalidRecordError, match=rf"costs\.{re.escape(name)}\.slope"):
         capacity.read_book(folder)
 
 
@@ -150,7 +150,7 @@
 
 def test_a_lost_record_is_found(folder: Path) -> None:
     (folder / "parts.json").unlink()
-    with pytest.raises(Unfit, match=r"rows\.toml: row \d+ .*there is no parts\.json"):
+    with pytest.raises(InvalidRecordError, match=r"rows\.toml: row \d+ .*there is no parts\.json"):
         capacity.read_book(folder)
     assert capacity.main(["--check", "--page", str(PAGE), "--recorded", str(folder)]) == 1
 
@@ -159,7 +159,7 @@
     told = json.loads((folder / "parts.json").read_text())
     del told["costs"]["voter.bytes"]
     (folder / "parts.json").write_text(json.dumps(told))
-    with pytest.raises(Unfit, match=r"parts\.json has no voter\.bytes"):
+    with pytest.raises(InvalidRecordError, match=r"parts\.json has no voter\.bytes"):
         capacity.read_book(folder)
 
 
@@ -173,7 +173,7 @@
 )
 def test_bad_json_names_file_and_key(folder: Path, text: str, why: str) -> None:
     (folder / "parts.json").write_text(text)
-    with pytest.raises(Unfit, match=why):
+    with pytest.raises(InvalidRecordError, match=why):
         capacity.read_book(folder)
 
 
@@ -193,7 +193,7 @@
 )
 def test_a_bad_cost_names_its_key(folder: Path, values: dict[str, object], why: str) -> None:
     changed(folder / "parts.json", "voter.bytes", **values)
-    with pytest.raises(Unfit, match=rf"parts\.json: costs\.voter\.bytes\.{why}"):
+    with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.voter\.bytes\.{why}"):
         capacity.read_book(folder)
 
 
@@ -234,7 +234,7 @@
 )
 def test_a_wrong_row_is_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
-    with pytest.raises(Unfit, match=why):
+    with pytest.raises(InvalidRecordError, match=why):
         capacity.read_book(folder)
 
 
@@ -326,7 +326,7 @@
 )
 def test_mechanisms_that_stand_on_each_other_are_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
-    with pytest.raises(Unfit, match=why):
+    with pytest.raises(InvalidRecordError, match=why):
         capacity.next_missing(capacity.read_book(folder))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from tornado.ioloop import IOLoop
 
 from mulleinhatch.instance.runtime.background_tasks import Tasks
-from mulleinhatch.instance.runtime.instance_settings import Misplaced, placed
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
 from mulleinhatch.instance.transport import connections as transport
 from mulleinhatch.instance.transport.connections import Connection, Connections
 from mulleinhatch.instance.transport.link import CONNECT_WAIT, Link
@@ -386,7 +386,7 @@
         return super().room()
 
 
-class Full(Counted):
+class QueueFullError(Counted):
     """Waits for more, and has no room for it."""
 
     def room(self) -> memoryview:
@@ -421,7 +421,7 @@
 
 def test_a_reader_without_room_costs_its_connection_and_no_other() -> None:
     async def cross() -> None:
-        place, full = Place(), Full()
+        place, full = Place(), QueueFullError()
         place.connections.reader = lambda: full
         stuck = place.caller()
         await until(lambda: place.counts["errors_inside"])
@@ -720,7 +720,7 @@
         play.told_first[key] = value
         play.instance.reload()
         assert play.instance.placement is before and play.instance.counts["reloads_refused"] == 1
-        with pytest.raises(Misplaced, match=complaint):
+        with pytest.raises(InvalidSettingsError, match=complaint):
             placed(play.told_first)
         play.instance.stopped.set()
         await play.serving
@@ -739,7 +739,7 @@
 def test_settings_that_are_no_figures_end_the_start_with_their_key(path: str, value: object, complaint: str) -> None:
     told = told_at_start()
     told["settings"][path] = value
-    with pytest.raises(Misplaced, match=complaint):
+    with pytest.raises(InvalidSettingsError, match=complaint):
         placed(told)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -287,7 +287,7 @@
     ],
 )
 def test_the_faulty_line_of_a_fleet_is_named(text: str, complaint: str) -> None:
-    with pytest.raises(operator.BadOperatorFile) as error:
+    with pytest.raises(operator.OperatorFileError) as error:
         operator.told(text)
     assert str(error.value).startswith("operator.kdl" + complaint), error.value
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinhatch.instance.jobs.scheduler import Budgets, Full, Outcome, Scheduler, State
+from mulleinhatch.instance.jobs.scheduler import Budgets, Outcome, QueueFullError, Scheduler, State
 from mulleinhatch.instance.jobs.wheel import Wheel
 
 
@@ -51,7 +51,7 @@
                     within=draw.choice((5.0, math.inf)),
                     after=draw.choice((0.0, 3.0)),
                 )
-            except Full:
+            except QueueFullError:
                 assert len(jobs.jobs) == 20
         if draw.random() < 0.01:
             pressed = not pressed
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -440,12 +440,12 @@
     ],
 )
 def test_a_place_told_by_half_is_named_with_its_line(lines: list[str], error: str) -> None:
-    with pytest.raises(operator.BadOperatorFile) as caught:
+    with pytest.raises(operator.OperatorFileError) as caught:
         told(*lines)
     assert error in str(caught.value)
 
 
 def test_upkeep_beside_a_zone_is_refused() -> None:
     text = FLEET.format(more='    zone "z1"\n    region "eu"') + 'upkeep {\n    voters "n0"\n}\n'
-    with pytest.raises(operator.BadOperatorFile, match="upkeep.there is no order yet among members of several groups"):
+    with pytest.raises(operator.OperatorFileError, match="upkeep.there is no order yet among members of several groups"):
         operator.told(text)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,8 +13,17 @@
 from benchmarks import fits, scale
 from mulleinhatch.instance.gossip.messages import GONE
 from mulleinhatch.simulation.scale_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
-from mulleinhatch.simulation.scale_instances import HEADERS, BadPlan, Ground, Plan, churn, knows_levels, restart_all, weather
-from mulleinhatch.simulation.scale_shards import Stopped, World
+from mulleinhatch.simulation.scale_instances import (
+    HEADERS,
+    Ground,
+    InvalidPlanError,
+    Plan,
+    churn,
+    knows_levels,
+    restart_all,
+    weather,
+)
+from mulleinhatch.simulation.scale_shards import ShardStoppedError, World
 from mulleinhatch.simulation.scale_world import Gone, Look, Shard
 from mulleinhatch.testing import fault_script as faults
 
@@ -205,18 +214,18 @@
     [(Plan(members=1), "1 members"), (Plan(members=9, script="at 1 kill zone9"), "zone9"), (Plan(group_size=1), "group")],
 )
 def test_a_plan_that_does_not_fit_is_told(plan: Plan, says: str) -> None:
-    with pytest.raises(BadPlan, match=says):
+    with pytest.raises(InvalidPlanError, match=says):
         World(plan, 1)
 
 
 def test_bad_scripts_and_process_counts_are_told() -> None:
-    with pytest.raises(faults.BadScript, match="line 1"):
+    with pytest.raises(faults.FaultScriptError, match="line 1"):
         World(Plan(members=9, script="at 1 kill 9"), 1)
-    with pytest.raises(BadPlan, match="99 processes"):
+    with pytest.raises(InvalidPlanError, match="99 processes"):
         World(Plan(members=9), 99)
     with World(Plan(members=9)) as world:
         world.play(2.0)
-        with pytest.raises(Stopped, match="is over"):
+        with pytest.raises(ShardStoppedError, match="is over"):
             world.script("at 1 kill 2")
 
 
@@ -249,7 +258,7 @@
 def test_levels_join_by_groups_or_are_said_to_be_missing() -> None:
     plan = Plan(members=90, levels=True, group_size=5)
     if not knows_levels():
-        with pytest.raises(BadPlan, match="levels"):
+        with pytest.raises(InvalidPlanError, match="levels"):
             World(plan, 1)
         return
     with World(plan, 2) as world:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -22,7 +22,7 @@
 from mulleinhatch.admission.interface import Advice, Decision, Effect, StopMode, Verb
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
-from mulleinhatch.networking.http import HEAD_END, MOST_BODY, MOST_HEAD, BadRequest, RequestReader
+from mulleinhatch.networking.http import HEAD_END, MOST_BODY, MOST_HEAD, BadRequestError, RequestReader
 from standins import Interpreter, SocketPlay, told_at_start
 
 ROOT = Path(__file__).parent
@@ -228,7 +228,7 @@
             reader.filled(count)
             try:
                 found = reader.message()
-            except BadRequest as error:
+            except BadRequestError as error:
                 found = error.status
         assert (found == 431) == (length > MOST_HEAD) and found, length
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -144,9 +144,9 @@
 
 
 def test_the_spread_node_wants_a_fleet_and_names_the_faulty_line() -> None:
-    with pytest.raises(operator.BadOperatorFile, match=":1: spread: wants a fleet"):
+    with pytest.raises(operator.OperatorFileError, match=":1: spread: wants a fleet"):
         operator.told("spread {\n}")
-    with pytest.raises(operator.BadOperatorFile, match=":6: spread.ofer-for: no such key"):
+    with pytest.raises(operator.OperatorFileError, match=":6: spread.ofer-for: no such key"):
         operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
 
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -18,7 +18,7 @@
 from mulleinhatch.instance.retry_storms.request_log import HeavyCallers, Lately
 from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.networking.http import BadRequest, RequestReader, op_told, short_look
+from mulleinhatch.networking.http import BadRequestError, RequestReader, op_told, short_look
 from mulleinhatch.simulation.instance_world import Weather, World
 from mulleinhatch.testing import fault_script as faults
 from standins import SocketPlay
@@ -215,7 +215,7 @@
         try:
             _, path, fields, body = reader.message()
             told = op_told(path, fields, 1.0)
-        except BadRequest:
+        except BadRequestError:
             continue  # a refusal there, a refusal here
         assert not reader.started() and body == looked[6], data
         assert (told[0], told[1], told[2], told[8], told[9]) == (*looked[:3], looked[4], looked[5]), data
@@ -238,7 +238,7 @@
     ],
 )
 def test_the_faulty_line_of_the_operators_file_is_named(text: str, complaint: str) -> None:
-    with pytest.raises(operator.BadOperatorFile) as error:
+    with pytest.raises(operator.OperatorFileError) as error:
         operator.told(text)
     assert str(error.value).startswith("operator.kdl" + complaint), error.value
 
@@ -249,7 +249,7 @@
 
 @pytest.mark.parametrize("script", ["kill 0", "at x kill 0", "at 3 kill", "at 3 flap 0", "at 3 silent 5"])
 def test_a_bad_fault_script_is_refused(script: str) -> None:
-    with pytest.raises(faults.BadScript, match="line 1"):
+    with pytest.raises(faults.FaultScriptError, match="line 1"):
         faults.read(script)
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -18,13 +18,13 @@
 from mulleinhatch.instance.traces import block, cutting, kinds
 from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
 from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, Builder
-from mulleinhatch.instance.traces.codec import Damaged, In, Out
+from mulleinhatch.instance.traces.codec import CorruptTraceError, In, Out
 from mulleinhatch.instance.traces.cutting import Wanted, chosen, cut
-from mulleinhatch.instance.traces.file import START, Facts, Trace, Unreadable, Writer, index_bytes
+from mulleinhatch.instance.traces.file import START, Facts, Trace, UnreadableTraceError, Writer, index_bytes
 from mulleinhatch.instance.traces.kinds import Record
 from mulleinhatch.instance.traces.merging import merge
 from mulleinhatch.instance.traces.recorder import Recorder
-from mulleinhatch.instance.traces.replay import Incomplete, replay, told_out
+from mulleinhatch.instance.traces.replay import IncompleteTraceError, replay, told_out
 from mulleinhatch.instance.traces.summary import summary
 from mulleinhatch.instance.traces.writer import Keeper, TraceBounds
 from mulleinhatch.simulation.instance_world import KINDS as OP_KINDS
@@ -125,7 +125,7 @@
 
 def test_a_replay_of_a_part_is_refused(told: tuple[World, bytes]) -> None:
     trace = Trace(io.BytesIO(told[1]))
-    with pytest.raises(Incomplete, match="start"):
+    with pytest.raises(IncompleteTraceError, match="start"):
         replay(trace.records(since=8.0), trace.facts)
 
 
@@ -185,7 +185,7 @@
     ],
 )
 def test_what_is_no_trace_is_said_to_be_none(told: tuple[World, bytes], spoil, complaint: str) -> None:
-    with pytest.raises(Unreadable, match=complaint):
+    with pytest.raises(UnreadableTraceError, match=complaint):
         Trace(io.BytesIO(spoil(told[1])))
 
 
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("name", HOSTILE)
 def test_hostile_blocks_end_in_an_error(name: str) -> None:
-    with pytest.raises(Damaged):
+    with pytest.raises(CorruptTraceError):
         list(Block(HOSTILE[name]).records())
 
 
@@ -239,7 +239,7 @@
             data[at : at + draw.randrange(8)] = draw.randbytes(draw.randrange(8))
         try:
             list(Trace(io.BytesIO(bytes(data))).records())
-        except Unreadable:
+        except UnreadableTraceError:
             pass
 
 
@@ -366,7 +366,7 @@
     assert len({note["node"] for note in notes}) == 3 and [note["clock_stepped"] for note in notes] == [0.0, -10.0, 0.0, 0.0]
     names = {record.values[0]: record.values[1] for record in records if record.kind is kinds.READ}
     assert len(names) == 7 and {record.values[1] for record in records if record.kind is kinds.DECIDED_FOR} == set(names)
-    with pytest.raises(Incomplete, match="merged"):
+    with pytest.raises(IncompleteTraceError, match="merged"):
         replay(records, trace.facts)
 
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -11,8 +11,8 @@
 
 from mulleinhatch.instance.maintenance.paxos_register import Answer, Ballot, Kept, Round, Voter
 from mulleinhatch.instance.maintenance.schedule import Request, order
-from mulleinhatch.instance.maintenance.store import Damaged, Store
-from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, Refused, Table
+from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
+from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, PermitRefusedError, Table
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.gossip_world import weather
 from mulleinhatch.simulation.maintenance_world import Machines
@@ -153,21 +153,21 @@
 
 def test_the_bounds_hold_unless_a_person_gives_a_reason() -> None:
     table = Table(("a",), 1, 1).go("n", "z", "kernel")
-    with pytest.raises(Refused, match="1 of 1 are out"):
+    with pytest.raises(PermitRefusedError, match="1 of 1 are out"):
         table.go("m", "y", "kernel")
     assert table.go("m", "y", "fire", over="it burns").permit("m").over == "it burns"
     frozen = table.freeze("the release makes ill")
-    with pytest.raises(Refused, match="frozen: the release makes ill"):
+    with pytest.raises(PermitRefusedError, match="frozen: the release makes ill"):
         frozen.go("m", "y", "kernel")
-    with pytest.raises(Refused, match="frozen"):
+    with pytest.raises(PermitRefusedError, match="frozen"):
         frozen.go("n", "z", "kernel")
 
 
 def test_a_majority_of_the_voters_stays() -> None:
     table = Table(("a", "b", "c"), 9, 9).go("a", "z", "w")
-    with pytest.raises(Refused, match="1 of 3 voters are out already"):
+    with pytest.raises(PermitRefusedError, match="1 of 3 voters are out already"):
         table.go("b", "y", "w")
-    with pytest.raises(Refused, match="1 of 3 voters"):
+    with pytest.raises(PermitRefusedError, match="1 of 3 voters"):
         Table(("a", "b", "c"), 9, 9).go("b", "y", "w", gone={"a": "z"})
     assert table.go("n", "y", "w").permit("n") and Table(("a",), 1, 1).go("a", "z", "w").out
 
@@ -176,16 +176,16 @@
     table = Table(("a",), MOST_OUT, MOST_OUT)
     for number in range(MOST_OUT):
         table = table.go(f"n{number}", "z", "w" * 500, over="o" * 500)
-    with pytest.raises(Refused, match="no more can be told of"):
+    with pytest.raises(PermitRefusedError, match="no more can be told of"):
         table.go("one more", "z", "w", over="because")
     assert all(len(permit.why) == LONGEST_WHY for permit in table.out)
-    with pytest.raises(Refused, match="a bound is"):
+    with pytest.raises(PermitRefusedError, match="a bound is"):
         table.bounds(-1, 1)
 
 
 @pytest.mark.parametrize("voters, why", [((), "1 to 9"), ("abcdefghij", "1 to 9"), ("ab", "one voter at a time")])
 def test_an_electorate_that_is_refused(voters: str, why: str) -> None:
-    with pytest.raises(Refused, match=why):
+    with pytest.raises(PermitRefusedError, match=why):
         Table(tuple("abcd"), 1, 1).electorate(voters)
 
 
@@ -255,9 +255,9 @@
     for at in range(len(data)):
         for changed in (data[:at], data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]):
             store.path.write_bytes(changed)
-            with pytest.raises(Damaged, match=str(store.path)):
+            with pytest.raises(CorruptFileError, match=str(store.path)):
                 store.read()
-    with pytest.raises(Damaged, match="another process"):
+    with pytest.raises(CorruptFileError, match="another process"):
         Store(str(tmp_path))
     store.close()
     Store(str(tmp_path)).close()
@@ -410,7 +410,7 @@
     ],
 )
 def test_a_faulty_upkeep_node_is_named(lines: str, complaint: str) -> None:
-    with pytest.raises(operator.BadOperatorFile, match=complaint):
+    with pytest.raises(operator.OperatorFileError, match=complaint):
         operator.told(f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n}}\nupkeep {{\n {lines}\n}}')
 
 
