--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -18,7 +18,7 @@
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot
 from mulleinhatch.replication.state import DIGESTS_KEPT, ControlState, EntryKind
-from mulleinhatch.storage.append_log import Journal
+from mulleinhatch.storage.append_log import AppendLog
 from mulleinhatch.storage.records import Record, RecordKind
 
 ROUTES = 40
@@ -83,14 +83,14 @@
     state = changed(count)
     snapshot_ms, snapshot = _timed(lambda: bytes(state.snapshot()))
     with tempfile.TemporaryDirectory() as folder:
-        journal = Journal(folder)
+        journal = AppendLog(folder)
         journal.open()
         records = _records(state)
         rewrite_ms, _ = _timed(lambda: journal.rewrite(records))
         file_bytes = journal.size
         journal.close()
-        start_ms, _ = _timed(lambda: ControlState().restore(replay(Journal(folder).open()).snapshot))
-        again = Journal(folder)
+        start_ms, _ = _timed(lambda: ControlState().restore(replay(AppendLog(folder).open()).snapshot))
+        again = AppendLog(folder)
         again.open()
 
         def catch_up() -> None:
--- a/mulleinhatch/consensus/paxos.py
+++ b/mulleinhatch/consensus/paxos.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from mulleinhatch.messages.cluster import AcceptRequest, Ballot, Member, PrepareRequest, View, VoteAnswer, VoterState
+from mulleinhatch.messages.cluster import AcceptRequest, Member, PrepareRequest, ProposalNumber, View, VoteAnswer, VoterState
 
 
-def order(ballot: Ballot) -> tuple[int, str]:
-    return ballot.number, ballot.proposer
+def order(proposal_number: ProposalNumber) -> tuple[int, str]:
+    return proposal_number.number, proposal_number.proposer
 
 
 def identities(members: Iterable[Member]) -> tuple[str, ...]:
@@ -68,19 +68,22 @@
         return base.epoch == self.view.epoch and self.identity in identities(self.view.voters)
 
     def prepare(self, request: PrepareRequest) -> VoteAnswer:
-        if not self._votes(request.base) or order(request.ballot) < order(self.state.promised):
+        if not self._votes(request.base) or order(request.proposal_number) < order(self.state.promised):
             return self._answer(False)
         state = self.state
         self.state = VoterState(
-            view=state.view, promised=request.ballot, accepted=state.accepted, accepted_view=state.accepted_view
+            view=state.view, promised=request.proposal_number, accepted=state.accepted, accepted_view=state.accepted_view
         )
         return self._answer(True)
 
     def accept(self, request: AcceptRequest) -> VoteAnswer:
-        if not self._votes(request.base) or order(request.ballot) < order(self.state.promised):
+        if not self._votes(request.base) or order(request.proposal_number) < order(self.state.promised):
             return self._answer(False)
         self.state = VoterState(
-            view=self.state.view, promised=request.ballot, accepted=request.ballot, accepted_view=request.proposed
+            view=self.state.view,
+            promised=request.proposal_number,
+            accepted=request.proposal_number,
+            accepted_view=request.proposed,
         )
         return self._answer(True)
 
@@ -101,7 +104,7 @@
     """One try to have a view chosen after `base`. Answers come through `prepared` and `accepted`."""
 
     base: View
-    ballot: Ballot
+    proposal_number: ProposalNumber
     wanted: View
     outcome: Outcome = Outcome.RUNNING
     newest: View = field(default_factory=View)
@@ -112,7 +115,7 @@
     chosen: View | None = None  # what the accept phase asks for
 
     def __post_init__(self) -> None:
-        self.highest = self.ballot.number
+        self.highest = self.proposal_number.number
 
     def _counts(self, answer: VoteAnswer) -> bool:
         self.highest = max(self.highest, answer.promised.number)
--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -11,7 +11,7 @@
 
 from mulleinhatch.configuration.document import read_json
 from mulleinhatch.control_plane.configuration_changes import ChangeAnswer
-from mulleinhatch.control_plane.node import Core
+from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_server import BINARY_TYPE, WebAnswer, WebRequest
 
@@ -79,7 +79,7 @@
 class ControlApi:
     """What stubs and the operator call."""
 
-    def __init__(self, core: Core, clock: Callable[[], float], status: Callable[[], dict[str, Any]]) -> None:
+    def __init__(self, core: CoreNode, clock: Callable[[], float], status: Callable[[], dict[str, Any]]) -> None:
         self._core, self._clock, self._status = core, clock, status
 
     async def answer(self, request: WebRequest) -> WebAnswer:
@@ -170,7 +170,7 @@
         return WebAnswer(200, bytes(answer), BINARY_TYPE)
 
 
-def internal_api(core: Core) -> InternalApi:
+def internal_api(core: CoreNode) -> InternalApi:
     """The messages between core machines."""
     api = InternalApi()
     api.add("heartbeat", cluster.Heartbeat, core.heartbeats.on_heartbeat)
--- a/mulleinhatch/control_plane/catch_up.py
+++ b/mulleinhatch/control_plane/catch_up.py
@@ -10,7 +10,7 @@
 from mulleinhatch.replication.chain import Write
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import Core
+    from mulleinhatch.control_plane.node import CoreNode
 
 LOG = logging.getLogger(__name__)
 RETRY_S = 0.1
@@ -20,7 +20,7 @@
 class CatchUp:
     """`done` tells that we hold a snapshot of the chain that was taken in the view in force."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CoreNode) -> None:
         self._core = core
         self.done = False
 
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -16,10 +16,10 @@
 from result import Err
 
 from mulleinhatch.messages.cluster import LeaveAnswer, LeaveRequest, Member
-from mulleinhatch.replication.state import EntryKind, Refusal, Verdict
+from mulleinhatch.replication.state import ChangeOutcome, EntryKind, Refusal
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import Core
+    from mulleinhatch.control_plane.node import CoreNode
 
 LOG = logging.getLogger(__name__)
 CHANGE_WAIT_S = 0.9  # how long an operator's change waits before it gets no clear answer
@@ -40,10 +40,10 @@
 REGROUPING = ChangeAnswer(503, "the core is regrouping; send it again in a moment")
 
 
-class Changes:
+class ConfigurationChanges:
     """`lock` is held by one change at a time, from its check to its end."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CoreNode) -> None:
         self._core = core
         self._lock = asyncio.Lock()
 
@@ -100,9 +100,9 @@
         return ChangeAnswer(503, "not settled yet; send it again unchanged")
 
     async def _refuse(self, refusal: Refusal) -> ChangeAnswer:
-        if refusal.verdict is Verdict.TAKEN_BEFORE:
+        if refusal.verdict is ChangeOutcome.ALREADY_APPLIED:
             return ChangeAnswer(200)
-        if refusal.verdict is Verdict.FORGOTTEN:
+        if refusal.verdict is ChangeOutcome.HISTORY_COMPACTED:
             return ChangeAnswer(503, refusal.message)
         if not await self._core.votes.confirm():
             return REGROUPING
@@ -134,7 +134,7 @@
             if not index:
                 return 0
             await core.until(lambda: core.state.index >= index, CLAIM_WAIT_S)
-            ours = core.state.fence_token == index and core.state.holder == core.member.identity
+            ours = core.state.fencing_token == index and core.state.holder == core.member.identity
             return index if ours and self._leads() and core.authoritative() else 0
 
     # Stubs that leave.
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mulleinhatch.control_plane.node import Core
+from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.messages.cluster import PollAnswer, PollRequest
 
 LONGEST_WAIT_S = 5.0
@@ -30,7 +30,7 @@
 class Distribution:
     """Answers polls. `changed` is called whenever something that data planes hear of moved."""
 
-    def __init__(self, core: Core, clock: Callable[[], float]) -> None:
+    def __init__(self, core: CoreNode, clock: Callable[[], float]) -> None:
         self._core, self._clock = core, clock
         self._pollers: dict[str, _Poller] = {}
         self._event = asyncio.Event()
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -14,7 +14,7 @@
 from mulleinhatch.messages.cluster import Heartbeat, HeartbeatAnswer
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import Core
+    from mulleinhatch.control_plane.node import CoreNode
 
 HEARTBEAT_S = 0.3
 BEAT_GAP_S = 0.03  # between heartbeats that are sent for news
@@ -24,7 +24,7 @@
 class Heartbeats:
     """Sends and answers the heartbeats of one core machine."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CoreNode) -> None:
         self._core = core
         self._on_their_way: Counter[str] = Counter()  # by address
         self._planned, self._sent_at = False, -1e9
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -15,13 +15,13 @@
 
 from mulleinhatch.consensus.view_planner import Health, first_view, next_view
 from mulleinhatch.control_plane.catch_up import CatchUp
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, Changes
+from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
 from mulleinhatch.control_plane.heartbeats import HEARTBEAT_S, Heartbeats
 from mulleinhatch.control_plane.peers import ALIVE_S, Peers
-from mulleinhatch.control_plane.registry import Registry
+from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.control_plane.replicated_log import ReplicatedLog
-from mulleinhatch.control_plane.state_store import Disk, Restored, commit_record, stubs_record
-from mulleinhatch.control_plane.view_change import Votes
+from mulleinhatch.control_plane.state_store import Restored, StateStore, commit_record, stubs_record
+from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.messages.cluster import Member, View
 from mulleinhatch.networking.http_client import Caller, CallError
 from mulleinhatch.process.settings import Settings
@@ -39,7 +39,7 @@
 KEEP_STUBS_S = 1.0
 
 
-class Core:
+class CoreNode:
     """`on_change` is called whenever the configuration, the view or this machine's role changed."""
 
     def __init__(
@@ -48,10 +48,10 @@
         caller: Caller,
         clock: Callable[[], float],
         on_change: Callable[[], None],
-        disk: Disk | None = None,
+        disk: StateStore | None = None,
     ) -> None:
         self.settings, self.caller, self.clock, self._on_change = settings, caller, clock, on_change
-        self.disk = disk or Disk(settings.data_directory, clock)
+        self.disk = disk or StateStore(settings.data_directory, clock)
         self.state = ControlState()
         self.leaving = False
         self.orders_idle_s: Callable[[], float] = lambda: 1e5
@@ -61,7 +61,7 @@
         self.heartbeats = Heartbeats(self)
         self.log = ReplicatedLog(self)
         self.catching_up = CatchUp(self)
-        self.changes = Changes(self)
+        self.changes = ConfigurationChanges(self)
         self._progress = asyncio.Event()  # set and replaced whenever something moved
         self._looked_at = clock()
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -89,9 +89,11 @@
             internal_address=self.settings.internal_address,
         )
         self.peers = Peers(self.member)
-        self.registry = Registry(self.settings.heartbeat_s, self._stub_changed, lambda stub_id: stub_id in self.state.left)
+        self.registry = BackendRegistry(
+            self.settings.heartbeat_s, self._stub_changed, lambda stub_id: stub_id in self.state.left
+        )
         self.registry.on_store_load = lambda: self.on_store_load()
-        self.votes = Votes(self, restored)
+        self.votes = ViewChanger(self, restored)
         if not restored.voter.view.epoch and restored.identity == f"first-{control}":
             self.votes.found(first_view(self.settings.seeds, self.internal_of))
         self.replica = Replica(restored.identity)
--- a/mulleinhatch/control_plane/placement/backend_state.py
+++ b/mulleinhatch/control_plane/placement/backend_state.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class StubWork:
+class BackendState:
     """What the holder knows of one stub."""
 
     models: dict[str, Holding] = field(default_factory=dict)
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -14,13 +14,13 @@
 from collections.abc import Callable
 
 from mulleinhatch.configuration.routes import Engine, RouteTable, build_table
-from mulleinhatch.control_plane.node import Core
-from mulleinhatch.control_plane.placement.backend_state import Report, StubWork, UnderWay, read_report
+from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.placement.backend_state import BackendState, Report, UnderWay, read_report
 from mulleinhatch.control_plane.placement.demand import Demand
 from mulleinhatch.control_plane.placement.holdings import Holding, Operation, Order, StubView
-from mulleinhatch.control_plane.placement.load_rate_limiter import LoadCeiling
+from mulleinhatch.control_plane.placement.load_rate_limiter import LoadRateLimiter
 from mulleinhatch.control_plane.placement.planner import Planner
-from mulleinhatch.leadership.lease import HolderRole, RoleState, Sight
+from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
 from mulleinhatch.messages.cluster import DemandAnswer, DemandReport, HeldModel, PendingLoad, Stub
 from mulleinhatch.networking.http_client import Caller, CallError, WholeAnswer
 from mulleinhatch.networking.http_server import JSON_TYPE
@@ -45,17 +45,17 @@
 REVISION_SHIFT = 32  # fencing token above, count of changes below
 
 
-class Orders:
+class PlacementController:
     """The role's work on one core machine; it acts only while it holds the role."""
 
-    def __init__(self, core: Core, caller: Caller, clock: Callable[[], float], bounds: Bounds) -> None:
+    def __init__(self, core: CoreNode, caller: Caller, clock: Callable[[], float], bounds: Bounds) -> None:
         lease_s, window_s, self._fenced = bounds.lease_s, bounds.ceiling_window_s, bounds.fenced
         self._core, self._caller, self._clock = core, caller, clock
-        self.role = HolderRole(lease_s)
+        self.role = LeaderLease(lease_s)
         self.demand = Demand()
-        self._ceiling, self._window_s, self._started_at = LoadCeiling(window_s), window_s, clock()
+        self._ceiling, self._window_s, self._started_at = LoadRateLimiter(window_s), window_s, clock()
         core.on_store_load = lambda: self._ceiling.note(clock())
-        self._work: dict[str, StubWork] = {}
+        self._work: dict[str, BackendState] = {}
         self._held_before: dict[str, set[str]] = {}  # by address: what a stub's own disk has
         self._table = RouteTable()
         self._last_order_at = NEVER
@@ -86,14 +86,14 @@
             await asyncio.sleep(min(TICK_S, LOOK_PART * (self._clock() - begun)))
 
     async def _look(self) -> None:
-        state = self.role.observe(self._sight(), self._clock())
-        if state is RoleState.CLAIMING:
+        state = self.role.observe(self._observe_leadership(), self._clock())
+        if state is LeaseState.CLAIMING:
             first = not self._core.state.holder
             token = await self._claim()
             self.role.claimed(token)
             if self.role.acting:
                 self._begin(first)
-        elif state is RoleState.ACTING:
+        elif state is LeaseState.ACTING:
             self._act()
 
     async def _claim(self) -> int:
@@ -103,18 +103,18 @@
         except OSError:
             return 0
 
-    def _sight(self) -> Sight:
+    def _observe_leadership(self) -> LeadershipObservation:
         core = self._core
         former = core.peers.by_identity.get(core.state.holder)
         idle = former.orders_idle_s if former is not None and former.leaving else 0.0
         reached = former is not None and core.peers.alive(core.state.holder, self._clock()) and not former.leaving
         if reached and former.epoch >= core.view.epoch and former.orders_idle_s >= NO_ORDER_S:
             reached = False  # started anew and knows that it does not lead: it has given no order and will give none
-        return Sight(
+        return LeadershipObservation(
             core.replica.is_head and core.authoritative() and not core.leaving,
             core.member.identity,
             core.state.holder,
-            core.state.fence_token,
+            core.state.fencing_token,
             idle,
             self._fenced and not reached,
         )
@@ -196,13 +196,13 @@
         """Asks for a report where one is needed."""
         work = self._work.get(stub.id)
         if work is None:
-            work = self._work[stub.id] = StubWork()
+            work = self._work[stub.id] = BackendState()
         due = not work.known or work.busy_elsewhere or (work.under_way is not None and now >= work.under_way.expected_at)
         if due and not work.looking and now >= work.look_at:
             work.looking = True
             self._core.spawn(self._look_at(stub, work))
 
-    async def _look_at(self, stub: Stub, work: StubWork) -> None:
+    async def _look_at(self, stub: Stub, work: BackendState) -> None:
         asked_at = self._clock()
         try:
             answer = await self._caller.request(stub.address, "GET", "/report", b"", REPORT_S)
@@ -221,7 +221,7 @@
         work.look_at = now + LOOK_AGAIN_S
         self._take_report(stub, work, report, asked_at, now)
 
-    def _take_report(self, stub: Stub, work: StubWork, report: Report, asked_at: float, now: float) -> None:
+    def _take_report(self, stub: Stub, work: BackendState, report: Report, asked_at: float, now: float) -> None:
         under_way = work.under_way
         if under_way is not None:
             if report.busy or under_way.followed or not self._ended(under_way, report, asked_at):
@@ -249,7 +249,7 @@
         waited = asked_at - under_way.begun
         return waited > (GIVE_UP_S + under_way.expected_at - under_way.begun if under_way.certain else SETTLE_S + ORDER_S + 1.0)
 
-    def _tell(self, stub: Stub, work: StubWork) -> None:
+    def _tell(self, stub: Stub, work: BackendState) -> None:
         """Where models stand now, and what is under way, for all data planes."""
         self._changes += 1
         models, loads, unloads = dict(work.models), [], []
@@ -300,7 +300,7 @@
         LOG.info("order", extra=told)
         self.log.append(told)
 
-    async def _send(self, stub: Stub, work: StubWork, order: Order) -> None:
+    async def _send(self, stub: Stub, work: BackendState, order: Order) -> None:
         under_way = work.under_way
         if not self._acts():
             work.under_way = None
@@ -313,7 +313,7 @@
         self._answered(stub, work, under_way, answer)
 
     def _acts(self) -> bool:
-        return self.role.observe(self._sight(), self._clock()) is RoleState.ACTING
+        return self.role.observe(self._observe_leadership(), self._clock()) is LeaseState.ACTING
 
     async def _post(self, stub: Stub, order: Order, revision: int) -> WholeAnswer:
         """Sends one order that holds for a count of orders only; CallFailed where no answer comes."""
@@ -339,7 +339,7 @@
         under_way.expected_at = self._clock() + SETTLE_S
         LOG.info("order without an answer", extra={"stub": stub.id, "error": str(error)})
 
-    async def _follow_up(self, stub: Stub, work: StubWork, unload: UnderWay) -> None:
+    async def _follow_up(self, stub: Stub, work: BackendState, unload: UnderWay) -> None:
         """Gives the load for which an unload makes room without waiting for the report that shows the unload's end: a stub
         that still unloads rejects it, and after some tries the load is given once a report shows room."""
         for pause in FOLLOW_S:
@@ -350,7 +350,7 @@
             if await self._followed(stub, work, unload, load):
                 return
 
-    async def _followed(self, stub: Stub, work: StubWork, unload: UnderWay, load: Order) -> bool:
+    async def _followed(self, stub: Stub, work: BackendState, unload: UnderWay, load: Order) -> bool:
         """Sends the load after an unload; whether the stub took it, or may have."""
         now = self._clock()
         under_way = UnderWay(load, now, now + load.expected_s, work.revision + 1)
@@ -370,21 +370,21 @@
         self._answered(stub, work, under_way, answer)
         return True
 
-    def _take_over(self, stub: Stub, work: StubWork, load: UnderWay) -> None:
+    def _take_over(self, stub: Stub, work: BackendState, load: UnderWay) -> None:
         """The load is under way in place of the unload before it."""
         work.models = {name: holding for name, holding in work.models.items() if name != work.under_way.order.model}
         work.under_way, work.revision, work.reserved = load, load.revision, ""
         self._note(stub, load.order)
         self._tell(stub, work)
 
-    async def _assume(self, stub: Stub, work: StubWork, under_way: UnderWay) -> None:
+    async def _assume(self, stub: Stub, work: BackendState, under_way: UnderWay) -> None:
         """A stub that took the order for an adapter has it before its report shows it; one that is late sends requests back."""
         await asyncio.sleep(under_way.order.expected_s)
         if work.under_way is under_way:
             under_way.assumed = True
             self._tell(stub, work)
 
-    def _answered(self, stub: Stub, work: StubWork, under_way: UnderWay, answer: WholeAnswer) -> None:
+    def _answered(self, stub: Stub, work: BackendState, under_way: UnderWay, answer: WholeAnswer) -> None:
         now = self._clock()
         if answer.status == 202:
             under_way.expected_at = now + under_way.order.expected_s + SETTLE_S / 3
--- a/mulleinhatch/control_plane/placement/load_rate_limiter.py
+++ b/mulleinhatch/control_plane/placement/load_rate_limiter.py
@@ -5,9 +5,9 @@
 from collections import deque
 
 
-class LoadCeiling:
+class LoadRateLimiter:
     """
-    >>> ceiling = LoadCeiling(5.0); ceiling.configure(2.0)
+    >>> ceiling = LoadRateLimiter(5.0); ceiling.configure(2.0)
     >>> for _ in range(9): ceiling.note(0.0)
     >>> ceiling.room(0.1), ceiling.room(5.1)
     (1, 10)
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -10,8 +10,8 @@
 
 from mulleinhatch.control_plane.api import ControlApi, internal_api
 from mulleinhatch.control_plane.distribution import Distribution
-from mulleinhatch.control_plane.node import Core
-from mulleinhatch.control_plane.placement.controller import Orders
+from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.shutdown import leave
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_client import Caller
@@ -31,9 +31,9 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.caller = Caller()
-        self.core = Core(settings, self.caller, self.clock, self._changed)
+        self.core = CoreNode(settings, self.caller, self.clock, self._changed)
         self.distribution = Distribution(self.core, self.clock)
-        self.orders = Orders(self.core, self.caller, self.clock, settings.bounds)
+        self.orders = PlacementController(self.core, self.caller, self.clock, settings.bounds)
         self.core.orders_idle_s = self.orders.idle_s
         self.core.data_planes = self.distribution.data_planes
         self.core.on_stub_change = lambda stub_id: self._changed()
@@ -96,7 +96,7 @@
             "committed": core.replica.committed,
             "version": core.state.document.version,
             "holder": core.state.holder,
-            "fence_token": core.state.fence_token,
+            "fence_token": core.state.fencing_token,
             "orders": list(self.orders.log),
             "data_planes": self.distribution.all_data_planes(),
             "peers": {
--- a/mulleinhatch/control_plane/quorum_calls.py
+++ b/mulleinhatch/control_plane/quorum_calls.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Answers:
+class QuorumCall:
     """`next` gives the next answer, None when no more will come; machines that can't be reached give none."""
 
     def __init__(self, asked: Iterable[Awaitable[Any]]) -> None:
--- a/mulleinhatch/control_plane/registry.py
+++ b/mulleinhatch/control_plane/registry.py
@@ -44,7 +44,7 @@
     )
 
 
-class Registry:
+class BackendRegistry:
     """`on_change` hears the id of each stub whose record changed in a way that matters; `has_left` tells of an id whether the
     control state says that the stub leaves, whatever its records say."""
 
--- a/mulleinhatch/control_plane/replicated_log.py
+++ b/mulleinhatch/control_plane/replicated_log.py
@@ -12,7 +12,7 @@
 from mulleinhatch.storage.records import Record, RecordKind
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import Core
+    from mulleinhatch.control_plane.node import CoreNode
 
 APPEND_S = 1.0
 RETRY_S = 0.1
@@ -24,7 +24,7 @@
 class ReplicatedLog:
     """Carries out what `core.replica` decides; `lock` is held while entries go to disk."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CoreNode) -> None:
         self._core = core
         self.lock = asyncio.Lock()
         self.rewrite_due = False  # the file is to be written anew at the next look
--- a/mulleinhatch/control_plane/shutdown.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -6,7 +6,7 @@
 import logging
 
 from mulleinhatch.consensus.paxos import identities
-from mulleinhatch.control_plane.node import Core
+from mulleinhatch.control_plane.node import CoreNode
 
 LOG = logging.getLogger(__name__)
 LEAST_S = 1.0  # from the notice to the end: what was asked before is answered
@@ -14,7 +14,7 @@
 LOOK_S = 0.1
 
 
-def _successor_known(core: Core) -> bool:
+def _successor_known(core: CoreNode) -> bool:
     """Whether a machine without a vote is there that can take ours."""
     now, voting = core.clock(), identities(core.view.voters)
     return any(
@@ -23,7 +23,7 @@
     )
 
 
-def may_end(core: Core) -> bool:
+def may_end(core: CoreNode) -> bool:
     """Whether a machine that leaves is not needed any more: the view without it is on the disks of a majority of its voters,
     the replicas of its chain hold all, and nobody is about to take its vote."""
     view = core.view
@@ -35,7 +35,7 @@
     return core.member.identity not in identities(view.voters) or not _successor_known(core)
 
 
-async def leave(core: Core, grace_s: float) -> None:
+async def leave(core: CoreNode, grace_s: float) -> None:
     """Tells the others that we leave; returns when we may end, or shortly before the grace period does."""
     core.leaving = True
     core.beat_soon()
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from mulleinhatch.messages.cluster import Entry, Heartbeat, Snapshot, Stub, VoterState
-from mulleinhatch.storage.append_log import Journal
+from mulleinhatch.storage.append_log import AppendLog
 from mulleinhatch.storage.records import Record, RecordKind
 
 LOG = logging.getLogger(__name__)
@@ -72,11 +72,11 @@
     return Record(RecordKind.COMMIT, index.to_bytes(8, "little"))
 
 
-class Disk:
+class StateStore:
     """Appends in the order of the calls. `stalled()` tells that the disk does not keep up or refuses writes."""
 
-    def __init__(self, folder: str, clock: Callable[[], float], journal: Journal | None = None) -> None:
-        self._journal = journal or Journal(folder)
+    def __init__(self, folder: str, clock: Callable[[], float], journal: AppendLog | None = None) -> None:
+        self._journal = journal or AppendLog(folder)
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._clock = clock
         self._begun: dict[int, float] = {}
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from mulleinhatch.consensus.paxos import Outcome, Proposal, Voter, identities, majority
-from mulleinhatch.control_plane.quorum_calls import Answers
+from mulleinhatch.control_plane.quorum_calls import QuorumCall
 from mulleinhatch.control_plane.state_store import Restored, settled_record
 from mulleinhatch.messages.cluster import (
     AcceptRequest,
-    Ballot,
     ConfirmAnswer,
     ConfirmRequest,
     PrepareRequest,
+    ProposalNumber,
     View,
     VoteAnswer,
     VoterState,
@@ -22,19 +22,19 @@
 from mulleinhatch.storage.records import Record, RecordKind
 
 if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import Core
+    from mulleinhatch.control_plane.node import CoreNode
 
 Said = TypeVar("Said")
 
 
-class Votes:
+class ViewChanger:
     """The durable voter of one core machine. Memory follows the disk: what the disk refused was never learned or voted, and is
     tried again when it is told again."""
 
-    def __init__(self, core: Core, restored: Restored) -> None:
+    def __init__(self, core: CoreNode, restored: Restored) -> None:
         self._core = core
         self._voter = Voter(restored.identity, restored.voter)
-        self._ballot = 0
+        self._proposal_number = 0
         self.lock = asyncio.Lock()  # held while a vote goes to disk
         self._stepping = False  # a step of the voter goes to disk
 
@@ -109,7 +109,7 @@
         epoch, voters = core.view.epoch, core.view.voters
         request = ConfirmRequest(epoch=epoch)
         others = [voter for voter in voters if voter.identity != core.member.identity]
-        answers = Answers([core.ask(voter.internal_address, "confirm", request, ConfirmAnswer()) for voter in others])
+        answers = QuorumCall([core.ask(voter.internal_address, "confirm", request, ConfirmAnswer()) for voter in others])
         count = int((await self.on_confirm(request)).current)
         while count < majority(core.view) and (answer := await answers.next()) is not None:
             await self.learn(answer.newest)
@@ -121,14 +121,14 @@
         base = self.view
         if wanted.epoch != base.epoch + 1:
             return
-        self._ballot = max(self._ballot, self.state.promised.number) + 1
-        proposal = Proposal(base, Ballot(number=self._ballot, proposer=self._core.member.identity), wanted)
-        prepare = PrepareRequest(base=base, ballot=proposal.ballot)
+        self._proposal_number = max(self._proposal_number, self.state.promised.number) + 1
+        proposal = Proposal(base, ProposalNumber(number=self._proposal_number, proposer=self._core.member.identity), wanted)
+        prepare = PrepareRequest(base=base, proposal_number=proposal.proposal_number)
         await self._round(proposal, "prepare", prepare, self.on_prepare, proposal.prepared)
         if proposal.chosen is not None and proposal.outcome is Outcome.RUNNING:
-            accept = AcceptRequest(base=base, ballot=proposal.ballot, proposed=proposal.chosen)
+            accept = AcceptRequest(base=base, proposal_number=proposal.proposal_number, proposed=proposal.chosen)
             await self._round(proposal, "accept", accept, self.on_accept, proposal.accepted)
-        self._ballot = max(self._ballot, proposal.highest)
+        self._proposal_number = max(self._proposal_number, proposal.highest)
         if proposal.outcome is Outcome.DECIDED:
             await self.learn(proposal.chosen)
         elif proposal.outcome is Outcome.OVERTAKEN:
@@ -139,7 +139,7 @@
     ) -> None:
         """Asks all voters at once; returns when `heard` says that it is enough, or all have answered."""
         core = self._core
-        answers = Answers(
+        answers = QuorumCall(
             [
                 own(request)
                 if voter.identity == core.member.identity
--- a/mulleinhatch/leadership/lease.py
+++ b/mulleinhatch/leadership/lease.py
@@ -22,7 +22,7 @@
 FENCED_S = 1.0  # the wait where a former holder that is out of reach is fenced off by the stubs themselves
 
 
-class RoleState(Enum):
+class LeaseState(Enum):
     OUTSIDE = "outside"
     WAITING = "waiting"
     CLAIMING = "claiming"
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Sight:
+class LeadershipObservation:
     """What a machine sees of its place. `holder` and `token` are the replicated state's."""
 
     leads: bool  # head of the chain, and in touch with a majority of the voters
@@ -42,51 +42,51 @@
     former_fenced: bool = False  # it is out of reach, and stubs refuse its token once they have seen a higher one
 
 
-class HolderRole:
+class LeaderLease:
     """One machine's view of one role."""
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s + LEASE_MARGIN_S
-        self.state = RoleState.OUTSIDE
+        self.state = LeaseState.OUTSIDE
         self.token = 0
         self._since = self._may_at = self._acted_at = 0.0
 
-    def observe(self, sight: Sight, now: float) -> RoleState:
+    def observe(self, observation: LeadershipObservation, now: float) -> LeaseState:
         """The state after a look."""
-        named = sight.holder == sight.identity and sight.token == self.token
-        if self.state in (RoleState.ACTING, RoleState.PAUSED):
-            self._pause(sight.leads, named, now)
+        named = observation.holder == observation.identity and observation.token == self.token
+        if self.state in (LeaseState.ACTING, LeaseState.PAUSED):
+            self._pause(observation.leads, named, now)
             return self.state
-        if not sight.leads:
-            self.state = RoleState.OUTSIDE
-        elif self.state is RoleState.OUTSIDE:
-            self.state = RoleState.WAITING
-            unclaimed = sight.holder in ("", sight.identity)
+        if not observation.leads:
+            self.state = LeaseState.OUTSIDE
+        elif self.state is LeaseState.OUTSIDE:
+            self.state = LeaseState.WAITING
+            unclaimed = observation.holder in ("", observation.identity)
             self._since, self._may_at = now, now if unclaimed else now + self._lease_s
-        if self.state is RoleState.WAITING:
-            if sight.former_idle_s > 0.0:
-                self._may_at = min(self._may_at, now + max(0.0, self._lease_s - sight.former_idle_s))
-            if now >= self._may_at or (sight.former_fenced and now >= self._since + FENCED_S):
-                self.state = RoleState.CLAIMING
+        if self.state is LeaseState.WAITING:
+            if observation.former_idle_s > 0.0:
+                self._may_at = min(self._may_at, now + max(0.0, self._lease_s - observation.former_idle_s))
+            if now >= self._may_at or (observation.former_fenced and now >= self._since + FENCED_S):
+                self.state = LeaseState.CLAIMING
         return self.state
 
     def _pause(self, leads: bool, named: bool, now: float) -> None:
-        if self.state is RoleState.ACTING:
+        if self.state is LeaseState.ACTING:
             self._acted_at = now
         if not named or now - self._acted_at > PAUSE_S:
-            self.state = RoleState.OUTSIDE
+            self.state = LeaseState.OUTSIDE
         else:
-            self.state = RoleState.ACTING if leads else RoleState.PAUSED
+            self.state = LeaseState.ACTING if leads else LeaseState.PAUSED
 
     def claimed(self, token: int) -> None:
         """The claim is committed under `token`; 0 where it failed."""
-        if self.state is RoleState.CLAIMING and token:
-            self.state, self.token = RoleState.ACTING, token
+        if self.state is LeaseState.CLAIMING and token:
+            self.state, self.token = LeaseState.ACTING, token
 
     def outranked(self) -> None:
         """A stub has seen a higher token: a new claim is needed."""
-        self.state = RoleState.OUTSIDE
+        self.state = LeaseState.OUTSIDE
 
     @property
     def acting(self) -> bool:
-        return self.state is RoleState.ACTING
+        return self.state is LeaseState.ACTING
--- a/mulleinhatch/messages/cluster.py
+++ b/mulleinhatch/messages/cluster.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Ballot(betterproto.Message):
+class ProposalNumber(betterproto.Message):
     number: int = betterproto.uint64_field(1)
     proposer: str = betterproto.string_field(2)
 
@@ -45,21 +45,21 @@
     """
 
     view: "View" = betterproto.message_field(1)
-    promised: "Ballot" = betterproto.message_field(2)
-    accepted: "Ballot" = betterproto.message_field(3)
+    promised: "ProposalNumber" = betterproto.message_field(2)
+    accepted: "ProposalNumber" = betterproto.message_field(3)
     accepted_view: "View" = betterproto.message_field(4)
 
 
 @dataclass
 class PrepareRequest(betterproto.Message):
     base: "View" = betterproto.message_field(1)
-    ballot: "Ballot" = betterproto.message_field(2)
+    proposal_number: "ProposalNumber" = betterproto.message_field(2)
 
 
 @dataclass
 class AcceptRequest(betterproto.Message):
     base: "View" = betterproto.message_field(1)
-    ballot: "Ballot" = betterproto.message_field(2)
+    proposal_number: "ProposalNumber" = betterproto.message_field(2)
     proposed: "View" = betterproto.message_field(3)
 
 
@@ -67,8 +67,8 @@
 class VoteAnswer(betterproto.Message):
     voter: str = betterproto.string_field(1)
     granted: bool = betterproto.bool_field(2)
-    promised: "Ballot" = betterproto.message_field(3)
-    accepted: "Ballot" = betterproto.message_field(4)
+    promised: "ProposalNumber" = betterproto.message_field(3)
+    accepted: "ProposalNumber" = betterproto.message_field(4)
     accepted_view: "View" = betterproto.message_field(5)
     newest: "View" = betterproto.message_field(6)
 
@@ -95,7 +95,7 @@
     configuration: bytes = betterproto.bytes_field(4)
     digests: List[str] = betterproto.string_field(5)
     holder: str = betterproto.string_field(6)
-    fence_token: int = betterproto.uint64_field(7)
+    fencing_token: int = betterproto.uint64_field(7)
     # Stubs that said that they leave, the newest last: "ID INDEX" with the index
     # of the entry that says so.
     left: List[str] = betterproto.string_field(8)
--- a/mulleinhatch/replication/state.py
+++ b/mulleinhatch/replication/state.py
@@ -39,18 +39,18 @@
 LEFT_KEPT = 1024  # stubs that left: each serves on for seconds only, and its heartbeats come seconds late at most
 
 
-class Verdict(IntEnum):
+class ChangeOutcome(IntEnum):
     """What becomes of a change that an operator sends."""
 
-    TAKEN_BEFORE = 200
+    ALREADY_APPLIED = 200
     INVALID = 400
     CONFLICT = 412
-    FORGOTTEN = 503  # it may have been taken so long ago that nothing is known of it any more
+    HISTORY_COMPACTED = 503  # it may have been taken so long ago that nothing is known of it any more
 
 
 @dataclass(frozen=True)
 class Refusal:
-    verdict: Verdict
+    verdict: ChangeOutcome
     message: str
 
 
@@ -71,7 +71,7 @@
         self.document = EMPTY
         self.digests: dict[str, int] = {}  # of the changes taken, with their versions
         self.holder = ""
-        self.fence_token = 0
+        self.fencing_token = 0
         self.left: dict[str, int] = {}  # stubs that said that they leave, with the index of the entry, the newest last
         self.forgotten_version = 0  # changes up to this version may have been taken without being known any more
         self.recent: list[tuple[int, Entry]] = []  # patches with the versions that they followed
@@ -80,20 +80,22 @@
         """Whether a change may be appended after the state as it stands."""
         digest = digest_of(method, body)
         if digest in self.digests:
-            return Err(Refusal(Verdict.TAKEN_BEFORE, "taken before"))
+            return Err(Refusal(ChangeOutcome.ALREADY_APPLIED, "taken before"))
         if isinstance(read := read_json(body), Err):
-            return Err(Refusal(Verdict.INVALID, str(read.err_value)))
+            return Err(Refusal(ChangeOutcome.INVALID, str(read.err_value)))
         version = read.ok_value.get("version")
         if isinstance(version, int) and version <= self.forgotten_version:
-            return Err(Refusal(Verdict.FORGOTTEN, "so old a change may have been taken; read the configuration"))
+            return Err(Refusal(ChangeOutcome.HISTORY_COMPACTED, "so old a change may have been taken; read the configuration"))
         if base is None:
-            return Err(Refusal(Verdict.INVALID, "If-Match must give the version that the change builds on, 0 for the first"))
+            return Err(
+                Refusal(ChangeOutcome.INVALID, "If-Match must give the version that the change builds on, 0 for the first")
+            )
         made = self._make(method, read.ok_value)
         if isinstance(made, Err):
-            verdict = Verdict.INVALID if base == self.document.version else Verdict.CONFLICT
+            verdict = ChangeOutcome.INVALID if base == self.document.version else ChangeOutcome.CONFLICT
             return Err(Refusal(verdict, str(made.err_value)))
         if base != self.document.version:
-            return Err(Refusal(Verdict.CONFLICT, f"version {self.document.version} is current; read it and build on it"))
+            return Err(Refusal(ChangeOutcome.CONFLICT, f"version {self.document.version} is current; read it and build on it"))
         kind = EntryKind.CONFIGURATION if method == "PUT" else EntryKind.PATCH
         return Ok(Change(kind, body, digest, made.ok_value))
 
@@ -104,7 +106,7 @@
         """Carries out the committed entry that follows."""
         assert entry.index == self.index + 1
         if entry.kind == EntryKind.HOLDER:
-            self.holder, self.fence_token = entry.body.decode(), entry.index
+            self.holder, self.fencing_token = entry.body.decode(), entry.index
         elif entry.kind == EntryKind.LEAVE:
             self._apply_leave(entry)
         else:
@@ -157,7 +159,7 @@
             configuration=self.document.text(),
             digests=[f"{digest} {version}" for digest, version in self.digests.items()],
             holder=self.holder,
-            fence_token=self.fence_token,
+            fencing_token=self.fencing_token,
             left=[f"{stub_id} {index}" for stub_id, index in self.left.items()],
             forgotten_version=self.forgotten_version,
         )
@@ -169,7 +171,7 @@
         self.document = Document(snapshot.configuration_version, value)
         pairs = (text.split(" ") for text in snapshot.digests)
         self.digests = {digest: int(version) for digest, version in pairs}
-        self.holder, self.fence_token = snapshot.holder, snapshot.fence_token
+        self.holder, self.fencing_token = snapshot.holder, snapshot.fencing_token
         left = (text.rpartition(" ") for text in snapshot.left)
         self.left = {stub_id: int(index) for stub_id, _, index in left}
         self.forgotten_version = snapshot.forgotten_version
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -17,12 +17,12 @@
 from mulleinhatch.consensus import view_planner as planning
 from mulleinhatch.consensus.paxos import Voter
 from mulleinhatch.control_plane import shutdown as departure
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, Changes
+from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
 from mulleinhatch.control_plane.peers import Peers
-from mulleinhatch.control_plane.view_change import Votes
+from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.messages.cluster import LeaveAnswer
 from mulleinhatch.replication.chain import Replica
-from mulleinhatch.replication.state import ControlState, Verdict
+from mulleinhatch.replication.state import ChangeOutcome, ControlState
 
 
 class Defect(Enum):
@@ -59,16 +59,16 @@
     return voters
 
 
-async def _acknowledge_leave(self: Changes, stub_id: str) -> bool:
+async def _acknowledge_leave(self: ConfigurationChanges, stub_id: str) -> bool:
     await asyncio.sleep(0.05)
     return True
 
 
-async def _take_leave(self: Changes, request: Any) -> LeaveAnswer:
+async def _take_leave(self: ConfigurationChanges, request: Any) -> LeaveAnswer:
     return LeaveAnswer(taken=True)
 
 
-async def _step_first(self: Votes, step: Any) -> Any:
+async def _step_first(self: ViewChanger, step: Any) -> Any:
     async with self.lock:
         before = self._voter.state
         self._voter = Voter(self._voter.identity, before)
@@ -80,9 +80,9 @@
 
 
 def _change_at_once(real: Any) -> Any:
-    async def change(self: Changes, *args: Any) -> ChangeAnswer:
+    async def change(self: ConfigurationChanges, *args: Any) -> ChangeAnswer:
         if self._core.log.change_pending():
-            return ChangeAnswer(int(Verdict.CONFLICT), "planted")
+            return ChangeAnswer(int(ChangeOutcome.CONFLICT), "planted")
         return await real(self, *args)
 
     return change
@@ -91,7 +91,7 @@
 def _check_without_base(real: Any) -> Any:
     def check(self: ControlState, method: str, base: int | None, body: bytes) -> Any:
         checked = real(self, method, base, body)
-        if isinstance(checked, Err) and checked.err_value.verdict is Verdict.CONFLICT:
+        if isinstance(checked, Err) and checked.err_value.verdict is ChangeOutcome.CONFLICT:
             return real(self, method, self.document.version, body)
         return checked
 
@@ -118,7 +118,7 @@
     return adopt
 
 
-async def _always(self: Votes) -> bool:
+async def _always(self: ViewChanger) -> bool:
     return True
 
 
@@ -128,25 +128,25 @@
 
 def _patches(defect: Defect) -> list[Any]:
     if defect is Defect.REFUSE_UNSETTLED:
-        return [mock.patch.object(Changes, "_change", _change_at_once(Changes._change))]
+        return [mock.patch.object(ConfigurationChanges, "_change", _change_at_once(ConfigurationChanges._change))]
     if defect is Defect.READ_ANYWHERE:
-        return [mock.patch.object(Votes, "confirm", _always)]
+        return [mock.patch.object(ViewChanger, "confirm", _always)]
     if defect is Defect.SHORT_CHAIN:
         real = planning.next_view
         return [
             mock.patch("mulleinhatch.control_plane.node.next_view", lambda view, health, tolerated: real(view, health, 0)),
-            mock.patch.object(Changes, "_leads", lambda self: self._core.replica.is_head),
+            mock.patch.object(ConfigurationChanges, "_leads", lambda self: self._core.replica.is_head),
         ]
     if defect is Defect.ADD_NEWCOMER:
         return [mock.patch.object(planning, "_voters", _add_newcomer)]
     if defect is Defect.LEAVE_UNHEARD:
         return [
-            mock.patch.object(Changes, "stub_leaves", _acknowledge_leave),
-            mock.patch.object(Changes, "on_leave", _take_leave),
+            mock.patch.object(ConfigurationChanges, "stub_leaves", _acknowledge_leave),
+            mock.patch.object(ConfigurationChanges, "on_leave", _take_leave),
         ]
     if defect is Defect.VIEW_BEFORE_DISK:
         return [
-            mock.patch.object(Votes, "_step", _step_first),
+            mock.patch.object(ViewChanger, "_step", _step_first),
             mock.patch.object(Peers, "confirm", Peers.reaches_majority),
         ]
     if defect is Defect.AUTHORITY_WITHOUT_EPOCH:
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -9,8 +9,8 @@
 
 from mulleinhatch.control_plane.api import ControlApi, InternalApi, internal_api
 from mulleinhatch.control_plane.distribution import Distribution
-from mulleinhatch.control_plane.node import Core
-from mulleinhatch.control_plane.state_store import Disk, replay
+from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.state_store import StateStore, replay
 from mulleinhatch.messages import cluster
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.simulation.control_plane.defects import Defect
@@ -21,7 +21,7 @@
 
 
 class VirtualJournal:
-    """Stands in for `storage.journal.Journal`: records last once their sync is over."""
+    """Stands in for `storage.journal.AppendLog`: records last once their sync is over."""
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
@@ -45,7 +45,7 @@
             raise REFUSED
 
 
-class VirtualDisk(Disk):
+class VirtualDisk(StateStore):
     """The real disk's bookkeeping on a virtual journal, in virtual time."""
 
     def __init__(self, machine: Machine, clock: Callable[[], float]) -> None:
@@ -100,7 +100,7 @@
         self.records: list[Record] = []
         self.under_way: tuple[Any, list[Record]] | None = None
         self.slower, self.stalled, self.full, self.refuse_folder_sync = 1.0, False, False, False
-        self.core: Core | None = None
+        self.core: CoreNode | None = None
         self.process: Process | None = None
         self.control: ControlApi | None = None
         self.internal_api: InternalApi | None = None
@@ -127,7 +127,7 @@
         self.starts += 1
         self.started_at = loop.time()
         self.process = Process(f"core-{self.number}.{self.starts}")
-        core = Core(self.settings(), self._world.caller(self, self.process), loop.time, lambda: None, self._disk())
+        core = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, lambda: None, self._disk())
         core.open()
         distribution = Distribution(core, loop.time)
         core._on_change = distribution.changed
--- a/mulleinhatch/storage/append_log.py
+++ b/mulleinhatch/storage/append_log.py
@@ -44,7 +44,7 @@
         os.close(number)
 
 
-class Journal:
+class AppendLog:
     """One file of records in a folder of its own.
 
     | state | event | next |
--- a/tests/system/test_chain.py
+++ b/tests/system/test_chain.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch.messages.cluster import AppendRequest, Member, Snapshot, View
 from mulleinhatch.replication.chain import Replica, Write
-from mulleinhatch.replication.state import ControlState, EntryKind, Verdict
+from mulleinhatch.replication.state import ChangeOutcome, ControlState, EntryKind
 
 
 def member(name: str) -> Member:
@@ -213,7 +213,7 @@
         write = replica.propose(int(checked.ok_value.kind), body, checked.ok_value.digest)
         self.state.apply(write.entries[0])
 
-    def verdict(self, method: str, base: int | None, body: bytes) -> Verdict:
+    def verdict(self, method: str, base: int | None, body: bytes) -> ChangeOutcome:
         checked = self.state.check(method, base, body)
         self.assertIsInstance(checked, Err)
         return checked.err_value.verdict
@@ -221,16 +221,16 @@
     def test_one_of_two_changes_on_the_same_version_is_taken(self):
         self.take("PUT", 0, put(1))
         self.take("PUT", 1, put(3, note="x"))
-        self.assertIs(self.verdict("PUT", 1, put(3, note="y")), Verdict.CONFLICT)
+        self.assertIs(self.verdict("PUT", 1, put(3, note="y")), ChangeOutcome.CONFLICT)
 
     def test_a_change_that_is_sent_again_is_known_also_after_newer_ones(self):
         self.take("PUT", 0, put(1))
         self.take("PUT", 1, put(2))
-        self.assertIs(self.verdict("PUT", 0, put(1)), Verdict.TAKEN_BEFORE)
+        self.assertIs(self.verdict("PUT", 0, put(1)), ChangeOutcome.ALREADY_APPLIED)
         again = ControlState()
         again.restore(self.state.snapshot())
         checked = again.check("PUT", 0, put(1))
-        self.assertIs(checked.err_value.verdict, Verdict.TAKEN_BEFORE)
+        self.assertIs(checked.err_value.verdict, ChangeOutcome.ALREADY_APPLIED)
 
     def test_invalid_changes_are_refused_and_leave_no_trace(self):
         self.take("PUT", 0, put(5))
@@ -243,7 +243,7 @@
             (None, put(6)),
             (5, b'{"version":6,"version":7}'),
         ):
-            self.assertIs(self.verdict("PUT", base, body), Verdict.INVALID, body)
+            self.assertIs(self.verdict("PUT", base, body), ChangeOutcome.INVALID, body)
         self.assertIs(self.state.document, before)
 
     def test_patches_lead_from_version_to_version(self):
@@ -266,7 +266,7 @@
             write = replica.propose(int(EntryKind.HOLDER), name.encode(), "")
             replica.written(write)
             self.state.apply(write.entries[0])
-        self.assertEqual((self.state.holder, self.state.fence_token), ("b", 2))
+        self.assertEqual((self.state.holder, self.state.fencing_token), ("b", 2))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -14,8 +14,8 @@
 from mulleinhatch.control_plane.placement.demand import Demand, Wanted
 from mulleinhatch.control_plane.placement.holdings import Holding, Operation, StubView, used_mb
 from mulleinhatch.control_plane.placement.planner import Planner
-from mulleinhatch.control_plane.registry import Registry
-from mulleinhatch.leadership.lease import HolderRole, RoleState, Sight
+from mulleinhatch.control_plane.registry import BackendRegistry
+from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
 from mulleinhatch.messages.cluster import (
     DemandReport,
     HeartbeatAnswer,
@@ -36,7 +36,7 @@
 class RegistryTrace(unittest.TestCase):
     def setUp(self):
         self.changes: list[str] = []
-        self.registry = Registry(1.0, self.changes.append)
+        self.registry = BackendRegistry(1.0, self.changes.append)
 
     def test_late_heartbeats_change_nothing(self):
         self.registry.merge(stub(5, draining=True), 0.0)
@@ -273,81 +273,81 @@
         self.assertEqual(demand.totals("other", 6.0), {})
 
 
-def sight(leads: bool = True, holder: str = "b", token: int = 4, **more) -> Sight:
-    return Sight(leads, "a", holder, token, **more)
+def observation(leads: bool = True, holder: str = "b", token: int = 4, **more) -> LeadershipObservation:
+    return LeadershipObservation(leads, "a", holder, token, **more)
 
 
 class Holder(unittest.TestCase):
     def test_waits_a_lease_after_another_holder(self):
-        role = HolderRole(3.0)
-        self.assertIs(role.observe(sight(), 0.0), RoleState.WAITING)
-        self.assertIs(role.observe(sight(), 3.2), RoleState.WAITING)
-        self.assertIs(role.observe(sight(), 3.4), RoleState.CLAIMING)
+        role = LeaderLease(3.0)
+        self.assertIs(role.observe(observation(), 0.0), LeaseState.WAITING)
+        self.assertIs(role.observe(observation(), 3.2), LeaseState.WAITING)
+        self.assertIs(role.observe(observation(), 3.4), LeaseState.CLAIMING)
         role.claimed(9)
-        self.assertIs(role.observe(sight(holder="a", token=9), 3.5), RoleState.ACTING)
+        self.assertIs(role.observe(observation(holder="a", token=9), 3.5), LeaseState.ACTING)
 
     def test_a_claim_that_failed_is_made_again(self):
-        role = HolderRole(0.0)
-        role.observe(sight(holder=""), 0.0)
+        role = LeaderLease(0.0)
+        role.observe(observation(holder=""), 0.0)
         role.claimed(0)
-        self.assertIs(role.observe(sight(holder=""), 0.1), RoleState.CLAIMING)
+        self.assertIs(role.observe(observation(holder=""), 0.1), LeaseState.CLAIMING)
 
     def test_no_wait_for_the_first_holder_or_ourselves(self):
         for holder in ("", "a"):
-            self.assertIs(HolderRole(3.0).observe(sight(holder=holder), 0.0), RoleState.CLAIMING)
+            self.assertIs(LeaderLease(3.0).observe(observation(holder=holder), 0.0), LeaseState.CLAIMING)
 
     def test_losing_the_lead_ends_it_and_the_wait_begins_anew(self):
-        role = HolderRole(3.0)
-        role.observe(sight(), 0.0)
-        role.observe(sight(leads=False), 2.9)
-        self.assertIs(role.observe(sight(), 3.5), RoleState.WAITING)
-
-    def holding(self) -> HolderRole:
-        role = HolderRole(3.0)
-        role.observe(sight(holder=""), 0.0)
+        role = LeaderLease(3.0)
+        role.observe(observation(), 0.0)
+        role.observe(observation(leads=False), 2.9)
+        self.assertIs(role.observe(observation(), 3.5), LeaseState.WAITING)
+
+    def holding(self) -> LeaderLease:
+        role = LeaderLease(3.0)
+        role.observe(observation(holder=""), 0.0)
         role.claimed(5)
-        role.observe(sight(holder="a", token=5), 0.1)
+        role.observe(observation(holder="a", token=5), 0.1)
         return role
 
     def test_a_moment_without_the_lead_gives_no_orders_and_keeps_the_role(self):
         """As while a view changes: a claim anew would forget what is under way at every stub."""
         role = self.holding()
-        self.assertIs(role.observe(sight(leads=False, holder="a", token=5), 0.2), RoleState.PAUSED)
+        self.assertIs(role.observe(observation(leads=False, holder="a", token=5), 0.2), LeaseState.PAUSED)
         self.assertFalse(role.acting)
-        self.assertIs(role.observe(sight(holder="a", token=5), 0.4), RoleState.ACTING)
+        self.assertIs(role.observe(observation(holder="a", token=5), 0.4), LeaseState.ACTING)
 
     def test_a_pause_in_which_another_claimed_ends_it(self):
         role = self.holding()
-        role.observe(sight(leads=False, holder="a", token=5), 0.2)
-        self.assertIs(role.observe(sight(holder="b", token=7), 0.4), RoleState.OUTSIDE)
+        role.observe(observation(leads=False, holder="a", token=5), 0.2)
+        self.assertIs(role.observe(observation(holder="b", token=7), 0.4), LeaseState.OUTSIDE)
 
     def test_a_long_pause_ends_it(self):
         role = self.holding()
-        role.observe(sight(leads=False, holder="a", token=5), 0.2)
-        self.assertIs(role.observe(sight(leads=False, holder="a", token=5), 1.3), RoleState.OUTSIDE)
-        self.assertIs(role.observe(sight(holder="a", token=5), 1.4), RoleState.CLAIMING)
+        role.observe(observation(leads=False, holder="a", token=5), 0.2)
+        self.assertIs(role.observe(observation(leads=False, holder="a", token=5), 1.3), LeaseState.OUTSIDE)
+        self.assertIs(role.observe(observation(holder="a", token=5), 1.4), LeaseState.CLAIMING)
 
     def test_one_that_stood_still_claims_anew(self):
         role = self.holding()
-        role.observe(sight(leads=False, holder="a", token=5), 0.2)
-        self.assertIsNot(role.observe(sight(holder="a", token=5), 3.2), RoleState.ACTING)
+        role.observe(observation(leads=False, holder="a", token=5), 0.2)
+        self.assertIsNot(role.observe(observation(holder="a", token=5), 3.2), LeaseState.ACTING)
 
     def test_a_former_holder_that_hands_over_is_waited_for_less(self):
-        role = HolderRole(3.0)
-        self.assertIs(role.observe(sight(former_idle_s=2.0), 0.0), RoleState.WAITING)
-        self.assertIs(role.observe(sight(former_idle_s=2.0), 1.4), RoleState.CLAIMING)
+        role = LeaderLease(3.0)
+        self.assertIs(role.observe(observation(former_idle_s=2.0), 0.0), LeaseState.WAITING)
+        self.assertIs(role.observe(observation(former_idle_s=2.0), 1.4), LeaseState.CLAIMING)
 
     def test_a_fenced_holder_out_of_reach_is_waited_for_less_but_one_in_reach_is_not(self):
-        role = HolderRole(3.0)
-        role.observe(sight(former_fenced=True), 0.0)
-        self.assertIs(role.observe(sight(former_fenced=False), 1.2), RoleState.WAITING)
-        self.assertIs(role.observe(sight(former_fenced=True), 1.3), RoleState.CLAIMING)
+        role = LeaderLease(3.0)
+        role.observe(observation(former_fenced=True), 0.0)
+        self.assertIs(role.observe(observation(former_fenced=False), 1.2), LeaseState.WAITING)
+        self.assertIs(role.observe(observation(former_fenced=True), 1.3), LeaseState.CLAIMING)
 
     def test_a_higher_token_elsewhere_ends_it(self):
-        role = HolderRole(0.0)
-        role.observe(sight(holder=""), 0.0)
+        role = LeaderLease(0.0)
+        role.observe(observation(holder=""), 0.0)
         role.claimed(5)
-        self.assertIs(role.observe(sight(holder="b", token=6), 0.1), RoleState.OUTSIDE)
+        self.assertIs(role.observe(observation(holder="b", token=6), 0.1), LeaseState.OUTSIDE)
         self.assertFalse(role.acting)
 
 
--- a/tests/system/test_control_state.py
+++ b/tests/system/test_control_state.py
@@ -11,7 +11,7 @@
 
 from mulleinhatch.configuration.document import digest_of
 from mulleinhatch.control_plane.peers import AUTHORITY_S, MISSED_S, Peers
-from mulleinhatch.control_plane.registry import Registry
+from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.data_plane.control_link import ControlLink
 from mulleinhatch.data_plane.snapshot import StubList
 from mulleinhatch.messages.cluster import (
@@ -25,7 +25,7 @@
 )
 from mulleinhatch.networking.http_client import WholeAnswer
 from mulleinhatch.process.settings import Bounds, Settings
-from mulleinhatch.replication.state import DIGESTS_KEPT, LEFT_KEPT, RECENT_KEPT, ControlState, EntryKind, Verdict
+from mulleinhatch.replication.state import DIGESTS_KEPT, LEFT_KEPT, RECENT_KEPT, ChangeOutcome, ControlState, EntryKind
 
 
 def change(version: int, note: str = "") -> bytes:
@@ -52,15 +52,15 @@
             for version in range(1, 20_001, 7):
                 verdict = one.check("PUT", version - 1, change(version)).err_value.verdict
                 known = version > 20_000 - DIGESTS_KEPT
-                self.assertIs(verdict, Verdict.TAKEN_BEFORE if known else Verdict.FORGOTTEN, version)
+                self.assertIs(verdict, ChangeOutcome.ALREADY_APPLIED if known else ChangeOutcome.HISTORY_COMPACTED, version)
             self.assertIsInstance(one.check("PUT", 20_000, change(20_001)), Ok)
 
     def test_what_was_never_taken_is_refused_as_long_as_that_is_known(self):
         state = ControlState()
         for version in range(1, 10):
             apply(state, EntryKind.CONFIGURATION, change(version))
-        self.assertIs(state.check("PUT", 3, change(4, "another")).err_value.verdict, Verdict.CONFLICT)
-        self.assertIs(state.check("PUT", 9, change(9, "another")).err_value.verdict, Verdict.INVALID)
+        self.assertIs(state.check("PUT", 3, change(4, "another")).err_value.verdict, ChangeOutcome.CONFLICT)
+        self.assertIs(state.check("PUT", 9, change(9, "another")).err_value.verdict, ChangeOutcome.INVALID)
 
     def test_patches_for_data_planes_are_bounded(self):
         state = ControlState()
@@ -138,13 +138,13 @@
     """A stub that left does not come back, whatever is told late."""
 
     def test_the_list_of_a_machine_that_started_anew_shows_it_as_leaving(self):
-        registry = Registry(1.0, lambda stub_id: None, lambda stub_id: stub_id == "i-1")
+        registry = BackendRegistry(1.0, lambda stub_id: None, lambda stub_id: stub_id == "i-1")
         registry.recall(Stub(id="i-1", service="s", address="a:1", sequence=7), 0.0)
         registry.merge(Stub(id="i-1", service="s", address="a:1", sequence=9), 0.1)
         self.assertTrue(registry.entries["i-1"].stub.draining)
 
     def test_leaving_stubs_are_kept_over_a_restart_as_leaving(self):
-        registry = Registry(1.0, lambda stub_id: None)
+        registry = BackendRegistry(1.0, lambda stub_id: None)
         registry.merge(Stub(id="i-1", service="s", address="a:1", sequence=7, draining=True), 0.0)
         self.assertEqual([stub.draining for stub in registry.present()], [True])
 
--- a/tests/system/test_journal_faults.py
+++ b/tests/system/test_journal_faults.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from mulleinhatch.storage import append_log as journal_module
-from mulleinhatch.storage.append_log import BESIDE, NAME, Journal
+from mulleinhatch.storage.append_log import BESIDE, NAME, AppendLog
 from mulleinhatch.storage.records import MAGIC, ForeignFileError, Record, UnsupportedVersionError, decode
 
 FOLDER = Path("/data")
@@ -132,10 +132,10 @@
         return self.after_power_loss(names_kept=True, data_kept=True)
 
 
-def opened(disk: FakeDisk) -> tuple[Journal, list[Record]]:
+def opened(disk: FakeDisk) -> tuple[AppendLog, list[Record]]:
     """A journal on a disk, with what it found."""
     with on(disk):
-        journal = Journal(str(FOLDER))
+        journal = AppendLog(str(FOLDER))
         return journal, journal.open()
 
 
@@ -149,7 +149,7 @@
 
 
 class Faults(unittest.TestCase):
-    def prepared(self) -> tuple[FakeDisk, Journal]:
+    def prepared(self) -> tuple[FakeDisk, AppendLog]:
         disk = FakeDisk()
         journal, _ = opened(disk)
         with on(disk):
@@ -157,7 +157,7 @@
         disk.calls = 0
         return disk, journal
 
-    def calls_of(self, work: Callable[[Journal], None]) -> int:
+    def calls_of(self, work: Callable[[AppendLog], None]) -> int:
         disk, journal = self.prepared()
         with on(disk):
             work(journal)
@@ -168,7 +168,7 @@
             found = started(disk.after_power_loss(names_kept, data_kept))
             self.assertIn(found, allowed, (where, names_kept, data_kept))
 
-    def after_any_fault(self, work: Callable[[Journal], None], after: list[Record]) -> None:
+    def after_any_fault(self, work: Callable[[AppendLog], None], after: list[Record]) -> None:
         """Fails each call of `work` once, appends a record behind it, and starts anew."""
         before = [FIRST, SECOND]
         for at in range(1, self.calls_of(work) + 1):
@@ -185,7 +185,7 @@
                 journal.append([THIRD])
             self.check(disk, tuple([*records, THIRD] for records in state), (at, "appended"))
 
-    def after_power_loss_at_any_call(self, work: Callable[[Journal], None], after: list[Record]) -> None:
+    def after_power_loss_at_any_call(self, work: Callable[[AppendLog], None], after: list[Record]) -> None:
         for at in range(1, self.calls_of(work) + 1):
             disk, journal = self.prepared()
             disk.power_off_at = at
@@ -212,7 +212,7 @@
         disk, journal = self.prepared()
         for at in range(1, 12):
             disk.calls, disk.fail_at = 0, at
-            again = Journal(str(FOLDER))
+            again = AppendLog(str(FOLDER))
             with on(disk):
                 try:
                     self.assertEqual(again.open(), [FIRST, SECOND], at)
@@ -229,7 +229,7 @@
                 setattr(disk, fault, at)
                 with on(disk):
                     try:
-                        self.assertEqual(Journal(str(FOLDER)).open(), [])
+                        self.assertEqual(AppendLog(str(FOLDER)).open(), [])
                     except (OSError, PowerLost):
                         pass
                 self.check(disk, ([],), (at, fault))
@@ -252,7 +252,7 @@
             if disk.calls >= disk.fail_at > 0:
                 disk.fail_at = next((at for at in failures if at > disk.calls), -1)
             if step == "kill":
-                disk, journal = disk.after_kill(), Journal(str(FOLDER))
+                disk, journal = disk.after_kill(), AppendLog(str(FOLDER))
             with on(disk):
                 try:
                     if step == "kill":
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -9,8 +9,8 @@
 from types import SimpleNamespace
 
 from mulleinhatch.configuration.document import Document
-from mulleinhatch.control_plane.placement.controller import Orders
-from mulleinhatch.control_plane.registry import Registry
+from mulleinhatch.control_plane.placement.controller import PlacementController
+from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.messages.cluster import DemandReport, HeldModel, ModelDemand, Stub
 from mulleinhatch.networking.http_client import CallError
 from mulleinhatch.process.settings import Bounds
@@ -86,12 +86,12 @@
 
 def fake_core(loop: VirtualLoop) -> SimpleNamespace:
     """A core machine that leads alone and holds the orders."""
-    registry = Registry(1.0, lambda stub_id: None)
+    registry = BackendRegistry(1.0, lambda stub_id: None)
     told = Stub(id="i", service="s", address="i:1", slots=8, sequence=1, models=[HeldModel(name="a")])
     registry.merge(told, 0.0)
     core = SimpleNamespace(
         member=SimpleNamespace(identity="me", name="me"),
-        state=SimpleNamespace(holder="", fence_token=0, document=Document(1, CONFIGURATION)),
+        state=SimpleNamespace(holder="", fencing_token=0, document=Document(1, CONFIGURATION)),
         view=SimpleNamespace(epoch=1),
         replica=SimpleNamespace(is_head=True),
         peers=SimpleNamespace(by_identity={}, alive=lambda *more: True),
@@ -104,7 +104,7 @@
     )
 
     async def claim_orders() -> int:
-        core.state.holder, core.state.fence_token = "me", 1
+        core.state.holder, core.state.fencing_token = "me", 1
         return 1
 
     core.claim_orders = claim_orders
@@ -117,7 +117,7 @@
         loop = VirtualLoop()
         self.addCleanup(loop.close)
         script = ScriptedStub(loop, **stub)
-        orders = Orders(fake_core(loop), script, loop.time, Bounds())
+        orders = PlacementController(fake_core(loop), script, loop.time, Bounds())
         self.orders = orders
 
         async def ask() -> None:
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -11,7 +11,7 @@
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot, View, VoterState
 from mulleinhatch.storage import append_log as journal_module
-from mulleinhatch.storage.append_log import NAME, Journal
+from mulleinhatch.storage.append_log import NAME, AppendLog
 from mulleinhatch.storage.records import MAGIC, ForeignFileError, Record, RecordKind, decode, encode
 
 RECORDS = [Record(RecordKind.IDENTITY, b"disk-1"), Record(RecordKind.ENTRY, b"x" * 300), Record(RecordKind.COMMIT, b"12345678")]
@@ -50,7 +50,7 @@
         self.path = Path(self.folder) / NAME
 
     def open(self):
-        journal = Journal(self.folder)
+        journal = AppendLog(self.folder)
         self.addCleanup(journal.close)
         return journal, journal.open()
 
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -6,7 +6,7 @@
 import logging
 import unittest
 
-from mulleinhatch.control_plane.placement.controller import Orders
+from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.process.supervision import supervise
 from mulleinhatch.simulation.virtual_time import VirtualLoop
@@ -48,7 +48,7 @@
 class Claims(unittest.IsolatedAsyncioTestCase):
     async def test_a_claim_that_the_disk_refuses_is_no_claim(self):
         """Found by a hunt: a control plane ended itself when its disk was full as it claimed the orders."""
-        orders = Orders(RefusingCore(), None, lambda: 0.0, Bounds())
+        orders = PlacementController(RefusingCore(), None, lambda: 0.0, Bounds())
         self.assertEqual(await orders._claim(), 0)
 
 
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -8,7 +8,7 @@
 
 from mulleinhatch.consensus.paxos import Outcome, Proposal, Voter, identities
 from mulleinhatch.consensus.view_planner import Health, next_view
-from mulleinhatch.messages.cluster import AcceptRequest, Ballot, Member, PrepareRequest, View, VoterState
+from mulleinhatch.messages.cluster import AcceptRequest, Member, PrepareRequest, ProposalNumber, View, VoterState
 
 
 def member(name: str, place: str = "") -> Member:
@@ -26,23 +26,25 @@
 def carry_out(proposal: Proposal, machines: dict[str, Voter], reached: str, until: str = "accept") -> Outcome:
     """Plays one proposal against the voters that can be reached."""
     for name in reached:
-        answer = machines[name].prepare(PrepareRequest(base=proposal.base, ballot=proposal.ballot))
+        answer = machines[name].prepare(PrepareRequest(base=proposal.base, proposal_number=proposal.proposal_number))
         if proposal.prepared(answer):
             break
     if proposal.chosen is None or until == "prepare":
         return proposal.outcome
     for name in reached:
-        request = AcceptRequest(base=proposal.base, ballot=proposal.ballot, proposed=proposal.chosen)
+        request = AcceptRequest(base=proposal.base, proposal_number=proposal.proposal_number, proposed=proposal.chosen)
         if proposal.accepted(machines[name].accept(request)):
             break
     return proposal.outcome
 
 
 def proposal(number: int, proposer: str, chain: list[Member], base: View = FIRST) -> Proposal:
-    return Proposal(base, Ballot(number=number, proposer=proposer), View(epoch=base.epoch + 1, voters=base.voters, chain=chain))
+    return Proposal(
+        base, ProposalNumber(number=number, proposer=proposer), View(epoch=base.epoch + 1, voters=base.voters, chain=chain)
+    )
 
 
-class Votes(unittest.TestCase):
+class ViewChanger(unittest.TestCase):
     def test_a_majority_decides(self):
         machines = voters("a", "b", "c")
         self.assertIs(carry_out(proposal(1, "a", [A, B]), machines, "ab"), Outcome.DECIDED)
@@ -72,7 +74,7 @@
         carry_out(early, machines, "ab", until="prepare")
         carry_out(proposal(2, "c", [B, C]), machines, "bc")
         for name in "ab":
-            request = AcceptRequest(base=FIRST, ballot=early.ballot, proposed=early.chosen)
+            request = AcceptRequest(base=FIRST, proposal_number=early.proposal_number, proposed=early.chosen)
             early.accepted(machines[name].accept(request))
         self.assertIsNot(early.outcome, Outcome.DECIDED)
 
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -340,8 +340,8 @@
             wanted = type(view)(epoch=view.epoch + 1, voters=view.voters, chain=view.chain[1:])
             for machine in (second, third):
                 votes = machine.core.votes
-                ballot = type(votes.state.promised)(number=9, proposer=second.core.member.identity)
-                accept = _accept(view, ballot, wanted)
+                proposal_number = type(votes.state.promised)(number=9, proposer=second.core.member.identity)
+                accept = _accept(view, proposal_number, wanted)
                 answer = await world.loop.start(votes.on_accept(accept), machine.process)
                 self.assertTrue(answer.granted)
             await asyncio.sleep(2.0)
@@ -371,10 +371,10 @@
         self.played(script)
 
 
-def _accept(base: Any, ballot: Any, proposed: Any) -> Any:
+def _accept(base: Any, proposal_number: Any, proposed: Any) -> Any:
     from mulleinhatch.messages.cluster import AcceptRequest
 
-    return AcceptRequest(base=base, ballot=ballot, proposed=proposed)
+    return AcceptRequest(base=base, proposal_number=proposal_number, proposed=proposed)
 
 
 class HundredsOfChanges(WorstDays):
