--- a/mulleinhatch/consensus/paxos.py
+++ b/mulleinhatch/consensus/paxos.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from mulleinhatch.messages.cluster import AcceptRequest, Member, PrepareRequest, ProposalNumber, View, VoteAnswer, VoterState
+from mulleinhatch.messages.cluster import AcceptRequest, Member, PrepareRequest, ProposalNumber, View, VoteResponse, VoterState
 
 
 def order(proposal_number: ProposalNumber) -> tuple[int, str]:
@@ -51,9 +51,9 @@
         self.state = VoterState(view=view)
         return True
 
-    def _answer(self, granted: bool) -> VoteAnswer:
+    def _answer(self, granted: bool) -> VoteResponse:
         state = self.state
-        return VoteAnswer(
+        return VoteResponse(
             voter=self.identity,
             granted=granted,
             promised=state.promised,
@@ -67,7 +67,7 @@
         self.learn(base)
         return base.epoch == self.view.epoch and self.identity in identities(self.view.voters)
 
-    def prepare(self, request: PrepareRequest) -> VoteAnswer:
+    def prepare(self, request: PrepareRequest) -> VoteResponse:
         if not self._votes(request.base) or order(request.proposal_number) < order(self.state.promised):
             return self._answer(False)
         state = self.state
@@ -76,7 +76,7 @@
         )
         return self._answer(True)
 
-    def accept(self, request: AcceptRequest) -> VoteAnswer:
+    def accept(self, request: AcceptRequest) -> VoteResponse:
         if not self._votes(request.base) or order(request.proposal_number) < order(self.state.promised):
             return self._answer(False)
         self.state = VoterState(
@@ -109,7 +109,7 @@
     outcome: Outcome = Outcome.RUNNING
     newest: View = field(default_factory=View)
     highest: int = 0
-    _promises: dict[str, VoteAnswer] = field(default_factory=dict)
+    _promises: dict[str, VoteResponse] = field(default_factory=dict)
     _accepts: set[str] = field(default_factory=set)
     _refusals: set[str] = field(default_factory=set)
     chosen: View | None = None  # what the accept phase asks for
@@ -117,18 +117,18 @@
     def __post_init__(self) -> None:
         self.highest = self.proposal_number.number
 
-    def _counts(self, answer: VoteAnswer) -> bool:
+    def _counts(self, answer: VoteResponse) -> bool:
         self.highest = max(self.highest, answer.promised.number)
         if answer.newest.epoch > self.base.epoch:
             self.newest, self.outcome = answer.newest, Outcome.OVERTAKEN
         return self.outcome is Outcome.RUNNING and answer.voter in identities(self.base.voters)
 
-    def _refused(self, answer: VoteAnswer) -> None:
+    def _refused(self, answer: VoteResponse) -> None:
         self._refusals.add(answer.voter)
         if len(self._refusals) > len(self.base.voters) - majority(self.base):
             self.outcome = Outcome.OUTBID
 
-    def prepared(self, answer: VoteAnswer) -> bool:
+    def prepared(self, answer: VoteResponse) -> bool:
         """Whether the accept phase begins with this answer; `chosen` is then what to ask for."""
         if not self._counts(answer) or self.chosen is not None:
             return False
@@ -143,7 +143,7 @@
         self._refusals.clear()
         return True
 
-    def accepted(self, answer: VoteAnswer) -> bool:
+    def accepted(self, answer: VoteResponse) -> bool:
         """Whether the view is decided with this answer."""
         if not self._counts(answer) or self.chosen is None:
             return False
--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -49,7 +49,7 @@
     except SchemaError as error:
         return Err(f"instance {backend_id}: {error.code}; correct that field")
     models = [
-        cluster.HeldModel(name=model["name"], version=model.get("version", 0), adapters=list(model.get("adapters", ())))
+        cluster.LoadedModel(name=model["name"], version=model.get("version", 0), adapters=list(model.get("adapters", ())))
         for model in told.get("models", ())
     ]
     return Ok(
--- a/mulleinhatch/control_plane/catch_up.py
+++ b/mulleinhatch/control_plane/catch_up.py
@@ -6,7 +6,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from mulleinhatch.messages.cluster import Member, SnapshotAnswer, SnapshotRequest
+from mulleinhatch.messages.cluster import Member, SnapshotRequest, SnapshotResponse
 from mulleinhatch.replication.chain import Write
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
     async def _from(self, member: Member) -> bool:
         core, epoch = self._core, self._core.view.epoch
         request = SnapshotRequest(epoch=epoch)
-        answer = await core.ask(member.internal_address, "snapshot", request, SnapshotAnswer(), SNAPSHOT_S)
+        answer = await core.ask(member.internal_address, "snapshot", request, SnapshotResponse(), SNAPSHOT_S)
         await core.learn(answer.newest)
         if not answer.available or core.view.epoch != epoch:
             return False
@@ -66,10 +66,10 @@
         core.beat_soon()
         return True
 
-    async def on_snapshot(self, request: SnapshotRequest) -> SnapshotAnswer:
+    async def on_snapshot(self, request: SnapshotRequest) -> SnapshotResponse:
         core = self._core
         available = request.epoch == core.view.epoch and core.replica.position >= 0 and core.replica.current
-        answer = SnapshotAnswer(available=available, newest=core.view)
+        answer = SnapshotResponse(available=available, newest=core.view)
         if available:
             answer.snapshot = core.state.snapshot()
         return answer
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -15,7 +15,7 @@
 
 from result import Err
 
-from mulleinhatch.messages.cluster import LeaveAnswer, LeaveRequest, Member
+from mulleinhatch.messages.cluster import LeaveRequest, LeaveResponse, Member
 from mulleinhatch.replication.state import ChangeOutcome, EntryKind, Refusal
 
 if TYPE_CHECKING:
@@ -148,23 +148,23 @@
         try:
             if head.identity == core.member.identity:
                 return (await self.on_leave(request)).taken
-            answer = await core.ask(head.internal_address, "leave", request, LeaveAnswer(), LEAVE_WAIT_S)
+            answer = await core.ask(head.internal_address, "leave", request, LeaveResponse(), LEAVE_WAIT_S)
             return answer.taken
         except OSError:
             return False
 
-    async def on_leave(self, request: LeaveRequest) -> LeaveAnswer:
+    async def on_leave(self, request: LeaveRequest) -> LeaveResponse:
         """At the head: `taken` once every replica of the chain has it on disk, and the view stood after the call."""
         core, epoch = self._core, self._core.view.epoch
         if not self._leads() or not await core.speaks():
-            return LeaveAnswer(taken=False)
+            return LeaveResponse(taken=False)
         if self._all_left(request.backends):
-            return LeaveAnswer(taken=await core.votes.confirm())
+            return LeaveResponse(taken=await core.votes.confirm())
         async with core.log.lock:
             missing = [backend_id for backend_id in request.backends if not self._leave_pending(backend_id)]
             if missing and not await core.log.propose(int(EntryKind.LEAVE), json.dumps(missing).encode(), "", epoch):
-                return LeaveAnswer(taken=False)
-        return LeaveAnswer(taken=await core.until(lambda: self._all_left(request.backends), LEAVE_WAIT_S))
+                return LeaveResponse(taken=False)
+        return LeaveResponse(taken=await core.until(lambda: self._all_left(request.backends), LEAVE_WAIT_S))
 
     def _all_left(self, backends: Sequence[str]) -> bool:
         return all(backend_id in self._core.state.left for backend_id in backends)
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from mulleinhatch.control_plane.node import CoreNode
-from mulleinhatch.messages.cluster import PollAnswer, PollRequest
+from mulleinhatch.messages.cluster import PollRequest, PollResponse
 
 LONGEST_WAIT_S = 5.0
 GATHER_S = 0.004  # changes that come together are told together
@@ -55,7 +55,7 @@
         others = sum(peer.data_planes for identity, peer in peers.by_identity.items() if peers.alive(identity, now))
         return max(1, self.data_planes() + others)
 
-    async def poll(self, request: PollRequest) -> PollAnswer:
+    async def poll(self, request: PollRequest) -> PollResponse:
         """Waits until there is news for the asker, or its wait is over."""
         poller = self._pollers.setdefault(request.node, _Poller(self._clock()))
         poller.polled_at = self._clock()
@@ -100,11 +100,11 @@
             or registry.cursor > request.registry_cursor
         )
 
-    def _answer(self, request: PollRequest) -> PollAnswer:
+    def _answer(self, request: PollRequest) -> PollResponse:
         core = self._core
         whole, backends = core.registry.since(request.registry_source, request.registry_cursor)
         head = core.head
-        answer = PollAnswer(
+        answer = PollResponse(
             authoritative=core.authoritative(),
             epoch=core.view.epoch,
             left=core.state.left_since(request.left_index),
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from mulleinhatch.control_plane.peers import Peer
-from mulleinhatch.messages.cluster import Heartbeat, HeartbeatAnswer
+from mulleinhatch.messages.cluster import Heartbeat, HeartbeatResponse
 
 if TYPE_CHECKING:
     from mulleinhatch.control_plane.node import CoreNode
@@ -84,7 +84,7 @@
         core, begun = self._core, self._core.clock()
         peer = core.peers.at(address)
         owed = set(peer.owed_backends) if peer is not None else set()
-        answer = await core.ask(address, "heartbeat", self._message(peer, owed, begun), HeartbeatAnswer())
+        answer = await core.ask(address, "heartbeat", self._message(peer, owed, begun), HeartbeatResponse())
         now = core.clock()
         spoke = core.authoritative()
         heard = core.peers.answered(answer, now, begun)
@@ -104,13 +104,13 @@
         """Backends that changed while a heartbeat with them was on its way: they are owed again."""
         return {backend_id for backend_id in ids if self._backend_changed_at.get(backend_id, 0.0) >= begun}
 
-    async def on_heartbeat(self, message: Heartbeat) -> HeartbeatAnswer:
+    async def on_heartbeat(self, message: Heartbeat) -> HeartbeatResponse:
         core, now = self._core, self._core.clock()
         known = message.sender.identity in core.peers.by_identity
         peer = core.peers.heard(message, now)
         for backend in message.backends:
             core.registry.merge(backend, now)
-        answer = HeartbeatAnswer(
+        answer = HeartbeatResponse(
             sender=core.member,
             epoch=core.view.epoch,
             current=core.votes.undisturbed(core.view.epoch),
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -7,7 +7,7 @@
 
 from mulleinhatch.consensus.paxos import identities
 from mulleinhatch.consensus.view_planner import Health
-from mulleinhatch.messages.cluster import Heartbeat, HeartbeatAnswer, Member, View
+from mulleinhatch.messages.cluster import Heartbeat, HeartbeatResponse, Member, View
 
 ALIVE_S = 1.0  # a peer that did not answer for so long is out of reach
 AUTHORITY_S = 1.0  # how long the word of a majority that our view is the newest may be relied on, from when it was asked
@@ -72,7 +72,7 @@
         self._replace_at(peer)
         return peer
 
-    def answered(self, answer: HeartbeatAnswer, now: float, asked_at: float | None = None) -> Peer | None:
+    def answered(self, answer: HeartbeatResponse, now: float, asked_at: float | None = None) -> Peer | None:
         """A peer answered our heartbeat, which was sent at `asked_at`: there is a way in both directions."""
         peer = self.learn(answer.sender, now)
         if peer is None:
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -21,7 +21,7 @@
 from mulleinhatch.control_plane.placement.load_rate_limiter import LoadRateLimiter
 from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
-from mulleinhatch.messages.cluster import Backend, DemandAnswer, DemandReport, HeldModel, PendingLoad
+from mulleinhatch.messages.cluster import Backend, DemandReport, DemandResponse, LoadedModel, PendingLoad
 from mulleinhatch.networking.http_client import Caller, CallError, WholeAnswer
 from mulleinhatch.networking.http_server import JSON_TYPE
 from mulleinhatch.process.settings import Bounds
@@ -128,13 +128,13 @@
             for _ in range(UNKNOWN_LOADS):
                 self._ceiling.note(self._clock() - self._started_for())
 
-    async def on_demand(self, report: DemandReport) -> DemandAnswer:
+    async def on_demand(self, report: DemandReport) -> DemandResponse:
         """A data plane tells what is asked for there."""
         for unusable in self.demand.take(report, self._clock()):
             LOG.warning("demand left out", extra={"why": str(unusable)})
         if any(one.held for one in report.demand):
             self._soon.set()
-        return DemandAnswer(taken=self.role.acting)
+        return DemandResponse(taken=self.role.acting)
 
     # One look.
 
@@ -270,7 +270,9 @@
                 )
             else:
                 unloads.append(PendingLoad(model=order.model, adapter=order.adapter))
-        told = [HeldModel(name=name, version=0, adapters=sorted(holding.adapters)) for name, holding in sorted(models.items())]
+        told = [
+            LoadedModel(name=name, version=0, adapters=sorted(holding.adapters)) for name, holding in sorted(models.items())
+        ]
         revision = (self.role.token << REVISION_SHIFT) + self._changes
         if self._core.registry.set_holdings(backend.id, told, loads, unloads, revision):
             self._core.beat_soon()
--- a/mulleinhatch/control_plane/registry.py
+++ b/mulleinhatch/control_plane/registry.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from mulleinhatch.messages.cluster import Backend, HeldModel, PendingLoad
+from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
 SILENT_INTERVALS = 3.2  # heartbeats that may be missed before a backend counts as silent
 RECALLED_S = 2.5  # a backend known from before a restart is believed so long
@@ -128,7 +128,7 @@
             self._replace(entry, replace(entry.backend, gone=True))
 
     def set_holdings(
-        self, backend_id: str, models: list[HeldModel], loads: list[PendingLoad], unloads: list[PendingLoad], revision: int
+        self, backend_id: str, models: list[LoadedModel], loads: list[PendingLoad], unloads: list[PendingLoad], revision: int
     ) -> bool:
         """What a backend's report or an order under way says of what it holds; whether that is news."""
         entry = self.entries.get(backend_id)
--- a/mulleinhatch/control_plane/replicated_log.py
+++ b/mulleinhatch/control_plane/replicated_log.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from mulleinhatch.control_plane.state_store import REWRITE_AT, backends_record, commit_record, entry_records, settled_record
-from mulleinhatch.messages.cluster import AppendAnswer, AppendRequest, Member
+from mulleinhatch.messages.cluster import AppendRequest, AppendResponse, Member
 from mulleinhatch.replication.chain import NEVER, Write
 from mulleinhatch.replication.state import CHANGES
 from mulleinhatch.storage.records import Record, RecordKind
@@ -71,7 +71,7 @@
 
     # From the predecessor.
 
-    async def on_append(self, request: AppendRequest) -> AppendAnswer:
+    async def on_append(self, request: AppendRequest) -> AppendResponse:
         core = self._core
         if request.epoch > core.view.epoch:
             return core.replica.answer(False)
@@ -126,7 +126,7 @@
                     told = -1
                 continue
             request = replica.append_for(held)
-            answer = await core.ask(successor.internal_address, "append", request, AppendAnswer(), APPEND_S + COMMIT_WAIT_S)
+            answer = await core.ask(successor.internal_address, "append", request, AppendResponse(), APPEND_S + COMMIT_WAIT_S)
             if answer.newest.epoch > core.view.epoch:
                 await core.learn(answer.newest)
                 return
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -11,12 +11,12 @@
 from mulleinhatch.control_plane.state_store import Restored, settled_record
 from mulleinhatch.messages.cluster import (
     AcceptRequest,
-    ConfirmAnswer,
     ConfirmRequest,
+    ConfirmResponse,
     PrepareRequest,
     ProposalNumber,
     View,
-    VoteAnswer,
+    VoteResponse,
     VoterState,
 )
 from mulleinhatch.storage.records import Record, RecordKind
@@ -86,16 +86,16 @@
 
     # What the others ask.
 
-    async def on_prepare(self, request: PrepareRequest) -> VoteAnswer:
+    async def on_prepare(self, request: PrepareRequest) -> VoteResponse:
         return await self._step(lambda voter: voter.prepare(request))
 
-    async def on_accept(self, request: AcceptRequest) -> VoteAnswer:
+    async def on_accept(self, request: AcceptRequest) -> VoteResponse:
         return await self._step(lambda voter: voter.accept(request))
 
-    async def on_confirm(self, request: ConfirmRequest) -> ConfirmAnswer:
+    async def on_confirm(self, request: ConfirmRequest) -> ConfirmResponse:
         async with self.lock:
             current = self._voter.undisturbed(request.epoch)
-        return ConfirmAnswer(voter=self._voter.identity, current=current, newest=self.view)
+        return ConfirmResponse(voter=self._voter.identity, current=current, newest=self.view)
 
     def undisturbed(self, epoch: int) -> bool:
         """Whether the view of `epoch` is the newest known here and no later one was accepted, nor is being written."""
@@ -109,7 +109,7 @@
         epoch, voters = core.view.epoch, core.view.voters
         request = ConfirmRequest(epoch=epoch)
         others = [voter for voter in voters if voter.identity != core.member.identity]
-        answers = QuorumCall([core.ask(voter.internal_address, "confirm", request, ConfirmAnswer()) for voter in others])
+        answers = QuorumCall([core.ask(voter.internal_address, "confirm", request, ConfirmResponse()) for voter in others])
         count = int((await self.on_confirm(request)).current)
         while count < majority(core.view) and (answer := await answers.next()) is not None:
             await self.learn(answer.newest)
@@ -135,7 +135,7 @@
             await self.learn(proposal.newest)
 
     async def _round(
-        self, proposal: Proposal, path: str, request: Any, own: Callable[[Any], Any], heard: Callable[[VoteAnswer], bool]
+        self, proposal: Proposal, path: str, request: Any, own: Callable[[Any], Any], heard: Callable[[VoteResponse], bool]
     ) -> None:
         """Asks all voters at once; returns when `heard` says that it is enough, or all have answered."""
         core = self._core
@@ -143,7 +143,7 @@
             [
                 own(request)
                 if voter.identity == core.member.identity
-                else core.ask(voter.internal_address, path, request, VoteAnswer())
+                else core.ask(voter.internal_address, path, request, VoteResponse())
                 for voter in proposal.base.voters
             ]
         )
--- a/mulleinhatch/data_plane/control_link.py
+++ b/mulleinhatch/data_plane/control_link.py
@@ -14,7 +14,7 @@
 from mulleinhatch.configuration.routes import RouteTable, build_table
 from mulleinhatch.data_plane.snapshot import Snapshot
 from mulleinhatch.membership.rendezvous import ranked
-from mulleinhatch.messages.cluster import DemandAnswer, DemandReport, ModelDemand, PollAnswer, PollRequest
+from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
 from mulleinhatch.networking.http_client import Caller, CallError
 from mulleinhatch.process.settings import Settings
 
@@ -97,7 +97,7 @@
         )
         if whole.status != 200:
             raise CallError(address, f"status {whole.status}")
-        answer = PollAnswer().parse(whole.body)
+        answer = PollResponse().parse(whole.body)
         if answer.epoch < self._epoch:
             answer.authoritative = False  # it lives in a view that is over
         self._epoch = max(self._epoch, answer.epoch)
@@ -107,7 +107,7 @@
             self._rests[address] = self._clock() + REST_S
             await asyncio.sleep(PAUSE_S)
 
-    def _take(self, answer: PollAnswer) -> None:
+    def _take(self, answer: PollResponse) -> None:
         now = self._clock()
         self._take_configuration(answer)
         backends = self.snapshot.backends
@@ -126,7 +126,7 @@
         self.snapshot = Snapshot(self._table, backends, data_planes, answer.authoritative)
         self._on_snapshot(self.snapshot)
 
-    def _take_configuration(self, answer: PollAnswer) -> None:
+    def _take_configuration(self, answer: PollResponse) -> None:
         if not answer.configuration or answer.configuration_version <= self._document.version:
             return
         if answer.base_version and answer.base_version != self._document.version:
@@ -152,7 +152,7 @@
         bounds = self._settings.bounds
         return self._clock() - self._unsure_since >= bounds.contact_s + bounds.configuration_apply_s
 
-    def _read(self, answer: PollAnswer) -> Document | None:
+    def _read(self, answer: PollResponse) -> Document | None:
         value = json.loads(zlib.decompress(answer.configuration))
         if not answer.base_version:
             return Document(answer.configuration_version, value)
@@ -171,7 +171,7 @@
         message = DemandReport(node=self._settings.name, demand=demand, partial=partial)
         try:
             whole = await self._caller.request(self.holder, "POST", "/internal/demand", bytes(message), DEMAND_S)
-            return whole.status == 200 and DemandAnswer().parse(whole.body).taken
+            return whole.status == 200 and DemandResponse().parse(whole.body).taken
         except CallError:
             self._caller.forget(self.holder)
             return False
--- a/mulleinhatch/messages/cluster.py
+++ b/mulleinhatch/messages/cluster.py
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class VoteAnswer(betterproto.Message):
+class VoteResponse(betterproto.Message):
     voter: str = betterproto.string_field(1)
     granted: bool = betterproto.bool_field(2)
     promised: "ProposalNumber" = betterproto.message_field(3)
@@ -117,7 +117,7 @@
 
 
 @dataclass
-class AppendAnswer(betterproto.Message):
+class AppendResponse(betterproto.Message):
     accepted: bool = betterproto.bool_field(1)
     last_index: int = betterproto.uint64_field(2)
     committed: int = betterproto.uint64_field(3)
@@ -130,7 +130,7 @@
 
 
 @dataclass
-class SnapshotAnswer(betterproto.Message):
+class SnapshotResponse(betterproto.Message):
     available: bool = betterproto.bool_field(1)
     snapshot: "Snapshot" = betterproto.message_field(2)
     newest: "View" = betterproto.message_field(3)
@@ -147,7 +147,7 @@
 
 
 @dataclass
-class ConfirmAnswer(betterproto.Message):
+class ConfirmResponse(betterproto.Message):
     voter: str = betterproto.string_field(1)
     current: bool = betterproto.bool_field(2)
     newest: "View" = betterproto.message_field(3)
@@ -175,7 +175,7 @@
 
 
 @dataclass
-class HeartbeatAnswer(betterproto.Message):
+class HeartbeatResponse(betterproto.Message):
     sender: "Member" = betterproto.message_field(1)
     epoch: int = betterproto.uint64_field(2)
     newest: "View" = betterproto.message_field(3)
@@ -197,12 +197,12 @@
 
 
 @dataclass
-class LeaveAnswer(betterproto.Message):
+class LeaveResponse(betterproto.Message):
     taken: bool = betterproto.bool_field(1)
 
 
 @dataclass
-class HeldModel(betterproto.Message):
+class LoadedModel(betterproto.Message):
     name: str = betterproto.string_field(1)
     version: int = betterproto.uint64_field(2)
     adapters: List[str] = betterproto.string_field(3)
@@ -232,7 +232,7 @@
     draining: bool = betterproto.bool_field(7)
     gone: bool = betterproto.bool_field(8)
     sequence: int = betterproto.uint64_field(9)
-    models: List["HeldModel"] = betterproto.message_field(10)
+    models: List["LoadedModel"] = betterproto.message_field(10)
     loads: List["PendingLoad"] = betterproto.message_field(11)
     cold_remaining_ms: int = betterproto.uint32_field(12)
     age_ms: int = betterproto.uint32_field(13)
@@ -271,7 +271,7 @@
 
 
 @dataclass
-class PollAnswer(betterproto.Message):
+class PollResponse(betterproto.Message):
     authoritative: bool = betterproto.bool_field(1)
     configuration_version: int = betterproto.uint64_field(2)
     base_version: int = betterproto.uint64_field(3)
@@ -299,5 +299,5 @@
 
 
 @dataclass
-class DemandAnswer(betterproto.Message):
+class DemandResponse(betterproto.Message):
     taken: bool = betterproto.bool_field(1)
--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from mulleinhatch.consensus.paxos import identities
-from mulleinhatch.messages.cluster import AppendAnswer, AppendRequest, Entry, Member, Snapshot, View
+from mulleinhatch.messages.cluster import AppendRequest, AppendResponse, Entry, Member, Snapshot, View
 
 MOST_ENTRIES = 64  # entries in one append
 NEVER = 2**63  # an index that is never reached: who is not settled itself settles nobody
@@ -147,8 +147,8 @@
         self.commit_to(request.committed)
         self._commit_at_tail()
 
-    def answer(self, accepted: bool) -> AppendAnswer:
-        return AppendAnswer(accepted=accepted, last_index=self.last, committed=self.committed, newest=self.view)
+    def answer(self, accepted: bool) -> AppendResponse:
+        return AppendResponse(accepted=accepted, last_index=self.last, committed=self.committed, newest=self.view)
 
     def commit_to(self, index: int) -> None:
         self.committed = max(self.committed, min(index, self.last))
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -20,7 +20,7 @@
 from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
 from mulleinhatch.control_plane.peers import Peers
 from mulleinhatch.control_plane.view_change import ViewChanger
-from mulleinhatch.messages.cluster import LeaveAnswer
+from mulleinhatch.messages.cluster import LeaveResponse
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ChangeOutcome, ControlState
 
@@ -64,8 +64,8 @@
     return True
 
 
-async def _take_leave(self: ConfigurationChanges, request: Any) -> LeaveAnswer:
-    return LeaveAnswer(taken=True)
+async def _take_leave(self: ConfigurationChanges, request: Any) -> LeaveResponse:
+    return LeaveResponse(taken=True)
 
 
 async def _step_first(self: ViewChanger, step: Any) -> Any:
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -19,8 +19,8 @@
 from mulleinhatch.messages.cluster import (
     Backend,
     DemandReport,
-    HeartbeatAnswer,
-    HeldModel,
+    HeartbeatResponse,
+    LoadedModel,
     Member,
     ModelDemand,
     PendingLoad,
@@ -73,12 +73,12 @@
         self.assertEqual(self.registry.entries["i-1"].heard_at, 1.0)
 
     def test_orders_and_heartbeats_are_ordered_each_by_its_own(self):
-        self.registry.merge(backend(1, models=[HeldModel(name="m0")]), 0.0)
-        self.registry.set_holdings("i-1", [HeldModel(name="m0")], [PendingLoad(model="m1")], [PendingLoad(model="m0")], 7)
-        self.registry.merge(backend(2, models=[HeldModel(name="m0")]), 1.0)
+        self.registry.merge(backend(1, models=[LoadedModel(name="m0")]), 0.0)
+        self.registry.set_holdings("i-1", [LoadedModel(name="m0")], [PendingLoad(model="m1")], [PendingLoad(model="m0")], 7)
+        self.registry.merge(backend(2, models=[LoadedModel(name="m0")]), 1.0)
         entry = self.registry.entries["i-1"].backend
         self.assertEqual(([one.model for one in entry.loads], [one.model for one in entry.unloads]), (["m1"], ["m0"]))
-        self.registry.merge(backend(1, models=[HeldModel(name="m1")], order_revision=8), 1.1)
+        self.registry.merge(backend(1, models=[LoadedModel(name="m1")], order_revision=8), 1.1)
         entry = self.registry.entries["i-1"].backend
         self.assertEqual((entry.sequence, [one.name for one in entry.models], entry.loads), (2, ["m1"], []))
 
@@ -129,14 +129,14 @@
 
     def test_a_majority_counts_ourselves(self):
         self.assertFalse(self.peers.reaches_majority(self.view, 0.0))
-        self.peers.answered(HeartbeatAnswer(sender=self.other), 0.0)
+        self.peers.answered(HeartbeatResponse(sender=self.other), 0.0)
         self.assertTrue(self.peers.reaches_majority(self.view, ALIVE_S / 2))
         self.assertFalse(self.peers.reaches_majority(self.view, ALIVE_S * 2))
 
     def test_a_new_identity_at_an_address_ends_the_former(self):
-        self.peers.answered(HeartbeatAnswer(sender=self.other), 0.0)
+        self.peers.answered(HeartbeatResponse(sender=self.other), 0.0)
         reborn = Member(identity="b2", name="b", internal_address="b:2")
-        self.peers.answered(HeartbeatAnswer(sender=reborn), 0.1)
+        self.peers.answered(HeartbeatResponse(sender=reborn), 0.1)
         self.assertFalse(self.peers.alive("b", 0.2))
         self.assertTrue(self.peers.alive("b2", 0.2))
 
--- a/tests/system/test_control_state.py
+++ b/tests/system/test_control_state.py
@@ -17,9 +17,9 @@
 from mulleinhatch.messages.cluster import (
     Backend,
     Entry,
-    HeartbeatAnswer,
+    HeartbeatResponse,
     Member,
-    PollAnswer,
+    PollResponse,
     Snapshot,
     View,
 )
@@ -98,39 +98,39 @@
         self.view = View(epoch=4, voters=members, chain=members)
 
     def test_a_voter_of_another_view_answers_and_confirms_nothing(self):
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=5, current=True), 1.0, 1.0)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=5, current=True), 1.0, 1.0)
         self.assertTrue(self.peers.reaches_majority(self.view, 1.1))
         self.assertFalse(self.peers.confirm(self.view, 1.1))
 
     def test_a_voter_that_accepted_a_later_view_confirms_nothing(self):
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=4, current=False), 1.0, 1.0)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=4, current=False), 1.0, 1.0)
         self.assertFalse(self.peers.confirm(self.view, 1.1))
         self.assertTrue(self.peers.disturbed(self.view, 1.1))
 
     def test_the_word_counts_from_when_it_was_asked_for(self):
         """An answer that was long under way, as to one that stood still, says nothing of now."""
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=4, current=True), 3.0, 1.0)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 1.0)
         self.assertFalse(self.peers.confirm(self.view, 1.0 + AUTHORITY_S + 0.01))
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=4, current=True), 3.1, 3.0)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.1, 3.0)
         self.assertTrue(self.peers.confirm(self.view, 3.2))
 
     def test_a_late_answer_does_not_take_a_newer_one_back(self):
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=4, current=True), 3.0, 2.9)
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=4, current=True), 3.1, 1.0)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 2.9)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.1, 1.0)
         self.assertTrue(self.peers.confirm(self.view, 3.2))
 
     def test_who_has_not_answered_for_long_is_told_of(self):
         for member in (self.second, self.third):
             self.peers.learn(member, 0.0)
-        self.peers.answered(HeartbeatAnswer(sender=self.second, epoch=4, current=True), 3.0, 3.0)
+        self.peers.answered(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 3.0)
         self.assertEqual(self.peers.missed(self.view, MISSED_S + 0.1), ["c"])
         self.assertEqual(self.peers.missed(self.view, 1.0), [])
 
     def test_a_view_is_known_once_a_majority_of_its_voters_has_it(self):
         self.assertFalse(self.peers.know(self.view))
-        self.peers.answered(HeartbeatAnswer(sender=self.third, epoch=3), 1.0, 1.0)
+        self.peers.answered(HeartbeatResponse(sender=self.third, epoch=3), 1.0, 1.0)
         self.assertFalse(self.peers.know(self.view))
-        self.peers.answered(HeartbeatAnswer(sender=self.third, epoch=4), 1.0, 1.0)
+        self.peers.answered(HeartbeatResponse(sender=self.third, epoch=4), 1.0, 1.0)
         self.assertTrue(self.peers.know(self.view))
 
 
@@ -185,7 +185,7 @@
 class Script:
     """Answers polls in the order of a script, on a clock of its own."""
 
-    def __init__(self, answers: list[PollAnswer]) -> None:
+    def __init__(self, answers: list[PollResponse]) -> None:
         self.answers, self.now = answers, 0.0
 
     def forget(self, address: str) -> None:
@@ -195,15 +195,15 @@
         return WholeAnswer(200, None, bytes(self.answers.pop(0)))  # type: ignore[arg-type]
 
 
-def told(version: int, authoritative: bool, epoch: int = 3) -> PollAnswer:
+def told(version: int, authoritative: bool, epoch: int = 3) -> PollResponse:
     configuration = zlib.compress(json.dumps({"version": version, "routes": [], "services": []}).encode())
-    answer = PollAnswer(authoritative=authoritative, epoch=epoch, registry_source="s")
+    answer = PollResponse(authoritative=authoritative, epoch=epoch, registry_source="s")
     answer.configuration_version, answer.configuration = version, configuration
     return answer
 
 
 class Polled(unittest.TestCase):
-    def versions(self, answers: list[PollAnswer], at: list[float]) -> list[tuple[int, bool]]:
+    def versions(self, answers: list[PollResponse], at: list[float]) -> list[tuple[int, bool]]:
         """Version in force and whether its source is sure, after each answer."""
         script, seen = Script(answers), []
         link = ControlLink(settings(), script, lambda: script.now, lambda snapshot: None)  # type: ignore[arg-type]
--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -10,7 +10,7 @@
 from mulleinhatch.data_plane.events import EventCutter
 from mulleinhatch.data_plane.routing import BackendStates, choose
 from mulleinhatch.data_plane.snapshot import UNCONFIRMED_S, BackendList, ModelName, known_backend
-from mulleinhatch.messages.cluster import Backend, HeldModel, PendingLoad
+from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
 NAME = ModelName("llm", "m0")
 
@@ -149,7 +149,7 @@
         zone=zone,
         slots=4,
         sequence=1,
-        models=[HeldModel(name=model, adapters=["a1"]) for model in models],
+        models=[LoadedModel(name=model, adapters=["a1"]) for model in models],
         **more,
     )
 
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -11,7 +11,7 @@
 from mulleinhatch.configuration.document import Document
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.registry import BackendRegistry
-from mulleinhatch.messages.cluster import Backend, DemandReport, HeldModel, ModelDemand
+from mulleinhatch.messages.cluster import Backend, DemandReport, LoadedModel, ModelDemand
 from mulleinhatch.networking.http_client import CallError
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.simulation.virtual_time import VirtualLoop
@@ -87,7 +87,7 @@
 def fake_core(loop: VirtualLoop) -> SimpleNamespace:
     """A core machine that leads alone and holds the orders."""
     registry = BackendRegistry(1.0, lambda backend_id: None)
-    told = Backend(id="i", service="s", address="i:1", slots=8, sequence=1, models=[HeldModel(name="a")])
+    told = Backend(id="i", service="s", address="i:1", slots=8, sequence=1, models=[LoadedModel(name="a")])
     registry.merge(told, 0.0)
     core = SimpleNamespace(
         member=SimpleNamespace(identity="me", name="me"),
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from mulleinhatch.control_plane import shutdown as departure
-from mulleinhatch.messages.cluster import PollAnswer, PollRequest
+from mulleinhatch.messages.cluster import PollRequest, PollResponse
 from mulleinhatch.networking.http_server import WebRequest
 from mulleinhatch.simulation.control_plane import Defect, History, World, play_script
 from mulleinhatch.simulation.control_plane.clients import Caller, Operator, Reader, Sent
@@ -132,7 +132,7 @@
                 handled = world.loop.start(
                     machine.internal_api.answer(WebRequest("POST", "/internal/poll", {}, body)), machine.process
                 )
-                self.assertFalse(PollAnswer().parse((await handled).body).authoritative)
+                self.assertFalse(PollResponse().parse((await handled).body).authoritative)
                 world.links.clear()
                 await asyncio.sleep(CATCH_UP_S)
 
