--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mulleinhatch.networking.http_client import Caller, CallError
+from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.networking.http_streaming import write_request
 from mulleinhatch.process.settings import FILE_VARIABLE
 from mulleinhatch.testing.fake_model_server import BackendFacts, ModelBackend
@@ -105,7 +105,7 @@
     }
 
 
-async def put_configuration(caller: Caller, address: str, within_s: float = 20.0) -> None:
+async def put_configuration(caller: HttpClient, address: str, within_s: float = 20.0) -> None:
     """Sends the first configuration until a control plane takes it."""
     loop = asyncio.get_running_loop()
     end, at = loop.time() + within_s, address
@@ -208,7 +208,7 @@
 
 
 async def _demo(seconds: float, folder: Path) -> Tally:
-    cores, fronts, caller, tally = 3, 2, Caller(), Tally()
+    cores, fronts, caller, tally = 3, 2, HttpClient(), Tally()
     planes = [start_plane(folder, "control", number, cores) for number in range(cores)]
     planes += [start_plane(folder, "data", number, cores) for number in range(fronts)]
     control = [f"{control_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -14,7 +14,7 @@
 from mulleinhatch.control_plane.configuration_changes import ChangeAnswer
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.messages import cluster
-from mulleinhatch.networking.http_server import BINARY_TYPE, WebAnswer, WebRequest
+from mulleinhatch.networking.http_server import BINARY_TYPE, HttpServerRequest, HttpServerResponse
 
 LOG = logging.getLogger(__name__)
 INSTANCES, CONFIGURATION, STATUS = "/instances/", "/configuration", "/status"
@@ -69,11 +69,11 @@
     )
 
 
-def _error(status: int, message: str, headers: dict[str, str] | None = None) -> WebAnswer:
-    return WebAnswer.of_json(status, {"error": message}, headers)
+def _error(status: int, message: str, headers: dict[str, str] | None = None) -> HttpServerResponse:
+    return HttpServerResponse.of_json(status, {"error": message}, headers)
 
 
-def _cut_off() -> WebAnswer:
+def _cut_off() -> HttpServerResponse:
     return _error(503, CUT_OFF, {"Retry-After": RETRY_AFTER_S})
 
 
@@ -83,35 +83,35 @@
     def __init__(self, core: CoreNode, clock: Callable[[], float], status: Callable[[], dict[str, Any]]) -> None:
         self._core, self._clock, self._status = core, clock, status
 
-    async def answer(self, request: WebRequest) -> WebAnswer:
+    async def answer(self, request: HttpServerRequest) -> HttpServerResponse:
         if request.path == CONFIGURATION:
             return await self._configuration(request)
         if request.path.startswith(INSTANCES):
             return await self._instance(request, request.path.removeprefix(INSTANCES))
         if request.path == STATUS and request.method == "GET":
-            return WebAnswer.of_json(200, self._status())
+            return HttpServerResponse.of_json(200, self._status())
         return _error(404, "no such resource; see /configuration, /instances/ID and /status")
 
-    async def _configuration(self, request: WebRequest) -> WebAnswer:
+    async def _configuration(self, request: HttpServerRequest) -> HttpServerResponse:
         if request.method == "GET":
             answer, text = await self._core.read()
-            return WebAnswer(200, text) if answer.status == 200 else self._told(answer)
+            return HttpServerResponse(200, text) if answer.status == 200 else self._told(answer)
         if request.method not in ("PUT", "PATCH"):
             return _error(405, "use GET, PUT or PATCH")
         base = request.headers.get("if-match", "").strip().strip('"')
         number = int(base) if base.isdigit() else None
         return self._told(await self._core.change(request.method, number, request.body))
 
-    def _told(self, answer: ChangeAnswer) -> WebAnswer:
+    def _told(self, answer: ChangeAnswer) -> HttpServerResponse:
         if answer.status == 200:
-            return WebAnswer.of_json(200, {"version": self._core.state.document.version})
+            return HttpServerResponse.of_json(200, {"version": self._core.state.document.version})
         if answer.status == 307:
             return _error(307, answer.message, {"Location": answer.location})
         if answer.status == 503:
             return _error(503, answer.message, {"Retry-After": RETRY_AFTER_S})
         return _error(answer.status, answer.message)
 
-    async def _instance(self, request: WebRequest, backend_id: str) -> WebAnswer:
+    async def _instance(self, request: HttpServerRequest, backend_id: str) -> HttpServerResponse:
         if not backend_id or "/" in backend_id:
             return _error(404, "name one instance: /instances/ID")
         if request.method == "DELETE":
@@ -123,14 +123,14 @@
             return _error(400, read.err_value)
         return await self._heartbeat(read.ok_value)
 
-    async def _gone(self, backend_id: str) -> WebAnswer:
+    async def _gone(self, backend_id: str) -> HttpServerResponse:
         """A backend that leaves without a word before, or that ends: acknowledged once it is recorded for good."""
         recorded = await self._core.backend_leaves(backend_id)
         self._core.registry.leave(backend_id, self._clock())
         self._core.beat_soon()
-        return WebAnswer.of_json(200, {}) if recorded else _cut_off()
+        return HttpServerResponse.of_json(200, {}) if recorded else _cut_off()
 
-    async def _heartbeat(self, backend: cluster.Backend) -> WebAnswer:
+    async def _heartbeat(self, backend: cluster.Backend) -> HttpServerResponse:
         core = self._core
         known = core.registry.entries.get(backend.id)
         if core.registry.merge(backend, self._clock()):
@@ -139,7 +139,7 @@
             core.beat_soon()
         if backend.draining and not await core.backend_leaves(backend.id):
             return _cut_off()
-        return WebAnswer.of_json(200, {}) if await core.speaks() else _cut_off()
+        return HttpServerResponse.of_json(200, {}) if await core.speaks() else _cut_off()
 
 
 Handler = Callable[[Any], Awaitable[Any]]
@@ -154,7 +154,7 @@
     def add(self, name: str, message: Callable[[], Any], handler: Handler) -> None:
         self._handlers[f"/internal/{name}"] = message, handler
 
-    async def answer(self, request: WebRequest) -> WebAnswer:
+    async def answer(self, request: HttpServerRequest) -> HttpServerResponse:
         found = self._handlers.get(request.path)
         if found is None or request.method != "POST":
             return _error(404, "no such message")
@@ -168,7 +168,7 @@
             answer = await handler(asked)
         except OSError as error:
             return _error(503, f"{error}")
-        return WebAnswer(200, bytes(answer), BINARY_TYPE)
+        return HttpServerResponse(200, bytes(answer), BINARY_TYPE)
 
 
 def internal_api(core: CoreNode) -> InternalApi:
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -23,7 +23,7 @@
 from mulleinhatch.control_plane.state_store import Restored, StateStore, backends_record, commit_record
 from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.messages.cluster import Member, View
-from mulleinhatch.networking.http_client import Caller, CallError
+from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 from mulleinhatch.replication.chain import Replica
@@ -45,7 +45,7 @@
     def __init__(
         self,
         settings: Settings,
-        caller: Caller,
+        caller: HttpClient,
         clock: Callable[[], float],
         on_change: Callable[[], None],
         disk: StateStore | None = None,
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -22,7 +22,7 @@
 from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
 from mulleinhatch.messages.cluster import Backend, DemandReport, DemandResponse, LoadedModel, PendingLoad
-from mulleinhatch.networking.http_client import Caller, CallError, WholeAnswer
+from mulleinhatch.networking.http_client import CallError, HttpClient, HttpResponse
 from mulleinhatch.networking.http_server import JSON_TYPE
 from mulleinhatch.process.settings import Bounds
 
@@ -48,7 +48,7 @@
 class PlacementController:
     """The role's work on one core machine; it acts only while it holds the role."""
 
-    def __init__(self, core: CoreNode, caller: Caller, clock: Callable[[], float], bounds: Bounds) -> None:
+    def __init__(self, core: CoreNode, caller: HttpClient, clock: Callable[[], float], bounds: Bounds) -> None:
         lease_s, window_s, self._fenced = bounds.lease_s, bounds.ceiling_window_s, bounds.fenced
         self._core, self._caller, self._clock = core, caller, clock
         self.role = LeaderLease(lease_s)
@@ -317,7 +317,7 @@
     def _acts(self) -> bool:
         return self.role.observe(self._observe_leadership(), self._clock()) is LeaseState.ACTING
 
-    async def _post(self, backend: Backend, order: Order, revision: int) -> WholeAnswer:
+    async def _post(self, backend: Backend, order: Order, revision: int) -> HttpResponse:
         """Sends one order that holds for a count of orders only; CallFailed where no answer comes."""
         body = {
             "operation": order.operation.value,
@@ -387,7 +387,7 @@
             under_way.assumed = True
             self._tell(backend, work)
 
-    def _answered(self, backend: Backend, work: BackendState, under_way: UnderWay, answer: WholeAnswer) -> None:
+    def _answered(self, backend: Backend, work: BackendState, under_way: UnderWay, answer: HttpResponse) -> None:
         now = self._clock()
         if answer.status == 202:
             under_way.expected_at = now + under_way.order.expected_s + SETTLE_S / 3
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -14,8 +14,8 @@
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.shutdown import leave
 from mulleinhatch.messages import cluster
-from mulleinhatch.networking.http_client import Caller
-from mulleinhatch.networking.http_server import WebHub
+from mulleinhatch.networking.http_client import HttpClient
+from mulleinhatch.networking.http_server import HttpServer
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 
@@ -30,7 +30,7 @@
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
-        self.caller = Caller()
+        self.caller = HttpClient()
         self.core = CoreNode(settings, self.caller, self.clock, self._changed)
         self.distribution = Distribution(self.core, self.clock)
         self.orders = PlacementController(self.core, self.caller, self.clock, settings.bounds)
@@ -45,7 +45,7 @@
     async def run(self) -> None:
         """Serves until SIGTERM, and then until the chain goes on without us."""
         await self._open()
-        hub = WebHub(self.loop)
+        hub = HttpServer(self.loop)
         api = ControlApi(self.core, self.clock, self.status)
         internal = internal_api(self.core)
         internal.add("poll", cluster.PollRequest, self.distribution.poll)
--- a/mulleinhatch/data_plane/control_link.py
+++ b/mulleinhatch/data_plane/control_link.py
@@ -15,7 +15,7 @@
 from mulleinhatch.data_plane.snapshot import Snapshot
 from mulleinhatch.membership.rendezvous import ranked
 from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
-from mulleinhatch.networking.http_client import Caller, CallError
+from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.process.settings import Settings
 
 LOG = logging.getLogger(__name__)
@@ -33,7 +33,7 @@
     def __init__(
         self,
         settings: Settings,
-        caller: Caller,
+        caller: HttpClient,
         clock: Callable[[], float],
         on_snapshot: Callable[[Snapshot], None],
         on_holder: Callable[[], None] = lambda: None,
--- a/mulleinhatch/data_plane/process.py
+++ b/mulleinhatch/data_plane/process.py
@@ -12,8 +12,8 @@
 from mulleinhatch.data_plane.front import Front
 from mulleinhatch.data_plane.router import SWEEP_S, Router
 from mulleinhatch.data_plane.snapshot import ModelName, Snapshot
-from mulleinhatch.networking.http_client import Caller
-from mulleinhatch.networking.http_server import WebAnswer, WebHub, WebRequest
+from mulleinhatch.networking.http_client import HttpClient
+from mulleinhatch.networking.http_server import HttpServer, HttpServerRequest, HttpServerResponse
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 
@@ -30,7 +30,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.caller = Caller()
+        self.caller = HttpClient()
         self._report_now = asyncio.Event()
         self._wanted_now: set[ModelName] = set()  # models that stand nowhere, to be told of at once
         self._holder_is_new = False  # it knows nothing of the demand yet
@@ -53,7 +53,7 @@
 
     async def run(self) -> None:
         """Serves until SIGTERM, and then until what was taken is answered."""
-        hub = WebHub(self.loop)
+        hub = HttpServer(self.loop)
         hub.listen(self.settings.listen["ready"], self._answer)
         await self.front.listen(self.settings.listen["front"])
         self.loop.add_signal_handler(signal.SIGTERM, self._leave)
@@ -72,12 +72,12 @@
     def ready(self) -> bool:
         return bool(self.router.snapshot.table.version) and not self.leaving
 
-    async def _answer(self, request: WebRequest) -> WebAnswer:
+    async def _answer(self, request: HttpServerRequest) -> HttpServerResponse:
         if request.path == "/ready":
-            return WebAnswer.of_json(200 if self.ready else 503, {"ready": self.ready})
+            return HttpServerResponse.of_json(200 if self.ready else 503, {"ready": self.ready})
         if request.path == "/status":
-            return WebAnswer.of_json(200, self.status())
-        return WebAnswer.of_json(404, {"error": "no such resource; see /ready and /status"})
+            return HttpServerResponse.of_json(200, self.status())
+        return HttpServerResponse.of_json(404, {"error": "no such resource; see /ready and /status"})
 
     async def _sweep_forever(self) -> None:
         while True:
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 client connections, one request at a time on each, with the body of an answer passed on as it comes.
 
-`ClientConnection` reports to an `AnswerSink`; `Caller` keeps connections to other instances and gives whole answers.
+`ClientConnection` reports to an `AnswerSink`; `HttpClient` keeps connections to other instances and gives whole answers.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_request
 
 MOST_ANSWER_HEAD = 65536
-MOST_WHOLE_ANSWER = 64 << 20  # bytes of an answer that is collected
+MAX_RESPONSE_BYTES = 64 << 20  # bytes of an answer that is collected
 IDLE_S = 20.0  # how long a connection to another instance is kept without use
 CONNECT_S = 1.0
 SILENCE_MS = 2500  # unacknowledged bytes for so long mean that the peer is unreachable
@@ -188,7 +188,7 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
+class HttpResponse:
     """An answer that was collected."""
 
     status: int
@@ -205,10 +205,10 @@
 
 
 class _Collector:
-    """Collects one answer for `Caller`."""
+    """Collects one answer for `HttpClient`."""
 
     def __init__(self) -> None:
-        self.future: asyncio.Future[WholeAnswer] = asyncio.get_running_loop().create_future()
+        self.future: asyncio.Future[HttpResponse] = asyncio.get_running_loop().create_future()
         self.pieces: list[bytes] = []
         self.size = 0
         self.head: Head | None = None
@@ -222,12 +222,12 @@
     def on_body(self, data: bytes) -> None:
         self.pieces.append(data)
         self.size += len(data)
-        if self.size > MOST_WHOLE_ANSWER:
+        if self.size > MAX_RESPONSE_BYTES:
             self._fail("the answer is too long")
 
     def on_end(self) -> None:
         if not self.future.done():
-            self.future.set_result(WholeAnswer(self.head.status, self.head, b"".join(self.pieces)))
+            self.future.set_result(HttpResponse(self.head.status, self.head, b"".join(self.pieces)))
 
     def on_loss(self, loss: Loss) -> None:
         self._fail(loss.value)
@@ -237,7 +237,7 @@
             self.future.set_exception(CallError("connection", why))
 
 
-class Caller:
+class HttpClient:
     """Whole requests to other instances over kept connections."""
 
     def __init__(self) -> None:
@@ -252,7 +252,7 @@
         within: float,
         content_type: str = "application/octet-stream",
         fields: tuple[tuple[bytes, bytes], ...] = (),
-    ) -> WholeAnswer:
+    ) -> HttpResponse:
         """The answer, or CallFailed after `within` seconds at most. A kept connection that broke unused is replaced once."""
         try:
             async with asyncio.timeout(within):
@@ -262,7 +262,7 @@
 
     async def _request(
         self, address: str, method: str, path: str, body: bytes, content_type: str, fields: tuple[tuple[bytes, bytes], ...]
-    ) -> WholeAnswer:
+    ) -> HttpResponse:
         head = [(b"Host", address.encode()), (b"Content-Type", content_type.encode()), *fields]
         data = write_request(method.encode(), path.encode(), head, body)
         connection = self._take(address)
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class WebRequest:
+class HttpServerRequest:
     """One request as a handler sees it: `headers` by lower-case name, `body` whole."""
 
     method: str
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class WebAnswer:
+class HttpServerResponse:
     """Status, body and further headers of an answer."""
 
     status: int
@@ -52,11 +52,11 @@
     headers: Mapping[str, str] = field(default_factory=dict)
 
     @staticmethod
-    def of_json(status: int, value: Any, headers: Mapping[str, str] | None = None) -> WebAnswer:
-        return WebAnswer(status, json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
+    def of_json(status: int, value: Any, headers: Mapping[str, str] | None = None) -> HttpServerResponse:
+        return HttpServerResponse(status, json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
 
 
-Answering = Callable[[WebRequest], Awaitable[WebAnswer]]
+Answering = Callable[[HttpServerRequest], Awaitable[HttpServerResponse]]
 
 
 class AsyncioPoller(BasePoller):
@@ -113,7 +113,7 @@
 class _Listener(BaseComponent):
     """One listening address: TCP server, HTTP parser and the handler of its requests, on a channel of its own."""
 
-    def __init__(self, channel: str, host: str, port: int, answer: Answering, hub: WebHub) -> None:
+    def __init__(self, channel: str, host: str, port: int, answer: Answering, hub: HttpServer) -> None:
         super().__init__(channel=channel)
         self.server = TCPServer((host, port), channel=channel).register(self)
         self.http = HTTP(self, channel=channel).register(self)
@@ -133,7 +133,7 @@
 class _Requests(Component):
     """Hands each parsed request to a coroutine and sends what that returns."""
 
-    def __init__(self, channel: str, answer: Answering, hub: WebHub) -> None:
+    def __init__(self, channel: str, answer: Answering, hub: HttpServer) -> None:
         super().__init__(channel=channel)
         self._answer, self._hub = answer, hub
 
@@ -142,7 +142,7 @@
         event.value.promise = True
         event.success = False
         event.stop()
-        asked = WebRequest(
+        asked = HttpServerRequest(
             request.method, request.path, {name.lower(): text for name, text in request.headers.items()}, request.body.read()
         )
         self._hub.spawn(self._respond(asked, response))
@@ -151,24 +151,26 @@
     def _on_error(self, event: Any, request: Request, response: Response, code: int | None = None, **_: Any) -> None:
         """What could not be read as a request: these interfaces answer JSON, not pages."""
         event.stop()
-        answer = WebAnswer.of_json(code or 500, {"error": "the request could not be read; send HTTP/1.1 with a valid head"})
+        answer = HttpServerResponse.of_json(
+            code or 500, {"error": "the request could not be read; send HTTP/1.1 with a valid head"}
+        )
         self._send(response, answer)
 
     @handler("redirect", priority=1.0)
     def _on_redirect(self, event: Any, request: Request, response: Response, urls: Any = None, code: int | None = None) -> None:
         event.stop()
-        self._send(response, WebAnswer.of_json(400, {"error": "the path is not in its normal form; encode it"}))
+        self._send(response, HttpServerResponse.of_json(400, {"error": "the path is not in its normal form; encode it"}))
 
-    async def _respond(self, asked: WebRequest, response: Response) -> None:
+    async def _respond(self, asked: HttpServerRequest, response: Response) -> None:
         try:
             answer = await self._answer(asked)
         except Exception:
             LOG.exception("a request handler failed", extra={"path": asked.path})
-            answer = WebAnswer.of_json(500, {"error": "an internal error; see the log of this process"})
+            answer = HttpServerResponse.of_json(500, {"error": "an internal error; see the log of this process"})
         self._send(response, answer)
         self._hub.dispatch()
 
-    def _send(self, response: Response, answer: WebAnswer) -> None:
+    def _send(self, response: Response, answer: HttpServerResponse) -> None:
         response.status = answer.status
         response.headers["Content-Type"] = answer.content_type
         for name, text in answer.headers.items():
@@ -177,7 +179,7 @@
         self.fire(web_events.response(response))
 
 
-class WebHub:
+class HttpServer:
     """All circuits.web servers of a process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -10,7 +10,7 @@
 from mulleinhatch.configuration.document import digest_of
 from mulleinhatch.data_plane.control_link import ControlLink
 from mulleinhatch.data_plane.snapshot import Snapshot
-from mulleinhatch.networking.http_client import CallError, WholeAnswer
+from mulleinhatch.networking.http_client import CallError, HttpResponse
 from mulleinhatch.simulation.control_plane.machines import Machine, process_settings
 from mulleinhatch.simulation.control_plane.network import Network
 from mulleinhatch.simulation.virtual_time import Process
@@ -49,7 +49,7 @@
         self._world = world
         self._network = Network(world, self, None)
 
-    async def call(self, machine: Machine, method: str, path: str, body: bytes, base: int | None = None) -> WholeAnswer | None:
+    async def call(self, machine: Machine, method: str, path: str, body: bytes, base: int | None = None) -> HttpResponse | None:
         """The last answer, None where none came."""
         address = machine.control_address
         headers = {} if base is None else {"if-match": str(base)}
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Any
 
-from mulleinhatch.networking.http_client import CallError, WholeAnswer
-from mulleinhatch.networking.http_server import WebAnswer, WebRequest
+from mulleinhatch.networking.http_client import CallError, HttpResponse
+from mulleinhatch.networking.http_server import HttpServerRequest, HttpServerResponse
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.virtual_time import Process
 
@@ -41,7 +41,7 @@
 
 
 class Network:
-    """The calls of one process to core machines, in place of `services.http_client.Caller`."""
+    """The calls of one process to core machines, in place of `services.http_client.HttpClient`."""
 
     def __init__(self, world: Any, place: Any, process: Process | None) -> None:
         self._world, self._place, self._process = world, place, process
@@ -51,11 +51,11 @@
 
     async def request(
         self, address: str, method: str, path: str, body: bytes, within: float, *_: Any, headers: dict[str, str] | None = None
-    ) -> WholeAnswer:
+    ) -> HttpResponse:
         """The answer, or CallFailed after `within` seconds at most."""
         loop = self._world.loop
-        answered: asyncio.Future[WebAnswer | None] = loop.create_future()
-        loop.start(self._carry(address, WebRequest(method, path, headers or {}, body), answered))
+        answered: asyncio.Future[HttpServerResponse | None] = loop.create_future()
+        loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), answered))
         try:
             async with asyncio.timeout(within):
                 answer = await answered
@@ -63,14 +63,16 @@
             answer = None
         if answer is None:
             raise CallError(address, "no answer")
-        return WholeAnswer(answer.status, answer.headers, answer.body)  # type: ignore[arg-type]
+        return HttpResponse(answer.status, answer.headers, answer.body)  # type: ignore[arg-type]
 
     def _passes(self, one: Any, other: Any) -> bool:
         world = self._world
         lost_part = LOST_PART if isinstance(self._place, Machine) else 0.0
         return world.links.open(one, other) and world.chance.random() >= lost_part
 
-    async def _carry(self, address: str, request: WebRequest, answered: asyncio.Future[WebAnswer | None]) -> None:
+    async def _carry(
+        self, address: str, request: HttpServerRequest, answered: asyncio.Future[HttpServerResponse | None]
+    ) -> None:
         world = self._world
         target: Machine | None = world.machine_at(address)
         await asyncio.sleep(world.chance.uniform(*DELAY_S))
@@ -82,13 +84,13 @@
             self._answer(answered, None)
             return
         api = target.control if address == target.control_address else target.internal_api
-        handled: asyncio.Task[WebAnswer] = world.loop.start(api.answer(request), process)
+        handled: asyncio.Task[HttpServerResponse] = world.loop.start(api.answer(request), process)
         await _ended(world.loop, handled)
         await asyncio.sleep(world.chance.uniform(*DELAY_S))
         if target.process is process and self._passes(target, self._place):
             self._answer(answered, handled.result())
 
-    def _answer(self, answered: asyncio.Future[WebAnswer | None], answer: WebAnswer | None) -> None:
+    def _answer(self, answered: asyncio.Future[HttpServerResponse | None], answer: HttpServerResponse | None) -> None:
         if not answered.done() and (self._process is None or not self._process.dead):
             answered.set_result(answer)
 
--- a/mulleinhatch/testing/fake_model_server.py
+++ b/mulleinhatch/testing/fake_model_server.py
@@ -17,7 +17,7 @@
 
 from mulleinhatch.data_plane.exchange import read_prompt
 from mulleinhatch.networking.http import BadRequestError
-from mulleinhatch.networking.http_client import Caller, CallError
+from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_answer
 
 LOG = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: set[asyncio.StreamWriter] = set()
-        self._caller = Caller()
+        self._caller = HttpClient()
         self._slots = asyncio.Semaphore(facts.slots)
 
     async def start(self) -> None:
--- a/tests/system/test_control_state.py
+++ b/tests/system/test_control_state.py
@@ -23,7 +23,7 @@
     Snapshot,
     View,
 )
-from mulleinhatch.networking.http_client import WholeAnswer
+from mulleinhatch.networking.http_client import HttpResponse
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.replication.state import DIGESTS_KEPT, LEFT_KEPT, RECENT_KEPT, ChangeOutcome, ControlState, EntryKind
 
@@ -191,8 +191,8 @@
     def forget(self, address: str) -> None:
         """Nothing is kept."""
 
-    async def request(self, *_: object) -> WholeAnswer:
-        return WholeAnswer(200, None, bytes(self.answers.pop(0)))  # type: ignore[arg-type]
+    async def request(self, *_: object) -> HttpResponse:
+        return HttpResponse(200, None, bytes(self.answers.pop(0)))  # type: ignore[arg-type]
 
 
 def told(version: int, authoritative: bool, epoch: int = 3) -> PollResponse:
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -26,7 +26,7 @@
     put_configuration,
     start_plane,
 )
-from mulleinhatch.networking.http_client import Caller, CallError, WholeAnswer
+from mulleinhatch.networking.http_client import CallError, HttpClient, HttpResponse
 
 CORES, FRONTS = 3, 2
 BOUND_S = 30.0
@@ -42,7 +42,7 @@
         self.control = [f"{control_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
         self.fronts = [f"{front_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
         self.backends = make_backends(3, self.control)
-        self.caller = Caller()
+        self.caller = HttpClient()
 
     async def start(self) -> None:
         for number in range(CORES):
@@ -68,7 +68,7 @@
         for kind, number in list(self.planes):
             self.kill(kind, number)
 
-    async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> WholeAnswer | None:
+    async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> HttpResponse | None:
         """The first clear answer of any control plane, sent on as it says; None where there is none just now."""
         fields = ((b"If-Match", b"%d" % base),) if base is not None else ()
         for start in self.control:
@@ -77,7 +77,7 @@
                 return answer
         return None
 
-    async def _follow(self, address: str, method: str, path: str, body: bytes, fields: tuple) -> WholeAnswer | None:
+    async def _follow(self, address: str, method: str, path: str, body: bytes, fields: tuple) -> HttpResponse | None:
         for _ in range(3):
             try:
                 answer = await self.caller.request(address, method, path, body, 2.0, "application/json", fields)
