--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -36,7 +36,7 @@
 from rich.table import Table as Shown
 
 from benchmarks.records import RECORDED, commit, cost, keep, rounded
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.gossip import messages as words
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
@@ -225,15 +225,15 @@
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 25_000, TENANTS):
             told = deployment(count, 10)
-            memory.append((count, held(Hatch, told, 1, 0.0)))
-            spent.append((count, 1e6 * cpu(cycle(Hatch(told, 1, 0.0), count, 10, self.seed), 500, self.turns)))
+            memory.append((count, held(AdmissionController, told, 1, 0.0)))
+            spent.append((count, 1e6 * cpu(cycle(AdmissionController(told, 1, 0.0), count, 10, self.seed), 500, self.turns)))
         self.add("request.decide_memory", "bytes", "tenants", memory, "linear")
         self.add("request.decide_cpu", "us a request", "tenants", spent, "constant", bounded=True)
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 10_000, CLASSES):
             told = deployment(10, count)
-            memory.append((count, held(Hatch, told, 1, 0.0)))
-            spent.append((count, 1e6 * cpu(cycle(Hatch(told, 1, 0.0), 10, count, self.seed), 500, self.turns)))
+            memory.append((count, held(AdmissionController, told, 1, 0.0)))
+            spent.append((count, 1e6 * cpu(cycle(AdmissionController(told, 1, 0.0), 10, count, self.seed), 500, self.turns)))
         self.add("request.decide_classes_memory", "bytes", "classes", memory, "linear")
         self.add("request.decide_classes_cpu", "us a request", "classes", spent, "constant", bounded=True)
 
@@ -358,7 +358,7 @@
     }
 
 
-def cycle(hatch: Hatch, tenants: int, classes: int, seed: int) -> Callable[[], None]:
+def cycle(hatch: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
     """One request from its reading to its end, as a host drives it, at the target's rate of an instance."""
     draw, clock = random.Random(seed), count_from(0)
 
@@ -377,7 +377,7 @@
     return one
 
 
-def decisions(hatch: Hatch, now: float) -> Iterator[Any]:
+def decisions(hatch: AdmissionController, now: float) -> Iterator[Any]:
     while decision := hatch.next_decision(now):
         yield decision
 
--- a/mulleinhatch/admission/__init__.py
+++ b/mulleinhatch/admission/__init__.py
@@ -1,8 +1,8 @@
 """All decisions on held requests: the shared mechanism, and the decisions of the instance in service.
 
-Called by the hosts of `Hatch` and by the system's data plane; pure.
+Called by the hosts of `AdmissionController` and by the system's data plane; pure.
 """
 
-from mulleinhatch.admission.controller import FULL_ENOUGH, PROVES_UNRUN, Hatch, Row, Stage, rows_of
+from mulleinhatch.admission.controller import FULL_ENOUGH, PROVES_UNRUN, AdmissionController, Row, Stage, rows_of
 
-__all__ = ["FULL_ENOUGH", "PROVES_UNRUN", "Hatch", "Row", "Stage", "rows_of"]
+__all__ = ["FULL_ENOUGH", "PROVES_UNRUN", "AdmissionController", "Row", "Stage", "rows_of"]
--- a/mulleinhatch/admission/controller.py
+++ b/mulleinhatch/admission/controller.py
@@ -1,6 +1,6 @@
 """All decisions of one instance: what is run, nacked, failed, called, kept and told.
 
-A host makes a `Hatch` for each instance from what it is told at start, reports what happens (`op_read`,
+A host makes a `AdmissionController` for each instance from what it is told at start, reports what happens (`op_read`,
 `run_ended`, `call_wanted`, `call_ended`, `op_abandoned`, `leave_notice`, `woken`: these only keep the books)
 and then pulls `next_decision` until it gives None. The types that pass are in `interface.py`; the mechanism
 and its exceptions are told in `docs/design.md`. Times are seconds on the host's clock.
@@ -110,7 +110,7 @@
         self.call_ending: int | None = None
 
 
-class Hatch:
+class AdmissionController:
     def __init__(self, deployment: Deployment, seed: int, now: float) -> None:
         get = deployment.get
         self.rows = rows_of(get("op_types", []))
--- a/mulleinhatch/admission/interface.py
+++ b/mulleinhatch/admission/interface.py
@@ -1,6 +1,6 @@
 """What passes between a host and the decisions: types only.
 
-A host hands a `Deployment` and a seed to `mulleinhatch.admission.Hatch`, reports what happens through its
+A host hands a `Deployment` and a seed to `mulleinhatch.admission.AdmissionController`, reports what happens through its
 methods, and pulls `Decision`s until there is none. Times are seconds, ids are the host's own. A key that
 a `Deployment` lacks is unknown; what is then assumed is decided in `decide.py`.
 """
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -144,13 +144,14 @@
 
 
 def other_text(path: str) -> Any:
-    """The `Hatch` of another text of the module."""
+    """The `AdmissionController` of another text of the module."""
     spec = importlib.util.spec_from_file_location("mulleinhatch_other_text", Path(path))
     if spec is None or spec.loader is None:
         raise ValueError(f"{path}: no Python file")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    return module.Hatch
+    # Texts from before 0.3 named the class `Hatch`.
+    return module.AdmissionController if hasattr(module, "AdmissionController") else module.Hatch
 
 
 def replayed(told: dict[str, Any]) -> int:
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from mulleinhatch.admission import PROVES_UNRUN, Hatch
+from mulleinhatch.admission import PROVES_UNRUN, AdmissionController
 from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.request_state_machine.tables import Keys, Owed
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
@@ -101,7 +101,7 @@
         tenants: Sequence[str],
         seed: int,
         storms: StormBounds | None = None,
-        record: Callable[[Hatch, float, bool, float], Any] | None = None,
+        record: Callable[[AdmissionController, float, bool, float], Any] | None = None,
     ) -> None:
         """`record` puts something between us and the module that keeps what passes, given when the instance started."""
         self.record = record
@@ -186,7 +186,7 @@
         if self.hatch is None:
             if self.record:
                 now, since = round(now, 6), round(since, 6)  # what is kept is what the module hears
-            self.hatch = Hatch({**self.deployment, "fresh_start": cold}, self.seed, now - since)
+            self.hatch = AdmissionController({**self.deployment, "fresh_start": cold}, self.seed, now - since)
             if cold:
                 self.warm_at = now - since + self.deployment.get("cold_for", 0.0)
             if self.record:
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -23,7 +23,7 @@
 from mulleinhatch.invariants import BROKEN
 
 if TYPE_CHECKING:
-    from mulleinhatch.admission import Hatch
+    from mulleinhatch.admission import AdmissionController
     from mulleinhatch.instance.runtime.dependency_calls import Dependency
     from mulleinhatch.instance.runtime.gossip import FleetSide
     from mulleinhatch.instance.runtime.tracing import Tracing
@@ -99,7 +99,7 @@
             Errand.TURN_BACK: front.turn_back,
         }
 
-    def _recorded(self, hatch: Hatch, now: float, cold: bool, since: float) -> Recorder:
+    def _recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
         """What stands between reducer and module where traces are written; its libraries are loaded for it alone."""
         from mulleinhatch.instance.runtime.tracing import Tracing
 
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch import __version__
 from mulleinhatch import admission as decide
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.traces.file import Facts
 from mulleinhatch.instance.traces.recorder import Recorder
@@ -44,7 +44,7 @@
             f"mulleinhatch {__version__}",
         )
 
-    def recorded(self, hatch: Hatch, now: float, cold: bool, since: float) -> Recorder:
+    def recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
         self.recorder = Recorder(hatch, now, cold, since, self.keeper.batch)
         return self.recorder
 
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -1,7 +1,7 @@
 """Between the reducer and the module: passes everything on, and keeps what was told and decided as records.
 
-It has the face that the reducer uses of a `Hatch`. Times and what is measured on the way in are rounded to a microsecond before
-the module hears them, so that a file holds exactly what it heard.
+It has the face that the reducer uses of a `AdmissionController`. Times and what is measured on the way in are rounded to a
+microsecond before the module hears them, so that a file holds exactly what it heard.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable, Sequence
 
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Decision, Ref, Verb
 from mulleinhatch.instance.traces import kinds
 
@@ -25,7 +25,9 @@
 class Recorder:
     """`hand_on` gets each full batch, with the number of the newest op before it; `flush` hands on what there is."""
 
-    def __init__(self, hatch: Hatch, now: float, cold: bool, since: float, hand_on: Callable[[list[tuple], int], None]) -> None:
+    def __init__(
+        self, hatch: AdmissionController, now: float, cold: bool, since: float, hand_on: Callable[[list[tuple], int], None]
+    ) -> None:
         self.hatch, self.hand_on = hatch, hand_on
         self.batch: list[tuple] = []
         self.numbers: dict[Ref, int] = {}
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Advice, Decision, Deployment, Effect, StopMode, Verb
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.kinds import Record
@@ -175,7 +175,10 @@
 
 
 def replay(
-    records: Iterable[Record], facts: Any, make: Callable[[Deployment, int, float], Any] = Hatch, to_the_end: bool = False
+    records: Iterable[Record],
+    facts: Any,
+    make: Callable[[Deployment, int, float], Any] = AdmissionController,
+    to_the_end: bool = False,
 ) -> Outcome:
     """Compares pull by pull; with `to_the_end` it goes on behind the first difference, where what is told is still what
     happened, not what would have followed."""
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from mulleinhatch.admission import PROVES_UNRUN, Hatch, Stage
+from mulleinhatch.admission import PROVES_UNRUN, AdmissionController, Stage
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Members
 from mulleinhatch.instance.load_balancing.offers import Giver
@@ -19,7 +19,7 @@
     return len([1 for given in giver.given.values() if given.until > now]) // 2
 
 
-def _reruns(hatch: Hatch, now: float, ref: str, ending: int) -> None:
+def _reruns(hatch: AdmissionController, now: float, ref: str, ending: int) -> None:
     """A link that broke is taken for proof that nothing ran."""
     hatch._pass_time(now)
     if op := hatch.at[Stage.HANDED].get(ref):
@@ -53,8 +53,8 @@
     "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
     "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
-    "an op at a peer is never given up": [(Hatch, "_give_up", lambda hatch: None)],
-    "one that leaves forgets what it holds": [(Hatch, "leave_notice", lambda hatch, now, grace: None)],
+    "an op at a peer is never given up": [(AdmissionController, "_give_up", lambda hatch: None)],
+    "one that leaves forgets what it holds": [(AdmissionController, "leave_notice", lambda hatch, now, grace: None)],
 }
 
 
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -1,4 +1,4 @@
-"""Frames on standard input and output, one `Hatch` for each instance the wire names."""
+"""Frames on standard input and output, one `AdmissionController` for each instance the wire names."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import sys
 from typing import BinaryIO
 
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Decision, Verb
 from mulleinhatch.instance.deployment_settings import deployment, pairs_of_lines
 
@@ -62,7 +62,7 @@
     """Hosts the instances and turns records into calls and decisions into records."""
 
     def __init__(self) -> None:
-        self.hatches: dict[int, Hatch] = {}
+        self.hatches: dict[int, AdmissionController] = {}
         self.current = 0
 
     def answer(self, frame: Frame, now: float) -> tuple[int, bytes]:
@@ -96,15 +96,15 @@
         return len(records), b"".join(records)
 
     @staticmethod
-    def create(profile: bytes, seed: int, now: float, place: int) -> Hatch:
+    def create(profile: bytes, seed: int, now: float, place: int) -> AdmissionController:
         try:
             facts = deployment(pairs_of_lines(profile.decode()))
         except ValueError as error:
             raise MalformedFrameError(f"unreadable opening pairs at byte {place}: {error}") from None
-        return Hatch(facts, seed, now)
+        return AdmissionController(facts, seed, now)
 
     @staticmethod
-    def tell(hatch: Hatch, code: int, frame: Frame, now: float, place: int) -> None:
+    def tell(hatch: AdmissionController, code: int, frame: Frame, now: float, place: int) -> None:
         if code == REQUEST_CODE:
             (ref, age, wait, tenant, _, repeat_of, op_type, caller, _, bits, work, held_kb) = frame.take(REQUEST)
             hatch.op_read(
@@ -139,7 +139,7 @@
             raise MalformedFrameError(f"unknown record code {code} at byte {place}")
 
 
-def decisions(hatch: Hatch, now: float) -> list[Decision]:
+def decisions(hatch: AdmissionController, now: float) -> list[Decision]:
     return list(iter(lambda: hatch.next_decision(now), None))
 
 
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Advice, Decision, Effect, Ending, Verb
 from mulleinhatch.instance.gossip.bounds import FleetBounds
 from mulleinhatch.instance.gossip.core import Fleet, Local, interpreter_of
@@ -26,7 +26,7 @@
     """A module with one core; runs end when the test says so."""
 
     def __init__(self, **more: object) -> None:
-        self.hatch = Hatch(
+        self.hatch = AdmissionController(
             {
                 "op_types": OP_TYPES,
                 "cores": 1,
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from mulleinhatch.admission import Hatch
+from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Advice, Decision, Effect, StopMode, Verb
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
@@ -51,7 +51,7 @@
 class Play:
     def __init__(self) -> None:
         self.deployment: dict = {"op_types": [], "tenants": [], "cores": 2}
-        self.hatch: Hatch | None = None
+        self.hatch: AdmissionController | None = None
         self.now = 0.0
         self.said: list[str] = []
         self.counts: Counter[str] = Counter()
@@ -72,7 +72,7 @@
 
     def happen(self, now: float, what: str, *rest: str) -> None:
         self.now = now
-        self.hatch = self.hatch or Hatch(self.deployment, 7, 0.0)
+        self.hatch = self.hatch or AdmissionController(self.deployment, 7, 0.0)
         for ref in self.refs(rest):
             self.report(what, ref, facts([word for word in rest if "=" in word]))
         self.said = []
