--- a/tests/data/make_3fe6cd9.py
+++ b/tests/data/make_3fe6cd9.py
@@ -214,7 +214,7 @@
 
 
 def write_search_history(path: Path) -> None:
-    path.write_text(as_text(drawn(17)))
+    path.write_text(as_text(drawn(139)))
 
 
 class _Filler:
