--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,278 @@
+"""Files that text 3fe6cd9 wrote (`tests/data/README.md`), read by the current code: all that they hold is still understood."""
+
+from __future__ import annotations
+
+import io
+import json
+import shutil
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+from mulleinhatch.control_plane.disk import Disk, Restored, entry_records, replay, stubs_record
+from mulleinhatch.replication.chain import Replica
+from mulleinhatch.replication.state import ControlState, EntryKind
+from mulleinhatch.standins.search.campaign import as_text, replayed
+from mulleinhatch.standins.search.histories import drawn
+from mulleinhatch.standins.search.play import play
+from mulleinhatch.storage.journal import NAME
+from mulleinhatch.storage.records import MAGIC, RecordKind, decode, encode
+from mulleinhatch.traces import kinds
+from mulleinhatch.traces.block import Builder
+from mulleinhatch.traces.file import Trace, Writer
+from mulleinhatch.traces.replay import replay as replay_trace
+from mulleinhatch.traces.summary import summary
+from mulleinhatch.upkeep.register import Ask, Ballot, Kept, Voter
+from mulleinhatch.upkeep.store import Store
+from mulleinhatch.upkeep.table import Permit, Table
+
+DATA = Path(__file__).parent / "data"
+IDENTITIES = ["first-10.0.0.1:80", "first-10.0.0.2:80", "first-10.0.0.3:80"]
+
+
+def opened(folder: str, tmp_path: Path) -> Restored:
+    """What the current control plane finds on a disk that holds a kept file."""
+    shutil.copytree(DATA / folder, tmp_path, dirs_exist_ok=True)
+    restored = Disk(str(tmp_path), lambda: 0.0).open("another identity")
+    assert (tmp_path / NAME).read_bytes() == (DATA / folder / NAME).read_bytes()
+    return restored
+
+
+def committed_state(restored: Restored) -> ControlState:
+    """The control state that a replica makes of what the disk held."""
+    replica, state = Replica(restored.identity), ControlState()
+    state.restore(restored.snapshot)
+    replica.restore(restored.voter.view, restored.snapshot, restored.entries, restored.committed, restored.settled)
+    for index in range(state.index + 1, replica.committed + 1):
+        state.apply(replica.entry(index))
+    return state
+
+
+@pytest.mark.parametrize(
+    ("folder", "counts"),
+    [
+        ("control", {1: 1, 2: 3, 3: 3, 4: 1, 5: 5, 6: 3, 7: 2}),
+        ("control_played", {1: 1, 2: 25, 3: 54, 4: 3, 5: 54, 6: 28, 7: 9}),
+    ],
+)
+def test_control_records_are_whole_and_written_again_as_they_were(folder: str, counts: dict[int, int]) -> None:
+    data = (DATA / folder / NAME).read_bytes()
+    contents = decode(data)
+    assert contents.valid_size == len(data)
+    assert Counter(int(record.kind) for record in contents.records) == counts
+    assert MAGIC + b"".join(encode(record) for record in contents.records) == data
+    assert MAGIC == b"MHCTL\x00\x01\n"
+
+
+def test_control_records_are_made_again_of_what_is_read_from_them() -> None:
+    records = decode((DATA / "control" / NAME).read_bytes()).records
+    state = replay(records)
+    last = {record.kind: record.body for record in records}
+    assert bytes(state.voter) == last[RecordKind.VOTER]
+    assert bytes(state.snapshot) == last[RecordKind.SNAPSHOT]
+    assert entry_records(state.entries) == [record for record in records if record.kind == RecordKind.ENTRY]
+    assert stubs_record(state.stubs).body == last[RecordKind.STUBS]
+
+
+def test_control_identity_and_votes(tmp_path: Path) -> None:
+    restored = opened("control", tmp_path)
+    voter = restored.voter
+    assert restored.identity == IDENTITIES[0] and restored.settled is True
+    assert voter.view.epoch == 1
+    assert [member.identity for member in voter.view.voters] == IDENTITIES
+    assert [member.identity for member in voter.view.chain] == IDENTITIES
+    third = voter.view.voters[2]
+    assert (third.name, third.control_address, third.internal_address) == ("10.0.0.3:80", "10.0.0.3:80", "10.0.0.3:7000")
+    assert (voter.promised.number, voter.promised.proposer) == (5, IDENTITIES[1])
+    assert (voter.accepted.number, voter.accepted.proposer) == (3, IDENTITIES[2])
+    assert voter.accepted_view.epoch == 2
+    assert [member.identity for member in voter.accepted_view.voters] == IDENTITIES
+    assert [member.identity for member in voter.accepted_view.chain] == IDENTITIES[:2]
+
+
+def test_control_snapshot(tmp_path: Path) -> None:
+    snapshot = opened("control", tmp_path).snapshot
+    assert (snapshot.index, snapshot.epoch, snapshot.configuration_version) == (6, 1, 5)
+    assert (snapshot.holder, snapshot.fence_token, snapshot.left) == (IDENTITIES[1], 6, ["i-7 4", "i-8 4"])
+    assert snapshot.forgotten_version == 0
+    assert snapshot.digests == [
+        "77de44bcc0573ffaa4a7c8379c8d05ec 1",
+        "387b2350d9e395752c3b8b2233ae43a1 2",
+        "240960d40cbca3c18676cfa58b699b6b 5",
+    ]
+    value = json.loads(snapshot.configuration)
+    assert [route["name"] for route in value["routes"]] == ["cart", "find"]
+    assert value["services"] == [{"name": "cart", "connection_limit": 8}, {"name": "search", "connection_limit": 16}]
+
+
+def test_control_entries_and_stubs(tmp_path: Path) -> None:
+    restored = opened("control", tmp_path)
+    expected = [(7, 1, EntryKind.PATCH), (8, 1, EntryKind.LEAVE), (9, 1, EntryKind.PATCH)]
+    assert [(entry.index, entry.epoch, entry.kind) for entry in restored.entries] == expected
+    assert [int(kind) for _, _, kind in expected] == [2, 4, 2]
+    assert restored.entries[0].body == b'{"version": 6, "remove": {"routes": ["cart"]}}'
+    assert restored.entries[0].digest == "53b3ee6b35347d5087c1d8db28728e84"
+    assert restored.committed == 8
+    ready, leaving = restored.stubs
+    assert (ready.id, ready.service, ready.address, ready.zone) == ("i-1", "cart", "10.9.0.1:8001", "z1")
+    assert (ready.version, ready.slots, ready.sequence, ready.order_revision, ready.draining) == ("7", 4, 12, 9, False)
+    assert [(one.name, one.version, one.adapters) for one in ready.models] == [("m-1", 4, ["a-1", "a-2"])]
+    assert [(one.model, one.adapter, one.remaining_ms, one.from_store) for one in ready.loads] == [("m-2", "a-3", 1200, True)]
+    assert [(one.model, one.adapter, one.remaining_ms, one.from_store) for one in ready.unloads] == [("m-3", "a-4", 300, False)]
+    assert (leaving.id, leaving.slots, leaving.sequence, leaving.draining) == ("i-2", 2, 31, True)
+
+
+def test_control_state_goes_on_from_what_was_committed(tmp_path: Path) -> None:
+    state = committed_state(opened("control", tmp_path))
+    assert (state.index, state.document.version) == (8, 6)
+    assert [route["name"] for route in state.document.value["routes"]] == ["find"]
+    assert (state.holder, state.fence_token) == (IDENTITIES[1], 6)
+    assert (state.left, state.left_index) == ({"i-7": 4, "i-8": 4, "i-9": 8}, 8)
+    assert list(state.digests.values()) == [1, 2, 5, 6]
+    taken = b'{"version": 6, "remove": {"routes": ["cart"]}}'
+    assert state.check("PATCH", 5, taken).err_value.verdict == 200
+    late = opened("control", tmp_path).entries[-1]
+    checked = state.check("PATCH", 6, late.body).ok_value
+    assert (checked.digest, checked.document.version) == (late.digest, 7)
+
+
+def test_control_state_that_a_played_core_wrote(tmp_path: Path) -> None:
+    restored = opened("control_played", tmp_path)
+    view = restored.voter.view
+    assert (restored.identity, view.epoch, restored.settled) == (IDENTITIES[0], 9, True)
+    assert [member.identity for member in view.voters] == [*IDENTITIES[:2], "disk-306082ef137b4694"]
+    assert [member.name for member in view.chain] == ["core-1", "core-3", "core-0"]
+    assert (restored.snapshot.index, restored.snapshot.configuration_version, restored.snapshot.fence_token) == (53, 54, 44)
+    kinds_by_index = {entry.index: entry.kind for entry in restored.entries}
+    assert list(kinds_by_index) == list(range(54, 67))
+    assert list(kinds_by_index.values()) == [4, 4, 2, 3, 2, *[3] * 7, 1]
+    state = committed_state(restored)
+    assert (state.index, state.epoch, state.document.version) == (65, 9, 57)
+    assert state.document.value["services"] == [{"name": "noted", "note": "one-24"}]
+    assert (state.holder, state.fence_token) == (IDENTITIES[1], 65)
+    assert state.left == {"stub-1.1": 20, "stub-0.1": 23, "stub-1.2": 36, "stub-1.3": 54, "stub-0.2": 55}
+    assert (len(state.digests), state.forgotten_version) == (38, 0)
+
+
+def kept_voter(tmp_path: Path) -> tuple[Store, Kept]:
+    shutil.copytree(DATA / "maintenance", tmp_path, dirs_exist_ok=True)
+    store = Store(str(tmp_path))
+    return store, store.read()
+
+
+def test_maintenance_voter(tmp_path: Path) -> None:
+    store, kept = kept_voter(tmp_path)
+    permits = (Permit("n4", "z1", 1, "kernel"), Permit("n5", "z2", 2, "disk", "the disk is on fire"))
+    table = Table(("n1", "n2", "n3", "n6"), 3, 2, 4, 1, permits, "a sale until noon")
+    assert kept == Kept(Ballot(9, "n3.4"), Ballot(6, "n2.3"), table, 7)
+    assert (kept.table.version, kept.table.epoch, kept.table.frozen) == (4, 1, "a sale until noon")
+    assert kept.table.permit("n5").fence == 2
+    store.keep(kept)
+    store.close()
+    assert (tmp_path / "voter").read_bytes() == (DATA / "maintenance" / "voter").read_bytes()
+
+
+def test_maintenance_voter_keeps_its_promise(tmp_path: Path) -> None:
+    store, kept = kept_voter(tmp_path)
+    store.close()
+    voter = Voter("n1", kept)
+    earlier = voter.asked(Ask(Ballot(8, "n2.9")))
+    assert not earlier.taken and earlier.promised == (9, "n3.4") and earlier.table == kept.table
+    assert voter.asked(Ask(Ballot(9, "n3.4"), table=kept.table.back("n4", 1))).taken
+    assert [permit.name for permit in voter.kept.table.out] == ["n5"]
+
+
+@pytest.fixture(scope="module")
+def trace() -> Trace:
+    return Trace(io.BytesIO((DATA / "trace.mht").read_bytes()))
+
+
+def test_trace_facts_and_blocks(trace: Trace) -> None:
+    facts = trace.facts
+    assert (trace.major, trace.minor, trace.indexed, trace.lost) == (2, 2, True, [])
+    assert (facts.instance, facts.seed, facts.clock, facts.wall, facts.number) == ("n1", 2, 20.5, 1.7e9, 4)
+    assert (facts.op_types, facts.tenants, facts.policy, facts.made_by) == (
+        ["read", "signoff", "stamp"],
+        ["t1"],
+        "policy-1",
+        "3fe6cd9",
+    )
+    assert [kind["effect"] for kind in facts.deployment["op_types"]] == ["retryable", "non-retryable", "keyed"]
+    rows = [(578, 2953, 500, 5.0, 7.159353), (3595, 1500, 297, 7.159353, 20.0)]
+    assert [tuple(row) for row in trace.rows] == rows
+
+
+def test_trace_records(trace: Trace) -> None:
+    records = list(trace.records())
+    assert Counter(record.kind.name for record in records) == {
+        "pulled": 304,
+        "decided for": 203,
+        "read": 139,
+        "run ended": 81,
+        "woken": 41,
+        "turned back": 14,
+        "storm": 13,
+        "start": 1,
+        "note": 1,
+    }
+    assert (records[0].time, records[0].values) == (5.0, (0, 100.0))
+    read = next(record for record in records if record.kind is kinds.READ)
+    assert read.time == 5.002117
+    assert read.values == (1, "4fb65b1631f139db", 0, 0.0, 3.3, 0, 0, 4, 0.059731, 1.0, 1)
+    assert (records[-1].time, records[-1].values) == (20.0, ("written", "by text 3fe6cd9"))
+    assert trace.unknown == 0 and trace.lost == []
+
+
+def test_trace_is_decided_the_same(trace: Trace) -> None:
+    outcome = replay_trace(trace.records(), trace.facts)
+    assert outcome.differences == 0, outcome.first
+    assert (outcome.pulls, outcome.decisions) == (304, 203)
+    assert outcome.replayed == outcome.recorded == {"run": 81, "nack": 58, "wake": 41, "hear": 12, "keep": 8, "forget": 3}
+
+
+def test_trace_summary(trace: Trace) -> None:
+    told = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
+    assert told["seconds"] == 15.0
+    assert {name: told["counts"][name] for name in ("ops_read", "run_ok", "decided_nack_bound", "turned_back")} == {
+        "ops_read": 139,
+        "run_ok": 81,
+        "decided_nack_bound": 58,
+        "turned_back": 320,
+    }
+    assert told["by_op_type"]["signoff"] == {"decided_nack": 4, "decided_run": 7, "ops_read": 11, "run_ok": 7}
+    assert list(told["by_tenant"]) == ["t1"]
+    assert told["held_s"] == {"50%": 0.185, "90%": 0.318, "99%": 1.079, "100%": 1.115}
+
+
+def test_trace_is_written_again_as_it_was(trace: Trace) -> None:
+    file = io.BytesIO()
+    writer = Writer(file, trace.facts)
+    for head, block in trace.blocks():
+        builder = Builder(head.major, head.newest)
+        for record in block.records():
+            builder.add(record)
+        writer.write(builder.block())
+    writer.close()
+    again = Trace(io.BytesIO(file.getvalue()))
+    assert (again.facts, list(again.records())) == (trace.facts, list(trace.records()))
+    assert [row.records for row in again.rows] == [500, 297]
+
+
+def test_search_history() -> None:
+    text = (DATA / "search_history.txt").read_text()
+    history = replayed(text)
+    assert (history.seed, history.instances, history.upkeep) == (139, 5, False)
+    assert history.kinds == ("black hole", "leaves", "some die for good")
+    assert history.lines == ("at 10.63 failing 2 1.0 for 3.12", "at 11.04 leave 4-4", "at 15.04 start 4-4", "at 11.33 kill 2")
+    load = history.load
+    assert (load.load, load.callers, load.listed, load.mixed, load.one) == (0.3, 8, 2, True, 0.33)
+    assert (load.uneven, load.heeding, load.list_delay, load.speeds) == (3.0, 0.5, 0.5, (1.0, 0.5))
+    assert as_text(history) == text
+    assert drawn(139) == history
+
+
+def test_search_history_is_played_as_it_was() -> None:
+    found = play(replayed((DATA / "search_history.txt").read_text()))
+    assert (found.what, len(found.states), found.handed, found.outings) == ("", 12, 33, 0)
+    assert (found.before, found.after, found.recovered, round(found.worst, 6)) == (1.0, 1.0, 0.0, 0.615385)
