--- /dev/null
+++ b/benchmarks/footprint_play.py
@@ -0,0 +1,395 @@
+"""A fixed conversation on the simulator's wire, and what a source tree answers to it.
+
+`record_play` plays a small seeded world of instances against the adapter of one tree and keeps every byte the world said.
+`replay` feeds the same bytes to the adapter of any tree and gives the digest of its answer and the processor time it took.
+Equal digests mean equal decisions, in the same order, at the same times. Only the command `python -m mulleinhatch.benchlink` is
+used, no name inside the package, so trees whose modules have other names can be compared.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+import os
+import random
+import struct
+import subprocess
+import sys
+import tempfile
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from itertools import count
+from pathlib import Path
+
+ADAPTER = [sys.executable, "-m", "mulleinhatch.benchlink"]
+BATCH, REPLY = struct.Struct(">IdI"), struct.Struct(">III")
+REQUEST = struct.Struct(">BQddHfQBHQBdf")
+RESULT, REF, FIRED_HEAD = struct.Struct(">BQHd"), struct.Struct(">BQ"), struct.Struct(">BQB")
+SOURCE, RUN, SHED, FAIL, YANK, DIAL, DEGRADE, MEMO, ERASE, ANSWER_FROM = 0x50, 65, 66, 67, 68, 69, 70, 71, 72, 73
+SLEEP, GIVE_IN = 77, 79
+# The fields that follow the code of each action, without the lengths of texts.
+ACTION_FIELDS = {
+    SOURCE: ">H",
+    RUN: ">Q",
+    SHED: ">QdB",
+    FAIL: ">Q",
+    YANK: ">Q",
+    DIAL: ">Qd",
+    DEGRADE: ">Q",
+    MEMO: ">Qd",
+    ERASE: ">Q",
+    ANSWER_FROM: ">Q",
+    74: ">BB",
+    75: ">f",
+    76: ">d",
+    SLEEP: ">dQ",
+}
+TICK_MS = 2.0
+SAFE, KEYED, UNSAFE = 0, 1, 2
+GAUGES = "core_use,on_cores,heap_share,links"
+CORES = 4
+WORK_MS = 24.0  # mean work of a request
+OVERLOAD = 1.25  # of the cores' capacity that the callers ask for on average
+
+Action = tuple[int, tuple]
+
+
+@dataclass
+class Play:
+    """A recorded conversation: the batches as bytes, what the recording tree answered, and how much it was."""
+
+    batches: bytes
+    digest: str
+    requests: int
+    records: int
+
+
+@dataclass(frozen=True)
+class Replay:
+    """What one tree answered to a play. `answer_bytes` tells that it answered at all."""
+
+    digest: str
+    answer_bytes: int
+    processor_s: float
+
+
+@dataclass
+class Instance:
+    """What the world knows of one instance of the adapter: its settings and the requests that it was given."""
+
+    number: int
+    profile: str
+    stop_mode: str
+    calls_below: bool
+    tells_gone: bool
+    works: dict[int, float] = field(default_factory=dict)
+    operation_types: dict[int, int] = field(default_factory=dict)
+    running: dict[int, int] = field(default_factory=dict)  # by request: the run that counts, as stopped ones end for nothing
+    paused: set[int] = field(default_factory=set)
+    called: set[int] = field(default_factory=set)
+    kept: dict[int, float] = field(default_factory=dict)  # by request: until when its entry stays
+
+    def forget(self, ref: int) -> None:
+        """The request is over: no further event names it."""
+        for known in (self.works, self.operation_types, self.running):
+            known.pop(ref, None)
+        self.paused.discard(ref)
+        self.called.discard(ref)
+
+
+def profile_of(number: int) -> tuple[str, str, bool, bool]:
+    """Settings of an instance by its number, its stop mode, and whether it calls below and hears of callers that left."""
+    stop_mode = ("off", "discard", "freeze")[number % 3]
+    calls_below, tells_gone = number % 2 == 1, number % 4 != 2
+    say = ("floor", "allowance", "weight", "off")[number % 4]
+    pairs: dict[str, object] = {
+        "servers": 6,
+        "tick": TICK_MS,
+        "family_info.cores": CORES,
+        "family_info.callers": 8,
+        "family_info.gauges": GAUGES,
+        "family_info.memory_kb": 24000.0,
+        "family_info.run_factor": 3.0,
+        "family_info.key_kb": 2.0 if number % 2 else 60.0,
+        "family_info.idle": 12000.0,
+        "family_info.say": say,
+        "family_info.said_for": 900.0,
+        "family_info.stop_mode": stop_mode,
+        "family_info.tells_gone": str(tells_gone).lower(),
+        "family_info.fresh_start": str(number % 5 == 4).lower(),
+        "family_info.fresh_for": 400.0 if number % 3 == 0 else 0.0,
+        "family_info.depends_on": "one_for_all" if calls_below else "off",
+        "family_info.calls_out": 6.0 if calls_below else 0.0,
+        "family_info.calls_over": 4000.0,
+        "family_info.stays_for": 150.0,
+        "family_info.class_calls": "true,false,true" if calls_below else "false,false,false",
+        "family_info.degraded_worth": "0.4,0.0,0.0",
+        "limits.retry_after": "true",
+        "limits.max_retry_after": 800.0,
+        "rules.cold": 9000.0,
+        "rules.cold_from": 0.3,
+        "rules.drain_grace": 1500.0,
+        "rules.fall": 1200.0,
+        "rules.grace_to_answer": 120.0,
+        "rules.tip_multiple": 6.0,
+        "worth_by": "request",
+        "over_share_worth": 0.1,
+        "classes.count": 3,
+        "tenants.count": 3 if number % 2 == 0 else 0,
+    }
+    for place, (effect, aim, deadline, worth) in enumerate(
+        (("safe", 500.0, 1500.0, 1.0), ("keyed", 900.0, 2500.0, 3.0), ("unsafe", 1200.0, 3000.0, 5.0))
+    ):
+        words = {"effect": effect, "aim": aim, "deadline": deadline, "worth": worth, "late_worth": 0.2, "memory_span": 4000.0}
+        pairs |= {f"classes.{place}.{name}": value for name, value in words.items()}
+    for place, fraction in enumerate((0.5, 0.3, 0.2) if number % 2 == 0 else ()):
+        pairs |= {f"tenants.{place}.fraction": fraction, f"tenants.{place}.quota_per_s": 200.0 * fraction}
+    return "".join(f"{name}={value}\n" for name, value in pairs.items()), stop_mode, calls_below, tells_gone
+
+
+def read_actions(records: bytes) -> Iterator[Action]:
+    """The actions of a reply.
+
+    >>> list(read_actions(bytes.fromhex("500003" "41000aa7605d3a91c4")))
+    [(80, (3,)), (65, (2998955020489156,))]
+    """
+    at = 0
+    while at < len(records):
+        code = records[at]
+        if code == GIVE_IN:
+            (size,) = struct.unpack_from(">H", records, at + 1)
+            raise RuntimeError(f"the adapter gave in: {records[at + 3 : at + 3 + size].decode()}")
+        shape = struct.Struct(ACTION_FIELDS[code])
+        yield code, shape.unpack_from(records, at + 1)
+        at += 1 + shape.size
+
+
+class World:
+    """Callers, cores and timers of some instances; it says batches and hears replies. All chance comes from the seed."""
+
+    def __init__(self, instances: int, seed: int) -> None:
+        self.random = random.Random(seed)
+        self.instances = {number: Instance(number, *profile_of(number)) for number in range(instances)}
+        self.now = 0.0
+        self.requests = self.records = 0
+        self._order = count()
+        self._due: list[tuple[float, int, int, tuple]] = []  # heap: time, order, instance, what happens
+        self._unique = count(1)
+        for number in self.instances:
+            self._at(0.0, number, "create")
+            self._at(self._gap(), number, "arrive")
+
+    def _gap(self) -> float:
+        surge = 1.6 if int(self.now / 3000.0) % 2 else 0.7  # busy and calm stretches of 3 s
+        return self.random.expovariate(surge * OVERLOAD * CORES / WORK_MS)
+
+    def _at(self, time_ms: float, number: int, *what: object) -> None:
+        heapq.heappush(self._due, (time_ms, next(self._order), number, what))
+
+    def batches(self, seconds: float) -> Iterator[tuple[float, bytes]]:
+        """Clock and body of each batch; after each one the reply must be given to `hear`."""
+        for number in self.instances:
+            if number % 3 == 1:
+                self._at(700.0 * seconds, number, "retire", int(150.0 * seconds))
+            if number % 3 != 2:
+                self._at(850.0 * seconds, number, "restart")
+        while self._due and self._due[0][0] < 1000.0 * seconds:
+            self.now = max(self.now + TICK_MS, self._due[0][0])
+            told: dict[int, list[bytes]] = {}
+            while self._due and self._due[0][0] <= self.now:
+                _, _, number, what = heapq.heappop(self._due)
+                told.setdefault(number, []).extend(self._happen(self.instances[number], *what))
+            parts = [struct.pack(">BH", 10, number) + b"".join(events) for number, events in told.items() if events]
+            self.records += sum(len(events) for events in told.values())
+            if parts:
+                yield self.now, b"".join(parts)
+
+    def _happen(self, instance: Instance, what: str, *facts: int) -> list[bytes]:
+        """The events that the instance is told of what is due."""
+        if what == "create" or what == "restart":
+            start = [b"\x09"] if what == "restart" else []
+            for ref in list(instance.works):
+                instance.forget(ref)
+            instance.kept.clear()
+            # Timers and runs of the earlier life never come.
+            self._due = [due for due in self._due if due[2] != instance.number or due[3][0] in ("arrive", "retire", "restart")]
+            heapq.heapify(self._due)
+            profile = instance.profile.encode()
+            return [*start, struct.pack(">BQI", 1, self.random.getrandbits(64), len(profile)) + profile]
+        if what == "arrive":
+            self._at(self.now + self._gap(), instance.number, "arrive")
+            return [self._request(instance)]
+        if what == "retire":
+            return [struct.pack(">Bd", 6, float(facts[0]))]
+        if what == "fired":
+            return [self._fired(instance, facts[0])]
+        ref = facts[0]
+        if what == "gone":
+            if ref not in instance.works:
+                return []
+            if ref not in instance.running and ref not in instance.called:
+                instance.forget(ref)
+            return [REF.pack(7, ref)]
+        if what == "run end":
+            if instance.running.get(ref) != facts[1]:
+                return []
+            if instance.calls_below and instance.operation_types[ref] != KEYED and ref not in instance.called:
+                del instance.running[ref]
+                instance.called.add(ref)
+                return [REF.pack(4, ref)]
+            instance.forget(ref)
+            return [RESULT.pack(3, ref, 1 if self.random.random() < 0.96 else 2, WORK_MS)]
+        if what == "call end" and ref in instance.called:
+            ending = self.random.choice((1, 1, 1, 1, 1, 1, 2, 4, 5))
+            if ending == 1:
+                self._run(instance, ref)
+            return [RESULT.pack(5, ref, ending, 30.0)]
+        if what == "stopped" and ref in instance.works:
+            return [RESULT.pack(3, ref, 7, WORK_MS)]
+        if what == "ended" and ref in instance.works:
+            instance.forget(ref)
+            return [RESULT.pack(3, ref, facts[1], 5.0)]
+        return []
+
+    def _request(self, instance: Instance) -> bytes:
+        self.requests += 1
+        chance = self.random
+        ref = (chance.getrandbits(20) << 24 | next(self._unique)) & ((1 << 52) - 1)
+        operation_type = chance.choices((SAFE, KEYED, UNSAFE), (6, 3, 1))[0]
+        live = [kept for kept, until in instance.kept.items() if until > self.now]
+        repeat_of = chance.choice(live) if live and operation_type == KEYED and chance.random() < 0.2 else 0
+        work = chance.lognormvariate(0.0, 0.6) * WORK_MS * (0.5, 1.0, 3.0)[operation_type]
+        instance.works[ref], instance.operation_types[ref] = work, operation_type
+        deadline = (1500.0, 2500.0, 3000.0)[operation_type]
+        age = chance.expovariate(0.2)
+        if instance.tells_gone and chance.random() < 0.3:
+            self._at(self.now + chance.uniform(50.0, deadline), instance.number, "gone", ref)
+        state_bits = (chance.random() < 0.8) | 2 * (repeat_of > 0 or chance.random() < 0.1)
+        tenant = chance.choices((0, 1, 2), (5, 3, 3))[0] if instance.number % 2 == 0 else 0
+        rank = (operation_type + chance.random()) / 3.0
+        return REQUEST.pack(
+            2,
+            ref,
+            age,
+            deadline - age,
+            tenant,
+            rank,
+            repeat_of,
+            operation_type,
+            chance.randrange(8),
+            chance.randrange(1, 200) if operation_type == SAFE else 0,
+            state_bits,
+            work * chance.uniform(0.7, 1.4),
+            chance.uniform(5.0, 60.0),
+        )
+
+    def _fired(self, instance: Instance, token: int) -> bytes:
+        running = len(instance.running)
+        gauges = (min(1.0, running / CORES), float(running), min(1.0, 0.02 * len(instance.works)), 20.0)
+        return FIRED_HEAD.pack(8, token, len(gauges)) + struct.pack(">4f", *gauges)
+
+    def _run(self, instance: Instance, ref: int) -> None:
+        if ref not in instance.works or ref in instance.running:
+            return
+        instance.paused.discard(ref)
+        instance.running[ref] = turn = next(self._unique)
+        crowd = max(1.0, len(instance.running) / CORES)
+        self._at(self.now + instance.works[ref] * crowd * self.random.uniform(0.8, 1.3), instance.number, "run end", ref, turn)
+
+    def hear(self, records: bytes) -> None:
+        """Takes in what the instances did."""
+        instance = self.instances[0]
+        for code, facts in read_actions(records):
+            if code == SOURCE:
+                instance = self.instances[facts[0]]
+            elif code == SLEEP:
+                self._at(self.now + max(TICK_MS, facts[0]), instance.number, "fired", facts[1])
+            elif code in ACTION_FIELDS and facts and isinstance(facts[0], int):
+                self._act(instance, code, facts)
+
+    def _act(self, instance: Instance, code: int, facts: tuple) -> None:
+        ref = facts[0]
+        if code == MEMO:
+            instance.kept[ref] = self.now + facts[1]
+        elif code == ERASE:
+            instance.kept.pop(ref, None)
+        elif ref not in instance.works:
+            return
+        elif code == RUN:
+            self._run(instance, ref)
+        elif code == YANK and ref in instance.running:
+            del instance.running[ref]
+            instance.paused.add(ref)
+            self._at(self.now, instance.number, "stopped", ref)
+        elif code in (SHED, FAIL):
+            if ref in instance.called:
+                self._at(self.now, instance.number, "ended", ref, 7)
+            elif ref not in instance.running:
+                instance.forget(ref)
+        elif code == DIAL:
+            self._at(self.now + self.random.expovariate(1.0 / 30.0), instance.number, "call end", ref)
+        elif code == DEGRADE:
+            self._run(instance, ref)
+        elif code == ANSWER_FROM:
+            self._at(self.now + 5.0, instance.number, "ended", ref, 1)
+
+
+def tree_environment(tree: Path) -> dict[str, str]:
+    """The environment of a child that must import the package of this tree, not one that is installed."""
+    kept = {name: value for name, value in os.environ.items() if not name.startswith("MULLEINHATCH_") and name != "NODE_NAME"}
+    return {**kept, "PYTHONPATH": str(tree)}
+
+
+def record_play(tree: Path, seconds: float, instances: int = 6, seed: int = 1) -> Play:
+    """Plays a world against the adapter of a tree.
+
+    Args:
+        tree: Folder of the tree.
+        seconds: Length of the play in its own time.
+        instances: How many instances the adapter hosts.
+        seed: Of all chance in the world.
+
+    Returns:
+        The bytes that the world said, to be replayed, and the digest of the answer.
+    """
+    world, said, answer = World(instances, seed), [], hashlib.sha256()
+    with subprocess.Popen(
+        ADAPTER, cwd=tree, env=tree_environment(tree), stdin=subprocess.PIPE, stdout=subprocess.PIPE
+    ) as adapter:
+        assert adapter.stdin is not None and adapter.stdout is not None
+        for number, (clock, body) in enumerate(world.batches(seconds)):
+            batch = BATCH.pack(len(body), clock, number) + body
+            said.append(batch)
+            adapter.stdin.write(batch)
+            adapter.stdin.flush()
+            head = adapter.stdout.read(REPLY.size)
+            if len(head) < REPLY.size:
+                raise RuntimeError("the adapter ended before the play did")
+            records = adapter.stdout.read(REPLY.unpack(head)[1])
+            answer.update(head + records)
+            world.hear(records)
+        adapter.stdin.close()
+    return Play(b"".join(said), answer.hexdigest(), world.requests, world.records)
+
+
+def replay(tree: Path, batches: bytes) -> Replay:
+    """Feeds recorded batches to the adapter of a tree.
+
+    Args:
+        tree: Folder of the tree.
+        batches: What `record_play` kept.
+
+    Returns:
+        Digest and size of the answer, and the processor time of the whole process.
+    """
+    with tempfile.TemporaryFile() as source, tempfile.TemporaryFile() as sink:
+        source.write(batches)
+        source.seek(0)
+        adapter = subprocess.Popen(ADAPTER, cwd=tree, env=tree_environment(tree), stdin=source, stdout=sink)
+        _, status, used = os.wait4(adapter.pid, 0)
+        adapter.returncode = os.waitstatus_to_exitcode(status)
+        if adapter.returncode:
+            raise RuntimeError(f"the adapter of {tree} ended with {adapter.returncode}")
+        sink.seek(0)
+        answer = sink.read()
+    return Replay(hashlib.sha256(answer).hexdigest(), len(answer), used.ru_utime + used.ru_stime)
