--- /dev/null
+++ b/benchmarks/footprint.py
@@ -0,0 +1,207 @@
+"""What two source trees take, side by side: start, memory, processor time and added time of both planes, cost of decisions.
+
+Usage:
+  footprint --before DIR --after DIR [--quick] [--rounds N] [--decisions | --planes] [--seed N]
+
+Options:
+  --before DIR  A folder with control_plane.py, data_plane.py and mulleinhatch/.
+  --after DIR   Another one, or the same to see the scatter of equal texts.
+  --quick       Less load and fewer rounds.
+  --rounds N    Of each tree; else 7, or 3 when quick.
+  --decisions   Only the play of the decision module.
+  --planes      Only the two planes.
+  --seed N      Of the play of the decision module [default: 1].
+
+The trees take turns, and who is first changes from round to round, so a machine that grows busy moves both. Only the planes and
+the adapter come from the measured trees; the load comes from where this benchmark stands. The play of the decision module is
+recorded once with the tree before and fed to both, whose answers must be the same bytes. A figure fails where its median is
+over 3 % worse in the tree after; beside it stands how far apart the middle half of its rounds lies (scatter), and whether the
+difference is beyond the scatter of both. Each tree is started once uncounted, which leaves compiled files in it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+from dataclasses import asdict, dataclass
+from pathlib import Path
+from statistics import median, quantiles
+
+from docopt import docopt
+from rich.console import Console
+from rich.table import Table
+
+from benchmarks.footprint_planes import FULL_LOAD, QUICK_LOAD, measure_round, origin
+from benchmarks.footprint_play import record_play, replay
+
+SLACK = 0.03  # by how much a median may be worse
+ROUNDS, QUICK_ROUNDS = 7, 3
+PLAY_S, QUICK_PLAY_S = 20.0, 5.0
+PLAY_FIGURE = "decision play, processor s"
+
+Figures = dict[str, float]
+
+
+@dataclass(frozen=True)
+class Comparison:
+    """One figure in both trees. Scatters are the distance of the quartiles, as a share of the median; less is better."""
+
+    name: str
+    before: float
+    after: float
+    scatter_before: float
+    scatter_after: float
+    rounds: int
+
+    @property
+    def change(self) -> float:
+        """By how much the tree after is worse, as a share of the tree before; negative where it is better."""
+        return (self.after - self.before) / abs(self.before) if self.before else float(self.after > 0.0)
+
+    @property
+    def holds(self) -> bool:
+        """Whether the median is at most by the slack worse."""
+        return self.change <= SLACK
+
+    @property
+    def beyond_scatter(self) -> bool:
+        """Whether the difference is larger than the scatter of either tree."""
+        return abs(self.change) > max(self.scatter_before, self.scatter_after)
+
+
+def scatter(values: list[float]) -> float:
+    """The distance of the quartiles as a share of the median, 0 for a single value.
+
+    >>> scatter([9.0, 10.0, 11.0]), scatter([5.0])
+    (0.1, 0.0)
+    """
+    middle = median(values)
+    if len(values) < 2 or not middle:
+        return 0.0
+    low, _, high = quantiles(values, n=4, method="inclusive")
+    return (high - low) / abs(middle)
+
+
+def compare(before: list[Figures], after: list[Figures]) -> list[Comparison]:
+    """Compares the rounds of two trees figure by figure.
+
+    Args:
+        before: The figures of each round of the tree before.
+        after: Those of the tree after.
+
+    Returns:
+        One comparison for each figure, in the order of the first round.
+
+    Raises:
+        ValueError: Some round has other figures than the first.
+    """
+    names = list(before[0])
+    if any(set(figures) != set(names) for figures in (*before, *after)):
+        raise ValueError("the rounds have different figures")
+    compared = []
+    for name in names:
+        old, new = [figures[name] for figures in before], [figures[name] for figures in after]
+        compared.append(Comparison(name, median(old), median(new), scatter(old), scatter(new), len(old)))
+    return compared
+
+
+def verdict(comparisons: list[Comparison], answers_equal: bool | None) -> dict[str, bool]:
+    """What holds, by name; the equality of the answers only where a play was made."""
+    held = {comparison.name: comparison.holds for comparison in comparisons}
+    return held if answers_equal is None else {**held, "same decisions": answers_equal}
+
+
+def rows(comparisons: list[Comparison]) -> list[tuple[str, ...]]:
+    """The lines of the table: figure, medians, change, scatters, judgement."""
+    return [
+        (
+            comparison.name,
+            f"{comparison.before:.4g}",
+            f"{comparison.after:.4g}",
+            f"{100.0 * comparison.change:+.1f} %",
+            f"{100.0 * comparison.scatter_before:.1f} %",
+            f"{100.0 * comparison.scatter_after:.1f} %",
+            ("holds" if comparison.holds else "WORSE") + (", beyond scatter" if comparison.beyond_scatter else ""),
+        )
+        for comparison in comparisons
+    ]
+
+
+def show(comparisons: list[Comparison]) -> Table:
+    """The table of all figures."""
+    table = Table("figure", "before", "after", "change", "scatter before", "scatter after", "")
+    for row in rows(comparisons):
+        table.add_row(*row)
+    return table
+
+
+def turns(count: int) -> list[tuple[int, int]]:
+    """Who plays in which order in each round: 0 is the tree before, 1 the tree after.
+
+    >>> turns(3)
+    [(0, 1), (1, 0), (0, 1)]
+    """
+    return [(0, 1) if number % 2 == 0 else (1, 0) for number in range(count)]
+
+
+def measure_planes(trees: tuple[Path, Path], rounds: int, quick: bool) -> tuple[list[Figures], list[Figures]]:
+    """The figures of both planes, by tree and round."""
+    load = QUICK_LOAD if quick else FULL_LOAD
+    measured: tuple[list[Figures], list[Figures]] = ([], [])
+    for tree in trees:
+        asyncio.run(measure_round(tree, QUICK_LOAD))
+    for order in turns(rounds):
+        for place in order:
+            measured[place].append(asyncio.run(measure_round(trees[place], load)))
+    return measured
+
+
+def measure_decisions(
+    trees: tuple[Path, Path], rounds: int, quick: bool, seed: int
+) -> tuple[list[Figures], list[Figures], dict[str, object]]:
+    """The processor time of the play by tree and round, and what was played and answered."""
+    play = record_play(trees[0], QUICK_PLAY_S if quick else PLAY_S, seed=seed)
+    measured: tuple[list[Figures], list[Figures]] = ([], [])
+    digests, sizes = {play.digest}, set()
+    for order in turns(rounds):
+        for place in order:
+            answer = replay(trees[place], play.batches)
+            digests.add(answer.digest)
+            sizes.add(answer.answer_bytes)
+            measured[place].append({PLAY_FIGURE: answer.processor_s})
+    told = {"requests": play.requests, "events": play.records, "answer_bytes": sorted(sizes), "digests": sorted(digests)}
+    return *measured, told
+
+
+def main() -> int:
+    """Measures, prints table and JSON line; 1 where the tree after is worse or decides otherwise."""
+    asked = docopt(__doc__)
+    quick = bool(asked["--quick"])
+    rounds = int(asked["--rounds"] or (QUICK_ROUNDS if quick else ROUNDS))
+    trees = (Path(asked["--before"]).resolve(), Path(asked["--after"]).resolve())
+    for name, tree in zip(("before", "after"), trees, strict=True):
+        print(f"{name}: {origin(tree)}")
+    comparisons: list[Comparison] = []
+    answers_equal: bool | None = None
+    play: dict[str, object] = {}
+    if not asked["--decisions"]:
+        comparisons += compare(*measure_planes(trees, rounds, quick))
+    if not asked["--planes"]:
+        before, after, play = measure_decisions(trees, rounds, quick, int(asked["--seed"]))
+        comparisons += compare(before, after)
+        answers_equal = len(play["digests"]) == 1
+        print("the decisions are the same" if answers_equal else "THE DECISIONS DIFFER", json.dumps(play))
+    Console(width=128).print(show(comparisons))
+    holds = verdict(comparisons, answers_equal)
+    figures = {
+        comparison.name: {**asdict(comparison), "change": comparison.change, "beyond_scatter": comparison.beyond_scatter}
+        for comparison in comparisons
+    }
+    told = {"benchmark": "footprint", "quick": quick, "rounds": rounds, "play": play, "figures": figures, "holds": holds}
+    print(json.dumps(told))
+    return 0 if all(holds.values()) else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/benchmarks/footprint_planes.py
@@ -0,0 +1,471 @@
+"""Both planes of one source tree as processes on loopback, under a small fixed load, with what they take measured from outside.
+
+The planes come from the measured tree; model server and clients stand in the process of the benchmark and speak plain HTTP of
+their own, with no name from the package, so that trees whose modules have other names meet the same load. A round starts one
+control plane and one data plane, lets them rest, sends heartbeats, requests and streams at fixed rates, and ends them by pid.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import random
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+from dataclasses import dataclass
+from pathlib import Path
+from statistics import median, quantiles
+
+from benchmarks.footprint_play import tree_environment
+
+SETTINGS_VARIABLE = "MULLEINHATCH_NODE_FILE"
+CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, MODEL_PORT = 18146, 17660, 18144, 18140, 18300
+HOST, MODEL = "footprint.example", "model-0"
+RATE = 100.0  # requests a second, that of the small sites
+GIVE_UP_S = 30.0
+LOOK_S = 0.002  # between two looks at whether a plane is ready
+EVENTS, EVENT_GAP_S = 20, 0.005  # of a stream
+STREAM_RATE = 10.0
+
+
+@dataclass(frozen=True)
+class Load:
+    """How much a round does."""
+
+    settle_s: float
+    idle_s: float
+    heartbeats: int
+    requests: int
+    streams: int
+
+
+FULL_LOAD = Load(settle_s=1.0, idle_s=2.0, heartbeats=300, requests=600, streams=25)
+QUICK_LOAD = Load(settle_s=0.5, idle_s=0.5, heartbeats=100, requests=200, streams=8)
+
+
+@dataclass(frozen=True)
+class Message:
+    """A request or an answer that was read: first line, fields by lower-case name, body."""
+
+    first_line: bytes
+    fields: dict[bytes, bytes]
+    body: bytes
+
+    @property
+    def status(self) -> int:
+        """Of an answer."""
+        return int(self.first_line.split()[1])
+
+
+def message_bytes(first_line: bytes, fields: dict[bytes, bytes], body: bytes = b"") -> bytes:
+    """A message whose body is told by its length."""
+    lines = [b"%b: %b" % field for field in fields.items()]
+    return b"\r\n".join([first_line, *lines, b"Content-Length: %d" % len(body), b"", body])
+
+
+async def read_message(reader: asyncio.StreamReader, arrivals: list[float] | None = None) -> Message:
+    """Reads one message; IncompleteReadError where the connection ends before.
+
+    Args:
+        reader: Of the connection.
+        arrivals: Takes, for each event of a stream, the seconds from its sending to its arrival.
+    """
+    head = (await reader.readuntil(b"\r\n\r\n"))[:-4].split(b"\r\n")
+    fields = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in head[1:])}
+    if fields.get(b"transfer-encoding", b"").lower() != b"chunked":
+        return Message(head[0], fields, await reader.readexactly(int(fields.get(b"content-length", b"0"))))
+    body, heard = b"", 0
+    while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
+        body += (await reader.readexactly(size + 2))[:-2]
+        now = time.perf_counter_ns()
+        *events, _ = body.split(b"\n\n")
+        if arrivals is not None:
+            arrivals += [1e-9 * (now - int(event.rpartition(b"data: ")[2])) for event in events[heard:]]
+        heard = len(events)
+    await reader.readuntil(b"\r\n")
+    return Message(head[0], fields, body)
+
+
+class Client:
+    """Keeps connections to one address and sends requests over them."""
+
+    def __init__(self, address: tuple[str, int]) -> None:
+        self.address = address
+        self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+
+    async def send(self, request: bytes, arrivals: list[float] | None = None) -> Message:
+        """The answer to one request."""
+        reader, writer = self._idle.pop() if self._idle else await asyncio.open_connection(*self.address)
+        try:
+            writer.write(request)
+            answer = await asyncio.wait_for(read_message(reader, arrivals), 10.0)
+        except BaseException:
+            writer.close()
+            raise
+        if answer.fields.get(b"connection", b"").lower() == b"close":
+            writer.close()
+        else:
+            self._idle.append((reader, writer))
+        return answer
+
+    def close(self) -> None:
+        """Ends all connections."""
+        for _, writer in self._idle:
+            writer.close()
+
+
+class ModelServer:
+    """A model server that answers at once; the events of its streams carry the time at which they were sent."""
+
+    def __init__(self, address: tuple[str, int], control: tuple[str, int]) -> None:
+        self.address, self.identity = address, f"i-{random.getrandbits(40):010x}"
+        self.answered = 0
+        self._control, self._sequence = Client(control), 0
+        self._server: asyncio.Server | None = None
+        self._writers: set[asyncio.StreamWriter] = set()
+        self._tasks: list[asyncio.Task[None]] = []
+
+    async def start(self) -> None:
+        """Listens, and registers once a second from now on."""
+        self._server = await asyncio.start_server(self._converse, *self.address)
+        self._tasks.append(asyncio.ensure_future(self._register()))
+
+    def stop(self) -> None:
+        """Ends all connections."""
+        for task in self._tasks:
+            task.cancel()
+        for writer in list(self._writers):
+            writer.close()
+        if self._server is not None:
+            self._server.close()
+        self._control.close()
+
+    async def _register(self) -> None:
+        while True:
+            await self.heartbeat()
+            await asyncio.sleep(1.0)
+
+    async def heartbeat(self) -> int:
+        """Tells the control plane of this server; the status of the answer."""
+        self._sequence += 1
+        body = {
+            "service": "writer",
+            "address": "%s:%d" % self.address,
+            "zone": "zone-0",
+            "version": "v1",
+            "slots": 16,
+            "state": "ready",
+            "cold_remaining_ms": 0,
+            "models": self._held(),
+            "sequence": self._sequence,
+        }
+        fields = {b"Host": b"control", b"Content-Type": b"application/json"}
+        line = f"PUT /instances/{self.identity} HTTP/1.1".encode()
+        return (await self._control.send(message_bytes(line, fields, json.dumps(body).encode()))).status
+
+    @staticmethod
+    def _held() -> list[dict[str, object]]:
+        return [{"name": MODEL, "version": 1, "adapters": []}]
+
+    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._writers.add(writer)
+        try:
+            while True:
+                await self._answer(await read_message(reader), writer)
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            pass
+        finally:
+            self._writers.discard(writer)
+            writer.close()
+
+    async def _answer(self, request: Message, writer: asyncio.StreamWriter) -> None:
+        target = request.first_line.split()[1]
+        fields = {b"Instance-Id": self.identity.encode()}
+        if target == b"/report":
+            report = {"models": self._held(), "busy": False, "sequence": 0, "waiting": 0, "running": 0}
+            writer.write(message_bytes(b"HTTP/1.1 200 OK", fields, json.dumps(report).encode()))
+        elif target == b"/health":
+            writer.write(message_bytes(b"HTTP/1.1 200 OK", fields))
+        elif target == b"/order":
+            writer.write(message_bytes(b"HTTP/1.1 409 Conflict", fields, b'{"message": "takes no orders"}'))
+        else:
+            self.answered += 1
+            fields = {b"Request-Id": request.fields.get(b"request-id", b""), b"Server-Signature": self.identity.encode()}
+            if target.startswith(b"/write/"):
+                await self._stream(fields, writer)
+            else:
+                writer.write(message_bytes(b"HTTP/1.1 200 OK", fields, b"at once"))
+
+    @staticmethod
+    async def _stream(fields: dict[bytes, bytes], writer: asyncio.StreamWriter) -> None:
+        fields = {**fields, b"Content-Type": b"text/event-stream", b"Transfer-Encoding": b"chunked"}
+        lines = b"".join(b"%b: %b\r\n" % field for field in fields.items())
+        writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n" % lines)
+        for number in range(1, EVENTS + 1):
+            await asyncio.sleep(EVENT_GAP_S)
+            event = b"id: %d\ndata: %d\n\n" % (number, time.perf_counter_ns())
+            writer.write(b"%x\r\n%b\r\n" % (len(event), event))
+        writer.write(b"0\r\n\r\n")
+
+
+def processor_s(pid: int) -> float:
+    """Seconds of processor time of all threads of another process, from the kernel's clock of that process."""
+    return time.clock_gettime(~pid << 3 | 2)
+
+
+def memory_mb(pid: int, name: str) -> float:
+    """A figure of /proc/PID/status, as VmRSS or VmHWM."""
+    for line in Path(f"/proc/{pid}/status").read_text().splitlines():
+        if line.startswith(name + ":"):
+            return int(line.split()[1]) / 1024.0
+    raise KeyError(name)
+
+
+def free_loopback() -> str:
+    """A loopback address on which none of the ports is taken."""
+    ports = (CONTROL_PORT, *range(INTERNAL_PORT, INTERNAL_PORT + 10), FRONT_PORT, READY_PORT, MODEL_PORT)
+    while True:
+        address = f"127.{random.randrange(64, 250)}.{random.randrange(1, 250)}.1"
+        try:
+            for port in ports:
+                with socket.socket() as tried:
+                    tried.bind((address, port))
+        except OSError:
+            continue
+        return address
+
+
+def settings_text(kind: str, address: str, folder: Path) -> str:
+    """The settings file of one plane of a system that has one of each."""
+    lines = {
+        "node_name": f"{kind}-0",
+        "ip_address": address,
+        "zone": "zone-0",
+        "region": "here",
+        "internal_port_range": f"{INTERNAL_PORT},{INTERNAL_PORT + 9}",
+        "seeds": f"{address}:{CONTROL_PORT}",
+        "first_start": "true",
+        "fault_tolerance.machines": 0,
+        "heartbeat_interval_ms": 1000,
+    }
+    if kind == "control":
+        lines |= {"listen.control": f"{address}:{CONTROL_PORT}", "data_directory": folder / "control"}
+    else:
+        lines |= {"listen.front": f"{address}:{FRONT_PORT}", "listen.ready": f"{address}:{READY_PORT}"}
+    return "".join(f"{name}={value}\n" for name, value in lines.items())
+
+
+def configuration() -> dict[str, object]:
+    """A route for single answers and one for streams, to one service with one model."""
+    common = {
+        "host": HOST,
+        "timeout_ms": 8000,
+        "target_latency_ms": 2000,
+        "priority": 0,
+        "service": "writer",
+        "max_attempts": 2,
+    }
+    routes = [
+        {**common, "name": "read", "path_prefix": "/read/", "kind": "safe"},
+        {**common, "name": "write", "path_prefix": "/write/", "kind": "streaming", "resumable": True, "gap_aim_ms": 400},
+    ]
+    models = [{"name": MODEL, "weights_mb": 60.0, "load_s": 0.8, "adapters": 4, "adapter_size_mb": 1.0}]
+    engine = {"slots": 16, "models": models, "weights_mb": 200.0, "adapter_slots": 4, "loads_per_s": 2.0}
+    services = [{"name": "writer", "connection_limit": 100, "engine": engine}]
+    return {"version": 1, "routes": routes, "services": services, "limits": {}}
+
+
+def request_bytes(path: bytes) -> bytes:
+    """One request of a client, with an id of its own."""
+    fields = {
+        b"Host": HOST.encode(),
+        b"Request-Id": b"%016x" % random.getrandbits(64),
+        b"Model": MODEL.encode(),
+        b"Token-Usage": b"800,40",
+        b"Request-Deadline": b"8000",
+    }
+    return message_bytes(b"POST %b HTTP/1.1" % path, fields, b"dear")
+
+
+class Plane:
+    """One plane of a tree as a process."""
+
+    def __init__(self, tree: Path, kind: str, address: str, folder: Path) -> None:
+        path = folder / f"{kind}.conf"
+        path.write_text(settings_text(kind, address, folder))
+        self.log = path.with_suffix(".log")
+        self.ready_at = (address, CONTROL_PORT if kind == "control" else READY_PORT)
+        self.ready_path = b"/status" if kind == "control" else b"/ready"
+        self._begun = time.perf_counter()
+        with self.log.open("ab") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, "-O", f"{kind}_plane.py"],
+                cwd=tree,
+                env={**tree_environment(tree), SETTINGS_VARIABLE: str(path)},
+                stdout=log,
+                stderr=log,
+            )
+
+    @property
+    def pid(self) -> int:
+        return self.process.pid
+
+    async def ready(self) -> float:
+        """Waits until it is ready; the seconds since it was spawned."""
+        request = message_bytes(b"GET %b HTTP/1.1" % self.ready_path, {b"Host": b"plane"})
+        while time.perf_counter() - self._begun < GIVE_UP_S and self.process.poll() is None:
+            client = Client(self.ready_at)
+            try:
+                if (await client.send(request)).status == 200:
+                    return time.perf_counter() - self._begun
+            except (OSError, asyncio.IncompleteReadError):
+                pass
+            finally:
+                client.close()
+            await asyncio.sleep(LOOK_S)
+        raise TimeoutError(f"{self.process.args} was not ready: {self.log.read_text()[-2000:]}")
+
+    def end(self) -> None:
+        self.process.kill()
+        self.process.wait()
+
+
+async def at_rate(count: int, rate: float, act) -> None:
+    """Starts `act(number)` at even distances, however long the earlier ones take; returns when all are done."""
+    loop = asyncio.get_running_loop()
+    begun, tasks = loop.time(), []
+    for number in range(count):
+        await asyncio.sleep(max(0.0, begun + number / rate - loop.time()))
+        tasks.append(asyncio.ensure_future(act(number)))
+    await asyncio.gather(*tasks)
+
+
+async def put_configuration(control: Client) -> None:
+    """Gives the control plane its first configuration."""
+    fields = {b"Host": b"control", b"Content-Type": b"application/json", b"If-Match": b"0"}
+    request = message_bytes(b"PUT /configuration HTTP/1.1", fields, json.dumps(configuration()).encode())
+    end = time.perf_counter() + GIVE_UP_S
+    while (answer := await control.send(request)).status != 200:
+        if time.perf_counter() > end:
+            raise TimeoutError(f"the configuration was not taken: {answer.status} {answer.body[:500]!r}")
+        await asyncio.sleep(0.02)
+
+
+async def _until_served(front: Client) -> None:
+    end = time.perf_counter() + GIVE_UP_S
+    while (answer := await front.send(request_bytes(b"/read/first"))).status != 200:
+        if time.perf_counter() > end:
+            raise TimeoutError(f"no request was served: {answer.status} {answer.body[:500]!r}")
+        await asyncio.sleep(0.02)
+
+
+async def measure_round(tree: Path, load: Load) -> dict[str, float]:
+    """Starts both planes of a tree, loads them and ends them.
+
+    Args:
+        tree: Folder with control_plane.py and data_plane.py.
+        load: How much the round does.
+
+    Returns:
+        Each figure by its name; all are such that less is better.
+    """
+    address, figures = free_loopback(), {}
+    planes: dict[str, Plane] = {}
+    server = ModelServer((address, MODEL_PORT), (address, CONTROL_PORT))
+    control, front = Client((address, CONTROL_PORT)), Client((address, FRONT_PORT))
+    direct = Client(server.address)
+    with tempfile.TemporaryDirectory(prefix="mulleinhatch-footprint-") as folder:
+        try:
+            for kind in ("control", "data"):
+                planes[kind] = Plane(tree, kind, address, Path(folder))
+                figures[f"{kind} start, ms"] = 1000.0 * await planes[kind].ready()
+                figures[f"{kind} start, processor ms"] = 1000.0 * processor_s(planes[kind].pid)
+                if kind == "control":
+                    await put_configuration(control)
+                    await server.start()
+            await _until_served(front)
+            await asyncio.sleep(load.settle_s)
+            pids = {kind: plane.pid for kind, plane in planes.items()}
+            for kind, pid in pids.items():
+                figures[f"{kind} rest, MB"] = memory_mb(pid, "VmRSS")
+            before = {kind: processor_s(pid) for kind, pid in pids.items()}
+            await asyncio.sleep(load.idle_s)
+            for kind, pid in pids.items():
+                figures[f"{kind} idle, processor ms a second"] = 1000.0 * (processor_s(pid) - before[kind]) / load.idle_s
+            await _loads(figures, pids, server, front, direct, load)
+            await asyncio.sleep(load.settle_s)
+            for kind, pid in pids.items():
+                figures[f"{kind} after load, MB"] = memory_mb(pid, "VmRSS")
+                figures[f"{kind} peak, MB"] = memory_mb(pid, "VmHWM")
+        finally:
+            for client in (control, front, direct):
+                client.close()
+            server.stop()
+            for plane in planes.values():
+                plane.end()
+    return figures
+
+
+async def _loads(
+    figures: dict[str, float], pids: dict[str, int], server: ModelServer, front: Client, direct: Client, load: Load
+) -> None:
+    async def heartbeat(number: int) -> None:
+        if (status := await server.heartbeat()) != 200:
+            raise RuntimeError(f"heartbeat {number} was answered {status}")
+
+    before = processor_s(pids["control"])
+    await at_rate(load.heartbeats, RATE, heartbeat)
+    figures["control heartbeat, processor us"] = 1e6 * (processor_s(pids["control"]) - before) / load.heartbeats
+
+    spent: dict[Client, list[float]] = {front: [], direct: []}
+    for client in (direct, front):  # each opens its connections before what counts
+
+        async def ask(number: int, client: Client = client) -> None:
+            begun = time.perf_counter()
+            answer = await client.send(request_bytes(b"/read/%d" % number))
+            spent[client].append(time.perf_counter() - begun)
+            if answer.status != 200:
+                raise RuntimeError(f"request {number} was answered {answer.status}")
+
+        before, answered = processor_s(pids["data"]), server.answered
+        await at_rate(load.requests, RATE, ask)
+        if server.answered - answered != load.requests:
+            raise RuntimeError(f"{load.requests} requests were run {server.answered - answered} times")
+        if client is front:
+            figures["data request, processor us"] = 1e6 * (processor_s(pids["data"]) - before) / load.requests
+    base = median(spent[direct])
+    figures["request added median, us"] = 1e6 * (median(spent[front]) - base)
+    figures["request added p99, us"] = 1e6 * (quantiles(spent[front], n=100)[98] - base)
+
+    events: dict[Client, list[float]] = {front: [], direct: []}
+    for client in (direct, front):
+
+        async def stream(number: int, client: Client = client) -> None:
+            answer = await client.send(request_bytes(b"/write/%d" % number), events[client])
+            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS:
+                raise RuntimeError(f"stream {number} was answered {answer.status} {answer.body[-200:]!r}")
+
+        before = processor_s(pids["data"])
+        await at_rate(load.streams, STREAM_RATE, stream)
+        if client is front:
+            figures["data stream event, processor us"] = 1e6 * (processor_s(pids["data"]) - before) / (load.streams * EVENTS)
+    figures["event added median, us"] = 1e6 * (median(events[front]) - median(events[direct]))
+
+
+def origin(tree: Path) -> str:
+    """From where a child of this tree imports the package; RuntimeError where that is another tree."""
+    told = subprocess.run(
+        [sys.executable, "-O", "-c", "import mulleinhatch; print(mulleinhatch.__file__)"],
+        cwd=tree,
+        env=tree_environment(tree),
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout.strip()
+    if not Path(told).resolve().is_relative_to(tree):
+        raise RuntimeError(f"{tree}: the package would come from {told}")
+    return os.path.dirname(told)
