--- a/tests/system/test_mixed_encodings.py
+++ b/tests/system/test_mixed_encodings.py
@@ -15,12 +15,12 @@
 import betterproto
 from data import messages_3fe6cd9 as old
 
-from mulleinhatch.services.http_client import WholeAnswer
-from mulleinhatch.standins.virtual_core import History, play, play_script, world
-from mulleinhatch.standins.virtual_core import outside as virtual_outside
-from mulleinhatch.standins.virtual_core.machines import Machine
-from mulleinhatch.standins.virtual_core.network import Network
-from mulleinhatch.standins.virtual_core.outside import Operator, Reader
+from mulleinhatch.networking.http_client import HttpResponse
+from mulleinhatch.simulation.control_plane import History, play, play_script, world
+from mulleinhatch.simulation.control_plane import clients as virtual_outside
+from mulleinhatch.simulation.control_plane.clients import Operator, Reader
+from mulleinhatch.simulation.control_plane.machines import Machine
+from mulleinhatch.simulation.control_plane.network import Network
 
 PREFIX = "/internal/"
 # Request and answer of each path, as text 3fe6cd9 sends them.
@@ -67,7 +67,9 @@
                 super().__init__(world, place, process)
                 self.world, self.place = world, place
 
-            async def request(self, address: str, method: str, path: str, body: bytes, *more: Any, **named: Any) -> WholeAnswer:
+            async def request(
+                self, address: str, method: str, path: str, body: bytes, *more: Any, **named: Any
+            ) -> HttpResponse:
                 if not path.startswith(PREFIX):
                     return await super().request(address, method, path, body, *more, **named)
                 name, target = path.removeprefix(PREFIX), self.world.machine_at(address)
@@ -76,7 +78,7 @@
                 if whole.status != 200:
                     return whole
                 answer = fleet._transcode((target, self.place), name, True, whole.body)
-                return WholeAnswer(whole.status, whole.head, answer)
+                return HttpResponse(whole.status, whole.head, answer)
 
         return Transcoding
 
--- a/tests/system/test_old_messages.py
+++ b/tests/system/test_old_messages.py
@@ -15,40 +15,40 @@
 import msgspec
 from data import messages_3fe6cd9
 
-from mulleinhatch.fleet import words as fleet_words
+from mulleinhatch.instance.gossip import messages as fleet_words
+from mulleinhatch.instance.maintenance import messages as upkeep_words
 from mulleinhatch.messages import cluster
-from mulleinhatch.upkeep import words as upkeep_words
 
 RECORDED = json.loads((Path(__file__).parent.parent / "data" / "messages.json").read_text())
 # Name of the class in text 3fe6cd9, and the class that stands for it now.
 CURRENT: dict[str, type[betterproto.Message]] = {
     "Member": cluster.Member,
     "View": cluster.View,
-    "Ballot": cluster.Ballot,
+    "Ballot": cluster.ProposalNumber,
     "VoterState": cluster.VoterState,
     "PrepareRequest": cluster.PrepareRequest,
     "AcceptRequest": cluster.AcceptRequest,
-    "VoteAnswer": cluster.VoteAnswer,
+    "VoteAnswer": cluster.VoteResponse,
     "Entry": cluster.Entry,
     "Snapshot": cluster.Snapshot,
     "AppendRequest": cluster.AppendRequest,
-    "AppendAnswer": cluster.AppendAnswer,
+    "AppendAnswer": cluster.AppendResponse,
     "SnapshotRequest": cluster.SnapshotRequest,
-    "SnapshotAnswer": cluster.SnapshotAnswer,
+    "SnapshotAnswer": cluster.SnapshotResponse,
     "ConfirmRequest": cluster.ConfirmRequest,
-    "ConfirmAnswer": cluster.ConfirmAnswer,
+    "ConfirmAnswer": cluster.ConfirmResponse,
     "Heartbeat": cluster.Heartbeat,
-    "HeartbeatAnswer": cluster.HeartbeatAnswer,
+    "HeartbeatAnswer": cluster.HeartbeatResponse,
     "LeaveRequest": cluster.LeaveRequest,
-    "LeaveAnswer": cluster.LeaveAnswer,
-    "HeldModel": cluster.HeldModel,
+    "LeaveAnswer": cluster.LeaveResponse,
+    "HeldModel": cluster.LoadedModel,
     "PendingLoad": cluster.PendingLoad,
-    "Stub": cluster.Stub,
+    "Stub": cluster.Backend,
     "ModelDemand": cluster.ModelDemand,
     "PollRequest": cluster.PollRequest,
-    "PollAnswer": cluster.PollAnswer,
+    "PollAnswer": cluster.PollResponse,
     "DemandReport": cluster.DemandReport,
-    "DemandAnswer": cluster.DemandAnswer,
+    "DemandAnswer": cluster.DemandResponse,
 }
 CURRENT_WORDS: dict[str, type[msgspec.Struct]] = {
     "Letter": fleet_words.Letter,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -10,22 +10,22 @@
 
 import pytest
 
-from mulleinhatch.control_plane.disk import Disk, Restored, entry_records, replay, stubs_record
+from mulleinhatch.control_plane.state_store import Restored, StateStore, backends_record, entry_records, replay
+from mulleinhatch.instance.maintenance.paxos_register import Ask, Ballot, Kept, Voter
+from mulleinhatch.instance.maintenance.store import Store
+from mulleinhatch.instance.maintenance.table import Permit, Table
+from mulleinhatch.instance.traces import kinds
+from mulleinhatch.instance.traces.block import Builder
+from mulleinhatch.instance.traces.file import Trace, Writer
+from mulleinhatch.instance.traces.replay import replay as replay_trace
+from mulleinhatch.instance.traces.summary import summary
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ControlState, EntryKind
-from mulleinhatch.standins.search.campaign import as_text, replayed
-from mulleinhatch.standins.search.histories import drawn
-from mulleinhatch.standins.search.play import play
-from mulleinhatch.storage.journal import NAME
+from mulleinhatch.simulation.fault_search.campaign import as_text, replayed
+from mulleinhatch.simulation.fault_search.histories import drawn
+from mulleinhatch.simulation.fault_search.play import play
+from mulleinhatch.storage.append_log import NAME
 from mulleinhatch.storage.records import MAGIC, RecordKind, decode, encode
-from mulleinhatch.traces import kinds
-from mulleinhatch.traces.block import Builder
-from mulleinhatch.traces.file import Trace, Writer
-from mulleinhatch.traces.replay import replay as replay_trace
-from mulleinhatch.traces.summary import summary
-from mulleinhatch.upkeep.register import Ask, Ballot, Kept, Voter
-from mulleinhatch.upkeep.store import Store
-from mulleinhatch.upkeep.table import Permit, Table
 
 DATA = Path(__file__).parent / "data"
 IDENTITIES = ["first-10.0.0.1:80", "first-10.0.0.2:80", "first-10.0.0.3:80"]
@@ -34,7 +34,7 @@
 def opened(folder: str, tmp_path: Path) -> Restored:
     """What the current control plane finds on a disk that holds a kept file."""
     shutil.copytree(DATA / folder, tmp_path, dirs_exist_ok=True)
-    restored = Disk(str(tmp_path), lambda: 0.0).open("another identity")
+    restored = StateStore(str(tmp_path), lambda: 0.0).open("another identity")
     assert (tmp_path / NAME).read_bytes() == (DATA / folder / NAME).read_bytes()
     return restored
 
@@ -72,7 +72,7 @@
     assert bytes(state.voter) == last[RecordKind.VOTER]
     assert bytes(state.snapshot) == last[RecordKind.SNAPSHOT]
     assert entry_records(state.entries) == [record for record in records if record.kind == RecordKind.ENTRY]
-    assert stubs_record(state.stubs).body == last[RecordKind.STUBS]
+    assert backends_record(state.backends).body == last[RecordKind.BACKENDS]
 
 
 def test_control_identity_and_votes(tmp_path: Path) -> None:
@@ -94,7 +94,7 @@
 def test_control_snapshot(tmp_path: Path) -> None:
     snapshot = opened("control", tmp_path).snapshot
     assert (snapshot.index, snapshot.epoch, snapshot.configuration_version) == (6, 1, 5)
-    assert (snapshot.holder, snapshot.fence_token, snapshot.left) == (IDENTITIES[1], 6, ["i-7 4", "i-8 4"])
+    assert (snapshot.holder, snapshot.fencing_token, snapshot.left) == (IDENTITIES[1], 6, ["i-7 4", "i-8 4"])
     assert snapshot.forgotten_version == 0
     assert snapshot.digests == [
         "77de44bcc0573ffaa4a7c8379c8d05ec 1",
@@ -106,7 +106,7 @@
     assert value["services"] == [{"name": "cart", "connection_limit": 8}, {"name": "search", "connection_limit": 16}]
 
 
-def test_control_entries_and_stubs(tmp_path: Path) -> None:
+def test_control_entries_and_backends(tmp_path: Path) -> None:
     restored = opened("control", tmp_path)
     expected = [(7, 1, EntryKind.PATCH), (8, 1, EntryKind.LEAVE), (9, 1, EntryKind.PATCH)]
     assert [(entry.index, entry.epoch, entry.kind) for entry in restored.entries] == expected
@@ -114,7 +114,7 @@
     assert restored.entries[0].body == b'{"version": 6, "remove": {"routes": ["cart"]}}'
     assert restored.entries[0].digest == "53b3ee6b35347d5087c1d8db28728e84"
     assert restored.committed == 8
-    ready, leaving = restored.stubs
+    ready, leaving = restored.backends
     assert (ready.id, ready.service, ready.address, ready.zone) == ("i-1", "cart", "10.9.0.1:8001", "z1")
     assert (ready.version, ready.slots, ready.sequence, ready.order_revision, ready.draining) == ("7", 4, 12, 9, False)
     assert [(one.name, one.version, one.adapters) for one in ready.models] == [("m-1", 4, ["a-1", "a-2"])]
@@ -127,7 +127,7 @@
     state = committed_state(opened("control", tmp_path))
     assert (state.index, state.document.version) == (8, 6)
     assert [route["name"] for route in state.document.value["routes"]] == ["find"]
-    assert (state.holder, state.fence_token) == (IDENTITIES[1], 6)
+    assert (state.holder, state.fencing_token) == (IDENTITIES[1], 6)
     assert (state.left, state.left_index) == ({"i-7": 4, "i-8": 4, "i-9": 8}, 8)
     assert list(state.digests.values()) == [1, 2, 5, 6]
     taken = b'{"version": 6, "remove": {"routes": ["cart"]}}'
@@ -143,14 +143,14 @@
     assert (restored.identity, view.epoch, restored.settled) == (IDENTITIES[0], 9, True)
     assert [member.identity for member in view.voters] == [*IDENTITIES[:2], "disk-306082ef137b4694"]
     assert [member.name for member in view.chain] == ["core-1", "core-3", "core-0"]
-    assert (restored.snapshot.index, restored.snapshot.configuration_version, restored.snapshot.fence_token) == (53, 54, 44)
+    assert (restored.snapshot.index, restored.snapshot.configuration_version, restored.snapshot.fencing_token) == (53, 54, 44)
     kinds_by_index = {entry.index: entry.kind for entry in restored.entries}
     assert list(kinds_by_index) == list(range(54, 67))
     assert list(kinds_by_index.values()) == [4, 4, 2, 3, 2, *[3] * 7, 1]
     state = committed_state(restored)
     assert (state.index, state.epoch, state.document.version) == (65, 9, 57)
     assert state.document.value["services"] == [{"name": "noted", "note": "one-24"}]
-    assert (state.holder, state.fence_token) == (IDENTITIES[1], 65)
+    assert (state.holder, state.fencing_token) == (IDENTITIES[1], 65)
     assert state.left == {"stub-1.1": 20, "stub-0.1": 23, "stub-1.2": 36, "stub-1.3": 54, "stub-0.2": 55}
     assert (len(state.digests), state.forgotten_version) == (38, 0)
 
