--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -13,7 +13,7 @@
 from mulleinhatch.messages.cluster import PollRequest, PollResponse
 from mulleinhatch.networking.http_server import HttpServerRequest
 from mulleinhatch.simulation.control_plane import Defect, History, World, play_script
-from mulleinhatch.simulation.control_plane.clients import HttpClient, Operator, Reader, Sent
+from mulleinhatch.simulation.control_plane.clients import Caller, Operator, Reader, Sent
 from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S
 from mulleinhatch.simulation.control_plane.machines import Machine
 
@@ -187,7 +187,7 @@
 
     def test_of_two_on_one_version_at_once_one_is_confirmed(self):
         async def script(world: World) -> None:
-            caller = HttpClient(world)
+            caller = Caller(world)
             for number in range(30):
                 base = world.watch.believed
                 bodies = [
@@ -217,7 +217,7 @@
             for _ in range(40):
                 await change(world)
             for machine in world.machines:
-                answer = await HttpClient(world).call(machine, first.method, "/configuration", first.body, first.base)
+                answer = await Caller(world).call(machine, first.method, "/configuration", first.body, first.base)
                 self.assertEqual(answer.status, 200)
 
         self.played(script)
@@ -228,7 +228,7 @@
             former = head(world)
             stop(world, former)
             await asyncio.sleep(3.0)
-            answer = await HttpClient(world).call(head(world), sent.method, "/configuration", sent.body, sent.base)
+            answer = await Caller(world).call(head(world), sent.method, "/configuration", sent.body, sent.base)
             self.assertEqual(answer.status, 200)
 
         self.played(script)
@@ -364,7 +364,7 @@
                 for plane in world.planes:
                     plane.start()
                 await asyncio.sleep(CATCH_UP_S + 1.0)
-                answer = await HttpClient(world).call(world.machines[0], "GET", "/configuration", b"")
+                answer = await Caller(world).call(world.machines[0], "GET", "/configuration", b"")
                 self.assertEqual(json.loads(answer.body)["version"], sent.version)
                 await asyncio.sleep(CATCH_UP_S)
 
