--- a/mulleinhatch/data_plane/request_state.py
+++ b/mulleinhatch/data_plane/request_state.py
@@ -29,7 +29,7 @@
 class Next(Enum):
     """What becomes of a request."""
 
-    ANOTHER_BACKEND = "another stub"
+    ANOTHER_BACKEND = "another backend"
     REFUSE = "503 with Retry-After: it has not run and will not"
     FAIL = "502: whether it ran is not known"
     TIME_OVER = "504: it may have run"
@@ -39,7 +39,7 @@
 class Answer(Enum):
     """What the head of an answer says."""
 
-    NOT_RUN = "the stub says that it did not run the request"
+    NOT_RUN = "the backend says that it did not run the request"
     SPOILT = "no answer that may be passed on; the request may have run"
     WHOLE = "passed on"
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -386,7 +386,7 @@
         return super().room()
 
 
-class QueueFullError(Counted):
+class Full(Counted):
     """Waits for more, and has no room for it."""
 
     def room(self) -> memoryview:
@@ -421,7 +421,7 @@
 
 def test_a_reader_without_room_costs_its_connection_and_no_other() -> None:
     async def cross() -> None:
-        place, full = Place(), QueueFullError()
+        place, full = Place(), Full()
         place.connections.reader = lambda: full
         stuck = place.caller()
         await until(lambda: place.counts["errors_inside"])
