--- a/mulleinhatch/cli/instance/counters.py
+++ b/mulleinhatch/cli/instance/counters.py
@@ -6,7 +6,7 @@
 import urllib.request
 from typing import Any
 
-from mulleinhatch.networking.http import COUNTERS_PATH
+from mulleinhatch.instance.protocol.http_requests import COUNTERS_PATH
 
 
 def run(told: dict[str, Any]) -> int:
--- a/mulleinhatch/cli/instance/fleet.py
+++ b/mulleinhatch/cli/instance/fleet.py
@@ -9,8 +9,8 @@
 import urllib.request
 from typing import Any
 
+from mulleinhatch.instance.protocol.http_requests import FLEET_PATH
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.networking.http import FLEET_PATH
 
 LOOK = 0.5  # seconds between two looks
 
--- a/mulleinhatch/data_plane/front.py
+++ b/mulleinhatch/data_plane/front.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from mulleinhatch.configuration.routes import Limits
-from mulleinhatch.networking.http import BadRequestError
+from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, MessageReader, reason, write_answer
 
 LOG = logging.getLogger(__name__)
--- a/mulleinhatch/networking/http.py
+++ b/mulleinhatch/instance/protocol/http_requests.py
@@ -1,58 +1,25 @@
-"""Heads of HTTP/1.1, parsed in the buffer that the socket filled, and the answers as pieces to gather."""
+"""HTTP requests of callers: read in the buffer that the socket filled, in full or by one pass over their plain form."""
 
 from __future__ import annotations
 
 import math
 import re
 
-from mulleinhatch.admission.interface import Ending
+from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
 MOST_HEAD, MOST_BODY = 8192, 2048  # bytes of a request
 SMALL_BUFFER = 2048  # until a message needs more: an idle connection must not cost as much as a busy one
-HEAD_END, LINE_END = b"\r\n\r\n", b"\r\n"
-HEAD_LINES = re.compile(rb"(?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\x00-\x08\x0a-\x1f\x7f]*\r\n)*")
 BARE_END = re.compile(rb"(?<!\r)\n")
 NUMBER = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
 OP_ID = re.compile(rb"[0-9A-Fa-f]{16}")
 LONGEST = 3600.0  # seconds of an age or a wait: what tells of more is no figure of ours
 LEAST_KB, MOST_KB = 1e-9, 2000.0  # memory that an op may book
-PLACES = 15  # after the point, of a figure that is read
-MOST_RANK = 1.0 - 1e-15  # the highest that can be written
-NEIGHBOURS = 4  # floats looked at on either side for the figure that a unit was taken from
 CLOCK_SLACK = 1.0  # seconds that an arrival may lie ahead of our clock
-REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    409: b"Conflict",
-    411: b"Length Required",
-    413: b"Content Too Large",
-    422: b"Unprocessable Content",
-    429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large",
-    500: b"Internal Server Error",
-    502: b"Bad Gateway",
-    503: b"Service Unavailable",
-    504: b"Gateway Timeout",
-}
 ONLY_ONCE = (b"content-length", b"transfer-encoding", b"connection", b"host", b"idempotency-key")
 HAND = b"x-hand"  # on an op that a peer hands over: the number of the offer, 0 for none; it is handed on once at most
-MOST_RESULT = 65536  # bytes of a peer's answer
-ANSWER_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
-CALL_PATH = b"/v1/exec"
 OP_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
 
 
-class BadRequestError(ValueError):
-    """What is wrong with a request, in a few words to count by, and the status that says so."""
-
-    def __init__(self, cause: str, status: int = 400) -> None:
-        super().__init__(cause)
-        self.cause, self.status = cause, status
-
-
 class RequestReader:
     """The requests of one connection, one after another in one buffer.
 
@@ -207,22 +174,6 @@
     return told.get(b"rank", 0.0), 0.001 * told.get(b"cost-ms", 0.0), told.get(b"memory-kb", 0.0)
 
 
-TURNED_BACK = b"".join([b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n%b%b", b"X-Dont-Retry: 1\r\n\r\n"])
-
-
-def turned_back(level: float | None, hold_off: float) -> bytes:
-    """The nack of a repeat in a storm, in one piece; no time to come back at where the settings allow none.
-
-    >>> turned_back(0.25, 1.5) == b"".join(answer(429, level=0.25, hold_off=1.5, not_elsewhere=True))
-    True
-    >>> b"Retry-After" in turned_back(None, 0.0)
-    False
-    """
-    signal = b"" if level is None else b"X-Load-Signal: %.4f\r\n" % level
-    back = b"Retry-After-Ms: %d\r\n" % max(1, round(hold_off * 1000.0)) if hold_off > 0.0 else b""
-    return TURNED_BACK % (signal, back)
-
-
 def number(
     fields: dict[bytes, bytes],
     name: bytes,
@@ -237,7 +188,7 @@
     (0.5, 0.0)
     >>> number({b"x-rank": b"1e-1"}, b"x-rank")
     Traceback (most recent call last):
-    mulleinhatch.networking.http.BadRequestError: x-rank
+    mulleinhatch.networking.http_grammar.BadRequestError: x-rank
     """
     text = fields.get(name)
     if text is None and absent is not None:
@@ -271,138 +222,3 @@
         key.decode("latin-1"),
         number(fields, b"x-rank", below=1.0),
     )
-
-
-def figure(value: float, unit: float = 1.0) -> str:
-    """The text of a figure that `number` reads as exactly this value, if it read it before: with its 15 places they are one for
-    one, but a unit rounds, so that the neighbours are tried, too.
-
-    >>> figure(0.62503), figure(float("173.80371") * 0.001, 0.001), figure(24.5)
-    ('0.62503', '173.80371', '24.5')
-    """
-    near = below = above = value / unit
-    for _ in range(NEIGHBOURS):
-        for one in (near, below, above):
-            for text in (f"{one:.{PLACES}g}", f"{one:.{PLACES}f}"):
-                if float(text) * unit == value and NUMBER.fullmatch(text.encode()):
-                    return text
-        below, above = math.nextafter(below, 0.0), math.nextafter(above, math.inf)
-    return f"{near:.{PLACES}f}"
-
-
-def handed(
-    ref: str,
-    op_type: str,
-    tenant: str,
-    body: bytes,
-    started_ms: float,
-    wait_ms: float,
-    caller: int,
-    work: float,
-    kb: float,
-    again: bool,
-    rank: float,
-    offer: int,
-    host: str,
-    key: str = "",
-) -> list[bytes]:
-    """The request by which an op goes to a peer, in the callers' own protocol, as pieces for one gathered write. Key and
-    figures are the caller's to the last digit: by them the peer knows a retry that comes to it."""
-    head = (
-        f"POST /svc/{op_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {ref}\r\nX-Request-Start: {started_ms:.0f}\r\n"
-        f"X-Caller: {caller}\r\nX-Memory-Kb: {figure(max(kb, LEAST_KB))}\r\n"
-        f"X-Rank: {figure(min(rank, MOST_RANK))}\r\nX-Hand: {offer}\r\n"
-        + (f"X-Timeout-Ms: {wait_ms:.0f}\r\n" if wait_ms > 0.0 else "")
-        + (f"X-Cost-Ms: {figure(work, 0.001)}\r\n" if work else "")
-        + (f"X-Object: {key}\r\n" if key else "")
-        + (f"X-Tenant: {tenant}\r\n" if tenant else "")
-        + ("X-Retry: 1\r\n" if again else "")
-    )
-    return [head.encode("latin-1"), b"Content-Length: %d\r\n\r\n" % len(body), body]
-
-
-def answer_told(head: bytes) -> tuple[int, int, bool]:
-    """Status, length of the body and whether the connection closes, of a peer's answer. ValueError where it is none, or where
-    it leaves open which bytes are its body: another answer may hide there. An interim answer (1xx) has no body.
-
-    >>> answer_told(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
-    (103, 0, False)
-    >>> answer_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nContent-Length: 6\\r\\n\\r\\n")
-    Traceback (most recent call last):
-    mulleinhatch.networking.http.BadRequestError: answer length
-    >>> answer_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nConnection: close\\r\\n\\r\\n")
-    (200, 5, True)
-    """
-    line = ANSWER_LINE.match(head)
-    if line is None:
-        raise BadRequestError("answer line")
-    if not HEAD_LINES.fullmatch(head, line.end(), len(head) - len(LINE_END)):
-        raise BadRequestError("answer field")
-    pairs = [field.partition(b":") for field in head[line.end() : -len(HEAD_END)].split(LINE_END)]
-    fields = {name.lower(): text.strip(b" \t") for name, _, text in pairs}
-    if line[1].startswith(b"1"):
-        return int(line[1]), 0, False
-    length = fields.get(b"content-length", b"")
-    if (
-        not length.isdigit()
-        or len(length) > 9
-        or int(length) > MOST_RESULT
-        or (b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1)
-    ):
-        raise BadRequestError("answer length")
-    return int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close"
-
-
-def call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
-    """A call of the dependency, as pieces for one gathered write: what the run asks for, unchanged, and for how long."""
-    return [
-        b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n"
-        % (CALL_PATH, host.encode(), ref.encode("latin-1"), max(1, int(wait_ms)), len(query)),
-        query,
-    ]
-
-
-def call_told(head: bytes) -> tuple[int, int, bool]:
-    """How a call ended, the length of what came with it, whether the connection closes. What says that nothing was started
-    proves it; anything else but a result may have had its effect.
-
-    >>> call_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\n")
-    (<Ending.OK: 1>, 5, False)
-    >>> call_told(b"HTTP/1.1 503 Busy\\r\\nNever-Started: 1\\r\\nContent-Length: 0\\r\\n\\r\\n")[0]
-    <Ending.FULL: 3>
-    """
-    status, length, last = answer_told(head)
-    if status < 200:
-        return status, length, last
-    if status == 200:
-        return Ending.OK, length, last
-    unstarted = b"\r\nnever-started:" in head.lower()
-    return Ending.FULL if unstarted else Ending.TIMEOUT if status in (408, 504) else Ending.ERROR, length, last
-
-
-def answer(
-    status: int,
-    body: bytes = b"",
-    level: float | None = None,
-    hold_off: float = 0.0,
-    not_elsewhere: bool = False,
-    close: bool = False,
-) -> list[bytes]:
-    """Status line, fields and body as pieces for one gathered write.
-
-    >>> b"".join(answer(429, level=0.5, hold_off=0.25, not_elsewhere=True)).split(LINE_END)[1:5]
-    [b'Content-Length: 0', b'X-Load-Signal: 0.5000', b'Retry-After-Ms: 250', b'X-Dont-Retry: 1']
-    """
-    pieces = [b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASONS[status], len(body))]
-    if level is not None:
-        pieces.append(b"X-Load-Signal: %.4f\r\n" % level)
-    if hold_off > 0.0:
-        pieces.append(b"Retry-After-Ms: %d\r\n" % max(1, round(hold_off * 1000.0)))
-    if not_elsewhere:
-        pieces.append(b"X-Dont-Retry: 1\r\n")
-    if close:
-        pieces.append(b"Connection: close\r\n")
-    pieces.append(LINE_END)
-    if body:
-        pieces.append(body)
-    return pieces
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -11,10 +11,11 @@
 from functools import partial
 from typing import Any
 
+from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.request_state_machine.reducer import Happening
 from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
 from mulleinhatch.instance.transport.connections import Connections
-from mulleinhatch.networking import http
+from mulleinhatch.networking import http_grammar
 
 LOG = logging.getLogger(__name__)
 UNFIT = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
@@ -25,7 +26,7 @@
         self.take, self.count, self.counters = take, count, counters
         self.connections = Connections(
             most,
-            http.RequestReader,
+            http_requests.RequestReader,
             time.monotonic,
             on_message=self.request,
             on_broken=self.broken,
@@ -45,40 +46,40 @@
             self.closing.add(place)
         try:
             self._route(place, method, path.partition(b"?")[0], fields, body)
-        except http.BadRequestError as error:
+        except http_grammar.BadRequestError as error:
             self._write(place, self._blame(place, error))
 
     def _route(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        if path.startswith(http.OP_PATH):
+        if path.startswith(http_requests.OP_PATH):
             if method != b"POST":
-                raise http.BadRequestError("method", 405)
-            *told, rank = http.op_told(path, fields, time.time())
-            handed = http.HAND in fields and self.on_hand is not None
+                raise http_grammar.BadRequestError("method", 405)
+            *told, rank = http_requests.op_told(path, fields, time.time())
+            handed = http_requests.HAND in fields and self.on_hand is not None
             if handed:
-                self.on_hand(fields[http.HAND])
+                self.on_hand(fields[http_requests.HAND])
             self.take(Happening.OP_READ, place, *told, body, rank, handed)
-        elif path == http.HEALTH_PATH:
+        elif path == http_requests.HEALTH_PATH:
             self.take(Happening.CHECKED, place)
-        elif path == http.COUNTERS_PATH:
+        elif path == http_requests.COUNTERS_PATH:
             self._write(place, 200, self.counters().encode())
-        elif path == http.FLEET_PATH and self.fleet:
+        elif path == http_requests.FLEET_PATH and self.fleet:
             self._write(place, 200, self.fleet())
         else:
-            raise http.BadRequestError("path", 404)
+            raise http_grammar.BadRequestError("path", 404)
 
-    def _blame(self, place: int, error: http.BadRequestError) -> int:
+    def _blame(self, place: int, error: http_grammar.BadRequestError) -> int:
         self.connections.blame(place)
         self.count("bad_" + error.cause.replace(" ", "_"))
         LOG.debug("bad request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
 
-    def broken(self, place: int, error: http.BadRequestError) -> None:
+    def broken(self, place: int, error: http_grammar.BadRequestError) -> None:
         """Where the next request would begin is not known: the connection ends with this answer."""
         self.closing.add(place)
         self._write(place, self._blame(place, error))
 
     def late(self, place: int) -> None:
-        self.broken(place, http.BadRequestError("slow sender", 408))
+        self.broken(place, http_grammar.BadRequestError("slow sender", 408))
 
     def lost(self, place: int) -> None:
         self.closing.discard(place)
@@ -94,7 +95,7 @@
     def _look(self, place: int, now: float, data: bytes, back_at: float) -> tuple[bytes, float] | None:
         """The nack of a try that is turned back, and when its caller is told to come back. `back_at` is when the
         connection's last answer told it to; who never heard of such a time is neither punctual nor stubborn."""
-        told = None if self.leaving else http.short_look(data)
+        told = None if self.leaving else http_requests.short_look(data)
         if told is None:
             return None
         soon = now < back_at - PUNCTUAL
@@ -104,12 +105,12 @@
             punctual=back_at > 0.0 and not soon,
             stubborn=soon,
             place=place,
-            figures=partial(http.short_figures, data),
+            figures=partial(http_requests.short_figures, data),
         )
         if seconds is None:
             return None
         self.count("answers_429")
-        return http.turned_back(self.level(), seconds), now + seconds
+        return http_responses.turned_back(self.level(), seconds), now + seconds
 
     def nack(self, place: int, hold_off: float, not_elsewhere: bool, level: float | None) -> None:
         if hold_off > 0.0:
@@ -121,7 +122,7 @@
 
     def refuse(self, place: int, what: str) -> None:
         """A request in good form that this deployment, or what else is open here, has no place for."""
-        self._write(place, self._blame(place, http.BadRequestError(what, UNFIT.get(what, 404))))
+        self._write(place, self._blame(place, http_grammar.BadRequestError(what, UNFIT.get(what, 404))))
 
     def health(self, place: int, good: bool, level: float | None) -> None:
         self._write(place, 200 if good else 503, level=level)
@@ -133,5 +134,5 @@
     def _write(self, place: int, status: int, body: bytes = b"", **fields: Any) -> None:
         last = place in self.closing
         self.closing.discard(place)
-        pieces = http.answer(status, body, close=last or self.leaving, **fields)
+        pieces = http_responses.answer(status, body, close=last or self.leaving, **fields)
         self.count(f"answers_{status}" if self.connections.answer(place, pieces, last) else "answers_unsent")
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -13,10 +13,10 @@
 from mulleinhatch.instance.gossip.core import Fleet
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
+from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
-from mulleinhatch.networking import http
 
 LOG = logging.getLogger(__name__)
 ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
@@ -39,7 +39,7 @@
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.take, self.send = reducer, take, send
         self.core = Spread(bounds, fleet, placement.seed, time.monotonic(), returns=True)
-        self.peers = Peers(bounds.links, http.answer_told, time.monotonic)
+        self.peers = Peers(bounds.links, http_peers.answer_told, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.told_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -130,7 +130,7 @@
         key: str,
     ) -> None:
         wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
-        pieces = http.handed(
+        pieces = http_peers.handed(
             ref,
             op_type,
             tenant,
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Protocol
 
-from mulleinhatch.networking.http import BadRequestError
+from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_request
 
 MOST_ANSWER_HEAD = 65536
--- a/mulleinhatch/networking/http_streaming.py
+++ b/mulleinhatch/networking/http_streaming.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mulleinhatch.networking.http import HEAD_END, HEAD_LINES, LINE_END, REASONS, BadRequestError
+from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, REASONS, BadRequestError
 
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
 MOST_CHUNK_LINE = 256  # bytes of a chunk's size line
--- a/mulleinhatch/testing/fake_model_server.py
+++ b/mulleinhatch/testing/fake_model_server.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from mulleinhatch.data_plane.exchange import read_prompt
-from mulleinhatch.networking.http import BadRequestError
 from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_answer
 
 LOG = logging.getLogger(__name__)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,13 +26,14 @@
 import pytest
 from tornado.ioloop import IOLoop
 
+from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.runtime.background_tasks import Tasks
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
 from mulleinhatch.instance.transport import connections as transport
 from mulleinhatch.instance.transport.connections import Connection, Connections
 from mulleinhatch.instance.transport.link import CONNECT_WAIT, Link
 from mulleinhatch.instance.transport.stream import GatheringStream
-from mulleinhatch.networking import http
+from mulleinhatch.networking import http_grammar
 from standins import SocketPlay, told_at_start
 
 ROOT = Path(__file__).parent.parent
@@ -50,7 +51,7 @@
         self.now = 0.0  # added to the clock
         self.connections = Connections(
             most,
-            http.RequestReader,
+            http_requests.RequestReader,
             lambda: time.monotonic() + self.now,
             on_message=self.message,
             on_broken=self.broken,
@@ -63,14 +64,14 @@
 
     def message(self, number: int, *_: object) -> None:
         self.heard.append(number)
-        self.connections.answer(number, http.answer(200, b"ok"))
+        self.connections.answer(number, http_responses.answer(200, b"ok"))
 
     def broken(self, number: int, _: ValueError) -> None:
-        self.connections.answer(number, http.answer(400), last=True)
+        self.connections.answer(number, http_responses.answer(400), last=True)
 
     def too_late(self, number: int) -> None:
         self.late.append(number)
-        self.connections.answer(number, http.answer(408, self.body, close=True), last=True)
+        self.connections.answer(number, http_responses.answer(408, self.body, close=True), last=True)
 
     def caller(self, receive: int = 0) -> socket.socket:
         sock = socket.socket()
@@ -335,12 +336,12 @@
         later = place.caller()
         later.send(CHECK)
         for number in list(place.heard):
-            place.connections.answer(number, http.answer(200), last=True)
+            place.connections.answer(number, http_responses.answer(200), last=True)
         for caller in callers:
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
         await until(lambda: len(place.heard) == 6)
-        place.connections.answer(place.heard[5], http.answer(200))
+        place.connections.answer(place.heard[5], http_responses.answer(200))
         assert (await asyncio.get_running_loop().sock_recv(later, 4096)).startswith(b"HTTP/1.1 200")
         later.close()
 
@@ -356,7 +357,7 @@
         def bad(number: int, *_: object) -> None:
             place.heard.append(number)
             place.connections.blame(number)
-            place.connections.answer(number, http.answer(404))
+            place.connections.answer(number, http_responses.answer(404))
 
         place.connections.on_message = bad
         bads = [place.caller() for _ in range(8)]
@@ -375,7 +376,7 @@
     run(cross())
 
 
-class Counted(http.RequestReader):
+class Counted(http_requests.RequestReader):
     """Gives room so often that any request would be read, and then an error: what would go round for ever fails here."""
 
     rooms = 0
@@ -393,7 +394,15 @@
         return super().room()[:0]
 
 
-@pytest.mark.parametrize("head", [http.MOST_HEAD, http.MOST_HEAD + 1, http.MOST_HEAD + 1000, http.MOST_HEAD + http.MOST_BODY])
+@pytest.mark.parametrize(
+    "head",
+    [
+        http_requests.MOST_HEAD,
+        http_requests.MOST_HEAD + 1,
+        http_requests.MOST_HEAD + 1000,
+        http_requests.MOST_HEAD + http_requests.MOST_BODY,
+    ],
+)
 def test_a_long_head_that_comes_whole_with_a_part_of_its_body_leaves_the_others_served(head: int) -> None:
     """It lies there whole before the first read: its end is found in the same read in which it grew too long."""
 
@@ -402,8 +411,13 @@
         place.connections.reader = Counted
         long, other = place.caller(), place.caller()
         await place.taken(2)
-        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http.MOST_BODY
-        sent = words + (head - len(words) - len(http.HEAD_END)) * b"a" + http.HEAD_END + http.MOST_BODY * b"b"
+        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MOST_BODY
+        sent = (
+            words
+            + (head - len(words) - len(http_grammar.HEAD_END)) * b"a"
+            + http_grammar.HEAD_END
+            + http_requests.MOST_BODY * b"b"
+        )
         assert long.send(sent) == len(sent)
         arrived(long_end := next(iter(place.connections.open.values())).stream.socket)
         assert len(long_end.recv(len(sent), socket.MSG_PEEK)) == len(sent)
@@ -411,7 +425,7 @@
         loop = asyncio.get_running_loop()
         assert (await asyncio.wait_for(loop.sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
         answer = await asyncio.wait_for(loop.sock_recv(long, 4096), SOON)
-        assert answer.startswith(b"HTTP/1.1 200" if head <= http.MOST_HEAD else b"HTTP/1.1 400")
+        assert answer.startswith(b"HTTP/1.1 200" if head <= http_requests.MOST_HEAD else b"HTTP/1.1 400")
         assert not place.counts["errors_inside"]
         for caller in (long, other):
             caller.close()
@@ -426,7 +440,7 @@
         stuck = place.caller()
         await until(lambda: place.counts["errors_inside"])
         assert full.rooms == 1
-        place.connections.reader = http.RequestReader
+        place.connections.reader = http_requests.RequestReader
         other = place.caller()
         other.send(CHECK)
         assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -7,10 +7,10 @@
 import pytest
 
 from mulleinhatch.admission.interface import Effect, Ending
+from mulleinhatch.instance.protocol.http_requests import RequestReader, op_told, short_figures
 from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
-from mulleinhatch.networking.http import RequestReader, op_told, short_figures
 from mulleinhatch.simulation.instance_world import Weather, World
 
 AFTER_KILL = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -20,9 +20,10 @@
 
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Advice, Decision, Effect, StopMode, Verb
+from mulleinhatch.instance.protocol.http_requests import MOST_BODY, MOST_HEAD, RequestReader
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
-from mulleinhatch.networking.http import HEAD_END, MOST_BODY, MOST_HEAD, BadRequestError, RequestReader
+from mulleinhatch.networking.http_grammar import HEAD_END, BadRequestError
 from standins import Interpreter, SocketPlay, told_at_start
 
 ROOT = Path(__file__).parent
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -15,8 +15,8 @@
 from mulleinhatch.instance.load_balancing.estimates import SCATTER, Evidence, Window, drawn, usual
 from mulleinhatch.instance.load_balancing.offers import Giver, Taker
 from mulleinhatch.instance.load_balancing.shares import Seen, Share
+from mulleinhatch.instance.protocol import http_peers, http_requests
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.networking import http
 from mulleinhatch.simulation.gossip_world import Plan, weather
 from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld, common_queue
 from mulleinhatch.testing import fault_script as faults
@@ -118,15 +118,15 @@
 
 
 def test_the_request_to_a_peer_is_one_that_the_own_reader_takes() -> None:
-    pieces = http.handed("00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1")
-    reader = http.RequestReader()
+    pieces = http_peers.handed("00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1")
+    reader = http_requests.RequestReader()
     data = b"".join(pieces)
     reader.room()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
-    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http.op_told(path, fields, 1e9 + 0.5)
+    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http_requests.op_told(path, fields, 1e9 + 0.5)
     assert (ref, op_type, tenant, caller, again, key, body) == ("00000000000000ab", "read", "t", 3, True, "", b"body")
-    assert (age, wait, work, fields[http.HAND]) == (pytest.approx(0.5), pytest.approx(1.0), 0.05, b"17") and kb > 0.0
+    assert (age, wait, work, fields[http_requests.HAND]) == (pytest.approx(0.5), pytest.approx(1.0), 0.05, b"17") and kb > 0.0
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
 )
 def test_a_peers_answer_that_is_none(head: bytes) -> None:
     with pytest.raises(ValueError):
-        http.answer_told(head)
+        http_peers.answer_told(head)
 
 
 def test_the_spread_node_wants_a_fleet_and_names_the_faulty_line() -> None:
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -10,6 +10,7 @@
 import pytest
 
 from mulleinhatch.admission.interface import Ending
+from mulleinhatch.instance.protocol.http_requests import RequestReader, op_told, short_look
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
@@ -18,7 +19,7 @@
 from mulleinhatch.instance.retry_storms.request_log import HeavyCallers, Lately
 from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.networking.http import BadRequestError, RequestReader, op_told, short_look
+from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.simulation.instance_world import Weather, World
 from mulleinhatch.testing import fault_script as faults
 from standins import SocketPlay
