--- a/mulleinhatch/data_plane/exchange.py
+++ b/mulleinhatch/data_plane/exchange.py
@@ -42,9 +42,9 @@
 
 def read_prompt(head: Head) -> Prompt:
     """
-    >>> from mulleinhatch.networking.http_streaming import request_head
+    >>> from mulleinhatch.networking.http_streaming import parse_request_head
     >>> lines = b"POST / HTTP/1.1", b"Model: m/a1", b"Token-Usage: 30,4", b"Prompt-Prefix: a:1,b:2", b"", b""
-    >>> read_prompt(request_head(b"\\r\\n".join(lines)))
+    >>> read_prompt(parse_request_head(b"\\r\\n".join(lines)))
     Prompt(model='m', adapter='a1', tokens=30, prefix='a', session='b')
     """
     model, _, adapter = head.first.get(b"model", b"").decode("latin-1").partition("/")
--- a/mulleinhatch/data_plane/front.py
+++ b/mulleinhatch/data_plane/front.py
@@ -10,7 +10,7 @@
 
 from mulleinhatch.configuration.routes import Limits
 from mulleinhatch.networking.http_grammar import BadRequestError
-from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, MessageReader, reason, write_answer
+from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, MessageReader, reason, write_response
 
 LOG = logging.getLogger(__name__)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -31,7 +31,7 @@
 
     def __init__(self, front: Front) -> None:
         self._front = front
-        self._reader = MessageReader(answers=False, most_head=front.limits().max_header_bytes)
+        self._reader = MessageReader(answers=False, max_head_bytes=front.limits().max_header_bytes)
         self._head: Head | None = None
         self._body: list[bytes] = []
         self._size = 0
@@ -173,7 +173,7 @@
         last = self._last() or status in (400, 408, 413, 431)
         if last:
             fields.append((b"Connection", b"close"))
-        self.transport.write(write_answer(status, fields, message.encode() + b"\n"))
+        self.transport.write(write_response(status, fields, message.encode() + b"\n"))
         self._done(last)
 
     def write_head(self, head: Head, length: int | None) -> None:
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -52,7 +52,7 @@
         self.idle_until = 0.0  # loop time from which it must not be used again, 0 where the peer told none
         self.requests = 0
         self.pool: object | None = None  # set by who keeps it; hears `on_idle_loss(connection)`
-        self._reader = MessageReader(answers=True, most_head=MOST_ANSWER_HEAD)
+        self._reader = MessageReader(answers=True, max_head_bytes=MOST_ANSWER_HEAD)
         self._sink: AnswerSink | None = None
         self._head: Head | None = None
         self._paused = False
--- a/mulleinhatch/networking/http_streaming.py
+++ b/mulleinhatch/networking/http_streaming.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 messages whose bodies are passed on as they come: heads, bodies by length, in chunks or to the end of the
-connection.
+"""HTTP/1.1 messages whose bodies are relayed as they arrive: heads, and bodies by length, in chunks or until the connection
+closes.
 
-For the system's data plane (clients and stubs) and its HTTP client. Parsers without I/O: bytes in, `Head`, body pieces and the
-end out. Strict where two readings of the same bytes could differ, as another request might hide there.
+Used by the data plane (towards clients and backends) and by the HTTP client. Parsers without I/O: bytes in, a `Head`, chunks
+of the body and the end of the message out. The parsers are strict wherever two readings of the same bytes are possible,
+because a second request could be hidden there (request smuggling). Source: RFC 9112, sections 5 to 7 and 11.2.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, REASONS, BadRequestError
 
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
-MOST_CHUNK_LINE = 256  # bytes of a chunk's size line
-MOST_TRAILER = 8192
-NO_BODY_STATUS = (204, 304)
+MAX_CHUNK_LINE_BYTES = 256  # bytes of a chunk's size line
+MAX_TRAILER_BYTES = 8192
+STATUSES_WITHOUT_BODY = (204, 304)
 REQUEST_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([^ \x00-\x20\x7f]+) HTTP/1\.([01])\r\n")
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([0-9]{3})(?: [^\r\n]*)?\r\n")
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[^\r\n]*)?\Z")
@@ -25,10 +26,19 @@
 
 @dataclass(frozen=True)
 class Head:
-    """A request's or an answer's head. `fields` in their order with names as sent; `first` by lower-case name.
-
-    For requests `method` and `target` are set, for answers `status`. `length` is the body's size, or None where it is chunked
-    or, in answers, ends with the connection."""
+    """The head of a request or of a response.
+
+    Attributes:
+        fields: Header fields in their order, with names as sent.
+        first: Values by lower-case name; repeated fields are joined with a comma.
+        minor: Minor version of HTTP/1.
+        method: Request method; empty for responses.
+        target: Request target; empty for responses.
+        status: Response status; 0 for requests.
+        length: Size of the body in bytes; None if it is chunked or ends with the connection.
+        chunked: Whether the body uses the chunked transfer coding.
+        until_close: Whether the body of a response ends with the connection.
+    """
 
     fields: tuple[tuple[bytes, bytes], ...]
     first: dict[bytes, bytes]
@@ -42,13 +52,17 @@
 
     @property
     def keep_alive(self) -> bool:
-        """Whether the sender means to use the connection again."""
-        words = self.first.get(b"connection", b"").lower()
-        return b"close" not in words if self.minor else b"keep-alive" in words
+        """Whether the sender keeps the connection open for another message."""
+        options = self.first.get(b"connection", b"").lower()
+        return b"close" not in options if self.minor else b"keep-alive" in options
 
 
 def _split_fields(block: bytes) -> tuple[tuple[tuple[bytes, bytes], ...], dict[bytes, bytes]]:
-    """The fields of a head; BadRequestError where a line is none or a field that must be single comes twice with two values."""
+    """Parse the header lines of a head.
+
+    Raises:
+        BadRequestError: A line is no header field, or a field that must be single is repeated.
+    """
     if not HEAD_LINES.fullmatch(block):
         raise BadRequestError("header line")
     fields, first = [], {}
@@ -64,7 +78,7 @@
 
 
 def _framing(first: dict[bytes, bytes], minor: int) -> tuple[int | None, bool]:
-    """Length and whether the body comes in chunks; (None, False) where neither is told."""
+    """Return the body's length and whether it is chunked; (None, False) if the head states neither."""
     coding = first.get(b"transfer-encoding")
     length = first.get(b"content-length")
     if coding is not None:
@@ -78,10 +92,13 @@
     return int(length), False
 
 
-def request_head(data: bytes) -> Head:
-    """Reads a request's head, `data` with its empty line.
+def parse_request_head(data: bytes) -> Head:
+    """Parse a request's head; `data` ends with the empty line.
 
-    >>> head = request_head(b"POST /a/b HTTP/1.1\\r\\nHost: x\\r\\nContent-Length: 2\\r\\n\\r\\n")
+    Raises:
+        BadRequestError: The bytes are no request head.
+
+    >>> head = parse_request_head(b"POST /a/b HTTP/1.1\\r\\nHost: x\\r\\nContent-Length: 2\\r\\n\\r\\n")
     >>> head.method, head.target, head.length, head.keep_alive
     (b'POST', b'/a/b', 2, True)
     """
@@ -102,10 +119,17 @@
     )
 
 
-def answer_head(data: bytes, to_head: bool = False) -> Head:
-    """Reads an answer's head; `to_head` where it answers a HEAD request, which has no body.
+def parse_response_head(data: bytes, to_head_request: bool = False) -> Head:
+    """Parse a response's head.
+
+    Args:
+        data: The bytes up to and including the empty line.
+        to_head_request: Whether it responds to a HEAD request, so that no body follows.
 
-    >>> answer_head(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n").chunked
+    Raises:
+        BadRequestError: The bytes are no response head.
+
+    >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n").chunked
     True
     """
     line = STATUS_LINE.match(data)
@@ -113,7 +137,7 @@
         raise BadRequestError("answer line")
     fields, first = _split_fields(data[line.end() : -len(LINE_END)])
     minor, status = int(line.group(1)), int(line.group(2))
-    if to_head or status in NO_BODY_STATUS or status < 200:
+    if to_head_request or status in STATUSES_WITHOUT_BODY or status < 200:
         return Head(fields, first, minor, status=status)
     length, chunked = _framing(first, minor)
     return Head(fields, first, minor, status=status, length=length, chunked=chunked, until_close=not chunked and length is None)
@@ -131,10 +155,15 @@
 
 
 class MessageReader:
-    """One message after another on one side of a connection.
+    """Parser of the messages that one side of a connection sends, one after another.
+
+    The owner passes received bytes to `feed`, asks `head()` for the next head, then `body()` for what has arrived of its body
+    until `done`, and calls `next()` to go on to the next message. Methods raise BadRequestError if the bytes violate the
+    protocol.
 
-    `feed` takes bytes; `head()` gives the next head once it is whole; `body()` what has come of its body; `done` tells that the
-    message is complete, and `next()` goes on to the one after. BadRequestError where the bytes are no message.
+    Args:
+        answers: Whether the peer sends responses rather than requests.
+        max_head_bytes: Longest head that is accepted; a longer one is answered with status 431.
 
     >>> reader = MessageReader(answers=True)
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhi\\r")
@@ -144,8 +173,8 @@
     (b'', True, True)
     """
 
-    def __init__(self, answers: bool, most_head: int = 65536) -> None:
-        self.answers, self.most_head = answers, most_head
+    def __init__(self, answers: bool, max_head_bytes: int = 65536) -> None:
+        self.answers, self.max_head_bytes = answers, max_head_bytes
         self._buffer = bytearray()
         self._stage = _Stage.HEAD
         self._left = 0
@@ -153,36 +182,38 @@
 
     @property
     def done(self) -> bool:
+        """Whether the current message is complete."""
         return self._stage is _Stage.DONE
 
     def feed(self, data: bytes) -> None:
+        """Take bytes that the connection received."""
         self._buffer += data
 
     def surplus(self) -> bool:
-        """Whether bytes are left beyond what was read."""
+        """Return whether bytes are buffered beyond the current message."""
         return bool(self._buffer)
 
     def started(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Return whether a message has begun and is not complete."""
         return self._stage is not _Stage.DONE and (self._stage is not _Stage.HEAD or bool(self._buffer))
 
-    def head(self, to_head: bool = False) -> Head | None:
-        """The next head, None until it is whole."""
+    def head(self, to_head_request: bool = False) -> Head | None:
+        """Return the next head, or None until it has arrived completely."""
         buffer = self._buffer
         while buffer[:2] == LINE_END:
-            del buffer[:2]  # some senders end a body with an empty line too many
+            del buffer[:2]  # RFC 9112, 2.2: some senders add an empty line after a body
         end = buffer.find(HEAD_END, max(0, self._searched - len(HEAD_END)))
         if end < 0:
-            if len(buffer) > self.most_head:
+            if len(buffer) > self.max_head_bytes:
                 raise BadRequestError("head too long", 431)
             self._searched = len(buffer)
             return None
-        if end + len(HEAD_END) > self.most_head:
+        if end + len(HEAD_END) > self.max_head_bytes:
             raise BadRequestError("head too long", 431)
         data = bytes(buffer[: end + len(HEAD_END)])
         del buffer[: end + len(HEAD_END)]
         self._searched = 0
-        head = answer_head(data, to_head) if self.answers else request_head(data)
+        head = parse_response_head(data, to_head_request) if self.answers else parse_request_head(data)
         self._begin_body(head)
         return head
 
@@ -196,17 +227,17 @@
             self._stage = _Stage.SIZED if self._left else _Stage.DONE
 
     def body(self) -> bytes:
-        """What has come of the body since the last call."""
+        """Return the bytes of the body that arrived since the last call."""
         if self._stage is _Stage.SIZED:
             return self._take_sized(_Stage.DONE)
         if self._stage is _Stage.UNTIL_CLOSE:
             taken = bytes(self._buffer)
             self._buffer.clear()
             return taken
-        pieces = []
-        while self._step_chunks(pieces):
+        chunks = []
+        while self._step_chunks(chunks):
             pass
-        return pieces[0] if len(pieces) == 1 else b"".join(pieces)
+        return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     def _take_sized(self, after: _Stage) -> bytes:
         taken = bytes(self._buffer[: self._left])
@@ -226,10 +257,10 @@
         del self._buffer[: end + len(LINE_END)]
         return line
 
-    def _step_chunks(self, pieces: list[bytes]) -> bool:
-        """One step through the chunks; False where more bytes are needed or the body is whole."""
+    def _step_chunks(self, chunks: list[bytes]) -> bool:
+        """Advance through the chunks by one step; return False if more bytes are needed or the body is complete."""
         if self._stage is _Stage.CHUNK_LINE:
-            line = self._line(MOST_CHUNK_LINE)
+            line = self._line(MAX_CHUNK_LINE_BYTES)
             if line is None:
                 return False
             size = CHUNK_SIZE.match(line)
@@ -241,7 +272,7 @@
         if self._stage is _Stage.CHUNK:
             if not self._buffer:
                 return False
-            pieces.append(self._take_sized(_Stage.CHUNK_END))
+            chunks.append(self._take_sized(_Stage.CHUNK_END))
             return True
         if self._stage is _Stage.CHUNK_END:
             if len(self._buffer) < len(LINE_END):
@@ -252,7 +283,7 @@
             self._stage = _Stage.CHUNK_LINE
             return True
         if self._stage is _Stage.TRAILER:
-            line = self._line(MOST_TRAILER)
+            line = self._line(MAX_TRAILER_BYTES)
             if line is None:
                 return False
             if not line:
@@ -261,22 +292,23 @@
         return False
 
     def ended(self) -> bool:
-        """The connection's end: whether that completes the message."""
+        """Handle the end of the connection; return whether that completes the message."""
         if self._stage is _Stage.UNTIL_CLOSE:
             self._stage = _Stage.DONE
         return self.done
 
     def next(self) -> None:
-        """To the message after one that is done."""
+        """Go on to the message after one that is complete."""
         self._stage = _Stage.HEAD
 
 
 def reason(status: int) -> bytes:
+    """Return the reason phrase of a status."""
     return REASONS.get(status, b"Status")
 
 
 def write_request(method: bytes, target: bytes, fields: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A request with its length told."""
+    """Serialize a request with a Content-Length field."""
     lines = [b"%b %b HTTP/1.1\r\n" % (method, target)]
     lines += [b"%b: %b\r\n" % field for field in fields]
     lines.append(b"Content-Length: %d\r\n\r\n" % len(body))
@@ -284,10 +316,10 @@
     return b"".join(lines)
 
 
-def write_answer(status: int, fields: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A whole answer with its length told.
+def write_response(status: int, fields: list[tuple[bytes, bytes]], body: bytes) -> bytes:
+    """Serialize a complete response with a Content-Length field.
 
-    >>> write_answer(404, [(b"A", b"b")], b"x")
+    >>> write_response(404, [(b"A", b"b")], b"x")
     b'HTTP/1.1 404 Not Found\\r\\nA: b\\r\\nContent-Length: 1\\r\\n\\r\\nx'
     """
     lines = [b"HTTP/1.1 %d %b\r\n" % (status, reason(status))]
--- a/mulleinhatch/testing/fake_model_server.py
+++ b/mulleinhatch/testing/fake_model_server.py
@@ -18,7 +18,7 @@
 from mulleinhatch.data_plane.exchange import read_prompt
 from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.networking.http_grammar import BadRequestError
-from mulleinhatch.networking.http_streaming import Head, MessageReader, write_answer
+from mulleinhatch.networking.http_streaming import Head, MessageReader, write_response
 
 LOG = logging.getLogger(__name__)
 HEARTBEAT_S = 1.0
@@ -177,7 +177,7 @@
 
     @staticmethod
     def _write(writer: asyncio.StreamWriter, status: int, body: bytes, fields: list[tuple[bytes, bytes]] | None = None) -> None:
-        writer.write(write_answer(status, fields or [], body))
+        writer.write(write_response(status, fields or [], body))
 
     def _report(self) -> dict[str, Any]:
         return {
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -24,7 +24,7 @@
 from mulleinhatch.data_plane.router import Router
 from mulleinhatch.data_plane.snapshot import BackendList, KnownBackend, Snapshot
 from mulleinhatch.networking.http_client import ClientConnection
-from mulleinhatch.networking.http_streaming import Head, request_head
+from mulleinhatch.networking.http_streaming import Head, parse_request_head
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
@@ -80,7 +80,7 @@
         head, whole, rest = self._received.partition(b"\r\n\r\n")
         if not whole or self.closed:
             return
-        parsed = request_head(head + b"\r\n\r\n")
+        parsed = parse_request_head(head + b"\r\n\r\n")
         length = int(parsed.first.get(b"content-length", b"0"))
         if len(rest) < length:
             return
@@ -184,7 +184,7 @@
     async def begin(self, name: str) -> None:
         kind = self.kinds[name]
         lines = (f"POST /{kind}/x HTTP/1.1", "Host: h", f"Request-Id: {name}", "Content-Length: 1")
-        head = request_head("\r\n".join((*lines, "", "")).encode())
+        head = parse_request_head("\r\n".join((*lines, "", "")).encode())
         self.exchanges[name] = self.router.begin(self.clients[name], head, name.encode())
         await self.settle()
 
@@ -384,7 +384,7 @@
 
     def test_found_when_a_connection_with_surplus_is_used_again(self):
         def keep(connection: ClientConnection) -> None:
-            connection._reader = type(connection._reader)(answers=True, most_head=65536)
+            connection._reader = type(connection._reader)(answers=True, max_head_bytes=65536)
 
         self.planted(
             mock.patch.object(ClientConnection, "_end_idle", keep),
@@ -464,7 +464,7 @@
     def test_model_fields_reach_the_backend_as_the_client_sent_them(self):
         """UNASKED."""
         lines = b"POST /a/x HTTP/1.1", b"Model: m/a1", b"Token-Usage: 30,4", b"Prompt-Prefix: a:1, b:2", b"Request-Id: 7"
-        sent = dict(backend_fields(request_head(b"\r\n".join((*lines, b"", b""))), 1.0, "i-1", 3, b""))
+        sent = dict(backend_fields(parse_request_head(b"\r\n".join((*lines, b"", b""))), 1.0, "i-1", 3, b""))
         self.assertEqual((sent[b"Model"], sent[b"Token-Usage"], sent[b"Prompt-Prefix"]), (b"m/a1", b"30,4", b"a:1, b:2"))
         self.assertEqual((sent[b"Request-Id"], sent[b"Expect-Instance"]), (b"7", b"i-1"))
 
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -7,7 +7,7 @@
 
 from mulleinhatch.configuration.routes import Limits
 from mulleinhatch.data_plane.front import ClientSession, Front
-from mulleinhatch.networking.http_streaming import Head, answer_head
+from mulleinhatch.networking.http_streaming import Head, parse_response_head
 
 REQUEST = b"POST /a/b HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nContent-Length: 4\r\n\r\nbody"
 
@@ -117,7 +117,9 @@
     async def test_a_stream_that_is_cut_does_not_look_complete(self):
         session, transport = self.connect()
         session.data_received(REQUEST)
-        head = answer_head(b"HTTP/1.1 200 OK\r\nServer-Signature: s\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n")
+        head = parse_response_head(
+            b"HTTP/1.1 200 OK\r\nServer-Signature: s\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
+        )
         session.write_head(head, None)
         session.write_body(b"id: 1\n\n")
         session.break_off()
