--- a/mulleinhatch/instance/protocol/http_peers.py
+++ b/mulleinhatch/instance/protocol/http_peers.py
@@ -6,35 +6,35 @@
 import re
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol.http_requests import LEAST_KB, NUMBER
+from mulleinhatch.instance.protocol.http_requests import MIN_MEMORY_KB, NUMBER
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
-PLACES = 15  # after the point, of a figure that is read
-MOST_RANK = 1.0 - 1e-15  # the highest that can be written
-NEIGHBOURS = 4  # floats looked at on either side for the figure that a unit was taken from
-MOST_RESULT = 65536  # bytes of a peer's answer
-ANSWER_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
+DECIMAL_PLACES = 15  # after the point, of a figure that is read
+MAX_RANK = 1.0 - 1e-15  # the highest that can be written
+NEIGHBOUR_FLOATS = 4  # floats looked at on either side for the figure that a unit was taken from
+MAX_RESULT_BYTES = 65536  # bytes of a peer's answer
+STATUS_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
 CALL_PATH = b"/v1/exec"
 
 
-def figure(value: float, unit: float = 1.0) -> str:
+def format_decimal(value: float, unit: float = 1.0) -> str:
     """The text of a figure that `number` reads as exactly this value, if it read it before: with its 15 places they are one for
     one, but a unit rounds, so that the neighbours are tried, too.
 
-    >>> figure(0.62503), figure(float("173.80371") * 0.001, 0.001), figure(24.5)
+    >>> format_decimal(0.62503), format_decimal(float("173.80371") * 0.001, 0.001), format_decimal(24.5)
     ('0.62503', '173.80371', '24.5')
     """
     near = below = above = value / unit
-    for _ in range(NEIGHBOURS):
+    for _ in range(NEIGHBOUR_FLOATS):
         for one in (near, below, above):
-            for text in (f"{one:.{PLACES}g}", f"{one:.{PLACES}f}"):
+            for text in (f"{one:.{DECIMAL_PLACES}g}", f"{one:.{DECIMAL_PLACES}f}"):
                 if float(text) * unit == value and NUMBER.fullmatch(text.encode()):
                     return text
         below, above = math.nextafter(below, 0.0), math.nextafter(above, math.inf)
-    return f"{near:.{PLACES}f}"
+    return f"{near:.{DECIMAL_PLACES}f}"
 
 
-def handed(
+def write_handover_request(
     ref: str,
     op_type: str,
     tenant: str,
@@ -54,10 +54,10 @@
     figures are the caller's to the last digit: by them the peer knows a retry that comes to it."""
     head = (
         f"POST /svc/{op_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {ref}\r\nX-Request-Start: {started_ms:.0f}\r\n"
-        f"X-Caller: {caller}\r\nX-Memory-Kb: {figure(max(kb, LEAST_KB))}\r\n"
-        f"X-Rank: {figure(min(rank, MOST_RANK))}\r\nX-Hand: {offer}\r\n"
+        f"X-Caller: {caller}\r\nX-Memory-Kb: {format_decimal(max(kb, MIN_MEMORY_KB))}\r\n"
+        f"X-Rank: {format_decimal(min(rank, MAX_RANK))}\r\nX-Hand: {offer}\r\n"
         + (f"X-Timeout-Ms: {wait_ms:.0f}\r\n" if wait_ms > 0.0 else "")
-        + (f"X-Cost-Ms: {figure(work, 0.001)}\r\n" if work else "")
+        + (f"X-Cost-Ms: {format_decimal(work, 0.001)}\r\n" if work else "")
         + (f"X-Object: {key}\r\n" if key else "")
         + (f"X-Tenant: {tenant}\r\n" if tenant else "")
         + ("X-Retry: 1\r\n" if again else "")
@@ -65,19 +65,19 @@
     return [head.encode("latin-1"), b"Content-Length: %d\r\n\r\n" % len(body), body]
 
 
-def answer_told(head: bytes) -> tuple[int, int, bool]:
+def parse_response_head(head: bytes) -> tuple[int, int, bool]:
     """Status, length of the body and whether the connection closes, of a peer's answer. ValueError where it is none, or where
     it leaves open which bytes are its body: another answer may hide there. An interim answer (1xx) has no body.
 
-    >>> answer_told(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
+    >>> parse_response_head(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
     (103, 0, False)
-    >>> answer_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nContent-Length: 6\\r\\n\\r\\n")
+    >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nContent-Length: 6\\r\\n\\r\\n")
     Traceback (most recent call last):
     mulleinhatch.networking.http_grammar.BadRequestError: answer length
-    >>> answer_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nConnection: close\\r\\n\\r\\n")
+    >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nConnection: close\\r\\n\\r\\n")
     (200, 5, True)
     """
-    line = ANSWER_LINE.match(head)
+    line = STATUS_LINE.match(head)
     if line is None:
         raise BadRequestError("answer line")
     if not HEAD_LINES.fullmatch(head, line.end(), len(head) - len(LINE_END)):
@@ -90,14 +90,14 @@
     if (
         not length.isdigit()
         or len(length) > 9
-        or int(length) > MOST_RESULT
+        or int(length) > MAX_RESULT_BYTES
         or (b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1)
     ):
         raise BadRequestError("answer length")
     return int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close"
 
 
-def call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
+def write_dependency_call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
     """A call of the dependency, as pieces for one gathered write: what the run asks for, unchanged, and for how long."""
     return [
         b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n"
@@ -106,16 +106,16 @@
     ]
 
 
-def call_told(head: bytes) -> tuple[int, int, bool]:
+def parse_dependency_response_head(head: bytes) -> tuple[int, int, bool]:
     """How a call ended, the length of what came with it, whether the connection closes. What says that nothing was started
     proves it; anything else but a result may have had its effect.
 
-    >>> call_told(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\n")
+    >>> parse_dependency_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\n")
     (<Ending.OK: 1>, 5, False)
-    >>> call_told(b"HTTP/1.1 503 Busy\\r\\nNever-Started: 1\\r\\nContent-Length: 0\\r\\n\\r\\n")[0]
+    >>> parse_dependency_response_head(b"HTTP/1.1 503 Busy\\r\\nNever-Started: 1\\r\\nContent-Length: 0\\r\\n\\r\\n")[0]
     <Ending.FULL: 3>
     """
-    status, length, last = answer_told(head)
+    status, length, last = parse_response_head(head)
     if status < 200:
         return status, length, last
     if status == 200:
--- a/mulleinhatch/instance/protocol/http_requests.py
+++ b/mulleinhatch/instance/protocol/http_requests.py
@@ -7,17 +7,17 @@
 
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
-MOST_HEAD, MOST_BODY = 8192, 2048  # bytes of a request
-SMALL_BUFFER = 2048  # until a message needs more: an idle connection must not cost as much as a busy one
-BARE_END = re.compile(rb"(?<!\r)\n")
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 8192, 2048  # bytes of a request
+INITIAL_BUFFER_BYTES = 2048  # until a message needs more: an idle connection must not cost as much as a busy one
+BARE_LINE_FEED = re.compile(rb"(?<!\r)\n")
 NUMBER = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
-OP_ID = re.compile(rb"[0-9A-Fa-f]{16}")
-LONGEST = 3600.0  # seconds of an age or a wait: what tells of more is no figure of ours
-LEAST_KB, MOST_KB = 1e-9, 2000.0  # memory that an op may book
-CLOCK_SLACK = 1.0  # seconds that an arrival may lie ahead of our clock
-ONLY_ONCE = (b"content-length", b"transfer-encoding", b"connection", b"host", b"idempotency-key")
-HAND = b"x-hand"  # on an op that a peer hands over: the number of the offer, 0 for none; it is handed on once at most
-OP_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
+REQUEST_ID = re.compile(rb"[0-9A-Fa-f]{16}")
+MAX_DURATION_S = 3600.0  # seconds of an age or a wait: what tells of more is no figure of ours
+MIN_MEMORY_KB, MAX_MEMORY_KB = 1e-9, 2000.0  # memory that an op may book
+CLOCK_SLACK_S = 1.0  # seconds that an arrival may lie ahead of our clock
+SINGLE_FIELDS = (b"content-length", b"transfer-encoding", b"connection", b"host", b"idempotency-key")
+HANDOVER_FIELD = b"x-hand"  # on an op that a peer hands over: the number of the offer, 0 for none; it is handed on once at most
+REQUEST_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
 
 
 class RequestReader:
@@ -35,7 +35,7 @@
     """
 
     def __init__(self) -> None:
-        self._hold(SMALL_BUFFER)
+        self._hold(INITIAL_BUFFER_BYTES)
         self.end = self.searched = 0
 
     def _hold(self, size: int) -> None:
@@ -45,10 +45,10 @@
     def room(self) -> memoryview:
         if self.end == len(self.buffer):
             begun = self.buffer
-            self._hold(MOST_HEAD + MOST_BODY)
+            self._hold(MAX_HEAD_BYTES + MAX_BODY_BYTES)
             self.buffer[: self.end] = begun
-        elif not self.end and len(self.buffer) > SMALL_BUFFER:
-            self._hold(SMALL_BUFFER)
+        elif not self.end and len(self.buffer) > INITIAL_BUFFER_BYTES:
+            self._hold(INITIAL_BUFFER_BYTES)
         return self.view[self.end :]
 
     def filled(self, count: int) -> None:
@@ -65,7 +65,7 @@
         head_end = self.buffer.find(HEAD_END, max(0, self.searched - len(HEAD_END)), self.end)
         if head_end < 0:
             return self._no_head_yet()
-        if head_end + len(HEAD_END) > MOST_HEAD:
+        if head_end + len(HEAD_END) > MAX_HEAD_BYTES:
             # Not only while its end is awaited: the buffer holds a head and a body at their most. A longer head that came whole
             # in one read would leave no room for the rest of its body, and who waits for that reads nothing for ever.
             raise BadRequestError("head too long", 431)
@@ -86,9 +86,9 @@
         return words[0], words[1], fields, body
 
     def _no_head_yet(self) -> None:
-        if BARE_END.search(self.buffer, max(0, self.searched - 1), self.end):
+        if BARE_LINE_FEED.search(self.buffer, max(0, self.searched - 1), self.end):
             raise BadRequestError("line end")  # others take it for an end: who waits for ours would hear nothing
-        if self.end > MOST_HEAD:
+        if self.end > MAX_HEAD_BYTES:
             raise BadRequestError("head too long", 431)
         self.searched = self.end
 
@@ -100,7 +100,7 @@
         for line in bytes(self.view[start:end]).split(LINE_END)[:-1]:
             name, _, text = line.partition(b":")
             name = name.lower()
-            if name in fields and (name.startswith(b"x-") or name in ONLY_ONCE):
+            if name in fields and (name.startswith(b"x-") or name in SINGLE_FIELDS):
                 raise BadRequestError("repeated field")
             fields[name] = text.strip(b" \t")
         return fields
@@ -113,7 +113,7 @@
         length = fields.get(b"content-length", b"0")
         if not length.isdigit():
             raise BadRequestError("content length")
-        if len(length) > 9 or int(length) > MOST_BODY:
+        if len(length) > 9 or int(length) > MAX_BODY_BYTES:
             raise BadRequestError("body too long", 413)
         return int(length)
 
@@ -125,7 +125,7 @@
         self.end, self.searched = rest, 0
 
 
-SHORT_REQUEST = re.compile(  # one pass in C: the fields that count, and no other that only a full reading may judge
+PLAIN_REQUEST = re.compile(  # one pass in C: the fields that count, and no other that only a full reading may judge
     rb"(?i)POST /svc/([^ ?/\r\n]+) HTTP/1\.1\r\n(?:X-(?:Request-Id: ([0-9a-f]{16})|Caller: ([0-9]{1,9})|Retry: (1)|"
     rb"Tenant: ([^\r\n]*)|Object: ([^\r\n]*)|(?!Request-Id|Caller|Retry|Tenant|Object)[a-z-]+:[^\r\n]*)\r\n|"
     rb"Content-Length: ([0-9]{1,4})\r\n|Idempotency-Key: ([^\r\n]*)\r\n|"
@@ -133,17 +133,17 @@
 )
 
 
-def short_look(data: bytes) -> tuple | None:
+def parse_plain_request(data: bytes) -> tuple | None:
     """Id, op type, tenant, caller, again, key and body of a request that lies there whole and alone, in the plain
     form that callers write; None for all else, which the full reading must judge. It believes nothing that could
     hide a second request: one length, no transfer coding, no bare line end, not a byte too many.
 
-    >>> short_look(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nX-Caller: 4\\r\\nX-Retry: 1\\r\\n"
+    >>> parse_plain_request(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nX-Caller: 4\\r\\nX-Retry: 1\\r\\n"
     ...            b"Content-Length: 2\\r\\n\\r\\nhi")
     ('00000000000000aB', 'a', '', 4, True, '', b'hi')
-    >>> short_look(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nContent-Length: 2\\r\\n\\r\\nhiP")
+    >>> parse_plain_request(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nContent-Length: 2\\r\\n\\r\\nhiP")
     """
-    found = SHORT_REQUEST.match(data)
+    found = PLAIN_REQUEST.match(data)
     if found is None:
         return None
     op_type, ref, caller, again, tenant, thing, length, key = found.groups(b"")
@@ -161,20 +161,20 @@
     )
 
 
-FIGURES = re.compile(rb"(?i)\r\nX-(Rank|Cost-Ms|Memory-Kb): *([0-9]{1,15}(?:\.[0-9]{1,15})?) *(?=\r\n)")
+PLAIN_FIGURES = re.compile(rb"(?i)\r\nX-(Rank|Cost-Ms|Memory-Kb): *([0-9]{1,15}(?:\.[0-9]{1,15})?) *(?=\r\n)")
 
 
-def short_figures(data: bytes) -> tuple[float, float, float]:
+def parse_plain_figures(data: bytes) -> tuple[float, float, float]:
     """Rank, cost in seconds and memory in KB of a request that was looked at shortly, as a full reading has them.
 
-    >>> short_figures(b"POST /svc/a HTTP/1.1\\r\\nX-Cost-Ms: 50.00\\r\\nX-Rank: 0.25\\r\\n\\r\\nhi")
+    >>> parse_plain_figures(b"POST /svc/a HTTP/1.1\\r\\nX-Cost-Ms: 50.00\\r\\nX-Rank: 0.25\\r\\n\\r\\nhi")
     (0.25, 0.05, 0.0)
     """
-    told = {name.lower(): float(text) for name, text in FIGURES.findall(data, 0, data.find(HEAD_END) + len(LINE_END))}
+    told = {name.lower(): float(text) for name, text in PLAIN_FIGURES.findall(data, 0, data.find(HEAD_END) + len(LINE_END))}
     return told.get(b"rank", 0.0), 0.001 * told.get(b"cost-ms", 0.0), told.get(b"memory-kb", 0.0)
 
 
-def number(
+def parse_decimal(
     fields: dict[bytes, bytes],
     name: bytes,
     least: float = 0.0,
@@ -184,9 +184,9 @@
 ) -> float:
     """A plain decimal figure in its range; one that must be there has no `absent`.
 
-    >>> number({b"x-rank": b"0.5"}, b"x-rank", below=1.0), number({}, b"x-rank")
+    >>> parse_decimal({b"x-rank": b"0.5"}, b"x-rank", below=1.0), parse_decimal({}, b"x-rank")
     (0.5, 0.0)
-    >>> number({b"x-rank": b"1e-1"}, b"x-rank")
+    >>> parse_decimal({b"x-rank": b"1e-1"}, b"x-rank")
     Traceback (most recent call last):
     mulleinhatch.networking.http_grammar.BadRequestError: x-rank
     """
@@ -199,15 +199,15 @@
     return value
 
 
-def op_told(path: bytes, fields: dict[bytes, bytes], now: float) -> tuple:
+def parse_request(path: bytes, fields: dict[bytes, bytes], now: float) -> tuple:
     """What the reducer is told of an op: id, op type, tenant, age, wait, caller, work, kb, again, key, rank."""
     ref = fields.get(b"x-request-id", b"")
-    if not OP_ID.fullmatch(ref):
+    if not REQUEST_ID.fullmatch(ref):
         raise BadRequestError("x-request-id")
     if fields.get(b"x-retry", b"1") != b"1":
         raise BadRequestError("x-retry")
-    arrived = number(fields, b"x-request-start", now - LONGEST, now + CLOCK_SLACK, absent=None, unit=0.001)
-    patience = number(fields, b"x-timeout-ms", below=LONGEST, unit=0.001)
+    arrived = parse_decimal(fields, b"x-request-start", now - MAX_DURATION_S, now + CLOCK_SLACK_S, absent=None, unit=0.001)
+    patience = parse_decimal(fields, b"x-timeout-ms", below=MAX_DURATION_S, unit=0.001)
     key = fields.get(b"idempotency-key") or fields.get(b"x-object", b"")
     return (
         ref.decode(),
@@ -215,10 +215,10 @@
         fields.get(b"x-tenant", b"").decode("latin-1"),
         max(0.0, now - arrived),
         max(0.001, arrived + patience - now) if patience > 0.0 else 0.0,
-        int(number(fields, b"x-caller")),
-        number(fields, b"x-cost-ms", below=LONGEST, unit=0.001),
-        number(fields, b"x-memory-kb", least=LEAST_KB, below=MOST_KB, absent=None),
+        int(parse_decimal(fields, b"x-caller")),
+        parse_decimal(fields, b"x-cost-ms", below=MAX_DURATION_S, unit=0.001),
+        parse_decimal(fields, b"x-memory-kb", least=MIN_MEMORY_KB, below=MAX_MEMORY_KB, absent=None),
         b"x-retry" in fields,
         key.decode("latin-1"),
-        number(fields, b"x-rank", below=1.0),
+        parse_decimal(fields, b"x-rank", below=1.0),
     )
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -50,13 +50,13 @@
             self._write(place, self._blame(place, error))
 
     def _route(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        if path.startswith(http_requests.OP_PATH):
+        if path.startswith(http_requests.REQUEST_PATH):
             if method != b"POST":
                 raise http_grammar.BadRequestError("method", 405)
-            *told, rank = http_requests.op_told(path, fields, time.time())
-            handed = http_requests.HAND in fields and self.on_hand is not None
+            *told, rank = http_requests.parse_request(path, fields, time.time())
+            handed = http_requests.HANDOVER_FIELD in fields and self.on_hand is not None
             if handed:
-                self.on_hand(fields[http_requests.HAND])
+                self.on_hand(fields[http_requests.HANDOVER_FIELD])
             self.take(Happening.OP_READ, place, *told, body, rank, handed)
         elif path == http_requests.HEALTH_PATH:
             self.take(Happening.CHECKED, place)
@@ -95,7 +95,7 @@
     def _look(self, place: int, now: float, data: bytes, back_at: float) -> tuple[bytes, float] | None:
         """The nack of a try that is turned back, and when its caller is told to come back. `back_at` is when the
         connection's last answer told it to; who never heard of such a time is neither punctual nor stubborn."""
-        told = None if self.leaving else http_requests.short_look(data)
+        told = None if self.leaving else http_requests.parse_plain_request(data)
         if told is None:
             return None
         soon = now < back_at - PUNCTUAL
@@ -105,12 +105,12 @@
             punctual=back_at > 0.0 and not soon,
             stubborn=soon,
             place=place,
-            figures=partial(http_requests.short_figures, data),
+            figures=partial(http_requests.parse_plain_figures, data),
         )
         if seconds is None:
             return None
         self.count("answers_429")
-        return http_responses.turned_back(self.level(), seconds), now + seconds
+        return http_responses.write_retry_rejection(self.level(), seconds), now + seconds
 
     def nack(self, place: int, hold_off: float, not_elsewhere: bool, level: float | None) -> None:
         if hold_off > 0.0:
@@ -134,5 +134,5 @@
     def _write(self, place: int, status: int, body: bytes = b"", **fields: Any) -> None:
         last = place in self.closing
         self.closing.discard(place)
-        pieces = http_responses.answer(status, body, close=last or self.leaving, **fields)
+        pieces = http_responses.write_response(status, body, close=last or self.leaving, **fields)
         self.count(f"answers_{status}" if self.connections.answer(place, pieces, last) else "answers_unsent")
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -22,7 +22,7 @@
 class Dependency:
     def __init__(self, host: str, port: int, take: Callable[..., None], count: Callable[[str], None]) -> None:
         self.at, self.take, self.count = f"{host}:{port}", take, count
-        self.peers = Peers(LINKS_MOST, http_peers.call_told, time.monotonic)
+        self.peers = Peers(LINKS_MOST, http_peers.parse_dependency_response_head, time.monotonic)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def call(self, ref: str, seconds: float, query: bytes) -> None:
@@ -34,7 +34,9 @@
         """However it ends, the run that waits for it hears of it, once."""
         ending, result, until = Ending.INTERRUPTED, b"", time.monotonic() + seconds
         try:
-            status, result = await self.peers.ask(self.at, http_peers.call(ref, query, 1000.0 * seconds, self.at), seconds)
+            status, result = await self.peers.ask(
+                self.at, http_peers.write_dependency_call(ref, query, 1000.0 * seconds, self.at), seconds
+            )
             ending = Ending(status)
         except ConnectFailedError:
             ending = Ending.UNREACHABLE
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -39,7 +39,7 @@
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.take, self.send = reducer, take, send
         self.core = Spread(bounds, fleet, placement.seed, time.monotonic(), returns=True)
-        self.peers = Peers(bounds.links, http_peers.answer_told, time.monotonic)
+        self.peers = Peers(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.told_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -130,7 +130,7 @@
         key: str,
     ) -> None:
         wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
-        pieces = http_peers.handed(
+        pieces = http_peers.write_handover_request(
             ref,
             op_type,
             tenant,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -64,14 +64,14 @@
 
     def message(self, number: int, *_: object) -> None:
         self.heard.append(number)
-        self.connections.answer(number, http_responses.answer(200, b"ok"))
+        self.connections.answer(number, http_responses.write_response(200, b"ok"))
 
     def broken(self, number: int, _: ValueError) -> None:
-        self.connections.answer(number, http_responses.answer(400), last=True)
+        self.connections.answer(number, http_responses.write_response(400), last=True)
 
     def too_late(self, number: int) -> None:
         self.late.append(number)
-        self.connections.answer(number, http_responses.answer(408, self.body, close=True), last=True)
+        self.connections.answer(number, http_responses.write_response(408, self.body, close=True), last=True)
 
     def caller(self, receive: int = 0) -> socket.socket:
         sock = socket.socket()
@@ -336,12 +336,12 @@
         later = place.caller()
         later.send(CHECK)
         for number in list(place.heard):
-            place.connections.answer(number, http_responses.answer(200), last=True)
+            place.connections.answer(number, http_responses.write_response(200), last=True)
         for caller in callers:
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
         await until(lambda: len(place.heard) == 6)
-        place.connections.answer(place.heard[5], http_responses.answer(200))
+        place.connections.answer(place.heard[5], http_responses.write_response(200))
         assert (await asyncio.get_running_loop().sock_recv(later, 4096)).startswith(b"HTTP/1.1 200")
         later.close()
 
@@ -357,7 +357,7 @@
         def bad(number: int, *_: object) -> None:
             place.heard.append(number)
             place.connections.blame(number)
-            place.connections.answer(number, http_responses.answer(404))
+            place.connections.answer(number, http_responses.write_response(404))
 
         place.connections.on_message = bad
         bads = [place.caller() for _ in range(8)]
@@ -397,10 +397,10 @@
 @pytest.mark.parametrize(
     "head",
     [
-        http_requests.MOST_HEAD,
-        http_requests.MOST_HEAD + 1,
-        http_requests.MOST_HEAD + 1000,
-        http_requests.MOST_HEAD + http_requests.MOST_BODY,
+        http_requests.MAX_HEAD_BYTES,
+        http_requests.MAX_HEAD_BYTES + 1,
+        http_requests.MAX_HEAD_BYTES + 1000,
+        http_requests.MAX_HEAD_BYTES + http_requests.MAX_BODY_BYTES,
     ],
 )
 def test_a_long_head_that_comes_whole_with_a_part_of_its_body_leaves_the_others_served(head: int) -> None:
@@ -411,12 +411,12 @@
         place.connections.reader = Counted
         long, other = place.caller(), place.caller()
         await place.taken(2)
-        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MOST_BODY
+        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MAX_BODY_BYTES
         sent = (
             words
             + (head - len(words) - len(http_grammar.HEAD_END)) * b"a"
             + http_grammar.HEAD_END
-            + http_requests.MOST_BODY * b"b"
+            + http_requests.MAX_BODY_BYTES * b"b"
         )
         assert long.send(sent) == len(sent)
         arrived(long_end := next(iter(place.connections.open.values())).stream.socket)
@@ -425,7 +425,7 @@
         loop = asyncio.get_running_loop()
         assert (await asyncio.wait_for(loop.sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
         answer = await asyncio.wait_for(loop.sock_recv(long, 4096), SOON)
-        assert answer.startswith(b"HTTP/1.1 200" if head <= http_requests.MOST_HEAD else b"HTTP/1.1 400")
+        assert answer.startswith(b"HTTP/1.1 200" if head <= http_requests.MAX_HEAD_BYTES else b"HTTP/1.1 400")
         assert not place.counts["errors_inside"]
         for caller in (long, other):
             caller.close()
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mulleinhatch.admission.interface import Effect, Ending
-from mulleinhatch.instance.protocol.http_requests import RequestReader, op_told, short_figures
+from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_figures, parse_request
 from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
@@ -150,5 +150,5 @@
         reader = RequestReader()
         reader.room()[: len(data)] = data
         reader.filled(len(data))
-        *told, rank = op_told(b"/svc/read", reader.message()[2], 1.0)
-        assert short_figures(data) == (rank, told[6], told[7])
+        *told, rank = parse_request(b"/svc/read", reader.message()[2], 1.0)
+        assert parse_plain_figures(data) == (rank, told[6], told[7])
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -20,7 +20,7 @@
 
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Advice, Decision, Effect, StopMode, Verb
-from mulleinhatch.instance.protocol.http_requests import MOST_BODY, MOST_HEAD, RequestReader
+from mulleinhatch.instance.protocol.http_requests import MAX_BODY_BYTES, MAX_HEAD_BYTES, RequestReader
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking.http_grammar import HEAD_END, BadRequestError
@@ -214,12 +214,19 @@
         assert found == [(b"/svc/read", b"\r\n!"), (b"/x", b"")], cut
 
 
-@pytest.mark.parametrize("first", [1, 2048, MOST_HEAD - 1, MOST_HEAD, MOST_HEAD + MOST_BODY])
+@pytest.mark.parametrize("first", [1, 2048, MAX_HEAD_BYTES - 1, MAX_HEAD_BYTES, MAX_HEAD_BYTES + MAX_BODY_BYTES])
 def test_a_head_of_any_length_is_judged_alike_however_it_comes(first: int) -> None:
     """Whole in one read, or with more behind it; a reader that waits for more always has room for it."""
-    for length in (MOST_HEAD - 1, MOST_HEAD, MOST_HEAD + 1, MOST_HEAD + 500, MOST_HEAD + MOST_BODY - 1, MOST_HEAD + MOST_BODY):
-        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % MOST_BODY
-        text = words + (length - len(words) - len(HEAD_END)) * b"a" + HEAD_END + MOST_BODY * b"b"
+    for length in (
+        MAX_HEAD_BYTES - 1,
+        MAX_HEAD_BYTES,
+        MAX_HEAD_BYTES + 1,
+        MAX_HEAD_BYTES + 500,
+        MAX_HEAD_BYTES + MAX_BODY_BYTES - 1,
+        MAX_HEAD_BYTES + MAX_BODY_BYTES,
+    ):
+        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % MAX_BODY_BYTES
+        text = words + (length - len(words) - len(HEAD_END)) * b"a" + HEAD_END + MAX_BODY_BYTES * b"b"
         reader, found, most = RequestReader(), None, first
         while text and not found:
             room = reader.room()
@@ -231,7 +238,7 @@
                 found = reader.message()
             except BadRequestError as error:
                 found = error.status
-        assert (found == 431) == (length > MOST_HEAD) and found, length
+        assert (found == 431) == (length > MAX_HEAD_BYTES) and found, length
 
 
 def command(folder: Path, told: dict, *words: str) -> subprocess.CompletedProcess:
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -160,7 +160,7 @@
 def op_told(head: bytes) -> tuple:
     """As the front tells the reducer of a request; the body comes beside."""
     line, *fields = head.partition(b"\r\n\r\n")[0].split(b"\r\n")
-    return http_requests.op_told(
+    return http_requests.parse_request(
         line.split(b" ")[1], {name.lower(): value for name, _, value in (field.partition(b": ") for field in fields)}, NOW
     )
 
@@ -216,7 +216,7 @@
     peer.storms.tries.steady = STEADY_ENOUGH
     reads(giver, 10.0, 1, sent("00000000000000aa"), False)
     _, ref, op_type, tenant, body, age, left, *figures = handed_over(giver, 10.0, "00000000000000aa")
-    pieces = http_peers.handed(
+    pieces = http_peers.write_handover_request(
         ref, op_type, tenant, body, 1000.0 * NOW, 1000.0 * left, *figures[:5], 17, "peer:1", *figures[5:]
     )
     assert Errand.RUN in reads(peer, 10.0, 1, op_told(b"".join(pieces)), True)
@@ -228,8 +228,8 @@
 @given(st.decimals(0, 99_999, places=15, allow_nan=False), st.integers(0, 15), st.sampled_from((1.0, 0.001)))
 @settings(max_examples=400, deadline=None, derandomize=True)
 def test_a_figure_goes_to_a_peer_as_it_came(written: Decimal, places: int, unit: float) -> None:
-    read = http_requests.number({b"x": f"{written:.{places}f}".encode()}, b"x", unit=unit)
-    assert http_requests.number({b"x": http_peers.figure(read, unit).encode()}, b"x", unit=unit) == read
+    read = http_requests.parse_decimal({b"x": f"{written:.{places}f}".encode()}, b"x", unit=unit)
+    assert http_requests.parse_decimal({b"x": http_peers.format_decimal(read, unit).encode()}, b"x", unit=unit) == read
 
 
 def handed_over(giver: Reducer, now: float, ref: str) -> tuple:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -118,15 +118,22 @@
 
 
 def test_the_request_to_a_peer_is_one_that_the_own_reader_takes() -> None:
-    pieces = http_peers.handed("00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1")
+    pieces = http_peers.write_handover_request(
+        "00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1"
+    )
     reader = http_requests.RequestReader()
     data = b"".join(pieces)
     reader.room()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
-    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http_requests.op_told(path, fields, 1e9 + 0.5)
+    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http_requests.parse_request(path, fields, 1e9 + 0.5)
     assert (ref, op_type, tenant, caller, again, key, body) == ("00000000000000ab", "read", "t", 3, True, "", b"body")
-    assert (age, wait, work, fields[http_requests.HAND]) == (pytest.approx(0.5), pytest.approx(1.0), 0.05, b"17") and kb > 0.0
+    assert (age, wait, work, fields[http_requests.HANDOVER_FIELD]) == (
+        pytest.approx(0.5),
+        pytest.approx(1.0),
+        0.05,
+        b"17",
+    ) and kb > 0.0
 
 
 @pytest.mark.parametrize(
@@ -140,7 +147,7 @@
 )
 def test_a_peers_answer_that_is_none(head: bytes) -> None:
     with pytest.raises(ValueError):
-        http_peers.answer_told(head)
+        http_peers.parse_response_head(head)
 
 
 def test_the_spread_node_wants_a_fleet_and_names_the_faulty_line() -> None:
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -10,7 +10,7 @@
 import pytest
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol.http_requests import RequestReader, op_told, short_look
+from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_request, parse_request
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
@@ -183,8 +183,8 @@
         b"POST /svc/read HTTP/1.1\r\nHost: a\r\nX-Request-Id: 0123456789abcdef\r\nX-Request-Start: 1000\r\n"
         b"X-Caller: 4\r\nX-Memory-Kb: 2\r\nX-Retry: 1\r\nContent-Length: 4\r\n\r\nabcd"
     )
-    assert short_look(plain)
-    assert not any(short_look(plain[:cut]) for cut in range(len(plain)))
+    assert parse_plain_request(plain)
+    assert not any(parse_plain_request(plain[:cut]) for cut in range(len(plain)))
     draw, believed = random.Random(4), 0
     scraps = [
         b"\r\n",
@@ -206,7 +206,7 @@
         for _ in range(draw.randrange(1, 4)):
             at = draw.randrange(len(data))
             data[at : at + draw.randrange(3)] = draw.choice(scraps)
-        looked = short_look(bytes(data))
+        looked = parse_plain_request(bytes(data))
         if looked is None:
             continue
         believed += 1
@@ -215,7 +215,7 @@
         reader.filled(len(data))
         try:
             _, path, fields, body = reader.message()
-            told = op_told(path, fields, 1.0)
+            told = parse_request(path, fields, 1.0)
         except BadRequestError:
             continue  # a refusal there, a refusal here
         assert not reader.started() and body == looked[6], data
