--- a/mulleinhatch/instance/protocol/__init__.py
+++ b/mulleinhatch/instance/protocol/__init__.py
@@ -1,1 +1,2 @@
-"""Bytes to fields and back, no I/O: heads of requests and answers, lines of the link, reports."""
+"""Bytes to typed messages and back, without I/O: HTTP of clients and peers, lines of the interpreter link, directory
+reports."""
--- a/mulleinhatch/instance/protocol/http_peers.py
+++ b/mulleinhatch/instance/protocol/http_peers.py
@@ -1,33 +1,43 @@
-"""HTTP between an instance and its peers, and to the dependency: requests that are sent, heads of the responses."""
+"""HTTP between an instance and its peers, and to its dependency: requests to send, heads of the responses."""
 
 from __future__ import annotations
 
 import math
 import re
+from typing import NamedTuple
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol.http_requests import MIN_MEMORY_KB, NUMBER
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
-DECIMAL_PLACES = 15  # after the point, of a figure that is read
-MAX_RANK = 1.0 - 1e-15  # the highest that can be written
-NEIGHBOUR_FLOATS = 4  # floats looked at on either side for the figure that a unit was taken from
-MAX_RESULT_BYTES = 65536  # bytes of a peer's answer
+DECIMAL_PLACES = 15  # the most digits after the point that `parse_decimal` reads
+MAX_RANK = 1.0 - 1e-15  # the highest that can be written with these places
+NEIGHBOUR_FLOATS = 4  # floats tried on either side of a converted value
+MAX_RESULT_BYTES = 65536  # longest response body of a peer
 STATUS_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
 CALL_PATH = b"/v1/exec"
 
 
+class ResponseHead(NamedTuple):
+    """What counts of a response's head."""
+
+    status: int
+    body_length: int
+    closes_connection: bool
+
+
 def format_decimal(value: float, unit: float = 1.0) -> str:
-    """The text of a figure that `number` reads as exactly this value, if it read it before: with its 15 places they are one for
-    one, but a unit rounds, so that the neighbours are tried, too.
+    """Return the text that `parse_decimal` reads as exactly this value, if the value came from it.
+
+    With 15 places text and value correspond one to one, but converting a unit rounds; so neighbouring floats are tried as well.
 
     >>> format_decimal(0.62503), format_decimal(float("173.80371") * 0.001, 0.001), format_decimal(24.5)
     ('0.62503', '173.80371', '24.5')
     """
     near = below = above = value / unit
     for _ in range(NEIGHBOUR_FLOATS):
-        for one in (near, below, above):
-            for text in (f"{one:.{DECIMAL_PLACES}g}", f"{one:.{DECIMAL_PLACES}f}"):
+        for candidate in (near, below, above):
+            for text in (f"{candidate:.{DECIMAL_PLACES}g}", f"{candidate:.{DECIMAL_PLACES}f}"):
                 if float(text) * unit == value and NUMBER.fullmatch(text.encode()):
                     return text
         below, above = math.nextafter(below, 0.0), math.nextafter(above, math.inf)
@@ -65,17 +75,20 @@
     return [head.encode("latin-1"), b"Content-Length: %d\r\n\r\n" % len(body), body]
 
 
-def parse_response_head(head: bytes) -> tuple[int, int, bool]:
-    """Status, length of the body and whether the connection closes, of a peer's answer. ValueError where it is none, or where
-    it leaves open which bytes are its body: another answer may hide there. An interim answer (1xx) has no body.
+def parse_response_head(head: bytes) -> ResponseHead:
+    """Parse the head of a peer's response. An interim response (1xx) has no body.
+
+    Raises:
+        BadRequestError: It is no response head, or it leaves open which bytes are its body (a second response could hide
+        there).
 
     >>> parse_response_head(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
-    (103, 0, False)
+    ResponseHead(status=103, body_length=0, closes_connection=False)
     >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nContent-Length: 6\\r\\n\\r\\n")
     Traceback (most recent call last):
     mulleinhatch.networking.http_grammar.BadRequestError: answer length
     >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nConnection: close\\r\\n\\r\\n")
-    (200, 5, True)
+    ResponseHead(status=200, body_length=5, closes_connection=True)
     """
     line = STATUS_LINE.match(head)
     if line is None:
@@ -85,7 +98,7 @@
     pairs = [field.partition(b":") for field in head[line.end() : -len(HEAD_END)].split(LINE_END)]
     fields = {name.lower(): text.strip(b" \t") for name, _, text in pairs}
     if line[1].startswith(b"1"):
-        return int(line[1]), 0, False
+        return ResponseHead(int(line[1]), 0, False)
     length = fields.get(b"content-length", b"")
     if (
         not length.isdigit()
@@ -94,11 +107,11 @@
         or (b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1)
     ):
         raise BadRequestError("answer length")
-    return int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close"
+    return ResponseHead(int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close")
 
 
 def write_dependency_call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
-    """A call of the dependency, as pieces for one gathered write: what the run asks for, unchanged, and for how long."""
+    """Serialize a call of the dependency: the query unchanged, with the time that is left for it."""
     return [
         b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n"
         % (CALL_PATH, host.encode(), ref.encode("latin-1"), max(1, int(wait_ms)), len(query)),
@@ -107,8 +120,9 @@
 
 
 def parse_dependency_response_head(head: bytes) -> tuple[int, int, bool]:
-    """How a call ended, the length of what came with it, whether the connection closes. What says that nothing was started
-    proves it; anything else but a result may have had its effect.
+    """Parse the head of the dependency's response: how the call ended, the body's length, and whether the connection closes.
+
+    Only a response with `Never-Started` proves that the call had no effect; any other failure may have had one.
 
     >>> parse_dependency_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\n")
     (<Ending.OK: 1>, 5, False)
--- a/mulleinhatch/instance/protocol/http_requests.py
+++ b/mulleinhatch/instance/protocol/http_requests.py
@@ -1,27 +1,75 @@
-"""HTTP requests of callers: read in the buffer that the socket filled, in full or by one pass over their plain form."""
+"""HTTP requests of clients: parsed in the buffer that the socket filled, completely or by one pass over their plain form.
+
+Strict wherever two readings of the same bytes are possible, because a second request could be hidden there. Source: RFC 9112.
+"""
 
 from __future__ import annotations
 
 import math
 import re
+from typing import NamedTuple
 
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
-MAX_HEAD_BYTES, MAX_BODY_BYTES = 8192, 2048  # bytes of a request
-INITIAL_BUFFER_BYTES = 2048  # until a message needs more: an idle connection must not cost as much as a busy one
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 8192, 2048
+INITIAL_BUFFER_BYTES = 2048  # grown on demand, so that an idle connection costs little memory
 BARE_LINE_FEED = re.compile(rb"(?<!\r)\n")
 NUMBER = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?")
 REQUEST_ID = re.compile(rb"[0-9A-Fa-f]{16}")
-MAX_DURATION_S = 3600.0  # seconds of an age or a wait: what tells of more is no figure of ours
-MIN_MEMORY_KB, MAX_MEMORY_KB = 1e-9, 2000.0  # memory that an op may book
-CLOCK_SLACK_S = 1.0  # seconds that an arrival may lie ahead of our clock
+MAX_DURATION_S = 3600.0  # longest age, timeout or cost that is accepted
+MIN_MEMORY_KB, MAX_MEMORY_KB = 1e-9, 2000.0  # memory that a request may reserve
+CLOCK_SLACK_S = 1.0  # how far a client's clock may be ahead of ours
 SINGLE_FIELDS = (b"content-length", b"transfer-encoding", b"connection", b"host", b"idempotency-key")
-HANDOVER_FIELD = b"x-hand"  # on an op that a peer hands over: the number of the offer, 0 for none; it is handed on once at most
+HANDOVER_FIELD = b"x-hand"  # set by a peer that hands a request over: number of the capacity offer, 0 for none
 REQUEST_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
 
 
+class IncomingRequest(NamedTuple):
+    """One request of a client, as the reducer takes it. A tuple, because one is made for every request.
+
+    Attributes:
+        request_id: 16 hexadecimal digits, chosen by the client.
+        request_type: Last segment of the path.
+        tenant: Tenant name; empty if the client sent none.
+        age_s: Time since the client sent the request, in seconds.
+        remaining_wait_s: How much longer the client waits; 0 if it did not say.
+        client: The client's number; 0 if it did not say.
+        cost_s: Estimated run time in seconds; 0 if unknown.
+        memory_kb: Memory that the run needs.
+        is_retry: Whether the client marked it as a retry.
+        key: Idempotency key, or the object that it works on.
+        rank: Rank within its importance, from 0 to below 1.
+    """
+
+    request_id: str
+    request_type: str
+    tenant: str
+    age_s: float
+    remaining_wait_s: float
+    client: int
+    cost_s: float
+    memory_kb: float
+    is_retry: bool
+    key: str
+    rank: float
+
+
+class PlainRequest(NamedTuple):
+    """What `parse_plain_request` reads of a request without parsing it completely."""
+
+    request_id: str
+    request_type: str
+    tenant: str
+    client: int
+    is_retry: bool
+    key: str
+    body: bytes
+
+
 class RequestReader:
-    """The requests of one connection, one after another in one buffer.
+    """Parser of the requests of one connection, one after another in one buffer.
+
+    The transport reads into `room()`, reports the count by `filled()` and takes requests from `message()`.
 
     >>> reader = RequestReader()
     >>> def feed(data):
@@ -43,6 +91,7 @@
         self.view = memoryview(self.buffer)
 
     def room(self) -> memoryview:
+        """Return the free part of the buffer; it is grown or shrunk first where that is due."""
         if self.end == len(self.buffer):
             begun = self.buffer
             self._hold(MAX_HEAD_BYTES + MAX_BODY_BYTES)
@@ -52,29 +101,37 @@
         return self.view[self.end :]
 
     def filled(self, count: int) -> None:
+        """Record that `count` bytes were read into `room()`."""
         self.end += count
 
     def started(self) -> bool:
+        """Return whether a request has begun and is not complete."""
         return self.end > 0
 
     def message(self) -> tuple[bytes, bytes, dict[bytes, bytes], bytes] | None:
-        """Method, path, fields by lower-case name, body; None until the rest has come. After a BadRequestError
-        it is not known where the next request begins."""
+        """Return the next request, or None until it has arrived completely.
+
+        Returns:
+            Method, path, header fields by lower-case name, and body.
+
+        Raises:
+            BadRequestError: The bytes are no request; where the next one begins is unknown.
+        """
         while self.end >= len(LINE_END) and self.view[: len(LINE_END)] == LINE_END:
-            self._shift(len(LINE_END))  # some senders end the request before with one line too many
+            self._shift(len(LINE_END))  # RFC 9112, 2.2: some senders add an empty line after a body
         head_end = self.buffer.find(HEAD_END, max(0, self.searched - len(HEAD_END)), self.end)
         if head_end < 0:
             return self._no_head_yet()
         if head_end + len(HEAD_END) > MAX_HEAD_BYTES:
-            # Not only while its end is awaited: the buffer holds a head and a body at their most. A longer head that came whole
-            # in one read would leave no room for the rest of its body, and who waits for that reads nothing for ever.
+            # The buffer holds the longest head and body together. A longer head that arrived in one read would leave no room
+            # for the rest of its body, and the reader would wait for bytes that it cannot take.
             raise BadRequestError("head too long", 431)
         line_end = self.buffer.find(LINE_END, 0, head_end + len(LINE_END))
-        words = bytes(self.view[:line_end]).split(b" ")
-        if len(words) != 3 or words[2] not in (b"HTTP/1.1", b"HTTP/1.0") or b"\n" in words[1]:
+        request_line = bytes(self.view[:line_end]).split(b" ")
+        if len(request_line) != 3 or request_line[2] not in (b"HTTP/1.1", b"HTTP/1.0") or b"\n" in request_line[1]:
             raise BadRequestError("request line")
         fields = self._fields(line_end + len(LINE_END), head_end + len(LINE_END))
-        if words[2] == b"HTTP/1.0":
+        if request_line[2] == b"HTTP/1.0":
             fields.setdefault(b"connection", b"close")
         body_start = head_end + len(HEAD_END)
         body_end = body_start + self._length(fields)
@@ -83,17 +140,17 @@
             return None
         body = bytes(self.view[body_start:body_end])
         self._shift(body_end)
-        return words[0], words[1], fields, body
+        return request_line[0], request_line[1], fields, body
 
     def _no_head_yet(self) -> None:
         if BARE_LINE_FEED.search(self.buffer, max(0, self.searched - 1), self.end):
-            raise BadRequestError("line end")  # others take it for an end: who waits for ours would hear nothing
+            raise BadRequestError("line end")  # a sender that ends lines so would wait for an answer for ever
         if self.end > MAX_HEAD_BYTES:
             raise BadRequestError("head too long", 431)
         self.searched = self.end
 
     def _fields(self, start: int, end: int) -> dict[bytes, bytes]:
-        """Of what we read no field may come twice: which one counts would be anybody's guess."""
+        """Parse the header lines; a field that is evaluated must not be repeated."""
         if not HEAD_LINES.fullmatch(self.buffer, start, end):
             raise BadRequestError("header line")
         fields: dict[bytes, bytes] = {}
@@ -108,7 +165,7 @@
     @staticmethod
     def _length(fields: dict[bytes, bytes]) -> int:
         if b"transfer-encoding" in fields:
-            # With a length beside it another request may hide in the body: neither is believed.
+            # With a length beside it a second request may hide in the body (RFC 9112, 11.2).
             raise BadRequestError("transfer coding", 400 if b"content-length" in fields else 411)
         length = fields.get(b"content-length", b"0")
         if not length.isdigit():
@@ -118,45 +175,51 @@
         return int(length)
 
     def _shift(self, taken: int) -> None:
-        """What came after the request is moved to the front; with one request at a time it is nothing."""
+        """Drop the bytes of the request and move the rest to the front of the buffer."""
         rest = self.end - taken
         if rest:
             self.buffer[:rest] = self.buffer[taken : self.end]
         self.end, self.searched = rest, 0
 
 
-PLAIN_REQUEST = re.compile(  # one pass in C: the fields that count, and no other that only a full reading may judge
-    rb"(?i)POST /svc/([^ ?/\r\n]+) HTTP/1\.1\r\n(?:X-(?:Request-Id: ([0-9a-f]{16})|Caller: ([0-9]{1,9})|Retry: (1)|"
-    rb"Tenant: ([^\r\n]*)|Object: ([^\r\n]*)|(?!Request-Id|Caller|Retry|Tenant|Object)[a-z-]+:[^\r\n]*)\r\n|"
-    rb"Content-Length: ([0-9]{1,4})\r\n|Idempotency-Key: ([^\r\n]*)\r\n|"
-    rb"(?!X-|Content-Length|Idempotency-Key|Transfer-|Connection|Expect|Upgrade)[a-z0-9-]+:[^\r\n]*\r\n)*\r\n"
+PLAIN_REQUEST = (
+    re.compile(  # one pass of the regular expression engine; fields that only the full parser may judge do not match
+        rb"(?i)POST /svc/([^ ?/\r\n]+) HTTP/1\.1\r\n(?:X-(?:Request-Id: ([0-9a-f]{16})|Caller: ([0-9]{1,9})|Retry: (1)|"
+        rb"Tenant: ([^\r\n]*)|Object: ([^\r\n]*)|(?!Request-Id|Caller|Retry|Tenant|Object)[a-z-]+:[^\r\n]*)\r\n|"
+        rb"Content-Length: ([0-9]{1,4})\r\n|Idempotency-Key: ([^\r\n]*)\r\n|"
+        rb"(?!X-|Content-Length|Idempotency-Key|Transfer-|Connection|Expect|Upgrade)[a-z0-9-]+:[^\r\n]*\r\n)*\r\n"
+    )
 )
 
 
-def parse_plain_request(data: bytes) -> tuple | None:
-    """Id, op type, tenant, caller, again, key and body of a request that lies there whole and alone, in the plain
-    form that callers write; None for all else, which the full reading must judge. It believes nothing that could
-    hide a second request: one length, no transfer coding, no bare line end, not a byte too many.
+def parse_plain_request(data: bytes) -> PlainRequest | None:
+    """Parse a request that is complete, alone and in the plain form that clients write, without the full parser.
+
+    Nothing is accepted that could hide a second request: exactly one length, no transfer coding, no bare line feed, no byte too
+    many.
+
+    Returns:
+        The request, or None if the full parser must judge it.
 
     >>> parse_plain_request(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nX-Caller: 4\\r\\nX-Retry: 1\\r\\n"
     ...            b"Content-Length: 2\\r\\n\\r\\nhi")
-    ('00000000000000aB', 'a', '', 4, True, '', b'hi')
+    PlainRequest(request_id='00000000000000aB', request_type='a', tenant='', client=4, is_retry=True, key='', body=b'hi')
     >>> parse_plain_request(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nContent-Length: 2\\r\\n\\r\\nhiP")
     """
-    found = PLAIN_REQUEST.match(data)
-    if found is None:
+    match = PLAIN_REQUEST.match(data)
+    if match is None:
         return None
-    op_type, ref, caller, again, tenant, thing, length, key = found.groups(b"")
-    end = found.end()
-    if not ref or not length or end + int(length) != len(data) or data[:end].lower().count(b"\ncontent-length") != 1:
+    request_type, request_id, client, retry, tenant, target, length, key = match.groups(b"")
+    end = match.end()
+    if not request_id or not length or end + int(length) != len(data) or data[:end].lower().count(b"\ncontent-length") != 1:
         return None
-    return (
-        ref.decode(),
-        op_type.decode("latin-1"),
+    return PlainRequest(
+        request_id.decode(),
+        request_type.decode("latin-1"),
         tenant.decode("latin-1"),
-        int(caller or 0),
-        again == b"1",
-        (key or thing).decode("latin-1"),
+        int(client or 0),
+        retry == b"1",
+        (key or target).decode("latin-1"),
         data[end:],
     )
 
@@ -165,13 +228,13 @@
 
 
 def parse_plain_figures(data: bytes) -> tuple[float, float, float]:
-    """Rank, cost in seconds and memory in KB of a request that was looked at shortly, as a full reading has them.
+    """Return rank, cost in seconds and memory in KB of a plain request, equal to what the full parser reads.
 
     >>> parse_plain_figures(b"POST /svc/a HTTP/1.1\\r\\nX-Cost-Ms: 50.00\\r\\nX-Rank: 0.25\\r\\n\\r\\nhi")
     (0.25, 0.05, 0.0)
     """
-    told = {name.lower(): float(text) for name, text in PLAIN_FIGURES.findall(data, 0, data.find(HEAD_END) + len(LINE_END))}
-    return told.get(b"rank", 0.0), 0.001 * told.get(b"cost-ms", 0.0), told.get(b"memory-kb", 0.0)
+    values = {name.lower(): float(text) for name, text in PLAIN_FIGURES.findall(data, 0, data.find(HEAD_END) + len(LINE_END))}
+    return values.get(b"rank", 0.0), 0.001 * values.get(b"cost-ms", 0.0), values.get(b"memory-kb", 0.0)
 
 
 def parse_decimal(
@@ -182,7 +245,18 @@
     absent: float | None = 0.0,
     unit: float = 1.0,
 ) -> float:
-    """A plain decimal figure in its range; one that must be there has no `absent`.
+    """Parse a header field that holds a plain decimal number.
+
+    Args:
+        fields: Header fields by lower-case name.
+        name: The field.
+        least: Smallest value that is accepted, after conversion.
+        below: The value must be smaller than this, after conversion.
+        absent: Result if the field is missing; None if it is required.
+        unit: Factor that converts the number to the unit of the result.
+
+    Raises:
+        BadRequestError: The field is missing, no decimal number, or out of range.
 
     >>> parse_decimal({b"x-rank": b"0.5"}, b"x-rank", below=1.0), parse_decimal({}, b"x-rank")
     (0.5, 0.0)
@@ -199,22 +273,26 @@
     return value
 
 
-def parse_request(path: bytes, fields: dict[bytes, bytes], now: float) -> tuple:
-    """What the reducer is told of an op: id, op type, tenant, age, wait, caller, work, kb, again, key, rank."""
-    ref = fields.get(b"x-request-id", b"")
-    if not REQUEST_ID.fullmatch(ref):
+def parse_request(path: bytes, fields: dict[bytes, bytes], now: float) -> IncomingRequest:
+    """Build the typed request from path and header fields; `now` is the wall-clock time in seconds.
+
+    Raises:
+        BadRequestError: A field is missing or out of range; the cause is its name.
+    """
+    request_id = fields.get(b"x-request-id", b"")
+    if not REQUEST_ID.fullmatch(request_id):
         raise BadRequestError("x-request-id")
     if fields.get(b"x-retry", b"1") != b"1":
         raise BadRequestError("x-retry")
-    arrived = parse_decimal(fields, b"x-request-start", now - MAX_DURATION_S, now + CLOCK_SLACK_S, absent=None, unit=0.001)
-    patience = parse_decimal(fields, b"x-timeout-ms", below=MAX_DURATION_S, unit=0.001)
+    sent_at = parse_decimal(fields, b"x-request-start", now - MAX_DURATION_S, now + CLOCK_SLACK_S, absent=None, unit=0.001)
+    timeout_s = parse_decimal(fields, b"x-timeout-ms", below=MAX_DURATION_S, unit=0.001)
     key = fields.get(b"idempotency-key") or fields.get(b"x-object", b"")
-    return (
-        ref.decode(),
+    return IncomingRequest(
+        request_id.decode(),
         path.rpartition(b"/")[2].decode("latin-1"),
         fields.get(b"x-tenant", b"").decode("latin-1"),
-        max(0.0, now - arrived),
-        max(0.001, arrived + patience - now) if patience > 0.0 else 0.0,
+        max(0.0, now - sent_at),
+        max(0.001, sent_at + timeout_s - now) if timeout_s > 0.0 else 0.0,
         int(parse_decimal(fields, b"x-caller")),
         parse_decimal(fields, b"x-cost-ms", below=MAX_DURATION_S, unit=0.001),
         parse_decimal(fields, b"x-memory-kb", least=MIN_MEMORY_KB, below=MAX_MEMORY_KB, absent=None),
--- a/mulleinhatch/instance/protocol/http_responses.py
+++ b/mulleinhatch/instance/protocol/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses to callers, as pieces for one gathered write."""
+"""HTTP responses to clients, serialized as chunks for one gathered write."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 def write_retry_rejection(level: float | None, hold_off: float) -> bytes:
-    """The nack of a repeat in a storm, in one piece; no time to come back at where the settings allow none.
+    """Serialize the rejection of a retry during a retry storm.
+
+    Args:
+        level: Load signal from 0 to 1; None to send none.
+        hold_off: Seconds after which the client may come back; 0 to name none.
 
     >>> write_retry_rejection(0.25, 1.5) == b"".join(write_response(429, level=0.25, hold_off=1.5, not_elsewhere=True))
     True
@@ -28,21 +32,32 @@
     not_elsewhere: bool = False,
     close: bool = False,
 ) -> list[bytes]:
-    """Status line, fields and body as pieces for one gathered write.
+    """Serialize a response.
+
+    Args:
+        status: HTTP status; one of `REASONS`.
+        body: Response body.
+        level: Load signal from 0 to 1; None to send none.
+        hold_off: Seconds after which the client may come back; 0 to name none.
+        not_elsewhere: Whether the client should not try another instance either.
+        close: Whether the connection closes after the response.
+
+    Returns:
+        Status line, header fields and body.
 
     >>> b"".join(write_response(429, level=0.5, hold_off=0.25, not_elsewhere=True)).split(LINE_END)[1:5]
     [b'Content-Length: 0', b'X-Load-Signal: 0.5000', b'Retry-After-Ms: 250', b'X-Dont-Retry: 1']
     """
-    pieces = [b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASONS[status], len(body))]
+    chunks = [b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASONS[status], len(body))]
     if level is not None:
-        pieces.append(b"X-Load-Signal: %.4f\r\n" % level)
+        chunks.append(b"X-Load-Signal: %.4f\r\n" % level)
     if hold_off > 0.0:
-        pieces.append(b"Retry-After-Ms: %d\r\n" % max(1, round(hold_off * 1000.0)))
+        chunks.append(b"Retry-After-Ms: %d\r\n" % max(1, round(hold_off * 1000.0)))
     if not_elsewhere:
-        pieces.append(b"X-Dont-Retry: 1\r\n")
+        chunks.append(b"X-Dont-Retry: 1\r\n")
     if close:
-        pieces.append(b"Connection: close\r\n")
-    pieces.append(LINE_END)
+        chunks.append(b"Connection: close\r\n")
+    chunks.append(LINE_END)
     if body:
-        pieces.append(body)
-    return pieces
+        chunks.append(body)
+    return chunks
--- a/mulleinhatch/instance/protocol/link.py
+++ b/mulleinhatch/instance/protocol/link.py
@@ -1,4 +1,7 @@
-"""Lines of the interpreter's link: commands out, notices in."""
+"""Lines of the link to the interpreter: commands out, notices in. Each line is one JSON object.
+
+The words in capitals are the link's own; the pages of the protocol give them.
+"""
 
 from __future__ import annotations
 
@@ -11,61 +14,79 @@
 
 
 def connect(last_notice: int) -> list[bytes]:
+    """Return the greeting, with the number of the last notice that was received."""
     return [b'{"t":"CONNECT","no":%d}\n' % last_notice]
 
 
-def apply(ref: str, op_type: str, body: bytes) -> list[bytes]:
-    """
+def apply(ref: str, request_type: str, body: bytes) -> list[bytes]:
+    """Return the command that runs a request.
+
     >>> b"".join(apply("9b", "read", b"hi"))
     b'{"t":"APPLY","rid":"9b","route":"read","b64":"aGk="}\\n'
     """
-    words = f'{{"t":"APPLY","rid":{json.dumps(ref)},"route":{json.dumps(op_type)},"b64":"'
-    return [words.encode(), b64encode(body), b'"}\n']
+    start = f'{{"t":"APPLY","rid":{json.dumps(ref)},"route":{json.dumps(request_type)},"b64":"'
+    return [start.encode(), b64encode(body), b'"}\n']
 
 
 def resolve(ref: str, result: bytes) -> list[bytes]:
-    """What a run asked for at a call."""
+    """Return the command that hands a run the result of its dependency call."""
     return [f'{{"t":"RESOLVE","rid":{json.dumps(ref)},"status":"good","b64":"'.encode(), b64encode(result), b'"}\n']
 
 
-def stub(ref: str) -> list[bytes]:
-    """The run goes on without its call."""
+def skip_call(ref: str) -> list[bytes]:
+    """Return the command that lets a run go on without its dependency call."""
     return [f'{{"t":"STUB","rid":{json.dumps(ref)}}}\n'.encode()]
 
 
-def top(mark: int) -> list[bytes]:
-    return [b'{"t":"TOP","mark":"%d"}\n' % mark]
+def request_gauges(number: int) -> list[bytes]:
+    """Return the command that asks for the gauges; the notice that answers carries the same number."""
+    return [b'{"t":"TOP","mark":"%d"}\n' % number]
 
 
 def notice(line: bytes) -> dict:
-    """A notice as it came; ValueError for a line that is none."""
-    told = json.loads(line.decode())
-    if not isinstance(told, dict):
+    """Parse a notice.
+
+    Raises:
+        ValueError: The line is no JSON object.
+    """
+    fields = json.loads(line.decode())
+    if not isinstance(fields, dict):
         raise ValueError("no object")
-    return told
+    return fields
+
 
+def result(fields: dict, wanted: bool) -> bytes:
+    """Return the result that a notice carries; empty if there is none.
 
-def result(told: dict, wanted: bool) -> bytes:
-    """ValueError where there is none though one is wanted, and for one that is no base64 to the last character: decoded as far
-    as it goes, a spoilt result would be served.
+    Raises:
+        ValueError: A result is wanted and missing, or it is not base64 to the last character: decoded as far as possible, a
+            damaged result would be served.
 
     >>> result({"b64": "aGk="}, True), result({}, False)
     (b'hi', b'')
     """
-    encoded = told["b64"] if wanted else told.get("b64") or ""
+    encoded = fields["b64"] if wanted else fields.get("b64") or ""
     return b64decode(text(encoded), validate=True)
 
 
 def text(value: object) -> str:
+    """Return a value that must be text.
+
+    Raises:
+        ValueError: It is none.
+    """
     if not isinstance(value, str):
         raise ValueError("no text")
     return value
 
 
-def whole(value: object) -> int:
-    """A number of the link, as one or as its digits; 0 or more.
+def non_negative_int(value: object) -> int:
+    """Return a whole number that the link sends as a number or as its digits.
+
+    Raises:
+        ValueError: It is no whole number, or below zero.
 
-    >>> whole(7), whole("12")
+    >>> non_negative_int(7), non_negative_int("12")
     (7, 12)
     """
     if isinstance(value, bool) or not isinstance(value, int | str) or isinstance(value, str) and not value.isdecimal():
@@ -75,13 +96,23 @@
     return int(value)
 
 
-def figure(value: object) -> float:
+def non_negative_float(value: object) -> float:
+    """Return a finite number of 0 or more.
+
+    Raises:
+        ValueError: It is none.
+    """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < float("inf"):
         raise ValueError("no figure")
     return float(value)
 
 
 def readings(values: object) -> list[float]:
+    """Return a list of gauges.
+
+    Raises:
+        ValueError: It is no list, or one of them is no finite number of 0 or more.
+    """
     if not isinstance(values, list):
         raise ValueError("no list")
-    return [figure(value) for value in values]
+    return [non_negative_float(value) for value in values]
--- a/mulleinhatch/instance/protocol/reports.py
+++ b/mulleinhatch/instance/protocol/reports.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-LISTED_FOR = 3.0  # seconds that an entry outlives its last report
+LISTED_FOR_S = 3.0  # how long the directory keeps an entry after its last report
 
 
 def report(name: str, is_open: bool) -> bytes:
-    """
+    """Return the datagram that says whether an instance takes work.
+
     >>> report("n3", True)
     b'PULSE n3 open'
     """
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -36,7 +36,7 @@
 LISTEN_RETRY, LISTEN_RETRY_MOST = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
 SHUT_BEFORE, SHUT_EVERY = 0.12, 0.02  # seconds before the stop: later than the module's last answers; until all have heard it
 OUTLIVE_STOP = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
-REPORT_EVERY = reports.LISTED_FOR / 6
+REPORT_EVERY = reports.LISTED_FOR_S / 6
 SWEEP_EVERY = 0.25
 TAKEN_OVER = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
 
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -62,17 +62,17 @@
             ending = link.ENDINGS.get(status, Ending.ERROR)
             self.take(
                 Happening.RUN_ENDED,
-                link.whole(told["no"]),
+                link.non_negative_int(told["no"]),
                 link.text(told["rid"]),
                 ending,
                 link.result(told, ending is Ending.OK),
             )
         elif what == "AWAIT":
-            self.take(Happening.CALL_WANTED, link.whole(told["no"]), link.text(told["rid"]), link.result(told, True))
+            self.take(Happening.CALL_WANTED, link.non_negative_int(told["no"]), link.text(told["rid"]), link.result(told, True))
         elif what == "TOPS":
-            self.take(Happening.GAUGES, link.whole(told["mark"]), link.readings(told["v"]))
+            self.take(Happening.GAUGES, link.non_negative_int(told["mark"]), link.readings(told["v"]))
         elif what == "BANNER":
-            since = link.figure(told["time_ms"]) / 1000.0
+            since = link.non_negative_float(told["time_ms"]) / 1000.0
             LOG.info("interpreter up", extra={"fields": {"status": status, "ms": told["time_ms"]}})
             self.take(Happening.INTERPRETER_UP, status == "new", since)
         elif what == "ERROR":
@@ -83,7 +83,7 @@
             if what != "TRACE":
                 self._complain("notices_unknown", {"t": what})
             if "no" in told:
-                self.take(Happening.NOTICE_PASSED, link.whole(told["no"]))
+                self.take(Happening.NOTICE_PASSED, link.non_negative_int(told["no"]))
 
     def greet(self, last_notice: int) -> None:
         self.link.send(link.connect(last_notice))
@@ -98,7 +98,7 @@
         self.link.send(link.resolve(ref, result))
 
     def skip(self, ref: str) -> None:
-        self.link.send(link.stub(ref))
+        self.link.send(link.skip_call(ref))
 
     def gauges(self, mark: int) -> None:
-        self.link.send(link.top(mark))
+        self.link.send(link.request_gauges(mark))
