--- a/mulleinhatch/control_plane/placement/demand.py
+++ b/mulleinhatch/control_plane/placement/demand.py
@@ -8,31 +8,34 @@
 
 from mulleinhatch.messages.cluster import DemandReport, ModelDemand
 
-FORGET_S = 4.0  # a data plane's report counts so long
-MOST_FIGURE = 1e9  # of requests or worth that a line may tell
-LEAST_SUM = 1e-6  # requests a second: what is left of a sum whose reports are all gone
+REPORT_TTL_S = 4.0  # a data plane's report counts so long
+MAX_FIGURE = 1e9  # of requests or worth that a line may tell
+MIN_TOTAL_RATE_PER_S = 1e-6  # requests a second: what is left of a sum whose reports are all gone
 
 
 @dataclass(frozen=True)
-class UnusableDemand:
+class InvalidDemand:
     """A line of demand that was left out; the data plane named tells figures that can't be true."""
 
-    node: str
+    data_plane: str
     model: str
 
     def __str__(self) -> str:
-        return f"demand for {self.model!r} told by {self.node} can't be true and is left out: look at that data plane's status"
+        return (
+            f"demand for {self.model!r} told by {self.data_plane} can't be true and is left out: "
+            "look at that data plane's status"
+        )
 
 
 @dataclass
-class Wanted:
+class AggregatedDemand:
     """Demand for one model, or for one adapter of it."""
 
-    held: int = 0
+    pending: int = 0
     rate: float = 0.0  # requests a second
-    worth: float = 0.0  # of them, weighed by their class
+    value: float = 0.0  # of them, weighed by their class
     running: int = 0
-    adapters: dict[str, Wanted] = field(default_factory=dict)
+    adapters: dict[str, AggregatedDemand] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
@@ -48,74 +51,78 @@
 class _Report:
     """The latest lines of one data plane."""
 
-    lines: dict[_Key, ModelDemand]
-    at: float
+    entries: dict[_Key, ModelDemand]
+    received_at: float
 
 
-class Demand:
+class DemandAggregator:
     """Reports by data plane; those that are old are left out. Sums are kept up as reports come."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
-        self._sums: dict[_Key, Wanted] = {}  # of the reports that count
+        self._totals: dict[_Key, AggregatedDemand] = {}  # of the reports that count
 
-    def take(self, report: DemandReport, now: float) -> list[UnusableDemand]:
+    def merge_report(self, report: DemandReport, now: float) -> list[InvalidDemand]:
         """Takes a data plane's report; a partial one replaces the lines that it has. Lines that can't be true are left out and
         told, the others count."""
-        former = self._reports.get(report.node)
-        lines = {_key(one): one for one in report.demand if _usable(one)}
-        known = former.lines if former is not None else {}
-        replaced = [known[key] for key in lines if key in known] if report.partial else list(known.values())
-        self._sum(replaced, -1)
-        self._sum(lines.values(), 1)
-        self._reports[report.node] = _Report({**known, **lines} if report.partial else lines, now)
-        return [UnusableDemand(report.node, one.model) for one in report.demand if not _usable(one)]
-
-    def _sum(self, lines: Iterable[ModelDemand], sign: int) -> None:
+        previous = self._reports.get(report.node)
+        entries = {_key_of(entry): entry for entry in report.demand if _is_valid(entry)}
+        previous_entries = previous.entries if previous is not None else {}
+        replaced = (
+            [previous_entries[key] for key in entries if key in previous_entries]
+            if report.partial
+            else list(previous_entries.values())
+        )
+        self._add(replaced, -1)
+        self._add(entries.values(), 1)
+        self._reports[report.node] = _Report({**previous_entries, **entries} if report.partial else entries, now)
+        return [InvalidDemand(report.node, entry.model) for entry in report.demand if not _is_valid(entry)]
+
+    def _add(self, entries: Iterable[ModelDemand], sign: int) -> None:
         """Adds lines of a report to the sums, or takes them out."""
-        for one in lines:
-            for key in _levels(one):
-                wanted = self._sums.setdefault(key, Wanted())
-                wanted.held += sign * one.held
-                wanted.running += sign * one.running
-                wanted.rate += sign * one.rate
-                wanted.worth += sign * one.worth_rate
-
-    def totals(self, service: str, now: float) -> dict[str, Wanted]:
+        for entry in entries:
+            for key in _keys_of(entry):
+                total = self._totals.setdefault(key, AggregatedDemand())
+                total.pending += sign * entry.held
+                total.running += sign * entry.running
+                total.rate += sign * entry.rate
+                total.value += sign * entry.worth_rate
+
+    def totals(self, service: str, now: float) -> dict[str, AggregatedDemand]:
         """Demand for each model of a service."""
-        self._forget(now)
-        totals: dict[str, Wanted] = {}
-        for key, told in self._sums.items():
+        self._expire(now)
+        totals: dict[str, AggregatedDemand] = {}
+        for key, total in self._totals.items():
             if key.service != service:
                 continue
-            wanted = replace(told, adapters={})
-            model = totals.setdefault(key.model, wanted)
+            demand = replace(total, adapters={})
+            model = totals.setdefault(key.model, demand)
             if key.adapter:
-                model.adapters[key.adapter] = wanted
+                model.adapters[key.adapter] = demand
         return totals
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         """Leaves out data planes that are silent, and models that none tells of."""
-        for node, told in list(self._reports.items()):
-            if now - told.at > FORGET_S:
-                self._sum(told.lines.values(), -1)
+        for node, report in list(self._reports.items()):
+            if now - report.received_at > REPORT_TTL_S:
+                self._add(report.entries.values(), -1)
                 del self._reports[node]
-        for key, wanted in list(self._sums.items()):
-            if not wanted.held and not wanted.running and wanted.rate < LEAST_SUM:
-                del self._sums[key]
+        for key, total in list(self._totals.items()):
+            if not total.pending and not total.running and total.rate < MIN_TOTAL_RATE_PER_S:
+                del self._totals[key]
 
 
-def _usable(one: ModelDemand) -> bool:
+def _is_valid(entry: ModelDemand) -> bool:
     """Whether a line can be true: it names a model, its figures are finite, not negative and not absurd."""
-    figures = (one.held, one.running, one.rate, one.worth_rate)
-    return bool(one.service and one.model) and all(math.isfinite(figure) and 0 <= figure < MOST_FIGURE for figure in figures)
+    figures = (entry.held, entry.running, entry.rate, entry.worth_rate)
+    return bool(entry.service and entry.model) and all(math.isfinite(figure) and 0 <= figure < MAX_FIGURE for figure in figures)
 
 
-def _key(one: ModelDemand) -> _Key:
-    return _Key(one.service, one.model, one.adapter)
+def _key_of(entry: ModelDemand) -> _Key:
+    return _Key(entry.service, entry.model, entry.adapter)
 
 
-def _levels(one: ModelDemand) -> list[_Key]:
+def _keys_of(entry: ModelDemand) -> list[_Key]:
     """What a line of demand counts for: its model, before its adapter where it has one."""
-    model = _Key(one.service, one.model)
-    return [model, _key(one)] if one.adapter else [model]
+    model = _Key(entry.service, entry.model)
+    return [model, _key_of(entry)] if entry.adapter else [model]
--- a/mulleinhatch/control_plane/placement/load_rate_limiter.py
+++ b/mulleinhatch/control_plane/placement/load_rate_limiter.py
@@ -7,29 +7,29 @@
 
 class LoadRateLimiter:
     """
-    >>> ceiling = LoadRateLimiter(5.0); ceiling.configure(2.0)
-    >>> for _ in range(9): ceiling.note(0.0)
-    >>> ceiling.room(0.1), ceiling.room(5.1)
+    >>> limiter = LoadRateLimiter(5.0); limiter.configure(2.0)
+    >>> for _ in range(9): limiter.record(0.0)
+    >>> limiter.available(0.1), limiter.available(5.1)
     (1, 10)
     """
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._per_s = 1.0
-        self._begun: deque[float] = deque()
+        self._loads_per_s = 1.0
+        self._started_at: deque[float] = deque()
 
     def configure(self, loads_per_s: float) -> None:
-        self._per_s = loads_per_s
+        self._loads_per_s = loads_per_s
 
     @property
-    def _most(self) -> int:
-        return max(1, int(self._per_s * self._window_s))
+    def _limit(self) -> int:
+        return max(1, int(self._loads_per_s * self._window_s))
 
-    def room(self, now: float) -> int:
-        recent = [begun for begun in self._begun if begun > now - self._window_s]
-        self._begun = deque(recent)
-        return self._most - len(recent)
+    def available(self, now: float) -> int:
+        recent = [started_at for started_at in self._started_at if started_at > now - self._window_s]
+        self._started_at = deque(recent)
+        return self._limit - len(recent)
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """A load from the store began, by whose order ever."""
-        self._begun.append(now)
+        self._started_at.append(now)
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -100,7 +100,6 @@
         has_majority_contact=lambda: True,
         request_heartbeat=lambda: None,
         start_task=lambda work: loop.create_task(work),
-        on_store_load=None,
     )
 
     async def claim_leadership() -> int:
@@ -161,8 +160,8 @@
 
     def test_at_most_one_order_is_under_way_at_a_backend(self):
         script = self.play()
-        self.assertEqual(self.orders.log[0]["operation"], "unload")
-        self.assertEqual([one["operation"] for one in self.orders.log], ["unload", "load"])
+        self.assertEqual(self.orders.recent_orders[0]["operation"], "unload")
+        self.assertEqual([one["operation"] for one in self.orders.recent_orders], ["unload", "load"])
         self.assertEqual(len(script.taken), 2)
 
 
