--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -35,6 +35,7 @@
         self.distribution = Distribution(self.node, self.clock)
         self.orders = PlacementController(self.node, self.caller, self.clock, settings.bounds)
         self.node.placement_idle_s = self.orders.idle_s
+        self.node.on_store_load = self.orders.record_store_load
         self.node.data_planes = self.distribution.data_planes
         self.node.on_backend_change = lambda backend_id: self._changed()
         self.stopped = asyncio.Event()
@@ -97,7 +98,7 @@
             "version": node.state.document.version,
             "holder": node.state.leader,
             "fence_token": node.state.fencing_token,
-            "orders": list(self.orders.log),
+            "orders": list(self.orders.recent_orders),
             "data_planes": self.distribution.all_data_planes(),
             "peers": {
                 peer.member.name: {"answered_s_ago": round(now - peer.answered_at, 2), "leaving": peer.leaving}
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -10,9 +10,10 @@
 from mulleinhatch.configuration.routes import Engine, ModelFacts
 from mulleinhatch.control_plane.api import read_backend
 from mulleinhatch.control_plane.peers import ALIVE_S, Peers
-from mulleinhatch.control_plane.placement.backend_state import read_report
-from mulleinhatch.control_plane.placement.demand import Demand, Wanted
-from mulleinhatch.control_plane.placement.holdings import BackendView, Holding, Operation, used_mb
+from mulleinhatch.control_plane.placement.backend_report import parse_report
+from mulleinhatch.control_plane.placement.backend_view import BackendView, HostedModel, used_mb
+from mulleinhatch.control_plane.placement.demand import AggregatedDemand, DemandAggregator
+from mulleinhatch.control_plane.placement.order import Operation
 from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
@@ -117,8 +118,8 @@
 
     def test_a_report_of_another_form_is_none(self):
         with self.assertRaises(ValueError):
-            read_report(b'{"models":[{"no":1}]}')
-        self.assertEqual(read_report(b'{"models":[{"name":"m"}],"busy":true,"sequence":3}').revision, 3)
+            parse_report(b'{"models":[{"no":1}]}')
+        self.assertEqual(parse_report(b'{"models":[{"name":"m"}],"busy":true,"sequence":3}').revision, 3)
 
 
 class PeersHeard(unittest.TestCase):
@@ -145,26 +146,32 @@
 
 
 def view(name: str, models: str = "", adapters: dict[str, set[str]] | None = None, **more) -> BackendView:
-    holdings = {f"m{digit}": Holding(set((adapters or {}).get(f"m{digit}", ())), -100.0) for digit in models}
-    return BackendView(name, name, holdings, more.pop("held_before", set()), True, True, **more)
+    holdings = {f"m{digit}": HostedModel(set((adapters or {}).get(f"m{digit}", ())), -100.0) for digit in models}
+    return BackendView(name, name, holdings, more.pop("disk_models", set()), True, True, **more)
 
 
-def planned(backends: list[BackendView], wanted: dict[str, Wanted], room: int = 5) -> list[tuple[str, str, str, str]]:
+def planned(backends: list[BackendView], wanted: dict[str, AggregatedDemand], room: int = 5) -> list[tuple[str, str, str, str]]:
     orders = Planner(ENGINE, backends, wanted, 0.0, room).plan()
     return [(order.backend_id, order.operation.value, order.model, order.adapter) for order in orders]
 
 
 class Placement(unittest.TestCase):
     def test_a_wanted_model_that_stands_nowhere_is_loaded_where_there_is_room(self):
-        self.assertEqual(planned([view("s1", "123"), view("s2", "12")], {"m5": Wanted(held=1)}), [("s2", "load", "m5", "")])
+        self.assertEqual(
+            planned([view("s1", "123"), view("s2", "12")], {"m5": AggregatedDemand(pending=1)}), [("s2", "load", "m5", "")]
+        )
 
     def test_room_is_made_by_what_is_asked_for_least(self):
-        wanted = {"m8": Wanted(held=1), "m1": Wanted(rate=5, worth=10), "m2": Wanted(rate=3, worth=6)}
+        wanted = {
+            "m8": AggregatedDemand(pending=1),
+            "m1": AggregatedDemand(rate=5, value=10),
+            "m2": AggregatedDemand(rate=3, value=6),
+        }
         self.assertEqual(planned([view("s1", "129")], wanted), [("s1", "unload", "m9", "")])
 
     def test_the_place_in_the_operators_list_tells_nothing(self):
         """Models that nobody asked for give way alike, also those that follow a busy one."""
-        wanted = {"m8": Wanted(held=1), "m1": Wanted(rate=5, worth=10)}
+        wanted = {"m8": AggregatedDemand(pending=1), "m1": AggregatedDemand(rate=5, value=10)}
         self.assertEqual(planned([view("s1", "129")], wanted), [("s1", "unload", "m2", "")])
         self.assertEqual(planned([view("s1", "159")], wanted), [("s1", "unload", "m5", "")])
 
@@ -172,54 +179,65 @@
         """A single request for a model that stands nowhere does not push out one that is asked for now and then."""
         for worth, orders in ((0.6, [("s1", "unload", "m2", "")]), (0.8, [])):
             with self.subTest(worth=worth):
-                wanted = {f"m{digit}": Wanted(rate=5, worth=9) for digit in "19"}
-                wanted |= {"m8": Wanted(held=1), "m2": Wanted(rate=worth, worth=worth)}
+                wanted = {f"m{digit}": AggregatedDemand(rate=5, value=9) for digit in "19"}
+                wanted |= {"m8": AggregatedDemand(pending=1), "m2": AggregatedDemand(rate=worth, value=worth)}
                 self.assertEqual(planned([view("s1", "129")], wanted), orders)
 
     def test_copies_of_one_model_give_way_one_at_a_time(self):
         """What the last copy is worth counts once the others have been given up in the same look."""
-        wanted = {f"m{digit}": Wanted(held=3) for digit in "56789"}
-        wanted |= {"m1": Wanted(rate=3, worth=9), **{f"m{digit}": Wanted(rate=9, worth=90) for digit in "23"}}
+        wanted = {f"m{digit}": AggregatedDemand(pending=3) for digit in "56789"}
+        wanted |= {
+            "m1": AggregatedDemand(rate=3, value=9),
+            **{f"m{digit}": AggregatedDemand(rate=9, value=90) for digit in "23"},
+        }
         orders = planned([view(f"s{number}", "123") for number in range(4)], wanted)
         self.assertEqual([order[1:3] for order in orders], [("unload", "m1")] * 2)
 
     def test_nothing_asked_for_more_is_given_up_for_less(self):
-        wanted = {"m5": Wanted(rate=0.1, worth=0.1), **{f"m{number}": Wanted(rate=5, worth=9) for number in (1, 2, 3)}}
+        wanted = {
+            "m5": AggregatedDemand(rate=0.1, value=0.1),
+            **{f"m{number}": AggregatedDemand(rate=5, value=9) for number in (1, 2, 3)},
+        }
         self.assertEqual(planned([view("s1", "123")], wanted), [])
 
     def test_the_backend_whose_disk_has_the_model_is_preferred(self):
-        backends = [view("s1", "1"), view("s2", "2", held_before={"m5"})]
-        self.assertEqual(planned(backends, {"m5": Wanted(held=1)}), [("s2", "load", "m5", "")])
+        backends = [view("s1", "1"), view("s2", "2", disk_models={"m5"})]
+        self.assertEqual(planned(backends, {"m5": AggregatedDemand(pending=1)}), [("s2", "load", "m5", "")])
 
     def test_without_room_under_the_ceiling_only_own_disks_serve(self):
-        self.assertEqual(planned([view("s1", "1")], {"m5": Wanted(held=1)}, room=0), [])
+        self.assertEqual(planned([view("s1", "1")], {"m5": AggregatedDemand(pending=1)}, room=0), [])
         self.assertEqual(
-            planned([view("s1", "1", held_before={"m5"})], {"m5": Wanted(held=1)}, room=0), [("s1", "load", "m5", "")]
+            planned([view("s1", "1", disk_models={"m5"})], {"m5": AggregatedDemand(pending=1)}, room=0),
+            [("s1", "load", "m5", "")],
         )
 
     def test_what_is_under_way_counts_as_room_taken_and_as_a_copy(self):
-        coming = view("s1", "12", coming={("m5", "")})
+        coming = view("s1", "12", loading={("m5", "")})
         self.assertEqual(used_mb(coming, ENGINE), 210.0)
-        self.assertEqual(planned([coming, view("s2", "1")], {"m5": Wanted(held=1)}), [])
+        self.assertEqual(planned([coming, view("s2", "1")], {"m5": AggregatedDemand(pending=1)}), [])
 
     def test_room_that_was_made_is_used_for_its_model(self):
-        backends = [view("s1", "12", reserved="m5"), view("s2", "12")]
+        backends = [view("s1", "12", reserved_for="m5"), view("s2", "12")]
         self.assertEqual(
-            planned(backends, {"m5": Wanted(held=1), "m6": Wanted(held=2)}),
+            planned(backends, {"m5": AggregatedDemand(pending=1), "m6": AggregatedDemand(pending=2)}),
             [("s1", "load", "m5", ""), ("s2", "load", "m6", "")],
         )
 
     def test_busy_models_get_further_copies(self):
         backends = [view("s1", "1"), view("s2", "2")]
-        self.assertEqual(planned(backends, {"m1": Wanted(rate=9, worth=18, running=20)}), [("s2", "load", "m1", "")])
+        self.assertEqual(planned(backends, {"m1": AggregatedDemand(rate=9, value=18, running=20)}), [("s2", "load", "m1", "")])
 
     def test_an_adapter_goes_to_a_backend_that_holds_its_model_and_has_a_place(self):
-        wanted = {"m1": Wanted(rate=1, worth=1, adapters={"a3": Wanted(held=1)})}
+        wanted = {"m1": AggregatedDemand(rate=1, value=1, adapters={"a3": AggregatedDemand(pending=1)})}
         backends = [view("s1", "1", {"m1": {"a1", "a2"}}), view("s2", "1"), view("s3", "2")]
         self.assertEqual(planned(backends, wanted), [("s2", "load", "m1", "a3")])
 
     def test_adapters_never_exceed_their_places(self):
-        wanted = {"m1": Wanted(rate=1, worth=1, adapters={"a3": Wanted(held=1), "a1": Wanted(rate=1, worth=1)})}
+        wanted = {
+            "m1": AggregatedDemand(
+                rate=1, value=1, adapters={"a3": AggregatedDemand(pending=1), "a1": AggregatedDemand(rate=1, value=1)}
+            )
+        }
         self.assertEqual(planned([view("s1", "1", {"m1": {"a1", "a2"}})], wanted), [("s1", "unload", "m1", "a2")])
 
     def test_never_over_the_limit_of_a_backend_whatever_is_asked(self):
@@ -227,7 +245,9 @@
         backends = [view(f"s{number}") for number in range(3)]
         for step in range(200):
             model = f"m{step * 7 % 10}"
-            wanted = {model: Wanted(held=3, rate=1, worth=3, adapters={f"a{step % 4}": Wanted(held=2)})}
+            wanted = {
+                model: AggregatedDemand(pending=3, rate=1, value=3, adapters={f"a{step % 4}": AggregatedDemand(pending=2)})
+            }
             for order in Planner(ENGINE, backends, wanted, 10.0 * step, 5).plan():
                 target = next(one for one in backends if one.id == order.backend_id)
                 if order.operation is Operation.UNLOAD:
@@ -237,40 +257,44 @@
                 elif order.adapter:
                     target.models[order.model].adapters.add(order.adapter)
                 else:
-                    target.models[order.model] = Holding(set(), 10.0 * step - 5.0)
+                    target.models[order.model] = HostedModel(set(), 10.0 * step - 5.0)
                 self.assertLessEqual(used_mb(target, ENGINE), ENGINE.weights_mb)
                 self.assertLessEqual(sum(len(held.adapters) for held in target.models.values()), ENGINE.adapter_slots)
 
     def test_a_model_that_the_configuration_no_longer_names_takes_room_and_gives_way_first(self):
         backend = view("s1", "12")
-        backend.models["old"] = Holding(set(), -100.0)
+        backend.models["old"] = HostedModel(set(), -100.0)
         self.assertEqual(used_mb(backend, ENGINE), 210.0)
-        wanted = {"m5": Wanted(held=1), "m1": Wanted(rate=1, worth=1), "m2": Wanted(rate=1, worth=1)}
+        wanted = {
+            "m5": AggregatedDemand(pending=1),
+            "m1": AggregatedDemand(rate=1, value=1),
+            "m2": AggregatedDemand(rate=1, value=1),
+        }
         self.assertEqual(planned([backend], wanted), [("s1", "unload", "old", "")])
 
     def test_absurd_sizes_are_never_ordered_and_the_plan_goes_on(self):
         sizes = {"huge": math.inf, "large": 1e12, "m1": 70.0}
         engine = Engine(64, 220.0, 2, 2.0, 1000, {name: ModelFacts(name, mb, 5.0, 0, 1.0) for name, mb in sizes.items()})
-        wanted = {name: Wanted(held=2, rate=1, worth=1) for name in (*sizes, "unknown")}
+        wanted = {name: AggregatedDemand(pending=2, rate=1, value=1) for name in (*sizes, "unknown")}
         orders = Planner(engine, [view("s1", ""), view("s2", "")], wanted, 0.0, 5).plan()
         self.assertEqual([order.model for order in orders], ["m1"])
 
     def test_no_memory_and_no_places_order_nothing(self):
         engine = Engine(1, 0.0, 0, 2.0, 0, ENGINE.models)
-        wanted = {"m1": Wanted(held=2, adapters={"a1": Wanted(held=1)})}
+        wanted = {"m1": AggregatedDemand(pending=2, adapters={"a1": AggregatedDemand(pending=1)})}
         self.assertEqual(Planner(engine, [view("s1", "")], wanted, 0.0, 5).plan(), [])
 
 
 class DemandSums(unittest.TestCase):
     def test_reports_are_summed_and_old_ones_left_out(self):
-        demand = Demand()
+        demand = DemandAggregator()
         for node, at in (("n1", 0.0), ("n2", 3.0)):
-            demand.take(
+            demand.merge_report(
                 DemandReport(node=node, demand=[ModelDemand(service="s", model="m", adapter="a", held=2, rate=1.5)]), at
             )
         total = demand.totals("s", 3.5)["m"]
-        self.assertEqual((total.held, total.rate, total.adapters["a"].held), (4, 3.0, 4))
-        self.assertEqual(demand.totals("s", 6.0)["m"].held, 2)
+        self.assertEqual((total.pending, total.rate, total.adapters["a"].pending), (4, 3.0, 4))
+        self.assertEqual(demand.totals("s", 6.0)["m"].pending, 2)
         self.assertEqual(demand.totals("other", 6.0), {})
 
 
