--- a/mulleinhatch/control_plane/placement/backend_report.py
+++ b/mulleinhatch/control_plane/placement/backend_report.py
@@ -1,4 +1,4 @@
-"""What a backend answers when it is asked for its report. Pure."""
+"""A backend's report of its models and its running order. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True)
 class BackendReport:
-    """What a backend's report says that matters here."""
+    """The part of a backend's report that placement uses.
+
+    Attributes:
+        models: Adapters by model.
+        is_busy: Whether an order is running.
+        revision: How many orders the backend has accepted.
+    """
 
     models: dict[str, set[str]]
     is_busy: bool
@@ -16,7 +22,11 @@
 
 
 def parse_report(body: bytes) -> BackendReport:
-    """ValueError where it is none."""
+    """Parse the body of a backend's response to `GET /report`.
+
+    Raises:
+        ValueError: The body is no report.
+    """
     value = json.loads(body)
     try:
         models = {model["name"]: set(model.get("adapters", ())) for model in value.get("models", ())}
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -1,84 +1,96 @@
-"""Carries out the plan: the holder of orders sends them to backends, follows each to its end, and tells where models stand.
-
-What a backend holds is believed from its reports. An order without an answer may have been taken: it counts as coming
-until a report
-shows another count of orders, or enough time has passed.
+"""The placement controller: reconciles the models at backends with the demand of data planes.
+
+The controller runs on every control plane instance and acts only where the instance leads placement. The parts it wires:
+
+| part | module |
+| --- | --- |
+| who may issue orders, under which fencing token | `leadership` |
+| demand of all data planes | `demand` |
+| what the leader knows of a backend | `backend_state`, `backend_report`, `report_poller` |
+| which orders to issue | `planner`, `value`, `backend_view`, `load_rate_limiter` |
+| sending orders | `order`, `order_client`, `order_dispatch` |
+| notifying data planes | `published_holdings` |
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 from collections import deque
 from collections.abc import Callable
 
 from mulleinhatch.configuration.routes import Engine, RouteTable, build_table
-from mulleinhatch.control_plane.node import CoreNode
-from mulleinhatch.control_plane.placement.backend_report import BackendReport, parse_report
 from mulleinhatch.control_plane.placement.backend_state import BackendState
-from mulleinhatch.control_plane.placement.backend_view import BackendView, HostedModel
 from mulleinhatch.control_plane.placement.demand import DemandAggregator
+from mulleinhatch.control_plane.placement.interfaces import ClusterMember
+from mulleinhatch.control_plane.placement.leadership import PlacementLeadership
 from mulleinhatch.control_plane.placement.load_rate_limiter import LoadRateLimiter
-from mulleinhatch.control_plane.placement.order import Operation, Order, OrderInFlight
+from mulleinhatch.control_plane.placement.order_client import OrderClient
+from mulleinhatch.control_plane.placement.order_dispatch import OrderDispatcher
 from mulleinhatch.control_plane.placement.planner import Planner
-from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
-from mulleinhatch.messages.cluster import Backend, DemandReport, DemandResponse, LoadedModel, PendingLoad
-from mulleinhatch.networking.http_client import CallError, HttpClient, HttpResponse
-from mulleinhatch.networking.http_server import JSON_TYPE
+from mulleinhatch.control_plane.placement.published_holdings import HoldingsPublisher
+from mulleinhatch.control_plane.placement.report_poller import ReportPoller
+from mulleinhatch.leadership.lease import LeaseState
+from mulleinhatch.messages.cluster import Backend, DemandReport, DemandResponse
+from mulleinhatch.networking.http_client import HttpClient
 from mulleinhatch.process.settings import Bounds
 
 LOG = logging.getLogger(__name__)
 RECONCILE_INTERVAL_S = 0.1
-RECONCILE_REST_FACTOR = 5.0  # a look is followed by this many times its length without one, a tick at most
-FOLLOW_UP_RETRY_DELAYS_S = (0.05, 0.05, 0.1)  # pauses before the tries of a load that needs the room of an unload
-ORDER_TIMEOUT_S = 0.8  # for the answer to an order
-REPORT_TIMEOUT_S = 0.6  # for the answer to a report
-POLL_INTERVAL_S = 0.12  # between reports while an order should be done
-REPORT_LAG_S = 0.35  # reports show the state of some hundred ms earlier
-PUBLISH_DELAY_MS = 150  # from the end of an order to the data planes' hearing of it
-ASSUMED_PREVIOUS_LOADS = 3  # loads that a former holder may have begun without our hearing of them
-RECENT_ORDERS = 50
-NEVER = -1e9
-NEVER_ISSUED_S = 1e5  # fields by a process that gave no order since its start
-RESERVATION_S = 4.0  # how long room that was made is kept for its model
-POLL_BACKOFF_S = 1.0  # a backend that did not answer is left alone so long
-ORDER_OVERDUE_S = 6.0  # beyond what an order should take: then it counts as never taken
-REVISION_TOKEN_SHIFT_BITS = 32  # fencing token above, count of changes below
+RECONCILE_REST_FACTOR = 5.0  # a pass is followed by a pause of this many times its duration, at most one interval
+ASSUMED_PREVIOUS_LOADS = 3  # store loads that a former leader may have started without publishing them
+ASSUMED_LOAD_AGE_FRACTION = 0.6  # of the rate limiter's window: the age that such loads are given
 
 
 class PlacementController:
-    """The role's backend_state on one core machine; it acts only while it holds the role."""
+    """Runs the reconcile loop and wires the parts of placement.
+
+    Args:
+        node: The control plane node.
+        http_client: Client for requests to backends.
+        clock: Monotonic time in seconds.
+        bounds: Lease length, the window of the store's load rate limit, and whether backends fence off old leaders.
+    """
 
-    def __init__(self, node: CoreNode, caller: HttpClient, clock: Callable[[], float], bounds: Bounds) -> None:
-        lease_s, window_s, self._fenced = bounds.lease_s, bounds.ceiling_window_s, bounds.fenced
-        self._node, self._caller, self._clock = node, caller, clock
-        self.lease = LeaderLease(lease_s)
+    def __init__(self, node: ClusterMember, http_client: HttpClient, clock: Callable[[], float], bounds: Bounds) -> None:
+        self._node, self._clock, self._window_s = node, clock, bounds.ceiling_window_s
         self.demand = DemandAggregator()
-        self._store_load_limiter, self._window_s, self._started_at = LoadRateLimiter(window_s), window_s, clock()
+        self.leadership = PlacementLeadership(node, clock, bounds.lease_s, bounds.fenced)
+        self._store_loads = LoadRateLimiter(bounds.ceiling_window_s)
+        self._publisher = HoldingsPublisher(node, clock, self.leadership)
+        self._reconcile_soon = asyncio.Event()
+        self._poller = ReportPoller(node, http_client, clock, self._publisher, self._reconcile_soon.set)
+        self._client = OrderClient(node, http_client, clock, self.leadership)
+        self._dispatcher = OrderDispatcher(node, clock, self._client, self.leadership, self._publisher, self._store_loads)
         self._backend_states: dict[str, BackendState] = {}
-        self._disk_models: dict[str, set[str]] = {}  # by address: what a backend's own disk has
+        self._disk_models: dict[str, set[str]] = {}  # models that a backend's disk has, by address
         self._table = RouteTable()
-        self._last_order_at = NEVER
-        self._changes = 0
-        self._reconcile_soon = asyncio.Event()
-        self.recent_orders: deque[dict[str, str]] = deque(maxlen=RECENT_ORDERS)  # the latest orders, with why they were given
+        self._started_at = clock()
 
-    def record_store_load(self) -> None:
-        """Counts a load from the weight store, whichever machine ordered it."""
-        self._store_load_limiter.record(self._clock())
+    @property
+    def recent_orders(self) -> deque[dict[str, str]]:
+        """Return the latest orders, each with the reason why it was issued."""
+        return self._dispatcher.recent_orders
 
-    def _started_for(self) -> float:
-        """Seconds since this process started, at most a window: what was begun before is not remembered."""
-        return min(0.6 * self._window_s, self._clock() - self._started_at)
+    def idle_s(self) -> float:
+        """Return for how many seconds this instance has issued no order."""
+        return self._client.idle_s()
 
-    # The role.
+    def record_store_load(self) -> None:
+        """Count a load from the weight store, whichever instance ordered it."""
+        self._store_loads.record(self._clock())
 
-    def idle_s(self) -> float:
-        """How long this machine has given no order."""
-        return min(NEVER_ISSUED_S, self._clock() - self._last_order_at)
+    async def on_demand(self, report: DemandReport) -> DemandResponse:
+        """Take a data plane's demand report; the response says whether this instance leads placement."""
+        for invalid in self.demand.merge_report(report, self._clock()):
+            fields = {"data_plane": invalid.data_plane, "model": invalid.model, "reason": str(invalid)}
+            LOG.warning("ignored invalid demand figures of a data plane", extra=fields)
+        if any(entry.held for entry in report.demand):
+            self._reconcile_soon.set()
+        return DemandResponse(taken=self.leadership.is_acting)
 
     async def run(self) -> None:
+        """Reconcile at each interval, and without delay after a report or when requests are pending."""
         while True:
             try:
                 async with asyncio.timeout(RECONCILE_INTERVAL_S):
@@ -86,62 +98,31 @@
             except TimeoutError:
                 pass
             self._reconcile_soon.clear()
-            begun = self._clock()
+            started_at = self._clock()
             await self.reconcile()
-            await asyncio.sleep(min(RECONCILE_INTERVAL_S, RECONCILE_REST_FACTOR * (self._clock() - begun)))
+            duration_s = self._clock() - started_at
+            await asyncio.sleep(min(RECONCILE_INTERVAL_S, RECONCILE_REST_FACTOR * duration_s))
 
     async def reconcile(self) -> None:
-        state = self.lease.observe(self._observe_leadership(), self._clock())
-        if state is LeaseState.CLAIMING:
-            first = not self._node.state.leader
-            token = await self.claim()
-            self.lease.claimed(token)
-            if self.lease.acting:
-                self._start_leading(first)
-        elif state is LeaseState.ACTING:
+        """Claim leadership if it is vacant; if this instance leads, poll backends and issue orders."""
+        lease_state = self.leadership.observe()
+        if lease_state is LeaseState.CLAIMING:
+            is_first_claim = not self._node.state.leader
+            if await self.leadership.acquire():
+                self._start_leading(is_first_claim)
+        elif lease_state is LeaseState.ACTING:
             self._reconcile_services()
 
-    async def claim(self) -> int:
-        """The token of a claim; 0 where the core could not take it, as with a disk that refuses."""
-        try:
-            return await self._node.claim_leadership()
-        except OSError:
-            return 0
-
-    def _observe_leadership(self) -> LeadershipObservation:
-        node = self._node
-        former = node.peers.by_identity.get(node.state.leader)
-        idle = former.orders_idle_s if former is not None and former.leaving else 0.0
-        reached = former is not None and node.peers.is_alive(node.state.leader, self._clock()) and not former.leaving
-        if reached and former.epoch >= node.view.epoch and former.orders_idle_s >= NEVER_ISSUED_S:
-            reached = False  # started anew and knows that it does not lead: it has given no order and will give none
-        return LeadershipObservation(
-            node.replica.is_head and node.has_majority_contact() and not node.leaving,
-            node.member.identity,
-            node.state.leader,
-            node.state.fencing_token,
-            idle,
-            self._fenced and not reached,
-        )
-
-    def _start_leading(self, first: bool) -> None:
-        """The role is ours: nothing is known of what the former holder had under way."""
-        LOG.info("holds the orders", extra={"token": self.lease.token})
+    def _start_leading(self, is_first_claim: bool) -> None:
+        """Forget all backend state, because the former leader's orders in flight are unknown."""
+        LOG.info("acquired placement leadership", extra={"fencing_token": self.leadership.token})
         self._backend_states.clear()
-        self._changes = 0
-        if not first:
-            for _ in range(ASSUMED_PREVIOUS_LOADS):
-                self._store_load_limiter.record(self._clock() - self._started_for())
-
-    async def on_demand(self, report: DemandReport) -> DemandResponse:
-        """A data plane tells what is asked for there."""
-        for invalid in self.demand.merge_report(report, self._clock()):
-            LOG.warning("demand left out", extra={"why": str(invalid)})
-        if any(entry.held for entry in report.demand):
-            self._reconcile_soon.set()
-        return DemandResponse(taken=self.lease.acting)
-
-    # One look.
+        self._publisher.reset()
+        if is_first_claim:
+            return
+        assumed_at = self._clock() - min(ASSUMED_LOAD_AGE_FRACTION * self._window_s, self._clock() - self._started_at)
+        for _ in range(ASSUMED_PREVIOUS_LOADS):
+            self._store_loads.record(assumed_at)
 
     def _reconcile_services(self) -> None:
         now = self._clock()
@@ -153,275 +134,37 @@
                 self._reconcile_service(service.name, service.engine, now)
 
     def _reconcile_service(self, service: str, engine: Engine, now: float) -> None:
-        backends = [
-            entry.backend
-            for entry in self._node.registry.entries.values()
-            if entry.backend.service == service and not entry.backend.gone and not entry.backend.silent
-        ]
-        for backend in backends:
-            self._remember_disk_models(backend)
-            self._poll_if_due(backend, now)
+        backends = self._available_backends(service)
+        for backend in backends.values():
+            self._observe_backend(backend, now)
         demand = self.demand.totals(service, now)
         if not demand:
             return
-        self._store_load_limiter.configure(engine.loads_per_s)
-        views = [self._view(backend, now) for backend in backends]
-        for order in Planner(engine, views, demand, now, self._store_load_limiter.available(now)).plan():
-            backend = next(backend for backend in backends if backend.id == order.backend_id)
-            if order.from_store and self._store_load_limiter.available(now) <= 0:
+        self._store_loads.configure(engine.loads_per_s)
+        views = [
+            self._backend_states[backend.id].to_view(backend, self._disk_models[backend.address], now)
+            for backend in backends.values()
+        ]
+        for order in Planner(engine, views, demand, now, self._store_loads.available(now)).plan():
+            # An order issued earlier in this pass may have used up the limit: publishing a store load records it.
+            if order.from_store and self._store_loads.available(now) <= 0:
                 continue
-            self.issue(backend, order, now)
+            backend_id = order.backend_id
+            self._dispatcher.issue(backends[backend_id], self._backend_states[backend_id], order, now)
+
+    def _available_backends(self, service: str) -> dict[str, Backend]:
+        backends = [entry.backend for entry in self._node.registry.entries.values()]
+        return {
+            backend.id: backend
+            for backend in backends
+            if backend.service == service and not backend.gone and not backend.silent
+        }
 
-    def _remember_disk_models(self, backend: Backend) -> None:
+    def _observe_backend(self, backend: Backend, now: float) -> None:
+        """Remember the models on the backend's disk and poll the backend if its state is unknown or out of date."""
         disk_models = self._disk_models.setdefault(backend.address, set())
         disk_models.update(model.name for model in backend.models)
-
-    def _view(self, backend: Backend, now: float) -> BackendView:
-        backend_state = self._backend_states[backend.id]
-        coming: set[tuple[str, str]] = set()
-        leaving: set[tuple[str, str]] = set()
-        if backend_state.in_flight is not None:
-            order = backend_state.in_flight.order
-            (coming if order.operation is Operation.LOAD else leaving).add((order.model, order.adapter))
-        free = backend_state.is_known and backend_state.in_flight is None and not backend_state.has_foreign_order
-        reserved = backend_state.reserved_for if now < backend_state.reserved_until else ""
-        return BackendView(
-            backend.id,
-            backend.address,
-            backend_state.models,
-            self._disk_models.get(backend.address, set()),
-            free,
-            not backend.draining and not backend.remaining_ms,
-            coming,
-            leaving,
-            reserved,
-        )
-
-    def _poll_if_due(self, backend: Backend, now: float) -> None:
-        """Asks for a report where one is needed."""
-        backend_state = self._backend_states.get(backend.id)
-        if backend_state is None:
-            backend_state = self._backend_states[backend.id] = BackendState()
-        due = (
-            not backend_state.is_known
-            or backend_state.has_foreign_order
-            or (backend_state.in_flight is not None and now >= backend_state.in_flight.expected_at)
-        )
-        if due and not backend_state.is_polling and now >= backend_state.next_poll_at:
-            backend_state.is_polling = True
-            self._node.start_task(self._poll_report(backend, backend_state))
-
-    async def _poll_report(self, backend: Backend, backend_state: BackendState) -> None:
-        asked_at = self._clock()
-        try:
-            answer = await self._caller.request(backend.address, "GET", "/report", b"", REPORT_TIMEOUT_S)
-            report = parse_report(answer.body) if answer.status == 200 else None
-        except (CallError, ValueError):
-            self._caller.forget(backend.address)
-            report = None
-        finally:
-            backend_state.is_polling = False
-        now = self._clock()
-        if report is None:
-            backend_state.poll_failures += 1
-            backend_state.next_poll_at = now + min(4.0, POLL_BACKOFF_S * backend_state.poll_failures)
-            return
-        backend_state.poll_failures = 0
-        backend_state.next_poll_at = now + POLL_INTERVAL_S
-        self._apply_report(backend, backend_state, report, asked_at, now)
-
-    def _apply_report(
-        self, backend: Backend, backend_state: BackendState, report: BackendReport, asked_at: float, now: float
-    ) -> None:
-        in_flight = backend_state.in_flight
-        if in_flight is not None:
-            if report.is_busy or in_flight.is_follow_up_sending or not self._is_completed(in_flight, report, asked_at):
-                return
-            order = in_flight.order
-            fields = {"backend": backend.id, "operation": order.operation.value, "model": order.model, "adapter": order.adapter}
-            LOG.info("order ended", extra=fields | {"took_s": round(now - in_flight.started_at, 3)})
-            backend_state.in_flight = None
-        arrived = now if backend_state.is_known else NEVER  # what stood before we looked has stood for long, as far as we know
-        backend_state.has_foreign_order = report.is_busy and in_flight is None
-        backend_state.is_known = True
-        backend_state.revision = report.revision
-        backend_state.models = {
-            name: HostedModel(adapters, backend_state.models[name].loaded_at if name in backend_state.models else arrived)
-            for name, adapters in report.models.items()
-        }
-        self.publish_holdings(backend, backend_state)
-        self._reconcile_soon.set()
-
-    @staticmethod
-    def _is_completed(in_flight: OrderInFlight, report: BackendReport, asked_at: float) -> bool:
-        """Whether a report that shows no backend_state under way speaks of the time after the order."""
-        if report.revision > in_flight.revision:
-            return True
-        waited = asked_at - in_flight.started_at
-        return waited > (
-            ORDER_OVERDUE_S + in_flight.expected_at - in_flight.started_at
-            if not in_flight.is_response_lost
-            else REPORT_LAG_S + ORDER_TIMEOUT_S + 1.0
-        )
-
-    def publish_holdings(self, backend: Backend, backend_state: BackendState) -> None:
-        """Where models stand now, and what is under way, for all data planes."""
-        self._changes += 1
-        models, loads, unloads = dict(backend_state.models), [], []
-        if backend_state.in_flight is not None:
-            order = backend_state.in_flight.order
-            if backend_state.in_flight.is_assumed_done and order.model in models:
-                hosted = models[order.model]
-                models[order.model] = HostedModel(hosted.adapters | {order.adapter}, hosted.loaded_at)
-            elif order.operation is Operation.LOAD:
-                remaining = max(0.0, backend_state.in_flight.expected_at - self._clock())
-                loads.append(
-                    PendingLoad(
-                        model=order.model,
-                        adapter=order.adapter,
-                        remaining_ms=int(1000 * remaining) + PUBLISH_DELAY_MS,
-                        from_store=order.from_store,
-                    )
-                )
-            else:
-                unloads.append(PendingLoad(model=order.model, adapter=order.adapter))
-        fields = [
-            LoadedModel(name=name, version=0, adapters=sorted(holding.adapters)) for name, holding in sorted(models.items())
-        ]
-        revision = (self.lease.token << REVISION_TOKEN_SHIFT_BITS) + self._changes
-        if self._node.registry.record_holdings(backend.id, fields, loads, unloads, revision):
-            self._node.request_heartbeat()
-
-    # Orders.
-
-    def issue(self, backend: Backend, order: Order, now: float) -> None:
-        backend_state = self._backend_states[backend.id]
-        backend_state.in_flight = OrderInFlight(order, now, now + order.expected_s, backend_state.revision)
-        if order.reserved_for:
-            backend_state.reserved_for, backend_state.reserved_until = order.reserved_for, now + RESERVATION_S
-        elif order.operation is Operation.LOAD and order.model == backend_state.reserved_for:
-            backend_state.reserved_for = ""
-        self._record(backend, order)
-        self.publish_holdings(backend, backend_state)
-        self._node.start_task(self._send(backend, backend_state, order))
-
-    def _record(self, backend: Backend, order: Order) -> None:
-        """For who asks which orders were given, and why."""
-        fields = {
-            "backend": backend.id,
-            "operation": order.operation.value,
-            "model": order.model,
-            "adapter": order.adapter,
-            "why": order.reason,
-        }
-        LOG.info("order", extra=fields)
-        self.recent_orders.append(fields)
-
-    async def _send(self, backend: Backend, backend_state: BackendState, order: Order) -> None:
-        in_flight = backend_state.in_flight
-        if not self._confirm_leadership():
-            backend_state.in_flight = None
-            return
-        try:
-            answer = await self._post(backend, order, backend_state.revision)
-        except CallError as error:
-            self._handle_lost_response(backend, in_flight, error)
-            return
-        self._handle_response(backend, backend_state, in_flight, answer)
-
-    def _confirm_leadership(self) -> bool:
-        return self.lease.observe(self._observe_leadership(), self._clock()) is LeaseState.ACTING
-
-    async def _post(self, backend: Backend, order: Order, revision: int) -> HttpResponse:
-        """Sends one order that holds for a count of orders only; CallFailed where no answer comes."""
-        body = {
-            "operation": order.operation.value,
-            "model": order.model,
-            "if_revision": revision,
-            "holder": self._node.member.name,
-            "fence_token": self.lease.token,
-        }
-        if order.adapter:
-            body["adapter"] = order.adapter
-        self._last_order_at = self._clock()
-        expected = ((b"Expect-Instance", backend.id.encode()),)
-        return await self._caller.request(
-            backend.address, "POST", "/order", json.dumps(body).encode(), ORDER_TIMEOUT_S, JSON_TYPE, expected
-        )
-
-    def _handle_lost_response(self, backend: Backend, in_flight: OrderInFlight, error: CallError) -> None:
-        """An order that got no answer may have been taken."""
-        self._caller.forget(backend.address)
-        in_flight.is_response_lost = True
-        in_flight.expected_at = self._clock() + REPORT_LAG_S
-        LOG.info("order without an answer", extra={"backend": backend.id, "error": str(error)})
-
-    async def _follow_unload(self, backend: Backend, backend_state: BackendState, unload: OrderInFlight) -> None:
-        """Gives the load for which an unload makes room without waiting for the report that shows the unload's end: a backend
-        that still unloads rejects it, and after some tries the load is given once a report shows room."""
-        for pause in FOLLOW_UP_RETRY_DELAYS_S:
-            await asyncio.sleep(pause)
-            load = unload.order.follow_up
-            if (
-                backend_state.in_flight is not unload
-                or not self._confirm_leadership()
-                or (load.from_store and self._store_load_limiter.available(self._clock()) <= 0)
-            ):
-                return
-            if await self._send_follow_up(backend, backend_state, unload, load):
-                return
-
-    async def _send_follow_up(self, backend: Backend, backend_state: BackendState, unload: OrderInFlight, load: Order) -> bool:
-        """Sends the load after an unload; whether the backend took it, or may have."""
-        now = self._clock()
-        in_flight = OrderInFlight(load, now, now + load.expected_s, backend_state.revision + 1)
-        unload.is_follow_up_sending = True
-        try:
-            answer = await self._post(backend, load, in_flight.revision)
-        except CallError as error:
-            self._replace_in_flight(backend, backend_state, in_flight)
-            self._handle_lost_response(backend, in_flight, error)
-            return True
-        finally:
-            unload.is_follow_up_sending = False
-        if answer.status != 202:
-            LOG.info("load waits for the unload", extra={"backend": backend.id, "status": answer.status, "model": load.model})
-            return False
-        self._replace_in_flight(backend, backend_state, in_flight)
-        self._handle_response(backend, backend_state, in_flight, answer)
-        return True
-
-    def _replace_in_flight(self, backend: Backend, backend_state: BackendState, load: OrderInFlight) -> None:
-        """The load is under way in place of the unload before it."""
-        backend_state.models = {
-            name: holding for name, holding in backend_state.models.items() if name != backend_state.in_flight.order.model
-        }
-        backend_state.in_flight, backend_state.revision, backend_state.reserved_for = load, load.revision, ""
-        self._record(backend, load.order)
-        self.publish_holdings(backend, backend_state)
-
-    async def _assume_done_when_due(self, backend: Backend, backend_state: BackendState, in_flight: OrderInFlight) -> None:
-        """A backend that took the order for an adapter has it before its report shows it; one that is late sends requests
-        back."""
-        await asyncio.sleep(in_flight.order.expected_s)
-        if backend_state.in_flight is in_flight:
-            in_flight.is_assumed_done = True
-            self.publish_holdings(backend, backend_state)
-
-    def _handle_response(
-        self, backend: Backend, backend_state: BackendState, in_flight: OrderInFlight, answer: HttpResponse
-    ) -> None:
-        now = self._clock()
-        if answer.status == 202:
-            in_flight.expected_at = now + in_flight.order.expected_s + REPORT_LAG_S / 3
-            if in_flight.order.follow_up is not None:
-                self._node.start_task(self._follow_unload(backend, backend_state, in_flight))
-            elif in_flight.order.adapter and in_flight.order.operation is Operation.LOAD:
-                self._node.start_task(self._assume_done_when_due(backend, backend_state, in_flight))
-            return
-        LOG.info("order not begun", extra={"backend": backend.id, "status": answer.status, "order": str(in_flight.order)})
-        if answer.status == 412:
-            self.lease.outranked()
-        backend_state.in_flight, backend_state.is_known = None, False
-        backend_state.next_poll_at = now + (POLL_BACKOFF_S if answer.status not in (200, 409) else POLL_INTERVAL_S)
-        self.publish_holdings(backend, backend_state)
+        state = self._backend_states.get(backend.id)
+        if state is None:
+            state = self._backend_states[backend.id] = BackendState()
+        self._poller.poll_if_due(backend, state, now)
--- /dev/null
+++ b/mulleinhatch/control_plane/placement/leadership.py
@@ -0,0 +1,78 @@
+"""Leadership of placement: when this control plane instance may issue orders, and under which fencing token."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from mulleinhatch.control_plane.placement.interfaces import LeadershipSource
+from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
+
+NEVER_ISSUED_S = 1e5  # idle time that an instance reports if it has issued no order since its start
+
+
+class PlacementLeadership:
+    """The leader lease of placement, fed with observations of the cluster.
+
+    Args:
+        source: The control plane node.
+        clock: Monotonic time in seconds.
+        lease_s: How long an unreachable leader may keep acting.
+        is_fenced: Whether backends reject orders with a lower fencing token than the highest they have seen. A leader
+            that can't be reached is then replaced without waiting for its whole lease.
+    """
+
+    def __init__(self, source: LeadershipSource, clock: Callable[[], float], lease_s: float, is_fenced: bool) -> None:
+        self._source, self._clock, self._is_fenced = source, clock, is_fenced
+        self._lease = LeaderLease(lease_s)
+
+    @property
+    def token(self) -> int:
+        """Return the fencing token of the latest successful claim, or 0."""
+        return self._lease.token
+
+    @property
+    def is_acting(self) -> bool:
+        """Return whether the latest observation allowed this instance to issue orders."""
+        return self._lease.acting
+
+    def observe(self) -> LeaseState:
+        """Observe the cluster and return the resulting state of the lease."""
+        return self._lease.observe(self._observation(), self._clock())
+
+    def confirm(self) -> bool:
+        """Observe the cluster and return whether this instance may issue orders now."""
+        return self.observe() is LeaseState.ACTING
+
+    async def acquire(self) -> bool:
+        """Claim leadership and return whether this instance leads now."""
+        self._lease.claimed(await self.claim())
+        return self._lease.acting
+
+    async def claim(self) -> int:
+        """Replicate a claim and return its fencing token, or 0 if it failed, for example because the disk is full."""
+        try:
+            return await self._source.claim_leadership()
+        except OSError:
+            return 0
+
+    def revoke(self) -> None:
+        """Give up leadership after a backend has reported a higher fencing token; a new claim is needed."""
+        self._lease.outranked()
+
+    def _observation(self) -> LeadershipObservation:
+        source = self._source
+        former = source.peers.by_identity.get(source.state.leader)
+        idle_s = former.orders_idle_s if former is not None and former.leaving else 0.0
+        is_reachable = former is not None and source.peers.is_alive(source.state.leader, self._clock()) and not former.leaving
+        if is_reachable and former.epoch >= source.view.epoch and former.orders_idle_s >= NEVER_ISSUED_S:
+            # The former leader has restarted and learned the current view: it knows that it does not lead, has issued no order
+            # since its start and will issue none. It counts as unreachable, so that nobody waits for its whole lease.
+            is_reachable = False
+        return LeadershipObservation(
+            source.replica.is_head and source.has_majority_contact() and not source.leaving,
+            source.member.identity,
+            source.state.leader,
+            source.state.fencing_token,
+            idle_s,
+            self._is_fenced and not is_reachable,
+        )
--- a/mulleinhatch/control_plane/placement/order.py
+++ b/mulleinhatch/control_plane/placement/order.py
@@ -1,19 +1,40 @@
-"""Orders to backends: what one says, and one that a backend carries out. Pure."""
+"""Orders to backends, and the state of an order in flight. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
+from mulleinhatch.control_plane.placement.backend_report import BackendReport
+
+ORDER_TIMEOUT_S = 0.8  # for the response to an order
+REPORT_LAG_S = 0.35  # a report may show the backend's state of so long ago
+ORDER_OVERDUE_S = 6.0  # past its expected time an accepted order without a new revision counts as never executed
+LOST_RESPONSE_MARGIN_S = 1.0  # beyond timeout and report lag, after which an order without a response counts as not accepted
+
 
 class Operation(Enum):
+    """What an order does; the value is its name in the backend's API."""
+
     LOAD = "load"
     UNLOAD = "unload"
 
 
 @dataclass(frozen=True)
 class Order:
-    """One order to one backend, with why it is given."""
+    """One order to one backend.
+
+    Attributes:
+        backend_id: The backend's id.
+        operation: Load or unload.
+        model: The model, or the adapter's base model.
+        adapter: The adapter, or "" for the model itself.
+        from_store: Whether the load reads the shared weight store, whose load rate is limited.
+        expected_s: Seconds that the order should take.
+        reason: Why the order is issued, for operators.
+        reserved_for: The model that an unload frees memory for.
+        follow_up: The load that can be sent right after this unload, if it frees enough memory.
+    """
 
     backend_id: str
     operation: Operation
@@ -22,18 +43,44 @@
     from_store: bool = False
     expected_s: float = 0.0
     reason: str = ""
-    reserved_for: str = ""  # the model for which an unload makes room
-    follow_up: Order | None = None  # its load, where this unload makes room enough
+    reserved_for: str = ""
+    follow_up: Order | None = None
 
 
 @dataclass
 class OrderInFlight:
-    """An order that a backend carries out, or may."""
+    """An order that a backend carries out, or may.
+
+    Times are monotonic seconds.
+
+    Attributes:
+        order: The order.
+        started_at: When it was issued.
+        expected_at: When it should be complete.
+        revision: The backend's count of orders before it.
+        is_response_lost: Whether no response arrived, so that it is unknown whether the backend accepted the order.
+        is_follow_up_sending: Whether the load that follows this unload is being sent.
+        is_assumed_done: Whether an adapter is published as loaded before a report shows it.
+    """
 
     order: Order
     started_at: float
     expected_at: float
-    revision: int  # the backend's count of orders before it
+    revision: int
     is_response_lost: bool = False
-    is_follow_up_sending: bool = False  # the load that needs the room is being sent
-    is_assumed_done: bool = False  # an adapter that arrives within milliseconds: told as present before a report shows it
+    is_follow_up_sending: bool = False
+    is_assumed_done: bool = False
+
+    def is_completed_by(self, report: BackendReport, polled_at: float) -> bool:
+        """Return whether a report that shows no running order describes the time after this one.
+
+        Args:
+            report: A report that is not busy.
+            polled_at: When the report was requested.
+        """
+        if report.revision > self.revision:
+            return True
+        waited_s = polled_at - self.started_at
+        if self.is_response_lost:
+            return waited_s > REPORT_LAG_S + ORDER_TIMEOUT_S + LOST_RESPONSE_MARGIN_S
+        return waited_s > ORDER_OVERDUE_S + self.expected_at - self.started_at
--- /dev/null
+++ b/mulleinhatch/control_plane/placement/order_client.py
@@ -0,0 +1,74 @@
+"""Sends orders to backends over HTTP."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+
+from mulleinhatch.control_plane.placement.interfaces import LeadershipSource
+from mulleinhatch.control_plane.placement.leadership import NEVER_ISSUED_S, PlacementLeadership
+from mulleinhatch.control_plane.placement.order import ORDER_TIMEOUT_S, Order
+from mulleinhatch.messages.cluster import Backend
+from mulleinhatch.networking.http_client import HttpClient
+from mulleinhatch.networking.http_server import JSON_TYPE
+
+NEVER = -1e9  # a time before any other
+
+
+class OrderClient:
+    """Encodes orders, sends them with the leader's fencing token, and knows when the latest was sent.
+
+    Args:
+        source: The control plane node, for the name that orders carry.
+        http_client: Client for requests to backends.
+        clock: Monotonic time in seconds.
+        leadership: Source of the fencing token.
+    """
+
+    def __init__(
+        self,
+        source: LeadershipSource,
+        http_client: HttpClient,
+        clock: Callable[[], float],
+        leadership: PlacementLeadership,
+    ) -> None:
+        self._source, self._http_client, self._clock, self._leadership = source, http_client, clock, leadership
+        self._last_sent_at = NEVER
+
+    def idle_s(self) -> float:
+        """Return for how many seconds no order was sent, at most `NEVER_ISSUED_S`."""
+        return min(NEVER_ISSUED_S, self._clock() - self._last_sent_at)
+
+    async def send(self, backend: Backend, order: Order, revision: int) -> int:
+        """Send an order that the backend accepts only at the given revision.
+
+        Args:
+            backend: The backend; it must still be the same incarnation (`Expect-Instance`).
+            order: What to load or unload.
+            revision: The backend's count of orders before this one.
+
+        Returns:
+            The HTTP status of the response.
+
+        Raises:
+            CallError: No response arrived; the backend may have accepted the order.
+        """
+        body = {
+            "operation": order.operation.value,
+            "model": order.model,
+            "if_revision": revision,
+            "holder": self._source.member.name,
+            "fence_token": self._leadership.token,
+        }
+        if order.adapter:
+            body["adapter"] = order.adapter
+        self._last_sent_at = self._clock()
+        expected_instance = ((b"Expect-Instance", backend.id.encode()),)
+        response = await self._http_client.request(
+            backend.address, "POST", "/order", json.dumps(body).encode(), ORDER_TIMEOUT_S, JSON_TYPE, expected_instance
+        )
+        return response.status
+
+    def discard_connections(self, backend: Backend) -> None:
+        """Close pooled connections to a backend that did not respond."""
+        self._http_client.forget(backend.address)
--- /dev/null
+++ b/mulleinhatch/control_plane/placement/report_poller.py
@@ -0,0 +1,95 @@
+"""Polls backends for their reports and applies what they say to the leader's state."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from http import HTTPStatus
+
+from mulleinhatch.control_plane.placement.backend_report import BackendReport, parse_report
+from mulleinhatch.control_plane.placement.backend_state import BackendState
+from mulleinhatch.control_plane.placement.interfaces import TaskRunner
+from mulleinhatch.control_plane.placement.order import OrderInFlight
+from mulleinhatch.control_plane.placement.published_holdings import HoldingsPublisher
+from mulleinhatch.messages.cluster import Backend
+from mulleinhatch.networking.http_client import CallError, HttpClient
+
+LOG = logging.getLogger(__name__)
+REPORT_TIMEOUT_S = 0.6  # for the response to a request for a report
+POLL_INTERVAL_S = 0.12  # between polls of a backend whose order should be complete
+POLL_BACKOFF_S = 1.0  # pause after a failed poll, for each failure in a row
+MAX_POLL_BACKOFF_S = 4.0
+ORDER_COMPLETED_MESSAGE = "order ended"  # parsed by benchmarks.lost_worth, also in logs of older versions
+
+
+class ReportPoller:
+    """Requests reports from backends whose state is unknown or whose order should be complete.
+
+    Args:
+        tasks: Runs the polls in the background.
+        http_client: Client for requests to backends.
+        clock: Monotonic time in seconds.
+        publisher: Publishes what a report has shown.
+        on_report: Called after a report was applied.
+    """
+
+    def __init__(
+        self,
+        tasks: TaskRunner,
+        http_client: HttpClient,
+        clock: Callable[[], float],
+        publisher: HoldingsPublisher,
+        on_report: Callable[[], None],
+    ) -> None:
+        self._tasks, self._http_client, self._clock = tasks, http_client, clock
+        self._publisher, self._on_report = publisher, on_report
+
+    def poll_if_due(self, backend: Backend, state: BackendState, now: float) -> None:
+        """Start a poll in the background if a report is needed and no poll is running."""
+        if state.needs_report(now) and not state.is_polling and now >= state.next_poll_at:
+            state.is_polling = True
+            self._tasks.start_task(self._poll(backend, state))
+
+    async def _poll(self, backend: Backend, state: BackendState) -> None:
+        polled_at = self._clock()
+        try:
+            report = await self._request_report(backend)
+        finally:
+            state.is_polling = False
+        now = self._clock()
+        if report is None:
+            state.poll_failures += 1
+            state.next_poll_at = now + min(MAX_POLL_BACKOFF_S, POLL_BACKOFF_S * state.poll_failures)
+            return
+        state.poll_failures = 0
+        state.next_poll_at = now + POLL_INTERVAL_S
+        self._apply(backend, state, report, polled_at, now)
+
+    async def _request_report(self, backend: Backend) -> BackendReport | None:
+        """Return the backend's report, or None if the call failed or the response is no report."""
+        try:
+            response = await self._http_client.request(backend.address, "GET", "/report", b"", REPORT_TIMEOUT_S)
+            return parse_report(response.body) if response.status == HTTPStatus.OK else None
+        except (CallError, ValueError):
+            self._http_client.forget(backend.address)
+            return None
+
+    def _apply(self, backend: Backend, state: BackendState, report: BackendReport, polled_at: float, now: float) -> None:
+        """Apply a report, unless it may describe the time before the order in flight was executed."""
+        in_flight = state.in_flight
+        if in_flight is not None:
+            # Race: a follow-up load is sent while this report was on its way. The report would clear the unload and the load's
+            # response would then find no order to replace.
+            if report.is_busy or in_flight.is_follow_up_sending or not in_flight.is_completed_by(report, polled_at):
+                return
+            self._log_completion(backend, in_flight, now)
+            state.in_flight = None
+        state.apply_report(report, now)
+        self._publisher.publish(backend.id, state)
+        self._on_report()
+
+    @staticmethod
+    def _log_completion(backend: Backend, in_flight: OrderInFlight, now: float) -> None:
+        order = in_flight.order
+        fields = {"backend": backend.id, "operation": order.operation.value, "model": order.model, "adapter": order.adapter}
+        LOG.info(ORDER_COMPLETED_MESSAGE, extra=fields | {"took_s": round(now - in_flight.started_at, 3)})
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -49,7 +49,7 @@
     async def test_a_claim_that_the_disk_refuses_is_no_claim(self):
         """Found by a hunt: a control plane ended itself when its disk was full as it claimed the orders."""
         orders = PlacementController(RefusingCore(), None, lambda: 0.0, Bounds())
-        self.assertEqual(await orders.claim(), 0)
+        self.assertEqual(await orders.leadership.claim(), 0)
 
 
 if __name__ == "__main__":
