--- a/mulleinhatch/control_plane/placement/__init__.py
+++ b/mulleinhatch/control_plane/placement/__init__.py
@@ -1,4 +1,5 @@
-"""Placement of models and adapters on backends: demand, value, plan, and the orders that carry the plan out.
+"""Placement of models and adapters on backends.
 
-Called by `control_plane.process`; only the leader of the placement role acts, and only with its fencing token.
+`controller.PlacementController` is the entry point, created by `control_plane.process`. Every control plane instance runs it;
+only the leader of placement issues orders, each with its fencing token.
 """
--- a/mulleinhatch/control_plane/placement/backend_view.py
+++ b/mulleinhatch/control_plane/placement/backend_view.py
@@ -1,4 +1,4 @@
-"""What the planner sees of backends: what each holds, what orders bring and take, the room that is taken. Pure; sizes in MB."""
+"""Backends as the planner sees them: models, orders in flight, memory and adapter slots in use. Pure; sizes in MB."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class HostedModel:
-    """A model at a backend."""
+    """A model that is loaded at a backend, with its adapters and when it was first reported (monotonic seconds)."""
 
     adapters: set[str] = field(default_factory=set)
     loaded_at: float = 0.0
@@ -18,33 +18,48 @@
 
 @dataclass
 class BackendView:
-    """What the planner sees of one backend. `disk_models` are models that its own disk has."""
+    """A backend as the planner sees it. A pair (model, "") denotes the model itself, (model, adapter) an adapter.
+
+    Attributes:
+        id: The backend's id.
+        address: Its address, which selects among equal backends by rendezvous hashing.
+        models: The loaded models by name.
+        disk_models: Models that its own disk has, which load fast and without the weight store.
+        is_idle: Whether it can take an order: its state is known and no order is in flight.
+        is_serving: Whether it is neither draining nor about to end.
+        loading: What an order in flight loads.
+        unloading: What an order in flight unloads.
+        reserved_for: The model that an unload has freed memory for, or "".
+    """
 
     id: str
     address: str
     models: dict[str, HostedModel]
     disk_models: set[str]
-    is_idle: bool  # no order is under way and what it holds is known
-    is_serving: bool  # it will stay, and is heard of
-    loading: set[tuple[str, str]] = field(default_factory=set)  # what orders under way will bring
-    unloading: set[tuple[str, str]] = field(default_factory=set)  # what they will take away
-    reserved_for: str = ""  # the model for which room was made
+    is_idle: bool
+    is_serving: bool
+    loading: set[tuple[str, str]] = field(default_factory=set)
+    unloading: set[tuple[str, str]] = field(default_factory=set)
+    reserved_for: str = ""
 
     def retained_models(self) -> set[str]:
-        """Models that it holds and keeps, or will hold."""
+        """Return the models that are loaded and stay, are being loaded, or have memory reserved."""
         loading = {model for model, adapter in self.loading if not adapter}
         unloading = {model for model, adapter in self.unloading if not adapter}
         reserved = {self.reserved_for} if self.reserved_for else set()
         return (set(self.models) | loading | reserved) - unloading
 
     def retained_adapters(self) -> set[tuple[str, str]]:
-        """Adapters that it holds and keeps, or will hold, each with its model."""
+        """Return the adapters that are loaded and stay or are being loaded, each as (model, adapter)."""
         hosted_adapters = {(model, adapter) for model, hosted in self.models.items() for adapter in hosted.adapters}
         return (hosted_adapters - self.unloading) | {pair for pair in self.loading if pair[1]}
 
 
 def model_mb(model: str, hosted: HostedModel, engine: Engine) -> float:
-    """Memory of a model with its adapters; one that the configuration does not name counts as the largest that it names."""
+    """Return the memory of a model with its adapters.
+
+    A model that the configuration does not name counts as the largest one that it names.
+    """
     model_facts = engine.models.get(model)
     if model_facts is None:
         return max((known.weights_mb for known in engine.models.values() if known.weights_mb < math.inf), default=0.0)
@@ -52,7 +67,7 @@
 
 
 def used_mb(backend: BackendView, engine: Engine) -> float:
-    """Memory that a backend's models and adapters take, with what is under way."""
+    """Return the memory that a backend's models and adapters use, including those being loaded."""
     total = sum(model_mb(model, hosted, engine) for model, hosted in backend.models.items())
     for model, adapter in backend.loading:
         model_facts = engine.models.get(model)
@@ -63,6 +78,6 @@
 
 
 def used_adapters(backend: BackendView) -> int:
-    """Places for adapters that are taken, with what is under way."""
+    """Return the number of adapter slots in use, including adapters being loaded."""
     hosted_adapters = {(model, adapter) for model, hosted in backend.models.items() for adapter in hosted.adapters}
     return len(hosted_adapters | {pair for pair in backend.loading if pair[1]})
--- a/mulleinhatch/control_plane/placement/demand.py
+++ b/mulleinhatch/control_plane/placement/demand.py
@@ -1,4 +1,4 @@
-"""What all data planes together ask for: their latest reports, summed. Pure."""
+"""Sums the demand that all data planes report. Pure."""
 
 from __future__ import annotations
 
@@ -8,32 +8,40 @@
 
 from mulleinhatch.messages.cluster import DemandReport, ModelDemand
 
-REPORT_TTL_S = 4.0  # a data plane's report counts so long
-MAX_FIGURE = 1e9  # of requests or worth that a line may tell
-MIN_TOTAL_RATE_PER_S = 1e-6  # requests a second: what is left of a sum whose reports are all gone
+REPORT_TTL_S = 4.0  # a data plane that has not reported for so long no longer counts
+MAX_FIGURE = 1e9  # the largest plausible count, rate or value of an entry
+MIN_TOTAL_RATE_PER_S = 1e-6  # a total below is rounding error, left after its reports were subtracted
 
 
 @dataclass(frozen=True)
 class InvalidDemand:
-    """A line of demand that was left out; the data plane named tells figures that can't be true."""
+    """An entry of a demand report that was ignored because its figures are impossible."""
 
     data_plane: str
     model: str
 
     def __str__(self) -> str:
         return (
-            f"demand for {self.model!r} told by {self.data_plane} can't be true and is left out: "
+            f"demand for {self.model!r} reported by {self.data_plane} is impossible and was ignored: "
             "look at that data plane's status"
         )
 
 
 @dataclass
 class AggregatedDemand:
-    """Demand for one model, or for one adapter of it."""
+    """Demand of all data planes for one model, or for one adapter of it.
+
+    Attributes:
+        pending: Requests that wait in data planes because no backend can take them.
+        rate: Arrivals in requests per second.
+        value: Value per second of these arrivals, weighted by priority class.
+        running: Requests that run at backends.
+        adapters: The part of the demand that needs an adapter, by adapter.
+    """
 
     pending: int = 0
-    rate: float = 0.0  # requests a second
-    value: float = 0.0  # of them, weighed by their class
+    rate: float = 0.0
+    value: float = 0.0
     running: int = 0
     adapters: dict[str, AggregatedDemand] = field(default_factory=dict)
 
@@ -49,22 +57,29 @@
 
 @dataclass(frozen=True)
 class _Report:
-    """The latest lines of one data plane."""
+    """The latest entries of one data plane."""
 
     entries: dict[_Key, ModelDemand]
     received_at: float
 
 
 class DemandAggregator:
-    """Reports by data plane; those that are old are left out. Sums are kept up as reports come."""
+    """Keeps the latest report of each data plane and the totals over all of them, updated as reports arrive and expire."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
-        self._totals: dict[_Key, AggregatedDemand] = {}  # of the reports that count
+        self._totals: dict[_Key, AggregatedDemand] = {}
 
     def merge_report(self, report: DemandReport, now: float) -> list[InvalidDemand]:
-        """Takes a data plane's report; a partial one replaces the lines that it has. Lines that can't be true are left out and
-        told, the others count."""
+        """Replace a data plane's previous report, or only the entries that a partial report has.
+
+        Args:
+            report: The report.
+            now: Monotonic time in seconds.
+
+        Returns:
+            The entries that were ignored because they are impossible; the others count.
+        """
         previous = self._reports.get(report.node)
         entries = {_key_of(entry): entry for entry in report.demand if _is_valid(entry)}
         previous_entries = previous.entries if previous is not None else {}
@@ -79,7 +94,7 @@
         return [InvalidDemand(report.node, entry.model) for entry in report.demand if not _is_valid(entry)]
 
     def _add(self, entries: Iterable[ModelDemand], sign: int) -> None:
-        """Adds lines of a report to the sums, or takes them out."""
+        """Add entries to the totals (`sign` 1) or subtract them (`sign` -1)."""
         for entry in entries:
             for key in _keys_of(entry):
                 total = self._totals.setdefault(key, AggregatedDemand())
@@ -89,7 +104,7 @@
                 total.value += sign * entry.worth_rate
 
     def totals(self, service: str, now: float) -> dict[str, AggregatedDemand]:
-        """Demand for each model of a service."""
+        """Return the demand for each model of a service."""
         self._expire(now)
         totals: dict[str, AggregatedDemand] = {}
         for key, total in self._totals.items():
@@ -102,7 +117,7 @@
         return totals
 
     def _expire(self, now: float) -> None:
-        """Leaves out data planes that are silent, and models that none tells of."""
+        """Drop the reports of data planes that have timed out, and totals that no report contributes to."""
         for node, report in list(self._reports.items()):
             if now - report.received_at > REPORT_TTL_S:
                 self._add(report.entries.values(), -1)
@@ -113,7 +128,7 @@
 
 
 def _is_valid(entry: ModelDemand) -> bool:
-    """Whether a line can be true: it names a model, its figures are finite, not negative and not absurd."""
+    """Return whether an entry names a model and has finite, non-negative, plausible figures."""
     figures = (entry.held, entry.running, entry.rate, entry.worth_rate)
     return bool(entry.service and entry.model) and all(math.isfinite(figure) and 0 <= figure < MAX_FIGURE for figure in figures)
 
@@ -123,6 +138,6 @@
 
 
 def _keys_of(entry: ModelDemand) -> list[_Key]:
-    """What a line of demand counts for: its model, before its adapter where it has one."""
+    """Return the totals that an entry counts for: its model's, then its adapter's if it has one."""
     model = _Key(entry.service, entry.model)
     return [model, _key_of(entry)] if entry.adapter else [model]
