--- a/mulleinhatch/control_plane/placement/value.py
+++ b/mulleinhatch/control_plane/placement/value.py
@@ -15,7 +15,7 @@
 REPLICA_ROUNDING = 0.7  # a further replica is desired as soon as it would have 0.3 of a full share
 MIN_RATE_PER_S = 0.02  # a lower request rate does not count as demand
 PENDING_VALUE_PER_S = 2.0  # value per second of a pending request, beside the value of expected arrivals
-SURPLUS_REPLICA_SHARE = 0.5  # part of a replica's share of the value that counts if there are more replicas than desired
+SURPLUS_REPLICA_FACTOR = 0.5  # part of a replica's share of the value that counts if there are more replicas than desired
 LAST_REPLICA_VALUE_PER_S = 0.05  # value of a last replica without demand: it saves a load later
 
 
@@ -69,4 +69,4 @@
         replicas, value = max(1, self.replicas(model)), self.demand_value(model)
         if replicas == 1:
             return value + LAST_REPLICA_VALUE_PER_S
-        return (SURPLUS_REPLICA_SHARE if replicas > self.desired_replicas(model) + 1 else 1.0) * value / replicas
+        return (SURPLUS_REPLICA_FACTOR if replicas > self.desired_replicas(model) + 1 else 1.0) * value / replicas
--- /dev/null
+++ b/tests/system/test_placement_leadership.py
@@ -0,0 +1,104 @@
+"""Leadership of placement: what of the cluster decides whether an instance may claim it and issue orders."""
+
+from __future__ import annotations
+
+import unittest
+from types import SimpleNamespace
+
+from mulleinhatch.control_plane.placement.leadership import NEVER_ISSUED_S, PlacementLeadership
+from mulleinhatch.leadership.lease import FENCED_S, LeaseState
+from mulleinhatch.simulation.virtual_time import VirtualLoop
+from tests.system.placement_fakes import fake_node
+
+LEASE_S = 3.0
+
+
+class Leading(unittest.IsolatedAsyncioTestCase):
+    def setUp(self):
+        loop = VirtualLoop()
+        self.addCleanup(loop.close)
+        self.now = 0.0
+        self.node = fake_node(loop)
+        self.leadership = self.make_leadership()
+
+    def make_leadership(self, is_fenced: bool = False) -> PlacementLeadership:
+        return PlacementLeadership(self.node, lambda: self.now, LEASE_S, is_fenced)
+
+    def follow(self, **peer) -> None:
+        """Another instance leads; `peer` is what its heartbeats said."""
+        self.node.state.leader, self.node.state.fencing_token = "other", 4
+        self.node.peers.by_identity["other"] = SimpleNamespace(**{"leaving": False, "epoch": 1, "orders_idle_s": 0.0} | peer)
+
+    async def test_claims_at_once_where_nobody_led_before(self):
+        self.assertIs(self.leadership.observe(), LeaseState.CLAIMING)
+        self.assertTrue(await self.leadership.acquire())
+        self.assertTrue(self.leadership.confirm())
+        self.assertEqual(self.leadership.token, 1)
+
+    async def test_claim_that_fails_leads_nothing(self):
+        for failure in (0, OSError(28, "No space left on device")):
+            with self.subTest(failure=failure):
+
+                async def claim_leadership(failure=failure) -> int:
+                    if isinstance(failure, OSError):
+                        raise failure
+                    return failure
+
+                self.node.claim_leadership = claim_leadership
+                self.leadership.observe()
+                self.assertFalse(await self.leadership.acquire())
+                self.assertEqual(self.leadership.token, 0)
+
+    def test_does_not_claim_without_being_a_head_in_contact_with_a_majority(self):
+        for change in ({"replica": SimpleNamespace(is_head=False)}, {"has_majority_contact": lambda: False}, {"leaving": True}):
+            with self.subTest(change=list(change)):
+                former = {name: getattr(self.node, name) for name in change}
+                vars(self.node).update(change)
+                self.assertIs(self.make_leadership().observe(), LeaseState.OUTSIDE)
+                vars(self.node).update(former)
+
+    async def test_pauses_while_it_lost_contact(self):
+        self.leadership.observe()
+        await self.leadership.acquire()
+        self.node.has_majority_contact = lambda: False
+        self.assertFalse(self.leadership.confirm())
+        self.node.has_majority_contact = lambda: True
+        self.assertTrue(self.leadership.confirm())
+
+    async def test_revoked_leadership_has_to_be_claimed_again(self):
+        self.leadership.observe()
+        await self.leadership.acquire()
+        self.leadership.revoke()
+        self.assertFalse(self.leadership.is_acting)
+        self.assertFalse(self.leadership.confirm())
+
+    def seconds_until_claim(self, is_fenced: bool) -> float:
+        leadership, self.now = self.make_leadership(is_fenced), 0.0
+        while leadership.observe() is not LeaseState.CLAIMING:
+            self.now = round(self.now + 0.1, 1)
+            self.assertLess(self.now, 60.0)
+        return self.now
+
+    def test_waits_for_the_lease_of_a_reachable_leader_even_with_fencing(self):
+        self.follow()
+        self.assertGreaterEqual(self.seconds_until_claim(is_fenced=True), LEASE_S)
+
+    def test_waits_less_for_an_unreachable_leader_only_with_fencing(self):
+        self.follow()
+        self.node.peers.is_alive = lambda *more: False
+        self.assertGreaterEqual(self.seconds_until_claim(is_fenced=False), LEASE_S)
+        self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_S)
+
+    def test_restarted_leader_that_issued_nothing_counts_as_unreachable(self):
+        self.follow(orders_idle_s=NEVER_ISSUED_S)
+        self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_S)
+        self.follow(orders_idle_s=NEVER_ISSUED_S, epoch=0)
+        self.assertGreaterEqual(self.seconds_until_claim(is_fenced=True), LEASE_S)
+
+    def test_idle_time_of_a_leaving_leader_shortens_the_wait(self):
+        self.follow(leaving=True, orders_idle_s=2.0)
+        self.assertLess(self.seconds_until_claim(is_fenced=False), LEASE_S - 1.5)
+
+
+if __name__ == "__main__":
+    unittest.main()
