--- a/mulleinhatch/testing/fake_model_server.py
+++ b/mulleinhatch/testing/fake_model_server.py
@@ -22,13 +22,13 @@
 
 LOG = logging.getLogger(__name__)
 HEARTBEAT_S = 1.0
-WARM_PART = 0.3  # of a load's time when the own disk has the model
-ADAPTER_S = 0.02
+DISK_LOAD_FACTOR = 0.3  # of a load's time when the own disk has the model
+ADAPTER_LOAD_S = 0.02
 REPORT_LAG_S = 0.1
 
 
 @dataclass(frozen=True)
-class BackendFacts:
+class FakeModelServerConfig:
     """What a stand-in backend is like. Sizes in MB, times in seconds."""
 
     service: str
@@ -48,35 +48,39 @@
     """What was seen from outside the system."""
 
     runs: dict[str, int] = field(default_factory=dict)  # by Request-Id
-    loads: int = 0
-    overfull: int = 0  # orders beyond weights or places: must stay 0
-    fences: list[tuple[str, int]] = field(default_factory=list)
+    store_loads: int = 0
+    capacity_violations: int = 0  # orders beyond weights or places: must stay 0
+    fencing_tokens: list[tuple[str, int]] = field(default_factory=list)
 
 
-class ModelBackend:
+class FakeModelServer:
     """One incarnation of a backend. `models` maps each model held to its adapters."""
 
     def __init__(
-        self, facts: BackendFacts, control: list[str], models: dict[str, set[str]] | None = None, disk: set[str] | None = None
+        self,
+        config: FakeModelServerConfig,
+        control_addresses: list[str],
+        models: dict[str, set[str]] | None = None,
+        disk_models: set[str] | None = None,
     ) -> None:
-        self.facts, self.control = facts, list(control)
+        self.config, self.control_addresses = config, list(control_addresses)
         self.id = f"i-{uuid.uuid4().hex[:10]}"
         self.models = {name: set(adapters) for name, adapters in (models or {}).items()}
-        self.disk = disk if disk is not None else set(self.models)
+        self.disk_models = disk_models if disk_models is not None else set(self.models)
         self.counters = Counters()
-        self.running = self.waiting = self.revision = self.highest_fence = 0
+        self.running = self.waiting = self.revision = self.highest_fencing_token = 0
         self.order: dict[str, Any] | None = None
         self.draining = False
         self._sequence = 0
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._connections: set[asyncio.StreamWriter] = set()
-        self._caller = HttpClient()
-        self._slots = asyncio.Semaphore(facts.slots)
+        self._http_client = HttpClient()
+        self._slots = asyncio.Semaphore(config.slots)
 
     async def start(self) -> None:
-        host, _, port = self.facts.address.rpartition(":")
-        self._server = await asyncio.start_server(self._converse, host, int(port))
+        host, _, port = self.config.address.rpartition(":")
+        self._server = await asyncio.start_server(self._serve_connection, host, int(port))
         self._spawn(self._register_forever())
 
     async def crash(self) -> None:
@@ -93,9 +97,9 @@
         self.draining = True
         await self._heartbeat()
         await asyncio.sleep(after_s)
-        for address in self.control:
+        for address in self.control_addresses:
             try:
-                await self._caller.request(address, "DELETE", f"/instances/{self.id}", b"", 1.0)
+                await self._http_client.request(address, "DELETE", f"/instances/{self.id}", b"", 1.0)
                 break
             except CallError:
                 continue
@@ -113,36 +117,41 @@
             await self._heartbeat()
             await asyncio.sleep(HEARTBEAT_S)
 
-    def _held(self) -> list[dict[str, Any]]:
+    def _model_records(self) -> list[dict[str, Any]]:
         return [{"name": name, "version": 1, "adapters": sorted(adapters)} for name, adapters in sorted(self.models.items())]
 
     async def _heartbeat(self) -> None:
         self._sequence += 1
         body = {
-            "service": self.facts.service,
-            "address": self.facts.address,
-            "zone": self.facts.zone,
+            "service": self.config.service,
+            "address": self.config.address,
+            "zone": self.config.zone,
             "version": "v1",
-            "slots": self.facts.slots,
+            "slots": self.config.slots,
             "state": "draining" if self.draining else "ready",
             "cold_remaining_ms": 0,
-            "models": self._held(),
+            "models": self._model_records(),
             "sequence": self._sequence,
         }
-        for _ in range(len(self.control)):
+        for _ in range(len(self.control_addresses)):
             try:
-                answer = await self._caller.request(
-                    self.control[0], "PUT", f"/instances/{self.id}", json.dumps(body).encode(), 1.0, "application/json"
+                answer = await self._http_client.request(
+                    self.control_addresses[0],
+                    "PUT",
+                    f"/instances/{self.id}",
+                    json.dumps(body).encode(),
+                    1.0,
+                    "application/json",
                 )
                 if answer.status == 200:
                     return
             except CallError:
                 pass
-            self.control.append(self.control.pop(0))
+            self.control_addresses.append(self.control_addresses.pop(0))
 
     # Requests.
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._connections.add(writer)
         messages = MessageReader(answers=False)
         try:
@@ -154,14 +163,14 @@
                         messages.feed(await reader.read(65536) or b"")
                         body += messages.body()
                     messages.next()
-                    await self._answer(head, body, writer)
+                    await self._handle(head, body, writer)
         except (OSError, BadRequestError, asyncio.CancelledError):
             pass
         finally:
             self._connections.discard(writer)
             writer.close()
 
-    async def _answer(self, head: Head, body: bytes, writer: asyncio.StreamWriter) -> None:
+    async def _handle(self, head: Head, body: bytes, writer: asyncio.StreamWriter) -> None:
         expected = head.first.get(b"expect-instance", self.id.encode()).decode()
         if expected != self.id:
             self._write(writer, 421, b"", [(b"Instance-Id", self.id.encode())])
@@ -170,10 +179,10 @@
         elif head.target == b"/health":
             self._write(writer, 503 if self.draining else 200, b"", [(b"Instance-Id", self.id.encode())])
         elif head.target == b"/order":
-            status, message = self._take_order(json.loads(body))
+            status, message = self._accept_order(json.loads(body))
             self._write(writer, status, json.dumps({"message": message}).encode())
         else:
-            await self._run(head, writer)
+            await self._run_request(head, writer)
 
     @staticmethod
     def _write(writer: asyncio.StreamWriter, status: int, body: bytes, fields: list[tuple[bytes, bytes]] | None = None) -> None:
@@ -181,14 +190,14 @@
 
     def _report(self) -> dict[str, Any]:
         return {
-            "models": self._held(),
+            "models": self._model_records(),
             "busy": self.order is not None,
             "sequence": self.revision,
             "waiting": self.waiting,
             "running": self.running,
         }
 
-    async def _run(self, head: Head, writer: asyncio.StreamWriter) -> None:
+    async def _run_request(self, head: Head, writer: asyncio.StreamWriter) -> None:
         prompt = read_prompt(head)
         request_id = head.first.get(b"request-id", b"")
         echo = [(b"Request-Id", request_id)]
@@ -197,7 +206,7 @@
         ):
             self._write(writer, 421, b"", echo)
             return
-        if self._is_ordered(prompt.model, prompt.adapter) or self.waiting > 2 * self.facts.slots:
+        if self._is_unloading(prompt.model, prompt.adapter) or self.waiting > 2 * self.config.slots:
             self._write(writer, 503, b"", [*echo, (b"Not-Executed", b"1")])
             return
         self.waiting += 1
@@ -211,7 +220,7 @@
             finally:
                 self.running -= 1
 
-    def _is_ordered(self, model: str, adapter: str) -> bool:
+    def _is_unloading(self, model: str, adapter: str) -> bool:
         order = self.order
         return (
             order is not None
@@ -221,8 +230,8 @@
         )
 
     async def _stream(self, head: Head, tokens: int, writer: asyncio.StreamWriter, echo: list[tuple[bytes, bytes]]) -> None:
-        wanted = head.first.get(b"token-usage", b"0,8").split(b",")
-        count = max(1, int(wanted[1]) // 2) if len(wanted) > 1 else 4
+        token_usage = head.first.get(b"token-usage", b"0,8").split(b",")
+        count = max(1, int(token_usage[1]) // 2) if len(token_usage) > 1 else 4
         first = int(head.first.get(b"last-event-id", b"0") or 0)
         fields = [
             *echo,
@@ -230,11 +239,11 @@
             (b"Content-Type", b"text/event-stream"),
             (b"Transfer-Encoding", b"chunked"),
         ]
-        await asyncio.sleep(tokens / self.facts.prompt_tokens_per_s)
+        await asyncio.sleep(tokens / self.config.prompt_tokens_per_s)
         lines = b"".join(b"%b: %b\r\n" % field for field in fields)
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n" % lines)
         for number in range(first + 1, count + 1):
-            await asyncio.sleep(self.facts.step_s * (1.0 + 0.02 * self.running) * random.uniform(0.8, 1.2))
+            await asyncio.sleep(self.config.step_s * (1.0 + 0.02 * self.running) * random.uniform(0.8, 1.2))
             event = b"id: %d\ndata: token %d\n\n" % (number, number)
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
@@ -242,25 +251,25 @@
 
     # Orders.
 
-    def _take_order(self, order: dict[str, Any]) -> tuple[int, str]:
+    def _accept_order(self, order: dict[str, Any]) -> tuple[int, str]:
         if not order.get("holder") or not order.get("fence_token") or order.get("operation") not in ("load", "unload"):
             return 400, "no such order"
-        if order["fence_token"] < self.highest_fence:
+        if order["fence_token"] < self.highest_fencing_token:
             return 412, "a higher token was seen"
-        self.highest_fence = order["fence_token"]
-        self.counters.fences.append((order["holder"], order["fence_token"]))
+        self.highest_fencing_token = order["fence_token"]
+        self.counters.fencing_tokens.append((order["holder"], order["fence_token"]))
         if self.order is not None or order.get("if_revision", self.revision) != self.revision:
             return 409, "another order is under way, or the revision is another"
         model, adapter = order["model"], order.get("adapter", "")
-        held = model in self.models and (not adapter or adapter in self.models[model])
-        if held is (order["operation"] == "load"):
+        is_loaded = model in self.models and (not adapter or adapter in self.models[model])
+        if is_loaded is (order["operation"] == "load"):
             return 200, "it holds already"
         self.revision += 1
         self.order = order
-        self._spawn(self._carry_out(order, model, adapter))
+        self._spawn(self._execute_order(order, model, adapter))
         return 202, "under way"
 
-    async def _carry_out(self, order: dict[str, Any], model: str, adapter: str) -> None:
+    async def _execute_order(self, order: dict[str, Any], model: str, adapter: str) -> None:
         if order["operation"] == "unload":
             while self.running and not adapter:
                 await asyncio.sleep(0.01)
@@ -269,18 +278,18 @@
             else:
                 self.models.pop(model, None)
         elif adapter:
-            await asyncio.sleep(ADAPTER_S)
-            self._count_room(0.0, 1)
+            await asyncio.sleep(ADAPTER_LOAD_S)
+            self._check_capacity(0.0, 1)
             self.models[model].add(adapter)
         else:
-            self.counters.loads += model not in self.disk
-            await asyncio.sleep(self.facts.load_s * (WARM_PART if model in self.disk else 1.0))
-            self._count_room(self.facts.model_mb.get(model, 0.0), 0)
+            self.counters.store_loads += model not in self.disk_models
+            await asyncio.sleep(self.config.load_s * (DISK_LOAD_FACTOR if model in self.disk_models else 1.0))
+            self._check_capacity(self.config.model_mb.get(model, 0.0), 0)
             self.models[model] = set()
-            self.disk.add(model)
+            self.disk_models.add(model)
         self.order = None
 
-    def _count_room(self, more_mb: float, more_adapters: int) -> None:
-        used = sum(self.facts.model_mb.get(name, 0.0) for name in self.models) + more_mb
-        adapters = sum(len(held) for held in self.models.values()) + more_adapters
-        self.counters.overfull += used > self.facts.weights_mb or adapters > self.facts.adapter_slots
+    def _check_capacity(self, added_mb: float, added_adapters: int) -> None:
+        used = sum(self.config.model_mb.get(name, 0.0) for name in self.models) + added_mb
+        adapters = sum(len(adapters) for adapters in self.models.values()) + added_adapters
+        self.counters.capacity_violations += used > self.config.weights_mb or adapters > self.config.adapter_slots
