--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -19,7 +19,7 @@
 from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.networking.http_streaming import write_request
 from mulleinhatch.process.settings import FILE_VARIABLE
-from mulleinhatch.testing.fake_model_server import BackendFacts, ModelBackend
+from mulleinhatch.testing.fake_model_server import FakeModelServer, FakeModelServerConfig
 
 ROOT = Path(__file__).resolve().parents[3]
 SERVICE, HOST = "writer", "demo.example"
@@ -130,10 +130,10 @@
     raise TimeoutError("no control plane took the configuration; see the logs in the demonstration's folder")
 
 
-def make_backends(count: int, control: list[str]) -> list[ModelBackend]:
+def make_backends(count: int, control: list[str]) -> list[FakeModelServer]:
     backends = []
     for number in range(count):
-        facts = BackendFacts(
+        facts = FakeModelServerConfig(
             SERVICE,
             f"127.3.{number}.1:{BACKEND_PORT}",
             f"zone-{number % 2}",
@@ -143,7 +143,7 @@
             dict.fromkeys(MODELS, MODEL_MB),
             0.8,
         )
-        backends.append(ModelBackend(facts, control, {MODELS[number % 4]: set()}))
+        backends.append(FakeModelServer(facts, control, {MODELS[number % 4]: set()}))
     return backends
 
 
@@ -192,7 +192,7 @@
         await asyncio.sleep(random.uniform(0.0, 0.3))
 
 
-def _show(backends: list[ModelBackend], tally: Tally, left_s: float) -> None:
+def _show(backends: list[FakeModelServer], tally: Tally, left_s: float) -> None:
     first = sorted(tally.first_token_s) or [0.0]
     print(
         f"\n{left_s:4.0f} s left   served {tally.served}  refused {tally.refused}  failed {tally.failed}  "
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -132,7 +132,7 @@
             await self.served(model)
         runs = [count for backend in self.system.backends for count in backend.counters.runs.values()]
         self.assertEqual(set(runs), {1})
-        self.assertEqual(sum(backend.counters.overfull for backend in self.system.backends), 0)
+        self.assertEqual(sum(backend.counters.capacity_violations for backend in self.system.backends), 0)
 
     async def test_a_change_survives_the_head_and_a_restart_of_all(self):
         system = self.system
