--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -365,12 +365,12 @@
     def one() -> None:
         turn = next(clock)
         now = turn / 275.0
-        hatch.op_read(
+        hatch.record_arrival(
             now, turn + 1, draw.randrange(classes), 0.0, 1.0, draw.randrange(tenants), 0, turn % 100, 0.002, 1.0, False
         )
         started = [decision.ref for decision in decisions(hatch, now) if decision.verb is Verb.RUN]
         for ref in started:
-            hatch.run_ended(now + 0.002, ref, Ending.OK)
+            hatch.record_run_end(now + 0.002, ref, Ending.OK)
         for _ in decisions(hatch, now + 0.002):
             pass
 
--- a/mulleinhatch/admission/controller.py
+++ b/mulleinhatch/admission/controller.py
@@ -1,8 +1,8 @@
 """All decisions of one instance: what is run, nacked, failed, called, kept and told.
 
-A host makes a `AdmissionController` for each instance from what it is told at start, reports what happens (`op_read`,
-`run_ended`, `call_wanted`, `call_ended`, `op_abandoned`, `leave_notice`, `woken`: these only keep the books)
-and then pulls `next_decision` until it gives None. The types that pass are in `interface.py`; the mechanism
+A host makes a `AdmissionController` for each instance from what it is told at start, reports what happens (`record_arrival`,
+`record_run_end`, `record_call_request`, `record_call_end`, `record_abandonment`, `begin_drain`, `handle_wakeup`: these only
+keep the books) and then pulls `next_decision` until it gives None. The types that pass are in `interface.py`; the mechanism
 and its exceptions are told in `docs/design.md`. Times are seconds on the host's clock.
 """
 
@@ -23,7 +23,7 @@
     class_bound,
     effective_priority,
 )
-from mulleinhatch.sliding_window import BUCKET, BUCKETS, Ring
+from mulleinhatch.sliding_window import BUCKET, BUCKETS, SlidingWindow
 
 TENANT_ROOM = 2.0  # a tenant's running share over its fraction of the service: traffic is never even
 BEAT = 0.1  # how often the hold is rescored and pressure is judged while there is work
@@ -56,7 +56,7 @@
 HEAR_STEP = 0.1  # change of that rate, as a share, that is worth a word
 OTHERS_FULL = 0.05  # of what the others can serve that is free: with less nobody is to ask them either
 HAND_WAIT = 0.03  # of the shortest target latency: a longer line is worth handing over from
-PROVES_UNRUN = (Ending.FULL, Ending.UNREACHABLE, Ending.MOOT)
+NOT_EXECUTED_ENDINGS = (Ending.FULL, Ending.UNREACHABLE, Ending.MOOT)
 
 
 class Stage(Enum):
@@ -120,7 +120,7 @@
         self.shortest_target = min((row.target for row in self.rows), default=math.inf)
         self.shares = [TENANT_ROOM * tenant.get("fraction", 1.0) for tenant in get("tenants", [])]
         self.quotas = [tenant.get("quota_per_s", math.inf) / max(1, get("instances", 1)) for tenant in get("tenants", [])]
-        self.tenant_reads = [Ring() for _ in self.quotas]
+        self.tenant_reads = [SlidingWindow() for _ in self.quotas]
         self.callers, self.gauges = max(1, get("callers", 1)), get("gauges", [])
         self.crowd, self.cold_for = get("crowd_per_core", 2.0), get("cold_for", 0.0)
         self.cold_speed = get("cold_speed", 1.0) if get("fresh_start", False) else 1.0
@@ -144,11 +144,22 @@
         self.tenant_running: Counter[int] = Counter()
         self.kb = self.unread = 0.0
         self.limit, self.full_since, self.pace, self.mu = self.cores, math.inf, 0.0, 0.0
-        self.spent, self.done, self.full_time, self.done_full = Ring(), Ring(), Ring(), Ring()
-        self.runs, self.errors, self.reads, self.retries, self.nacks = Ring(), Ring(), Ring(), Ring(), Ring()
-        self.hints, self.hinted = Ring(1.0), Ring(1.0)
-        self.calls_below = Ring(self.calls_window / BUCKETS, BUCKETS + 1)
-        self.call_exposure, self.calls_done = Ring(BEAT), Ring(BEAT)
+        self.spent, self.done, self.full_time, self.done_full = (
+            SlidingWindow(),
+            SlidingWindow(),
+            SlidingWindow(),
+            SlidingWindow(),
+        )
+        self.runs, self.errors, self.reads, self.retries, self.nacks = (
+            SlidingWindow(),
+            SlidingWindow(),
+            SlidingWindow(),
+            SlidingWindow(),
+            SlidingWindow(),
+        )
+        self.hints, self.hinted = SlidingWindow(1.0), SlidingWindow(1.0)
+        self.calls_below = SlidingWindow(self.calls_window / BUCKETS, BUCKETS + 1)
+        self.call_exposure, self.calls_done = SlidingWindow(BEAT), SlidingWindow(BEAT)
         self.call_limit, self.call_mean, self.usual_call, self.call_time = float(self.cores), 0.0, 0.0, 0.0
         self.best_call, self.calls_seen, self.last_call, self.last_call_time = math.inf, 0, now, 0.0
         self.shut, self.told_shut = 0.5 * (1.0 - self.cold_speed), 0.0
@@ -177,7 +188,7 @@
 
     # Bookkeeping: what the host reports.
 
-    def op_read(
+    def record_arrival(
         self,
         now: float,
         ref: Ref,
@@ -222,7 +233,7 @@
         rate = self.tenant_reads[op.tenant].total(self.now) / (BUCKET * BUCKETS)
         return OVER_SHARE * max(0.0, 1.0 - self.quotas[op.tenant] / rate) if rate else 0.0
 
-    def run_ended(self, now: float, ref: Ref, ending: int) -> None:
+    def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
         self._pass_time(now)
         op = self.ops.get(ref)
         if op is None:
@@ -239,13 +250,13 @@
             self.runs.add(now, 1.0)
             self.done_full.add(now, op.work if now >= self.full_since else 0.0)
 
-    def call_wanted(self, now: float, ref: Ref) -> None:
+    def record_call_request(self, now: float, ref: Ref) -> None:
         self._pass_time(now)
         if op := self.ops.get(ref):
             op.call_ending = None
             self._move(op, Stage.STALLED)
 
-    def call_ended(self, now: float, ref: Ref, ending: int) -> None:
+    def record_call_end(self, now: float, ref: Ref, ending: int) -> None:
         self._pass_time(now)
         if ending in (Ending.TIMEOUT, Ending.INTERRUPTED):
             self.lingering.append(now + self.linger)
@@ -256,71 +267,71 @@
 
     def _time_call(self, ending: int, elapsed: float) -> None:
         self.last_call, self.last_call_time = self.now, elapsed
-        if ending in PROVES_UNRUN:
+        if ending in NOT_EXECUTED_ENDINGS:
             return self._fewer_calls()
         self.calls_seen += 1
         self.calls_done.add(self.now, 1.0)
         self.call_mean += (elapsed - self.call_mean) / min(self.calls_seen, CALLS_ENOUGH)
         self.usual_call += (elapsed - self.usual_call) / min(self.calls_seen, CALLS_USUAL)
 
-    def op_abandoned(self, now: float, ref: Ref) -> None:
+    def record_abandonment(self, now: float, ref: Ref) -> None:
         self._pass_time(now)
         if op := self.ops.get(ref):
             self._let_go(op)
 
-    def leave_notice(self, now: float, grace: float) -> None:
+    def begin_drain(self, now: float, grace: float) -> None:
         self._pass_time(now)
         self.retire_at, self.stop_at, self.sweep_at = now, now + grace, now
         for op in self.ops.values():
             op.due = min(op.due, self.stop_at - STOP_MARGIN)
 
-    def storm_told(self, now: float, on: bool, first_tries: float) -> None:
+    def set_retry_storm(self, now: float, on: bool, first_tries: float) -> None:
         """From a host with storm books: if repeats go beyond what can be served, first tries a second."""
         self._pass_time(now)
         self.storm, self.first_tries = on, first_tries
 
-    def part_told(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+    def set_tenant_budget(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
         """From a host whose instances share totals: the runs of a tenant that this one may start in any
         window, or have in hand where that is 0, as units and until when they are ours."""
         self._pass_time(now)
         (self.parts if window else self.caps)[tenant] = window, pieces
 
-    def calls_told(self, now: float, share: float) -> None:  # our part, where the instances settle it
+    def set_dependency_share(self, now: float, share: float) -> None:  # our part, where the instances settle it
         self._pass_time(now)
         self.calls_share = share
 
-    def others_told(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
+    def update_peer_load(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
         """The share of what the others can serve that is free, below 0 where not known; whether they judge us
         ill; retries a second that are left to us; of what comes to us, the share that fits elsewhere."""
         self._pass_time(now)
         self.others_room, self.ill, self.hear_most, self.wished = room, ill, hear_most, shut
 
-    def offers_told(self, now: float, count: int) -> None:
+    def set_peer_offers(self, now: float, count: int) -> None:
         """Ops that peers have room for just now."""
         self._pass_time(now)
         self.offered = count
 
-    def came_handed(self, now: float, ref: Ref) -> None:
+    def mark_received_from_peer(self, now: float, ref: Ref) -> None:
         self.ops[ref].handed = True
 
-    def hand_ended(self, now: float, ref: Ref, ending: int) -> None:
+    def record_handover_end(self, now: float, ref: Ref, ending: int) -> None:
         """What became of an op at a peer; if its link broke nobody knows whether it ran."""
         self._pass_time(now)
         if op := self.at[Stage.HANDED].get(ref):
-            op.ran = ending not in PROVES_UNRUN
+            op.ran = ending not in NOT_EXECUTED_ENDINGS
             if op.ran and (ending != Ending.INTERRUPTED or not op.row.retryable):
                 return self._close(op)
             self._move(op, Stage.HELD)
             if not op.ran:
                 self.unplaced[ref] = op
 
-    def turned_back(self, now: float, count: int) -> None:
+    def record_early_rejections(self, now: float, count: int) -> None:
         """Retries that the host nacked by the last word on how many are heard."""
         self._pass_time(now)
         for ring in (self.reads, self.retries, self.nacks):
             ring.add(now, float(count))
 
-    def woken(self, now: float, token: int, readings: Sequence[float]) -> None:
+    def handle_wakeup(self, now: float, token: int, readings: Sequence[float]) -> None:
         self._pass_time(now)
         gauges = dict(zip(self.gauges, readings))
         self.armed = math.inf if token == self.alarms else self.armed
@@ -625,7 +636,7 @@
             return Decision(Verb.FAIL, op.ref, cause=cause)
         self._close(op)
         self.nacks.add(self.now, 1.0)
-        return Decision(Verb.NACK, op.ref, self._hold_off(), self._fleet_full(), cause=cause)
+        return Decision(Verb.REJECT, op.ref, self._hold_off(), self._fleet_full(), cause=cause)
 
     def _fleet_full(self) -> bool:
         if self.others_room >= 0.0:
@@ -646,7 +657,7 @@
         self.unplaced.pop(op.ref, None)
         self.offered, op.handed, op.ran = self.offered - 1, True, True
         self._move(op, Stage.HANDED)
-        return Decision(Verb.HAND, op.ref, cause=cause)
+        return Decision(Verb.HAND_OVER, op.ref, cause=cause)
 
     def _hand(self) -> Decision | None:
         """Whose turn is next starts at once at a peer with room, if the line here is worth it."""
@@ -696,7 +707,7 @@
             left = (op.aim if degradable or crowded else op.due - self.margin) - self.now
             patience = min(left, room)
             fits = free and patience >= min(left, 2.0 * self.call_time)
-            spoilt = op.call_ending is not None and not (op.row.retryable or op.call_ending in PROVES_UNRUN)
+            spoilt = op.call_ending is not None and not (op.row.retryable or op.call_ending in NOT_EXECUTED_ENDINGS)
             if spoilt or not degradable and crowded and left <= 0.0:
                 return self._turn_away(op, "call")
             if degradable and (op.call_ending is not None or crowded or not fits or left <= 0.0):
@@ -772,7 +783,7 @@
         if rate == self.told_hear or abs(rate - self.told_hear) < HEAR_STEP * self.told_hear < math.inf:
             return None
         self.told_hear = rate
-        return Decision(Verb.HEAR, level=rate, cause="storm" if self.storm else "")
+        return Decision(Verb.LIMIT_RETRIES, level=rate, cause="storm" if self.storm else "")
 
     def _wake(self) -> Decision | None:
         """One alarm for the soonest thing to do."""
--- a/mulleinhatch/admission/interface.py
+++ b/mulleinhatch/admission/interface.py
@@ -93,7 +93,7 @@
 class Verb(Enum):
     RUN = "run"  # ref
     STOP = "stop"  # ref
-    NACK = "nack"  # ref, seconds to stay away, flag: not elsewhere either
+    REJECT = "nack"  # ref, seconds to stay away, flag: not elsewhere either
     FAIL = "fail"  # ref
     CALL = "call"  # ref, seconds until it is given up
     SKIP_CALL = "skip call"  # ref
@@ -104,8 +104,8 @@
     ADVISE = "advise"  # level
     TRIM = "trim"  # seconds that an idle connection is kept
     WAKE = "wake"  # seconds
-    HEAR = "hear"  # level: marked retries a second that are read in full, the rest nacked
-    HAND = "hand"  # ref: to a peer that offered room
+    LIMIT_RETRIES = "hear"  # level: marked retries a second that are read in full, the rest nacked
+    HAND_OVER = "hand"  # ref: to a peer that offered room
 
     __hash__ = object.__hash__  # members are single: Enum's own hash is Python code, on every decision
 
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from mulleinhatch.admission import PROVES_UNRUN, AdmissionController
+from mulleinhatch.admission import NOT_EXECUTED_ENDINGS, AdmissionController
 from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.request_state_machine.tables import Keys, Owed
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
@@ -161,7 +161,8 @@
         self.errands: list[tuple] = []
         self.handlers = {happening: getattr(self, "_" + happening.name.lower()) for happening in Happening}
         self.verbs = {
-            verb: ("decided_" + verb.name.lower(), getattr(self, "_do_" + verb.name.lower(), self._do_other)) for verb in Verb
+            verb: ("decided_" + verb.value.replace(" ", "_"), getattr(self, "_do_" + verb.name.lower(), self._do_other))
+            for verb in Verb
         }
 
     def reduce(self, now: float, happening: Happening, *told: object) -> list[tuple]:
@@ -192,7 +193,7 @@
             if self.record:
                 self.hatch = self.record(self.hatch, now, cold, since)
             if self.stop_at is not None:
-                self.hatch.leave_notice(now, self.stop_at - now)
+                self.hatch.begin_drain(now, self.stop_at - now)
             for (tenant, _), part in list(self.parts.items()):
                 self._part(now, tenant, *part)
             if self.others:
@@ -302,11 +303,11 @@
             self.storms.read(now, caller, repeat, age)
             self.storms.counts["repeats_unmarked"] += repeat and not again
             again = again or repeat and self.storms.on  # unmarked, it is one more of those that crowd
-        self.hatch.op_read(
+        self.hatch.record_arrival(
             now, owed.ref, self.op_types[op_type], age, wait, self.tenants.get(tenant, 0), owed.repeats, caller, work, kb, again
         )
         if owed.from_peer:
-            self.hatch.came_handed(now, owed.ref)
+            self.hatch.mark_received_from_peer(now, owed.ref)
 
     def _park(self, now: float, owed: Owed, like: Likeness, told: tuple) -> None:
         """A marked retry of a non-retryable op that may have run here. With the figures of that run it is its retry, and
@@ -433,10 +434,10 @@
     def _watch(self, now: float) -> None:
         if self.storms.watch.due(now):
             if self.back:
-                self.hatch.turned_back(now, self.back)
+                self.hatch.record_early_rejections(now, self.back)
                 self.back = 0
             if self.storms.judge(now, self.hatch.capacity()):
-                self.hatch.storm_told(now, *self.storms.told)
+                self.hatch.set_retry_storm(now, *self.storms.told)
 
     def _sent_again(self, place: int, ref: str, *same: object) -> None:
         """The same try on another connection, as it crossed the close of its first: it moves there. Anything
@@ -497,13 +498,13 @@
         self.going_on.pop(ref, None)
         self.counts["calls_wanted"] += 1
         owed.query = query
-        self.hatch.call_wanted(now, ref)
+        self.hatch.record_call_request(now, ref)
 
     def _call_ended(self, now: float, ref: str, ending: Ending, result: bytes) -> None:
         owed = self.owed.get(ref)
         if owed is None or not owed.running:
             return
-        self.hatch.call_ended(now, ref, ending)
+        self.hatch.record_call_end(now, ref, ending)
         if ending is Ending.OK and owed.place is not None:
             self._go_on(ref, (Errand.RESOLVE, ref, result))
 
@@ -574,7 +575,7 @@
     def _alarm(self, now: float, token: int) -> None:
         if self.hatch and token:
             fresh = now - self.read_at <= READINGS_LAST
-            self.hatch.woken(now, token, self.readings if fresh else ())
+            self.hatch.handle_wakeup(now, token, self.readings if fresh else ())
 
     def _checked(self, now: float, place: int) -> None:
         self.counts["checks"] += 1
@@ -589,7 +590,7 @@
         self.counts["callers_lost"] += 1
         owed = self.owed[ref]
         self._left(owed)
-        self.hatch.op_abandoned(now, ref)
+        self.hatch.record_abandonment(now, ref)
         self._drop_if_done(now, owed)
 
     def _leave(self, now: float, grace: float) -> None:
@@ -598,27 +599,27 @@
         self.healthy, self.stop_at = False, now + grace
         self.errands.append((Errand.LEAVE, grace))
         if self.hatch:
-            self.hatch.leave_notice(now, grace)
+            self.hatch.begin_drain(now, grace)
 
     def _part(self, now: float, tenant: str, window: float, pieces: Sequence[tuple[float, float]]) -> None:
         """Before the module is there it is kept for it: a tenant with a total must never run without its part."""
         self.parts[tenant, window > 0.0] = window, pieces
         if self.hatch and tenant in self.tenants:
-            self.hatch.part_told(now, self.tenants[tenant], window, pieces)
+            self.hatch.set_tenant_budget(now, self.tenants[tenant], window, pieces)
 
     def _calls(self, now: float, share: float) -> None:
         self.calls_share = share
         if self.hatch:
-            self.hatch.calls_told(now, share)
+            self.hatch.set_dependency_share(now, share)
 
     def _others(self, now: float, *told: Any) -> None:
         self.others = told
         if self.hatch:
-            self.hatch.others_told(now, *told)
+            self.hatch.update_peer_load(now, *told)
 
     def _offers(self, now: float, count: int) -> None:
         if self.hatch:
-            self.hatch.offers_told(now, count)
+            self.hatch.set_peer_offers(now, count)
 
     def _hand_ended(self, now: float, ref: str, ending: Ending, result: bytes) -> None:
         """Its answer is the peer's. A nack, or a peer that was never reached, says that it did not run there; a link that
@@ -629,20 +630,20 @@
         owed.handed = False
         self.away -= 1
         self.counts["hand_" + ending.name.lower()] += 1
-        unrun = ending in PROVES_UNRUN
+        unrun = ending in NOT_EXECUTED_ENDINGS
         owed.may_have_run = owed.may_have_run and not unrun
         if unrun and self.storms:
             self.storms.runs.settled(ref)
         if owed.place is None:
             self._drop_if_done(now, owed)
             return
-        self.hatch.hand_ended(now, ref, ending)
+        self.hatch.record_handover_end(now, ref, ending)
         if not unrun and not (ending is Ending.INTERRUPTED and owed.op_type in self.may_repeat):
             self._close_run(now, owed, ending, result)
 
     # What the module decides.
 
-    def _do_hand(self, now: float, decision: Decision) -> None:
+    def _do_hand_over(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
         must_hold(owed and owed.told and owed.place is not None and not owed.running, "only an op that is held is handed over")
         if owed:
@@ -675,7 +676,7 @@
     def _do_skip_call(self, now: float, decision: Decision) -> None:
         self._go_on(decision.ref, (Errand.SKIP, decision.ref))
 
-    def _do_nack(self, now: float, decision: Decision) -> None:
+    def _do_reject(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
         must_hold(owed and not owed.running and owed.place is not None, "only an op that never ran is nacked")
         if owed:
@@ -721,7 +722,7 @@
         self._ask_gauges()
         self.errands.append((Errand.ALARM, decision.seconds, decision.ref))
 
-    def _do_hear(self, now: float, decision: Decision) -> None:
+    def _do_limit_retries(self, now: float, decision: Decision) -> None:
         self.storms.limit(now, decision.level)
         self.errands.append((Errand.TURN_BACK, self.storms.sheds))
 
@@ -753,7 +754,7 @@
 
     def _conclude(self, now: float, owed: Owed, ending: Ending, result: bytes) -> None:
         """The end of a run, its own or that of the op it repeats, for the module, the keys and the caller."""
-        self.hatch.run_ended(now, owed.ref, ending)
+        self.hatch.record_run_end(now, owed.ref, ending)
         self._close_run(now, owed, ending, result)
 
     def _close_run(self, now: float, owed: Owed, ending: Ending, result: bytes) -> None:
--- a/mulleinhatch/instance/retry_storms/storm_detector.py
+++ b/mulleinhatch/instance/retry_storms/storm_detector.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.sliding_window import Ring
+from mulleinhatch.sliding_window import SlidingWindow
 
 BEAT = 0.25  # seconds between judgements
 SEEN, SEEN_BUCKETS = 0.25, 4  # the second that is looked at
@@ -48,7 +48,7 @@
         self.bounds, self.stage = bounds, Stage.CALM
         self.new_reads = self.new_repeats = self.new_connects = 0
         self.new_age = 0.0
-        self.reads, self.repeats, self.connects, self.ages = (Ring(SEEN, SEEN_BUCKETS) for _ in range(4))
+        self.reads, self.repeats, self.connects, self.ages = (SlidingWindow(SEEN, SEEN_BUCKETS) for _ in range(4))
         self.usual = self.first_rate = self.repeat_rate = self.connect_rate = 0.0
         self.judged_at = -math.inf
         self.eased = self.likely = 0.0  # seconds: looking calmer, like a storm
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -54,7 +54,7 @@
 
     # What the reducer tells the module.
 
-    def op_read(
+    def record_arrival(
         self,
         now: float,
         ref: Ref,
@@ -85,77 +85,77 @@
             held_kb,
             int(further_try),
         )
-        self.hatch.op_read(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, held_kb, further_try)
+        self.hatch.record_arrival(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, held_kb, further_try)
 
-    def run_ended(self, now: float, ref: Ref, ending: int) -> None:
+    def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
         now = self._time(now)
         self._add(kinds.RUN_ENDED, now, self.numbers.get(ref, 0), int(ending))
-        self.hatch.run_ended(now, ref, ending)
+        self.hatch.record_run_end(now, ref, ending)
 
-    def call_wanted(self, now: float, ref: Ref) -> None:
+    def record_call_request(self, now: float, ref: Ref) -> None:
         now = self._time(now)
         self._add(kinds.CALL_WANTED, now, self.numbers.get(ref, 0))
-        self.hatch.call_wanted(now, ref)
+        self.hatch.record_call_request(now, ref)
 
-    def call_ended(self, now: float, ref: Ref, ending: int) -> None:
+    def record_call_end(self, now: float, ref: Ref, ending: int) -> None:
         now = self._time(now)
         self._add(kinds.CALL_ENDED, now, self.numbers.get(ref, 0), int(ending))
-        self.hatch.call_ended(now, ref, ending)
+        self.hatch.record_call_end(now, ref, ending)
 
-    def op_abandoned(self, now: float, ref: Ref) -> None:
+    def record_abandonment(self, now: float, ref: Ref) -> None:
         now = self._time(now)
         self._add(kinds.ABANDONED, now, self.numbers.get(ref, 0))
-        self.hatch.op_abandoned(now, ref)
+        self.hatch.record_abandonment(now, ref)
 
-    def leave_notice(self, now: float, grace: float) -> None:
+    def begin_drain(self, now: float, grace: float) -> None:
         now, grace = self._time(now), round(grace, 6)
         self._add(kinds.LEAVE, now, grace)
-        self.hatch.leave_notice(now, grace)
+        self.hatch.begin_drain(now, grace)
 
-    def woken(self, now: float, token: int, readings: Sequence[float]) -> None:
+    def handle_wakeup(self, now: float, token: int, readings: Sequence[float]) -> None:
         now = self._time(now)
         self._add(kinds.WOKEN, now, token, tuple(readings))
-        self.hatch.woken(now, token, readings)
+        self.hatch.handle_wakeup(now, token, readings)
 
-    def storm_told(self, now: float, on: bool, first_tries: float) -> None:
+    def set_retry_storm(self, now: float, on: bool, first_tries: float) -> None:
         now = self._time(now)
         self._add(kinds.STORM, now, int(on), first_tries)
-        self.hatch.storm_told(now, on, first_tries)
+        self.hatch.set_retry_storm(now, on, first_tries)
 
-    def turned_back(self, now: float, count: int) -> None:
+    def record_early_rejections(self, now: float, count: int) -> None:
         now = self._time(now)
         self._add(kinds.TURNED_BACK, now, count)
-        self.hatch.turned_back(now, count)
+        self.hatch.record_early_rejections(now, count)
 
-    def part_told(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+    def set_tenant_budget(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
         now = self._time(now)
         self._add(kinds.PART, now, tenant, window, tuple(figure for piece in pieces for figure in piece))
-        self.hatch.part_told(now, tenant, window, pieces)
+        self.hatch.set_tenant_budget(now, tenant, window, pieces)
 
-    def calls_told(self, now: float, share: float) -> None:
+    def set_dependency_share(self, now: float, share: float) -> None:
         now = self._time(now)
         self._add(kinds.CALLS, now, share)
-        self.hatch.calls_told(now, share)
+        self.hatch.set_dependency_share(now, share)
 
-    def others_told(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
+    def update_peer_load(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
         now = self._time(now)
         self._add(kinds.OTHERS, now, room, int(ill), hear_most, shut)
-        self.hatch.others_told(now, room, ill, hear_most, shut)
+        self.hatch.update_peer_load(now, room, ill, hear_most, shut)
 
-    def offers_told(self, now: float, count: int) -> None:
+    def set_peer_offers(self, now: float, count: int) -> None:
         now = self._time(now)
         self._add(kinds.OFFERS, now, count)
-        self.hatch.offers_told(now, count)
+        self.hatch.set_peer_offers(now, count)
 
-    def came_handed(self, now: float, ref: Ref) -> None:
+    def mark_received_from_peer(self, now: float, ref: Ref) -> None:
         now = self._time(now)
         self._add(kinds.HANDED, now, self.numbers.get(ref, 0))
-        self.hatch.came_handed(now, ref)
+        self.hatch.mark_received_from_peer(now, ref)
 
-    def hand_ended(self, now: float, ref: Ref, ending: int) -> None:
+    def record_handover_end(self, now: float, ref: Ref, ending: int) -> None:
         now = self._time(now)
         self._add(kinds.HAND_ENDED, now, self.numbers.get(ref, 0), int(ending))
-        self.hatch.hand_ended(now, ref, ending)
+        self.hatch.record_handover_end(now, ref, ending)
 
     @property
     def limit(self) -> int:
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -104,38 +104,38 @@
         elif kind is kinds.READ:
             op, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
             self.refs[op], self.numbers[ref] = ref, op
-            self.hatch.op_read(
+            self.hatch.record_arrival(
                 now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, kb, bool(again)
             )
         elif kind is kinds.RUN_ENDED:
-            self.hatch.run_ended(now, self._ref(values[0]), values[1])
+            self.hatch.record_run_end(now, self._ref(values[0]), values[1])
         elif kind is kinds.CALL_WANTED:
-            self.hatch.call_wanted(now, self._ref(values[0]))
+            self.hatch.record_call_request(now, self._ref(values[0]))
         elif kind is kinds.CALL_ENDED:
-            self.hatch.call_ended(now, self._ref(values[0]), values[1])
+            self.hatch.record_call_end(now, self._ref(values[0]), values[1])
         elif kind is kinds.ABANDONED:
-            self.hatch.op_abandoned(now, self._ref(values[0]))
+            self.hatch.record_abandonment(now, self._ref(values[0]))
         elif kind is kinds.LEAVE:
-            self.hatch.leave_notice(now, values[0])
+            self.hatch.begin_drain(now, values[0])
         elif kind is kinds.WOKEN:
-            self.hatch.woken(now, values[0], list(values[1]))
+            self.hatch.handle_wakeup(now, values[0], list(values[1]))
         elif kind is kinds.STORM:
-            self.hatch.storm_told(now, bool(values[0]), values[1])
+            self.hatch.set_retry_storm(now, bool(values[0]), values[1])
         elif kind is kinds.TURNED_BACK:
-            self.hatch.turned_back(now, values[0])
+            self.hatch.record_early_rejections(now, values[0])
         elif kind is kinds.PART:
-            self.hatch.part_told(now, values[0], values[1], list(zip(values[2][::2], values[2][1::2])))
+            self.hatch.set_tenant_budget(now, values[0], values[1], list(zip(values[2][::2], values[2][1::2])))
         elif kind is kinds.CALLS:
-            self.hatch.calls_told(now, values[0])
+            self.hatch.set_dependency_share(now, values[0])
         elif kind is kinds.OTHERS:
             room, ill, hear_most, shut = values
-            self.hatch.others_told(now, room, bool(ill), hear_most, shut)
+            self.hatch.update_peer_load(now, room, bool(ill), hear_most, shut)
         elif kind is kinds.OFFERS:
-            self.hatch.offers_told(now, values[0])
+            self.hatch.set_peer_offers(now, values[0])
         elif kind is kinds.HANDED:
-            self.hatch.came_handed(now, self._ref(values[0]))
+            self.hatch.mark_received_from_peer(now, self._ref(values[0]))
         elif kind is kinds.HAND_ENDED:
-            self.hatch.hand_ended(now, self._ref(values[0]), values[1])
+            self.hatch.record_handover_end(now, self._ref(values[0]), values[1])
 
     def _ref(self, op: int) -> str:
         return self.refs.get(op, "")
--- a/mulleinhatch/instance/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -60,7 +60,7 @@
 
     def _decided(self, time: float, verb: int, op: int, seconds: float, flag: int, level: float, cause: str = "") -> None:
         known = BY_PLACE.get(verb)
-        name = "decided_" + (known.name.lower() if known else str(verb))
+        name = "decided_" + (known.value.replace(" ", "_") if known else str(verb))
         self._count(time, name, op)
         if cause:
             self.counts[f"{name}_{cause}"] += 1
@@ -68,7 +68,7 @@
         if known is Verb.RUN and live:
             self.held.record_value(_ms(time - live[2]))
             self.live[op] = (*live[:3], time)
-        elif known is Verb.NACK:
+        elif known is Verb.REJECT:
             self.told.record_value(_ms(seconds))
             self.live.pop(op, None)
 
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from mulleinhatch.admission import PROVES_UNRUN, AdmissionController, Stage
+from mulleinhatch.admission import NOT_EXECUTED_ENDINGS, AdmissionController, Stage
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Members
 from mulleinhatch.instance.load_balancing.offers import Giver
@@ -23,7 +23,7 @@
     """A link that broke is taken for proof that nothing ran."""
     hatch._pass_time(now)
     if op := hatch.at[Stage.HANDED].get(ref):
-        if ending not in PROVES_UNRUN and ending != Ending.INTERRUPTED:
+        if ending not in NOT_EXECUTED_ENDINGS and ending != Ending.INTERRUPTED:
             hatch._close(op)
             return
         op.ran = False
@@ -54,7 +54,7 @@
     "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
     "an op at a peer is never given up": [(AdmissionController, "_give_up", lambda hatch: None)],
-    "one that leaves forgets what it holds": [(AdmissionController, "leave_notice", lambda hatch, now, grace: None)],
+    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda hatch, now, grace: None)],
 }
 
 
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -22,7 +22,7 @@
 
 WORDS = {
     Verb.RUN: lambda d: b"\x41" + U64.pack(d.ref),
-    Verb.NACK: lambda d: b"\x42" + REF_TIME.pack(d.ref, d.seconds * 1000.0) + U8.pack(d.flag),
+    Verb.REJECT: lambda d: b"\x42" + REF_TIME.pack(d.ref, d.seconds * 1000.0) + U8.pack(d.flag),
     Verb.FAIL: lambda d: b"\x43" + U64.pack(d.ref),
     Verb.STOP: lambda d: b"\x44" + U64.pack(d.ref),
     Verb.CALL: lambda d: b"\x45" + REF_TIME.pack(d.ref, d.seconds * 1000.0),
@@ -107,7 +107,7 @@
     def tell(hatch: AdmissionController, code: int, frame: Frame, now: float, place: int) -> None:
         if code == REQUEST_CODE:
             (ref, age, wait, tenant, _, repeat_of, op_type, caller, _, bits, work, held_kb) = frame.take(REQUEST)
-            hatch.op_read(
+            hatch.record_arrival(
                 now,
                 ref,
                 op_type,
@@ -122,19 +122,19 @@
             )
         elif code == RESULT_CODE:
             ref, ending, _ = frame.take(RESULT)
-            hatch.run_ended(now, ref, ending)
+            hatch.record_run_end(now, ref, ending)
         elif code == STALLED:
-            hatch.call_wanted(now, *frame.take(U64))
+            hatch.record_call_request(now, *frame.take(U64))
         elif code == CALL_DONE:
             ref, ending, _ = frame.take(RESULT)
-            hatch.call_ended(now, ref, ending)
+            hatch.record_call_end(now, ref, ending)
         elif code == RETIRE:
-            hatch.leave_notice(now, frame.take(F64)[0] / 1000.0)
+            hatch.begin_drain(now, frame.take(F64)[0] / 1000.0)
         elif code == ABANDONED:
-            hatch.op_abandoned(now, *frame.take(U64))
+            hatch.record_abandonment(now, *frame.take(U64))
         elif code == FIRED:
             token, count = *frame.take(U64), *frame.take(U8)
-            hatch.woken(now, token, frame.take(struct.Struct(f">{count}f")))
+            hatch.handle_wakeup(now, token, frame.take(struct.Struct(f">{count}f")))
         else:
             raise MalformedFrameError(f"unknown record code {code} at byte {place}")
 
--- a/mulleinhatch/sliding_window.py
+++ b/mulleinhatch/sliding_window.py
@@ -5,10 +5,10 @@
 BUCKET, BUCKETS = 0.25, 10  # what "recent" means: long against a run, short against a slowdown
 
 
-class Ring:
+class SlidingWindow:
     """What was added lately, in fixed buckets of time that are used again.
 
-    >>> ring = Ring(width=1.0, count=2)
+    >>> ring = SlidingWindow(width=1.0, count=2)
     >>> ring.add(0.5, 3.0); ring.add(1.5, 4.0); ring.total(1.9), ring.total(2.1), ring.total(9.0)
     (7.0, 4.0, 0.0)
     """
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -46,13 +46,13 @@
     def read(
         self, now: float, ref: str, op_type: int = 0, work: float = 0.5, wait: float = 4.0, handed: bool = False
     ) -> list[tuple[Verb, str]]:
-        self.hatch.op_read(now, ref, op_type, 0.0, wait, 0, "", 1, work, 1.0, False)
+        self.hatch.record_arrival(now, ref, op_type, 0.0, wait, 0, "", 1, work, 1.0, False)
         if handed:
-            self.hatch.came_handed(now, ref)
+            self.hatch.mark_received_from_peer(now, ref)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
     def ended(self, now: float, ref: str, ending: Ending = Ending.OK) -> list[tuple[Verb, str]]:
-        self.hatch.run_ended(now, ref, ending)
+        self.hatch.record_run_end(now, ref, ending)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
 
@@ -69,17 +69,17 @@
 def test_nothing_is_handed_over_without_an_offer_nor_more_than_offered() -> None:
     told = warm()
     assert told.read(2.0, "a") == []
-    told.hatch.offers_told(2.0, 2)
+    told.hatch.set_peer_offers(2.0, 2)
     assert [decision.ref for decision in told.pull(2.0)] == ["a"]
-    assert told.read(2.0, "b") == [(Verb.HAND, "b")] and told.read(2.0, "c") == []
+    assert told.read(2.0, "b") == [(Verb.HAND_OVER, "b")] and told.read(2.0, "c") == []
 
 
 @pytest.mark.parametrize("op_type, handed", [(2, False), (0, True)], ids=["keyed", "came from a peer"])
 def test_what_stays(op_type: int, handed: bool) -> None:
     told = warm()
-    told.hatch.offers_told(2.0, 5)
-    assert (Verb.HAND, "a") not in told.read(2.0, "a", op_type, handed=handed)
-    assert (Verb.HAND, "b") in told.read(2.0, "b")
+    told.hatch.set_peer_offers(2.0, 5)
+    assert (Verb.HAND_OVER, "a") not in told.read(2.0, "a", op_type, handed=handed)
+    assert (Verb.HAND_OVER, "b") in told.read(2.0, "b")
 
 
 @pytest.mark.parametrize(
@@ -97,9 +97,9 @@
 def test_what_becomes_of_an_op_at_a_peer(op_type: int, ending: Ending, then: str) -> None:
     """A link that broke tells nothing: what may not run twice is over here, what may runs here, and none goes on again."""
     told = warm()
-    told.hatch.offers_told(2.0, 5)
-    assert told.read(2.0, "a", op_type) == [(Verb.HAND, "a")]
-    told.hatch.hand_ended(2.1, "a", ending)
+    told.hatch.set_peer_offers(2.0, 5)
+    assert told.read(2.0, "a", op_type) == [(Verb.HAND_OVER, "a")]
+    told.hatch.record_handover_end(2.1, "a", ending)
     assert told.pull(2.1) == [] and ("a" in told.hatch.ops) is (then == "held")
     if then == "held":
         assert told.ended(2.4, "running") == [(Verb.RUN, "a")]
@@ -107,11 +107,11 @@
 
 def test_an_op_at_a_peer_is_given_up_in_time_and_never_nacked() -> None:
     told = warm()
-    told.hatch.offers_told(2.0, 5)
+    told.hatch.set_peer_offers(2.0, 5)
     told.read(2.0, "a", 1, wait=1.0)
-    told.hatch.woken(2.98, 0, ())
+    told.hatch.handle_wakeup(2.98, 0, ())
     assert (Verb.FAIL, "a") in [(decision.verb, decision.ref) for decision in told.pull(2.98)]
-    told.hatch.hand_ended(3.0, "a", Ending.OK)
+    told.hatch.record_handover_end(3.0, "a", Ending.OK)
     assert told.pull(3.0) == []
 
 
@@ -119,15 +119,15 @@
     told = Told()
     told.read(0.0, "running")
     told.read(0.0, "a", work=0.01)
-    told.hatch.offers_told(0.1, 3)
+    told.hatch.set_peer_offers(0.1, 3)
     assert told.pull(0.1) == []  # a short line is not worth it
-    told.hatch.leave_notice(0.2, 2.5)
-    assert (Verb.HAND, "a") in [(decision.verb, decision.ref) for decision in told.pull(0.2)]
+    told.hatch.begin_drain(0.2, 2.5)
+    assert (Verb.HAND_OVER, "a") in [(decision.verb, decision.ref) for decision in told.pull(0.2)]
 
 
 def test_a_cap_over_the_fleet_bounds_what_runs_and_ends_with_its_piece() -> None:
     told = Told(cores=4)
-    told.hatch.part_told(0.0, 0, 0.0, [(1.0, 1e9), (1.0, 2.6)])
+    told.hatch.set_tenant_budget(0.0, 0, 0.0, [(1.0, 1e9), (1.0, 2.6)])
     runs = [told.read(0.0, ref) for ref in "abc"]
     assert runs == [[(Verb.RUN, "a")], [(Verb.RUN, "b")], []]
     assert told.ended(0.5, "a") == [(Verb.RUN, "c")]
@@ -140,17 +140,17 @@
 
 def test_the_others_word_on_health_room_and_retries() -> None:
     told = Told(advice=Advice.FLOOR)
-    told.hatch.others_told(0.0, 0.5, True, 3.0, 0.3)
-    told.hatch.storm_told(0.2, True, 0.1)
+    told.hatch.update_peer_load(0.0, 0.5, True, 3.0, 0.3)
+    told.hatch.set_retry_storm(0.2, True, 0.1)
     said = {decision.verb: decision for decision in told.pull(0.2)}
-    assert not said[Verb.HEALTH].flag and said[Verb.HEAR].level <= 3.0
+    assert not said[Verb.HEALTH].flag and said[Verb.LIMIT_RETRIES].level <= 3.0
     told = Told(advice=Advice.FLOOR)
-    told.hatch.others_told(0.0, 0.02, False, 1e9, 0.3)
+    told.hatch.update_peer_load(0.0, 0.02, False, 1e9, 0.3)
     assert {decision.verb: decision for decision in told.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
     told.read(0.2, "running", wait=3.0)
     told.read(0.2, "held", wait=1.0)
-    told.hatch.leave_notice(0.3, 0.1)  # nothing is free elsewhere: nobody else is to be asked, either
-    nacks = [decision for decision in told.pull(0.3) if decision.verb is Verb.NACK]
+    told.hatch.begin_drain(0.3, 0.1)  # nothing is free elsewhere: nobody else is to be asked, either
+    nacks = [decision for decision in told.pull(0.3) if decision.verb is Verb.REJECT]
     assert [(nack.ref, nack.flag) for nack in nacks] == [("held", True)]
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -44,7 +44,7 @@
 
 def spoken(decision: Decision) -> str:
     told = {Verb.HEALTH: " good" if decision.flag else " bad", Verb.ADVISE: "", Verb.TRIM: f" {decision.seconds:.0f}"}
-    if decision.verb is Verb.NACK and decision.flag:
+    if decision.verb is Verb.REJECT and decision.flag:
         return f"nack {decision.ref} for good"
     return decision.verb.value + told.get(decision.verb, f" {decision.ref}")
 
@@ -91,7 +91,7 @@
     def report(self, what: str, ref: int, more: dict) -> None:
         hatch, get = self.hatch, more.get
         if what == "op":
-            hatch.op_read(
+            hatch.record_arrival(
                 self.now,
                 ref,
                 get("type", 0),
@@ -105,20 +105,20 @@
                 bool(get("again", 0)),
             )
         elif what == "ended":
-            hatch.run_ended(self.now, ref, get("ending", 1))
+            hatch.record_run_end(self.now, ref, get("ending", 1))
         elif what == "wants-call":
-            hatch.call_wanted(self.now, ref)
+            hatch.record_call_request(self.now, ref)
         elif what == "call-ended":
-            hatch.call_ended(self.now, ref, get("ending", 1))
+            hatch.record_call_end(self.now, ref, get("ending", 1))
         elif what == "gone":
-            hatch.op_abandoned(self.now, ref)
+            hatch.record_abandonment(self.now, ref)
         elif what == "part":
-            hatch.part_told(self.now, get("tenant", 0), get("window", 1.0), [(get("units"), get("until", 1e9))])
+            hatch.set_tenant_budget(self.now, get("tenant", 0), get("window", 1.0), [(get("units"), get("until", 1e9))])
         elif what == "leave":
-            hatch.leave_notice(self.now, get("within", 5.0))
+            hatch.begin_drain(self.now, get("within", 5.0))
         else:
             gauges = self.deployment.get("gauges", [])
-            hatch.woken(self.now, hatch.alarms, [get(name, 1.0) for name in gauges])
+            hatch.handle_wakeup(self.now, hatch.alarms, [get(name, 1.0) for name in gauges])
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.txt")), ids=lambda path: path.stem)
