--- a/mulleinhatch/admission/__init__.py
+++ b/mulleinhatch/admission/__init__.py
@@ -3,6 +3,6 @@
 Called by the hosts of `AdmissionController` and by the system's data plane; pure.
 """
 
-from mulleinhatch.admission.controller import FULL_ENOUGH, NOT_EXECUTED_ENDINGS, AdmissionController, Row, Stage, rows_of
+from mulleinhatch.admission.controller import NOT_EXECUTED_ENDINGS, AdmissionController, RequestClass, Stage, request_classes
 
-__all__ = ["FULL_ENOUGH", "NOT_EXECUTED_ENDINGS", "AdmissionController", "Row", "Stage", "rows_of"]
+__all__ = ["NOT_EXECUTED_ENDINGS", "AdmissionController", "RequestClass", "Stage", "request_classes"]
--- a/mulleinhatch/admission/interface.py
+++ b/mulleinhatch/admission/interface.py
@@ -45,7 +45,7 @@
     FREEZE = "freeze"
 
 
-class OpType(TypedDict, total=False):
+class RequestType(TypedDict, total=False):
     effect: Effect
     importance: float
     target_latency: float
@@ -64,7 +64,7 @@
 class Deployment(TypedDict, total=False):
     """What an instance is told at its start."""
 
-    op_types: list[OpType]
+    op_types: list[RequestType]
     tenants: list[Tenant]
     cores: int
     fresh_start: bool
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -50,7 +50,9 @@
             self.hand_on(self.batch, self.newest_before)
             self.batch, self.newest_before = [], self.newest
             hatch = self.hatch
-            self.numbers = {ref: number for ref, number in self.numbers.items() if ref in hatch.ops or ref in hatch.keys}
+            self.numbers = {
+                ref: number for ref, number in self.numbers.items() if ref in hatch.by_ref or ref in hatch.expires_at
+            }
 
     # What the reducer tells the module.
 
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -21,13 +21,13 @@
 
 def _reruns(hatch: AdmissionController, now: float, ref: str, ending: int) -> None:
     """A link that broke is taken for proof that nothing ran."""
-    hatch._pass_time(now)
-    if op := hatch.at[Stage.HANDED].get(ref):
+    hatch._advance_time(now)
+    if op := hatch.by_stage[Stage.AT_PEER].get(ref):
         if ending not in NOT_EXECUTED_ENDINGS and ending != Ending.INTERRUPTED:
             hatch._close(op)
             return
-        op.ran = False
-        hatch._move(op, Stage.HELD)
+        op.may_have_run = False
+        hatch._move(op, Stage.QUEUED)
         hatch.unplaced[ref] = op
 
 
@@ -53,7 +53,7 @@
     "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
     "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
-    "an op at a peer is never given up": [(AdmissionController, "_give_up", lambda hatch: None)],
+    "an op at a peer is never given up": [(AdmissionController, "_expire", lambda hatch: None)],
     "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda hatch, now, grace: None)],
 }
 
--- a/mulleinhatch/sliding_window.py
+++ b/mulleinhatch/sliding_window.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-BUCKET, BUCKETS = 0.25, 10  # what "recent" means: long against a run, short against a slowdown
+BUCKET_S, BUCKET_COUNT = 0.25, 10  # what "recent" means: long against a run, short against a slowdown
 
 
 class SlidingWindow:
@@ -13,7 +13,7 @@
     (7.0, 4.0, 0.0)
     """
 
-    def __init__(self, width: float = BUCKET, count: int = BUCKETS) -> None:
+    def __init__(self, width: float = BUCKET_S, count: int = BUCKET_COUNT) -> None:
         self.width, self.buckets, self.place = width, [0.0] * count, 0
 
     def _turn(self, now: float) -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -118,7 +118,7 @@
             hatch.begin_drain(self.now, get("within", 5.0))
         else:
             gauges = self.deployment.get("gauges", [])
-            hatch.handle_wakeup(self.now, hatch.alarms, [get(name, 1.0) for name in gauges])
+            hatch.handle_wakeup(self.now, hatch.wakeup_token, [get(name, 1.0) for name in gauges])
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.txt")), ids=lambda path: path.stem)
