--- a/mulleinhatch/admission/__init__.py
+++ b/mulleinhatch/admission/__init__.py
@@ -1,8 +1,9 @@
-"""All decisions on held requests: the shared mechanism, and the decisions of the instance in service.
+"""Admission control: the shared mechanism, and the controller of one service instance. Pure: no I/O, clock or randomness.
 
-Called by the hosts of `AdmissionController` and by the system's data plane; pure.
+The hosts of `AdmissionController` are the service instance and the simulator adapter; the data plane uses `mechanism.py`.
 """
 
-from mulleinhatch.admission.controller import NOT_EXECUTED_ENDINGS, AdmissionController, RequestClass, Stage, request_classes
+from mulleinhatch.admission.constants import NOT_EXECUTED_ENDINGS
+from mulleinhatch.admission.controller import AdmissionController
 
-__all__ = ["NOT_EXECUTED_ENDINGS", "AdmissionController", "RequestClass", "Stage", "request_classes"]
+__all__ = ["NOT_EXECUTED_ENDINGS", "AdmissionController"]
--- /dev/null
+++ b/mulleinhatch/admission/backpressure.py
@@ -0,0 +1,105 @@
+"""How much load callers are asked to send elsewhere, and when a rejected caller should come back."""
+
+from __future__ import annotations
+
+from mulleinhatch.admission.concurrency_limit import ConcurrencyLimit
+from mulleinhatch.admission.drain import Drain
+from mulleinhatch.admission.health import HealthMonitor
+from mulleinhatch.admission.interface import Advice, Decision, Deployment, Verb
+from mulleinhatch.admission.request import Request
+from mulleinhatch.admission.request_table import RequestTable
+from mulleinhatch.admission.throughput import ThroughputMeter
+
+# Part of the shortest target latency that a new request may wait before load is diverted.
+CALM_WAIT_FRACTION = 0.18
+
+# Change of the diverted fraction a second, for a wait of one target latency over that mark: callers hear late, and a faster
+# one made all instances divert and attract load together.
+BACKPRESSURE_GAIN_PER_S = 0.3
+
+# Smallest change of the diverted fraction that is reported.
+REPORTED_STEP = 0.02
+
+# Weight of one request in the mean time that requests wait unread, and seconds in which that mean decays without any.
+UNREAD_WEIGHT = 0.1
+UNREAD_DECAY_S = 2.0
+
+# A cold instance begins with this part of what it lacks in speed diverted.
+COLD_START_FRACTION = 0.5
+
+# Shortest time after which a rejected caller should come back.
+MIN_HOLD_OFF_S = 0.05
+
+# Requests at once that callers together are allowed for each core, where the host reports an allowance.
+ALLOWED_PER_CORE = 4
+
+
+class Backpressure:
+    """Follows the time that a new request would wait, unread and queued.
+
+    Attributes:
+        diverted_fraction: Fraction of the load that should go elsewhere, by this instance's own measurement.
+        peer_diversion: The same by the fleet's.
+    """
+
+    def __init__(
+        self,
+        deployment: Deployment,
+        table: RequestTable,
+        limit: ConcurrencyLimit,
+        throughput: ThroughputMeter,
+        health: HealthMonitor,
+        drain: Drain,
+        shortest_target_s: float,
+    ) -> None:
+        get = deployment.get
+        self._table = table
+        self._throughput = throughput
+        self._health = health
+        self._drain = drain
+        self._shortest_target_s = shortest_target_s
+        self._advice = get("advice")
+        self._allowance = ALLOWED_PER_CORE * limit.cores
+        self._callers = max(1, get("callers", 1))
+        self._max_hold_off_s = get("max_hold_off", 0.0) if get("hold_off_allowed", False) else 0.0
+        self._unread_wait_s = 0.0
+        self.diverted_fraction = COLD_START_FRACTION * (1.0 - limit.initial_speed)
+        self.peer_diversion = 0.0
+        self._reported = 0.0
+
+    def record_unread_wait(self, request: Request, wait_s: float) -> None:
+        """Count the time that a request waited before it was read, up to its time-out: no sender's figure weighs more."""
+        self._unread_wait_s += UNREAD_WEIGHT * (min(wait_s, request.request_class.timeout_s) - self._unread_wait_s)
+
+    def update(self, elapsed_s: float) -> None:
+        """Move the diverted fraction by the current wait."""
+        self._unread_wait_s *= max(0.0, 1.0 - elapsed_s / UNREAD_DECAY_S)
+        wait = (self._unread_wait_s + self._throughput.queued_wait_s()) / self._shortest_target_s
+        change = BACKPRESSURE_GAIN_PER_S * elapsed_s * (wait - CALM_WAIT_FRACTION)
+        self.diverted_fraction = min(1.0, max(0.0, self.diverted_fraction + change))
+
+    def hold_off_s(self) -> float:
+        """Return after how many seconds a rejected caller should come back."""
+        if self._table.now >= self._drain.started_at:
+            return self._max_hold_off_s
+        wait = self._unread_wait_s + self._throughput.queued_wait_s() - CALM_WAIT_FRACTION * self._shortest_target_s
+        return min(self._max_hold_off_s, max(MIN_HOLD_OFF_S, wait))
+
+    def next_report(self) -> Decision | None:
+        """Report the free value in the host's form if it changed."""
+        if self._advice is None:
+            return None
+        # A caller that gets a floor of 1 asks no other instance either: while draining, rejections send callers on.
+        is_floor_open = self._advice is Advice.FLOOR and self._table.now >= self._health.unhealthy_until
+        is_open = is_floor_open or self._health.is_healthy()
+        diverted = max(self.diverted_fraction, self.peer_diversion) if is_open else 1.0
+        if abs(diverted - self._reported) < REPORTED_STEP:
+            return None
+        self._reported = diverted
+        return Decision(Verb.ADVISE, level=self._level(diverted))
+
+    def _level(self, diverted: float) -> float:
+        if self._advice is Advice.FLOOR:
+            return diverted
+        accepted = 1.0 - diverted
+        return accepted if self._advice is Advice.WEIGHT else accepted * self._allowance / self._callers
--- /dev/null
+++ b/mulleinhatch/admission/class_bounds.py
@@ -0,0 +1,84 @@
+"""Whether a queued request can still end in time: the mechanism's bound, L_max = mu x W_max."""
+
+from __future__ import annotations
+
+from mulleinhatch.admission.ageing_order import AgeingOrder
+from mulleinhatch.admission.concurrency_limit import ConcurrencyLimit
+from mulleinhatch.admission.dependency_limit import DependencyLimit
+from mulleinhatch.admission.mechanism import class_bound
+from mulleinhatch.admission.request import CALL_STAGES, Request, Stage
+from mulleinhatch.admission.request_table import RequestTable
+from mulleinhatch.admission.throughput import ThroughputMeter
+
+# Part of its expected run that the bound leaves a request besides, with and without a work hint: under steady overload the
+# queue stays at the bound, and what starts there must have time to run longer than expected.
+HINTED_RUN_SPREAD = 0.5
+UNHINTED_RUN_SPREAD = 1.0
+
+# Part of the mean run within which a request of unknown work may well end: half of all requests are far shorter than the mean.
+SHORT_RUN_FRACTION = 0.4
+
+
+class ClassBounds:
+    """Bounds the work that may be queued before a request, by the service rate and the time that the request has."""
+
+    def __init__(
+        self,
+        table: RequestTable,
+        limit: ConcurrencyLimit,
+        throughput: ThroughputMeter,
+        dependency: DependencyLimit,
+        order: AgeingOrder,
+    ) -> None:
+        self._table = table
+        self._limit = limit
+        self._throughput = throughput
+        self._dependency = dependency
+        self._order = order
+        self._queued = table.by_stage[Stage.QUEUED]
+        self._running = table.by_stage[Stage.RUNNING]
+
+    def exceeds(self, request: Request, work_ahead: float | None = None) -> bool:
+        """Return whether a request is not expected to end in time.
+
+        Args:
+            request: A queued request.
+            work_ahead: The work queued before it, of any class; summed up here if not given.
+        """
+        late_counts = request.request_class.late_worth > 0.0 and not (
+            request.request_class.must_call and self._dependency.is_crowded()
+        )
+        if self.wait_allowed_s(request, request.deadline if late_counts else request.latency_deadline) < 0.0:
+            return True
+        throughput = self._throughput
+        if not throughput.service_rate:
+            return False
+        spread = (HINTED_RUN_SPREAD if request.has_work_hint else UNHINTED_RUN_SPREAD) * throughput.pace * request.work
+        wait = max(0.0, self.wait_allowed_s(request, request.latency_deadline) - spread)
+        work_ahead = self._work_ahead(request) if work_ahead is None else work_ahead
+        return work_ahead >= class_bound(throughput.service_rate, wait, self._limit.current * throughput.mean_work())
+
+    def wait_allowed_s(self, request: Request, end_by: float) -> float:
+        """Return how long a request may still be queued to end by a time, or by its deadline: W_max less its own run.
+
+        One without a work hint may be far shorter than the mean run, and counts as short where only less important requests,
+        or none, take the cores.
+        """
+        run_time = self._expected_run_s(request) * (SHORT_RUN_FRACTION if self._may_be_short(request) else 1.0)
+        return min(end_by, request.deadline - self._table.answer_margin_s) - self._table.now - run_time
+
+    def _expected_run_s(self, request: Request) -> float:
+        """Return what is left of a request's run, with the wait for the calls that it can't do without."""
+        call_wait = self._dependency.wait_s() if request.request_class.must_call else 0.0
+        return call_wait if request.stage in CALL_STAGES else self._throughput.pace * request.work + call_wait
+
+    def _may_be_short(self, request: Request) -> bool:
+        if request.has_work_hint:
+            return False
+        base = request.request_class.base_priority
+        return sum(other.request_class.base_priority <= base for other in self._running.values()) < self._limit.current
+
+    def _work_ahead(self, request: Request) -> float:
+        priority = self._order.priority
+        own = priority(request)
+        return sum(other.work for other in self._queued.values() if other is not request and priority(other) <= own)
--- /dev/null
+++ b/mulleinhatch/admission/concurrency_limit.py
@@ -0,0 +1,69 @@
+"""How many requests may run at once, and how many may be in progress."""
+
+from __future__ import annotations
+
+import math
+
+from mulleinhatch.admission.interface import Deployment
+from mulleinhatch.admission.request import Stage
+from mulleinhatch.admission.request_table import RequestTable
+
+# The gauge of core use covers this many seconds: if the limit was reached for less, the gauge says nothing about it.
+GAUGE_PERIOD_S = 0.5
+
+# Part of the concurrency that the instance survives: requests return from calls together, and reading takes cores besides.
+IN_PROGRESS_FRACTION = 0.6
+
+# Core use, as a fraction: below the first there is capacity for another run, above the last for one less. In a retry storm the
+# host itself is late, and what its round trip leaves idle is worth a slot, too.
+IDLE_CORE_USE = 0.85
+IDLE_CORE_USE_IN_STORM = 0.95
+BUSY_CORE_USE = 0.97
+
+
+class ConcurrencyLimit:
+    """The running limit: the cores at first, more only while cores idle although the limit is reached.
+
+    Attributes:
+        current: Requests that may run at once.
+        full_since: Since when the limit has been reached with requests queued; infinite while it is not.
+    """
+
+    def __init__(self, deployment: Deployment, table: RequestTable) -> None:
+        get = deployment.get
+        self._table = table
+        self._queued = table.by_stage[Stage.QUEUED]
+        self._running = table.by_stage[Stage.RUNNING]
+        self.cores = max(1, get("cores", 1))
+        self.current = self.cores
+        self.full_since = math.inf
+        self._max_per_core = get("crowd_per_core", 2.0)
+        self._started_at = table.now
+        self._warm_up_s = get("cold_for", 0.0)
+        self.initial_speed = get("cold_speed", 1.0) if get("fresh_start", False) else 1.0
+
+    def is_reached(self) -> bool:
+        """Return whether no further request may start."""
+        return len(self._running) >= self.current
+
+    def speed(self) -> float:
+        """Return the fraction of its full speed that the instance has by now if it warms up as slowly as it may."""
+        warmed = (self._table.now - self._started_at) / self._warm_up_s if self._warm_up_s > 0.0 else 1.0
+        return min(1.0, self.initial_speed + (1.0 - self.initial_speed) * warmed)
+
+    def in_progress_ceiling(self) -> float:
+        """Return how many requests may be in progress, those at calls included."""
+        return IN_PROGRESS_FRACTION * self.cores * (1.0 + (self._max_per_core - 1.0) * self.speed())
+
+    def observe(self, now: float) -> None:
+        """Note whether the limit is reached, after all decisions of this moment were taken."""
+        is_full = self._queued and len(self._running) >= self.current
+        self.full_since = min(self.full_since, now) if is_full else math.inf
+
+    def adjust(self, now: float, core_use: float, is_storm: bool) -> None:
+        """Move the limit by one, by the gauge of core use."""
+        is_idle = core_use < (IDLE_CORE_USE_IN_STORM if is_storm else IDLE_CORE_USE)
+        if now >= self.full_since + GAUGE_PERIOD_S and is_idle and self.current < self.in_progress_ceiling():
+            self.current += 1
+        elif core_use > BUSY_CORE_USE and self.current > self.cores:
+            self.current -= 1
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -50,9 +50,7 @@
             self.hand_on(self.batch, self.newest_before)
             self.batch, self.newest_before = [], self.newest
             hatch = self.hatch
-            self.numbers = {
-                ref: number for ref, number in self.numbers.items() if ref in hatch.by_ref or ref in hatch.expires_at
-            }
+            self.numbers = {ref: number for ref, number in self.numbers.items() if hatch.remembers(ref)}
 
     # What the reducer tells the module.
 
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from mulleinhatch.admission import NOT_EXECUTED_ENDINGS, AdmissionController, Stage
+from mulleinhatch.admission import AdmissionController
+from mulleinhatch.admission.expiry import Expiry
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Members
 from mulleinhatch.instance.load_balancing.offers import Giver
@@ -19,18 +20,6 @@
     return len([1 for given in giver.given.values() if given.until > now]) // 2
 
 
-def _reruns(hatch: AdmissionController, now: float, ref: str, ending: int) -> None:
-    """A link that broke is taken for proof that nothing ran."""
-    hatch._advance_time(now)
-    if op := hatch.by_stage[Stage.AT_PEER].get(ref):
-        if ending not in NOT_EXECUTED_ENDINGS and ending != Ending.INTERRUPTED:
-            hatch._close(op)
-            return
-        op.may_have_run = False
-        hatch._move(op, Stage.QUEUED)
-        hatch.unplaced[ref] = op
-
-
 def _reruns_reducer(reducer: Reducer, now: float, ref: str, ending: Ending, result: bytes) -> None:
     _USUAL["hand ended"](reducer, now, ref, Ending.FULL if ending is Ending.INTERRUPTED else ending, result)
 
@@ -53,7 +42,7 @@
     "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
     "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
-    "an op at a peer is never given up": [(AdmissionController, "_expire", lambda hatch: None)],
+    "an op at a peer is never given up": [(Expiry, "give_up_next", lambda expiry: None)],
     "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda hatch, now, grace: None)],
 }
 
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -100,7 +100,7 @@
     told.hatch.set_peer_offers(2.0, 5)
     assert told.read(2.0, "a", op_type) == [(Verb.HAND_OVER, "a")]
     told.hatch.record_handover_end(2.1, "a", ending)
-    assert told.pull(2.1) == [] and ("a" in told.hatch.by_ref) is (then == "held")
+    assert told.pull(2.1) == [] and told.hatch.is_open("a") is (then == "held")
     if then == "held":
         assert told.ended(2.4, "running") == [(Verb.RUN, "a")]
 
