--- a/mulleinhatch/simulator_adapter/__init__.py
+++ b/mulleinhatch/simulator_adapter/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire and the admission controller: many instances on standard input and output.
+"""Adapter between the simulator's wire and the admission controller.
 
-Started by `python -m mulleinhatch.benchlink`; it knows the frames of the wire and takes no decision itself.
+Started by `python -m mulleinhatch.benchlink`. It knows the frames of the wire and takes no decision.
 """
--- a/mulleinhatch/sliding_window.py
+++ b/mulleinhatch/sliding_window.py
@@ -1,32 +1,42 @@
-"""What was measured over time, in fixed buckets that are used again: below the decisions and the storm books."""
+"""Sums over the recent past, in fixed buckets of time that are used again."""
 
 from __future__ import annotations
 
-BUCKET_S, BUCKET_COUNT = 0.25, 10  # what "recent" means: long against a run, short against a slowdown
+# The default window of 2.5 s: long against a run, short against a slowdown.
+BUCKET_S, BUCKET_COUNT = 0.25, 10
 
 
 class SlidingWindow:
-    """What was added lately, in fixed buckets of time that are used again.
+    """The sum of what was added within the last `width_s` x `count` seconds, the current bucket included.
 
-    >>> ring = SlidingWindow(width=1.0, count=2)
-    >>> ring.add(0.5, 3.0); ring.add(1.5, 4.0); ring.total(1.9), ring.total(2.1), ring.total(9.0)
+    >>> window = SlidingWindow(width_s=1.0, count=2)
+    >>> window.add(0.5, 3.0); window.add(1.5, 4.0); window.total(1.9), window.total(2.1), window.total(9.0)
     (7.0, 4.0, 0.0)
-    """
 
-    def __init__(self, width: float = BUCKET_S, count: int = BUCKET_COUNT) -> None:
-        self.width, self.buckets, self.place = width, [0.0] * count, 0
+    Args:
+        width_s: Seconds of a bucket.
+        count: Number of buckets.
+    """
 
-    def _turn(self, now: float) -> None:
-        place = int(now / self.width)
-        if place > self.place:
-            for stale in range(max(self.place + 1, place - len(self.buckets) + 1), place + 1):
-                self.buckets[stale % len(self.buckets)] = 0.0
-            self.place = place
+    def __init__(self, width_s: float = BUCKET_S, count: int = BUCKET_COUNT) -> None:
+        self._width_s = width_s
+        self._buckets = [0.0] * count
+        self._newest = 0  # number of the newest bucket since time 0
 
     def add(self, now: float, amount: float) -> None:
-        self._turn(now)
-        self.buckets[self.place % len(self.buckets)] += amount
+        """Add an amount at a time that is not before any earlier one."""
+        self._advance(now)
+        self._buckets[self._newest % len(self._buckets)] += amount
 
     def total(self, now: float) -> float:
-        self._turn(now)
-        return sum(self.buckets)
+        """Return the sum at a time."""
+        self._advance(now)
+        return sum(self._buckets)
+
+    def _advance(self, now: float) -> None:
+        """Empty the buckets whose time is over."""
+        newest = int(now / self._width_s)
+        if newest > self._newest:
+            for stale in range(max(self._newest + 1, newest - len(self._buckets) + 1), newest + 1):
+                self._buckets[stale % len(self._buckets)] = 0.0
+            self._newest = newest
