--- a/mulleinhatch/admission/backpressure.py
+++ b/mulleinhatch/admission/backpressure.py
@@ -24,8 +24,8 @@
 UNREAD_WEIGHT = 0.1
 UNREAD_DECAY_S = 2.0
 
-# A cold instance begins with this part of what it lacks in speed diverted.
-COLD_START_FRACTION = 0.5
+# An instance that warms up begins with this part of what it lacks in speed diverted.
+WARM_UP_DIVERSION = 0.5
 
 # Shortest time after which a rejected caller should come back.
 MIN_HOLD_OFF_S = 0.05
@@ -63,7 +63,7 @@
         self._callers = max(1, get("callers", 1))
         self._max_hold_off_s = get("max_hold_off", 0.0) if get("hold_off_allowed", False) else 0.0
         self._unread_wait_s = 0.0
-        self.diverted_fraction = COLD_START_FRACTION * (1.0 - limit.initial_speed)
+        self.diverted_fraction = WARM_UP_DIVERSION * (1.0 - limit.initial_speed)
         self.peer_diversion = 0.0
         self._reported = 0.0
 
--- a/mulleinhatch/admission/class_bounds.py
+++ b/mulleinhatch/admission/class_bounds.py
@@ -12,8 +12,8 @@
 
 # Part of its expected run that the bound leaves a request besides, with and without a work hint: under steady overload the
 # queue stays at the bound, and what starts there must have time to run longer than expected.
-HINTED_RUN_SPREAD = 0.5
-UNHINTED_RUN_SPREAD = 1.0
+HINTED_RUN_MARGIN = 0.5
+UNHINTED_RUN_MARGIN = 1.0
 
 # Part of the mean run within which a request of unknown work may well end: half of all requests are far shorter than the mean.
 SHORT_RUN_FRACTION = 0.4
@@ -45,16 +45,16 @@
             request: A queued request.
             work_ahead: The work queued before it, of any class; summed up here if not given.
         """
-        late_counts = request.request_class.late_worth > 0.0 and not (
-            request.request_class.must_call and self._dependency.is_crowded()
+        late_counts = request.request_class.late_value > 0.0 and not (
+            request.request_class.must_call and self._dependency.is_overloaded()
         )
         if self.wait_allowed_s(request, request.deadline if late_counts else request.latency_deadline) < 0.0:
             return True
         throughput = self._throughput
         if not throughput.service_rate:
             return False
-        spread = (HINTED_RUN_SPREAD if request.has_work_hint else UNHINTED_RUN_SPREAD) * throughput.pace * request.work
-        wait = max(0.0, self.wait_allowed_s(request, request.latency_deadline) - spread)
+        run_margin = (HINTED_RUN_MARGIN if request.has_work_hint else UNHINTED_RUN_MARGIN) * throughput.pace * request.work
+        wait = max(0.0, self.wait_allowed_s(request, request.latency_deadline) - run_margin)
         work_ahead = self._work_ahead(request) if work_ahead is None else work_ahead
         return work_ahead >= class_bound(throughput.service_rate, wait, self._limit.current * throughput.mean_work())
 
--- a/mulleinhatch/admission/concurrency_limit.py
+++ b/mulleinhatch/admission/concurrency_limit.py
@@ -51,7 +51,7 @@
         warmed = (self._table.now - self._started_at) / self._warm_up_s if self._warm_up_s > 0.0 else 1.0
         return min(1.0, self.initial_speed + (1.0 - self.initial_speed) * warmed)
 
-    def in_progress_ceiling(self) -> float:
+    def in_progress_limit(self) -> float:
         """Return how many requests may be in progress, those at calls included."""
         return IN_PROGRESS_FRACTION * self.cores * (1.0 + (self._max_per_core - 1.0) * self.speed())
 
@@ -60,10 +60,10 @@
         is_full = self._queued and len(self._running) >= self.current
         self.full_since = min(self.full_since, now) if is_full else math.inf
 
-    def adjust(self, now: float, core_use: float, is_storm: bool) -> None:
+    def adjust(self, now: float, core_use: float, is_retry_storm: bool) -> None:
         """Move the limit by one, by the gauge of core use."""
-        is_idle = core_use < (IDLE_CORE_USE_IN_STORM if is_storm else IDLE_CORE_USE)
-        if now >= self.full_since + GAUGE_PERIOD_S and is_idle and self.current < self.in_progress_ceiling():
+        is_idle = core_use < (IDLE_CORE_USE_IN_STORM if is_retry_storm else IDLE_CORE_USE)
+        if now >= self.full_since + GAUGE_PERIOD_S and is_idle and self.current < self.in_progress_limit():
             self.current += 1
         elif core_use > BUSY_CORE_USE and self.current > self.cores:
             self.current -= 1
--- a/mulleinhatch/admission/dependency_calls.py
+++ b/mulleinhatch/admission/dependency_calls.py
@@ -29,24 +29,24 @@
         waiting = [request for request in self._awaiting.values() if not request.is_answered]
         if not waiting:
             return None
-        is_crowded, longest_call_s = self._dependency.is_crowded(), self._dependency.longest_call_s()
+        is_overloaded, longest_call_s = self._dependency.is_overloaded(), self._dependency.longest_call_s()
         is_free = self._dependency.has_free_call()
         for request in sorted(waiting, key=self._order.priority):
-            if decision := self._decide(request, is_crowded, is_free, longest_call_s):
+            if decision := self._decide(request, is_overloaded, is_free, longest_call_s):
                 return decision
         return None
 
-    def _decide(self, request: Request, is_crowded: bool, is_free: bool, longest_call_s: float) -> Decision | None:
+    def _decide(self, request: Request, is_overloaded: bool, is_free: bool, longest_call_s: float) -> Decision | None:
         table, request_class, call_ending = self._table, request.request_class, request.call_ending
-        is_degradable = request_class.degraded_worth > 0.0
-        ends_by = request.latency_deadline if is_degradable or is_crowded else request.deadline - table.answer_margin_s
+        is_degradable = request_class.degraded_value > 0.0
+        ends_by = request.latency_deadline if is_degradable or is_overloaded else request.deadline - table.answer_margin_s
         left_s = ends_by - table.now
         timeout_s = min(left_s, longest_call_s)
         fits = is_free and timeout_s >= min(left_s, MIN_CALL_TIMES * self._dependency.call_time_s)
         may_not_repeat = call_ending is not None and not (request_class.is_retryable or call_ending in NOT_EXECUTED_ENDINGS)
-        if may_not_repeat or (not is_degradable and is_crowded and left_s <= 0.0):
+        if may_not_repeat or (not is_degradable and is_overloaded and left_s <= 0.0):
             return self._rejections.give_up(request, "call")
-        if is_degradable and (call_ending is not None or is_crowded or not fits or left_s <= 0.0):
+        if is_degradable and (call_ending is not None or is_overloaded or not fits or left_s <= 0.0):
             table.move(request, Stage.RUNNING)
             return Decision(Verb.SKIP_CALL, request.ref)
         if timeout_s > 0.0 and fits:
--- a/mulleinhatch/admission/dependency_limit.py
+++ b/mulleinhatch/admission/dependency_limit.py
@@ -12,8 +12,8 @@
 from mulleinhatch.admission.throughput import ThroughputMeter
 from mulleinhatch.sliding_window import BUCKET_COUNT, SlidingWindow
 
-# Call time over the best measured, from which the dependency counts as crowded.
-CROWDED_CALL_FACTOR = 3.0
+# Call time over the best measured, from which the dependency counts as overloaded.
+OVERLOADED_CALL_FACTOR = 3.0
 
 # Change of the limit at each recalculation: multiplicative both ways, as calls of many instances add up.
 CALL_LIMIT_DECREASE = 0.9
@@ -107,7 +107,7 @@
         time_in_calls = RECENT_CALLS * self._recent_call_time_s + self._time_in_calls.total(now)
         self.call_time_s = time_in_calls / (RECENT_CALLS + self._calls_ended.total(now))
         mean_calls = self._calls_in_dependency.total(now) / self._share_window_s
-        if self.is_crowded():
+        if self.is_overloaded():
             self._decrease()
         else:
             self.call_limit = min(self.call_limit * CALL_LIMIT_INCREASE, CALL_LIMIT_HEADROOM * (1.0 + mean_calls))
@@ -116,14 +116,14 @@
         floor = min(1.0, max(MIN_CALL_LIMIT, CALL_LIMIT_FLOOR_FRACTION * self.share))
         self.call_limit = max(floor, self.call_limit * CALL_LIMIT_DECREASE)
 
-    def is_crowded(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Return whether calls take far longer than the best measured."""
-        return self.call_time_s > CROWDED_CALL_FACTOR * self._best_call_time_s
+        return self.call_time_s > OVERLOADED_CALL_FACTOR * self._best_call_time_s
 
     def has_free_call(self) -> bool:
         """Return whether a call may start now."""
-        is_spread = self.call_limit >= 1.0 or self._pause_s() <= 0.0
-        return len(self._calling) < self.call_limit and is_spread
+        is_pause_over = self.call_limit >= 1.0 or self._pause_s() <= 0.0
+        return len(self._calling) < self.call_limit and is_pause_over
 
     def is_saturated(self) -> bool:
         """Return whether as many requests run or wait as the calls can serve: one more would run for nothing."""
--- a/mulleinhatch/admission/health.py
+++ b/mulleinhatch/admission/health.py
@@ -20,14 +20,14 @@
 MIN_UNHEALTHY_S = 4.0
 MAX_UNHEALTHY_S = 32.0
 SPELL_GROWTH = 2.0
-SHORTEST_SPREAD, SPREAD_SPAN = 0.75, 0.5
+MIN_SPELL_FACTOR, SPELL_FACTOR_RANGE = 0.75, 0.5
 
 # Knuth's MMIX generator: a decision must follow from seed and history alone.
 RANDOM_MULTIPLIER, RANDOM_INCREMENT, RANDOM_MODULUS = 6364136223846793005, 1442695040888963407, 2**64
 
 
 class HealthMonitor:
-    """Judges the instance slow, stuck or failing, whatever the cause except a cold start, and tries again later each time.
+    """Judges the instance slow, stuck or failing, whatever the cause except a warm-up, and tries again later each time.
 
     Attributes:
         unhealthy_until: End of the current spell, or of the last one.
@@ -75,7 +75,7 @@
         if is_slow or is_failing or self.is_outlier:
             if now >= self.unhealthy_until:
                 self._spell_s = min(MAX_UNHEALTHY_S, SPELL_GROWTH * self._spell_s)
-            self.unhealthy_until = now + self._spell_s * (SHORTEST_SPREAD + SPREAD_SPAN * self._random_fraction())
+            self.unhealthy_until = now + self._spell_s * (MIN_SPELL_FACTOR + SPELL_FACTOR_RANGE * self._random_fraction())
         elif self._throughput.pace and now >= self.unhealthy_until:
             self._spell_s = MIN_UNHEALTHY_S
 
--- a/mulleinhatch/admission/interface.py
+++ b/mulleinhatch/admission/interface.py
@@ -1,8 +1,9 @@
-"""What passes between a host and the decisions: types only.
+"""The types that pass between a host and the admission controller.
 
-A host hands a `Deployment` and a seed to `mulleinhatch.admission.AdmissionController`, reports what happens through its
-methods, and pulls `Decision`s until there is none. Times are seconds, ids are the host's own. A key that
-a `Deployment` lacks is unknown; what is then assumed is decided in `decide.py`.
+A host hands a `Deployment` and a seed to `mulleinhatch.admission.AdmissionController`, reports events through its methods
+and pulls `Decision`s until there is none. Times are seconds, ids are the host's own. A key that a `Deployment` lacks is
+unknown; the part of the controller that reads it chooses what is assumed then. Keys of the dictionaries and values of the
+enums are stored in trace files and must not change.
 """
 
 from __future__ import annotations
@@ -10,110 +11,126 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple, TypedDict
 
-Ref = int | str  # an op's id, as the host's wire gives it
+Ref = int | str  # a request's id, as the host's wire gives it
 
 
 class Effect(Enum):
-    RETRYABLE = "retryable"
-    KEYED = "keyed"
+    """What a second execution of a request would do."""
+
+    RETRYABLE = "retryable"  # no harm
+    KEYED = "keyed"  # no harm while the first one's idempotency key is remembered
     NON_RETRYABLE = "non-retryable"
 
 
 class Ending(IntEnum):
-    """How a run or a call came to its end."""
+    """How a run or a call ended. The numbers are on the wire and in trace files."""
 
     OK = 1
     ERROR = 2
-    FULL = 3  # a call sent back unseen
+    FULL = 3  # a call that was rejected before it was executed
     TIMEOUT = 4
     UNREACHABLE = 5  # a call that never arrived
     INTERRUPTED = 6
     STOPPED = 7
-    MOOT = 8  # nothing started: the op was over
+    MOOT = 8  # nothing started: the request had ended
 
 
 class Advice(Enum):
-    """How callers read the free value, where there is one."""
+    """The form of backpressure that callers understand."""
 
-    FLOOR = "floor"
-    ALLOWANCE = "allowance"
-    WEIGHT = "weight"
+    FLOOR = "floor"  # fraction of the load that should go elsewhere; 1 closes the instance
+    ALLOWANCE = "allowance"  # requests at once that each caller may have here
+    WEIGHT = "weight"  # weight of this instance among all
 
 
 class StopMode(Enum):
+    """What happens to a run that is stopped."""
+
     DISCARD = "discard"
     FREEZE = "freeze"
 
 
 class RequestType(TypedDict, total=False):
+    """Settings of a request type."""
+
     effect: Effect
     importance: float
     target_latency: float
     op_timeout: float
-    late_worth: float
-    repeat_window: float
-    calls_below: bool
-    degraded_worth: float
+    late_worth: float  # value of an answer after the target latency, as a fraction
+    repeat_window: float  # how long a repeat may follow
+    calls_below: bool  # whether its run calls the dependency
+    degraded_worth: float  # value of an answer without that call, as a fraction
 
 
 class Tenant(TypedDict, total=False):
-    fraction: float
-    quota_per_s: float
+    """Settings of a tenant."""
+
+    fraction: float  # of the service
+    quota_per_s: float  # first tries a second, over all instances
 
 
 class Deployment(TypedDict, total=False):
-    """What an instance is told at its start."""
+    """What an instance knows when it starts."""
 
     op_types: list[RequestType]
     tenants: list[Tenant]
     cores: int
     fresh_start: bool
-    cold_speed: float  # the share of its speed that a cold instance has at least
-    cold_for: float  # the longest that warming takes
-    crowd_per_core: float  # running ops a core that a warm instance survives
-    drain_grace: float
+    cold_speed: float  # fraction of its full speed that an instance has at least while it warms up
+    cold_for: float  # the longest that warming up takes
+    crowd_per_core: float  # requests in progress for each core that a warm instance survives
+    drain_grace: float  # how long callers may still send after a notice to leave
     memory_kb: float
-    run_factor: float  # memory of a running op over that of a held one
-    key_kb: float
+    run_factor: float  # memory of a running request over that of a queued one
+    key_kb: float  # memory of a remembered idempotency key
     stop_mode: StopMode
     advice: Advice
     callers: int
     longest_idle: float  # the longest that a connection may be kept without use
     instances: int
     gauges: list[str]  # names of the gauges that come with a wake-up, in their order
-    tick: float
-    hold_off_allowed: bool
+    tick: float  # resolution of the host's timer
+    hold_off_allowed: bool  # whether a rejection may say when to come back
     max_hold_off: float
     shared_dependency: bool
-    calls_share: float  # mean calls in hand that this instance may add below
-    calls_window: float  # the time of that mean
-    call_linger: float  # the longest that a given-up call stays below
+    calls_share: float  # mean calls in progress that this instance may add to the dependency
+    calls_window: float  # the time over which that mean counts
+    call_linger: float  # the longest that a given-up call stays in the dependency
 
 
 class Verb(Enum):
+    """What a decision asks the host to do, and the fields of `Decision` that it uses.
+
+    Trace files hold a member's position, so new members go to the end; counters are named by the values.
+    """
+
     RUN = "run"  # ref
     STOP = "stop"  # ref
-    REJECT = "nack"  # ref, seconds to stay away, flag: not elsewhere either
+    REJECT = "nack"  # ref; seconds to stay away; flag: nothing is free elsewhere either
     FAIL = "fail"  # ref
-    CALL = "call"  # ref, seconds until it is given up
+    CALL = "call"  # ref; seconds until it times out
     SKIP_CALL = "skip call"  # ref
-    KEEP = "keep"  # ref, seconds
+    KEEP = "keep"  # ref; seconds for which its idempotency key is remembered
     FORGET = "forget"  # ref
-    ANSWER_FROM = "answer from"  # ref
-    HEALTH = "health"  # flag: good; answered from store
-    ADVISE = "advise"  # level
-    TRIM = "trim"  # seconds that an idle connection is kept
-    WAKE = "wake"  # seconds
-    LIMIT_RETRIES = "hear"  # level: marked retries a second that are read in full, the rest nacked
-    HAND_OVER = "hand"  # ref: to a peer that offered room
+    ANSWER_FROM = "answer from"  # ref: with the result of the request that it repeats
+    HEALTH = "health"  # flag: healthy
+    ADVISE = "advise"  # level of backpressure, as `Advice` reads it
+    TRIM = "trim"  # seconds after which an idle connection is closed
+    WAKE = "wake"  # ref: number of the timer; seconds until it fires
+    LIMIT_RETRIES = "hear"  # level: marked retries a second that are read, the rest is rejected unread
+    HAND_OVER = "hand"  # ref: to a peer that offered capacity
 
-    __hash__ = object.__hash__  # members are single: Enum's own hash is Python code, on every decision
+    # Members are singletons, and Enum's own hash is Python code that would run on every decision.
+    __hash__ = object.__hash__
 
 
 class Decision(NamedTuple):
+    """One decision; the verb says which fields count."""
+
     verb: Verb
     ref: Ref = 0
     seconds: float = 0.0
     flag: bool = False
     level: float = 0.0
-    cause: str = ""  # for people: bound, cap, due, memory, drain, order, call, storm, part
+    cause: str = ""  # for operators: bound, cap, due, memory, drain, order, call, storm, part
--- a/mulleinhatch/admission/mechanism.py
+++ b/mulleinhatch/admission/mechanism.py
@@ -1,7 +1,8 @@
-"""The design's mechanism: ageing priorities, the class bound, the account cap. Pure; shared by all admission.
+"""The mechanism of the design: ageing priorities, the class bound, the account cap.
 
-Source: Multigrid, "Priority Queues: Free Users Wait, Paying Users Do Not"; what is ours is told in
-`docs/design.md`.
+Pure functions, which the instances' admission controller and the system's data plane share.
+
+Source: Multigrid, "Priority Queues: Free Users Wait, Paying Users Do Not"; departures are described in `docs/design.md`.
 """
 
 from __future__ import annotations
@@ -9,27 +10,28 @@
 import math
 from collections.abc import Iterable
 
-BASE_SPAN = 20.0  # bases run evenly from 0 to this; lower starts sooner
+# Points from the base priority of the most important class, 0, to that of the least; lower starts sooner. Source: the note.
+BASE_SPAN = 20.0
 
 
 def bases(ranks: Iterable[float]) -> dict[float, float]:
-    """The base priority of each distinct rank, evenly from 0 for the highest.
+    """Return the base priority of each distinct rank, spread evenly from 0 for the highest.
 
     >>> bases([1.0, 3.0, 2.0, 3.0])
     {3.0: 0.0, 2.0: 10.0, 1.0: 20.0}
     """
     distinct = sorted(set(ranks), reverse=True)
     step = BASE_SPAN / max(1, len(distinct) - 1)
-    return {rank: step * place for place, rank in enumerate(distinct)}
+    return {rank: step * position for position, rank in enumerate(distinct)}
 
 
 def ageing_rate(guarantee: float) -> float:
-    """Seconds of waiting worth one point, from the longest wait of the lowest class behind others."""
+    """Return the seconds of waiting that count one point, by the longest that the lowest class waits behind others."""
     return guarantee / BASE_SPAN
 
 
 def effective_priority(base: float, waited: float, rate: float) -> float:
-    """The lowest starts first.
+    """Return the points of a request that has waited some seconds; the lowest starts first.
 
     >>> effective_priority(20.0, 60.0, 6.0)
     10.0
@@ -38,10 +40,16 @@
 
 
 def class_bound(mu: float, longest_wait: float, floor: float) -> float:
-    """L_max = mu x W_max: how much may be held for a class; never below `floor`."""
+    """Return how much may be queued for a class: L_max = mu x W_max, never below `floor`.
+
+    Args:
+        mu: Service rate, in work or requests a second.
+        longest_wait: Seconds that may pass before the start.
+        floor: What may be queued in any case, in the unit of `mu`.
+    """
     return max(floor, mu * longest_wait)
 
 
 def account_cap(limit: float, share: float) -> int:
-    """How many requests of one account may run while others wait."""
+    """Return how many requests of one account may run while others wait, for its share of the running limit."""
     return max(1, math.floor(limit * share))
--- a/mulleinhatch/admission/request.py
+++ b/mulleinhatch/admission/request.py
@@ -39,10 +39,10 @@
 
     __slots__ = (
         "base_priority",
-        "degraded_worth",
+        "degraded_value",
         "is_keyed",
         "is_retryable",
-        "late_worth",
+        "late_value",
         "must_call",
         "repeat_window_s",
         "target_latency_s",
@@ -53,12 +53,12 @@
         self.base_priority = base_priority
         self.timeout_s = request_type.get("op_timeout") or math.inf
         self.target_latency_s = min(request_type.get("target_latency") or math.inf, self.timeout_s)
-        self.late_worth = request_type.get("late_worth", 0.0)
+        self.late_value = request_type.get("late_worth", 0.0)
         self.is_keyed = request_type.get("effect") is Effect.KEYED
         self.is_retryable = request_type.get("effect", Effect.NON_RETRYABLE) is Effect.RETRYABLE
         self.repeat_window_s = request_type.get("repeat_window", 0.0)
-        self.degraded_worth = request_type.get("degraded_worth", 0.0)
-        self.must_call = request_type.get("calls_below", False) and self.degraded_worth <= 0.0
+        self.degraded_value = request_type.get("degraded_worth", 0.0)
+        self.must_call = request_type.get("calls_below", False) and self.degraded_value <= 0.0
 
 
 def build_request_classes(request_types: list[RequestType]) -> list[RequestClass]:
--- a/mulleinhatch/admission/scheduler.py
+++ b/mulleinhatch/admission/scheduler.py
@@ -52,7 +52,7 @@
             return None
         in_progress = self._table.count_in_progress()
         waiting = self._startable(waiting)
-        if not waiting or in_progress >= self._limit.in_progress_ceiling():
+        if not waiting or in_progress >= self._limit.in_progress_limit():
             return None
         under_cap = [request for request in waiting if self._tenants.is_under_cap(request)]
         request = min(under_cap or waiting, key=self._order.priority)
