--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import contextlib
+import importlib
 import importlib.util
 import json
 import sys
@@ -143,15 +144,50 @@
     return 0
 
 
+ADMISSION = "mulleinhatch.admission"
+SHARED_TYPES = f"{ADMISSION}.interface"  # the trace reader compares decisions by these enums, so both texts must use the same
+
+
 def other_text(path: str) -> Any:
-    """The `AdmissionController` of another text of the module."""
-    spec = importlib.util.spec_from_file_location("mulleinhatch_other_text", Path(path))
+    """Load the `AdmissionController` of another text of the admission package.
+
+    Args:
+        path: Its `controller.py`. If an `__init__.py` lies beside it, the other modules of that folder are loaded with it;
+            otherwise it is a text that is one file.
+    """
+    folder = Path(path).parent
+    if Path(path).name == "controller.py" and (folder / "__init__.py").is_file():
+        return _load_package(folder).AdmissionController
+    module = _execute("mulleinhatch_other_text", Path(path))
+    # Texts from before 0.3 named the class `Hatch`.
+    return module.AdmissionController if hasattr(module, "AdmissionController") else module.Hatch
+
+
+def _load_package(folder: Path) -> Any:
+    """Load an admission package from a folder, in the place of the installed one only while it is being loaded."""
+    importlib.import_module(SHARED_TYPES)
+    own = [name for name in sys.modules if name == ADMISSION or name.startswith(f"{ADMISSION}.")]
+    installed = {name: sys.modules[name] for name in own}
+    for name in own:
+        if name != SHARED_TYPES:
+            del sys.modules[name]
+    try:
+        return _execute(ADMISSION, folder / "__init__.py")
+    finally:
+        for name in [name for name in sys.modules if name == ADMISSION or name.startswith(f"{ADMISSION}.")]:
+            del sys.modules[name]
+        sys.modules.update(installed)
+
+
+def _execute(name: str, path: Path) -> Any:
+    spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
         raise ValueError(f"{path}: no Python file")
     module = importlib.util.module_from_spec(spec)
+    if name == ADMISSION:
+        sys.modules[name] = module  # its modules import each other by this name
     spec.loader.exec_module(module)
-    # Texts from before 0.3 named the class `Hatch`.
-    return module.AdmissionController if hasattr(module, "AdmissionController") else module.Hatch
+    return module
 
 
 def replayed(told: dict[str, Any]) -> int:
