--- a/mulleinhatch/data_plane/routing.py
+++ b/mulleinhatch/data_plane/backend_selection.py
@@ -12,21 +12,21 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from mulleinhatch.data_plane.snapshot import KnownBackend, ModelName
+from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
 from mulleinhatch.membership.rendezvous import weight
 
-FIRST_REST_S, LONGEST_REST_S = 0.5, 4.0  # how long a backend that failed is left out, doubled each time
-LATENCY_PART = 0.3  # of a new measurement in the decayed one
-LATENCY_HALF_S = 2.0  # in which an old measurement loses half of its weight
-USUAL_S = 0.1  # what one more request of ours at a backend costs those after it
-NEW_CONNECTION_S = 0.03  # what a new connection counts, with what it costs the backend
-OTHER_ZONE_S = 0.01  # what another zone counts, with what its bytes cost
-AFFINITY_S = 0.2  # by how much more a preferred backend may be expected to take than the best
-FULL_REST_S = 0.05  # how long a backend that said it was full is left out
+FIRST_COOLDOWN_S, MAX_COOLDOWN_S = 0.5, 4.0  # how long a backend that failed is left out, doubled each time
+LATENCY_SMOOTHING = 0.3  # of a new measurement in the decayed one
+LATENCY_HALF_LIFE_S = 2.0  # in which an old measurement loses half of its weight
+COST_PER_RUNNING_REQUEST_S = 0.1  # what one more request of ours at a backend costs those after it
+NEW_CONNECTION_COST_S = 0.03  # what a new connection counts, with what it costs the backend
+OTHER_ZONE_COST_S = 0.01  # what another zone counts, with what its bytes cost
+PREFIX_AFFINITY_S = 0.2  # by how much more a preferred backend may be expected to take than the best
+OVERLOAD_COOLDOWN_S = 0.05  # how long a backend that said it was full is left out
 
 
 @dataclass
-class BackendState:
+class BackendHealth:
     """What this instance knows of one backend."""
 
     running: int = 0  # requests of ours that it has
@@ -37,14 +37,14 @@
     latency_at: float = 0.0  # when it was last measured
 
 
-class BackendStates:
+class BackendHealthTracker:
     def __init__(self) -> None:
-        self._states: dict[str, BackendState] = {}
+        self._states: dict[str, BackendHealth] = {}
 
-    def of(self, backend_id: str) -> BackendState:
+    def of(self, backend_id: str) -> BackendHealth:
         state = self._states.get(backend_id)
         if state is None:
-            state = self._states[backend_id] = BackendState()
+            state = self._states[backend_id] = BackendHealth()
         return state
 
     def keep_only(self, ids: Iterable[str]) -> None:
@@ -63,13 +63,13 @@
     def measured(self, backend_id: str, seconds: float, now: float) -> None:
         """The time to the first bytes of an answer."""
         state = self.of(backend_id)
-        state.latency_s = self.latency(backend_id, now) * (1.0 - LATENCY_PART) + seconds * LATENCY_PART
+        state.latency_s = self.latency(backend_id, now) * (1.0 - LATENCY_SMOOTHING) + seconds * LATENCY_SMOOTHING
         state.latency_at = now
 
     def latency(self, backend_id: str, now: float) -> float:
         """What is expected, from the latest measurements; what is old counts less."""
         state = self.of(backend_id)
-        return state.latency_s * 0.5 ** ((now - state.latency_at) / LATENCY_HALF_S)
+        return state.latency_s * 0.5 ** ((now - state.latency_at) / LATENCY_HALF_LIFE_S)
 
     def succeeded(self, backend_id: str) -> None:
         state = self.of(backend_id)
@@ -78,46 +78,46 @@
     def failed(self, backend_id: str, now: float) -> None:
         """It could not be reached or broke off."""
         state = self.of(backend_id)
-        state.rests_until = now + min(LONGEST_REST_S, FIRST_REST_S * 2**state.failures)
+        state.rests_until = now + min(MAX_COOLDOWN_S, FIRST_COOLDOWN_S * 2**state.failures)
         state.failures += 1
 
     def was_full(self, backend_id: str, now: float) -> None:
-        self.of(backend_id).rests_until = max(self.of(backend_id).rests_until, now + FULL_REST_S)
+        self.of(backend_id).rests_until = max(self.of(backend_id).rests_until, now + OVERLOAD_COOLDOWN_S)
 
     def is_misplaced(self, backend_id: str) -> None:
         self.of(backend_id).misplaced = True
 
-    def usable(self, backend: KnownBackend, now: float) -> bool:
+    def usable(self, backend: RegisteredBackend, now: float) -> bool:
         state = self.of(backend.id)
         return not (backend.draining or backend.silent or state.misplaced or state.rests_until > now)
 
 
 def choose(
-    candidates: Sequence[KnownBackend],
-    states: BackendStates,
+    candidates: Sequence[RegisteredBackend],
+    states: BackendHealthTracker,
     prefix: str,
     zone: str,
     name: ModelName,
     idle: set[str] | None = None,
     now: float = 0.0,
-) -> KnownBackend | None:
+) -> RegisteredBackend | None:
     """The backend for a request; `prefix` is the id of the prompt's last shared part, `idle` the backends with a free
     connection."""
     if not candidates:
         return None
 
-    def expected(backend: KnownBackend) -> float:
-        connecting = NEW_CONNECTION_S if idle is not None and backend.id not in idle else 0.0
-        away = OTHER_ZONE_S if backend.zone != zone else 0.0
-        return states.latency(backend.id, now) + USUAL_S * states.of(backend.id).running + connecting + away
+    def expected(backend: RegisteredBackend) -> float:
+        connecting = NEW_CONNECTION_COST_S if idle is not None and backend.id not in idle else 0.0
+        away = OTHER_ZONE_COST_S if backend.zone != zone else 0.0
+        return states.latency(backend.id, now) + COST_PER_RUNNING_REQUEST_S * states.of(backend.id).running + connecting + away
 
     if prefix and len(candidates) > 1:
         key = f"{name.model}/{name.adapter}/{prefix}"
         home = max(candidates, key=lambda backend: weight(key, backend.id))
-        if expected(home) <= min(expected(backend) for backend in candidates) + AFFINITY_S:
+        if expected(home) <= min(expected(backend) for backend in candidates) + PREFIX_AFFINITY_S:
             return home
 
-    def cost(backend: KnownBackend) -> tuple[float, bool, bool, float]:
+    def cost(backend: RegisteredBackend) -> tuple[float, bool, bool, float]:
         load = expected(backend) if name.model else states.of(backend.id).running / backend.slots
         return load, idle is not None and backend.id not in idle, backend.zone != zone, random.random()
 
--- a/mulleinhatch/data_plane/pool.py
+++ b/mulleinhatch/data_plane/connection_pool.py
@@ -8,9 +8,9 @@
 from mulleinhatch.networking.http_client import ClientConnection, connect, take_usable
 from mulleinhatch.networking.http_streaming import Head
 
-CONNECT_S = 0.7
-UNTOLD_IDLE_S = 6.0  # how long a connection is kept where the backend names no time
-IDLE_MARGIN_S = 0.7  # before the time that the backend named: our request must be there first
+CONNECT_TIMEOUT_S = 0.7
+DEFAULT_IDLE_TIMEOUT_S = 6.0  # how long a connection is kept where the backend names no time
+IDLE_TIMEOUT_MARGIN_S = 0.7  # before the time that the backend named: our request must be there first
 
 
 def keep_alive_s(head: Head) -> float | None:
@@ -22,7 +22,7 @@
     return None
 
 
-class BackendPool:
+class ConnectionPool:
     """Idle connections by the backend's id; the newest is used first, so that few are kept."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
 
     async def open(self, address: str) -> ClientConnection:
         """A new connection; OSError where there is none."""
-        connection = await connect(address, CONNECT_S)
+        connection = await connect(address, CONNECT_TIMEOUT_S)
         connection.pool = self
         return connection
 
@@ -46,7 +46,7 @@
         if not connection.usable:
             return
         told = keep_alive_s(head) if head is not None else None
-        kept = UNTOLD_IDLE_S if told is None else told - IDLE_MARGIN_S
+        kept = DEFAULT_IDLE_TIMEOUT_S if told is None else told - IDLE_TIMEOUT_MARGIN_S
         if kept <= 0:
             connection.close()
             return
--- a/mulleinhatch/data_plane/control_link.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -12,7 +12,7 @@
 
 from mulleinhatch.configuration.document import EMPTY, Document, apply_patch
 from mulleinhatch.configuration.routes import RouteTable, build_table
-from mulleinhatch.data_plane.snapshot import Snapshot
+from mulleinhatch.data_plane.registry_snapshot import ControlPlaneSnapshot
 from mulleinhatch.membership.rendezvous import ranked
 from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
 from mulleinhatch.networking.http_client import CallError, HttpClient
@@ -20,14 +20,14 @@
 
 LOG = logging.getLogger(__name__)
 POLL_WAIT_S = 1.0  # short enough that a control plane that fell silent is left well within the bound of configurations
-POLL_SLACK_S = 0.5  # beyond the wait: who does not answer then is out of reach
-FIRST_POLL_S = 0.8  # the first word of a control plane that may be down is not waited for long
-PAUSE_S = 0.1
-DEMAND_S = 0.6
-REST_S = 2.0  # a control plane that failed or is cut off is asked last for so long
+POLL_RESPONSE_MARGIN_S = 0.5  # beyond the wait: who does not answer then is out of reach
+FIRST_POLL_TIMEOUT_S = 0.8  # the first word of a control plane that may be down is not waited for long
+POLL_RETRY_DELAY_S = 0.1
+DEMAND_REPORT_TIMEOUT_S = 0.6
+FAILED_PEER_COOLDOWN_S = 2.0  # a control plane that failed or is cut off is asked last for so long
 
 
-class ControlLink:
+class ControlPlaneClient:
     """Keeps `on_snapshot` told of the newest snapshot. Versions never go back within the life of the process."""
 
     def __init__(
@@ -35,7 +35,7 @@
         settings: Settings,
         caller: HttpClient,
         clock: Callable[[], float],
-        on_snapshot: Callable[[Snapshot], None],
+        on_snapshot: Callable[[ControlPlaneSnapshot], None],
         on_leader: Callable[[], None] = lambda: None,
     ) -> None:
         self._on_leader = on_leader  # called when another machine holds the orders: it knows nothing of the demand yet
@@ -51,7 +51,7 @@
         self._epoch = 0  # the newest view that a control plane told of
         self._left_index = 0
         self._unsure_since: float | None = None  # when first a configuration was offered by a machine not sure of it
-        self.snapshot = Snapshot()
+        self.snapshot = ControlPlaneSnapshot()
         self.leader = ""
 
     async def run(self) -> None:
@@ -62,9 +62,9 @@
             except CallError as error:
                 LOG.debug("no answer from a control plane", extra={"error": str(error)})
                 self._caller.forget(address)
-                self._rests[address] = self._clock() + REST_S
+                self._rests[address] = self._clock() + FAILED_PEER_COOLDOWN_S
                 self._spoke.discard(address)
-                await asyncio.sleep(PAUSE_S / 4)
+                await asyncio.sleep(POLL_RETRY_DELAY_S / 4)
 
     def _next_address(self) -> str:
         """The control plane to ask: by rendezvous, so that data planes spread; those that failed come last."""
@@ -93,7 +93,7 @@
             left_index=self._left_index,
         )
         whole = await self._caller.request(
-            address, "POST", "/internal/poll", bytes(request), max(FIRST_POLL_S, wait + POLL_SLACK_S)
+            address, "POST", "/internal/poll", bytes(request), max(FIRST_POLL_TIMEOUT_S, wait + POLL_RESPONSE_MARGIN_S)
         )
         if whole.status != 200:
             raise CallError(address, f"status {whole.status}")
@@ -104,8 +104,8 @@
         self._spoke.add(address)
         self._take(answer)
         if not answer.authoritative:
-            self._rests[address] = self._clock() + REST_S
-            await asyncio.sleep(PAUSE_S)
+            self._rests[address] = self._clock() + FAILED_PEER_COOLDOWN_S
+            await asyncio.sleep(POLL_RETRY_DELAY_S)
 
     def _take(self, answer: PollResponse) -> None:
         now = self._clock()
@@ -123,7 +123,7 @@
                 self.leader = answer.leader_address
                 self._on_leader()
         data_planes = max(1, answer.data_planes) if answer.authoritative else max(self.snapshot.data_planes, answer.data_planes)
-        self.snapshot = Snapshot(self._table, backends, data_planes, answer.authoritative)
+        self.snapshot = ControlPlaneSnapshot(self._table, backends, data_planes, answer.authoritative)
         self._on_snapshot(self.snapshot)
 
     def _take_configuration(self, answer: PollResponse) -> None:
@@ -170,7 +170,7 @@
             return False
         message = DemandReport(node=self._settings.name, demand=demand, partial=partial)
         try:
-            whole = await self._caller.request(self.leader, "POST", "/internal/demand", bytes(message), DEMAND_S)
+            whole = await self._caller.request(self.leader, "POST", "/internal/demand", bytes(message), DEMAND_REPORT_TIMEOUT_S)
             return whole.status == 200 and DemandResponse().parse(whole.body).taken
         except CallError:
             self._caller.forget(self.leader)
--- a/mulleinhatch/data_plane/demand.py
+++ b/mulleinhatch/data_plane/demand_tracker.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from mulleinhatch.data_plane.admission import Group
-from mulleinhatch.data_plane.snapshot import ModelName
+from mulleinhatch.data_plane.admission_queue import ModelQueue
+from mulleinhatch.data_plane.registry_snapshot import ModelName
 from mulleinhatch.messages.cluster import ModelDemand
 
-DECAY_S = 8.0
-LEAST_RATE = 0.01  # requests a second below which a model is not told of
-LOUDEST = 32  # models told of at a time
+RATE_DECAY_S = 8.0
+MIN_REPORTED_RATE_PER_S = 0.01  # requests a second below which a model is not told of
+MAX_REPORTED_MODELS = 32  # models told of at a time
 
 
 @dataclass
@@ -25,15 +25,15 @@
 
     def add(self, now: float, worth: float) -> None:
         self.decay(now)
-        self.requests += 1.0 / DECAY_S
-        self.worth += worth / DECAY_S
+        self.requests += 1.0 / RATE_DECAY_S
+        self.worth += worth / RATE_DECAY_S
 
     def decay(self, now: float) -> None:
-        left = math.exp((self.at - now) / DECAY_S)
+        left = math.exp((self.at - now) / RATE_DECAY_S)
         self.requests, self.worth, self.at = self.requests * left, self.worth * left, now
 
 
-class DemandBook:
+class DemandTracker:
     """Demand at one instance."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
             rate = self._rates[name] = _Rate(at=now)
         rate.add(now, worth)
 
-    def urgent(self, names: Iterable[ModelName], groups: Mapping[ModelName, Group], now: float) -> list[ModelDemand]:
+    def urgent(self, names: Iterable[ModelName], groups: Mapping[ModelName, ModelQueue], now: float) -> list[ModelDemand]:
         """What is to be told at once of models that stand nowhere."""
         told = []
         for name in names:
@@ -56,22 +56,22 @@
                 told.append(_demand(name, rate, groups.get(name), now))
         return told
 
-    def report(self, groups: Iterable[Group], now: float) -> list[ModelDemand]:
+    def report(self, groups: Iterable[ModelQueue], now: float) -> list[ModelDemand]:
         """What is to be told: the loudest models, those with held requests first."""
         held = {group.name: group for group in groups if group.name.model}
         told = []
         for name, rate in list(self._rates.items()):
             rate.decay(now)
             group = held.get(name)
-            if rate.requests < LEAST_RATE and (group is None or not group.held):
+            if rate.requests < MIN_REPORTED_RATE_PER_S and (group is None or not group.held):
                 del self._rates[name]
                 continue
             told.append(_demand(name, rate, group, now))
         told.sort(key=lambda one: (-one.held, -one.rate))
-        return told[:LOUDEST]
+        return told[:MAX_REPORTED_MODELS]
 
 
-def _demand(name: ModelName, rate: _Rate, group: Group | None, now: float) -> ModelDemand:
+def _demand(name: ModelName, rate: _Rate, group: ModelQueue | None, now: float) -> ModelDemand:
     held = group.held if group is not None else []
     return ModelDemand(
         service=name.service,
--- a/mulleinhatch/data_plane/events.py
+++ b/mulleinhatch/data_plane/event_stream.py
@@ -5,14 +5,14 @@
 
 import re
 
-EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-ID_LINE = re.compile(rb"(?:\A|[\r\n])id:[ ]?([^\r\n]*)")
+EVENT_TERMINATOR = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+ID_FIELD = re.compile(rb"(?:\A|[\r\n])id:[ ]?([^\r\n]*)")
 
 
-class EventCutter:
+class EventStreamFilter:
     """Gives whole events only, each once: an event with an id that is not above the last one is left out.
 
-    >>> cutter = EventCutter()
+    >>> cutter = EventStreamFilter()
     >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), cutter.last_id
     (b'id: 1\\ndata: a\\n\\n', b'1')
     >>> cutter.cut(); cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\ndata: b\\n\\n")
@@ -27,7 +27,7 @@
         """The whole events that are complete with these bytes."""
         self._rest += data
         whole, at = [], 0
-        for end in EVENT_END.finditer(self._rest):
+        for end in EVENT_TERMINATOR.finditer(self._rest):
             event = self._rest[at : end.end()]
             at = end.end()
             if self._is_new(event):
@@ -36,7 +36,7 @@
         return b"".join(whole)
 
     def _is_new(self, event: bytes) -> bool:
-        found = ID_LINE.search(event)
+        found = ID_FIELD.search(event)
         if found is None:
             return True
         told = found.group(1)
--- a/mulleinhatch/data_plane/front.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -15,7 +15,7 @@
 LOG = logging.getLogger(__name__)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-SILENCE_MS = 4000
+TCP_USER_TIMEOUT_MS = 4000
 
 
 class Exchange(Protocol):
@@ -29,9 +29,9 @@
 class ClientSession(asyncio.Protocol):
     """One connection of a client."""
 
-    def __init__(self, front: Front) -> None:
-        self._front = front
-        self._reader = MessageReader(answers=False, most_head=front.limits().max_header_bytes)
+    def __init__(self, listener: Listener) -> None:
+        self._front = listener
+        self._reader = MessageReader(answers=False, most_head=listener.limits().max_header_bytes)
         self._head: Head | None = None
         self._body: list[bytes] = []
         self._size = 0
@@ -49,7 +49,7 @@
         self.transport = transport  # type: ignore[assignment]
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         self._front.sessions.add(self)
         self._await_request()
 
@@ -235,7 +235,7 @@
             self.transport.close()
 
 
-class Front:
+class Listener:
     """The listener and its sessions. `begin` starts the exchange for a request that came whole."""
 
     def __init__(self, limits: Callable[[], Limits], begin: Callable[[ClientSession, Head, bytes], Exchange | None]) -> None:
--- a/mulleinhatch/data_plane/process.py
+++ b/mulleinhatch/data_plane/process.py
@@ -8,19 +8,19 @@
 import signal
 from typing import Any
 
-from mulleinhatch.data_plane.control_link import ControlLink
-from mulleinhatch.data_plane.front import Front
-from mulleinhatch.data_plane.router import SWEEP_S, Router
-from mulleinhatch.data_plane.snapshot import ModelName, Snapshot
+from mulleinhatch.data_plane.control_plane_client import ControlPlaneClient
+from mulleinhatch.data_plane.listener import Listener
+from mulleinhatch.data_plane.registry_snapshot import ControlPlaneSnapshot, ModelName
+from mulleinhatch.data_plane.router import SWEEP_INTERVAL_S, Router
 from mulleinhatch.networking.http_client import HttpClient
 from mulleinhatch.networking.http_server import HttpServer, HttpServerRequest, HttpServerResponse
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 
 LOG = logging.getLogger(__name__)
-REPORT_S = 1.0  # between two reports of demand
-URGENT_S = 0.01  # a model that stands nowhere is told of at once
-LEAST_LEAVE_S = 2.6  # from the notice to leave: new connections still come until the entry has missed us twice
+DEMAND_REPORT_INTERVAL_S = 1.0  # between two reports of demand
+URGENT_REPORT_DELAY_S = 0.01  # a model that stands nowhere is told of at once
+MIN_DRAIN_S = 2.6  # from the notice to leave: new connections still come until the entry has missed us twice
 GRACE_MARGIN_S = 0.6  # before the grace period ends, all is closed
 
 
@@ -35,12 +35,12 @@
         self._wanted_now: set[ModelName] = set()  # models that stand nowhere, to be told of at once
         self._leader_is_new = False  # it knows nothing of the demand yet
         self.router = Router(settings, self.loop, self._urgent)
-        self.front = Front(lambda: self.router.snapshot.table.limits, self.router.begin)
-        self.link = ControlLink(settings, self.caller, self.loop.time, self._swap, self._new_leader)
+        self.listener = Listener(lambda: self.router.snapshot.table.limits, self.router.begin)
+        self.link = ControlPlaneClient(settings, self.caller, self.loop.time, self._swap, self._new_leader)
         self.leaving = False
         self.stopped = asyncio.Event()
 
-    def _swap(self, snapshot: Snapshot) -> None:
+    def _swap(self, snapshot: ControlPlaneSnapshot) -> None:
         self.router.swap(snapshot)
 
     def _new_leader(self) -> None:
@@ -55,7 +55,7 @@
         """Serves until SIGTERM, and then until what was taken is answered."""
         hub = HttpServer(self.loop)
         hub.listen(self.settings.listen["ready"], self._answer)
-        await self.front.listen(self.settings.listen["front"])
+        await self.listener.listen(self.settings.listen["front"])
         self.loop.add_signal_handler(signal.SIGTERM, self._leave)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
         gc.freeze()
@@ -81,7 +81,7 @@
 
     async def _sweep_forever(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.router.sweep()
 
     async def _report_forever(self) -> None:
@@ -91,13 +91,13 @@
             try:
                 async with asyncio.timeout_at(due):
                     await self._report_now.wait()
-                await asyncio.sleep(URGENT_S)
+                await asyncio.sleep(URGENT_REPORT_DELAY_S)
             except TimeoutError:
                 pass
             self._report_now.clear()
             whole = self._leader_is_new or self.loop.time() >= due
             if whole:
-                self._leader_is_new, due = False, self.loop.time() + REPORT_S
+                self._leader_is_new, due = False, self.loop.time() + DEMAND_REPORT_INTERVAL_S
             await self._report(whole)
 
     async def _report(self, whole: bool) -> None:
@@ -111,7 +111,7 @@
         if self.leaving:
             return
         LOG.info("leaving")
-        self.leaving = self.front.leaving = True
+        self.leaving = self.listener.leaving = True
         asyncio.ensure_future(self._drain())
 
     async def _drain(self) -> None:
@@ -120,12 +120,12 @@
         end = begun + self.settings.bounds.grace_s - GRACE_MARGIN_S
         self.router.leave(end)
         while self.loop.time() < end:
-            for session in list(self.front.sessions):
+            for session in list(self.listener.sessions):
                 session.leave()
-            if self.loop.time() > begun + LEAST_LEAVE_S and not self.front.busy():
+            if self.loop.time() > begun + MIN_DRAIN_S and not self.listener.busy():
                 break
             await asyncio.sleep(0.1)
-        self.front.close()
+        self.listener.close()
         await asyncio.sleep(0.05)
         self.stopped.set()
 
--- a/mulleinhatch/data_plane/exchange.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -10,23 +10,23 @@
 from typing import Protocol
 
 from mulleinhatch.configuration.routes import Route
-from mulleinhatch.data_plane.admission import Held, Refused
-from mulleinhatch.data_plane.delays import Delay
-from mulleinhatch.data_plane.events import EventCutter
-from mulleinhatch.data_plane.front import ClientSession
-from mulleinhatch.data_plane.pool import BackendPool
-from mulleinhatch.data_plane.request_state import Answer, Next, RequestState, read_answer
-from mulleinhatch.data_plane.routing import BackendStates
-from mulleinhatch.data_plane.snapshot import KnownBackend, ModelName
+from mulleinhatch.data_plane.admission_queue import PendingRequest, Rejection
+from mulleinhatch.data_plane.backend_selection import BackendHealthTracker
+from mulleinhatch.data_plane.connection_pool import ConnectionPool
+from mulleinhatch.data_plane.event_stream import EventStreamFilter
+from mulleinhatch.data_plane.listener import ClientSession
+from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
+from mulleinhatch.data_plane.request_state import Answer, NextStep, RequestState, read_answer
+from mulleinhatch.data_plane.wait_reason import WaitReason
 from mulleinhatch.networking.http_client import ClientConnection, Loss
 from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, write_request
 
 LOG = logging.getLogger(__name__)
-NOT_PASSED = HOP_BY_HOP | {b"content-length", b"request-deadline", b"expect-instance", b"priority", b"expect"}
-END_SLACK_S = 0.05
-LEAST_SEND_S = 0.02  # with less time left a request is not sent
-SWITCH_SILENCE_S = 2.0  # a resumable stream whose backend says nothing for so long is taken up elsewhere
-GATHERED = 1 << 18  # bytes of a plain answer that are gathered before its head is passed on
+UNFORWARDED_HEADERS = HOP_BY_HOP | {b"content-length", b"request-deadline", b"expect-instance", b"priority", b"expect"}
+DEADLINE_GRACE_S = 0.05
+MIN_SEND_TIME_S = 0.02  # with less time left a request is not sent
+STREAM_STALL_TIMEOUT_S = 2.0  # a resumable stream whose backend says nothing for so long is taken up elsewhere
+MAX_BUFFERED_BODY_BYTES = 1 << 18  # bytes of a plain answer that are gathered before its head is passed on
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,7 @@
     fields = [
         (name, text)
         for name, text in head.fields
-        if (lower := name.lower()) not in NOT_PASSED and not (last_id and lower == b"last-event-id")
+        if (lower := name.lower()) not in UNFORWARDED_HEADERS and not (last_id and lower == b"last-event-id")
     ]
     fields.append((b"Request-Deadline", b"%d" % max(1, int(1000 * remaining_s))))
     fields.append((b"Expect-Instance", backend_id.encode()))
@@ -77,49 +77,49 @@
     """What an exchange needs of the instance that owns it: its clock, its backends, and who hears what became of a request."""
 
     loop: asyncio.AbstractEventLoop
-    pool: BackendPool
-    states: BackendStates
+    pool: ConnectionPool
+    states: BackendHealthTracker
 
     def now(self) -> float: ...
 
-    def choose(self, exchange: ClientExchange) -> KnownBackend | None: ...
+    def choose(self, exchange: ClientRequest) -> RegisteredBackend | None: ...
 
-    def another_can_take(self, exchange: ClientExchange, backend: KnownBackend) -> bool: ...
+    def another_can_take(self, exchange: ClientRequest, backend: RegisteredBackend) -> bool: ...
 
-    def still_listed(self, backend: KnownBackend) -> bool: ...
+    def still_listed(self, backend: RegisteredBackend) -> bool: ...
 
     def may_repeat(self, service: str) -> bool: ...
 
-    def retry_after(self, exchange: ClientExchange) -> float: ...
+    def retry_after(self, exchange: ClientRequest) -> float: ...
 
-    def hold_again(self, exchange: ClientExchange) -> None: ...
+    def hold_again(self, exchange: ClientRequest) -> None: ...
 
-    def put_back(self, exchange: ClientExchange) -> None: ...
+    def requeue(self, exchange: ClientRequest) -> None: ...
 
-    def sent(self, exchange: ClientExchange) -> None: ...
+    def sent(self, exchange: ClientRequest) -> None: ...
 
-    def first_answer(self, exchange: ClientExchange, backend: KnownBackend, seconds: float) -> None: ...
+    def first_answer(self, exchange: ClientRequest, backend: RegisteredBackend, seconds: float) -> None: ...
 
-    def backend_answered(self, backend: KnownBackend, head: Head) -> None: ...
+    def backend_answered(self, backend: RegisteredBackend, head: Head) -> None: ...
 
-    def backends_failed(self, backend: KnownBackend) -> None: ...
+    def backends_failed(self, backend: RegisteredBackend) -> None: ...
 
-    def backend_is_other(self, backend: KnownBackend, head: Head, name: ModelName) -> None: ...
+    def backend_is_other(self, backend: RegisteredBackend, head: Head, name: ModelName) -> None: ...
 
-    def sent_back_full(self, backend: KnownBackend, name: ModelName) -> None: ...
+    def sent_back_full(self, backend: RegisteredBackend, name: ModelName) -> None: ...
 
-    def left_backend(self, backend: KnownBackend) -> None: ...
+    def left_backend(self, backend: RegisteredBackend) -> None: ...
 
-    def attempt_ended(self, exchange: ClientExchange, backend: KnownBackend, completed: bool, full: bool) -> None: ...
+    def attempt_ended(self, exchange: ClientRequest, backend: RegisteredBackend, completed: bool, full: bool) -> None: ...
 
-    def note_refusal(self, exchange: ClientExchange, why: str, retry_after_s: float) -> None: ...
+    def note_refusal(self, exchange: ClientRequest, why: str, retry_after_s: float) -> None: ...
 
-    def served(self, exchange: ClientExchange) -> None: ...
+    def served(self, exchange: ClientRequest) -> None: ...
 
-    def forget(self, exchange: ClientExchange) -> None: ...
+    def forget(self, exchange: ClientRequest) -> None: ...
 
 
-class ClientExchange:
+class ClientRequest:
     """One client request from its arrival to the end of its answer."""
 
     def __init__(
@@ -130,17 +130,17 @@
         self.prompt = read_prompt(head)
         self.request_id = head.first.get(b"request-id", b"")
         self.name = ModelName(service, self.prompt.model, self.prompt.adapter)
-        self.held = Held(
+        self.held = PendingRequest(
             self, self.name, route.priority, route.target_s, self.prompt.session, router.now(), due, prefix=self.prompt.prefix
         )
         self.attempt: Attempt | None = None
         resumable = route.streaming and route.resumable
         self.state = RequestState(route.idempotent, resumable, route.max_attempts)
-        self.sent_back: set[str] = set()
+        self.rejected_by: set[str] = set()
         self.over = False
-        self.delay = Delay.NONE  # what kept it from a backend when it arrived
-        self.cutter = EventCutter(head.first.get(b"last-event-id", b"")) if resumable else None
-        self._timer = router.loop.call_at(due + END_SLACK_S, self._time_over)
+        self.delay = WaitReason.NONE  # what kept it from a backend when it arrived
+        self.cutter = EventStreamFilter(head.first.get(b"last-event-id", b"")) if resumable else None
+        self._timer = router.loop.call_at(due + DEADLINE_GRACE_S, self._time_over)
 
     def limit_time(self, until: float) -> None:
         """The process ends: a request that has not gone to a backend by then is answered."""
@@ -154,7 +154,7 @@
         if self.attempt is None:
             self._follow(self.state.unserved(), "this instance ends")
         else:
-            self._timer = self.router.loop.call_at(self.due + END_SLACK_S, self._time_over)
+            self._timer = self.router.loop.call_at(self.due + DEADLINE_GRACE_S, self._time_over)
 
     # From admission.
 
@@ -162,7 +162,7 @@
         """Its turn: it goes to a backend, or back to the held ones if none can take it."""
         backend = self.router.choose(self)
         if backend is None:
-            self.router.put_back(self)
+            self.router.requeue(self)
             return
         if self.state.sends and not self.router.may_repeat(self.service):
             self._follow(self.state.unserved(), "no budget for another stub")
@@ -170,7 +170,7 @@
         self.attempt = Attempt(self, backend)
         self.attempt.begin()
 
-    def refused(self, refused: Refused) -> None:
+    def refused(self, refused: Rejection) -> None:
         """It is not taken, or given up before it ran: answered at once."""
         self._follow(self.state.unserved(), refused.reason.value, refused.retry_after_s)
 
@@ -179,21 +179,21 @@
     def sent_back_by(self, attempt: Attempt, full: bool) -> None:
         """A backend did not run it, for certain."""
         self._attempt_over(attempt, completed=False, full=full)
-        self.sent_back.add(attempt.backend.id)
+        self.rejected_by.add(attempt.backend.id)
         self._follow(self.state.not_run(), "no stub could take it")
 
     def unreached(self, attempt: Attempt) -> None:
         """No byte of it reached the backend."""
         self._attempt_over(attempt, completed=False)
-        self.sent_back.add(attempt.backend.id)
-        self._follow(self.state.unreached(len(self.sent_back)), "no stub could be reached")
+        self.rejected_by.add(attempt.backend.id)
+        self._follow(self.state.unreached(len(self.rejected_by)), "no stub could be reached")
 
     def broke(self, attempt: Attempt) -> None:
         """It may have run, and what became of it is not known."""
         self._attempt_over(attempt, completed=False)
-        self.sent_back.add(attempt.backend.id)
+        self.rejected_by.add(attempt.backend.id)
         following = self.state.lost()
-        if following is Next.ANOTHER_BACKEND and self.cutter is not None:
+        if following is NextStep.ANOTHER_BACKEND and self.cutter is not None:
             self.cutter.cut()
         self._follow(following, "the stub broke off; whether it ran is not known")
 
@@ -208,23 +208,23 @@
         self.router.attempt_ended(self, attempt.backend, completed, full)
 
     def _again(self) -> None:
-        if self.router.now() + LEAST_SEND_S > self.due:
+        if self.router.now() + MIN_SEND_TIME_S > self.due:
             self._time_over()
             return
         self.router.hold_again(self)
 
     # Ends.
 
-    def _follow(self, following: Next, why: str, retry_after_s: float | None = None) -> None:
+    def _follow(self, following: NextStep, why: str, retry_after_s: float | None = None) -> None:
         """Carries out what follows from what is known."""
-        if following is Next.ANOTHER_BACKEND:
+        if following is NextStep.ANOTHER_BACKEND:
             self._again()
-        elif following is Next.REFUSE:
+        elif following is NextStep.REJECT:
             self._answer_unrun(why, self.router.retry_after(self) if retry_after_s is None else retry_after_s)
-        elif following is Next.BREAK_OFF:
+        elif following is NextStep.ABORT:
             self._break_off()
         else:
-            self._fail(504 if following is Next.TIME_OVER else 502, why)
+            self._fail(504 if following is NextStep.TIME_OVER else 502, why)
 
     def _answer_unrun(self, why: str, retry_after_s: float) -> None:
         self._close()
@@ -272,7 +272,7 @@
 class Attempt:
     """One sending of a request to one backend; hears the answer as an `AnswerSink`."""
 
-    def __init__(self, exchange: ClientExchange, backend: KnownBackend) -> None:
+    def __init__(self, exchange: ClientRequest, backend: RegisteredBackend) -> None:
         self.exchange, self.backend, self.router = exchange, backend, exchange.router
         self._connection: ClientConnection | None = None
         self._task: asyncio.Task[None] | None = None
@@ -331,7 +331,7 @@
         """A backend that says nothing for long is left for another where the stream may go on there."""
         if self._silence is not None:
             self._silence.cancel()
-        quiet = max(SWITCH_SILENCE_S, 4.0 * self.exchange.route.gap_s)
+        quiet = max(STREAM_STALL_TIMEOUT_S, 4.0 * self.exchange.route.gap_s)
         if self._head is None:
             quiet = max(quiet, 0.75 * self.exchange.route.target_s)
         self._silence = self.router.loop.call_later(quiet, self._fell_silent)
@@ -353,7 +353,7 @@
         self._answer = read_answer(head.status, head.first, self.exchange.route.idempotent)
         if self._answer is Answer.NOT_RUN:
             return
-        if self._answer is Answer.SPOILT:
+        if self._answer is Answer.UNUSABLE:
             self._connection.close()
             self.on_loss(Loss.BROKEN)
         elif not self.exchange.route.streaming or head.status >= 300:
@@ -385,7 +385,7 @@
     def _gather(self, data: bytes) -> None:
         self._gathered.append(data)
         self._size += len(data)
-        if self._size > GATHERED:
+        if self._size > MAX_BUFFERED_BODY_BYTES:
             self._pass_gathered(self._head.length)
 
     def _pass_gathered(self, length: int | None) -> None:
--- a/mulleinhatch/data_plane/request_state.py
+++ b/mulleinhatch/data_plane/request_state.py
@@ -4,7 +4,7 @@
 | --- | --- | --- |
 | sent to nobody, or only to backends that did not run it | none takes it, time over, leave | 503 with Retry-After: a promise |
 | on its way to a backend | no byte reached the backend | another backend |
-| sent | the backend says that it did not run it | another backend; after `MOST_SENDS` 503 |
+| sent | the backend says that it did not run it | another backend; after `MAX_SENDS` 503 |
 | sent, nothing passed on | close, reset, bytes that are no answer | idempotent: another backend within `max_attempts`; else
 502 |
 | sent, nothing passed on | time over | 504 |
@@ -22,26 +22,26 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_SENDS = 4  # backends that may send one request back unrun
-PROMISES = (408, 421, 429, 503)  # statuses that say "not run"
+MAX_SENDS = 4  # backends that may send one request back unrun
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # statuses that say "not run"
 
 
-class Next(Enum):
+class NextStep(Enum):
     """What becomes of a request."""
 
     ANOTHER_BACKEND = "another stub"
-    REFUSE = "503 with Retry-After: it has not run and will not"
+    REJECT = "503 with Retry-After: it has not run and will not"
     FAIL = "502: whether it ran is not known"
     TIME_OVER = "504: it may have run"
-    BREAK_OFF = "the answer is broken off, so that it does not look complete"
+    ABORT = "the answer is broken off, so that it does not look complete"
 
 
 class Answer(Enum):
     """What the head of an answer says."""
 
     NOT_RUN = "the stub says that it did not run the request"
-    SPOILT = "no answer that may be passed on; the request may have run"
-    WHOLE = "passed on"
+    UNUSABLE = "no answer that may be passed on; the request may have run"
+    FORWARDABLE = "passed on"
 
 
 def read_answer(status: int, fields: Mapping[bytes, bytes], idempotent: bool) -> Answer:
@@ -55,10 +55,10 @@
         return Answer.NOT_RUN
     encoded = fields.get(b"content-encoding", b"identity").lower() != b"identity"
     if 200 <= status < 300 and (b"server-signature" not in fields or encoded):
-        return Answer.SPOILT
-    if status in PROMISES and not idempotent:
-        return Answer.SPOILT
-    return Answer.WHOLE
+        return Answer.UNUSABLE
+    if status in NOT_EXECUTED_STATUSES and not idempotent:
+        return Answer.UNUSABLE
+    return Answer.FORWARDABLE
 
 
 @dataclass
@@ -78,16 +78,16 @@
         self.sends += 1
         self.runs += 1
 
-    def unreached(self, backends_tried: int) -> Next:
+    def unreached(self, backends_tried: int) -> NextStep:
         """No byte of it reached the backend, one of `backends_tried` so far."""
         self.sends -= 1
         self.runs -= 1
-        return Next.ANOTHER_BACKEND if backends_tried <= 2 * MOST_SENDS else self.unserved()
+        return NextStep.ANOTHER_BACKEND if backends_tried <= 2 * MAX_SENDS else self.unserved()
 
-    def not_run(self) -> Next:
+    def not_run(self) -> NextStep:
         """The backend says that it did not run it."""
         self.runs -= 1
-        return Next.ANOTHER_BACKEND if self.sends < MOST_SENDS else self.unserved()
+        return NextStep.ANOTHER_BACKEND if self.sends < MAX_SENDS else self.unserved()
 
     @property
     def may_run_again(self) -> bool:
@@ -95,19 +95,19 @@
         repeatable = self.idempotent and (not self.head_passed or self.resumable)
         return repeatable and self.runs < self.max_attempts
 
-    def lost(self) -> Next:
+    def lost(self) -> NextStep:
         """What became of it at the backend is not known."""
         if self.may_run_again:
-            return Next.ANOTHER_BACKEND
-        return Next.BREAK_OFF if self.head_passed else Next.FAIL
+            return NextStep.ANOTHER_BACKEND
+        return NextStep.ABORT if self.head_passed else NextStep.FAIL
 
-    def unserved(self) -> Next:
+    def unserved(self) -> NextStep:
         """No backend will take it."""
         if self.head_passed:
-            return Next.BREAK_OFF
-        return Next.FAIL if self.runs else Next.REFUSE
+            return NextStep.ABORT
+        return NextStep.FAIL if self.runs else NextStep.REJECT
 
-    def time_over(self) -> Next:
+    def time_over(self) -> NextStep:
         if self.head_passed:
-            return Next.BREAK_OFF
-        return Next.TIME_OVER if self.runs else Next.REFUSE
+            return NextStep.ABORT
+        return NextStep.TIME_OVER if self.runs else NextStep.REJECT
--- a/mulleinhatch/data_plane/budget.py
+++ b/mulleinhatch/data_plane/retry_budget.py
@@ -9,8 +9,8 @@
 
 from collections import deque
 
-RATIO_PART = 0.8  # of the ratio: windows slide, and requests are counted elsewhere than here
-SLACK_PART = 0.6  # of the slack, divided by the instances
+RATIO_FRACTION = 0.8  # of the ratio: windows slide, and requests are counted elsewhere than here
+SLACK_FRACTION = 0.6  # of the slack, divided by the instances
 
 
 class RetryBudget:
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        self._ratio, self._slack, self._window = ratio * RATIO_PART, slack * SLACK_PART, window_s
+        self._ratio, self._slack, self._window = ratio * RATIO_FRACTION, slack * SLACK_FRACTION, window_s
         self._requests: dict[str, deque[float]] = {}
         self._repeats: dict[str, deque[float]] = {}
 
--- a/mulleinhatch/data_plane/splits.py
+++ b/mulleinhatch/data_plane/traffic_split.py
@@ -13,7 +13,7 @@
 Shares = tuple[tuple[str, float], ...]
 
 
-class WeightedOrder:
+class WeightedRoundRobin:
     """The order of one instance. `seed` (its name) says where it begins, so that instances do not begin all alike."""
 
     def __init__(self, seed: str) -> None:
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from mulleinhatch.configuration.document import digest_of
-from mulleinhatch.data_plane.control_link import ControlLink
-from mulleinhatch.data_plane.snapshot import Snapshot
+from mulleinhatch.data_plane.control_plane_client import ControlPlaneClient
+from mulleinhatch.data_plane.registry_snapshot import ControlPlaneSnapshot
 from mulleinhatch.networking.http_client import CallError, HttpResponse
 from mulleinhatch.simulation.control_plane.machines import Machine, process_settings
 from mulleinhatch.simulation.control_plane.network import Network
@@ -196,20 +196,20 @@
     def __init__(self, world: Any, number: int) -> None:
         self._world, self.number = world, number
         self.ip = f"10.1.0.{number + 1}"
-        self.snapshot = Snapshot()
+        self.snapshot = ControlPlaneSnapshot()
         self.process: Process | None = None
         self.started_at = 0.0
 
     def start(self) -> None:
         self.stop()
         world = self._world
-        self.snapshot, self.started_at = Snapshot(), world.loop.time()
+        self.snapshot, self.started_at = ControlPlaneSnapshot(), world.loop.time()
         self.process = Process(f"data-{self.number}")
         settings = process_settings(world, f"data-{self.number}", self.ip)
-        link = ControlLink(settings, Network(world, self, self.process), world.loop.time, self._swap)  # type: ignore[arg-type]
+        link = ControlPlaneClient(settings, Network(world, self, self.process), world.loop.time, self._swap)  # type: ignore[arg-type]
         world.loop.start(link.run(), self.process)
 
-    def _swap(self, snapshot: Snapshot) -> None:
+    def _swap(self, snapshot: ControlPlaneSnapshot) -> None:
         if snapshot.table.version < self.snapshot.table.version:
             self._world.watch.breaks(f"data plane {self.number} went back to version {snapshot.table.version}")
         self.snapshot = snapshot
--- a/tests/system/test_control_state.py
+++ b/tests/system/test_control_state.py
@@ -12,8 +12,8 @@
 from mulleinhatch.configuration.document import digest_of
 from mulleinhatch.control_plane.peers import AUTHORITY_S, MISSED_S, Peers
 from mulleinhatch.control_plane.registry import BackendRegistry
-from mulleinhatch.data_plane.control_link import ControlLink
-from mulleinhatch.data_plane.snapshot import BackendList
+from mulleinhatch.data_plane.control_plane_client import ControlPlaneClient
+from mulleinhatch.data_plane.registry_snapshot import RegistrySnapshot
 from mulleinhatch.messages.cluster import (
     Backend,
     Entry,
@@ -151,12 +151,12 @@
     def test_a_data_plane_keeps_it_leaving_when_another_source_knows_it_as_ready(self):
         ready = Backend(id="i-1", service="s", address="a:1", slots=4)
         for leaving in ([Backend(id="i-1", service="s", address="a:1", draining=True)], [Backend(id="i-1", gone=True)]):
-            backends = BackendList().updated([ready], True, 0.0).updated(leaving, False, 1.0)
+            backends = RegistrySnapshot().updated([ready], True, 0.0).updated(leaving, False, 1.0)
             self.assertTrue(backends.updated([ready], True, 2.0).by_id["i-1"].draining)
 
     def test_a_data_plane_hears_of_a_leave_by_the_entries_of_the_chain(self):
         ready = Backend(id="i-1", service="s", address="a:1", slots=4)
-        backends = BackendList().updated([ready], True, 0.0).updated((), False, 1.0, ["i-1", "i-2"])
+        backends = RegistrySnapshot().updated([ready], True, 0.0).updated((), False, 1.0, ["i-1", "i-2"])
         self.assertTrue(backends.by_id["i-1"].draining)
         self.assertTrue(backends.updated([Backend(id="i-2", service="s", address="a:2")], False, 2.0).by_id["i-2"].draining)
 
@@ -206,7 +206,7 @@
     def versions(self, answers: list[PollResponse], at: list[float]) -> list[tuple[int, bool]]:
         """Version in force and whether its source is sure, after each answer."""
         script, seen = Script(answers), []
-        link = ControlLink(settings(), script, lambda: script.now, lambda snapshot: None)  # type: ignore[arg-type]
+        link = ControlPlaneClient(settings(), script, lambda: script.now, lambda snapshot: None)  # type: ignore[arg-type]
 
         async def poll_all() -> None:
             for moment in at:
--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -4,28 +4,30 @@
 
 import unittest
 
-from mulleinhatch.data_plane.admission import LEAST_LIMIT, Admission, Held, Refusal
-from mulleinhatch.data_plane.budget import RetryBudget
-from mulleinhatch.data_plane.demand import DemandBook
-from mulleinhatch.data_plane.events import EventCutter
-from mulleinhatch.data_plane.routing import BackendStates, choose
-from mulleinhatch.data_plane.snapshot import UNCONFIRMED_S, BackendList, ModelName, known_backend
+from mulleinhatch.data_plane.admission_queue import MIN_RUNNING_LIMIT, AdmissionQueue, PendingRequest, RejectionReason
+from mulleinhatch.data_plane.backend_selection import BackendHealthTracker, choose
+from mulleinhatch.data_plane.demand_tracker import DemandTracker
+from mulleinhatch.data_plane.event_stream import EventStreamFilter
+from mulleinhatch.data_plane.registry_snapshot import UNCONFIRMED_GRACE_S, ModelName, RegistrySnapshot, backend_from_message
+from mulleinhatch.data_plane.retry_budget import RetryBudget
 from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
 NAME = ModelName("llm", "m0")
 
 
-def held(ref: str, priority: int = 0, arrived: float = 0.0, due: float = 100.0, account: str = "", target: float = 1.0) -> Held:
-    return Held(ref, NAME, priority, target, account, arrived, due)
+def held(
+    ref: str, priority: int = 0, arrived: float = 0.0, due: float = 100.0, account: str = "", target: float = 1.0
+) -> PendingRequest:
+    return PendingRequest(ref, NAME, priority, target, account, arrived, due)
 
 
 class AdmissionTrace(unittest.TestCase):
     def setUp(self):
         self.slots, self.ready = 3.0, 0.0
-        self.admission = Admission(lambda name: self.slots, lambda name: self.ready)
+        self.admission = AdmissionQueue(lambda name: self.slots, lambda name: self.ready)
         self.admission.configure([(0, 8.0), (1, 4.0), (2, 2.0)])
 
-    def arrive(self, *requests: Held, now: float = 0.0) -> None:
+    def arrive(self, *requests: PendingRequest, now: float = 0.0) -> None:
         for request in requests:
             self.assertIsNone(self.admission.arrive(request, now), request)
 
@@ -75,7 +77,7 @@
         self.assertAlmostEqual(group.mu, 10.0, delta=1.5)
         refused = [self.admission.arrive(held(f"late{number}", arrived=now, due=now + 50), now) for number in range(12)]
         self.assertIsNone(refused[0])
-        self.assertIs(refused[-1].reason, Refusal.BOUND)
+        self.assertIs(refused[-1].reason, RejectionReason.CLASS_BOUND)
         self.assertGreater(refused[-1].retry_after_s, 0.0)
 
     def test_a_full_backend_lowers_the_limit_and_completions_with_work_held_raise_it(self):
@@ -98,12 +100,12 @@
         self.slots, self.ready = 0.0, 6.0
         self.arrive(held("a", due=5.0), held("b", due=10.0))
         over = self.admission.give_up(0.5)
-        self.assertEqual([(one.ref, refused.reason) for one, refused in over], [("a", Refusal.HOPELESS)])
+        self.assertEqual([(one.ref, refused.reason) for one, refused in over], [("a", RejectionReason.NO_BACKEND_IN_TIME)])
 
     def test_put_back_keeps_its_age(self):
         self.arrive(held("a", arrived=0.0))
         [one] = self.admission.next(0.0)
-        self.admission.put_back(one, 1.0)
+        self.admission.requeue(one, 1.0)
         self.assertEqual((self.admission.groups[NAME].running, one.started), (0, False))
         self.assertEqual(self.started(1.0), ["a"])
 
@@ -118,7 +120,7 @@
     def test_the_limit_is_never_below_its_floor(self):
         self.slots = 0.2
         self.arrive(*(held(str(number)) for number in range(5)))
-        self.assertEqual(len(self.started()), LEAST_LIMIT)
+        self.assertEqual(len(self.started()), MIN_RUNNING_LIMIT)
 
 
 class Budget(unittest.TestCase):
@@ -155,12 +157,12 @@
 
 
 def known(name: str, **more):
-    return known_backend(backend(name, **more), 0.0)
+    return backend_from_message(backend(name, **more), 0.0)
 
 
 class Choice(unittest.TestCase):
     def test_the_least_busy_then_an_idle_connection_then_the_own_zone(self):
-        states = BackendStates()
+        states = BackendHealthTracker()
         backends = [known("s1", zone="z2"), known("s2"), known("s3")]
         self.assertEqual(choose(backends, states, "", "z2", NAME).id, "s1")
         self.assertEqual(choose(backends, states, "", "z2", NAME, {"s3"}).id, "s3")
@@ -169,7 +171,7 @@
         self.assertEqual(choose(backends, states, "", "z2", NAME, {"s3"}).id, "s2")
 
     def test_prompts_that_share_parts_meet_until_their_backend_is_much_busier(self):
-        states = BackendStates()
+        states = BackendHealthTracker()
         backends = [known(f"s{number}") for number in range(5)]
         home = choose(backends, states, "p1", "z1", NAME).id
         for _ in range(3):
@@ -178,7 +180,7 @@
         self.assertNotEqual(choose(backends, states, "p1", "z1", NAME).id, home)
 
     def test_a_backend_that_answers_late_is_left_for_others_until_that_is_long_ago(self):
-        states = BackendStates()
+        states = BackendHealthTracker()
         backends = [known(f"s{number}") for number in range(5)]
         home = choose(backends, states, "p1", "z1", NAME).id
         for _ in range(5):
@@ -187,7 +189,7 @@
         self.assertEqual(choose(backends, states, "p1", "z1", NAME, now=9.0).id, home)
 
     def test_a_backend_that_failed_rests_longer_each_time(self):
-        states, one = BackendStates(), known("s1")
+        states, one = BackendHealthTracker(), known("s1")
         states.failed("s1", 0.0)
         self.assertEqual((states.usable(one, 0.4), states.usable(one, 0.6)), (False, True))
         states.failed("s1", 0.6)
@@ -196,7 +198,7 @@
         self.assertTrue(states.usable(one, 0.0))
 
     def test_a_draining_silent_or_misplaced_backend_is_not_used(self):
-        states = BackendStates()
+        states = BackendHealthTracker()
         self.assertFalse(states.usable(known("s1", draining=True), 0.0))
         self.assertFalse(states.usable(known("s2", silent=True), 0.0))
         states.is_misplaced("s3")
@@ -205,29 +207,29 @@
 
 class Lists(unittest.TestCase):
     def test_gone_backends_go_and_others_change(self):
-        one = BackendList().updated([backend("s1"), backend("s2")], True, 0.0)
+        one = RegistrySnapshot().updated([backend("s1"), backend("s2")], True, 0.0)
         two = one.updated([Backend(id="s1", gone=True), backend("s2", draining=True)], False, 1.0)
         self.assertEqual((sorted(two.by_id), two.by_id["s2"].draining), (["s2"], True))
         self.assertEqual(sorted(one.by_id), ["s1", "s2"])
 
     def test_a_new_source_that_knows_nobody_yet_is_no_proof(self):
-        one = BackendList().updated([backend("s1")], True, 0.0)
+        one = RegistrySnapshot().updated([backend("s1")], True, 0.0)
         two = one.updated([], True, 10.0)
         self.assertIn("s1", two.by_id)
         self.assertIn("s1", two.updated([backend("s1")], False, 11.0).updated([], False, 30.0).by_id)
-        self.assertNotIn("s1", two.updated([], False, 10.1 + UNCONFIRMED_S).by_id)
+        self.assertNotIn("s1", two.updated([], False, 10.1 + UNCONFIRMED_GRACE_S).by_id)
 
     def test_what_is_being_taken_away_is_not_held(self):
-        going = known_backend(backend("s1", unloads=[PendingLoad(model="m0", adapter="a1")]), 0.0)
-        self.assertTrue(going.holds(ModelName("llm", "m0")))
-        self.assertFalse(going.holds(ModelName("llm", "m0", "a1")))
-        gone = known_backend(backend("s1", unloads=[PendingLoad(model="m0")]), 0.0)
-        self.assertFalse(gone.holds(ModelName("llm", "m0")))
+        going = backend_from_message(backend("s1", unloads=[PendingLoad(model="m0", adapter="a1")]), 0.0)
+        self.assertTrue(going.has_model(ModelName("llm", "m0")))
+        self.assertFalse(going.has_model(ModelName("llm", "m0", "a1")))
+        gone = backend_from_message(backend("s1", unloads=[PendingLoad(model="m0")]), 0.0)
+        self.assertFalse(gone.has_model(ModelName("llm", "m0")))
 
     def test_holdings(self):
         one = known("s1")
         self.assertEqual(
-            [one.holds(ModelName("llm", *words)) for words in (("m0",), ("m0", "a1"), ("m0", "a2"), ("m9",))],
+            [one.has_model(ModelName("llm", *words)) for words in (("m0",), ("m0", "a1"), ("m0", "a2"), ("m9",))],
             [True, True, False, False],
         )
 
@@ -238,7 +240,7 @@
     def test_cut_at_every_byte_and_taken_up_again_each_event_comes_once(self):
         whole = b"".join(self.EVENTS)
         for cut in range(len(whole)):
-            cutter = EventCutter()
+            cutter = EventStreamFilter()
             got = cutter.feed(whole[:cut])
             cutter.cut()
             resumed = [event for number, event in enumerate(self.EVENTS, 1) if number > int(cutter.last_id or b"0")]
@@ -246,17 +248,17 @@
             self.assertEqual(got, whole, cut)
 
     def test_events_that_come_again_are_left_out(self):
-        cutter = EventCutter()
+        cutter = EventStreamFilter()
         cutter.feed(b"".join(self.EVENTS[:3]))
         self.assertEqual(cutter.feed(b"".join(self.EVENTS)), b"".join(self.EVENTS[3:]))
 
     def test_an_event_without_an_id_is_passed(self):
-        self.assertEqual(EventCutter().feed(b": hello\n\n"), b": hello\n\n")
+        self.assertEqual(EventStreamFilter().feed(b": hello\n\n"), b": hello\n\n")
 
 
 class DemandTold(unittest.TestCase):
     def test_rates_decay_and_quiet_models_are_no_longer_told(self):
-        book = DemandBook()
+        book = DemandTracker()
         for tick in range(80):
             book.asked(NAME, 2.0, 0.1 * tick)
         [told] = book.report([], 8.0)
@@ -265,7 +267,7 @@
         self.assertEqual(book.report([], 80.0), [])
 
     def test_what_is_urgent_is_told_of_the_models_named_only(self):
-        book = DemandBook()
+        book = DemandTracker()
         book.asked(NAME, 1.0, 0.0)
         book.asked(ModelName("s", "other"), 1.0, 0.0)
         self.assertEqual([one.model for one in book.urgent([NAME, ModelName("s", "never")], {}, 0.0)], [NAME.model])
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -19,10 +19,10 @@
 
 from mulleinhatch.configuration.document import Document
 from mulleinhatch.configuration.routes import build_table
-from mulleinhatch.data_plane.exchange import Attempt, backend_fields
-from mulleinhatch.data_plane.request_state import Answer, Next, RequestState, read_answer
+from mulleinhatch.data_plane.registry_snapshot import ControlPlaneSnapshot, RegisteredBackend, RegistrySnapshot
+from mulleinhatch.data_plane.request_lifecycle import Attempt, backend_fields
+from mulleinhatch.data_plane.request_state import Answer, NextStep, RequestState, read_answer
 from mulleinhatch.data_plane.router import Router
-from mulleinhatch.data_plane.snapshot import BackendList, KnownBackend, Snapshot
 from mulleinhatch.networking.http_client import ClientConnection
 from mulleinhatch.networking.http_streaming import Head, request_head
 from mulleinhatch.process.settings import Bounds, Settings
@@ -163,9 +163,9 @@
             for kind, facts in ROUTES.items()
         ]
         value = {"version": 1, "routes": routes, "services": [{"name": "s"}]}
-        backends = [KnownBackend(f"i-{n}", "s", f"a:{n}", "z", 4, False, False, {}, {}, float("inf")) for n in (0, 1)]
-        known = BackendList({backend.id: backend for backend in backends}, {"s": tuple(backends)})
-        self.router.swap(Snapshot(build_table(Document(1, value)), known, 1, True))
+        backends = [RegisteredBackend(f"i-{n}", "s", f"a:{n}", "z", 4, False, False, {}, {}, float("inf")) for n in (0, 1)]
+        known = RegistrySnapshot({backend.id: backend for backend in backends}, {"s": tuple(backends)})
+        self.router.swap(ControlPlaneSnapshot(build_table(Document(1, value)), known, 1, True))
         self.exchanges = {}
 
     async def _open(self, address: str) -> ClientConnection:
@@ -392,13 +392,13 @@
         )
 
     def test_found_when_a_503_is_said_after_a_run(self):
-        self.planted(mock.patch.object(RequestState, "time_over", lambda state: Next.REFUSE))
+        self.planted(mock.patch.object(RequestState, "time_over", lambda state: NextStep.REJECT))
 
     def test_found_when_a_busy_backend_is_believed_not_to_have_run_it(self):
         def believe(status: int, fields: object, idempotent: bool) -> Answer:
             return Answer.NOT_RUN if status == 503 else read_answer(status, fields, idempotent)
 
-        self.planted(mock.patch("mulleinhatch.data_plane.exchange.read_answer", believe))
+        self.planted(mock.patch("mulleinhatch.data_plane.request_lifecycle.read_answer", believe))
 
     def test_found_when_a_cut_answer_ends_as_complete(self):
         self.planted(mock.patch.object(Client, "break_off", Client.finish))
@@ -472,7 +472,7 @@
         """DENIED."""
 
         async def script(world: World) -> None:
-            world.router.swap(Snapshot())
+            world.router.swap(ControlPlaneSnapshot())
             await world.begin("a")
             self.assertEqual(world.clients["a"].status, 503)
 
@@ -502,7 +502,7 @@
                 snapshot = world.router.snapshot
                 if len(world.transports) == 1:
                     left = snapshot.backends.updated((), False, 0.0, [world.transports[0].backend])
-                    world.router.swap(Snapshot(snapshot.table, left, 1, True))
+                    world.router.swap(ControlPlaneSnapshot(snapshot.table, left, 1, True))
                 return connection
 
             world.router.pool.open = slow  # type: ignore[method-assign]
@@ -525,30 +525,30 @@
             for idempotent, resumable in itertools.product((False, True), repeat=2):
                 state = RequestState(idempotent, resumable, 2, sends, runs, head)
                 for following in (state.unserved(), state.time_over(), state.lost()):
-                    if following is Next.REFUSE:
+                    if following is NextStep.REJECT:
                         self.assertEqual((runs, head), (0, False))
 
     def test_what_was_lost_on_its_way_goes_nowhere_else_where_it_may_not_run_twice(self):
         state = self.state()
         state.begin()
-        self.assertIs(state.lost(), Next.FAIL)
+        self.assertIs(state.lost(), NextStep.FAIL)
 
     def test_what_the_backend_did_not_run_goes_on_four_times(self):
         state, following = self.state(), []
         for _ in range(4):
             state.begin()
             following.append(state.not_run())
-        self.assertEqual(following, [Next.ANOTHER_BACKEND] * 3 + [Next.REFUSE])
+        self.assertEqual(following, [NextStep.ANOTHER_BACKEND] * 3 + [NextStep.REJECT])
 
     def test_an_idempotent_one_runs_on_as_many_backends_as_its_route_says(self):
         state = self.state(idempotent=True)
         state.begin()
-        self.assertIs(state.lost(), Next.ANOTHER_BACKEND)
+        self.assertIs(state.lost(), NextStep.ANOTHER_BACKEND)
         state.begin()
-        self.assertIs(state.lost(), Next.FAIL)
+        self.assertIs(state.lost(), NextStep.FAIL)
 
     def test_a_stream_is_taken_up_elsewhere_only_where_it_may_be_resumed(self):
-        for resumable, following in ((True, Next.ANOTHER_BACKEND), (False, Next.BREAK_OFF)):
+        for resumable, following in ((True, NextStep.ANOTHER_BACKEND), (False, NextStep.ABORT)):
             state = self.state(idempotent=True, resumable=resumable, head_passed=True)
             state.begin()
             self.assertIs(state.lost(), following)
--- a/tests/system/test_front.py
+++ b/tests/system/test_listener.py
@@ -6,7 +6,7 @@
 import unittest
 
 from mulleinhatch.configuration.routes import Limits
-from mulleinhatch.data_plane.front import ClientSession, Front
+from mulleinhatch.data_plane.listener import ClientSession, Listener
 from mulleinhatch.networking.http_streaming import Head, answer_head
 
 REQUEST = b"POST /a/b HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nContent-Length: 4\r\n\r\nbody"
@@ -59,14 +59,14 @@
 class Sessions(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.exchanges: list[Running] = []
-        self.front = Front(lambda: Limits(max_header_bytes=400, max_body_bytes=50), self.begin)
+        self.listener = Listener(lambda: Limits(max_header_bytes=400, max_body_bytes=50), self.begin)
 
     def begin(self, session: ClientSession, head: Head, body: bytes) -> Running:
         self.exchanges.append(Running(session, head, body))
         return self.exchanges[-1]
 
     def connect(self) -> tuple[ClientSession, Transport]:
-        session, transport = ClientSession(self.front), Transport()
+        session, transport = ClientSession(self.listener), Transport()
         session.connection_made(transport)
         return session, transport
 
@@ -135,7 +135,7 @@
     async def test_while_leaving_each_answer_is_the_last_of_its_connection(self):
         session, transport = self.connect()
         session.data_received(REQUEST)
-        self.front.leaving = True
+        self.listener.leaving = True
         session.refuse(503, "not run", 0.5)
         self.assertIn(b"Connection: close\r\n", transport.out)
         self.assertTrue(transport.closed)
--- a/tests/system/test_splits.py
+++ b/tests/system/test_traffic_split.py
@@ -6,7 +6,7 @@
 import unittest
 from collections import Counter
 
-from mulleinhatch.data_plane.splits import WeightedOrder
+from mulleinhatch.data_plane.traffic_split import WeightedRoundRobin
 
 WEIGHTS = ((90.0, 10.0), (1.0, 1.0), (70.0, 20.0, 10.0), (99.0, 1.0), (5.0, 0.0), (3.0, 2.0, 2.0, 0.5))
 
@@ -18,7 +18,7 @@
 class Shares(unittest.TestCase):
     def test_each_part_has_its_share_after_any_number_of_requests(self):
         for weights in WEIGHTS:
-            order, counts = WeightedOrder("front-1"), Counter()
+            order, counts = WeightedRoundRobin("front-1"), Counter()
             for number in range(1, 1001):
                 counts[order.next("r", shares(weights))] += 1
                 for service, weight in shares(weights):
@@ -27,20 +27,20 @@
 
     def test_a_part_without_weight_gets_nothing(self):
         for name in range(50):
-            order = WeightedOrder(f"front-{name}")
+            order = WeightedRoundRobin(f"front-{name}")
             self.assertEqual({order.next("r", shares((5.0, 0.0))) for _ in range(20)}, {"s0"})
 
     def test_many_instances_with_few_requests_each_keep_to_the_shares_together(self):
         """Each of 60 instances sees 5 requests: all beginning alike would give the larger part everything."""
         counts = Counter(
             order.next("r", shares((80.0, 20.0)))
-            for order in (WeightedOrder(f"front-{number}") for number in range(60))
+            for order in (WeightedRoundRobin(f"front-{number}") for number in range(60))
             for _ in range(5)
         )
         self.assertAlmostEqual(counts["s1"] / 300, 0.2, delta=0.05)
 
     def test_changed_shares_begin_anew_and_routes_that_are_gone_are_forgotten(self):
-        order = WeightedOrder("front-1")
+        order = WeightedRoundRobin("front-1")
         for _ in range(10):
             order.next("r", shares((1.0, 1.0)))
         self.assertEqual({order.next("r", shares((0.0, 1.0))) for _ in range(5)}, {"s1"})
@@ -48,7 +48,7 @@
         self.assertEqual(order._gained, {})
 
     def test_routes_are_apart(self):
-        order = WeightedOrder("front-1")
+        order = WeightedRoundRobin("front-1")
         both = list(
             itertools.chain.from_iterable((order.next("a", shares((1, 1))), order.next("b", shares((1, 1)))) for _ in range(8))
         )
--- /dev/null
+++ b/tests/system/test_wait_reason.py
@@ -0,0 +1,34 @@
+"""What kept a request from a backend, told from the list of backends."""
+
+import unittest
+from dataclasses import replace
+
+from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
+from mulleinhatch.data_plane.wait_reason import WaitReason, wait_reason_of
+
+HOLDS_M = RegisteredBackend("a", "s", "a:1", "z", 4, False, False, {"m": frozenset({"a1"})}, {}, float("inf"))
+NAME, ADAPTER = ModelName("s", "m"), ModelName("s", "m", "a2")
+
+
+class WaitReasons(unittest.TestCase):
+    def test_each_delay(self):
+        loading = replace(HOLDS_M, models={}, loads={("m", ""): 3.0})
+        loading_adapter = replace(HOLDS_M, loads={("m", "a2"): 3.0})
+        cases = [
+            (NAME, [HOLDS_M], True, WaitReason.NONE),
+            (NAME, [HOLDS_M], False, WaitReason.COOLING_DOWN),
+            (NAME, [], False, WaitReason.UNKNOWN_BACKENDS),
+            (NAME, [replace(HOLDS_M, draining=True)], False, WaitReason.UNKNOWN_BACKENDS),
+            (NAME, [replace(HOLDS_M, models={})], False, WaitReason.NOT_PLACED),
+            (NAME, [loading], False, WaitReason.LOADING),
+            (ADAPTER, [HOLDS_M], False, WaitReason.ADAPTER_NOT_PLACED),
+            (ADAPTER, [loading_adapter], False, WaitReason.LOADING_ADAPTER),
+            (ADAPTER, [loading], False, WaitReason.LOADING),
+        ]
+        for name, backends, usable, expected in cases:
+            with self.subTest(expected=expected):
+                self.assertIs(wait_reason_of(name, backends, usable), expected)
+
+
+if __name__ == "__main__":
+    unittest.main()
