--- a/mulleinhatch/data_plane/admission_queue.py
+++ b/mulleinhatch/data_plane/admission_queue.py
@@ -1,7 +1,9 @@
-"""Which requests are held, in what order they start, and which are refused: the design's mechanism for each model. Pure.
+"""Which requests wait, in what order they start, and which are rejected. Pure.
 
-One `ModelQueue` holds the requests for one model (with its adapter) of a service, or for a service without models. The running
-limit is this instance's part of the slots of the backends that hold it; what it measures is its own completions.
+Each model (with its adapter) of a service, or each service without models, has its own queue. Its running limit is this
+instance's part of the slots of the backends that hold the model; the service rate mu is measured by its own completions.
+
+Source: Multigrid, "Priority Queues: Free Users Wait, Paying Users Do Not"; see `docs/design.md` and `admission/mechanism.py`.
 """
 
 from __future__ import annotations
@@ -11,219 +13,271 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Any
 
 from mulleinhatch.admission.mechanism import account_cap, ageing_rate, bases, class_bound, effective_priority
 from mulleinhatch.data_plane.registry_snapshot import ModelName
 
-MIN_SATURATED_S = 0.5  # at the running limit, with work held, before mu is believed
-SERVICE_RATE_WINDOW_S = 10.0
-ACCOUNT_SHARE_BY_CLASS = (0.25, 0.10, 0.04)  # of the running limit for one account, by class from the highest
+MIN_SATURATED_S = 0.5  # at the running limit with requests waiting, before the measured mu is used
+SERVICE_RATE_WINDOW_S = 10.0  # of saturated time, after which older completions count half
+ACCOUNT_SHARE_BY_CLASS = (0.25, 0.10, 0.04)  # of the running limit for one account, from the highest class to the lowest
 MIN_RUNNING_LIMIT = 2
-LIMIT_DECREASE_FACTOR = 0.8
-RESPONSE_MARGIN_S = 0.05  # before a request's end: it is given up so that the answer still reaches the client
-MIN_WAIT_FRACTION = 0.2  # of its aim before which a request that waits for a model is not given up
-DEFAULT_SERVICE_S = 0.3  # what a request is expected to take where none was seen
+LIMIT_DECREASE_FACTOR = 0.8  # when a backend rejects a request as overloaded (multiplicative decrease)
+LIMIT_INCREASE = 1.0  # for each completion while requests wait (additive increase)
+RESPONSE_MARGIN_S = 0.05  # before the deadline, so that a rejection still reaches the client
+MIN_WAIT_FRACTION = 0.2  # of the latency target: a request is not given up before, a model may be placed meanwhile
+MIN_EXPIRED_RETRY_AFTER_S = 0.1
+DEFAULT_SERVICE_S = 0.3  # expected service time
 
 
 @dataclass
 class PendingRequest:
-    """A request as admission sees it. Times on the steady clock."""
-
-    ref: object
+    """A request as the queue sees it. Times are loop times in seconds.
+
+    Attributes:
+        handle: The owner's object for the request.
+        name: Model that is asked for.
+        priority: Class, 0 is the highest.
+        target_s: Latency target of its route.
+        account: Whom the request counts against, empty where unknown.
+        arrived_at: When it arrived; kept when it is queued again.
+        deadline: When it is given up.
+        is_started: Whether it has left the queue.
+    """
+
+    handle: Any
     name: ModelName
     priority: int
     target_s: float
     account: str
-    arrived: float
-    due: float  # when the caller or the route gives it up
-    worth: float = 1.0
-    prefix: str = ""
-    started: bool = False
+    arrived_at: float
+    deadline: float
+    is_started: bool = False
 
 
 class RejectionReason(Enum):
-    """Why a request was not taken or was given up before it ran."""
+    """Why a request was not accepted, or was given up before it ran. The values are part of responses and logs."""
 
-    CLASS_BOUND = "class bound"  # more of its class is held than can start in time
-    NO_BACKEND_IN_TIME = "no stub in time"
+    CLASS_BOUND = "class bound"  # more requests of its class wait than can start in time
+    NO_BACKEND_IN_TIME = "no stub in time"  # no backend will hold the model before the deadline
     DEADLINE = "due"
 
 
 @dataclass(frozen=True)
 class Rejection:
+    """A rejected request.
+
+    Attributes:
+        reason: Why it was rejected.
+        retry_after_s: When the client should come back.
+    """
+
     reason: RejectionReason
     retry_after_s: float
 
 
 @dataclass
 class ModelQueue:
-    """Held and running requests for one model."""
+    """Waiting and running requests for one model.
+
+    Attributes:
+        name: The model.
+        limit: Running limit; grows and shrinks by what the backends answer (AIMD), bounded by their slots.
+        waiting: Requests that wait, in order of arrival in the queue.
+        running: Number of requests that were started and have not finished.
+        running_by_account: The same for each account.
+        saturated_since: Since when the limit is reached while requests wait; infinite where it is not.
+        saturated_s: Time spent like that, within the window.
+        completed_while_saturated: Completions in that time.
+        mu: Service rate in requests a second, 0 until it is measured.
+        updated_at: When the saturated time was last brought up to date.
+    """
 
     name: ModelName
     limit: float = MIN_RUNNING_LIMIT
-    held: list[PendingRequest] = field(default_factory=list)
+    waiting: list[PendingRequest] = field(default_factory=list)
     running: int = 0
-    accounts: Counter[str] = field(default_factory=Counter)
-    full_since: float = math.inf
-    full_time: float = 0.0
-    done_while_full: int = 0
+    running_by_account: Counter[str] = field(default_factory=Counter)
+    saturated_since: float = math.inf
+    saturated_s: float = 0.0
+    completed_while_saturated: int = 0
     mu: float = 0.0
-    mean_service_s: float = DEFAULT_SERVICE_S
-    looked_at: float = 0.0
-
-    def pass_time(self, now: float) -> None:
-        """Books the time spent at the running limit with work held: mu is measured only then."""
-        if self.running >= int(self.limit) and self.held:
-            if self.full_since < math.inf:
-                self.full_time += now - self.looked_at
-            self.full_since = min(self.full_since, now)
+    updated_at: float = 0.0
+
+    def update_service_rate(self, now: float) -> None:
+        """Add the time since the last update if the queue was saturated; mu is measured only then."""
+        if self.running >= int(self.limit) and self.waiting:
+            if self.saturated_since < math.inf:
+                self.saturated_s += now - self.updated_at
+            self.saturated_since = min(self.saturated_since, now)
         else:
-            self.full_since = math.inf
-        self.looked_at = now
-        if self.full_time > SERVICE_RATE_WINDOW_S:
-            self.full_time, self.done_while_full = self.full_time / 2, self.done_while_full // 2
-        if self.full_time >= MIN_SATURATED_S and self.done_while_full:
-            self.mu = self.done_while_full / self.full_time
+            self.saturated_since = math.inf
+        self.updated_at = now
+        if self.saturated_s > SERVICE_RATE_WINDOW_S:
+            self.saturated_s, self.completed_while_saturated = self.saturated_s / 2, self.completed_while_saturated // 2
+        if self.saturated_s >= MIN_SATURATED_S and self.completed_while_saturated:
+            self.mu = self.completed_while_saturated / self.saturated_s
 
-    def held_of(self, priority: int) -> int:
-        return sum(one.priority == priority for one in self.held)
+    def waiting_count(self, priority: int) -> int:
+        """Return how many requests of a class wait."""
+        return sum(pending.priority == priority for pending in self.waiting)
 
 
 class AdmissionQueue:
-    """All groups of one instance. `usable_slots(name)` gives the slots of backends that hold a model and may be used
-    now, divided by
-    the instances; `ready_in(name)` the seconds until a backend will hold it."""
+    """The queues of all models of one instance.
+
+    Args:
+        available_slots: Returns this instance's part of the slots of the backends that hold a model and are available.
+        ready_in_s: Returns the seconds until a backend can serve a model, 0 where one can now.
+    """
 
-    def __init__(self, usable_slots: Callable[[ModelName], float], ready_in: Callable[[ModelName], float]) -> None:
-        self._slots, self._ready_in = usable_slots, ready_in
-        self.groups: dict[ModelName, ModelQueue] = {}
-        self._bases: dict[int, float] = {0: 0.0}
-        self._rate = 1.0
+    def __init__(self, available_slots: Callable[[ModelName], float], ready_in_s: Callable[[ModelName], float]) -> None:
+        self._available_slots, self._ready_in_s = available_slots, ready_in_s
+        self.by_model: dict[ModelName, ModelQueue] = {}
+        self._base_priorities: dict[int, float] = {0: 0.0}
+        self._ageing_rate = 1.0
 
     def configure(self, classes: Iterable[tuple[int, float]]) -> None:
-        """The classes of the configuration in force: priority (0 is highest) and latency aim in seconds of each."""
+        """Use the priority classes of a new configuration.
+
+        Args:
+            classes: Priority (0 is the highest) and latency target in seconds of each.
+        """
         known = list(classes) or [(0, 1.0)]
-        self._bases = {int(-rank): base for rank, base in bases(-priority for priority, _ in known).items()}
+        base_by_rank = bases(-priority for priority, _ in known)
+        self._base_priorities = {int(-rank): base for rank, base in base_by_rank.items()}
         lowest = max(priority for priority, _ in known)
-        self._rate = ageing_rate(max(target for priority, target in known if priority == lowest))
-
-    def group(self, name: ModelName) -> ModelQueue:
-        group = self.groups.get(name)
-        if group is None:
-            group = self.groups[name] = ModelQueue(name)
-        return group
-
-    def arrive(self, held: PendingRequest, now: float) -> Rejection | None:
-        """Takes a request, or says why not."""
-        group = self.group(held.name)
-        group.pass_time(now)
-        ready = self._ready_in(held.name)
-        if not held.name.model and now + ready + RESPONSE_MARGIN_S >= held.due:
-            return Rejection(RejectionReason.NO_BACKEND_IN_TIME, ready)
-        if group.mu and ready <= 0.0:
-            longest = max(0.0, min(held.target_s, held.due - now))
-            bound = class_bound(group.mu, longest, max(MIN_RUNNING_LIMIT, group.limit))
-            if group.held_of(held.priority) >= bound:
-                return Rejection(RejectionReason.CLASS_BOUND, min(longest, group.held_of(held.priority) / group.mu))
-        group.held.append(held)
+        self._ageing_rate = ageing_rate(max(target_s for priority, target_s in known if priority == lowest))
+
+    def _queue(self, name: ModelName) -> ModelQueue:
+        queue = self.by_model.get(name)
+        if queue is None:
+            queue = self.by_model[name] = ModelQueue(name)
+        return queue
+
+    # Entering.
+
+    def enqueue(self, pending: PendingRequest, now: float) -> Rejection | None:
+        """Add a request to its queue.
+
+        Returns:
+            None, or why the request is not accepted.
+        """
+        queue = self._queue(pending.name)
+        queue.update_service_rate(now)
+        ready_in_s = self._ready_in_s(pending.name)
+        if not pending.name.model and now + ready_in_s + RESPONSE_MARGIN_S >= pending.deadline:
+            return Rejection(RejectionReason.NO_BACKEND_IN_TIME, ready_in_s)
+        if queue.mu and ready_in_s <= 0.0:
+            longest_wait_s = max(0.0, min(pending.target_s, pending.deadline - now))
+            waiting_count = queue.waiting_count(pending.priority)
+            if waiting_count >= class_bound(queue.mu, longest_wait_s, max(MIN_RUNNING_LIMIT, queue.limit)):
+                return Rejection(RejectionReason.CLASS_BOUND, min(longest_wait_s, waiting_count / queue.mu))
+        queue.waiting.append(pending)
         return None
 
-    def priority(self, held: PendingRequest, now: float) -> float:
-        base = self._bases.get(held.priority)
-        if base is None:
-            base = max(self._bases.values())
-        return effective_priority(base, now - held.arrived, self._rate)
+    def requeue(self, pending: PendingRequest, now: float) -> None:
+        """Return a started request that was not sent to its queue, with its age."""
+        queue = self._queue(pending.name)
+        pending.is_started = False
+        queue.running -= 1
+        queue.running_by_account[pending.account] -= 1
+        queue.waiting.append(pending)
 
-    def next(self, now: float) -> list[PendingRequest]:
-        """The requests that start now, in their order; each is counted as running."""
+    # Starting.
+
+    def start_next(self, now: float) -> list[PendingRequest]:
+        """Take the requests that start now from their queues, in order; each counts as running from here on."""
         started: list[PendingRequest] = []
-        for group in self.groups.values():
-            if group.held:
-                self._start(group, now, started)
+        for queue in self.by_model.values():
+            if queue.waiting:
+                self._start_from(queue, now, started)
         return started
 
-    def _start(self, group: ModelQueue, now: float, started: list[PendingRequest]) -> None:
-        slots = self._slots(group.name)
-        group.pass_time(now)
+    def _start_from(self, queue: ModelQueue, now: float, started: list[PendingRequest]) -> None:
+        slots = self._available_slots(queue.name)
+        queue.update_service_rate(now)
         if slots <= 0.0:
             return
-        group.limit = max(MIN_RUNNING_LIMIT, min(group.limit, slots)) if group.running else max(MIN_RUNNING_LIMIT, slots)
-        while group.held and group.running < int(group.limit):
-            pick = self._pick(group, now)
-            group.held.remove(pick)
-            pick.started = True
-            group.running += 1
-            group.accounts[pick.account] += 1
-            started.append(pick)
-        group.pass_time(now)
-
-    def _pick(self, group: ModelQueue, now: float) -> PendingRequest:
-        """The lowest effective priority whose account is under its cap; where all are over theirs, none waits for others."""
-        ordered = sorted(group.held, key=lambda one: (self.priority(one, now), one.arrived))
-        for one in ordered:
-            if not one.account or group.accounts[one.account] < account_cap(group.limit, self._share(one.priority)):
-                return one
+        queue.limit = max(MIN_RUNNING_LIMIT, min(queue.limit, slots) if queue.running else slots)
+        while queue.waiting and queue.running < int(queue.limit):
+            pending = self._pick(queue, now)
+            queue.waiting.remove(pending)
+            pending.is_started = True
+            queue.running += 1
+            queue.running_by_account[pending.account] += 1
+            started.append(pending)
+        queue.update_service_rate(now)
+
+    def _pick(self, queue: ModelQueue, now: float) -> PendingRequest:
+        """Pick the lowest effective priority whose account is under its cap, or the lowest of all if none is."""
+        ordered = sorted(queue.waiting, key=lambda pending: (self._effective_priority(pending, now), pending.arrived_at))
+        for pending in ordered:
+            cap = account_cap(queue.limit, self._account_share(pending.priority))
+            if not pending.account or queue.running_by_account[pending.account] < cap:
+                return pending
         return ordered[0]
 
-    def _share(self, priority: int) -> float:
-        ranks = sorted(self._bases)
-        place = ranks.index(priority) if priority in ranks else len(ranks) - 1
-        return ACCOUNT_SHARE_BY_CLASS[
-            min(len(ACCOUNT_SHARE_BY_CLASS) - 1, place * len(ACCOUNT_SHARE_BY_CLASS) // max(1, len(ranks)))
-        ]
-
-    def ended(self, held: PendingRequest, now: float, completed: bool, was_full: bool) -> None:
-        """A started request is over: `completed` by a backend, or sent back by one that `was_full`."""
-        group = self.group(held.name)
-        group.pass_time(now)
-        if group.full_since < math.inf and completed:
-            group.done_while_full += 1
-        group.running -= 1
-        group.accounts[held.account] -= 1
-        if not group.accounts[held.account]:
-            del group.accounts[held.account]
-        if was_full:
-            group.limit = max(MIN_RUNNING_LIMIT, group.limit * LIMIT_DECREASE_FACTOR)
-        elif completed and group.held:
-            group.limit += 1.0
-
-    def requeue(self, held: PendingRequest, now: float) -> None:
-        """A backend sent it back unrun: it waits again, with its age."""
-        group = self.group(held.name)
-        held.started = False
-        group.running -= 1
-        group.accounts[held.account] -= 1
-        group.held.append(held)
-
-    def leave(self, held: PendingRequest) -> None:
-        """A held request's caller is gone."""
-        group = self.groups.get(held.name)
-        if group is not None and held in group.held:
-            group.held.remove(held)
-
-    def give_up(self, now: float) -> list[tuple[PendingRequest, Rejection]]:
-        """Held requests that can't be served in their time any more."""
-        over = []
-        for group in self.groups.values():
-            if not group.held:
+    def _effective_priority(self, pending: PendingRequest, now: float) -> float:
+        base = self._base_priorities.get(pending.priority)
+        if base is None:
+            base = max(self._base_priorities.values())
+        return effective_priority(base, now - pending.arrived_at, self._ageing_rate)
+
+    def _account_share(self, priority: int) -> float:
+        """Return the part of the running limit that one account of a class may use."""
+        classes = sorted(self._base_priorities)
+        index = classes.index(priority) if priority in classes else len(classes) - 1
+        last = len(ACCOUNT_SHARE_BY_CLASS) - 1
+        return ACCOUNT_SHARE_BY_CLASS[min(last, index * len(ACCOUNT_SHARE_BY_CLASS) // max(1, len(classes)))]
+
+    # Leaving.
+
+    def finish(self, pending: PendingRequest, now: float, is_completed: bool, was_overloaded: bool) -> None:
+        """Free the slot of a started request and adapt the running limit.
+
+        Args:
+            pending: The request.
+            now: Loop time.
+            is_completed: Whether a backend completed it.
+            was_overloaded: Whether a backend rejected it as overloaded.
+        """
+        queue = self._queue(pending.name)
+        queue.update_service_rate(now)
+        if queue.saturated_since < math.inf and is_completed:
+            queue.completed_while_saturated += 1
+        queue.running -= 1
+        queue.running_by_account[pending.account] -= 1
+        if not queue.running_by_account[pending.account]:
+            del queue.running_by_account[pending.account]
+        if was_overloaded:
+            queue.limit = max(MIN_RUNNING_LIMIT, queue.limit * LIMIT_DECREASE_FACTOR)
+        elif is_completed and queue.waiting:
+            queue.limit += LIMIT_INCREASE
+
+    def remove(self, pending: PendingRequest) -> None:
+        """Remove a request whose client is gone, if it still waits."""
+        queue = self.by_model.get(pending.name)
+        if queue is not None and pending in queue.waiting:
+            queue.waiting.remove(pending)
+
+    def remove_expired(self, now: float) -> list[tuple[PendingRequest, Rejection]]:
+        """Remove the waiting requests that can't be served before their deadline any more."""
+        expired = []
+        for queue in self.by_model.values():
+            if not queue.waiting:
                 continue
-            ready = max(0.0, self._ready_in(group.name))
-            for held in list(group.held):
-                if now - held.arrived > MIN_WAIT_FRACTION * held.target_s and now + ready + RESPONSE_MARGIN_S >= held.due:
-                    group.held.remove(held)
-                    over.append(
-                        (
-                            held,
-                            Rejection(
-                                RejectionReason.DEADLINE if ready <= 0.0 else RejectionReason.NO_BACKEND_IN_TIME,
-                                max(0.1, ready),
-                            ),
-                        )
-                    )
-        return over
+            ready_in_s = max(0.0, self._ready_in_s(queue.name))
+            reason = RejectionReason.DEADLINE if ready_in_s <= 0.0 else RejectionReason.NO_BACKEND_IN_TIME
+            for pending in list(queue.waiting):
+                has_waited = now - pending.arrived_at > MIN_WAIT_FRACTION * pending.target_s
+                if has_waited and now + ready_in_s + RESPONSE_MARGIN_S >= pending.deadline:
+                    queue.waiting.remove(pending)
+                    expired.append((pending, Rejection(reason, max(MIN_EXPIRED_RETRY_AFTER_S, ready_in_s))))
+        return expired
 
     def prune(self) -> None:
-        """Drops groups with nothing in them."""
-        for name, group in list(self.groups.items()):
-            if not group.held and not group.running and not group.mu:
-                del self.groups[name]
+        """Drop queues that hold neither requests nor a measured service rate."""
+        for name, queue in list(self.by_model.items()):
+            if not queue.waiting and not queue.running and not queue.mu:
+                del self.by_model[name]
--- /dev/null
+++ b/mulleinhatch/data_plane/attempt.py
@@ -0,0 +1,215 @@
+"""One sending of a request to one backend: connect, send, and report the outcome to the request."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import dataclass
+from typing import Protocol
+
+from mulleinhatch.data_plane.backend_health import BackendHealthTracker
+from mulleinhatch.data_plane.backend_selection import BackendSelector
+from mulleinhatch.data_plane.connection_pool import ConnectionPool
+from mulleinhatch.data_plane.registry_snapshot import RegisteredBackend
+from mulleinhatch.data_plane.request_context import RequestContext
+from mulleinhatch.data_plane.request_headers import backend_fields
+from mulleinhatch.data_plane.response_relay import ResponseRelay
+from mulleinhatch.networking.http_client import ClientConnection
+from mulleinhatch.networking.http_streaming import Head, write_request
+
+LOG = logging.getLogger(__name__)
+MISDIRECTED = 421  # RFC 9110, section 15.5.20: the server can't answer for what was addressed
+
+
+class AttemptObserver(Protocol):
+    """Who is notified of an attempt's progress; `request_lifecycle.ClientRequest` implements it."""
+
+    def on_sent(self) -> None:
+        """The request is about to be written to a connection."""
+
+    def on_first_byte(self, latency_s: float) -> None:
+        """The response's body started `latency_s` after the request was sent."""
+
+    def on_rejected_by_backend(self, attempt: Attempt, was_overloaded: bool) -> None:
+        """The backend did not execute the request."""
+
+    def on_unreachable(self, attempt: Attempt) -> None:
+        """No byte of the request reached the backend."""
+
+    def on_connection_lost(self, attempt: Attempt) -> None:
+        """The attempt failed after the request may have executed."""
+
+    def on_completed(self) -> None:
+        """The complete response was forwarded."""
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptResources:
+    """The data plane's objects that each attempt uses."""
+
+    loop: asyncio.AbstractEventLoop
+    pool: ConnectionPool
+    selector: BackendSelector
+    health: BackendHealthTracker
+
+
+class Attempt:
+    """One sending of a request to one backend. Its `ResponseRelay` reads the response and reports how it ended.
+
+    Args:
+        context: The request's facts.
+        backend: Backend that the request goes to.
+        resources: Shared objects of the data plane.
+        observer: Who is notified of the outcome: exactly once, unless the attempt is abandoned.
+    """
+
+    __slots__ = (
+        "_connect_task",
+        "_connection",
+        "_is_counted",
+        "_observer",
+        "_relay",
+        "_resources",
+        "_sent_at",
+        "backend",
+        "context",
+        "is_finished",
+    )
+
+    def __init__(
+        self, context: RequestContext, backend: RegisteredBackend, resources: AttemptResources, observer: AttemptObserver
+    ) -> None:
+        self.context, self.backend = context, backend
+        self._resources, self._observer = resources, observer
+        self._relay = ResponseRelay(context, self, resources.loop)
+        self._connection: ClientConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self.is_finished = False
+        self._is_counted = False  # as running at the backend
+        self._sent_at = 0.0
+
+    # Sending.
+
+    def start(self) -> None:
+        """Send the request on an idle connection, or open one first."""
+        self.context.state.begin_attempt()
+        connection = self._resources.pool.acquire(self.backend.id)
+        if connection is not None:
+            self._send(connection)
+        else:
+            self._connect_task = asyncio.ensure_future(self._connect())
+
+    async def _connect(self) -> None:
+        try:
+            connection = await self._resources.pool.open(self.backend.address)
+        except OSError:
+            if not self.is_finished:
+                self.is_finished = True
+                self.record_failure()
+                self._observer.on_unreachable(self)
+            return
+        if self.is_finished:
+            # Race: the request was cancelled or its deadline passed while the connection was being opened.
+            connection.close()
+        elif not self._resources.selector.is_routable(self.backend):
+            # Race: the backend started to drain or was deregistered while the connection was being opened.
+            connection.close()
+            self.is_finished = True
+            self._observer.on_unreachable(self)
+        else:
+            self._send(connection)
+
+    def _send(self, connection: ClientConnection) -> None:
+        context, loop = self.context, self._resources.loop
+        self._connection = connection
+        last_event_id = context.event_filter.last_event_id if context.event_filter is not None else b""
+        remaining_s = context.deadline - loop.time()
+        fields = backend_fields(context.head, remaining_s, self.backend.id, context.route.priority, last_event_id)
+        self._resources.health.record_started(self.backend.id)
+        self._observer.on_sent()
+        self._is_counted = True
+        self._sent_at = loop.time()
+        connection.send(write_request(context.head.method, context.head.target, fields, context.body), self._relay)
+        if context.event_filter is not None:
+            self._relay.restart_stall_timer()
+
+    def pause(self, is_paused: bool) -> None:
+        """Pause or resume reading the response."""
+        if self._connection is not None:
+            self._connection.pause(is_paused)
+
+    def abandon(self) -> None:
+        """Stop the attempt without notifying the observer: nobody waits for the response."""
+        self.finish()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        self.close_connection()
+
+    # Called by the relay, in the order of a response's life.
+
+    def record_first_byte(self) -> None:
+        """Measure the time to the first byte of the response's body."""
+        now = self._resources.loop.time()
+        latency_s = now - self._sent_at
+        self._resources.health.record_latency(self.backend.id, latency_s, now)
+        self._observer.on_first_byte(latency_s)
+
+    def has_alternative(self) -> bool:
+        """Return whether the request may run again and another backend is available for it."""
+        return self.context.state.may_run_again and self._resources.selector.has_alternative(self.context.name, self.backend)
+
+    def close_connection(self) -> None:
+        """Close the connection, if there is one; its loss is not reported."""
+        if self._connection is not None:
+            self._connection.close()
+
+    def release_connection(self, head: Head) -> None:
+        """Return the connection to the pool after a complete response."""
+        if self._connection is not None:
+            self._resources.pool.release(self.backend.id, self._connection, head)
+
+    def finish(self) -> None:
+        """Mark the attempt as finished: it no longer counts as running at the backend."""
+        self.is_finished = True
+        if self._is_counted:
+            self._is_counted = False
+            self._resources.health.record_finished(self.backend.id)
+        self._relay.cancel_stall_timer()
+
+    def record_success(self) -> None:
+        """Count a complete response as proof that the backend is healthy."""
+        self._resources.health.record_success(self.backend.id)
+
+    def record_failure(self) -> None:
+        """Count a failure of the backend, which is avoided for a while."""
+        self._resources.health.record_failure(self.backend.id, self._resources.loop.time())
+
+    def report_rejection(self, head: Head) -> None:
+        """Report that the backend did not execute the request, by its response head."""
+        backend, context, health = self.backend, self.context, self._resources.health
+        LOG.info(
+            "sent back",
+            extra={
+                "request_id": context.request_id_text,
+                "backend": backend.id,
+                "status": head.status,
+                "model": context.name.model,
+                "adapter": context.name.adapter,
+                "running": health.of(backend.id).running,
+            },
+        )
+        now = self._resources.loop.time()
+        if head.status == MISDIRECTED:
+            answered_by = head.first.get(b"instance-id", b"").decode("latin-1")
+            health.record_misdirected(backend, answered_by, context.name, now)
+        else:
+            health.record_overload(backend, context.name, now)
+        self._observer.on_rejected_by_backend(self, was_overloaded=head.status != MISDIRECTED)
+
+    def report_connection_lost(self) -> None:
+        """Report that the attempt failed after the request may have executed."""
+        self._observer.on_connection_lost(self)
+
+    def report_completed(self) -> None:
+        """Report that the complete response was forwarded."""
+        self._observer.on_completed()
--- /dev/null
+++ b/mulleinhatch/data_plane/backend_health.py
@@ -0,0 +1,130 @@
+"""What this instance knows of each backend from its own requests: load, latency, failures, missing models. Pure.
+
+A backend that failed, or said that it is overloaded, is not used for a cooldown; one at whose address another backend answered
+is not used until the control plane lists it anew.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
+
+FIRST_COOLDOWN_S, MAX_COOLDOWN_S = 0.5, 4.0  # after a failure, doubled with each further one in a row
+OVERLOAD_COOLDOWN_S = 0.05  # after a backend said that it is overloaded
+LATENCY_SMOOTHING = 0.3  # weight of a new measurement in the moving average
+LATENCY_HALF_LIFE_S = 2.0  # an old measurement loses half of its weight in this time: idle backends are tried again
+MODEL_ABSENT_S = 0.5  # a backend that answered that it lacks a model is not used for that model
+MODEL_BUSY_S = 0.25  # the same, while it loads or unloads the model
+BUSY_SLOT_FRACTION = 0.5  # a backend with fewer of our requests than this part of its slots is not overloaded by us
+
+
+@dataclass
+class BackendHealth:
+    """One backend. Times are loop times in seconds."""
+
+    running: int = 0  # requests of this instance that it has
+    failures: int = 0  # in a row
+    cooldown_until: float = 0.0
+    is_misplaced: bool = False  # another backend answers at its address
+    latency_s: float = 0.0  # moving average of the time to the first byte of a response's body
+    latency_at: float = 0.0  # when it was last measured
+
+
+class BackendHealthTracker:
+    """The health of all backends."""
+
+    def __init__(self) -> None:
+        self._health: dict[str, BackendHealth] = {}
+        self._model_absent_until: dict[tuple[str, ModelName], float] = {}  # by backend id and model
+
+    def of(self, backend_id: str) -> BackendHealth:
+        """Return the health of one backend, by default that of an unused one."""
+        health = self._health.get(backend_id)
+        if health is None:
+            health = self._health[backend_id] = BackendHealth()
+        return health
+
+    def is_usable(self, backend: RegisteredBackend, now: float) -> bool:
+        """Return whether requests may be sent to the backend now."""
+        health = self.of(backend.id)
+        return not (backend.draining or backend.silent or health.is_misplaced or health.cooldown_until > now)
+
+    def lacks_model(self, backend: RegisteredBackend, name: ModelName, now: float) -> bool:
+        """Return whether the backend lately answered that it does not serve the model, whatever the registry says."""
+        return self._model_absent_until.get((backend.id, name), 0.0) > now
+
+    def expected_latency_s(self, backend_id: str, now: float) -> float:
+        """Return the average time to the first byte; old measurements count less."""
+        health = self.of(backend_id)
+        return health.latency_s * 0.5 ** ((now - health.latency_at) / LATENCY_HALF_LIFE_S)
+
+    # What happened to requests.
+
+    def record_started(self, backend_id: str) -> None:
+        """Count a request that is sent to a backend."""
+        self.of(backend_id).running += 1
+
+    def record_finished(self, backend_id: str) -> None:
+        """Count a request that is no longer at a backend."""
+        self.of(backend_id).running -= 1
+
+    def record_latency(self, backend_id: str, latency_s: float, now: float) -> None:
+        """Add a measured time to the first byte of a response's body."""
+        health = self.of(backend_id)
+        average_s = self.expected_latency_s(backend_id, now)
+        health.latency_s = average_s * (1.0 - LATENCY_SMOOTHING) + latency_s * LATENCY_SMOOTHING
+        health.latency_at = now
+
+    def record_success(self, backend_id: str) -> None:
+        """End the cooldown of a backend that responded."""
+        health = self.of(backend_id)
+        health.failures, health.cooldown_until = 0, 0.0
+
+    def record_failure(self, backend_id: str, now: float) -> None:
+        """Start a cooldown for a backend that could not be reached, or broke a response off."""
+        health = self.of(backend_id)
+        health.cooldown_until = now + min(MAX_COOLDOWN_S, FIRST_COOLDOWN_S * 2**health.failures)
+        health.failures += 1
+
+    def record_overload(self, backend: RegisteredBackend, name: ModelName, now: float) -> None:
+        """Handle a 503 that was not executed: the backend loads or unloads this model, or is overloaded."""
+        if name.model and self.of(backend.id).running < backend.slots * BUSY_SLOT_FRACTION:
+            self._model_absent_until[(backend.id, name)] = now + MODEL_BUSY_S
+        else:
+            health = self.of(backend.id)
+            health.cooldown_until = max(health.cooldown_until, now + OVERLOAD_COOLDOWN_S)
+
+    def record_misdirected(self, backend: RegisteredBackend, answered_by: str, name: ModelName, now: float) -> None:
+        """Handle a 421: another backend has the address, or this one does not hold the model.
+
+        Args:
+            backend: Backend that the request was meant for.
+            answered_by: `Instance-Id` of the response, empty where it has none.
+            name: Model that was asked for.
+            now: Loop time.
+        """
+        if answered_by and answered_by != backend.id:
+            self.record_misplaced(backend.id)
+        elif name.model:
+            self._model_absent_until[(backend.id, name)] = now + MODEL_ABSENT_S
+        else:
+            self.record_failure(backend.id, now)
+
+    def record_misplaced(self, backend_id: str) -> None:
+        """Stop using a backend at whose address another one answers."""
+        self.of(backend_id).is_misplaced = True
+
+    # Forgetting.
+
+    def keep_only(self, backend_ids: Iterable[str]) -> None:
+        """Forget backends that are no longer registered and have no request of ours."""
+        registered = set(backend_ids)
+        for backend_id, health in list(self._health.items()):
+            if backend_id not in registered and not health.running:
+                del self._health[backend_id]
+
+    def prune(self, now: float) -> None:
+        """Forget marks of missing models that are over."""
+        self._model_absent_until = {key: until for key, until in self._model_absent_until.items() if until > now}
--- a/mulleinhatch/data_plane/backend_selection.py
+++ b/mulleinhatch/data_plane/backend_selection.py
@@ -1,124 +1,131 @@
-"""Which backend a started request goes to, and what this instance knows of each backend from its own calls. Pure.
+"""Which backend a started request goes to.
 
-Among the backends that hold the model the one with the prompt's shared parts is preferred while it is not expected to
-answer much later
-than the others; else the one that is expected to answer first. A backend that could not be reached, or answered as
-another, is left out for a while.
+Among the backends that hold the model, the one that hosts the prompt's shared prefix is preferred while it is not expected to
+respond much later than the others; else the backend that is expected to respond first.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
+from collections.abc import Callable, Collection, Sequence
 
-from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
+from mulleinhatch.data_plane.backend_health import BackendHealthTracker
+from mulleinhatch.data_plane.connection_pool import ConnectionPool
+from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend, RegistrySnapshot
 from mulleinhatch.membership.rendezvous import weight
 
-FIRST_COOLDOWN_S, MAX_COOLDOWN_S = 0.5, 4.0  # how long a backend that failed is left out, doubled each time
-LATENCY_SMOOTHING = 0.3  # of a new measurement in the decayed one
-LATENCY_HALF_LIFE_S = 2.0  # in which an old measurement loses half of its weight
 COST_PER_RUNNING_REQUEST_S = 0.1  # what one more request of ours at a backend costs those after it
-NEW_CONNECTION_COST_S = 0.03  # what a new connection counts, with what it costs the backend
-OTHER_ZONE_COST_S = 0.01  # what another zone counts, with what its bytes cost
-PREFIX_AFFINITY_S = 0.2  # by how much more a preferred backend may be expected to take than the best
-OVERLOAD_COOLDOWN_S = 0.05  # how long a backend that said it was full is left out
+NEW_CONNECTION_COST_S = 0.03  # opening a connection, with what it costs the backend
+OTHER_ZONE_COST_S = 0.01  # crossing zones, with what the bytes cost
+PREFIX_AFFINITY_S = 0.2  # a backend with the prefix may be expected to respond so much later than the best
+SLOT_OVERCOMMIT = 1.5  # of an even part of the backends' slots: clients are not spread evenly over data planes
 
 
-@dataclass
-class BackendHealth:
-    """What this instance knows of one backend."""
-
-    running: int = 0  # requests of ours that it has
-    failures: int = 0  # in a row
-    rests_until: float = 0.0
-    misplaced: bool = False  # another backend answers at its address
-    latency_s: float = 0.0  # to the first bytes of an answer, decayed
-    latency_at: float = 0.0  # when it was last measured
-
-
-class BackendHealthTracker:
-    def __init__(self) -> None:
-        self._states: dict[str, BackendHealth] = {}
-
-    def of(self, backend_id: str) -> BackendHealth:
-        state = self._states.get(backend_id)
-        if state is None:
-            state = self._states[backend_id] = BackendHealth()
-        return state
-
-    def keep_only(self, ids: Iterable[str]) -> None:
-        """Forgets backends that are no longer listed and have nothing of ours."""
-        listed = set(ids)
-        for backend_id, state in list(self._states.items()):
-            if backend_id not in listed and not state.running:
-                del self._states[backend_id]
-
-    def began(self, backend_id: str) -> None:
-        self.of(backend_id).running += 1
-
-    def ended(self, backend_id: str) -> None:
-        self.of(backend_id).running -= 1
-
-    def measured(self, backend_id: str, seconds: float, now: float) -> None:
-        """The time to the first bytes of an answer."""
-        state = self.of(backend_id)
-        state.latency_s = self.latency(backend_id, now) * (1.0 - LATENCY_SMOOTHING) + seconds * LATENCY_SMOOTHING
-        state.latency_at = now
-
-    def latency(self, backend_id: str, now: float) -> float:
-        """What is expected, from the latest measurements; what is old counts less."""
-        state = self.of(backend_id)
-        return state.latency_s * 0.5 ** ((now - state.latency_at) / LATENCY_HALF_LIFE_S)
-
-    def succeeded(self, backend_id: str) -> None:
-        state = self.of(backend_id)
-        state.failures, state.rests_until = 0, 0.0
-
-    def failed(self, backend_id: str, now: float) -> None:
-        """It could not be reached or broke off."""
-        state = self.of(backend_id)
-        state.rests_until = now + min(MAX_COOLDOWN_S, FIRST_COOLDOWN_S * 2**state.failures)
-        state.failures += 1
-
-    def was_full(self, backend_id: str, now: float) -> None:
-        self.of(backend_id).rests_until = max(self.of(backend_id).rests_until, now + OVERLOAD_COOLDOWN_S)
-
-    def is_misplaced(self, backend_id: str) -> None:
-        self.of(backend_id).misplaced = True
-
-    def usable(self, backend: RegisteredBackend, now: float) -> bool:
-        state = self.of(backend.id)
-        return not (backend.draining or backend.silent or state.misplaced or state.rests_until > now)
-
-
-def choose(
+def choose_backend(
     candidates: Sequence[RegisteredBackend],
-    states: BackendHealthTracker,
+    health: BackendHealthTracker,
     prefix: str,
     zone: str,
     name: ModelName,
-    idle: set[str] | None = None,
+    idle: Collection[str] | None = None,
     now: float = 0.0,
 ) -> RegisteredBackend | None:
-    """The backend for a request; `prefix` is the id of the prompt's last shared part, `idle` the backends with a free
-    connection."""
+    """Choose the backend for a request.
+
+    Args:
+        candidates: Backends that hold the model and may be used.
+        health: Load and latency of each.
+        prefix: Identifier of the prompt's shared prefix, empty for none.
+        zone: Zone of this instance.
+        name: Model that is asked for.
+        idle: Backends with an idle connection; None where that does not matter.
+        now: Loop time.
+
+    Returns:
+        The backend, None where there is no candidate.
+    """
     if not candidates:
         return None
 
-    def expected(backend: RegisteredBackend) -> float:
+    def expected_s(backend: RegisteredBackend) -> float:
         connecting = NEW_CONNECTION_COST_S if idle is not None and backend.id not in idle else 0.0
-        away = OTHER_ZONE_COST_S if backend.zone != zone else 0.0
-        return states.latency(backend.id, now) + COST_PER_RUNNING_REQUEST_S * states.of(backend.id).running + connecting + away
+        crossing = OTHER_ZONE_COST_S if backend.zone != zone else 0.0
+        queueing = COST_PER_RUNNING_REQUEST_S * health.of(backend.id).running
+        return health.expected_latency_s(backend.id, now) + queueing + connecting + crossing
 
     if prefix and len(candidates) > 1:
         key = f"{name.model}/{name.adapter}/{prefix}"
-        home = max(candidates, key=lambda backend: weight(key, backend.id))
-        if expected(home) <= min(expected(backend) for backend in candidates) + PREFIX_AFFINITY_S:
+        home = max(candidates, key=lambda backend: weight(key, backend.id))  # rendezvous hashing
+        if expected_s(home) <= min(expected_s(backend) for backend in candidates) + PREFIX_AFFINITY_S:
             return home
 
     def cost(backend: RegisteredBackend) -> tuple[float, bool, bool, float]:
-        load = expected(backend) if name.model else states.of(backend.id).running / backend.slots
+        load = expected_s(backend) if name.model else health.of(backend.id).running / backend.slots
         return load, idle is not None and backend.id not in idle, backend.zone != zone, random.random()
 
     return min(candidates, key=cost)
+
+
+class BackendSelector:
+    """Selects backends by the registry snapshot in force and this instance's own measurements.
+
+    Args:
+        clock: Loop time in seconds.
+        health: Load, latency and failures of each backend.
+        pool: Tells which backends have an idle connection.
+        zone: Zone of this instance.
+    """
+
+    def __init__(self, clock: Callable[[], float], health: BackendHealthTracker, pool: ConnectionPool, zone: str) -> None:
+        self._clock, self._health, self._pool, self._zone = clock, health, pool, zone
+        self._registry = RegistrySnapshot()
+        self._data_plane_count = 1
+
+    def update(self, registry: RegistrySnapshot, data_plane_count: int) -> None:
+        """Use a new snapshot of the registry."""
+        self._registry, self._data_plane_count = registry, data_plane_count
+        self._health.keep_only(registry.by_id)
+
+    def registered(self, service: str) -> Sequence[RegisteredBackend]:
+        """Return all backends of a service, usable or not."""
+        return self._registry.by_service.get(service, ())
+
+    def available(self, name: ModelName, now: float) -> list[RegisteredBackend]:
+        """Return the backends that hold a model and may be used now."""
+        health = self._health
+        return [
+            backend
+            for backend in self.registered(name.service)
+            if backend.has_model(name) and health.is_usable(backend, now) and not health.lacks_model(backend, name, now)
+        ]
+
+    def available_slots(self, name: ModelName) -> float:
+        """Return this instance's part of the slots of the backends that hold a model."""
+        slots = sum(backend.slots for backend in self.available(name, self._clock()))
+        return SLOT_OVERCOMMIT * slots / self._data_plane_count if slots else 0.0
+
+    def select(self, name: ModelName, prefix: str, rejected_by: Collection[str]) -> RegisteredBackend | None:
+        """Select the backend for a request.
+
+        Args:
+            name: Model that is asked for.
+            prefix: Identifier of the prompt's shared prefix.
+            rejected_by: Backends that did not serve the request already; used again only where there is no other.
+
+        Returns:
+            The backend, None where none is available.
+        """
+        now = self._clock()
+        available = self.available(name, now)
+        candidates = [backend for backend in available if backend.id not in rejected_by] or available
+        idle = {backend.id for backend in candidates if self._pool.has_idle(backend.id)}
+        return choose_backend(candidates, self._health, prefix, self._zone, name, idle, now)
+
+    def has_alternative(self, name: ModelName, backend: RegisteredBackend) -> bool:
+        """Return whether another backend than this one is available for a model."""
+        return any(other.id != backend.id for other in self.available(name, self._clock()))
+
+    def is_routable(self, backend: RegisteredBackend) -> bool:
+        """Return whether the backend is still registered and not draining."""
+        registered = self._registry.by_id.get(backend.id)
+        return registered is not None and not registered.draining
--- /dev/null
+++ b/mulleinhatch/data_plane/client_timeouts.py
@@ -0,0 +1,39 @@
+"""How long clients wait for a response: the deadline of a request, and whether it is probably a retry. Pure."""
+
+from __future__ import annotations
+
+from mulleinhatch.configuration.routes import Route
+from mulleinhatch.networking.http_streaming import Head
+
+FIRST_ATTEMPT_TIMEOUT_FRACTION = 0.85  # of the route's usual timeout: a request with less time left was sent before
+# A client gives a stream up after the longest of these without an event.
+STREAM_ABANDON_MIN_S = 2.0
+STREAM_ABANDON_TARGETS = 4.0  # times the route's latency target
+STREAM_ABANDON_GAPS = 8.0  # times the route's usual gap between events
+
+
+class ClientTimeouts:
+    """Observes the timeouts that the clients of each route send."""
+
+    def __init__(self) -> None:
+        self._longest_s: dict[str, float] = {}  # by route: the longest timeout that a client sent
+
+    def deadline(self, route: Route, head: Head, now: float) -> float:
+        """Return the time at which the client or the route gives a request up, and learn the client's timeout."""
+        header = head.first.get(b"request-deadline", b"")
+        timeout_s = float(header) / 1000.0 if header.isdigit() else route.timeout_s
+        self._longest_s[route.name] = max(self._longest_s.get(route.name, 0.0), timeout_s)
+        return now + min(timeout_s, route.timeout_s)
+
+    def is_probable_retry(self, route: Route, remaining_s: float) -> bool:
+        """Return whether a request had less time left at its arrival than others of its route.
+
+        A client that retries a rejected request keeps its deadline, so that the retry has less time left.
+        """
+        usual_timeout_s = min(route.timeout_s, self._longest_s.get(route.name, 0.0))
+        return remaining_s < FIRST_ATTEMPT_TIMEOUT_FRACTION * usual_timeout_s
+
+
+def stream_abandoned_after_s(route: Route) -> float:
+    """Return the seconds without an event after which the client of a stream disconnects."""
+    return max(STREAM_ABANDON_MIN_S, STREAM_ABANDON_TARGETS * route.target_s, STREAM_ABANDON_GAPS * route.gap_s)
--- a/mulleinhatch/data_plane/connection_pool.py
+++ b/mulleinhatch/data_plane/connection_pool.py
@@ -1,4 +1,7 @@
-"""Connections to backends, kept for the next request: a new one costs both sides, an old one may have been forgotten."""
+"""Idle connections to backends, kept for the next request.
+
+A new connection costs both sides; an old one may have been dropped by the backend or by something in between.
+"""
 
 from __future__ import annotations
 
@@ -9,64 +12,69 @@
 from mulleinhatch.networking.http_streaming import Head
 
 CONNECT_TIMEOUT_S = 0.7
-DEFAULT_IDLE_TIMEOUT_S = 6.0  # how long a connection is kept where the backend names no time
-IDLE_TIMEOUT_MARGIN_S = 0.7  # before the time that the backend named: our request must be there first
+DEFAULT_IDLE_TIMEOUT_S = 6.0  # where the backend's `Keep-Alive` names no timeout
+IDLE_TIMEOUT_MARGIN_S = 0.7  # before the backend's timeout: our next request must arrive first
 
 
-def keep_alive_s(head: Head) -> float | None:
-    """The time that `Keep-Alive` gives, in seconds."""
-    for part in head.first.get(b"keep-alive", b"").split(b","):
-        name, _, value = part.strip().partition(b"=")
+def keep_alive_timeout_s(head: Head) -> float | None:
+    """Return the timeout of a response's `Keep-Alive` field in seconds, None where there is none."""
+    for parameter in head.first.get(b"keep-alive", b"").split(b","):
+        name, _, value = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return float(value)
     return None
 
 
 class ConnectionPool:
-    """Idle connections by the backend's id; the newest is used first, so that few are kept."""
+    """Idle connections by backend id. The newest is used first, so that few are kept."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[ClientConnection]] = defaultdict(list)
 
     def has_idle(self, backend_id: str) -> bool:
+        """Return whether a request to the backend needs no new connection."""
         return any(connection.usable for connection in self._idle.get(backend_id, ()))
 
-    def take(self, backend_id: str) -> ClientConnection | None:
-        """An idle connection that may be used."""
+    def acquire(self, backend_id: str) -> ClientConnection | None:
+        """Take an idle connection out of the pool, None where there is none."""
         return take_usable(self._idle.get(backend_id, []))
 
     async def open(self, address: str) -> ClientConnection:
-        """A new connection; OSError where there is none."""
+        """Open a new connection.
+
+        Raises:
+            OSError: The backend could not be reached within `CONNECT_TIMEOUT_S`.
+        """
         connection = await connect(address, CONNECT_TIMEOUT_S)
         connection.pool = self
         return connection
 
-    def give_back(self, backend_id: str, connection: ClientConnection, head: Head | None) -> None:
-        """Keeps a connection whose answer is complete."""
+    def release(self, backend_id: str, connection: ClientConnection, head: Head | None) -> None:
+        """Return a connection after a complete response, whose `head` may name the backend's idle timeout."""
         if not connection.usable:
             return
-        told = keep_alive_s(head) if head is not None else None
-        kept = DEFAULT_IDLE_TIMEOUT_S if told is None else told - IDLE_TIMEOUT_MARGIN_S
-        if kept <= 0:
+        timeout_s = keep_alive_timeout_s(head) if head is not None else None
+        keep_s = DEFAULT_IDLE_TIMEOUT_S if timeout_s is None else timeout_s - IDLE_TIMEOUT_MARGIN_S
+        if keep_s <= 0:
             connection.close()
             return
-        connection.idle_until = asyncio.get_running_loop().time() + kept
+        connection.idle_until = asyncio.get_running_loop().time() + keep_s
         self._idle[backend_id].append(connection)
 
     def on_idle_loss(self, connection: ClientConnection) -> None:
-        """A backend ended an idle connection."""
+        """Forget an idle connection that the backend closed."""
         for idle in self._idle.values():
             if connection in idle:
                 idle.remove(connection)
                 return
 
-    def sweep(self, listed: set[str]) -> None:
-        """Ends connections that are too old, or whose backend is no longer listed."""
+    def sweep(self, registered: set[str]) -> None:
+        """Close idle connections that are too old, or whose backend is not among the `registered` ids."""
         now = asyncio.get_running_loop().time()
         for backend_id, idle in list(self._idle.items()):
             kept = []
             for connection in idle:
-                if backend_id in listed and connection.usable and connection.idle_until > now:
+                if backend_id in registered and connection.usable and connection.idle_until > now:
                     kept.append(connection)
                 else:
                     connection.close()
--- a/mulleinhatch/data_plane/control_plane_client.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -1,4 +1,4 @@
-"""The way to the control plane: long-polls with the versions that are known, and reports of demand to the holder of orders."""
+"""Connects a data plane to the control plane: long-polls for configuration and registry, and reports demand."""
 
 from __future__ import annotations
 
@@ -12,166 +12,197 @@
 
 from mulleinhatch.configuration.document import EMPTY, Document, apply_patch
 from mulleinhatch.configuration.routes import RouteTable, build_table
-from mulleinhatch.data_plane.registry_snapshot import ControlPlaneSnapshot
+from mulleinhatch.data_plane.control_plane_snapshot import ControlPlaneSnapshot
 from mulleinhatch.membership.rendezvous import ranked
 from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
 from mulleinhatch.networking.http_client import CallError, HttpClient
 from mulleinhatch.process.settings import Settings
 
 LOG = logging.getLogger(__name__)
-POLL_WAIT_S = 1.0  # short enough that a control plane that fell silent is left well within the bound of configurations
-POLL_RESPONSE_MARGIN_S = 0.5  # beyond the wait: who does not answer then is out of reach
-FIRST_POLL_TIMEOUT_S = 0.8  # the first word of a control plane that may be down is not waited for long
+POLL_WAIT_S = 1.0  # short enough that a control plane that stops answering is left well within the configuration's bound
+POLL_RESPONSE_MARGIN_S = 0.5  # beyond the wait; a control plane that does not answer by then is unreachable
+FIRST_POLL_TIMEOUT_S = 0.8  # a control plane that has not answered yet may be down: it is not waited for long
 POLL_RETRY_DELAY_S = 0.1
 DEMAND_REPORT_TIMEOUT_S = 0.6
-FAILED_PEER_COOLDOWN_S = 2.0  # a control plane that failed or is cut off is asked last for so long
+COOLDOWN_S = 2.0  # a control plane that failed, or has no majority, is asked last for so long
 
 
 class ControlPlaneClient:
-    """Keeps `on_snapshot` told of the newest snapshot. Versions never go back within the life of the process."""
+    """Keeps the newest snapshot of configuration and registry. Versions never go back while the process runs.
+
+    Args:
+        settings: Settings of this instance.
+        http: Client for calls to control planes.
+        clock: Loop time in seconds.
+        on_snapshot: Called with each new snapshot.
+        on_new_leader: Called when the placement leader changes.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        caller: HttpClient,
+        http: HttpClient,
         clock: Callable[[], float],
         on_snapshot: Callable[[ControlPlaneSnapshot], None],
-        on_leader: Callable[[], None] = lambda: None,
+        on_new_leader: Callable[[], None] = lambda: None,
     ) -> None:
-        self._on_leader = on_leader  # called when another machine holds the orders: it knows nothing of the demand yet
-        self._settings, self._caller, self._clock, self._on_snapshot = settings, caller, clock, on_snapshot
+        self._settings, self._http, self._clock = settings, http, clock
+        self._on_snapshot, self._on_new_leader = on_snapshot, on_new_leader
         self._document: Document = EMPTY
         self._table = RouteTable()
-        self._source, self._cursor = "", 0
+        self._registry_source, self._registry_cursor = "", 0
         port = settings.internal_address.rpartition(":")[2]
         self._seeds = [f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds]
-        self._known: list[str] = []
-        self._rests: dict[str, float] = {}
-        self._spoke: set[str] = set()
-        self._epoch = 0  # the newest view that a control plane told of
-        self._left_index = 0
-        self._unsure_since: float | None = None  # when first a configuration was offered by a machine not sure of it
+        self._control_addresses: list[str] = []  # published by the control plane; the seeds where empty
+        self._cooldown_until: dict[str, float] = {}  # by address
+        self._responsive: set[str] = set()  # addresses whose last poll was answered
+        self._epoch = 0  # of the newest view that a control plane reported
+        self._deregistrations_index = 0  # log index up to which deregistered backends are known
+        self._unconfirmed_since: float | None = None  # when a first configuration was offered without a majority
         self.snapshot = ControlPlaneSnapshot()
-        self.leader = ""
+        self.leader = ""  # address of the placement leader
 
     async def run(self) -> None:
+        """Poll until cancelled."""
         while True:
             address = self._next_address()
             try:
                 await self._poll(address)
             except CallError as error:
                 LOG.debug("no answer from a control plane", extra={"error": str(error)})
-                self._caller.forget(address)
-                self._rests[address] = self._clock() + FAILED_PEER_COOLDOWN_S
-                self._spoke.discard(address)
+                self._http.forget(address)
+                self._cooldown_until[address] = self._clock() + COOLDOWN_S
+                self._responsive.discard(address)
                 await asyncio.sleep(POLL_RETRY_DELAY_S / 4)
 
     def _next_address(self) -> str:
-        """The control plane to ask: by rendezvous, so that data planes spread; those that failed come last."""
+        """Return the control plane to ask: by rendezvous hashing, so that data planes spread; those that failed come last."""
         now = self._clock()
-        addresses = list(dict.fromkeys([*self._known, *self._seeds])) if self._known else self._seeds
-        known = set(self._known)
+        if not self._control_addresses:
+            addresses = self._seeds
+        else:
+            addresses = list(dict.fromkeys([*self._control_addresses, *self._seeds]))
         order = ranked(self._settings.name, addresses)
-        return min(
-            order,
-            key=lambda address: (
-                max(0.0, self._rests.get(address, 0.0) - now),
-                bool(known) and address not in known,
-                order.index(address),
-            ),
-        )
+        published = set(self._control_addresses)
+
+        def preference(address: str) -> tuple[float, bool, int]:
+            cooldown_s = max(0.0, self._cooldown_until.get(address, 0.0) - now)
+            is_outdated = bool(published) and address not in published
+            return cooldown_s, is_outdated, order.index(address)
+
+        return min(order, key=preference)
 
     async def _poll(self, address: str) -> None:
-        wait = POLL_WAIT_S if address in self._spoke else 0.0
+        wait_s = POLL_WAIT_S if address in self._responsive else 0.0
         request = PollRequest(
             node=self._settings.name,
             zone=self._settings.zone,
             configuration_version=self._document.version,
-            registry_source=self._source,
-            registry_cursor=self._cursor,
-            wait_ms=int(1000 * wait),
-            left_index=self._left_index,
-        )
-        whole = await self._caller.request(
-            address, "POST", "/internal/poll", bytes(request), max(FIRST_POLL_TIMEOUT_S, wait + POLL_RESPONSE_MARGIN_S)
+            registry_source=self._registry_source,
+            registry_cursor=self._registry_cursor,
+            wait_ms=int(1000 * wait_s),
+            left_index=self._deregistrations_index,
         )
-        if whole.status != 200:
-            raise CallError(address, f"status {whole.status}")
-        answer = PollResponse().parse(whole.body)
-        if answer.epoch < self._epoch:
-            answer.authoritative = False  # it lives in a view that is over
-        self._epoch = max(self._epoch, answer.epoch)
-        self._spoke.add(address)
-        self._take(answer)
-        if not answer.authoritative:
-            self._rests[address] = self._clock() + FAILED_PEER_COOLDOWN_S
+        timeout_s = max(FIRST_POLL_TIMEOUT_S, wait_s + POLL_RESPONSE_MARGIN_S)
+        response = await self._http.request(address, "POST", "/internal/poll", bytes(request), timeout_s)
+        if response.status != 200:
+            raise CallError(address, f"status {response.status}")
+        update = PollResponse().parse(response.body)
+        if update.epoch < self._epoch:
+            update.authoritative = False  # the machine has not learned of a newer view yet
+        self._epoch = max(self._epoch, update.epoch)
+        self._responsive.add(address)
+        self._apply(update)
+        if not update.authoritative:
+            self._cooldown_until[address] = self._clock() + COOLDOWN_S
             await asyncio.sleep(POLL_RETRY_DELAY_S)
 
-    def _take(self, answer: PollResponse) -> None:
-        now = self._clock()
-        self._take_configuration(answer)
+    # Applying an update.
+
+    def _apply(self, update: PollResponse) -> None:
+        self._apply_configuration(update)
+        self._apply_control_addresses(update)
         backends = self.snapshot.backends
-        # A machine that is cut off hears of no backends: its silence about them is no news.
-        whole = answer.whole_registry and answer.authoritative
-        if answer.backends or whole or backends.unconfirmed or answer.left:
-            backends = backends.updated(answer.backends, whole, now, answer.left)
-        self._left_index = max(self._left_index, answer.left_index)
-        self._source, self._cursor = answer.registry_source, answer.registry_cursor
-        if answer.authoritative or not self._known:
-            self._known = list(answer.control_addresses) or self._known
-            if answer.leader_address and answer.leader_address != self.leader:
-                self.leader = answer.leader_address
-                self._on_leader()
-        data_planes = max(1, answer.data_planes) if answer.authoritative else max(self.snapshot.data_planes, answer.data_planes)
-        self.snapshot = ControlPlaneSnapshot(self._table, backends, data_planes, answer.authoritative)
+        # A machine that is partitioned gets no heartbeats of backends: that it does not list one proves nothing.
+        is_complete = update.whole_registry and update.authoritative
+        if update.backends or is_complete or backends.unconfirmed or update.left:
+            backends = backends.updated(update.backends, is_complete, self._clock(), update.left)
+        self._deregistrations_index = max(self._deregistrations_index, update.left_index)
+        self._registry_source, self._registry_cursor = update.registry_source, update.registry_cursor
+        if update.authoritative:
+            data_planes = max(1, update.data_planes)
+        else:
+            data_planes = max(self.snapshot.data_planes, update.data_planes)
+        self.snapshot = ControlPlaneSnapshot(self._table, backends, data_planes, update.authoritative)
         self._on_snapshot(self.snapshot)
 
-    def _take_configuration(self, answer: PollResponse) -> None:
-        if not answer.configuration or answer.configuration_version <= self._document.version:
+    def _apply_control_addresses(self, update: PollResponse) -> None:
+        if not update.authoritative and self._control_addresses:
             return
-        if answer.base_version and answer.base_version != self._document.version:
+        self._control_addresses = list(update.control_addresses) or self._control_addresses
+        if update.leader_address and update.leader_address != self.leader:
+            self.leader = update.leader_address
+            self._on_new_leader()
+
+    def _apply_configuration(self, update: PollResponse) -> None:
+        if not update.configuration or update.configuration_version <= self._document.version:
             return
-        if not self._document.version and not answer.authoritative and not self._waited_for_the_sure():
+        if update.base_version and update.base_version != self._document.version:
+            return  # patches on a version that this instance does not have
+        if not self._document.version and not update.authoritative and not self._may_use_unconfirmed():
             return
-        document = self._read(answer)
-        if document is None or document.version != answer.configuration_version:
+        document = self._decode_configuration(update)
+        if document is None or document.version != update.configuration_version:
             LOG.error(
                 "a configuration could not be built from what was told; the whole one is asked for",
-                extra={"version": answer.configuration_version},
+                extra={"version": update.configuration_version},
             )
             self._document = Document(0, EMPTY.value)
             return
         self._document, self._table = document, build_table(document)
         LOG.info("configuration in force", extra={"version": document.version})
 
-    def _waited_for_the_sure(self) -> bool:
-        """Whether a first configuration has been offered long enough by machines only that are not sure that it is the newest:
-        beside a core that has no majority an older one serves better than none."""
-        if self._unsure_since is None:
-            self._unsure_since = self._clock()
+    def _may_use_unconfirmed(self) -> bool:
+        """Return whether a first configuration may be used although its source has no majority.
+
+        It may be outdated. While the control plane has no majority for a long time, it serves better than none.
+        """
+        if self._unconfirmed_since is None:
+            self._unconfirmed_since = self._clock()
         bounds = self._settings.bounds
-        return self._clock() - self._unsure_since >= bounds.contact_s + bounds.configuration_apply_s
+        return self._clock() - self._unconfirmed_since >= bounds.contact_s + bounds.configuration_apply_s
 
-    def _read(self, answer: PollResponse) -> Document | None:
-        value = json.loads(zlib.decompress(answer.configuration))
-        if not answer.base_version:
-            return Document(answer.configuration_version, value)
+    def _decode_configuration(self, update: PollResponse) -> Document | None:
+        """Return the configuration of an update, a complete one or patches; None where a patch does not apply."""
+        value = json.loads(zlib.decompress(update.configuration))
+        if not update.base_version:
+            return Document(update.configuration_version, value)
         document = self._document
         for patch in value:
-            made = apply_patch(document, patch)
-            if isinstance(made, Err):
+            patched = apply_patch(document, patch)
+            if isinstance(patched, Err):
                 return None
-            document = made.ok_value
+            document = patched.ok_value
         return document
 
-    async def report(self, demand: list[ModelDemand], partial: bool = False) -> bool:
-        """Tells the holder of orders what is asked for here, or only what is urgent of it; whether it took it."""
+    # Reporting demand.
+
+    async def report_demand(self, demand: list[ModelDemand], is_partial: bool) -> bool:
+        """Report demand to the placement leader.
+
+        Args:
+            demand: Demand for each model.
+            is_partial: Whether the report adds to the one before instead of replacing it.
+
+        Returns:
+            Whether the leader accepted it.
+        """
         if not self.leader:
             return False
-        message = DemandReport(node=self._settings.name, demand=demand, partial=partial)
+        report = DemandReport(node=self._settings.name, demand=demand, partial=is_partial)
         try:
-            whole = await self._caller.request(self.leader, "POST", "/internal/demand", bytes(message), DEMAND_REPORT_TIMEOUT_S)
-            return whole.status == 200 and DemandResponse().parse(whole.body).taken
+            response = await self._http.request(self.leader, "POST", "/internal/demand", bytes(report), DEMAND_REPORT_TIMEOUT_S)
+            return response.status == 200 and DemandResponse().parse(response.body).taken
         except CallError:
-            self._caller.forget(self.leader)
+            self._http.forget(self.leader)
             return False
--- /dev/null
+++ b/mulleinhatch/data_plane/demand_reporter.py
@@ -0,0 +1,73 @@
+"""Reports the demand for models to the placement leader: each second, and at once for a model that no backend can serve."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable, Mapping
+
+from mulleinhatch.data_plane.admission_queue import ModelQueue
+from mulleinhatch.data_plane.demand_tracker import DemandTracker
+from mulleinhatch.data_plane.registry_snapshot import ModelName
+from mulleinhatch.messages.cluster import ModelDemand
+
+REPORT_INTERVAL_S = 1.0  # between two complete reports
+URGENT_REPORT_DELAY_S = 0.01  # so that requests for several missing models that arrive together share a report
+
+
+class DemandReporter:
+    """Sends complete reports at intervals, and partial ones of missing models in between.
+
+    Args:
+        loop: Clock.
+        demand: The demand for each model.
+        queues: Waiting and running requests of each model.
+        send: Sends a report (`is_partial` for one of missing models only); returns whether it was accepted.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        demand: DemandTracker,
+        queues: Mapping[ModelName, ModelQueue],
+        send: Callable[[list[ModelDemand], bool], Awaitable[bool]],
+    ) -> None:
+        self._loop, self._demand, self._queues, self._send = loop, demand, queues, send
+        self._wake = asyncio.Event()
+        self._missing_models: set[ModelName] = set()
+        self._has_new_leader = False
+
+    def on_new_leader(self) -> None:
+        """Send a complete report soon: a new placement leader knows nothing of the demand yet."""
+        self._has_new_leader = True
+        self._wake.set()
+
+    def report_missing(self, name: ModelName) -> None:
+        """Report soon that a model is asked for and no backend can serve it."""
+        self._missing_models.add(name)
+        self._wake.set()
+
+    async def run(self) -> None:
+        """Send reports until cancelled."""
+        report_at = self._loop.time()
+        while True:
+            try:
+                async with asyncio.timeout_at(report_at):
+                    await self._wake.wait()
+                await asyncio.sleep(URGENT_REPORT_DELAY_S)
+            except TimeoutError:
+                pass
+            self._wake.clear()
+            is_complete = self._has_new_leader or self._loop.time() >= report_at
+            if is_complete:
+                self._has_new_leader, report_at = False, self._loop.time() + REPORT_INTERVAL_S
+            await self._report(is_complete)
+
+    async def _report(self, is_complete: bool) -> None:
+        names, self._missing_models = self._missing_models, set()
+        now = self._loop.time()
+        if is_complete:
+            demands = self._demand.report(self._queues.values(), now)
+        else:
+            demands = self._demand.urgent_report(names, self._queues, now)
+        if demands:
+            await self._send(demands, not is_complete)
--- a/mulleinhatch/data_plane/demand_tracker.py
+++ b/mulleinhatch/data_plane/demand_tracker.py
@@ -1,4 +1,4 @@
-"""Which models are asked for here, and how much: decayed rates and what is held, told to the holder of orders. Pure."""
+"""How much each model is asked for at this instance: decayed rates and waiting requests. Pure."""
 
 from __future__ import annotations
 
@@ -10,78 +10,87 @@
 from mulleinhatch.data_plane.registry_snapshot import ModelName
 from mulleinhatch.messages.cluster import ModelDemand
 
-RATE_DECAY_S = 8.0
-MIN_REPORTED_RATE_PER_S = 0.01  # requests a second below which a model is not told of
-MAX_REPORTED_MODELS = 32  # models told of at a time
+RATE_DECAY_S = 8.0  # time constant of the exponential decay
+MIN_REPORTED_RATE_PER_S = 0.01  # below this a model is neither reported nor tracked
+MAX_REPORTED_MODELS = 32  # in one report
+LOWEST_PRIORITY = 9  # reported where no request waits
 
 
 @dataclass
 class _Rate:
-    """Requests and worth a second, decayed."""
+    """Requests and their value a second, decayed exponentially."""
 
     requests: float = 0.0
-    worth: float = 0.0
-    at: float = 0.0
+    value: float = 0.0
+    updated_at: float = 0.0
 
-    def add(self, now: float, worth: float) -> None:
+    def add(self, now: float, value: float) -> None:
         self.decay(now)
         self.requests += 1.0 / RATE_DECAY_S
-        self.worth += worth / RATE_DECAY_S
+        self.value += value / RATE_DECAY_S
 
     def decay(self, now: float) -> None:
-        left = math.exp((self.at - now) / RATE_DECAY_S)
-        self.requests, self.worth, self.at = self.requests * left, self.worth * left, now
+        factor = math.exp((self.updated_at - now) / RATE_DECAY_S)
+        self.requests, self.value, self.updated_at = self.requests * factor, self.value * factor, now
 
 
 class DemandTracker:
-    """Demand at one instance."""
+    """The demand for each model at one instance."""
 
     def __init__(self) -> None:
         self._rates: dict[ModelName, _Rate] = {}
 
-    def asked(self, name: ModelName, worth: float, now: float) -> None:
-        """A request for a model arrived, whatever becomes of it."""
+    def record_request(self, name: ModelName, value: float, now: float) -> None:
+        """Count a request that arrived, also one that is going to be rejected.
+
+        Args:
+            name: Model that is asked for.
+            value: Value of a response in time, by the request's class.
+            now: Loop time.
+        """
         rate = self._rates.get(name)
         if rate is None:
-            rate = self._rates[name] = _Rate(at=now)
-        rate.add(now, worth)
-
-    def urgent(self, names: Iterable[ModelName], groups: Mapping[ModelName, ModelQueue], now: float) -> list[ModelDemand]:
-        """What is to be told at once of models that stand nowhere."""
-        told = []
+            rate = self._rates[name] = _Rate(updated_at=now)
+        rate.add(now, value)
+
+    def urgent_report(
+        self, names: Iterable[ModelName], queues: Mapping[ModelName, ModelQueue], now: float
+    ) -> list[ModelDemand]:
+        """Return the demand for some models that no backend can serve, to be reported at once."""
+        demands = []
         for name in names:
             rate = self._rates.get(name)
             if rate is not None:
                 rate.decay(now)
-                told.append(_demand(name, rate, groups.get(name), now))
-        return told
+                demands.append(_demand(name, rate, queues.get(name), now))
+        return demands
 
-    def report(self, groups: Iterable[ModelQueue], now: float) -> list[ModelDemand]:
-        """What is to be told: the loudest models, those with held requests first."""
-        held = {group.name: group for group in groups if group.name.model}
-        told = []
+    def report(self, queues: Iterable[ModelQueue], now: float) -> list[ModelDemand]:
+        """Return the regular report: models with the most waiting requests first, then those with the highest rates."""
+        queue_by_name = {queue.name: queue for queue in queues if queue.name.model}
+        demands = []
         for name, rate in list(self._rates.items()):
             rate.decay(now)
-            group = held.get(name)
-            if rate.requests < MIN_REPORTED_RATE_PER_S and (group is None or not group.held):
+            queue = queue_by_name.get(name)
+            if rate.requests < MIN_REPORTED_RATE_PER_S and (queue is None or not queue.waiting):
                 del self._rates[name]
                 continue
-            told.append(_demand(name, rate, group, now))
-        told.sort(key=lambda one: (-one.held, -one.rate))
-        return told[:MAX_REPORTED_MODELS]
+            demands.append(_demand(name, rate, queue, now))
+        demands.sort(key=lambda demand: (-demand.held, -demand.rate))
+        return demands[:MAX_REPORTED_MODELS]
 
 
-def _demand(name: ModelName, rate: _Rate, group: ModelQueue | None, now: float) -> ModelDemand:
-    held = group.held if group is not None else []
+def _demand(name: ModelName, rate: _Rate, queue: ModelQueue | None, now: float) -> ModelDemand:
+    waiting = queue.waiting if queue is not None else []
     return ModelDemand(
         service=name.service,
         model=name.model,
         adapter=name.adapter,
-        held=len(held),
+        held=len(waiting),
         rate=rate.requests,
-        worth_rate=rate.worth,
-        running=group.running if group is not None else 0,
-        oldest_wait_ms=int(1000 * max((now - one.arrived for one in held), default=0.0)),
-        least_remaining_ms=int(1000 * max(0.0, min((one.due - now for one in held), default=0.0))),
-        priority=min((one.priority for one in held), default=9),
+        worth_rate=rate.value,
+        running=queue.running if queue is not None else 0,
+        oldest_wait_ms=int(1000 * max((now - pending.arrived_at for pending in waiting), default=0.0)),
+        least_remaining_ms=int(1000 * max(0.0, min((pending.deadline - now for pending in waiting), default=0.0))),
+        priority=min((pending.priority for pending in waiting), default=LOWEST_PRIORITY),
     )
--- a/mulleinhatch/data_plane/event_stream.py
+++ b/mulleinhatch/data_plane/event_stream.py
@@ -1,5 +1,7 @@
-"""Events of a stream (text/event-stream) cut out of the bytes as they come, for streams that may be taken up
-elsewhere. Pure."""
+"""Complete events of a `text/event-stream` response, for streams that may be resumed at another backend. Pure.
+
+Source: WHATWG HTML, section 9.2 (server-sent events): events end with an empty line; `id` sets the last event id.
+"""
 
 from __future__ import annotations
 
@@ -10,46 +12,47 @@
 
 
 class EventStreamFilter:
-    """Gives whole events only, each once: an event with an id that is not above the last one is left out.
+    """Passes complete events only, each once: an event whose id is not above the last one is left out.
 
-    >>> cutter = EventStreamFilter()
-    >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), cutter.last_id
+    >>> stream = EventStreamFilter()
+    >>> stream.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), stream.last_event_id
     (b'id: 1\\ndata: a\\n\\n', b'1')
-    >>> cutter.cut(); cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\ndata: b\\n\\n")
+    >>> stream.discard_partial_event(); stream.feed(b"id: 1\\ndata: a\\n\\nid: 2\\ndata: b\\n\\n")
     b'id: 2\\ndata: b\\n\\n'
+
+    Attributes:
+        last_event_id: Id of the last event that was passed; a resumed stream continues behind it.
+        partial_event: Bytes of the next event, whose end has not arrived.
     """
 
-    def __init__(self, last_id: bytes = b"") -> None:
-        self.last_id = last_id
-        self._rest = b""
+    __slots__ = ("last_event_id", "partial_event")  # one object a resumable stream; `feed` runs for each event
+
+    def __init__(self, last_event_id: bytes = b"") -> None:
+        self.last_event_id = last_event_id
+        self.partial_event = b""
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events that are complete with these bytes."""
-        self._rest += data
-        whole, at = [], 0
-        for end in EVENT_TERMINATOR.finditer(self._rest):
-            event = self._rest[at : end.end()]
-            at = end.end()
+        """Return the new events that are complete with these bytes."""
+        self.partial_event += data
+        events, start = [], 0
+        for terminator in EVENT_TERMINATOR.finditer(self.partial_event):
+            event = self.partial_event[start : terminator.end()]
+            start = terminator.end()
             if self._is_new(event):
-                whole.append(event)
-        self._rest = self._rest[at:]
-        return b"".join(whole)
+                events.append(event)
+        self.partial_event = self.partial_event[start:]
+        return b"".join(events)
 
     def _is_new(self, event: bytes) -> bool:
-        found = ID_FIELD.search(event)
-        if found is None:
+        match = ID_FIELD.search(event)
+        if match is None:
             return True
-        told = found.group(1)
-        if self.last_id.isdigit() and told.isdigit() and int(told) <= int(self.last_id):
+        event_id = match.group(1)
+        if self.last_event_id.isdigit() and event_id.isdigit() and int(event_id) <= int(self.last_event_id):
             return False
-        self.last_id = told
+        self.last_event_id = event_id
         return True
 
-    @property
-    def rest(self) -> bytes:
-        """What has come of the next event."""
-        return self._rest
-
-    def cut(self) -> None:
-        """The stream broke off: what came of the next event is dropped."""
-        self._rest = b""
+    def discard_partial_event(self) -> None:
+        """Drop the bytes of the next event after the connection was lost; the resumed stream sends it anew."""
+        self.partial_event = b""
--- a/mulleinhatch/data_plane/listener.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -1,4 +1,4 @@
-"""The clients' connections: requests read whole, one at a time; answers written as they come."""
+"""Client connections: complete requests are read one at a time, responses are written as they arrive."""
 
 from __future__ import annotations
 
@@ -15,127 +15,139 @@
 LOG = logging.getLogger(__name__)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-TCP_USER_TIMEOUT_MS = 4000
+TCP_USER_TIMEOUT_MS = 4000  # a client that acknowledges nothing for so long is gone
+LISTEN_BACKLOG = 512
+MIN_RETRY_AFTER_S = 0.01
+CLOSING_STATUSES = (400, 408, 413, 431)  # after these it is not known where the next request begins
 
 
-class Exchange(Protocol):
-    """What carries out one request."""
+class RequestHandle(Protocol):
+    """The request that a session has started; `request_lifecycle.ClientRequest` implements it."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Stop the request: the client disconnected."""
 
-    def on_writable(self, writable: bool) -> None: ...
+    def on_writable(self, is_writable: bool) -> None:
+        """Pause or resume the response, as the client reads it."""
 
 
 class ClientSession(asyncio.Protocol):
-    """One connection of a client."""
+    """One connection of a client.
+
+    Args:
+        listener: Gives the limits in force and starts requests.
+    """
 
     def __init__(self, listener: Listener) -> None:
-        self._front = listener
+        self._listener = listener
         self._reader = MessageReader(answers=False, most_head=listener.limits().max_header_bytes)
         self._head: Head | None = None
         self._body: list[bytes] = []
-        self._size = 0
-        self._exchange: Exchange | None = None
-        self._answering = False
-        self._closing = False
-        self._chunked = False
+        self._body_bytes = 0
+        self._request: RequestHandle | None = None
+        self._is_responding = False  # a complete request was read and is not answered yet
+        self._is_closing = False
+        self._is_chunked = False
         self._timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
         self.requests = 0
 
-    # The connection.
+    # The connection (asyncio.Protocol).
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start to read the first request."""
         self.transport = transport  # type: ignore[assignment]
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-        self._front.sessions.add(self)
+        self._listener.sessions.add(self)
         self._await_request()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._front.sessions.discard(self)
+        """Cancel the request whose client disconnected."""
+        self._listener.sessions.discard(self)
         self._stop_timer()
-        exchange, self._exchange = self._exchange, None
-        if exchange is not None:
-            exchange.cancel()
+        request, self._request = self._request, None
+        if request is not None:
+            request.cancel()
 
     def eof_received(self) -> bool:
-        """The client ended its side: whoever waits for an answer keeps both open."""
+        """Close the connection when the client half-closes it: a client that waits for a response keeps both sides open."""
         return False
 
     def pause_writing(self) -> None:
-        if self._exchange is not None:
-            self._exchange.on_writable(False)
+        """Stop reading from the backend while the client does not read."""
+        if self._request is not None:
+            self._request.on_writable(False)
 
     def resume_writing(self) -> None:
-        if self._exchange is not None:
-            self._exchange.on_writable(True)
+        """Read from the backend again."""
+        if self._request is not None:
+            self._request.on_writable(True)
 
     # Reading.
 
     def _await_request(self) -> None:
-        limits = self._front.limits()
-        self._set_timer(
-            limits.idle_timeout_s if self.requests else max(limits.idle_timeout_s, limits.header_timeout_s), self._idle
-        )
+        limits = self._listener.limits()
+        idle_s = limits.idle_timeout_s if self.requests else max(limits.idle_timeout_s, limits.header_timeout_s)
+        self._start_timer(idle_s, self._on_idle_timeout)
 
-    def _set_timer(self, seconds: float, act: Callable[[], None]) -> None:
+    def _start_timer(self, seconds: float, action: Callable[[], None]) -> None:
         self._stop_timer()
-        self._timer = asyncio.get_running_loop().call_later(seconds, act)
+        self._timer = asyncio.get_running_loop().call_later(seconds, action)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _idle(self) -> None:
-        if not self._reader.started() and self._exchange is None:
+    def _on_idle_timeout(self) -> None:
+        if not self._reader.started() and self._request is None:
             self.transport.close()
 
-    def _late(self) -> None:
-        """A request that was begun did not come whole in time."""
-        self.refuse(408, "the request did not come whole in time")
+    def _on_read_timeout(self) -> None:
+        self.respond_error(408, "the request did not come whole in time")
 
     def data_received(self, data: bytes) -> None:
+        """Read a request; one that a client pipelines waits until the response before it is written."""
         was_started = self._reader.started()
         self._reader.feed(data)
-        if self._answering or self._closing:
-            self.transport.pause_reading()  # one that sends ahead waits until its answer is written
+        if self._is_responding or self._is_closing:
+            self.transport.pause_reading()
             return
         if not was_started:
-            self._set_timer(self._front.limits().header_timeout_s, self._late)
+            self._start_timer(self._listener.limits().header_timeout_s, self._on_read_timeout)
         self._read()
 
     def _read(self) -> None:
         try:
             self._read_message()
         except BadRequestError as error:
-            self._closing = True
-            self.refuse(error.status, f"the request can't be read: {error.cause}")
+            self._is_closing = True
+            self.respond_error(error.status, f"the request can't be read: {error.cause}")
 
     def _read_message(self) -> None:
-        limits = self._front.limits()
+        limits = self._listener.limits()
         if self._head is None:
             self._head = self._reader.head()
             if self._head is None:
                 return
-            self._begin_body(limits)
-            if self._answering or self._closing:
+            self._check_head(self._head, limits)
+            if self._is_responding or self._is_closing:
                 return
-        piece = self._reader.body()
-        self._size += len(piece)
-        if self._size > limits.max_body_bytes:
+        chunk = self._reader.body()
+        self._body_bytes += len(chunk)
+        if self._body_bytes > limits.max_body_bytes:
             raise BadRequestError("body too long", 413)
-        if piece:
-            self._body.append(piece)
+        if chunk:
+            self._body.append(chunk)
             if not self._reader.done:
-                self._set_timer(limits.idle_timeout_s, self._late)
+                self._start_timer(limits.idle_timeout_s, self._on_read_timeout)
         if self._reader.done:
-            self._whole()
+            self._start_request()
 
-    def _begin_body(self, limits: Limits) -> None:
-        head = self._head
+    def _check_head(self, head: Head, limits: Limits) -> None:
+        """Reject a head that no response is possible for, and ask for the body where the client waits for that."""
         if head.length is not None and head.length > limits.max_body_bytes:
             raise BadRequestError("body too long", 413)
         if head.minor and not head.first.get(b"host"):
@@ -143,25 +155,36 @@
         if head.first.get(b"expect", b"").lower() == b"100-continue" and not self._reader.done:
             self.transport.write(CONTINUE)
 
-    def _whole(self) -> None:
+    def _start_request(self) -> None:
         self._stop_timer()
-        self._answering = True
+        self._is_responding = True
         self.requests += 1
-        self._exchange = self._front.begin(self, self._head, b"".join(self._body))
+        self._request = self._listener.begin(self, self._head, b"".join(self._body))
 
     # Writing.
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether a response can still be written."""
         return self.transport is not None and not self.transport.is_closing()
 
-    def _last(self) -> bool:
-        """Whether the connection ends after this answer."""
-        return self._closing or self._front.leaving or self._head is None or not self._head.keep_alive
-
-    def refuse(self, status: int, message: str, retry_after_s: float | None = None) -> None:
-        """An answer of our own."""
-        if not self.open:
+    @property
+    def is_responding(self) -> bool:
+        """Whether a request was read and is not answered yet."""
+        return self._is_responding
+
+    def _is_last_response(self) -> bool:
+        return self._is_closing or self._listener.is_shutting_down or self._head is None or not self._head.keep_alive
+
+    def respond_error(self, status: int, message: str, retry_after_s: float | None = None) -> None:
+        """Answer the request with an error of the data plane's own.
+
+        Args:
+            status: HTTP status.
+            message: Plain text of the body.
+            retry_after_s: Seconds for `Retry-After`, None for none.
+        """
+        if not self.is_open:
             return
         self._stop_timer()
         fields = [(b"Content-Type", b"text/plain")]
@@ -169,90 +192,105 @@
         if request_id:
             fields.append((b"Request-Id", request_id))
         if retry_after_s is not None:
-            fields.append((b"Retry-After", b"%.2f" % max(0.01, retry_after_s)))
-        last = self._last() or status in (400, 408, 413, 431)
-        if last:
+            fields.append((b"Retry-After", b"%.2f" % max(MIN_RETRY_AFTER_S, retry_after_s)))
+        is_last = self._is_last_response() or status in CLOSING_STATUSES
+        if is_last:
             fields.append((b"Connection", b"close"))
         self.transport.write(write_answer(status, fields, message.encode() + b"\n"))
-        self._done(last)
+        self._end_response(is_last)
 
     def write_head(self, head: Head, length: int | None) -> None:
-        """A backend's head; `length` of the body, or None where it comes in chunks."""
+        """Forward a backend's response head.
+
+        Args:
+            head: The head; fields that concern the backend's connection are left out.
+            length: Bytes of the body, None where they are not known: it is then sent in chunks, or ends with the connection.
+        """
         lines = [b"HTTP/1.1 %d %b\r\n" % (head.status, reason(head.status))]
         for name, text in head.fields:
             lower = name.lower()
             if lower not in HOP_BY_HOP and lower != b"content-length":
                 lines.append(b"%b: %b\r\n" % (name, text))
-        self._chunked = length is None and self._head.minor > 0
+        self._is_chunked = length is None and self._head.minor > 0
         if length is not None:
             lines.append(b"Content-Length: %d\r\n" % length)
-        elif self._chunked:
+        elif self._is_chunked:
             lines.append(b"Transfer-Encoding: chunked\r\n")
-        if self._last() or (length is None and not self._chunked):
-            self._closing = True
+        if self._is_last_response() or (length is None and not self._is_chunked):
+            self._is_closing = True
             lines.append(b"Connection: close\r\n")
         lines.append(b"\r\n")
         self.transport.write(b"".join(lines))
 
     def write_body(self, data: bytes) -> None:
-        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
+        """Forward a chunk of the body."""
+        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._is_chunked else data)
 
     def finish(self) -> None:
-        """The answer is whole."""
-        if self._chunked:
+        """End a complete response."""
+        if self._is_chunked:
             self.transport.write(LAST_CHUNK)
-        self._done(self._last())
+        self._end_response(self._is_last_response())
 
-    def break_off(self) -> None:
-        """The answer can't be completed: the client must see that."""
-        self._exchange = None
+    def abort(self) -> None:
+        """Reset the connection, so that the client does not take a truncated response for a complete one."""
+        self._request = None
         if self.transport is not None:
             self.transport.abort()
 
-    def _done(self, last: bool) -> None:
-        self._exchange, self._head, self._answering = None, None, False
-        self._body, self._size, self._chunked = [], 0, False
-        if last:
-            self._closing = True
+    def _end_response(self, is_last: bool) -> None:
+        self._request, self._head, self._is_responding = None, None, False
+        self._body, self._body_bytes, self._is_chunked = [], 0, False
+        if is_last:
+            self._is_closing = True
             self.transport.close()
             return
         if self._reader.done:
             self._reader.next()
         self.transport.resume_reading()
         if self._reader.started():
-            self._set_timer(self._front.limits().header_timeout_s, self._late)
-            asyncio.get_running_loop().call_soon(self._next_request)
+            self._start_timer(self._listener.limits().header_timeout_s, self._on_read_timeout)
+            asyncio.get_running_loop().call_soon(self._read_pipelined)
         else:
             self._await_request()
 
-    def _next_request(self) -> None:
-        if self.open and not self._answering:
+    def _read_pipelined(self) -> None:
+        if self.is_open and not self._is_responding:
             self._read()
 
-    def leave(self) -> None:
-        """The process ends: an idle connection is closed, a busy one after its answer."""
-        if not self._answering and not self._reader.started():
+    def close_if_idle(self) -> None:
+        """Close the connection at shutdown unless a request is being read or answered; then its response closes it."""
+        if not self._is_responding and not self._reader.started():
             self.transport.close()
 
 
 class Listener:
-    """The listener and its sessions. `begin` starts the exchange for a request that came whole."""
+    """Accepts client connections.
+
+    Args:
+        limits: Returns the limits of the configuration in force.
+        begin: Starts a complete request: session, head, body; returns None where it was answered at once.
+    """
 
-    def __init__(self, limits: Callable[[], Limits], begin: Callable[[ClientSession, Head, bytes], Exchange | None]) -> None:
+    def __init__(
+        self, limits: Callable[[], Limits], begin: Callable[[ClientSession, Head, bytes], RequestHandle | None]
+    ) -> None:
         self.limits, self.begin = limits, begin
         self.sessions: set[ClientSession] = set()
-        self.leaving = False
+        self.is_shutting_down = False
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
+        """Accept connections on `address` (host and port)."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: ClientSession(self), host, int(port), backlog=512)
+        self._server = await loop.create_server(lambda: ClientSession(self), host, int(port), backlog=LISTEN_BACKLOG)
 
     def close(self) -> None:
-        """Nobody comes any more."""
+        """Accept no further connections."""
         if self._server is not None:
             self._server.close()
 
-    def busy(self) -> bool:
-        return any(session._answering for session in self.sessions)
+    def is_busy(self) -> bool:
+        """Return whether a request is not answered yet."""
+        return any(session.is_responding for session in self.sessions)
--- /dev/null
+++ b/mulleinhatch/data_plane/model_readiness.py
@@ -0,0 +1,74 @@
+"""When a backend will be able to serve a model, as far as this instance knows."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from mulleinhatch.configuration.routes import Service
+from mulleinhatch.data_plane.backend_health import BackendHealthTracker
+from mulleinhatch.data_plane.backend_selection import BackendSelector
+from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
+
+DEFAULT_RETRY_AFTER_S = 0.3  # where nothing better is known
+DEFAULT_MODEL_LOAD_S = 1.0  # where the configuration does not give a model's loading time
+PLACEMENT_LATENCY_S = 0.4  # from the demand report to the placement order, and from the load's end to our notice of it
+ADAPTER_LOAD_S = 0.3
+MIN_EXPECTED_LOAD_S = 0.05  # a load that should be over by now is expected at any moment
+
+
+class ModelReadiness:
+    """Estimates the seconds until a model can be served.
+
+    Args:
+        clock: Loop time in seconds.
+        selector: Tells which backends are registered and available.
+        health: Cooldowns of the backends.
+    """
+
+    def __init__(self, clock: Callable[[], float], selector: BackendSelector, health: BackendHealthTracker) -> None:
+        self._clock, self._selector, self._health = clock, selector, health
+        self._services: Mapping[str, Service] = {}
+
+    def update(self, services: Mapping[str, Service]) -> None:
+        """Use the services of a new configuration."""
+        self._services = services
+
+    def ready_in_s(self, name: ModelName) -> float:
+        """Return the estimated seconds until a backend can serve a model, 0 where one can now."""
+        now = self._clock()
+        if self._selector.available(name, now):
+            return 0.0
+        backends = self._selector.registered(name.service)
+        seconds = [
+            *(self._health.of(backend.id).cooldown_until - now for backend in backends if self._is_cooling_down(backend, name)),
+            *(
+                expected_at - now
+                for backend in backends
+                if not backend.draining
+                for (model, adapter), expected_at in backend.loads.items()
+                if model == name.model and adapter in ("", name.adapter)
+            ),
+        ]
+        if not seconds:
+            return self._unplaced_load_s(name)
+        return min(max(MIN_EXPECTED_LOAD_S, remaining_s) for remaining_s in seconds)
+
+    def retry_after_s(self, name: ModelName) -> float:
+        """Return the seconds after which a rejected client should come back."""
+        return max(DEFAULT_RETRY_AFTER_S, self.ready_in_s(name))
+
+    def _is_cooling_down(self, backend: RegisteredBackend, name: ModelName) -> bool:
+        is_misplaced = self._health.of(backend.id).is_misplaced
+        return backend.has_model(name) and not backend.draining and not backend.silent and not is_misplaced
+
+    def _unplaced_load_s(self, name: ModelName) -> float:
+        """Return the seconds until a model that no backend holds or loads is ordered and loaded."""
+        if not name.model:
+            return DEFAULT_RETRY_AFTER_S
+        service = self._services.get(name.service)
+        if service is None or service.engine is None:
+            return DEFAULT_MODEL_LOAD_S
+        if name.adapter and any(name.model in backend.models for backend in self._selector.registered(name.service)):
+            return ADAPTER_LOAD_S
+        facts = service.engine.models.get(name.model)
+        return (facts.load_s if facts is not None else DEFAULT_MODEL_LOAD_S) + PLACEMENT_LATENCY_S
--- a/mulleinhatch/data_plane/registry_snapshot.py
+++ b/mulleinhatch/data_plane/registry_snapshot.py
@@ -1,20 +1,19 @@
-"""What a data plane knows of configuration and backends: immutable snapshots, swapped whole. Pure."""
+"""The registered backends and the models that they hold: immutable snapshots, replaced as a unit. Pure."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from mulleinhatch.configuration.routes import RouteTable
 from mulleinhatch.messages.cluster import Backend
 
-MAX_DEREGISTERED_IDS = 2048  # ids of backends that left, so that a source that lags does not bring one back
-UNCONFIRMED_GRACE_S = 6.0  # a backend that a new source of the list does not know is kept so long
+MAX_DEREGISTERED_IDS = 2048  # remembered, so that a control plane that lags does not bring a deregistered backend back
+UNCONFIRMED_GRACE_S = 6.0  # a backend that a new control plane does not list is kept so long
 
 
 @dataclass(frozen=True)
 class ModelName:
-    """A model of a service, with an adapter or without."""
+    """A model of a service, with or without an adapter; `model` is empty for a service without models."""
 
     service: str
     model: str = ""
@@ -23,8 +22,21 @@
 
 @dataclass(frozen=True)
 class RegisteredBackend:
-    """One backend. `models` holds the adapters of each model present; `loads` when (steady clock) what was ordered is
-    expected."""
+    """One backend as the registry describes it. Times are loop times in seconds.
+
+    Attributes:
+        id: Identifier of the process; a restarted backend has a new one.
+        service: Service that it serves.
+        address: Host and port.
+        zone: Failure domain.
+        slots: Requests that it executes at a time.
+        draining: Whether it accepts no new requests.
+        silent: Whether it has stopped sending heartbeats.
+        models: Adapters of each model that it holds.
+        loads: When each model and adapter that is being loaded is expected.
+        ends_at: When it is going to be taken away, infinite where it did not say.
+        unloads: Models and adapters that are being unloaded.
+    """
 
     id: str
     service: str
@@ -35,10 +47,11 @@
     silent: bool
     models: Mapping[str, frozenset[str]]
     loads: Mapping[tuple[str, str], float]
-    ends_at: float  # when it is taken away, if it said so
-    unloads: frozenset[tuple[str, str]] = frozenset()  # what is being taken away
+    ends_at: float
+    unloads: frozenset[tuple[str, str]] = frozenset()
 
     def has_model(self, name: ModelName) -> bool:
+        """Return whether the backend holds a model, and its adapter if one is named, and is not unloading it."""
         if not name.model:
             return True
         adapters = self.models.get(name.model)
@@ -47,42 +60,59 @@
         return not name.adapter or (name.adapter in adapters and (name.model, name.adapter) not in self.unloads)
 
 
-def backend_from_message(backend: Backend, now: float) -> RegisteredBackend:
-    loads = {(load.model, load.adapter): now + load.remaining_ms / 1000.0 for load in backend.loads}
-    ends_at = now + backend.remaining_ms / 1000.0 if backend.remaining_ms else float("inf")
+def backend_from_message(message: Backend, now: float) -> RegisteredBackend:
+    """Convert a backend of the control plane's message, turning remaining times into loop times."""
     return RegisteredBackend(
-        backend.id,
-        backend.service,
-        backend.address,
-        backend.zone,
-        max(1, backend.slots),
-        backend.draining,
-        backend.silent,
-        {model.name: frozenset(model.adapters) for model in backend.models},
-        loads,
-        ends_at,
-        frozenset((load.model, load.adapter) for load in backend.unloads),
+        id=message.id,
+        service=message.service,
+        address=message.address,
+        zone=message.zone,
+        slots=max(1, message.slots),
+        draining=message.draining,
+        silent=message.silent,
+        models={model.name: frozenset(model.adapters) for model in message.models},
+        loads={(load.model, load.adapter): now + load.remaining_ms / 1000.0 for load in message.loads},
+        ends_at=now + message.remaining_ms / 1000.0 if message.remaining_ms else float("inf"),
+        unloads=frozenset((unload.model, unload.adapter) for unload in message.unloads),
     )
 
 
 @dataclass(frozen=True)
 class RegistrySnapshot:
-    """All backends by id, and by service."""
+    """All registered backends.
+
+    Attributes:
+        by_id: Backends by identifier.
+        by_service: Backends of each service, ordered by identifier.
+        unconfirmed: Since when (loop time) a complete list from a new control plane has lacked a backend, by identifier.
+        deregistered: Identifiers of backends that drain or were deregistered, the latest last (a set in order).
+    """
 
     by_id: Mapping[str, RegisteredBackend] = field(default_factory=dict)
     by_service: Mapping[str, tuple[RegisteredBackend, ...]] = field(default_factory=dict)
-    unconfirmed: Mapping[str, float] = field(default_factory=dict)  # since when a new source has not told of them
-    left: Mapping[str, None] = field(default_factory=dict)  # backends that said that they leave, the newest last
-
-    def updated(self, backends: Iterable[Backend], whole: bool, now: float, left: Iterable[str] = ()) -> RegistrySnapshot:
-        """The list after news. A whole list from a new source that leaves a backend out is no proof that it is gone: that
-        source may just have started. It goes when it stays left out."""
+    unconfirmed: Mapping[str, float] = field(default_factory=dict)
+    deregistered: Mapping[str, None] = field(default_factory=dict)
+
+    def updated(
+        self, backends: Collection[Backend], is_complete: bool, now: float, deregistered: Iterable[str] = ()
+    ) -> RegistrySnapshot:
+        """Return the registry after an update from a control plane.
+
+        A complete list from a new control plane that lacks a backend is no proof that the backend is gone: that control plane
+        may just have started. The backend is removed when it stays unlisted for `UNCONFIRMED_GRACE_S`.
+
+        Args:
+            backends: Backends that changed, or all of them.
+            is_complete: Whether `backends` are all of them.
+            now: Loop time.
+            deregistered: Identifiers of backends that were marked draining or deregistered.
+        """
         by_id, unconfirmed = dict(self.by_id), dict(self.unconfirmed)
-        told = {backend.id for backend in backends}
-        all_left = {**self.left, **dict.fromkeys(left)}
-        if whole:
+        all_deregistered = {**self.deregistered, **dict.fromkeys(deregistered)}
+        if is_complete:
+            listed = {backend.id for backend in backends}
             for backend_id in by_id:
-                if backend_id not in told:
+                if backend_id not in listed:
                     unconfirmed.setdefault(backend_id, now)
         for backend in backends:
             unconfirmed.pop(backend.id, None)
@@ -91,31 +121,30 @@
             else:
                 by_id[backend.id] = backend_from_message(backend, now)
             if backend.gone or backend.draining:
-                all_left[backend.id] = None
-        for backend_id in all_left:
-            if backend_id in by_id and not by_id[backend_id].draining:
-                by_id[backend_id] = replace(by_id[backend_id], draining=True)
-        for backend_id, since in list(unconfirmed.items()):
-            if backend_id not in by_id or now - since > UNCONFIRMED_GRACE_S:
-                by_id.pop(backend_id, None)
-                del unconfirmed[backend_id]
-        for backend_id in list(all_left)[:-MAX_DEREGISTERED_IDS]:
-            del all_left[backend_id]
-        return _listed(by_id, unconfirmed, all_left)
-
-
-def _listed(by_id: dict[str, RegisteredBackend], unconfirmed: dict[str, float], left: dict[str, None]) -> RegistrySnapshot:
-    by_service: dict[str, list[RegisteredBackend]] = {}
-    for backend_id in sorted(by_id):
-        by_service.setdefault(by_id[backend_id].service, []).append(by_id[backend_id])
-    return RegistrySnapshot(by_id, {service: tuple(backends) for service, backends in by_service.items()}, unconfirmed, left)
+                all_deregistered[backend.id] = None
+        _mark_draining(by_id, all_deregistered)
+        _remove_unconfirmed(by_id, unconfirmed, now)
+        for backend_id in list(all_deregistered)[:-MAX_DEREGISTERED_IDS]:
+            del all_deregistered[backend_id]
+        return RegistrySnapshot(by_id, _group_by_service(by_id), unconfirmed, all_deregistered)
 
 
-@dataclass(frozen=True)
-class ControlPlaneSnapshot:
-    """All that the data plane acts by."""
+def _mark_draining(by_id: dict[str, RegisteredBackend], deregistered: Iterable[str]) -> None:
+    """Mark deregistered backends as draining, also where a control plane that lags lists them as ready."""
+    for backend_id in deregistered:
+        if backend_id in by_id and not by_id[backend_id].draining:
+            by_id[backend_id] = replace(by_id[backend_id], draining=True)
 
-    table: RouteTable = field(default_factory=RouteTable)
-    backends: RegistrySnapshot = field(default_factory=RegistrySnapshot)
-    data_planes: int = 1
-    authoritative: bool = False
+
+def _remove_unconfirmed(by_id: dict[str, RegisteredBackend], unconfirmed: dict[str, float], now: float) -> None:
+    for backend_id, since in list(unconfirmed.items()):
+        if backend_id not in by_id or now - since > UNCONFIRMED_GRACE_S:
+            by_id.pop(backend_id, None)
+            del unconfirmed[backend_id]
+
+
+def _group_by_service(by_id: Mapping[str, RegisteredBackend]) -> dict[str, tuple[RegisteredBackend, ...]]:
+    by_service: dict[str, list[RegisteredBackend]] = {}
+    for backend_id in sorted(by_id):
+        by_service.setdefault(by_id[backend_id].service, []).append(by_id[backend_id])
+    return {service: tuple(backends) for service, backends in by_service.items()}
--- /dev/null
+++ b/mulleinhatch/data_plane/request_context.py
@@ -0,0 +1,74 @@
+"""The facts of one client request that its attempts and their relays share. Pure."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from mulleinhatch.configuration.routes import Route
+from mulleinhatch.data_plane.event_stream import EventStreamFilter
+from mulleinhatch.data_plane.registry_snapshot import ModelName
+from mulleinhatch.data_plane.request_headers import read_prompt
+from mulleinhatch.data_plane.request_state import RequestState
+from mulleinhatch.networking.http_streaming import Head
+
+
+class ResponseWriter(Protocol):
+    """Where the response to a client goes; `listener.ClientSession` implements it."""
+
+    def write_head(self, head: Head, length: int | None) -> None:
+        """Forward a backend's response head; `length` is None where the body's length is unknown."""
+
+    def write_body(self, data: bytes) -> None:
+        """Forward a chunk of the body."""
+
+    def finish(self) -> None:
+        """Mark the response as complete."""
+
+    def respond_error(self, status: int, message: str, retry_after_s: float | None = None) -> None:
+        """Answer with an error of the data plane's own."""
+
+    def abort(self) -> None:
+        """Reset the connection, so that the client does not take a truncated response for a complete one."""
+
+
+class RequestContext:
+    """One client request: what was asked for, where the response goes, and how far its execution is known.
+
+    Args:
+        session: Where the response goes.
+        head: The client's request head.
+        body: The complete request body.
+        route: Matching route.
+        service: Service chosen by the route's traffic split.
+        deadline: Loop time at which the client or the route gives the request up.
+    """
+
+    # One object a request, read by each attempt and relay: slots keep the lookups cheap.
+    __slots__ = (
+        "body",
+        "deadline",
+        "event_filter",
+        "head",
+        "name",
+        "prompt",
+        "request_id",
+        "route",
+        "service",
+        "session",
+        "state",
+    )
+
+    def __init__(self, session: ResponseWriter, head: Head, body: bytes, route: Route, service: str, deadline: float) -> None:
+        self.session, self.head, self.body = session, head, body
+        self.route, self.service, self.deadline = route, service, deadline
+        self.prompt = read_prompt(head)
+        self.request_id = head.first.get(b"request-id", b"")
+        self.name = ModelName(service, self.prompt.model, self.prompt.adapter)
+        is_resumable = route.streaming and route.resumable
+        self.state = RequestState(route.idempotent, is_resumable, route.max_attempts)
+        self.event_filter = EventStreamFilter(head.first.get(b"last-event-id", b"")) if is_resumable else None
+
+    @property
+    def request_id_text(self) -> str:
+        """The request's id as text, for log lines."""
+        return self.request_id.decode("latin-1")
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -1,472 +1,244 @@
-"""One request's way: routed, held, sent to a backend, its answer passed back. `request_state` decides what follows from what is
-known; this module carries it out.
+"""One client request from its arrival to the end of its response.
+
+A request waits in the admission queue, is sent to a backend by an `Attempt`, and ends with exactly one response to the client.
+`request_state` decides what follows each event; this module carries the decision out.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
-from mulleinhatch.configuration.routes import Route
 from mulleinhatch.data_plane.admission_queue import PendingRequest, Rejection
-from mulleinhatch.data_plane.backend_selection import BackendHealthTracker
-from mulleinhatch.data_plane.connection_pool import ConnectionPool
-from mulleinhatch.data_plane.event_stream import EventStreamFilter
-from mulleinhatch.data_plane.listener import ClientSession
-from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
-from mulleinhatch.data_plane.request_state import Answer, NextStep, RequestState, read_answer
+from mulleinhatch.data_plane.attempt import Attempt, AttemptResources
+from mulleinhatch.data_plane.request_context import RequestContext
+from mulleinhatch.data_plane.request_log import RequestLog
+from mulleinhatch.data_plane.request_state import NextStep
+from mulleinhatch.data_plane.retry_budget import RetryBudget
 from mulleinhatch.data_plane.wait_reason import WaitReason
-from mulleinhatch.networking.http_client import ClientConnection, Loss
-from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, write_request
 
 LOG = logging.getLogger(__name__)
-UNFORWARDED_HEADERS = HOP_BY_HOP | {b"content-length", b"request-deadline", b"expect-instance", b"priority", b"expect"}
-DEADLINE_GRACE_S = 0.05
-MIN_SEND_TIME_S = 0.02  # with less time left a request is not sent
-STREAM_STALL_TIMEOUT_S = 2.0  # a resumable stream whose backend says nothing for so long is taken up elsewhere
-MAX_BUFFERED_BODY_BYTES = 1 << 18  # bytes of a plain answer that are gathered before its head is passed on
-
-
-@dataclass(frozen=True)
-class Prompt:
-    """What a request's fields tell of its prompt."""
-
-    model: str
-    adapter: str
-    tokens: int
-    prefix: str  # the last of the shared parts: all before it are shared with it
-    session: str  # the last part, its own or its session's
-
-
-def read_prompt(head: Head) -> Prompt:
-    """
-    >>> from mulleinhatch.networking.http_streaming import request_head
-    >>> lines = b"POST / HTTP/1.1", b"Model: m/a1", b"Token-Usage: 30,4", b"Prompt-Prefix: a:1,b:2", b"", b""
-    >>> read_prompt(request_head(b"\\r\\n".join(lines)))
-    Prompt(model='m', adapter='a1', tokens=30, prefix='a', session='b')
-    """
-    model, _, adapter = head.first.get(b"model", b"").decode("latin-1").partition("/")
-    tokens = head.first.get(b"token-usage", b"").split(b",")[0].strip()
-    parts = [
-        part.split(b":")[0].strip().decode("latin-1")
-        for part in head.first.get(b"prompt-prefix", b"").split(b",")
-        if part.strip()
-    ]
-    shared = parts[-2] if len(parts) > 1 else parts[0] if parts else ""
-    return Prompt(model, adapter, int(tokens) if tokens.isdigit() else 0, shared, parts[-1] if parts else "")
-
-
-def backend_fields(head: Head, remaining_s: float, backend_id: str, priority: int, last_id: bytes) -> list[tuple[bytes, bytes]]:
-    """The fields of the request at the backend."""
-    fields = [
-        (name, text)
-        for name, text in head.fields
-        if (lower := name.lower()) not in UNFORWARDED_HEADERS and not (last_id and lower == b"last-event-id")
-    ]
-    fields.append((b"Request-Deadline", b"%d" % max(1, int(1000 * remaining_s))))
-    fields.append((b"Expect-Instance", backend_id.encode()))
-    fields.append((b"Priority", b"%d" % min(9, max(0, priority))))
-    if last_id:
-        fields.append((b"Last-Event-Id", last_id))
-    return fields
-
-
-class ExchangeHost(Protocol):
-    """What an exchange needs of the instance that owns it: its clock, its backends, and who hears what became of a request."""
-
-    loop: asyncio.AbstractEventLoop
-    pool: ConnectionPool
-    states: BackendHealthTracker
-
-    def now(self) -> float: ...
-
-    def choose(self, exchange: ClientRequest) -> RegisteredBackend | None: ...
+DEADLINE_GRACE_S = 0.05  # after the deadline: a response that is just arriving is still forwarded
+MIN_SEND_TIME_S = 0.02  # with less time left a request is not sent again
 
-    def another_can_take(self, exchange: ClientRequest, backend: RegisteredBackend) -> bool: ...
 
-    def still_listed(self, backend: RegisteredBackend) -> bool: ...
+class Scheduler(Protocol):
+    """What a request needs of the scheduler that owns it; `request_scheduler.RequestScheduler` implements it."""
 
-    def may_repeat(self, service: str) -> bool: ...
+    def requeue(self, request: ClientRequest) -> None:
+        """Return a started request for which no backend was available to the queue."""
 
-    def retry_after(self, exchange: ClientRequest) -> float: ...
+    def retry(self, request: ClientRequest) -> None:
+        """Queue a request for another backend, with its age."""
 
-    def hold_again(self, exchange: ClientRequest) -> None: ...
+    def attempt_finished(self, request: ClientRequest, is_completed: bool, was_overloaded: bool) -> None:
+        """Free the request's slot and measure the service rate."""
 
-    def requeue(self, exchange: ClientRequest) -> None: ...
+    def remove(self, request: ClientRequest) -> None:
+        """Forget a finished request."""
 
-    def sent(self, exchange: ClientRequest) -> None: ...
+    def retry_after_s(self, request: ClientRequest) -> float:
+        """Estimate when the client should come back."""
 
-    def first_answer(self, exchange: ClientRequest, backend: RegisteredBackend, seconds: float) -> None: ...
 
-    def backend_answered(self, backend: RegisteredBackend, head: Head) -> None: ...
+@dataclass(frozen=True, slots=True)
+class RequestServices:
+    """The data plane's objects that each client request uses."""
 
-    def backends_failed(self, backend: RegisteredBackend) -> None: ...
-
-    def backend_is_other(self, backend: RegisteredBackend, head: Head, name: ModelName) -> None: ...
-
-    def sent_back_full(self, backend: RegisteredBackend, name: ModelName) -> None: ...
-
-    def left_backend(self, backend: RegisteredBackend) -> None: ...
-
-    def attempt_ended(self, exchange: ClientRequest, backend: RegisteredBackend, completed: bool, full: bool) -> None: ...
-
-    def note_refusal(self, exchange: ClientRequest, why: str, retry_after_s: float) -> None: ...
+    loop: asyncio.AbstractEventLoop
+    scheduler: Scheduler
+    attempt_resources: AttemptResources
+    retry_budget: RetryBudget
+    request_log: RequestLog
+    data_plane_count: Callable[[], int]  # that share the retry budget
 
-    def served(self, exchange: ClientRequest) -> None: ...
 
-    def forget(self, exchange: ClientRequest) -> None: ...
+class ClientRequest:
+    """One client request. Observes its attempts as an `AttemptObserver` and is cancelled by its `ClientSession`.
 
+    Args:
+        services: Shared objects of the data plane.
+        context: The request's facts.
+    """
 
-class ClientRequest:
-    """One client request from its arrival to the end of its answer."""
-
-    def __init__(
-        self, router: ExchangeHost, session: ClientSession, head: Head, body: bytes, route: Route, service: str, due: float
-    ) -> None:
-        self.router, self.session, self.head, self.body = router, session, head, body
-        self.route, self.service, self.due = route, service, due
-        self.prompt = read_prompt(head)
-        self.request_id = head.first.get(b"request-id", b"")
-        self.name = ModelName(service, self.prompt.model, self.prompt.adapter)
-        self.held = PendingRequest(
-            self, self.name, route.priority, route.target_s, self.prompt.session, router.now(), due, prefix=self.prompt.prefix
+    __slots__ = (
+        "_attempt",
+        "_deadline_timer",
+        "_services",
+        "context",
+        "is_finished",
+        "pending",
+        "rejected_by",
+        "wait_reason",
+    )
+
+    def __init__(self, services: RequestServices, context: RequestContext) -> None:
+        self._services, self.context = services, context
+        route = context.route
+        self.pending = PendingRequest(
+            self,
+            context.name,
+            route.priority,
+            route.target_s,
+            context.prompt.session,
+            services.loop.time(),
+            context.deadline,
         )
-        self.attempt: Attempt | None = None
-        resumable = route.streaming and route.resumable
-        self.state = RequestState(route.idempotent, resumable, route.max_attempts)
-        self.rejected_by: set[str] = set()
-        self.over = False
-        self.delay = WaitReason.NONE  # what kept it from a backend when it arrived
-        self.cutter = EventStreamFilter(head.first.get(b"last-event-id", b"")) if resumable else None
-        self._timer = router.loop.call_at(due + DEADLINE_GRACE_S, self._time_over)
-
-    def limit_time(self, until: float) -> None:
-        """The process ends: a request that has not gone to a backend by then is answered."""
-        if until < self.due and self.attempt is None and not self.over:
-            self._timer.cancel()
-            self._timer = self.router.loop.call_at(until, self._leave_over)
-
-    def _leave_over(self) -> None:
-        if self.over:
+        self._attempt: Attempt | None = None
+        self.rejected_by: set[str] = set()  # ids of backends that did not serve it; avoided while others are available
+        self.is_finished = False
+        self.wait_reason = WaitReason.NONE  # why no backend could take it when it arrived
+        self._deadline_timer = services.loop.call_at(context.deadline + DEADLINE_GRACE_S, self._on_deadline)
+
+    def answer_before(self, shutdown_at: float) -> None:
+        """Answer the request by `shutdown_at` (loop time) unless it is at a backend by then."""
+        if shutdown_at < self.context.deadline and self._attempt is None and not self.is_finished:
+            self._deadline_timer.cancel()
+            self._deadline_timer = self._services.loop.call_at(shutdown_at, self._on_shutdown)
+
+    def _on_shutdown(self) -> None:
+        if self.is_finished:
             return
-        if self.attempt is None:
-            self._follow(self.state.unserved(), "this instance ends")
+        if self._attempt is None:
+            self._follow(self.context.state.no_backend(), "this instance ends")
         else:
-            self._timer = self.router.loop.call_at(self.due + DEADLINE_GRACE_S, self._time_over)
+            self._deadline_timer = self._services.loop.call_at(self.context.deadline + DEADLINE_GRACE_S, self._on_deadline)
 
-    # From admission.
+    # Called by the scheduler.
 
     def start(self) -> None:
-        """Its turn: it goes to a backend, or back to the held ones if none can take it."""
-        backend = self.router.choose(self)
+        """Send the request to a backend, or return it to the queue if none is available."""
+        services, context = self._services, self.context
+        backend = services.attempt_resources.selector.select(context.name, context.prompt.prefix, self.rejected_by)
         if backend is None:
-            self.router.requeue(self)
+            services.scheduler.requeue(self)
             return
-        if self.state.sends and not self.router.may_repeat(self.service):
-            self._follow(self.state.unserved(), "no budget for another stub")
+        if context.state.sends and not self._spend_retry():
+            self._follow(context.state.no_backend(), "no budget for another stub")
             return
-        self.attempt = Attempt(self, backend)
-        self.attempt.begin()
+        self._attempt = Attempt(context, backend, services.attempt_resources, self)
+        self._attempt.start()
 
-    def refused(self, refused: Rejection) -> None:
-        """It is not taken, or given up before it ran: answered at once."""
-        self._follow(self.state.unserved(), refused.reason.value, refused.retry_after_s)
+    def _spend_retry(self) -> bool:
+        services = self._services
+        return services.retry_budget.try_spend(self.context.service, services.loop.time(), services.data_plane_count())
 
-    # From the attempt.
+    def reject(self, rejection: Rejection) -> None:
+        """Answer a request that the queue did not accept, or gave up before it ran."""
+        self._follow(self.context.state.no_backend(), rejection.reason.value, rejection.retry_after_s)
 
-    def sent_back_by(self, attempt: Attempt, full: bool) -> None:
-        """A backend did not run it, for certain."""
-        self._attempt_over(attempt, completed=False, full=full)
-        self.rejected_by.add(attempt.backend.id)
-        self._follow(self.state.not_run(), "no stub could take it")
+    # Called by the attempt.
+
+    def on_sent(self) -> None:
+        """Count the first sending as a request of the retry budget's rule."""
+        if self.context.state.sends == 1:
+            self._services.retry_budget.record_request(self.context.service, self._services.loop.time())
+
+    def on_first_byte(self, latency_s: float) -> None:
+        """Log a response that starts after the route's latency target."""
+        waited_s = self._services.loop.time() - self.pending.arrived_at
+        if waited_s > self.context.route.target_s:
+            self._services.request_log.late(self, waited_s, latency_s)
 
-    def unreached(self, attempt: Attempt) -> None:
-        """No byte of it reached the backend."""
-        self._attempt_over(attempt, completed=False)
+    def on_rejected_by_backend(self, attempt: Attempt, was_overloaded: bool) -> None:
+        """Handle a backend's statement that it did not execute the request."""
+        self._release_attempt(was_overloaded=was_overloaded)
         self.rejected_by.add(attempt.backend.id)
-        self._follow(self.state.unreached(len(self.rejected_by)), "no stub could be reached")
+        self._follow(self.context.state.not_executed(), "no stub could take it")
 
-    def broke(self, attempt: Attempt) -> None:
-        """It may have run, and what became of it is not known."""
-        self._attempt_over(attempt, completed=False)
+    def on_unreachable(self, attempt: Attempt) -> None:
+        """Handle a failed connect: no byte of the request reached the backend."""
+        self._release_attempt()
         self.rejected_by.add(attempt.backend.id)
-        following = self.state.lost()
-        if following is NextStep.ANOTHER_BACKEND and self.cutter is not None:
-            self.cutter.cut()
-        self._follow(following, "the stub broke off; whether it ran is not known")
-
-    def completed(self, attempt: Attempt) -> None:
-        self._attempt_over(attempt, completed=True)
-        self._close()
-        self.session.finish()
-        self.router.served(self)
-
-    def _attempt_over(self, attempt: Attempt, completed: bool, full: bool = False) -> None:
-        self.attempt = None
-        self.router.attempt_ended(self, attempt.backend, completed, full)
-
-    def _again(self) -> None:
-        if self.router.now() + MIN_SEND_TIME_S > self.due:
-            self._time_over()
-            return
-        self.router.hold_again(self)
+        self._follow(self.context.state.unreachable(len(self.rejected_by)), "no stub could be reached")
 
-    # Ends.
+    def on_connection_lost(self, attempt: Attempt) -> None:
+        """Handle a connection loss after the request may have executed."""
+        self._release_attempt()
+        self.rejected_by.add(attempt.backend.id)
+        next_step = self.context.state.connection_lost()
+        if next_step is NextStep.RETRY and self.context.event_filter is not None:
+            self.context.event_filter.discard_partial_event()
+        self._follow(next_step, "the stub broke off; whether it ran is not known")
+
+    def on_completed(self) -> None:
+        """Finish the request after its complete response was forwarded."""
+        self._release_attempt(is_completed=True)
+        self._finish()
+        self.context.session.finish()
+        self._services.request_log.served()
 
-    def _follow(self, following: NextStep, why: str, retry_after_s: float | None = None) -> None:
-        """Carries out what follows from what is known."""
-        if following is NextStep.ANOTHER_BACKEND:
-            self._again()
-        elif following is NextStep.REJECT:
-            self._answer_unrun(why, self.router.retry_after(self) if retry_after_s is None else retry_after_s)
-        elif following is NextStep.ABORT:
-            self._break_off()
-        else:
-            self._fail(504 if following is NextStep.TIME_OVER else 502, why)
+    def _release_attempt(self, is_completed: bool = False, was_overloaded: bool = False) -> None:
+        self._attempt = None
+        self._services.scheduler.attempt_finished(self, is_completed, was_overloaded)
 
-    def _answer_unrun(self, why: str, retry_after_s: float) -> None:
-        self._close()
-        LOG.debug("refused", extra={"request_id": self.request_id.decode("latin-1"), "why": why})
-        self.router.note_refusal(self, why, retry_after_s)
-        self.session.refuse(503, f"not run: {why}", retry_after_s)
+    # Called by the client's session.
 
-    def _fail(self, status: int, why: str) -> None:
-        self._close()
-        LOG.debug("failed", extra={"request_id": self.request_id.decode("latin-1"), "why": why})
-        self.session.refuse(status, why)
+    def cancel(self) -> None:
+        """Stop the request because its client disconnected: its backend is freed at once."""
+        if not self.is_finished:
+            self._abandon_attempt()
+            self._finish()
 
-    def _break_off(self) -> None:
-        self._close()
-        self.session.break_off()
+    def on_writable(self, is_writable: bool) -> None:
+        """Pause reading from the backend while the client does not read."""
+        if self._attempt is not None:
+            self._attempt.pause(not is_writable)
 
-    def _time_over(self) -> None:
-        if self.over:
-            return
-        self._drop_attempt()
-        self._follow(self.state.time_over(), "the time is over")
+    # Ends.
 
-    def cancel(self) -> None:
-        """The client left: its backend is freed at once."""
-        if not self.over:
-            self._drop_attempt()
-            self._close()
-
-    def _drop_attempt(self) -> None:
-        attempt = self.attempt
-        if attempt is not None:
-            attempt.drop()
-            self._attempt_over(attempt, completed=False)
-
-    def _close(self) -> None:
-        self.over = True
-        self._timer.cancel()
-        self.router.forget(self)
-
-    def on_writable(self, writable: bool) -> None:
-        if self.attempt is not None:
-            self.attempt.pause(not writable)
-
-
-class Attempt:
-    """One sending of a request to one backend; hears the answer as an `AnswerSink`."""
-
-    def __init__(self, exchange: ClientRequest, backend: RegisteredBackend) -> None:
-        self.exchange, self.backend, self.router = exchange, backend, exchange.router
-        self._connection: ClientConnection | None = None
-        self._task: asyncio.Task[None] | None = None
-        self._head: Head | None = None
-        self._answer: Answer | None = None  # what the head said
-        self._gathered: list[bytes] | None = None
-        self._size = 0
-        self._over = False
-        self._silence: asyncio.TimerHandle | None = None
-        self._counted = False  # as running at the backend
-        self._sent_at = 0.0
-        self._first_seen = False
-
-    def begin(self) -> None:
-        exchange = self.exchange
-        exchange.state.begin()
-        connection = self.router.pool.take(self.backend.id)
-        if connection is not None:
-            self._send(connection)
-        else:
-            self._task = asyncio.ensure_future(self._connect())
-
-    async def _connect(self) -> None:
-        try:
-            connection = await self.router.pool.open(self.backend.address)
-        except OSError:
-            if not self._over:
-                self._over = True
-                self.router.backends_failed(self.backend)
-                self.exchange.unreached(self)
+    def _on_deadline(self) -> None:
+        if self.is_finished:
             return
-        if self._over:
-            connection.close()
-        elif not self.router.still_listed(self.backend):
-            connection.close()
-            self._over = True
-            self.exchange.unreached(self)
+        self._abandon_attempt()
+        self._follow(self.context.state.deadline_exceeded(), "the time is over")
+
+    def _abandon_attempt(self) -> None:
+        if self._attempt is not None:
+            self._attempt.abandon()
+            self._release_attempt()
+
+    def _follow(self, next_step: NextStep, why: str, retry_after_s: float | None = None) -> None:
+        """Carry out a decision of the request's state machine.
+
+        Args:
+            next_step: The decision.
+            why: Reason, part of the client's error message.
+            retry_after_s: Seconds for `Retry-After` of a rejection; estimated where None.
+        """
+        if next_step is NextStep.RETRY:
+            self._retry()
+        elif next_step is NextStep.REJECT:
+            self._respond_rejection(why, retry_after_s)
+        elif next_step is NextStep.ABORT:
+            self._finish()
+            self.context.session.abort()
         else:
-            self._send(connection)
-
-    def _send(self, connection: ClientConnection) -> None:
-        exchange = self.exchange
-        self._connection = connection
-        last_id = exchange.cutter.last_id if exchange.cutter is not None else b""
-        fields = backend_fields(
-            exchange.head, exchange.due - self.router.now(), self.backend.id, exchange.route.priority, last_id
-        )
-        self.router.sent(exchange)
-        self._counted = True
-        self._sent_at = self.router.now()
-        connection.send(write_request(exchange.head.method, exchange.head.target, fields, exchange.body), self)
-        if exchange.cutter is not None:
-            self._expect_more()
-
-    def _expect_more(self) -> None:
-        """A backend that says nothing for long is left for another where the stream may go on there."""
-        if self._silence is not None:
-            self._silence.cancel()
-        quiet = max(STREAM_STALL_TIMEOUT_S, 4.0 * self.exchange.route.gap_s)
-        if self._head is None:
-            quiet = max(quiet, 0.75 * self.exchange.route.target_s)
-        self._silence = self.router.loop.call_later(quiet, self._fell_silent)
-
-    def _fell_silent(self) -> None:
-        exchange = self.exchange
-        if not self._over and exchange.state.may_run_again and self.router.another_can_take(exchange, self.backend):
-            self.router.backends_failed(self.backend)
-            self._connection.close()
-            self.on_loss(Loss.BROKEN)
-
-    # The answer.
-
-    def expects(self, head: Head) -> bool:
-        return not self.exchange.request_id or head.first.get(b"request-id") == self.exchange.request_id
-
-    def on_head(self, head: Head) -> None:
-        self._head = head
-        self._answer = read_answer(head.status, head.first, self.exchange.route.idempotent)
-        if self._answer is Answer.NOT_RUN:
-            return
-        if self._answer is Answer.UNUSABLE:
-            self._connection.close()
-            self.on_loss(Loss.BROKEN)
-        elif not self.exchange.route.streaming or head.status >= 300:
-            self._gathered = []
-        elif not self.exchange.state.head_passed:
-            self._pass_head(head, head.length)
-
-    def _pass_head(self, head: Head, length: int | None) -> None:
-        self.exchange.state.head_passed = True
-        self.exchange.session.write_head(head, None if self.exchange.cutter is not None else length)
-
-    def on_body(self, data: bytes) -> None:
-        exchange = self.exchange
-        if self._answer is Answer.NOT_RUN:
-            return
-        if not self._first_seen:
-            self._first_seen = True
-            self.router.first_answer(exchange, self.backend, self.router.now() - self._sent_at)
-        if self._gathered is not None:
-            self._gather(data)
-        elif exchange.cutter is not None:
-            self._expect_more()
-            whole = exchange.cutter.feed(data)
-            if whole:
-                exchange.session.write_body(whole)
-        else:
-            exchange.session.write_body(data)
-
-    def _gather(self, data: bytes) -> None:
-        self._gathered.append(data)
-        self._size += len(data)
-        if self._size > MAX_BUFFERED_BODY_BYTES:
-            self._pass_gathered(self._head.length)
-
-    def _pass_gathered(self, length: int | None) -> None:
-        gathered, self._gathered = self._gathered, None
-        self._pass_head(self._head, length)
-        for data in gathered:
-            if data:
-                self.exchange.session.write_body(data)
-
-    def on_end(self) -> None:
-        if self._over:
-            return
-        self._finish()
-        exchange, head = self.exchange, self._head
-        if self._connection is not None:
-            self.router.pool.give_back(self.backend.id, self._connection, head)
-        if self._answer is Answer.NOT_RUN:
-            self._sent_back(head)
-            return
-        self.router.backend_answered(self.backend, head)
-        if head.status >= 300 and exchange.state.head_passed and exchange.cutter is not None:
-            exchange.broke(self)
-            return
-        if head.status >= 500 and not exchange.state.head_passed and self._may_repeat():
-            exchange.broke(self)
-            return
-        if self._gathered is not None:
-            self._pass_gathered(self._size)
-        elif exchange.cutter is not None and exchange.cutter.rest:
-            exchange.session.write_body(exchange.cutter.rest)
-        exchange.completed(self)
-
-    def _may_repeat(self) -> bool:
-        exchange = self.exchange
-        return exchange.state.may_run_again and self.router.another_can_take(exchange, self.backend)
-
-    def _sent_back(self, head: Head) -> None:
-        exchange = self.exchange
-        LOG.info(
-            "sent back",
-            extra={
-                "request_id": exchange.request_id.decode("latin-1"),
-                "backend": self.backend.id,
-                "status": head.status,
-                "model": exchange.name.model,
-                "adapter": exchange.name.adapter,
-                "running": self.router.states.of(self.backend.id).running,
-            },
-        )
-        if head.status == 421:
-            self.router.backend_is_other(self.backend, head, exchange.name)
+            self._respond_failure(504 if next_step is NextStep.TIME_OUT else 502, why)
+
+    def _retry(self) -> None:
+        if self._services.loop.time() + MIN_SEND_TIME_S > self.context.deadline:
+            self._on_deadline()
         else:
-            self.router.sent_back_full(self.backend, exchange.name)
-        exchange.sent_back_by(self, full=head.status != 421)
+            self._services.scheduler.retry(self)
 
-    def on_loss(self, loss: Loss) -> None:
-        if self._over:
-            return
+    def _respond_rejection(self, why: str, retry_after_s: float | None) -> None:
+        if retry_after_s is None:
+            retry_after_s = self._services.scheduler.retry_after_s(self)
         self._finish()
-        self.router.backends_failed(self.backend)
-        if self._answer is Answer.NOT_RUN:
-            self._sent_back(self._head)
-        else:
-            self.exchange.broke(self)
+        LOG.debug("refused", extra={"request_id": self.context.request_id_text, "why": why})
+        self._services.request_log.not_served(self, why, retry_after_s)
+        self.context.session.respond_error(503, f"not run: {why}", retry_after_s)
 
-    def drop(self) -> None:
-        """Nobody waits for the answer any more."""
+    def _respond_failure(self, status: int, why: str) -> None:
         self._finish()
-        if self._task is not None:
-            self._task.cancel()
-        if self._connection is not None:
-            self._connection.close()
+        LOG.debug("failed", extra={"request_id": self.context.request_id_text, "why": why})
+        self.context.session.respond_error(status, why)
 
     def _finish(self) -> None:
-        self._over = True
-        if self._counted:
-            self._counted = False
-            self.router.left_backend(self.backend)
-        if self._silence is not None:
-            self._silence.cancel()
-
-    def pause(self, paused: bool) -> None:
-        if self._connection is not None:
-            self._connection.pause(paused)
+        self.is_finished = True
+        self._deadline_timer.cancel()
+        self._services.scheduler.remove(self)
--- /dev/null
+++ b/mulleinhatch/data_plane/request_log.py
@@ -0,0 +1,87 @@
+"""What operators learn about single requests: counters, log lines, and the latest rejections."""
+
+from __future__ import annotations
+
+import logging
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol
+
+from mulleinhatch.data_plane.admission_queue import PendingRequest
+from mulleinhatch.data_plane.client_timeouts import ClientTimeouts
+from mulleinhatch.data_plane.request_context import RequestContext
+from mulleinhatch.data_plane.wait_reason import WaitReason
+
+LOG = logging.getLogger(__name__)
+MAX_RECENT_REJECTIONS = 100  # rejections that the command `why` can explain
+
+
+class LoggedRequest(Protocol):
+    """What is logged of a request; `request_lifecycle.ClientRequest` implements it."""
+
+    context: RequestContext
+    pending: PendingRequest
+    wait_reason: WaitReason
+
+
+class RequestLog:
+    """Counts requests, logs late and rejected ones, and keeps the latest rejections for the status page.
+
+    Args:
+        clock: Loop time in seconds.
+        timeouts: Tells which requests are probable retries.
+    """
+
+    def __init__(self, clock: Callable[[], float], timeouts: ClientTimeouts) -> None:
+        self._clock, self._timeouts = clock, timeouts
+        self.counters = {"served": 0, "refused": 0}
+        self.recent_rejections: deque[dict[str, str | float]] = deque(maxlen=MAX_RECENT_REJECTIONS)
+
+    def served(self) -> None:
+        """Count a request whose complete response was forwarded."""
+        self.counters["served"] += 1
+
+    def rejected_by_queue(self) -> None:
+        """Count a request that the admission queue did not accept, or gave up."""
+        self.counters["refused"] += 1
+
+    def late(self, request: LoggedRequest, waited_s: float, backend_latency_s: float) -> None:
+        """Log a response that started after the route's latency target.
+
+        Args:
+            request: The request.
+            waited_s: From the request's arrival to the first byte of the response's body.
+            backend_latency_s: The part of it after the request was sent to the backend that responds.
+        """
+        times = {"waited_s": round(waited_s, 3), "at_stub_s": round(backend_latency_s, 3)}
+        LOG.info("late", extra=self._describe(request) | times)
+
+    def not_served(self, request: LoggedRequest, why: str, retry_after_s: float) -> None:
+        """Log and keep the rejection of a request that was not executed."""
+        context = request.context
+        name = context.name
+        LOG.info("not served", extra=self._describe(request) | {"why": why, "retry_after_s": round(retry_after_s, 3)})
+        self.recent_rejections.append(
+            {
+                "request_id": context.request_id_text,
+                "route": context.route.name,
+                "model": f"{name.model}/{name.adapter}" if name.adapter else name.model,
+                "why": why,
+                "held_s": round(self._clock() - request.pending.arrived_at, 3),
+                "retry_after_s": round(retry_after_s, 2),
+            }
+        )
+
+    def _describe(self, request: LoggedRequest) -> dict[str, str | bool | int]:
+        context = request.context
+        is_retry = self._timeouts.is_probable_retry(context.route, context.deadline - request.pending.arrived_at)
+        return {
+            "request_id": context.request_id_text,
+            "route": context.route.name,
+            "priority": context.route.priority,
+            "model": context.name.model,
+            "adapter": context.name.adapter,
+            "delay": request.wait_reason.value,
+            "came_back": is_retry,
+            "sends": context.state.sends,
+        }
--- /dev/null
+++ b/mulleinhatch/data_plane/request_scheduler.py
@@ -0,0 +1,171 @@
+"""Starts requests in the admission queue's order and answers those that can't be served in time."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+
+from mulleinhatch.data_plane.admission_queue import (
+    DEFAULT_SERVICE_S,
+    RESPONSE_MARGIN_S,
+    AdmissionQueue,
+    Rejection,
+    RejectionReason,
+)
+from mulleinhatch.data_plane.backend_selection import BackendSelector
+from mulleinhatch.data_plane.client_timeouts import ClientTimeouts, stream_abandoned_after_s
+from mulleinhatch.data_plane.model_readiness import ModelReadiness
+from mulleinhatch.data_plane.registry_snapshot import ModelName
+from mulleinhatch.data_plane.request_lifecycle import ClientRequest
+from mulleinhatch.data_plane.request_log import RequestLog
+from mulleinhatch.data_plane.wait_reason import WaitReason, wait_reason_of
+
+SHUTDOWN_RESPONSE_MARGIN_S = 0.4  # before the process ends, so that the response still reaches the client
+SHUTDOWN_ACCEPT_S = 2.8  # after SIGTERM: a request accepted later might not be completed when the process ends
+FEASIBILITY_CHECK_FRACTION = 0.15  # of the latency target: a rejection within a quarter of it counts as early
+RETRY_AFTER_MARGIN_S = 0.08
+
+
+class RequestScheduler:
+    """Owns all unfinished requests and decides when each starts.
+
+    Args:
+        loop: Clock and timers.
+        queue: Order and bounds of the waiting requests.
+        selector: Tells which backends are available.
+        readiness: Tells when a model can be served.
+        timeouts: Tells which requests are probable retries.
+        request_log: Counts rejections.
+        on_missing_model: Called with a model that is asked for and that no backend can serve.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        queue: AdmissionQueue,
+        selector: BackendSelector,
+        readiness: ModelReadiness,
+        timeouts: ClientTimeouts,
+        request_log: RequestLog,
+        on_missing_model: Callable[[ModelName], None],
+    ) -> None:
+        self._loop, self._queue, self._selector, self._readiness = loop, queue, selector, readiness
+        self._timeouts, self._request_log, self._on_missing_model = timeouts, request_log, on_missing_model
+        self._requests: set[ClientRequest] = set()
+        self._is_starting = False
+        self._answer_before = math.inf  # loop time by which the shutdown wants waiting requests answered
+        self._accepts_until = math.inf
+
+    def accepts_requests(self) -> bool:
+        """Return whether a request that arrives now can be completed before the process ends."""
+        return self._loop.time() <= self._accepts_until
+
+    # A request's arrival.
+
+    def admit(self, request: ClientRequest) -> None:
+        """Queue a client's request; it may be started or rejected at once."""
+        now, name, pending = self._loop.time(), request.context.name, request.pending
+        self._limit_wait(request)
+        if request.context.route.streaming:
+            pending.deadline = min(pending.deadline, pending.arrived_at + stream_abandoned_after_s(request.context.route))
+        self._requests.add(request)
+        if name.model:
+            delay_s = FEASIBILITY_CHECK_FRACTION * request.context.route.target_s
+            self._loop.call_later(delay_s, self._check_feasibility, request)
+        rejection = self._queue.enqueue(pending, now)
+        is_available = bool(self._selector.available(name, now))
+        request.wait_reason = wait_reason_of(name, self._selector.registered(name.service), is_available)
+        if name.model and not is_available:
+            self._on_missing_model(name)
+        if rejection is not None:
+            self._reject(request, rejection)
+            return
+        self.start_ready()
+        if request.wait_reason is WaitReason.NONE and not request.is_finished and not pending.is_started:
+            request.wait_reason = WaitReason.LIMIT
+
+    def _check_feasibility(self, request: ClientRequest) -> None:
+        """Reject a request whose model can't be ready within its latency target.
+
+        Runs shortly after the arrival, when the placement leader has published whether it loads the model. An early rejection
+        that names the time of readiness is worth more than a late response. A probable retry is kept if it can be served at all.
+        """
+        now, pending, context = self._loop.time(), request.pending, request.context
+        if request.is_finished or pending.is_started or context.state.sends:
+            return
+        ready_in_s = self._readiness.ready_in_s(context.name)
+        if ready_in_s <= 0.0 or now + ready_in_s + DEFAULT_SERVICE_S <= pending.arrived_at + context.route.target_s:
+            return
+        is_retry = self._timeouts.is_probable_retry(context.route, context.deadline - pending.arrived_at)
+        if is_retry and now + ready_in_s + RESPONSE_MARGIN_S < pending.deadline:
+            return
+        self._reject(request, Rejection(RejectionReason.NO_BACKEND_IN_TIME, ready_in_s + RETRY_AFTER_MARGIN_S))
+
+    def _reject(self, request: ClientRequest, rejection: Rejection) -> None:
+        self._request_log.rejected_by_queue()
+        request.reject(rejection)
+
+    # Starting.
+
+    def start_ready(self) -> None:
+        """Start all requests whose turn it is."""
+        if self._is_starting:
+            return  # a started request that ends at once asks for the next one: the loop below is not entered twice
+        self._is_starting = True
+        try:
+            for pending in self._queue.start_next(self._loop.time()):
+                pending.handle.start()
+        finally:
+            self._is_starting = False
+
+    def sweep(self) -> None:
+        """Answer waiting requests that can't be served in time any more, and start those whose turn it is."""
+        for pending, rejection in self._queue.remove_expired(self._loop.time()):
+            self._reject(pending.handle, rejection)
+        self.start_ready()
+
+    # Called by a request (`request_lifecycle.Scheduler`).
+
+    def requeue(self, request: ClientRequest) -> None:
+        """Return a started request for which no backend was available to the queue."""
+        self._queue.requeue(request.pending, self._loop.time())
+
+    def retry(self, request: ClientRequest) -> None:
+        """Queue a request that a backend did not serve for another backend, with its age."""
+        rejection = self._queue.enqueue(request.pending, self._loop.time())
+        if rejection is not None:
+            request.reject(rejection)
+        else:
+            self.start_ready()
+
+    def attempt_finished(self, request: ClientRequest, is_completed: bool, was_overloaded: bool) -> None:
+        """Free the slot of a request and start the next one."""
+        self._queue.finish(request.pending, self._loop.time(), is_completed, was_overloaded)
+        self._loop.call_soon(self.start_ready)
+
+    def remove(self, request: ClientRequest) -> None:
+        """Forget a finished request."""
+        self._queue.remove(request.pending)
+        self._requests.discard(request)
+
+    def retry_after_s(self, request: ClientRequest) -> float:
+        """Estimate when the client should come back."""
+        return self._readiness.retry_after_s(request.context.name)
+
+    # Shutdown.
+
+    def begin_shutdown(self, ends_at: float) -> None:
+        """Reject what can't be started at once, so that clients retry elsewhere before the process ends.
+
+        Args:
+            ends_at: Loop time at which the process ends.
+        """
+        self._answer_before = ends_at - SHUTDOWN_RESPONSE_MARGIN_S
+        self._accepts_until = self._loop.time() + SHUTDOWN_ACCEPT_S
+        for request in list(self._requests):
+            self._limit_wait(request)
+
+    def _limit_wait(self, request: ClientRequest) -> None:
+        request.pending.deadline = min(request.pending.deadline, self._answer_before)
+        request.answer_before(self._answer_before)
--- a/mulleinhatch/data_plane/request_state.py
+++ b/mulleinhatch/data_plane/request_state.py
@@ -1,19 +1,17 @@
-"""What is known of one client's request, and what follows: whether it may go to another backend, what may be said. Pure.
-
-| known | event | what follows |
-| --- | --- | --- |
-| sent to nobody, or only to backends that did not run it | none takes it, time over, leave | 503 with Retry-After: a promise |
-| on its way to a backend | no byte reached the backend | another backend |
-| sent | the backend says that it did not run it | another backend; after `MAX_SENDS` 503 |
-| sent, nothing passed on | close, reset, bytes that are no answer | idempotent: another backend within `max_attempts`; else
-502 |
-| sent, nothing passed on | time over | 504 |
-| head passed on | close, reset, bytes that are no answer | resumable: taken up at another backend; else broken off |
-| head passed on | time over | broken off |
-| head passed on | the whole answer | complete |
-
-A request counts as run from the moment at which its first byte may leave, and no longer only by the word of the backend that it
-was sent to. Statuses that promise (408, 421, 429, 503) are said only while nothing counts as run.
+"""What is known about the execution of one client request, and what follows from each event. Pure.
+
+| event | retried at another backend |
+| --- | --- |
+| a backend says that it did not execute the request | until it was sent to `MAX_SENDS` backends |
+| no byte reached the backend | until 2 x `MAX_SENDS` backends were tried |
+| connection lost, or bytes that are no response | if idempotent, and resumable once a response started: within `max_attempts` |
+| deadline exceeded, or no backend | never |
+
+`FINAL_STEPS` says what follows an event after which the request is not retried.
+
+A request counts as executed from the moment at which its first byte may leave, and stops counting only when the backend
+that it was sent to says that it did not execute it. Statuses that promise "not executed" (408, 421, 429, 503) are sent
+only while nothing counts as executed.
 """
 
 from __future__ import annotations
@@ -22,92 +20,139 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_SENDS = 4  # backends that may send one request back unrun
-NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # statuses that say "not run"
+MAX_SENDS = 4  # backends that may reject one request unexecuted
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # a client may repeat a request after one of these
+
+
+class Progress(Enum):
+    """How far a request's execution may be."""
+
+    NOT_EXECUTED = "sent to no backend, or rejected by each"
+    MAYBE_EXECUTED = "sent to a backend whose response is not known"
+    RESPONSE_STARTED = "the head of a response was forwarded to the client"
+
+
+class Event(Enum):
+    """What ends an attempt or a wait."""
+
+    NO_BACKEND = "no backend takes the request, or no retry is allowed"
+    CONNECTION_LOST = "the connection was lost, or carried bytes that are no response"
+    DEADLINE_EXCEEDED = "the client or the route gives the request up"
 
 
 class NextStep(Enum):
-    """What becomes of a request."""
+    """What happens to a request."""
+
+    RETRY = "send it to another backend"
+    REJECT = "503 with Retry-After: it was not executed and will not be"
+    FAIL = "502: whether it was executed is not known"
+    TIME_OUT = "504: it may have been executed"
+    ABORT = "reset the client's connection, so that the response does not look complete"
+
 
-    ANOTHER_BACKEND = "another stub"
-    REJECT = "503 with Retry-After: it has not run and will not"
-    FAIL = "502: whether it ran is not known"
-    TIME_OVER = "504: it may have run"
-    ABORT = "the answer is broken off, so that it does not look complete"
+# What follows an event after which no other backend may be tried.
+FINAL_STEPS: Mapping[tuple[Progress, Event], NextStep] = {
+    (Progress.NOT_EXECUTED, Event.NO_BACKEND): NextStep.REJECT,
+    (Progress.NOT_EXECUTED, Event.CONNECTION_LOST): NextStep.FAIL,
+    (Progress.NOT_EXECUTED, Event.DEADLINE_EXCEEDED): NextStep.REJECT,
+    (Progress.MAYBE_EXECUTED, Event.NO_BACKEND): NextStep.FAIL,
+    (Progress.MAYBE_EXECUTED, Event.CONNECTION_LOST): NextStep.FAIL,
+    (Progress.MAYBE_EXECUTED, Event.DEADLINE_EXCEEDED): NextStep.TIME_OUT,
+    (Progress.RESPONSE_STARTED, Event.NO_BACKEND): NextStep.ABORT,
+    (Progress.RESPONSE_STARTED, Event.CONNECTION_LOST): NextStep.ABORT,
+    (Progress.RESPONSE_STARTED, Event.DEADLINE_EXCEEDED): NextStep.ABORT,
+}
 
 
-class Answer(Enum):
-    """What the head of an answer says."""
+class ResponseVerdict(Enum):
+    """What the head of a backend's response says."""
 
-    NOT_RUN = "the stub says that it did not run the request"
-    UNUSABLE = "no answer that may be passed on; the request may have run"
-    FORWARDABLE = "passed on"
+    NOT_EXECUTED = "the backend did not execute the request"
+    UNUSABLE = "not a response that may be forwarded; the request may have been executed"
+    FORWARDABLE = "forwarded to the client"
 
 
-def read_answer(status: int, fields: Mapping[bytes, bytes], idempotent: bool) -> Answer:
-    """What an answer's status and fields (names in lower case) say of the request.
+def classify_response(status: int, fields: Mapping[bytes, bytes], idempotent: bool) -> ResponseVerdict:
+    """Classify a backend's response by its head.
 
-    >>> read_answer(503, {b"not-executed": b"1"}, False), read_answer(503, {}, False), read_answer(200, {}, True)
-    (<Answer.NOT_RUN: 'the backend says that it did not run the request'>, <Answer.SPOILT: 'no answer that may be passed on; \
-the request may have run'>, <Answer.SPOILT: 'no answer that may be passed on; the request may have run'>)
+    >>> classify_response(503, {b"not-executed": b"1"}, False).name, classify_response(503, {}, False).name
+    ('NOT_EXECUTED', 'UNUSABLE')
+    >>> classify_response(200, {}, True).name, classify_response(200, {b"server-signature": b"s"}, True).name
+    ('UNUSABLE', 'FORWARDABLE')
+
+    Args:
+        status: HTTP status.
+        fields: Header fields, names in lower case.
+        idempotent: Whether the request may be executed more than once.
     """
     if status == 421 or b"not-executed" in fields:
-        return Answer.NOT_RUN
-    encoded = fields.get(b"content-encoding", b"identity").lower() != b"identity"
-    if 200 <= status < 300 and (b"server-signature" not in fields or encoded):
-        return Answer.UNUSABLE
+        return ResponseVerdict.NOT_EXECUTED
+    is_encoded = fields.get(b"content-encoding", b"identity").lower() != b"identity"
+    if 200 <= status < 300 and (b"server-signature" not in fields or is_encoded):
+        return ResponseVerdict.UNUSABLE
     if status in NOT_EXECUTED_STATUSES and not idempotent:
-        return Answer.UNUSABLE
-    return Answer.FORWARDABLE
+        # Forwarded, it would tell the client that the request was not executed, which the backend did not say.
+        return ResponseVerdict.UNUSABLE
+    return ResponseVerdict.FORWARDABLE
 
 
-@dataclass
+@dataclass(slots=True)
 class RequestState:
-    """Counts what a request was sent to, and decides by it. `sends` are the backends that it was sent to, `runs` those of them
-    that may have run it."""
+    """Counts the attempts of one request and decides by them what follows.
+
+    Attributes:
+        idempotent: Whether the request may be executed more than once.
+        resumable: Whether its stream may be continued at another backend.
+        max_attempts: Backends that may execute it.
+        sends: Backends that it was sent to.
+        executions: Those of them that may have executed it.
+        is_response_started: Whether the head of a response was forwarded to the client.
+    """
 
     idempotent: bool
     resumable: bool
     max_attempts: int
     sends: int = 0
-    runs: int = 0
-    head_passed: bool = False
+    executions: int = 0
+    is_response_started: bool = False
+
+    @property
+    def progress(self) -> Progress:
+        """How far the execution may be."""
+        if self.is_response_started:
+            return Progress.RESPONSE_STARTED
+        return Progress.MAYBE_EXECUTED if self.executions else Progress.NOT_EXECUTED
 
-    def begin(self) -> None:
-        """It goes to a backend: from here on it counts as run there."""
+    @property
+    def may_run_again(self) -> bool:
+        """Whether a further backend may execute the request, although this one may have."""
+        is_repeatable = self.idempotent and (not self.is_response_started or self.resumable)
+        return is_repeatable and self.executions < self.max_attempts
+
+    def begin_attempt(self) -> None:
+        """Count a sending; from here on the request counts as executed by that backend."""
         self.sends += 1
-        self.runs += 1
+        self.executions += 1
 
-    def unreached(self, backends_tried: int) -> NextStep:
-        """No byte of it reached the backend, one of `backends_tried` so far."""
+    def unreachable(self, backends_tried: int) -> NextStep:
+        """Handle a backend that no byte reached, one of `backends_tried` so far."""
         self.sends -= 1
-        self.runs -= 1
-        return NextStep.ANOTHER_BACKEND if backends_tried <= 2 * MAX_SENDS else self.unserved()
+        self.executions -= 1
+        return NextStep.RETRY if backends_tried <= 2 * MAX_SENDS else self.no_backend()
 
-    def not_run(self) -> NextStep:
-        """The backend says that it did not run it."""
-        self.runs -= 1
-        return NextStep.ANOTHER_BACKEND if self.sends < MAX_SENDS else self.unserved()
+    def not_executed(self) -> NextStep:
+        """Handle a backend's statement that it did not execute the request."""
+        self.executions -= 1
+        return NextStep.RETRY if self.sends < MAX_SENDS else self.no_backend()
 
-    @property
-    def may_run_again(self) -> bool:
-        """Whether a further backend may run it, though this one may have."""
-        repeatable = self.idempotent and (not self.head_passed or self.resumable)
-        return repeatable and self.runs < self.max_attempts
-
-    def lost(self) -> NextStep:
-        """What became of it at the backend is not known."""
-        if self.may_run_again:
-            return NextStep.ANOTHER_BACKEND
-        return NextStep.ABORT if self.head_passed else NextStep.FAIL
-
-    def unserved(self) -> NextStep:
-        """No backend will take it."""
-        if self.head_passed:
-            return NextStep.ABORT
-        return NextStep.FAIL if self.runs else NextStep.REJECT
-
-    def time_over(self) -> NextStep:
-        if self.head_passed:
-            return NextStep.ABORT
-        return NextStep.TIME_OVER if self.runs else NextStep.REJECT
+    def connection_lost(self) -> NextStep:
+        """Handle a connection loss after which it is not known whether the backend executed the request."""
+        return NextStep.RETRY if self.may_run_again else FINAL_STEPS[self.progress, Event.CONNECTION_LOST]
+
+    def no_backend(self) -> NextStep:
+        """Handle that no backend takes the request."""
+        return FINAL_STEPS[self.progress, Event.NO_BACKEND]
+
+    def deadline_exceeded(self) -> NextStep:
+        """Handle the end of the request's time."""
+        return FINAL_STEPS[self.progress, Event.DEADLINE_EXCEEDED]
--- /dev/null
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -0,0 +1,218 @@
+"""Forwards a backend's response to the client as it arrives.
+
+A relay is the `AnswerSink` of one attempt's connection, so that a chunk of the body goes from the connection to the client's
+session with no object in between. Three modes, by route: a plain response is buffered until it is complete or too long; a
+stream is forwarded byte for byte; a resumable stream is forwarded in complete events, each once.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from mulleinhatch.data_plane.request_context import RequestContext
+from mulleinhatch.data_plane.request_state import ResponseVerdict, classify_response
+from mulleinhatch.networking.http_client import Loss
+from mulleinhatch.networking.http_streaming import Head
+
+STREAM_STALL_TIMEOUT_S = 2.0  # a resumable stream without an event for so long is resumed at another backend
+STALL_TIMEOUT_GAPS = 4.0  # ... or, where longer, for so many of the route's usual gaps between events
+STALL_TIMEOUT_TARGETS = 0.75  # ... or, before the head, for this fraction of the route's latency target
+MAX_BUFFERED_BODY_BYTES = 1 << 18  # a longer plain response is no longer buffered: its head is forwarded
+
+
+class RelayedAttempt(Protocol):
+    """What a relay needs of its attempt; `attempt.Attempt` implements it."""
+
+    is_finished: bool
+
+    def record_first_byte(self) -> None:
+        """Measure the time to the first byte of the body."""
+
+    def has_alternative(self) -> bool:
+        """Return whether the request may run again and another backend is available for it."""
+
+    def close_connection(self) -> None:
+        """Close the backend's connection."""
+
+    def release_connection(self, head: Head) -> None:
+        """Return the backend's connection to the pool."""
+
+    def finish(self) -> None:
+        """Mark the attempt as finished."""
+
+    def record_success(self) -> None:
+        """Count a complete response."""
+
+    def record_failure(self) -> None:
+        """Count a failure of the backend."""
+
+    def report_rejection(self, head: Head) -> None:
+        """Report that the backend did not execute the request."""
+
+    def report_connection_lost(self) -> None:
+        """Report a failure after the request may have executed."""
+
+    def report_completed(self) -> None:
+        """Report a complete response."""
+
+
+class ResponseRelay:
+    """Reads one response and writes it to the client's session.
+
+    Args:
+        context: The request's facts.
+        attempt: Attempt that the response belongs to.
+        loop: Clock and timers.
+    """
+
+    # One object an attempt; `on_body` runs for each event of a stream, slots keep its lookups cheap.
+    __slots__ = (
+        "_attempt",
+        "_buffer",
+        "_buffered_bytes",
+        "_context",
+        "_event_filter",
+        "_has_first_byte",
+        "_head",
+        "_loop",
+        "_session",
+        "_stall_timer",
+        "_verdict",
+    )
+
+    def __init__(self, context: RequestContext, attempt: RelayedAttempt, loop: asyncio.AbstractEventLoop) -> None:
+        self._context, self._attempt, self._loop = context, attempt, loop
+        self._session, self._event_filter = context.session, context.event_filter
+        self._head: Head | None = None
+        self._verdict: ResponseVerdict | None = None
+        self._buffer: list[bytes] | None = None  # chunks of a plain response whose head is not forwarded yet
+        self._buffered_bytes = 0
+        self._has_first_byte = False
+        self._stall_timer: asyncio.TimerHandle | None = None
+
+    # Called by the connection.
+
+    def expects(self, head: Head) -> bool:
+        """Return whether a response head belongs to the request, not to an earlier one on the connection."""
+        request_id = self._context.request_id
+        return not request_id or head.first.get(b"request-id") == request_id
+
+    def on_head(self, head: Head) -> None:
+        """Decide by the response head what is done with the body."""
+        route, state = self._context.route, self._context.state
+        self._head = head
+        self._verdict = classify_response(head.status, head.first, route.idempotent)
+        if self._verdict is ResponseVerdict.NOT_EXECUTED:
+            return
+        if self._verdict is ResponseVerdict.UNUSABLE:
+            self._attempt.close_connection()
+            self.on_loss(Loss.BROKEN)
+        elif not route.streaming or head.status >= 300:
+            self._buffer = []
+        elif not state.is_response_started:
+            self._forward_head(head.length)
+
+    def on_body(self, data: bytes) -> None:
+        """Forward or buffer a chunk of the body."""
+        if self._verdict is ResponseVerdict.NOT_EXECUTED:
+            return
+        if not self._has_first_byte:
+            self._has_first_byte = True
+            self._attempt.record_first_byte()
+        if self._buffer is not None:
+            self._append_to_buffer(data)
+        elif self._event_filter is not None:
+            self.restart_stall_timer()
+            events = self._event_filter.feed(data)
+            if events:
+                self._session.write_body(events)
+        else:
+            self._session.write_body(data)
+
+    def on_end(self) -> None:
+        """Finish the attempt after a complete response."""
+        attempt, head = self._attempt, self._head
+        if attempt.is_finished:
+            return
+        attempt.finish()
+        attempt.release_connection(head)
+        if self._verdict is ResponseVerdict.NOT_EXECUTED:
+            attempt.report_rejection(head)
+            return
+        attempt.record_success()
+        if self._must_discard(head):
+            attempt.report_connection_lost()
+            return
+        self._forward_rest()
+        attempt.report_completed()
+
+    def on_loss(self, loss: Loss) -> None:
+        """Finish the attempt after its connection was lost, or carried bytes that are no response."""
+        attempt = self._attempt
+        if attempt.is_finished:
+            return
+        attempt.finish()
+        attempt.record_failure()
+        if self._verdict is ResponseVerdict.NOT_EXECUTED:
+            attempt.report_rejection(self._head)
+        else:
+            attempt.report_connection_lost()
+
+    # Forwarding.
+
+    def _forward_head(self, length: int | None) -> None:
+        self._context.state.is_response_started = True
+        # A resumable stream may be continued by another backend: its length is not this response's.
+        self._session.write_head(self._head, None if self._event_filter is not None else length)
+
+    def _append_to_buffer(self, data: bytes) -> None:
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_BUFFERED_BODY_BYTES:
+            self._forward_buffer(self._head.length)
+
+    def _forward_buffer(self, length: int | None) -> None:
+        buffer, self._buffer = self._buffer, None
+        self._forward_head(length)
+        for data in buffer:
+            if data:
+                self._session.write_body(data)
+
+    def _forward_rest(self) -> None:
+        if self._buffer is not None:
+            self._forward_buffer(self._buffered_bytes)
+        elif self._event_filter is not None and self._event_filter.partial_event:
+            self._session.write_body(self._event_filter.partial_event)
+
+    def _must_discard(self, head: Head) -> bool:
+        """Return whether a complete error response is treated as a failed attempt instead of being forwarded."""
+        is_response_started = self._context.state.is_response_started
+        if head.status >= 300 and is_response_started and self._event_filter is not None:
+            return True  # an error in place of the rest of a stream
+        return head.status >= 500 and not is_response_started and self._attempt.has_alternative()
+
+    # Stalled streams.
+
+    def restart_stall_timer(self) -> None:
+        """Wait for the next event of a resumable stream; without one, the stream is resumed at another backend."""
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+        route = self._context.route
+        timeout_s = max(STREAM_STALL_TIMEOUT_S, STALL_TIMEOUT_GAPS * route.gap_s)
+        if self._head is None:
+            timeout_s = max(timeout_s, STALL_TIMEOUT_TARGETS * route.target_s)
+        self._stall_timer = self._loop.call_later(timeout_s, self._on_stall)
+
+    def cancel_stall_timer(self) -> None:
+        """Stop waiting for the next event."""
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+
+    def _on_stall(self) -> None:
+        attempt = self._attempt
+        if not attempt.is_finished and attempt.has_alternative():
+            # Counted here and again by `on_loss`: a stall makes the backend rest as long as two failures in a row do.
+            attempt.record_failure()
+            attempt.close_connection()
+            self.on_loss(Loss.BROKEN)
