--- a/mulleinhatch/data_plane/backend_health.py
+++ b/mulleinhatch/data_plane/backend_health.py
@@ -51,9 +51,17 @@
         health = self.of(backend.id)
         return not (backend.draining or backend.silent or health.is_misplaced or health.cooldown_until > now)
 
-    def lacks_model(self, backend: RegisteredBackend, name: ModelName, now: float) -> bool:
-        """Return whether the backend lately answered that it does not serve the model, whatever the registry says."""
-        return self._model_absent_until.get((backend.id, name), 0.0) > now
+    def serving(self, backends: Iterable[RegisteredBackend], name: ModelName, now: float) -> list[RegisteredBackend]:
+        """Return the usable backends that hold a model and have not answered lately that they lack it."""
+        # Runs several times a request over all backends of its service: few calls, and no hash while no mark is set.
+        absent_until = self._model_absent_until
+        return [
+            backend
+            for backend in backends
+            if backend.has_model(name)
+            and self.is_usable(backend, now)
+            and (not absent_until or absent_until.get((backend.id, name), 0.0) <= now)
+        ]
 
     def expected_latency_s(self, backend_id: str, now: float) -> float:
         """Return the average time to the first byte; old measurements count less."""
--- a/mulleinhatch/data_plane/backend_selection.py
+++ b/mulleinhatch/data_plane/backend_selection.py
@@ -92,12 +92,7 @@
 
     def available(self, name: ModelName, now: float) -> list[RegisteredBackend]:
         """Return the backends that hold a model and may be used now."""
-        health = self._health
-        return [
-            backend
-            for backend in self.registered(name.service)
-            if backend.has_model(name) and health.is_usable(backend, now) and not health.lacks_model(backend, name, now)
-        ]
+        return self._health.serving(self._registry.by_service.get(name.service, ()), name, now)
 
     def available_slots(self, name: ModelName) -> float:
         """Return this instance's part of the slots of the backends that hold a model."""
--- a/mulleinhatch/data_plane/request_scheduler.py
+++ b/mulleinhatch/data_plane/request_scheduler.py
@@ -89,7 +89,7 @@
         """Reject a request whose model can't be ready within its latency target.
 
         Runs shortly after the arrival, when the placement leader has published whether it loads the model. An early rejection
-        that names the time of readiness is worth more than a late response. A probable retry is kept if it can be served at all.
+        that names the time of readiness is worth more than a late response. A probable retry is kept if it can be served.
         """
         now, pending, context = self._loop.time(), request.pending, request.context
         if request.is_finished or pending.is_started or context.state.sends:
