--- a/mulleinhatch/data_plane/backend_health.py
+++ b/mulleinhatch/data_plane/backend_health.py
@@ -14,7 +14,7 @@
 FIRST_COOLDOWN_S, MAX_COOLDOWN_S = 0.5, 4.0  # after a failure, doubled with each further one in a row
 OVERLOAD_COOLDOWN_S = 0.05  # after a backend said that it is overloaded
 LATENCY_SMOOTHING = 0.3  # weight of a new measurement in the moving average
-LATENCY_HALF_LIFE_S = 2.0  # an old measurement loses half of its weight in this time: idle backends are tried again
+LATENCY_HALVING_TIME_S = 2.0  # an old measurement loses half of its weight in this time: idle backends are tried again
 MODEL_ABSENT_S = 0.5  # a backend that answered that it lacks a model is not used for that model
 MODEL_BUSY_S = 0.25  # the same, while it loads or unloads the model
 BUSY_SLOT_FRACTION = 0.5  # a backend with fewer of our requests than this part of its slots is not overloaded by us
@@ -66,7 +66,7 @@
     def expected_latency_s(self, backend_id: str, now: float) -> float:
         """Return the average time to the first byte; old measurements count less."""
         health = self.of(backend_id)
-        return health.latency_s * 0.5 ** ((now - health.latency_at) / LATENCY_HALF_LIFE_S)
+        return health.latency_s * 0.5 ** ((now - health.latency_at) / LATENCY_HALVING_TIME_S)
 
     # What happened to requests.
 
--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane's pure parts: admission, budgets, choice of a backend, snapshots, events of streams, demand."""
+"""The data plane's pure parts: admission queue, retry budget, backend selection, registry, event streams, demand."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 NAME = ModelName("llm", "m0")
 
 
-def held(
-    ref: str, priority: int = 0, arrived: float = 0.0, due: float = 100.0, account: str = "", target: float = 1.0
+def pending(
+    handle: str, priority: int = 0, arrived: float = 0.0, due: float = 100.0, account: str = "", target: float = 1.0
 ) -> PendingRequest:
-    return PendingRequest(ref, NAME, priority, target, account, arrived, due)
+    return PendingRequest(handle, NAME, priority, target, account, arrived, due)
 
 
-class AdmissionTrace(unittest.TestCase):
+class AdmissionQueues(unittest.TestCase):
     def setUp(self):
         self.slots, self.ready = 3.0, 0.0
         self.admission = AdmissionQueue(lambda name: self.slots, lambda name: self.ready)
@@ -35,38 +35,40 @@
     def started(self, now: float = 0.0) -> list[str]:
         return [one.handle for one in self.admission.start_next(now)]
 
-    def test_starts_up_to_the_running_limit_the_highest_class_first(self):
-        self.arrive(held("low", 2), held("high", 0), held("middle", 1), held("other", 2))
+    def test_starts_the_highest_class_first_up_to_the_running_limit(self):
+        self.arrive(pending("low", 2), pending("high", 0), pending("middle", 1), pending("other", 2))
         self.assertEqual(self.started(), ["high", "middle", "low"])
 
-    def test_waiting_makes_up_for_class(self):
+    def test_ageing_overtakes_a_higher_class(self):
         """The lowest class climbs 20 points in its latency aim of 2 s."""
         self.slots = 2.0
-        self.arrive(held("a"), held("b"))
+        self.arrive(pending("a"), pending("b"))
         self.assertEqual(self.started(), ["a", "b"])
-        self.arrive(held("old", 2, arrived=0.0), now=0.0)
-        self.arrive(held("new", 0, arrived=2.1), now=2.1)
-        self.admission.finish(held("a"), 2.1, True, False)
+        self.arrive(pending("old", 2, arrived=0.0), now=0.0)
+        self.arrive(pending("new", 0, arrived=2.1), now=2.1)
+        self.admission.finish(pending("a"), 2.1, True, False)
         self.slots = 2.0
         self.assertEqual(self.started(2.1), ["old"])
 
-    def test_an_account_at_its_cap_is_skipped_while_others_wait(self):
+    def test_skips_an_account_at_its_cap_while_others_wait(self):
         self.slots = 4.0
-        self.arrive(held("a1", account="a"), held("a2", account="a"), held("a3", account="a"), held("b1", account="b"))
+        self.arrive(
+            pending("a1", account="a"), pending("a2", account="a"), pending("a3", account="a"), pending("b1", account="b")
+        )
         self.assertEqual(self.started()[:2], ["a1", "b1"])
 
-    def test_alone_an_account_may_have_all(self):
+    def test_a_single_account_may_use_the_full_limit(self):
         self.slots = 3.0
-        self.arrive(*(held(f"a{number}", account="a") for number in range(3)))
+        self.arrive(*(pending(f"a{number}", account="a") for number in range(3)))
         self.assertEqual(self.started(), ["a0", "a1", "a2"])
 
-    def test_no_bound_before_mu_is_measured(self):
+    def test_accepts_everything_before_mu_is_measured(self):
         self.slots = 2.0
-        self.arrive(*(held(str(number)) for number in range(50)))
+        self.arrive(*(pending(str(number)) for number in range(50)))
 
-    def test_the_class_bound_is_mu_times_the_aim_and_tells_when_to_come_back(self):
+    def test_rejects_beyond_mu_times_the_latency_target_with_a_retry_time(self):
         self.slots = 2.0
-        first = [held(str(number)) for number in range(20)]
+        first = [pending(str(number)) for number in range(20)]
         self.arrive(*first)
         now, running = 0.0, self.admission.start_next(0.0)
         for _ in range(12):
@@ -76,14 +78,14 @@
             running += self.admission.start_next(now)
         group = self.admission.by_model[NAME]
         self.assertAlmostEqual(group.mu, 10.0, delta=1.5)
-        refused = [self.admission.enqueue(held(f"late{number}", arrived=now, due=now + 50), now) for number in range(12)]
+        refused = [self.admission.enqueue(pending(f"late{number}", arrived=now, due=now + 50), now) for number in range(12)]
         self.assertIsNone(refused[0])
         self.assertIs(refused[-1].reason, RejectionReason.CLASS_BOUND)
         self.assertGreater(refused[-1].retry_after_s, 0.0)
 
-    def test_a_full_backend_lowers_the_limit_and_completions_with_work_held_raise_it(self):
+    def test_overload_decreases_the_limit_and_completions_with_requests_waiting_increase_it(self):
         self.slots = 10.0
-        requests = [held(str(number)) for number in range(12)]
+        requests = [pending(str(number)) for number in range(12)]
         self.arrive(*requests)
         running = self.admission.start_next(0.0)
         self.assertEqual(len(running), 10)
@@ -92,54 +94,54 @@
         self.admission.finish(running[1], 0.2, True, False)
         self.assertEqual(self.admission.by_model[NAME].limit, 9.0)
 
-    def test_nothing_starts_where_no_backend_holds_the_model(self):
+    def test_starts_nothing_without_a_backend_for_the_model(self):
         self.slots, self.ready = 0.0, 2.0
-        self.arrive(held("a", due=10.0))
+        self.arrive(pending("a", due=10.0))
         self.assertEqual(self.started(), [])
 
-    def test_what_can_not_be_served_in_time_is_given_up_at_once(self):
+    def test_removes_requests_that_can_not_be_served_before_their_deadline(self):
         self.slots, self.ready = 0.0, 6.0
-        self.arrive(held("a", due=5.0), held("b", due=10.0))
+        self.arrive(pending("a", due=5.0), pending("b", due=10.0))
         over = self.admission.remove_expired(0.5)
         self.assertEqual([(one.handle, refused.reason) for one, refused in over], [("a", RejectionReason.NO_BACKEND_IN_TIME)])
 
-    def test_put_back_keeps_its_age(self):
-        self.arrive(held("a", arrived=0.0))
+    def test_requeued_request_keeps_its_age(self):
+        self.arrive(pending("a", arrived=0.0))
         [one] = self.admission.start_next(0.0)
         self.admission.requeue(one, 1.0)
         self.assertEqual((self.admission.by_model[NAME].running, one.is_started), (0, False))
         self.assertEqual(self.started(1.0), ["a"])
 
-    def test_who_leaves_is_no_longer_held(self):
-        one = held("a")
+    def test_removed_request_is_not_started(self):
+        one = pending("a")
         self.slots = 0.0
         self.arrive(one)
         self.admission.remove(one)
         self.slots = 5.0
         self.assertEqual(self.started(), [])
 
-    def test_the_limit_is_never_below_its_floor(self):
+    def test_limit_is_never_below_its_minimum(self):
         self.slots = 0.2
-        self.arrive(*(held(str(number)) for number in range(5)))
+        self.arrive(*(pending(str(number)) for number in range(5)))
         self.assertEqual(len(self.started()), MIN_RUNNING_LIMIT)
 
 
 class Budget(unittest.TestCase):
-    def test_all_instances_together_stay_within_the_rule(self):
-        """Six instances, uneven traffic, each repeats as often as it may."""
+    def test_all_instances_together_stay_within_the_budget(self):
+        """Six instances, uneven traffic, each retries as often as it may."""
         ratio, slack, window = 0.2, 52.0, 10.0
         budgets = [RetryBudget(ratio, slack, window) for _ in range(6)]
-        requests, repeats = [], []
+        requests, retries = [], []
         for tick in range(600):
             now = 0.05 * tick
-            for place, budget in enumerate(budgets):
-                if tick % (place + 1) == 0:
+            for index, budget in enumerate(budgets):
+                if tick % (index + 1) == 0:
                     budget.record_request("s", now)
                     requests.append(now)
                 while budget.try_spend("s", now, 6):
-                    repeats.append(now)
+                    retries.append(now)
         for end in range(1, 31):
-            inside = [one for one in repeats if end - window < one <= end]
+            inside = [one for one in retries if end - window < one <= end]
             asked = [one for one in requests if end - window < one <= end]
             self.assertLessEqual(len(inside), ratio * len(asked) + slack)
 
@@ -162,7 +164,7 @@
 
 
 class Choice(unittest.TestCase):
-    def test_the_least_busy_then_an_idle_connection_then_the_own_zone(self):
+    def test_prefers_the_least_busy_then_an_idle_connection_then_the_own_zone(self):
         states = BackendHealthTracker()
         backends = [known("s1", zone="z2"), known("s2"), known("s3")]
         self.assertEqual(choose_backend(backends, states, "", "z2", NAME).id, "s1")
@@ -171,7 +173,7 @@
             states.record_started(name)
         self.assertEqual(choose_backend(backends, states, "", "z2", NAME, {"s3"}).id, "s2")
 
-    def test_prompts_that_share_parts_meet_until_their_backend_is_much_busier(self):
+    def test_prompts_with_a_common_prefix_meet_until_their_backend_is_much_busier(self):
         states = BackendHealthTracker()
         backends = [known(f"s{number}") for number in range(5)]
         home = choose_backend(backends, states, "p1", "z1", NAME).id
@@ -180,7 +182,7 @@
             states.record_started(home)
         self.assertNotEqual(choose_backend(backends, states, "p1", "z1", NAME).id, home)
 
-    def test_a_backend_that_answers_late_is_left_for_others_until_that_is_long_ago(self):
+    def test_avoids_a_slow_backend_until_its_latency_is_outdated(self):
         states = BackendHealthTracker()
         backends = [known(f"s{number}") for number in range(5)]
         home = choose_backend(backends, states, "p1", "z1", NAME).id
@@ -189,7 +191,7 @@
         self.assertNotEqual(choose_backend(backends, states, "p1", "z1", NAME, now=1.0).id, home)
         self.assertEqual(choose_backend(backends, states, "p1", "z1", NAME, now=9.0).id, home)
 
-    def test_a_backend_that_failed_rests_longer_each_time(self):
+    def test_cooldown_doubles_with_each_failure(self):
         states, one = BackendHealthTracker(), known("s1")
         states.record_failure("s1", 0.0)
         self.assertEqual((states.is_usable(one, 0.4), states.is_usable(one, 0.6)), (False, True))
@@ -198,7 +200,7 @@
         states.record_success("s1")
         self.assertTrue(states.is_usable(one, 0.0))
 
-    def test_a_draining_silent_or_misplaced_backend_is_not_used(self):
+    def test_draining_silent_and_misplaced_backends_are_not_usable(self):
         states = BackendHealthTracker()
         self.assertFalse(states.is_usable(known("s1", draining=True), 0.0))
         self.assertFalse(states.is_usable(known("s2", silent=True), 0.0))
@@ -206,31 +208,31 @@
         self.assertFalse(states.is_usable(known("s3"), 0.0))
 
 
-class Lists(unittest.TestCase):
-    def test_gone_backends_go_and_others_change(self):
+class Registry(unittest.TestCase):
+    def test_update_removes_gone_backends_and_changes_others(self):
         one = RegistrySnapshot().updated([backend("s1"), backend("s2")], True, 0.0)
         two = one.updated([Backend(id="s1", gone=True), backend("s2", draining=True)], False, 1.0)
         self.assertEqual((sorted(two.by_id), two.by_id["s2"].draining), (["s2"], True))
         self.assertEqual(sorted(one.by_id), ["s1", "s2"])
 
-    def test_a_new_source_that_knows_nobody_yet_is_no_proof(self):
+    def test_complete_list_of_a_new_source_removes_unlisted_backends_after_a_grace_period(self):
         one = RegistrySnapshot().updated([backend("s1")], True, 0.0)
         two = one.updated([], True, 10.0)
         self.assertIn("s1", two.by_id)
         self.assertIn("s1", two.updated([backend("s1")], False, 11.0).updated([], False, 30.0).by_id)
         self.assertNotIn("s1", two.updated([], False, 10.1 + UNCONFIRMED_GRACE_S).by_id)
 
-    def test_what_is_being_taken_away_is_not_held(self):
+    def test_a_model_that_is_being_unloaded_is_not_available(self):
         going = backend_from_message(backend("s1", unloads=[PendingLoad(model="m0", adapter="a1")]), 0.0)
         self.assertTrue(going.has_model(ModelName("llm", "m0")))
         self.assertFalse(going.has_model(ModelName("llm", "m0", "a1")))
         gone = backend_from_message(backend("s1", unloads=[PendingLoad(model="m0")]), 0.0)
         self.assertFalse(gone.has_model(ModelName("llm", "m0")))
 
-    def test_holdings(self):
+    def test_has_model_compares_model_and_adapter(self):
         one = known("s1")
         self.assertEqual(
-            [one.has_model(ModelName("llm", *words)) for words in (("m0",), ("m0", "a1"), ("m0", "a2"), ("m9",))],
+            [one.has_model(ModelName("llm", *model)) for model in (("m0",), ("m0", "a1"), ("m0", "a2"), ("m9",))],
             [True, True, False, False],
         )
 
@@ -238,40 +240,40 @@
 class Streams(unittest.TestCase):
     EVENTS = [b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(1, 8)]
 
-    def test_cut_at_every_byte_and_taken_up_again_each_event_comes_once(self):
-        whole = b"".join(self.EVENTS)
-        for cut in range(len(whole)):
-            cutter = EventStreamFilter()
-            got = cutter.feed(whole[:cut])
-            cutter.discard_partial_event()
-            resumed = [event for number, event in enumerate(self.EVENTS, 1) if number > int(cutter.last_event_id or b"0")]
-            got += cutter.feed(b"".join(resumed))
-            self.assertEqual(got, whole, cut)
-
-    def test_events_that_come_again_are_left_out(self):
-        cutter = EventStreamFilter()
-        cutter.feed(b"".join(self.EVENTS[:3]))
-        self.assertEqual(cutter.feed(b"".join(self.EVENTS)), b"".join(self.EVENTS[3:]))
-
-    def test_an_event_without_an_id_is_passed(self):
+    def test_each_event_arrives_once_when_the_stream_is_resumed_after_any_byte(self):
+        stream = b"".join(self.EVENTS)
+        for end in range(len(stream)):
+            event_filter = EventStreamFilter()
+            got = event_filter.feed(stream[:end])
+            event_filter.discard_partial_event()
+            resumed = [event for number, event in enumerate(self.EVENTS, 1) if number > int(event_filter.last_event_id or b"0")]
+            got += event_filter.feed(b"".join(resumed))
+            self.assertEqual(got, stream, end)
+
+    def test_repeated_events_are_left_out(self):
+        event_filter = EventStreamFilter()
+        event_filter.feed(b"".join(self.EVENTS[:3]))
+        self.assertEqual(event_filter.feed(b"".join(self.EVENTS)), b"".join(self.EVENTS[3:]))
+
+    def test_an_event_without_an_id_is_forwarded(self):
         self.assertEqual(EventStreamFilter().feed(b": hello\n\n"), b": hello\n\n")
 
 
-class DemandTold(unittest.TestCase):
-    def test_rates_decay_and_quiet_models_are_no_longer_told(self):
-        book = DemandTracker()
+class Demand(unittest.TestCase):
+    def test_rates_decay_and_idle_models_are_not_reported(self):
+        tracker = DemandTracker()
         for tick in range(80):
-            book.record_request(NAME, 2.0, 0.1 * tick)
-        [told] = book.report([], 8.0)
-        self.assertAlmostEqual(told.rate, 10.0 * 0.63, delta=0.5)
-        self.assertAlmostEqual(told.worth_rate, 2.0 * told.rate, delta=0.1)
-        self.assertEqual(book.report([], 80.0), [])
-
-    def test_what_is_urgent_is_told_of_the_models_named_only(self):
-        book = DemandTracker()
-        book.record_request(NAME, 1.0, 0.0)
-        book.record_request(ModelName("s", "other"), 1.0, 0.0)
-        self.assertEqual([one.model for one in book.urgent_report([NAME, ModelName("s", "never")], {}, 0.0)], [NAME.model])
+            tracker.record_request(NAME, 2.0, 0.1 * tick)
+        [demand] = tracker.report([], 8.0)
+        self.assertAlmostEqual(demand.rate, 10.0 * 0.63, delta=0.5)
+        self.assertAlmostEqual(demand.worth_rate, 2.0 * demand.rate, delta=0.1)
+        self.assertEqual(tracker.report([], 80.0), [])
+
+    def test_urgent_report_covers_the_named_models_only(self):
+        tracker = DemandTracker()
+        tracker.record_request(NAME, 1.0, 0.0)
+        tracker.record_request(ModelName("s", "other"), 1.0, 0.0)
+        self.assertEqual([one.model for one in tracker.urgent_report([NAME, ModelName("s", "never")], {}, 0.0)], [NAME.model])
 
 
 if __name__ == "__main__":
--- a/tests/system/test_listener.py
+++ b/tests/system/test_listener.py
@@ -1,4 +1,4 @@
-"""Clients' connections, byte by byte, against a transport in memory."""
+"""Client connections, byte by byte, on a transport in memory."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
         self.paused = False
 
 
-class Running:
-    """An exchange that the test answers itself."""
+class RunningRequest:
+    """A request that the test answers itself."""
 
     def __init__(self, session: ClientSession, head: Head, body: bytes) -> None:
         self.session, self.head, self.body = session, head, body
@@ -53,49 +53,49 @@
         self.cancelled = True
 
     def on_writable(self, writable: bool) -> None:
-        """Nothing is held back here."""
+        """Nothing is paused here."""
 
 
 class Sessions(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.exchanges: list[Running] = []
+        self.requests: list[RunningRequest] = []
         self.listener = Listener(lambda: Limits(max_header_bytes=400, max_body_bytes=50), self.begin)
 
-    def begin(self, session: ClientSession, head: Head, body: bytes) -> Running:
-        self.exchanges.append(Running(session, head, body))
-        return self.exchanges[-1]
+    def begin(self, session: ClientSession, head: Head, body: bytes) -> RunningRequest:
+        self.requests.append(RunningRequest(session, head, body))
+        return self.requests[-1]
 
     def connect(self) -> tuple[ClientSession, Transport]:
         session, transport = ClientSession(self.listener), Transport()
         session.connection_made(transport)
         return session, transport
 
-    async def test_a_request_that_comes_byte_by_byte_is_taken_once_whole(self):
+    async def test_starts_a_request_once_its_last_byte_arrives(self):
         session, _ = self.connect()
-        for at in range(len(REQUEST)):
-            self.assertEqual(self.exchanges, [])
-            session.data_received(REQUEST[at : at + 1])
-        self.assertEqual((len(self.exchanges), self.exchanges[0].body), (1, b"body"))
+        for index in range(len(REQUEST)):
+            self.assertEqual(self.requests, [])
+            session.data_received(REQUEST[index : index + 1])
+        self.assertEqual((len(self.requests), self.requests[0].body), (1, b"body"))
 
-    async def test_a_body_in_chunks_is_put_together(self):
+    async def test_joins_a_chunked_body(self):
         session, _ = self.connect()
         head = REQUEST.replace(b"Content-Length: 4", b"Transfer-Encoding: chunked").removesuffix(b"body")
         session.data_received(head + b"2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n")
-        self.assertEqual(self.exchanges[0].body, b"body")
+        self.assertEqual(self.requests[0].body, b"body")
 
-    async def test_a_second_request_waits_for_the_first_answer(self):
+    async def test_a_pipelined_request_waits_for_the_first_response(self):
         session, transport = self.connect()
         session.data_received(REQUEST)
         session.data_received(REQUEST.replace(b"Request-Id: 1", b"Request-Id: 2"))
-        self.assertEqual(len(self.exchanges), 1)
+        self.assertEqual(len(self.requests), 1)
         session.respond_error(503, "not run", 0.5)
         await asyncio.sleep(0)
-        self.assertEqual(len(self.exchanges), 2)
-        self.assertEqual(self.exchanges[1].head.first[b"request-id"], b"2")
+        self.assertEqual(len(self.requests), 2)
+        self.assertEqual(self.requests[1].head.first[b"request-id"], b"2")
         self.assertIn(b"Retry-After: 0.50\r\n", transport.out)
         self.assertFalse(transport.closed)
 
-    async def test_what_is_no_request_or_too_long_gets_one_answer_and_the_end(self):
+    async def test_answers_malformed_and_oversized_requests_once_and_closes(self):
         faults = {
             400: b"NONSENSE\r\n\r\n",
             413: REQUEST.replace(b"Content-Length: 4", b"Content-Length: 51"),
@@ -106,15 +106,15 @@
             session.data_received(data)
             self.assertTrue(transport.out.startswith(b"HTTP/1.1 %d " % status), transport.out)
             self.assertTrue(transport.closed, status)
-        self.assertEqual(self.exchanges, [])
+        self.assertEqual(self.requests, [])
 
-    async def test_a_request_hidden_between_two_lengths_is_refused(self):
+    async def test_rejects_a_request_with_two_body_lengths(self):
         session, transport = self.connect()
         session.data_received(REQUEST.replace(b"Host: x\r\n", b"Host: x\r\nTransfer-Encoding: chunked\r\n"))
         self.assertTrue(transport.out.startswith(b"HTTP/1.1 400 "))
-        self.assertEqual(self.exchanges, [])
+        self.assertEqual(self.requests, [])
 
-    async def test_a_stream_that_is_cut_does_not_look_complete(self):
+    async def test_an_aborted_stream_does_not_appear_complete(self):
         session, transport = self.connect()
         session.data_received(REQUEST)
         head = answer_head(b"HTTP/1.1 200 OK\r\nServer-Signature: s\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -126,13 +126,13 @@
         self.assertIn(b"Server-Signature: s\r\n", transport.out)
         self.assertNotIn(b"Connection: close", transport.out)
 
-    async def test_a_client_that_leaves_cancels_its_request(self):
+    async def test_a_disconnect_cancels_the_request(self):
         session, _ = self.connect()
         session.data_received(REQUEST)
         session.connection_lost(None)
-        self.assertTrue(self.exchanges[0].cancelled)
+        self.assertTrue(self.requests[0].cancelled)
 
-    async def test_while_leaving_each_answer_is_the_last_of_its_connection(self):
+    async def test_each_response_closes_its_connection_during_shutdown(self):
         session, transport = self.connect()
         session.data_received(REQUEST)
         self.listener.is_shutting_down = True
--- a/tests/system/test_wait_reason.py
+++ b/tests/system/test_wait_reason.py
@@ -1,4 +1,4 @@
-"""What kept a request from a backend, told from the list of backends."""
+"""Why a request waits, by the registered backends of its service."""
 
 import unittest
 from dataclasses import replace
@@ -6,22 +6,22 @@
 from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend
 from mulleinhatch.data_plane.wait_reason import WaitReason, wait_reason_of
 
-HOLDS_M = RegisteredBackend("a", "s", "a:1", "z", 4, False, False, {"m": frozenset({"a1"})}, {}, float("inf"))
+BACKEND_WITH_MODEL = RegisteredBackend("a", "s", "a:1", "z", 4, False, False, {"m": frozenset({"a1"})}, {}, float("inf"))
 NAME, ADAPTER = ModelName("s", "m"), ModelName("s", "m", "a2")
 
 
 class WaitReasons(unittest.TestCase):
-    def test_each_delay(self):
-        loading = replace(HOLDS_M, models={}, loads={("m", ""): 3.0})
-        loading_adapter = replace(HOLDS_M, loads={("m", "a2"): 3.0})
+    def test_each_wait_reason(self):
+        loading = replace(BACKEND_WITH_MODEL, models={}, loads={("m", ""): 3.0})
+        loading_adapter = replace(BACKEND_WITH_MODEL, loads={("m", "a2"): 3.0})
         cases = [
-            (NAME, [HOLDS_M], True, WaitReason.NONE),
-            (NAME, [HOLDS_M], False, WaitReason.COOLING_DOWN),
+            (NAME, [BACKEND_WITH_MODEL], True, WaitReason.NONE),
+            (NAME, [BACKEND_WITH_MODEL], False, WaitReason.COOLING_DOWN),
             (NAME, [], False, WaitReason.NO_BACKEND),
-            (NAME, [replace(HOLDS_M, draining=True)], False, WaitReason.NO_BACKEND),
-            (NAME, [replace(HOLDS_M, models={})], False, WaitReason.NOT_PLACED),
+            (NAME, [replace(BACKEND_WITH_MODEL, draining=True)], False, WaitReason.NO_BACKEND),
+            (NAME, [replace(BACKEND_WITH_MODEL, models={})], False, WaitReason.NOT_PLACED),
             (NAME, [loading], False, WaitReason.LOADING),
-            (ADAPTER, [HOLDS_M], False, WaitReason.ADAPTER_NOT_PLACED),
+            (ADAPTER, [BACKEND_WITH_MODEL], False, WaitReason.ADAPTER_NOT_PLACED),
             (ADAPTER, [loading_adapter], False, WaitReason.LOADING_ADAPTER),
             (ADAPTER, [loading], False, WaitReason.LOADING),
         ]
