--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -1,8 +1,8 @@
-"""Point 5 of the users' letter: no answer goes to the wrong caller, a call that may not be repeated runs once at most.
+"""Model check of requests and attempts: no response reaches the wrong client, no unsafe request is executed twice.
 
-The real connections, exchanges and router, on transports in memory, against backends that write down what ran for whom. Two
-requests share two backends and their kept connections; every order of events to a depth is played, longer ones are drawn. What
-clients got is held against what ran.
+The real connections, requests and router run on transports in memory, against backends that record what they executed for whom.
+Two requests share two backends and their pooled connections; every sequence of events up to a depth is played, longer ones are
+drawn at random. What the clients received is compared with what was executed.
 """
 
 from __future__ import annotations
@@ -37,26 +37,26 @@
     "resumable": {"kind": "streaming", "max_attempts": 2, "resumable": True},
 }
 EVENTS = (
-    "answer",  # whole, with the id
+    "answer",  # complete, with the request's id
     "answer and close",  # in one read
     "answer twice",  # a surplus one behind it
     "answer without id",
     "late answer",  # of the request before it on this connection, then its own
-    "unlike",  # bytes that are no answer
+    "unlike",  # bytes that are no HTTP response
     "not executed",
-    "busy",  # 503 without the word that it did not run
+    "busy",  # 503 that does not say "not executed"
     "other stub",  # 421
-    "half",  # the head and a part of the body
+    "half",  # the head and the first bytes of the body
     "half and reset",
     "unframed",  # no length, ended by a close
     "unframed and reset",
     "close",
     "reset",
-    "unasked",  # an answer on a connection that waits for none
+    "unasked",  # an answer on an idle connection
     "time over",
     "client gone",
 )
-PAIRS = tuple((event, place) for event in EVENTS for place in (0, 1))
+PAIRS = tuple((event, index) for event in EVENTS for index in (0, 1))
 
 
 class Socket:
@@ -65,13 +65,13 @@
 
 
 class BackendTransport(asyncio.Transport):
-    """The far end of one connection: it runs each request that arrives whole, and writes it down."""
+    """The backend's end of one connection: it executes each complete request and records it."""
 
     def __init__(self, world: World, backend: str) -> None:
         super().__init__({"socket": Socket()})
         self.world, self.backend = world, backend
         self.connection: ClientConnection | None = None
-        self.waiting = ""  # the request that was not answered yet
+        self.waiting = ""  # the request that is not answered yet
         self.before = ""  # the one before it
         self.rest = b""  # of an answer of which the first part is sent
         self.closed = False
@@ -79,8 +79,8 @@
 
     def write(self, data: bytes) -> None:
         self._received += data
-        head, whole, rest = self._received.partition(b"\r\n\r\n")
-        if not whole or self.closed:
+        head, separator, rest = self._received.partition(b"\r\n\r\n")
+        if not separator or self.closed:
             return
         parsed = request_head(head + b"\r\n\r\n")
         length = int(parsed.first.get(b"content-length", b"0"))
@@ -107,15 +107,15 @@
         return self.closed
 
     def pause_reading(self) -> None:
-        """Nothing is held back here."""
+        """Nothing is paused here."""
 
     def resume_reading(self) -> None:
-        """Nothing is held back here."""
+        """Nothing is paused here."""
 
 
 @dataclass
 class Client:
-    """What a client got: `ResponseWriter` as the request sees it."""
+    """Records what a client received; a `ResponseWriter` to the request."""
 
     name: str
     status: int = 0
@@ -144,13 +144,13 @@
 
 
 class World:
-    """Two requests, two backends, and what happens between them."""
+    """Two requests, two backends, and the events between them."""
 
     def __init__(self, kinds: tuple[str, str]) -> None:
         self.loop = asyncio.get_running_loop()
         self.arrivals: list[tuple[str, str]] = []
-        self.deadlines: dict[str, list[int]] = {}  # what each run of a request was told, in ms
-        self.unrun: Counter[str] = Counter()  # by request: arrivals that a backend said it did not run
+        self.deadlines: dict[str, list[int]] = {}  # `Request-Deadline` of each sending, in ms
+        self.unexecuted: Counter[str] = Counter()  # by request: sendings that a backend said it did not execute
         self.transports: list[BackendTransport] = []
         self.kinds = dict(zip("ab", kinds))
         self.clients = {name: Client(name) for name in "ab"}
@@ -168,7 +168,7 @@
         backends = [RegisteredBackend(f"i-{n}", "s", f"a:{n}", "z", 4, False, False, {}, {}, float("inf")) for n in (0, 1)]
         known = RegistrySnapshot({backend.id: backend for backend in backends}, {"s": tuple(backends)})
         self.router.apply_snapshot(ControlPlaneSnapshot(build_table(Document(1, value)), known, 1, True))
-        self.exchanges = {}
+        self.requests = {}
 
     async def _open(self, address: str) -> ClientConnection:
         connection = ClientConnection()
@@ -179,7 +179,7 @@
         connection.connection_made(transport)
         return connection
 
-    async def settle(self) -> None:
+    async def run_callbacks(self) -> None:
         for _ in range(6):
             await asyncio.sleep(0)
 
@@ -187,8 +187,8 @@
         kind = self.kinds[name]
         lines = (f"POST /{kind}/x HTTP/1.1", "Host: h", f"Request-Id: {name}", "Content-Length: 1")
         head = request_head("\r\n".join((*lines, "", "")).encode())
-        self.exchanges[name] = self.router.begin(self.clients[name], head, name.encode())
-        await self.settle()
+        self.requests[name] = self.router.begin(self.clients[name], head, name.encode())
+        await self.run_callbacks()
 
     # Events.
 
@@ -204,23 +204,23 @@
             return b"".join(f"id: {number}\ndata: {name}\n\n".encode() for number in (1, 2, 3))
         return f"the body of {name}".encode()
 
-    async def event(self, event: str, place: int) -> None:
-        """One event at the request or at the connection of that place; nothing where it can't be."""
+    async def event(self, event: str, index: int) -> None:
+        """Play one event on the request or connection with that index; nothing where it is impossible."""
         if event in ("time over", "client gone"):
-            self._client_event(event, "ab"[place])
-        elif place < len(self.transports) and not self.transports[place].closed:
-            self._backend_event(event, self.transports[place])
-        await self.settle()
+            self._client_event(event, "ab"[index])
+        elif index < len(self.transports) and not self.transports[index].closed:
+            self._backend_event(event, self.transports[index])
+        await self.run_callbacks()
 
     def _client_event(self, event: str, name: str) -> None:
-        exchange = self.exchanges[name]
-        if exchange is None or exchange.is_finished:
+        request = self.requests[name]
+        if request is None or request.is_finished:
             return
         if event == "time over":
-            exchange._on_deadline()
+            request._on_deadline()
         else:
             self.gone.add(name)
-            exchange.cancel()
+            request.cancel()
 
     def _backend_event(self, event: str, transport: BackendTransport) -> None:
         connection, name = transport.connection, transport.waiting
@@ -233,13 +233,13 @@
                 self._lose(transport, event == "reset")
             return
         if transport.rest:
-            self._go_on(event, transport, name)
+            self._continue(event, transport, name)
             return
         transport.waiting, transport.before = "", name
         self._play(event, transport, name)
 
-    def _go_on(self, event: str, transport: BackendTransport, name: str) -> None:
-        """The rest of an answer that was begun; other bytes in its place could not be told from it."""
+    def _continue(self, event: str, transport: BackendTransport, name: str) -> None:
+        """Send the rest of a response that was begun; other bytes could not be distinguished from it."""
         if event in ("answer", "answer and close", "answer twice"):
             rest, transport.rest = transport.rest, b""
             transport.waiting, transport.before = "", name
@@ -251,37 +251,37 @@
 
     def _play(self, event: str, transport: BackendTransport, name: str) -> None:
         connection = transport.connection
-        whole = self._answer(name)
+        response = self._answer(name)
         if event == "answer":
-            connection.data_received(whole)
+            connection.data_received(response)
         elif event == "answer and close":
-            connection.data_received(whole)
+            connection.data_received(response)
             self._lose(transport, False)
         elif event == "answer twice":
-            connection.data_received(whole + whole)
+            connection.data_received(response + response)
         elif event == "answer without id":
-            connection.data_received(whole.replace(f"Request-Id: {name}\r\n".encode(), b""))
+            connection.data_received(response.replace(f"Request-Id: {name}\r\n".encode(), b""))
             transport.waiting = name
         elif event == "late answer":
             other = "a" if name == "b" else "b"
-            connection.data_received(self._answer(other, body=self.body_of(other)) + whole)
+            connection.data_received(self._answer(other, body=self.body_of(other)) + response)
         elif event == "unlike":
             connection.data_received(b"\x00\x01garbage\r\n\r\n")
         elif event in ("not executed", "other stub"):
-            self.unrun[name] += 1
+            self.unexecuted[name] += 1
             status, more = (503, "Not-Executed: 1") if event == "not executed" else (421, "")
             connection.data_received(self._answer(name, status, more, b""))
         elif event == "busy":
             connection.data_received(self._answer(name, 503, "", b"busy"))
         elif event in ("half", "half and reset"):
-            connection.data_received(whole[:-4])
+            connection.data_received(response[:-4])
             if event == "half":
-                transport.waiting, transport.rest = name, whole[-4:]
+                transport.waiting, transport.rest = name, response[-4:]
             else:
                 self._lose(transport, True)
         elif event in ("unframed", "unframed and reset"):
-            cut = self._answer(name, length=False)
-            connection.data_received(cut if event == "unframed" else cut[:-4])
+            unframed = self._answer(name, length=False)
+            connection.data_received(unframed if event == "unframed" else unframed[:-4])
             self._lose(transport, event != "unframed")
         else:
             self._lose(transport, event == "reset")
@@ -291,12 +291,12 @@
             transport.closed = True
             transport.connection.connection_lost(ConnectionResetError() if reset else None)
 
-    # What must hold.
+    # Invariants.
 
-    def broken(self) -> Iterator[str]:
+    def violations(self) -> Iterator[str]:
         arrived = Counter(name for name, _ in self.arrivals)
         for name, client in self.clients.items():
-            ran = arrived[name] - self.unrun[name]
+            ran = arrived[name] - self.unexecuted[name]
             kind = self.kinds[name]
             if kind in ("unsafe", "streaming") and ran > 1:
                 yield f"{kind} {name} ran {ran} times"
@@ -314,36 +314,36 @@
                 yield f"{name} is complete and broken off"
 
 
-async def _played(kinds: tuple[str, str], events: tuple[tuple[str, int], ...]) -> list[str]:
+async def _violations_of(kinds: tuple[str, str], events: tuple[tuple[str, int], ...]) -> list[str]:
     world = World(kinds)
     await world.begin("a")
     await world.begin("b")
-    for event, place in events:
-        await world.event(event, place)
-        broken = list(world.broken())
-        if broken:
-            return broken
-    for exchange in list(world.exchanges.values()):  # in the end the time is over for all
-        if exchange is not None and not exchange.is_finished:
-            exchange._on_deadline()
-    await world.settle()
-    return list(world.broken())
-
-
-def played(rows: Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]) -> tuple[int, list[str]]:
-    """How many rows were played, and the first that breaks something."""
+    for event, index in events:
+        await world.event(event, index)
+        violations = list(world.violations())
+        if violations:
+            return violations
+    for request in list(world.requests.values()):  # in the end every deadline passes
+        if request is not None and not request.is_finished:
+            request._on_deadline()
+    await world.run_callbacks()
+    return list(world.violations())
+
+
+def play(histories: Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]) -> tuple[int, list[str]]:
+    """Return how many histories were played, and the first that violates an invariant."""
     loop = VirtualLoop()
 
-    async def play() -> tuple[int, list[str]]:
+    async def play_all() -> tuple[int, list[str]]:
         count = 0
-        for kinds, events in rows:
+        for kinds, events in histories:
             count += 1
-            if broken := await _played(kinds, events):
-                return count, [f"{kinds} {events}", *broken]
+            if violations := await _violations_of(kinds, events):
+                return count, [f"{kinds} {events}", *violations]
         return count, []
 
     try:
-        return loop.run_until_complete(play())
+        return loop.run_until_complete(play_all())
     finally:
         loop.close()
 
@@ -351,65 +351,65 @@
 KINDS = (("unsafe", "unsafe"), ("unsafe", "safe"), ("streaming", "unsafe"), ("resumable", "streaming"))
 
 
-def all_rows(depth: int) -> Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]:
+def all_histories(depth: int) -> Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]:
     return itertools.product(KINDS, itertools.product(PAIRS, repeat=depth))
 
 
-def drawn_rows(count: int, seed: int) -> Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]:
-    chance = random.Random(seed)
+def random_histories(count: int, seed: int) -> Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]:
+    rng = random.Random(seed)
     for _ in range(count):
-        kinds = chance.choice(list(ROUTES)), chance.choice(list(ROUTES))
-        yield kinds, tuple(chance.choice(PAIRS) for _ in range(chance.randint(3, 9)))
+        kinds = rng.choice(list(ROUTES)), rng.choice(list(ROUTES))
+        yield kinds, tuple(rng.choice(PAIRS) for _ in range(rng.randint(3, 9)))
 
 
-class Exchanges(unittest.TestCase):
-    def test_every_order_of_two_events_and_long_rows_drawn(self):
-        """Four pairs of kinds, 36 events: 5,184 rows of two, 4,000 of three to nine."""
-        count, broken = played(all_rows(2))
-        self.assertEqual((count, broken), (len(KINDS) * len(PAIRS) ** 2, []))
-        self.assertEqual(played(drawn_rows(4000, 7)), (4000, []))
+class RequestHistories(unittest.TestCase):
+    def test_no_violation_in_all_short_and_many_random_histories(self):
+        """Four pairs of kinds, 36 events: 5,184 histories of two events, 4,000 of three to nine."""
+        count, violations = play(all_histories(2))
+        self.assertEqual((count, violations), (len(KINDS) * len(PAIRS) ** 2, []))
+        self.assertEqual(play(random_histories(4000, 7)), (4000, []))
 
-    def found(self) -> bool:
-        return bool(played(all_rows(1))[1] or played(all_rows(2))[1] or played(drawn_rows(3000, 8))[1])
+    def finds_violation(self) -> bool:
+        return bool(play(all_histories(1))[1] or play(all_histories(2))[1] or play(random_histories(3000, 8))[1])
 
-    def planted(self, *patches: object) -> None:
+    def assert_defect_found(self, *patches: object) -> None:
         with contextlib.ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
-            self.assertTrue(self.found())
+            self.assertTrue(self.finds_violation())
 
-    def test_found_when_an_answer_is_taken_without_its_id(self):
-        self.planted(mock.patch.object(ResponseRelay, "expects", lambda self, head: True))
+    def test_finds_a_response_accepted_without_its_id(self):
+        self.assert_defect_found(mock.patch.object(ResponseRelay, "expects", lambda self, head: True))
 
-    def test_found_when_what_may_not_be_repeated_is_sent_again_after_a_reset(self):
-        self.planted(
+    def test_finds_an_unsafe_request_retried_after_a_reset(self):
+        self.assert_defect_found(
             mock.patch.object(RequestState, "may_run_again", property(lambda state: state.executions < state.max_attempts))
         )
 
-    def test_found_when_a_connection_with_surplus_is_used_again(self):
+    def test_finds_a_connection_with_surplus_bytes_reused(self):
         def keep(connection: ClientConnection) -> None:
             connection._reader = type(connection._reader)(answers=True, most_head=65536)
 
-        self.planted(
+        self.assert_defect_found(
             mock.patch.object(ClientConnection, "_end_idle", keep),
             mock.patch.object(ResponseRelay, "expects", lambda self, head: True),
         )
 
-    def test_found_when_a_503_is_said_after_a_run(self):
-        self.planted(mock.patch.object(RequestState, "deadline_exceeded", lambda state: NextStep.REJECT))
+    def test_finds_a_503_after_an_execution(self):
+        self.assert_defect_found(mock.patch.object(RequestState, "deadline_exceeded", lambda state: NextStep.REJECT))
 
-    def test_found_when_a_busy_backend_is_believed_not_to_have_run_it(self):
+    def test_finds_a_busy_backend_trusted_not_to_have_executed(self):
         def believe(status: int, fields: object, idempotent: bool) -> ResponseVerdict:
             return ResponseVerdict.NOT_EXECUTED if status == 503 else classify_response(status, fields, idempotent)
 
-        self.planted(mock.patch("mulleinhatch.data_plane.response_relay.classify_response", believe))
+        self.assert_defect_found(mock.patch("mulleinhatch.data_plane.response_relay.classify_response", believe))
 
-    def test_found_when_a_cut_answer_ends_as_complete(self):
-        self.planted(mock.patch.object(Client, "abort", Client.finish))
+    def test_finds_a_truncated_response_ended_as_complete(self):
+        self.assert_defect_found(mock.patch.object(Client, "abort", Client.finish))
 
 
 def scripted(script, kinds: tuple[str, str] = ("safe", "unsafe")) -> World:
-    """A world after a script, on a clock of its own."""
+    """Run a script in a world with a clock of its own."""
     loop = VirtualLoop()
 
     async def play() -> World:
@@ -424,10 +424,10 @@
 
 
 class RulesOfTheWire(unittest.TestCase):
-    """Rules that are newer than the exchange, one by one."""
+    """Single rules of the wire; the first word of a docstring names the rule."""
 
-    def test_the_time_handed_on_is_never_more_than_is_left(self):
-        """BUDGET: a repeat 1.2 s later ends with the first one's time."""
+    def test_forwarded_deadline_never_exceeds_the_remaining_time(self):
+        """BUDGET: a retry 1.2 s later keeps the first one's deadline."""
 
         async def script(world: World) -> None:
             await world.begin("a")
@@ -439,7 +439,7 @@
 
         scripted(script)
 
-    def test_a_client_that_leaves_frees_the_backend_at_once_and_nothing_is_sent_for_it_later(self):
+    def test_a_disconnected_client_frees_its_backend_at_once_and_is_not_retried(self):
         """GONE."""
 
         async def script(world: World) -> None:
@@ -452,8 +452,8 @@
 
         scripted(script)
 
-    def test_a_request_is_answered_when_its_routes_time_is_over(self):
-        """CONFIG: within half a second of `timeout_ms`; 504 as it may have run, a break where its stream has begun."""
+    def test_a_request_is_answered_at_its_routes_timeout(self):
+        """CONFIG: within half a second of `timeout_ms`; 504 as it may have executed, an abort where its stream has begun."""
 
         async def script(world: World) -> None:
             await world.begin("a")
@@ -465,14 +465,14 @@
 
         scripted(script, ("unsafe", "streaming"))
 
-    def test_model_fields_reach_the_backend_as_the_client_sent_them(self):
+    def test_model_fields_are_forwarded_unchanged(self):
         """UNASKED."""
         lines = b"POST /a/x HTTP/1.1", b"Model: m/a1", b"Token-Usage: 30,4", b"Prompt-Prefix: a:1, b:2", b"Request-Id: 7"
         sent = dict(backend_fields(request_head(b"\r\n".join((*lines, b"", b""))), 1.0, "i-1", 3, b""))
         self.assertEqual((sent[b"Model"], sent[b"Token-Usage"], sent[b"Prompt-Prefix"]), (b"m/a1", b"30,4", b"a:1, b:2"))
         self.assertEqual((sent[b"Request-Id"], sent[b"Expect-Instance"]), (b"7", b"i-1"))
 
-    def test_who_knows_no_configuration_says_come_back_and_never_that_a_route_is_not_there(self):
+    def test_without_a_configuration_the_answer_is_503_and_not_404(self):
         """DENIED."""
 
         async def script(world: World) -> None:
@@ -482,8 +482,8 @@
 
         scripted(script)
 
-    def test_what_comes_long_after_the_notice_to_leave_is_sent_elsewhere(self):
-        """LOST, shown by a trial of a scale day: taken 4.6 s after SIGTERM, cut when the grace period ended 3 s later."""
+    def test_requests_that_arrive_late_in_the_shutdown_are_rejected(self):
+        """LOST, seen in a trial of a scale day: accepted 4.6 s after SIGTERM, cut off when the grace period ended 3 s later."""
 
         async def script(world: World) -> None:
             world.router.begin_shutdown(world.loop.time() + 7.4)
@@ -495,7 +495,7 @@
 
         scripted(script)
 
-    def test_nothing_goes_to_a_backend_that_left_while_the_connection_to_it_was_made(self):
+    def test_sends_nothing_to_a_backend_that_drained_during_the_connect(self):
         """DRAIN."""
 
         async def script(world: World) -> None:
@@ -511,7 +511,7 @@
 
             world.router.pool.open = slow  # type: ignore[method-assign]
             await world.begin("a")
-            await world.settle()
+            await world.run_callbacks()
             self.assertEqual([backend for _, backend in world.arrivals], [world.transports[1].backend])
             self.assertNotEqual(world.transports[0].backend, world.transports[1].backend)
 
@@ -519,43 +519,43 @@
 
 
 class States(unittest.TestCase):
-    """Each row of the table, by itself."""
+    """Each transition of the state machine."""
 
     def state(self, idempotent: bool = False, resumable: bool = False, **more: int) -> RequestState:
         return RequestState(idempotent, resumable, 2, **more)
 
-    def test_a_promise_is_made_only_while_nothing_counts_as_run(self):
-        for sends, runs, head in itertools.product(range(3), range(3), (False, True)):
+    def test_rejects_only_while_nothing_counts_as_executed(self):
+        for sends, executions, is_started in itertools.product(range(3), range(3), (False, True)):
             for idempotent, resumable in itertools.product((False, True), repeat=2):
-                state = RequestState(idempotent, resumable, 2, sends, runs, head)
-                for following in (state.no_backend(), state.deadline_exceeded(), state.connection_lost()):
-                    if following is NextStep.REJECT:
-                        self.assertEqual((runs, head), (0, False))
+                state = RequestState(idempotent, resumable, 2, sends, executions, is_started)
+                for next_step in (state.no_backend(), state.deadline_exceeded(), state.connection_lost()):
+                    if next_step is NextStep.REJECT:
+                        self.assertEqual((executions, is_started), (0, False))
 
-    def test_what_was_lost_on_its_way_goes_nowhere_else_where_it_may_not_run_twice(self):
+    def test_a_lost_unsafe_request_is_not_retried(self):
         state = self.state()
         state.begin_attempt()
         self.assertIs(state.connection_lost(), NextStep.FAIL)
 
-    def test_what_the_backend_did_not_run_goes_on_four_times(self):
-        state, following = self.state(), []
+    def test_a_rejected_request_is_sent_to_four_backends(self):
+        state, steps = self.state(), []
         for _ in range(4):
             state.begin_attempt()
-            following.append(state.not_executed())
-        self.assertEqual(following, [NextStep.RETRY] * 3 + [NextStep.REJECT])
+            steps.append(state.not_executed())
+        self.assertEqual(steps, [NextStep.RETRY] * 3 + [NextStep.REJECT])
 
-    def test_an_idempotent_one_runs_on_as_many_backends_as_its_route_says(self):
+    def test_an_idempotent_request_is_executed_max_attempts_times(self):
         state = self.state(idempotent=True)
         state.begin_attempt()
         self.assertIs(state.connection_lost(), NextStep.RETRY)
         state.begin_attempt()
         self.assertIs(state.connection_lost(), NextStep.FAIL)
 
-    def test_a_stream_is_taken_up_elsewhere_only_where_it_may_be_resumed(self):
-        for resumable, following in ((True, NextStep.RETRY), (False, NextStep.ABORT)):
+    def test_a_stream_is_continued_elsewhere_only_if_resumable(self):
+        for resumable, next_step in ((True, NextStep.RETRY), (False, NextStep.ABORT)):
             state = self.state(idempotent=True, resumable=resumable, is_response_started=True)
             state.begin_attempt()
-            self.assertIs(state.connection_lost(), following)
+            self.assertIs(state.connection_lost(), next_step)
 
 
 if __name__ == "__main__":
