--- a/mulleinhatch/data_plane/attempt.py
+++ b/mulleinhatch/data_plane/attempt.py
@@ -188,7 +188,7 @@
         """Report that the backend did not execute the request, by its response head."""
         backend, context, health = self.backend, self.context, self._resources.health
         LOG.info(
-            "sent back",
+            "backend rejected a request without executing it",
             extra={
                 "request_id": context.request_id_text,
                 "backend": backend.id,
--- a/mulleinhatch/data_plane/control_plane_client.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -69,7 +69,7 @@
             try:
                 await self._poll(address)
             except CallError as error:
-                LOG.debug("no answer from a control plane", extra={"error": str(error)})
+                LOG.debug("control plane did not answer; another one is asked", extra={"error": str(error)})
                 self._http.forget(address)
                 self._cooldown_until[address] = self._clock() + COOLDOWN_S
                 self._responsive.discard(address)
@@ -154,7 +154,7 @@
         document = self._decode_configuration(update)
         if document is None or document.version != update.configuration_version:
             LOG.error(
-                "a configuration could not be built from what was told; the whole one is asked for",
+                "configuration update can't be applied; requesting the complete configuration",
                 extra={"version": update.configuration_version},
             )
             self._document = Document(0, EMPTY.value)
--- a/mulleinhatch/data_plane/process.py
+++ b/mulleinhatch/data_plane/process.py
@@ -59,7 +59,7 @@
         status_server.listen(self._settings.listen["ready"], self._answer_operator)
         await self._listener.listen(self._settings.listen["front"])
         self._loop.add_signal_handler(signal.SIGTERM, self._begin_shutdown)
-        self._loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
+        self._loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read at start-up only"))
         gc.freeze()  # what was loaded at start-up is never collected: keeps it out of each collection
         LOG.info("data plane started")
         jobs = {
@@ -102,7 +102,7 @@
     def _begin_shutdown(self) -> None:
         if self._is_shutting_down:
             return
-        LOG.info("leaving")
+        LOG.info("shutting down; accepted requests are still answered")
         self._is_shutting_down = self._listener.is_shutting_down = True
         self._shutdown_task = asyncio.ensure_future(self._shut_down())
 
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -229,13 +229,13 @@
         if retry_after_s is None:
             retry_after_s = self._services.scheduler.retry_after_s(self)
         self._finish()
-        LOG.debug("refused", extra={"request_id": self.context.request_id_text, "why": why})
+        LOG.debug("request answered as not executed", extra={"request_id": self.context.request_id_text, "reason": why})
         self._services.request_log.not_served(self, why, retry_after_s)
         self.context.session.respond_error(503, f"not run: {why}", retry_after_s)
 
     def _respond_failure(self, status: int, why: str) -> None:
         self._finish()
-        LOG.debug("failed", extra={"request_id": self.context.request_id_text, "why": why})
+        LOG.debug("request answered as failed", extra={"request_id": self.context.request_id_text, "reason": why})
         self.context.session.respond_error(status, why)
 
     def _finish(self) -> None:
--- a/mulleinhatch/data_plane/request_log.py
+++ b/mulleinhatch/data_plane/request_log.py
@@ -53,14 +53,15 @@
             waited_s: From the request's arrival to the first byte of the response's body.
             backend_latency_s: The part of it after the request was sent to the backend that responds.
         """
-        times = {"waited_s": round(waited_s, 3), "at_stub_s": round(backend_latency_s, 3)}
-        LOG.info("late", extra=self._describe(request) | times)
+        times = {"waited_s": round(waited_s, 3), "backend_latency_s": round(backend_latency_s, 3)}
+        LOG.info("response started after the latency target", extra=self._describe(request) | times)
 
     def not_served(self, request: LoggedRequest, why: str, retry_after_s: float) -> None:
         """Log and keep the rejection of a request that was not executed."""
         context = request.context
         name = context.name
-        LOG.info("not served", extra=self._describe(request) | {"why": why, "retry_after_s": round(retry_after_s, 3)})
+        outcome = {"reason": why, "retry_after_s": round(retry_after_s, 3)}
+        LOG.info("request rejected", extra=self._describe(request) | outcome)
         self.recent_rejections.append(
             {
                 "request_id": context.request_id_text,
@@ -81,7 +82,7 @@
             "priority": context.route.priority,
             "model": context.name.model,
             "adapter": context.name.adapter,
-            "delay": request.wait_reason.value,
-            "came_back": is_retry,
+            "wait_reason": request.wait_reason.value,
+            "is_probable_retry": is_retry,
             "sends": context.state.sends,
         }
--- a/mulleinhatch/data_plane/wait_reason.py
+++ b/mulleinhatch/data_plane/wait_reason.py
@@ -9,16 +9,16 @@
 
 
 class WaitReason(Enum):
-    """What kept a request from a backend at its arrival. The values stand in log lines that `benchmarks.lost_worth` counts."""
-
-    NONE = "a stub could take it"  # if it was late, then by the backend's time
-    LIMIT = "held at the running limit"
-    LOADING = "its model is being loaded"
-    LOADING_ADAPTER = "its adapter is being loaded"
-    NOT_PLACED = "its model stands nowhere and no load is known"
-    ADAPTER_NOT_PLACED = "its adapter stands nowhere and no load is known"
-    COOLING_DOWN = "the stubs that hold it are left out after failures"
-    NO_BACKEND = "no stub of the service is known"
+    """What kept a request from a backend at its arrival. The values are part of log lines."""
+
+    NONE = "a backend was available"  # if it was late, then by the backend's time
+    LIMIT = "waited at the running limit"
+    LOADING = "the model is being loaded"
+    LOADING_ADAPTER = "the adapter is being loaded"
+    NOT_PLACED = "no backend holds the model and no load is known"
+    ADAPTER_NOT_PLACED = "no backend holds the adapter and no load is known"
+    COOLING_DOWN = "the backends that hold it are cooling down after failures"
+    NO_BACKEND = "no backend of the service is registered"
 
 
 def wait_reason_of(name: ModelName, backends: Iterable[RegisteredBackend], is_available: bool) -> WaitReason:
