--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -25,15 +25,15 @@
 class AdmissionQueues(unittest.TestCase):
     def setUp(self):
         self.slots, self.ready = 3.0, 0.0
-        self.admission = AdmissionQueue(lambda name: self.slots, lambda name: self.ready)
-        self.admission.configure([(0, 8.0), (1, 4.0), (2, 2.0)])
+        self.queue = AdmissionQueue(lambda name: self.slots, lambda name: self.ready)
+        self.queue.configure([(0, 8.0), (1, 4.0), (2, 2.0)])
 
     def arrive(self, *requests: PendingRequest, now: float = 0.0) -> None:
         for request in requests:
-            self.assertIsNone(self.admission.enqueue(request, now), request)
+            self.assertIsNone(self.queue.enqueue(request, now), request)
 
     def started(self, now: float = 0.0) -> list[str]:
-        return [one.handle for one in self.admission.start_next(now)]
+        return [one.handle for one in self.queue.start_next(now)]
 
     def test_starts_the_highest_class_first_up_to_the_running_limit(self):
         self.arrive(pending("low", 2), pending("high", 0), pending("middle", 1), pending("other", 2))
@@ -46,7 +46,7 @@
         self.assertEqual(self.started(), ["a", "b"])
         self.arrive(pending("old", 2, arrived=0.0), now=0.0)
         self.arrive(pending("new", 0, arrived=2.1), now=2.1)
-        self.admission.finish(pending("a"), 2.1, True, False)
+        self.queue.finish(pending("a"), 2.1, True, False)
         self.slots = 2.0
         self.assertEqual(self.started(2.1), ["old"])
 
@@ -70,15 +70,15 @@
         self.slots = 2.0
         first = [pending(str(number)) for number in range(20)]
         self.arrive(*first)
-        now, running = 0.0, self.admission.start_next(0.0)
+        now, running = 0.0, self.queue.start_next(0.0)
         for _ in range(12):
             now += 0.1
-            self.admission.finish(running.pop(0), now, True, False)
-            self.admission.by_model[NAME].limit = 2.0
-            running += self.admission.start_next(now)
-        group = self.admission.by_model[NAME]
+            self.queue.finish(running.pop(0), now, True, False)
+            self.queue.by_model[NAME].limit = 2.0
+            running += self.queue.start_next(now)
+        group = self.queue.by_model[NAME]
         self.assertAlmostEqual(group.mu, 10.0, delta=1.5)
-        refused = [self.admission.enqueue(pending(f"late{number}", arrived=now, due=now + 50), now) for number in range(12)]
+        refused = [self.queue.enqueue(pending(f"late{number}", arrived=now, due=now + 50), now) for number in range(12)]
         self.assertIsNone(refused[0])
         self.assertIs(refused[-1].reason, RejectionReason.CLASS_BOUND)
         self.assertGreater(refused[-1].retry_after_s, 0.0)
@@ -87,12 +87,12 @@
         self.slots = 10.0
         requests = [pending(str(number)) for number in range(12)]
         self.arrive(*requests)
-        running = self.admission.start_next(0.0)
+        running = self.queue.start_next(0.0)
         self.assertEqual(len(running), 10)
-        self.admission.finish(running[0], 0.1, False, True)
-        self.assertEqual(self.admission.by_model[NAME].limit, 8.0)
-        self.admission.finish(running[1], 0.2, True, False)
-        self.assertEqual(self.admission.by_model[NAME].limit, 9.0)
+        self.queue.finish(running[0], 0.1, False, True)
+        self.assertEqual(self.queue.by_model[NAME].limit, 8.0)
+        self.queue.finish(running[1], 0.2, True, False)
+        self.assertEqual(self.queue.by_model[NAME].limit, 9.0)
 
     def test_starts_nothing_without_a_backend_for_the_model(self):
         self.slots, self.ready = 0.0, 2.0
@@ -102,21 +102,21 @@
     def test_removes_requests_that_can_not_be_served_before_their_deadline(self):
         self.slots, self.ready = 0.0, 6.0
         self.arrive(pending("a", due=5.0), pending("b", due=10.0))
-        over = self.admission.remove_expired(0.5)
+        over = self.queue.remove_expired(0.5)
         self.assertEqual([(one.handle, refused.reason) for one, refused in over], [("a", RejectionReason.NO_BACKEND_IN_TIME)])
 
     def test_requeued_request_keeps_its_age(self):
         self.arrive(pending("a", arrived=0.0))
-        [one] = self.admission.start_next(0.0)
-        self.admission.requeue(one, 1.0)
-        self.assertEqual((self.admission.by_model[NAME].running, one.is_started), (0, False))
+        [one] = self.queue.start_next(0.0)
+        self.queue.requeue(one, 1.0)
+        self.assertEqual((self.queue.by_model[NAME].running, one.is_started), (0, False))
         self.assertEqual(self.started(1.0), ["a"])
 
     def test_removed_request_is_not_started(self):
         one = pending("a")
         self.slots = 0.0
         self.arrive(one)
-        self.admission.remove(one)
+        self.queue.remove(one)
         self.slots = 5.0
         self.assertEqual(self.started(), [])
 
@@ -165,47 +165,47 @@
 
 class Choice(unittest.TestCase):
     def test_prefers_the_least_busy_then_an_idle_connection_then_the_own_zone(self):
-        states = BackendHealthTracker()
+        health = BackendHealthTracker()
         backends = [known("s1", zone="z2"), known("s2"), known("s3")]
-        self.assertEqual(choose_backend(backends, states, "", "z2", NAME).id, "s1")
-        self.assertEqual(choose_backend(backends, states, "", "z2", NAME, {"s3"}).id, "s3")
+        self.assertEqual(choose_backend(backends, health, "", "z2", NAME).id, "s1")
+        self.assertEqual(choose_backend(backends, health, "", "z2", NAME, {"s3"}).id, "s3")
         for name in ("s1", "s3"):
-            states.record_started(name)
-        self.assertEqual(choose_backend(backends, states, "", "z2", NAME, {"s3"}).id, "s2")
+            health.record_started(name)
+        self.assertEqual(choose_backend(backends, health, "", "z2", NAME, {"s3"}).id, "s2")
 
     def test_prompts_with_a_common_prefix_meet_until_their_backend_is_much_busier(self):
-        states = BackendHealthTracker()
+        health = BackendHealthTracker()
         backends = [known(f"s{number}") for number in range(5)]
-        home = choose_backend(backends, states, "p1", "z1", NAME).id
+        home = choose_backend(backends, health, "p1", "z1", NAME).id
         for _ in range(3):
-            self.assertEqual(choose_backend(backends, states, "p1", "z1", NAME).id, home)
-            states.record_started(home)
-        self.assertNotEqual(choose_backend(backends, states, "p1", "z1", NAME).id, home)
+            self.assertEqual(choose_backend(backends, health, "p1", "z1", NAME).id, home)
+            health.record_started(home)
+        self.assertNotEqual(choose_backend(backends, health, "p1", "z1", NAME).id, home)
 
     def test_avoids_a_slow_backend_until_its_latency_is_outdated(self):
-        states = BackendHealthTracker()
+        health = BackendHealthTracker()
         backends = [known(f"s{number}") for number in range(5)]
-        home = choose_backend(backends, states, "p1", "z1", NAME).id
+        home = choose_backend(backends, health, "p1", "z1", NAME).id
         for _ in range(5):
-            states.record_latency(home, 0.6, 1.0)
-        self.assertNotEqual(choose_backend(backends, states, "p1", "z1", NAME, now=1.0).id, home)
-        self.assertEqual(choose_backend(backends, states, "p1", "z1", NAME, now=9.0).id, home)
+            health.record_latency(home, 0.6, 1.0)
+        self.assertNotEqual(choose_backend(backends, health, "p1", "z1", NAME, now=1.0).id, home)
+        self.assertEqual(choose_backend(backends, health, "p1", "z1", NAME, now=9.0).id, home)
 
     def test_cooldown_doubles_with_each_failure(self):
-        states, one = BackendHealthTracker(), known("s1")
-        states.record_failure("s1", 0.0)
-        self.assertEqual((states.is_usable(one, 0.4), states.is_usable(one, 0.6)), (False, True))
-        states.record_failure("s1", 0.6)
-        self.assertEqual((states.is_usable(one, 1.5), states.is_usable(one, 1.7)), (False, True))
-        states.record_success("s1")
-        self.assertTrue(states.is_usable(one, 0.0))
+        health, one = BackendHealthTracker(), known("s1")
+        health.record_failure("s1", 0.0)
+        self.assertEqual((health.is_usable(one, 0.4), health.is_usable(one, 0.6)), (False, True))
+        health.record_failure("s1", 0.6)
+        self.assertEqual((health.is_usable(one, 1.5), health.is_usable(one, 1.7)), (False, True))
+        health.record_success("s1")
+        self.assertTrue(health.is_usable(one, 0.0))
 
     def test_draining_silent_and_misplaced_backends_are_not_usable(self):
-        states = BackendHealthTracker()
-        self.assertFalse(states.is_usable(known("s1", draining=True), 0.0))
-        self.assertFalse(states.is_usable(known("s2", silent=True), 0.0))
-        states.record_misplaced("s3")
-        self.assertFalse(states.is_usable(known("s3"), 0.0))
+        health = BackendHealthTracker()
+        self.assertFalse(health.is_usable(known("s1", draining=True), 0.0))
+        self.assertFalse(health.is_usable(known("s2", silent=True), 0.0))
+        health.record_misplaced("s3")
+        self.assertFalse(health.is_usable(known("s3"), 0.0))
 
 
 class Registry(unittest.TestCase):
