--- a/mulleinhatch/data_plane/listener.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from mulleinhatch.configuration.routes import Limits
-from mulleinhatch.networking.http import BadRequestError
-from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, MessageReader, reason, write_answer
+from mulleinhatch.networking.http_grammar import BadRequestError
+from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, MessageReader, reason, write_response
 
 LOG = logging.getLogger(__name__)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -40,7 +40,7 @@
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
-        self._reader = MessageReader(answers=False, most_head=listener.limits().max_header_bytes)
+        self._reader = MessageReader(answers=False, max_head_bytes=listener.limits().max_header_bytes)
         self._head: Head | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
@@ -196,7 +196,7 @@
         is_last = self._is_last_response() or status in CLOSING_STATUSES
         if is_last:
             fields.append((b"Connection", b"close"))
-        self.transport.write(write_answer(status, fields, message.encode() + b"\n"))
+        self.transport.write(write_response(status, fields, message.encode() + b"\n"))
         self._end_response(is_last)
 
     def write_head(self, head: Head, length: int | None) -> None:
--- a/tests/system/test_request_log.py
+++ b/tests/system/test_request_log.py
@@ -13,7 +13,7 @@
 from mulleinhatch.data_plane.request_context import RequestContext
 from mulleinhatch.data_plane.request_log import RequestLog
 from mulleinhatch.data_plane.wait_reason import WaitReason
-from mulleinhatch.networking.http_streaming import request_head
+from mulleinhatch.networking.http_streaming import parse_request_head
 
 HEAD = b"POST / HTTP/1.1\r\nModel: m/a1\r\nRequest-Id: 7\r\n\r\n"
 LOGGED_KEYS = ("request_id", "route", "priority", "model", "adapter", "wait_reason", "is_probable_retry", "sends")
@@ -36,7 +36,7 @@
         self.log = RequestLog(lambda: 10.0, self.timeouts)
 
     def request(self, arrived_at: float = 9.0, deadline: float = 14.0) -> SimpleNamespace:
-        context = RequestContext(SimpleNamespace(), request_head(HEAD), b"", route(), "s", deadline)
+        context = RequestContext(SimpleNamespace(), parse_request_head(HEAD), b"", route(), "s", deadline)
         return SimpleNamespace(context=context, pending=SimpleNamespace(arrived_at=arrived_at), wait_reason=WaitReason.LOADING)
 
     def lines(self, act) -> list[str]:
@@ -63,7 +63,7 @@
         self.assertEqual(list(self.log.recent_rejections), [expected])
 
     def test_a_request_with_less_time_than_others_of_its_route_is_a_probable_retry(self):
-        self.timeouts.deadline(route(), request_head(HEAD), 0.0)
+        self.timeouts.deadline(route(), parse_request_head(HEAD), 0.0)
         lines = self.lines(lambda: self.log.not_served(self.request(arrived_at=10.0, deadline=14.0), "due", 0.25))
         self.assertTrue(lost_requests(read_lines(lines))[0].is_probable_retry)
 
@@ -76,7 +76,7 @@
             HEAD.replace(b"Model:", b"Request-Deadline: 1500\r\nModel:"),
             HEAD.replace(b"Model:", b"Request-Deadline: 9000\r\nModel:"),
         ]
-        self.assertEqual([timeouts.deadline(route(), request_head(head), 1.0) for head in heads], [6.0, 2.5, 6.0])
+        self.assertEqual([timeouts.deadline(route(), parse_request_head(head), 1.0) for head in heads], [6.0, 2.5, 6.0])
         self.assertTrue(timeouts.is_probable_retry(route(), 4.2))
         self.assertFalse(timeouts.is_probable_retry(route(), 4.3))
 
