--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -22,7 +22,15 @@
 from mulleinhatch.data_plane.control_plane_snapshot import ControlPlaneSnapshot
 from mulleinhatch.data_plane.registry_snapshot import RegisteredBackend, RegistrySnapshot
 from mulleinhatch.data_plane.request_headers import backend_fields
-from mulleinhatch.data_plane.request_state import NextStep, RequestState, ResponseVerdict, classify_response
+from mulleinhatch.data_plane.request_state import (
+    FINAL_STEPS,
+    Event,
+    NextStep,
+    Progress,
+    RequestState,
+    ResponseVerdict,
+    classify_response,
+)
 from mulleinhatch.data_plane.response_relay import ResponseRelay
 from mulleinhatch.data_plane.router import Router
 from mulleinhatch.networking.http_client import ClientConnection
@@ -524,6 +532,10 @@
     def state(self, idempotent: bool = False, resumable: bool = False, **more: int) -> RequestState:
         return RequestState(idempotent, resumable, 2, **more)
 
+    def test_the_table_has_a_final_step_for_each_progress_and_event(self):
+        self.assertEqual(set(FINAL_STEPS), set(itertools.product(Progress, Event)))
+        self.assertNotIn(NextStep.RETRY, FINAL_STEPS.values())
+
     def test_rejects_only_while_nothing_counts_as_executed(self):
         for sends, executions, is_started in itertools.product(range(3), range(3), (False, True)):
             for idempotent, resumable in itertools.product((False, True), repeat=2):
