--- /dev/null
+++ b/mulleinhatch/data_plane/connection_pool.py
@@ -0,0 +1,84 @@
+"""Idle connections to backends, kept for the next request.
+
+A new connection costs both sides; an old one may have been dropped by the backend or by something in between.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import defaultdict
+
+from mulleinhatch.networking.http_client import ClientConnection, connect, take_usable
+from mulleinhatch.networking.http_streaming import Head
+
+CONNECT_TIMEOUT_S = 0.7
+DEFAULT_IDLE_TIMEOUT_S = 6.0  # where the backend's `Keep-Alive` names no timeout
+IDLE_TIMEOUT_MARGIN_S = 0.7  # before the backend's timeout: our next request must arrive first
+
+
+def keep_alive_timeout_s(head: Head) -> float | None:
+    """Return the timeout of a response's `Keep-Alive` field in seconds, None where there is none."""
+    for parameter in head.first.get(b"keep-alive", b"").split(b","):
+        name, _, value = parameter.strip().partition(b"=")
+        if name.lower() == b"timeout" and value.isdigit():
+            return float(value)
+    return None
+
+
+class ConnectionPool:
+    """Idle connections by backend id. The newest is used first, so that few are kept."""
+
+    def __init__(self) -> None:
+        self._idle: dict[str, list[ClientConnection]] = defaultdict(list)
+
+    def has_idle(self, backend_id: str) -> bool:
+        """Return whether a request to the backend needs no new connection."""
+        return any(connection.usable for connection in self._idle.get(backend_id, ()))
+
+    def acquire(self, backend_id: str) -> ClientConnection | None:
+        """Take an idle connection out of the pool, None where there is none."""
+        return take_usable(self._idle.get(backend_id, []))
+
+    async def open(self, address: str) -> ClientConnection:
+        """Open a new connection.
+
+        Raises:
+            OSError: The backend could not be reached within `CONNECT_TIMEOUT_S`.
+        """
+        connection = await connect(address, CONNECT_TIMEOUT_S)
+        connection.pool = self
+        return connection
+
+    def release(self, backend_id: str, connection: ClientConnection, head: Head | None) -> None:
+        """Return a connection after a complete response, whose `head` may name the backend's idle timeout."""
+        if not connection.usable:
+            return
+        timeout_s = keep_alive_timeout_s(head) if head is not None else None
+        keep_s = DEFAULT_IDLE_TIMEOUT_S if timeout_s is None else timeout_s - IDLE_TIMEOUT_MARGIN_S
+        if keep_s <= 0:
+            connection.close()
+            return
+        connection.idle_until = asyncio.get_running_loop().time() + keep_s
+        self._idle[backend_id].append(connection)
+
+    def on_idle_loss(self, connection: ClientConnection) -> None:
+        """Forget an idle connection that the backend closed."""
+        for idle in self._idle.values():
+            if connection in idle:
+                idle.remove(connection)
+                return
+
+    def sweep(self, registered: set[str]) -> None:
+        """Close idle connections that are too old, or whose backend is not among the `registered` ids."""
+        now = asyncio.get_running_loop().time()
+        for backend_id, idle in list(self._idle.items()):
+            kept = []
+            for connection in idle:
+                if backend_id in registered and connection.usable and connection.idle_until > now:
+                    kept.append(connection)
+                else:
+                    connection.close()
+            if kept:
+                self._idle[backend_id] = kept
+            else:
+                del self._idle[backend_id]
