--- a/mulleinhatch/consensus/paxos.py
+++ b/mulleinhatch/consensus/paxos.py
@@ -16,10 +16,12 @@
 
 
 def proposal_sort_key(proposal_number: ProposalNumber) -> tuple[int, str]:
+    """Return the key that orders proposal numbers: by number, and by proposer where two numbers are equal."""
     return proposal_number.number, proposal_number.proposer
 
 
 def identities(members: Iterable[Member]) -> tuple[str, ...]:
+    """Return the identities of members, in their order."""
     return tuple(member.identity for member in members)
 
 
@@ -29,6 +31,7 @@
 
 
 def find_member(members: Iterable[Member], identity: str) -> Member | None:
+    """Return the member with an identity, or None."""
     return next((member for member in members if member.identity == identity), None)
 
 
@@ -38,10 +41,12 @@
     Methods change `state`; the caller syncs it before the answer goes out."""
 
     def __init__(self, identity: str, state: VoterState) -> None:
-        self.identity, self.state = identity, state
+        self.identity = identity
+        self.state = state
 
     @property
     def view(self) -> View:
+        """The newest decided view that this voter knows."""
         return self.state.view
 
     def learn(self, view: View) -> bool:
@@ -51,56 +56,61 @@
         self.state = VoterState(view=view)
         return True
 
-    def _answer(self, granted: bool) -> VoteResponse:
-        state = self.state
-        return VoteResponse(
-            voter=self.identity,
-            granted=granted,
-            promised=state.promised,
-            accepted=state.accepted,
-            accepted_view=state.accepted_view,
-            newest=state.view,
-        )
-
-    def _may_vote_on(self, base: View) -> bool:
-        """Whether a request builds on our view and we vote in it."""
-        self.learn(base)
-        return base.epoch == self.view.epoch and self.identity in identities(self.view.voters)
-
     def prepare(self, request: PrepareRequest) -> VoteResponse:
-        if not self._may_vote_on(request.base) or proposal_sort_key(request.proposal_number) < proposal_sort_key(
-            self.state.promised
-        ):
-            return self._answer(False)
-        state = self.state
+        """Promise to accept no lower proposal number (phase 1b), or reject the request."""
+        if not self._may_vote(request):
+            return self._build_response(granted=False)
         self.state = VoterState(
-            view=state.view, promised=request.proposal_number, accepted=state.accepted, accepted_view=state.accepted_view
+            view=self.state.view,
+            promised=request.proposal_number,
+            accepted=self.state.accepted,
+            accepted_view=self.state.accepted_view,
         )
-        return self._answer(True)
+        return self._build_response(granted=True)
 
     def accept(self, request: AcceptRequest) -> VoteResponse:
-        if not self._may_vote_on(request.base) or proposal_sort_key(request.proposal_number) < proposal_sort_key(
-            self.state.promised
-        ):
-            return self._answer(False)
+        """Accept the proposed view (phase 2b), or reject it after a promise to a higher proposal number."""
+        if not self._may_vote(request):
+            return self._build_response(granted=False)
         self.state = VoterState(
             view=self.state.view,
             promised=request.proposal_number,
             accepted=request.proposal_number,
             accepted_view=request.proposed,
         )
-        return self._answer(True)
+        return self._build_response(granted=True)
 
     def confirms_epoch(self, epoch: int) -> bool:
         """Whether `epoch` is the newest view known and no later one was accepted here."""
-        return self.view.epoch == epoch and not self.state.accepted.number and self.identity in identities(self.view.voters)
+        if self.view.epoch != epoch or self.state.accepted.number:
+            return False
+        return self.identity in identities(self.view.voters)
+
+    def _may_vote(self, request: PrepareRequest | AcceptRequest) -> bool:
+        """Learn the request's base view; return whether this node votes after it and has promised no higher number."""
+        self.learn(request.base)
+        if request.base.epoch != self.view.epoch or self.identity not in identities(self.view.voters):
+            return False
+        return proposal_sort_key(request.proposal_number) >= proposal_sort_key(self.state.promised)
+
+    def _build_response(self, granted: bool) -> VoteResponse:
+        return VoteResponse(
+            voter=self.identity,
+            granted=granted,
+            promised=self.state.promised,
+            accepted=self.state.accepted,
+            accepted_view=self.state.accepted_view,
+            newest=self.state.view,
+        )
 
 
 class ProposalOutcome(Enum):
+    """How far a proposal got."""
+
     RUNNING = "running"
-    DECIDED = "decided"
-    PREEMPTED = "preempted"  # try again with a higher ballot
-    SUPERSEDED = "superseded"  # a newer view stands
+    DECIDED = "decided"  # a majority accepted: the view is in force
+    PREEMPTED = "preempted"  # voters promised a higher proposal number: retry with a higher one
+    SUPERSEDED = "superseded"  # a newer view was decided elsewhere: learn it
 
 
 @dataclass
@@ -116,46 +126,51 @@
     _promises: dict[str, VoteResponse] = field(default_factory=dict)
     _accepts: set[str] = field(default_factory=set)
     _rejections: set[str] = field(default_factory=set)
-    view_to_accept: View | None = None  # what the accept phase asks for
+    view_to_accept: View | None = None
 
     def __post_init__(self) -> None:
         self.highest_number = self.proposal_number.number
 
-    def _is_countable(self, answer: VoteResponse) -> bool:
-        self.highest_number = max(self.highest_number, answer.promised.number)
-        if answer.newest.epoch > self.base.epoch:
-            self.newest, self.outcome = answer.newest, ProposalOutcome.SUPERSEDED
-        return self.outcome is ProposalOutcome.RUNNING and answer.voter in identities(self.base.voters)
-
-    def _count_rejection(self, answer: VoteResponse) -> None:
-        self._rejections.add(answer.voter)
-        if len(self._rejections) > len(self.base.voters) - majority_size(self.base):
-            self.outcome = ProposalOutcome.PREEMPTED
-
-    def on_prepare_response(self, answer: VoteResponse) -> bool:
+    def on_prepare_response(self, response: VoteResponse) -> bool:
         """Whether the accept phase begins with this answer; `view_to_accept` is then what to ask for."""
-        if not self._is_countable(answer) or self.view_to_accept is not None:
+        if not self._is_countable(response) or self.view_to_accept is not None:
             return False
-        if not answer.granted:
-            self._count_rejection(answer)
+        if not response.granted:
+            self._count_rejection(response)
             return False
-        self._promises[answer.voter] = answer
+        self._promises[response.voter] = response
         if len(self._promises) < majority_size(self.base):
             return False
-        latest = max(self._promises.values(), key=lambda promise: proposal_sort_key(promise.accepted))
-        self.view_to_accept = latest.accepted_view if latest.accepted.number else self.proposed_view
+        self.view_to_accept = self._select_view()
         self._rejections.clear()
         return True
 
-    def on_accept_response(self, answer: VoteResponse) -> bool:
+    def on_accept_response(self, response: VoteResponse) -> bool:
         """Whether the view is decided with this answer."""
-        if not self._is_countable(answer) or self.view_to_accept is None:
+        if not self._is_countable(response) or self.view_to_accept is None:
             return False
-        if not answer.granted:
-            self._count_rejection(answer)
+        if not response.granted:
+            self._count_rejection(response)
             return False
-        self._accepts.add(answer.voter)
+        self._accepts.add(response.voter)
         if len(self._accepts) < majority_size(self.base):
             return False
         self.outcome = ProposalOutcome.DECIDED
         return True
+
+    def _select_view(self) -> View:
+        """Return the view of the highest accepted proposal, which may be chosen already, else the proposed one."""
+        latest = max(self._promises.values(), key=lambda promise: proposal_sort_key(promise.accepted))
+        return latest.accepted_view if latest.accepted.number else self.proposed_view
+
+    def _is_countable(self, response: VoteResponse) -> bool:
+        self.highest_number = max(self.highest_number, response.promised.number)
+        if response.newest.epoch > self.base.epoch:
+            self.newest = response.newest
+            self.outcome = ProposalOutcome.SUPERSEDED
+        return self.outcome is ProposalOutcome.RUNNING and response.voter in identities(self.base.voters)
+
+    def _count_rejection(self, response: VoteResponse) -> None:
+        self._rejections.add(response.voter)
+        if len(self._rejections) > len(self.base.voters) - majority_size(self.base):
+            self.outcome = ProposalOutcome.PREEMPTED
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -301,7 +301,7 @@
             return None
         own = MemberHealth(self.member, not self.is_unfit(), self.is_caught_up(), log_complete=self.replica.log_complete)
         health = self.peers.health(view, now, own)
-        able = [member.identity for member in view.chain if health[member.identity].alive]
+        able = [member.identity for member in view.chain if health[member.identity].is_alive]
         leads = bool(able) and able[0] == self.member.identity
         hands_over = self.leaving and self.replica.is_head
         if not leads and not hands_over:
