--- a/mulleinhatch/consensus/__init__.py
+++ b/mulleinhatch/consensus/__init__.py
@@ -1,4 +1,5 @@
-"""The agreed membership view of the chain: voters choose each next view by one round of single-decree consensus.
+"""Agreement on the chain's membership view: single-decree Paxos per epoch, and the planner of the next view.
 
-Called by `control_plane.core`; pure, and it never decides by a clock.
+Used by `control_plane.view_change` and `control_plane.node`. Pure: no I/O, no clock. A timeout never decides a view; it only
+makes a node propose one.
 """
--- a/mulleinhatch/consensus/paxos.py
+++ b/mulleinhatch/consensus/paxos.py
@@ -1,9 +1,11 @@
-"""How voters agree on the view that follows one they know: single-decree Paxos, one instance an epoch.
+"""Agree on the view that follows a known one: single-decree Paxos, one instance per epoch.
 
-The voters of view N choose view N + 1. A voter's promise and what it accepted are durable before they are said. A
-decided view is
-told with every message; who learns one goes over to it and forgets the instance that chose it. A disk's identity is the voter:
-an emptied disk has another identity, so that nobody votes who forgot.
+The voters of view N choose view N + 1. A voter (Paxos acceptor) persists its promise, and the proposal that it accepted, before
+it responds. Every message carries the newest decided view of its sender; a receiver with an older view switches to it and
+discards the instance that chose it. The identity of a voter belongs to its disk: a wiped disk gets a new identity, so that a
+voter that lost its promises cannot vote.
+
+Source: L. Lamport, "Paxos Made Simple" (2001), section 2.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 
 
 def majority_size(view: View) -> int:
-    """How many voters of a view are more than half."""
+    """Return the smallest number of voters that is a majority of a view."""
     return len(view.voters) // 2 + 1
 
 
@@ -36,9 +38,14 @@
 
 
 class Voter:
-    """The durable part of one core machine's say in views.
+    """One core node as a Paxos acceptor.
+
+    Methods replace `state` and never modify it. The caller persists the new state before it sends the response.
 
-    Methods change `state`; the caller syncs it before the answer goes out."""
+    Args:
+        identity: The identity of the node's disk.
+        state: The state that the disk holds.
+    """
 
     def __init__(self, identity: str, state: VoterState) -> None:
         self.identity = identity
@@ -50,7 +57,11 @@
         return self.state.view
 
     def learn(self, view: View) -> bool:
-        """Goes over to a decided view if it is newer; whether it was."""
+        """Switch to a decided view if it is newer than the known one.
+
+        Returns:
+            Whether the view was newer.
+        """
         if view.epoch <= self.view.epoch:
             return False
         self.state = VoterState(view=view)
@@ -81,7 +92,11 @@
         return self._build_response(granted=True)
 
     def confirms_epoch(self, epoch: int) -> bool:
-        """Whether `epoch` is the newest view known and no later one was accepted here."""
+        """Return whether this voter may confirm a view as the newest.
+
+        Returns:
+            True if `epoch` is the newest known view, this node votes in it and has not accepted a view after it.
+        """
         if self.view.epoch != epoch or self.state.accepted.number:
             return False
         return self.identity in identities(self.view.voters)
@@ -115,7 +130,19 @@
 
 @dataclass
 class Proposal:
-    """One try to have a view view_to_accept after `base`. Answers come through `prepared` and `accepted`."""
+    """One attempt to have a view chosen as the successor of `base` (a Paxos proposer).
+
+    The caller sends the requests and passes each response to `on_prepare_response` or `on_accept_response`.
+
+    Attributes:
+        base: The view whose voters decide.
+        proposal_number: Unique to this attempt.
+        proposed_view: The view to propose if no voter has accepted another one.
+        outcome: How far the proposal got.
+        newest: The newer decided view, where the outcome is SUPERSEDED.
+        highest_number: The highest number that a voter has promised; the next attempt must exceed it.
+        view_to_accept: The view that the accept phase proposes; None until a majority has promised.
+    """
 
     base: View
     proposal_number: ProposalNumber
@@ -132,7 +159,11 @@
         self.highest_number = self.proposal_number.number
 
     def on_prepare_response(self, response: VoteResponse) -> bool:
-        """Whether the accept phase begins with this answer; `view_to_accept` is then what to ask for."""
+        """Count a promise or a rejection.
+
+        Returns:
+            Whether this response completes the majority: the accept phase begins and proposes `view_to_accept`.
+        """
         if not self._is_countable(response) or self.view_to_accept is not None:
             return False
         if not response.granted:
@@ -146,7 +177,11 @@
         return True
 
     def on_accept_response(self, response: VoteResponse) -> bool:
-        """Whether the view is decided with this answer."""
+        """Count an acceptance or a rejection.
+
+        Returns:
+            Whether this response decides the view.
+        """
         if not self._is_countable(response) or self.view_to_accept is None:
             return False
         if not response.granted:
--- a/mulleinhatch/consensus/view_planner.py
+++ b/mulleinhatch/consensus/view_planner.py
@@ -1,13 +1,21 @@
-"""Which view should follow the one in force. Pure: from a view and who is alive to a view, or None where it may stay.
+"""Plan the view that should follow the current one, from the health of the known nodes.
 
-Rules that keep what was acknowledged: survivors keep their order, so that each predecessor holds all that its successor holds;
-only machines that are caught up in the view's epoch join, at the tail; the head holds, for certain, all that was committed; a
-chain has more members than disks may be lost at once.
+Rules that preserve acknowledged writes:
 
-Rules that keep a majority: the voters are an odd number, twice the machines that may be lost at once and one as soon as
-there are so many; a machine that holds the state takes the place of a voter that is silent or leaves, in the one view, so
-that the loss after it finds a majority again. Voters of a view choose the next one by a decision of that view alone, so
-any number of them may change at once (reconfiguration by the former members, as in Vertical Paxos and in SMART).
+* Survivors keep their order in the chain, so that each predecessor still holds every entry that its successor holds.
+* Only nodes that are caught up in the current epoch join, at the tail.
+* The head's log is complete: it certainly holds every committed entry.
+* The chain is longer than the number of disks that may be lost at once.
+
+Rules that preserve a majority:
+
+* The number of voters is odd, and 2 * tolerated + 1 as soon as there are as many nodes.
+* A caught-up node replaces an unreachable or leaving voter in a single view change, so that the next loss still leaves a
+  majority.
+
+Voters of a view choose the next view on their own, so any number of them may change at once (reconfiguration by the former
+members). Source: L. Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and Primary-Backup Replication" (2009); J. Lorch et al., "The
+SMART Way to Migrate Replicated Stateful Services" (2006).
 """
 
 from __future__ import annotations
@@ -21,7 +29,16 @@
 
 @dataclass(frozen=True)
 class MemberHealth:
-    """How a core machine fares, as the planner sees it."""
+    """The health of one core node, as the planner sees it.
+
+    Attributes:
+        member: The node.
+        is_alive: It responded within the failure timeout, and is not leaving.
+        is_caught_up: It holds every entry that is committed in the current view.
+        unreachable_for_s: Seconds since its last response.
+        log_complete: For a member of the chain: it holds every entry that was committed before the view.
+        unresponsive_peers: Identities of nodes that have not responded to it for long.
+    """
 
     member: Member
     is_alive: bool
@@ -32,8 +49,12 @@
 
 
 def bootstrap_view(seeds: Iterable[str], internal_of: Callable[[str], str]) -> View:
-    """The view that all seeds of a first start agree on without a word. `seeds` are control addresses; `internal_of` gives the
-    internal address beside one."""
+    """Return the view that every seed of a first start derives on its own, without communication.
+
+    Args:
+        seeds: Control addresses.
+        internal_of: Returns the internal address that belongs to a control address.
+    """
     members = [
         Member(identity=f"first-{seed}", name=seed, control_address=seed, internal_address=internal_of(seed)) for seed in seeds
     ]
@@ -41,9 +62,16 @@
 
 
 def plan_next_view(view: View, health: Mapping[str, MemberHealth], tolerated: int) -> View | None:
-    """The view that should follow, None where the one in force is right or no safe one can be formed.
+    """Return the view that should follow.
+
+    Args:
+        view: The current view.
+        health: Every known node and every voter, by identity.
+        tolerated: How many disks may be lost at once.
 
-    `health` tells of every machine known and of every voter, by identity; `tolerated` is how many disks may be lost at once."""
+    Returns:
+        The next view; None where the current one needs no change, or where no safe successor exists.
+    """
     chain = _plan_chain(view, health)
     if not chain or chain[0].identity not in identities(view.chain):
         return None
@@ -56,14 +84,14 @@
 
 
 def _are_connected(first: MemberHealth, second: MemberHealth) -> bool:
-    """Whether two machines reach each other, as far as they told."""
+    """Return whether neither node reports the other as unresponsive."""
     if first.member.identity in second.unresponsive_peers:
         return False
     return second.member.identity not in first.unresponsive_peers
 
 
 def _plan_chain(view: View, health: Mapping[str, MemberHealth]) -> list[Member]:
-    """Survivors in their order, then those that are caught up, by identity; each reaches the one before it."""
+    """Return the survivors in their order, then joining nodes by identity; each node reaches its predecessor."""
     survivors = [health[member.identity] for member in view.chain if member.identity in health]
     current = identities(view.chain)
     joining = [node for node in health.values() if node.is_caught_up and node.member.identity not in current]
@@ -93,7 +121,7 @@
 
 
 def _voter_candidates(view: View, health: Mapping[str, MemberHealth]) -> list[Member]:
-    """Machines that hold the state and have no vote, by identity."""
+    """Return the caught-up nodes without a vote, by identity."""
     voting = identities(view.voters)
     candidates = [
         node.member for node in health.values() if node.is_alive and node.is_caught_up and node.member.identity not in voting
@@ -102,7 +130,7 @@
 
 
 def _replace_wiped_voters(voters: list[Member], candidates: list[Member]) -> None:
-    """Who speaks from a voter's address with another identity has its place: the disk was emptied, the former one is gone."""
+    """Replace a voter by the candidate at its address: the disk was wiped, and its former identity is gone."""
     for candidate in list(candidates):
         for position, voter in enumerate(voters):
             if voter.internal_address == candidate.internal_address:
@@ -112,7 +140,7 @@
 
 
 def _add_voters(voters: list[Member], candidates: list[Member], target_count: int) -> None:
-    """Adds voters up to the wanted number; their number stays odd, or becomes it."""
+    """Add voters up to the target count, one or two at a time so that their number is odd after each step."""
     while len(voters) < target_count:
         step = 1 + len(voters) % 2
         if len(candidates) < step:
@@ -122,6 +150,6 @@
 
 
 def _unreachable_voter_positions(voters: list[Member], health: Mapping[str, MemberHealth]) -> list[int]:
-    """Places of voters that are out of reach or leave, the longest gone first."""
+    """Return the positions of voters that are unreachable or leaving, the longest unreachable first."""
     positions = [position for position, voter in enumerate(voters) if not health[voter.identity].is_alive]
     return sorted(positions, key=lambda position: -health[voters[position].identity].unreachable_for_s)
