--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -19,8 +19,9 @@
 from mulleinhatch.consensus.paxos import identities
 from mulleinhatch.messages.cluster import AppendRequest, AppendResponse, Entry, Member, Snapshot, View
 
-MAX_ENTRIES_PER_APPEND = 64  # entries in one append
-UNREACHABLE_INDEX = 2**63  # an index that is never reached: who is not settled itself settles nobody
+MAX_ENTRIES_PER_APPEND = 64
+# Sent as `sender_last` by a replica whose own log may be incomplete: no receiver reaches it, so none considers its log complete.
+UNREACHABLE_INDEX = 2**63
 
 
 @dataclass(frozen=True)
@@ -29,7 +30,7 @@
 
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
-    truncate_to: int | None = None  # entries above are dropped first; they were never committed
+    truncate_to: int | None = None
 
 
 class Replica:
@@ -38,14 +39,18 @@
     def __init__(self, identity: str) -> None:
         self.identity = identity
         self.view = View()
-        self.base = Snapshot()  # state up to the entries that are kept
-        self.entries: list[Entry] = []  # behind `base`, without gaps
+        self.base = Snapshot()
+        self.entries: list[Entry] = []
         self.committed = 0
-        self.log_complete = False  # holds, for certain, all that was committed before its view began
-        self._last_index_at_start = 0  # entries on disk when the process began: each may have been acknowledged
+        self.log_complete = False
+        # Each entry that was on disk when the process started may have been acknowledged before.
+        self._last_index_at_start = 0
+
+    # State.
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry that is persisted here."""
         return self.base.index + len(self.entries)
 
     @property
@@ -61,20 +66,41 @@
 
     @property
     def is_head(self) -> bool:
+        """Whether this replica is the first of the chain."""
         return self.position == 0
 
     @property
     def is_tail(self) -> bool:
+        """Whether this replica is the last of the chain."""
         return self.position >= 0 and self.position == len(self.view.chain) - 1
 
     @property
     def predecessor(self) -> Member | None:
+        """The replica that sends appends to this one."""
         return self.view.chain[self.position - 1] if self.position > 0 else None
 
     @property
     def successor(self) -> Member | None:
+        """The replica to which this one sends appends."""
         return self.view.chain[self.position + 1] if self.position >= 0 and not self.is_tail else None
 
+    def entry_at(self, index: int) -> Entry:
+        """Return the entry with an index after `base`."""
+        return self.entries[index - self.base.index - 1]
+
+    # Start and view changes.
+
+    def restore(self, view: View, snapshot: Snapshot, entries: list[Entry], committed: int, log_complete: bool) -> None:
+        """What the disk holds."""
+        self.view, self.base, self.entries = view, snapshot, entries
+        self.log_complete = log_complete and self.position >= 0
+        self.committed = max(snapshot.index, min(committed, self.last_index))
+        self._last_index_at_start = self.last_index
+
+    def bootstrap(self) -> None:
+        """The first view of a first start: nothing was committed before it."""
+        self.log_complete = self.position >= 0
+
     def adopt_view(self, view: View) -> None:
         """A decided view takes force. Who stays in the chain stays settled: all that is committed has its acknowledgement. Who
         joins is settled once it holds what its predecessor held; who is outside is not."""
@@ -85,41 +111,13 @@
             self._last_index_at_start = 0
         self._commit_at_tail()
 
-    def bootstrap(self) -> None:
-        """The first view of a first start: nothing was committed before it."""
-        self.log_complete = self.position >= 0
-
-    def restore(self, view: View, snapshot: Snapshot, entries: list[Entry], committed: int, log_complete: bool) -> None:
-        """What the disk holds."""
-        self.view, self.base, self.entries = view, snapshot, entries
-        self.log_complete = log_complete and self.position >= 0
-        self.committed = max(snapshot.index, min(committed, self.last_index))
-        self._last_index_at_start = self.last_index
-
-    def entry_at(self, index: int) -> Entry:
-        return self.entries[index - self.base.index - 1]
+    # Writes.
 
     def propose(self, kind: int, body: bytes, digest: str) -> LogWrite:
         """A new entry at the head, to be written and then told by `on_persisted`."""
         entry = Entry(index=self.last_index + 1, epoch=self.view.epoch, kind=kind, body=body, digest=digest)
         return LogWrite(entries=(entry,))
 
-    def on_persisted(self, write: LogWrite) -> None:
-        """A write lasts on this disk."""
-        if write.snapshot is not None:
-            self.base, self.entries = write.snapshot, []
-            self.committed = max(self.committed, write.snapshot.index) if write.truncate_to is None else write.snapshot.index
-        elif write.truncate_to is not None:
-            del self.entries[max(0, write.truncate_to - self.base.index) :]
-        for entry in write.entries:
-            if entry.index == self.last_index + 1:
-                self.entries.append(entry)
-        self._commit_at_tail()
-
-    def _commit_at_tail(self) -> None:
-        if self.is_tail and self.log_complete:
-            self.committed = self.last_index
-
     def on_append(self, request: AppendRequest) -> LogWrite | None:
         """What an append from the predecessor asks to be written; None where it is refused. An empty write is taken, too."""
         predecessor = self.predecessor
@@ -129,17 +127,36 @@
             return LogWrite(snapshot=request.snapshot, entries=tuple(request.entries))
         if request.previous_index > self.last_index:
             return None
-        fresh = []
+        return self._new_entries(request.entries)
+
+    def _new_entries(self, entries: list[Entry]) -> LogWrite:
+        """Return the entries that are not here yet; an entry of another epoch at the same index truncates the log there."""
+        new_entries = []
         truncate_to = None
-        for entry in request.entries:
+        for entry in entries:
             if entry.index <= self.base.index:
                 continue
             if entry.index <= self.last_index and truncate_to is None:
                 if self.entry_at(entry.index).epoch == entry.epoch:
                     continue
                 truncate_to = entry.index - 1
-            fresh.append(entry)
-        return LogWrite(entries=tuple(fresh), truncate_to=truncate_to)
+            new_entries.append(entry)
+        return LogWrite(entries=tuple(new_entries), truncate_to=truncate_to)
+
+    def on_persisted(self, write: LogWrite) -> None:
+        """A write lasts on this disk."""
+        if write.snapshot is not None:
+            self._install(write.snapshot, is_truncated=write.truncate_to is not None)
+        elif write.truncate_to is not None:
+            del self.entries[max(0, write.truncate_to - self.base.index) :]
+        for entry in write.entries:
+            if entry.index == self.last_index + 1:
+                self.entries.append(entry)
+        self._commit_at_tail()
+
+    def _install(self, snapshot: Snapshot, is_truncated: bool) -> None:
+        self.base, self.entries = snapshot, []
+        self.committed = snapshot.index if is_truncated else max(self.committed, snapshot.index)
 
     def on_append_persisted(self, request: AppendRequest) -> None:
         """After the write of `on_append` lasts: the sender had `committed` entries committed."""
@@ -147,12 +164,20 @@
         self.commit_to(request.committed)
         self._commit_at_tail()
 
-    def build_response(self, accepted: bool) -> AppendResponse:
-        return AppendResponse(accepted=accepted, last_index=self.last_index, committed=self.committed, newest=self.view)
-
     def commit_to(self, index: int) -> None:
+        """Raise the committed index, to the last entry here at most."""
         self.committed = max(self.committed, min(index, self.last_index))
 
+    def _commit_at_tail(self) -> None:
+        if self.is_tail and self.log_complete:
+            self.committed = self.last_index
+
+    # Messages.
+
+    def build_response(self, accepted: bool) -> AppendResponse:
+        """Return the response to an append."""
+        return AppendResponse(accepted=accepted, last_index=self.last_index, committed=self.committed, newest=self.view)
+
     def build_append(self, successor_last_index: int) -> AppendRequest:
         """What the successor lacks, which holds entries up to `successor_last_index`."""
         snapshot = Snapshot()
@@ -171,6 +196,6 @@
 
     def compact(self, snapshot: Snapshot) -> list[Entry]:
         """Takes a snapshot of the committed state as the new base; the entries that stay behind it."""
-        kept = self.entries[snapshot.index - self.base.index :]
-        self.base, self.entries = snapshot, kept
-        return kept
+        remaining = self.entries[snapshot.index - self.base.index :]
+        self.base, self.entries = snapshot, remaining
+        return remaining
--- a/mulleinhatch/replication/state.py
+++ b/mulleinhatch/replication/state.py
@@ -8,7 +8,7 @@
 
 import json
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import Enum, IntEnum
 
 from result import Err, Ok, Result
 
@@ -27,36 +27,47 @@
 class EntryKind(IntEnum):
     """What an entry does."""
 
-    CONFIGURATION = 1  # body: a whole configuration as JSON
-    PATCH = 2  # body: a patch of it as JSON
-    LEADER = 3  # body: the identity that gives orders from here on; the entry's index is its fencing token
+    CONFIGURATION = 1  # body: a complete configuration as JSON
+    PATCH = 2  # body: a patch of the configuration as JSON
+    LEADER = 3  # body: the identity of the new placement leader; the entry's index is its fencing token
     DEPARTURE = 4  # body: a JSON list of the ids of backends that leave
 
 
 CONFIGURATION_KINDS = (EntryKind.CONFIGURATION, EntryKind.PATCH)
-MAX_DIGESTS = 2048  # changes that are known when they are sent again: some nine hours of the target's rate
-MAX_RECENT_PATCHES = 64  # patches that are told on as they came; who is further behind gets the whole configuration
-MAX_DEPARTED_BACKENDS = (
-    1024  # backends that left: each serves on for seconds only, and its heartbeats come seconds late at most
-)
+# Changes that are recognised when they are sent again: about nine hours at the target rate.
+MAX_DIGESTS = 2048
+# Patches that a data plane can receive one by one; one that is further behind gets the complete configuration.
+MAX_RECENT_PATCHES = 64
+# A departed backend serves for seconds only, and its heartbeats are seconds late at most: older ids are not needed.
+MAX_DEPARTED_BACKENDS = 1024
 
 
-class ChangeOutcome(IntEnum):
+class ChangeOutcome(Enum):
     """What becomes of a change that an operator sends."""
 
-    ALREADY_APPLIED = 200
-    INVALID = 400
-    CONFLICT = 412
-    HISTORY_COMPACTED = 503  # it may have been taken so long ago that nothing is known of it any more
+    ALREADY_APPLIED = "already applied"
+    INVALID = "invalid"
+    CONFLICT = "conflict"
+    HISTORY_COMPACTED = "history compacted"  # it may have been applied so long ago that its digest was dropped
 
     @property
     def http_status(self) -> int:
         """Return the HTTP status by which the operator API reports this outcome."""
-        return int(self)
+        return _HTTP_STATUS[self]
+
+
+_HTTP_STATUS = {
+    ChangeOutcome.ALREADY_APPLIED: 200,
+    ChangeOutcome.INVALID: 400,
+    ChangeOutcome.CONFLICT: 412,
+    ChangeOutcome.HISTORY_COMPACTED: 503,
+}
 
 
 @dataclass(frozen=True)
 class Rejection:
+    """A change that is not appended: the outcome, and a message that says what to do."""
+
     outcome: ChangeOutcome
     message: str
 
@@ -72,48 +83,61 @@
 
 
 class ControlState:
+    """The state after the entry with `index`.
+
+    Attributes:
+        index: Index of the last applied entry.
+        epoch: Epoch of the last applied entry.
+        document: The configuration in force.
+        digests: Digests of applied changes with the versions they created, oldest first.
+        leader: Identity of the placement leader, empty before the first one.
+        fencing_token: Index of the entry that made it the leader.
+        departed_backends: Ids of departed backends with the indexes of their entries, oldest first.
+        forgotten_version: Changes up to this version may have been applied although their digests are dropped.
+        recent: Recent patches with the versions they were applied to.
+    """
+
     def __init__(self) -> None:
         self.index = 0
         self.epoch = 0
         self.document = EMPTY
-        self.digests: dict[str, int] = {}  # of the changes taken, with their versions
+        self.digests: dict[str, int] = {}
         self.leader = ""
         self.fencing_token = 0
-        self.departed_backends: dict[
-            str, int
-        ] = {}  # backends that said that they leave, with the index of the entry, the newest last
-        self.forgotten_version = 0  # changes up to this version may have been taken without being known any more
-        self.recent: list[tuple[int, Entry]] = []  # patches with the versions that they followed
+        self.departed_backends: dict[str, int] = {}
+        self.forgotten_version = 0
+        self.recent: list[tuple[int, Entry]] = []
+
+    # Checking.
 
     def check(self, method: str, base: int | None, body: bytes) -> Result[Change, Rejection]:
         """Whether a change may be appended after the state as it stands."""
         digest = change_digest(method, body)
         if digest in self.digests:
-            return Err(Rejection(ChangeOutcome.ALREADY_APPLIED, "taken before"))
+            return _reject(ChangeOutcome.ALREADY_APPLIED, "taken before")
         if isinstance(read := read_json(body), Err):
-            return Err(Rejection(ChangeOutcome.INVALID, str(read.err_value)))
+            return _reject(ChangeOutcome.INVALID, str(read.err_value))
         version = read.ok_value.get("version")
         if isinstance(version, int) and version <= self.forgotten_version:
-            return Err(
-                Rejection(ChangeOutcome.HISTORY_COMPACTED, "so old a change may have been taken; read the configuration")
-            )
+            return _reject(ChangeOutcome.HISTORY_COMPACTED, "so old a change may have been taken; read the configuration")
         if base is None:
-            return Err(
-                Rejection(ChangeOutcome.INVALID, "If-Match must give the version that the change builds on, 0 for the first")
-            )
-        made = self._make(method, read.ok_value)
-        if isinstance(made, Err):
+            return _reject(ChangeOutcome.INVALID, "If-Match must give the version that the change builds on, 0 for the first")
+        document = self._build_document(method, read.ok_value)
+        if isinstance(document, Err):
             outcome = ChangeOutcome.INVALID if base == self.document.version else ChangeOutcome.CONFLICT
-            return Err(Rejection(outcome, str(made.err_value)))
+            return _reject(outcome, str(document.err_value))
         if base != self.document.version:
-            return Err(
-                Rejection(ChangeOutcome.CONFLICT, f"version {self.document.version} is current; read it and build on it")
-            )
+            current = self.document.version
+            return _reject(ChangeOutcome.CONFLICT, f"version {current} is current; read it and build on it")
         kind = EntryKind.CONFIGURATION if method == "PUT" else EntryKind.PATCH
-        return Ok(Change(kind, body, digest, made.ok_value))
+        return Ok(Change(kind, body, digest, document.ok_value))
+
+    def _build_document(self, method: str, value: dict) -> Result[Document, ConfigurationError]:
+        if method == "PUT":
+            return read_complete(value, self.document.version)
+        return apply_patch(self.document, value)
 
-    def _make(self, method: str, value: dict) -> Result[Document, ConfigurationError]:
-        return read_complete(value, self.document.version) if method == "PUT" else apply_patch(self.document, value)
+    # Applying.
 
     def apply(self, entry: Entry) -> None:
         """Carries out the committed entry that follows."""
@@ -132,39 +156,47 @@
         while len(self.departed_backends) > MAX_DEPARTED_BACKENDS:
             del self.departed_backends[next(iter(self.departed_backends))]
 
-    def departed_since(self, index: int) -> list[str]:
-        """Backends of which entries behind an index say that they leave."""
-        return [backend_id for backend_id, at in self.departed_backends.items() if at > index]
-
-    @property
-    def departure_index(self) -> int:
-        """The newest entry that tells of a backend that leaves, 0 where there is none."""
-        return next(reversed(self.departed_backends.values()), 0)
-
     def _apply_change(self, entry: Entry) -> None:
         method = "PUT" if entry.kind == EntryKind.CONFIGURATION else "PATCH"
-        made = self._make(method, json.loads(entry.body))
-        if isinstance(made, Err):
-            return  # checked on this very state by the head; nothing is in force that was refused
+        document = self._build_document(method, json.loads(entry.body))
+        if isinstance(document, Err):
+            return  # the head checked the change against this very state; an invalid one never takes effect
         if entry.kind == EntryKind.PATCH:
             self.recent.append((self.document.version, entry))
         else:
             self.recent.clear()
         del self.recent[:-MAX_RECENT_PATCHES]
-        self.document = made.ok_value
-        self.digests[entry.digest] = self.document.version
+        self.document = document.ok_value
+        self._record_digest(entry.digest)
+
+    def _record_digest(self, digest: str) -> None:
+        self.digests[digest] = self.document.version
         while len(self.digests) > MAX_DIGESTS:
             oldest = next(iter(self.digests))
             self.forgotten_version = max(self.forgotten_version, self.digests.pop(oldest))
 
+    # Distribution.
+
+    def departed_since(self, index: int) -> list[str]:
+        """Backends of which entries behind an index say that they leave."""
+        return [backend_id for backend_id, recorded_at in self.departed_backends.items() if recorded_at > index]
+
+    @property
+    def departure_index(self) -> int:
+        """The newest entry that tells of a backend that leaves, 0 where there is none."""
+        return next(reversed(self.departed_backends.values()), 0)
+
     def patches_since(self, version: int) -> list[bytes] | None:
         """Bodies of the patches that lead from `version` to the one in force; None where a whole one is needed."""
-        for place, (before, _) in enumerate(self.recent):
-            if before == version:
-                return [entry.body for _, entry in self.recent[place:]]
+        for position, (patched_version, _) in enumerate(self.recent):
+            if patched_version == version:
+                return [entry.body for _, entry in self.recent[position:]]
         return None
 
+    # Snapshots.
+
     def snapshot(self) -> Snapshot:
+        """Return a snapshot of the state; `recent` is not part of it."""
         return Snapshot(
             index=self.index,
             epoch=self.epoch,
@@ -185,7 +217,11 @@
         pairs = (text.split(" ") for text in snapshot.digests)
         self.digests = {digest: int(version) for digest, version in pairs}
         self.leader, self.fencing_token = snapshot.leader, snapshot.fencing_token
-        left = (text.rpartition(" ") for text in snapshot.departed_backends)
-        self.departed_backends = {backend_id: int(index) for backend_id, _, index in left}
+        departures = (text.rpartition(" ") for text in snapshot.departed_backends)
+        self.departed_backends = {backend_id: int(index) for backend_id, _, index in departures}
         self.forgotten_version = snapshot.forgotten_version
         self.recent = []
+
+
+def _reject(outcome: ChangeOutcome, message: str) -> Err[Rejection]:
+    return Err(Rejection(outcome, message))
