--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -1,15 +1,8 @@
-"""One replica's log of entries and its place in the chain of the view in force.
-
-A replica appends what its predecessor sends, in order, and passes on what its successor lacks; what the tail holds
-is committed.
-An append counts once the caller has synced it: `append` and `on_append` return what is to be written, `on_persisted` tells
-that it lasts.
-
-| event | in the view's epoch | otherwise |
-| --- | --- | --- |
-| append from the predecessor | entries behind our last are taken, others are known already | refused, with our newest view |
-| gap before the entries | refused with our last index; the predecessor sends from there, or a snapshot | refused |
-| view changes | committed stays; at the tail all that is successor_last_index is committed | |
+"""One replica's log and its position in the chain of the current view.
+
+A replica appends the entries of its predecessor in order and sends its successor what that one lacks. Entries that the tail has
+persisted are committed. The replica itself does no I/O: `propose` and `on_append` return a `LogWrite`, the caller persists it and
+then calls `on_persisted`; only then the entries count.
 """
 
 from __future__ import annotations
@@ -26,7 +19,13 @@
 
 @dataclass(frozen=True)
 class LogWrite:
-    """What must last before the answer: entries, or a snapshot that replaces all before it."""
+    """Effect: what the caller must persist before it responds. An empty write needs no I/O.
+
+    Attributes:
+        entries: Entries to append.
+        snapshot: Replaces the log and every entry in it.
+        truncate_to: Entries above this index are removed first; they were never committed.
+    """
 
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
@@ -34,7 +33,24 @@
 
 
 class Replica:
-    """The log of one core machine. Indexes count entries from 1; `last_index` is the newest that is synced here."""
+    """The log of one core node. Indexes count entries from 1.
+
+    | event | in the view's epoch | in another epoch |
+    | --- | --- | --- |
+    | `on_append`, entries follow the last index or overlap it | write what is new | reject, with our view |
+    | `on_append`, a gap before the entries | reject, with our last index: the predecessor resends from there | reject |
+    | `on_append`, a snapshot beyond the last index | write the snapshot and the entries after it | reject |
+    | `on_persisted` | the write counts; at the tail it is committed | the same: the write is on disk |
+    | `adopt_view` | committed entries stay; a tail with a complete log commits its whole log | |
+
+    Attributes:
+        identity: The identity of the node's disk.
+        view: The current view.
+        base: Snapshot of the state before `entries`.
+        entries: Entries after `base`, without gaps.
+        committed: Index of the last committed entry known here.
+        log_complete: Whether the log certainly holds every entry that was committed before the current view.
+    """
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
@@ -55,12 +71,12 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether what is committed here shows all that was acknowledged in this view so far, or before it."""
+        """Whether the committed entries here include every write acknowledged so far, in this view or before it."""
         return self.log_complete and self.committed >= min(self._last_index_at_start, self.last_index)
 
     @property
     def position(self) -> int:
-        """Place in the chain, -1 outside it."""
+        """Position in the chain counted from the head, -1 outside it."""
         chain = identities(self.view.chain)
         return chain.index(self.identity) if self.identity in chain else -1
 
@@ -91,19 +107,22 @@
     # Start and view changes.
 
     def restore(self, view: View, snapshot: Snapshot, entries: list[Entry], committed: int, log_complete: bool) -> None:
-        """What the disk holds."""
+        """Restore the state that the disk holds."""
         self.view, self.base, self.entries = view, snapshot, entries
         self.log_complete = log_complete and self.position >= 0
         self.committed = max(snapshot.index, min(committed, self.last_index))
         self._last_index_at_start = self.last_index
 
     def bootstrap(self) -> None:
-        """The first view of a first start: nothing was committed before it."""
+        """Mark the log complete in the first view of a first start: nothing was committed before it."""
         self.log_complete = self.position >= 0
 
     def adopt_view(self, view: View) -> None:
-        """A decided view takes force. Who stays in the chain stays settled: all that is committed has its acknowledgement. Who
-        joins is settled once it holds what its predecessor held; who is outside is not."""
+        """Switch to a decided view.
+
+        A replica that stays in the chain keeps `log_complete`: whatever is committed was acknowledged by it. A joining replica's
+        log is complete once it holds what its predecessor held; outside the chain it never is.
+        """
         was_inside = self.position >= 0
         self.view = view
         if self.position < 0 or not was_inside:
@@ -114,12 +133,16 @@
     # Writes.
 
     def propose(self, kind: int, body: bytes, digest: str) -> LogWrite:
-        """A new entry at the head, to be written and then told by `on_persisted`."""
+        """Return the write of a new entry at the head; the caller persists it and calls `on_persisted`."""
         entry = Entry(index=self.last_index + 1, epoch=self.view.epoch, kind=kind, body=body, digest=digest)
         return LogWrite(entries=(entry,))
 
     def on_append(self, request: AppendRequest) -> LogWrite | None:
-        """What an append from the predecessor asks to be written; None where it is refused. An empty write is taken, too."""
+        """Check an append from the predecessor.
+
+        Returns:
+            The write to persist, which may be empty; None where the append is rejected.
+        """
         predecessor = self.predecessor
         if request.epoch != self.view.epoch or predecessor is None or predecessor.identity != request.sender:
             return None
@@ -144,7 +167,7 @@
         return LogWrite(entries=tuple(new_entries), truncate_to=truncate_to)
 
     def on_persisted(self, write: LogWrite) -> None:
-        """A write lasts on this disk."""
+        """Count a write that is on this node's disk."""
         if write.snapshot is not None:
             self._install(write.snapshot, is_truncated=write.truncate_to is not None)
         elif write.truncate_to is not None:
@@ -159,7 +182,7 @@
         self.committed = snapshot.index if is_truncated else max(self.committed, snapshot.index)
 
     def on_append_persisted(self, request: AppendRequest) -> None:
-        """After the write of `on_append` lasts: the sender had `committed` entries committed."""
+        """Take over the predecessor's committed index, after the write that `on_append` returned is persisted."""
         self.log_complete = self.log_complete or self.last_index >= request.sender_last
         self.commit_to(request.committed)
         self._commit_at_tail()
@@ -179,7 +202,7 @@
         return AppendResponse(accepted=accepted, last_index=self.last_index, committed=self.committed, newest=self.view)
 
     def build_append(self, successor_last_index: int) -> AppendRequest:
-        """What the successor lacks, which holds entries up to `successor_last_index`."""
+        """Return what a successor lacks: at most MAX_ENTRIES_PER_APPEND entries, after a snapshot if the log starts later."""
         snapshot = Snapshot()
         if successor_last_index < self.base.index:
             snapshot, successor_last_index = self.base, self.base.index
@@ -195,7 +218,11 @@
         )
 
     def compact(self, snapshot: Snapshot) -> list[Entry]:
-        """Takes a snapshot of the committed state as the new base; the entries that stay behind it."""
+        """Replace the entries up to a snapshot of committed state by it.
+
+        Returns:
+            The entries that remain after the snapshot.
+        """
         remaining = self.entries[snapshot.index - self.base.index :]
         self.base, self.entries = snapshot, remaining
         return remaining
--- a/mulleinhatch/replication/state.py
+++ b/mulleinhatch/replication/state.py
@@ -1,8 +1,8 @@
-"""The state that the chain replicates: the configuration, digests of the changes taken, the backends that leave, and the
-holder of orders. Pure, and bounded: neither memory nor snapshots grow with the number of changes.
+"""The replicated control state: configuration, change digests, departed backends and the leader. Pure.
 
-`check` says what a change would do on the committed state; `apply` carries out a committed entry. Two replicas that applied the
-same entries hold the same state."""
+`check` reports what a change would do to the committed state; `apply` executes a committed entry. Two replicas that applied the
+same entries hold the same state. The size is bounded: neither memory nor snapshots grow with the number of changes.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry does."""
+    """What an entry does. The numbers are stored and sent."""
 
     CONFIGURATION = 1  # body: a complete configuration as JSON
     PATCH = 2  # body: a patch of the configuration as JSON
@@ -43,7 +43,7 @@
 
 
 class ChangeOutcome(Enum):
-    """What becomes of a change that an operator sends."""
+    """Why a configuration change is not appended to the log."""
 
     ALREADY_APPLIED = "already applied"
     INVALID = "invalid"
@@ -52,7 +52,7 @@
 
     @property
     def http_status(self) -> int:
-        """Return the HTTP status by which the operator API reports this outcome."""
+        """The HTTP status by which the operator API reports this outcome."""
         return _HTTP_STATUS[self]
 
 
@@ -74,7 +74,14 @@
 
 @dataclass(frozen=True)
 class Change:
-    """An operator's change: `kind` and body for the entry, the version that it builds on, and what it makes."""
+    """A checked configuration change.
+
+    Attributes:
+        kind: The kind of its entry.
+        body: The body of its entry.
+        digest: Identifies the change when it is sent again.
+        document: The configuration that results from it.
+    """
 
     kind: EntryKind
     body: bytes
@@ -111,7 +118,13 @@
     # Checking.
 
     def check(self, method: str, base: int | None, body: bytes) -> Result[Change, Rejection]:
-        """Whether a change may be appended after the state as it stands."""
+        """Check whether a change may be appended after the current state.
+
+        Args:
+            method: PUT for a complete configuration, PATCH for a patch.
+            base: The version that the change builds on; None where the request has no If-Match.
+            body: The body of the request.
+        """
         digest = change_digest(method, body)
         if digest in self.digests:
             return _reject(ChangeOutcome.ALREADY_APPLIED, "taken before")
@@ -140,7 +153,7 @@
     # Applying.
 
     def apply(self, entry: Entry) -> None:
-        """Carries out the committed entry that follows."""
+        """Apply the committed entry that follows the last applied one."""
         assert entry.index == self.index + 1
         if entry.kind == EntryKind.LEADER:
             self.leader, self.fencing_token = entry.body.decode(), entry.index
@@ -178,16 +191,20 @@
     # Distribution.
 
     def departed_since(self, index: int) -> list[str]:
-        """Backends of which entries behind an index say that they leave."""
+        """Return the backends whose departure was recorded after an index."""
         return [backend_id for backend_id, recorded_at in self.departed_backends.items() if recorded_at > index]
 
     @property
     def departure_index(self) -> int:
-        """The newest entry that tells of a backend that leaves, 0 where there is none."""
+        """Index of the newest departure entry, 0 where there is none."""
         return next(reversed(self.departed_backends.values()), 0)
 
     def patches_since(self, version: int) -> list[bytes] | None:
-        """Bodies of the patches that lead from `version` to the one in force; None where a whole one is needed."""
+        """Return the bodies of the patches that lead from a version to the current one.
+
+        Returns:
+            The bodies in order; None where only the complete configuration will do.
+        """
         for position, (patched_version, _) in enumerate(self.recent):
             if patched_version == version:
                 return [entry.body for _, entry in self.recent[position:]]
@@ -210,7 +227,7 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Takes a snapshot in place of all that was known."""
+        """Replace the state by that of a snapshot."""
         self.index, self.epoch = snapshot.index, snapshot.epoch
         value = json.loads(snapshot.configuration) if snapshot.configuration else EMPTY.value
         self.document = Document(snapshot.configuration_version, value)
