--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -1,8 +1,8 @@
 """One replica's log and its position in the chain of the current view.
 
-A replica appends the entries of its predecessor in order and sends its successor what that one lacks. Entries that the tail has
-persisted are committed. The replica itself does no I/O: `propose` and `on_append` return a `LogWrite`, the caller persists it and
-then calls `on_persisted`; only then the entries count.
+A replica appends the entries of its predecessor in order and sends its successor what that one lacks. Entries that the tail
+has persisted are committed. The replica itself does no I/O: `propose` and `on_append` return a `LogWrite`, the caller persists
+it and then calls `on_persisted`; only then the entries count.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from mulleinhatch.messages.cluster import AppendRequest, AppendResponse, Entry, Member, Snapshot, View
 
 MAX_ENTRIES_PER_APPEND = 64
-# Sent as `sender_last` by a replica whose own log may be incomplete: no receiver reaches it, so none considers its log complete.
+# Sent as `sender_last` by a replica whose own log may be incomplete: no receiver reaches it, so none deems its log complete.
 UNREACHABLE_INDEX = 2**63
 
 
@@ -120,8 +120,8 @@
     def adopt_view(self, view: View) -> None:
         """Switch to a decided view.
 
-        A replica that stays in the chain keeps `log_complete`: whatever is committed was acknowledged by it. A joining replica's
-        log is complete once it holds what its predecessor held; outside the chain it never is.
+        A replica that stays in the chain keeps `log_complete`: whatever is committed was acknowledged by it. The log of a
+        joining replica is complete once it holds what its predecessor held; outside the chain it never is.
         """
         was_inside = self.position >= 0
         self.view = view
