--- a/mulleinhatch/storage/append_log.py
+++ b/mulleinhatch/storage/append_log.py
@@ -7,7 +7,8 @@
 
 import logging
 import os
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
 from mulleinhatch.storage.records import MAGIC, ForeignFileError, LogContents, Record, decode_log, encode_record
@@ -17,33 +18,6 @@
 READ_CHUNK_BYTES = 1 << 20
 
 
-def _sync_directory(directory: Path) -> None:
-    descriptor = os.open(directory, os.O_RDONLY)
-    try:
-        os.fsync(descriptor)
-    finally:
-        os.close(descriptor)
-
-
-def _write_all(descriptor: int, data: bytes) -> None:
-    view = memoryview(data)
-    while view:
-        view = view[os.write(descriptor, view) :]
-
-
-def _read_all(path: Path) -> bytes:
-    """What a file holds; nothing where there is none."""
-    try:
-        descriptor = os.open(path, os.O_RDONLY)
-    except FileNotFoundError:
-        return b""
-    try:
-        chunks = iter(lambda: os.read(descriptor, READ_CHUNK_BYTES), b"")
-        return b"".join(chunks)
-    finally:
-        os.close(descriptor)
-
-
 class AppendLog:
     """One file of records in a directory of its own.
 
@@ -68,7 +42,7 @@
         os.makedirs(self._directory, exist_ok=True)
         contents = self._read()
         descriptor = os.open(self._path, os.O_RDWR | os.O_CREAT, 0o600)
-        try:
+        with _closed_on_error(descriptor):
             os.ftruncate(descriptor, contents.valid_size)
             if not contents.valid_size:
                 _write_all(descriptor, MAGIC)
@@ -76,21 +50,9 @@
             os.lseek(descriptor, size, os.SEEK_SET)
             os.fsync(descriptor)
             _sync_directory(self._directory)
-        except BaseException:
-            os.close(descriptor)
-            raise
         self._descriptor, self.size = descriptor, size
         return contents.records
 
-    def _read(self) -> LogContents:
-        try:
-            return decode_log(_read_all(self._path))
-        except ForeignFileError as error:
-            quarantine_path = self._path.with_name(f"{LOG_NAME}.foreign")
-            LOG.error("a file that is not ours was set aside", extra={"error": str(error), "now": str(quarantine_path)})
-            os.replace(self._path, quarantine_path)
-            return LogContents([], 0)
-
     def append(self, records: Iterable[Record]) -> None:
         """Writes records behind the others and syncs them. After an OSError none of them counts, and the next call repairs."""
         data = b"".join(encode_record(record) for record in records)
@@ -101,37 +63,89 @@
         self._has_damaged_end = False
         self.size += len(data)
 
-    def _repair(self) -> None:
-        """Makes the file sound after a call that failed: what it left must not come before the next record, and the file must
-        be the one that a start finds."""
-        if self._is_rename_unsynced:
-            _sync_directory(self._directory)
-            self._is_rename_unsynced = False
-        if self._has_damaged_end:
-            os.ftruncate(self._descriptor, self.size)
-            os.lseek(self._descriptor, self.size, os.SEEK_SET)
-            os.fsync(self._descriptor)
-            self._has_damaged_end = False
-
     def rewrite(self, records: Iterable[Record]) -> None:
         """Replaces the file by one with just these records. After an OSError one of the two is in force, and holds the same."""
         data = MAGIC + b"".join(encode_record(record) for record in records)
         self._repair()
         rewrite_path = self._directory / REWRITE_NAME
         descriptor = os.open(rewrite_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
-        try:
+        with _closed_on_error(descriptor):
             _write_all(descriptor, data)
             os.fsync(descriptor)
             os.replace(rewrite_path, self._path)
-        except BaseException:
-            os.close(descriptor)
-            raise
         previous_descriptor, self._descriptor, self.size = self._descriptor, descriptor, len(data)
         self._is_rename_unsynced = True
         os.close(previous_descriptor)
         self._repair()
 
     def close(self) -> None:
+        """Close the file; a second call does nothing."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
+
+    def _read(self) -> LogContents:
+        try:
+            return decode_log(_read_all(self._path))
+        except ForeignFileError as error:
+            quarantine_path = self._path.with_name(f"{LOG_NAME}.foreign")
+            LOG.error(
+                "moved a file that is not a control state file to another name; the state comes from the other nodes",
+                extra={"error": str(error), "moved_to": str(quarantine_path)},
+            )
+            os.replace(self._path, quarantine_path)
+            return LogContents([], 0)
+
+    def _repair(self) -> None:
+        """Makes the file sound after a call that failed: what it left must not come before the next record, and the file must
+        be the one that a start finds."""
+        if self._is_rename_unsynced:
+            _sync_directory(self._directory)
+            self._is_rename_unsynced = False
+        if self._has_damaged_end:
+            os.ftruncate(self._descriptor, self.size)
+            os.lseek(self._descriptor, self.size, os.SEEK_SET)
+            os.fsync(self._descriptor)
+            self._has_damaged_end = False
+
+
+@contextmanager
+def _closed_on_error(descriptor: int) -> Iterator[None]:
+    """Close a descriptor if the block raises; otherwise the caller keeps it."""
+    try:
+        yield
+    except BaseException:
+        os.close(descriptor)
+        raise
+
+
+@contextmanager
+def _open_for_reading(path: Path) -> Iterator[int]:
+    descriptor = os.open(path, os.O_RDONLY)
+    try:
+        yield descriptor
+    finally:
+        os.close(descriptor)
+
+
+def _sync_directory(directory: Path) -> None:
+    """Make the names in a directory durable."""
+    with _open_for_reading(directory) as descriptor:
+        os.fsync(descriptor)
+
+
+def _write_all(descriptor: int, data: bytes) -> None:
+    """Write all bytes: `os.write` may write a part of them."""
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
+
+
+def _read_all(path: Path) -> bytes:
+    """What a file holds; nothing where there is none."""
+    try:
+        with _open_for_reading(path) as descriptor:
+            chunks = iter(lambda: os.read(descriptor, READ_CHUNK_BYTES), b"")
+            return b"".join(chunks)
+    except FileNotFoundError:
+        return b""
--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from mulleinhatch.errors import StorageError
+
 FORMAT_MARK, FORMAT_VERSION = b"MHCTL\x00", b"\x01\n"
 MAGIC = FORMAT_MARK + FORMAT_VERSION
 RECORD_HEADER = struct.Struct("<IIB")  # length of the body, checksum of kind and body, kind
@@ -26,24 +28,25 @@
     SNAPSHOT = 4  # messages.cluster.Snapshot: replaces all entries before it
     COMMIT = 5  # committed index, eight bytes little-endian
     BACKENDS = 7  # messages.cluster.Heartbeat with the backends that were present
-    LOG_COMPLETE = 6  # one byte: whether the log holds all that was committed before the view in force began
+    LOG_COMPLETE = 6  # one byte: whether the log holds every entry committed before the current view began
+
+
+class ForeignFileError(StorageError, ValueError):
+    """The file begins with something else."""
+
+
+class UnsupportedVersionError(StorageError, ValueError):
+    """The file was written by a version of this program that this one can't read."""
 
 
 @dataclass(frozen=True)
 class Record:
+    """One record: its kind (a RecordKind, or a number that a newer version added) and its body."""
+
     kind: int
     body: bytes
 
 
-def encode_record(record: Record) -> bytes:
-    """
-    >>> decode_log(MAGIC + encode_record(Record(1, b"abc"))).records
-    [Record(kind=1, body=b'abc')]
-    """
-    checksum = zlib.crc32(record.body, zlib.crc32(bytes([record.kind])))
-    return RECORD_HEADER.pack(len(record.body), checksum, record.kind) + record.body
-
-
 @dataclass(frozen=True)
 class LogContents:
     """What a file holds: its whole records, and the size up to which they reach."""
@@ -52,35 +55,46 @@
     valid_size: int
 
 
-class ForeignFileError(ValueError):
-    """The file begins with something else."""
-
-
-class UnsupportedVersionError(ValueError):
-    """The file was written by a version of this program that this one can't read."""
-
-
-def _is_torn(header: bytes) -> bool:
-    """Whether a header was never synced: what a loss of power left of it is missing or zero. Nothing behind it was, either."""
-    return len(header) < len(MAGIC) or all(byte in (0, own) for byte, own in zip(header, MAGIC))
+def encode_record(record: Record) -> bytes:
+    """
+    >>> decode_log(MAGIC + encode_record(Record(1, b"abc"))).records
+    [Record(kind=1, body=b'abc')]
+    """
+    return RECORD_HEADER.pack(len(record.body), _checksum(record.kind, record.body), record.kind) + record.body
 
 
 def decode_log(data: bytes) -> LogContents:
     """Reads as many whole records as there are; a torn header holds nothing. NotOurFile, OtherVersion where the header is
     another's."""
-    header = data[: len(MAGIC)]
-    if header != MAGIC:
-        if _is_torn(header):
-            return LogContents([], 0)
-        if header.startswith(FORMAT_MARK):
-            raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
-        raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
-    records, at = [], len(MAGIC)
-    while at + RECORD_HEADER.size <= len(data):
-        length, checksum, kind = RECORD_HEADER.unpack_from(data, at)
-        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
-        if length > MAX_BODY_BYTES or len(body) < length or zlib.crc32(body, zlib.crc32(bytes([kind]))) != checksum:
+    if not data.startswith(MAGIC):
+        _check_header(data[: len(MAGIC)])
+        return LogContents([], 0)
+    records = []
+    offset = len(MAGIC)
+    while offset + RECORD_HEADER.size <= len(data):
+        length, checksum, kind = RECORD_HEADER.unpack_from(data, offset)
+        body_offset = offset + RECORD_HEADER.size
+        body = data[body_offset : body_offset + length]
+        if length > MAX_BODY_BYTES or len(body) < length or _checksum(kind, body) != checksum:
             break
         records.append(Record(kind, body))
-        at += RECORD_HEADER.size + length
-    return LogContents(records, at)
+        offset = body_offset + length
+    return LogContents(records, offset)
+
+
+def _checksum(kind: int, body: bytes) -> int:
+    return zlib.crc32(body, zlib.crc32(bytes([kind])))
+
+
+def _check_header(header: bytes) -> None:
+    """Raise the error that a header other than MAGIC calls for; return where it is torn."""
+    if _is_torn(header):
+        return
+    if header.startswith(FORMAT_MARK):
+        raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
+    raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
+
+
+def _is_torn(header: bytes) -> bool:
+    """Whether a header was never synced: what a loss of power left of it is missing or zero. Nothing behind it was, either."""
+    return len(header) < len(MAGIC) or all(byte in (0, expected) for byte, expected in zip(header, MAGIC))
