--- a/mulleinhatch/storage/__init__.py
+++ b/mulleinhatch/storage/__init__.py
@@ -1,4 +1,4 @@
 """An append-only file of checksummed records, for the control plane's durable state.
 
-Called by `control_plane.disk`; it knows nothing of what the records mean and never drops one that was synced.
+Used by `control_plane.state_store`. It does not interpret the records and never drops one that was synced.
 """
--- a/mulleinhatch/storage/append_log.py
+++ b/mulleinhatch/storage/append_log.py
@@ -1,6 +1,6 @@
-"""The file itself: opened once, appended and synced, rewritten beside and renamed when it is long.
+"""The control state file: opened once, appended and synced, and replaced by a rewritten file when it gets long.
 
-All calls block on the disk; the control plane makes them from its one disk thread.
+All calls block on the disk; the control plane makes them from its single disk thread.
 """
 
 from __future__ import annotations
@@ -21,11 +21,19 @@
 class AppendLog:
     """One file of records in a directory of its own.
 
-    | state | event | next |
+    A failed call leaves the file in one of these states; the next append or rewrite repairs it first:
+
+    | event | consequence | repair |
     | --- | --- | --- |
-    | sound | a write or sync fails | its end is damaged: cut off before the next record |
-    | sound | the new file took the name, the sync of the directory failed | its name is unsure: synced before the next record |
-    | sound | the new file failed before it took the name | sound, the old file |
+    | a write or sync of the file fails | its end may be damaged | truncate to the last synced size |
+    | the rewritten file is renamed, the directory sync fails | a restart may find the old file | sync the directory again |
+    | the rewritten file fails before the rename | none, the old file stays | none |
+
+    Args:
+        directory: Holds nothing but this file; created by `open` if missing.
+
+    Attributes:
+        size: Size in bytes up to which the file is synced.
     """
 
     def __init__(self, directory: str) -> None:
@@ -37,8 +45,14 @@
         self.size = 0
 
     def open(self) -> list[Record]:
-        """What the file holds; it is made where there is none, what is torn at its end is cut off, and a file that is not ours
-        is set aside under another name. OSError, OtherVersion."""
+        """Open the file and return its records; create it if missing.
+
+        A torn end is truncated. A file that this software did not write is moved to another name in the same directory.
+
+        Raises:
+            OSError: The disk rejected a call.
+            UnsupportedVersionError: Another version of the software wrote the file; it stays as it is.
+        """
         os.makedirs(self._directory, exist_ok=True)
         contents = self._read()
         descriptor = os.open(self._path, os.O_RDWR | os.O_CREAT, 0o600)
@@ -54,7 +68,11 @@
         return contents.records
 
     def append(self, records: Iterable[Record]) -> None:
-        """Writes records behind the others and syncs them. After an OSError none of them counts, and the next call repairs."""
+        """Append records and sync them.
+
+        Raises:
+            OSError: None of the records counts; the next call repairs the file.
+        """
         data = b"".join(encode_record(record) for record in records)
         self._repair()
         self._has_damaged_end = True
@@ -64,7 +82,11 @@
         self.size += len(data)
 
     def rewrite(self, records: Iterable[Record]) -> None:
-        """Replaces the file by one with just these records. After an OSError one of the two is in force, and holds the same."""
+        """Replace the file by one with just these records.
+
+        Raises:
+            OSError: Either the old or the new file is in force; the caller must give records that mean the same state.
+        """
         data = MAGIC + b"".join(encode_record(record) for record in records)
         self._repair()
         rewrite_path = self._directory / REWRITE_NAME
@@ -97,8 +119,10 @@
             return LogContents([], 0)
 
     def _repair(self) -> None:
-        """Makes the file sound after a call that failed: what it left must not come before the next record, and the file must
-        be the one that a start finds."""
+        """Undo what a failed call left behind.
+
+        Its bytes must not precede the next record, and the open file must be the one that a restart finds.
+        """
         if self._is_rename_unsynced:
             _sync_directory(self._directory)
             self._is_rename_unsynced = False
@@ -142,7 +166,7 @@
 
 
 def _read_all(path: Path) -> bytes:
-    """What a file holds; nothing where there is none."""
+    """Return the contents of a file, empty if it is missing."""
     try:
         with _open_for_reading(path) as descriptor:
             chunks = iter(lambda: os.read(descriptor, READ_CHUNK_BYTES), b"")
--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -1,7 +1,7 @@
-"""Records in bytes: length, checksum, kind, body. Pure.
+"""The binary format of the control state file. Pure.
 
-A file is a header and records one after another. Reading stops at the first record that is torn or damaged: what follows it was
-never acknowledged, as each sync covers all that stands before.
+A file is a header and records in sequence: length, checksum, kind, body. Reading stops at the first record that is torn or
+damaged. Nothing after it was ever acknowledged, because each sync covers everything before it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class RecordKind(IntEnum):
-    """What the body of a record is."""
+    """What the body of a record is. The numbers are stored."""
 
     IDENTITY = 1  # UTF-8 text
     VOTER = 2  # messages.cluster.VoterState
@@ -32,11 +32,11 @@
 
 
 class ForeignFileError(StorageError, ValueError):
-    """The file begins with something else."""
+    """The file was not written by this software."""
 
 
 class UnsupportedVersionError(StorageError, ValueError):
-    """The file was written by a version of this program that this one can't read."""
+    """The file was written by a version of this software whose format this one cannot read."""
 
 
 @dataclass(frozen=True)
@@ -49,14 +49,15 @@
 
 @dataclass(frozen=True)
 class LogContents:
-    """What a file holds: its whole records, and the size up to which they reach."""
+    """What a file contains: its complete records, and the size in bytes up to which they reach."""
 
     records: list[Record]
     valid_size: int
 
 
 def encode_record(record: Record) -> bytes:
-    """
+    """Return the bytes of a record.
+
     >>> decode_log(MAGIC + encode_record(Record(1, b"abc"))).records
     [Record(kind=1, body=b'abc')]
     """
@@ -64,8 +65,14 @@
 
 
 def decode_log(data: bytes) -> LogContents:
-    """Reads as many whole records as there are; a torn header holds nothing. NotOurFile, OtherVersion where the header is
-    another's."""
+    """Decode a file: every complete record before the first torn or damaged one.
+
+    A file whose header is torn contains nothing.
+
+    Raises:
+        ForeignFileError: The header is that of another kind of file.
+        UnsupportedVersionError: The header is that of another version of the format.
+    """
     if not data.startswith(MAGIC):
         _check_header(data[: len(MAGIC)])
         return LogContents([], 0)
@@ -96,5 +103,8 @@
 
 
 def _is_torn(header: bytes) -> bool:
-    """Whether a header was never synced: what a loss of power left of it is missing or zero. Nothing behind it was, either."""
+    """Return whether a header was never synced.
+
+    What a power loss left of it is missing or zero. Then nothing after it was synced either.
+    """
     return len(header) < len(MAGIC) or all(byte in (0, expected) for byte, expected in zip(header, MAGIC))
