--- a/mulleinhatch/leadership/lease.py
+++ b/mulleinhatch/leadership/lease.py
@@ -17,12 +17,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LEASE_MARGIN_S = 0.3
-MAX_PAUSE_S = 1.0  # what is known of the backends' orders is believed over a pause of this length
-FENCED_WAIT_S = 1.0  # the wait where a former holder that is out of reach is fenced off by the backends themselves
+LEASE_MARGIN_S = 0.3  # added to the lease before another node may claim
+MAX_PAUSE_S = 1.0  # what the leader knows of pending orders stays valid over a pause of this length
+FENCED_WAIT_S = 1.0  # replaces the lease where the backends themselves reject an unreachable previous leader
 
 
 class LeaseState(Enum):
+    """The state of one node's leader lease; `LeaderLease` has the transitions."""
+
     FOLLOWER = "follower"
     WAITING = "waiting"
     CLAIMING = "claiming"
@@ -34,14 +36,12 @@
 class LeadershipObservation:
     """What a machine sees of its place. `leader` and `token` are the replicated state's."""
 
-    can_lead: bool  # head of the chain, and in touch with a majority of the voters
+    can_lead: bool
     identity: str
     leader: str
     token: int
-    previous_leader_idle_s: float = 0.0  # how long the former holder says that it has not acted and will not again
-    is_previous_leader_fenced: bool = (
-        False  # it is out of reach, and backends refuse its token once they have seen a higher one
-    )
+    previous_leader_idle_s: float = 0.0
+    is_previous_leader_fenced: bool = False
 
 
 class LeaderLease:
@@ -51,37 +51,28 @@
         self._lease_s = lease_s + LEASE_MARGIN_S
         self.state = LeaseState.FOLLOWER
         self.token = 0
-        self._waiting_since = self._may_claim_at = self._last_led_at = 0.0
+        self._waiting_since = 0.0
+        self._may_claim_at = 0.0
+        self._last_led_at = 0.0
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this node may give orders."""
+        return self.state is LeaseState.LEADER
 
     def observe(self, observation: LeadershipObservation, now: float) -> LeaseState:
         """The state after a look."""
-        is_named_leader = observation.leader == observation.identity and observation.token == self.token
         if self.state in (LeaseState.LEADER, LeaseState.PAUSED):
-            self._update_leader(observation.can_lead, is_named_leader, now)
+            self._update_leader(observation, now)
             return self.state
         if not observation.can_lead:
             self.state = LeaseState.FOLLOWER
         elif self.state is LeaseState.FOLLOWER:
-            self.state = LeaseState.WAITING
-            unclaimed = observation.leader in ("", observation.identity)
-            self._waiting_since, self._may_claim_at = now, now if unclaimed else now + self._lease_s
+            self._start_waiting(observation, now)
         if self.state is LeaseState.WAITING:
-            if observation.previous_leader_idle_s > 0.0:
-                self._may_claim_at = min(self._may_claim_at, now + max(0.0, self._lease_s - observation.previous_leader_idle_s))
-            if now >= self._may_claim_at or (
-                observation.is_previous_leader_fenced and now >= self._waiting_since + FENCED_WAIT_S
-            ):
-                self.state = LeaseState.CLAIMING
+            self._claim_if_due(observation, now)
         return self.state
 
-    def _update_leader(self, can_lead: bool, is_named_leader: bool, now: float) -> None:
-        if self.state is LeaseState.LEADER:
-            self._last_led_at = now
-        if not is_named_leader or now - self._last_led_at > MAX_PAUSE_S:
-            self.state = LeaseState.FOLLOWER
-        else:
-            self.state = LeaseState.LEADER if can_lead else LeaseState.PAUSED
-
     def on_claim_committed(self, token: int) -> None:
         """The claim is committed under `token`; 0 where it failed."""
         if self.state is LeaseState.CLAIMING and token:
@@ -91,6 +82,26 @@
         """A backend has seen a higher token: a new claim is needed."""
         self.state = LeaseState.FOLLOWER
 
-    @property
-    def is_leader(self) -> bool:
-        return self.state is LeaseState.LEADER
+    def _start_waiting(self, observation: LeadershipObservation, now: float) -> None:
+        self.state = LeaseState.WAITING
+        self._waiting_since = now
+        has_other_leader = observation.leader not in ("", observation.identity)
+        self._may_claim_at = now + self._lease_s if has_other_leader else now
+
+    def _claim_if_due(self, observation: LeadershipObservation, now: float) -> None:
+        if observation.previous_leader_idle_s > 0.0:
+            remaining_s = max(0.0, self._lease_s - observation.previous_leader_idle_s)
+            self._may_claim_at = min(self._may_claim_at, now + remaining_s)
+        is_fenced = observation.is_previous_leader_fenced and now >= self._waiting_since + FENCED_WAIT_S
+        if now >= self._may_claim_at or is_fenced:
+            self.state = LeaseState.CLAIMING
+
+    def _update_leader(self, observation: LeadershipObservation, now: float) -> None:
+        """Pause, resume or step down."""
+        if self.state is LeaseState.LEADER:
+            self._last_led_at = now
+        is_recorded = observation.leader == observation.identity and observation.token == self.token
+        if not is_recorded or now - self._last_led_at > MAX_PAUSE_S:
+            self.state = LeaseState.FOLLOWER
+        else:
+            self.state = LeaseState.LEADER if observation.can_lead else LeaseState.PAUSED
