--- a/mulleinhatch/leadership/__init__.py
+++ b/mulleinhatch/leadership/__init__.py
@@ -1,4 +1,4 @@
-"""Singleton roles: one holder at a time, by view and lease, with a fencing token from the replicated state.
+"""The leader lease of the placement controller: one leader at a time, with a fencing token from the replicated state.
 
-Called by `control_plane.orders`; pure. It never lets two act within a lease of each other.
+Used by `control_plane.placement.controller`. Pure. Two nodes never act as leader within one lease of each other.
 """
--- a/mulleinhatch/leadership/lease.py
+++ b/mulleinhatch/leadership/lease.py
@@ -1,16 +1,4 @@
-"""When a machine may act as the holder of a role. Pure: a state machine over what it is told, time an argument.
-
-| state | event | next |
-| --- | --- | --- |
-| FOLLOWER | it can_lead the chain and hears a majority | WAITING |
-| WAITING | a lease has passed since the former holder could last act, or it was the holder itself | CLAIMING |
-| CLAIMING | its claim is committed: the entry's index is the fencing token | LEADER |
-| LEADER | it does not lead for a moment, as while a view changes | PAUSED: gives no orders |
-| PAUSED | it can_lead again within `MAX_PAUSE_S`, and the replicated state still names its token: no other claim meanwhile | LEADER |
-| PAUSED | longer, or another token | FOLLOWER |
-| others | it does not lead, or hears no majority | FOLLOWER |
-| LEADER | a backend refuses the token as too low, or the replicated state names another holder | FOLLOWER |
-"""
+"""Decide when a node may act as the placement leader. Pure: a state machine with time as an argument."""
 
 from __future__ import annotations
 
@@ -34,7 +22,16 @@
 
 @dataclass(frozen=True)
 class LeadershipObservation:
-    """What a machine sees of its place. `leader` and `token` are the replicated state's."""
+    """What a node observes about its own position and the recorded leader.
+
+    Attributes:
+        can_lead: This node is the head of the chain and in contact with a majority of the voters.
+        identity: This node's identity.
+        leader: The leader that the replicated state records, empty before the first one.
+        token: The fencing token of that leader.
+        previous_leader_idle_s: How long the previous leader has given no order, by its own account; it will give no more.
+        is_previous_leader_fenced: The previous leader is unreachable, and backends reject its token after a higher one.
+    """
 
     can_lead: bool
     identity: str
@@ -45,7 +42,26 @@
 
 
 class LeaderLease:
-    """One machine's view of one role."""
+    """The leader lease as one node sees it.
+
+    | state | event | next state |
+    | --- | --- | --- |
+    | FOLLOWER | the node can lead | WAITING |
+    | WAITING | the previous leader's lease has expired, or it was this node, or it is fenced | CLAIMING |
+    | CLAIMING | the claim is committed: its entry's index is the fencing token | LEADER |
+    | LEADER | the node cannot lead for a moment, for example during a view change | PAUSED: gives no orders |
+    | PAUSED | it can lead again within MAX_PAUSE_S and the recorded token is still its own: no claim came between | LEADER |
+    | PAUSED | MAX_PAUSE_S passed, or another token is recorded | FOLLOWER |
+    | WAITING, CLAIMING | the node cannot lead | FOLLOWER |
+    | LEADER | a backend rejects the token as too low, or another leader is recorded | FOLLOWER |
+
+    Args:
+        lease_s: How long a leader may act without confirmation.
+
+    Attributes:
+        state: The current state.
+        token: The fencing token of this node's last committed claim.
+    """
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s + LEASE_MARGIN_S
@@ -61,7 +77,11 @@
         return self.state is LeaseState.LEADER
 
     def observe(self, observation: LeadershipObservation, now: float) -> LeaseState:
-        """The state after a look."""
+        """Advance the state machine by an observation.
+
+        Returns:
+            The new state. CLAIMING asks the caller to commit a claim and to call `on_claim_committed`.
+        """
         if self.state in (LeaseState.LEADER, LeaseState.PAUSED):
             self._update_leader(observation, now)
             return self.state
@@ -74,12 +94,16 @@
         return self.state
 
     def on_claim_committed(self, token: int) -> None:
-        """The claim is committed under `token`; 0 where it failed."""
+        """Become the leader once the claim is committed.
+
+        Args:
+            token: The index of the claim's entry; 0 where the claim failed.
+        """
         if self.state is LeaseState.CLAIMING and token:
             self.state, self.token = LeaseState.LEADER, token
 
     def on_higher_token(self) -> None:
-        """A backend has seen a higher token: a new claim is needed."""
+        """Step down: a backend has seen a higher token, so a new claim is needed."""
         self.state = LeaseState.FOLLOWER
 
     def _start_waiting(self, observation: LeadershipObservation, now: float) -> None:
--- a/mulleinhatch/membership/__init__.py
+++ b/mulleinhatch/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who watches whom, and who is heard: rendezvous hashing gives each instance a few peers to monitor.
+"""Rendezvous hashing: each node ranks the others without coordination.
 
-Called by `control_plane.core`; pure. A peer is suspected by silence alone, and never removed here.
+Used by the data plane to choose its control plane node and a request's backend, and by the placement planner. Pure.
 """
