--- a/mulleinhatch/configuration/routes.py
+++ b/mulleinhatch/configuration/routes.py
@@ -7,7 +7,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mulleinhatch.configuration.document import Document, weighted_services
+from mulleinhatch.configuration.document import Document
+from mulleinhatch.configuration.validation import weighted_services
+
+DEFAULT_CONNECTION_LIMIT = 1024
+DEFAULT_HEALTH_CHECK_PATH = "/health"
 
 
 @dataclass(frozen=True)
@@ -28,6 +32,7 @@
 
     @property
     def is_streaming(self) -> bool:
+        """Whether the response is an event stream."""
         return self.kind == "streaming"
 
     @property
@@ -61,6 +66,8 @@
 
 @dataclass(frozen=True)
 class Service:
+    """A service as configured; `engine` is None where its backends serve no models."""
+
     name: str
     connection_limit: int
     health_check_path: str
@@ -82,7 +89,7 @@
     """Routes, services and limits of one version."""
 
     version: int = 0
-    hosts: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)  # longest prefix first
+    hosts: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
     services: Mapping[str, Service] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
 
@@ -94,85 +101,89 @@
         return None
 
 
-def _route(item: Mapping[str, Any]) -> Route:
-    timeout = item["timeout_ms"] / 1000.0
-    return Route(
-        item["name"],
-        item["host"].lower(),
-        item["path_prefix"],
-        item.get("kind", "unsafe"),
-        timeout,
-        item.get("target_latency_ms", 0) / 1000.0 or timeout,
-        int(item.get("priority", 0)),
-        max(1, int(item.get("max_attempts", 1))),
-        bool(item.get("resumable", False)),
-        item.get("gap_aim_ms", 0) / 1000.0,
-        tuple(weighted_services(item)),
+def build_route_table(document: Document) -> RouteTable:
+    """The snapshot of a checked configuration."""
+    hosts: dict[str, list[Route]] = {}
+    for item in document.value["routes"]:
+        route = _build_route(item)
+        hosts.setdefault(route.host, []).append(route)
+    return RouteTable(
+        version=document.version,
+        hosts={host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix))) for host, routes in hosts.items()},
+        services={item["name"]: _build_service(item) for item in document.value["services"]},
+        limits=_build_limits(document.value.get("limits", {})),
     )
 
 
-def _usable_number(value: Any, default: float, unusable: float) -> float:
-    """A finite number of the operator's, 0 or more; `default` where there is none, `unusable` where it can't be used.
-
-    >>> _usable_number(2, 1.0, 0.0), _usable_number(None, 1.0, 0.0), _usable_number(-2, 1.0, 0.0), _usable_number("x", 1.0, 0.0)
-    (2.0, 1.0, 0.0, 0.0)
-    """
-    if value is None:
-        return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
-        return unusable
-    return float(value)
+def _build_route(item: Mapping[str, Any]) -> Route:
+    timeout_s = item["timeout_ms"] / 1000.0
+    return Route(
+        name=item["name"],
+        host=item["host"].lower(),
+        path_prefix=item["path_prefix"],
+        kind=item.get("kind", "unsafe"),
+        timeout_s=timeout_s,
+        target_latency_s=item.get("target_latency_ms", 0) / 1000.0 or timeout_s,
+        priority=int(item.get("priority", 0)),
+        max_attempts=max(1, int(item.get("max_attempts", 1))),
+        is_resumable=bool(item.get("resumable", False)),
+        target_gap_s=item.get("gap_aim_ms", 0) / 1000.0,
+        weighted_services=tuple(weighted_services(item)),
+    )
 
 
-def _model(item: Mapping[str, Any]) -> ModelSpec:
-    """A model whose size can't be used fits nowhere: it is never ordered, and the others are."""
-    return ModelSpec(
-        str(item.get("name", "")),
-        _usable_number(item.get("weights_mb"), 0.0, math.inf),
-        _usable_number(item.get("load_s"), 1.0, 1.0),
-        int(_usable_number(item.get("adapters"), 0.0, 0.0)),
-        _usable_number(item.get("adapter_size_mb"), 0.0, math.inf),
+def _build_service(item: Mapping[str, Any]) -> Service:
+    return Service(
+        name=item["name"],
+        connection_limit=int(item.get("connection_limit", DEFAULT_CONNECTION_LIMIT)),
+        health_check_path=item.get("health_check_path", DEFAULT_HEALTH_CHECK_PATH),
+        engine=_build_engine(item.get("engine")),
     )
 
 
-def _engine(value: Mapping[str, Any] | None) -> EngineSpec | None:
+def _build_engine(value: Mapping[str, Any] | None) -> EngineSpec | None:
     if not value:
         return None
-    models = [_model(item) for item in value.get("models") or () if isinstance(item, Mapping)]
+    models = [_build_model(item) for item in value.get("models") or () if isinstance(item, Mapping)]
     return EngineSpec(
-        max(1, int(_usable_number(value.get("slots"), 1.0, 1.0))),
-        _usable_number(value.get("weights_mb"), 0.0, 0.0),
-        int(_usable_number(value.get("adapter_slots"), 0.0, 0.0)),
-        _usable_number(value.get("loads_per_s"), 1.0, 0.0),
-        int(_usable_number(value.get("kv_cache_tokens"), 0.0, 0.0)),
-        {model.name: model for model in models if model.name},
+        slots=max(1, int(_usable_number(value.get("slots"), 1.0, 1.0))),
+        weights_mb=_usable_number(value.get("weights_mb"), 0.0, 0.0),
+        adapter_slots=int(_usable_number(value.get("adapter_slots"), 0.0, 0.0)),
+        loads_per_s=_usable_number(value.get("loads_per_s"), 1.0, 0.0),
+        kv_cache_tokens=int(_usable_number(value.get("kv_cache_tokens"), 0.0, 0.0)),
+        models={model.name: model for model in models if model.name},
+    )
+
+
+def _build_model(item: Mapping[str, Any]) -> ModelSpec:
+    """Return a model; one whose size is unusable gets an infinite size, so that it is never loaded and the others are."""
+    return ModelSpec(
+        name=str(item.get("name", "")),
+        weights_mb=_usable_number(item.get("weights_mb"), 0.0, math.inf),
+        load_s=_usable_number(item.get("load_s"), 1.0, 1.0),
+        adapters=int(_usable_number(item.get("adapters"), 0.0, 0.0)),
+        adapter_size_mb=_usable_number(item.get("adapter_size_mb"), 0.0, math.inf),
     )
 
 
-def _limits(value: Mapping[str, Any]) -> Limits:
+def _build_limits(value: Mapping[str, Any]) -> Limits:
     default = Limits()
     return Limits(
-        int(value.get("max_header_bytes", default.max_header_bytes)),
-        int(value.get("max_body_bytes", default.max_body_bytes)),
-        value.get("header_timeout_ms", 1000 * default.header_timeout_s) / 1000.0,
-        value.get("idle_timeout_ms", 1000 * default.idle_timeout_s) / 1000.0,
+        max_header_bytes=int(value.get("max_header_bytes", default.max_header_bytes)),
+        max_body_bytes=int(value.get("max_body_bytes", default.max_body_bytes)),
+        header_timeout_s=value.get("header_timeout_ms", 1000 * default.header_timeout_s) / 1000.0,
+        idle_timeout_s=value.get("idle_timeout_ms", 1000 * default.idle_timeout_s) / 1000.0,
     )
 
 
-def build_route_table(document: Document) -> RouteTable:
-    """The snapshot of a checked configuration."""
-    hosts: dict[str, list[Route]] = {}
-    for item in document.value["routes"]:
-        route = _route(item)
-        hosts.setdefault(route.host, []).append(route)
-    ordered = {host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix))) for host, routes in hosts.items()}
-    services = {
-        item["name"]: Service(
-            item["name"],
-            int(item.get("connection_limit", 1024)),
-            item.get("health_check_path", "/health"),
-            _engine(item.get("engine")),
-        )
-        for item in document.value["services"]
-    }
-    return RouteTable(document.version, ordered, services, _limits(document.value.get("limits", {})))
+def _usable_number(value: Any, default: float, unusable: float) -> float:
+    """A finite number of the operator's, 0 or more; `default` where there is none, `unusable` where it can't be used.
+
+    >>> _usable_number(2, 1.0, 0.0), _usable_number(None, 1.0, 0.0), _usable_number(-2, 1.0, 0.0), _usable_number("x", 1.0, 0.0)
+    (2.0, 1.0, 0.0, 0.0)
+    """
+    if value is None:
+        return default
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
+        return unusable
+    return float(value)
--- /dev/null
+++ b/mulleinhatch/configuration/validation.py
@@ -0,0 +1,128 @@
+"""Validate a configuration: each item by a schema, then the references between items.
+
+Each check returns `Ok` or a `ConfigurationError` in `Err`; its message names the item, the key and the remedy.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any
+
+from result import Err, Ok, Result
+from schema import And, Optional, Or, Schema, SchemaError
+
+from mulleinhatch.errors import ConfigurationError
+
+ROUTE_KINDS = ("safe", "unsafe", "streaming")
+ITEM_KINDS = ("routes", "services")
+
+
+def is_number(value: Any) -> bool:
+    """Return whether a JSON value is a number; a boolean is none."""
+    return isinstance(value, (int, float)) and not isinstance(value, bool)
+
+
+def _is_path_prefix(text: str) -> bool:
+    return text.startswith("/") and text.endswith("/")
+
+
+NUMBER = And(is_number, error="{!r} must be a number")
+NOT_NEGATIVE = And(is_number, lambda value: value >= 0, error="{!r} must be a number, 0 or more")
+NAME = And(str, len, error="{!r} must be a text that is not empty")
+WEIGHTED_SERVICE_SCHEMA = Schema({"service": NAME, "weight": NOT_NEGATIVE, Optional(str): object})
+ROUTE_SCHEMA = Schema(
+    {
+        "name": NAME,
+        "host": NAME,
+        "path_prefix": And(str, _is_path_prefix, error="path_prefix {!r} must begin and end with a slash"),
+        Optional("kind"): Or(*ROUTE_KINDS, error="kind {!r} must be safe, unsafe or streaming"),
+        "timeout_ms": And(is_number, lambda value: value > 0, error="timeout_ms {!r} must be above 0"),
+        Optional("target_latency_ms"): NOT_NEGATIVE,
+        Optional("priority"): NOT_NEGATIVE,
+        Optional("max_attempts"): NOT_NEGATIVE,
+        Optional("gap_aim_ms"): NOT_NEGATIVE,
+        Optional("service"): NAME,
+        Optional("traffic_split"): [WEIGHTED_SERVICE_SCHEMA],
+        Optional(str): object,
+    }
+)
+SERVICE_SCHEMA = Schema(
+    {
+        "name": NAME,
+        Optional("health_check_path"): str,
+        Optional("connection_limit"): NOT_NEGATIVE,
+        Optional("engine"): Or(None, dict, error="engine must be an object"),
+        Optional(str): object,
+    }
+)
+ITEM_SCHEMAS = {"routes": ROUTE_SCHEMA, "services": SERVICE_SCHEMA}
+
+
+def weighted_services(route: Mapping[str, Any]) -> list[tuple[str, float]]:
+    """Return the services of a route item with their weights."""
+    split = route.get("traffic_split")
+    if split:
+        return [(target["service"], target["weight"]) for target in split]
+    return [(route["service"], 1.0)] if route.get("service") else []
+
+
+def check_version(value: Mapping[str, Any], current: int) -> Result[int, ConfigurationError]:
+    """Check that a document's version is above the current one."""
+    version = value.get("version")
+    if not isinstance(version, int) or isinstance(version, bool) or version <= current:
+        return Err(ConfigurationError(f"version {version!r} must be a whole number above {current}; number it higher"))
+    return Ok(version)
+
+
+def check_items(kind: str, items: Any) -> Result[None, ConfigurationError]:
+    """Check the items under `routes` or `services` by their schema."""
+    if not isinstance(items, list):
+        return Err(ConfigurationError(f"{kind} must be a list"))
+    for item in items:
+        try:
+            ITEM_SCHEMAS[kind].validate(item)
+        except SchemaError as error:
+            name = item.get("name") if isinstance(item, dict) else item
+            reason = " ".join(str(text) for text in error.autos if text) if not any(error.errors) else error.code
+            return Err(ConfigurationError(f"{kind}: item {name!r}: {reason}; correct it and send the change again"))
+    return Ok(None)
+
+
+def check_references(value: Mapping[str, Any]) -> Result[None, ConfigurationError]:
+    """Check that names and addresses are unique, and that every route has a known service of positive weight."""
+    for kind in ITEM_KINDS:
+        names = [item["name"] for item in value[kind]]
+        if len(set(names)) != len(names):
+            return Err(ConfigurationError(f"{kind}: two items share a name; give each its own"))
+    services = {service["name"] for service in value["services"]}
+    addresses: set[tuple[str, str]] = set()
+    for route in value["routes"]:
+        if isinstance(checked := _check_route_services(route, services), Err):
+            return checked
+        address = route["host"].lower(), route["path_prefix"]
+        if address in addresses:
+            name = route["name"]
+            return Err(ConfigurationError(f"route {name!r}: another route has the same host and path_prefix; change one"))
+        addresses.add(address)
+    return Ok(None)
+
+
+def _check_route_services(route: Mapping[str, Any], services: set[str]) -> Result[None, ConfigurationError]:
+    name = route["name"]
+    targets = weighted_services(route)
+    if not targets:
+        return Err(ConfigurationError(f"route {name!r} names no service; set service or traffic_split"))
+    if sum(weight for _, weight in targets) <= 0:
+        return Err(ConfigurationError(f"route {name!r}: the weights sum to 0; give one service a weight above 0"))
+    unknown = [service for service, _ in targets if service not in services]
+    if unknown:
+        return Err(ConfigurationError(f"route {name!r} names the unknown service {unknown[0]!r}; add it under services"))
+    return Ok(None)
+
+
+def check_limits(value: Mapping[str, Any]) -> Result[None, ConfigurationError]:
+    """Check that `limits`, where given, is an object of numbers."""
+    limits = value.get("limits", {})
+    if not isinstance(limits, dict) or not all(is_number(limit) for limit in limits.values()):
+        return Err(ConfigurationError("limits must be an object of numbers"))
+    return Ok(None)
