--- a/mulleinhatch/configuration/__init__.py
+++ b/mulleinhatch/configuration/__init__.py
@@ -1,4 +1,5 @@
-"""The operator's configuration: read, checked, changed item by item, and the route table that it makes.
+"""The operator's configuration: reading, validation, patches, and the route table that results.
 
-Called by both planes; pure. It never guesses: what can't be read whole is refused with the remedy.
+Used by both planes. Pure. Nothing is guessed: a document that cannot be read completely is rejected with a message that says
+what to correct.
 """
--- a/mulleinhatch/configuration/document.py
+++ b/mulleinhatch/configuration/document.py
@@ -1,6 +1,6 @@
-"""A configuration as the operator sends it: reading, checks by `schema`, patches.
+"""The operator's configuration as an immutable document: reading, patching, digests.
 
-`Document` is immutable. Errors are `ConfigurationError` in a `Result`; the message names the item, the key and the remedy.
+Errors are `ConfigurationError` in a `Result`; the message names the item, the key and the remedy.
 """
 
 from __future__ import annotations
@@ -25,7 +25,12 @@
 
 @dataclass(frozen=True)
 class Document:
-    """A complete configuration that passed all checks. `value` is not to be changed."""
+    """A complete configuration that passed all checks.
+
+    Attributes:
+        version: Its version; 0 before the first configuration.
+        value: The JSON object. It must not be modified.
+    """
 
     version: int
     value: Mapping[str, Any]
@@ -39,12 +44,12 @@
 
 
 def change_digest(method: str, body: bytes) -> str:
-    """By which a change that is sent again is known."""
+    """Return the digest by which a change is recognised when it is sent again."""
     return hashlib.sha256(method.encode() + b" " + body).hexdigest()[:32]
 
 
 def read_json(body: bytes) -> Result[dict[str, Any], ConfigurationError]:
-    """An object of JSON, each key once."""
+    """Parse a JSON object; a key that occurs twice in an object is an error."""
     try:
         value = json.loads(body, object_pairs_hook=_reject_duplicate_keys)
     except (ValueError, RecursionError) as error:
@@ -55,7 +60,12 @@
 
 
 def read_complete(value: dict[str, Any], current: int) -> Result[Document, ConfigurationError]:
-    """A complete configuration, to follow version `current`."""
+    """Validate a complete configuration.
+
+    Args:
+        value: The JSON object.
+        current: The version that it replaces; its own must be higher.
+    """
     if isinstance(version := check_version(value, current), Err):
         return version
     if isinstance(limits := check_limits(value), Err):
@@ -70,7 +80,12 @@
 
 
 def apply_patch(document: Document, value: dict[str, Any]) -> Result[Document, ConfigurationError]:
-    """The configuration after a patch: `upsert` adds or replaces items by name, `remove` drops names."""
+    """Return the configuration after a patch.
+
+    Args:
+        document: The current configuration; it is not modified.
+        value: The patch. `upsert` adds or replaces items by name, `remove` drops names, `limits` replaces the limits.
+    """
     if isinstance(version := check_version(value, document.version), Err):
         return version
     if isinstance(upsert := _patch_lists(value, "upsert"), Err):
--- a/mulleinhatch/configuration/routes.py
+++ b/mulleinhatch/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The route table of one configuration: an immutable snapshot that a data plane swaps whole."""
+"""The route table of one configuration: an immutable snapshot that a data plane replaces as a whole."""
 
 from __future__ import annotations
 
@@ -16,7 +16,21 @@
 
 @dataclass(frozen=True)
 class Route:
-    """One route. Times in seconds."""
+    """One route.
+
+    Attributes:
+        name: Its name in the configuration.
+        host: The host that it serves, in lower case.
+        path_prefix: Begins and ends with a slash.
+        kind: "safe", "unsafe" or "streaming".
+        timeout_s: When a request fails.
+        target_latency_s: The latency to aim for; the timeout where the configuration gives none.
+        priority: A lower number is more important.
+        max_attempts: How often a request may be sent to a backend, 1 at least.
+        is_resumable: Whether another backend can resume an event stream.
+        target_gap_s: The longest gap between two events of a stream to aim for, 0 for none.
+        weighted_services: The services that share the requests, with their weights.
+    """
 
     name: str
     host: str
@@ -43,7 +57,15 @@
 
 @dataclass(frozen=True)
 class ModelSpec:
-    """What the configuration tells of a model. Sizes in MB, `load_s` from the weight store."""
+    """A model as configured.
+
+    Attributes:
+        name: Its name.
+        weights_mb: The size of its weights in MB.
+        load_s: How long it takes to load from the weight store.
+        adapters: How many adapters it has.
+        adapter_size_mb: The size of an adapter in MB.
+    """
 
     name: str
     weights_mb: float
@@ -54,7 +76,16 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What the configuration tells of the backends of a service that hold models."""
+    """The backends of a service that serve models, as configured.
+
+    Attributes:
+        slots: Requests that a backend runs at the same time.
+        weights_mb: The memory of a backend for weights in MB.
+        adapter_slots: Adapters that a backend can hold.
+        loads_per_s: Loads from the weight store that may begin per second.
+        kv_cache_tokens: The size of a backend's prefix cache in tokens.
+        models: The models by name.
+    """
 
     slots: int
     weights_mb: float
@@ -86,7 +117,14 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """Routes, services and limits of one version."""
+    """Routes, services and limits of one configuration version.
+
+    Attributes:
+        version: The configuration's version.
+        hosts: The routes of each host, the longest path prefix first.
+        services: The services by name.
+        limits: Bounds of what a client may send.
+    """
 
     version: int = 0
     hosts: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
@@ -94,7 +132,7 @@
     limits: Limits = field(default_factory=Limits)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request: its host's longest prefix that begins the path."""
+        """Return the host's route with the longest prefix of the path, or None."""
         for route in self.hosts.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -102,7 +140,7 @@
 
 
 def build_route_table(document: Document) -> RouteTable:
-    """The snapshot of a checked configuration."""
+    """Return the route table of a validated configuration."""
     hosts: dict[str, list[Route]] = {}
     for item in document.value["routes"]:
         route = _build_route(item)
@@ -177,7 +215,7 @@
 
 
 def _usable_number(value: Any, default: float, unusable: float) -> float:
-    """A finite number of the operator's, 0 or more; `default` where there is none, `unusable` where it can't be used.
+    """Return a finite number of at least 0: `default` where the value is missing, `unusable` where it is no such number.
 
     >>> _usable_number(2, 1.0, 0.0), _usable_number(None, 1.0, 0.0), _usable_number(-2, 1.0, 0.0), _usable_number("x", 1.0, 0.0)
     (2.0, 1.0, 0.0, 0.0)
