--- a/mulleinhatch/messages/__init__.py
+++ b/mulleinhatch/messages/__init__.py
@@ -1,4 +1,1 @@
-"""What the system's processes say to each other: betterproto messages, generated from `cluster.proto`.
-
-For every part that sends or reads them; the generated module is committed, so that a build needs no generator.
-"""
+"""The messages between the processes of the system; `cluster.proto` defines them and `cluster.py` is generated from it."""
--- a/mulleinhatch/messages/cluster.py
+++ b/mulleinhatch/messages/cluster.py
@@ -10,8 +10,7 @@
 @dataclass
 class Member(betterproto.Message):
     """
-    One core machine. `identity` belongs to its disk: an emptied disk gets a
-    new one.
+    A core node. `identity` belongs to its disk: a wiped disk gets a new one.
     """
 
     identity: str = betterproto.string_field(1)
@@ -23,7 +22,7 @@
 @dataclass
 class View(betterproto.Message):
     """
-    An agreed membership view: who votes on the next one, and the replicas of
+    A decided membership view: the voters on the next view, and the replicas of
     the chain from head to tail.
     """
 
@@ -34,6 +33,10 @@
 
 @dataclass
 class ProposalNumber(betterproto.Message):
+    """
+    A Paxos proposal number, ordered by `number` and then by `proposer`.
+    """
+
     number: int = betterproto.uint64_field(1)
     proposer: str = betterproto.string_field(2)
 
@@ -41,7 +44,8 @@
 @dataclass
 class VoterState(betterproto.Message):
     """
-    What a voter must remember about the choice of the view after `view`.
+    The durable state of a voter: the newest decided view, and its promise and
+    acceptance for the view after it.
     """
 
     view: "View" = betterproto.message_field(1)
@@ -52,12 +56,20 @@
 
 @dataclass
 class PrepareRequest(betterproto.Message):
+    """
+    Phase 1a of the choice of the view after `base`.
+    """
+
     base: "View" = betterproto.message_field(1)
     proposal_number: "ProposalNumber" = betterproto.message_field(2)
 
 
 @dataclass
 class AcceptRequest(betterproto.Message):
+    """
+    Phase 2a of the choice of the view after `base`.
+    """
+
     base: "View" = betterproto.message_field(1)
     proposal_number: "ProposalNumber" = betterproto.message_field(2)
     proposed: "View" = betterproto.message_field(3)
@@ -65,6 +77,11 @@
 
 @dataclass
 class VoteResponse(betterproto.Message):
+    """
+    The response to PrepareRequest and AcceptRequest. `newest` is the newest
+    decided view that the voter knows.
+    """
+
     voter: str = betterproto.string_field(1)
     granted: bool = betterproto.bool_field(2)
     promised: "ProposalNumber" = betterproto.message_field(3)
@@ -76,8 +93,8 @@
 @dataclass
 class Entry(betterproto.Message):
     """
-    An operation of the control state. `kind` is one of
-    replication.entries.EntryKind.
+    An entry of the replicated log. `kind` is one of
+    replication.state.EntryKind.
     """
 
     index: int = betterproto.uint64_field(1)
@@ -89,35 +106,49 @@
 
 @dataclass
 class Snapshot(betterproto.Message):
+    """
+    The control state after the entry with `index`.
+    """
+
     index: int = betterproto.uint64_field(1)
     epoch: int = betterproto.uint64_field(2)
     configuration_version: int = betterproto.uint64_field(3)
     configuration: bytes = betterproto.bytes_field(4)
+    # Digests of applied changes, the newest last: "DIGEST VERSION".
     digests: List[str] = betterproto.string_field(5)
     leader: str = betterproto.string_field(6)
     fencing_token: int = betterproto.uint64_field(7)
-    # Backends that said that they leave, the newest last: "ID INDEX" with the index
-    # of the entry that says so.
+    # Departed backends, the newest last: "ID INDEX" with the index of the entry
+    # that records the departure.
     departed_backends: List[str] = betterproto.string_field(8)
-    # Changes that made this version or an older one may have been forgotten.
+    # Digests of changes up to this version may have been dropped.
     forgotten_version: int = betterproto.uint64_field(9)
 
 
 @dataclass
 class AppendRequest(betterproto.Message):
+    """
+    Entries from a replica to its successor in the chain.
+    """
+
     epoch: int = betterproto.uint64_field(1)
     sender: str = betterproto.string_field(2)
     previous_index: int = betterproto.uint64_field(3)
     entries: List["Entry"] = betterproto.message_field(4)
     snapshot: "Snapshot" = betterproto.message_field(5)
     committed: int = betterproto.uint64_field(6)
-    # The newest entry of a sender that is settled: with all up to it the
-    # receiver is, too.
+    # Last index of a sender whose log is complete: the receiver's log is complete
+    # once it reaches it.
     sender_last: int = betterproto.uint64_field(7)
 
 
 @dataclass
 class AppendResponse(betterproto.Message):
+    """
+    The response to AppendRequest. After a rejection the sender resends from
+    `last_index`.
+    """
+
     accepted: bool = betterproto.bool_field(1)
     last_index: int = betterproto.uint64_field(2)
     committed: int = betterproto.uint64_field(3)
@@ -126,11 +157,21 @@
 
 @dataclass
 class SnapshotRequest(betterproto.Message):
+    """
+    Asks a replica for a snapshot of the committed state in the view of
+    `epoch`.
+    """
+
     epoch: int = betterproto.uint64_field(1)
 
 
 @dataclass
 class SnapshotResponse(betterproto.Message):
+    """
+    The response to SnapshotRequest. `available` is false where the replica is
+    not current in that view.
+    """
+
     available: bool = betterproto.bool_field(1)
     snapshot: "Snapshot" = betterproto.message_field(2)
     newest: "View" = betterproto.message_field(3)
@@ -139,8 +180,7 @@
 @dataclass
 class ConfirmRequest(betterproto.Message):
     """
-    Asks whether the view of `epoch` is still the newest that the answerer
-    knows of.
+    Asks whether the view of `epoch` is the newest that the voter knows.
     """
 
     epoch: int = betterproto.uint64_field(1)
@@ -148,6 +188,11 @@
 
 @dataclass
 class ConfirmResponse(betterproto.Message):
+    """
+    The response to ConfirmRequest. `current` is true if the view is the newest
+    and the voter accepted no later one.
+    """
+
     voter: str = betterproto.string_field(1)
     current: bool = betterproto.bool_field(2)
     newest: "View" = betterproto.message_field(3)
@@ -155,6 +200,10 @@
 
 @dataclass
 class Heartbeat(betterproto.Message):
+    """
+    Sent between core nodes at each heartbeat interval.
+    """
+
     sender: "Member" = betterproto.message_field(1)
     epoch: int = betterproto.uint64_field(2)
     caught_up_epoch: int = betterproto.uint64_field(3)
@@ -165,32 +214,38 @@
     data_planes: int = betterproto.uint32_field(8)
     demand: List["ModelDemand"] = betterproto.message_field(9)
     known_members: List["Member"] = betterproto.message_field(10)
+    # How long the sender has given no placement order.
     orders_idle_ms: int = betterproto.uint64_field(11)
-    # Holds, for certain, all that was committed before its view began.
+    # The sender's log certainly holds every entry that was committed before its
+    # view began.
     log_complete: bool = betterproto.bool_field(12)
-    # The sender's view, where the receiver is known to have an older one.
+    # The sender's view, if the receiver is known to have an older one.
     newest: "View" = betterproto.message_field(13)
-    # Identities of machines that have not answered the sender for long.
+    # Identities of nodes that have not responded to the sender for long.
     unresponsive_peers: List[str] = betterproto.string_field(14)
 
 
 @dataclass
 class HeartbeatResponse(betterproto.Message):
+    """
+    The response to Heartbeat.
+    """
+
     sender: "Member" = betterproto.message_field(1)
     epoch: int = betterproto.uint64_field(2)
     newest: "View" = betterproto.message_field(3)
     known_members: List["Member"] = betterproto.message_field(4)
+    # The responder asks for every backend of the sender, once after its start.
     needs_all_backends: bool = betterproto.bool_field(5)
-    # The view of `epoch` is the newest that the answerer knows of, and it
-    # accepted no later one.
+    # The view of `epoch` is the newest that the responder knows, and it accepted
+    # no later one.
     current: bool = betterproto.bool_field(6)
 
 
 @dataclass
 class LeaveRequest(betterproto.Message):
     """
-    Backends that leave, for the head to record; `accepted` once every replica of the
-    chain has it on disk.
+    Asks the head to record the departure of backends.
     """
 
     backends: List[str] = betterproto.string_field(1)
@@ -198,11 +253,20 @@
 
 @dataclass
 class LeaveResponse(betterproto.Message):
+    """
+    The response to LeaveRequest. `accepted` is true once every replica of the
+    chain has persisted the departure.
+    """
+
     accepted: bool = betterproto.bool_field(1)
 
 
 @dataclass
 class LoadedModel(betterproto.Message):
+    """
+    A model in a backend's memory.
+    """
+
     name: str = betterproto.string_field(1)
     version: int = betterproto.uint64_field(2)
     adapters: List[str] = betterproto.string_field(3)
@@ -210,6 +274,10 @@
 
 @dataclass
 class PendingLoad(betterproto.Message):
+    """
+    A load or unload in progress on a backend.
+    """
+
     model: str = betterproto.string_field(1)
     adapter: str = betterproto.string_field(2)
     remaining_ms: int = betterproto.uint32_field(3)
@@ -219,8 +287,8 @@
 @dataclass
 class Backend(betterproto.Message):
     """
-    A backend as it last described itself. `gone` never turns back: each start of
-    a backend has a new id.
+    A backend as it last reported itself. `gone` is final: each start of a
+    backend has a new id.
     """
 
     id: str = betterproto.string_field(1)
@@ -239,12 +307,18 @@
     order_revision: int = betterproto.uint64_field(14)
     remaining_ms: int = betterproto.uint32_field(15)
     silent: bool = betterproto.bool_field(16)
-    # What orders under way take away; nothing new is sent for it.
+    # Models and adapters that pending orders unload; no new request is sent for
+    # them.
     unloads: List["PendingLoad"] = betterproto.message_field(17)
 
 
 @dataclass
 class ModelDemand(betterproto.Message):
+    """
+    A data plane's demand for one model or adapter. `value_rate` is the value
+    of its requests per second.
+    """
+
     service: str = betterproto.string_field(1)
     model: str = betterproto.string_field(2)
     adapter: str = betterproto.string_field(3)
@@ -259,6 +333,10 @@
 
 @dataclass
 class PollRequest(betterproto.Message):
+    """
+    A data plane's long poll for changes.
+    """
+
     node: str = betterproto.string_field(1)
     zone: str = betterproto.string_field(2)
     configuration_version: int = betterproto.uint64_field(3)
@@ -266,38 +344,53 @@
     registry_cursor: int = betterproto.uint64_field(5)
     demand: List["ModelDemand"] = betterproto.message_field(6)
     wait_ms: int = betterproto.uint32_field(7)
-    # The newest entry that told the asker of backends that leave.
+    # Index of the newest departure entry that the data plane knows.
     departure_index: int = betterproto.uint64_field(8)
 
 
 @dataclass
 class PollResponse(betterproto.Message):
+    """
+    The response to PollRequest: what changed since the versions in the
+    request.
+    """
+
     authoritative: bool = betterproto.bool_field(1)
     configuration_version: int = betterproto.uint64_field(2)
     base_version: int = betterproto.uint64_field(3)
     configuration: bytes = betterproto.bytes_field(4)
     registry_source: str = betterproto.string_field(5)
     registry_cursor: int = betterproto.uint64_field(6)
+    # `backends` is the complete registry rather than an update.
     is_full_registry: bool = betterproto.bool_field(7)
     backends: List["Backend"] = betterproto.message_field(8)
     control_addresses: List[str] = betterproto.string_field(9)
     leader_address: str = betterproto.string_field(10)
     data_planes: int = betterproto.uint32_field(11)
     epoch: int = betterproto.uint64_field(12)
-    # Backends that leave, of the entries behind the asker's `departure_index` up to this
-    # one.
+    # Backends whose departures were recorded after the request's
+    # `departure_index`, up to `departure_index`.
     departed_backends: List[str] = betterproto.string_field(13)
     departure_index: int = betterproto.uint64_field(14)
 
 
 @dataclass
 class DemandReport(betterproto.Message):
+    """
+    A data plane's demand, sent to the placement leader.
+    """
+
     node: str = betterproto.string_field(1)
     demand: List["ModelDemand"] = betterproto.message_field(2)
-    # Only what is urgent is told; the rest stands as told before.
+    # Only urgent lines are included; the others stay as reported before.
     partial: bool = betterproto.bool_field(3)
 
 
 @dataclass
 class DemandResponse(betterproto.Message):
+    """
+    The response to DemandReport. `accepted` is true if the receiver is the
+    placement leader.
+    """
+
     accepted: bool = betterproto.bool_field(1)
