--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -13,8 +13,8 @@
 
 from mulleinhatch.errors import StorageError
 
-FORMAT_MARK, FORMAT_VERSION = b"MHCTL\x00", b"\x01\n"
-MAGIC = FORMAT_MARK + FORMAT_VERSION
+FORMAT_ID, FORMAT_VERSION = b"MHCTL\x00", b"\x01\n"
+MAGIC = FORMAT_ID + FORMAT_VERSION
 RECORD_HEADER = struct.Struct("<IIB")  # length of the body, checksum of kind and body, kind
 MAX_BODY_BYTES = 64 << 20
 
@@ -97,7 +97,7 @@
     """Raise the error that a header other than MAGIC calls for; return where it is torn."""
     if _is_torn(header):
         return
-    if header.startswith(FORMAT_MARK):
+    if header.startswith(FORMAT_ID):
         raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
     raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
 
--- a/tests/system/test_chain.py
+++ b/tests/system/test_chain.py
@@ -1,4 +1,4 @@
-"""The chain: recorded traces of appends, losses, returns and view changes between real replicas and their states."""
+"""Test chain replication by recorded traces of appends, losses, returns and view changes, and the control state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Chain:
-    """Replicas by name; messages are delivered when the trace says so."""
+    """Replicas by name. The trace decides when a message is delivered."""
 
     def __init__(self, names: str = "abc") -> None:
         self.replicas = {name: Replica(name) for name in names}
@@ -38,25 +38,25 @@
         replica.on_persisted(replica.propose(int(EntryKind.CONFIGURATION), body, ""))
 
     def append(self, sender: str, receiver: str, successor_last_index: int | None = None) -> bool:
-        """One append and its answer; whether it was taken."""
-        one, other = self.replicas[sender], self.replicas[receiver]
+        """Deliver one append and its response; return whether it was accepted."""
+        source, target = self.replicas[sender], self.replicas[receiver]
         request = AppendRequest().parse(
-            bytes(one.build_append(other.last_index if successor_last_index is None else successor_last_index))
+            bytes(source.build_append(target.last_index if successor_last_index is None else successor_last_index))
         )
-        write = other.on_append(request)
+        write = target.on_append(request)
         if write is None:
             return False
-        other.on_persisted(write)
-        other.on_append_persisted(request)
-        one.commit_to(other.committed)
+        target.on_persisted(write)
+        target.on_append_persisted(request)
+        source.commit_to(target.committed)
         return True
 
     def bodies(self, name: str) -> list[bytes]:
         return [entry.body for entry in self.replicas[name].entries]
 
 
-class Appends(unittest.TestCase):
-    def test_committed_when_the_tail_has_it(self):
+class AppendTest(unittest.TestCase):
+    def test_entry_is_committed_once_the_tail_persists_it(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b")
@@ -66,14 +66,14 @@
         chain.append("a", "b")
         self.assertEqual(chain.replicas["a"].committed, 1)
 
-    def test_an_append_that_comes_twice_changes_nothing(self):
+    def test_repeated_append_changes_nothing(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b", successor_last_index=0)
         chain.append("a", "b", successor_last_index=0)
         self.assertEqual(chain.bodies("b"), [b"1"])
 
-    def test_a_gap_is_refused(self):
+    def test_append_with_a_gap_is_rejected(self):
         chain = Chain()
         for body in (b"1", b"2"):
             chain.propose("a", body)
@@ -81,7 +81,7 @@
         self.assertTrue(chain.append("a", "b", successor_last_index=0))
         self.assertEqual(chain.bodies("b"), [b"1", b"2"])
 
-    def test_nothing_is_taken_from_another_epoch_or_from_no_predecessor(self):
+    def test_append_of_another_epoch_or_sender_is_rejected(self):
         chain = Chain()
         chain.propose("a", b"1")
         request = chain.replicas["a"].build_append(0)
@@ -89,7 +89,7 @@
         chain.adopt_view(2, "bc")
         self.assertIsNone(chain.replicas["b"].on_append(request))
 
-    def test_who_is_far_behind_gets_a_snapshot(self):
+    def test_replica_behind_the_log_start_gets_a_snapshot(self):
         chain = Chain()
         state = ControlState()
         for number in (1, 2, 3):
@@ -109,8 +109,8 @@
         )
 
 
-class ViewChanges(unittest.TestCase):
-    def test_the_tail_goes_and_what_its_predecessor_holds_is_committed(self):
+class ViewChangeTest(unittest.TestCase):
+    def test_new_tail_commits_its_complete_log(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b")
@@ -118,7 +118,7 @@
         chain.append("a", "b")
         self.assertEqual([chain.replicas[name].committed for name in "ab"], [1, 1])
 
-    def test_the_head_goes_and_what_was_committed_stays(self):
+    def test_committed_entries_survive_the_loss_of_the_head(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b")
@@ -130,7 +130,7 @@
         self.assertEqual(chain.bodies("c"), [b"1", b"2"])
         self.assertEqual(chain.replicas["b"].committed, 2)
 
-    def test_who_comes_back_drops_what_was_never_committed(self):
+    def test_returning_replica_drops_uncommitted_entries(self):
         chain = Chain()
         chain.propose("a", b"never committed")
         chain.adopt_view(2, "bc")
@@ -138,30 +138,30 @@
         chain.append("b", "c")
         state = ControlState()
         state.apply(chain.replicas["b"].entry_at(1))
-        back = chain.replicas["a"]
-        back.adopt_view(view(2, "bc"))
-        back.on_persisted(LogWrite(snapshot=state.snapshot(), truncate_to=0))
-        self.assertEqual((back.last_index, back.committed, back.entries), (1, 1, []))
+        returning = chain.replicas["a"]
+        returning.adopt_view(view(2, "bc"))
+        returning.on_persisted(LogWrite(snapshot=state.snapshot(), truncate_to=0))
+        self.assertEqual((returning.last_index, returning.committed, returning.entries), (1, 1, []))
         chain.adopt_view(3, "bca")
-        self.assertFalse(back.log_complete)
+        self.assertFalse(returning.log_complete)
         self.assertTrue(chain.append("c", "a"))
-        self.assertTrue(back.log_complete and back.is_tail)
+        self.assertTrue(returning.log_complete and returning.is_tail)
 
-    def test_a_restart_keeps_what_the_disk_says_of_being_settled(self):
+    def test_restart_restores_log_complete_from_disk(self):
         for log_complete in (True, False):
-            again = Replica("c")
-            again.restore(view(1, "abc"), Snapshot(), [], 0, log_complete)
-            again.adopt_view(view(1, "abc"))
-            self.assertIs(again.log_complete, log_complete)
+            restarted = Replica("c")
+            restarted.restore(view(1, "abc"), Snapshot(), [], 0, log_complete)
+            restarted.adopt_view(view(1, "abc"))
+            self.assertIs(restarted.log_complete, log_complete)
 
-    def test_who_stays_in_the_chain_stays_settled_though_its_predecessor_fell_silent(self):
-        """Found in virtual time: the tail of a view whose head lost its disk at once successor_last_index itself for behind."""
+    def test_remaining_member_keeps_its_log_complete_without_its_predecessor(self):
+        """Regression, found in the simulation: after the head lost its disk, the tail considered itself behind."""
         chain = Chain()
         chain.adopt_view(2, "ac")
         self.assertTrue(chain.replicas["c"].log_complete)
 
-    def test_who_is_not_settled_settles_nobody(self):
-        """Found in virtual time: two joiners in a row, the second answered a read without what was acknowledged before."""
+    def test_replica_with_incomplete_log_completes_no_other(self):
+        """Regression, found in the simulation: the second of two joiners served a read without an acknowledged write."""
         chain = Chain()
         for name in "de":
             chain.replicas[name] = Replica(name)
@@ -174,7 +174,7 @@
         self.assertTrue(chain.replicas["e"].log_complete)
         self.assertEqual(chain.replicas["e"].committed, 1)
 
-    def test_a_joiner_is_settled_by_the_append_that_brings_all_not_by_the_first(self):
+    def test_joiner_log_is_complete_after_the_last_missing_append(self):
         chain = Chain()
         chain.replicas["d"] = Replica("d")
         for number in range(100):
@@ -186,29 +186,29 @@
         self.assertTrue(chain.replicas["d"].log_complete)
         self.assertEqual(chain.replicas["a"].committed, 100)
 
-    def test_a_head_that_restarted_has_its_last_entry_committed_by_the_chain_first(self):
+    def test_restarted_head_commits_its_last_entry_through_the_chain(self):
         chain = Chain()
         chain.propose("a", b"1")
-        again = Replica("a")
-        again.restore(view(1, "abc"), chain.replicas["a"].base, list(chain.replicas["a"].entries), 0, True)
-        again.adopt_view(view(1, "abc"))
-        chain.replicas["a"] = again
-        self.assertEqual((again.last_index, again.committed), (1, 0))
+        restarted = Replica("a")
+        restarted.restore(view(1, "abc"), chain.replicas["a"].base, list(chain.replicas["a"].entries), 0, True)
+        restarted.adopt_view(view(1, "abc"))
+        chain.replicas["a"] = restarted
+        self.assertEqual((restarted.last_index, restarted.committed), (1, 0))
         chain.append("a", "b")
         chain.append("b", "c")
         chain.append("a", "b")
-        self.assertEqual(again.committed, 1)
+        self.assertEqual(restarted.committed, 1)
 
 
 def put(version: int, **more) -> bytes:
     return json.dumps({"version": version, "routes": [], "services": [], **more}).encode()
 
 
-class State(unittest.TestCase):
+class ControlStateTest(unittest.TestCase):
     def setUp(self):
         self.state = ControlState()
 
-    def take(self, method: str, base: int, body: bytes) -> None:
+    def apply_change(self, method: str, base: int, body: bytes) -> None:
         checked = self.state.check(method, base, body)
         self.assertIsInstance(checked, Ok, checked)
         replica = Replica("a")
@@ -217,27 +217,27 @@
         write = replica.propose(int(checked.ok_value.kind), body, checked.ok_value.digest)
         self.state.apply(write.entries[0])
 
-    def outcome(self, method: str, base: int | None, body: bytes) -> ChangeOutcome:
+    def rejection_outcome(self, method: str, base: int | None, body: bytes) -> ChangeOutcome:
         checked = self.state.check(method, base, body)
         self.assertIsInstance(checked, Err)
         return checked.err_value.outcome
 
-    def test_one_of_two_changes_on_the_same_version_is_taken(self):
-        self.take("PUT", 0, put(1))
-        self.take("PUT", 1, put(3, note="x"))
-        self.assertIs(self.outcome("PUT", 1, put(3, note="y")), ChangeOutcome.CONFLICT)
-
-    def test_a_change_that_is_sent_again_is_known_also_after_newer_ones(self):
-        self.take("PUT", 0, put(1))
-        self.take("PUT", 1, put(2))
-        self.assertIs(self.outcome("PUT", 0, put(1)), ChangeOutcome.ALREADY_APPLIED)
-        again = ControlState()
-        again.restore(self.state.snapshot())
-        checked = again.check("PUT", 0, put(1))
+    def test_second_change_on_the_same_version_conflicts(self):
+        self.apply_change("PUT", 0, put(1))
+        self.apply_change("PUT", 1, put(3, note="x"))
+        self.assertIs(self.rejection_outcome("PUT", 1, put(3, note="y")), ChangeOutcome.CONFLICT)
+
+    def test_repeated_change_is_recognised_after_newer_ones(self):
+        self.apply_change("PUT", 0, put(1))
+        self.apply_change("PUT", 1, put(2))
+        self.assertIs(self.rejection_outcome("PUT", 0, put(1)), ChangeOutcome.ALREADY_APPLIED)
+        restored = ControlState()
+        restored.restore(self.state.snapshot())
+        checked = restored.check("PUT", 0, put(1))
         self.assertIs(checked.err_value.outcome, ChangeOutcome.ALREADY_APPLIED)
 
-    def test_invalid_changes_are_refused_and_leave_no_trace(self):
-        self.take("PUT", 0, put(5))
+    def test_invalid_change_is_rejected_without_effect(self):
+        self.apply_change("PUT", 0, put(5))
         before = self.state.document
         for base, body in (
             (5, b"{"),
@@ -247,23 +247,23 @@
             (None, put(6)),
             (5, b'{"version":6,"version":7}'),
         ):
-            self.assertIs(self.outcome("PUT", base, body), ChangeOutcome.INVALID, body)
+            self.assertIs(self.rejection_outcome("PUT", base, body), ChangeOutcome.INVALID, body)
         self.assertIs(self.state.document, before)
 
-    def test_patches_lead_from_version_to_version(self):
+    def test_patches_since_a_version(self):
         service = {"name": "s"}
         route = {"name": "r", "host": "h", "path_prefix": "/a/", "timeout_ms": 100, "service": "s"}
-        self.take("PUT", 0, put(1, services=[service], routes=[route]))
+        self.apply_change("PUT", 0, put(1, services=[service], routes=[route]))
         patch = json.dumps({"version": 4, "upsert": {"routes": [{**route, "timeout_ms": 300}]}}).encode()
-        self.take("PATCH", 1, patch)
+        self.apply_change("PATCH", 1, patch)
         other = json.dumps({"version": 9, "remove": {"routes": ["r"]}}).encode()
-        self.take("PATCH", 4, other)
+        self.apply_change("PATCH", 4, other)
         self.assertEqual(self.state.patches_since(1), [patch, other])
         self.assertEqual(self.state.patches_since(4), [other])
         self.assertIsNone(self.state.patches_since(2))
         self.assertEqual(self.state.document.value["routes"], [])
 
-    def test_the_fencing_token_is_the_index_of_the_claim(self):
+    def test_fencing_token_is_the_index_of_the_claim(self):
         replica = Replica("a")
         replica.adopt_view(view(1, "a", "a"))
         for name in ("a", "b"):
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: what is refused and what the message says, and the route table."""
+"""Test the operator's configuration: what is rejected and what the message says, and the route table."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
     return complete
 
 
-class AbsurdEngines(unittest.TestCase):
-    def test_figures_that_can_not_be_used_cost_their_model_only(self):
+class UnusableEngineTest(unittest.TestCase):
+    def test_unusable_numbers_exclude_their_model_only(self):
         names = ("text", "negative", "endless", "good")
         sizes = dict(zip(names, ("x", -5.0, math.inf, 100.0), strict=True))
         models = [{"name": name, "weights_mb": size, "load_s": size} for name, size in sizes.items()]
@@ -58,49 +58,49 @@
         self.assertEqual((built.slots, built.adapter_slots, built.loads_per_s), (1, 0, 0.0))
 
 
-class Checks(unittest.TestCase):
-    def refused(self, value: dict, word: str, current: int = 2) -> None:
+class ValidationTest(unittest.TestCase):
+    def check_rejected(self, value: dict, text: str, current: int = 2) -> None:
         read = read_complete(value, current)
         self.assertIsInstance(read, Err, value)
-        self.assertIn(word, str(read.err_value))
+        self.assertIn(text, str(read.err_value))
 
-    def test_a_proper_one_is_taken(self):
+    def test_valid_configuration_is_accepted(self):
         self.assertIsInstance(read_complete(COMPLETE, 2), Ok)
 
-    def test_each_fault_is_named(self):
-        self.refused(changed(service="nobody"), "nobody")
-        self.refused(changed(timeout_ms=0), "timeout_ms")
-        self.refused(changed(path_prefix="x"), "path_prefix")
-        self.refused(changed(kind="quick"), "kind")
-        self.refused(changed(traffic_split=[{"service": "app", "weight": 0}]), "weights")
-        self.refused(changed(service=None), "r1")
-        self.refused({**COMPLETE, "routes": [ROUTE, {**ROUTE, "name": "r2"}]}, "host and path_prefix")
-        self.refused({**COMPLETE, "routes": [ROUTE, {**ROUTE, "path_prefix": "/y/"}]}, "name")
-        self.refused({**COMPLETE, "version": "4"}, "version")
-        self.refused({**COMPLETE, "limits": {"max_header_bytes": "many"}}, "limits")
-        self.refused(COMPLETE, "above 3", current=3)
-
-    def test_cut_json_and_doubled_keys_are_no_configuration(self):
+    def test_message_names_each_fault(self):
+        self.check_rejected(changed(service="nobody"), "nobody")
+        self.check_rejected(changed(timeout_ms=0), "timeout_ms")
+        self.check_rejected(changed(path_prefix="x"), "path_prefix")
+        self.check_rejected(changed(kind="quick"), "kind")
+        self.check_rejected(changed(traffic_split=[{"service": "app", "weight": 0}]), "weights")
+        self.check_rejected(changed(service=None), "r1")
+        self.check_rejected({**COMPLETE, "routes": [ROUTE, {**ROUTE, "name": "r2"}]}, "host and path_prefix")
+        self.check_rejected({**COMPLETE, "routes": [ROUTE, {**ROUTE, "path_prefix": "/y/"}]}, "name")
+        self.check_rejected({**COMPLETE, "version": "4"}, "version")
+        self.check_rejected({**COMPLETE, "limits": {"max_header_bytes": "many"}}, "limits")
+        self.check_rejected(COMPLETE, "above 3", current=3)
+
+    def test_truncated_json_and_duplicate_keys_are_rejected(self):
         for body in (b'{"version":1', b'{"version":1,"version":2}', b"\xff", b"7"):
             self.assertIsInstance(read_json(body), Err, body)
 
-    def test_a_patch_changes_just_what_it_names(self):
+    def test_patch_changes_the_named_items_only(self):
         document = read_complete(COMPLETE, 0).ok_value
         patch = {
             "version": 5,
             "upsert": {"routes": [{**ROUTE, "name": "r2", "path_prefix": "/y/"}]},
             "remove": {"routes": ["r1"]},
         }
-        made = apply_patch(document, patch).ok_value
-        self.assertEqual([route["name"] for route in made.value["routes"]], ["r2"])
-        self.assertEqual(made.value["services"], COMPLETE["services"])
+        patched = apply_patch(document, patch).ok_value
+        self.assertEqual([route["name"] for route in patched.value["routes"]], ["r2"])
+        self.assertEqual(patched.value["services"], COMPLETE["services"])
         self.assertEqual(document.value["routes"], [ROUTE])
 
-    def test_a_patch_that_leaves_a_route_without_its_service_is_refused(self):
+    def test_patch_that_removes_a_used_service_is_rejected(self):
         document = read_complete(COMPLETE, 0).ok_value
         self.assertIsInstance(apply_patch(document, {"version": 5, "remove": {"services": ["llm"]}}), Err)
 
-    def test_a_patch_of_another_form_is_refused(self):
+    def test_malformed_patch_is_rejected(self):
         for patch in (
             {"version": 5, "upsert": []},
             {"version": 5, "upsert": {"routes": {}}},
@@ -109,19 +109,19 @@
             self.assertIsInstance(apply_patch(EMPTY, patch), Err, patch)
 
 
-class Table(unittest.TestCase):
-    def test_the_longest_prefix_of_the_host_counts(self):
+class RouteTableTest(unittest.TestCase):
+    def test_longest_prefix_of_the_host_wins(self):
         routes = [
             ROUTE,
             {**ROUTE, "name": "r2", "path_prefix": "/x/deep/"},
             {**ROUTE, "name": "r3", "host": "b.example", "path_prefix": "/"},
         ]
         table = build_route_table(read_complete({**COMPLETE, "routes": routes}, 0).ok_value)
-        found = [
-            table.find(*place)
-            for place in (("a.example", "/x/1"), ("a.example", "/x/deep/1"), ("b.example", "/x/1"), ("a.example", "/"))
+        matched = [
+            table.find(*target)
+            for target in (("a.example", "/x/1"), ("a.example", "/x/deep/1"), ("b.example", "/x/1"), ("a.example", "/"))
         ]
-        self.assertEqual([route.name if route else None for route in found], ["r1", "r2", "r3", None])
+        self.assertEqual([route.name if route else None for route in matched], ["r1", "r2", "r3", None])
 
     def test_units_and_kinds(self):
         route = build_route_table(read_complete(COMPLETE, 0).ok_value).find("a.example", "/x/1")
@@ -130,7 +130,7 @@
             (5.0, 0.8, 0.4, True, True),
         )
 
-    def test_what_an_engine_tells(self):
+    def test_engine_spec(self):
         engine = build_route_table(read_complete(COMPLETE, 0).ok_value).services["llm"].engine
         self.assertEqual((engine.slots, engine.models["m0"].load_s, engine.adapter_slots), (64, 1.5, 8))
 
--- a/tests/system/test_control_state.py
+++ b/tests/system/test_control_state.py
@@ -1,4 +1,4 @@
-"""What is kept of changes and leaves, whose word counts, and what a data plane believes, one by one."""
+"""Test the bounds of the control state, confirmations by a majority, departures, and what a data plane accepts."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 )
 
 
-def change(version: int, note: str = "") -> bytes:
-    return json.dumps({"version": version, "routes": [], "services": [], "note": note}).encode()
+def change(version: int, comment: str = "") -> bytes:
+    return json.dumps({"version": version, "routes": [], "services": [], "note": comment}).encode()
 
 
 def apply(state: ControlState, kind: EntryKind, body: bytes, method: str = "PUT") -> None:
@@ -49,27 +49,27 @@
     return again
 
 
-class Kept(unittest.TestCase):
-    def test_of_twenty_thousand_changes_a_bounded_part_is_kept_and_none_is_ever_refused_that_was_taken(self):
+class BoundedHistoryTest(unittest.TestCase):
+    def test_digests_are_bounded_and_no_applied_change_is_reported_as_conflict(self):
         state = ControlState()
         for version in range(1, 20_001):
             apply(state, EntryKind.CONFIGURATION, change(version))
         self.assertEqual(len(state.digests), MAX_DIGESTS)
-        for one in (state, restored(state)):
+        for checked in (state, restored(state)):
             for version in range(1, 20_001, 7):
-                outcome = one.check("PUT", version - 1, change(version)).err_value.outcome
+                outcome = checked.check("PUT", version - 1, change(version)).err_value.outcome
                 known = version > 20_000 - MAX_DIGESTS
                 self.assertIs(outcome, ChangeOutcome.ALREADY_APPLIED if known else ChangeOutcome.HISTORY_COMPACTED, version)
-            self.assertIsInstance(one.check("PUT", 20_000, change(20_001)), Ok)
+            self.assertIsInstance(checked.check("PUT", 20_000, change(20_001)), Ok)
 
-    def test_what_was_never_taken_is_refused_as_long_as_that_is_known(self):
+    def test_unapplied_change_is_rejected_within_the_known_history(self):
         state = ControlState()
         for version in range(1, 10):
             apply(state, EntryKind.CONFIGURATION, change(version))
         self.assertIs(state.check("PUT", 3, change(4, "another")).err_value.outcome, ChangeOutcome.CONFLICT)
         self.assertIs(state.check("PUT", 9, change(9, "another")).err_value.outcome, ChangeOutcome.INVALID)
 
-    def test_patches_for_data_planes_are_bounded(self):
+    def test_recent_patches_are_bounded(self):
         state = ControlState()
         apply(state, EntryKind.CONFIGURATION, change(1))
         for version in range(2, 500):
@@ -79,27 +79,27 @@
         self.assertIsNone(state.patches_since(1))
         self.assertEqual(len(state.patches_since(498)), 1)
 
-    def test_leaves_are_kept_in_their_order_with_a_bound(self):
+    def test_departures_are_ordered_and_bounded(self):
         state = ControlState()
         for number in range(3 * MAX_DEPARTED_BACKENDS):
             apply(state, EntryKind.DEPARTURE, json.dumps([f"i-{number}"]).encode())
-        for one in (state, restored(state)):
-            self.assertEqual(len(one.departed_backends), MAX_DEPARTED_BACKENDS)
+        for checked in (state, restored(state)):
+            self.assertEqual(len(checked.departed_backends), MAX_DEPARTED_BACKENDS)
             self.assertEqual(
-                one.departed_since(state.index - 2),
+                checked.departed_since(state.index - 2),
                 [f"i-{3 * MAX_DEPARTED_BACKENDS - 2}", f"i-{3 * MAX_DEPARTED_BACKENDS - 1}"],
             )
-            self.assertEqual(one.departure_index, state.index)
+            self.assertEqual(checked.departure_index, state.index)
 
-    def test_a_leave_that_is_told_twice_keeps_its_first_place(self):
+    def test_repeated_departure_keeps_its_first_index(self):
         state = ControlState()
         apply(state, EntryKind.DEPARTURE, b'["a"]')
         apply(state, EntryKind.DEPARTURE, b'["b", "a"]')
         self.assertEqual(state.departed_backends, {"a": 1, "b": 2})
 
 
-class Word(unittest.TestCase):
-    """Whose word counts: voters that say that our view is the newest, in answer to what was sent lately."""
+class MajorityConfirmationTest(unittest.TestCase):
+    """A voter counts if it confirms our view as the newest, in response to a recent request."""
 
     def setUp(self):
         self.own, self.second, self.third = (Member(identity=name, name=name, internal_address=f"{name}:2") for name in "abc")
@@ -107,36 +107,36 @@
         members = [self.own, self.second, self.third]
         self.view = View(epoch=4, voters=members, chain=members)
 
-    def test_a_voter_of_another_view_answers_and_confirms_nothing(self):
+    def test_voter_in_another_view_does_not_confirm(self):
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=5, current=True), 1.0, 1.0)
         self.assertTrue(self.peers.reaches_majority(self.view, 1.1))
         self.assertFalse(self.peers.has_confirmed_majority(self.view, 1.1))
 
-    def test_a_voter_that_accepted_a_later_view_confirms_nothing(self):
+    def test_voter_that_accepted_a_later_view_does_not_confirm(self):
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=False), 1.0, 1.0)
         self.assertFalse(self.peers.has_confirmed_majority(self.view, 1.1))
         self.assertTrue(self.peers.has_undecided_successor(self.view, 1.1))
 
-    def test_the_word_counts_from_when_it_was_asked_for(self):
-        """An answer that was long under way, as to one that stood still, says nothing of now."""
+    def test_confirmation_counts_from_the_time_of_the_request(self):
+        """A response that was delayed, for example by a paused process, says nothing about the present."""
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 1.0)
         self.assertFalse(self.peers.has_confirmed_majority(self.view, 1.0 + AUTHORITY_S + 0.01))
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.1, 3.0)
         self.assertTrue(self.peers.has_confirmed_majority(self.view, 3.2))
 
-    def test_a_late_answer_does_not_take_a_newer_one_back(self):
+    def test_late_response_does_not_revoke_a_newer_one(self):
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 2.9)
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.1, 1.0)
         self.assertTrue(self.peers.has_confirmed_majority(self.view, 3.2))
 
-    def test_who_has_not_answered_for_long_is_told_of(self):
+    def test_unresponsive_member_is_reported(self):
         for member in (self.second, self.third):
             self.peers.add(member, 0.0)
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 3.0)
         self.assertEqual(self.peers.unresponsive_members(self.view, MISSED_S + 0.1), ["c"])
         self.assertEqual(self.peers.unresponsive_members(self.view, 1.0), [])
 
-    def test_a_view_is_known_once_a_majority_of_its_voters_has_it(self):
+    def test_view_is_known_once_a_majority_of_its_voters_has_it(self):
         self.assertFalse(self.peers.is_known_to_majority(self.view))
         self.peers.record_response(HeartbeatResponse(sender=self.third, epoch=3), 1.0, 1.0)
         self.assertFalse(self.peers.is_known_to_majority(self.view))
@@ -144,27 +144,27 @@
         self.assertTrue(self.peers.is_known_to_majority(self.view))
 
 
-class Left(unittest.TestCase):
-    """A backend that left does not come back, whatever is told late."""
+class DepartureTest(unittest.TestCase):
+    """A departed backend does not come back through a late report."""
 
-    def test_the_list_of_a_machine_that_started_anew_shows_it_as_leaving(self):
+    def test_restored_backend_list_shows_it_as_draining(self):
         registry = BackendRegistry(1.0, lambda backend_id: None, lambda backend_id: backend_id == "i-1")
         registry.restore(Backend(id="i-1", service="s", address="a:1", sequence=7), 0.0)
         registry.merge(Backend(id="i-1", service="s", address="a:1", sequence=9), 0.1)
         self.assertTrue(registry.entries["i-1"].backend.draining)
 
-    def test_leaving_backends_are_kept_over_a_restart_as_leaving(self):
+    def test_draining_backend_is_stored_as_draining(self):
         registry = BackendRegistry(1.0, lambda backend_id: None)
         registry.merge(Backend(id="i-1", service="s", address="a:1", sequence=7, draining=True), 0.0)
         self.assertEqual([backend.draining for backend in registry.present_backends()], [True])
 
-    def test_a_data_plane_keeps_it_leaving_when_another_source_knows_it_as_ready(self):
+    def test_data_plane_keeps_it_draining_when_another_source_reports_it_ready(self):
         ready = Backend(id="i-1", service="s", address="a:1", slots=4)
         for leaving in ([Backend(id="i-1", service="s", address="a:1", draining=True)], [Backend(id="i-1", gone=True)]):
             backends = BackendList().updated([ready], True, 0.0).updated(leaving, False, 1.0)
             self.assertTrue(backends.updated([ready], True, 2.0).by_id["i-1"].draining)
 
-    def test_a_data_plane_hears_of_a_leave_by_the_entries_of_the_chain(self):
+    def test_data_plane_learns_of_a_departure_from_the_log(self):
         ready = Backend(id="i-1", service="s", address="a:1", slots=4)
         backends = BackendList().updated([ready], True, 0.0).updated((), False, 1.0, ["i-1", "i-2"])
         self.assertTrue(backends.by_id["i-1"].draining)
@@ -192,30 +192,30 @@
     )
 
 
-class Script:
-    """Answers polls in the order of a script, on a clock of its own."""
+class ScriptedControlPlane:
+    """Respond to polls in the order of a script, with a clock of its own."""
 
-    def __init__(self, answers: list[PollResponse]) -> None:
-        self.answers, self.now = answers, 0.0
+    def __init__(self, responses: list[PollResponse]) -> None:
+        self.responses, self.now = responses, 0.0
 
     def forget(self, address: str) -> None:
-        """Nothing is kept."""
+        """Do nothing: there is no connection to drop."""
 
     async def request(self, *_: object) -> HttpResponse:
-        return HttpResponse(200, None, bytes(self.answers.pop(0)))  # type: ignore[arg-type]
+        return HttpResponse(200, None, bytes(self.responses.pop(0)))  # type: ignore[arg-type]
 
 
-def told(version: int, authoritative: bool, epoch: int = 3) -> PollResponse:
+def poll_response(version: int, authoritative: bool, epoch: int = 3) -> PollResponse:
     configuration = zlib.compress(json.dumps({"version": version, "routes": [], "services": []}).encode())
-    answer = PollResponse(authoritative=authoritative, epoch=epoch, registry_source="s")
-    answer.configuration_version, answer.configuration = version, configuration
-    return answer
+    response = PollResponse(authoritative=authoritative, epoch=epoch, registry_source="s")
+    response.configuration_version, response.configuration = version, configuration
+    return response
 
 
-class Polled(unittest.TestCase):
-    def versions(self, answers: list[PollResponse], at: list[float]) -> list[tuple[int, bool]]:
-        """Version in force and whether its source is sure, after each answer."""
-        script, seen = Script(answers), []
+class PolledConfigurationTest(unittest.TestCase):
+    def versions(self, responses: list[PollResponse], at: list[float]) -> list[tuple[int, bool]]:
+        """Return the version in force and whether its source is authoritative, after each response."""
+        script, seen = ScriptedControlPlane(responses), []
         link = ControlLink(settings(), script, lambda: script.now, lambda snapshot: None)  # type: ignore[arg-type]
 
         async def poll_all() -> None:
@@ -232,25 +232,27 @@
         asyncio.run(poll_all())
         return seen
 
-    def test_the_first_configuration_is_not_taken_at_once_from_a_machine_that_is_not_sure_of_it(self):
-        self.assertEqual(self.versions([told(4, False), told(9, True)], [0.0, 0.1]), [(0, False), (9, True)])
+    def test_first_configuration_waits_for_an_authoritative_source(self):
+        self.assertEqual(self.versions([poll_response(4, False), poll_response(9, True)], [0.0, 0.1]), [(0, False), (9, True)])
 
-    def test_beside_a_core_without_a_majority_it_is_taken_after_a_while(self):
-        self.assertEqual(self.versions([told(4, False), told(4, False)], [0.0, 5.1]), [(0, False), (4, False)])
+    def test_first_configuration_is_accepted_without_a_majority_after_a_delay(self):
+        self.assertEqual(
+            self.versions([poll_response(4, False), poll_response(4, False)], [0.0, 5.1]), [(0, False), (4, False)]
+        )
 
-    def test_a_machine_of_an_older_view_is_not_sure_of_anything(self):
-        seen = self.versions([told(4, True, epoch=6), told(5, True, epoch=5)], [0.0, 0.1])
+    def test_node_with_an_older_view_is_not_authoritative(self):
+        seen = self.versions([poll_response(4, True, epoch=6), poll_response(5, True, epoch=5)], [0.0, 0.1])
         self.assertEqual(seen, [(4, True), (5, False)])
 
-    def test_an_older_configuration_is_never_taken(self):
-        self.assertEqual(self.versions([told(9, True), told(4, True)], [0.0, 0.1]), [(9, True), (9, True)])
+    def test_older_configuration_is_never_accepted(self):
+        self.assertEqual(self.versions([poll_response(9, True), poll_response(4, True)], [0.0, 0.1]), [(9, True), (9, True)])
 
 
-class Refusing(unittest.TestCase):
-    def test_refusals_name_what_to_do(self):
-        refusal = ControlState().check("PUT", None, change(1))
-        self.assertIsInstance(refusal, Err)
-        self.assertIn("If-Match", refusal.err_value.message)
+class RejectionTest(unittest.TestCase):
+    def test_rejection_names_the_remedy(self):
+        rejection = ControlState().check("PUT", None, change(1))
+        self.assertIsInstance(rejection, Err)
+        self.assertIn("If-Match", rejection.err_value.message)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_journal_faults.py
+++ b/tests/system/test_journal_faults.py
@@ -1,5 +1,6 @@
-"""The control plane's file under faults: each system call of opening, appending and rewriting made to fail once, and the
-power lost after every one; what a start then finds is the state before the call or after it, and all that was said to last."""
+"""Test the control state file under faults: each system call of open, append and rewrite fails once, or loses power.
+
+A restart then finds the state before the call or after it, and every record whose append returned."""
 
 from __future__ import annotations
 
@@ -14,27 +15,30 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from mulleinhatch.storage import append_log as journal_module
+from mulleinhatch.storage import append_log as append_log_module
 from mulleinhatch.storage.append_log import LOG_NAME, REWRITE_NAME, AppendLog
 from mulleinhatch.storage.records import MAGIC, ForeignFileError, Record, UnsupportedVersionError, decode_log
 
-FOLDER = Path("/data")
-FIRST, SECOND, THIRD, WHOLE = (Record(kind, text) for kind, text in ((1, b"disk"), (3, b"one"), (3, b"two"), (4, b"both")))
+DIRECTORY = Path("/data")
+FIRST, SECOND, THIRD, SNAPSHOT = (Record(kind, text) for kind, text in ((1, b"disk"), (3, b"one"), (3, b"two"), (4, b"both")))
 
 
 class PowerLost(BaseException):
-    """The machine loses power: nothing of the process runs any more."""
+    """The machine loses power: no code of the process runs any more."""
 
 
 class File:
-    """An inode: what it holds, and what of it is on the platter."""
+    """An inode: its data, and the part of it that is durable."""
 
     def __init__(self) -> None:
         self.data, self.synced = bytearray(), b""
 
 
 class FakeDisk:
-    """The calls of `os` that the journal makes. Names and bytes last once synced; at a loss of power the rest may stay."""
+    """The calls of `os` that AppendLog makes.
+
+    Names and data are durable once synced; after a power loss the rest may be there or not.
+    """
 
     O_RDWR, O_CREAT, O_TRUNC, O_RDONLY = os.O_RDWR, os.O_CREAT, os.O_TRUNC, os.O_RDONLY
     SEEK_SET = os.SEEK_SET
@@ -42,22 +46,22 @@
     def __init__(self) -> None:
         self.names: dict[str, File] = {}
         self.synced_names: dict[str, File] = {}
-        self.open_files: dict[int, list] = {}  # descriptor: file or None for the folder, place
+        self.open_files: dict[int, list] = {}  # descriptor: [file or None for the directory, offset]
         self.calls = 0
         self.fail_at = self.power_off_at = -1
-        self.numbers = itertools.count(3)
+        self.descriptors = itertools.count(3)
 
     def _call(self) -> None:
         self.calls += 1
         if self.calls == self.power_off_at:
             raise PowerLost
         if self.calls == self.fail_at:
-            raise OSError(errno.EIO, "made to fail")
+            raise OSError(errno.EIO, "injected fault")
 
     def open(self, path: os.PathLike | str, flags: int, mode: int = 0) -> int:
         self._call()
-        number, name = next(self.numbers), Path(path).name
-        if Path(path) == FOLDER:
+        number, name = next(self.descriptors), Path(path).name
+        if Path(path) == DIRECTORY:
             self.open_files[number] = [None, 0]
             return number
         if name not in self.names:
@@ -74,25 +78,25 @@
         del self.open_files[number]
 
     def write(self, number: int, data: bytes) -> int:
-        file, at = self.open_files[number]
-        part = max(1, len(data) // 2)
-        file.data[at : at + part] = bytes(data[:part])
-        self.open_files[number][1] = at + part
+        file, offset = self.open_files[number]
+        written = max(1, len(data) // 2)
+        file.data[offset : offset + written] = bytes(data[:written])
+        self.open_files[number][1] = offset + written
         self._call()
-        return part
+        return written
 
     def read(self, number: int, size: int) -> bytes:
         self._call()
-        file, at = self.open_files[number]
-        self.open_files[number][1] = min(len(file.data), at + size)
-        return bytes(file.data[at : at + size])
+        file, offset = self.open_files[number]
+        self.open_files[number][1] = min(len(file.data), offset + size)
+        return bytes(file.data[offset : offset + size])
 
     def makedirs(self, _: os.PathLike, exist_ok: bool) -> None:
-        """The folder is there."""
+        """Do nothing: the directory exists."""
 
-    def lseek(self, number: int, at: int, _: int) -> None:
+    def lseek(self, number: int, offset: int, _: int) -> None:
         self._call()
-        self.open_files[number][1] = at
+        self.open_files[number][1] = offset
 
     def ftruncate(self, number: int, size: int) -> None:
         self._call()
@@ -107,7 +111,7 @@
             self.synced_names = dict(self.names)
         else:
             file.synced = bytes(file.data)
-            for name, other in self.names.items():  # a new file lasts with its own sync
+            for name, other in self.names.items():  # syncing a new file makes its name durable too
                 if other is file:
                     self.synced_names.setdefault(name, file)
 
@@ -117,119 +121,121 @@
         self._call()
         self.names[Path(target).name] = self.names.pop(Path(source).name)
 
-    def after_power_loss(self, names_kept: bool, data_kept: bool) -> FakeDisk:
-        """What a start finds."""
+    def after_power_loss(self, keep_names: bool, keep_data: bool) -> FakeDisk:
+        """Return the disk that a restart finds."""
         disk = FakeDisk()
-        names = self.names if names_kept else self.synced_names
+        names = self.names if keep_names else self.synced_names
         for name, file in names.items():
-            found = disk.names[name] = File()
-            found.data = bytearray(file.data if data_kept else file.synced)
-            found.synced = bytes(found.data)
+            survivor = disk.names[name] = File()
+            survivor.data = bytearray(file.data if keep_data else file.synced)
+            survivor.synced = bytes(survivor.data)
         disk.synced_names = dict(disk.names)
         return disk
 
     def after_kill(self) -> FakeDisk:
-        return self.after_power_loss(names_kept=True, data_kept=True)
+        return self.after_power_loss(keep_names=True, keep_data=True)
 
 
-def opened(disk: FakeDisk) -> tuple[AppendLog, list[Record]]:
-    """A journal on a disk, with what it found."""
-    with on(disk):
-        journal = AppendLog(str(FOLDER))
-        return journal, journal.open()
+def open_log(disk: FakeDisk) -> tuple[AppendLog, list[Record]]:
+    """Open the log on a disk; return it with its records."""
+    with use_disk(disk):
+        log = AppendLog(str(DIRECTORY))
+        return log, log.open()
 
 
-def on(disk: FakeDisk):
-    """All calls of the journal's module go to this disk."""
-    return mock.patch.object(journal_module, "os", disk)
+def use_disk(disk: FakeDisk):
+    """Send the `os` calls of the append log module to this disk."""
+    return mock.patch.object(append_log_module, "os", disk)
 
 
-def started(disk: FakeDisk) -> list[Record]:
-    return opened(disk)[1]
+def records_after_restart(disk: FakeDisk) -> list[Record]:
+    return open_log(disk)[1]
 
 
-class Faults(unittest.TestCase):
-    def prepared(self) -> tuple[FakeDisk, AppendLog]:
+class FaultTest(unittest.TestCase):
+    def prepare(self) -> tuple[FakeDisk, AppendLog]:
         disk = FakeDisk()
-        journal, _ = opened(disk)
-        with on(disk):
-            journal.append([FIRST, SECOND])
+        log, _ = open_log(disk)
+        with use_disk(disk):
+            log.append([FIRST, SECOND])
         disk.calls = 0
-        return disk, journal
+        return disk, log
 
-    def calls_of(self, work: Callable[[AppendLog], None]) -> int:
-        disk, journal = self.prepared()
-        with on(disk):
-            work(journal)
+    def count_calls(self, operation: Callable[[AppendLog], None]) -> int:
+        disk, log = self.prepare()
+        with use_disk(disk):
+            operation(log)
         return disk.calls
 
     def check(self, disk: FakeDisk, allowed: tuple[list[Record], ...], where: object) -> None:
-        for names_kept, data_kept in itertools.product((True, False), repeat=2):
-            found = started(disk.after_power_loss(names_kept, data_kept))
-            self.assertIn(found, allowed, (where, names_kept, data_kept))
+        for keep_names, keep_data in itertools.product((True, False), repeat=2):
+            records = records_after_restart(disk.after_power_loss(keep_names, keep_data))
+            self.assertIn(records, allowed, (where, keep_names, keep_data))
 
-    def after_any_fault(self, work: Callable[[AppendLog], None], after: list[Record]) -> None:
-        """Fails each call of `work` once, appends a record behind it, and starts anew."""
+    def check_any_fault(self, operation: Callable[[AppendLog], None], after: list[Record]) -> None:
+        """Fail each call of an operation once, append a record after it, and restart."""
         before = [FIRST, SECOND]
-        for at in range(1, self.calls_of(work) + 1):
-            disk, journal = self.prepared()
+        for at in range(1, self.count_calls(operation) + 1):
+            disk, log = self.prepare()
             disk.fail_at = at
-            with on(disk):
+            with use_disk(disk):
                 try:
-                    work(journal)
-                    refused = False
+                    operation(log)
+                    has_failed = False
                 except OSError:
-                    refused = True
-                state = (before, after) if refused else (after,)
+                    has_failed = True
+                state = (before, after) if has_failed else (after,)
                 self.check(disk, state, at)
-                journal.append([THIRD])
+                log.append([THIRD])
             self.check(disk, tuple([*records, THIRD] for records in state), (at, "appended"))
 
-    def after_power_loss_at_any_call(self, work: Callable[[AppendLog], None], after: list[Record]) -> None:
-        for at in range(1, self.calls_of(work) + 1):
-            disk, journal = self.prepared()
+    def check_power_loss_at_any_call(self, operation: Callable[[AppendLog], None], after: list[Record]) -> None:
+        for at in range(1, self.count_calls(operation) + 1):
+            disk, log = self.prepare()
             disk.power_off_at = at
-            with on(disk), self.assertRaises(PowerLost):
-                work(journal)
-            for names_kept, data_kept in itertools.product((True, False), repeat=2):
-                found = started(disk.after_power_loss(names_kept, data_kept))
-                self.assertIn(found[:2] if after != [WHOLE] else found, ([FIRST, SECOND], after), (at, names_kept, data_kept))
+            with use_disk(disk), self.assertRaises(PowerLost):
+                operation(log)
+            for keep_names, keep_data in itertools.product((True, False), repeat=2):
+                records = records_after_restart(disk.after_power_loss(keep_names, keep_data))
+                self.assertIn(
+                    records[:2] if after != [SNAPSHOT] else records, ([FIRST, SECOND], after), (at, keep_names, keep_data)
+                )
 
-    def test_any_call_of_an_append_fails(self):
-        self.after_any_fault(lambda journal: journal.append([WHOLE]), [FIRST, SECOND, WHOLE])
+    def test_append_with_any_call_failing(self):
+        self.check_any_fault(lambda log: log.append([SNAPSHOT]), [FIRST, SECOND, SNAPSHOT])
 
-    def test_any_call_of_a_rewrite_fails(self):
-        """Shown with a folder sync that failed once: what was appended next, and said to last, was gone."""
-        self.after_any_fault(lambda journal: journal.rewrite([WHOLE]), [WHOLE])
+    def test_rewrite_with_any_call_failing(self):
+        """Regression: after a failed directory sync, the next acknowledged records were lost."""
+        self.check_any_fault(lambda log: log.rewrite([SNAPSHOT]), [SNAPSHOT])
 
-    def test_the_power_is_lost_at_any_call_of_an_append(self):
-        self.after_power_loss_at_any_call(lambda journal: journal.append([WHOLE]), [FIRST, SECOND, WHOLE])
+    def test_append_with_power_loss_at_any_call(self):
+        self.check_power_loss_at_any_call(lambda log: log.append([SNAPSHOT]), [FIRST, SECOND, SNAPSHOT])
 
-    def test_the_power_is_lost_at_any_call_of_a_rewrite(self):
-        self.after_power_loss_at_any_call(lambda journal: journal.rewrite([WHOLE]), [WHOLE])
+    def test_rewrite_with_power_loss_at_any_call(self):
+        self.check_power_loss_at_any_call(lambda log: log.rewrite([SNAPSHOT]), [SNAPSHOT])
 
-    def test_any_call_of_an_open_fails_and_the_next_open_finds_all(self):
-        disk, journal = self.prepared()
+    def test_open_after_an_open_with_any_call_failing(self):
+        disk, log = self.prepare()
         for at in range(1, 12):
             disk.calls, disk.fail_at = 0, at
-            again = AppendLog(str(FOLDER))
-            with on(disk):
+            again = AppendLog(str(DIRECTORY))
+            with use_disk(disk):
                 try:
                     self.assertEqual(again.open(), [FIRST, SECOND], at)
                 except OSError:
                     pass
             disk.fail_at = -1
-            self.assertEqual(started(disk.after_kill()), [FIRST, SECOND], at)
+            self.assertEqual(records_after_restart(disk.after_kill()), [FIRST, SECOND], at)
             self.check(disk, ([FIRST, SECOND],), at)
 
-    def test_any_call_of_the_first_open_fails_or_loses_the_power(self):
+    def test_first_open_with_any_call_failing_or_losing_power(self):
         for at in range(1, 9):
             for fault in ("fail_at", "power_off_at"):
                 disk = FakeDisk()
                 setattr(disk, fault, at)
-                with on(disk):
+                with use_disk(disk):
                     try:
-                        self.assertEqual(AppendLog(str(FOLDER)).open(), [])
+                        self.assertEqual(AppendLog(str(DIRECTORY)).open(), [])
                     except (OSError, PowerLost):
                         pass
                 self.check(disk, ([],), (at, fault))
@@ -239,12 +245,12 @@
     @given(
         steps=st.lists(st.sampled_from(["append", "rewrite", "kill"]), min_size=1, max_size=8),
         fail_at=st.lists(st.integers(1, 60), max_size=4),
-        names_kept=st.booleans(),
-        data_kept=st.booleans(),
+        keep_names=st.booleans(),
+        keep_data=st.booleans(),
     )
-    def test_any_row_of_calls_and_faults_keeps_what_was_said_to_last(self, steps, fail_at, names_kept, data_kept):
-        disk, journal = self.prepared()
-        lasting, unsure, number = [FIRST, SECOND], [[FIRST, SECOND]], itertools.count()
+    def test_any_sequence_of_calls_and_faults_keeps_durable_records(self, steps, fail_at, keep_names, keep_data):
+        disk, log = self.prepare()
+        durable, possible, number = [FIRST, SECOND], [[FIRST, SECOND]], itertools.count()
         failures = iter(sorted(set(fail_at)))
         disk.fail_at = next(failures, -1)
         for step in steps:
@@ -252,52 +258,52 @@
             if disk.calls >= disk.fail_at > 0:
                 disk.fail_at = next((at for at in failures if at > disk.calls), -1)
             if step == "kill":
-                disk, journal = disk.after_kill(), AppendLog(str(FOLDER))
-            with on(disk):
+                disk, log = disk.after_kill(), AppendLog(str(DIRECTORY))
+            with use_disk(disk):
                 try:
                     if step == "kill":
-                        lasting = journal.open()
-                        self.assertIn(lasting, unsure)
+                        durable = log.open()
+                        self.assertIn(durable, possible)
                     elif step == "append":
-                        journal.append([record])
-                        lasting = [*lasting, record]
+                        log.append([record])
+                        durable = [*durable, record]
                     else:
-                        journal.rewrite([WHOLE, record])
-                        lasting = [WHOLE, record]
-                    unsure = [lasting]
+                        log.rewrite([SNAPSHOT, record])
+                        durable = [SNAPSHOT, record]
+                    possible = [durable]
                 except OSError:
-                    after = [WHOLE, record] if step == "rewrite" else [*lasting, record]
-                    unsure = [*unsure, after]
+                    after = [SNAPSHOT, record] if step == "rewrite" else [*durable, record]
+                    possible = [*possible, after]
                     if step == "rewrite" and decode_log(bytes(disk.names[LOG_NAME].data)).records == after:
-                        lasting = after  # it has the name already
-        self.assertIn(started(disk.after_power_loss(names_kept, data_kept)), unsure)
+                        durable = after  # the rename took effect
+        self.assertIn(records_after_restart(disk.after_power_loss(keep_names, keep_data)), possible)
 
 
-class Headers(unittest.TestCase):
-    def test_a_header_of_which_bytes_are_zero_was_never_synced(self):
-        """Shown by a loss of power: such a file was taken for another's at each start, for good."""
+class HeaderTest(unittest.TestCase):
+    def test_header_with_zero_bytes_was_never_synced(self):
+        """Regression after a power loss: each start rejected such a file as foreign."""
         for lost in range(1, 2 ** len(MAGIC)):
-            header = bytes(0 if lost >> place & 1 else byte for place, byte in enumerate(MAGIC))
+            header = bytes(0 if lost >> position & 1 else byte for position, byte in enumerate(MAGIC))
             if header == MAGIC:
-                continue  # the byte that was lost is zero in it
+                continue  # the lost byte is zero in the header anyway
             self.assertEqual(decode_log(header + b"\0" * 40).records, [], header)
 
-    def test_a_file_of_another_version_is_left_where_it_is(self):
+    def test_file_of_another_version_is_left_unchanged(self):
         disk = FakeDisk()
         disk.names[LOG_NAME] = File()
         disk.names[LOG_NAME].data = bytearray(b"MHCTL\x00\x02\n rest")
         with self.assertRaisesRegex(UnsupportedVersionError, "start the version that wrote it"):
-            started(disk)
+            records_after_restart(disk)
         self.assertEqual(list(disk.names), [LOG_NAME])
 
-    def test_a_foreign_file_is_set_aside_and_kept(self):
+    def test_foreign_file_is_moved_and_kept(self):
         with self.assertRaises(ForeignFileError):
             decode_log(b"something else altogether")
         disk = FakeDisk()
         disk.names[LOG_NAME] = File()
         disk.names[LOG_NAME].data = bytearray(b"something else altogether")
         with self.assertLogs("mulleinhatch.storage.append_log", "ERROR"):
-            self.assertEqual(started(disk), [])
+            self.assertEqual(records_after_restart(disk), [])
         self.assertEqual(bytes(disk.names[f"{LOG_NAME}.foreign"].data), b"something else altogether")
         self.assertNotIn(REWRITE_NAME, disk.names)
 
--- a/tests/system/test_storage.py
+++ b/tests/system/test_storage.py
@@ -1,4 +1,4 @@
-"""The control plane's file: cut at every byte, damaged at every byte, rewritten with the process killed at every step."""
+"""Test the control state file: truncated and damaged at every byte, and rewritten with a failure at every step."""
 
 from __future__ import annotations
 
@@ -10,103 +10,106 @@
 
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot, View, VoterState
-from mulleinhatch.storage import append_log as journal_module
+from mulleinhatch.storage import append_log as append_log_module
 from mulleinhatch.storage.append_log import LOG_NAME, AppendLog
 from mulleinhatch.storage.records import MAGIC, ForeignFileError, Record, RecordKind, decode_log, encode_record
 
 RECORDS = [Record(RecordKind.IDENTITY, b"disk-1"), Record(RecordKind.ENTRY, b"x" * 300), Record(RecordKind.COMMIT, b"12345678")]
 
 
-class RecordBytes(unittest.TestCase):
-    def test_cut_at_every_byte_gives_the_whole_records_before_the_cut(self):
+class RecordFormatTest(unittest.TestCase):
+    def test_truncated_file_yields_the_complete_records_before_the_end(self):
         data = MAGIC + b"".join(encode_record(record) for record in RECORDS)
         ends = [len(MAGIC)]
         for record in RECORDS:
             ends.append(ends[-1] + len(encode_record(record)))
-        for cut in range(len(data) + 1):
-            contents = decode_log(data[:cut])
-            whole = sum(end <= cut for end in ends[1:])
-            self.assertEqual(contents.records, RECORDS[:whole], cut)
-            self.assertLessEqual(contents.valid_size, cut)
+        for size in range(len(data) + 1):
+            contents = decode_log(data[:size])
+            complete = sum(end <= size for end in ends[1:])
+            self.assertEqual(contents.records, RECORDS[:complete], size)
+            self.assertLessEqual(contents.valid_size, size)
 
-    def test_a_flipped_bit_ends_the_reading_there(self):
+    def test_flipped_bit_ends_the_reading(self):
         data = bytearray(MAGIC + b"".join(encode_record(record) for record in RECORDS))
         first = len(MAGIC) + len(encode_record(RECORDS[0]))
-        for at in range(first, len(data)):
+        for offset in range(first, len(data)):
             damaged = bytearray(data)
-            damaged[at] ^= 0x10
+            damaged[offset] ^= 0x10
             records = decode_log(bytes(damaged)).records
-            self.assertEqual(records, RECORDS[: len(records)], at)
+            self.assertEqual(records, RECORDS[: len(records)], offset)
             self.assertLess(len(records), len(RECORDS))
 
-    def test_another_file_is_refused(self):
+    def test_foreign_file_is_rejected(self):
         with self.assertRaises(ForeignFileError):
             decode_log(b"something else altogether")
 
 
-class JournalFile(unittest.TestCase):
+class AppendLogTest(unittest.TestCase):
     def setUp(self):
-        self.folder = tempfile.mkdtemp(dir=os.environ.get("TMPDIR"))
-        self.path = Path(self.folder) / LOG_NAME
+        self.directory = tempfile.mkdtemp(dir=os.environ.get("TMPDIR"))
+        self.path = Path(self.directory) / LOG_NAME
 
     def open(self):
-        journal = AppendLog(self.folder)
-        self.addCleanup(journal.close)
-        return journal, journal.open()
-
-    def test_what_was_appended_is_read_again(self):
-        journal, found = self.open()
-        self.assertEqual(found, [])
-        journal.append(RECORDS[:2])
-        journal.append(RECORDS[2:])
+        log = AppendLog(self.directory)
+        self.addCleanup(log.close)
+        return log, log.open()
+
+    def test_appended_records_are_read_again(self):
+        log, records = self.open()
+        self.assertEqual(records, [])
+        log.append(RECORDS[:2])
+        log.append(RECORDS[2:])
         self.assertEqual(self.open()[1], RECORDS)
 
-    def test_a_torn_end_is_cut_off_and_written_over(self):
-        journal, _ = self.open()
-        journal.append(RECORDS)
+    def test_torn_end_is_truncated_and_overwritten(self):
+        log, _ = self.open()
+        log.append(RECORDS)
         size = self.path.stat().st_size
         with open(self.path, "ab") as file:
             file.write(encode_record(RECORDS[1])[:50])
-        again, found = self.open()
-        self.assertEqual(found, RECORDS)
+        reopened, records = self.open()
+        self.assertEqual(records, RECORDS)
         self.assertEqual(self.path.stat().st_size, size)
-        again.append(RECORDS[:1])
+        reopened.append(RECORDS[:1])
         self.assertEqual(self.open()[1], [*RECORDS, RECORDS[0]])
 
-    def test_a_refused_append_leaves_nothing_behind(self):
-        journal, _ = self.open()
-        journal.append(RECORDS[:1])
-        with mock.patch.object(journal_module.os, "fdatasync", side_effect=OSError(28, "no space")), self.assertRaises(OSError):
-            journal.append(RECORDS[1:2])
-        journal.append(RECORDS[2:])
+    def test_failed_append_leaves_nothing_behind(self):
+        log, _ = self.open()
+        log.append(RECORDS[:1])
+        with (
+            mock.patch.object(append_log_module.os, "fdatasync", side_effect=OSError(28, "no space")),
+            self.assertRaises(OSError),
+        ):
+            log.append(RECORDS[1:2])
+        log.append(RECORDS[2:])
         self.assertEqual(self.open()[1], [RECORDS[0], RECORDS[2]])
 
-    def test_a_rewrite_that_fails_at_any_step_leaves_the_old_file(self):
+    def test_failed_rewrite_leaves_the_old_file(self):
         for step in ("fsync", "replace"):
-            journal, _ = self.open()
-            journal.rewrite(RECORDS)
-            with mock.patch.object(journal_module.os, step, side_effect=OSError(5, "gone")), self.assertRaises(OSError):
-                journal.rewrite(RECORDS[:1])
+            log, _ = self.open()
+            log.rewrite(RECORDS)
+            with mock.patch.object(append_log_module.os, step, side_effect=OSError(5, "gone")), self.assertRaises(OSError):
+                log.rewrite(RECORDS[:1])
             self.assertEqual(self.open()[1], RECORDS, step)
 
-    def test_a_rewrite_syncs_the_new_file_before_its_name_and_the_folder_after(self):
-        journal, _ = self.open()
+    def test_rewrite_syncs_the_file_before_and_the_directory_after_the_rename(self):
+        log, _ = self.open()
         calls = []
         real = {name: getattr(os, name) for name in ("fsync", "replace")}
         with (
             mock.patch.object(
-                journal_module.os, "fsync", side_effect=lambda number: (calls.append("fsync"), real["fsync"](number))
+                append_log_module.os, "fsync", side_effect=lambda number: (calls.append("fsync"), real["fsync"](number))
             ),
             mock.patch.object(
-                journal_module.os, "replace", side_effect=lambda *a: (calls.append("replace"), real["replace"](*a))
+                append_log_module.os, "replace", side_effect=lambda *a: (calls.append("replace"), real["replace"](*a))
             ),
         ):
-            journal.rewrite(RECORDS)
+            log.rewrite(RECORDS)
         self.assertEqual(calls, ["fsync", "replace", "fsync"])
 
 
-class Replay(unittest.TestCase):
-    def test_state_that_records_make(self):
+class ReplayTest(unittest.TestCase):
+    def test_state_restored_from_records(self):
         entries = [Entry(index=index, epoch=1, kind=1, body=b"{}") for index in (3, 4, 5)]
         records = [
             Record(RecordKind.IDENTITY, b"disk-9"),
@@ -119,7 +122,7 @@
         self.assertEqual((state.identity, state.voter.view.epoch, state.snapshot.index, state.committed), ("disk-9", 7, 2, 4))
         self.assertEqual([entry.index for entry in state.entries], [3, 4, 5])
 
-    def test_an_entry_written_again_replaces_those_from_its_place_on(self):
+    def test_rewritten_entry_replaces_the_entries_from_its_index_on(self):
         old = [Entry(index=index, epoch=1) for index in (1, 2, 3)]
         state = replay(entry_records([*old, Entry(index=2, epoch=4)]))
         self.assertEqual([(entry.index, entry.epoch) for entry in state.entries], [(1, 1), (2, 4)])
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -68,7 +68,7 @@
         self.assertIs(run_proposal(late, machines, "bca"), ProposalOutcome.PREEMPTED)
         self.assertEqual(late.highest_number, 5)
 
-    def test_later_promise_rejects_accept_of_lower_proposal_number(self):
+    def test_later_prepare_rejects_accept_of_lower_proposal_number(self):
         machines = voters("a", "b", "c")
         early = proposal(1, "a", [A, B])
         run_proposal(early, machines, "ab", until="prepare")
@@ -191,8 +191,8 @@
         for lost in itertools.product("abc", repeat=3):
             view = FIRST
             machines = {node.identity: node for node in (A, B, C)}
-            for number, letter in enumerate(lost):
-                removed = sorted(machines)["abc".index(letter)]
+            for number, original in enumerate(lost):
+                removed = sorted(machines)["abc".index(original)]
                 newcomer = member(f"n{number}")
                 del machines[removed]
                 machines[newcomer.identity] = newcomer
