--- a/mulleinhatch/configuration/routes.py
+++ b/mulleinhatch/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The route table of one configuration: an immutable snapshot that a data plane swaps whole."""
+"""The route table of one configuration: an immutable snapshot that a data plane replaces as a whole."""
 
 from __future__ import annotations
 
@@ -7,38 +7,65 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mulleinhatch.configuration.document import Document, services_of
+from mulleinhatch.configuration.document import Document
+from mulleinhatch.configuration.validation import weighted_services
+
+DEFAULT_CONNECTION_LIMIT = 1024
+DEFAULT_HEALTH_CHECK_PATH = "/health"
 
 
 @dataclass(frozen=True)
 class Route:
-    """One route. Times in seconds."""
+    """One route.
+
+    Attributes:
+        name: Its name in the configuration.
+        host: The host that it serves, in lower case.
+        path_prefix: Begins and ends with a slash.
+        kind: "safe", "unsafe" or "streaming".
+        timeout_s: When a request fails.
+        target_latency_s: The latency to aim for; the timeout where the configuration gives none.
+        priority: A lower number is more important.
+        max_attempts: How often a request may be sent to a backend, 1 at least.
+        is_resumable: Whether another backend can resume an event stream.
+        target_gap_s: The longest gap between two events of a stream to aim for, 0 for none.
+        weighted_services: The services that share the requests, with their weights.
+    """
 
     name: str
     host: str
     path_prefix: str
     kind: str
     timeout_s: float
-    target_s: float
+    target_latency_s: float
     priority: int
     max_attempts: int
-    resumable: bool
-    gap_s: float
-    shares: tuple[tuple[str, float], ...]
+    is_resumable: bool
+    target_gap_s: float
+    weighted_services: tuple[tuple[str, float], ...]
 
     @property
-    def streaming(self) -> bool:
+    def is_streaming(self) -> bool:
+        """Whether the response is an event stream."""
         return self.kind == "streaming"
 
     @property
-    def idempotent(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == "safe" or (self.streaming and self.resumable)
+        return self.kind == "safe" or (self.is_streaming and self.is_resumable)
 
 
 @dataclass(frozen=True)
-class ModelFacts:
-    """What the configuration tells of a model. Sizes in MB, `load_s` from the weight store."""
+class ModelSpec:
+    """A model as configured.
+
+    Attributes:
+        name: Its name.
+        weights_mb: The size of its weights in MB.
+        load_s: How long it takes to load from the weight store.
+        adapters: How many adapters it has.
+        adapter_size_mb: The size of an adapter in MB.
+    """
 
     name: str
     weights_mb: float
@@ -48,23 +75,34 @@
 
 
 @dataclass(frozen=True)
-class Engine:
-    """What the configuration tells of the backends of a service that hold models."""
+class EngineSpec:
+    """The backends of a service that serve models, as configured.
+
+    Attributes:
+        slots: Requests that a backend runs at the same time.
+        weights_mb: The memory of a backend for weights in MB.
+        adapter_slots: Adapters that a backend can hold.
+        loads_per_s: Loads from the weight store that may begin per second.
+        kv_cache_tokens: The size of a backend's prefix cache in tokens.
+        models: The models by name.
+    """
 
     slots: int
     weights_mb: float
     adapter_slots: int
     loads_per_s: float
     kv_cache_tokens: int
-    models: Mapping[str, ModelFacts]
+    models: Mapping[str, ModelSpec]
 
 
 @dataclass(frozen=True)
 class Service:
+    """A service as configured; `engine` is None where its backends serve no models."""
+
     name: str
     connection_limit: int
     health_check_path: str
-    engine: Engine | None
+    engine: EngineSpec | None
 
 
 @dataclass(frozen=True)
@@ -79,100 +117,111 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """Routes, services and limits of one version."""
+    """Routes, services and limits of one configuration version.
+
+    Attributes:
+        version: The configuration's version.
+        hosts: The routes of each host, the longest path prefix first.
+        services: The services by name.
+        limits: Bounds of what a client may send.
+    """
 
     version: int = 0
-    hosts: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)  # longest prefix first
+    hosts: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
     services: Mapping[str, Service] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request: its host's longest prefix that begins the path."""
+        """Return the host's route with the longest prefix of the path, or None."""
         for route in self.hosts.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-def _route(item: Mapping[str, Any]) -> Route:
-    timeout = item["timeout_ms"] / 1000.0
-    return Route(
-        item["name"],
-        item["host"].lower(),
-        item["path_prefix"],
-        item.get("kind", "unsafe"),
-        timeout,
-        item.get("target_latency_ms", 0) / 1000.0 or timeout,
-        int(item.get("priority", 0)),
-        max(1, int(item.get("max_attempts", 1))),
-        bool(item.get("resumable", False)),
-        item.get("gap_aim_ms", 0) / 1000.0,
-        tuple(services_of(item)),
+def build_route_table(document: Document) -> RouteTable:
+    """Return the route table of a validated configuration."""
+    hosts: dict[str, list[Route]] = {}
+    for item in document.value["routes"]:
+        route = _build_route(item)
+        hosts.setdefault(route.host, []).append(route)
+    return RouteTable(
+        version=document.version,
+        hosts={host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix))) for host, routes in hosts.items()},
+        services={item["name"]: _build_service(item) for item in document.value["services"]},
+        limits=_build_limits(document.value.get("limits", {})),
     )
 
 
-def _figure(value: Any, usual: float, unusable: float) -> float:
-    """A finite number of the operator's, 0 or more; `usual` where there is none, `unusable` where it can't be used.
-
-    >>> _figure(2, 1.0, 0.0), _figure(None, 1.0, 0.0), _figure(-2, 1.0, 0.0), _figure("x", 1.0, 0.0)
-    (2.0, 1.0, 0.0, 0.0)
-    """
-    if value is None:
-        return usual
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
-        return unusable
-    return float(value)
+def _build_route(item: Mapping[str, Any]) -> Route:
+    timeout_s = item["timeout_ms"] / 1000.0
+    return Route(
+        name=item["name"],
+        host=item["host"].lower(),
+        path_prefix=item["path_prefix"],
+        kind=item.get("kind", "unsafe"),
+        timeout_s=timeout_s,
+        target_latency_s=item.get("target_latency_ms", 0) / 1000.0 or timeout_s,
+        priority=int(item.get("priority", 0)),
+        max_attempts=max(1, int(item.get("max_attempts", 1))),
+        is_resumable=bool(item.get("resumable", False)),
+        target_gap_s=item.get("gap_aim_ms", 0) / 1000.0,
+        weighted_services=tuple(weighted_services(item)),
+    )
 
 
-def _model(item: Mapping[str, Any]) -> ModelFacts:
-    """A model whose size can't be used fits nowhere: it is never ordered, and the others are."""
-    return ModelFacts(
-        str(item.get("name", "")),
-        _figure(item.get("weights_mb"), 0.0, math.inf),
-        _figure(item.get("load_s"), 1.0, 1.0),
-        int(_figure(item.get("adapters"), 0.0, 0.0)),
-        _figure(item.get("adapter_size_mb"), 0.0, math.inf),
+def _build_service(item: Mapping[str, Any]) -> Service:
+    return Service(
+        name=item["name"],
+        connection_limit=int(item.get("connection_limit", DEFAULT_CONNECTION_LIMIT)),
+        health_check_path=item.get("health_check_path", DEFAULT_HEALTH_CHECK_PATH),
+        engine=_build_engine(item.get("engine")),
     )
 
 
-def _engine(value: Mapping[str, Any] | None) -> Engine | None:
+def _build_engine(value: Mapping[str, Any] | None) -> EngineSpec | None:
     if not value:
         return None
-    models = [_model(item) for item in value.get("models") or () if isinstance(item, Mapping)]
-    return Engine(
-        max(1, int(_figure(value.get("slots"), 1.0, 1.0))),
-        _figure(value.get("weights_mb"), 0.0, 0.0),
-        int(_figure(value.get("adapter_slots"), 0.0, 0.0)),
-        _figure(value.get("loads_per_s"), 1.0, 0.0),
-        int(_figure(value.get("kv_cache_tokens"), 0.0, 0.0)),
-        {model.name: model for model in models if model.name},
+    models = [_build_model(item) for item in value.get("models") or () if isinstance(item, Mapping)]
+    return EngineSpec(
+        slots=max(1, int(_usable_number(value.get("slots"), 1.0, 1.0))),
+        weights_mb=_usable_number(value.get("weights_mb"), 0.0, 0.0),
+        adapter_slots=int(_usable_number(value.get("adapter_slots"), 0.0, 0.0)),
+        loads_per_s=_usable_number(value.get("loads_per_s"), 1.0, 0.0),
+        kv_cache_tokens=int(_usable_number(value.get("kv_cache_tokens"), 0.0, 0.0)),
+        models={model.name: model for model in models if model.name},
+    )
+
+
+def _build_model(item: Mapping[str, Any]) -> ModelSpec:
+    """Return a model; one whose size is unusable gets an infinite size, so that it is never loaded and the others are."""
+    return ModelSpec(
+        name=str(item.get("name", "")),
+        weights_mb=_usable_number(item.get("weights_mb"), 0.0, math.inf),
+        load_s=_usable_number(item.get("load_s"), 1.0, 1.0),
+        adapters=int(_usable_number(item.get("adapters"), 0.0, 0.0)),
+        adapter_size_mb=_usable_number(item.get("adapter_size_mb"), 0.0, math.inf),
     )
 
 
-def _limits(value: Mapping[str, Any]) -> Limits:
-    usual = Limits()
+def _build_limits(value: Mapping[str, Any]) -> Limits:
+    default = Limits()
     return Limits(
-        int(value.get("max_header_bytes", usual.max_header_bytes)),
-        int(value.get("max_body_bytes", usual.max_body_bytes)),
-        value.get("header_timeout_ms", 1000 * usual.header_timeout_s) / 1000.0,
-        value.get("idle_timeout_ms", 1000 * usual.idle_timeout_s) / 1000.0,
+        max_header_bytes=int(value.get("max_header_bytes", default.max_header_bytes)),
+        max_body_bytes=int(value.get("max_body_bytes", default.max_body_bytes)),
+        header_timeout_s=value.get("header_timeout_ms", 1000 * default.header_timeout_s) / 1000.0,
+        idle_timeout_s=value.get("idle_timeout_ms", 1000 * default.idle_timeout_s) / 1000.0,
     )
 
 
-def build_table(document: Document) -> RouteTable:
-    """The snapshot of a checked configuration."""
-    hosts: dict[str, list[Route]] = {}
-    for item in document.value["routes"]:
-        route = _route(item)
-        hosts.setdefault(route.host, []).append(route)
-    ordered = {host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix))) for host, routes in hosts.items()}
-    services = {
-        item["name"]: Service(
-            item["name"],
-            int(item.get("connection_limit", 1024)),
-            item.get("health_check_path", "/health"),
-            _engine(item.get("engine")),
-        )
-        for item in document.value["services"]
-    }
-    return RouteTable(document.version, ordered, services, _limits(document.value.get("limits", {})))
+def _usable_number(value: Any, default: float, unusable: float) -> float:
+    """Return a finite number of at least 0: `default` where the value is missing, `unusable` where it is no such number.
+
+    >>> _usable_number(2, 1.0, 0.0), _usable_number(None, 1.0, 0.0), _usable_number(-2, 1.0, 0.0), _usable_number("x", 1.0, 0.0)
+    (2.0, 1.0, 0.0, 0.0)
+    """
+    if value is None:
+        return default
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
+        return unusable
+    return float(value)
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -19,7 +19,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from mulleinhatch.configuration.routes import Engine, RouteTable, build_table
+from mulleinhatch.configuration.routes import EngineSpec, RouteTable, build_route_table
 from mulleinhatch.control_plane.placement.backend_state import BackendState
 from mulleinhatch.control_plane.placement.demand import DemandAggregator
 from mulleinhatch.control_plane.placement.interfaces import ClusterMember
@@ -85,9 +85,9 @@
         for invalid in self.demand.merge_report(report, self._clock()):
             fields = {"data_plane": invalid.data_plane, "model": invalid.model, "reason": str(invalid)}
             LOG.warning("ignored invalid demand figures of a data plane", extra=fields)
-        if any(entry.held for entry in report.demand):
+        if any(entry.pending_requests for entry in report.demand):
             self._reconcile_soon.set()
-        return DemandResponse(taken=self.leadership.is_acting)
+        return DemandResponse(accepted=self.leadership.is_acting)
 
     async def run(self) -> None:
         """Reconcile at each interval, and without delay after a report or when requests are pending."""
@@ -104,13 +104,13 @@
             await asyncio.sleep(min(RECONCILE_INTERVAL_S, RECONCILE_REST_FACTOR * duration_s))
 
     async def reconcile(self) -> None:
-        """Claim leadership if it is vacant; if this instance leads, poll backends and issue orders."""
+        """Claim leadership if it is vacant; if this instance can_lead, poll backends and issue orders."""
         lease_state = self.leadership.observe()
         if lease_state is LeaseState.CLAIMING:
             is_first_claim = not self._node.state.leader
             if await self.leadership.acquire():
                 self._start_leading(is_first_claim)
-        elif lease_state is LeaseState.ACTING:
+        elif lease_state is LeaseState.LEADER:
             self._reconcile_services()
 
     def _start_leading(self, is_first_claim: bool) -> None:
@@ -128,12 +128,12 @@
         now = self._clock()
         document = self._node.state.document
         if self._table.version != document.version:
-            self._table = build_table(document)
+            self._table = build_route_table(document)
         for service in self._table.services.values():
             if service.engine is not None:
                 self._reconcile_service(service.name, service.engine, now)
 
-    def _reconcile_service(self, service: str, engine: Engine, now: float) -> None:
+    def _reconcile_service(self, service: str, engine: EngineSpec, now: float) -> None:
         backends = self._available_backends(service)
         for backend in backends.values():
             self._observe_backend(backend, now)
--- a/mulleinhatch/control_plane/placement/leadership.py
+++ b/mulleinhatch/control_plane/placement/leadership.py
@@ -33,7 +33,7 @@
     @property
     def is_acting(self) -> bool:
         """Return whether the latest observation allowed this instance to issue orders."""
-        return self._lease.acting
+        return self._lease.is_leader
 
     def observe(self) -> LeaseState:
         """Observe the cluster and return the resulting state of the lease."""
@@ -41,12 +41,12 @@
 
     def confirm(self) -> bool:
         """Observe the cluster and return whether this instance may issue orders now."""
-        return self.observe() is LeaseState.ACTING
+        return self.observe() is LeaseState.LEADER
 
     async def acquire(self) -> bool:
         """Claim leadership and return whether this instance leads now."""
-        self._lease.claimed(await self.claim())
-        return self._lease.acting
+        self._lease.on_claim_committed(await self.claim())
+        return self._lease.is_leader
 
     async def claim(self) -> int:
         """Replicate a claim and return its fencing token, or 0 if it failed, for example because the disk is full."""
@@ -57,7 +57,7 @@
 
     def revoke(self) -> None:
         """Give up leadership after a backend has reported a higher fencing token; a new claim is needed."""
-        self._lease.outranked()
+        self._lease.on_higher_token()
 
     def _observation(self) -> LeadershipObservation:
         source = self._source
--- a/mulleinhatch/control_plane/placement/plan_draft.py
+++ b/mulleinhatch/control_plane/placement/plan_draft.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from mulleinhatch.configuration.routes import Engine
+from mulleinhatch.configuration.routes import EngineSpec
 from mulleinhatch.control_plane.placement.backend_view import BackendView
 from mulleinhatch.control_plane.placement.demand import AggregatedDemand
 from mulleinhatch.control_plane.placement.order import Operation, Order
@@ -28,7 +28,7 @@
     """
 
     def __init__(
-        self, engine: Engine, backends: Sequence[BackendView], demand: Mapping[str, AggregatedDemand], now: float
+        self, engine: EngineSpec, backends: Sequence[BackendView], demand: Mapping[str, AggregatedDemand], now: float
     ) -> None:
         self.engine, self.demand, self.now = engine, demand, now
         self.backends = [backend for backend in backends if backend.is_serving]
--- a/mulleinhatch/data_plane/backend_selection.py
+++ b/mulleinhatch/data_plane/backend_selection.py
@@ -12,7 +12,7 @@
 from mulleinhatch.data_plane.backend_health import BackendHealthTracker
 from mulleinhatch.data_plane.connection_pool import ConnectionPool
 from mulleinhatch.data_plane.registry_snapshot import ModelName, RegisteredBackend, RegistrySnapshot
-from mulleinhatch.membership.rendezvous import weight
+from mulleinhatch.membership.rendezvous import rendezvous_weight
 
 COST_PER_RUNNING_REQUEST_S = 0.1  # what one more request of ours at a backend costs those after it
 NEW_CONNECTION_COST_S = 0.03  # opening a connection, with what it costs the backend
@@ -55,7 +55,7 @@
 
     if prefix and len(candidates) > 1:
         key = f"{name.model}/{name.adapter}/{prefix}"
-        home = max(candidates, key=lambda backend: weight(key, backend.id))  # rendezvous hashing
+        home = max(candidates, key=lambda backend: rendezvous_weight(key, backend.id))  # rendezvous hashing
         if expected_s(home) <= min(expected_s(backend) for backend in candidates) + PREFIX_AFFINITY_S:
             return home
 
--- a/mulleinhatch/data_plane/client_timeouts.py
+++ b/mulleinhatch/data_plane/client_timeouts.py
@@ -36,4 +36,4 @@
 
 def stream_abandoned_after_s(route: Route) -> float:
     """Return the seconds without an event after which the client of a stream disconnects."""
-    return max(STREAM_ABANDON_MIN_S, STREAM_ABANDON_TARGETS * route.target_s, STREAM_ABANDON_GAPS * route.gap_s)
+    return max(STREAM_ABANDON_MIN_S, STREAM_ABANDON_TARGETS * route.target_latency_s, STREAM_ABANDON_GAPS * route.target_gap_s)
--- a/mulleinhatch/data_plane/demand_tracker.py
+++ b/mulleinhatch/data_plane/demand_tracker.py
@@ -76,7 +76,7 @@
                 del self._rates[name]
                 continue
             demands.append(_demand(name, rate, queue, now))
-        demands.sort(key=lambda demand: (-demand.held, -demand.rate))
+        demands.sort(key=lambda demand: (-demand.pending_requests, -demand.rate))
         return demands[:MAX_REPORTED_MODELS]
 
 
@@ -86,9 +86,9 @@
         service=name.service,
         model=name.model,
         adapter=name.adapter,
-        held=len(waiting),
+        pending_requests=len(waiting),
         rate=rate.requests,
-        worth_rate=rate.value,
+        value_rate=rate.value,
         running=queue.running if queue is not None else 0,
         oldest_wait_ms=int(1000 * max((now - pending.arrived_at for pending in waiting), default=0.0)),
         least_remaining_ms=int(1000 * max(0.0, min((pending.deadline - now for pending in waiting), default=0.0))),
--- a/mulleinhatch/data_plane/request_context.py
+++ b/mulleinhatch/data_plane/request_context.py
@@ -64,8 +64,8 @@
         self.prompt = read_prompt(head)
         self.request_id = head.first.get(b"request-id", b"")
         self.name = ModelName(service, self.prompt.model, self.prompt.adapter)
-        is_resumable = route.streaming and route.resumable
-        self.state = RequestState(route.idempotent, is_resumable, route.max_attempts)
+        is_resumable = route.is_streaming and route.is_resumable
+        self.state = RequestState(route.is_idempotent, is_resumable, route.max_attempts)
         self.event_filter = EventStreamFilter(head.first.get(b"last-event-id", b"")) if is_resumable else None
 
     @property
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -82,7 +82,7 @@
             self,
             context.name,
             route.priority,
-            route.target_s,
+            route.target_latency_s,
             context.prompt.session,
             services.loop.time(),
             context.deadline,
@@ -140,7 +140,7 @@
     def on_first_byte(self, latency_s: float) -> None:
         """Log a response that starts after the route's latency target."""
         waited_s = self._services.loop.time() - self.pending.arrived_at
-        if waited_s > self.context.route.target_s:
+        if waited_s > self.context.route.target_latency_s:
             self._services.request_log.late(self, waited_s, latency_s)
 
     def on_rejected_by_backend(self, attempt: Attempt, was_overloaded: bool) -> None:
--- a/mulleinhatch/data_plane/request_scheduler.py
+++ b/mulleinhatch/data_plane/request_scheduler.py
@@ -67,11 +67,11 @@
         """Queue a client's request; it may be started or rejected at once."""
         now, name, pending = self._loop.time(), request.context.name, request.pending
         self._limit_wait(request)
-        if request.context.route.streaming:
+        if request.context.route.is_streaming:
             pending.deadline = min(pending.deadline, pending.arrived_at + stream_abandoned_after_s(request.context.route))
         self._requests.add(request)
         if name.model:
-            delay_s = FEASIBILITY_CHECK_FRACTION * request.context.route.target_s
+            delay_s = FEASIBILITY_CHECK_FRACTION * request.context.route.target_latency_s
             self._loop.call_later(delay_s, self._check_feasibility, request)
         rejection = self._queue.enqueue(pending, now)
         is_available = bool(self._selector.available(name, now))
@@ -95,7 +95,7 @@
         if request.is_finished or pending.is_started or context.state.sends:
             return
         ready_in_s = self._readiness.ready_in_s(context.name)
-        if ready_in_s <= 0.0 or now + ready_in_s + DEFAULT_SERVICE_S <= pending.arrived_at + context.route.target_s:
+        if ready_in_s <= 0.0 or now + ready_in_s + DEFAULT_SERVICE_S <= pending.arrived_at + context.route.target_latency_s:
             return
         is_retry = self._timeouts.is_probable_retry(context.route, context.deadline - pending.arrived_at)
         if is_retry and now + ready_in_s + RESPONSE_MARGIN_S < pending.deadline:
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -102,13 +102,13 @@
         """Decide by the response head what is done with the body."""
         route, state = self._context.route, self._context.state
         self._head = head
-        self._verdict = classify_response(head.status, head.first, route.idempotent)
+        self._verdict = classify_response(head.status, head.first, route.is_idempotent)
         if self._verdict is ResponseVerdict.NOT_EXECUTED:
             return
         if self._verdict is ResponseVerdict.UNUSABLE:
             self._attempt.close_connection()
             self.on_loss(Loss.BROKEN)
-        elif not route.streaming or head.status >= 300:
+        elif not route.is_streaming or head.status >= 300:
             self._buffer = []
         elif not state.is_response_started:
             self._forward_head(head.length)
@@ -199,9 +199,9 @@
         if self._stall_timer is not None:
             self._stall_timer.cancel()
         route = self._context.route
-        timeout_s = max(STREAM_STALL_TIMEOUT_S, STALL_TIMEOUT_GAPS * route.gap_s)
+        timeout_s = max(STREAM_STALL_TIMEOUT_S, STALL_TIMEOUT_GAPS * route.target_gap_s)
         if self._head is None:
-            timeout_s = max(timeout_s, STALL_TIMEOUT_TARGETS * route.target_s)
+            timeout_s = max(timeout_s, STALL_TIMEOUT_TARGETS * route.target_latency_s)
         self._stall_timer = self._loop.call_later(timeout_s, self._on_stall)
 
     def cancel_stall_timer(self) -> None:
--- a/tests/system/test_chain.py
+++ b/tests/system/test_chain.py
@@ -1,4 +1,4 @@
-"""The chain: recorded traces of appends, losses, returns and view changes between real replicas and their states."""
+"""Test chain replication by recorded traces of appends, losses, returns and view changes, and the control state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from mulleinhatch.messages.cluster import AppendRequest, Member, Snapshot, View
-from mulleinhatch.replication.chain import Replica, Write
+from mulleinhatch.replication.chain import LogWrite, Replica
 from mulleinhatch.replication.state import ChangeOutcome, ControlState, EntryKind
 
 
@@ -21,40 +21,42 @@
 
 
 class Chain:
-    """Replicas by name; messages are delivered when the trace says so."""
+    """Replicas by name. The trace decides when a message is delivered."""
 
     def __init__(self, names: str = "abc") -> None:
         self.replicas = {name: Replica(name) for name in names}
-        self.adopt(1, names)
+        self.adopt_view(1, names)
         for replica in self.replicas.values():
             replica.bootstrap()
 
-    def adopt(self, epoch: int, chain: str, by: str = "") -> None:
+    def adopt_view(self, epoch: int, chain: str, by: str = "") -> None:
         for name in by or chain:
-            self.replicas[name].adopt(view(epoch, chain))
+            self.replicas[name].adopt_view(view(epoch, chain))
 
     def propose(self, name: str, body: bytes) -> None:
         replica = self.replicas[name]
-        replica.written(replica.propose(int(EntryKind.CONFIGURATION), body, ""))
-
-    def append(self, sender: str, receiver: str, held: int | None = None) -> bool:
-        """One append and its answer; whether it was taken."""
-        one, other = self.replicas[sender], self.replicas[receiver]
-        request = AppendRequest().parse(bytes(one.append_for(other.last if held is None else held)))
-        write = other.receive(request)
+        replica.on_persisted(replica.propose(int(EntryKind.CONFIGURATION), body, ""))
+
+    def append(self, sender: str, receiver: str, successor_last_index: int | None = None) -> bool:
+        """Deliver one append and its response; return whether it was accepted."""
+        source, target = self.replicas[sender], self.replicas[receiver]
+        request = AppendRequest().parse(
+            bytes(source.build_append(target.last_index if successor_last_index is None else successor_last_index))
+        )
+        write = target.on_append(request)
         if write is None:
             return False
-        other.written(write)
-        other.received(request)
-        one.commit_to(other.committed)
+        target.on_persisted(write)
+        target.on_append_persisted(request)
+        source.commit_to(target.committed)
         return True
 
     def bodies(self, name: str) -> list[bytes]:
         return [entry.body for entry in self.replicas[name].entries]
 
 
-class Appends(unittest.TestCase):
-    def test_committed_when_the_tail_has_it(self):
+class AppendTest(unittest.TestCase):
+    def test_entry_is_committed_once_the_tail_persists_it(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b")
@@ -64,30 +66,30 @@
         chain.append("a", "b")
         self.assertEqual(chain.replicas["a"].committed, 1)
 
-    def test_an_append_that_comes_twice_changes_nothing(self):
+    def test_repeated_append_changes_nothing(self):
         chain = Chain()
         chain.propose("a", b"1")
-        chain.append("a", "b", held=0)
-        chain.append("a", "b", held=0)
+        chain.append("a", "b", successor_last_index=0)
+        chain.append("a", "b", successor_last_index=0)
         self.assertEqual(chain.bodies("b"), [b"1"])
 
-    def test_a_gap_is_refused(self):
+    def test_append_with_a_gap_is_rejected(self):
         chain = Chain()
         for body in (b"1", b"2"):
             chain.propose("a", body)
-        self.assertFalse(chain.append("a", "b", held=1))
-        self.assertTrue(chain.append("a", "b", held=0))
+        self.assertFalse(chain.append("a", "b", successor_last_index=1))
+        self.assertTrue(chain.append("a", "b", successor_last_index=0))
         self.assertEqual(chain.bodies("b"), [b"1", b"2"])
 
-    def test_nothing_is_taken_from_another_epoch_or_from_no_predecessor(self):
+    def test_append_of_another_epoch_or_sender_is_rejected(self):
         chain = Chain()
         chain.propose("a", b"1")
-        request = chain.replicas["a"].append_for(0)
-        self.assertIsNone(chain.replicas["c"].receive(request))
-        chain.adopt(2, "bc")
-        self.assertIsNone(chain.replicas["b"].receive(request))
+        request = chain.replicas["a"].build_append(0)
+        self.assertIsNone(chain.replicas["c"].on_append(request))
+        chain.adopt_view(2, "bc")
+        self.assertIsNone(chain.replicas["b"].on_append(request))
 
-    def test_who_is_far_behind_gets_a_snapshot(self):
+    def test_replica_behind_the_log_start_gets_a_snapshot(self):
         chain = Chain()
         state = ControlState()
         for number in (1, 2, 3):
@@ -96,144 +98,146 @@
         chain.append("b", "c")
         chain.append("a", "b")
         for index in (1, 2):
-            state.apply(chain.replicas["a"].entry(index))
+            state.apply(chain.replicas["a"].entry_at(index))
         chain.replicas["a"].compact(state.snapshot())
         self.assertEqual(len(chain.replicas["a"].entries), 1)
         chain.replicas["d"] = Replica("d")
-        chain.adopt(2, "ad")
-        self.assertTrue(chain.append("a", "d", held=0))
-        self.assertEqual((chain.replicas["d"].base.index, chain.replicas["d"].last, chain.replicas["a"].committed), (2, 3, 3))
+        chain.adopt_view(2, "ad")
+        self.assertTrue(chain.append("a", "d", successor_last_index=0))
+        self.assertEqual(
+            (chain.replicas["d"].base.index, chain.replicas["d"].last_index, chain.replicas["a"].committed), (2, 3, 3)
+        )
 
 
-class ViewChanges(unittest.TestCase):
-    def test_the_tail_goes_and_what_its_predecessor_holds_is_committed(self):
+class ViewChangeTest(unittest.TestCase):
+    def test_new_tail_commits_its_complete_log(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b")
-        chain.adopt(2, "ab")
+        chain.adopt_view(2, "ab")
         chain.append("a", "b")
         self.assertEqual([chain.replicas[name].committed for name in "ab"], [1, 1])
 
-    def test_the_head_goes_and_what_was_committed_stays(self):
+    def test_committed_entries_survive_the_loss_of_the_head(self):
         chain = Chain()
         chain.propose("a", b"1")
         chain.append("a", "b")
         chain.append("b", "c")
         chain.propose("a", b"lost")
-        chain.adopt(2, "bc")
+        chain.adopt_view(2, "bc")
         chain.propose("b", b"2")
         chain.append("b", "c")
         self.assertEqual(chain.bodies("c"), [b"1", b"2"])
         self.assertEqual(chain.replicas["b"].committed, 2)
 
-    def test_who_comes_back_drops_what_was_never_committed(self):
+    def test_returning_replica_drops_uncommitted_entries(self):
         chain = Chain()
         chain.propose("a", b"never committed")
-        chain.adopt(2, "bc")
+        chain.adopt_view(2, "bc")
         chain.propose("b", json.dumps({"version": 1, "routes": [], "services": []}).encode())
         chain.append("b", "c")
         state = ControlState()
-        state.apply(chain.replicas["b"].entry(1))
-        back = chain.replicas["a"]
-        back.adopt(view(2, "bc"))
-        back.written(Write(snapshot=state.snapshot(), truncate_to=0))
-        self.assertEqual((back.last, back.committed, back.entries), (1, 1, []))
-        chain.adopt(3, "bca")
-        self.assertFalse(back.log_complete)
+        state.apply(chain.replicas["b"].entry_at(1))
+        returning = chain.replicas["a"]
+        returning.adopt_view(view(2, "bc"))
+        returning.on_persisted(LogWrite(snapshot=state.snapshot(), truncate_to=0))
+        self.assertEqual((returning.last_index, returning.committed, returning.entries), (1, 1, []))
+        chain.adopt_view(3, "bca")
+        self.assertFalse(returning.log_complete)
         self.assertTrue(chain.append("c", "a"))
-        self.assertTrue(back.log_complete and back.is_tail)
+        self.assertTrue(returning.log_complete and returning.is_tail)
 
-    def test_a_restart_keeps_what_the_disk_says_of_being_settled(self):
+    def test_restart_restores_log_complete_from_disk(self):
         for log_complete in (True, False):
-            again = Replica("c")
-            again.restore(view(1, "abc"), Snapshot(), [], 0, log_complete)
-            again.adopt(view(1, "abc"))
-            self.assertIs(again.log_complete, log_complete)
+            restarted = Replica("c")
+            restarted.restore(view(1, "abc"), Snapshot(), [], 0, log_complete)
+            restarted.adopt_view(view(1, "abc"))
+            self.assertIs(restarted.log_complete, log_complete)
 
-    def test_who_stays_in_the_chain_stays_settled_though_its_predecessor_fell_silent(self):
-        """Found in virtual time: the tail of a view whose head lost its disk at once held itself for behind."""
+    def test_remaining_member_keeps_its_log_complete_without_its_predecessor(self):
+        """Regression, found in the simulation: after the head lost its disk, the tail considered itself behind."""
         chain = Chain()
-        chain.adopt(2, "ac")
+        chain.adopt_view(2, "ac")
         self.assertTrue(chain.replicas["c"].log_complete)
 
-    def test_who_is_not_settled_settles_nobody(self):
-        """Found in virtual time: two joiners in a row, the second answered a read without what was acknowledged before."""
+    def test_replica_with_incomplete_log_completes_no_other(self):
+        """Regression, found in the simulation: the second of two joiners served a read without an acknowledged write."""
         chain = Chain()
         for name in "de":
             chain.replicas[name] = Replica(name)
         chain.propose("a", b"acknowledged")
-        chain.adopt(2, "ade")
-        self.assertTrue(chain.append("d", "e", held=0))
+        chain.adopt_view(2, "ade")
+        self.assertTrue(chain.append("d", "e", successor_last_index=0))
         self.assertFalse(chain.replicas["e"].log_complete)
         chain.append("a", "d")
         chain.append("d", "e")
         self.assertTrue(chain.replicas["e"].log_complete)
         self.assertEqual(chain.replicas["e"].committed, 1)
 
-    def test_a_joiner_is_settled_by_the_append_that_brings_all_not_by_the_first(self):
+    def test_joiner_log_is_complete_after_the_last_missing_append(self):
         chain = Chain()
         chain.replicas["d"] = Replica("d")
         for number in range(100):
             chain.propose("a", b"%d" % number)
-        chain.adopt(2, "ad")
+        chain.adopt_view(2, "ad")
         chain.append("a", "d")
         self.assertFalse(chain.replicas["d"].log_complete)
         chain.append("a", "d")
         self.assertTrue(chain.replicas["d"].log_complete)
         self.assertEqual(chain.replicas["a"].committed, 100)
 
-    def test_a_head_that_restarted_has_its_last_entry_committed_by_the_chain_first(self):
+    def test_restarted_head_commits_its_last_entry_through_the_chain(self):
         chain = Chain()
         chain.propose("a", b"1")
-        again = Replica("a")
-        again.restore(view(1, "abc"), chain.replicas["a"].base, list(chain.replicas["a"].entries), 0, True)
-        again.adopt(view(1, "abc"))
-        chain.replicas["a"] = again
-        self.assertEqual((again.last, again.committed), (1, 0))
+        restarted = Replica("a")
+        restarted.restore(view(1, "abc"), chain.replicas["a"].base, list(chain.replicas["a"].entries), 0, True)
+        restarted.adopt_view(view(1, "abc"))
+        chain.replicas["a"] = restarted
+        self.assertEqual((restarted.last_index, restarted.committed), (1, 0))
         chain.append("a", "b")
         chain.append("b", "c")
         chain.append("a", "b")
-        self.assertEqual(again.committed, 1)
+        self.assertEqual(restarted.committed, 1)
 
 
 def put(version: int, **more) -> bytes:
     return json.dumps({"version": version, "routes": [], "services": [], **more}).encode()
 
 
-class State(unittest.TestCase):
+class ControlStateTest(unittest.TestCase):
     def setUp(self):
         self.state = ControlState()
 
-    def take(self, method: str, base: int, body: bytes) -> None:
+    def apply_change(self, method: str, base: int, body: bytes) -> None:
         checked = self.state.check(method, base, body)
         self.assertIsInstance(checked, Ok, checked)
         replica = Replica("a")
-        replica.adopt(view(1, "a", "a"))
+        replica.adopt_view(view(1, "a", "a"))
         replica.base.index = self.state.index
         write = replica.propose(int(checked.ok_value.kind), body, checked.ok_value.digest)
         self.state.apply(write.entries[0])
 
-    def verdict(self, method: str, base: int | None, body: bytes) -> ChangeOutcome:
+    def rejection_outcome(self, method: str, base: int | None, body: bytes) -> ChangeOutcome:
         checked = self.state.check(method, base, body)
         self.assertIsInstance(checked, Err)
-        return checked.err_value.verdict
-
-    def test_one_of_two_changes_on_the_same_version_is_taken(self):
-        self.take("PUT", 0, put(1))
-        self.take("PUT", 1, put(3, note="x"))
-        self.assertIs(self.verdict("PUT", 1, put(3, note="y")), ChangeOutcome.CONFLICT)
-
-    def test_a_change_that_is_sent_again_is_known_also_after_newer_ones(self):
-        self.take("PUT", 0, put(1))
-        self.take("PUT", 1, put(2))
-        self.assertIs(self.verdict("PUT", 0, put(1)), ChangeOutcome.ALREADY_APPLIED)
-        again = ControlState()
-        again.restore(self.state.snapshot())
-        checked = again.check("PUT", 0, put(1))
-        self.assertIs(checked.err_value.verdict, ChangeOutcome.ALREADY_APPLIED)
-
-    def test_invalid_changes_are_refused_and_leave_no_trace(self):
-        self.take("PUT", 0, put(5))
+        return checked.err_value.outcome
+
+    def test_second_change_on_the_same_version_conflicts(self):
+        self.apply_change("PUT", 0, put(1))
+        self.apply_change("PUT", 1, put(3, note="x"))
+        self.assertIs(self.rejection_outcome("PUT", 1, put(3, note="y")), ChangeOutcome.CONFLICT)
+
+    def test_repeated_change_is_recognised_after_newer_ones(self):
+        self.apply_change("PUT", 0, put(1))
+        self.apply_change("PUT", 1, put(2))
+        self.assertIs(self.rejection_outcome("PUT", 0, put(1)), ChangeOutcome.ALREADY_APPLIED)
+        restored = ControlState()
+        restored.restore(self.state.snapshot())
+        checked = restored.check("PUT", 0, put(1))
+        self.assertIs(checked.err_value.outcome, ChangeOutcome.ALREADY_APPLIED)
+
+    def test_invalid_change_is_rejected_without_effect(self):
+        self.apply_change("PUT", 0, put(5))
         before = self.state.document
         for base, body in (
             (5, b"{"),
@@ -243,28 +247,28 @@
             (None, put(6)),
             (5, b'{"version":6,"version":7}'),
         ):
-            self.assertIs(self.verdict("PUT", base, body), ChangeOutcome.INVALID, body)
+            self.assertIs(self.rejection_outcome("PUT", base, body), ChangeOutcome.INVALID, body)
         self.assertIs(self.state.document, before)
 
-    def test_patches_lead_from_version_to_version(self):
+    def test_patches_since_a_version(self):
         service = {"name": "s"}
         route = {"name": "r", "host": "h", "path_prefix": "/a/", "timeout_ms": 100, "service": "s"}
-        self.take("PUT", 0, put(1, services=[service], routes=[route]))
+        self.apply_change("PUT", 0, put(1, services=[service], routes=[route]))
         patch = json.dumps({"version": 4, "upsert": {"routes": [{**route, "timeout_ms": 300}]}}).encode()
-        self.take("PATCH", 1, patch)
+        self.apply_change("PATCH", 1, patch)
         other = json.dumps({"version": 9, "remove": {"routes": ["r"]}}).encode()
-        self.take("PATCH", 4, other)
+        self.apply_change("PATCH", 4, other)
         self.assertEqual(self.state.patches_since(1), [patch, other])
         self.assertEqual(self.state.patches_since(4), [other])
         self.assertIsNone(self.state.patches_since(2))
         self.assertEqual(self.state.document.value["routes"], [])
 
-    def test_the_fencing_token_is_the_index_of_the_claim(self):
+    def test_fencing_token_is_the_index_of_the_claim(self):
         replica = Replica("a")
-        replica.adopt(view(1, "a", "a"))
+        replica.adopt_view(view(1, "a", "a"))
         for name in ("a", "b"):
             write = replica.propose(int(EntryKind.LEADER), name.encode(), "")
-            replica.written(write)
+            replica.on_persisted(write)
             self.state.apply(write.entries[0])
         self.assertEqual((self.state.leader, self.state.fencing_token), ("b", 2))
 
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -18,7 +18,7 @@
 from unittest import mock
 
 from mulleinhatch.configuration.document import Document
-from mulleinhatch.configuration.routes import build_table
+from mulleinhatch.configuration.routes import build_route_table
 from mulleinhatch.data_plane.control_plane_snapshot import ControlPlaneSnapshot
 from mulleinhatch.data_plane.registry_snapshot import RegisteredBackend, RegistrySnapshot
 from mulleinhatch.data_plane.request_headers import backend_fields
@@ -175,7 +175,7 @@
         value = {"version": 1, "routes": routes, "services": [{"name": "s"}]}
         backends = [RegisteredBackend(f"i-{n}", "s", f"a:{n}", "z", 4, False, False, {}, {}, float("inf")) for n in (0, 1)]
         known = RegistrySnapshot({backend.id: backend for backend in backends}, {"s": tuple(backends)})
-        self.router.apply_snapshot(ControlPlaneSnapshot(build_table(Document(1, value)), known, 1, True))
+        self.router.apply_snapshot(ControlPlaneSnapshot(build_route_table(Document(1, value)), known, 1, True))
         self.requests = {}
 
     async def _open(self, address: str) -> ClientConnection:
--- a/tests/system/test_placement_controller.py
+++ b/tests/system/test_placement_controller.py
@@ -44,9 +44,9 @@
 
     def test_response_says_whether_this_instance_leads(self):
         report = DemandReport("n", [])
-        self.assertFalse(self.run_in_loop(self.controller.on_demand(report)).taken)
+        self.assertFalse(self.run_in_loop(self.controller.on_demand(report)).accepted)
         self.run_in_loop(self.controller.reconcile())
-        self.assertTrue(self.run_in_loop(self.controller.on_demand(report)).taken)
+        self.assertTrue(self.run_in_loop(self.controller.on_demand(report)).accepted)
 
     def test_impossible_demand_is_ignored_and_logged_with_its_data_plane(self):
         report = DemandReport("n", [ModelDemand("s", "b", "", 0, math.nan, 0.0)])
