--- a/mulleinhatch/cli/system/__main__.py
+++ b/mulleinhatch/cli/system/__main__.py
@@ -7,13 +7,13 @@
 from mulleinhatch.cli.system.commands import Console
 
 
-def _shown(value: object) -> object:
+def _serialize(value: object) -> object:
     return value if isinstance(value, str) or value is None else json.dumps(value, indent=2, sort_keys=True)
 
 
 def main() -> None:
     """Run the command that the arguments name."""
-    fire.Fire(Console, name="mulleinhatch-console", serialize=_shown)
+    fire.Fire(Console, name="mulleinhatch-console", serialize=_serialize)
 
 
 if __name__ == "__main__":
--- a/mulleinhatch/cli/system/client.py
+++ b/mulleinhatch/cli/system/client.py
@@ -10,12 +10,12 @@
 
 from result import Err, Ok, Result
 
-WITHIN_S = 3.0
-MOST_HOPS = 3
+TIMEOUT_S = 3.0
+MAX_REDIRECTS = 3
 
 
 @dataclass(frozen=True)
-class Told:
+class HttpResult:
     status: int
     body: bytes
 
@@ -32,18 +32,18 @@
 
 def call(
     address: str, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
-) -> Result[Told, str]:
+) -> Result[HttpResult, str]:
     """One call to "HOST:PORT"; a 307 is followed up to three times."""
     url = f"http://{address}{path}"
     opener = urllib.request.build_opener(_NoRedirect)
-    for _ in range(MOST_HOPS):
+    for _ in range(MAX_REDIRECTS):
         request = urllib.request.Request(url, data=body, method=method, headers=headers or {})
         try:
-            with opener.open(request, timeout=WITHIN_S) as answer:
-                return Ok(Told(answer.status, answer.read()))
+            with opener.open(request, timeout=TIMEOUT_S) as answer:
+                return Ok(HttpResult(answer.status, answer.read()))
         except urllib.error.HTTPError as error:
             if error.code != 307:
-                return Ok(Told(error.code, error.read()))
+                return Ok(HttpResult(error.code, error.read()))
             url = error.headers["Location"]
         except OSError as error:
             return Err(f"{url}: {error}; name the address of a running instance, HOST:PORT")
--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -9,12 +9,12 @@
 
 from result import Err
 
-from mulleinhatch.cli.system.client import Told, call
+from mulleinhatch.cli.system.client import HttpResult, call
 from mulleinhatch.configuration.document import read_json, read_whole
 from mulleinhatch.process.settings import read_settings
 
 
-class CommandFailed(SystemExit):
+class CommandError(SystemExit):
     """Ends the command with the message on standard error."""
 
     def __init__(self, message: str) -> None:
@@ -22,27 +22,27 @@
         super().__init__(1)
 
 
-def _ask(address: str, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None) -> Told:
-    told = call(address, method, path, body, headers)
-    if isinstance(told, Err):
-        raise CommandFailed(told.err_value)
-    return told.ok_value
+def _call(address: str, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None) -> HttpResult:
+    result = call(address, method, path, body, headers)
+    if isinstance(result, Err):
+        raise CommandError(result.err_value)
+    return result.ok_value
 
 
 def _status(address: str) -> dict[str, Any]:
-    told = _ask(address, "GET", "/status")
-    if told.status != 200:
-        raise CommandFailed(
-            f"{address}: status {told.status}; name a control plane's control address or a data plane's ready address"
+    result = _call(address, "GET", "/status")
+    if result.status != 200:
+        raise CommandError(
+            f"{address}: status {result.status}; name a control plane's control address or a data plane's ready address"
         )
-    return told.value()
+    return result.value()
 
 
-def _file(path: str) -> bytes:
+def _read_file(path: str) -> bytes:
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise CommandFailed(f"{path}: {error.strerror}; name a file that can be read") from None
+        raise CommandError(f"{path}: {error.strerror}; name a file that can be read") from None
 
 
 class Console:
@@ -52,36 +52,36 @@
         """Reads a settings file as an instance would, and names the faulty key."""
         read = read_settings(settings)
         if isinstance(read, Err):
-            raise CommandFailed(str(read.err_value))
+            raise CommandError(str(read.err_value))
         return f"{settings}: settings of {read.ok_value.name} are fine"
 
     def verify(self, file: str) -> str:
         """Checks a whole configuration without sending it."""
-        read = read_json(_file(file))
+        read = read_json(_read_file(file))
         checked = read_whole(read.ok_value, -1) if not isinstance(read, Err) else read
         if isinstance(checked, Err):
-            raise CommandFailed(f"{file}: {checked.err_value}")
+            raise CommandError(f"{file}: {checked.err_value}")
         return f"{file}: version {checked.ok_value.version} is valid"
 
     def read(self, control: str) -> str:
         """The configuration in force, as JSON."""
-        told = _ask(control, "GET", "/configuration")
-        if told.status != 200:
-            raise CommandFailed(f"{control}: {told.body.decode(errors='replace')}")
-        return told.body.decode()
+        result = _call(control, "GET", "/configuration")
+        if result.status != 200:
+            raise CommandError(f"{control}: {result.body.decode(errors='replace')}")
+        return result.body.decode()
 
     def send(self, control: str, file: str, base: int, patch: bool = False) -> str:
         """Sends a configuration, or a patch of it, that builds on version `base`."""
-        told = _ask(
+        result = _call(
             control,
             "PATCH" if patch else "PUT",
             "/configuration",
-            _file(file),
+            _read_file(file),
             {"If-Match": str(base), "Content-Type": "application/json"},
         )
-        if told.status != 200:
-            raise CommandFailed(f"{control}: {told.status} {told.body.decode(errors='replace')}")
-        return told.body.decode()
+        if result.status != 200:
+            raise CommandError(f"{control}: {result.status} {result.body.decode(errors='replace')}")
+        return result.body.decode()
 
     def members(self, control: str) -> dict[str, Any]:
         """The view in force, voters, chain, and who is heard."""
@@ -105,10 +105,10 @@
 
     def why(self, ready: str, request: str) -> list[dict[str, Any]]:
         """Why a request waited or was refused, by its Request-Id."""
-        told = [one for one in _status(ready)["refused"] if one["request_id"] == request]
-        if not told:
-            raise CommandFailed(f"{request}: not among the latest that were refused here; see the logs for its id")
-        return told
+        result = [rejection for rejection in _status(ready)["refused"] if rejection["request_id"] == request]
+        if not result:
+            raise CommandError(f"{request}: not among the latest that were refused here; see the logs for its id")
+        return result
 
     def demo(self, seconds: float = 20.0) -> None:
         """Starts a whole system on loopback with stand-in backends and clients, and shows it at work."""
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.networking.http_streaming import write_request
 from mulleinhatch.process.settings import FILE_VARIABLE
 from mulleinhatch.testing.fake_model_server import BackendFacts, ModelBackend
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Tally:
+class ClientTally:
     """What the clients saw."""
 
     served: int = 0
@@ -40,24 +40,24 @@
     first_token_s: list[float] = field(default_factory=list)
 
 
-def control_ip(number: int) -> str:
+def control_plane_ip(number: int) -> str:
     return f"127.1.{number}.1"
 
 
-def front_ip(number: int) -> str:
+def data_plane_ip(number: int) -> str:
     return f"127.2.{number}.1"
 
 
-def settings_of(folder: Path, kind: str, number: int, cores: int, first: bool) -> Path:
+def write_settings(folder: Path, kind: str, number: int, cores: int, first: bool) -> Path:
     """Writes the settings file of one plane."""
-    ip = control_ip(number) if kind == "control" else front_ip(number)
+    ip = control_plane_ip(number) if kind == "control" else data_plane_ip(number)
     lines = [
         f"node_name={kind}-{number}",
         f"ip_address={ip}",
         f"zone=zone-{number}",
         "region=here",
         f"internal_port_range={INTERNAL_PORT},{INTERNAL_PORT + 9}",
-        "seeds=" + ",".join(f"{control_ip(core)}:{CONTROL_PORT}" for core in range(cores)),
+        "seeds=" + ",".join(f"{control_plane_ip(core)}:{CONTROL_PORT}" for core in range(cores)),
         f"first_start={str(first).lower()}",
         f"fault_tolerance.machines={1 if cores > 2 else 0}",
         "heartbeat_interval_ms=1000",
@@ -73,7 +73,7 @@
 
 def start_plane(folder: Path, kind: str, number: int, cores: int, first: bool = True) -> subprocess.Popen[bytes]:
     """Starts one plane as a process; its log goes to a file beside its settings. `first`: the whole system starts anew."""
-    path = settings_of(folder, kind, number, cores, first)
+    path = write_settings(folder, kind, number, cores, first)
     script = "control_plane.py" if kind == "control" else "data_plane.py"
     with open(path.with_suffix(".log"), "ab") as log:
         return subprocess.Popen(
@@ -124,7 +124,7 @@
                 return
             if answer.status == 307:
                 at = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
-        except CallError:
+        except HttpCallError:
             at = address
         await asyncio.sleep(0.2)
     raise TimeoutError("no control plane took the configuration; see the logs in the demonstration's folder")
@@ -147,7 +147,7 @@
     return backends
 
 
-async def ask(front: str, model: str, tally: Tally) -> str:
+async def send_request(front: str, model: str, tally: ClientTally) -> str:
     """One streaming request; its id."""
     request_id = uuid.uuid4().hex[:16]
     fields = [
@@ -183,16 +183,16 @@
     return request_id
 
 
-async def _client(fronts: list[str], tally: Tally, until: float) -> None:
+async def _client(fronts: list[str], tally: ClientTally, until: float) -> None:
     loop = asyncio.get_running_loop()
     while loop.time() < until:
         model = MODELS[min(len(MODELS) - 1, int(random.expovariate(0.6)))]
         adapter = f"/a{random.randrange(1, 5)}" if random.random() < 0.3 else ""
-        await ask(random.choice(fronts), model + adapter, tally)
+        await send_request(random.choice(fronts), model + adapter, tally)
         await asyncio.sleep(random.uniform(0.0, 0.3))
 
 
-def _show(backends: list[ModelBackend], tally: Tally, left_s: float) -> None:
+def print_status(backends: list[ModelBackend], tally: ClientTally, left_s: float) -> None:
     first = sorted(tally.first_token_s) or [0.0]
     print(
         f"\n{left_s:4.0f} s left   served {tally.served}  refused {tally.refused}  failed {tally.failed}  "
@@ -200,18 +200,18 @@
     )
     print(f"{'stub':<14}{'running':>8}  holds")
     for backend in backends:
-        held = ", ".join(
+        loaded = ", ".join(
             name + (f" ({', '.join(sorted(adapters))})" if adapters else "")
             for name, adapters in sorted(backend.models.items())
         )
-        print(f"{backend.id:<14}{backend.running:>8}  {held}")
+        print(f"{backend.id:<14}{backend.running:>8}  {loaded}")
 
 
-async def _demo(seconds: float, folder: Path) -> Tally:
-    cores, fronts, caller, tally = 3, 2, HttpClient(), Tally()
+async def _demo(seconds: float, folder: Path) -> ClientTally:
+    cores, fronts, caller, tally = 3, 2, HttpClient(), ClientTally()
     planes = [start_plane(folder, "control", number, cores) for number in range(cores)]
     planes += [start_plane(folder, "data", number, cores) for number in range(fronts)]
-    control = [f"{control_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
+    control = [f"{control_plane_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
     backends = make_backends(4, control)
     try:
         for backend in backends:
@@ -219,11 +219,11 @@
         await put_configuration(caller, control[0])
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        addresses = [f"{front_ip(number)}:{FRONT_PORT}" for number in range(fronts)]
+        addresses = [f"{data_plane_ip(number)}:{FRONT_PORT}" for number in range(fronts)]
         clients = [asyncio.ensure_future(_client(addresses, tally, until)) for _ in range(CLIENTS)]
         while loop.time() < until:
             await asyncio.sleep(min(SHOW_S, max(0.05, until - loop.time())))
-            _show(backends, tally, until - loop.time())
+            print_status(backends, tally, until - loop.time())
         await asyncio.gather(*clients)
         return tally
     finally:
--- a/mulleinhatch/cli/system/start.py
+++ b/mulleinhatch/cli/system/start.py
@@ -13,7 +13,7 @@
 from mulleinhatch.process.logs import start_logging
 from mulleinhatch.process.settings import Settings, read_settings
 
-WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 LEVEL_VARIABLE = "MULLEINHATCH_LOG_LEVEL"
 
 
@@ -21,7 +21,7 @@
     read = read_settings()
     if isinstance(read, Err):
         print(read.err_value, file=sys.stderr)
-        return WRONG_SETTINGS
+        return EXIT_INVALID_SETTINGS
     settings = read.ok_value
     start_logging(settings.name, getattr(logging, os.environ.get(LEVEL_VARIABLE, "INFO"), logging.INFO))
     asyncio.run(run(settings))
@@ -29,10 +29,10 @@
 
 
 def start_control_plane() -> int:
-    from mulleinhatch.control_plane.process import ControlPlane
+    from mulleinhatch.control_plane.process import ControlPlaneProcess
 
     async def run(settings: Settings) -> None:
-        await ControlPlane(settings).run()
+        await ControlPlaneProcess(settings).run()
 
     return _start(run)
 
--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -18,63 +18,63 @@
 
 LOG = logging.getLogger(__name__)
 INSTANCES, CONFIGURATION, STATUS = "/instances/", "/configuration", "/status"
-CUT_OFF = "this machine is not in touch with the core; call another one"
+NO_MAJORITY_MESSAGE = "this machine is not in touch with the core; call another one"
 RETRY_AFTER_S = "0.2"
-NOT_NEGATIVE = And(int, lambda value: value >= 0)
-MODEL_SCHEMA = Schema({"name": str, Optional("version"): NOT_NEGATIVE, Optional("adapters"): [str], Optional(str): object})
+NON_NEGATIVE_INT = And(int, lambda value: value >= 0)
+MODEL_SCHEMA = Schema({"name": str, Optional("version"): NON_NEGATIVE_INT, Optional("adapters"): [str], Optional(str): object})
 BACKEND_SCHEMA = Schema(
     {
         "service": And(str, len),
         "address": And(str, lambda text: ":" in text),
         Optional("zone"): str,
         Optional("version"): object,
-        Optional("slots"): NOT_NEGATIVE,
+        Optional("slots"): NON_NEGATIVE_INT,
         Optional("state"): Or("ready", "draining"),
         Optional("cold_remaining_ms"): Or(int, float),
         Optional("remaining_ms"): Or(int, float, None),
         Optional("models"): [MODEL_SCHEMA],
-        "sequence": NOT_NEGATIVE,
+        "sequence": NON_NEGATIVE_INT,
         Optional(str): object,
     }
 )
 
 
-def read_backend(backend_id: str, body: bytes) -> Result[cluster.Backend, str]:
+def parse_backend_heartbeat(backend_id: str, body: bytes) -> Result[cluster.Backend, str]:
     """The record that a backend's heartbeat makes."""
     if isinstance(value := read_json(body), Err):
         return Err(str(value.err_value))
-    told = value.ok_value
+    payload = value.ok_value
     try:
-        BACKEND_SCHEMA.validate(told)
+        BACKEND_SCHEMA.validate(payload)
     except SchemaError as error:
         return Err(f"instance {backend_id}: {error.code}; correct that field")
     models = [
         cluster.LoadedModel(name=model["name"], version=model.get("version", 0), adapters=list(model.get("adapters", ())))
-        for model in told.get("models", ())
+        for model in payload.get("models", ())
     ]
     return Ok(
         cluster.Backend(
             id=backend_id,
-            service=told["service"],
-            address=told["address"],
-            zone=told.get("zone", ""),
-            version=str(told.get("version", "")),
-            slots=told.get("slots", 0),
-            draining=told.get("state") == "draining",
-            sequence=told["sequence"],
+            service=payload["service"],
+            address=payload["address"],
+            zone=payload.get("zone", ""),
+            version=str(payload.get("version", "")),
+            slots=payload.get("slots", 0),
+            draining=payload.get("state") == "draining",
+            sequence=payload["sequence"],
             models=models,
-            cold_remaining_ms=int(told.get("cold_remaining_ms", 0)),
-            remaining_ms=int(told.get("remaining_ms") or 0),
+            cold_remaining_ms=int(payload.get("cold_remaining_ms", 0)),
+            remaining_ms=int(payload.get("remaining_ms") or 0),
         )
     )
 
 
-def _error(status: int, message: str, headers: dict[str, str] | None = None) -> HttpServerResponse:
+def error_response(status: int, message: str, headers: dict[str, str] | None = None) -> HttpServerResponse:
     return HttpServerResponse.of_json(status, {"error": message}, headers)
 
 
-def _cut_off() -> HttpServerResponse:
-    return _error(503, CUT_OFF, {"Retry-After": RETRY_AFTER_S})
+def no_majority_response() -> HttpServerResponse:
+    return error_response(503, NO_MAJORITY_MESSAGE, {"Retry-After": RETRY_AFTER_S})
 
 
 class ControlApi:
@@ -87,50 +87,50 @@
         if request.path == CONFIGURATION:
             return await self._configuration(request)
         if request.path.startswith(INSTANCES):
-            return await self._instance(request, request.path.removeprefix(INSTANCES))
+            return await self._handle_instance(request, request.path.removeprefix(INSTANCES))
         if request.path == STATUS and request.method == "GET":
             return HttpServerResponse.of_json(200, self._status())
-        return _error(404, "no such resource; see /configuration, /instances/ID and /status")
+        return error_response(404, "no such resource; see /configuration, /instances/ID and /status")
 
     async def _configuration(self, request: HttpServerRequest) -> HttpServerResponse:
         if request.method == "GET":
             answer, text = await self._node.read_configuration()
-            return HttpServerResponse(200, text) if answer.status == 200 else self._told(answer)
+            return HttpServerResponse(200, text) if answer.status == 200 else self._change_response(answer)
         if request.method not in ("PUT", "PATCH"):
-            return _error(405, "use GET, PUT or PATCH")
+            return error_response(405, "use GET, PUT or PATCH")
         base = request.headers.get("if-match", "").strip().strip('"')
         number = int(base) if base.isdigit() else None
-        return self._told(await self._node.change_configuration(request.method, number, request.body))
+        return self._change_response(await self._node.change_configuration(request.method, number, request.body))
 
-    def _told(self, answer: ChangeAnswer) -> HttpServerResponse:
+    def _change_response(self, answer: ChangeAnswer) -> HttpServerResponse:
         if answer.status == 200:
             return HttpServerResponse.of_json(200, {"version": self._node.state.document.version})
         if answer.status == 307:
-            return _error(307, answer.message, {"Location": answer.location})
+            return error_response(307, answer.message, {"Location": answer.location})
         if answer.status == 503:
-            return _error(503, answer.message, {"Retry-After": RETRY_AFTER_S})
-        return _error(answer.status, answer.message)
+            return error_response(503, answer.message, {"Retry-After": RETRY_AFTER_S})
+        return error_response(answer.status, answer.message)
 
-    async def _instance(self, request: HttpServerRequest, backend_id: str) -> HttpServerResponse:
+    async def _handle_instance(self, request: HttpServerRequest, backend_id: str) -> HttpServerResponse:
         if not backend_id or "/" in backend_id:
-            return _error(404, "name one instance: /instances/ID")
+            return error_response(404, "name one instance: /instances/ID")
         if request.method == "DELETE":
-            return await self._gone(backend_id)
+            return await self._handle_departure(backend_id)
         if request.method != "PUT":
-            return _error(405, "use PUT or DELETE")
-        read = read_backend(backend_id, request.body)
+            return error_response(405, "use PUT or DELETE")
+        read = parse_backend_heartbeat(backend_id, request.body)
         if isinstance(read, Err):
-            return _error(400, read.err_value)
-        return await self._heartbeat(read.ok_value)
+            return error_response(400, read.err_value)
+        return await self._handle_heartbeat(read.ok_value)
 
-    async def _gone(self, backend_id: str) -> HttpServerResponse:
+    async def _handle_departure(self, backend_id: str) -> HttpServerResponse:
         """A backend that leaves without a word before, or that ends: acknowledged once it is recorded for good."""
         recorded = await self._node.record_departure(backend_id)
         self._node.registry.deregister(backend_id, self._clock())
         self._node.request_heartbeat()
-        return HttpServerResponse.of_json(200, {}) if recorded else _cut_off()
+        return HttpServerResponse.of_json(200, {}) if recorded else no_majority_response()
 
-    async def _heartbeat(self, backend: cluster.Backend) -> HttpServerResponse:
+    async def _handle_heartbeat(self, backend: cluster.Backend) -> HttpServerResponse:
         node = self._node
         known = node.registry.entries.get(backend.id)
         if node.registry.merge(backend, self._clock()):
@@ -138,8 +138,8 @@
         if known is None:
             node.request_heartbeat()
         if backend.draining and not await node.record_departure(backend.id):
-            return _cut_off()
-        return HttpServerResponse.of_json(200, {}) if await node.confirm_leadership() else _cut_off()
+            return no_majority_response()
+        return HttpServerResponse.of_json(200, {}) if await node.confirm_leadership() else no_majority_response()
 
 
 Handler = Callable[[Any], Awaitable[Any]]
@@ -155,23 +155,23 @@
         self._handlers[f"/internal/{name}"] = message, handler
 
     async def answer(self, request: HttpServerRequest) -> HttpServerResponse:
-        found = self._handlers.get(request.path)
-        if found is None or request.method != "POST":
-            return _error(404, "no such message")
-        message, handler = found
+        registration = self._handlers.get(request.path)
+        if registration is None or request.method != "POST":
+            return error_response(404, "no such message")
+        message, handler = registration
         try:
-            asked = message().parse(request.body)
+            message_body = message().parse(request.body)
         except Exception as error:  # betterproto raises what its parser stumbles over
             LOG.warning("unreadable message", extra={"path": request.path, "error": repr(error)})
-            return _error(400, "the message can't be read; both sides must run the same version")
+            return error_response(400, "the message can't be read; both sides must run the same version")
         try:
-            answer = await handler(asked)
+            answer = await handler(message_body)
         except OSError as error:
-            return _error(503, f"{error}")
+            return error_response(503, f"{error}")
         return HttpServerResponse(200, bytes(answer), BINARY_TYPE)
 
 
-def internal_api(node: CoreNode) -> InternalApi:
+def build_internal_api(node: CoreNode) -> InternalApi:
     """The messages between core machines."""
     api = InternalApi()
     api.add("heartbeat", cluster.Heartbeat, node.heartbeats.on_heartbeat)
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -23,7 +23,7 @@
 from mulleinhatch.control_plane.state_store import Restored, StateStore, backends_record, commit_record
 from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.messages.cluster import Member, View
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 from mulleinhatch.replication.chain import Replica
@@ -228,10 +228,10 @@
     # Messages.
 
     async def call(self, address: str, path: str, message: Any, answer: Any, within: float = CALL_S) -> Any:
-        """Sends a message to a core machine; CallFailed where no proper answer comes."""
+        """Sends a message to a core machine; HttpCallError where no proper answer comes."""
         whole = await self.http_client.request(address, "POST", f"/internal/{path}", bytes(message), within)
         if whole.status != 200:
-            raise CallError(address, f"status {whole.status}")
+            raise HttpCallError(address, f"status {whole.status}")
         return answer.parse(whole.body)
 
     def request_heartbeat(self) -> None:
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -22,7 +22,7 @@
 from mulleinhatch.control_plane.placement.planner import Planner
 from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
 from mulleinhatch.messages.cluster import Backend, DemandReport, DemandResponse, LoadedModel, PendingLoad
-from mulleinhatch.networking.http_client import CallError, HttpClient, HttpResponse
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient, HttpResponse
 from mulleinhatch.networking.http_server import JSON_TYPE
 from mulleinhatch.process.settings import Bounds
 
@@ -207,7 +207,7 @@
         try:
             answer = await self._caller.request(backend.address, "GET", "/report", b"", REPORT_S)
             report = read_report(answer.body) if answer.status == 200 else None
-        except (CallError, ValueError):
+        except (HttpCallError, ValueError):
             self._caller.forget(backend.address)
             report = None
         finally:
@@ -309,7 +309,7 @@
             return
         try:
             answer = await self._post(backend, order, work.revision)
-        except CallError as error:
+        except HttpCallError as error:
             self._unanswered(backend, under_way, error)
             return
         self._answered(backend, work, under_way, answer)
@@ -318,7 +318,7 @@
         return self.role.observe(self._observe_leadership(), self._clock()) is LeaseState.ACTING
 
     async def _post(self, backend: Backend, order: Order, revision: int) -> HttpResponse:
-        """Sends one order that holds for a count of orders only; CallFailed where no answer comes."""
+        """Sends one order that holds for a count of orders only; HttpCallError where no answer comes."""
         body = {
             "operation": order.operation.value,
             "model": order.model,
@@ -334,7 +334,7 @@
             backend.address, "POST", "/order", json.dumps(body).encode(), ORDER_S, JSON_TYPE, expected
         )
 
-    def _unanswered(self, backend: Backend, under_way: UnderWay, error: CallError) -> None:
+    def _unanswered(self, backend: Backend, under_way: UnderWay, error: HttpCallError) -> None:
         """An order that got no answer may have been taken."""
         self._caller.forget(backend.address)
         under_way.certain = False
@@ -359,7 +359,7 @@
         unload.followed = True
         try:
             answer = await self._post(backend, load, under_way.revision)
-        except CallError as error:
+        except HttpCallError as error:
             self._take_over(backend, work, under_way)
             self._unanswered(backend, under_way, error)
             return True
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -8,7 +8,7 @@
 import signal
 from typing import Any
 
-from mulleinhatch.control_plane.api import ControlApi, internal_api
+from mulleinhatch.control_plane.api import ControlApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.control_plane.placement.controller import PlacementController
@@ -23,47 +23,47 @@
 DISK_RETRY_S = 0.5
 
 
-class ControlPlane:
+class ControlPlaneProcess:
     """One control plane instance."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
-        self.caller = HttpClient()
-        self.node = CoreNode(settings, self.caller, self.clock, self._changed)
+        self.http_client = HttpClient()
+        self.node = CoreNode(settings, self.http_client, self.clock, self._on_change)
         self.distribution = Distribution(self.node, self.clock)
-        self.orders = PlacementController(self.node, self.caller, self.clock, settings.bounds)
-        self.node.placement_idle_s = self.orders.idle_s
-        self.node.data_planes = self.distribution.data_planes
-        self.node.on_backend_change = lambda backend_id: self._changed()
+        self.placement = PlacementController(self.node, self.http_client, self.clock, settings.bounds)
+        self.node.placement_idle_s = self.placement.idle_s
+        self.node.data_planes = self.distribution.count_local_data_planes
+        self.node.on_backend_change = lambda backend_id: self._on_change()
         self.stopped = asyncio.Event()
 
-    def _changed(self) -> None:
-        self.distribution.changed()
+    def _on_change(self) -> None:
+        self.distribution.notify_changed()
 
     async def run(self) -> None:
         """Serves until SIGTERM, and then until the chain goes on without us."""
         await self._open()
-        hub = HttpServer(self.loop)
+        server = HttpServer(self.loop)
         api = ControlApi(self.node, self.clock, self.status)
-        internal = internal_api(self.node)
+        internal = build_internal_api(self.node)
         internal.add("poll", cluster.PollRequest, self.distribution.poll)
-        internal.add("demand", cluster.DemandReport, self.orders.on_demand)
-        hub.listen(self.settings.internal_address, internal.answer)
-        hub.listen(self.settings.listen["control"], api.answer)
-        self.loop.add_signal_handler(signal.SIGTERM, self._leave)
+        internal.add("demand", cluster.DemandReport, self.placement.on_demand)
+        server.listen(self.settings.internal_address, internal.answer)
+        server.listen(self.settings.listen["control"], api.answer)
+        self.loop.add_signal_handler(signal.SIGTERM, self._on_terminate)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
         gc.freeze()
         LOG.info("control plane started", extra={"identity": self.node.member.identity, "epoch": self.node.view.epoch})
-        work = [asyncio.ensure_future(self.node.run()), asyncio.ensure_future(supervise("orders", self.orders.run))]
+        work = [asyncio.ensure_future(self.node.run()), asyncio.ensure_future(supervise("orders", self.placement.run))]
         stop = asyncio.ensure_future(self.stopped.wait())
         await asyncio.wait([*work, stop], return_when=asyncio.FIRST_COMPLETED)
         for task in work:
             if task.done():
                 task.result()
 
-    def _leave(self) -> None:
+    def _on_terminate(self) -> None:
         if self.node.leaving:
             return
         LOG.info("leaving")
@@ -97,8 +97,8 @@
             "version": node.state.document.version,
             "holder": node.state.leader,
             "fence_token": node.state.fencing_token,
-            "orders": list(self.orders.log),
-            "data_planes": self.distribution.all_data_planes(),
+            "orders": list(self.placement.log),
+            "data_planes": self.distribution.count_all_data_planes(),
             "peers": {
                 peer.member.name: {"answered_s_ago": round(now - peer.answered_at, 2), "leaving": peer.leaving}
                 for peer in node.peers.by_identity.values()
--- a/mulleinhatch/control_plane/registry.py
+++ b/mulleinhatch/control_plane/registry.py
@@ -12,21 +12,21 @@
 
 from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
-SILENT_INTERVALS = 3.2  # heartbeats that may be missed before a backend counts as silent
-RECALLED_S = 2.5  # a backend known from before a restart is believed so long
-FORGET_S = 90.0  # a silent or gone backend is remembered so long
+SILENT_AFTER_HEARTBEATS = 3.2  # heartbeats that may be missed before a backend counts as silent
+RESTORED_GRACE_S = 2.5  # a backend known from before a restart is believed so long
+FORGET_AFTER_S = 90.0  # a silent or gone backend is remembered so long
 
 
 @dataclass
-class Entry:
+class RegistryEntry:
     """One backend with when it was last heard of (steady clock) and the cursor of its last change."""
 
     backend: Backend
-    heard_at: float
+    last_heartbeat_at: float
     cursor: int = 0
 
 
-def _told(backend: Backend) -> tuple:
+def _published_fields(backend: Backend) -> tuple:
     """What of a record matters to data planes."""
     return (
         backend.service,
@@ -55,8 +55,8 @@
         self.source = uuid.uuid4().hex[:12]
         self.cursor = 0
         self.urgent_cursor = 0  # of the newest change after which a backend must not be used any more, or is new
-        self.entries: dict[str, Entry] = {}
-        self._silent_after = SILENT_INTERVALS * heartbeat_s
+        self.entries: dict[str, RegistryEntry] = {}
+        self._silent_after_s = SILENT_AFTER_HEARTBEATS * heartbeat_s
         self._on_change = on_change
         self.on_store_load: Callable[[], None] = lambda: None  # a load from the weight store began somewhere
 
@@ -66,47 +66,47 @@
             backend = replace(backend, draining=True)
         entry = self.entries.get(backend.id)
         if entry is None:
-            entry = self.entries[backend.id] = Entry(replace(backend, silent=False), now - backend.age_ms / 1000.0)
+            entry = self.entries[backend.id] = RegistryEntry(replace(backend, silent=False), now - backend.age_ms / 1000.0)
             self._changed(entry)
             return True
-        known = entry.backend
-        if known.gone:
+        current = entry.backend
+        if current.gone:
             return False
-        if backend.sequence >= known.sequence:
-            entry.heard_at = max(entry.heard_at, now - backend.age_ms / 1000.0)
-        fresh = self._merged(known, backend)
-        if fresh is known:
+        if backend.sequence >= current.sequence:
+            entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - backend.age_ms / 1000.0)
+        merged = self._merge_records(current, backend)
+        if merged is current:
             return False
-        self._replace(entry, fresh)
+        self._replace(entry, merged)
         return True
 
     @staticmethod
-    def _merged(known: Backend, told: Backend) -> Backend:
+    def _merge_records(current: Backend, update: Backend) -> Backend:
         """What the backend says is ordered by its `sequence`, what was ordered of it by `order_revision`."""
-        fresh = known
-        if told.sequence > known.sequence:
-            fresh = replace(
-                told,
+        merged = current
+        if update.sequence > current.sequence:
+            merged = replace(
+                update,
                 silent=False,
-                draining=told.draining or known.draining,
-                loads=known.loads,
-                unloads=known.unloads,
-                order_revision=known.order_revision,
+                draining=update.draining or current.draining,
+                loads=current.loads,
+                unloads=current.unloads,
+                order_revision=current.order_revision,
             )
-        if told.order_revision > known.order_revision:
-            fresh = replace(
-                fresh, models=told.models, loads=told.loads, unloads=told.unloads, order_revision=told.order_revision
+        if update.order_revision > current.order_revision:
+            merged = replace(
+                merged, models=update.models, loads=update.loads, unloads=update.unloads, order_revision=update.order_revision
             )
-        if told.gone:
-            fresh = replace(fresh, gone=True)
-        return fresh
+        if update.gone:
+            merged = replace(merged, gone=True)
+        return merged
 
     def restore(self, backend: Backend, now: float) -> None:
         """A backend that was present before a restart: believed until it should have been heard of again."""
         if backend.id not in self.entries:
             self.merge(
                 replace(backend, sequence=0, loads=[], unloads=[], order_revision=0, age_ms=0),
-                now - self._silent_after + RECALLED_S,
+                now - self._silent_after_s + RESTORED_GRACE_S,
             )
 
     def present_backends(self) -> list[Backend]:
@@ -138,23 +138,23 @@
             entry, replace(entry.backend, models=models, loads=loads, unloads=unloads, order_revision=revision)
         )
 
-    def _replace(self, entry: Entry, backend: Backend) -> bool:
-        changed = _told(entry.backend) != _told(backend)
+    def _replace(self, entry: RegistryEntry, backend: Backend) -> bool:
+        changed = _published_fields(entry.backend) != _published_fields(backend)
         urgent = (entry.backend.draining, entry.backend.gone, entry.backend.silent) != (
             backend.draining,
             backend.gone,
             backend.silent,
         )
-        known = {load.model for load in entry.backend.loads if load.from_store}
+        current = {load.model for load in entry.backend.loads if load.from_store}
         for load in backend.loads:
-            if load.from_store and load.model not in known:
+            if load.from_store and load.model not in current:
                 self.on_store_load()
         entry.backend = backend
         if changed:
             self._changed(entry, urgent)
         return changed
 
-    def _changed(self, entry: Entry, urgent: bool = True) -> None:
+    def _changed(self, entry: RegistryEntry, urgent: bool = True) -> None:
         self.cursor += 1
         entry.cursor = self.cursor
         if urgent:
@@ -164,17 +164,17 @@
     def expire(self, now: float) -> None:
         """Marks backends that have not been heard of, and forgets those long gone."""
         for backend_id, entry in list(self.entries.items()):
-            silence = now - entry.heard_at
-            if silence > FORGET_S:
+            silent_s = now - entry.last_heartbeat_at
+            if silent_s > FORGET_AFTER_S:
                 del self.entries[backend_id]
-            elif silence > self._silent_after and not entry.backend.silent and not entry.backend.gone:
+            elif silent_s > self._silent_after_s and not entry.backend.silent and not entry.backend.gone:
                 self._replace(entry, replace(entry.backend, silent=True))
 
     def extend_grace_period(self, now: float) -> None:
         """After we stood still ourselves: silence before now is no news."""
         for entry in self.entries.values():
             if not entry.backend.silent:
-                entry.heard_at = max(entry.heard_at, now - self._silent_after / 2)
+                entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - self._silent_after_s / 2)
 
     def changes_since(self, source: str, cursor: int) -> tuple[bool, list[Backend]]:
         """Whether the list is whole, and the records that changed after a cursor."""
@@ -186,7 +186,7 @@
     def records_for_peer(self, ids: set[str], now: float) -> list[Backend]:
         """Records for another core machine, with how long ago the backend was heard of."""
         return [
-            replace(entry.backend, age_ms=max(0, int(1000 * (now - entry.heard_at))))
+            replace(entry.backend, age_ms=max(0, int(1000 * (now - entry.last_heartbeat_at))))
             for backend_id in sorted(ids)
             if (entry := self.entries.get(backend_id)) is not None
         ]
--- a/mulleinhatch/data_plane/control_link.py
+++ b/mulleinhatch/data_plane/control_link.py
@@ -15,7 +15,7 @@
 from mulleinhatch.data_plane.snapshot import Snapshot
 from mulleinhatch.membership.rendezvous import ranked
 from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.process.settings import Settings
 
 LOG = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
             address = self._next_address()
             try:
                 await self._poll(address)
-            except CallError as error:
+            except HttpCallError as error:
                 LOG.debug("no answer from a control plane", extra={"error": str(error)})
                 self._caller.forget(address)
                 self._rests[address] = self._clock() + REST_S
@@ -96,7 +96,7 @@
             address, "POST", "/internal/poll", bytes(request), max(FIRST_POLL_S, wait + POLL_SLACK_S)
         )
         if whole.status != 200:
-            raise CallError(address, f"status {whole.status}")
+            raise HttpCallError(address, f"status {whole.status}")
         answer = PollResponse().parse(whole.body)
         if answer.epoch < self._epoch:
             answer.authoritative = False  # it lives in a view that is over
@@ -172,6 +172,6 @@
         try:
             whole = await self._caller.request(self.leader, "POST", "/internal/demand", bytes(message), DEMAND_S)
             return whole.status == 200 and DemandResponse().parse(whole.body).taken
-        except CallError:
+        except HttpCallError:
             self._caller.forget(self.leader)
             return False
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 client connections, one request at a time on each, with the body of an answer passed on as it comes.
 
-`ClientConnection` reports to an `AnswerSink`; `HttpClient` keeps connections to other instances and gives whole answers.
+`ClientConnection` reports to an `ResponseSink`; `HttpClient` keeps connections to other instances and gives whole answers.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_request
 
-MOST_ANSWER_HEAD = 65536
+MAX_RESPONSE_HEAD_BYTES = 65536
 MAX_RESPONSE_BYTES = 64 << 20  # bytes of an answer that is collected
-IDLE_S = 20.0  # how long a connection to another instance is kept without use
-CONNECT_S = 1.0
-SILENCE_MS = 2500  # unacknowledged bytes for so long mean that the peer is unreachable
+IDLE_TIMEOUT_S = 20.0  # how long a connection to another instance is kept without use
+CONNECT_TIMEOUT_S = 1.0
+TCP_USER_TIMEOUT_MS = 2500  # unacknowledged bytes for so long mean that the peer is unreachable
 
 
 class Loss(Enum):
@@ -29,7 +29,7 @@
     BROKEN = "broken"  # in the middle of the answer, or the bytes were no answer
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Who hears of an answer. `expects` tells whether a head answers the request; another answer is read and thrown away."""
 
     def expects(self, head: Head) -> bool: ...
@@ -52,21 +52,21 @@
         self.idle_until = 0.0  # loop time from which it must not be used again, 0 where the peer told none
         self.requests = 0
         self.pool: object | None = None  # set by who keeps it; hears `on_idle_loss(connection)`
-        self._reader = MessageReader(answers=True, max_head_bytes=MOST_ANSWER_HEAD)
-        self._sink: AnswerSink | None = None
+        self._reader = MessageReader(answers=True, max_head_bytes=MAX_RESPONSE_HEAD_BYTES)
+        self._sink: ResponseSink | None = None
         self._head: Head | None = None
-        self._paused = False
-        self._skipping = False  # an answer that is not ours is being read
-        self._soiled = False  # such a one came: the connection carries no further request
+        self._is_paused = False
+        self._is_discarding = False  # an answer that is not ours is being read
+        self._is_desynchronized = False  # such a one came: the connection carries no further request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
         self.usable = True
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
-    def send(self, data: bytes, sink: AnswerSink) -> None:
+    def send(self, data: bytes, sink: ResponseSink) -> None:
         """Sends a request; its answer is told to `sink`."""
         assert self._sink is None and self.transport is not None
         self._sink, self._head = sink, None
@@ -81,9 +81,9 @@
 
     def pause(self, paused: bool) -> None:
         """Holds back reading while whom the answer goes to does not read."""
-        if self.transport is None or paused is self._paused or self.transport.is_closing():
+        if self.transport is None or paused is self._is_paused or self.transport.is_closing():
             return
-        self._paused = paused
+        self._is_paused = paused
         if paused:
             self.transport.pause_reading()
         else:
@@ -101,7 +101,7 @@
 
     def _read(self) -> None:
         sink = self._sink
-        if self._head is None and not self._skipping:
+        if self._head is None and not self._is_discarding:
             head = self._reader.head()
             while head is not None and head.status < 200:
                 self._reader.next()
@@ -109,34 +109,34 @@
             if head is None:
                 return
             if not sink.expects(head):
-                self._skipping, self._soiled = True, True
+                self._is_discarding, self._is_desynchronized = True, True
             else:
                 self._head = head
                 sink.on_head(head)
             if self._sink is not sink:
                 return  # it closed us
-        if self._skipping:
-            self._skip()
+        if self._is_discarding:
+            self._discard()
             return
-        piece = self._reader.body()
-        if piece:
-            sink.on_body(piece)
+        chunk = self._reader.body()
+        if chunk:
+            sink.on_body(chunk)
         if self._sink is sink and self._reader.done:
             self._finish()
 
-    def _skip(self) -> None:
+    def _discard(self) -> None:
         """Throws away an answer that belongs to an earlier request; ours may follow it."""
         self._reader.body()
         if self._reader.done:
-            self._skipping = False
+            self._is_discarding = False
             self._reader.next()
             if self._reader.surplus():
                 self._read()
 
     def _finish(self) -> None:
         sink, head, self._sink = self._sink, self._head, None
-        early = self.transport.get_write_buffer_size() > 0  # the answer came before the request was out
-        if early or self._soiled or self._reader.surplus() or not head.keep_alive or head.until_close:
+        has_unsent_bytes = self.transport.get_write_buffer_size() > 0  # the answer came before the request was out
+        if has_unsent_bytes or self._is_desynchronized or self._reader.surplus() or not head.keep_alive or head.until_close:
             self.usable = False
             self.transport.close()
         else:
@@ -178,11 +178,11 @@
     return None
 
 
-async def connect(address: str, within: float = CONNECT_S) -> ClientConnection:
-    """A new connection to "HOST:PORT"; OSError (TimeoutError too) where there is none in `within` seconds."""
+async def connect(address: str, timeout_s: float = CONNECT_TIMEOUT_S) -> ClientConnection:
+    """A new connection to "HOST:PORT"; OSError (TimeoutError too) where there is none in `timeout_s` seconds."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(within):
+    async with asyncio.timeout(timeout_s):
         _, connection = await loop.create_connection(ClientConnection, host, int(port), family=socket.AF_INET)
     return connection
 
@@ -196,20 +196,20 @@
     body: bytes
 
 
-class CallError(OSError):
+class HttpCallError(OSError):
     """No answer came; the message names the address. Ask another instance, or again later."""
 
-    def __init__(self, address: str, why: str, sent: bool = True) -> None:
-        super().__init__(f"{address}: {why}; ask another instance, or again later")
+    def __init__(self, address: str, reason: str, sent: bool = True) -> None:
+        super().__init__(f"{address}: {reason}; ask another instance, or again later")
         self.sent = sent
 
 
-class _Collector:
+class ResponseCollector:
     """Collects one answer for `HttpClient`."""
 
     def __init__(self) -> None:
         self.future: asyncio.Future[HttpResponse] = asyncio.get_running_loop().create_future()
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.size = 0
         self.head: Head | None = None
 
@@ -220,21 +220,21 @@
         self.head = head
 
     def on_body(self, data: bytes) -> None:
-        self.pieces.append(data)
+        self.chunks.append(data)
         self.size += len(data)
         if self.size > MAX_RESPONSE_BYTES:
             self._fail("the answer is too long")
 
     def on_end(self) -> None:
         if not self.future.done():
-            self.future.set_result(HttpResponse(self.head.status, self.head, b"".join(self.pieces)))
+            self.future.set_result(HttpResponse(self.head.status, self.head, b"".join(self.chunks)))
 
     def on_loss(self, loss: Loss) -> None:
         self._fail(loss.value)
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         if not self.future.done():
-            self.future.set_exception(CallError("connection", why))
+            self.future.set_exception(HttpCallError("connection", reason))
 
 
 class HttpClient:
@@ -249,29 +249,29 @@
         method: str,
         path: str,
         body: bytes,
-        within: float,
+        timeout_s: float,
         content_type: str = "application/octet-stream",
-        fields: tuple[tuple[bytes, bytes], ...] = (),
+        headers: tuple[tuple[bytes, bytes], ...] = (),
     ) -> HttpResponse:
-        """The answer, or CallFailed after `within` seconds at most. A kept connection that broke unused is replaced once."""
+        """The answer, or HttpCallError after `timeout_s` seconds at most. A kept connection that broke unused is replaced."""
         try:
-            async with asyncio.timeout(within):
-                return await self._request(address, method, path, body, content_type, fields)
+            async with asyncio.timeout(timeout_s):
+                return await self._request(address, method, path, body, content_type, headers)
         except TimeoutError:
-            raise CallError(address, f"no answer in {within:.1f} s") from None
+            raise HttpCallError(address, f"no answer in {timeout_s:.1f} s") from None
 
     async def _request(
-        self, address: str, method: str, path: str, body: bytes, content_type: str, fields: tuple[tuple[bytes, bytes], ...]
+        self, address: str, method: str, path: str, body: bytes, content_type: str, headers: tuple[tuple[bytes, bytes], ...]
     ) -> HttpResponse:
-        head = [(b"Host", address.encode()), (b"Content-Type", content_type.encode()), *fields]
+        head = [(b"Host", address.encode()), (b"Content-Type", content_type.encode()), *headers]
         data = write_request(method.encode(), path.encode(), head, body)
-        connection = self._take(address)
+        connection = self._acquire(address)
         if connection is None:
             try:
                 connection = await connect(address)
             except OSError as error:
-                raise CallError(address, f"no connection ({type(error).__name__})", sent=False) from None
-        sink = _Collector()
+                raise HttpCallError(address, f"no connection ({type(error).__name__})", sent=False) from None
+        sink = ResponseCollector()
         try:
             connection.send(data, sink)
             answer = await sink.future
@@ -279,11 +279,11 @@
             connection.close()
             raise
         if connection.usable:
-            connection.idle_until = asyncio.get_running_loop().time() + IDLE_S
+            connection.idle_until = asyncio.get_running_loop().time() + IDLE_TIMEOUT_S
             self._idle[address].append(connection)
         return answer
 
-    def _take(self, address: str) -> ClientConnection | None:
+    def _acquire(self, address: str) -> ClientConnection | None:
         return take_usable(self._idle.get(address, []))
 
     def forget(self, address: str) -> None:
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -29,7 +29,7 @@
 LOG = logging.getLogger(__name__)
 JSON_TYPE = "application/json"
 BINARY_TYPE = "application/octet-stream"
-MOST_PASSES = 1000  # dispatches in one go: an endless chain of events would keep the loop from everything else
+MAX_DISPATCHES = 1000  # dispatches in one go: an endless chain of events would keep the loop from everything else
 
 
 @dataclass(frozen=True)
@@ -56,7 +56,7 @@
         return HttpServerResponse(status, json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
 
 
-Answering = Callable[[HttpServerRequest], Awaitable[HttpServerResponse]]
+RequestHandler = Callable[[HttpServerRequest], Awaitable[HttpServerResponse]]
 
 
 class AsyncioPoller(BasePoller):
@@ -67,16 +67,16 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, dispatch: Callable[[], None]) -> None:
         super().__init__(channel=self.channel)
         self._loop, self._dispatch = loop, dispatch
-        self._numbers: dict[Any, int] = {}
+        self._descriptors: dict[Any, int] = {}
 
     def _generate_events(self, event: Any) -> None:
         event.reduce_time_left(0)
 
-    def _number(self, source: Any) -> int:
-        number = source if isinstance(source, int) else source.fileno()
-        if number >= 0:
-            self._numbers[source] = number
-        return self._numbers.get(source, -1)
+    def _descriptor(self, source: Any) -> int:
+        descriptor = source if isinstance(source, int) else source.fileno()
+        if descriptor >= 0:
+            self._descriptors[source] = descriptor
+        return self._descriptors.get(source, -1)
 
     def _ready(self, kind: type, source: Any) -> None:
         self.fire(kind(source), self.getTarget(source))
@@ -84,40 +84,40 @@
 
     def addReader(self, source: Any, fd: Any) -> None:
         super().addReader(source, fd)
-        self._loop.add_reader(self._number(fd), self._ready, _read, fd)
+        self._loop.add_reader(self._descriptor(fd), self._ready, _read, fd)
 
     def addWriter(self, source: Any, fd: Any) -> None:
         super().addWriter(source, fd)
-        self._loop.add_writer(self._number(fd), self._ready, _write, fd)
+        self._loop.add_writer(self._descriptor(fd), self._ready, _write, fd)
 
     def removeReader(self, fd: Any) -> None:
         super().removeReader(fd)
-        self._loop.remove_reader(self._number(fd))
+        self._loop.remove_reader(self._descriptor(fd))
 
     def removeWriter(self, fd: Any) -> None:
         super().removeWriter(fd)
-        self._loop.remove_writer(self._number(fd))
+        self._loop.remove_writer(self._descriptor(fd))
 
     def discard(self, fd: Any) -> None:
         super().discard(fd)
-        number = self._number(fd)
-        if number >= 0:
-            self._loop.remove_reader(number)
-            self._loop.remove_writer(number)
-        self._numbers.pop(fd, None)
+        descriptor = self._descriptor(fd)
+        if descriptor >= 0:
+            self._loop.remove_reader(descriptor)
+            self._loop.remove_writer(descriptor)
+        self._descriptors.pop(fd, None)
 
     def getTarget(self, fd: Any) -> Any:
         return self._targets.get(fd, "*")
 
 
-class _Listener(BaseComponent):
+class _WebListener(BaseComponent):
     """One listening address: TCP server, HTTP parser and the handler of its requests, on a channel of its own."""
 
-    def __init__(self, channel: str, host: str, port: int, answer: Answering, hub: HttpServer) -> None:
+    def __init__(self, channel: str, host: str, port: int, answer: RequestHandler, server: HttpServer) -> None:
         super().__init__(channel=channel)
         self.server = TCPServer((host, port), channel=channel).register(self)
         self.http = HTTP(self, channel=channel).register(self)
-        _Requests(channel, answer, hub).register(self)
+        _RequestDispatcher(channel, answer, server).register(self)
 
     secure = False
 
@@ -130,22 +130,22 @@
         return self.server.port
 
 
-class _Requests(Component):
+class _RequestDispatcher(Component):
     """Hands each parsed request to a coroutine and sends what that returns."""
 
-    def __init__(self, channel: str, answer: Answering, hub: HttpServer) -> None:
+    def __init__(self, channel: str, answer: RequestHandler, server: HttpServer) -> None:
         super().__init__(channel=channel)
-        self._answer, self._hub = answer, hub
+        self._answer, self._server = answer, server
 
     @handler("request", priority=1.0)
     def _on_request(self, event: Any, request: Request, response: Response) -> None:
         event.value.promise = True
         event.success = False
         event.stop()
-        asked = HttpServerRequest(
+        parsed = HttpServerRequest(
             request.method, request.path, {name.lower(): text for name, text in request.headers.items()}, request.body.read()
         )
-        self._hub.spawn(self._respond(asked, response))
+        self._server.spawn(self._respond(parsed, response))
 
     @handler("httperror", priority=1.0)
     def _on_error(self, event: Any, request: Request, response: Response, code: int | None = None, **_: Any) -> None:
@@ -161,14 +161,14 @@
         event.stop()
         self._send(response, HttpServerResponse.of_json(400, {"error": "the path is not in its normal form; encode it"}))
 
-    async def _respond(self, asked: HttpServerRequest, response: Response) -> None:
+    async def _respond(self, parsed: HttpServerRequest, response: Response) -> None:
         try:
-            answer = await self._answer(asked)
+            answer = await self._answer(parsed)
         except Exception:
-            LOG.exception("a request handler failed", extra={"path": asked.path})
+            LOG.exception("a request handler failed", extra={"path": parsed.path})
             answer = HttpServerResponse.of_json(500, {"error": "an internal error; see the log of this process"})
         self._send(response, answer)
-        self._hub.dispatch()
+        self._server.dispatch()
 
     def _send(self, response: Response, answer: HttpServerResponse) -> None:
         response.status = answer.status
@@ -190,11 +190,11 @@
         AsyncioPoller(loop, self.dispatch).register(self._root)
         self.dispatch()
 
-    def listen(self, address: str, answer: Answering) -> None:
+    def listen(self, address: str, answer: RequestHandler) -> None:
         """Serves `answer` at "HOST:PORT". OSError where the address can't be bound."""
         host, _, port = address.rpartition(":")
         self._listeners += 1
-        _Listener(f"web{self._listeners}", host, int(port), answer, self).register(self._root)
+        _WebListener(f"web{self._listeners}", host, int(port), answer, self).register(self._root)
         self.dispatch()
 
     def spawn(self, work: Any) -> None:
@@ -208,7 +208,7 @@
             return
         self._dispatching = True
         try:
-            for _ in range(MOST_PASSES):
+            for _ in range(MAX_DISPATCHES):
                 if not len(self._root) and not self._root._tasks:
                     break
                 self._root.tick(0)
--- a/mulleinhatch/process/settings.py
+++ b/mulleinhatch/process/settings.py
@@ -16,7 +16,7 @@
 from schema import And, Optional, Schema, SchemaError, Use
 
 FILE_VARIABLE = "MULLEINHATCH_NODE_FILE"
-TRUE_WORDS = {"true": True, "false": False}
+BOOLEAN_TEXTS = {"true": True, "false": False}
 
 
 class SettingsError(ValueError):
@@ -66,22 +66,22 @@
     bounds: Bounds
 
 
-def _flag(text: str) -> bool:
-    return TRUE_WORDS[text.strip().lower()]
+def _parse_boolean(text: str) -> bool:
+    return BOOLEAN_TEXTS[text.strip().lower()]
 
 
-def _address(text: str) -> str:
+def _parse_address(text: str) -> str:
     host, colon, port = text.strip().rpartition(":")
     if not colon or not host or not 0 < int(port) < 65536:
         raise ValueError(text)
     return text.strip()
 
 
-def _addresses(text: str) -> tuple[str, ...]:
-    return tuple(_address(part) for part in text.split(",") if part.strip())
+def _parse_addresses(text: str) -> tuple[str, ...]:
+    return tuple(_parse_address(part) for part in text.split(",") if part.strip())
 
 
-def _port_range(text: str) -> tuple[int, int]:
+def _parse_port_range(text: str) -> tuple[int, int]:
     first, last = (int(part) for part in text.split(","))
     return first, last
 
@@ -104,7 +104,7 @@
     "ceiling_window_s": ("ceiling_window_s", SECONDS),
     "ceiling_overage": ("ceiling_overage", FRACTION),
     "reuse_after_s": ("reuse_after_s", SECONDS),
-    "fenced": ("fenced", Use(_flag)),
+    "fenced": ("fenced", Use(_parse_boolean)),
 }
 FILE_SCHEMA = Schema(
     {
@@ -112,19 +112,19 @@
         "ip_address": And(str, len),
         Optional("zone", default=""): str,
         Optional("region", default=""): str,
-        "internal_port_range": Use(_port_range),
-        "seeds": Use(_addresses),
-        Optional("first_start", default=False): Use(_flag),
-        Optional("counts_for_quorum", default=False): Use(_flag),
+        "internal_port_range": Use(_parse_port_range),
+        "seeds": Use(_parse_addresses),
+        Optional("first_start", default=False): Use(_parse_boolean),
+        Optional("counts_for_quorum", default=False): Use(_parse_boolean),
         Optional("fault_tolerance.machines", default=0): Use(int),
         Optional("heartbeat_interval_ms", default=1.2): MILLISECONDS,
         Optional("data_directory", default=""): str,
         Optional("limits.file_descriptors", default=1024): Use(int),
         Optional("limits.memory_mb", default=256.0): Use(float),
         **{Optional(f"bounds.{key}"): check for key, (_, check) in BOUND_KEYS.items()},
-        Optional("listen.front"): Use(_address),
-        Optional("listen.ready"): Use(_address),
-        Optional("listen.control"): Use(_address),
+        Optional("listen.front"): Use(_parse_address),
+        Optional("listen.ready"): Use(_parse_address),
+        Optional("listen.control"): Use(_parse_address),
         Optional(str): object,
     },
     name="settings",
@@ -135,8 +135,8 @@
     try:
         checked = FILE_SCHEMA.validate(values)
     except SchemaError as error:
-        why = " ".join(part for part in error.autos if part)
-        return Err(SettingsError(f"{path}: {why}; correct the line of that key, or add it, and start again"))
+        reason = " ".join(part for part in error.autos if part)
+        return Err(SettingsError(f"{path}: {reason}; correct the line of that key, or add it, and start again"))
     bounds = {name: checked[f"bounds.{key}"] for key, (name, _) in BOUND_KEYS.items() if f"bounds.{key}" in checked}
     zones = {key.removeprefix("zones."): text for key, text in values.items() if key.startswith("zones.")}
     return Ok(
--- a/mulleinhatch/process/supervision.py
+++ b/mulleinhatch/process/supervision.py
@@ -7,10 +7,10 @@
 from collections.abc import Awaitable, Callable
 
 LOG = logging.getLogger(__name__)
-PAUSE_S = 0.5
+RESTART_DELAY_S = 0.5
 
 
-async def supervise(name: str, work: Callable[[], Awaitable[None]], pause_s: float = PAUSE_S) -> None:
+async def supervise(name: str, work: Callable[[], Awaitable[None]], restart_delay_s: float = RESTART_DELAY_S) -> None:
     """Runs `work` for ever. An OSError (a disk that refuses, a connection) is expected trouble, anything else is a fault."""
     while True:
         try:
@@ -20,4 +20,4 @@
             LOG.warning("work met an error and is begun again", extra={"work": name, "error": str(error)})
         except Exception:
             LOG.exception("work failed and is begun again", extra={"work": name})
-        await asyncio.sleep(pause_s)
+        await asyncio.sleep(restart_delay_s)
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -10,7 +10,7 @@
 from mulleinhatch.configuration.document import digest_of
 from mulleinhatch.data_plane.control_link import ControlLink
 from mulleinhatch.data_plane.snapshot import Snapshot
-from mulleinhatch.networking.http_client import CallError, HttpResponse
+from mulleinhatch.networking.http_client import HttpCallError, HttpResponse
 from mulleinhatch.simulation.control_plane.machines import Machine, process_settings
 from mulleinhatch.simulation.control_plane.network import Network
 from mulleinhatch.simulation.virtual_time import Process
@@ -56,7 +56,7 @@
         for _ in range(MOST_REDIRECTS + 1):
             try:
                 answer = await self._network.request(address, method, path, body, CALL_S, headers=headers)
-            except CallError:
+            except HttpCallError:
                 return None
             if answer.status != 307:
                 return answer
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mulleinhatch.control_plane.api import ControlApi, InternalApi, internal_api
+from mulleinhatch.control_plane.api import ControlApi, InternalApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.control_plane.state_store import StateStore, replay
@@ -130,11 +130,11 @@
         node = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, lambda: None, self._disk())
         node.open()
         distribution = Distribution(node, loop.time)
-        node._on_change = distribution.changed
-        node.on_backend_change = lambda backend_id: distribution.changed()
-        node.data_planes = distribution.data_planes
+        node._on_change = distribution.notify_changed
+        node.on_backend_change = lambda backend_id: distribution.notify_changed()
+        node.data_planes = distribution.count_local_data_planes
         self.control = ControlApi(node, loop.time, dict)
-        self.internal_api = internal_api(node)
+        self.internal_api = build_internal_api(node)
         self.internal_api.add("poll", cluster.PollRequest, distribution.poll)
         self.node = node
         loop.start(node.run(), self.process)
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from mulleinhatch.networking.http_client import CallError, HttpResponse
+from mulleinhatch.networking.http_client import HttpCallError, HttpResponse
 from mulleinhatch.networking.http_server import HttpServerRequest, HttpServerResponse
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.virtual_time import Process
@@ -52,7 +52,7 @@
     async def request(
         self, address: str, method: str, path: str, body: bytes, within: float, *_: Any, headers: dict[str, str] | None = None
     ) -> HttpResponse:
-        """The answer, or CallFailed after `within` seconds at most."""
+        """The answer, or HttpCallError after `within` seconds at most."""
         loop = self._world.loop
         answered: asyncio.Future[HttpServerResponse | None] = loop.create_future()
         loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), answered))
@@ -62,7 +62,7 @@
         except TimeoutError:
             answer = None
         if answer is None:
-            raise CallError(address, "no answer")
+            raise HttpCallError(address, "no answer")
         return HttpResponse(answer.status, answer.headers, answer.body)  # type: ignore[arg-type]
 
     def _passes(self, one: Any, other: Any) -> bool:
--- a/mulleinhatch/testing/fake_model_server.py
+++ b/mulleinhatch/testing/fake_model_server.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from mulleinhatch.data_plane.exchange import read_prompt
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.networking.http_streaming import Head, MessageReader, write_response
 
@@ -97,7 +97,7 @@
             try:
                 await self._caller.request(address, "DELETE", f"/instances/{self.id}", b"", 1.0)
                 break
-            except CallError:
+            except HttpCallError:
                 continue
         await self.crash()
 
@@ -136,7 +136,7 @@
                 )
                 if answer.status == 200:
                     return
-            except CallError:
+            except HttpCallError:
                 pass
             self.control.append(self.control.pop(0))
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from mulleinhatch.configuration.routes import Engine, ModelFacts
-from mulleinhatch.control_plane.api import read_backend
+from mulleinhatch.control_plane.api import parse_backend_heartbeat
 from mulleinhatch.control_plane.peers import ALIVE_S, Peers
 from mulleinhatch.control_plane.placement.backend_state import read_report
 from mulleinhatch.control_plane.placement.demand import Demand, Wanted
@@ -70,7 +70,7 @@
     def test_a_relayed_record_counts_from_when_its_backend_spoke(self):
         self.registry.merge(backend(1), 0.0)
         self.registry.merge(backend(2, age_ms=3000), 4.0)
-        self.assertEqual(self.registry.entries["i-1"].heard_at, 1.0)
+        self.assertEqual(self.registry.entries["i-1"].last_heartbeat_at, 1.0)
 
     def test_orders_and_heartbeats_are_ordered_each_by_its_own(self):
         self.registry.merge(backend(1, models=[LoadedModel(name="m0")]), 0.0)
@@ -103,12 +103,12 @@
 
 class Reading(unittest.TestCase):
     def test_a_heartbeat_that_can_not_be_used_names_the_field(self):
-        read = read_backend("i-1", b'{"service":"s","address":"nowhere","sequence":1}')
+        read = parse_backend_heartbeat("i-1", b'{"service":"s","address":"nowhere","sequence":1}')
         self.assertIsInstance(read, Err)
         self.assertIn("address", read.err_value)
 
     def test_a_heartbeat(self):
-        read = read_backend(
+        read = parse_backend_heartbeat(
             "i-1",
             b'{"service":"s","address":"a:1","sequence":4,"state":"draining","slots":6,"remaining_ms":700,'
             b'"models":[{"name":"m","version":2,"adapters":["a1"]}],"new":[1]}',
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -12,7 +12,7 @@
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.messages.cluster import Backend, DemandReport, LoadedModel, ModelDemand
-from mulleinhatch.networking.http_client import CallError
+from mulleinhatch.networking.http_client import HttpCallError
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
@@ -52,7 +52,7 @@
         self.answers.append(status)
         if len(self.answers) in self.lost_answers:
             await asyncio.sleep(timeout)
-            raise CallError(address, "no answer")
+            raise HttpCallError(address, "no answer")
         return SimpleNamespace(status=status, body=b"")
 
     def forget(self, address: str) -> None:
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -17,20 +17,20 @@
 from mulleinhatch.cli.system import demo
 from mulleinhatch.cli.system.demo import (
     MODELS,
-    Tally,
-    ask,
+    ClientTally,
     configuration,
-    control_ip,
-    front_ip,
+    control_plane_ip,
+    data_plane_ip,
     make_backends,
     put_configuration,
+    send_request,
     start_plane,
 )
-from mulleinhatch.networking.http_client import CallError, HttpClient, HttpResponse
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient, HttpResponse
 
 CORES, FRONTS = 3, 2
-BOUND_S = 30.0
-LOOK_S = 0.05
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 
 class System:
@@ -39,8 +39,8 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.planes: dict[tuple[str, int], subprocess.Popen[bytes]] = {}
-        self.control = [f"{control_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
-        self.fronts = [f"{front_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
+        self.control = [f"{control_plane_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
+        self.fronts = [f"{data_plane_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
         self.backends = make_backends(3, self.control)
         self.caller = HttpClient()
 
@@ -51,7 +51,7 @@
             self.start_plane("data", number)
         for backend in self.backends:
             await backend.start()
-        await put_configuration(self.caller, self.control[0], BOUND_S)
+        await put_configuration(self.caller, self.control[0], TIMEOUT_S)
 
     def start_plane(self, kind: str, number: int) -> None:
         first = not (self.folder / f"{kind}-{number}.conf").exists()
@@ -81,7 +81,7 @@
         for _ in range(3):
             try:
                 answer = await self.caller.request(address, method, path, body, 2.0, "application/json", fields)
-            except CallError:
+            except HttpCallError:
                 return None
             if answer.status != 307:
                 return answer
@@ -99,15 +99,15 @@
         return answer.status
 
 
-async def until(look: Callable[[], Awaitable], good: Callable[[object], bool] = lambda value: value is not None):
-    """The first good value that `look` gives; the test fails when none comes in time."""
+async def until(read_value: Callable[[], Awaitable], is_expected: Callable[[object], bool] = lambda value: value is not None):
+    """Return the first expected value of `read_value`; fail the test on timeout."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + BOUND_S
+    end = loop.time() + TIMEOUT_S
     while loop.time() < end:
-        value = await look()
-        if good(value):
+        value = await read_value()
+        if is_expected(value):
             return value
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     raise AssertionError("what was waited for did not come")
 
 
@@ -119,9 +119,9 @@
         self.addAsyncCleanup(self.system.stop)
         await self.system.start()
 
-    async def serve(self, model: str, front: int = 0) -> Tally:
-        tally = Tally()
-        await ask(self.system.fronts[front], model, tally)
+    async def serve(self, model: str, front: int = 0) -> ClientTally:
+        tally = ClientTally()
+        await send_request(self.system.fronts[front], model, tally)
         return tally
 
     async def served(self, model: str, front: int = 0) -> None:
@@ -150,7 +150,7 @@
         self.assertEqual(await until(system.version), 8)
         await self.served(MODELS[0])
 
-    async def test_a_stream_whose_backend_crashes_goes_on_elsewhere_and_is_whole(self):
+    async def test_a_stream_whose_backend_crashes_is_completed_by_another_backend(self):
         await self.served(MODELS[0])
         await self.served(MODELS[0], front=1)
         running = asyncio.ensure_future(self.serve(MODELS[2]))
@@ -162,7 +162,7 @@
     async def busy_backend(self):
         return next((backend for backend in self.system.backends if backend.running and backend.counters.runs), None)
 
-    async def test_a_data_plane_that_is_told_to_end_answers_what_it_took(self):
+    async def test_a_terminated_data_plane_completes_its_accepted_requests(self):
         await self.served(MODELS[0])
         running = [asyncio.ensure_future(self.serve(MODELS[0])) for _ in range(4)]
         await until(self.busy_backend)
