--- /dev/null
+++ b/mulleinhatch/control_plane/api/__init__.py
@@ -0,0 +1,11 @@
+"""Serve the two HTTP interfaces of a control plane process.
+
+`ControlApi` answers operators and backends at the `control` address; `InternalApi` answers the other processes of the system
+at the internal address.
+"""
+
+from mulleinhatch.control_plane.api.backend_heartbeats import parse_backend_heartbeat
+from mulleinhatch.control_plane.api.control import ControlApi
+from mulleinhatch.control_plane.api.internal import InternalApi, build_internal_api
+
+__all__ = ["ControlApi", "InternalApi", "build_internal_api", "parse_backend_heartbeat"]
--- /dev/null
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -0,0 +1,66 @@
+"""Answer the other processes of the system: betterproto messages, sent by POST to /internal/NAME."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Any
+
+from mulleinhatch.control_plane.api.paths import INTERNAL_PREFIX
+from mulleinhatch.control_plane.api.responses import error_response
+from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.messages import cluster
+from mulleinhatch.networking.http_server import BINARY_TYPE, HttpServerRequest, HttpServerResponse
+
+LOG = logging.getLogger(__name__)
+MessageHandler = Callable[[Any], Awaitable[Any]]
+
+
+@dataclass(frozen=True)
+class MessageRoute:
+    """The type that the body of a request is parsed as, and the coroutine function that answers it."""
+
+    message_type: Callable[[], Any]
+    handler: MessageHandler
+
+
+class InternalApi:
+    """Parses a message, calls its handler and sends the message that the handler returns."""
+
+    def __init__(self) -> None:
+        self._routes: dict[str, MessageRoute] = {}
+
+    def register(self, name: str, message_type: Callable[[], Any], handler: MessageHandler) -> None:
+        """Serve the message type at /internal/`name` by a handler, which may raise OSError: the caller gets a 503."""
+        self._routes[INTERNAL_PREFIX + name] = MessageRoute(message_type, handler)
+
+    async def handle_request(self, request: HttpServerRequest) -> HttpServerResponse:
+        """Answer one request: 404 for an unknown name, 400 for an unreadable body, 503 if the handler cannot answer now."""
+        route = self._routes.get(request.path)
+        if route is None or request.method != "POST":
+            return error_response(HTTPStatus.NOT_FOUND, "no such message")
+        try:
+            message = route.message_type().parse(request.body)
+        except Exception as error:  # betterproto lets through whatever its parser runs into
+            LOG.warning("unreadable message", extra={"path": request.path, "error": repr(error)})
+            return error_response(HTTPStatus.BAD_REQUEST, "the message can't be read; both sides must run the same version")
+        try:
+            answer = await route.handler(message)
+        except OSError as error:
+            return error_response(HTTPStatus.SERVICE_UNAVAILABLE, f"{error}")
+        return HttpServerResponse(HTTPStatus.OK, bytes(answer), BINARY_TYPE)
+
+
+def build_internal_api(node: CoreNode) -> InternalApi:
+    """Return an interface with a route to each job of the node that answers its peers."""
+    api = InternalApi()
+    api.register("heartbeat", cluster.Heartbeat, node.heartbeats.on_heartbeat)
+    api.register("prepare", cluster.PrepareRequest, node.view_changer.on_prepare)
+    api.register("accept", cluster.AcceptRequest, node.view_changer.on_accept)
+    api.register("confirm", cluster.ConfirmRequest, node.view_changer.on_confirm)
+    api.register("append", cluster.AppendRequest, node.replicated_log.on_append)
+    api.register("snapshot", cluster.SnapshotRequest, node.catch_up.on_snapshot)
+    api.register("leave", cluster.LeaveRequest, node.configuration_changes.on_leave)
+    return api
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -53,7 +53,7 @@
 
     @staticmethod
     def of_json(status: int, value: Any, headers: Mapping[str, str] | None = None) -> HttpServerResponse:
-        return HttpServerResponse(status, json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
+        return HttpServerResponse(int(status), json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
 
 
 RequestHandler = Callable[[HttpServerRequest], Awaitable[HttpServerResponse]]
@@ -171,7 +171,7 @@
         self._server.dispatch()
 
     def _send(self, response: Response, answer: HttpServerResponse) -> None:
-        response.status = answer.status
+        response.status = int(answer.status)
         response.headers["Content-Type"] = answer.content_type
         for name, text in answer.headers.items():
             response.headers[name] = text
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -135,7 +135,7 @@
         node.data_planes = distribution.count_local_data_planes
         self.control = ControlApi(node, loop.time, dict)
         self.internal_api = build_internal_api(node)
-        self.internal_api.add("poll", cluster.PollRequest, distribution.poll)
+        self.internal_api.register("poll", cluster.PollRequest, distribution.poll)
         self.node = node
         loop.start(node.run(), self.process)
 
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -84,7 +84,7 @@
             self._answer(answered, None)
             return
         api = target.control if address == target.control_address else target.internal_api
-        handled: asyncio.Task[HttpServerResponse] = world.loop.start(api.answer(request), process)
+        handled: asyncio.Task[HttpServerResponse] = world.loop.start(api.handle_request(request), process)
         await _ended(world.loop, handled)
         await asyncio.sleep(world.chance.uniform(*DELAY_S))
         if target.process is process and self._passes(target, self._place):
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -25,7 +25,7 @@
     """Asks one machine itself, whoever else it would send the caller to."""
     headers = {} if base is None else {"if-match": str(base)}
     loop = asyncio.get_running_loop()
-    return loop.start(machine.control.answer(HttpServerRequest(method, path, headers, body)), machine.process)
+    return loop.start(machine.control.handle_request(HttpServerRequest(method, path, headers, body)), machine.process)
 
 
 async def change(world: World, operator: Operator | None = None) -> Sent:
@@ -130,7 +130,7 @@
                 await asyncio.sleep(AUTHORITY_S + 0.1)
                 body = bytes(PollRequest(node="d", wait_ms=0))
                 handled = world.loop.start(
-                    machine.internal_api.answer(HttpServerRequest("POST", "/internal/poll", {}, body)), machine.process
+                    machine.internal_api.handle_request(HttpServerRequest("POST", "/internal/poll", {}, body)), machine.process
                 )
                 self.assertFalse(PollResponse().parse((await handled).body).authoritative)
                 world.links.clear()
