--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -6,18 +6,18 @@
 import gc
 import logging
 import signal
-from typing import Any
 
 from mulleinhatch.control_plane.api import ControlApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.shutdown import leave
+from mulleinhatch.control_plane.status import ControlPlaneStatus, build_status
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_client import HttpClient
 from mulleinhatch.networking.http_server import HttpServer
 from mulleinhatch.process.settings import Settings
-from mulleinhatch.process.supervision import supervise
+from mulleinhatch.process.supervision import run_until_stopped, supervise
 
 LOG = logging.getLogger(__name__)
 DISK_RETRY_S = 0.5
@@ -56,12 +56,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
         gc.freeze()
         LOG.info("control plane started", extra={"identity": self.node.member.identity, "epoch": self.node.view.epoch})
-        work = [asyncio.ensure_future(self.node.run()), asyncio.ensure_future(supervise("orders", self.placement.run))]
-        stop = asyncio.ensure_future(self.stopped.wait())
-        await asyncio.wait([*work, stop], return_when=asyncio.FIRST_COMPLETED)
-        for task in work:
-            if task.done():
-                task.result()
+        await run_until_stopped(self.stopped, self.node.run(), supervise("orders", self.placement.run))
 
     def _on_terminate(self) -> None:
         if self.node.leaving:
@@ -82,36 +77,6 @@
                 LOG.error("the disk can't be used; free space or replace it", extra={"error": str(error)})
                 await asyncio.sleep(DISK_RETRY_S)
 
-    def status(self) -> dict[str, Any]:
-        """What an operator may look at."""
-        node, now = self.node, self.clock()
-        return {
-            "name": self.settings.name,
-            "identity": node.member.identity,
-            "epoch": node.view.epoch,
-            "chain": [member.name for member in node.view.chain],
-            "voters": [member.name for member in node.view.voters],
-            "authoritative": node.has_majority_contact(),
-            "last": node.replica.last,
-            "committed": node.replica.committed,
-            "version": node.state.document.version,
-            "holder": node.state.leader,
-            "fence_token": node.state.fencing_token,
-            "orders": list(self.placement.log),
-            "data_planes": self.distribution.count_all_data_planes(),
-            "peers": {
-                peer.member.name: {"answered_s_ago": round(now - peer.answered_at, 2), "leaving": peer.leaving}
-                for peer in node.peers.by_identity.values()
-            },
-            "stubs": {
-                backend_id: {
-                    "service": entry.backend.service,
-                    "address": entry.backend.address,
-                    "draining": entry.backend.draining,
-                    "gone": entry.backend.gone,
-                    "silent": entry.backend.silent,
-                    "models": {model.name: list(model.adapters) for model in entry.backend.models},
-                }
-                for backend_id, entry in node.registry.entries.items()
-            },
-        }
+    def status(self) -> ControlPlaneStatus:
+        """Return the JSON value of GET /status."""
+        return build_status(self.node, list(self.placement.log), self.distribution.count_all_data_planes(), self.clock())
--- a/mulleinhatch/process/supervision.py
+++ b/mulleinhatch/process/supervision.py
@@ -4,7 +4,8 @@
 
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any
 
 LOG = logging.getLogger(__name__)
 RESTART_DELAY_S = 0.5
@@ -21,3 +22,22 @@
         except Exception:
             LOG.exception("work failed and is begun again", extra={"work": name})
         await asyncio.sleep(restart_delay_s)
+
+
+async def run_until_stopped(stopped: asyncio.Event, *work: Coroutine[Any, Any, None]) -> None:
+    """Run coroutines as tasks until `stopped` is set or one of them ends; then cancel and await all of them.
+
+    Raises:
+        Exception: What a task that ended by itself raised.
+    """
+    tasks = [asyncio.create_task(coroutine) for coroutine in work]
+    stop = asyncio.create_task(stopped.wait())
+    try:
+        await asyncio.wait([*tasks, stop], return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            if task.done():
+                task.result()
+    finally:
+        for task in (*tasks, stop):
+            task.cancel()
+        await asyncio.gather(*tasks, stop, return_exceptions=True)
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -8,7 +8,7 @@
 
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.process.settings import Bounds
-from mulleinhatch.process.supervision import supervise
+from mulleinhatch.process.supervision import run_until_stopped, supervise
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 
@@ -36,6 +36,32 @@
         self.assertEqual(begun, [0.0, 1.0, 2.0, 3.0])
 
 
+class RunUntilStopped(unittest.IsolatedAsyncioTestCase):
+    async def forever(self) -> None:
+        try:
+            await asyncio.Event().wait()
+        except asyncio.CancelledError:
+            self.cancelled += 1
+            raise
+
+    def setUp(self):
+        self.cancelled = 0
+
+    async def test_cancels_and_awaits_all_tasks_when_stopped(self):
+        stopped = asyncio.Event()
+        asyncio.get_running_loop().call_soon(stopped.set)
+        await run_until_stopped(stopped, self.forever(), self.forever())
+        self.assertEqual(self.cancelled, 2)
+
+    async def test_raises_the_error_of_a_failed_task_and_cancels_the_others(self):
+        async def fail() -> None:
+            raise ValueError("a fault")
+
+        with self.assertRaisesRegex(ValueError, "a fault"):
+            await run_until_stopped(asyncio.Event(), self.forever(), fail())
+        self.assertEqual(self.cancelled, 1)
+
+
 class RefusingCore:
     """As much of a core as a claim needs; its disk is full."""
 
