--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -106,7 +106,7 @@
 
     def _build_response(self, request: PollRequest) -> PollResponse:
         node = self._node
-        is_complete, backends = node.registry.changes_since(request.registry_source, request.registry_cursor)
+        changes = node.registry.changes_since(request.registry_source, request.registry_cursor)
         head = node.head
         answer = PollResponse(
             authoritative=node.has_majority_contact(),
@@ -116,8 +116,8 @@
             configuration_version=node.state.document.version,
             registry_source=node.registry.source,
             registry_cursor=node.registry.cursor,
-            whole_registry=is_complete,
-            backends=backends,
+            whole_registry=changes.is_complete,
+            backends=changes.backends,
             control_addresses=[member.internal_address for member in node.view.chain],
             leader_address=head.internal_address if head else "",
             data_planes=self.count_all_data_planes(),
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -90,9 +90,11 @@
         )
         self.peers = Peers(self.member)
         self.registry = BackendRegistry(
-            self.settings.heartbeat_s, self._backend_changed, lambda backend_id: backend_id in self.state.left
+            self.settings.heartbeat_s,
+            self._backend_changed,
+            has_left=lambda backend_id: backend_id in self.state.left,
+            on_store_load=lambda: self.on_store_load(),
         )
-        self.registry.on_store_load = lambda: self.on_store_load()
         self.view_changer = ViewChanger(self, restored)
         if not restored.voter.view.epoch and restored.identity == f"first-{control}":
             self.view_changer.bootstrap(first_view(self.settings.seeds, self.internal_address_of))
--- /dev/null
+++ b/mulleinhatch/control_plane/registry/__init__.py
@@ -0,0 +1,8 @@
+"""Keep the list of backends of one control plane process.
+
+Heartbeats from backends and from the other core machines feed it; distribution and placement read it.
+"""
+
+from mulleinhatch.control_plane.registry.backend_registry import BackendRegistry, RegistryChanges, RegistryEntry
+
+__all__ = ["BackendRegistry", "RegistryChanges", "RegistryEntry"]
--- a/mulleinhatch/control_plane/registry/backend_registry.py
+++ b/mulleinhatch/control_plane/registry/backend_registry.py
@@ -9,7 +9,9 @@
 import uuid
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
+from mulleinhatch.control_plane.registry.record_merge import merge_records, published_fields
 from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
 SILENT_AFTER_HEARTBEATS = 3.2  # heartbeats that may be missed before a backend counts as silent
@@ -26,22 +28,11 @@
     cursor: int = 0
 
 
-def _published_fields(backend: Backend) -> tuple:
-    """What of a record matters to data planes."""
-    return (
-        backend.service,
-        backend.address,
-        backend.zone,
-        backend.slots,
-        backend.draining,
-        backend.gone,
-        backend.silent,
-        tuple((model.name, model.version, tuple(sorted(model.adapters))) for model in backend.models),
-        tuple((load.model, load.adapter) for load in backend.loads),
-        tuple((load.model, load.adapter) for load in backend.unloads),
-        backend.cold_remaining_ms > 0,
-        backend.remaining_ms > 0,
-    )
+class RegistryChanges(NamedTuple):
+    """Records for one data plane: all of them, or those that changed after its cursor."""
+
+    is_complete: bool
+    backends: list[Backend]
 
 
 class BackendRegistry:
@@ -49,16 +40,20 @@
     the control state says that the backend leaves, whatever its records say."""
 
     def __init__(
-        self, heartbeat_s: float, on_change: Callable[[str], None], has_left: Callable[[str], bool] = lambda backend_id: False
+        self,
+        heartbeat_s: float,
+        on_change: Callable[[str], None],
+        has_left: Callable[[str], bool] = lambda backend_id: False,
+        on_store_load: Callable[[], None] = lambda: None,
     ) -> None:
         self._has_left = has_left
+        self._on_store_load = on_store_load
         self.source = uuid.uuid4().hex[:12]
         self.cursor = 0
         self.urgent_cursor = 0  # of the newest change after which a backend must not be used any more, or is new
         self.entries: dict[str, RegistryEntry] = {}
         self._silent_after_s = SILENT_AFTER_HEARTBEATS * heartbeat_s
         self._on_change = on_change
-        self.on_store_load: Callable[[], None] = lambda: None  # a load from the weight store began somewhere
 
     def merge(self, backend: Backend, now: float) -> bool:
         """Takes a record if it is newer than what is known; whether it was."""
@@ -74,33 +69,12 @@
             return False
         if backend.sequence >= current.sequence:
             entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - backend.age_ms / 1000.0)
-        merged = self._merge_records(current, backend)
+        merged = merge_records(current, backend)
         if merged is current:
             return False
         self._replace(entry, merged)
         return True
 
-    @staticmethod
-    def _merge_records(current: Backend, update: Backend) -> Backend:
-        """What the backend says is ordered by its `sequence`, what was ordered of it by `order_revision`."""
-        merged = current
-        if update.sequence > current.sequence:
-            merged = replace(
-                update,
-                silent=False,
-                draining=update.draining or current.draining,
-                loads=current.loads,
-                unloads=current.unloads,
-                order_revision=current.order_revision,
-            )
-        if update.order_revision > current.order_revision:
-            merged = replace(
-                merged, models=update.models, loads=update.loads, unloads=update.unloads, order_revision=update.order_revision
-            )
-        if update.gone:
-            merged = replace(merged, gone=True)
-        return merged
-
     def restore(self, backend: Backend, now: float) -> None:
         """A backend that was present before a restart: believed until it should have been heard of again."""
         if backend.id not in self.entries:
@@ -139,7 +113,7 @@
         )
 
     def _replace(self, entry: RegistryEntry, backend: Backend) -> bool:
-        changed = _published_fields(entry.backend) != _published_fields(backend)
+        changed = published_fields(entry.backend) != published_fields(backend)
         urgent = (entry.backend.draining, entry.backend.gone, entry.backend.silent) != (
             backend.draining,
             backend.gone,
@@ -148,7 +122,7 @@
         current = {load.model for load in entry.backend.loads if load.from_store}
         for load in backend.loads:
             if load.from_store and load.model not in current:
-                self.on_store_load()
+                self._on_store_load()
         entry.backend = backend
         if changed:
             self._changed(entry, urgent)
@@ -176,12 +150,11 @@
             if not entry.backend.silent:
                 entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - self._silent_after_s / 2)
 
-    def changes_since(self, source: str, cursor: int) -> tuple[bool, list[Backend]]:
+    def changes_since(self, source: str, cursor: int) -> RegistryChanges:
         """Whether the list is whole, and the records that changed after a cursor."""
-        whole = source != self.source
-        if whole:
-            return True, [entry.backend for entry in self.entries.values() if not entry.backend.gone]
-        return False, [entry.backend for entry in self.entries.values() if entry.cursor > cursor]
+        if source != self.source:
+            return RegistryChanges(True, [entry.backend for entry in self.entries.values() if not entry.backend.gone])
+        return RegistryChanges(False, [entry.backend for entry in self.entries.values() if entry.cursor > cursor])
 
     def records_for_peer(self, ids: set[str], now: float) -> list[Backend]:
         """Records for another core machine, with how long ago the backend was heard of."""
--- a/mulleinhatch/data_plane/exchange.py
+++ b/mulleinhatch/data_plane/exchange.py
@@ -18,7 +18,7 @@
 from mulleinhatch.data_plane.request_state import Answer, Next, RequestState, read_answer
 from mulleinhatch.data_plane.routing import BackendStates
 from mulleinhatch.data_plane.snapshot import KnownBackend, ModelName
-from mulleinhatch.networking.http_client import ClientConnection, Loss
+from mulleinhatch.networking.http_connection import ClientConnection, Loss
 from mulleinhatch.networking.http_streaming import HOP_BY_HOP, Head, write_request
 
 LOG = logging.getLogger(__name__)
--- a/mulleinhatch/data_plane/pool.py
+++ b/mulleinhatch/data_plane/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections import defaultdict
 
-from mulleinhatch.networking.http_client import ClientConnection, connect, take_usable
+from mulleinhatch.networking.http_connection import ClientConnection, connect, take_usable
 from mulleinhatch.networking.http_streaming import Head
 
 CONNECT_S = 0.7
--- a/mulleinhatch/process/settings.py
+++ b/mulleinhatch/process/settings.py
@@ -15,11 +15,13 @@
 from result import Err, Ok, Result
 from schema import And, Optional, Schema, SchemaError, Use
 
+from mulleinhatch.errors import ConfigurationError
+
 FILE_VARIABLE = "MULLEINHATCH_NODE_FILE"
 BOOLEAN_TEXTS = {"true": True, "false": False}
 
 
-class SettingsError(ValueError):
+class SettingsError(ConfigurationError):
     """A settings file that can't be used; the message names the key and the remedy."""
 
 
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -93,7 +93,7 @@
 
     def test_loads_from_the_store_are_counted_whoever_ordered_them(self):
         counted = []
-        self.registry.on_store_load = lambda: counted.append(1)
+        self.registry = BackendRegistry(1.0, self.changes.append, on_store_load=lambda: counted.append(1))
         self.registry.merge(backend(1), 0.0)
         load = PendingLoad(model="m1", from_store=True)
         self.registry.merge(backend(0, loads=[load], order_revision=3), 0.1)
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -23,7 +23,7 @@
 from mulleinhatch.data_plane.request_state import Answer, Next, RequestState, read_answer
 from mulleinhatch.data_plane.router import Router
 from mulleinhatch.data_plane.snapshot import BackendList, KnownBackend, Snapshot
-from mulleinhatch.networking.http_client import ClientConnection
+from mulleinhatch.networking.http_connection import ClientConnection
 from mulleinhatch.networking.http_streaming import Head, parse_request_head
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.simulation.virtual_time import VirtualLoop
