--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -90,6 +90,10 @@
             key: status[key] for key in ("name", "epoch", "chain", "voters", "authoritative", "committed", "version", "peers")
         }
 
+    def stubs(self, control: str) -> dict[str, Any]:
+        """The list of backends with what each holds."""
+        return self.backends(control)
+
     def backends(self, control: str) -> dict[str, Any]:
         """The list of backends with what each holds."""
         return _status(control)["stubs"]
