--- a/mulleinhatch/control_plane/__init__.py
+++ b/mulleinhatch/control_plane/__init__.py
@@ -1,4 +1,4 @@
-"""The control plane's program: keeps the configuration and the list of backends, tells the data planes, orders loads of models.
+"""Run the control plane: it keeps the replicated configuration and the list of backends, and orders the loads of models.
 
-Started by `control_plane.py`; it carries none of the clients' traffic.
+The entry point is `control_plane.py`, which starts `process.ControlPlaneProcess`. Client traffic does not pass through it.
 """
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -1,4 +1,8 @@
-"""What data planes are told: each long-polls with the versions it has, and is answered as soon as there is something newer."""
+"""Distribute the configuration and the list of backends to data planes by long polling.
+
+Each data plane polls with the versions that it has. The answer is sent as soon as there is something newer, or when the wait
+that the data plane asked for is over.
+"""
 
 from __future__ import annotations
 
@@ -7,41 +11,75 @@
 import zlib
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
-from mulleinhatch.control_plane.node import CoreNode
-from mulleinhatch.messages.cluster import PollRequest, PollResponse
+from mulleinhatch.control_plane.peers import Peers
+from mulleinhatch.control_plane.registry import BackendRegistry
+from mulleinhatch.messages.cluster import Member, PollRequest, PollResponse, View
+from mulleinhatch.replication.state import ControlState
 
 MAX_WAIT_S = 5.0
-COALESCE_S = 0.004  # changes that come together are told together
-POLLER_EXPIRY_S = 12.0  # a data plane that did not poll for so long is gone
-MAX_PATCHES = 32
-MIN_INTERVAL_PER_DATA_PLANE_S = 0.002
-LEADERSHIP_CHECK_S = 0.25  # between two looks whether we may still speak
+COALESCE_S = 0.004  # changes that occur within this time are sent in one answer
+POLLER_EXPIRY_S = 12.0  # a data plane that has not polled for so long is not counted any more
+MAX_PATCHES = 32  # a data plane further behind gets the complete configuration
+MIN_INTERVAL_PER_DATA_PLANE_S = 0.002  # between two answers to one data plane, for each data plane in the system
+LEADERSHIP_CHECK_S = 0.25  # between two checks that a majority still confirms the view
+NEVER_S = -1e9
+
+
+class DistributionNode(Protocol):
+    """What the distribution needs of the node; `CoreNode` satisfies it."""
+
+    peers: Peers
+    registry: BackendRegistry
+    state: ControlState
+
+    @property
+    def view(self) -> View:
+        """The view in force."""
+
+    @property
+    def head(self) -> Member | None:
+        """The first member of the view's chain."""
+
+    def has_majority_contact(self) -> bool:
+        """Return whether a majority of voters confirmed the view recently."""
+
+    async def confirm_leadership(self) -> bool:
+        """Return whether a majority of voters confirms the view, waiting for it for a short time."""
 
 
 @dataclass
 class PollerState:
-    """A data plane that polls here, and when it was last answered."""
+    """A data plane that polls this process; times are steady, in seconds."""
 
     polled_at: float
-    answered_at: float = -1e9
+    answered_at: float = NEVER_S
 
 
 class Distribution:
-    """Answers polls. `notify_changed` is called whenever something that data planes hear of moved."""
+    """Answers the polls of data planes.
 
-    def __init__(self, node: CoreNode, clock: Callable[[], float]) -> None:
-        self._node, self._clock = node, clock
+    Args:
+        node: The node whose configuration and backends are distributed.
+        clock: Returns the steady time in seconds.
+    """
+
+    def __init__(self, node: DistributionNode, clock: Callable[[], float]) -> None:
+        self._node = node
+        self._clock = clock
         self._pollers: dict[str, PollerState] = {}
-        self._event = asyncio.Event()
-        self._full_configuration_version, self._full_configuration = -1, b""
+        self._change = asyncio.Event()  # set and replaced at each change
+        self._full_configuration = b""  # compressed; a cache for `_full_configuration_version`
+        self._full_configuration_version = -1
 
     def notify_changed(self) -> None:
-        event, self._event = self._event, asyncio.Event()
-        event.set()
+        """Wake all waiting polls; call it whenever something that data planes use has changed."""
+        change, self._change = self._change, asyncio.Event()
+        change.set()
 
     def count_local_data_planes(self) -> int:
-        """Data planes that poll here."""
+        """Return the number of data planes that poll this process."""
         now = self._clock()
         for name, poller in list(self._pollers.items()):
             if now - poller.polled_at > POLLER_EXPIRY_S:
@@ -49,14 +87,14 @@
         return len(self._pollers)
 
     def count_all_data_planes(self) -> int:
-        """Data planes of the whole system, as the core machines in reach count them."""
+        """Return the number of data planes that poll this process or a peer in reach, at least 1."""
         now = self._clock()
         peers = self._node.peers
         others = sum(peer.data_planes for identity, peer in peers.by_identity.items() if peers.is_alive(identity, now))
         return max(1, self.count_local_data_planes() + others)
 
     async def poll(self, request: PollRequest) -> PollResponse:
-        """Waits until there is news for the asker, or its wait is over."""
+        """Wait until there is an update for the data plane, its wait is over, or the view changes; then answer."""
         poller = self._pollers.setdefault(request.node, PollerState(self._clock()))
         poller.polled_at = self._clock()
         end = self._clock() + min(MAX_WAIT_S, request.wait_ms / 1000.0)
@@ -66,49 +104,54 @@
             and not self._is_response_due(request, poller)
             and epoch == self._node.view.epoch
         ):
-            left = end - self._clock()
-            if left <= 0:
+            remaining_s = end - self._clock()
+            if remaining_s <= 0:
                 break
             if self._has_update(request):
-                left = min(left, max(0.001, poller.answered_at + self._min_interval_s() - self._clock()))
-            try:
-                async with asyncio.timeout(min(left, LEADERSHIP_CHECK_S)):
-                    await self._event.wait()
-                await asyncio.sleep(COALESCE_S)
-            except TimeoutError:
-                pass
+                until_due_s = poller.answered_at + self._min_interval_s() - self._clock()
+                remaining_s = min(remaining_s, max(0.001, until_due_s))
+            await self._wait_for_change(min(remaining_s, LEADERSHIP_CHECK_S))
         poller.polled_at = poller.answered_at = self._clock()
         return self._build_response(request)
 
+    async def _wait_for_change(self, timeout_s: float) -> None:
+        try:
+            async with asyncio.timeout(timeout_s):
+                await self._change.wait()
+            await asyncio.sleep(COALESCE_S)
+        except TimeoutError:
+            pass
+
     def _min_interval_s(self) -> float:
-        """The least time between two answers to one data plane, so that many of them cost no more than few."""
+        """Return the least time between two answers to one data plane: the total rate does not grow with their number."""
         return MIN_INTERVAL_PER_DATA_PLANE_S * self.count_all_data_planes()
 
     def _is_response_due(self, request: PollRequest, poller: PollerState) -> bool:
-        """Whether there is news, and it is urgent or the last answer is long enough ago."""
-        node = self._node
-        if node.state.document.version > request.configuration_version or request.registry_source != node.registry.source:
-            return True
-        if node.state.left_index > request.left_index:
+        """Return whether there is an update that is urgent, or any update and the last answer is long enough ago."""
+        registry = self._node.registry
+        if self._has_new_state(request):
             return True
-        if node.registry.urgent_cursor > request.registry_cursor:
+        if registry.urgent_cursor > request.registry_cursor:
             return True
-        return node.registry.cursor > request.registry_cursor and self._clock() >= poller.answered_at + self._min_interval_s()
+        return registry.cursor > request.registry_cursor and self._clock() >= poller.answered_at + self._min_interval_s()
 
     def _has_update(self, request: PollRequest) -> bool:
-        registry = self._node.registry
+        return self._has_new_state(request) or self._node.registry.cursor > request.registry_cursor
+
+    def _has_new_state(self, request: PollRequest) -> bool:
+        """Return whether the configuration, the registry's source or the recorded departures are newer."""
+        node = self._node
         return (
-            self._node.state.document.version > request.configuration_version
-            or request.registry_source != registry.source
-            or self._node.state.left_index > request.left_index
-            or registry.cursor > request.registry_cursor
+            node.state.document.version > request.configuration_version
+            or request.registry_source != node.registry.source
+            or node.state.left_index > request.left_index
         )
 
     def _build_response(self, request: PollRequest) -> PollResponse:
         node = self._node
         changes = node.registry.changes_since(request.registry_source, request.registry_cursor)
         head = node.head
-        answer = PollResponse(
+        response = PollResponse(
             authoritative=node.has_majority_contact(),
             epoch=node.view.epoch,
             left=node.state.left_since(request.left_index),
@@ -123,18 +166,17 @@
             data_planes=self.count_all_data_planes(),
         )
         if node.state.document.version > request.configuration_version:
-            answer.base_version, answer.configuration = self._encode_configuration(request.configuration_version)
-        return answer
+            response.base_version, response.configuration = self._encode_configuration(request.configuration_version)
+        return response
 
-    def _encode_configuration(self, known: int) -> tuple[int, bytes]:
-        """The version that the bytes build on, 0 for a whole configuration; compressed JSON."""
-        patches = self._node.state.patches_since(known) if known else None
+    def _encode_configuration(self, known_version: int) -> tuple[int, bytes]:
+        """Return the version that the bytes build on (0: a complete configuration) and compressed JSON."""
+        patches = self._node.state.patches_since(known_version) if known_version else None
         if patches is not None and len(patches) <= MAX_PATCHES:
-            return known, zlib.compress(b"[" + b",".join(patches) + b"]")
+            return known_version, zlib.compress(b"[" + b",".join(patches) + b"]")
         document = self._node.state.document
         if self._full_configuration_version != document.version:
-            self._full_configuration, self._full_configuration_version = (
-                zlib.compress(json.dumps(document.value, separators=(",", ":")).encode(), 6),
-                document.version,
-            )
+            text = json.dumps(document.value, separators=(",", ":"))
+            self._full_configuration = zlib.compress(text.encode(), 6)
+            self._full_configuration_version = document.version
         return 0, self._full_configuration
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -1,4 +1,4 @@
-"""The control plane's process: settings, the core, its interfaces, signals and the end."""
+"""Run one control plane process: wire its parts, serve its interfaces, handle signals and the planned shutdown."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import logging
 import signal
 
-from mulleinhatch.control_plane.api import ControlApi, build_internal_api
+from mulleinhatch.control_plane.api import ControlApi, InternalApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.control_plane.placement.controller import PlacementController
@@ -24,7 +24,13 @@
 
 
 class ControlPlaneProcess:
-    """One control plane instance."""
+    """Owns the node, the placement controller and the distribution of one control plane.
+
+    Create it in a running event loop.
+
+    Args:
+        settings: The settings of this process.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -43,33 +49,39 @@
         self.distribution.notify_changed()
 
     async def run(self) -> None:
-        """Serves until SIGTERM, and then until the chain goes on without us."""
-        await self._open()
-        server = HttpServer(self.loop)
-        api = ControlApi(self.node, self.clock, self.status)
-        internal = build_internal_api(self.node)
-        internal.register("poll", cluster.PollRequest, self.distribution.poll)
-        internal.register("demand", cluster.DemandReport, self.placement.on_demand)
-        server.listen(self.settings.internal_address, internal.handle_request)
-        server.listen(self.settings.listen["control"], api.handle_request)
+        """Serve until SIGTERM, and then until the other core machines no longer need this one."""
+        await self._open_state()
+        self._listen()
         self.loop.add_signal_handler(signal.SIGTERM, self._on_terminate)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
-        gc.freeze()
+        gc.freeze()  # what exists now lives as long as the process: the collector need not look at it again
         LOG.info("control plane started", extra={"identity": self.node.member.identity, "epoch": self.node.view.epoch})
         await run_until_stopped(self.stopped, self.node.run(), supervise("orders", self.placement.run))
 
+    def _listen(self) -> None:
+        server = HttpServer(self.loop)
+        control = ControlApi(self.node, self.clock, self.status)
+        server.listen(self.settings.internal_address, self._build_internal_api().handle_request)
+        server.listen(self.settings.listen["control"], control.handle_request)
+
+    def _build_internal_api(self) -> InternalApi:
+        api = build_internal_api(self.node)
+        api.register("poll", cluster.PollRequest, self.distribution.poll)
+        api.register("demand", cluster.DemandReport, self.placement.on_demand)
+        return api
+
     def _on_terminate(self) -> None:
         if self.node.leaving:
             return
         LOG.info("leaving")
-        self.node.start_task(self._end_when_replaced())
+        self.node.start_task(self._stop_when_replaced())
 
-    async def _end_when_replaced(self) -> None:
+    async def _stop_when_replaced(self) -> None:
         await leave(self.node, self.settings.bounds.grace_s)
         self.stopped.set()
 
-    async def _open(self) -> None:
-        """Reads the disk; one that refuses for now is tried again."""
+    async def _open_state(self) -> None:
+        """Read the persisted state; retry while the disk fails, as it may recover."""
         while True:
             try:
                 return self.node.open()
--- a/mulleinhatch/control_plane/registry/backend_registry.py
+++ b/mulleinhatch/control_plane/registry/backend_registry.py
@@ -1,7 +1,6 @@
-"""The list of backends: soft state on every core machine, told anew by the backends' heartbeats. Pure.
+"""The list of backends: soft state on every core machine, rebuilt from the backends' heartbeats. Pure.
 
-Each record is ordered by its backend's own `sequence`; `gone` is final, as every start of a backend has a new id. A cursor
-counts changes that a data plane must hear of, so that a poll is answered with just those.
+A cursor counts the changes that data planes use, so that a poll returns only the records that changed since the last one.
 """
 
 from __future__ import annotations
@@ -14,14 +13,20 @@
 from mulleinhatch.control_plane.registry.record_merge import merge_records, published_fields
 from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
-SILENT_AFTER_HEARTBEATS = 3.2  # heartbeats that may be missed before a backend counts as silent
-RESTORED_GRACE_S = 2.5  # a backend known from before a restart is believed so long
-FORGET_AFTER_S = 90.0  # a silent or gone backend is remembered so long
+SILENT_AFTER_HEARTBEATS = 3.2  # heartbeat intervals without a heartbeat after which a backend is silent
+RESTORED_GRACE_S = 2.5  # a backend restored from disk is silent if it sends no heartbeat for so long
+FORGET_AFTER_S = 90.0  # a silent or gone backend is removed after so long without a heartbeat
 
 
 @dataclass
 class RegistryEntry:
-    """One backend with when it was last heard of (steady clock) and the cursor of its last change."""
+    """One backend.
+
+    Attributes:
+        backend: The merged record.
+        last_heartbeat_at: The steady time, in seconds, of the last heartbeat to any core machine.
+        cursor: The registry's cursor at the last change that data planes use.
+    """
 
     backend: Backend
     last_heartbeat_at: float
@@ -29,15 +34,33 @@
 
 
 class RegistryChanges(NamedTuple):
-    """Records for one data plane: all of them, or those that changed after its cursor."""
+    """Records for one data plane.
+
+    Attributes:
+        is_complete: Whether these are all records; if not, they are those that changed after its cursor.
+        backends: The records.
+    """
 
     is_complete: bool
     backends: list[Backend]
 
 
 class BackendRegistry:
-    """`on_change` hears the id of each backend whose record changed in a way that matters; `has_left` tells of an id whether
-    the control state says that the backend leaves, whatever its records say."""
+    """Holds one record per backend and notifies its owner of changes.
+
+    Args:
+        heartbeat_s: The interval of the backends' heartbeats.
+        on_change: Called with the id of each backend whose published fields changed.
+        has_left: Returns whether the replicated control state records the departure of a backend id; such a backend is
+            draining, whatever its heartbeats say.
+        on_store_load: Called when a backend begins to load a model from the weight store, whichever machine ordered it.
+
+    Attributes:
+        source: A random id of this registry; cursors of another source mean nothing here.
+        cursor: Counts the changes that data planes use.
+        urgent_cursor: The cursor of the last change that data planes need at once: a new backend, or one that became
+            (or is no longer) draining, gone or silent.
+    """
 
     def __init__(
         self,
@@ -50,25 +73,26 @@
         self._on_store_load = on_store_load
         self.source = uuid.uuid4().hex[:12]
         self.cursor = 0
-        self.urgent_cursor = 0  # of the newest change after which a backend must not be used any more, or is new
+        self.urgent_cursor = 0
         self.entries: dict[str, RegistryEntry] = {}
         self._silent_after_s = SILENT_AFTER_HEARTBEATS * heartbeat_s
         self._on_change = on_change
 
     def merge(self, backend: Backend, now: float) -> bool:
-        """Takes a record if it is newer than what is known; whether it was."""
+        """Merge a record from a heartbeat; return whether it contained anything newer."""
         if not backend.draining and self._has_left(backend.id):
             backend = replace(backend, draining=True)
+        last_heartbeat_at = now - backend.age_ms / 1000.0
         entry = self.entries.get(backend.id)
         if entry is None:
-            entry = self.entries[backend.id] = RegistryEntry(replace(backend, silent=False), now - backend.age_ms / 1000.0)
+            entry = self.entries[backend.id] = RegistryEntry(replace(backend, silent=False), last_heartbeat_at)
             self._changed(entry)
             return True
         current = entry.backend
         if current.gone:
             return False
         if backend.sequence >= current.sequence:
-            entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - backend.age_ms / 1000.0)
+            entry.last_heartbeat_at = max(entry.last_heartbeat_at, last_heartbeat_at)
         merged = merge_records(current, backend)
         if merged is current:
             return False
@@ -76,7 +100,7 @@
         return True
 
     def restore(self, backend: Backend, now: float) -> None:
-        """A backend that was present before a restart: believed until it should have been heard of again."""
+        """Add a backend that was present before a restart; it becomes silent unless it sends a heartbeat soon."""
         if backend.id not in self.entries:
             self.merge(
                 replace(backend, sequence=0, loads=[], unloads=[], order_revision=0, age_ms=0),
@@ -84,17 +108,17 @@
             )
 
     def present_backends(self) -> list[Backend]:
-        """What is worth keeping over a restart."""
+        """Return the records to persist for the next restart: those neither gone nor silent."""
         return [entry.backend for entry in self.entries.values() if not entry.backend.gone and not entry.backend.silent]
 
     def mark_draining(self, backend_id: str) -> None:
-        """The control state says that a backend leaves."""
+        """Mark a backend whose departure the control state records."""
         entry = self.entries.get(backend_id)
         if entry is not None and not entry.backend.draining:
             self._replace(entry, replace(entry.backend, draining=True))
 
     def deregister(self, backend_id: str, now: float) -> None:
-        """A backend said that it has ended."""
+        """Mark a backend as gone; an unknown one is added, so that a late heartbeat does not bring it back."""
         entry = self.entries.get(backend_id)
         if entry is None:
             self.merge(Backend(id=backend_id, gone=True), now)
@@ -104,7 +128,18 @@
     def record_holdings(
         self, backend_id: str, models: list[LoadedModel], loads: list[PendingLoad], unloads: list[PendingLoad], revision: int
     ) -> bool:
-        """What a backend's report or an order under way says of what it holds; whether that is news."""
+        """Record the models of a backend as the placement leader knows them.
+
+        Args:
+            backend_id: The backend.
+            models: The models that it holds.
+            loads: The loads in progress.
+            unloads: The unloads in progress.
+            revision: The `order_revision` of this knowledge.
+
+        Returns:
+            Whether the published fields changed.
+        """
         entry = self.entries.get(backend_id)
         if entry is None or entry.backend.gone:
             return False
@@ -113,30 +148,30 @@
         )
 
     def _replace(self, entry: RegistryEntry, backend: Backend) -> bool:
-        changed = published_fields(entry.backend) != published_fields(backend)
-        urgent = (entry.backend.draining, entry.backend.gone, entry.backend.silent) != (
-            backend.draining,
-            backend.gone,
-            backend.silent,
-        )
-        current = {load.model for load in entry.backend.loads if load.from_store}
+        previous = entry.backend
+        is_changed = published_fields(previous) != published_fields(backend)
+        is_urgent = (previous.draining, previous.gone, previous.silent) != (backend.draining, backend.gone, backend.silent)
+        self._report_store_loads(previous, backend)
+        entry.backend = backend
+        if is_changed:
+            self._changed(entry, is_urgent)
+        return is_changed
+
+    def _report_store_loads(self, previous: Backend, backend: Backend) -> None:
+        known_models = {load.model for load in previous.loads if load.from_store}
         for load in backend.loads:
-            if load.from_store and load.model not in current:
+            if load.from_store and load.model not in known_models:
                 self._on_store_load()
-        entry.backend = backend
-        if changed:
-            self._changed(entry, urgent)
-        return changed
 
-    def _changed(self, entry: RegistryEntry, urgent: bool = True) -> None:
+    def _changed(self, entry: RegistryEntry, is_urgent: bool = True) -> None:
         self.cursor += 1
         entry.cursor = self.cursor
-        if urgent:
+        if is_urgent:
             self.urgent_cursor = self.cursor
         self._on_change(entry.backend.id)
 
     def expire(self, now: float) -> None:
-        """Marks backends that have not been heard of, and forgets those long gone."""
+        """Mark backends without recent heartbeats as silent, and remove those long gone or silent."""
         for backend_id, entry in list(self.entries.items()):
             silent_s = now - entry.last_heartbeat_at
             if silent_s > FORGET_AFTER_S:
@@ -145,19 +180,19 @@
                 self._replace(entry, replace(entry.backend, silent=True))
 
     def extend_grace_period(self, now: float) -> None:
-        """After we stood still ourselves: silence before now is no news."""
+        """Give backends time to send heartbeats after this process was paused: it may have missed the earlier ones."""
         for entry in self.entries.values():
             if not entry.backend.silent:
                 entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - self._silent_after_s / 2)
 
     def changes_since(self, source: str, cursor: int) -> RegistryChanges:
-        """Whether the list is whole, and the records that changed after a cursor."""
+        """Return the records that changed after a cursor, or all that are not gone if the cursor is of another source."""
         if source != self.source:
             return RegistryChanges(True, [entry.backend for entry in self.entries.values() if not entry.backend.gone])
         return RegistryChanges(False, [entry.backend for entry in self.entries.values() if entry.cursor > cursor])
 
     def records_for_peer(self, ids: set[str], now: float) -> list[Backend]:
-        """Records for another core machine, with how long ago the backend was heard of."""
+        """Return the records of some ids for another core machine, each with the age of its last heartbeat (`age_ms`)."""
         return [
             replace(entry.backend, age_ms=max(0, int(1000 * (now - entry.last_heartbeat_at))))
             for backend_id in sorted(ids)
--- a/mulleinhatch/control_plane/registry/record_merge.py
+++ b/mulleinhatch/control_plane/registry/record_merge.py
@@ -1,4 +1,22 @@
-"""Merge two records of one backend, and compare what data planes see of them. Pure."""
+"""Merge two records of one backend, and compare what data planes see of them. Pure.
+
+Records of one backend arrive out of order and by several ways: from the backend, from other core machines, from the
+placement leader. A backend orders its own statements by `sequence`; the placement leader orders what it knows of loads and
+unloads by `order_revision`. `merge_records` decides each field of the result by these rules:
+
+========================================  =============================================================================
+Field                                     Taken from the update when
+========================================  =============================================================================
+service, address, zone, version, slots,   its `sequence` is higher
+cold_remaining_ms, remaining_ms, age_ms,
+sequence
+models                                    its `sequence` is higher, or its `order_revision` is higher
+loads, unloads, order_revision            its `order_revision` is higher
+draining                                  its `sequence` is higher, but true never turns false
+gone                                      always; true never turns false, as each start of a backend has a new id
+silent                                    never: each core machine decides it; a higher `sequence` makes it false
+========================================  =============================================================================
+"""
 
 from __future__ import annotations
 
@@ -8,7 +26,10 @@
 
 
 def published_fields(backend: Backend) -> tuple:
-    """What of a record matters to data planes."""
+    """Return the fields of a record that data planes use; if they are equal, no data plane needs an update.
+
+    Remaining times count as present or absent only: they change with every heartbeat.
+    """
     return (
         backend.service,
         backend.address,
@@ -26,7 +47,7 @@
 
 
 def merge_records(current: Backend, update: Backend) -> Backend:
-    """What the backend says is ordered by its `sequence`, what was ordered of it by `order_revision`."""
+    """Return the merged record, or `current` itself if the update contains nothing newer."""
     merged = current
     if update.sequence > current.sequence:
         merged = replace(
--- a/mulleinhatch/process/__init__.py
+++ b/mulleinhatch/process/__init__.py
@@ -1,4 +1,4 @@
-"""What every process of the system shares: its settings file, its log and the supervision of its background loops.
+"""Provide what every process of the system needs: settings, logging, supervision of background tasks.
 
-Called by both planes and the command line; it knows nothing of requests or of the control state.
+Both planes and the command line use it; it imports neither of them.
 """
--- a/mulleinhatch/process/logs.py
+++ b/mulleinhatch/process/logs.py
@@ -1,4 +1,4 @@
-"""JSON logs on standard error, one object a line, by python-json-logger."""
+"""Write logs as JSON to standard error, one object per line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 
 def start_logging(node: str, level: int = logging.INFO) -> None:
-    """Sends all records of the process to standard error; each carries `node`."""
+    """Send all log records of the process to standard error.
+
+    Args:
+        node: The name of the process; each line carries it as `node`.
+        level: The lowest level that is written.
+    """
     stream = logging.StreamHandler(sys.stderr)
     stream.setFormatter(JsonFormatter(FORMAT, static_fields={"node": node}))
     root = logging.getLogger()
--- a/mulleinhatch/process/settings.py
+++ b/mulleinhatch/process/settings.py
@@ -1,8 +1,7 @@
-"""The settings file of a process: lines of `a.b=value`, read by jproperties and checked by schema.
+"""Read the settings file of a process: lines of `a.b=value`, parsed by jproperties and validated by schema.
 
-`read_settings` gives typed `Settings` or a `SettingsError` whose message names the file, the key and the remedy.
-Unknown keys are
-passed over: the file may gain new ones.
+`read_settings` returns typed `Settings`, or a `SettingsError` whose message names the file, the key and the remedy. Unknown
+keys are ignored, so that newer files work with older processes.
 """
 
 from __future__ import annotations
@@ -10,6 +9,7 @@
 import os
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from jproperties import ParseError, Properties
 from result import Err, Ok, Result
@@ -22,12 +22,33 @@
 
 
 class SettingsError(ConfigurationError):
-    """A settings file that can't be used; the message names the key and the remedy."""
+    """A settings file is missing or invalid; the message names the key and the remedy."""
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Figures of the rules in force, in seconds unless the name says otherwise."""
+    """Limits and time spans of the deployment's rules, from the `bounds.*` keys.
+
+    Fields without a description are validated, but no process reads them.
+
+    Attributes:
+        contact_s: With `configuration_apply_s`, how long a data plane without a configuration waits for a control plane
+            that a majority confirms before it accepts one from a control plane that is not sure.
+        acknowledge_s:
+        drain_s:
+        grace_s: The time from SIGTERM to the forced end of the process.
+        configuration_apply_s: See `contact_s`.
+        retry_budget_ratio: Retries allowed per first attempt, over `budget_window_s`.
+        retry_budget_slack: Retries allowed besides, over `budget_window_s`.
+        budget_window_s: The window of the retry budget.
+        pass_s:
+        lease_s: The duration of the placement leader's lease.
+        thaw_slack_s:
+        ceiling_window_s: The window over which loads from the weight store are limited.
+        ceiling_overage:
+        reuse_after_s:
+        fenced: Whether backends reject orders with a fencing token below one that they have seen.
+    """
 
     contact_s: float = 3.0
     acknowledge_s: float = 4.0
@@ -43,12 +64,31 @@
     ceiling_window_s: float = 5.0
     ceiling_overage: float = 1.1
     reuse_after_s: float = 2.0
-    fenced: bool = False  # backends refuse orders under a token below one that they have seen
+    fenced: bool = False
 
 
 @dataclass(frozen=True)
 class Settings:
-    """What a process is told at its start."""
+    """The settings of one process.
+
+    Attributes:
+        name: The name of this process (`node_name`).
+        ip_address: The address that it listens at.
+        zone: Its zone.
+        region: Its region.
+        listen: Listen addresses "HOST:PORT" by purpose: `front`, `ready`, `control`.
+        internal_address: "HOST:PORT" for the other processes of the system.
+        seeds: Control addresses of core machines to contact first.
+        first_start: Whether the whole system starts for the first time, without state on disk.
+        counts_for_quorum: Whether this process counts for the quorum.
+        machines_tolerated: The number of core machines whose loss must not stop the system.
+        heartbeat_s: The interval of the backends' heartbeats.
+        data_directory: The directory of the persisted state.
+        file_descriptors: The limit of open files.
+        memory_mb: The limit of memory.
+        regions_of_zones: The region of each zone (`zones.ZONE=REGION`).
+        bounds: Limits and time spans of the rules.
+    """
 
     name: str
     ip_address: str
@@ -91,7 +131,7 @@
 MILLISECONDS = And(Use(float), lambda value: value >= 0, Use(lambda value: 0.001 * value))
 SECONDS = And(Use(float), lambda value: value >= 0)
 FRACTION = And(Use(float), lambda value: value >= 0)
-BOUND_KEYS = {
+BOUND_KEYS = {  # key behind `bounds.` -> field of Bounds, check
     "contact_ms": ("contact_s", MILLISECONDS),
     "acknowledge_ms": ("acknowledge_s", MILLISECONDS),
     "drain_ms": ("drain_s", MILLISECONDS),
@@ -133,48 +173,62 @@
 )
 
 
-def _check(values: dict[str, str], path: str) -> Result[Settings, SettingsError]:
+def _validate(values: dict[str, str], path: str) -> Result[Settings, SettingsError]:
     try:
         checked = FILE_SCHEMA.validate(values)
     except SchemaError as error:
         reason = " ".join(part for part in error.autos if part)
         return Err(SettingsError(f"{path}: {reason}; correct the line of that key, or add it, and start again"))
-    bounds = {name: checked[f"bounds.{key}"] for key, (name, _) in BOUND_KEYS.items() if f"bounds.{key}" in checked}
-    zones = {key.removeprefix("zones."): text for key, text in values.items() if key.startswith("zones.")}
-    return Ok(
-        Settings(
-            name=checked["node_name"],
-            ip_address=checked["ip_address"],
-            zone=checked["zone"],
-            region=checked["region"],
-            listen={key.removeprefix("listen."): text for key, text in values.items() if key.startswith("listen.") and text},
-            internal_address=f"{checked['ip_address']}:{checked['internal_port_range'][0]}",
-            seeds=checked["seeds"],
-            first_start=checked["first_start"],
-            counts_for_quorum=checked["counts_for_quorum"],
-            machines_tolerated=checked["fault_tolerance.machines"],
-            heartbeat_s=checked["heartbeat_interval_ms"],
-            data_directory=checked["data_directory"],
-            file_descriptors=checked["limits.file_descriptors"],
-            memory_mb=checked["limits.memory_mb"],
-            regions_of_zones=zones,
-            bounds=Bounds(**bounds),
-        )
+    return Ok(_build_settings(checked, values))
+
+
+def _build_settings(checked: dict[str, Any], values: dict[str, str]) -> Settings:
+    """Build the settings from the validated values and, for the keys that the schema does not list, the texts."""
+    return Settings(
+        name=checked["node_name"],
+        ip_address=checked["ip_address"],
+        zone=checked["zone"],
+        region=checked["region"],
+        listen={purpose: text for purpose, text in _with_prefix(values, "listen.").items() if text},
+        internal_address=f"{checked['ip_address']}:{checked['internal_port_range'][0]}",
+        seeds=checked["seeds"],
+        first_start=checked["first_start"],
+        counts_for_quorum=checked["counts_for_quorum"],
+        machines_tolerated=checked["fault_tolerance.machines"],
+        heartbeat_s=checked["heartbeat_interval_ms"],
+        data_directory=checked["data_directory"],
+        file_descriptors=checked["limits.file_descriptors"],
+        memory_mb=checked["limits.memory_mb"],
+        regions_of_zones=_with_prefix(values, "zones."),
+        bounds=_build_bounds(checked),
     )
 
 
+def _build_bounds(checked: dict[str, Any]) -> Bounds:
+    return Bounds(**{field: checked[f"bounds.{key}"] for key, (field, _) in BOUND_KEYS.items() if f"bounds.{key}" in checked})
+
+
+def _with_prefix(values: dict[str, str], prefix: str) -> dict[str, str]:
+    return {key.removeprefix(prefix): text for key, text in values.items() if key.startswith(prefix)}
+
+
 def parse_settings(text: bytes, path: str = "settings") -> Result[Settings, SettingsError]:
-    """Checks the text of a settings file."""
+    """Parse and validate the text of a settings file.
+
+    Args:
+        text: The content, in UTF-8.
+        path: Names the file in error messages.
+    """
     properties = Properties()
     try:
         properties.load(text, "utf-8")
     except (ParseError, UnicodeError) as error:
         return Err(SettingsError(f"{path}: {error}; write one KEY=VALUE a line"))
-    return _check({key: pair.data for key, pair in properties.items()}, path)
+    return _validate({key: pair.data for key, pair in properties.items()}, path)
 
 
 def read_settings(path: str | None = None) -> Result[Settings, SettingsError]:
-    """Reads the file at `path`, or the one named by MULLEINHATCH_NODE_FILE."""
+    """Read and validate the file at `path`, or the one that the environment variable MULLEINHATCH_NODE_FILE names."""
     path = path or os.environ.get(FILE_VARIABLE, "")
     if not path:
         return Err(SettingsError(f"no settings file; set {FILE_VARIABLE} to its path"))
--- a/mulleinhatch/process/supervision.py
+++ b/mulleinhatch/process/supervision.py
@@ -1,4 +1,4 @@
-"""Background work that must not end: what raises is logged with its name and begun again after a pause."""
+"""Own the background tasks of a process: restart those that must not end, cancel and await all of them at shutdown."""
 
 from __future__ import annotations
 
@@ -12,7 +12,16 @@
 
 
 async def supervise(name: str, work: Callable[[], Awaitable[None]], restart_delay_s: float = RESTART_DELAY_S) -> None:
-    """Runs `work` for ever. An OSError (a disk that refuses, a connection) is expected trouble, anything else is a fault."""
+    """Run `work` again and again until cancelled, with a delay after each end.
+
+    An OSError (a full disk, a lost connection) is expected in operation and logged as a warning; any other exception is a
+    defect and logged with its traceback.
+
+    Args:
+        name: Names the task in the log.
+        work: Starts the task; it should not return.
+        restart_delay_s: Seconds between an end and the next start.
+    """
     while True:
         try:
             await work()
