--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests to other instances over kept connections, with complete answers."""
+"""Call other processes by HTTP/1.1 over pooled connections and return complete responses."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from mulleinhatch.networking.http_connection import ClientConnection, Loss, connect, take_usable
 from mulleinhatch.networking.http_streaming import Head, write_request
 
-MAX_RESPONSE_BYTES = 64 << 20  # bytes of an answer that is collected
-IDLE_TIMEOUT_S = 20.0  # how long a connection to another instance is kept without use
+MAX_RESPONSE_BYTES = 64 << 20  # of one body
+IDLE_TIMEOUT_S = 20.0  # a pooled connection is not used again after so long without use
 
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """An answer that was collected."""
+    """A complete response."""
 
     status: int
     head: Head
@@ -24,7 +24,15 @@
 
 
 class HttpCallError(CallError):
-    """No answer came; the message names the address. Ask another instance, or again later."""
+    """No complete response arrived; the message names the address.
+
+    Call another process, or the same one again later. If `sent` is true, the request may have been executed.
+
+    Args:
+        address: The address that was called, "HOST:PORT".
+        reason: What happened, for the message.
+        sent: Whether the request may have been sent.
+    """
 
     def __init__(self, address: str, reason: str, sent: bool = True) -> None:
         super().__init__(f"{address}: {reason}; ask another instance, or again later")
@@ -32,7 +40,7 @@
 
 
 class ResponseCollector:
-    """Collects one answer for `HttpClient`."""
+    """A `ResponseSink` that collects one response; `future` gets it, or an `HttpCallError`."""
 
     def __init__(self) -> None:
         self.future: asyncio.Future[HttpResponse] = asyncio.get_running_loop().create_future()
@@ -41,22 +49,27 @@
         self.head: Head | None = None
 
     def expects(self, head: Head) -> bool:
+        """Accept any head: a pooled connection carries one request at a time."""
         return True
 
     def on_head(self, head: Head) -> None:
+        """Keep the head."""
         self.head = head
 
     def on_body(self, data: bytes) -> None:
+        """Keep a part of the body; fail if the body becomes too long."""
         self.chunks.append(data)
         self.size += len(data)
         if self.size > MAX_RESPONSE_BYTES:
             self._fail("the answer is too long")
 
     def on_end(self) -> None:
+        """Complete the future."""
         if not self.future.done():
             self.future.set_result(HttpResponse(self.head.status, self.head, b"".join(self.chunks)))
 
     def on_loss(self, loss: Loss) -> None:
+        """Fail the future."""
         self._fail(loss.value)
 
     def _fail(self, reason: str) -> None:
@@ -65,7 +78,7 @@
 
 
 class HttpClient:
-    """Whole requests to other instances over kept connections."""
+    """Sends requests and pools the connections that responses leave open, by address."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[ClientConnection]] = defaultdict(list)
@@ -80,40 +93,52 @@
         content_type: str = "application/octet-stream",
         headers: tuple[tuple[bytes, bytes], ...] = (),
     ) -> HttpResponse:
-        """The answer, or HttpCallError after `timeout_s` seconds at most. A kept connection that broke unused is replaced."""
+        """Send one request and return its response, whatever its status.
+
+        Args:
+            address: "HOST:PORT".
+            method: The HTTP method.
+            path: The path with the query, encoded.
+            body: The body of the request.
+            timeout_s: The time limit for connecting, sending and receiving together.
+            content_type: The media type of the body.
+            headers: Further header fields.
+
+        Raises:
+            HttpCallError: No complete response arrived in time.
+        """
+        head = [(b"Host", address.encode()), (b"Content-Type", content_type.encode()), *headers]
+        data = write_request(method.encode(), path.encode(), head, body)
         try:
             async with asyncio.timeout(timeout_s):
-                return await self._request(address, method, path, body, content_type, headers)
+                return await self._exchange(address, data)
         except TimeoutError:
             raise HttpCallError(address, f"no answer in {timeout_s:.1f} s") from None
 
-    async def _request(
-        self, address: str, method: str, path: str, body: bytes, content_type: str, headers: tuple[tuple[bytes, bytes], ...]
-    ) -> HttpResponse:
-        head = [(b"Host", address.encode()), (b"Content-Type", content_type.encode()), *headers]
-        data = write_request(method.encode(), path.encode(), head, body)
-        connection = self._acquire(address)
-        if connection is None:
-            try:
-                connection = await connect(address)
-            except OSError as error:
-                raise HttpCallError(address, f"no connection ({type(error).__name__})", sent=False) from None
+    async def _exchange(self, address: str, data: bytes) -> HttpResponse:
+        connection = await self._acquire(address)
         sink = ResponseCollector()
         try:
             connection.send(data, sink)
-            answer = await sink.future
-        except BaseException:
+            response = await sink.future
+        except BaseException:  # a cancellation too: the response may still arrive, so nobody else may use the connection
             connection.close()
             raise
         if connection.usable:
             connection.idle_until = asyncio.get_running_loop().time() + IDLE_TIMEOUT_S
             self._idle[address].append(connection)
-        return answer
+        return response
 
-    def _acquire(self, address: str) -> ClientConnection | None:
-        return take_usable(self._idle.get(address, []))
+    async def _acquire(self, address: str) -> ClientConnection:
+        connection = take_usable(self._idle.get(address, []))
+        if connection is not None:
+            return connection
+        try:
+            return await connect(address)
+        except OSError as error:
+            raise HttpCallError(address, f"no connection ({type(error).__name__})", sent=False) from None
 
     def forget(self, address: str) -> None:
-        """Closes the kept connections to an address that did not answer."""
+        """Close the idle connections to an address that did not answer."""
         for connection in self._idle.pop(address, []):
             connection.close()
--- a/mulleinhatch/networking/http_connection.py
+++ b/mulleinhatch/networking/http_connection.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 client connections, one request at a time on each, with the body of an answer passed on as it comes."""
+"""HTTP/1.1 client connections: one request at a time, the response body passed on as it arrives.
+
+`ClientConnection` reports to a `ResponseSink`. It knows no pool; an `IdleConnectionOwner` learns when an idle one ends.
+"""
 
 from __future__ import annotations
 
@@ -12,54 +15,67 @@
 
 MAX_RESPONSE_HEAD_BYTES = 65536
 CONNECT_TIMEOUT_S = 1.0
-TCP_USER_TIMEOUT_MS = 2500  # unacknowledged bytes for so long mean that the peer is unreachable
-
-
-class IdleConnectionOwner(Protocol):
-    """Who keeps a connection between requests."""
-
-    def on_idle_loss(self, connection: ClientConnection) -> None:
-        """Handle the end of a connection that carried no request."""
+TCP_USER_TIMEOUT_MS = 2500  # a peer that acknowledges no bytes for so long is unreachable
 
 
 class Loss(Enum):
-    """How a connection ended before the answer was whole."""
+    """How a connection ended before the response was complete."""
 
     NO_ANSWER = "no answer"  # the request may have arrived
-    BROKEN = "broken"  # in the middle of the answer, or the bytes were no answer
+    BROKEN = "broken"  # in the middle of the response, or the bytes were no response
 
 
 class ResponseSink(Protocol):
-    """Who hears of an answer. `expects` tells whether a head answers the request; another answer is read and thrown away."""
+    """Receives one response; each call may close the connection."""
 
-    def expects(self, head: Head) -> bool: ...
+    def expects(self, head: Head) -> bool:
+        """Return whether a head belongs to the request; a response that does not is discarded."""
 
-    def on_head(self, head: Head) -> None: ...
+    def on_head(self, head: Head) -> None:
+        """Handle the head of the response."""
 
-    def on_body(self, data: bytes) -> None: ...
+    def on_body(self, data: bytes) -> None:
+        """Handle a part of the body."""
 
-    def on_end(self) -> None: ...
+    def on_end(self) -> None:
+        """Handle the end of a complete response."""
 
-    def on_loss(self, loss: Loss) -> None: ...
+    def on_loss(self, loss: Loss) -> None:
+        """Handle the end of the connection before the response was complete."""
+
+
+class IdleConnectionOwner(Protocol):
+    """Keeps a connection between requests."""
+
+    def on_idle_loss(self, connection: ClientConnection) -> None:
+        """Handle the end of a connection that carried no request."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to a stub or to another instance. `usable` tells whether it may carry another request."""
+    """A connection to a backend or to another process of the system.
+
+    Attributes:
+        usable: Whether it may carry another request.
+        idle_until: The loop time, in seconds, from which it must not be used again; 0 if it was never idle.
+        requests: The number of requests sent.
+        pool: Who keeps it between requests, if it is to learn of its end.
+    """
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.usable = False
-        self.idle_until = 0.0  # loop time from which it must not be used again, 0 where the peer told none
+        self.idle_until = 0.0
         self.requests = 0
-        self.pool: IdleConnectionOwner | None = None  # set by who keeps it; hears `on_idle_loss(connection)`
+        self.pool: IdleConnectionOwner | None = None
         self._reader = MessageReader(answers=True, max_head_bytes=MAX_RESPONSE_HEAD_BYTES)
         self._sink: ResponseSink | None = None
         self._head: Head | None = None
         self._is_paused = False
-        self._is_discarding = False  # an answer that is not ours is being read
-        self._is_desynchronized = False  # such a one came: the connection carries no further request
+        self._is_discarding = False  # the response being read belongs to an earlier request
+        self._is_desynchronized = False  # such a response arrived: no further request may use the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set socket options; asyncio calls it once."""
         self.transport = transport  # type: ignore[assignment]
         self.usable = True
         sock = transport.get_extra_info("socket")
@@ -67,20 +83,20 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def send(self, data: bytes, sink: ResponseSink) -> None:
-        """Sends a request; its answer is told to `sink`."""
+        """Send the bytes of a request; its response goes to `sink`."""
         assert self._sink is None and self.transport is not None
         self._sink, self._head = sink, None
         self.requests += 1
         self.transport.write(data)
 
     def close(self) -> None:
-        """Ends the connection at once; nothing more is told."""
+        """Abort the connection; the sink gets no further call."""
         self.usable, self._sink = False, None
         if self.transport is not None:
             self.transport.abort()
 
     def pause(self, paused: bool) -> None:
-        """Holds back reading while whom the answer goes to does not read."""
+        """Stop or resume reading, for backpressure from the receiver of the response."""
         if self.transport is None or paused is self._is_paused or self.transport.is_closing():
             return
         self._is_paused = paused
@@ -90,6 +106,7 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of the response; asyncio calls it."""
         self._reader.feed(data)
         if self._sink is None:
             self._end_idle()  # bytes that belong to no request
@@ -102,10 +119,7 @@
     def _read(self) -> None:
         sink = self._sink
         if self._head is None and not self._is_discarding:
-            head = self._reader.head()
-            while head is not None and head.status < 200:
-                self._reader.next()
-                head = self._reader.head()
+            head = self._read_final_head()
             if head is None:
                 return
             if not sink.expects(head):
@@ -114,7 +128,7 @@
                 self._head = head
                 sink.on_head(head)
             if self._sink is not sink:
-                return  # it closed us
+                return  # the sink closed this connection
         if self._is_discarding:
             self._discard()
             return
@@ -124,8 +138,16 @@
         if self._sink is sink and self._reader.done:
             self._finish()
 
+    def _read_final_head(self) -> Head | None:
+        """Return the next head that is not an interim (1xx) response, None until it is complete."""
+        head = self._reader.head()
+        while head is not None and head.status < 200:
+            self._reader.next()
+            head = self._reader.head()
+        return head
+
     def _discard(self) -> None:
-        """Throws away an answer that belongs to an earlier request; ours may follow it."""
+        """Discard a response to an earlier request; the expected one may follow it."""
         self._reader.body()
         if self._reader.done:
             self._is_discarding = False
@@ -135,7 +157,7 @@
 
     def _finish(self) -> None:
         sink, head, self._sink = self._sink, self._head, None
-        has_unsent_bytes = self.transport.get_write_buffer_size() > 0  # the answer came before the request was out
+        has_unsent_bytes = self.transport.get_write_buffer_size() > 0  # the response came before the request was sent
         if has_unsent_bytes or self._is_desynchronized or self._reader.surplus() or not head.keep_alive or head.until_close:
             self.usable = False
             self.transport.close()
@@ -155,6 +177,7 @@
         self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Report the end to the sink, or to the owner if no request was in progress; asyncio calls it once."""
         self.usable = False
         sink, self._sink = self._sink, None
         if sink is None:
@@ -168,7 +191,7 @@
 
 
 def take_usable(idle: list[ClientConnection]) -> ClientConnection | None:
-    """Takes the newest kept connection that may still carry a request; those on the way that may not are closed."""
+    """Remove and return the newest idle connection that may carry a request; close the newer ones that may not."""
     now = asyncio.get_running_loop().time()
     while idle:
         connection = idle.pop()
@@ -179,7 +202,11 @@
 
 
 async def connect(address: str, timeout_s: float = CONNECT_TIMEOUT_S) -> ClientConnection:
-    """A new connection to "HOST:PORT"; OSError (TimeoutError too) where there is none in `timeout_s` seconds."""
+    """Open a connection to "HOST:PORT".
+
+    Raises:
+        OSError: The connection was refused, or not open after `timeout_s` seconds (TimeoutError).
+    """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout_s):
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -1,8 +1,7 @@
-"""Web servers of circuits.web, driven by the process's asyncio loop.
+"""Serve HTTP by circuits.web on the asyncio loop of the process.
 
-circuits brings a loop of its own that wakes ten times a second; here its events are dispatched whenever the asyncio
-loop reports
-one of its sockets as ready, in the same thread as everything else.
+circuits brings a loop of its own that wakes ten times a second. Here its events are dispatched whenever the asyncio loop
+reports one of its sockets as ready, in the same thread as everything else.
 """
 
 from __future__ import annotations
@@ -11,12 +10,12 @@
 import json
 import logging
 import sys
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Awaitable, Callable, Coroutine, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
-# circuits declares its namespace by pkg_resources where that is installed, and does without elsewhere: 7 MB and a third of the
-# processor time of a start, for nothing that is used here.
+# circuits declares its namespace by pkg_resources if that is installed, and works without it. Importing it would cost 7 MB and
+# a third of the processor time of a start, for nothing that is used here.
 sys.modules.setdefault("pkg_resources", None)  # type: ignore[arg-type]
 
 from circuits import BaseComponent, Component, handler  # noqa: E402
@@ -29,12 +28,12 @@
 LOG = logging.getLogger(__name__)
 JSON_TYPE = "application/json"
 BINARY_TYPE = "application/octet-stream"
-MAX_DISPATCHES = 1000  # dispatches in one go: an endless chain of events would keep the loop from everything else
+MAX_DISPATCHES = 1000  # in one go: an endless chain of circuits events would block the asyncio loop
 
 
 @dataclass(frozen=True)
 class HttpServerRequest:
-    """One request as a handler sees it: `headers` by lower-case name, `body` whole."""
+    """A complete request; `headers` has lower-case names."""
 
     method: str
     path: str
@@ -44,7 +43,7 @@
 
 @dataclass(frozen=True)
 class HttpServerResponse:
-    """Status, body and further headers of an answer."""
+    """A complete response; `headers` are those besides the content type and length."""
 
     status: int
     body: bytes = b""
@@ -53,6 +52,7 @@
 
     @staticmethod
     def of_json(status: int, value: Any, headers: Mapping[str, str] | None = None) -> HttpServerResponse:
+        """Return a response with a value as compact JSON."""
         return HttpServerResponse(int(status), json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
 
 
@@ -60,7 +60,12 @@
 
 
 class AsyncioPoller(BasePoller):
-    """Reports readiness of circuits' sockets from an asyncio loop in place of a system call of its own."""
+    """Reports readiness of circuits' sockets from an asyncio loop instead of polling them.
+
+    Args:
+        loop: The asyncio loop.
+        dispatch: Dispatches queued circuits events; called after each report.
+    """
 
     channel = "asyncio"
 
@@ -73,6 +78,7 @@
         event.reduce_time_left(0)
 
     def _descriptor(self, source: Any) -> int:
+        """Return the descriptor of a socket, also after it was closed; -1 if it is unknown."""
         descriptor = source if isinstance(source, int) else source.fileno()
         if descriptor >= 0:
             self._descriptors[source] = descriptor
@@ -82,23 +88,28 @@
         self.fire(kind(source), self.getTarget(source))
         self._dispatch()
 
-    def addReader(self, source: Any, fd: Any) -> None:
+    def addReader(self, source: Any, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
+        """Report when a socket can be read."""
         super().addReader(source, fd)
         self._loop.add_reader(self._descriptor(fd), self._ready, _read, fd)
 
-    def addWriter(self, source: Any, fd: Any) -> None:
+    def addWriter(self, source: Any, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
+        """Report when a socket can be written."""
         super().addWriter(source, fd)
         self._loop.add_writer(self._descriptor(fd), self._ready, _write, fd)
 
-    def removeReader(self, fd: Any) -> None:
+    def removeReader(self, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
+        """Stop reporting that a socket can be read."""
         super().removeReader(fd)
         self._loop.remove_reader(self._descriptor(fd))
 
-    def removeWriter(self, fd: Any) -> None:
+    def removeWriter(self, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
+        """Stop reporting that a socket can be written."""
         super().removeWriter(fd)
         self._loop.remove_writer(self._descriptor(fd))
 
     def discard(self, fd: Any) -> None:
+        """Stop all reports on a socket."""
         super().discard(fd)
         descriptor = self._descriptor(fd)
         if descriptor >= 0:
@@ -106,40 +117,43 @@
             self._loop.remove_writer(descriptor)
         self._descriptors.pop(fd, None)
 
-    def getTarget(self, fd: Any) -> Any:
+    def getTarget(self, fd: Any) -> Any:  # noqa: N802 (circuits calls it by this name)
+        """Return the channel of a socket's component."""
         return self._targets.get(fd, "*")
 
 
 class _WebListener(BaseComponent):
-    """One listening address: TCP server, HTTP parser and the handler of its requests, on a channel of its own."""
+    """One listening address: a TCP server, an HTTP parser and a request dispatcher, on a channel of their own."""
 
-    def __init__(self, channel: str, host: str, port: int, answer: RequestHandler, server: HttpServer) -> None:
+    def __init__(self, channel: str, host: str, port: int, handle: RequestHandler, server: HttpServer) -> None:
         super().__init__(channel=channel)
         self.server = TCPServer((host, port), channel=channel).register(self)
         self.http = HTTP(self, channel=channel).register(self)
-        _RequestDispatcher(channel, answer, server).register(self)
+        _RequestDispatcher(channel, handle, server).register(self)
 
-    secure = False
+    secure = False  # circuits.web's HTTP component reads it, like `host` and `port`
 
     @property
     def host(self) -> str:
+        """The address that the server listens at."""
         return self.server.host
 
     @property
     def port(self) -> int:
+        """The port that the server listens at."""
         return self.server.port
 
 
 class _RequestDispatcher(Component):
-    """Hands each parsed request to a coroutine and sends what that returns."""
+    """Passes each parsed request to a handler and sends the response that it returns."""
 
-    def __init__(self, channel: str, answer: RequestHandler, server: HttpServer) -> None:
+    def __init__(self, channel: str, handle: RequestHandler, server: HttpServer) -> None:
         super().__init__(channel=channel)
-        self._answer, self._server = answer, server
+        self._handle, self._server = handle, server
 
     @handler("request", priority=1.0)
     def _on_request(self, event: Any, request: Request, response: Response) -> None:
-        event.value.promise = True
+        event.value.promise = True  # the response follows later: circuits must not send the value of this event
         event.success = False
         event.stop()
         parsed = HttpServerRequest(
@@ -149,12 +163,12 @@
 
     @handler("httperror", priority=1.0)
     def _on_error(self, event: Any, request: Request, response: Response, code: int | None = None, **_: Any) -> None:
-        """What could not be read as a request: these interfaces answer JSON, not pages."""
+        """Answer bytes that are no valid request with JSON, in place of circuits' HTML page."""
         event.stop()
-        answer = HttpServerResponse.of_json(
+        result = HttpServerResponse.of_json(
             code or 500, {"error": "the request could not be read; send HTTP/1.1 with a valid head"}
         )
-        self._send(response, answer)
+        self._send(response, result)
 
     @handler("redirect", priority=1.0)
     def _on_redirect(self, event: Any, request: Request, response: Response, urls: Any = None, code: int | None = None) -> None:
@@ -163,24 +177,28 @@
 
     async def _respond(self, parsed: HttpServerRequest, response: Response) -> None:
         try:
-            answer = await self._answer(parsed)
+            result = await self._handle(parsed)
         except Exception:
             LOG.exception("a request handler failed", extra={"path": parsed.path})
-            answer = HttpServerResponse.of_json(500, {"error": "an internal error; see the log of this process"})
-        self._send(response, answer)
+            result = HttpServerResponse.of_json(500, {"error": "an internal error; see the log of this process"})
+        self._send(response, result)
         self._server.dispatch()
 
-    def _send(self, response: Response, answer: HttpServerResponse) -> None:
-        response.status = int(answer.status)
-        response.headers["Content-Type"] = answer.content_type
-        for name, text in answer.headers.items():
+    def _send(self, response: Response, result: HttpServerResponse) -> None:
+        response.status = int(result.status)
+        response.headers["Content-Type"] = result.content_type
+        for name, text in result.headers.items():
             response.headers[name] = text
-        response.body = answer.body
+        response.body = result.body
         self.fire(web_events.response(response))
 
 
 class HttpServer:
-    """All circuits.web servers of a process."""
+    """All circuits.web servers of a process, and the tasks that answer their requests.
+
+    Args:
+        loop: The asyncio loop of the process.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._root = BaseComponent()
@@ -190,20 +208,25 @@
         AsyncioPoller(loop, self.dispatch).register(self._root)
         self.dispatch()
 
-    def listen(self, address: str, answer: RequestHandler) -> None:
-        """Serves `answer` at "HOST:PORT". OSError where the address can't be bound."""
+    def listen(self, address: str, handle: RequestHandler) -> None:
+        """Serve requests to "HOST:PORT" by a handler.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         host, _, port = address.rpartition(":")
         self._listeners += 1
-        _WebListener(f"web{self._listeners}", host, int(port), answer, self).register(self._root)
+        _WebListener(f"web{self._listeners}", host, int(port), handle, self).register(self._root)
         self.dispatch()
 
-    def spawn(self, work: Any) -> None:
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task and hold a reference to it, as the loop holds only a weak one."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def dispatch(self) -> None:
-        """Dispatches queued circuits events, and steps its tasks (an accept is one), until none is left."""
+        """Dispatch queued circuits events and step its tasks (accepting a connection is one) until none is left."""
         if self._dispatching:
             return
         self._dispatching = True
