--- a/control_plane.py
+++ b/control_plane.py
@@ -1,4 +1,4 @@
-"""Starts the control plane: `python3 control_plane.py`. Settings come from the file named by MULLEINHATCH_NODE_FILE."""
+"""Start a control plane: `python3 control_plane.py`. The variable MULLEINHATCH_NODE_FILE names its settings file."""
 
 import sys
 from pathlib import Path
--- a/data_plane.py
+++ b/data_plane.py
@@ -1,4 +1,4 @@
-"""Starts the data plane: `python3 data_plane.py`. Settings come from the file named by MULLEINHATCH_NODE_FILE."""
+"""Start a data plane: `python3 data_plane.py`. The variable MULLEINHATCH_NODE_FILE names its settings file."""
 
 import sys
 from pathlib import Path
--- a/mulleinhatch/cli/system/__init__.py
+++ b/mulleinhatch/cli/system/__init__.py
@@ -1,4 +1,4 @@
-"""The command line of the system, by fire: `python -m mulleinhatch.console COMMAND`.
+"""Provide the system's command line: `python -m mulleinhatch.console COMMAND`.
 
-For operators and for a first look on one machine; it talks to running instances and decides nothing.
+It is for operators and for a first look on one machine. It calls running processes and keeps no state.
 """
--- a/mulleinhatch/cli/system/__main__.py
+++ b/mulleinhatch/cli/system/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point: fire over `Console`; `python -m mulleinhatch.console` and `python -m mulleinhatch.cli.system` run it."""
+"""Run the command line; `python -m mulleinhatch.console` and `python -m mulleinhatch.cli.system` start it."""
 
 import json
 
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command that the arguments name and print its result."""
     fire.Fire(Console, name="mulleinhatch-console", serialize=_serialize)
 
 
--- a/mulleinhatch/cli/system/client.py
+++ b/mulleinhatch/cli/system/client.py
@@ -1,4 +1,4 @@
-"""Calls to running instances for the command line: plain HTTP with a time limit, errors that name the remedy."""
+"""Call running processes for the command line: HTTP with a time limit, errors that name the remedy."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import urllib.error
 import urllib.request
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from result import Err, Ok, Result
@@ -16,15 +17,18 @@
 
 @dataclass(frozen=True)
 class HttpResult:
+    """A complete response."""
+
     status: int
     body: bytes
 
     def value(self) -> Any:
+        """Return the parsed JSON body, None if it is empty."""
         return json.loads(self.body or b"null")
 
 
 class _NoRedirect(urllib.request.HTTPRedirectHandler):
-    """Redirects are followed here: urllib repeats no PUT."""
+    """Leaves redirects to `call`: urllib does not repeat a PUT."""
 
     def redirect_request(self, *_: Any) -> None:
         return None
@@ -33,7 +37,11 @@
 def call(
     address: str, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
 ) -> Result[HttpResult, str]:
-    """One call to "HOST:PORT"; a 307 is followed up to three times."""
+    """Send one request to "HOST:PORT" and follow at most `MAX_REDIRECTS` redirects (307).
+
+    Returns:
+        The response, whatever its status, or a message that says what to do.
+    """
     url = f"http://{address}{path}"
     opener = urllib.request.build_opener(_NoRedirect)
     for _ in range(MAX_REDIRECTS):
@@ -42,7 +50,7 @@
             with opener.open(request, timeout=TIMEOUT_S) as answer:
                 return Ok(HttpResult(answer.status, answer.read()))
         except urllib.error.HTTPError as error:
-            if error.code != 307:
+            if error.code != HTTPStatus.TEMPORARY_REDIRECT:
                 return Ok(HttpResult(error.code, error.read()))
             url = error.headers["Location"]
         except OSError as error:
--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -1,9 +1,9 @@
-"""The commands: check settings, read and send a configuration, look at members, backends, placement and queues, a
-demonstration."""
+"""Define the commands of the command line. Their names and parameters are part of the operators' interface."""
 
 from __future__ import annotations
 
 import sys
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class CommandError(SystemExit):
-    """Ends the command with the message on standard error."""
+    """Ends the process with status 1 and a message on standard error."""
 
     def __init__(self, message: str) -> None:
         print(message, file=sys.stderr)
@@ -31,7 +31,7 @@
 
 def _status(address: str) -> dict[str, Any]:
     result = _call(address, "GET", "/status")
-    if result.status != 200:
+    if result.status != HTTPStatus.OK:
         raise CommandError(
             f"{address}: status {result.status}; name a control plane's control address or a data plane's ready address"
         )
@@ -46,17 +46,20 @@
 
 
 class Console:
-    """Commands for the operators of a running system."""
+    """The commands: each public method is one.
+
+    CONTROL is the control address of a core machine, READY the ready address of a data plane, both "HOST:PORT".
+    """
 
     def check(self, settings: str) -> str:
-        """Reads a settings file as an instance would, and names the faulty key."""
+        """Validate a settings file as a process would at its start, and name the faulty key."""
         read = read_settings(settings)
         if isinstance(read, Err):
             raise CommandError(str(read.err_value))
         return f"{settings}: settings of {read.ok_value.name} are fine"
 
     def verify(self, file: str) -> str:
-        """Checks a whole configuration without sending it."""
+        """Validate a complete configuration without sending it."""
         read = read_json(_read_file(file))
         checked = read_whole(read.ok_value, -1) if not isinstance(read, Err) else read
         if isinstance(checked, Err):
@@ -64,14 +67,14 @@
         return f"{file}: version {checked.ok_value.version} is valid"
 
     def read(self, control: str) -> str:
-        """The configuration in force, as JSON."""
+        """Print the configuration in force, as JSON."""
         result = _call(control, "GET", "/configuration")
-        if result.status != 200:
+        if result.status != HTTPStatus.OK:
             raise CommandError(f"{control}: {result.body.decode(errors='replace')}")
         return result.body.decode()
 
     def send(self, control: str, file: str, base: int, patch: bool = False) -> str:
-        """Sends a configuration, or a patch of it, that builds on version `base`."""
+        """Send a configuration, or a patch of it, that builds on version `base`."""
         result = _call(
             control,
             "PATCH" if patch else "PUT",
@@ -79,43 +82,43 @@
             _read_file(file),
             {"If-Match": str(base), "Content-Type": "application/json"},
         )
-        if result.status != 200:
+        if result.status != HTTPStatus.OK:
             raise CommandError(f"{control}: {result.status} {result.body.decode(errors='replace')}")
         return result.body.decode()
 
     def members(self, control: str) -> dict[str, Any]:
-        """The view in force, voters, chain, and who is heard."""
+        """Print the view in force: voters, chain, and when each peer answered last."""
         status = _status(control)
         return {
             key: status[key] for key in ("name", "epoch", "chain", "voters", "authoritative", "committed", "version", "peers")
         }
 
     def stubs(self, control: str) -> dict[str, Any]:
-        """The list of backends with what each holds."""
+        """Print the list of backends with the models of each."""
         return self.backends(control)
 
     def backends(self, control: str) -> dict[str, Any]:
-        """The list of backends with what each holds."""
+        """Print the list of backends with the models of each; `stubs` is the older name of this command."""
         return _status(control)["stubs"]
 
     def placement(self, control: str) -> dict[str, Any]:
-        """Who holds the orders, and the last of them with why they were given."""
+        """Print the placement leader, its fencing token and its latest orders with their reasons."""
         status = _status(control)
         return {key: status[key] for key in ("holder", "fence_token", "orders")}
 
     def queues(self, ready: str) -> list[dict[str, Any]]:
-        """What a data plane holds and runs for each model, with limit and mu."""
+        """Print the queued and running requests of a data plane for each model, with its limit and service rate."""
         return _status(ready)["groups"]
 
     def why(self, ready: str, request: str) -> list[dict[str, Any]]:
-        """Why a request waited or was refused, by its Request-Id."""
-        result = [rejection for rejection in _status(ready)["refused"] if rejection["request_id"] == request]
-        if not result:
+        """Print why a request waited or was rejected, by its Request-Id."""
+        rejections = [rejection for rejection in _status(ready)["refused"] if rejection["request_id"] == request]
+        if not rejections:
             raise CommandError(f"{request}: not among the latest that were refused here; see the logs for its id")
-        return result
+        return rejections
 
     def demo(self, seconds: float = 20.0) -> None:
-        """Starts a whole system on loopback with stand-in backends and clients, and shows it at work."""
+        """Run a complete system on loopback with simulated backends and clients, and print its figures."""
         from mulleinhatch.cli.system.demo import run_demo
 
         run_demo(seconds)
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -1,6 +1,6 @@
-"""A whole system on one machine: three control planes, two data planes, stand-in backends, streaming clients, a live table.
+"""Run a complete system on one machine: three control planes, two data planes, simulated backends, streaming clients.
 
-All on loopback addresses of its own, in processes of their own for the planes; nothing outlives the demonstration.
+The planes are processes with loopback addresses of their own; all of them end with the demonstration.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass
 class ClientTally:
-    """What the clients saw."""
+    """Outcomes of the clients' requests."""
 
     served: int = 0
     refused: int = 0
@@ -41,15 +41,28 @@
 
 
 def control_plane_ip(number: int) -> str:
+    """Return the loopback address of a control plane."""
     return f"127.1.{number}.1"
 
 
 def data_plane_ip(number: int) -> str:
+    """Return the loopback address of a data plane."""
     return f"127.2.{number}.1"
 
 
 def write_settings(folder: Path, kind: str, number: int, cores: int, first: bool) -> Path:
-    """Writes the settings file of one plane."""
+    """Write the settings file of one plane.
+
+    Args:
+        folder: The directory of the file and of the persisted state.
+        kind: "control" or "data".
+        number: The number of the plane among those of its kind.
+        cores: The number of control planes.
+        first: Whether the whole system starts for the first time.
+
+    Returns:
+        The path of the file.
+    """
     ip = control_plane_ip(number) if kind == "control" else data_plane_ip(number)
     lines = [
         f"node_name={kind}-{number}",
@@ -72,7 +85,7 @@
 
 
 def start_plane(folder: Path, kind: str, number: int, cores: int, first: bool = True) -> subprocess.Popen[bytes]:
-    """Starts one plane as a process; its log goes to a file beside its settings. `first`: the whole system starts anew."""
+    """Start one plane as a process; its log goes to a file beside its settings (see `write_settings` for the arguments)."""
     path = write_settings(folder, kind, number, cores, first)
     script = "control_plane.py" if kind == "control" else "data_plane.py"
     with open(path.with_suffix(".log"), "ab") as log:
@@ -82,6 +95,7 @@
 
 
 def configuration(version: int = 1) -> dict:
+    """Return a configuration with one streaming route and one service."""
     route = {
         "name": "write",
         "host": HOST,
@@ -106,7 +120,11 @@
 
 
 async def put_configuration(caller: HttpClient, address: str, within_s: float = 20.0) -> None:
-    """Sends the first configuration until a control plane takes it."""
+    """Send the first configuration until a control plane accepts it.
+
+    Raises:
+        TimeoutError: None accepted it within `within_s` seconds.
+    """
     loop = asyncio.get_running_loop()
     end, at = loop.time() + within_s, address
     while loop.time() < end:
@@ -131,6 +149,7 @@
 
 
 def make_backends(count: int, control: list[str]) -> list[ModelBackend]:
+    """Return simulated backends that send heartbeats to some control addresses."""
     backends = []
     for number in range(count):
         facts = BackendFacts(
@@ -148,7 +167,7 @@
 
 
 async def send_request(front: str, model: str, tally: ClientTally) -> str:
-    """One streaming request; its id."""
+    """Send one streaming request, count its outcome and return its id."""
     request_id = uuid.uuid4().hex[:16]
     fields = [
         (b"Host", HOST.encode()),
@@ -193,6 +212,7 @@
 
 
 def print_status(backends: list[ModelBackend], tally: ClientTally, left_s: float) -> None:
+    """Print the clients' outcomes and the models of each backend."""
     first = sorted(tally.first_token_s) or [0.0]
     print(
         f"\n{left_s:4.0f} s left   served {tally.served}  refused {tally.refused}  failed {tally.failed}  "
@@ -237,7 +257,7 @@
 
 
 def run_demo(seconds: float) -> None:
-    """Runs the demonstration for some seconds of traffic."""
+    """Run the demonstration for some seconds of traffic."""
     with tempfile.TemporaryDirectory(prefix="mulleinhatch-demo-") as folder:
         tally = asyncio.run(_demo(seconds, Path(folder)))
         print(f"\nserved {tally.served}, refused {tally.refused}, failed {tally.failed}")
--- a/mulleinhatch/cli/system/start.py
+++ b/mulleinhatch/cli/system/start.py
@@ -1,4 +1,4 @@
-"""Starts a plane from its settings file: a faulty one ends the process with a line that names key and remedy."""
+"""Start a plane from its settings file; an invalid one ends the process with a line that names the key and the remedy."""
 
 from __future__ import annotations
 
@@ -29,6 +29,8 @@
 
 
 def start_control_plane() -> int:
+    """Run a control plane until it ends; return the exit status of the process."""
+    # Imported here, so that a process loads one plane only.
     from mulleinhatch.control_plane.process import ControlPlaneProcess
 
     async def run(settings: Settings) -> None:
@@ -38,6 +40,8 @@
 
 
 def start_data_plane() -> int:
+    """Run a data plane until it ends; return the exit status of the process."""
+    # Imported here, so that a process loads one plane only.
     from mulleinhatch.data_plane.process import DataPlane
 
     async def run(settings: Settings) -> None:
--- a/mulleinhatch/console.py
+++ b/mulleinhatch/console.py
@@ -1,4 +1,4 @@
-"""Entry point of the system's command line: `python -m mulleinhatch.console COMMAND`, the command that operators know."""
+"""Start the system's command line by the name that operators know: `python -m mulleinhatch.console COMMAND`."""
 
 from mulleinhatch.cli.system.__main__ import main
 
--- a/mulleinhatch/control_plane/status.py
+++ b/mulleinhatch/control_plane/status.py
@@ -47,24 +47,28 @@
     models: dict[str, list[str]]
 
 
-class ControlPlaneStatus(TypedDict):
-    """The whole status. `stubs` are the backends by id, `holder` is the placement leader, `fence_token` its fencing token."""
-
-    name: str
-    identity: str
-    epoch: int
-    chain: list[str]
-    voters: list[str]
-    authoritative: bool
-    last: int
-    committed: int
-    version: int
-    holder: str
-    fence_token: int
-    orders: list[Mapping[str, Any]]
-    data_planes: int
-    peers: dict[str, PeerStatus]
-    stubs: dict[str, BackendStatus]
+# Written as a call because three keys have names that the code uses no more: `stubs` are the backends by id, `holder` is the
+# placement leader, `fence_token` its fencing token.
+ControlPlaneStatus = TypedDict(  # noqa: UP013 (see above)
+    "ControlPlaneStatus",
+    {
+        "name": str,
+        "identity": str,
+        "epoch": int,
+        "chain": list[str],
+        "voters": list[str],
+        "authoritative": bool,
+        "last": int,
+        "committed": int,
+        "version": int,
+        "holder": str,
+        "fence_token": int,
+        "orders": list[Mapping[str, Any]],
+        "data_planes": int,
+        "peers": dict[str, PeerStatus],
+        "stubs": dict[str, BackendStatus],
+    },
+)
 
 
 def build_status(node: StatusNode, orders: list[Mapping[str, Any]], data_planes: int, now: float) -> ControlPlaneStatus:
@@ -76,23 +80,23 @@
         data_planes: The number of data planes in the whole system.
         now: The steady time in seconds.
     """
-    return ControlPlaneStatus(
-        name=node.member.name,
-        identity=node.member.identity,
-        epoch=node.view.epoch,
-        chain=[member.name for member in node.view.chain],
-        voters=[member.name for member in node.view.voters],
-        authoritative=node.has_majority_contact(),
-        last=node.replica.last,
-        committed=node.replica.committed,
-        version=node.state.document.version,
-        holder=node.state.leader,
-        fence_token=node.state.fencing_token,
-        orders=orders,
-        data_planes=data_planes,
-        peers={peer.member.name: _peer_status(peer, now) for peer in node.peers.by_identity.values()},
-        stubs={backend_id: _backend_status(entry.backend) for backend_id, entry in node.registry.entries.items()},
-    )
+    return {
+        "name": node.member.name,
+        "identity": node.member.identity,
+        "epoch": node.view.epoch,
+        "chain": [member.name for member in node.view.chain],
+        "voters": [member.name for member in node.view.voters],
+        "authoritative": node.has_majority_contact(),
+        "last": node.replica.last,
+        "committed": node.replica.committed,
+        "version": node.state.document.version,
+        "holder": node.state.leader,
+        "fence_token": node.state.fencing_token,
+        "orders": orders,
+        "data_planes": data_planes,
+        "peers": {peer.member.name: _peer_status(peer, now) for peer in node.peers.by_identity.values()},
+        "stubs": {backend_id: _backend_status(entry.backend) for backend_id, entry in node.registry.entries.items()},
+    }
 
 
 def _peer_status(peer: Peer, now: float) -> PeerStatus:
--- a/tests/system/test_console.py
+++ b/tests/system/test_console.py
@@ -26,7 +26,7 @@
         listed = {name for row in rows for name in re.findall(r"`([a-z]+)", row.split("|")[1])}
         self.assertEqual(listed & COMMANDS, COMMANDS)
 
-    def test_stubs_shows_the_backends_of_the_status(self):
+    def test_the_older_name_shows_the_backends_of_the_status(self):
         status = HttpResult(200, b'{"stubs": {"i-1": {"silent": false}}}')
         with mock.patch.object(commands, "call", return_value=Ok(status)):
             self.assertEqual(commands.Console().stubs("h:1"), {"i-1": {"silent": False}})
