--- a/mulleinhatch/control_plane/api/internal.py
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -44,7 +44,9 @@
         try:
             message = route.message_type().parse(request.body)
         except Exception as error:  # betterproto lets through whatever its parser runs into
-            LOG.warning("unreadable message", extra={"path": request.path, "error": repr(error)})
+            LOG.warning(
+                "rejected an internal message that cannot be parsed", extra={"path": request.path, "error": repr(error)}
+            )
             return error_response(HTTPStatus.BAD_REQUEST, "the message can't be read; both sides must run the same version")
         try:
             answer = await route.handler(message)
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -53,10 +53,10 @@
         await self._open_state()
         self._listen()
         self.loop.add_signal_handler(signal.SIGTERM, self._on_terminate)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read only at start"))
         gc.freeze()  # what exists now lives as long as the process: the collector need not look at it again
-        LOG.info("control plane started", extra={"identity": self.node.member.identity, "epoch": self.node.view.epoch})
-        await run_until_stopped(self.stopped, self.node.run(), supervise("orders", self.placement.run))
+        LOG.info("control plane started", extra={"identity": self.node.member.identity, "view_epoch": self.node.view.epoch})
+        await run_until_stopped(self.stopped, self.node.run(), supervise("placement", self.placement.run))
 
     def _listen(self) -> None:
         server = HttpServer(self.loop)
@@ -73,7 +73,7 @@
     def _on_terminate(self) -> None:
         if self.node.leaving:
             return
-        LOG.info("leaving")
+        LOG.info("SIGTERM received: leaving the chain")
         self.node.start_task(self._stop_when_replaced())
 
     async def _stop_when_replaced(self) -> None:
@@ -86,7 +86,7 @@
             try:
                 return self.node.open()
             except OSError as error:
-                LOG.error("the disk can't be used; free space or replace it", extra={"error": str(error)})
+                LOG.error("cannot open the persisted state; free disk space or replace the disk", extra={"error": str(error)})
                 await asyncio.sleep(DISK_RETRY_S)
 
     def status(self) -> ControlPlaneStatus:
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -179,7 +179,7 @@
         try:
             result = await self._handle(parsed)
         except Exception:
-            LOG.exception("a request handler failed", extra={"path": parsed.path})
+            LOG.exception("a request handler failed; the caller got a 500", extra={"path": parsed.path})
             result = HttpServerResponse.of_json(500, {"error": "an internal error; see the log of this process"})
         self._send(response, result)
         self._server.dispatch()
--- a/mulleinhatch/process/supervision.py
+++ b/mulleinhatch/process/supervision.py
@@ -25,11 +25,11 @@
     while True:
         try:
             await work()
-            LOG.error("work ended and is begun again", extra={"work": name})
+            LOG.error("a background task ended and is restarted", extra={"task": name})
         except OSError as error:
-            LOG.warning("work met an error and is begun again", extra={"work": name, "error": str(error)})
+            LOG.warning("a background task met an I/O error and is restarted", extra={"task": name, "error": str(error)})
         except Exception:
-            LOG.exception("work failed and is begun again", extra={"work": name})
+            LOG.exception("a background task failed and is restarted", extra={"task": name})
         await asyncio.sleep(restart_delay_s)
 
 
