--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -12,6 +12,7 @@
 import sys
 from collections.abc import Awaitable, Callable, Coroutine, Mapping
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Any
 
 # circuits declares its namespace by pkg_resources if that is installed, and works without it. Importing it would cost 7 MB and
@@ -166,21 +167,27 @@
         """Answer bytes that are no valid request with JSON, in place of circuits' HTML page."""
         event.stop()
         result = HttpServerResponse.of_json(
-            code or 500, {"error": "the request could not be read; send HTTP/1.1 with a valid head"}
+            code or HTTPStatus.INTERNAL_SERVER_ERROR,
+            {"error": "the request could not be read; send HTTP/1.1 with a valid head"},
         )
         self._send(response, result)
 
     @handler("redirect", priority=1.0)
     def _on_redirect(self, event: Any, request: Request, response: Response, urls: Any = None, code: int | None = None) -> None:
         event.stop()
-        self._send(response, HttpServerResponse.of_json(400, {"error": "the path is not in its normal form; encode it"}))
+        self._send(
+            response,
+            HttpServerResponse.of_json(HTTPStatus.BAD_REQUEST, {"error": "the path is not in its normal form; encode it"}),
+        )
 
     async def _respond(self, parsed: HttpServerRequest, response: Response) -> None:
         try:
             result = await self._handle(parsed)
         except Exception:
             LOG.exception("a request handler failed; the caller got a 500", extra={"path": parsed.path})
-            result = HttpServerResponse.of_json(500, {"error": "an internal error; see the log of this process"})
+            result = HttpServerResponse.of_json(
+                HTTPStatus.INTERNAL_SERVER_ERROR, {"error": "an internal error; see the log of this process"}
+            )
         self._send(response, result)
         self._server.dispatch()
 
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -1,7 +1,7 @@
-"""The two programs as processes on loopback, with stand-in backends: what operator and clients see, also when machines are
-killed.
+"""Run both programs as processes on loopback, with simulated backends, and observe them as operators and clients do.
 
-Nothing waits for a fixed time: each step goes on as soon as what it waits for is seen, and fails after a bound."""
+No step waits for a fixed time: it continues as soon as its condition holds and fails after a timeout.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class System:
-    """Planes by name and backends, as long as a test lasts."""
+    """The planes and backends of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -69,7 +69,7 @@
             self.kill(kind, number)
 
     async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> HttpResponse | None:
-        """The first clear answer of any control plane, sent on as it says; None where there is none just now."""
+        """Return the first response below 500 of any control plane, redirects followed; None if there is none now."""
         fields = ((b"If-Match", b"%d" % base),) if base is not None else ()
         for start in self.control:
             answer = await self._follow(start, method, path, body, fields)
@@ -93,7 +93,7 @@
         return json.loads(answer.body)["version"] if answer is not None and answer.status == 200 else None
 
     async def change(self, base: int, version: int) -> int:
-        """Sends a change until the answer is clear; its status."""
+        """Send a change until the response is below 500; return its status."""
         body = json.dumps({**configuration(version), "note": version}).encode()
         answer = await until(lambda: self.call("PUT", "/configuration", body, base))
         return answer.status
@@ -108,7 +108,7 @@
         if is_expected(value):
             return value
         await asyncio.sleep(POLL_INTERVAL_S)
-    raise AssertionError("what was waited for did not come")
+    raise AssertionError("the expected value did not occur in time")
 
 
 class Planes(unittest.IsolatedAsyncioTestCase):
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -1,4 +1,4 @@
-"""What a disk that refuses, or a fault in one loop, may not do: end the process or the other work."""
+"""A failing disk or a defect in one background task must not end the process or its other tasks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
 
-    def test_work_that_raises_or_ends_is_begun_again(self):
+    def test_work_that_raises_or_ends_is_restarted(self):
         begun = []
 
         async def work() -> None:
@@ -63,7 +63,7 @@
 
 
 class RefusingCore:
-    """As much of a core as a claim needs; its disk is full."""
+    """A node whose disk is full, as far as a claim needs it."""
 
     on_store_load = None
 
