--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -23,7 +23,7 @@
 from mulleinhatch.control_plane.state_store import Restored, StateStore, backends_record, commit_record
 from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.messages.cluster import Member, View
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.process.settings import Settings
 from mulleinhatch.process.supervision import supervise
 from mulleinhatch.replication.chain import Replica
@@ -90,9 +90,11 @@
         )
         self.peers = Peers(self.member)
         self.registry = BackendRegistry(
-            self.settings.heartbeat_s, self._backend_changed, lambda backend_id: backend_id in self.state.departed_backends
+            self.settings.heartbeat_s,
+            self._backend_changed,
+            has_left=lambda backend_id: backend_id in self.state.departed_backends,
+            on_store_load=lambda: self.on_store_load(),
         )
-        self.registry.on_store_load = lambda: self.on_store_load()
         self.view_changer = ViewChanger(self, restored)
         if not restored.voter.view.epoch and restored.identity == f"first-{control}":
             self.view_changer.bootstrap(bootstrap_view(self.settings.seeds, self.internal_address_of))
@@ -228,10 +230,10 @@
     # Messages.
 
     async def call(self, address: str, path: str, message: Any, answer: Any, within: float = CALL_S) -> Any:
-        """Sends a message to a core machine; CallFailed where no proper answer comes."""
+        """Sends a message to a core machine; HttpCallError where no proper answer comes."""
         whole = await self.http_client.request(address, "POST", f"/internal/{path}", bytes(message), within)
         if whole.status != 200:
-            raise CallError(address, f"status {whole.status}")
+            raise HttpCallError(address, f"status {whole.status}")
         return answer.parse(whole.body)
 
     def request_heartbeat(self) -> None:
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -1,4 +1,4 @@
-"""The control plane's process: settings, the core, its interfaces, signals and the end."""
+"""Run one control plane process: wire its parts, serve its interfaces, handle signals and the planned shutdown."""
 
 from __future__ import annotations
 
@@ -6,113 +6,92 @@
 import gc
 import logging
 import signal
-from typing import Any
 
-from mulleinhatch.control_plane.api import ControlApi, internal_api
+from mulleinhatch.control_plane.api import ControlApi, InternalApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.shutdown import leave
+from mulleinhatch.control_plane.status import ControlPlaneStatus, build_status
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_client import HttpClient
 from mulleinhatch.networking.http_server import HttpServer
 from mulleinhatch.process.settings import Settings
-from mulleinhatch.process.supervision import supervise
+from mulleinhatch.process.supervision import run_until_stopped, supervise
 
 LOG = logging.getLogger(__name__)
 DISK_RETRY_S = 0.5
 
 
-class ControlPlane:
-    """One control plane instance."""
+class ControlPlaneProcess:
+    """Owns the node, the placement controller and the distribution of one control plane.
+
+    Create it in a running event loop.
+
+    Args:
+        settings: The settings of this process.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
-        self.caller = HttpClient()
-        self.node = CoreNode(settings, self.caller, self.clock, self._changed)
+        self.http_client = HttpClient()
+        self.node = CoreNode(settings, self.http_client, self.clock, self._on_change)
         self.distribution = Distribution(self.node, self.clock)
-        self.orders = PlacementController(self.node, self.caller, self.clock, settings.bounds)
-        self.node.placement_idle_s = self.orders.idle_s
-        self.node.on_store_load = self.orders.record_store_load
-        self.node.data_planes = self.distribution.data_planes
-        self.node.on_backend_change = lambda backend_id: self._changed()
+        self.placement = PlacementController(self.node, self.http_client, self.clock, settings.bounds)
+        self.node.placement_idle_s = self.placement.idle_s
+        self.node.on_store_load = self.placement.record_store_load
+        self.node.data_planes = self.distribution.count_local_data_planes
+        self.node.on_backend_change = lambda backend_id: self._on_change()
         self.stopped = asyncio.Event()
 
-    def _changed(self) -> None:
-        self.distribution.changed()
+    def _on_change(self) -> None:
+        self.distribution.notify_changed()
 
     async def run(self) -> None:
-        """Serves until SIGTERM, and then until the chain goes on without us."""
-        await self._open()
-        hub = HttpServer(self.loop)
-        api = ControlApi(self.node, self.clock, self.status)
-        internal = internal_api(self.node)
-        internal.add("poll", cluster.PollRequest, self.distribution.poll)
-        internal.add("demand", cluster.DemandReport, self.orders.on_demand)
-        hub.listen(self.settings.internal_address, internal.answer)
-        hub.listen(self.settings.listen["control"], api.answer)
-        self.loop.add_signal_handler(signal.SIGTERM, self._leave)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("settings are read at start only"))
-        gc.freeze()
-        LOG.info("control plane started", extra={"identity": self.node.member.identity, "epoch": self.node.view.epoch})
-        work = [asyncio.ensure_future(self.node.run()), asyncio.ensure_future(supervise("orders", self.orders.run))]
-        stop = asyncio.ensure_future(self.stopped.wait())
-        await asyncio.wait([*work, stop], return_when=asyncio.FIRST_COMPLETED)
-        for task in work:
-            if task.done():
-                task.result()
-
-    def _leave(self) -> None:
+        """Serve until SIGTERM, and then until the other core machines no longer need this one."""
+        await self._open_state()
+        self._listen()
+        self.loop.add_signal_handler(signal.SIGTERM, self._on_terminate)
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read only at start"))
+        gc.freeze()  # what exists now lives as long as the process: the collector need not look at it again
+        LOG.info("control plane started", extra={"identity": self.node.member.identity, "view_epoch": self.node.view.epoch})
+        await run_until_stopped(self.stopped, self.node.run(), supervise("placement", self.placement.run))
+
+    def _listen(self) -> None:
+        server = HttpServer(self.loop)
+        control = ControlApi(self.node, self.clock, self.status)
+        server.listen(self.settings.internal_address, self._build_internal_api().handle_request)
+        server.listen(self.settings.listen["control"], control.handle_request)
+
+    def _build_internal_api(self) -> InternalApi:
+        api = build_internal_api(self.node)
+        api.register("poll", cluster.PollRequest, self.distribution.poll)
+        api.register("demand", cluster.DemandReport, self.placement.on_demand)
+        return api
+
+    def _on_terminate(self) -> None:
         if self.node.leaving:
             return
-        LOG.info("leaving")
-        self.node.start_task(self._end_when_replaced())
+        LOG.info("SIGTERM received: leaving the chain")
+        self.node.start_task(self._stop_when_replaced())
 
-    async def _end_when_replaced(self) -> None:
+    async def _stop_when_replaced(self) -> None:
         await leave(self.node, self.settings.bounds.grace_s)
         self.stopped.set()
 
-    async def _open(self) -> None:
-        """Reads the disk; one that refuses for now is tried again."""
+    async def _open_state(self) -> None:
+        """Read the persisted state; retry while the disk fails, as it may recover."""
         while True:
             try:
                 return self.node.open()
             except OSError as error:
-                LOG.error("the disk can't be used; free space or replace it", extra={"error": str(error)})
+                LOG.error("cannot open the persisted state; free disk space or replace the disk", extra={"error": str(error)})
                 await asyncio.sleep(DISK_RETRY_S)
 
-    def status(self) -> dict[str, Any]:
-        """What an operator may look at."""
-        node, now = self.node, self.clock()
-        return {
-            "name": self.settings.name,
-            "identity": node.member.identity,
-            "epoch": node.view.epoch,
-            "chain": [member.name for member in node.view.chain],
-            "voters": [member.name for member in node.view.voters],
-            "authoritative": node.has_majority_contact(),
-            "last": node.replica.last_index,
-            "committed": node.replica.committed,
-            "version": node.state.document.version,
-            "holder": node.state.leader,
-            "fence_token": node.state.fencing_token,
-            "orders": list(self.orders.recent_orders),
-            "data_planes": self.distribution.all_data_planes(),
-            "peers": {
-                peer.member.name: {"answered_s_ago": round(now - peer.answered_at, 2), "leaving": peer.leaving}
-                for peer in node.peers.by_identity.values()
-            },
-            "stubs": {
-                backend_id: {
-                    "service": entry.backend.service,
-                    "address": entry.backend.address,
-                    "draining": entry.backend.draining,
-                    "gone": entry.backend.gone,
-                    "silent": entry.backend.silent,
-                    "models": {model.name: list(model.adapters) for model in entry.backend.models},
-                }
-                for backend_id, entry in node.registry.entries.items()
-            },
-        }
+    def status(self) -> ControlPlaneStatus:
+        """Return the JSON value of GET /status."""
+        return build_status(
+            self.node, list(self.placement.recent_orders), self.distribution.count_all_data_planes(), self.clock()
+        )
--- a/mulleinhatch/data_plane/attempt.py
+++ b/mulleinhatch/data_plane/attempt.py
@@ -14,7 +14,7 @@
 from mulleinhatch.data_plane.request_context import RequestContext
 from mulleinhatch.data_plane.request_headers import backend_fields
 from mulleinhatch.data_plane.response_relay import ResponseRelay
-from mulleinhatch.networking.http_client import ClientConnection
+from mulleinhatch.networking.http_connection import ClientConnection
 from mulleinhatch.networking.http_streaming import Head, write_request
 
 LOG = logging.getLogger(__name__)
--- a/mulleinhatch/data_plane/control_plane_client.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -15,7 +15,7 @@
 from mulleinhatch.data_plane.control_plane_snapshot import ControlPlaneSnapshot
 from mulleinhatch.membership.rendezvous import rank_by_weight
 from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.process.settings import Settings
 
 LOG = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
             address = self._next_address()
             try:
                 await self._poll(address)
-            except CallError as error:
+            except HttpCallError as error:
                 LOG.debug("control plane did not answer; another one is asked", extra={"error": str(error)})
                 self._http.forget(address)
                 self._cooldown_until[address] = self._clock() + COOLDOWN_S
@@ -106,7 +106,7 @@
         timeout_s = max(FIRST_POLL_TIMEOUT_S, wait_s + POLL_RESPONSE_MARGIN_S)
         response = await self._http.request(address, "POST", "/internal/poll", bytes(request), timeout_s)
         if response.status != 200:
-            raise CallError(address, f"status {response.status}")
+            raise HttpCallError(address, f"status {response.status}")
         update = PollResponse().parse(response.body)
         if update.epoch < self._epoch:
             update.authoritative = False  # the machine has not learned of a newer view yet
@@ -203,6 +203,6 @@
         try:
             response = await self._http.request(self.leader, "POST", "/internal/demand", bytes(report), DEMAND_REPORT_TIMEOUT_S)
             return response.status == 200 and DemandResponse().parse(response.body).accepted
-        except CallError:
+        except HttpCallError:
             self._http.forget(self.leader)
             return False
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -12,7 +12,7 @@
 
 from mulleinhatch.data_plane.request_context import RequestContext
 from mulleinhatch.data_plane.request_state import ResponseVerdict, classify_response
-from mulleinhatch.networking.http_client import Loss
+from mulleinhatch.networking.http_connection import Loss
 from mulleinhatch.networking.http_streaming import Head
 
 STREAM_STALL_TIMEOUT_S = 2.0  # a resumable stream without an event for so long is resumed at another backend
--- a/mulleinhatch/testing/fake_model_server/registration.py
+++ b/mulleinhatch/testing/fake_model_server/registration.py
@@ -6,7 +6,7 @@
 import json
 from http import HTTPStatus
 
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.testing.fake_model_server.config import FakeModelServerConfig
 from mulleinhatch.testing.fake_model_server.model_store import ModelStore
 
@@ -48,7 +48,7 @@
                 )
                 if response.status == HTTPStatus.OK:
                     return
-            except CallError:
+            except HttpCallError:
                 pass
             self._addresses.append(self._addresses.pop(0))
 
@@ -58,7 +58,7 @@
             try:
                 await self._http_client.request(address, "DELETE", self._path, b"", CALL_TIMEOUT_S)
                 break
-            except CallError:
+            except HttpCallError:
                 continue
 
     def _heartbeat(self) -> dict[str, object]:
--- a/tests/system/placement_fakes.py
+++ b/tests/system/placement_fakes.py
@@ -12,7 +12,7 @@
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.messages.cluster import Backend, DemandReport, LoadedModel, ModelDemand
-from mulleinhatch.networking.http_client import CallError
+from mulleinhatch.networking.http_client import HttpCallError
 from mulleinhatch.process.settings import Bounds
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
@@ -57,7 +57,7 @@
         self.statuses.append(status)
         if len(self.statuses) in self.lost_responses:
             await asyncio.sleep(timeout)
-            raise CallError(address, "no answer")
+            raise HttpCallError(address, "no answer")
         return SimpleNamespace(status=status, body=b"")
 
     def forget(self, address: str) -> None:
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from mulleinhatch.configuration.routes import EngineSpec, ModelSpec
-from mulleinhatch.control_plane.api import read_backend
+from mulleinhatch.control_plane.api import parse_backend_heartbeat
 from mulleinhatch.control_plane.peers import ALIVE_S, Peers
 from mulleinhatch.control_plane.placement.backend_report import parse_report
 from mulleinhatch.control_plane.placement.backend_view import BackendView, HostedModel, used_mb
@@ -71,7 +71,7 @@
     def test_a_relayed_record_counts_from_when_its_backend_spoke(self):
         self.registry.merge(backend(1), 0.0)
         self.registry.merge(backend(2, age_ms=3000), 4.0)
-        self.assertEqual(self.registry.entries["i-1"].heard_at, 1.0)
+        self.assertEqual(self.registry.entries["i-1"].last_heartbeat_at, 1.0)
 
     def test_orders_and_heartbeats_are_ordered_each_by_its_own(self):
         self.registry.merge(backend(1, models=[LoadedModel(name="m0")]), 0.0)
@@ -94,7 +94,7 @@
 
     def test_loads_from_the_store_are_counted_whoever_ordered_them(self):
         counted = []
-        self.registry.on_store_load = lambda: counted.append(1)
+        self.registry = BackendRegistry(1.0, self.changes.append, on_store_load=lambda: counted.append(1))
         self.registry.merge(backend(1), 0.0)
         load = PendingLoad(model="m1", from_store=True)
         self.registry.merge(backend(0, loads=[load], order_revision=3), 0.1)
@@ -104,12 +104,12 @@
 
 class Reading(unittest.TestCase):
     def test_a_heartbeat_that_can_not_be_used_names_the_field(self):
-        read = read_backend("i-1", b'{"service":"s","address":"nowhere","sequence":1}')
+        read = parse_backend_heartbeat("i-1", b'{"service":"s","address":"nowhere","sequence":1}')
         self.assertIsInstance(read, Err)
         self.assertIn("address", read.err_value)
 
     def test_a_heartbeat(self):
-        read = read_backend(
+        read = parse_backend_heartbeat(
             "i-1",
             b'{"service":"s","address":"a:1","sequence":4,"state":"draining","slots":6,"remaining_ms":700,'
             b'"models":[{"name":"m","version":2,"adapters":["a1"]}],"new":[1]}',
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -33,7 +33,7 @@
 )
 from mulleinhatch.data_plane.response_relay import ResponseRelay
 from mulleinhatch.data_plane.router import Router
-from mulleinhatch.networking.http_client import ClientConnection
+from mulleinhatch.networking.http_connection import ClientConnection
 from mulleinhatch.networking.http_streaming import Head, parse_request_head
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.simulation.virtual_time import VirtualLoop
--- a/tests/system/test_order_client.py
+++ b/tests/system/test_order_client.py
@@ -9,7 +9,7 @@
 from mulleinhatch.control_plane.placement.leadership import NEVER_ISSUED_S
 from mulleinhatch.control_plane.placement.order import ORDER_TIMEOUT_S, Operation, Order
 from mulleinhatch.control_plane.placement.order_client import OrderClient
-from mulleinhatch.networking.http_client import CallError
+from mulleinhatch.networking.http_client import HttpCallError
 
 BACKEND = SimpleNamespace(id="i-1", address="i:1")
 
@@ -18,7 +18,7 @@
     def setUp(self):
         self.now = 100.0
         self.requests: list[tuple] = []
-        self.error: CallError | None = None
+        self.error: HttpCallError | None = None
         node = SimpleNamespace(member=SimpleNamespace(name="core-1"))
         self.client = OrderClient(node, self, lambda: self.now, SimpleNamespace(token=9))
 
@@ -45,8 +45,8 @@
 
     async def test_idle_time_counts_also_orders_without_a_response(self):
         self.assertEqual(self.client.idle_s(), NEVER_ISSUED_S)
-        self.error = CallError("i:1", "no answer")
-        with self.assertRaises(CallError):
+        self.error = HttpCallError("i:1", "no answer")
+        with self.assertRaises(HttpCallError):
             await self.client.send(BACKEND, Order("i-1", Operation.LOAD, "m"), 5)
         self.now += 2.0
         self.assertEqual(self.client.idle_s(), 2.0)
--- a/tests/system/test_order_dispatch.py
+++ b/tests/system/test_order_dispatch.py
@@ -123,7 +123,7 @@
         self.started.pop(0).close()
         self.assertEqual(
             list(self.dispatcher.recent_orders),
-            [{"backend": "i", "operation": "load", "model": "b", "adapter": "x", "why": "adapter wanted"}],
+            [{"stub": "i", "operation": "load", "model": "b", "adapter": "x", "why": "adapter wanted"}],
         )
 
 
