--- a/mulleinhatch/simulation/control_plane/__init__.py
+++ b/mulleinhatch/simulation/control_plane/__init__.py
@@ -18,10 +18,10 @@
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 __all__ = ["Defect", "History", "World", "play", "play_script"]
-SYNC_S = (0.001, 0.008)
-TROUBLE_S = 25.0
-PACE_S = (0.05, 0.8)  # between two changes of one operator
-OVERLAPPING_PART = 0.15  # of the troubles: those beyond the tolerance
+SYNC_DURATION_S = (0.001, 0.008)
+FAULT_PERIOD_S = 25.0
+CHANGE_INTERVAL_S = (0.05, 0.8)  # between two changes of one operator
+OVERLAPPING_FRACTION = 0.15  # of the troubles: those beyond the tolerance
 
 
 class _Errors(logging.Handler):
@@ -33,7 +33,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         if record.exc_info and record.exc_info[1] is not None:
-            self._history.broken.append(f"error in the code: {record.exc_info[1]!r}")
+            self._history.violations.append(f"error in the code: {record.exc_info[1]!r}")
 
 
 def play(
@@ -41,18 +41,20 @@
     machines: int = 3,
     tolerated: int = 1,
     defect: Defect = Defect.NONE,
-    sync_s: tuple[float, float] = SYNC_S,
-    troubled: bool = True,
-    trouble_s: float = TROUBLE_S,
-    pace_s: tuple[float, float] = PACE_S,
-    overlapping_part: float = OVERLAPPING_PART,
+    sync_duration_s: tuple[float, float] = SYNC_DURATION_S,
+    with_faults: bool = True,
+    fault_period_s: float = FAULT_PERIOD_S,
+    change_interval_s: tuple[float, float] = CHANGE_INTERVAL_S,
+    overlapping_fraction: float = OVERLAPPING_FRACTION,
 ) -> History:
-    """One history of `trouble_s` virtual seconds and some more."""
+    """One history of `fault_period_s` virtual seconds and some more."""
 
     async def begin(world: World) -> None:
-        await world.play(troubled)
+        await world.play(with_faults)
 
-    return _played(begin, seed, machines, tolerated, defect, sync_s, trouble_s, pace_s, overlapping_part)
+    return _played(
+        begin, seed, machines, tolerated, defect, sync_duration_s, fault_period_s, change_interval_s, overlapping_fraction
+    )
 
 
 def _played(
@@ -61,10 +63,10 @@
     machines: int,
     tolerated: int,
     defect: Defect,
-    sync_s: tuple[float, float],
-    trouble_s: float,
-    pace_s: tuple[float, float],
-    overlapping_part: float,
+    sync_duration_s: tuple[float, float],
+    fault_period_s: float,
+    change_interval_s: tuple[float, float],
+    overlapping_fraction: float,
 ) -> History:
     loop, history = VirtualLoop(), History(seed)
     asyncio.set_event_loop(loop)
@@ -77,7 +79,17 @@
     random.seed(seed)
     try:
         with planted(defect):
-            world = World(history, loop, machines, tolerated, defect, sync_s, trouble_s, pace_s, overlapping_part)
+            world = World(
+                history,
+                loop,
+                machines,
+                tolerated,
+                defect,
+                sync_duration_s,
+                fault_period_s,
+                change_interval_s,
+                overlapping_fraction,
+            )
             loop.run_until_complete(begin(world))
     finally:
         log.removeHandler(handler)
@@ -100,13 +112,13 @@
         await world.start()
         await script(world)
 
-    return _played(begin, seed, machines, tolerated, defect, SYNC_S, TROUBLE_S, PACE_S, 0.0)
+    return _played(begin, seed, machines, tolerated, defect, SYNC_DURATION_S, FAULT_PERIOD_S, CHANGE_INTERVAL_S, 0.0)
 
 
 def _note_exception(history: History, context: dict) -> None:
     error = context.get("exception")
     if error is not None and not isinstance(error, (OSError, asyncio.CancelledError)):
-        history.broken.append(f"error in the code: {error!r}")
+        history.violations.append(f"error in the code: {error!r}")
 
 
 def _end(loop: VirtualLoop, world: World) -> None:
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -16,9 +16,9 @@
 from mulleinhatch.simulation.virtual_time import Process
 
 CALL_S = 1.0  # an operator or backend waits so long for an answer
-MOST_REDIRECTS = 2
-MOST_TRIES = 14
-ACK_LOST_PART = 0.2
+MAX_REDIRECTS = 2
+MAX_ATTEMPTS = 14
+ACK_LOSS_PROBABILITY = 0.2
 HEARTBEAT_S = 1.2
 BACKEND_SERVES_S = (1.0, 9.0)  # from a backend's start to the word that it leaves
 DRAIN_S = 2.0
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Sent:
+class SubmittedChange:
     """A change that an operator sent."""
 
     method: str
@@ -42,7 +42,7 @@
         return digest_of(self.method, self.body)
 
 
-class Caller:
+class ControlApiClient:
     """Calls to the `control` address of core machines, following where they send on."""
 
     def __init__(self, world: Any) -> None:
@@ -53,7 +53,7 @@
         """The last answer, None where none came."""
         address = machine.control_address
         headers = {} if base is None else {"if-match": str(base)}
-        for _ in range(MOST_REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             try:
                 answer = await self._network.request(address, method, path, body, CALL_S, headers=headers)
             except CallError:
@@ -69,52 +69,52 @@
 
     def __init__(self, world: Any, name: str) -> None:
         self._world, self._name = world, name
-        self._caller = Caller(world)
+        self._caller = ControlApiClient(world)
         self._number = 0
 
     async def run(self) -> None:
         world = self._world
-        while world.loop.time() < world.trouble_s:
-            await asyncio.sleep(world.chance.uniform(*world.pace_s))
-            sent = self.change(world.watch.believed)
-            world.watch.sends(sent)
-            await self.until_clear(sent)
-            if sent.acknowledged_at >= 0 and world.chance.random() < 0.1:
-                await asyncio.sleep(world.chance.uniform(0.0, 3.0))
-                await self._again(sent)
-
-    def change(self, base: int) -> Sent:
+        while world.loop.time() < world.fault_period_s:
+            await asyncio.sleep(world.rng.uniform(*world.change_interval_s))
+            sent = self.change(world.checker.assumed_version)
+            world.checker.record_submission(sent)
+            await self.send_until_answered(sent)
+            if sent.acknowledged_at >= 0 and world.rng.random() < 0.1:
+                await asyncio.sleep(world.rng.uniform(0.0, 3.0))
+                await self._resend(sent)
+
+    def change(self, base: int) -> SubmittedChange:
         """A change that builds on a version."""
         self._number += 1
-        version, note = base + self._world.chance.randint(1, 2), f"{self._name}-{self._number}"
-        if base and self._world.chance.random() < 0.5:
+        version, note = base + self._world.rng.randint(1, 2), f"{self._name}-{self._number}"
+        if base and self._world.rng.random() < 0.5:
             value: dict[str, Any] = {"version": version, "upsert": {"services": [{"name": "noted", "note": note}]}}
-            return Sent("PATCH", base, json.dumps(value).encode(), version, note)
+            return SubmittedChange("PATCH", base, json.dumps(value).encode(), version, note)
         value = {"version": version, "routes": [], "services": [{"name": "noted", "note": note}]}
-        return Sent("PUT", base, json.dumps(value).encode(), version, note)
+        return SubmittedChange("PUT", base, json.dumps(value).encode(), version, note)
 
-    async def _send(self, sent: Sent) -> int:
+    async def _send(self, sent: SubmittedChange) -> int:
         """One try at a machine by chance; the status, 0 where there is no answer or it was lost on its way."""
-        machine = self._world.chance.choice(self._world.machines)
+        machine = self._world.rng.choice(self._world.machines)
         answer = await self._caller.call(machine, sent.method, CONFIGURATION, sent.body, sent.base)
-        if answer is None or self._world.chance.random() < ACK_LOST_PART:
+        if answer is None or self._world.rng.random() < ACK_LOSS_PROBABILITY:
             return 0
         return answer.status
 
-    async def until_clear(self, sent: Sent) -> None:
+    async def send_until_answered(self, sent: SubmittedChange) -> None:
         """Sends a change until it is acknowledged or refused, or was sent too often."""
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             status = await self._send(sent)
             if status and status < 500:
-                self._world.watch.answered(sent, status)
+                self._world.checker.record_answer(sent, status)
                 return
-            await asyncio.sleep(self._world.chance.uniform(0.02, 0.4))
+            await asyncio.sleep(self._world.rng.uniform(0.02, 0.4))
 
-    async def _again(self, sent: Sent) -> None:
+    async def _resend(self, sent: SubmittedChange) -> None:
         """A change that was acknowledged comes once more: it may be acknowledged again, never refused."""
         status = await self._send(sent)
         if status and status < 500:
-            self._world.watch.answered(sent, status)
+            self._world.checker.record_answer(sent, status)
 
 
 class Reader:
@@ -122,21 +122,21 @@
 
     def __init__(self, world: Any) -> None:
         self._world = world
-        self._caller = Caller(world)
+        self._caller = ControlApiClient(world)
 
     async def run(self) -> None:
-        while self._world.loop.time() < self._world.trouble_s:
-            await asyncio.sleep(self._world.chance.uniform(0.05, 0.5))
+        while self._world.loop.time() < self._world.fault_period_s:
+            await asyncio.sleep(self._world.rng.uniform(0.05, 0.5))
             await self.read()
 
     async def read(self) -> bool:
         """Whether a read was answered."""
-        watch, machine = self._world.watch, self._world.chance.choice(self._world.machines)
-        before = watch.newest_acknowledged
+        checker, machine = self._world.checker, self._world.rng.choice(self._world.machines)
+        before = checker.newest_acknowledged
         answer = await self._caller.call(machine, "GET", CONFIGURATION, b"")
         if answer is None or answer.status != 200:
             return False
-        watch.was_read(json.loads(answer.body), before)
+        checker.record_read(json.loads(answer.body), before)
         return True
 
 
@@ -145,30 +145,30 @@
 
     def __init__(self, world: Any, number: int) -> None:
         self._world, self._number = world, number
-        self._caller = Caller(world)
+        self._caller = ControlApiClient(world)
         self._starts = 0
         self._sequence = 0
 
     async def run(self) -> None:
-        while self._world.loop.time() < self._world.trouble_s:
+        while self._world.loop.time() < self._world.fault_period_s:
             self._starts += 1
             self._sequence = 0
-            await self._life(f"stub-{self._number}.{self._starts}")
+            await self._run_incarnation(f"stub-{self._number}.{self._starts}")
 
-    async def _life(self, backend_id: str) -> None:
+    async def _run_incarnation(self, backend_id: str) -> None:
         world = self._world
-        leaves_at = world.loop.time() + world.chance.uniform(*BACKEND_SERVES_S)
+        leaves_at = world.loop.time() + world.rng.uniform(*BACKEND_SERVES_S)
         while world.loop.time() < leaves_at:
             await self._heartbeat(backend_id, "ready")
             await asyncio.sleep(min(HEARTBEAT_S, max(0.05, leaves_at - world.loop.time())))
-        silent = world.chance.random() < 0.4
+        silent = world.rng.random() < 0.4
         await self._leave(backend_id, "DELETE" if silent else "PUT")
         await asyncio.sleep(DRAIN_S)
         if not silent:
             await self._leave(backend_id, "DELETE")
 
     async def _heartbeat(self, backend_id: str, state: str) -> bool:
-        machine = self._world.chance.choice(self._world.machines)
+        machine = self._world.rng.choice(self._world.machines)
         answer = await self._caller.call(machine, "PUT", f"/instances/{backend_id}", self._record(state))
         return answer is not None and answer.status == 200
 
@@ -180,14 +180,14 @@
 
     async def _leave(self, backend_id: str, method: str) -> None:
         world = self._world
-        for _ in range(MOST_TRIES):
-            machine = world.chance.choice(world.machines)
+        for _ in range(MAX_ATTEMPTS):
+            machine = world.rng.choice(world.machines)
             body = self._record("draining") if method == "PUT" else b""
             answer = await self._caller.call(machine, method, f"/instances/{backend_id}", body)
-            if answer is not None and answer.status == 200 and world.chance.random() >= ACK_LOST_PART:
-                world.watch.leave_acknowledged(backend_id)
+            if answer is not None and answer.status == 200 and world.rng.random() >= ACK_LOSS_PROBABILITY:
+                world.checker.record_leave(backend_id)
                 return
-            await asyncio.sleep(world.chance.uniform(0.02, 0.4))
+            await asyncio.sleep(world.rng.uniform(0.02, 0.4))
 
 
 class DataPlane:
@@ -211,7 +211,7 @@
 
     def _swap(self, snapshot: Snapshot) -> None:
         if snapshot.table.version < self.snapshot.table.version:
-            self._world.watch.breaks(f"data plane {self.number} went back to version {snapshot.table.version}")
+            self._world.checker.record_violation(f"data plane {self.number} went back to version {snapshot.table.version}")
         self.snapshot = snapshot
 
     def stop(self) -> None:
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -14,9 +14,9 @@
 
 from result import Err
 
-from mulleinhatch.consensus import view_planner as planning
+from mulleinhatch.consensus import view_planner
 from mulleinhatch.consensus.paxos import Voter
-from mulleinhatch.control_plane import shutdown as departure
+from mulleinhatch.control_plane import shutdown
 from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
 from mulleinhatch.control_plane.peers import Peers
 from mulleinhatch.control_plane.view_change import ViewChanger
@@ -29,27 +29,27 @@
     """A planted fault."""
 
     NONE = "none"
-    FORGET_SYNC = "a sync that does not last"
-    VOTE_AFTER_WIPE = "an emptied disk keeps its identity"
-    REFUSE_UNSETTLED = "412 while an earlier change is not settled"
-    READ_ANYWHERE = "reads without asking whether the view stands"
+    LOSE_SYNCED_WRITE = "a sync that does not last"
+    KEEP_IDENTITY_AFTER_WIPE = "an emptied disk keeps its identity"
+    REJECT_DURING_PENDING_CHANGE = "412 while an earlier change is not settled"
+    READ_WITHOUT_CONFIRMATION = "reads without asking whether the view stands"
     SHORT_CHAIN = "a chain of one acknowledges"
     ADD_NEWCOMER = "a newcomer is added as a further voter"
-    LEAVE_UNHEARD = "a leave is acknowledged whoever has heard of it"
-    LOST_DESCRIPTOR = "after a rewrite whose folder sync failed, records go to a file without a name"
+    ACKNOWLEDGE_UNRECORDED_LEAVE = "a leave is acknowledged whoever has heard of it"
+    WRITE_TO_UNLINKED_FILE = "after a rewrite whose folder sync failed, records go to a file without a name"
     VIEW_BEFORE_DISK = "a view counts before the disk has it, and is not told again"
-    AUTHORITY_WITHOUT_EPOCH = "authority counts voters that answer, in whatever view"
+    CONFIRM_WITHOUT_EPOCH = "authority counts voters that answer, in whatever view"
     FORGET_DIGESTS = "a change that is sent again is not known"
-    TWO_ON_ONE_BASE = "the version that a change builds on is not compared"
-    END_AT_ONCE = "a machine that leaves ends whether or not it holds the only copy"
-    LEAD_UNSETTLED = "who joined leads whatever it holds"
+    ACCEPT_STALE_BASE = "the version that a change builds on is not compared"
+    SHUT_DOWN_AT_ONCE = "a machine that leaves ends whether or not it holds the only copy"
+    LEAD_WITH_INCOMPLETE_LOG = "who joined leads whatever it holds"
 
 
 def _add_newcomer(view: Any, health: Any, tolerated: int) -> list[Any]:
     """The planner's rule until the third replacement in a row left no majority."""
-    voters, candidates = list(view.voters), planning._candidates(view, health)
-    planning._take_former_places(voters, candidates)
-    silent = [place for place in planning._silent_places(voters, health) if health[voters[place].identity].gone_for_s > 8.0]
+    voters, candidates = list(view.voters), view_planner._candidates(view, health)
+    view_planner._take_former_places(voters, candidates)
+    silent = [place for place in view_planner._silent_places(voters, health) if health[voters[place].identity].gone_for_s > 8.0]
     if candidates and silent:
         voters[silent[0]] = candidates[0]
     elif candidates:
@@ -64,7 +64,7 @@
     return True
 
 
-async def _take_leave(self: ConfigurationChanges, request: Any) -> LeaveResponse:
+async def _acknowledge_any_leave(self: ConfigurationChanges, request: Any) -> LeaveResponse:
     return LeaveResponse(taken=True)
 
 
@@ -109,7 +109,7 @@
     return check
 
 
-def _adopt_settled(real: Any) -> Any:
+def _adopt_as_log_complete(real: Any) -> Any:
     def adopt(self: Replica, view: Any) -> None:
         real(self, view)
         self.log_complete = self.position >= 0
@@ -118,47 +118,47 @@
     return adopt
 
 
-async def _always(self: ViewChanger) -> bool:
+async def _confirm_always(self: ViewChanger) -> bool:
     return True
 
 
-async def _end_at_once(node: Any, grace_s: float) -> None:
+async def _shut_down_at_once(node: Any, grace_s: float) -> None:
     node.leaving = True
 
 
 def _patches(defect: Defect) -> list[Any]:
-    if defect is Defect.REFUSE_UNSETTLED:
+    if defect is Defect.REJECT_DURING_PENDING_CHANGE:
         return [mock.patch.object(ConfigurationChanges, "_change", _change_at_once(ConfigurationChanges._change))]
-    if defect is Defect.READ_ANYWHERE:
-        return [mock.patch.object(ViewChanger, "confirm_view", _always)]
+    if defect is Defect.READ_WITHOUT_CONFIRMATION:
+        return [mock.patch.object(ViewChanger, "confirm_view", _confirm_always)]
     if defect is Defect.SHORT_CHAIN:
-        real = planning.next_view
+        real = view_planner.next_view
         return [
             mock.patch("mulleinhatch.control_plane.node.next_view", lambda view, health, tolerated: real(view, health, 0)),
             mock.patch.object(ConfigurationChanges, "_leads", lambda self: self._node.replica.is_head),
         ]
     if defect is Defect.ADD_NEWCOMER:
-        return [mock.patch.object(planning, "_voters", _add_newcomer)]
-    if defect is Defect.LEAVE_UNHEARD:
+        return [mock.patch.object(view_planner, "_voters", _add_newcomer)]
+    if defect is Defect.ACKNOWLEDGE_UNRECORDED_LEAVE:
         return [
             mock.patch.object(ConfigurationChanges, "backend_leaves", _acknowledge_leave),
-            mock.patch.object(ConfigurationChanges, "on_leave", _take_leave),
+            mock.patch.object(ConfigurationChanges, "on_leave", _acknowledge_any_leave),
         ]
     if defect is Defect.VIEW_BEFORE_DISK:
         return [
             mock.patch.object(ViewChanger, "_step", _step_first),
             mock.patch.object(Peers, "has_confirmed_majority", Peers.reaches_majority),
         ]
-    if defect is Defect.AUTHORITY_WITHOUT_EPOCH:
+    if defect is Defect.CONFIRM_WITHOUT_EPOCH:
         return [mock.patch.object(Peers, "has_confirmed_majority", Peers.reaches_majority)]
     if defect is Defect.FORGET_DIGESTS:
         return [mock.patch.object(ControlState, "check", _forget_digests(ControlState.check))]
-    if defect is Defect.TWO_ON_ONE_BASE:
+    if defect is Defect.ACCEPT_STALE_BASE:
         return [mock.patch.object(ControlState, "check", _check_without_base(ControlState.check))]
-    if defect is Defect.END_AT_ONCE:
-        return [mock.patch.object(departure, "leave", _end_at_once)]
-    if defect is Defect.LEAD_UNSETTLED:
-        return [mock.patch.object(Replica, "adopt", _adopt_settled(Replica.adopt))]
+    if defect is Defect.SHUT_DOWN_AT_ONCE:
+        return [mock.patch.object(shutdown, "leave", _shut_down_at_once)]
+    if defect is Defect.LEAD_WITH_INCOMPLETE_LOG:
+        return [mock.patch.object(Replica, "adopt", _adopt_as_log_complete(Replica.adopt))]
     return []
 
 
--- a/mulleinhatch/simulation/control_plane/faults.py
+++ b/mulleinhatch/simulation/control_plane/faults.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from mulleinhatch.control_plane import shutdown as departure
+from mulleinhatch.control_plane import shutdown
 from mulleinhatch.simulation.control_plane.machines import Machine
 
 CATCH_UP_S = 4.0  # a machine that is back counts as lost so long
@@ -17,7 +17,7 @@
 OVERLAPPING = ("kill all", "power all", "halves", "power of some", "data planes")
 
 
-class Troubles:
+class FaultInjector:
     """Draws troubles and carries them out; keeps who counts as lost."""
 
     def __init__(self, world: Any) -> None:
@@ -26,20 +26,20 @@
 
     async def run(self) -> None:
         world = self._world
-        while world.loop.time() < world.trouble_s:
+        while world.loop.time() < world.fault_period_s:
             await asyncio.sleep(self._pause())
-            if world.chance.random() < world.overlapping_part:
-                self._begin(world.chance.choice(OVERLAPPING), None)
+            if world.rng.random() < world.overlapping_fraction:
+                self._inject(world.rng.choice(OVERLAPPING), None)
             elif (machine := self._next()) is not None:
-                self._begin(world.chance.choice(SINGLE), machine)
+                self._inject(world.rng.choice(SINGLE), machine)
 
     def _pause(self) -> float:
         """Until the next trouble: a while, or the instant at which the tolerance allows it."""
         world = self._world
         free_at = max((machine.lost_until for machine in world.machines), default=0.0)
-        if world.chance.random() < 0.5 and 0 < free_at - world.loop.time() < 12.0:
+        if world.rng.random() < 0.5 and 0 < free_at - world.loop.time() < 12.0:
             return free_at - world.loop.time() + 0.001
-        return world.chance.uniform(0.2, 5.0)
+        return world.rng.uniform(0.2, 5.0)
 
     def _next(self) -> Machine | None:
         world = self._world
@@ -47,28 +47,28 @@
             return None
         now = world.loop.time()
         able = [one for one in world.machines if one.node is not None and one.lost_until <= now and not one.retiring]
-        return world.chance.choice(able) if able else None
+        return world.rng.choice(able) if able else None
 
-    def _begin(self, kind: str, machine: Machine | None) -> None:
-        for_s = self._world.chance.uniform(0.2, 4.0)
+    def _inject(self, kind: str, machine: Machine | None) -> None:
+        for_s = self._world.rng.uniform(0.2, 4.0)
         self._world.note(f"{kind} {'' if machine is None else machine.number} for {for_s:.1f}")
         if machine is not None:
             machine.lost_until = 1e9  # until the trouble tells its end
         self._world.loop.start(getattr(self, "_" + kind.replace(" ", "_"))(machine, for_s))
 
-    def _back(self, machine: Machine) -> None:
+    def _mark_recovering(self, machine: Machine) -> None:
         machine.lost_until = self._world.loop.time() + CATCH_UP_S
-        self._world.core_event()
+        self._world.record_core_event()
 
     def _start(self, machine: Machine) -> None:
         if machine.node is None and not machine.removed:
             machine.start()
-        self._back(machine)
+        self._mark_recovering(machine)
 
     # Losses of one machine.
 
     async def _down(self, machine: Machine, for_s: float, wipe: bool) -> None:
-        self._world.core_event()
+        self._world.record_core_event()
         machine.stop(wipe)
         await asyncio.sleep(for_s)
         self._start(machine)
@@ -99,15 +99,15 @@
 
     async def _strike(self, machine: Machine) -> None:
         machine.stop(wipe=True)
-        await self._all_down(self._world.machines, self._world.chance.uniform(0.1, 2.0), planes=True)
+        await self._all_down(self._world.machines, self._world.rng.uniform(0.1, 2.0), planes=True)
 
     async def _freeze(self, machine: Machine, for_s: float) -> None:
         process = machine.process
         process.frozen = True
-        self._world.core_event()
+        self._world.record_core_event()
         await asyncio.sleep(for_s)
         self._world.loop.thaw(process)
-        self._back(machine)
+        self._mark_recovering(machine)
 
     async def _term(self, machine: Machine, for_s: float) -> None:
         await self._leave(machine)
@@ -116,23 +116,23 @@
 
     async def _leave(self, machine: Machine) -> bool:
         """SIGTERM; whether the machine ended by it, and by nothing else."""
-        self._world.core_event()
+        self._world.record_core_event()
         process = machine.process
         if process is None:
             return False
-        leaving = self._world.loop.start(departure.leave(machine.node, GRACE_S), process)
+        leaving = self._world.loop.start(shutdown.leave(machine.node, GRACE_S), process)
         end = self._world.loop.time() + GRACE_S
         while not leaving.done() and self._world.loop.time() < end and machine.process is process:
             await asyncio.sleep(0.05)
         ended = machine.process is process
         if ended:
             machine.stop()
-        self._world.core_event()
+        self._world.record_core_event()
         return ended
 
     async def _replace(self, machine: Machine, for_s: float) -> None:
         """Gone for good; an empty one comes later at another address."""
-        self._world.core_event()
+        self._world.record_core_event()
         machine.stop(wipe=True)
         machine.removed = True
         await asyncio.sleep(for_s)
@@ -145,7 +145,7 @@
         machine.lost_until, machine.retiring = 0.0, True
         await asyncio.sleep(CATCH_UP_S + 0.1 * for_s)
         if machine.process is None or machine.lost_until > self._world.loop.time():
-            self._back(successor)  # what is removed was lost before, without a word
+            self._mark_recovering(successor)  # what is removed was lost before, without a word
         if not await self._leave(machine):
             machine.retiring = False  # it lost power while it left: it comes back, and stays
             return
@@ -156,13 +156,13 @@
 
     async def _links(self, machine: Machine, others: list[Any], for_s: float, both: bool = True) -> None:
         links = self._world.links
-        self._world.core_event()
+        self._world.record_core_event()
         for other in others:
             links.cut(machine, other, both)
         await asyncio.sleep(for_s)
         for other in others:
             links.heal(machine, other, both)
-        self._back(machine)
+        self._mark_recovering(machine)
 
     def _other_machines(self, machine: Machine) -> list[Any]:
         return [other for other in self._world.machines if other is not machine]
@@ -174,13 +174,13 @@
         await self._links(machine, self._other_machines(machine), for_s, both=False)
 
     async def _one_pair(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, [self._world.chance.choice(self._other_machines(machine))], for_s)
+        await self._links(machine, [self._world.rng.choice(self._other_machines(machine))], for_s)
 
     async def _halves(self, _: None, for_s: float) -> None:
         world = self._world
-        half = world.chance.sample(world.machines, len(world.machines) // 2)
+        half = world.rng.sample(world.machines, len(world.machines) // 2)
         pairs = [(one, other) for one in half for other in world.machines if other not in half]
-        world.core_event()
+        world.record_core_event()
         for one, other in pairs:
             world.links.cut(one, other)
         await asyncio.sleep(for_s)
@@ -188,22 +188,22 @@
             world.links.heal(one, other)
         for machine in world.machines:
             machine.lost_until = max(machine.lost_until, world.loop.time() + CATCH_UP_S)
-        world.core_event()
+        world.record_core_event()
 
     # Disks.
 
     async def _disk(self, machine: Machine, for_s: float, **trouble: Any) -> None:
         calm = {name: getattr(machine, name) for name in trouble}
-        self._world.core_event()
+        self._world.record_core_event()
         for name, value in trouble.items():
             setattr(machine, name, value)
         await asyncio.sleep(for_s)
         for name, value in calm.items():
             setattr(machine, name, value)
-        self._back(machine)
+        self._mark_recovering(machine)
 
     async def _slow_disk(self, machine: Machine, for_s: float) -> None:
-        await self._disk(machine, for_s, slower=30.0)
+        await self._disk(machine, for_s, slowdown=30.0)
 
     async def _stalled_disk(self, machine: Machine, for_s: float) -> None:
         await self._disk(machine, for_s, stalled=True)
@@ -219,7 +219,7 @@
         await asyncio.sleep(CATCH_UP_S + 0.1)
         others = self._other_machines(machine)
         if self._world.lost() == 0:
-            other = self._world.chance.choice(others)
+            other = self._world.rng.choice(others)
             self._world.note(f"disk of {other.number} lost, power of all others")
             await self._strike(other)
 
@@ -235,7 +235,7 @@
 
     async def _all_down(self, machines: list[Machine], for_s: float, planes: bool) -> None:
         world = self._world
-        world.core_event()
+        world.record_core_event()
         for machine in machines:
             machine.stop()
         for plane in world.planes if planes else []:
@@ -248,21 +248,21 @@
             machine.lost_until = max(machine.lost_until if machine.lost_until < 1e8 else 0.0, world.loop.time() + CATCH_UP_S)
         for plane in world.planes if planes else []:
             plane.start()
-        world.core_event()
+        world.record_core_event()
 
     async def _kill_all(self, _: None, for_s: float) -> None:
         await self._all_down(self._world.machines, min(1.0, for_s), planes=False)
 
     async def _power_all(self, _: None, for_s: float) -> None:
-        await self._all_down(self._world.machines, for_s, planes=self._world.chance.random() < 0.5)
+        await self._all_down(self._world.machines, for_s, planes=self._world.rng.random() < 0.5)
 
     async def _power_of_some(self, _: None, for_s: float) -> None:
         world = self._world
-        some = world.chance.sample(world.machines, world.chance.randint(1, len(world.machines)))
+        some = world.rng.sample(world.machines, world.rng.randint(1, len(world.machines)))
         await self._all_down(some, for_s, planes=False)
 
     async def _data_planes(self, _: None, for_s: float) -> None:
-        plane = self._world.chance.choice(self._world.planes)
+        plane = self._world.rng.choice(self._world.planes)
         plane.stop()
         await asyncio.sleep(for_s)
         if plane.process is None:
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -8,11 +8,11 @@
 
 from mulleinhatch.consensus.paxos import identities, majority
 from mulleinhatch.control_plane.peers import AUTHORITY_S
-from mulleinhatch.simulation.control_plane.clients import DataPlane, Sent
+from mulleinhatch.simulation.control_plane.clients import DataPlane, SubmittedChange
 from mulleinhatch.simulation.control_plane.machines import Machine
 
 CONTACT_S, CONFIGURATION_APPLY_S, DRAIN_S = 3.0, 2.0, 2.0
-LOOK_SLACK_S = 0.1
+CHECK_SLACK_S = 0.1
 
 
 @dataclass
@@ -21,21 +21,21 @@
 
     seed: int
     events: list[str] = field(default_factory=list)
-    sent: list[Sent] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    sent: list[SubmittedChange] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     acknowledged: int = 0
     reads: int = 0
     leaves: int = 0
     views: int = 0
-    in_touch: int = 0  # looks at data planes that were in touch
+    connected_checks: int = 0  # looks at data planes that were in touch
 
 
-class Watch:
+class InvariantChecker:
     """The checks of one history; each breach is told once a kind."""
 
     def __init__(self, world: Any, history: History) -> None:
         self._world, self.history = world, history
-        self.newest_acknowledged = self.believed = 0
+        self.newest_acknowledged = self.assumed_version = 0
         self._notes: dict[int, str] = {}  # by version: what was read or acknowledged under it
         self._acknowledged: list[tuple[float, int]] = []
         self._left: dict[str, float] = {}
@@ -43,78 +43,78 @@
         self._tokens = 0
         self._newest = ""  # digest of the newest change that was acknowledged
 
-    def breaks(self, what: str) -> None:
-        self.history.broken.append(f"{self._world.loop.time():8.3f} {what}")
+    def record_violation(self, what: str) -> None:
+        self.history.violations.append(f"{self._world.loop.time():8.3f} {what}")
 
     # The operators' side.
 
-    def sends(self, sent: Sent) -> None:
+    def record_submission(self, sent: SubmittedChange) -> None:
         self.history.sent.append(sent)
 
-    def answered(self, sent: Sent, status: int) -> None:
+    def record_answer(self, sent: SubmittedChange, status: int) -> None:
         """A clear answer to a change."""
         if status >= 400 and 200 in sent.answers:
-            self.breaks(f"version {sent.version} ({sent.note}) was acknowledged and then refused with {status}")
+            self.record_violation(f"version {sent.version} ({sent.note}) was acknowledged and then refused with {status}")
         sent.answers.append(status)
         if status != 200 or sent.answers.count(200) > 1:
             return
         sent.acknowledged_at = self._world.loop.time()
         self.history.acknowledged += 1
-        self._known(sent.version, sent.note)
+        self._check_version_unique(sent.version, sent.note)
         self._acknowledged.append((sent.acknowledged_at, sent.version))
         if sent.version > self.newest_acknowledged:
             self.newest_acknowledged, self._newest = sent.version, sent.digest
-        self.believed = max(self.believed, sent.version)
-        self._check_copies(sent)
+        self.assumed_version = max(self.assumed_version, sent.version)
+        self._check_replica_count(sent)
         self._world.on_acknowledgement()
 
-    def _known(self, version: int, note: str) -> None:
+    def _check_version_unique(self, version: int, note: str) -> None:
         if self._notes.setdefault(version, note) != note:
-            self.breaks(f"version {version} is {self._notes[version]} and {note}")
+            self.record_violation(f"version {version} is {self._notes[version]} and {note}")
 
-    def _check_copies(self, sent: Sent) -> None:
+    def _check_replica_count(self, sent: SubmittedChange) -> None:
         """An acknowledged change is on more disks than may be lost."""
-        copies = sum(machine.holds(sent.digest) for machine in self._world.machines)
-        if copies <= self._world.tolerated:
-            self.breaks(f"version {sent.version} was acknowledged with {copies} copies")
+        replica_count = sum(machine.has_on_disk(sent.digest) for machine in self._world.machines)
+        if replica_count <= self._world.tolerated:
+            self.record_violation(f"version {sent.version} was acknowledged with {replica_count} copies")
 
-    def was_read(self, value: dict[str, Any], acknowledged_before: int) -> None:
+    def record_read(self, value: dict[str, Any], acknowledged_before: int) -> None:
         self.history.reads += 1
         version = value["version"]
         if version < acknowledged_before:
-            self.breaks(f"read version {version} after {acknowledged_before} was acknowledged")
+            self.record_violation(f"read version {version} after {acknowledged_before} was acknowledged")
         if version:
-            self._known(version, value["services"][0]["note"])
-        self.believed = max(self.believed, version)
+            self._check_version_unique(version, value["services"][0]["note"])
+        self.assumed_version = max(self.assumed_version, version)
 
-    def claimed(self, token: int) -> None:
+    def record_claim(self, token: int) -> None:
         """A claim of the orders was taken under a fencing token."""
         if token <= self._tokens:
-            self.breaks(f"fencing token {token} after {self._tokens}")
+            self.record_violation(f"fencing token {token} after {self._tokens}")
         self._tokens = max(self._tokens, token)
 
-    def leave_acknowledged(self, backend_id: str) -> None:
+    def record_leave(self, backend_id: str) -> None:
         self.history.leaves += 1
         self._left.setdefault(backend_id, self._world.loop.time())
 
     # Looks at the machines, each tenth of a second.
 
-    def look(self) -> None:
+    def check_now(self) -> None:
         self._check_epochs()
         self._check_authority()
         if self._world.lost() == 0:
             self._check_next_loss()
         now = self._world.loop.time()
-        if not self._world.core_calm(now - CONTACT_S):
+        if not self._world.is_core_stable(now - CONTACT_S):
             return
         due = max((version for at, version in self._acknowledged if at <= now - CONFIGURATION_APPLY_S), default=0)
         for plane in self._world.planes:
-            if self._world.in_touch(plane, now - CONTACT_S):
+            if self._world.is_connected(plane, now - CONTACT_S):
                 self._check_plane(plane, due, now)
 
     def _check_authority(self) -> None:
         """Whoever speaks in the system's name shows what was acknowledged up to a lease ago, whatever goes on."""
-        before = self._world.loop.time() - AUTHORITY_S - LOOK_SLACK_S
+        before = self._world.loop.time() - AUTHORITY_S - CHECK_SLACK_S
         due = max((version for at, version in self._acknowledged if at <= before), default=0)
         left = [backend_id for backend_id, at in self._left.items() if at <= before]
         for machine in self._world.machines:
@@ -122,18 +122,18 @@
                 continue
             state = machine.node.state
             if state.document.version < due:
-                self.breaks(f"machine {machine.number} tells version {state.document.version}, {due} is due")
+                self.record_violation(f"machine {machine.number} tells version {state.document.version}, {due} is due")
             missing = [backend_id for backend_id in left if backend_id not in state.left]
             if missing:
-                self.breaks(f"machine {machine.number} has not heard that {missing[0]} left")
+                self.record_violation(f"machine {machine.number} has not heard that {missing[0]} left")
 
     def _check_plane(self, plane: DataPlane, due: int, now: float) -> None:
-        self.history.in_touch += 1
+        self.history.connected_checks += 1
         if plane.snapshot.table.version < due:
-            self.breaks(f"data plane {plane.number} acts by version {plane.snapshot.table.version}, {due} is due")
+            self.record_violation(f"data plane {plane.number} acts by version {plane.snapshot.table.version}, {due} is due")
         for backend_id, at in self._left.items():
             if at <= now - DRAIN_S and plane.uses(backend_id):
-                self.breaks(f"data plane {plane.number} uses {backend_id}, whose leave was acknowledged at {at:.2f}")
+                self.record_violation(f"data plane {plane.number} uses {backend_id}, whose leave was acknowledged at {at:.2f}")
 
     def _check_epochs(self) -> None:
         for machine in self._world.machines:
@@ -141,7 +141,7 @@
                 continue
             key, epoch = machine.process.name, machine.node.view.epoch
             if epoch < self._epochs.get(key, 0):
-                self.breaks(f"{key} went back to view {epoch}")
+                self.record_violation(f"{key} went back to view {epoch}")
             self._epochs[key] = epoch
 
     def _check_next_loss(self) -> None:
@@ -149,16 +149,16 @@
         running: list[Machine] = [machine for machine in self._world.machines if machine.node is not None]
         view = max((machine.node.view for machine in running), key=lambda one: one.epoch)
         voting = [machine for machine in running if machine.node.member.identity in identities(view.voters)]
-        whole = [machine for machine in running if self._holds_newest(machine)]
+        complete = [machine for machine in running if self._has_newest_change(machine)]
         for lost in itertools.combinations(running, self._world.tolerated):
             if sum(machine not in lost for machine in voting) < majority(view):
-                self.breaks(f"losing {[one.number for one in lost]} leaves no majority of view {view.epoch}")
+                self.record_violation(f"losing {[one.number for one in lost]} leaves no majority of view {view.epoch}")
                 return
-            if all(machine in lost for machine in whole):
-                self.breaks(f"losing {[one.number for one in lost]} leaves no whole copy in view {view.epoch}")
+            if all(machine in lost for machine in complete):
+                self.record_violation(f"losing {[one.number for one in lost]} leaves no whole copy in view {view.epoch}")
                 return
 
-    def _holds_newest(self, machine: Machine) -> bool:
+    def _has_newest_change(self, machine: Machine) -> bool:
         """Whether a machine holds the newest change that was acknowledged."""
         if not self._newest:
             return True
@@ -177,8 +177,8 @@
         for sent in self.history.sent:
             if 200 in sent.answers:
                 if sent.digest not in state.digests:
-                    self.breaks(f"version {sent.version} was acknowledged and is lost")
+                    self.record_violation(f"version {sent.version} was acknowledged and is lost")
                 if by_base.setdefault(sent.base, sent.digest) != sent.digest:
-                    self.breaks(f"two changes on version {sent.base} were acknowledged")
+                    self.record_violation(f"two changes on version {sent.base} were acknowledged")
             if any(400 <= status < 500 for status in sent.answers) and sent.digest in state.digests:
-                self.breaks(f"version {sent.version} was refused and is in force")
+                self.record_violation(f"version {sent.version} was refused and is in force")
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -20,47 +20,47 @@
 REFUSED = OSError(28, "the disk takes no more bytes")
 
 
-class VirtualJournal:
+class VirtualAppendLog:
     """Stands in for `storage.journal.AppendLog`: records last once their sync is over."""
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
-        self._nameless = False
+        self._is_unlinked = False
         self.size = 0
 
     def open(self) -> list[Record]:
         return list(self._machine.records)
 
     def append(self, records: list[Record]) -> None:
-        if self._nameless:
+        if self._is_unlinked:
             return
-        if self._machine.defect is Defect.FORGET_SYNC and self._machine.chance.random() < 0.3:
+        if self._machine.defect is Defect.LOSE_SYNCED_WRITE and self._machine.rng.random() < 0.3:
             return
         self._machine.records.extend(records)
 
     def rewrite(self, records: list[Record]) -> None:
         self._machine.records[:] = records
         if self._machine.refuse_folder_sync:
-            self._nameless = self._machine.defect is Defect.LOST_DESCRIPTOR
+            self._is_unlinked = self._machine.defect is Defect.WRITE_TO_UNLINKED_FILE
             raise REFUSED
 
 
-class VirtualDisk(StateStore):
+class VirtualStateStore(StateStore):
     """The real disk's bookkeeping on a virtual journal, in virtual time."""
 
     def __init__(self, machine: Machine, clock: Callable[[], float]) -> None:
-        super().__init__("", clock, VirtualJournal(machine))  # type: ignore[arg-type]
+        super().__init__("", clock, VirtualAppendLog(machine))  # type: ignore[arg-type]
         self._machine = machine
         self._lock = asyncio.Lock()
 
     async def _carry_out(self, work: Callable[[list[Record]], None], records: list[Record]) -> None:
         machine = self._machine
         async with self._lock:
-            machine.under_way = (work, records)
-            await asyncio.sleep(machine.chance.uniform(*machine.sync_s) * machine.slower)
+            machine.pending_write = (work, records)
+            await asyncio.sleep(machine.rng.uniform(*machine.sync_duration_s) * machine.slowdown)
             while machine.stalled:
                 await asyncio.sleep(0.05)
-            machine.under_way = None
+            machine.pending_write = None
             if machine.full:
                 raise REFUSED
             work(records)
@@ -94,12 +94,12 @@
     def __init__(self, number: int, world: Any) -> None:
         self.number, self._world = number, world
         self.ip = f"10.0.0.{number + 1}"
-        self.chance: random.Random = world.chance
+        self.rng: random.Random = world.rng
         self.defect: Defect = world.defect
-        self.sync_s: tuple[float, float] = world.sync_s
+        self.sync_duration_s: tuple[float, float] = world.sync_duration_s
         self.records: list[Record] = []
-        self.under_way: tuple[Any, list[Record]] | None = None
-        self.slower, self.stalled, self.full, self.refuse_folder_sync = 1.0, False, False, False
+        self.pending_write: tuple[Any, list[Record]] | None = None
+        self.slowdown, self.stalled, self.full, self.refuse_folder_sync = 1.0, False, False, False
         self.node: CoreNode | None = None
         self.process: Process | None = None
         self.control: ControlApi | None = None
@@ -139,28 +139,28 @@
         self.node = node
         loop.start(node.run(), self.process)
 
-    def _disk(self) -> VirtualDisk:
+    def _disk(self) -> VirtualStateStore:
         if not self.records:
-            keeps = self.defect is Defect.VOTE_AFTER_WIPE and self.starts > 1
-            founds = self._world.first and self.control_address in self._world.seeds()
-            named = f"first-{self.control_address}" if keeps or founds else f"disk-{self.chance.getrandbits(64):x}"
+            keeps_identity = self.defect is Defect.KEEP_IDENTITY_AFTER_WIPE and self.starts > 1
+            bootstraps = self._world.first and self.control_address in self._world.seeds()
+            named = f"first-{self.control_address}" if keeps_identity or bootstraps else f"disk-{self.rng.getrandbits(64):x}"
             self.records.append(Record(RecordKind.IDENTITY, named.encode()))
-        return VirtualDisk(self, self._world.loop.time)
+        return VirtualStateStore(self, self._world.loop.time)
 
     def stop(self, wipe: bool = False) -> None:
         """Kill or loss of power: of what was under way on the disk a part may last."""
         if self.process is None:
             return
         self.process.dead = True
-        if self.under_way is not None and not self.full and self.chance.random() < 0.5:
-            work, records = self.under_way
-            work(records[: self.chance.randint(0, len(records))] if work.__name__ == "append" else records)
-        self.under_way = None
+        if self.pending_write is not None and not self.full and self.rng.random() < 0.5:
+            work, records = self.pending_write
+            work(records[: self.rng.randint(0, len(records))] if work.__name__ == "append" else records)
+        self.pending_write = None
         self.node = self.process = self.control = self.internal_api = None
         if wipe:
             self.records = []
 
-    def holds(self, digest: str) -> bool:
+    def has_on_disk(self, digest: str) -> bool:
         """Whether the disk holds a change, as an entry or in a snapshot."""
         restored = replay(self.records)
         if any(entry.digest == digest for entry in restored.entries):
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -11,7 +11,7 @@
 from mulleinhatch.simulation.virtual_time import Process
 
 DELAY_S = (0.001, 0.006)
-LOST_PART = 0.02  # of messages between core machines
+MESSAGE_LOSS_PROBABILITY = 0.02  # of messages between core machines
 RESET_S = 0.001  # a machine that runs nothing refuses at once
 
 
@@ -54,11 +54,11 @@
     ) -> HttpResponse:
         """The answer, or CallFailed after `within` seconds at most."""
         loop = self._world.loop
-        answered: asyncio.Future[HttpServerResponse | None] = loop.create_future()
-        loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), answered))
+        response: asyncio.Future[HttpServerResponse | None] = loop.create_future()
+        loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), response))
         try:
             async with asyncio.timeout(within):
-                answer = await answered
+                answer = await response
         except TimeoutError:
             answer = None
         if answer is None:
@@ -67,35 +67,35 @@
 
     def _passes(self, one: Any, other: Any) -> bool:
         world = self._world
-        lost_part = LOST_PART if isinstance(self._place, Machine) else 0.0
-        return world.links.open(one, other) and world.chance.random() >= lost_part
+        loss_probability = MESSAGE_LOSS_PROBABILITY if isinstance(self._place, Machine) else 0.0
+        return world.links.open(one, other) and world.rng.random() >= loss_probability
 
     async def _carry(
-        self, address: str, request: HttpServerRequest, answered: asyncio.Future[HttpServerResponse | None]
+        self, address: str, request: HttpServerRequest, response: asyncio.Future[HttpServerResponse | None]
     ) -> None:
         world = self._world
         target: Machine | None = world.machine_at(address)
-        await asyncio.sleep(world.chance.uniform(*DELAY_S))
+        await asyncio.sleep(world.rng.uniform(*DELAY_S))
         if target is None or not self._passes(self._place, target):
             return
         process = target.process
         if process is None:
             await asyncio.sleep(RESET_S)
-            self._answer(answered, None)
+            self._answer(response, None)
             return
         api = target.control if address == target.control_address else target.internal_api
         handled: asyncio.Task[HttpServerResponse] = world.loop.start(api.answer(request), process)
-        await _ended(world.loop, handled)
-        await asyncio.sleep(world.chance.uniform(*DELAY_S))
+        await _completion_of(world.loop, handled)
+        await asyncio.sleep(world.rng.uniform(*DELAY_S))
         if target.process is process and self._passes(target, self._place):
-            self._answer(answered, handled.result())
+            self._answer(response, handled.result())
 
-    def _answer(self, answered: asyncio.Future[HttpServerResponse | None], answer: HttpServerResponse | None) -> None:
-        if not answered.done() and (self._process is None or not self._process.dead):
-            answered.set_result(answer)
+    def _answer(self, response: asyncio.Future[HttpServerResponse | None], answer: HttpServerResponse | None) -> None:
+        if not response.done() and (self._process is None or not self._process.dead):
+            response.set_result(answer)
 
 
-def _ended(loop: Any, task: asyncio.Task[Any]) -> asyncio.Future[None]:
+def _completion_of(loop: Any, task: asyncio.Task[Any]) -> asyncio.Future[None]:
     """A future of no process that is done when a task of one is."""
     done: asyncio.Future[None] = loop.create_future()
     task.add_done_callback(lambda _: done.set_result(None))
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -8,14 +8,14 @@
 
 from mulleinhatch.simulation.control_plane.clients import Backend, DataPlane, Operator, Reader
 from mulleinhatch.simulation.control_plane.defects import Defect
-from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S, Troubles
-from mulleinhatch.simulation.control_plane.invariant_checks import History, Watch
+from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S, FaultInjector
+from mulleinhatch.simulation.control_plane.invariant_checks import History, InvariantChecker
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.control_plane.network import Links, Network
 from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 
 RECOVERY_S = 12.0  # after all troubles: the core must answer again
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 CLAIM_S = 1.7
 FIRST_S = 2.0
 
@@ -30,22 +30,23 @@
         machines: int,
         tolerated: int,
         defect: Defect,
-        sync_s: tuple[float, float],
-        trouble_s: float,
-        pace_s: tuple[float, float],
-        overlapping_part: float,
+        sync_duration_s: tuple[float, float],
+        fault_period_s: float,
+        change_interval_s: tuple[float, float],
+        overlapping_fraction: float,
     ) -> None:
         self.history, self.loop, self.tolerated, self.defect = history, loop, tolerated, defect
-        self.sync_s, self.trouble_s, self.pace_s, self.overlapping_part = sync_s, trouble_s, pace_s, overlapping_part
-        self.chance = random.Random(history.seed)
+        self.sync_duration_s, self.fault_period_s = sync_duration_s, fault_period_s
+        self.change_interval_s, self.overlapping_fraction = change_interval_s, overlapping_fraction
+        self.rng = random.Random(history.seed)
         self.links = Links()
         self.first = True
         self.machines = [Machine(number, self) for number in range(machines)]
         self._numbers = machines
         self._core_event_at = 0.0
         self.planes = [DataPlane(self, number) for number in range(2)]
-        self.watch = Watch(self, history)
-        self.troubles = Troubles(self)
+        self.checker = InvariantChecker(self, history)
+        self.faults = FaultInjector(self)
 
     def note(self, text: str) -> None:
         self.history.events.append(f"{self.loop.time():8.3f} {text}")
@@ -72,7 +73,7 @@
             self.machines.append(machine)
         machine.start()
         machine.lost_until = self.loop.time() + CATCH_UP_S
-        self.core_event()
+        self.record_core_event()
         self.note(f"{machine.number} comes for {former.number}")
         return machine
 
@@ -84,10 +85,10 @@
         now = self.loop.time()
         return sum(machine.node is None or machine.lost_until > now for machine in self.machines)
 
-    def core_event(self) -> None:
+    def record_core_event(self) -> None:
         self._core_event_at = self.loop.time()
 
-    def core_calm(self, since: float) -> bool:
+    def is_core_stable(self, since: float) -> bool:
         """Whether nothing happened to the core after a moment, and more than half of it runs and is connected."""
         running = [one for one in self.machines if one.node is not None and not one.process.frozen]
         connected = max(
@@ -96,11 +97,11 @@
         )
         return self._core_event_at < since and 2 * connected > len(self.machines)
 
-    def in_touch(self, plane: DataPlane, since: float) -> bool:
+    def is_connected(self, plane: DataPlane, since: float) -> bool:
         return plane.process is not None and plane.started_at < since
 
     def on_acknowledgement(self) -> None:
-        self.troubles.acknowledged()
+        self.faults.acknowledged()
 
     # The history.
 
@@ -113,27 +114,27 @@
             plane.start()
         await asyncio.sleep(0.05)
         self.first = False
-        self.loop.start(self._look_forever())
+        self.loop.start(self._check_forever())
         self.loop.start(self._claim_forever())
         await asyncio.sleep(FIRST_S)
 
-    async def play(self, troubled: bool) -> None:
+    async def play(self, with_faults: bool) -> None:
         """A history with users, and troubles drawn by chance."""
         await self.start()
         users = [Operator(self, "one").run(), Operator(self, "two").run(), Reader(self).run()]
         users += [Backend(self, number).run() for number in range(2)]
-        await asyncio.gather(*users, *([self.troubles.run()] if troubled else []))
-        await self._mark_log_complete()
+        await asyncio.gather(*users, *([self.faults.run()] if with_faults else []))
+        await self._verify_recovery()
 
-    async def _look_forever(self) -> None:
+    async def _check_forever(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.watch.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.checker.check_now()
 
     async def _claim_forever(self) -> None:
         """Whoever leads claims the orders now and then, as a new holder does."""
         while True:
-            await asyncio.sleep(self.chance.uniform(0.2, CLAIM_S))
+            await asyncio.sleep(self.rng.uniform(0.2, CLAIM_S))
             for machine in self.machines:
                 if machine.node is None or machine.claiming is machine.process:
                     continue
@@ -148,9 +149,9 @@
             token = 0
         machine.claiming = None
         if token:
-            self.watch.claimed(token)
+            self.checker.record_claim(token)
 
-    async def _mark_log_complete(self) -> None:
+    async def _verify_recovery(self) -> None:
         """All are back; the core must answer, and hold what was acknowledged and nothing that was refused."""
         await asyncio.sleep(9.0)  # what is under way ends: a leave takes its grace period
         self.links.clear()
@@ -158,24 +159,24 @@
             if machine.node is None:
                 machine.start()
         end = self.loop.time() + RECOVERY_S
-        reader, answered = Reader(self), False
-        while self.loop.time() < end and not answered:
+        reader, is_readable = Reader(self), False
+        while self.loop.time() < end and not is_readable:
             await asyncio.sleep(0.3)
-            answered = await reader.read()
-        if not answered:
-            self.watch.breaks("no read is answered after all troubles are over")
+            is_readable = await reader.read()
+        if not is_readable:
+            self.checker.record_violation("no read is answered after all troubles are over")
             return
-        await self._last_change(end)
-        self.watch.check_end()
+        await self._verify_change_accepted(end)
+        self.checker.check_end()
 
-    async def _last_change(self, end: float) -> None:
+    async def _verify_change_accepted(self, end: float) -> None:
         """A change must be taken again."""
         operator = Operator(self, "last")
         while self.loop.time() < end:
             await Reader(self).read()
-            sent = operator.change(self.watch.believed)
-            self.watch.sends(sent)
-            await operator.until_clear(sent)
+            sent = operator.change(self.checker.assumed_version)
+            self.checker.record_submission(sent)
+            await operator.send_until_answered(sent)
             if sent.acknowledged_at >= 0:
                 return
-        self.watch.breaks("no change is acknowledged after all troubles are over")
+        self.checker.record_violation("no change is acknowledged after all troubles are over")
--- a/tests/system/test_mixed_encodings.py
+++ b/tests/system/test_mixed_encodings.py
@@ -17,7 +17,7 @@
 
 from mulleinhatch.networking.http_client import HttpResponse
 from mulleinhatch.simulation.control_plane import History, play, play_script, world
-from mulleinhatch.simulation.control_plane import clients as virtual_outside
+from mulleinhatch.simulation.control_plane import clients as simulated_clients
 from mulleinhatch.simulation.control_plane.clients import Operator, Reader
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.control_plane.network import Network
@@ -85,7 +85,7 @@
     def play(self, begin: Callable[[], History]) -> History:
         """Plays a history in this network."""
         network = self.network()
-        with mock.patch.object(world, "Network", network), mock.patch.object(virtual_outside, "Network", network):
+        with mock.patch.object(world, "Network", network), mock.patch.object(simulated_clients, "Network", network):
             return begin()
 
 
@@ -105,10 +105,10 @@
 
 class MixedEncodings(unittest.TestCase):
     def check(self, history: History, fleet: MixedFleet) -> None:
-        self.assertEqual(history.broken, [], (history.seed, history.events))
+        self.assertEqual(history.violations, [], (history.seed, history.events))
         self.assertGreater(history.acknowledged, 5, (history.seed, history.events))
         self.assertGreater(history.reads, 5)
-        self.assertGreater(history.in_touch, 20)
+        self.assertGreater(history.connected_checks, 20)
         for path in ("heartbeat", "confirm", "append", "poll"):
             self.assertGreater(fleet.carried[path], 10, path)
 
@@ -141,11 +141,11 @@
         async def script(played: world.World) -> None:
             operator = Operator(played, "one")
             sent = operator.change(0)
-            played.watch.sends(sent)
-            await operator.until_clear(sent)
+            played.checker.record_submission(sent)
+            await operator.send_until_answered(sent)
             answers.extend(sent.answers)
             for machine in played.machines:
-                answer = await virtual_outside.Caller(played).call(machine, "GET", "/configuration", b"")
+                answer = await simulated_clients.ControlApiClient(played).call(machine, "GET", "/configuration", b"")
                 if answer is not None and answer.status == 200:
                     versions.append(json.loads(answer.body)["version"] - sent.version)
             await Reader(played).read()
@@ -156,7 +156,7 @@
         for machines in ((0,), (1,), (2,), (0, 1), (1, 2), (0, 1, 2)):
             fleet = by_machines(by_old_classes, machines)
             history, answers, versions = self._change_and_read(fleet)
-            self.assertEqual((history.broken, answers, versions), ([], [200], [0, 0, 0]), machines)
+            self.assertEqual((history.violations, answers, versions), ([], [200], [0, 0, 0]), machines)
             self.assertGreater(fleet.carried["append"], 0)
 
     def test_an_encoding_that_loses_entries_is_noticed(self):
--- a/tests/system/test_virtual_core.py
+++ b/tests/system/test_virtual_core.py
@@ -28,7 +28,7 @@
 
 def _finds(defect: Defect, seed: int) -> bool:
     try:
-        return bool(play(seed, 3, 1, defect).broken)
+        return bool(play(seed, 3, 1, defect).violations)
     except AssertionError:
         return True  # the replicated state noticed itself
 
@@ -40,10 +40,10 @@
 
     def check(self, histories: list[History]) -> None:
         for history in histories:
-            self.assertEqual(history.broken, [], (history.seed, history.events))
+            self.assertEqual(history.violations, [], (history.seed, history.events))
             self.assertGreater(history.acknowledged, 2, (history.seed, history.events))
         self.assertGreater(sum(history.leaves for history in histories), len(histories))
-        self.assertGreater(sum(history.in_touch for history in histories), 20 * len(histories))
+        self.assertGreater(sum(history.connected_checks for history in histories), 20 * len(histories))
 
     def test_three_machines(self):
         self.check(list(self.pool.map(_three, range(1000, 1180))))
@@ -53,8 +53,8 @@
 
     def test_disks_that_take_longer_than_an_append_waits(self):
         """Found on a grown deployment: a head whose first append came back before the tail had it never asked again."""
-        history = play(1, 5, 2, sync_s=(0.25, 0.35), troubled=False)
-        self.assertEqual(history.broken, [])
+        history = play(1, 5, 2, sync_duration_s=(0.25, 0.35), with_faults=False)
+        self.assertEqual(history.violations, [])
         self.assertGreater(history.acknowledged, 3)
 
     def test_the_same_seed_is_the_same_history(self):
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from mulleinhatch.control_plane import shutdown as departure
+from mulleinhatch.control_plane import shutdown
 from mulleinhatch.messages.cluster import PollRequest, PollResponse
 from mulleinhatch.networking.http_server import HttpServerRequest
 from mulleinhatch.simulation.control_plane import Defect, History, World, play_script
-from mulleinhatch.simulation.control_plane.clients import Caller, Operator, Reader, Sent
+from mulleinhatch.simulation.control_plane.clients import ControlApiClient, Operator, Reader, SubmittedChange
 from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S
 from mulleinhatch.simulation.control_plane.machines import Machine
 
@@ -28,13 +28,13 @@
     return loop.start(machine.control.answer(HttpServerRequest(method, path, headers, body)), machine.process)
 
 
-async def change(world: World, operator: Operator | None = None) -> Sent:
+async def change(world: World, operator: Operator | None = None) -> SubmittedChange:
     """One change, acknowledged."""
     operator = operator or Operator(world, "op")
     for _ in range(12):
-        sent = operator.change(world.watch.believed)
-        world.watch.sends(sent)
-        await operator.until_clear(sent)
+        sent = operator.change(world.checker.assumed_version)
+        world.checker.record_submission(sent)
+        await operator.send_until_answered(sent)
         if sent.acknowledged_at >= 0:
             return sent
         await asyncio.sleep(0.2)
@@ -50,13 +50,13 @@
 def stop(world: World, machine: Machine, wipe: bool = False) -> None:
     machine.stop(wipe)
     machine.lost_until = 1e9
-    world.core_event()
+    world.record_core_event()
 
 
 def start(world: World, machine: Machine) -> None:
     machine.start()
     machine.lost_until = world.loop.time() + CATCH_UP_S
-    world.core_event()
+    world.record_core_event()
 
 
 def head(world: World) -> Machine:
@@ -71,7 +71,7 @@
 class WorstDays(unittest.TestCase):
     def played(self, script: Script, machines: int = 3, tolerated: int = 1) -> History:
         history = play_script(script, 1, machines, tolerated)
-        self.assertEqual(history.broken, [])
+        self.assertEqual(history.violations, [])
         return history
 
 
@@ -84,7 +84,7 @@
             for machine in (head(world), world.machines[-1]):
                 await cut(world, machine)
                 began = world.loop.time()
-                base = world.watch.believed
+                base = world.checker.assumed_version
                 while world.loop.time() < began + 20.0:
                     stale = json.dumps({"version": base + 1, "routes": [], "services": []}).encode()
                     for method, body, on in (
@@ -100,7 +100,7 @@
                     await asyncio.sleep(0.7)
                 world.links.clear()
                 await asyncio.sleep(CATCH_UP_S)
-                self.assertGreater(world.watch.believed, base)
+                self.assertGreater(world.checker.assumed_version, base)
 
         self.played(script)
 
@@ -154,7 +154,7 @@
             await asyncio.sleep(CATCH_UP_S)
             self.assertEqual(former.node.view.epoch, head(world).node.view.epoch)
             self.assertTrue(former.node.has_majority_contact())
-            self.assertEqual(former.node.state.document.version, world.watch.newest_acknowledged)
+            self.assertEqual(former.node.state.document.version, world.checker.newest_acknowledged)
 
         self.played(script)
 
@@ -177,7 +177,7 @@
             await change(world)
             await asyncio.sleep(1.0)
             self.assertTrue(plane.snapshot.authoritative)
-            self.assertEqual(plane.snapshot.table.version, world.watch.believed)
+            self.assertEqual(plane.snapshot.table.version, world.checker.assumed_version)
 
         self.played(script)
 
@@ -187,16 +187,16 @@
 
     def test_of_two_on_one_version_at_once_one_is_confirmed(self):
         async def script(world: World) -> None:
-            caller = Caller(world)
+            caller = ControlApiClient(world)
             for number in range(30):
-                base = world.watch.believed
+                base = world.checker.assumed_version
                 bodies = [
                     json.dumps({"version": base + 1, "routes": [], "services": [{"name": "noted", "note": f"{who}{number}"}]})
                     for who in "ab"
                 ]
                 answers = await asyncio.gather(
                     *(
-                        caller.call(world.chance.choice(world.machines), "PUT", "/configuration", body.encode(), base)
+                        caller.call(world.rng.choice(world.machines), "PUT", "/configuration", body.encode(), base)
                         for body in bodies
                     )
                 )
@@ -217,7 +217,7 @@
             for _ in range(40):
                 await change(world)
             for machine in world.machines:
-                answer = await Caller(world).call(machine, first.method, "/configuration", first.body, first.base)
+                answer = await ControlApiClient(world).call(machine, first.method, "/configuration", first.body, first.base)
                 self.assertEqual(answer.status, 200)
 
         self.played(script)
@@ -228,7 +228,7 @@
             former = head(world)
             stop(world, former)
             await asyncio.sleep(3.0)
-            answer = await Caller(world).call(head(world), sent.method, "/configuration", sent.body, sent.base)
+            answer = await ControlApiClient(world).call(head(world), sent.method, "/configuration", sent.body, sent.base)
             self.assertEqual(answer.status, 200)
 
         self.played(script)
@@ -278,7 +278,7 @@
                 await asyncio.sleep(CATCH_UP_S)
                 voting = {member.identity for member in head(world).node.view.voters}
                 self.assertIn(former.node.member.identity, voting)
-                await world.loop.start(departure.leave(former.node, 8.0), former.process)
+                await world.loop.start(shutdown.leave(former.node, 8.0), former.process)
                 voting = {member.identity for member in former.node.view.voters}
                 self.assertNotIn(former.node.member.identity, voting)
                 self.assertEqual(len(voting), 3)
@@ -292,11 +292,11 @@
     def test_a_leaver_that_holds_the_only_whole_copy_stays_as_long_as_its_grace_lasts(self):
         async def script(world: World) -> None:
             await change(world)
-            keeper = head(world)
-            others = [machine for machine in world.machines if machine is not keeper]
+            last_replica = head(world)
+            others = [machine for machine in world.machines if machine is not last_replica]
             for machine in others:
                 stop(world, machine)
-            leaving = world.loop.start(departure.leave(keeper.node, 8.0), keeper.process)
+            leaving = world.loop.start(shutdown.leave(last_replica.node, 8.0), last_replica.process)
             began = world.loop.time()
             await asyncio.sleep(4.0)
             self.assertFalse(leaving.done())
@@ -304,7 +304,7 @@
                 start(world, machine)
             await leaving
             self.assertLess(world.loop.time() - began, 8.0)
-            stop(world, keeper, wipe=True)
+            stop(world, last_replica, wipe=True)
             await change(world)
 
         self.played(script)
@@ -315,7 +315,7 @@
         async def script(world: World) -> None:
             await change(world)
             leaver, next_lost = (one for one in world.machines if one is not head(world))
-            world.loop.start(departure.leave(leaver.node, 8.0), leaver.process)
+            world.loop.start(shutdown.leave(leaver.node, 8.0), leaver.process)
             await asyncio.sleep(0.3)
             stop(world, next_lost)
             end = world.loop.time() + 6.0
@@ -327,7 +327,7 @@
             await change(world)
 
         self.played(script)
-        self.assertTrue(play_script(script, defect=Defect.SHORT_CHAIN).broken)
+        self.assertTrue(play_script(script, defect=Defect.SHORT_CHAIN).violations)
 
     def test_a_decided_view_whose_proposer_is_gone_is_completed(self):
         """Found in virtual time: a majority had accepted a view, its proposer lost power before it told anyone, and the view in
@@ -364,7 +364,7 @@
                 for plane in world.planes:
                     plane.start()
                 await asyncio.sleep(CATCH_UP_S + 1.0)
-                answer = await Caller(world).call(world.machines[0], "GET", "/configuration", b"")
+                answer = await ControlApiClient(world).call(world.machines[0], "GET", "/configuration", b"")
                 self.assertEqual(json.loads(answer.body)["version"], sent.version)
                 await asyncio.sleep(CATCH_UP_S)
 
@@ -397,7 +397,7 @@
                 await asyncio.sleep(3.0)
                 start(world, machine)
                 await asyncio.sleep(CATCH_UP_S)
-            self.assertEqual(late.node.state.document.version, world.watch.newest_acknowledged)
+            self.assertEqual(late.node.state.document.version, world.checker.newest_acknowledged)
             self.assertIs(head(world), late)
             await change(world, operator)
 
