--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -14,7 +14,7 @@
 from dataclasses import asdict, dataclass
 
 from mulleinhatch.configuration.document import digest_of
-from mulleinhatch.control_plane.replicated_log import ENTRIES_BEFORE_SNAPSHOT
+from mulleinhatch.control_plane.log_compaction import ENTRIES_BEFORE_SNAPSHOT
 from mulleinhatch.control_plane.state_store import commit_record, entry_records, replay
 from mulleinhatch.messages.cluster import Entry, Snapshot
 from mulleinhatch.replication.state import DIGESTS_KEPT, ControlState, EntryKind
--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -134,7 +134,7 @@
         node = self._node
         known = node.registry.entries.get(backend.id)
         if node.registry.merge(backend, self._clock()):
-            node.heartbeats.backend_changed(backend.id)
+            node.backend_handoff.record_change(backend.id)
         if known is None:
             node.request_heartbeat()
         if backend.draining and not await node.record_departure(backend.id):
@@ -174,11 +174,11 @@
 def internal_api(node: CoreNode) -> InternalApi:
     """The messages between core machines."""
     api = InternalApi()
-    api.add("heartbeat", cluster.Heartbeat, node.heartbeats.on_heartbeat)
+    api.add("heartbeat", cluster.Heartbeat, node.heartbeat_responder.on_heartbeat)
     api.add("prepare", cluster.PrepareRequest, node.view_changer.on_prepare)
     api.add("accept", cluster.AcceptRequest, node.view_changer.on_accept)
     api.add("confirm", cluster.ConfirmRequest, node.view_changer.on_confirm)
     api.add("append", cluster.AppendRequest, node.replicated_log.on_append)
-    api.add("snapshot", cluster.SnapshotRequest, node.catch_up.on_snapshot)
-    api.add("leave", cluster.LeaveRequest, node.configuration_changes.on_leave)
+    api.add("snapshot", cluster.SnapshotRequest, node.snapshot_server.on_snapshot)
+    api.add("leave", cluster.LeaveRequest, node.backend_departures.on_leave)
     return api
--- /dev/null
+++ b/mulleinhatch/control_plane/backend_departures.py
@@ -0,0 +1,76 @@
+"""Record in the replicated log that backends leave, so that no data plane uses them again, whatever machine fails."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Sequence
+
+from mulleinhatch.control_plane.internal_client import InternalClient
+from mulleinhatch.control_plane.majority_contact import MajorityContact
+from mulleinhatch.control_plane.replicated_log import ReplicatedLog
+from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.control_plane.write_gate import WriteGate
+from mulleinhatch.messages.cluster import LeaveRequest, LeaveResponse
+from mulleinhatch.replication.state import EntryKind
+
+DEPARTURE_TIMEOUT_S = 0.75  # a backend waits one second for its acknowledgement
+
+
+class BackendDepartures:
+    """Records departures at the head of the chain, directly or through the internal API."""
+
+    def __init__(
+        self,
+        log: ReplicatedLog,
+        view_changer: ViewChanger,
+        contact: MajorityContact,
+        gate: WriteGate,
+        client: InternalClient,
+    ) -> None:
+        self._log, self._view_changer, self._contact = log, view_changer, contact
+        self._gate, self._client = gate, client
+
+    async def record(self, backend_id: str) -> bool:
+        """Return whether every replica of the chain has persisted that a backend leaves."""
+        chain = self._log.replica.view.chain
+        if not chain:
+            return False
+        head = chain[0]
+        request = LeaveRequest(backends=[backend_id])
+        try:
+            if head.identity == self._log.replica.identity:
+                return (await self.on_leave(request)).taken
+            response = await self._client.call(head.internal_address, "leave", request, LeaveResponse, DEPARTURE_TIMEOUT_S)
+            return response.taken
+        except OSError:
+            return False
+
+    async def on_leave(self, request: LeaveRequest) -> LeaveResponse:
+        """Record departures at the head.
+
+        Returns:
+            `taken` once every replica of the chain has persisted them and the view was confirmed after the call began.
+        """
+        log, epoch = self._log, self._log.replica.view.epoch
+        if not self._gate.can_accept_writes() or not await self._contact.confirm_leadership():
+            return LeaveResponse(taken=False)
+        if self._are_recorded(request.backends):
+            return LeaveResponse(taken=await self._view_changer.confirm_view())
+        async with log.lock:
+            missing = [backend_id for backend_id in request.backends if not self._is_in_log(backend_id)]
+            body = json.dumps(missing).encode()
+            if missing and not await log.propose(int(EntryKind.LEAVE), body, "", epoch):
+                return LeaveResponse(taken=False)
+        is_recorded = await log.progress.wait_for(lambda: self._are_recorded(request.backends), DEPARTURE_TIMEOUT_S)
+        return LeaveResponse(taken=is_recorded)
+
+    def _are_recorded(self, backends: Sequence[str]) -> bool:
+        return all(backend_id in self._log.state.left for backend_id in backends)
+
+    def _is_in_log(self, backend_id: str) -> bool:
+        """Return whether a departure is applied, or in an entry that is not applied yet."""
+        replica, state = self._log.replica, self._log.state
+        if backend_id in state.left:
+            return True
+        pending = replica.entries[state.index - replica.base.index :]
+        return any(entry.kind == EntryKind.LEAVE and backend_id in json.loads(entry.body) for entry in pending)
--- a/mulleinhatch/control_plane/catch_up.py
+++ b/mulleinhatch/control_plane/catch_up.py
@@ -1,75 +1,54 @@
-"""A core machine outside the chain takes the chain's state, so that the chain may take it in."""
+"""Bring a node outside the chain up to date, so that the chain may take it in."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
-from mulleinhatch.messages.cluster import Member, SnapshotRequest, SnapshotResponse
-from mulleinhatch.replication.chain import Write
+from mulleinhatch.control_plane.log_compaction import LogCompactor
+from mulleinhatch.control_plane.node_status import NodeStatus
+from mulleinhatch.control_plane.snapshot_transfer import SnapshotFetcher
+from mulleinhatch.replication.chain import Replica
 
-if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import CoreNode
-
-LOG = logging.getLogger(__name__)
 RETRY_S = 0.1
-SNAPSHOT_S = 1.0  # for the answer: some 100 KB at most, and another member can be asked
 
 
 class CatchUp:
-    """`done` tells that we hold a snapshot of the chain that was taken in the view in force."""
-
-    def __init__(self, node: CoreNode) -> None:
-        self._node = node
-        self.done = False
+    """Fetches a snapshot while this node is outside the chain, and compacts its log while it is inside.
+
+    Args:
+        request_heartbeat: Called when this node has caught up, so that its peers learn of it at once.
+    """
+
+    def __init__(
+        self,
+        replica: Replica,
+        status: NodeStatus,
+        fetcher: SnapshotFetcher,
+        compactor: LogCompactor,
+        request_heartbeat: Callable[[], None],
+    ) -> None:
+        self._replica, self._status, self._fetcher, self._compactor = replica, status, fetcher, compactor
+        self._request_heartbeat = request_heartbeat
 
     async def run(self) -> None:
-        node = self._node
+        """Check forever whether there is anything to fetch or to compact."""
         while True:
             await asyncio.sleep(RETRY_S)
-            if node.replica.position >= 0:
+            if self._replica.position >= 0:
                 await self._compact()
-            elif node.view.epoch and not self.done:
-                await self._from_any()
+            elif self._replica.view.epoch and not self._status.has_chain_snapshot:
+                await self._catch_up()
 
     async def _compact(self) -> None:
         try:
-            await self._node.replicated_log.compact()
+            await self._compactor.compact()
         except OSError:
-            pass  # the file in force holds the same; tried again at the next look
-
-    async def _from_any(self) -> None:
-        node = self._node
-        for member in reversed(node.view.chain):
-            if not node.peers.is_alive(member.identity, node.clock()):
-                continue  # one without power would be waited for
-            try:
-                if await self._from(member):
-                    return
-            except OSError:
-                continue
-
-    async def _from(self, member: Member) -> bool:
-        node, epoch = self._node, self._node.view.epoch
-        request = SnapshotRequest(epoch=epoch)
-        answer = await node.call(member.internal_address, "snapshot", request, SnapshotResponse(), SNAPSHOT_S)
-        await node.learn_view(answer.newest)
-        if not answer.available or node.view.epoch != epoch:
-            return False
-        async with node.replicated_log.lock:
-            if node.replica.position >= 0 or node.view.epoch != epoch:
-                return False
-            await node.replicated_log.write(Write(snapshot=answer.snapshot, truncate_to=0))
-            self.done = node.replica.position < 0
-        LOG.info("caught up", extra={"index": node.replica.last, "epoch": epoch})
-        node.request_heartbeat()
-        return True
-
-    async def on_snapshot(self, request: SnapshotRequest) -> SnapshotResponse:
-        node = self._node
-        available = request.epoch == node.view.epoch and node.replica.position >= 0 and node.replica.current
-        answer = SnapshotResponse(available=available, newest=node.view)
-        if available:
-            answer.snapshot = node.state.snapshot()
-        return answer
+            pass  # the former file has the same content; the next check tries again
+
+    async def _catch_up(self) -> None:
+        if not await self._fetcher.fetch():
+            return
+        # A view change may have taken this node into the chain while the snapshot was written.
+        self._status.has_chain_snapshot = self._replica.position < 0
+        self._request_heartbeat()
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -1,31 +1,29 @@
-"""What the head takes in and the tail gives out: the operator's changes and reads, claims of the orders, backends that leave.
+"""Changes and reads of the configuration by operators: changes at the head of the chain, reads at the tail.
 
-Nothing is acknowledged but what every replica of the chain has on disk; nothing is refused or read out but after a
-majority of the voters said, when asked for it, that the view still stands.
+A write is acknowledged only after every replica in the chain has persisted it. Rejections and reads are served only after a
+majority of voters confirms the current view (a linearizable read).
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
-from collections.abc import Sequence
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from result import Err
 
-from mulleinhatch.messages.cluster import LeaveRequest, LeaveResponse, Member
-from mulleinhatch.replication.state import ChangeOutcome, EntryKind, Refusal
-
-if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.majority_contact import MajorityContact
+from mulleinhatch.control_plane.peers import Peers
+from mulleinhatch.control_plane.replicated_log import ReplicatedLog
+from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.control_plane.write_gate import WriteGate
+from mulleinhatch.messages.cluster import Member
+from mulleinhatch.replication.state import ChangeOutcome, Refusal
 
 LOG = logging.getLogger(__name__)
-CHANGE_WAIT_S = 0.9  # how long an operator's change waits before it gets no clear answer
-CLAIM_WAIT_S = 3.0
-LEAVE_WAIT_S = 0.75  # a backend waits a second for its acknowledgement
-LEAST_WAIT_S = 0.05
+CHANGE_TIMEOUT_S = 0.9  # after which a change is answered as undecided
+MIN_WAIT_S = 0.05
 
 
 @dataclass(frozen=True)
@@ -41,139 +39,97 @@
 
 
 class ConfigurationChanges:
-    """`lock` is held by one change at a time, from its check to its end."""
-
-    def __init__(self, node: CoreNode) -> None:
-        self._node = node
-        self._lock = asyncio.Lock()
-
-    def _leads(self) -> bool:
-        node = self._node
-        long_enough = len(node.view.chain) > node.settings.machines_tolerated
-        return node.replica.is_head and node.replica.log_complete and long_enough
-
-    def _elsewhere(self, member: Member | None) -> ChangeAnswer:
-        node = self._node
-        if member is None or member.identity == node.member.identity or not node.peers.is_alive(member.identity, node.clock()):
-            return REGROUPING
-        return ChangeAnswer(307, "another machine answers this", f"http://{member.control_address}/configuration")
-
-    # The operator.
+    """Serves the operators' changes and reads of the configuration."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        peers: Peers,
+        log: ReplicatedLog,
+        view_changer: ViewChanger,
+        contact: MajorityContact,
+        gate: WriteGate,
+    ) -> None:
+        self._clock, self._peers, self._log = clock, peers, log
+        self._view_changer, self._contact, self._gate = view_changer, contact, gate
 
     async def change(self, method: str, base: int | None, body: bytes) -> ChangeAnswer:
-        """An operator's change: acknowledged once every replica of the chain has it on disk."""
-        node = self._node
-        if not self._leads() or not await node.confirm_leadership():
-            return self._elsewhere(node.head)
-        begun = node.clock()
+        """Apply a change.
+
+        Args:
+            method: `PUT` for a complete configuration, `PATCH` for a patch.
+            base: The version that the change builds on, None where the request named none.
+            body: The change as JSON.
+
+        Returns:
+            Status 200 once every replica of the chain has persisted the change.
+        """
+        if not self._gate.can_accept_writes() or not await self._contact.confirm_leadership():
+            chain = self._log.replica.view.chain
+            return self._redirect(chain[0] if chain else None)
+        started_at = self._clock()
         try:
-            async with asyncio.timeout(CHANGE_WAIT_S):
-                await self._lock.acquire()
+            async with asyncio.timeout(CHANGE_TIMEOUT_S):
+                await self._gate.change_lock.acquire()
         except TimeoutError:
             return ChangeAnswer(503, "another change is under way; send it again")
         try:
-            return await self._change(method, base, body, begun)
+            return await self._change(method, base, body, started_at)
         except OSError:
             return ChangeAnswer(503, "the disk refused the change; send it again")
         finally:
-            self._lock.release()
+            self._gate.change_lock.release()
 
-    async def _change(self, method: str, base: int | None, body: bytes, begun: float) -> ChangeAnswer:
-        node, epoch = self._node, self._node.view.epoch
+    async def _change(self, method: str, base: int | None, body: bytes, started_at: float) -> ChangeAnswer:
+        log, epoch = self._log, self._log.replica.view.epoch
 
-        def left() -> float:
-            return max(LEAST_WAIT_S, CHANGE_WAIT_S - (node.clock() - begun))
+        def remaining_s() -> float:
+            return max(MIN_WAIT_S, CHANGE_TIMEOUT_S - (self._clock() - started_at))
 
-        committed = await node.wait_for(lambda: not node.replicated_log.change_pending(), left())
-        if not committed or not self._leads():
+        no_change_pending = await log.progress.wait_for(lambda: not log.has_pending_change(), remaining_s())
+        if not no_change_pending or not self._gate.can_accept_writes():
             return ChangeAnswer(503, "an earlier change is not settled yet; send it again")
-        checked = node.state.check(method, base, body)
+        checked = log.state.check(method, base, body)
         if isinstance(checked, Err):
-            return await self._refuse(checked.err_value)
+            return await self._reject(checked.err_value)
         change = checked.ok_value
-        async with node.replicated_log.lock:
-            if node.replicated_log.change_pending() or not await node.replicated_log.propose(
-                int(change.kind), change.body, change.digest, epoch
-            ):
+        async with log.lock:
+            # A view change may have brought the pending change of another head while the lock was awaited.
+            if log.has_pending_change() or not await log.propose(int(change.kind), change.body, change.digest, epoch):
                 return REGROUPING
-        if await node.wait_for(lambda: change.digest in node.state.digests, left() + 0.5 * CHANGE_WAIT_S):
-            LOG.info("configuration in force", extra={"version": node.state.document.version})
+        if await log.progress.wait_for(lambda: change.digest in log.state.digests, remaining_s() + 0.5 * CHANGE_TIMEOUT_S):
+            LOG.info("configuration in force", extra={"version": log.state.document.version})
             return ChangeAnswer(200)
         return ChangeAnswer(503, "not settled yet; send it again unchanged")
 
-    async def _refuse(self, refusal: Refusal) -> ChangeAnswer:
+    async def _reject(self, refusal: Refusal) -> ChangeAnswer:
+        """Reject a change, once it is confirmed that this node's state is the newest."""
         if refusal.verdict is ChangeOutcome.ALREADY_APPLIED:
             return ChangeAnswer(200)
         if refusal.verdict is ChangeOutcome.HISTORY_COMPACTED:
             return ChangeAnswer(503, refusal.message)
-        if not await self._node.view_changer.confirm_view():
+        if not await self._view_changer.confirm_view():
             return REGROUPING
         return ChangeAnswer(int(refusal.verdict), refusal.message)
 
     async def read(self) -> tuple[ChangeAnswer, bytes]:
-        """The newest configuration, from the tail of the view in force."""
-        node = self._node
-        if not node.replica.is_tail:
-            return self._elsewhere(node.tail), b""
+        """Read the newest configuration from the tail of the chain (a linearizable read)."""
+        replica = self._log.replica
+        if not replica.is_tail:
+            chain = replica.view.chain
+            return self._redirect(chain[-1] if chain else None), b""
         try:
-            confirmed = node.replica.log_complete and await node.view_changer.confirm_view()
+            is_confirmed = replica.log_complete and await self._view_changer.confirm_view()
         except OSError:
-            confirmed = False
-        if not confirmed or not node.replica.is_tail:
+            is_confirmed = False
+        if not is_confirmed or not replica.is_tail:
             return REGROUPING, b""
-        return ChangeAnswer(200), node.state.document.text()
-
-    # The holder of orders.
-
-    async def claim_orders(self) -> int:
-        """Makes this machine the holder of orders; its fencing token, 0 where that failed."""
-        node, epoch = self._node, self._node.view.epoch
-        async with self._lock:
-            if not self._leads() or node.replica.committed != node.replica.last:
-                return 0
-            async with node.replicated_log.lock:
-                index = await node.replicated_log.propose(int(EntryKind.LEADER), node.member.identity.encode(), "", epoch)
-            if not index:
-                return 0
-            await node.wait_for(lambda: node.state.index >= index, CLAIM_WAIT_S)
-            ours = node.state.fencing_token == index and node.state.leader == node.member.identity
-            return index if ours and self._leads() and node.has_majority_contact() else 0
-
-    # Backends that leave.
-
-    async def backend_leaves(self, backend_id: str) -> bool:
-        """Whether it is recorded, for good and known to every replica of the chain, that a backend leaves."""
-        node, head = self._node, self._node.head
-        if head is None:
-            return False
-        request = LeaveRequest(backends=[backend_id])
-        try:
-            if head.identity == node.member.identity:
-                return (await self.on_leave(request)).taken
-            answer = await node.call(head.internal_address, "leave", request, LeaveResponse(), LEAVE_WAIT_S)
-            return answer.taken
-        except OSError:
-            return False
-
-    async def on_leave(self, request: LeaveRequest) -> LeaveResponse:
-        """At the head: `taken` once every replica of the chain has it on disk, and the view stood after the call."""
-        node, epoch = self._node, self._node.view.epoch
-        if not self._leads() or not await node.confirm_leadership():
-            return LeaveResponse(taken=False)
-        if self._all_left(request.backends):
-            return LeaveResponse(taken=await node.view_changer.confirm_view())
-        async with node.replicated_log.lock:
-            missing = [backend_id for backend_id in request.backends if not self._leave_pending(backend_id)]
-            if missing and not await node.replicated_log.propose(int(EntryKind.LEAVE), json.dumps(missing).encode(), "", epoch):
-                return LeaveResponse(taken=False)
-        return LeaveResponse(taken=await node.wait_for(lambda: self._all_left(request.backends), LEAVE_WAIT_S))
-
-    def _all_left(self, backends: Sequence[str]) -> bool:
-        return all(backend_id in self._node.state.left for backend_id in backends)
-
-    def _leave_pending(self, backend_id: str) -> bool:
-        """Whether an entry of the log says already that a backend leaves."""
-        replica = self._node.replica
-        pending = replica.entries[self._node.state.index - replica.base.index :]
-        told = (entry.body for entry in pending if entry.kind == EntryKind.LEAVE)
-        return backend_id in self._node.state.left or any(backend_id in json.loads(body) for body in told)
+        return ChangeAnswer(200), self._log.state.document.text()
+
+    def _redirect(self, member: Member | None) -> ChangeAnswer:
+        """Refer an operator to the member that serves the request, if it is another one and in reach."""
+        if member is None or member.identity == self._peers.own.identity:
+            return REGROUPING
+        if not self._peers.is_alive(member.identity, self._clock()):
+            return REGROUPING
+        return ChangeAnswer(307, "another machine answers this", f"http://{member.control_address}/configuration")
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -1,139 +1,157 @@
-"""Heartbeats between core machines: who is in reach, how far each is, which view it lives in, and news of backends.
+"""Heartbeats between core machines: liveness, replication progress, view confirmation and changes of backends.
 
-Each machine sends to every other. What a peer has not acknowledged of the backends is kept for it and sent with the next
-heartbeat (hinted handoff).
+Each node sends to every other; the responses confirm its view (see `MajorityContact`).
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from typing import TYPE_CHECKING
-
-from mulleinhatch.control_plane.peers import Peer
+from collections.abc import Awaitable, Callable
+
+from mulleinhatch.control_plane.backend_handoff import BackendHandoff
+from mulleinhatch.control_plane.background_tasks import BackgroundTasks
+from mulleinhatch.control_plane.internal_client import InternalClient
+from mulleinhatch.control_plane.majority_contact import MajorityContact
+from mulleinhatch.control_plane.node_status import NodeStatus
+from mulleinhatch.control_plane.peers import Peer, Peers
+from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.messages.cluster import Heartbeat, HeartbeatResponse
 
-if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import CoreNode
-
 HEARTBEAT_S = 0.3
-BEAT_GAP_S = 0.03  # between heartbeats that are sent for news
-MOST_BEATS = 3  # on their way to one machine: one that is lost must not look like a machine that is
+MIN_GAP_S = 0.03  # between heartbeats that are requested out of turn
+MAX_IN_FLIGHT = 3  # heartbeats to one address: one that is lost must not look like a failed machine
 
 
-class Heartbeats:
-    """Sends and answers the heartbeats of one core machine."""
+class HeartbeatScheduler:
+    """Decides when heartbeats are sent: periodically, and soon after a change.
 
-    def __init__(self, node: CoreNode) -> None:
-        self._node = node
-        self._on_their_way: Counter[str] = Counter()  # by address
-        self._planned, self._sent_at = False, -1e9
-        self._backends_asked = False
-        self._backend_changed_at: dict[str, float] = {}
+    Args:
+        addresses: Returns the internal addresses to send to.
+        send: Sends one heartbeat to an address.
+    """
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        addresses: Callable[[], list[str]],
+        send: Callable[[str], Awaitable[None]],
+        tasks: BackgroundTasks,
+    ) -> None:
+        self._clock, self._addresses, self._send, self._tasks = clock, addresses, send, tasks
+        self._in_flight: Counter[str] = Counter()  # by address
+        self._is_scheduled, self._sent_at = False, -1e9
 
     async def run(self) -> None:
+        """Request a heartbeat periodically, forever."""
         while True:
             self.request_heartbeat()
             await asyncio.sleep(HEARTBEAT_S)
 
     def request_heartbeat(self) -> None:
-        """Sends a heartbeat to every core machine now, or a little later where the last one was just sent."""
-        if self._planned:
+        """Send a heartbeat to every core machine now, or up to `MIN_GAP_S` later where the last one was just sent."""
+        if self._is_scheduled:
             return
-        self._planned = True
-        wait_s = self._sent_at + BEAT_GAP_S - self._node.clock()
+        self._is_scheduled = True
+        wait_s = self._sent_at + MIN_GAP_S - self._clock()
         asyncio.get_running_loop().call_later(max(0.0, wait_s), self._send_all)
 
     def _send_all(self) -> None:
-        node = self._node
-        self._planned, self._sent_at = False, node.clock()
-        seeds = [node.internal_address_of(seed) for seed in node.settings.seeds]
-        for address in node.peers.addresses(node.view, seeds):
-            if self._on_their_way[address] < MOST_BEATS:
-                self._on_their_way[address] += 1
-                node.start_task(self._send(address))
-
-    async def _send(self, address: str) -> None:
+        self._is_scheduled, self._sent_at = False, self._clock()
+        for address in self._addresses():
+            if self._in_flight[address] < MAX_IN_FLIGHT:
+                self._in_flight[address] += 1
+                self._tasks.start(self._send_one(address))
+
+    async def _send_one(self, address: str) -> None:
+        try:
+            await self._send(address)
+        finally:
+            self._in_flight[address] -= 1
+
+
+class HeartbeatSender:
+    """Sends one heartbeat and processes its response."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        peers: Peers,
+        client: InternalClient,
+        view_changer: ViewChanger,
+        handoff: BackendHandoff,
+        status: NodeStatus,
+        contact: MajorityContact,
+    ) -> None:
+        self._clock, self._peers, self._client, self._view_changer = clock, peers, client, view_changer
+        self._handoff, self._status, self._contact = handoff, status, contact
+
+    async def send(self, address: str) -> None:
+        """Send a heartbeat to an address. A machine that is out of reach is no error."""
         try:
             await self._exchange(address)
         except OSError:
-            self._node.http_client.forget(address)
-        finally:
-            self._on_their_way[address] -= 1
-
-    def _message(self, peer: Peer | None, owed: set[str], now: float) -> Heartbeat:
-        node = self._node
-        message = Heartbeat(
-            sender=node.member,
-            epoch=node.view.epoch,
-            caught_up_epoch=node.view.epoch if node.is_caught_up() else 0,
-            last_index=node.replica.last,
-            log_complete=node.replica.log_complete,
-            committed=node.replica.committed,
-            leaving=node.is_unfit(),
-            backends=node.registry.records_for_peer(owed, now),
-            data_planes=node.data_planes(),
-            orders_idle_ms=int(1000 * node.placement_idle_s()),
-            misses=node.peers.unresponsive_members(node.view, now),
-        )
-        if peer is not None and peer.epoch < node.view.epoch:
-            message.newest = node.view
-        return message
+            self._client.forget(address)
 
     async def _exchange(self, address: str) -> None:
-        node, begun = self._node, self._node.clock()
-        peer = node.peers.by_address(address)
+        sent_at = self._clock()
+        peer = self._peers.by_address(address)
         owed = set(peer.owed_backends) if peer is not None else set()
-        answer = await node.call(address, "heartbeat", self._message(peer, owed, begun), HeartbeatResponse())
-        now = node.clock()
-        spoke = node.has_majority_contact()
-        heard = node.peers.record_response(answer, now, begun)
-        if not spoke and node.has_majority_contact():
-            node.publish_change()
-        if heard is None:
+        heartbeat = self._build_heartbeat(peer, owed, sent_at)
+        response = await self._client.call(address, "heartbeat", heartbeat, HeartbeatResponse)
+        now = self._clock()
+        responder = self._contact.record_response(response, now, sent_at)
+        if responder is None:
             return
-        if answer.wants_all_backends:
-            heard.owed_backends.update(node.registry.entries)
-        elif heard is peer:
-            heard.owed_backends -= owed - self._changed_since(owed, begun)
-        for member in answer.known:
-            node.peers.add(member, now)
-        await node.learn_view(answer.newest)
-
-    def _changed_since(self, ids: set[str], begun: float) -> set[str]:
-        """Backends that changed while a heartbeat with them was on its way: they are owed again."""
-        return {backend_id for backend_id in ids if self._backend_changed_at.get(backend_id, 0.0) >= begun}
-
-    async def on_heartbeat(self, message: Heartbeat) -> HeartbeatResponse:
-        node, now = self._node, self._node.clock()
-        known = message.sender.identity in node.peers.by_identity
-        peer = node.peers.record_heartbeat(message, now)
-        for backend in message.backends:
-            node.registry.merge(backend, now)
-        answer = HeartbeatResponse(
-            sender=node.member,
-            epoch=node.view.epoch,
-            current=node.view_changer.is_undisturbed(node.view.epoch),
-            wants_all_backends=not self._backends_asked and not known,
+        if response.wants_all_backends:
+            self._handoff.owe_all(responder)
+        elif responder is peer:
+            self._handoff.acknowledge(responder, owed, sent_at)
+        for member in response.known:
+            self._peers.add(member, now)
+        await self._view_changer.learn_view(response.newest)
+
+    def _build_heartbeat(self, peer: Peer | None, owed: set[str], now: float) -> Heartbeat:
+        heartbeat = self._status.build_heartbeat(self._handoff.records(owed, now), now)
+        if peer is not None and peer.epoch < self._status.view.epoch:
+            heartbeat.newest = self._status.view
+        return heartbeat
+
+
+class HeartbeatResponder:
+    """Answers the heartbeats of peers."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        peers: Peers,
+        view_changer: ViewChanger,
+        handoff: BackendHandoff,
+        status: NodeStatus,
+        tasks: BackgroundTasks,
+    ) -> None:
+        self._clock, self._peers, self._view_changer = clock, peers, view_changer
+        self._handoff, self._status, self._tasks = handoff, status, tasks
+        self._has_requested_backends = False
+
+    async def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse:
+        """Record a peer's heartbeat, and confirm this node's view where no later one was accepted."""
+        now, view = self._clock(), self._status.view
+        is_known = heartbeat.sender.identity in self._peers.by_identity
+        peer = self._peers.record_heartbeat(heartbeat, now)
+        self._handoff.merge(heartbeat.backends, now)
+        response = HeartbeatResponse(
+            sender=self._peers.own,
+            epoch=view.epoch,
+            current=self._view_changer.is_undisturbed(view.epoch),
+            wants_all_backends=not self._has_requested_backends and not is_known,
         )
-        self._backends_asked = self._backends_asked or known
-        if message.epoch < node.view.epoch:
-            answer.newest = node.view
-        if peer is not None and not known:
-            answer.known = [other.member for other in node.peers.by_identity.values()]
-            peer.owed_backends.update(node.registry.entries)
-        if message.newest.epoch > node.view.epoch:
-            node.start_task(node.learn_view(message.newest))
-        return answer
-
-    def backend_changed(self, backend_id: str) -> None:
-        """The others hear of a backend with the next heartbeat."""
-        self._backend_changed_at[backend_id] = self._node.clock()
-        for peer in self._node.peers.by_identity.values():
-            peer.owed_backends.add(backend_id)
-
-    def forget_removed_backends(self) -> None:
-        """Drops what is kept of backends that the registry has forgotten."""
-        entries = self._node.registry.entries
-        for backend_id in [backend_id for backend_id in self._backend_changed_at if backend_id not in entries]:
-            del self._backend_changed_at[backend_id]
+        self._has_requested_backends = self._has_requested_backends or is_known
+        if heartbeat.epoch < view.epoch:
+            response.newest = view
+        if peer is not None and not is_known:
+            response.known = [other.member for other in self._peers.by_identity.values()]
+            self._handoff.owe_all(peer)
+        if heartbeat.newest.epoch > view.epoch:
+            self._tasks.start(self._view_changer.learn_view(heartbeat.newest))
+        return response
--- /dev/null
+++ b/mulleinhatch/control_plane/internal_client.py
@@ -0,0 +1,42 @@
+"""Send internal messages to other core machines."""
+
+from __future__ import annotations
+
+from typing import TypeVar
+
+import betterproto
+
+from mulleinhatch.networking.http_client import CallError, HttpClient
+
+CALL_TIMEOUT_S = 0.7
+
+Response = TypeVar("Response", bound=betterproto.Message)
+
+
+class InternalClient:
+    """Calls the internal API of other core machines: a protobuf message by POST to `/internal/PATH`."""
+
+    def __init__(self, http_client: HttpClient) -> None:
+        self._http_client = http_client
+
+    async def call(
+        self,
+        address: str,
+        path: str,
+        message: betterproto.Message,
+        response_type: type[Response],
+        timeout_s: float = CALL_TIMEOUT_S,
+    ) -> Response:
+        """Send a message and return the parsed response.
+
+        Raises:
+            CallError: No response with status 200 came in time.
+        """
+        response = await self._http_client.request(address, "POST", f"/internal/{path}", bytes(message), timeout_s)
+        if response.status != 200:
+            raise CallError(address, f"status {response.status}")
+        return response_type().parse(response.body)
+
+    def forget(self, address: str) -> None:
+        """Close idle connections to an address that failed."""
+        self._http_client.forget(address)
--- /dev/null
+++ b/mulleinhatch/control_plane/log_replication.py
@@ -0,0 +1,98 @@
+"""Send the log down the chain: each replica keeps its successor supplied with the entries that it lacks.
+
+Source: van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004.
+"""
+
+from __future__ import annotations
+
+from mulleinhatch.control_plane.internal_client import InternalClient
+from mulleinhatch.control_plane.log_compaction import LogCompactor
+from mulleinhatch.control_plane.peers import Peers
+from mulleinhatch.control_plane.replicated_log import COMMIT_WAIT_S, ReplicatedLog
+from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.messages.cluster import AppendResponse, Member
+from mulleinhatch.replication.chain import NEVER
+
+APPEND_TIMEOUT_S = 1.0  # in addition to the time for which the response waits for the commit
+RETRY_S = 0.1
+IDLE_CHECK_S = 0.5  # between two checks of a successor that has all entries
+NO_SUCCESSOR_WAIT_S = 1.0
+UNKNOWN = -1
+
+
+class LogReplicator:
+    """Supplies the successor in the chain."""
+
+    def __init__(
+        self,
+        log: ReplicatedLog,
+        peers: Peers,
+        client: InternalClient,
+        view_changer: ViewChanger,
+        compactor: LogCompactor,
+    ) -> None:
+        self._log, self._peers, self._client = log, peers, client
+        self._view_changer, self._compactor = view_changer, compactor
+
+    async def run(self) -> None:
+        """Supply whichever node is the successor, forever."""
+        replica, progress = self._log.replica, self._log.progress
+        while True:
+            successor, epoch = replica.successor, replica.view.epoch
+            if successor is None:
+                await progress.wait_for_progress(NO_SUCCESSOR_WAIT_S)
+                continue
+            try:
+                await self._supply(successor, epoch)
+            except OSError:
+                self._client.forget(successor.internal_address)
+                await progress.wait_for_progress(RETRY_S)
+
+    async def _supply(self, successor: Member, epoch: int) -> None:
+        """Send appends until the view changes.
+
+        Raises:
+            OSError: The successor is out of reach, or this node's disk refused a write.
+        """
+        replica, progress = self._log.replica, self._log.progress
+        successor_last, successor_committed, log_complete_sent = replica.last, UNKNOWN, False
+        while epoch == replica.view.epoch:
+            has_all = (
+                0 <= successor_committed >= replica.committed
+                and successor_last >= replica.last
+                and log_complete_sent is replica.log_complete
+            )
+            if has_all and replica.committed >= replica.last:
+                await progress.wait_for_progress(IDLE_CHECK_S)
+                if self._has_restarted(successor):
+                    successor_committed = UNKNOWN
+                continue
+            request = replica.append_for(successor_last)
+            response = await self._client.call(
+                successor.internal_address, "append", request, AppendResponse, APPEND_TIMEOUT_S + COMMIT_WAIT_S
+            )
+            if response.newest.epoch > replica.view.epoch:
+                await self._view_changer.learn_view(response.newest)
+                return
+            if epoch != replica.view.epoch:
+                return
+            successor_last = min(response.last_index, replica.last)
+            if not response.accepted:
+                await progress.wait_for_progress(RETRY_S / 4)
+                continue
+            successor_committed = request.committed
+            log_complete_sent = request.sender_last != NEVER
+            if response.committed > replica.committed:
+                replica.commit_to(response.committed)
+                self._log.apply()
+            elif replica.committed < replica.last:
+                # The rest of the chain took longer than the response waits: ask again.
+                await progress.wait_for_progress(RETRY_S)
+            await self._compactor.compact()
+
+    def _has_restarted(self, successor: Member) -> bool:
+        """Return whether the successor reports less as committed than it was sent: it restarted from an older state."""
+        peer = self._peers.by_identity.get(successor.identity)
+        if peer is None:
+            return False
+        return peer.epoch == self._log.replica.view.epoch and peer.committed < self._log.replica.committed
--- /dev/null
+++ b/mulleinhatch/control_plane/pause_detector.py
@@ -0,0 +1,49 @@
+"""Detect that this process was paused (a frozen virtual machine, a stopped process), by gaps of the clock."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from mulleinhatch.control_plane.peers import ALIVE_S
+
+LOG = logging.getLogger(__name__)
+CHECK_INTERVAL_S = 0.1
+PAUSE_THRESHOLD_S = 0.6  # a gap between two checks of the clock that is a pause of this process
+
+
+class PauseDetector:
+    """Compares the clock with its last check.
+
+    After a pause this node's last knowledge is old: it must not act as the leader, and must not take the missing messages
+    of its peers for their failure.
+
+    Args:
+        clock: The steady clock, in seconds.
+        on_pause: Called with the current time when a pause has ended.
+    """
+
+    def __init__(self, clock: Callable[[], float], on_pause: Callable[[float], None]) -> None:
+        self.clock, self._on_pause = clock, on_pause
+        self._checked_at = clock()
+        self._ignore_silence_until = 0.0
+
+    def has_paused(self) -> bool:
+        """Return whether the process was paused since the last check and no check has run yet."""
+        return self.clock() - self._checked_at > PAUSE_THRESHOLD_S
+
+    def ignores_silence(self, now: float) -> bool:
+        """Return whether a pause ended so recently that silent peers may only lack the time to answer."""
+        return now < self._ignore_silence_until
+
+    async def run(self) -> None:
+        """Check the clock forever. This loop awaits nothing else, so that a gap can only come from a pause."""
+        while True:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            now = self.clock()
+            if self.has_paused():
+                LOG.warning("stood still", extra={"seconds": round(now - self._checked_at, 2)})
+                self._on_pause(now)
+                self._ignore_silence_until = now + ALIVE_S
+            self._checked_at = now
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -99,6 +99,11 @@
             if identity not in kept and now - max(peer.answered_at, peer.known_since) > FORGET_S:
                 del self.by_identity[identity]
 
+    def extend_grace_period(self, now: float) -> None:
+        """Count the time of silence of all peers from now on, after a pause of this process."""
+        for peer in self.by_identity.values():
+            peer.known_since = max(peer.known_since, now)
+
     def is_alive(self, identity: str, now: float) -> bool:
         if identity == self.own.identity:
             return True
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -54,7 +54,6 @@
         self.role = LeaderLease(lease_s)
         self.demand = Demand()
         self._ceiling, self._window_s, self._started_at = LoadRateLimiter(window_s), window_s, clock()
-        node.on_store_load = lambda: self._ceiling.note(clock())
         self._work: dict[str, BackendState] = {}
         self._held_before: dict[str, set[str]] = {}  # by address: what a backend's own disk has
         self._table = RouteTable()
@@ -63,6 +62,10 @@
         self._soon = asyncio.Event()
         self.log: deque[dict[str, str]] = deque(maxlen=LOGGED)  # the latest orders, with why they were given
 
+    def record_store_load(self) -> None:
+        """Count a load from the weight store that began now, whoever ordered it."""
+        self._ceiling.note(self._clock())
+
     def _started_for(self) -> float:
         """Seconds since this process started, at most a window: what was begun before is not remembered."""
         return min(0.6 * self._window_s, self._clock() - self._started_at)
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -31,17 +31,33 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.caller = HttpClient()
-        self.node = CoreNode(settings, self.caller, self.clock, self._changed)
+        self.node = CoreNode(settings, self.caller, self.clock, self)
         self.distribution = Distribution(self.node, self.clock)
         self.orders = PlacementController(self.node, self.caller, self.clock, settings.bounds)
-        self.node.placement_idle_s = self.orders.idle_s
-        self.node.data_planes = self.distribution.data_planes
-        self.node.on_backend_change = lambda backend_id: self._changed()
         self.stopped = asyncio.Event()
 
-    def _changed(self) -> None:
+    # What the node observes of this process, and reports to it (`NodeObserver`).
+
+    def on_change(self) -> None:
+        """Answer the data planes' polls when the configuration, the view or the node's role changed."""
+        self.distribution.changed()
+
+    def on_backend_change(self, backend_id: str) -> None:
+        """Answer the data planes' polls when a backend's record changed."""
         self.distribution.changed()
 
+    def on_store_load(self) -> None:
+        """Count a load from the weight store against the rate limit."""
+        self.orders.record_store_load()
+
+    def count_data_planes(self) -> int:
+        """Return the number of data planes that poll this process."""
+        return self.distribution.data_planes()
+
+    def placement_idle_s(self) -> float:
+        """Return the seconds since this process last sent an order to a backend."""
+        return self.orders.idle_s()
+
     async def run(self) -> None:
         """Serves until SIGTERM, and then until the chain goes on without us."""
         await self._open()
--- a/mulleinhatch/control_plane/quorum_calls.py
+++ b/mulleinhatch/control_plane/quorum_calls.py
@@ -1,4 +1,4 @@
-"""Answers to one question that was sent to several machines, in the order in which they come."""
+"""Send one request to several machines and consume the responses in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 
 
 class QuorumCall:
-    """`next` gives the next answer, None when no more will come; machines that can't be reached give none."""
+    """Concurrent calls whose caller stops reading responses once it has a quorum.
 
-    def __init__(self, asked: Iterable[Awaitable[Any]]) -> None:
-        self._queue: asyncio.Queue[Any] = asyncio.Queue()
-        self._tasks = [asyncio.ensure_future(self._wait(one)) for one in asked]
-        self._left = len(self._tasks)
+    Calls that nobody reads any more run to their end: their requests were sent and may have an effect.
+    """
 
-    async def _wait(self, asked: Awaitable[Any]) -> None:
-        answer = None
+    def __init__(self, calls: Iterable[Awaitable[Any]]) -> None:
+        self._responses: asyncio.Queue[Any] = asyncio.Queue()
+        self._tasks = [asyncio.ensure_future(self._await(call)) for call in calls]
+        self._remaining = len(self._tasks)
+
+    async def _await(self, call: Awaitable[Any]) -> None:
+        response = None
         try:
-            answer = await asked
+            response = await call
         except OSError:
             pass
         finally:
-            self._queue.put_nowait(answer)
+            self._responses.put_nowait(response)
 
     async def next(self) -> Any:
-        while self._left:
-            self._left -= 1
-            answer = await self._queue.get()
-            if answer is not None:
-                return answer
+        """Return the next response, None when no more will come. A call that fails with `OSError` has no response."""
+        while self._remaining:
+            self._remaining -= 1
+            response = await self._responses.get()
+            if response is not None:
+                return response
         return None
-
-    def leave(self) -> None:
-        """The others may end their work; nobody waits for them."""
--- a/mulleinhatch/control_plane/shutdown.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -1,21 +1,41 @@
-"""The planned end of a core machine: it stays until the core does not need it any more, as long as its grace period lasts."""
+"""The planned shutdown of a core machine: it stays until the core does not need it any more, within its grace period."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from collections.abc import Callable
+from typing import Protocol
 
 from mulleinhatch.consensus.paxos import identities
-from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.peers import Peers
+from mulleinhatch.messages.cluster import View
+from mulleinhatch.replication.chain import Replica
 
 LOG = logging.getLogger(__name__)
-LEAST_S = 1.0  # from the notice to the end: what was asked before is answered
-GRACE_MARGIN_S = 1.0  # before the grace period ends, we end
-LOOK_S = 0.1
+MIN_SHUTDOWN_S = 1.0  # from the notice to the end: requests that came before are answered
+GRACE_MARGIN_S = 1.0  # how long before the end of the grace period the process ends
+CHECK_INTERVAL_S = 0.1
 
 
-def _successor_known(node: CoreNode) -> bool:
-    """Whether a machine without a vote is there that can take ours."""
+class LeavingNode(Protocol):
+    """What the shutdown needs of a node."""
+
+    clock: Callable[[], float]
+    peers: Peers
+    replica: Replica
+    leaving: bool
+
+    @property
+    def view(self) -> View:
+        """The view in force."""
+
+    def request_heartbeat(self) -> None:
+        """Send a heartbeat to every core machine soon."""
+
+
+def _has_successor(node: LeavingNode) -> bool:
+    """Return whether a machine without a vote is in reach that can take this node's vote."""
     now, voting = node.clock(), identities(node.view.voters)
     return any(
         node.peers.is_alive(identity, now) and not peer.leaving and identity not in voting
@@ -23,25 +43,32 @@
     )
 
 
-def may_end(node: CoreNode) -> bool:
-    """Whether a machine that leaves is not needed any more: the view without it is on the disks of a majority of its voters,
-    the replicas of its chain hold all, and nobody is about to take its vote."""
+def may_end(node: LeavingNode) -> bool:
+    """Return whether the core does not need a leaving node any more.
+
+    A majority of the voters has persisted a view whose chain lacks this node, each replica of that chain has the complete
+    log, and no other machine is about to take this node's vote.
+    """
     view = node.view
     if node.replica.position >= 0 or not node.peers.is_known_to_majority(view):
         return False
     chain = [node.peers.by_identity.get(identity) for identity in identities(view.chain)]
     if any(peer is None or peer.log_complete_epoch != view.epoch for peer in chain):
         return False
-    return node.member.identity not in identities(view.voters) or not _successor_known(node)
+    return node.replica.identity not in identities(view.voters) or not _has_successor(node)
+
 
+async def leave(node: LeavingNode, grace_s: float) -> None:
+    """Announce that a node leaves; return when it may end, or shortly before its grace period does.
 
-async def leave(node: CoreNode, grace_s: float) -> None:
-    """Tells the others that we leave; returns when we may end, or shortly before the grace period does."""
+    Args:
+        grace_s: Seconds until the process is killed.
+    """
     node.leaving = True
     node.request_heartbeat()
-    begun = node.clock()
-    latest = begun + max(LEAST_S, grace_s - GRACE_MARGIN_S)
-    await asyncio.sleep(LEAST_S)
-    while node.clock() < latest and not may_end(node):
-        await asyncio.sleep(LOOK_S)
-    LOG.info("left", extra={"seconds": round(node.clock() - begun, 2), "needed": not may_end(node)})
+    started_at = node.clock()
+    deadline = started_at + max(MIN_SHUTDOWN_S, grace_s - GRACE_MARGIN_S)
+    await asyncio.sleep(MIN_SHUTDOWN_S)
+    while node.clock() < deadline and not may_end(node):
+        await asyncio.sleep(CHECK_INTERVAL_S)
+    LOG.info("left", extra={"seconds": round(node.clock() - started_at, 2), "needed": not may_end(node)})
--- /dev/null
+++ b/mulleinhatch/control_plane/snapshot_transfer.py
@@ -0,0 +1,78 @@
+"""Transfer a snapshot of the replicated state from the chain to a node outside it."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from mulleinhatch.control_plane.internal_client import InternalClient
+from mulleinhatch.control_plane.peers import Peers
+from mulleinhatch.control_plane.replicated_log import ReplicatedLog
+from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.messages.cluster import Member, SnapshotRequest, SnapshotResponse
+from mulleinhatch.replication.chain import Replica, Write
+from mulleinhatch.replication.state import ControlState
+
+LOG = logging.getLogger(__name__)
+SNAPSHOT_TIMEOUT_S = 1.0  # a snapshot has some 100 KB at most, and another replica can be asked
+
+
+class SnapshotServer:
+    """Serves snapshots of this replica's state."""
+
+    def __init__(self, replica: Replica, state: ControlState) -> None:
+        self._replica, self._state = replica, state
+
+    async def on_snapshot(self, request: SnapshotRequest) -> SnapshotResponse:
+        """Return a snapshot, if this node is a replica of the chain in the epoch of the request."""
+        replica = self._replica
+        available = request.epoch == replica.view.epoch and replica.position >= 0 and replica.current
+        response = SnapshotResponse(available=available, newest=replica.view)
+        if available:
+            response.snapshot = self._state.snapshot()
+        return response
+
+
+class SnapshotFetcher:
+    """Fetches a snapshot from a replica of the chain and installs it."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        peers: Peers,
+        client: InternalClient,
+        view_changer: ViewChanger,
+        log: ReplicatedLog,
+    ) -> None:
+        self._clock, self._peers, self._client, self._view_changer, self._log = clock, peers, client, view_changer, log
+
+    async def fetch(self) -> bool:
+        """Install a snapshot from the first replica that has one, the tail asked first.
+
+        Returns:
+            Whether a snapshot was installed.
+        """
+        for member in reversed(self._log.replica.view.chain):
+            if not self._peers.is_alive(member.identity, self._clock()):
+                continue  # a machine without power would cost the whole timeout
+            try:
+                if await self._fetch_from(member):
+                    return True
+            except OSError:
+                continue
+        return False
+
+    async def _fetch_from(self, member: Member) -> bool:
+        replica, epoch = self._log.replica, self._log.replica.view.epoch
+        request = SnapshotRequest(epoch=epoch)
+        response = await self._client.call(member.internal_address, "snapshot", request, SnapshotResponse, SNAPSHOT_TIMEOUT_S)
+        await self._view_changer.learn_view(response.newest)
+        if not response.available or replica.view.epoch != epoch:
+            return False
+        async with self._log.lock:
+            # A view change may have taken this node into the chain while the lock was awaited: its log is newer then.
+            if replica.position >= 0 or replica.view.epoch != epoch:
+                return False
+            await self._log.write(Write(snapshot=response.snapshot, truncate_to=0))
+        LOG.info("caught up", extra={"index": replica.last, "epoch": epoch})
+        return True
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -14,7 +14,7 @@
 from mulleinhatch.storage.records import Record, RecordKind
 
 LOG = logging.getLogger(__name__)
-REWRITE_AT = 4 << 20  # bytes from which the file is written anew, and at least twice what it would then hold
+REWRITE_THRESHOLD_BYTES = 4 << 20  # bytes from which the file is written anew, and at least twice what it would then hold
 LOG_COMPLETE = b"\x01"
 STALLED_S = 0.8  # a write that takes longer than this means that the disk is in trouble
 
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -1,14 +1,19 @@
-"""A core machine's votes on views: kept on disk before they are said, and views proposed to the other voters."""
+"""A core machine's votes on views (Paxos acceptor and proposer), durable before they are answered.
+
+Source: Lamport, "Paxos Made Simple", 2001, section 2; one decision per view as in Lamport, Malkhi and Zhou, "Vertical Paxos
+and Primary-Backup Replication", PODC 2009.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, TypeVar
+from typing import Any, TypeVar
 
 from mulleinhatch.consensus.paxos import Outcome, Proposal, Voter, identities, majority
+from mulleinhatch.control_plane.internal_client import InternalClient
 from mulleinhatch.control_plane.quorum_calls import QuorumCall
-from mulleinhatch.control_plane.state_store import Restored, log_complete_record
+from mulleinhatch.control_plane.state_store import StateStore, log_complete_record
 from mulleinhatch.messages.cluster import (
     AcceptRequest,
     ConfirmRequest,
@@ -19,134 +24,180 @@
     VoteResponse,
     VoterState,
 )
+from mulleinhatch.replication.chain import Replica
 from mulleinhatch.storage.records import Record, RecordKind
 
-if TYPE_CHECKING:
-    from mulleinhatch.control_plane.node import CoreNode
-
-Said = TypeVar("Said")
+Response = TypeVar("Response")
 
 
 class ViewChanger:
-    """The durable voter of one core machine. Memory follows the disk: what the disk refused was never learned or voted, and is
-    tried again when it is told again."""
-
-    def __init__(self, node: CoreNode, restored: Restored) -> None:
-        self._node = node
-        self._voter = Voter(restored.identity, restored.voter)
+    """The durable voter of one node, and the proposer of views.
+
+    The state in memory follows the disk: a step whose write fails was not taken, and is tried again when the message that
+    caused it comes again.
+
+    Args:
+        voter_state: The voter's state as the disk has it.
+        activate_view: Called with the newest decided view after each step; it ignores a view that is already in force.
+
+    Attributes:
+        lock: Held while a vote is written.
+    """
+
+    def __init__(
+        self,
+        replica: Replica,
+        voter_state: VoterState,
+        state_store: StateStore,
+        client: InternalClient,
+        activate_view: Callable[[View], None],
+    ) -> None:
+        self._replica, self._state_store, self._client, self._activate_view = replica, state_store, client, activate_view
+        self._voter = Voter(replica.identity, voter_state)
         self._proposal_number = 0
-        self.lock = asyncio.Lock()  # held while a vote goes to disk
-        self._stepping = False  # a step of the voter goes to disk
+        self._is_writing = False  # a step of the voter is being written
+        self.lock = asyncio.Lock()
 
     @property
     def view(self) -> View:
+        """The newest decided view that is durable here."""
         return self._voter.view
 
     @property
     def state(self) -> VoterState:
+        """The voter's durable state."""
         return self._voter.state
 
     def bootstrap(self, view: View) -> None:
-        """The first view of a first start; `keep` makes it last."""
+        """Adopt the first view of a first start in memory; `persist` makes it durable."""
         self._voter.learn(view)
 
     async def persist(self) -> None:
-        """Writes the vote as it stands. OSError where the disk refuses."""
+        """Write the voter's state.
+
+        Raises:
+            OSError: The disk refused the write.
+        """
         async with self.lock:
             await self._write(self._voter.state)
 
     def records(self, state: VoterState | None = None) -> list[Record]:
-        """The vote, and whether the log is settled in the view that it brings."""
+        """Return the records of a voter's state, and whether the log is complete in the state's view."""
         state = state or self._voter.state
-        log_complete = self._node.replica.log_complete and self._node.member.identity in identities(state.view.chain)
+        log_complete = self._replica.log_complete and self._replica.identity in identities(state.view.chain)
         return [Record(RecordKind.VOTER, bytes(state)), log_complete_record(log_complete)]
 
     async def _write(self, state: VoterState) -> None:
-        await self._node.state_store.append(self.records(state))
+        await self._state_store.append(self.records(state))
 
-    async def _step(self, step: Callable[[Voter], Said]) -> Said:
-        """Takes a step of the voter once it lasts. OSError where the disk refuses: the step was not taken."""
+    async def _step(self, step: Callable[[Voter], Response]) -> Response:
+        """Apply a step to a copy of the voter, and replace the voter once the new state is durable.
+
+        Raises:
+            OSError: The disk refused the write; the step was not taken.
+        """
         async with self.lock:
             trial = Voter(self._voter.identity, self._voter.state)
-            said = step(trial)
+            response = step(trial)
             if trial.state is not self._voter.state:
-                self._stepping = True
+                self._is_writing = True
                 try:
                     await self._write(trial.state)
                     self._voter = trial
                 finally:
-                    self._stepping = False
-        self._node.activate_view(self.view)
-        return said
+                    self._is_writing = False
+        self._activate_view(self.view)
+        return response
 
     async def learn_view(self, view: View) -> None:
-        """A decided view that was told: durable before it takes force."""
+        """Adopt a decided view, if it is newer: durable before it is in force.
+
+        Raises:
+            OSError: The disk refused the view; it is learned when a peer sends it again.
+        """
         if view.epoch > self.view.epoch:
             await self._step(lambda voter: voter.learn(view))
 
-    # What the others ask.
+    # Requests of peers.
 
     async def on_prepare(self, request: PrepareRequest) -> VoteResponse:
+        """Answer phase 1 of a proposal, once the promise is durable."""
         return await self._step(lambda voter: voter.prepare(request))
 
     async def on_accept(self, request: AcceptRequest) -> VoteResponse:
+        """Answer phase 2 of a proposal, once the accepted view is durable."""
         return await self._step(lambda voter: voter.accept(request))
 
     async def on_confirm(self, request: ConfirmRequest) -> ConfirmResponse:
+        """Answer whether the view of an epoch is the newest that this voter has accepted."""
         async with self.lock:
             current = self._voter.undisturbed(request.epoch)
         return ConfirmResponse(voter=self._voter.identity, current=current, newest=self.view)
 
     def is_undisturbed(self, epoch: int) -> bool:
-        """Whether the view of `epoch` is the newest known here and no later one was accepted, nor is being written."""
-        return not self._stepping and self._voter.undisturbed(epoch)
+        """Return whether the view of `epoch` is the newest known here and no later one was accepted or is being written."""
+        return not self._is_writing and self._voter.undisturbed(epoch)
 
-    # What we ask the others.
+    # Requests to peers.
 
     async def confirm_view(self) -> bool:
-        """Whether a majority of the voters says, after this call began, that our view is the newest."""
-        node = self._node
-        epoch, voters = node.view.epoch, node.view.voters
+        """Return whether a majority of the voters confirmed, after this call began, that the view in force is the newest.
+
+        A state that is read before the call returns true includes all writes acknowledged before the call (a linearizable
+        read).
+        """
+        epoch, voters = self._replica.view.epoch, self._replica.view.voters
         request = ConfirmRequest(epoch=epoch)
-        others = [voter for voter in voters if voter.identity != node.member.identity]
-        answers = QuorumCall([node.call(voter.internal_address, "confirm", request, ConfirmResponse()) for voter in others])
+        others = [voter for voter in voters if voter.identity != self._replica.identity]
+        responses = QuorumCall(
+            [self._client.call(voter.internal_address, "confirm", request, ConfirmResponse) for voter in others]
+        )
         count = int((await self.on_confirm(request)).current)
-        while count < majority(node.view) and (answer := await answers.next()) is not None:
-            await self.learn_view(answer.newest)
-            count += int(answer.current and answer.voter in identities(voters))
-        return epoch == node.view.epoch and count >= majority(node.view)
+        while count < majority(self._replica.view) and (response := await responses.next()) is not None:
+            await self.learn_view(response.newest)
+            count += int(response.current and response.voter in identities(voters))
+        return epoch == self._replica.view.epoch and count >= majority(self._replica.view)
+
+    async def propose(self, planned: View) -> None:
+        """Try once to have the next view decided: this one, or one that a voter has accepted before.
 
-    async def propose(self, wanted: View) -> None:
-        """One try to have a view chosen. OSError where our own disk refuses what was decided."""
+        Raises:
+            OSError: This node's disk refused the decided view.
+        """
         base = self.view
-        if wanted.epoch != base.epoch + 1:
+        if planned.epoch != base.epoch + 1:
             return
         self._proposal_number = max(self._proposal_number, self.state.promised.number) + 1
-        proposal = Proposal(base, ProposalNumber(number=self._proposal_number, proposer=self._node.member.identity), wanted)
-        prepare = PrepareRequest(base=base, proposal_number=proposal.proposal_number)
-        await self._round(proposal, "prepare", prepare, self.on_prepare, proposal.prepared)
+        number = ProposalNumber(number=self._proposal_number, proposer=self._replica.identity)
+        proposal = Proposal(base, number, planned)
+        prepare = PrepareRequest(base=base, proposal_number=number)
+        await self._run_phase(proposal, "prepare", prepare, self.on_prepare, proposal.prepared)
         if proposal.chosen is not None and proposal.outcome is Outcome.RUNNING:
-            accept = AcceptRequest(base=base, proposal_number=proposal.proposal_number, proposed=proposal.chosen)
-            await self._round(proposal, "accept", accept, self.on_accept, proposal.accepted)
+            accept = AcceptRequest(base=base, proposal_number=number, proposed=proposal.chosen)
+            await self._run_phase(proposal, "accept", accept, self.on_accept, proposal.accepted)
         self._proposal_number = max(self._proposal_number, proposal.highest)
         if proposal.outcome is Outcome.DECIDED:
             await self.learn_view(proposal.chosen)
         elif proposal.outcome is Outcome.OVERTAKEN:
             await self.learn_view(proposal.newest)
 
-    async def _round(
-        self, proposal: Proposal, path: str, request: Any, own: Callable[[Any], Any], heard: Callable[[VoteResponse], bool]
+    async def _run_phase(
+        self,
+        proposal: Proposal,
+        path: str,
+        request: Any,
+        own_vote: Callable[[Any], Any],
+        record_vote: Callable[[VoteResponse], bool],
     ) -> None:
-        """Asks all voters at once; returns when `heard` says that it is enough, or all have answered."""
-        node = self._node
-        answers = QuorumCall(
+        """Send a request to all voters at once; return when `record_vote` reports a quorum or all have answered."""
+        responses = QuorumCall(
             [
-                own(request)
-                if voter.identity == node.member.identity
-                else node.call(voter.internal_address, path, request, VoteResponse())
+                own_vote(request)
+                if voter.identity == self._replica.identity
+                else self._client.call(voter.internal_address, path, request, VoteResponse)
                 for voter in proposal.base.voters
             ]
         )
-        while (answer := await answers.next()) is not None:
-            if heard(answer) or proposal.outcome is not Outcome.RUNNING:
+        while (response := await responses.next()) is not None:
+            if record_vote(response) or proposal.outcome is not Outcome.RUNNING:
                 break
--- /dev/null
+++ b/mulleinhatch/control_plane/view_manager.py
@@ -0,0 +1,98 @@
+"""Plan and propose the next view when members of the current one fail, leave or join."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+
+from mulleinhatch.consensus.view_planner import next_view
+from mulleinhatch.control_plane.heartbeats import HEARTBEAT_S
+from mulleinhatch.control_plane.node_status import NodeStatus
+from mulleinhatch.control_plane.pause_detector import PauseDetector
+from mulleinhatch.control_plane.peers import ALIVE_S, Peers
+from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.messages.cluster import View
+from mulleinhatch.replication.chain import Replica
+
+PLANNING_INTERVAL_S = 0.1
+UNDECIDED_TIMEOUT_S = 0.5  # how long another node's proposal may stay undecided before this node completes it
+
+
+class ViewManager:
+    """The planning loop: compares the view in force with the health of all nodes and proposes a better view.
+
+    Args:
+        expire: Called with the current time before each planning step, to expire records of silent backends.
+    """
+
+    def __init__(
+        self,
+        machines_tolerated: int,
+        replica: Replica,
+        peers: Peers,
+        view_changer: ViewChanger,
+        status: NodeStatus,
+        pauses: PauseDetector,
+        expire: Callable[[float], None],
+    ) -> None:
+        self._machines_tolerated, self._replica, self._peers = machines_tolerated, replica, peers
+        self._view_changer, self._status, self._pauses, self._expire = view_changer, status, pauses, expire
+        self._started_at = pauses.clock()
+        self._undecided_epoch = 0  # the epoch of a view whose successor is undecided,
+        self._undecided_since = 0.0  # and since when
+
+    def mark_started(self) -> None:
+        """Start the grace period in which peers that do not answer may be starting, as this node is."""
+        self._started_at = self._pauses.clock()
+
+    async def run(self) -> None:
+        """Expire stale records and propose views forever."""
+        while True:
+            await asyncio.sleep(PLANNING_INTERVAL_S)
+            now = self._pauses.clock()
+            if self._pauses.has_paused():
+                continue
+            self._expire(now)
+            self._peers.remove_stale(self._replica.view, now)
+            planned = self._plan(now)
+            if planned is not None:
+                await self._propose(planned)
+
+    async def _propose(self, planned: View) -> None:
+        try:
+            await self._view_changer.propose(planned)
+        except OSError:
+            pass  # this node's disk refused the decided view; the next planning step tries again
+        await asyncio.sleep(random.uniform(0.0, PLANNING_INTERVAL_S))  # two proposers must not stay in step
+
+    def _plan(self, now: float) -> View | None:
+        """Return the view to propose, None where the current one may stay or another node is to propose."""
+        view = self._replica.view
+        if not view.epoch or self._pauses.ignores_silence(now) or not self._peers.reaches_majority(view, now):
+            return None
+        health = self._peers.health(view, now, self._status.health())
+        alive = [member.identity for member in view.chain if health[member.identity].alive]
+        is_first_alive = bool(alive) and alive[0] == self._peers.own.identity
+        hands_over = self._status.is_leaving and self._replica.is_head
+        if not is_first_alive and not hands_over:
+            return None
+        if now - self._started_at < ALIVE_S + HEARTBEAT_S:
+            return None  # peers that have not answered yet may be starting, as this node is
+        planned = next_view(view, health, self._machines_tolerated)
+        if planned is None and self._is_undecided_for_long(now):
+            return View(epoch=view.epoch + 1, voters=view.voters, chain=view.chain)
+        return planned
+
+    def _is_undecided_for_long(self, now: float) -> bool:
+        """Return whether a voter accepted a later view that nobody reports as decided, so that its proposer has failed.
+
+        That view may be decided without anyone knowing it; then no majority confirms the current view any more. Proposing
+        any view finds this out and completes the decision.
+        """
+        view = self._replica.view
+        if not self._view_changer.state.accepted.number and not self._peers.has_undecided_successor(view, now):
+            self._undecided_epoch, self._undecided_since = 0, now
+        elif self._undecided_epoch != view.epoch:
+            self._undecided_epoch, self._undecided_since = view.epoch, now
+        return self._undecided_epoch == view.epoch and now - self._undecided_since > UNDECIDED_TIMEOUT_S
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -17,9 +17,11 @@
 from mulleinhatch.consensus import view_planner
 from mulleinhatch.consensus.paxos import Voter
 from mulleinhatch.control_plane import shutdown
+from mulleinhatch.control_plane.backend_departures import BackendDepartures
 from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
 from mulleinhatch.control_plane.peers import Peers
 from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.control_plane.write_gate import WriteGate
 from mulleinhatch.messages.cluster import LeaveResponse
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ChangeOutcome, ControlState
@@ -59,12 +61,12 @@
     return voters
 
 
-async def _acknowledge_leave(self: ConfigurationChanges, backend_id: str) -> bool:
+async def _acknowledge_leave(self: BackendDepartures, backend_id: str) -> bool:
     await asyncio.sleep(0.05)
     return True
 
 
-async def _acknowledge_any_leave(self: ConfigurationChanges, request: Any) -> LeaveResponse:
+async def _acknowledge_any_leave(self: BackendDepartures, request: Any) -> LeaveResponse:
     return LeaveResponse(taken=True)
 
 
@@ -75,13 +77,13 @@
         said = step(self._voter)
         if self._voter.state is not before:
             await self._write(self._voter.state)
-    self._node.activate_view(self.view)
+    self._activate_view(self.view)
     return said
 
 
 def _change_at_once(real: Any) -> Any:
     async def change(self: ConfigurationChanges, *args: Any) -> ChangeAnswer:
-        if self._node.replicated_log.change_pending():
+        if self._log.has_pending_change():
             return ChangeAnswer(int(ChangeOutcome.CONFLICT), "planted")
         return await real(self, *args)
 
@@ -134,15 +136,17 @@
     if defect is Defect.SHORT_CHAIN:
         real = view_planner.next_view
         return [
-            mock.patch("mulleinhatch.control_plane.node.next_view", lambda view, health, tolerated: real(view, health, 0)),
-            mock.patch.object(ConfigurationChanges, "_leads", lambda self: self._node.replica.is_head),
+            mock.patch(
+                "mulleinhatch.control_plane.view_manager.next_view", lambda view, health, tolerated: real(view, health, 0)
+            ),
+            mock.patch.object(WriteGate, "can_accept_writes", lambda self: self._replica.is_head),
         ]
     if defect is Defect.ADD_NEWCOMER:
         return [mock.patch.object(view_planner, "_voters", _add_newcomer)]
     if defect is Defect.ACKNOWLEDGE_UNRECORDED_LEAVE:
         return [
-            mock.patch.object(ConfigurationChanges, "backend_leaves", _acknowledge_leave),
-            mock.patch.object(ConfigurationChanges, "on_leave", _acknowledge_any_leave),
+            mock.patch.object(BackendDepartures, "record", _acknowledge_leave),
+            mock.patch.object(BackendDepartures, "on_leave", _acknowledge_any_leave),
         ]
     if defect is Defect.VIEW_BEFORE_DISK:
         return [
--- a/mulleinhatch/simulation/control_plane/faults.py
+++ b/mulleinhatch/simulation/control_plane/faults.py
@@ -225,9 +225,9 @@
 
     async def _rewrite(self, machine: Machine) -> None:
         await asyncio.sleep(0.05)
-        machine.node.replicated_log.rewrite_due = True
+        machine.node.log_compactor.rewrite_due = True
         try:
-            await machine.node.replicated_log.compact()
+            await machine.node.log_compactor.compact()
         except OSError:
             pass
 
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -17,6 +17,7 @@
 from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 from mulleinhatch.storage.records import Record, RecordKind
 
+NO_ORDER_S = 1e5  # as reported by a process that has sent no order
 REFUSED = OSError(28, "the disk takes no more bytes")
 
 
@@ -66,6 +67,29 @@
             work(records)
 
 
+class _DistributionObserver:
+    """The process around a simulated node (`NodeObserver`): it answers data planes, and places no models."""
+
+    def __init__(self) -> None:
+        self.distribution: Distribution | None = None  # none yet while the node reads its disk
+
+    def on_change(self) -> None:
+        if self.distribution is not None:
+            self.distribution.changed()
+
+    def on_backend_change(self, backend_id: str) -> None:
+        self.on_change()
+
+    def on_store_load(self) -> None:
+        pass
+
+    def count_data_planes(self) -> int:
+        return self.distribution.data_planes()
+
+    def placement_idle_s(self) -> float:
+        return NO_ORDER_S
+
+
 def process_settings(world: Any, name: str, ip: str, control_address: str = "") -> Settings:
     """What a process is told at its start; `control_address` of those that serve control."""
     return Settings(
@@ -127,12 +151,10 @@
         self.starts += 1
         self.started_at = loop.time()
         self.process = Process(f"core-{self.number}.{self.starts}")
-        node = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, lambda: None, self._disk())
+        observer = _DistributionObserver()
+        node = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, observer, self._disk())
         node.open()
-        distribution = Distribution(node, loop.time)
-        node._on_change = distribution.changed
-        node.on_backend_change = lambda backend_id: distribution.changed()
-        node.data_planes = distribution.data_planes
+        distribution = observer.distribution = Distribution(node, loop.time)
         self.control = ControlApi(node, loop.time, dict)
         self.internal_api = internal_api(node)
         self.internal_api.add("poll", cluster.PollRequest, distribution.poll)
