--- a/mulleinhatch/control_plane/api.py
+++ b/mulleinhatch/control_plane/api.py
@@ -11,7 +11,7 @@
 from schema import And, Optional, Or, Schema, SchemaError
 
 from mulleinhatch.configuration.document import read_json
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer
+from mulleinhatch.control_plane.configuration_changes import ConfigurationResult, ResultKind
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.messages import cluster
 from mulleinhatch.networking.http_server import BINARY_TYPE, HttpServerRequest, HttpServerResponse
@@ -20,6 +20,12 @@
 INSTANCES, CONFIGURATION, STATUS = "/instances/", "/configuration", "/status"
 CUT_OFF = "this machine is not in touch with the core; call another one"
 RETRY_AFTER_S = "0.2"
+CONFIGURATION_STATUS = {
+    ResultKind.REDIRECT: 307,
+    ResultKind.RETRY: 503,
+    ResultKind.INVALID: 400,
+    ResultKind.CONFLICT: 412,
+}
 NOT_NEGATIVE = And(int, lambda value: value >= 0)
 MODEL_SCHEMA = Schema({"name": str, Optional("version"): NOT_NEGATIVE, Optional("adapters"): [str], Optional(str): object})
 BACKEND_SCHEMA = Schema(
@@ -77,6 +83,16 @@
     return _error(503, CUT_OFF, {"Retry-After": RETRY_AFTER_S})
 
 
+def _configuration_error(result: ConfigurationResult) -> HttpServerResponse:
+    """Map a configuration request that was not served to its HTTP response."""
+    headers: dict[str, str] | None = None
+    if result.kind is ResultKind.REDIRECT:
+        headers = {"Location": f"http://{result.control_address}{CONFIGURATION}"}
+    elif result.kind is ResultKind.RETRY:
+        headers = {"Retry-After": RETRY_AFTER_S}
+    return _error(CONFIGURATION_STATUS[result.kind], result.message, headers)
+
+
 class ControlApi:
     """What backends and the operator call."""
 
@@ -94,22 +110,16 @@
 
     async def _configuration(self, request: HttpServerRequest) -> HttpServerResponse:
         if request.method == "GET":
-            answer, text = await self._node.read_configuration()
-            return HttpServerResponse(200, text) if answer.status == 200 else self._told(answer)
+            result = await self._node.read_configuration()
+            return HttpServerResponse(200, result.text) if result.kind is ResultKind.OK else _configuration_error(result)
         if request.method not in ("PUT", "PATCH"):
             return _error(405, "use GET, PUT or PATCH")
         base = request.headers.get("if-match", "").strip().strip('"')
         number = int(base) if base.isdigit() else None
-        return self._told(await self._node.change_configuration(request.method, number, request.body))
-
-    def _told(self, answer: ChangeAnswer) -> HttpServerResponse:
-        if answer.status == 200:
+        result = await self._node.change_configuration(request.method, number, request.body)
+        if result.kind is ResultKind.OK:
             return HttpServerResponse.of_json(200, {"version": self._node.state.document.version})
-        if answer.status == 307:
-            return _error(307, answer.message, {"Location": answer.location})
-        if answer.status == 503:
-            return _error(503, answer.message, {"Retry-After": RETRY_AFTER_S})
-        return _error(answer.status, answer.message)
+        return _configuration_error(result)
 
     async def _instance(self, request: HttpServerRequest, backend_id: str) -> HttpServerResponse:
         if not backend_id or "/" in backend_id:
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -10,6 +10,7 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 
 from result import Err
 
@@ -26,16 +27,34 @@
 MIN_WAIT_S = 0.05
 
 
+class ResultKind(Enum):
+    """The result of a change or read of the configuration, as far as this node knows it."""
+
+    OK = "ok"  # a change: every replica of the chain has persisted it; a read: the configuration is the newest
+    REDIRECT = "redirect"  # another node serves the request
+    RETRY = "retry"  # not served, or not decided yet; the same request may be sent again
+    INVALID = "invalid"  # the change is not valid, or names no version that it builds on
+    CONFLICT = "conflict"  # the change builds on another version than the current one
+
+
 @dataclass(frozen=True)
-class ChangeAnswer:
-    """What an operator is told: a status, a message, and where to go instead."""
+class ConfigurationResult:
+    """The result of a change or read of the configuration.
 
-    status: int
+    Attributes:
+        message: For the operator: what went wrong and what to do.
+        control_address: The control address of the node that serves the request, with `ResultKind.REDIRECT`.
+        text: The configuration as JSON, after a read.
+    """
+
+    kind: ResultKind
     message: str = ""
-    location: str = ""
+    control_address: str = ""
+    text: bytes = b""
 
 
-REGROUPING = ChangeAnswer(503, "the core is regrouping; send it again in a moment")
+REGROUPING = ConfigurationResult(ResultKind.RETRY, "the core is regrouping; send it again in a moment")
+REJECTION_KINDS = {ChangeOutcome.INVALID: ResultKind.INVALID, ChangeOutcome.CONFLICT: ResultKind.CONFLICT}
 
 
 class ConfigurationChanges:
@@ -53,7 +72,7 @@
         self._clock, self._peers, self._log = clock, peers, log
         self._view_changer, self._contact, self._gate = view_changer, contact, gate
 
-    async def change(self, method: str, base: int | None, body: bytes) -> ChangeAnswer:
+    async def change(self, method: str, base: int | None, body: bytes) -> ConfigurationResult:
         """Apply a change.
 
         Args:
@@ -62,7 +81,7 @@
             body: The change as JSON.
 
         Returns:
-            Status 200 once every replica of the chain has persisted the change.
+            `ResultKind.OK` once every replica of the chain has persisted the change.
         """
         if not self._gate.can_accept_writes() or not await self._contact.confirm_leadership():
             chain = self._log.replica.view.chain
@@ -72,15 +91,15 @@
             async with asyncio.timeout(CHANGE_TIMEOUT_S):
                 await self._gate.change_lock.acquire()
         except TimeoutError:
-            return ChangeAnswer(503, "another change is under way; send it again")
+            return ConfigurationResult(ResultKind.RETRY, "another change is under way; send it again")
         try:
             return await self._change(method, base, body, started_at)
         except OSError:
-            return ChangeAnswer(503, "the disk refused the change; send it again")
+            return ConfigurationResult(ResultKind.RETRY, "the disk refused the change; send it again")
         finally:
             self._gate.change_lock.release()
 
-    async def _change(self, method: str, base: int | None, body: bytes, started_at: float) -> ChangeAnswer:
+    async def _change(self, method: str, base: int | None, body: bytes, started_at: float) -> ConfigurationResult:
         log, epoch = self._log, self._log.replica.view.epoch
 
         def remaining_s() -> float:
@@ -88,7 +107,7 @@
 
         no_change_pending = await log.progress.wait_for(lambda: not log.has_pending_change(), remaining_s())
         if not no_change_pending or not self._gate.can_accept_writes():
-            return ChangeAnswer(503, "an earlier change is not settled yet; send it again")
+            return ConfigurationResult(ResultKind.RETRY, "an earlier change is not settled yet; send it again")
         checked = log.state.check(method, base, body)
         if isinstance(checked, Err):
             return await self._reject(checked.err_value)
@@ -99,37 +118,37 @@
                 return REGROUPING
         if await log.progress.wait_for(lambda: change.digest in log.state.digests, remaining_s() + 0.5 * CHANGE_TIMEOUT_S):
             LOG.info("configuration in force", extra={"version": log.state.document.version})
-            return ChangeAnswer(200)
-        return ChangeAnswer(503, "not settled yet; send it again unchanged")
+            return ConfigurationResult(ResultKind.OK)
+        return ConfigurationResult(ResultKind.RETRY, "not settled yet; send it again unchanged")
 
-    async def _reject(self, refusal: Refusal) -> ChangeAnswer:
+    async def _reject(self, refusal: Refusal) -> ConfigurationResult:
         """Reject a change, once it is confirmed that this node's state is the newest."""
         if refusal.verdict is ChangeOutcome.ALREADY_APPLIED:
-            return ChangeAnswer(200)
+            return ConfigurationResult(ResultKind.OK)
         if refusal.verdict is ChangeOutcome.HISTORY_COMPACTED:
-            return ChangeAnswer(503, refusal.message)
+            return ConfigurationResult(ResultKind.RETRY, refusal.message)
         if not await self._view_changer.confirm_view():
             return REGROUPING
-        return ChangeAnswer(int(refusal.verdict), refusal.message)
+        return ConfigurationResult(REJECTION_KINDS[refusal.verdict], refusal.message)
 
-    async def read(self) -> tuple[ChangeAnswer, bytes]:
+    async def read(self) -> ConfigurationResult:
         """Read the newest configuration from the tail of the chain (a linearizable read)."""
         replica = self._log.replica
         if not replica.is_tail:
             chain = replica.view.chain
-            return self._redirect(chain[-1] if chain else None), b""
+            return self._redirect(chain[-1] if chain else None)
         try:
             is_confirmed = replica.log_complete and await self._view_changer.confirm_view()
         except OSError:
             is_confirmed = False
         if not is_confirmed or not replica.is_tail:
-            return REGROUPING, b""
-        return ChangeAnswer(200), self._log.state.document.text()
+            return REGROUPING
+        return ConfigurationResult(ResultKind.OK, text=self._log.state.document.text())
 
-    def _redirect(self, member: Member | None) -> ChangeAnswer:
+    def _redirect(self, member: Member | None) -> ConfigurationResult:
         """Refer an operator to the member that serves the request, if it is another one and in reach."""
         if member is None or member.identity == self._peers.own.identity:
             return REGROUPING
         if not self._peers.is_alive(member.identity, self._clock()):
             return REGROUPING
-        return ChangeAnswer(307, "another machine answers this", f"http://{member.control_address}/configuration")
+        return ConfigurationResult(ResultKind.REDIRECT, "another machine answers this", control_address=member.control_address)
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -17,7 +17,7 @@
 from mulleinhatch.control_plane.backend_persistence import BackendPersistence
 from mulleinhatch.control_plane.background_tasks import BackgroundTasks
 from mulleinhatch.control_plane.catch_up import CatchUp
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
+from mulleinhatch.control_plane.configuration_changes import ConfigurationChanges, ConfigurationResult
 from mulleinhatch.control_plane.heartbeats import HeartbeatResponder, HeartbeatScheduler, HeartbeatSender
 from mulleinhatch.control_plane.internal_client import InternalClient
 from mulleinhatch.control_plane.leadership_claims import LeadershipClaims
@@ -302,11 +302,11 @@
 
     # Requests of operators, backends and the placement controller.
 
-    async def change_configuration(self, method: str, base: int | None, body: bytes) -> ChangeAnswer:
+    async def change_configuration(self, method: str, base: int | None, body: bytes) -> ConfigurationResult:
         """Apply an operator's change; see `ConfigurationChanges.change`."""
         return await self.configuration_changes.change(method, base, body)
 
-    async def read_configuration(self) -> tuple[ChangeAnswer, bytes]:
+    async def read_configuration(self) -> ConfigurationResult:
         """Read the newest configuration; see `ConfigurationChanges.read`."""
         return await self.configuration_changes.read()
 
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -18,7 +18,7 @@
 from mulleinhatch.consensus.paxos import Voter
 from mulleinhatch.control_plane import shutdown
 from mulleinhatch.control_plane.backend_departures import BackendDepartures
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
+from mulleinhatch.control_plane.configuration_changes import ConfigurationChanges, ConfigurationResult, ResultKind
 from mulleinhatch.control_plane.peers import Peers
 from mulleinhatch.control_plane.view_change import ViewChanger
 from mulleinhatch.control_plane.write_gate import WriteGate
@@ -82,9 +82,9 @@
 
 
 def _change_at_once(real: Any) -> Any:
-    async def change(self: ConfigurationChanges, *args: Any) -> ChangeAnswer:
+    async def change(self: ConfigurationChanges, *args: Any) -> ConfigurationResult:
         if self._log.has_pending_change():
-            return ChangeAnswer(int(ChangeOutcome.CONFLICT), "planted")
+            return ConfigurationResult(ResultKind.CONFLICT, "planted")
         return await real(self, *args)
 
     return change
