--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -1,4 +1,4 @@
-"""What one core machine knows of the others: heard when, how far, and what they still have to be told. Pure."""
+"""What one core machine knows of its peers: liveness, replication progress, and records that they still lack. Pure."""
 
 from __future__ import annotations
 
@@ -9,42 +9,44 @@
 from mulleinhatch.consensus.view_planner import Health
 from mulleinhatch.messages.cluster import Heartbeat, HeartbeatResponse, Member, View
 
-ALIVE_S = 1.0  # a peer that did not answer for so long is out of reach
-AUTHORITY_S = 1.0  # how long the word of a majority that our view is the newest may be relied on, from when it was asked
-MISSED_S = 1.6  # a machine that has not answered for so long is told of to others
-FORGET_S = 60.0
+ALIVE_S = 1.0  # a peer that has not answered for this long counts as out of reach
+AUTHORITY_S = 1.0  # how long a peer's confirmation of the view is valid, from when the request was sent
+MISSED_S = 1.6  # a member that has not answered for this long is reported to the peers as unresponsive
+FORGET_S = 60.0  # a silent peer that is in no list of the view is removed after this long
 NEVER = -1e9
 
 
 @dataclass
 class Peer:
-    """Another core machine. Times on the steady clock."""
+    """Another core machine, as its heartbeats and responses describe it. Times are on this node's steady clock, in seconds."""
 
     member: Member
-    answered_at: float = NEVER  # when it last answered us
-    known_since: float = 0.0
-    epoch: int = 0  # the newest that it said it is in
-    confirmed_epoch: int = 0  # it said that the view of this epoch is the newest it knows of,
-    confirmed_at: float = NEVER  # in answer to what was sent then
-    disturbed_epoch: int = 0  # it said that it accepted a view after the one of this epoch, or that it is writing its vote
+    answered_at: float = NEVER  # when it last responded to a heartbeat of this node
+    known_since: float = 0.0  # when it was first named, or the end of this node's last pause
+    epoch: int = 0  # the newest epoch that it reported
+    confirmed_epoch: int = 0  # the epoch whose view it confirmed as the newest that it knows,
+    confirmed_at: float = NEVER  # in response to a heartbeat that was sent at this time
+    disturbed_epoch: int = 0  # the epoch after whose view it has accepted another one, or is writing a vote
     committed: int = 0
     caught_up_epoch: int = 0
     last_index: int = 0
     leaving: bool = False
-    log_complete_epoch: int = 0  # the epoch in which it said that it is settled
+    log_complete_epoch: int = 0  # the epoch in which it reported a complete log
     data_planes: int = 0
     orders_idle_s: float = 0.0
-    misses: frozenset[str] = frozenset()  # identities of machines that have not answered it for long
-    owed_backends: set[str] = field(default_factory=set)  # hinted handoff: what it has not acknowledged yet
+    misses: frozenset[str] = frozenset()  # identities of members that do not answer it
+    owed_backends: set[str] = field(default_factory=set)  # backends whose records it has not acknowledged (hinted handoff)
 
 
 class Peers:
+    """All other core machines that this node knows, by identity."""
+
     def __init__(self, own: Member) -> None:
         self.own = own
         self.by_identity: dict[str, Peer] = {}
 
     def add(self, member: Member, now: float) -> Peer | None:
-        """A member that was named or spoke; None for ourselves. An address belongs to its newest identity."""
+        """Return the peer of a member, added if it is new; None for this node itself."""
         if not member.identity or member.identity == self.own.identity:
             return None
         peer = self.by_identity.get(member.identity)
@@ -53,12 +55,12 @@
         return peer
 
     def by_address(self, internal_address: str) -> Peer | None:
-        """The peer that speaks from an address: of several that did, the one that answered last."""
-        there = [peer for peer in self.by_identity.values() if peer.member.internal_address == internal_address]
-        return max(there, key=lambda peer: peer.answered_at, default=None)
+        """Return the peer at an address: of several identities at one address the one that answered last."""
+        candidates = [peer for peer in self.by_identity.values() if peer.member.internal_address == internal_address]
+        return max(candidates, key=lambda peer: peer.answered_at, default=None)
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> Peer | None:
-        """A peer's heartbeat: what it says of itself."""
+        """Record the status that a peer reports in its heartbeat; return the peer, None for this node itself."""
         peer = self.add(heartbeat.sender, now)
         if peer is None:
             return None
@@ -69,34 +71,42 @@
         peer.log_complete_epoch = heartbeat.epoch if heartbeat.log_complete else 0
         peer.data_planes = heartbeat.data_planes
         peer.orders_idle_s = heartbeat.orders_idle_ms / 1000.0
-        self._replace_at(peer)
+        self._expire_former_identities(peer)
         return peer
 
-    def record_response(self, answer: HeartbeatResponse, now: float, asked_at: float | None = None) -> Peer | None:
-        """A peer answered our heartbeat, which was sent at `asked_at`: there is a way in both directions."""
-        peer = self.add(answer.sender, now)
+    def record_response(self, response: HeartbeatResponse, now: float, sent_at: float | None = None) -> Peer | None:
+        """Record a peer's response to a heartbeat, which shows that messages pass in both directions.
+
+        Args:
+            sent_at: When the heartbeat was sent, `now` where it is left out. A confirmation is valid from then on: the peer
+                may have accepted another view between sending its response and `now`.
+
+        Returns:
+            The peer, None where this node answered itself.
+        """
+        peer = self.add(response.sender, now)
         if peer is None:
             return None
-        peer.answered_at, peer.member = now, answer.sender
-        peer.epoch = max(peer.epoch, answer.epoch)
-        asked_at = now if asked_at is None else asked_at
-        peer.disturbed_epoch = 0 if answer.current else answer.epoch
-        if answer.current and asked_at >= peer.confirmed_at:
-            peer.confirmed_epoch, peer.confirmed_at = answer.epoch, asked_at
-        self._replace_at(peer)
+        peer.answered_at, peer.member = now, response.sender
+        peer.epoch = max(peer.epoch, response.epoch)
+        sent_at = now if sent_at is None else sent_at
+        peer.disturbed_epoch = 0 if response.current else response.epoch
+        if response.current and sent_at >= peer.confirmed_at:
+            peer.confirmed_epoch, peer.confirmed_at = response.epoch, sent_at
+        self._expire_former_identities(peer)
         return peer
 
-    def _replace_at(self, peer: Peer) -> None:
-        """Who speaks from an address is the only one there: an emptied disk has a new identity."""
+    def _expire_former_identities(self, peer: Peer) -> None:
+        """Count former identities at a peer's address as out of reach: a machine with an emptied disk has a new identity."""
         for other in self.by_identity.values():
             if other is not peer and other.member.internal_address == peer.member.internal_address:
                 other.answered_at = other.confirmed_at = NEVER
 
     def remove_stale(self, view: View, now: float) -> None:
-        """Drops machines that are in no list and silent."""
-        kept = set(identities(view.voters)) | set(identities(view.chain))
+        """Remove silent machines that are neither voters nor in the chain."""
+        members = set(identities(view.voters)) | set(identities(view.chain))
         for identity, peer in list(self.by_identity.items()):
-            if identity not in kept and now - max(peer.answered_at, peer.known_since) > FORGET_S:
+            if identity not in members and now - max(peer.answered_at, peer.known_since) > FORGET_S:
                 del self.by_identity[identity]
 
     def extend_grace_period(self, now: float) -> None:
@@ -105,20 +115,22 @@
             peer.known_since = max(peer.known_since, now)
 
     def is_alive(self, identity: str, now: float) -> bool:
+        """Return whether a machine answered within the last `ALIVE_S` seconds; always true of this node."""
         if identity == self.own.identity:
             return True
         peer = self.by_identity.get(identity)
         return peer is not None and now - peer.answered_at < ALIVE_S
 
     def reaches_majority(self, view: View, now: float) -> bool:
-        """Whether more than half of the voters answer us, ourselves among them."""
+        """Return whether more than half of the voters are alive, this node included."""
         count = sum(self.is_alive(identity, now) for identity in identities(view.voters))
         return 2 * count > len(view.voters)
 
     def has_confirmed_majority(self, view: View, now: float) -> bool:
-        """Whether more than half of the voters said lately that this view is the newest they know of, ourselves among them.
+        """Return whether more than half of the voters, this node included, confirmed recently that a view is their newest.
 
-        Once a later view is decided, more than half have accepted it and say so no more."""
+        Once a later view is decided, more than half of the voters have accepted it and do not confirm this one any more.
+        """
 
         def confirms(identity: str) -> bool:
             if identity == self.own.identity:
@@ -129,7 +141,7 @@
         return 2 * sum(confirms(identity) for identity in identities(view.voters)) > len(view.voters)
 
     def has_undecided_successor(self, view: View, now: float) -> bool:
-        """Whether a voter in reach has accepted a later view that nobody has told of."""
+        """Return whether a voter in reach has accepted a later view that nobody reports as decided."""
         return any(
             self.by_identity[identity].disturbed_epoch == view.epoch
             for identity in identities(view.voters)
@@ -137,12 +149,12 @@
         )
 
     def is_known_to_majority(self, view: View) -> bool:
-        """Whether more than half of its voters have the view on disk, ourselves among them."""
+        """Return whether more than half of a view's voters have persisted it, this node included."""
         known = {identity for identity, peer in self.by_identity.items() if peer.epoch >= view.epoch} | {self.own.identity}
         return 2 * sum(identity in known for identity in identities(view.voters)) > len(view.voters)
 
     def unresponsive_members(self, view: View, now: float) -> list[str]:
-        """Members of the view that have not answered us for long."""
+        """Return the identities of members of a view that have not answered this node for `MISSED_S` seconds."""
         known = (self.by_identity.get(identity) for identity in {*identities(view.voters), *identities(view.chain)})
         return sorted(
             peer.member.identity
@@ -151,7 +163,7 @@
         )
 
     def health(self, view: View, now: float, own: Health) -> dict[str, Health]:
-        """Every known machine by identity, ourselves too."""
+        """Return the health of every known machine, this node included, by identity."""
         states = {self.own.identity: own}
         for identity, peer in self.by_identity.items():
             alive = self.is_alive(identity, now) and not peer.leaving
@@ -169,9 +181,9 @@
         return states
 
     def addresses(self, view: View, seeds: Iterable[str]) -> list[str]:
-        """Internal addresses to send heartbeats to."""
-        found = {member.internal_address for member in list(view.voters) + list(view.chain)}
-        found.update(peer.member.internal_address for peer in self.by_identity.values())
-        found.update(seeds)
-        found.discard(self.own.internal_address)
-        return sorted(found)
+        """Return the internal addresses to send heartbeats to."""
+        addresses = {member.internal_address for member in list(view.voters) + list(view.chain)}
+        addresses.update(peer.member.internal_address for peer in self.by_identity.values())
+        addresses.update(seeds)
+        addresses.discard(self.own.internal_address)
+        return sorted(addresses)
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -1,4 +1,4 @@
-"""The control plane's durable state: one journal, written by one thread so that the event loop never waits for the disk."""
+"""The durable state of a core machine: one append log, written by one thread so that the event loop never waits on the disk."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from mulleinhatch.storage.records import Record, RecordKind
 
 LOG = logging.getLogger(__name__)
-REWRITE_THRESHOLD_BYTES = 4 << 20  # bytes from which the file is written anew, and at least twice what it would then hold
-LOG_COMPLETE = b"\x01"
-STALLED_S = 0.8  # a write that takes longer than this means that the disk is in trouble
+REWRITE_THRESHOLD_BYTES = 4 << 20  # the size from which the file is rewritten; at least twice its size after that
+LOG_COMPLETE, LOG_INCOMPLETE = b"\x01", b"\x00"
+STALLED_S = 0.8  # a write that takes longer means that the disk does not keep up
 
 
 @dataclass
 class Restored:
-    """What the disk held at start."""
+    """The state that the disk had when the process started."""
 
     identity: str = ""
     voter: VoterState = field(default_factory=VoterState)
@@ -33,7 +33,7 @@
 
 
 def replay(records: list[Record]) -> Restored:
-    """The state that a file of records makes."""
+    """Return the state that the records of a file make, in their order."""
     state = Restored()
     for record in records:
         if record.kind == RecordKind.IDENTITY:
@@ -57,73 +57,101 @@
 
 
 def entry_records(entries: tuple[Entry, ...] | list[Entry]) -> list[Record]:
+    """Return the records of log entries."""
     return [Record(RecordKind.ENTRY, bytes(entry)) for entry in entries]
 
 
 def log_complete_record(log_complete: bool) -> Record:
-    return Record(RecordKind.LOG_COMPLETE, LOG_COMPLETE if log_complete else b"\x00")
+    """Return the record that says whether the log has, for certain, all entries committed before the view in force."""
+    return Record(RecordKind.LOG_COMPLETE, LOG_COMPLETE if log_complete else LOG_INCOMPLETE)
 
 
 def backends_record(backends: list[Backend]) -> Record:
+    """Return the record of the list of backends."""
     return Record(RecordKind.BACKENDS, bytes(Heartbeat(backends=backends)))
 
 
 def commit_record(index: int) -> Record:
+    """Return the record of the commit index."""
     return Record(RecordKind.COMMIT, index.to_bytes(8, "little"))
 
 
 class StateStore:
-    """Appends in the order of the calls. `stalled()` tells that the disk does not keep up or refuses writes."""
+    """Writes records durably, in the order of the calls.
 
-    def __init__(self, folder: str, clock: Callable[[], float], journal: AppendLog | None = None) -> None:
-        self._journal = journal or AppendLog(folder)
+    Args:
+        folder: The directory of the append log.
+        clock: The steady clock, in seconds.
+        append_log: Replaces the append log in `folder`.
+    """
+
+    def __init__(self, folder: str, clock: Callable[[], float], append_log: AppendLog | None = None) -> None:
+        self._append_log = append_log or AppendLog(folder)
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._clock = clock
-        self._begun: dict[int, float] = {}
-        self._calls = 0
+        self._started_at: dict[int, float] = {}  # of each write in progress, by its number
+        self._writes = 0
         self._failed = False
 
     def open(self, first_identity: str) -> Restored:
-        """What the disk holds; an empty one gets `first_identity`, or a random one where that is empty."""
-        restored = replay(self._journal.open())
+        """Read the disk; blocks.
+
+        Args:
+            first_identity: The identity that an empty disk gets; a random one where it is the empty string.
+
+        Raises:
+            OSError: The disk can't be read or written.
+        """
+        restored = replay(self._append_log.open())
         if not restored.identity:
             restored.identity = first_identity or uuid.uuid4().hex
-            self._journal.append([Record(RecordKind.IDENTITY, restored.identity.encode())])
+            self._append_log.append([Record(RecordKind.IDENTITY, restored.identity.encode())])
         return restored
 
     async def append(self, records: list[Record]) -> None:
-        """Returns once the records last; OSError where the disk refuses."""
-        await self._run(self._journal.append, records)
+        """Append records; return once they are durable.
+
+        Raises:
+            OSError: The disk refused the write.
+        """
+        await self._write(self._append_log.append, records)
 
     async def rewrite(self, records: list[Record]) -> None:
-        await self._run(self._journal.rewrite, records)
+        """Replace the file by one of these records; return once it is durable.
+
+        Raises:
+            OSError: The disk refused the write.
+        """
+        await self._write(self._append_log.rewrite, records)
 
-    async def _run(self, work: Callable[[list[Record]], None], records: list[Record]) -> None:
-        self._calls += 1
-        call = self._calls
-        self._begun[call] = self._clock()
+    async def _write(self, operation: Callable[[list[Record]], None], records: list[Record]) -> None:
+        self._writes += 1
+        number = self._writes
+        self._started_at[number] = self._clock()
         try:
-            await self._carry_out(work, records)
+            await self._run_in_thread(operation, records)
             self._failed = False
         except OSError as error:
             self._failed = True
             LOG.error("the disk refused a write; free space or replace the disk", extra={"error": str(error)})
             raise
         finally:
-            del self._begun[call]
+            del self._started_at[number]
 
-    async def _carry_out(self, work: Callable[[list[Record]], None], records: list[Record]) -> None:
-        await asyncio.get_running_loop().run_in_executor(self._thread, work, records)
+    async def _run_in_thread(self, operation: Callable[[list[Record]], None], records: list[Record]) -> None:
+        await asyncio.get_running_loop().run_in_executor(self._thread, operation, records)
 
     def stalled(self) -> bool:
+        """Return whether the disk refused the last write, or a write in progress takes longer than `STALLED_S`."""
         now = self._clock()
-        return self._failed or any(now - begun > STALLED_S for begun in self._begun.values())
+        return self._failed or any(now - started_at > STALLED_S for started_at in self._started_at.values())
 
     @property
     def failed(self) -> bool:
-        """Whether the last write was refused."""
+        """Whether the disk refused the last write."""
         return self._failed
 
     @property
     def size(self) -> int:
-        return self._journal.size
+        """The size of the file in bytes."""
+        return self._append_log.size
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -54,17 +54,17 @@
         self._machine = machine
         self._lock = asyncio.Lock()
 
-    async def _carry_out(self, work: Callable[[list[Record]], None], records: list[Record]) -> None:
+    async def _run_in_thread(self, operation: Callable[[list[Record]], None], records: list[Record]) -> None:
         machine = self._machine
         async with self._lock:
-            machine.pending_write = (work, records)
+            machine.pending_write = (operation, records)
             await asyncio.sleep(machine.rng.uniform(*machine.sync_duration_s) * machine.slowdown)
             while machine.stalled:
                 await asyncio.sleep(0.05)
             machine.pending_write = None
             if machine.full:
                 raise REFUSED
-            work(records)
+            operation(records)
 
 
 class _DistributionObserver:
@@ -175,8 +175,8 @@
             return
         self.process.dead = True
         if self.pending_write is not None and not self.full and self.rng.random() < 0.5:
-            work, records = self.pending_write
-            work(records[: self.rng.randint(0, len(records))] if work.__name__ == "append" else records)
+            operation, records = self.pending_write
+            operation(records[: self.rng.randint(0, len(records))] if operation.__name__ == "append" else records)
         self.pending_write = None
         self.node = self.process = self.control = self.internal_api = None
         if wipe:
