--- a/mulleinhatch/simulation/control_plane/__init__.py
+++ b/mulleinhatch/simulation/control_plane/__init__.py
@@ -13,15 +13,13 @@
 from typing import Any
 
 from mulleinhatch.simulation.control_plane.defects import Defect, planted
+from mulleinhatch.simulation.control_plane.history_plan import HistoryPlan
 from mulleinhatch.simulation.control_plane.invariant_checks import History
 from mulleinhatch.simulation.control_plane.world import World
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 __all__ = ["Defect", "History", "World", "play", "play_script"]
-SYNC_DURATION_S = (0.001, 0.008)
-FAULT_PERIOD_S = 25.0
-CHANGE_INTERVAL_S = (0.05, 0.8)  # between two changes of one operator
-OVERLAPPING_FRACTION = 0.15  # of the troubles: those beyond the tolerance
+Script = Callable[[World], Coroutine[Any, Any, None]]
 
 
 class _Errors(logging.Handler):
@@ -41,33 +39,18 @@
     machines: int = 3,
     tolerated: int = 1,
     defect: Defect = Defect.NONE,
-    sync_duration_s: tuple[float, float] = SYNC_DURATION_S,
+    sync_duration_s: tuple[float, float] = HistoryPlan.sync_duration_s,
     with_faults: bool = True,
-    fault_period_s: float = FAULT_PERIOD_S,
-    change_interval_s: tuple[float, float] = CHANGE_INTERVAL_S,
-    overlapping_fraction: float = OVERLAPPING_FRACTION,
 ) -> History:
-    """One history of `fault_period_s` virtual seconds and some more."""
+    """Play one history of random users and faults; see `HistoryPlan` for the parameters."""
 
     async def begin(world: World) -> None:
         await world.play(with_faults)
 
-    return _played(
-        begin, seed, machines, tolerated, defect, sync_duration_s, fault_period_s, change_interval_s, overlapping_fraction
-    )
+    return _run(begin, seed, HistoryPlan(machines, tolerated, defect, sync_duration_s))
 
 
-def _played(
-    begin: Callable[[World], Coroutine[Any, Any, None]],
-    seed: int,
-    machines: int,
-    tolerated: int,
-    defect: Defect,
-    sync_duration_s: tuple[float, float],
-    fault_period_s: float,
-    change_interval_s: tuple[float, float],
-    overlapping_fraction: float,
-) -> History:
+def _run(begin: Script, seed: int, plan: HistoryPlan) -> History:
     loop, history = VirtualLoop(), History(seed)
     asyncio.set_event_loop(loop)
     loop.set_exception_handler(lambda _, context: _note_exception(history, context))
@@ -78,18 +61,8 @@
     log.propagate = False
     random.seed(seed)
     try:
-        with planted(defect):
-            world = World(
-                history,
-                loop,
-                machines,
-                tolerated,
-                defect,
-                sync_duration_s,
-                fault_period_s,
-                change_interval_s,
-                overlapping_fraction,
-            )
+        with planted(plan.defect):
+            world = World(history, loop, plan)
             loop.run_until_complete(begin(world))
     finally:
         log.removeHandler(handler)
@@ -99,20 +72,14 @@
     return history
 
 
-def play_script(
-    script: Callable[[World], Coroutine[Any, Any, None]],
-    seed: int = 1,
-    machines: int = 3,
-    tolerated: int = 1,
-    defect: Defect = Defect.NONE,
-) -> History:
-    """One history in which a script does what is to happen, on a core that has just started."""
+def play_script(script: Script, seed: int = 1, machines: int = 3, tolerated: int = 1, defect: Defect = Defect.NONE) -> History:
+    """Play one history whose events a script brings about, on a core that has just started."""
 
     async def begin(world: World) -> None:
         await world.start()
         await script(world)
 
-    return _played(begin, seed, machines, tolerated, defect, SYNC_DURATION_S, FAULT_PERIOD_S, CHANGE_INTERVAL_S, 0.0)
+    return _run(begin, seed, HistoryPlan(machines, tolerated, defect))
 
 
 def _note_exception(history: History, context: dict) -> None:
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -74,8 +74,8 @@
 
     async def run(self) -> None:
         world = self._world
-        while world.loop.time() < world.fault_period_s:
-            await asyncio.sleep(world.rng.uniform(*world.change_interval_s))
+        while world.loop.time() < world.plan.fault_period_s:
+            await asyncio.sleep(world.rng.uniform(*world.plan.change_interval_s))
             sent = self.change(world.checker.assumed_version)
             world.checker.record_submission(sent)
             await self.send_until_answered(sent)
@@ -125,7 +125,7 @@
         self._caller = ControlApiClient(world)
 
     async def run(self) -> None:
-        while self._world.loop.time() < self._world.fault_period_s:
+        while self._world.loop.time() < self._world.plan.fault_period_s:
             await asyncio.sleep(self._world.rng.uniform(0.05, 0.5))
             await self.read()
 
@@ -150,7 +150,7 @@
         self._sequence = 0
 
     async def run(self) -> None:
-        while self._world.loop.time() < self._world.fault_period_s:
+        while self._world.loop.time() < self._world.plan.fault_period_s:
             self._starts += 1
             self._sequence = 0
             await self._run_incarnation(f"stub-{self._number}.{self._starts}")
--- a/mulleinhatch/simulation/control_plane/faults.py
+++ b/mulleinhatch/simulation/control_plane/faults.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable, Coroutine
+from enum import Enum
 from typing import Any
 
 from mulleinhatch.control_plane import shutdown
@@ -10,11 +12,35 @@
 
 CATCH_UP_S = 4.0  # a machine that is back counts as lost so long
 GRACE_S = 8.0
-SINGLE = (
-    "kill", "power", "wipe", "cut", "one way", "one pair", "freeze", "slow disk", "stalled disk", "full disk",
-    "refused folder sync", "term", "replace", "planned replace", "wipe and power of all others",
-)  # fmt: skip
-OVERLAPPING = ("kill all", "power all", "halves", "power of some", "data planes")
+
+
+class Fault(Enum):
+    """A fault that can be injected. The values appear in a history's events."""
+
+    KILL = "kill"
+    POWER = "power"
+    WIPE = "wipe"
+    ISOLATE = "cut"
+    ISOLATE_ONE_WAY = "one way"
+    ISOLATE_PAIR = "one pair"
+    FREEZE = "freeze"
+    SLOW_DISK = "slow disk"
+    STALLED_DISK = "stalled disk"
+    FULL_DISK = "full disk"
+    REFUSED_FOLDER_SYNC = "refused folder sync"
+    TERMINATE = "term"
+    REPLACE = "replace"
+    PLANNED_REPLACE = "planned replace"
+    WIPE_AND_POWER_OF_ALL_OTHERS = "wipe and power of all others"
+    KILL_ALL = "kill all"
+    POWER_ALL = "power all"
+    PARTITION = "halves"
+    POWER_OF_SOME = "power of some"
+    DATA_PLANES = "data planes"
+
+
+OVERLAPPING = (Fault.KILL_ALL, Fault.POWER_ALL, Fault.PARTITION, Fault.POWER_OF_SOME, Fault.DATA_PLANES)
+SINGLE = tuple(fault for fault in Fault if fault not in OVERLAPPING)  # within the tolerance, each at one machine
 
 
 class FaultInjector:
@@ -23,12 +49,34 @@
     def __init__(self, world: Any) -> None:
         self._world = world
         self.armed: Machine | None = None  # loses its disk at the next acknowledgement, and all others lose power
+        self._handlers: dict[Fault, Callable[[Any, float], Coroutine[Any, Any, None]]] = {
+            Fault.KILL: self._kill,
+            Fault.POWER: self._power,
+            Fault.WIPE: self._wipe,
+            Fault.ISOLATE: self._isolate,
+            Fault.ISOLATE_ONE_WAY: self._isolate_one_way,
+            Fault.ISOLATE_PAIR: self._isolate_pair,
+            Fault.FREEZE: self._freeze,
+            Fault.SLOW_DISK: self._slow_disk,
+            Fault.STALLED_DISK: self._stalled_disk,
+            Fault.FULL_DISK: self._full_disk,
+            Fault.REFUSED_FOLDER_SYNC: self._refused_folder_sync,
+            Fault.TERMINATE: self._terminate,
+            Fault.REPLACE: self._replace,
+            Fault.PLANNED_REPLACE: self._planned_replace,
+            Fault.WIPE_AND_POWER_OF_ALL_OTHERS: self._wipe_and_power_of_all_others,
+            Fault.KILL_ALL: self._kill_all,
+            Fault.POWER_ALL: self._power_all,
+            Fault.PARTITION: self._partition,
+            Fault.POWER_OF_SOME: self._power_of_some,
+            Fault.DATA_PLANES: self._restart_data_plane,
+        }
 
     async def run(self) -> None:
         world = self._world
-        while world.loop.time() < world.fault_period_s:
+        while world.loop.time() < world.plan.fault_period_s:
             await asyncio.sleep(self._pause())
-            if world.rng.random() < world.overlapping_fraction:
+            if world.rng.random() < world.plan.overlapping_fraction:
                 self._inject(world.rng.choice(OVERLAPPING), None)
             elif (machine := self._next()) is not None:
                 self._inject(world.rng.choice(SINGLE), machine)
@@ -43,18 +91,18 @@
 
     def _next(self) -> Machine | None:
         world = self._world
-        if world.lost() >= world.tolerated or self.armed is not None:
+        if world.lost() >= world.plan.tolerated or self.armed is not None:
             return None
         now = world.loop.time()
         able = [one for one in world.machines if one.node is not None and one.lost_until <= now and not one.retiring]
         return world.rng.choice(able) if able else None
 
-    def _inject(self, kind: str, machine: Machine | None) -> None:
+    def _inject(self, fault: Fault, machine: Machine | None) -> None:
         for_s = self._world.rng.uniform(0.2, 4.0)
-        self._world.note(f"{kind} {'' if machine is None else machine.number} for {for_s:.1f}")
+        self._world.note(f"{fault.value} {'' if machine is None else machine.number} for {for_s:.1f}")
         if machine is not None:
             machine.lost_until = 1e9  # until the trouble tells its end
-        self._world.loop.start(getattr(self, "_" + kind.replace(" ", "_"))(machine, for_s))
+        self._world.loop.start(self._handlers[fault](machine, for_s))
 
     def _mark_recovering(self, machine: Machine) -> None:
         machine.lost_until = self._world.loop.time() + CATCH_UP_S
@@ -109,7 +157,7 @@
         self._world.loop.thaw(process)
         self._mark_recovering(machine)
 
-    async def _term(self, machine: Machine, for_s: float) -> None:
+    async def _terminate(self, machine: Machine, for_s: float) -> None:
         await self._leave(machine)
         await asyncio.sleep(min(1.0, for_s))
         self._start(machine)
@@ -167,16 +215,16 @@
     def _other_machines(self, machine: Machine) -> list[Any]:
         return [other for other in self._world.machines if other is not machine]
 
-    async def _cut(self, machine: Machine, for_s: float) -> None:
+    async def _isolate(self, machine: Machine, for_s: float) -> None:
         await self._links(machine, self._other_machines(machine), for_s)
 
-    async def _one_way(self, machine: Machine, for_s: float) -> None:
+    async def _isolate_one_way(self, machine: Machine, for_s: float) -> None:
         await self._links(machine, self._other_machines(machine), for_s, both=False)
 
-    async def _one_pair(self, machine: Machine, for_s: float) -> None:
+    async def _isolate_pair(self, machine: Machine, for_s: float) -> None:
         await self._links(machine, [self._world.rng.choice(self._other_machines(machine))], for_s)
 
-    async def _halves(self, _: None, for_s: float) -> None:
+    async def _partition(self, _: None, for_s: float) -> None:
         world = self._world
         half = world.rng.sample(world.machines, len(world.machines) // 2)
         pairs = [(one, other) for one in half for other in world.machines if other not in half]
@@ -261,7 +309,7 @@
         some = world.rng.sample(world.machines, world.rng.randint(1, len(world.machines)))
         await self._all_down(some, for_s, planes=False)
 
-    async def _data_planes(self, _: None, for_s: float) -> None:
+    async def _restart_data_plane(self, _: None, for_s: float) -> None:
         plane = self._world.rng.choice(self._world.planes)
         plane.stop()
         await asyncio.sleep(for_s)
--- /dev/null
+++ b/mulleinhatch/simulation/control_plane/history_plan.py
@@ -0,0 +1,29 @@
+"""The parameters of one simulated history."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from mulleinhatch.simulation.control_plane.defects import Defect
+
+
+@dataclass(frozen=True)
+class HistoryPlan:
+    """The size of the core, its disks, its users and its faults. Times in virtual seconds; pairs are ranges of random draws.
+
+    Attributes:
+        machines: Core machines at the start.
+        tolerated: Machines that may be lost at once, with their disks.
+        sync_duration_s: Duration of a write to disk.
+        fault_period_s: Time in which users are active and faults are injected; afterwards the core must recover.
+        change_interval_s: Time between two changes of one operator.
+        overlapping_fraction: Fraction of the faults that exceed the tolerance; these lose no disk.
+    """
+
+    machines: int = 3
+    tolerated: int = 1
+    defect: Defect = Defect.NONE
+    sync_duration_s: tuple[float, float] = (0.001, 0.008)
+    fault_period_s: float = 25.0
+    change_interval_s: tuple[float, float] = (0.05, 0.8)
+    overlapping_fraction: float = 0.15
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -75,7 +75,7 @@
     def _check_replica_count(self, sent: SubmittedChange) -> None:
         """An acknowledged change is on more disks than may be lost."""
         replica_count = sum(machine.has_on_disk(sent.digest) for machine in self._world.machines)
-        if replica_count <= self._world.tolerated:
+        if replica_count <= self._world.plan.tolerated:
             self.record_violation(f"version {sent.version} was acknowledged with {replica_count} copies")
 
     def record_read(self, value: dict[str, Any], acknowledged_before: int) -> None:
@@ -150,7 +150,7 @@
         view = max((machine.node.view for machine in running), key=lambda one: one.epoch)
         voting = [machine for machine in running if machine.node.member.identity in identities(view.voters)]
         complete = [machine for machine in running if self._has_newest_change(machine)]
-        for lost in itertools.combinations(running, self._world.tolerated):
+        for lost in itertools.combinations(running, self._world.plan.tolerated):
             if sum(machine not in lost for machine in voting) < majority(view):
                 self.record_violation(f"losing {[one.number for one in lost]} leaves no majority of view {view.epoch}")
                 return
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from mulleinhatch.simulation.control_plane.clients import Backend, DataPlane, Operator, Reader
-from mulleinhatch.simulation.control_plane.defects import Defect
 from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S, FaultInjector
+from mulleinhatch.simulation.control_plane.history_plan import HistoryPlan
 from mulleinhatch.simulation.control_plane.invariant_checks import History, InvariantChecker
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.control_plane.network import Links, Network
@@ -23,26 +23,13 @@
 class World:
     """What the parts of a history share."""
 
-    def __init__(
-        self,
-        history: History,
-        loop: VirtualLoop,
-        machines: int,
-        tolerated: int,
-        defect: Defect,
-        sync_duration_s: tuple[float, float],
-        fault_period_s: float,
-        change_interval_s: tuple[float, float],
-        overlapping_fraction: float,
-    ) -> None:
-        self.history, self.loop, self.tolerated, self.defect = history, loop, tolerated, defect
-        self.sync_duration_s, self.fault_period_s = sync_duration_s, fault_period_s
-        self.change_interval_s, self.overlapping_fraction = change_interval_s, overlapping_fraction
+    def __init__(self, history: History, loop: VirtualLoop, plan: HistoryPlan) -> None:
+        self.history, self.loop, self.plan = history, loop, plan
         self.rng = random.Random(history.seed)
         self.links = Links()
         self.first = True
-        self.machines = [Machine(number, self) for number in range(machines)]
-        self._numbers = machines
+        self.machines = [Machine(number, self) for number in range(plan.machines)]
+        self._numbers = plan.machines
         self._core_event_at = 0.0
         self.planes = [DataPlane(self, number) for number in range(2)]
         self.checker = InvariantChecker(self, history)
