--- a/mulleinhatch/simulation/control_plane/__init__.py
+++ b/mulleinhatch/simulation/control_plane/__init__.py
@@ -1,7 +1,8 @@
-"""Core machines in virtual time: the real `CoreNode`, interfaces and `ControlLink`s on stand-in disks and a stand-in network,
-with losses, replacements, cuts and disks in trouble in any order. What must hold is checked from outside, by what was answered.
+"""Simulate the control plane in virtual time: the real nodes, APIs and data planes' clients on virtual disks and networks.
 
-`play(seed)` gives a `History`; one seed is one history. A planted `Defect` must make some history fail.
+Faults (losses, replacements, partitions, failing disks) are injected in any order, and invariants are checked from outside, by
+what the clients were answered. `play(seed)` returns a `History`; a seed determines it completely. Each planted `Defect` must
+violate an invariant in some history.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class _Errors(logging.Handler):
-    """Errors with a traceback that the code logs: each breaks the history."""
+    """Records each exception that the code logs as a violation."""
 
     def __init__(self, history: History) -> None:
         super().__init__(logging.ERROR)
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -1,4 +1,4 @@
-"""Who uses the core: operators that change and read the configuration, backends that come and leave, data planes that poll."""
+"""Clients of the core: operators change and read the configuration, backends start and leave, data planes poll."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from mulleinhatch.simulation.control_plane.network import Network
 from mulleinhatch.simulation.virtual_time import Process
 
-CALL_S = 1.0  # an operator or backend waits so long for an answer
+CALL_TIMEOUT_S = 1.0  # of operators and backends
 MAX_REDIRECTS = 2
 MAX_ATTEMPTS = 14
 ACK_LOSS_PROBABILITY = 0.2
 HEARTBEAT_S = 1.2
-BACKEND_SERVES_S = (1.0, 9.0)  # from a backend's start to the word that it leaves
+BACKEND_SERVES_S = (1.0, 9.0)  # from a backend's start to the announcement of its departure
 DRAIN_S = 2.0
 CONFIGURATION = "/configuration"
 
 
 @dataclass
 class SubmittedChange:
-    """A change that an operator sent."""
+    """A change that an operator sent, with the statuses of the answers that arrived."""
 
     method: str
     base: int
@@ -39,40 +39,42 @@
 
     @property
     def digest(self) -> str:
+        """The digest by which the replicated state knows the change."""
         return digest_of(self.method, self.body)
 
 
 class ControlApiClient:
-    """Calls to the `control` address of core machines, following where they send on."""
+    """Calls the `control` address of core machines and follows redirects."""
 
     def __init__(self, world: Any) -> None:
         self._world = world
         self._network = Network(world, self, None)
 
     async def call(self, machine: Machine, method: str, path: str, body: bytes, base: int | None = None) -> HttpResponse | None:
-        """The last answer, None where none came."""
+        """Return the last answer, None where none came."""
         address = machine.control_address
         headers = {} if base is None else {"if-match": str(base)}
         for _ in range(MAX_REDIRECTS + 1):
             try:
-                answer = await self._network.request(address, method, path, body, CALL_S, headers=headers)
+                response = await self._network.request(address, method, path, body, CALL_TIMEOUT_S, headers=headers)
             except CallError:
                 return None
-            if answer.status != 307:
-                return answer
-            address = answer.head["Location"].removeprefix("http://").partition("/")[0]
+            if response.status != 307:
+                return response
+            address = response.head["Location"].removeprefix("http://").partition("/")[0]
         return None
 
 
 class Operator:
-    """Sends changes on top of what it believes to be current, each again and again until the answer is clear."""
+    """Sends changes that build on the newest version it knows; repeats each until it is acknowledged or rejected."""
 
     def __init__(self, world: Any, name: str) -> None:
         self._world, self._name = world, name
-        self._caller = ControlApiClient(world)
+        self._client = ControlApiClient(world)
         self._number = 0
 
     async def run(self) -> None:
+        """Send changes until the fault period ends."""
         world = self._world
         while world.loop.time() < world.plan.fault_period_s:
             await asyncio.sleep(world.rng.uniform(*world.plan.change_interval_s))
@@ -84,7 +86,7 @@
                 await self._resend(sent)
 
     def change(self, base: int) -> SubmittedChange:
-        """A change that builds on a version."""
+        """Create a change that builds on a version."""
         self._number += 1
         version, note = base + self._world.rng.randint(1, 2), f"{self._name}-{self._number}"
         if base and self._world.rng.random() < 0.5:
@@ -94,15 +96,15 @@
         return SubmittedChange("PUT", base, json.dumps(value).encode(), version, note)
 
     async def _send(self, sent: SubmittedChange) -> int:
-        """One try at a machine by chance; the status, 0 where there is no answer or it was lost on its way."""
+        """Send a change once, to a random machine; return the status, 0 where there is no answer or it was lost."""
         machine = self._world.rng.choice(self._world.machines)
-        answer = await self._caller.call(machine, sent.method, CONFIGURATION, sent.body, sent.base)
+        answer = await self._client.call(machine, sent.method, CONFIGURATION, sent.body, sent.base)
         if answer is None or self._world.rng.random() < ACK_LOSS_PROBABILITY:
             return 0
         return answer.status
 
     async def send_until_answered(self, sent: SubmittedChange) -> None:
-        """Sends a change until it is acknowledged or refused, or was sent too often."""
+        """Send a change until it is acknowledged or rejected, at most `MAX_ATTEMPTS` times."""
         for _ in range(MAX_ATTEMPTS):
             status = await self._send(sent)
             if status and status < 500:
@@ -111,29 +113,30 @@
             await asyncio.sleep(self._world.rng.uniform(0.02, 0.4))
 
     async def _resend(self, sent: SubmittedChange) -> None:
-        """A change that was acknowledged comes once more: it may be acknowledged again, never refused."""
+        """Send an acknowledged change once more: it may be acknowledged again, never rejected."""
         status = await self._send(sent)
         if status and status < 500:
             self._world.checker.record_answer(sent, status)
 
 
 class Reader:
-    """Reads the configuration now and then, at any machine."""
+    """Reads the configuration at random times, from random machines."""
 
     def __init__(self, world: Any) -> None:
         self._world = world
-        self._caller = ControlApiClient(world)
+        self._client = ControlApiClient(world)
 
     async def run(self) -> None:
+        """Read until the fault period ends."""
         while self._world.loop.time() < self._world.plan.fault_period_s:
             await asyncio.sleep(self._world.rng.uniform(0.05, 0.5))
             await self.read()
 
     async def read(self) -> bool:
-        """Whether a read was answered."""
+        """Read once; return whether the read was answered."""
         checker, machine = self._world.checker, self._world.rng.choice(self._world.machines)
         before = checker.newest_acknowledged
-        answer = await self._caller.call(machine, "GET", CONFIGURATION, b"")
+        answer = await self._client.call(machine, "GET", CONFIGURATION, b"")
         if answer is None or answer.status != 200:
             return False
         checker.record_read(json.loads(answer.body), before)
@@ -141,15 +144,16 @@
 
 
 class Backend:
-    """One backend after another: each serves for a while and leaves, with `draining` first or with DELETE alone."""
+    """A sequence of backends at one address: each serves for a while and leaves, with `draining` first or with DELETE only."""
 
     def __init__(self, world: Any, number: int) -> None:
         self._world, self._number = world, number
-        self._caller = ControlApiClient(world)
+        self._client = ControlApiClient(world)
         self._starts = 0
         self._sequence = 0
 
     async def run(self) -> None:
+        """Run backends until the fault period ends."""
         while self._world.loop.time() < self._world.plan.fault_period_s:
             self._starts += 1
             self._sequence = 0
@@ -169,7 +173,7 @@
 
     async def _heartbeat(self, backend_id: str, state: str) -> bool:
         machine = self._world.rng.choice(self._world.machines)
-        answer = await self._caller.call(machine, "PUT", f"/instances/{backend_id}", self._record(state))
+        answer = await self._client.call(machine, "PUT", f"/instances/{backend_id}", self._record(state))
         return answer is not None and answer.status == 200
 
     def _record(self, state: str) -> bytes:
@@ -183,7 +187,7 @@
         for _ in range(MAX_ATTEMPTS):
             machine = world.rng.choice(world.machines)
             body = self._record("draining") if method == "PUT" else b""
-            answer = await self._caller.call(machine, method, f"/instances/{backend_id}", body)
+            answer = await self._client.call(machine, method, f"/instances/{backend_id}", body)
             if answer is not None and answer.status == 200 and world.rng.random() >= ACK_LOSS_PROBABILITY:
                 world.checker.record_leave(backend_id)
                 return
@@ -191,7 +195,7 @@
 
 
 class DataPlane:
-    """One data plane: the real link to the control plane, and what it would act by."""
+    """A data plane: the real client of the control plane, and the snapshot that it would route by."""
 
     def __init__(self, world: Any, number: int) -> None:
         self._world, self.number = world, number
@@ -201,6 +205,7 @@
         self.started_at = 0.0
 
     def start(self) -> None:
+        """Start a new process of the data plane, without any state."""
         self.stop()
         world = self._world
         self.snapshot, self.started_at = Snapshot(), world.loop.time()
@@ -215,11 +220,12 @@
         self.snapshot = snapshot
 
     def stop(self) -> None:
+        """Kill the process."""
         if self.process is not None:
             self.process.dead = True
         self.process = None
 
     def uses(self, backend_id: str) -> bool:
-        """Whether requests may go to a backend."""
+        """Return whether the data plane may send requests to a backend."""
         backend = self.snapshot.backends.by_id.get(backend_id)
         return backend is not None and not backend.draining
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -1,6 +1,7 @@
-"""Faults that are planted to see whether the checks find them: those that were found, and one for each promise of the core.
+"""Defects that are planted in the real code to show that the invariant checks find them.
 
-Each is a patch of one place of the real code, for as long as a history lasts.
+There is one for each guarantee of the core, and one for each defect that was found earlier. Each patches one or two functions
+for the duration of a history.
 """
 
 from __future__ import annotations
@@ -28,30 +29,30 @@
 
 
 class Defect(Enum):
-    """A planted fault."""
+    """A planted defect."""
 
     NONE = "none"
-    LOSE_SYNCED_WRITE = "a sync that does not last"
+    LOSE_SYNCED_WRITE = "a synced write may be lost"
     KEEP_IDENTITY_AFTER_WIPE = "an emptied disk keeps its identity"
-    REJECT_DURING_PENDING_CHANGE = "412 while an earlier change is not settled"
-    READ_WITHOUT_CONFIRMATION = "reads without asking whether the view stands"
-    SHORT_CHAIN = "a chain of one acknowledges"
-    ADD_NEWCOMER = "a newcomer is added as a further voter"
-    ACKNOWLEDGE_UNRECORDED_LEAVE = "a leave is acknowledged whoever has heard of it"
-    WRITE_TO_UNLINKED_FILE = "after a rewrite whose folder sync failed, records go to a file without a name"
-    VIEW_BEFORE_DISK = "a view counts before the disk has it, and is not told again"
-    CONFIRM_WITHOUT_EPOCH = "authority counts voters that answer, in whatever view"
-    FORGET_DIGESTS = "a change that is sent again is not known"
+    REJECT_DURING_PENDING_CHANGE = "412 while an earlier change is not committed"
+    READ_WITHOUT_CONFIRMATION = "reads without confirming the view"
+    SHORT_CHAIN = "a chain of one replica acknowledges"
+    ADD_NEWCOMER = "a joining machine is added as a further voter"
+    ACKNOWLEDGE_UNRECORDED_LEAVE = "a departure is acknowledged without being recorded"
+    WRITE_TO_UNLINKED_FILE = "after a rewrite whose folder sync failed, records go to an unlinked file"
+    VIEW_BEFORE_DISK = "a view is in force before it is durable, and is not learned again"
+    CONFIRM_WITHOUT_EPOCH = "majority contact counts voters of any view"
+    FORGET_DIGESTS = "a change that is sent again is not recognised"
     ACCEPT_STALE_BASE = "the version that a change builds on is not compared"
-    SHUT_DOWN_AT_ONCE = "a machine that leaves ends whether or not it holds the only copy"
-    LEAD_WITH_INCOMPLETE_LOG = "who joined leads whatever it holds"
+    SHUT_DOWN_AT_ONCE = "a leaving machine ends even if it has the only complete replica"
+    LEAD_WITH_INCOMPLETE_LOG = "a joined replica leads with an incomplete log"
 
 
 def _add_newcomer(view: Any, health: Any, tolerated: int) -> list[Any]:
-    """The planner's rule until the third replacement in a row left no majority."""
+    """Apply a former rule of the planner: after three replacements in a row no majority was left."""
     voters, candidates = list(view.voters), view_planner._candidates(view, health)
     view_planner._take_former_places(voters, candidates)
-    silent = [place for place in view_planner._silent_places(voters, health) if health[voters[place].identity].gone_for_s > 8.0]
+    silent = [index for index in view_planner._silent_places(voters, health) if health[voters[index].identity].gone_for_s > 8.0]
     if candidates and silent:
         voters[silent[0]] = candidates[0]
     elif candidates:
@@ -74,14 +75,14 @@
     async with self.lock:
         before = self._voter.state
         self._voter = Voter(self._voter.identity, before)
-        said = step(self._voter)
+        response = step(self._voter)
         if self._voter.state is not before:
             await self._write(self._voter.state)
     self._activate_view(self.view)
-    return said
+    return response
 
 
-def _change_at_once(real: Any) -> Any:
+def _reject_while_pending(real: Any) -> Any:
     async def change(self: ConfigurationChanges, *args: Any) -> ConfigurationResult:
         if self._log.has_pending_change():
             return ConfigurationResult(ResultKind.CONFLICT, "planted")
@@ -130,7 +131,7 @@
 
 def _patches(defect: Defect) -> list[Any]:
     if defect is Defect.REJECT_DURING_PENDING_CHANGE:
-        return [mock.patch.object(ConfigurationChanges, "_change", _change_at_once(ConfigurationChanges._change))]
+        return [mock.patch.object(ConfigurationChanges, "_change", _reject_while_pending(ConfigurationChanges._change))]
     if defect is Defect.READ_WITHOUT_CONFIRMATION:
         return [mock.patch.object(ViewChanger, "confirm_view", _confirm_always)]
     if defect is Defect.SHORT_CHAIN:
@@ -168,7 +169,7 @@
 
 @contextlib.contextmanager
 def planted(defect: Defect) -> Iterator[None]:
-    """The real code with a defect, until the end of the block."""
+    """Patch the real code with a defect for the duration of the block."""
     with contextlib.ExitStack() as stack:
         for patch in _patches(defect):
             stack.enter_context(patch)
--- a/mulleinhatch/simulation/control_plane/faults.py
+++ b/mulleinhatch/simulation/control_plane/faults.py
@@ -1,4 +1,4 @@
-"""Losses, returns, cuts and disks in trouble, in any order that the tolerance allows, and some that it does not."""
+"""Inject faults into machines, links and disks: in any order within the tolerance, and some beyond it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from mulleinhatch.control_plane import shutdown
 from mulleinhatch.simulation.control_plane.machines import Machine
 
-CATCH_UP_S = 4.0  # a machine that is back counts as lost so long
+CATCH_UP_S = 4.0  # how long a machine that is back still counts as lost
 GRACE_S = 8.0
 
 
@@ -44,11 +44,15 @@
 
 
 class FaultInjector:
-    """Draws troubles and carries them out; keeps who counts as lost."""
+    """Draws random faults, injects them, and marks which machines count as lost.
+
+    Attributes:
+        armed: The machine that loses its disk at the next acknowledgement, when all others lose power.
+    """
 
     def __init__(self, world: Any) -> None:
         self._world = world
-        self.armed: Machine | None = None  # loses its disk at the next acknowledgement, and all others lose power
+        self.armed: Machine | None = None
         self._handlers: dict[Fault, Callable[[Any, float], Coroutine[Any, Any, None]]] = {
             Fault.KILL: self._kill,
             Fault.POWER: self._power,
@@ -73,6 +77,7 @@
         }
 
     async def run(self) -> None:
+        """Inject faults until the fault period ends."""
         world = self._world
         while world.loop.time() < world.plan.fault_period_s:
             await asyncio.sleep(self._pause())
@@ -82,7 +87,7 @@
                 self._inject(world.rng.choice(SINGLE), machine)
 
     def _pause(self) -> float:
-        """Until the next trouble: a while, or the instant at which the tolerance allows it."""
+        """Return the time until the next fault: random, or until just after the tolerance allows one again."""
         world = self._world
         free_at = max((machine.lost_until for machine in world.machines), default=0.0)
         if world.rng.random() < 0.5 and 0 < free_at - world.loop.time() < 12.0:
@@ -94,14 +99,18 @@
         if world.lost() >= world.plan.tolerated or self.armed is not None:
             return None
         now = world.loop.time()
-        able = [one for one in world.machines if one.node is not None and one.lost_until <= now and not one.retiring]
-        return world.rng.choice(able) if able else None
+        candidates = [
+            machine
+            for machine in world.machines
+            if machine.node is not None and machine.lost_until <= now and not machine.retiring
+        ]
+        return world.rng.choice(candidates) if candidates else None
 
     def _inject(self, fault: Fault, machine: Machine | None) -> None:
         for_s = self._world.rng.uniform(0.2, 4.0)
         self._world.note(f"{fault.value} {'' if machine is None else machine.number} for {for_s:.1f}")
         if machine is not None:
-            machine.lost_until = 1e9  # until the trouble tells its end
+            machine.lost_until = 1e9  # until the fault has ended
         self._world.loop.start(self._handlers[fault](machine, for_s))
 
     def _mark_recovering(self, machine: Machine) -> None:
@@ -131,15 +140,15 @@
         await self._down(machine, for_s, wipe=True)
 
     async def _wipe_and_power_of_all_others(self, machine: Machine, for_s: float) -> None:
-        """At the next acknowledgement."""
+        """Wipe one disk and cut the power of all others at the next acknowledgement, if one comes soon."""
         self.armed = machine
         await asyncio.sleep(6.0)
         if self.armed is machine:
             self.armed = None
             machine.lost_until = 0.0
 
-    def acknowledged(self) -> None:
-        """An operator was told that a change is in force: what waits for this strikes now."""
+    def on_acknowledged(self) -> None:
+        """Inject the fault that waits for the acknowledgement of a change."""
         machine, self.armed = self.armed, None
         if machine is not None:
             self._world.note(f"disk of {machine.number} lost, power of all others")
@@ -163,7 +172,7 @@
         self._start(machine)
 
     async def _leave(self, machine: Machine) -> bool:
-        """SIGTERM; whether the machine ended by it, and by nothing else."""
+        """Shut a machine down; return whether it ended by that and by no other fault."""
         self._world.record_core_event()
         process = machine.process
         if process is None:
@@ -172,14 +181,14 @@
         end = self._world.loop.time() + GRACE_S
         while not leaving.done() and self._world.loop.time() < end and machine.process is process:
             await asyncio.sleep(0.05)
-        ended = machine.process is process
-        if ended:
+        has_ended = machine.process is process
+        if has_ended:
             machine.stop()
         self._world.record_core_event()
-        return ended
+        return has_ended
 
     async def _replace(self, machine: Machine, for_s: float) -> None:
-        """Gone for good; an empty one comes later at another address."""
+        """Remove a machine for good; an empty one starts later at another address."""
         self._world.record_core_event()
         machine.stop(wipe=True)
         machine.removed = True
@@ -187,22 +196,24 @@
         self._world.add_machine(machine)
 
     async def _planned_replace(self, machine: Machine, for_s: float) -> None:
-        """The new one first; when it has had its time the old one is asked to leave, and its disk goes with it. Nobody
-        counts as lost then, not even at the moment at which the old one has ended."""
+        """Start a new machine, then shut the old one down and discard its disk.
+
+        No machine counts as lost meanwhile, not even when the old one ends.
+        """
         successor = self._world.add_machine(machine)
         machine.lost_until, machine.retiring = 0.0, True
         await asyncio.sleep(CATCH_UP_S + 0.1 * for_s)
         if machine.process is None or machine.lost_until > self._world.loop.time():
-            self._mark_recovering(successor)  # what is removed was lost before, without a word
+            self._mark_recovering(successor)  # the old machine was lost before it could hand over
         if not await self._leave(machine):
-            machine.retiring = False  # it lost power while it left: it comes back, and stays
+            machine.retiring = False  # it lost power while it shut down: it starts again, and stays
             return
         machine.removed, machine.records = True, []
         self._world.remove(machine)
 
     # Links.
 
-    async def _links(self, machine: Machine, others: list[Any], for_s: float, both: bool = True) -> None:
+    async def _cut_links(self, machine: Machine, others: list[Any], for_s: float, both: bool = True) -> None:
         links = self._world.links
         self._world.record_core_event()
         for other in others:
@@ -216,37 +227,37 @@
         return [other for other in self._world.machines if other is not machine]
 
     async def _isolate(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, self._other_machines(machine), for_s)
+        await self._cut_links(machine, self._other_machines(machine), for_s)
 
     async def _isolate_one_way(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, self._other_machines(machine), for_s, both=False)
+        await self._cut_links(machine, self._other_machines(machine), for_s, both=False)
 
     async def _isolate_pair(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, [self._world.rng.choice(self._other_machines(machine))], for_s)
+        await self._cut_links(machine, [self._world.rng.choice(self._other_machines(machine))], for_s)
 
     async def _partition(self, _: None, for_s: float) -> None:
         world = self._world
         half = world.rng.sample(world.machines, len(world.machines) // 2)
-        pairs = [(one, other) for one in half for other in world.machines if other not in half]
+        pairs = [(machine, other) for machine in half for other in world.machines if other not in half]
         world.record_core_event()
-        for one, other in pairs:
-            world.links.cut(one, other)
+        for machine, other in pairs:
+            world.links.cut(machine, other)
         await asyncio.sleep(for_s)
-        for one, other in pairs:
-            world.links.heal(one, other)
+        for machine, other in pairs:
+            world.links.heal(machine, other)
         for machine in world.machines:
             machine.lost_until = max(machine.lost_until, world.loop.time() + CATCH_UP_S)
         world.record_core_event()
 
     # Disks.
 
-    async def _disk(self, machine: Machine, for_s: float, **trouble: Any) -> None:
-        calm = {name: getattr(machine, name) for name in trouble}
+    async def _disk(self, machine: Machine, for_s: float, **fault: Any) -> None:
+        normal = {name: getattr(machine, name) for name in fault}
         self._world.record_core_event()
-        for name, value in trouble.items():
+        for name, value in fault.items():
             setattr(machine, name, value)
         await asyncio.sleep(for_s)
-        for name, value in calm.items():
+        for name, value in normal.items():
             setattr(machine, name, value)
         self._mark_recovering(machine)
 
@@ -260,7 +271,10 @@
         await self._disk(machine, for_s, full=True)
 
     async def _refused_folder_sync(self, machine: Machine, for_s: float) -> None:
-        """The file is rewritten meanwhile; as soon as that is allowed another loses its disk, and all others lose power."""
+        """Rewrite the file while folder syncs fail; then wipe another disk and cut the power of all others.
+
+        A machine that went on writing to the unlinked former file would lose its records now.
+        """
         if machine.node is not None:
             self._world.loop.start(self._rewrite(machine), machine.process)
         await self._disk(machine, for_s, refuse_folder_sync=True)
@@ -279,7 +293,7 @@
         except OSError:
             pass
 
-    # Beyond the tolerance: no further disk is lost.
+    # Faults beyond the tolerance: no disk is lost.
 
     async def _all_down(self, machines: list[Machine], for_s: float, planes: bool) -> None:
         world = self._world
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -1,4 +1,4 @@
-"""What must hold, checked from outside: by what was answered, what disks hold, and what data planes would act by."""
+"""Check the invariants of the core from outside: by its answers, the content of disks, and the data planes' snapshots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class History:
-    """What was seen, and what did not hold."""
+    """The events of one simulated history, and the invariants that were violated."""
 
     seed: int
     events: list[str] = field(default_factory=list)
@@ -27,34 +27,41 @@
     reads: int = 0
     leaves: int = 0
     views: int = 0
-    connected_checks: int = 0  # looks at data planes that were in touch
+    connected_checks: int = 0  # checks of data planes that were connected to a stable core
 
 
 class InvariantChecker:
-    """The checks of one history; each breach is told once a kind."""
+    """Checks the invariants of one history, on each answer and periodically.
+
+    Attributes:
+        newest_acknowledged: The newest version that was acknowledged to an operator.
+        assumed_version: The newest version that a client has seen, which the next change builds on.
+    """
 
     def __init__(self, world: Any, history: History) -> None:
         self._world, self.history = world, history
         self.newest_acknowledged = self.assumed_version = 0
-        self._notes: dict[int, str] = {}  # by version: what was read or acknowledged under it
+        self._notes: dict[int, str] = {}  # by version: the note of the change that made it
         self._acknowledged: list[tuple[float, int]] = []
         self._left: dict[str, float] = {}
         self._epochs: dict[str, int] = {}  # by process
         self._tokens = 0
-        self._newest = ""  # digest of the newest change that was acknowledged
+        self._newest = ""  # the digest of the newest acknowledged change
 
     def record_violation(self, what: str) -> None:
+        """Add a violated invariant to the history."""
         self.history.violations.append(f"{self._world.loop.time():8.3f} {what}")
 
-    # The operators' side.
+    # Answers to clients.
 
     def record_submission(self, sent: SubmittedChange) -> None:
+        """Add a change to the history when its operator first sends it."""
         self.history.sent.append(sent)
 
     def record_answer(self, sent: SubmittedChange, status: int) -> None:
-        """A clear answer to a change."""
+        """Check an answer that acknowledges or rejects a change."""
         if status >= 400 and 200 in sent.answers:
-            self.record_violation(f"version {sent.version} ({sent.note}) was acknowledged and then refused with {status}")
+            self.record_violation(f"version {sent.version} ({sent.note}) was acknowledged and then rejected with {status}")
         sent.answers.append(status)
         if status != 200 or sent.answers.count(200) > 1:
             return
@@ -73,12 +80,13 @@
             self.record_violation(f"version {version} is {self._notes[version]} and {note}")
 
     def _check_replica_count(self, sent: SubmittedChange) -> None:
-        """An acknowledged change is on more disks than may be lost."""
+        """Check that an acknowledged change is on more disks than may be lost."""
         replica_count = sum(machine.has_on_disk(sent.digest) for machine in self._world.machines)
         if replica_count <= self._world.plan.tolerated:
-            self.record_violation(f"version {sent.version} was acknowledged with {replica_count} copies")
+            self.record_violation(f"version {sent.version} was acknowledged on {replica_count} disks")
 
     def record_read(self, value: dict[str, Any], acknowledged_before: int) -> None:
+        """Check that a read returned a version as new as those acknowledged before it began."""
         self.history.reads += 1
         version = value["version"]
         if version < acknowledged_before:
@@ -88,18 +96,20 @@
         self.assumed_version = max(self.assumed_version, version)
 
     def record_claim(self, token: int) -> None:
-        """A claim of the orders was taken under a fencing token."""
+        """Check that the fencing token of a leadership claim is greater than all before."""
         if token <= self._tokens:
             self.record_violation(f"fencing token {token} after {self._tokens}")
         self._tokens = max(self._tokens, token)
 
     def record_leave(self, backend_id: str) -> None:
+        """Record that the departure of a backend was acknowledged."""
         self.history.leaves += 1
         self._left.setdefault(backend_id, self._world.loop.time())
 
-    # Looks at the machines, each tenth of a second.
+    # Periodic checks.
 
-    def check_now(self) -> None:
+    def check(self) -> None:
+        """Check all machines and connected data planes."""
         self._check_epochs()
         self._check_authority()
         if self._world.lost() == 0:
@@ -113,7 +123,7 @@
                 self._check_plane(plane, due, now)
 
     def _check_authority(self) -> None:
-        """Whoever speaks in the system's name shows what was acknowledged up to a lease ago, whatever goes on."""
+        """Check that a machine with majority contact has all writes that were acknowledged `AUTHORITY_S` before."""
         before = self._world.loop.time() - AUTHORITY_S - CHECK_SLACK_S
         due = max((version for at, version in self._acknowledged if at <= before), default=0)
         left = [backend_id for backend_id, at in self._left.items() if at <= before]
@@ -122,18 +132,20 @@
                 continue
             state = machine.node.state
             if state.document.version < due:
-                self.record_violation(f"machine {machine.number} tells version {state.document.version}, {due} is due")
+                self.record_violation(f"machine {machine.number} has version {state.document.version}, {due} is due")
             missing = [backend_id for backend_id in left if backend_id not in state.left]
             if missing:
-                self.record_violation(f"machine {machine.number} has not heard that {missing[0]} left")
+                self.record_violation(f"machine {machine.number} does not know that {missing[0]} left")
 
     def _check_plane(self, plane: DataPlane, due: int, now: float) -> None:
         self.history.connected_checks += 1
         if plane.snapshot.table.version < due:
-            self.record_violation(f"data plane {plane.number} acts by version {plane.snapshot.table.version}, {due} is due")
+            self.record_violation(f"data plane {plane.number} has version {plane.snapshot.table.version}, {due} is due")
         for backend_id, at in self._left.items():
             if at <= now - DRAIN_S and plane.uses(backend_id):
-                self.record_violation(f"data plane {plane.number} uses {backend_id}, whose leave was acknowledged at {at:.2f}")
+                self.record_violation(
+                    f"data plane {plane.number} uses {backend_id}, whose departure was acknowledged at {at:.2f}"
+                )
 
     def _check_epochs(self) -> None:
         for machine in self._world.machines:
@@ -145,21 +157,23 @@
             self._epochs[key] = epoch
 
     def _check_next_loss(self) -> None:
-        """Nobody counts as lost: any loss that is allowed leaves a majority of the voters and a replica that holds all."""
+        """Check that each tolerated loss would leave a majority of the voters and a complete replica."""
         running: list[Machine] = [machine for machine in self._world.machines if machine.node is not None]
-        view = max((machine.node.view for machine in running), key=lambda one: one.epoch)
+        view = max((machine.node.view for machine in running), key=lambda view: view.epoch)
         voting = [machine for machine in running if machine.node.member.identity in identities(view.voters)]
         complete = [machine for machine in running if self._has_newest_change(machine)]
         for lost in itertools.combinations(running, self._world.plan.tolerated):
             if sum(machine not in lost for machine in voting) < majority(view):
-                self.record_violation(f"losing {[one.number for one in lost]} leaves no majority of view {view.epoch}")
+                self.record_violation(f"losing {[machine.number for machine in lost]} leaves no majority of view {view.epoch}")
                 return
             if all(machine in lost for machine in complete):
-                self.record_violation(f"losing {[one.number for one in lost]} leaves no whole copy in view {view.epoch}")
+                self.record_violation(
+                    f"losing {[machine.number for machine in lost]} leaves no complete replica in view {view.epoch}"
+                )
                 return
 
     def _has_newest_change(self, machine: Machine) -> bool:
-        """Whether a machine holds the newest change that was acknowledged."""
+        """Return whether a machine has the newest acknowledged change."""
         if not self._newest:
             return True
         node = machine.node
@@ -168,7 +182,7 @@
     # The end.
 
     def check_end(self) -> None:
-        """What the core holds in the end: all that was acknowledged, nothing that was refused."""
+        """Check that the core has all acknowledged changes and no rejected one at the end."""
         running = [machine.node for machine in self._world.machines if machine.node is not None]
         newest = max(running, key=lambda node: (node.view.epoch, node.state.index))
         state = newest.state
@@ -181,4 +195,4 @@
                 if by_base.setdefault(sent.base, sent.digest) != sent.digest:
                     self.record_violation(f"two changes on version {sent.base} were acknowledged")
             if any(400 <= status < 500 for status in sent.answers) and sent.digest in state.digests:
-                self.record_violation(f"version {sent.version} was refused and is in force")
+                self.record_violation(f"version {sent.version} was rejected and is in force")
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -1,4 +1,4 @@
-"""Core machines: what a disk holds and its troubles, and the process that runs on the machine, if any."""
+"""Simulated core machines: a disk with its faults, and the process that runs on the machine, if any."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class VirtualAppendLog:
-    """Stands in for `storage.journal.AppendLog`: records last once their sync is over."""
+    """Replaces `storage.append_log.AppendLog`: records are kept in the memory of the machine."""
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
@@ -30,9 +30,11 @@
         self.size = 0
 
     def open(self) -> list[Record]:
+        """Return the records on the disk."""
         return list(self._machine.records)
 
     def append(self, records: list[Record]) -> None:
+        """Append records, unless a planted defect loses them."""
         if self._is_unlinked:
             return
         if self._machine.defect is Defect.LOSE_SYNCED_WRITE and self._machine.rng.random() < 0.3:
@@ -40,6 +42,7 @@
         self._machine.records.extend(records)
 
     def rewrite(self, records: list[Record]) -> None:
+        """Replace all records; fail afterwards while folder syncs are refused."""
         self._machine.records[:] = records
         if self._machine.refuse_folder_sync:
             self._is_unlinked = self._machine.defect is Defect.WRITE_TO_UNLINKED_FILE
@@ -47,7 +50,7 @@
 
 
 class VirtualStateStore(StateStore):
-    """The real disk's bookkeeping on a virtual journal, in virtual time."""
+    """The real state store on a virtual append log; writes take virtual time."""
 
     def __init__(self, machine: Machine, clock: Callable[[], float]) -> None:
         super().__init__("", clock, VirtualAppendLog(machine))  # type: ignore[arg-type]
@@ -74,24 +77,29 @@
         self.distribution: Distribution | None = None  # none yet while the node reads its disk
 
     def on_change(self) -> None:
+        """Answer polls."""
         if self.distribution is not None:
             self.distribution.changed()
 
     def on_backend_change(self, backend_id: str) -> None:
+        """Answer polls."""
         self.on_change()
 
     def on_store_load(self) -> None:
+        """Ignore loads from the weight store."""
         pass
 
     def count_data_planes(self) -> int:
+        """Return the number of data planes that poll this process."""
         return self.distribution.data_planes()
 
     def placement_idle_s(self) -> float:
+        """Return the idle time of a process that has never placed a model."""
         return NO_ORDER_S
 
 
 def process_settings(world: Any, name: str, ip: str, control_address: str = "") -> Settings:
-    """What a process is told at its start; `control_address` of those that serve control."""
+    """Return the settings of a process; only control planes have a `control_address`."""
     return Settings(
         name=name,
         ip_address=ip,
@@ -113,7 +121,12 @@
 
 
 class Machine:
-    """One core machine: address, disk, and the process that runs on it, if any."""
+    """One core machine: address, disk, and the process that runs on it, if any.
+
+    Attributes:
+        records: The content of the disk.
+        lost_until: Until when the machine counts as lost.
+    """
 
     def __init__(self, number: int, world: Any) -> None:
         self.number, self._world = number, world
@@ -131,22 +144,26 @@
         self.lost_until = 0.0
         self.started_at = 0.0
         self.starts = 0
-        self.claiming: Process | None = None  # the process that claims the orders just now
+        self.claiming: Process | None = None  # the process that is claiming the leadership
         self.removed = False
-        self.retiring = False  # a successor is there, and it will be asked to leave
+        self.retiring = False  # its successor has started, and it will be shut down
 
     @property
     def internal(self) -> str:
+        """The internal address."""
         return f"{self.ip}:7000"
 
     @property
     def control_address(self) -> str:
+        """The address of the control API."""
         return f"{self.ip}:80"
 
     def settings(self) -> Settings:
+        """Return the settings of the machine's control plane."""
         return process_settings(self._world, f"core-{self.number}", self.ip, self.control_address)
 
     def start(self) -> None:
+        """Start a control plane process on what the disk has."""
         loop: VirtualLoop = self._world.loop
         self.starts += 1
         self.started_at = loop.time()
@@ -165,12 +182,12 @@
         if not self.records:
             keeps_identity = self.defect is Defect.KEEP_IDENTITY_AFTER_WIPE and self.starts > 1
             bootstraps = self._world.first and self.control_address in self._world.seeds()
-            named = f"first-{self.control_address}" if keeps_identity or bootstraps else f"disk-{self.rng.getrandbits(64):x}"
-            self.records.append(Record(RecordKind.IDENTITY, named.encode()))
+            identity = f"first-{self.control_address}" if keeps_identity or bootstraps else f"disk-{self.rng.getrandbits(64):x}"
+            self.records.append(Record(RecordKind.IDENTITY, identity.encode()))
         return VirtualStateStore(self, self._world.loop.time)
 
     def stop(self, wipe: bool = False) -> None:
-        """Kill or loss of power: of what was under way on the disk a part may last."""
+        """Kill the process or cut the power: part of a write in progress may be durable."""
         if self.process is None:
             return
         self.process.dead = True
@@ -183,7 +200,7 @@
             self.records = []
 
     def has_on_disk(self, digest: str) -> bool:
-        """Whether the disk holds a change, as an entry or in a snapshot."""
+        """Return whether a change is on the disk, as an entry or in a snapshot."""
         restored = replay(self.records)
         if any(entry.digest == digest for entry in restored.entries):
             return True
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -1,4 +1,4 @@
-"""Calls between machines in place of sockets: delays, losses, and cuts in one direction or in both."""
+"""A network in place of sockets: delays, losses, and partitions in one direction or in both."""
 
 from __future__ import annotations
 
@@ -11,21 +11,23 @@
 from mulleinhatch.simulation.virtual_time import Process
 
 DELAY_S = (0.001, 0.006)
-MESSAGE_LOSS_PROBABILITY = 0.02  # of messages between core machines
-RESET_S = 0.001  # a machine that runs nothing refuses at once
+MESSAGE_LOSS_PROBABILITY = 0.02  # of each message between core machines
+RESET_S = 0.001  # a machine without a process refuses connections at once
 
 
 class Links:
-    """Which way is cut: pairs of places, from and to. A place is any object that can be told from others."""
+    """Cut links between endpoints, by direction. An endpoint is any hashable object."""
 
     def __init__(self) -> None:
         self._cut: dict[tuple[Any, Any], int] = {}
 
     def cut(self, one: Any, other: Any, both: bool = True) -> None:
+        """Cut a link, in both directions or from `one` to `other` only. Cuts of a link are counted."""
         for pair in ((one, other), (other, one)) if both else ((one, other),):
             self._cut[pair] = self._cut.get(pair, 0) + 1
 
     def heal(self, one: Any, other: Any, both: bool = True) -> None:
+        """Undo one cut."""
         for pair in ((one, other), (other, one)) if both else ((one, other),):
             left = self._cut.get(pair, 0) - 1
             if left > 0:
@@ -34,25 +36,31 @@
                 self._cut.pop(pair, None)
 
     def clear(self) -> None:
+        """Heal all links."""
         self._cut.clear()
 
     def open(self, one: Any, other: Any) -> bool:
+        """Return whether messages pass from one endpoint to the other."""
         return (one, other) not in self._cut
 
 
 class Network:
-    """The calls of one process to core machines, in place of `services.http_client.HttpClient`."""
+    """The calls of one process to core machines, in place of `networking.http_client.HttpClient`."""
 
     def __init__(self, world: Any, place: Any, process: Process | None) -> None:
         self._world, self._place, self._process = world, place, process
 
     def forget(self, address: str) -> None:
-        """Nothing is kept."""
+        """Do nothing: no connections are kept."""
 
     async def request(
         self, address: str, method: str, path: str, body: bytes, within: float, *_: Any, headers: dict[str, str] | None = None
     ) -> HttpResponse:
-        """The answer, or CallFailed after `within` seconds at most."""
+        """Send a request to a core machine.
+
+        Raises:
+            CallError: No response came within `within` seconds.
+        """
         loop = self._world.loop
         response: asyncio.Future[HttpServerResponse | None] = loop.create_future()
         loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), response))
@@ -96,7 +104,7 @@
 
 
 def _completion_of(loop: Any, task: asyncio.Task[Any]) -> asyncio.Future[None]:
-    """A future of no process that is done when a task of one is."""
+    """Return a future that completes with a task, and belongs to no process: a killed process must not wake its callers."""
     done: asyncio.Future[None] = loop.create_future()
     task.add_done_callback(lambda _: done.set_result(None))
     return done
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -1,4 +1,4 @@
-"""One history: machines, links, operators, backends, data planes, troubles and checks, on one virtual clock."""
+"""One simulated history: machines, links, clients, faults and invariant checks on one virtual clock."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 from mulleinhatch.simulation.control_plane.network import Links, Network
 from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 
-RECOVERY_S = 12.0  # after all troubles: the core must answer again
+RECOVERY_S = 12.0  # after the last fault the core must answer within this time
 CHECK_INTERVAL_S = 0.1
 CLAIM_S = 1.7
 FIRST_S = 2.0
 
 
 class World:
-    """What the parts of a history share."""
+    """The shared state of a history's parts.
+
+    Attributes:
+        first: Whether the core starts for the first time.
+    """
 
     def __init__(self, history: History, loop: VirtualLoop, plan: HistoryPlan) -> None:
         self.history, self.loop, self.plan = history, loop, plan
@@ -36,22 +40,25 @@
         self.faults = FaultInjector(self)
 
     def note(self, text: str) -> None:
+        """Add an event to the history."""
         self.history.events.append(f"{self.loop.time():8.3f} {text}")
 
     # Machines.
 
     def seeds(self) -> tuple[str, ...]:
-        """Control addresses of three machines, as the operator's list stands."""
+        """Return the control addresses of the first three machines, as the settings files name them."""
         return tuple(machine.control_address for machine in self.machines[:3])
 
     def caller(self, place: Any, process: Process) -> Any:
+        """Return the network client of one process."""
         return Network(self, place, process)
 
     def machine_at(self, address: str) -> Machine | None:
-        return next((one for one in self.machines if address in (one.internal, one.control_address)), None)
+        """Return the machine at a control or internal address."""
+        return next((machine for machine in self.machines if address in (machine.internal, machine.control_address)), None)
 
     def add_machine(self, former: Machine) -> Machine:
-        """An empty machine at an address of its own, in the place of one that is gone or will be."""
+        """Start an empty machine at a new address, which replaces a machine that is or will be removed."""
         machine = Machine(self._numbers, self)
         self._numbers += 1
         if former.removed:
@@ -65,35 +72,42 @@
         return machine
 
     def remove(self, machine: Machine) -> None:
+        """Remove a machine that was shut down for good."""
         self.machines.remove(machine)
 
     def lost(self) -> int:
-        """Machines that count as lost now."""
+        """Return the number of machines that count as lost now."""
         now = self.loop.time()
         return sum(machine.node is None or machine.lost_until > now for machine in self.machines)
 
     def record_core_event(self) -> None:
+        """Record that a fault hit the core or ended."""
         self._core_event_at = self.loop.time()
 
     def is_core_stable(self, since: float) -> bool:
-        """Whether nothing happened to the core after a moment, and more than half of it runs and is connected."""
-        running = [one for one in self.machines if one.node is not None and not one.process.frozen]
+        """Return whether no fault hit the core since a time, and more than half of its machines run and are connected."""
+        running = [machine for machine in self.machines if machine.node is not None and not machine.process.frozen]
         connected = max(
-            (sum(self.links.open(one, other) and self.links.open(other, one) for other in running) for one in running),
+            (
+                sum(self.links.open(machine, other) and self.links.open(other, machine) for other in running)
+                for machine in running
+            ),
             default=0,
         )
         return self._core_event_at < since and 2 * connected > len(self.machines)
 
     def is_connected(self, plane: DataPlane, since: float) -> bool:
+        """Return whether a data plane has run since a time."""
         return plane.process is not None and plane.started_at < since
 
     def on_acknowledgement(self) -> None:
-        self.faults.acknowledged()
+        """Handle that a change was acknowledged to an operator."""
+        self.faults.on_acknowledged()
 
     # The history.
 
     async def start(self) -> None:
-        """All machines and data planes start for the first time."""
+        """Start all machines and data planes for the first time."""
         for machine in self.machines:
             machine.start()
             machine.lost_until = CATCH_UP_S
@@ -106,20 +120,20 @@
         await asyncio.sleep(FIRST_S)
 
     async def play(self, with_faults: bool) -> None:
-        """A history with users, and troubles drawn by chance."""
+        """Play a history with clients and, if wanted, random faults; check the recovery at the end."""
         await self.start()
-        users = [Operator(self, "one").run(), Operator(self, "two").run(), Reader(self).run()]
-        users += [Backend(self, number).run() for number in range(2)]
-        await asyncio.gather(*users, *([self.faults.run()] if with_faults else []))
+        clients = [Operator(self, "one").run(), Operator(self, "two").run(), Reader(self).run()]
+        clients += [Backend(self, number).run() for number in range(2)]
+        await asyncio.gather(*clients, *([self.faults.run()] if with_faults else []))
         await self._verify_recovery()
 
     async def _check_forever(self) -> None:
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            self.checker.check_now()
+            self.checker.check()
 
     async def _claim_forever(self) -> None:
-        """Whoever leads claims the orders now and then, as a new holder does."""
+        """Let machines at the head of the chain claim the leadership at random times."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, CLAIM_S))
             for machine in self.machines:
@@ -139,8 +153,8 @@
             self.checker.record_claim(token)
 
     async def _verify_recovery(self) -> None:
-        """All are back; the core must answer, and hold what was acknowledged and nothing that was refused."""
-        await asyncio.sleep(9.0)  # what is under way ends: a leave takes its grace period
+        """Check that the core answers after all faults, and that it has all acknowledged changes and no rejected one."""
+        await asyncio.sleep(9.0)  # operations in progress end: a shutdown may take its grace period
         self.links.clear()
         for machine in self.machines:
             if machine.node is None:
@@ -151,13 +165,13 @@
             await asyncio.sleep(0.3)
             is_readable = await reader.read()
         if not is_readable:
-            self.checker.record_violation("no read is answered after all troubles are over")
+            self.checker.record_violation("no read is answered after all faults")
             return
         await self._verify_change_accepted(end)
         self.checker.check_end()
 
     async def _verify_change_accepted(self, end: float) -> None:
-        """A change must be taken again."""
+        """Check that the core accepts a change again."""
         operator = Operator(self, "last")
         while self.loop.time() < end:
             await Reader(self).read()
@@ -166,4 +180,4 @@
             await operator.send_until_answered(sent)
             if sent.acknowledged_at >= 0:
                 return
-        self.checker.record_violation("no change is acknowledged after all troubles are over")
+        self.checker.record_violation("no change is acknowledged after all faults")
