--- a/mulleinhatch/control_plane/background_tasks.py
+++ b/mulleinhatch/control_plane/background_tasks.py
@@ -25,4 +25,4 @@
     def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None and not isinstance(task.exception(), OSError):
-            LOG.error("a task failed", exc_info=task.exception())
+            LOG.error("a background task failed", exc_info=task.exception())
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -117,7 +117,7 @@
             if log.has_pending_change() or not await log.propose(int(change.kind), change.body, change.digest, epoch):
                 return REGROUPING
         if await log.progress.wait_for(lambda: change.digest in log.state.digests, remaining_s() + 0.5 * CHANGE_TIMEOUT_S):
-            LOG.info("configuration in force", extra={"version": log.state.document.version})
+            LOG.info("a configuration change is committed", extra={"version": log.state.document.version})
             return ConfigurationResult(ResultKind.OK)
         return ConfigurationResult(ResultKind.RETRY, "not settled yet; send it again unchanged")
 
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -81,7 +81,7 @@
         self._client = InternalClient(http_client)
         self._tasks = BackgroundTasks()
         self._pauses = PauseDetector(clock, self._extend_grace_periods)
-        self._marked_departures_index = 0  # departures in entries up to this index are marked in the registry
+        self._applied_departures_index = 0  # departures in entries up to this index are applied to the registry
 
     # Start.
 
@@ -176,7 +176,7 @@
         if not restored.voter.view.epoch:
             self.replica.bootstrap()
         self.replicated_log.apply()
-        self._mark_departed_backends()
+        self._drain_departed_backends()
         for backend in restored.backends:
             self.registry.restore(backend, self.clock())
 
@@ -184,14 +184,14 @@
         """Run all jobs forever."""
         while not await self._persist_first_vote():
             await asyncio.sleep(DISK_RETRY_S)
-        self._view_manager.mark_started()
+        self._view_manager.start_grace_period()
         loops = {
             "heartbeats": self._heartbeats.run,
-            "clock": self._pauses.run,
-            "views": self._view_manager.run,
-            "replication": self._log_replicator.run,
-            "catching up": self._catch_up.run,
-            "stubs on disk": self._backend_persistence.run,
+            "pause detection": self._pauses.run,
+            "view planning": self._view_manager.run,
+            "log replication": self._log_replicator.run,
+            "catch-up": self._catch_up.run,
+            "backend persistence": self._backend_persistence.run,
         }
         await asyncio.gather(*(supervise(name, loop) for name, loop in loops.items()))
 
@@ -262,18 +262,18 @@
             self.status.has_chain_snapshot = False
         self._add_members(view)
         chain, voters = ([member.name for member in members] for members in (view.chain, view.voters))
-        LOG.info("view in force", extra={"epoch": view.epoch, "chain": chain, "voters": voters})
+        LOG.info("a new view is in force", extra={"view_epoch": view.epoch, "chain": chain, "voters": voters})
         self.replicated_log.apply()
         self._publish_change()
         self.request_heartbeat()
 
     def on_snapshot_installed(self) -> None:
         """Mark backends as draining whose departure the snapshot brought."""
-        self._mark_departed_backends()
+        self._drain_departed_backends()
 
     def on_entries_applied(self) -> None:
         """Mark backends as draining whose departure new entries recorded, and publish the new state."""
-        self._mark_departed_backends()
+        self._drain_departed_backends()
         self._publish_change()
 
     def _publish_change(self) -> None:
@@ -293,10 +293,10 @@
         self.backend_handoff.record_change(backend_id)
         self._observer.on_backend_change(backend_id)
 
-    def _mark_departed_backends(self) -> None:
+    def _drain_departed_backends(self) -> None:
         """Mark backends as draining whose departure the state has recorded since the last call."""
-        departed = self.state.left_since(self._marked_departures_index)
-        self._marked_departures_index = self.state.left_index
+        departed = self.state.left_since(self._applied_departures_index)
+        self._applied_departures_index = self.state.left_index
         for backend_id in departed:
             self.registry.mark_draining(backend_id)
 
--- a/mulleinhatch/control_plane/pause_detector.py
+++ b/mulleinhatch/control_plane/pause_detector.py
@@ -27,15 +27,15 @@
     def __init__(self, clock: Callable[[], float], on_pause: Callable[[float], None]) -> None:
         self.clock, self._on_pause = clock, on_pause
         self._checked_at = clock()
-        self._ignore_silence_until = 0.0
+        self._recovering_until = 0.0
 
     def has_paused(self) -> bool:
         """Return whether the process was paused since the last check and no check has run yet."""
         return self.clock() - self._checked_at > PAUSE_THRESHOLD_S
 
-    def ignores_silence(self, now: float) -> bool:
-        """Return whether a pause ended so recently that silent peers may only lack the time to answer."""
-        return now < self._ignore_silence_until
+    def is_recovering(self, now: float) -> bool:
+        """Return whether a pause ended so recently that peers may not have had time to answer since."""
+        return now < self._recovering_until
 
     async def run(self) -> None:
         """Check the clock forever. This loop awaits nothing else, so that a gap can only come from a pause."""
@@ -43,7 +43,10 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             now = self.clock()
             if self.has_paused():
-                LOG.warning("stood still", extra={"seconds": round(now - self._checked_at, 2)})
+                paused_s = round(now - self._checked_at, 2)
+                LOG.warning(
+                    "this process was paused; peers and backends get time to answer again", extra={"paused_s": paused_s}
+                )
                 self._on_pause(now)
-                self._ignore_silence_until = now + ALIVE_S
+                self._recovering_until = now + ALIVE_S
             self._checked_at = now
--- a/mulleinhatch/control_plane/shutdown.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -71,4 +71,5 @@
     await asyncio.sleep(MIN_SHUTDOWN_S)
     while node.clock() < deadline and not may_end(node):
         await asyncio.sleep(CHECK_INTERVAL_S)
-    LOG.info("left", extra={"seconds": round(node.clock() - started_at, 2), "needed": not may_end(node)})
+    duration_s = round(node.clock() - started_at, 2)
+    LOG.info("left the core; the process may stop", extra={"duration_s": duration_s, "still_needed": not may_end(node)})
--- a/mulleinhatch/control_plane/snapshot_transfer.py
+++ b/mulleinhatch/control_plane/snapshot_transfer.py
@@ -74,5 +74,5 @@
             if replica.position >= 0 or replica.view.epoch != epoch:
                 return False
             await self._log.write(Write(snapshot=response.snapshot, truncate_to=0))
-        LOG.info("caught up", extra={"index": replica.last, "epoch": epoch})
+        LOG.info("installed a snapshot; ready to join the chain", extra={"index": replica.last, "view_epoch": epoch})
         return True
--- a/mulleinhatch/control_plane/view_manager.py
+++ b/mulleinhatch/control_plane/view_manager.py
@@ -42,7 +42,7 @@
         self._undecided_epoch = 0  # the epoch of a view whose successor is undecided,
         self._undecided_since = 0.0  # and since when
 
-    def mark_started(self) -> None:
+    def start_grace_period(self) -> None:
         """Start the grace period in which peers that do not answer may be starting, as this node is."""
         self._started_at = self._pauses.clock()
 
@@ -69,7 +69,7 @@
     def _plan(self, now: float) -> View | None:
         """Return the view to propose, None where the current one may stay or another node is to propose."""
         view = self._replica.view
-        if not view.epoch or self._pauses.ignores_silence(now) or not self._peers.reaches_majority(view, now):
+        if not view.epoch or self._pauses.is_recovering(now) or not self._peers.reaches_majority(view, now):
             return None
         health = self._peers.health(view, now, self._status.health())
         alive = [member.identity for member in view.chain if health[member.identity].alive]
