--- /dev/null
+++ b/mulleinhatch/simulation/control_plane/fault_actions.py
@@ -0,0 +1,50 @@
+"""What all kinds of simulated faults share: losing, restarting and recovering machines."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from mulleinhatch.simulation.control_plane.machines import Machine
+
+CATCH_UP_S = 4.0  # how long a machine that is back still counts as lost
+
+
+class FaultActions:
+    """Base class of the kinds of faults. Each public method injects one fault and returns when it has ended."""
+
+    def __init__(self, world: Any) -> None:
+        self._world = world
+
+    def _start_recovery(self, machine: Machine) -> None:
+        machine.lost_until = self._world.loop.time() + CATCH_UP_S
+        self._world.record_core_event()
+
+    def _start(self, machine: Machine) -> None:
+        if machine.node is None and not machine.removed:
+            machine.start()
+        self._start_recovery(machine)
+
+    def _other_machines(self, machine: Machine) -> list[Any]:
+        return [other for other in self._world.machines if other is not machine]
+
+    async def _strike(self, machine: Machine) -> None:
+        machine.stop(wipe=True)
+        await self._all_down(self._world.machines, self._world.rng.uniform(0.1, 2.0), planes=True)
+
+    async def _all_down(self, machines: list[Machine], for_s: float, planes: bool) -> None:
+        world = self._world
+        world.record_core_event()
+        for machine in machines:
+            machine.stop()
+        for plane in world.planes if planes else []:
+            plane.stop()
+        await asyncio.sleep(for_s)
+        for machine in machines:
+            if machine.node is None and not machine.removed:
+                machine.start()
+        for machine in world.machines:
+            machine.lost_until = max(machine.lost_until if machine.lost_until < 1e8 else 0.0, world.loop.time() + CATCH_UP_S)
+        for plane in world.planes if planes else []:
+            plane.start()
+        world.record_core_event()
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from mulleinhatch.simulation.control_plane.clients import Backend, DataPlane, Operator, Reader
-from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S, FaultInjector
+from mulleinhatch.simulation.control_plane.fault_actions import CATCH_UP_S
+from mulleinhatch.simulation.control_plane.faults import FaultInjector
 from mulleinhatch.simulation.control_plane.history_plan import HistoryPlan
 from mulleinhatch.simulation.control_plane.invariant_checks import History, InvariantChecker
 from mulleinhatch.simulation.control_plane.machines import Machine
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -14,7 +14,7 @@
 from mulleinhatch.networking.http_server import HttpServerRequest
 from mulleinhatch.simulation.control_plane import Defect, History, World, play_script
 from mulleinhatch.simulation.control_plane.clients import ControlApiClient, Operator, Reader, SubmittedChange
-from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S
+from mulleinhatch.simulation.control_plane.fault_actions import CATCH_UP_S
 from mulleinhatch.simulation.control_plane.machines import Machine
 
 CONFIRMATION_VALID_S = 1.0
