--- a/mulleinhatch/control_plane/placement/demand.py
+++ b/mulleinhatch/control_plane/placement/demand.py
@@ -1,4 +1,4 @@
-"""What all data planes together ask for: their latest reports, summed. Pure."""
+"""Sums the demand that all data planes report. Pure."""
 
 from __future__ import annotations
 
@@ -8,31 +8,42 @@
 
 from mulleinhatch.messages.cluster import DemandReport, ModelDemand
 
-FORGET_S = 4.0  # a data plane's report counts so long
-MOST_FIGURE = 1e9  # of requests or worth that a line may tell
-LEAST_SUM = 1e-6  # requests a second: what is left of a sum whose reports are all gone
+REPORT_TTL_S = 4.0  # a data plane that has not reported for so long no longer counts
+MAX_FIGURE = 1e9  # the largest plausible count, rate or value of an entry
+MIN_TOTAL_RATE_PER_S = 1e-6  # a total below is rounding error, left after its reports were subtracted
 
 
 @dataclass(frozen=True)
-class UnusableDemand:
-    """A line of demand that was left out; the data plane named tells figures that can't be true."""
+class InvalidDemand:
+    """An entry of a demand report that was ignored because its figures are impossible."""
 
-    node: str
+    data_plane: str
     model: str
 
     def __str__(self) -> str:
-        return f"demand for {self.model!r} told by {self.node} can't be true and is left out: look at that data plane's status"
+        return (
+            f"demand for {self.model!r} reported by {self.data_plane} is impossible and was ignored: "
+            "look at that data plane's status"
+        )
 
 
 @dataclass
-class Wanted:
-    """Demand for one model, or for one adapter of it."""
-
-    held: int = 0
-    rate: float = 0.0  # requests a second
-    worth: float = 0.0  # of them, weighed by their class
+class AggregatedDemand:
+    """Demand of all data planes for one model, or for one adapter of it.
+
+    Attributes:
+        pending: Requests that wait in data planes because no backend can take them.
+        rate: Arrivals in requests per second.
+        value: Value per second of these arrivals, weighted by priority class.
+        running: Requests that run at backends.
+        adapters: The part of the demand that needs an adapter, by adapter.
+    """
+
+    pending: int = 0
+    rate: float = 0.0
+    value: float = 0.0
     running: int = 0
-    adapters: dict[str, Wanted] = field(default_factory=dict)
+    adapters: dict[str, AggregatedDemand] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
@@ -46,76 +57,87 @@
 
 @dataclass(frozen=True)
 class _Report:
-    """The latest lines of one data plane."""
+    """The latest entries of one data plane."""
 
-    lines: dict[_Key, ModelDemand]
-    at: float
+    entries: dict[_Key, ModelDemand]
+    received_at: float
 
 
-class Demand:
-    """Reports by data plane; those that are old are left out. Sums are kept up as reports come."""
+class DemandAggregator:
+    """Keeps the latest report of each data plane and the totals over all of them, updated as reports arrive and expire."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
-        self._sums: dict[_Key, Wanted] = {}  # of the reports that count
-
-    def take(self, report: DemandReport, now: float) -> list[UnusableDemand]:
-        """Takes a data plane's report; a partial one replaces the lines that it has. Lines that can't be true are left out and
-        told, the others count."""
-        former = self._reports.get(report.node)
-        lines = {_key(one): one for one in report.demand if _usable(one)}
-        known = former.lines if former is not None else {}
-        replaced = [known[key] for key in lines if key in known] if report.partial else list(known.values())
-        self._sum(replaced, -1)
-        self._sum(lines.values(), 1)
-        self._reports[report.node] = _Report({**known, **lines} if report.partial else lines, now)
-        return [UnusableDemand(report.node, one.model) for one in report.demand if not _usable(one)]
-
-    def _sum(self, lines: Iterable[ModelDemand], sign: int) -> None:
-        """Adds lines of a report to the sums, or takes them out."""
-        for one in lines:
-            for key in _levels(one):
-                wanted = self._sums.setdefault(key, Wanted())
-                wanted.held += sign * one.held
-                wanted.running += sign * one.running
-                wanted.rate += sign * one.rate
-                wanted.worth += sign * one.worth_rate
-
-    def totals(self, service: str, now: float) -> dict[str, Wanted]:
-        """Demand for each model of a service."""
-        self._forget(now)
-        totals: dict[str, Wanted] = {}
-        for key, told in self._sums.items():
+        self._totals: dict[_Key, AggregatedDemand] = {}
+
+    def merge_report(self, report: DemandReport, now: float) -> list[InvalidDemand]:
+        """Replace a data plane's previous report, or only the entries that a partial report has.
+
+        Args:
+            report: The report.
+            now: Monotonic time in seconds.
+
+        Returns:
+            The entries that were ignored because they are impossible; the others count.
+        """
+        previous = self._reports.get(report.node)
+        entries = {_key_of(entry): entry for entry in report.demand if _is_valid(entry)}
+        previous_entries = previous.entries if previous is not None else {}
+        replaced = (
+            [previous_entries[key] for key in entries if key in previous_entries]
+            if report.partial
+            else list(previous_entries.values())
+        )
+        self._add(replaced, -1)
+        self._add(entries.values(), 1)
+        self._reports[report.node] = _Report({**previous_entries, **entries} if report.partial else entries, now)
+        return [InvalidDemand(report.node, entry.model) for entry in report.demand if not _is_valid(entry)]
+
+    def _add(self, entries: Iterable[ModelDemand], sign: int) -> None:
+        """Add entries to the totals (`sign` 1) or subtract them (`sign` -1)."""
+        for entry in entries:
+            for key in _keys_of(entry):
+                total = self._totals.setdefault(key, AggregatedDemand())
+                total.pending += sign * entry.held
+                total.running += sign * entry.running
+                total.rate += sign * entry.rate
+                total.value += sign * entry.worth_rate
+
+    def totals(self, service: str, now: float) -> dict[str, AggregatedDemand]:
+        """Return the demand for each model of a service."""
+        self._expire(now)
+        totals: dict[str, AggregatedDemand] = {}
+        for key, total in self._totals.items():
             if key.service != service:
                 continue
-            wanted = replace(told, adapters={})
-            model = totals.setdefault(key.model, wanted)
+            demand = replace(total, adapters={})
+            model = totals.setdefault(key.model, demand)
             if key.adapter:
-                model.adapters[key.adapter] = wanted
+                model.adapters[key.adapter] = demand
         return totals
 
-    def _forget(self, now: float) -> None:
-        """Leaves out data planes that are silent, and models that none tells of."""
-        for node, told in list(self._reports.items()):
-            if now - told.at > FORGET_S:
-                self._sum(told.lines.values(), -1)
+    def _expire(self, now: float) -> None:
+        """Drop the reports of data planes that have timed out, and totals that no report contributes to."""
+        for node, report in list(self._reports.items()):
+            if now - report.received_at > REPORT_TTL_S:
+                self._add(report.entries.values(), -1)
                 del self._reports[node]
-        for key, wanted in list(self._sums.items()):
-            if not wanted.held and not wanted.running and wanted.rate < LEAST_SUM:
-                del self._sums[key]
+        for key, total in list(self._totals.items()):
+            if not total.pending and not total.running and total.rate < MIN_TOTAL_RATE_PER_S:
+                del self._totals[key]
 
 
-def _usable(one: ModelDemand) -> bool:
-    """Whether a line can be true: it names a model, its figures are finite, not negative and not absurd."""
-    figures = (one.held, one.running, one.rate, one.worth_rate)
-    return bool(one.service and one.model) and all(math.isfinite(figure) and 0 <= figure < MOST_FIGURE for figure in figures)
+def _is_valid(entry: ModelDemand) -> bool:
+    """Return whether an entry names a model and has finite, non-negative, plausible figures."""
+    figures = (entry.held, entry.running, entry.rate, entry.worth_rate)
+    return bool(entry.service and entry.model) and all(math.isfinite(figure) and 0 <= figure < MAX_FIGURE for figure in figures)
 
 
-def _key(one: ModelDemand) -> _Key:
-    return _Key(one.service, one.model, one.adapter)
+def _key_of(entry: ModelDemand) -> _Key:
+    return _Key(entry.service, entry.model, entry.adapter)
 
 
-def _levels(one: ModelDemand) -> list[_Key]:
-    """What a line of demand counts for: its model, before its adapter where it has one."""
-    model = _Key(one.service, one.model)
-    return [model, _key(one)] if one.adapter else [model]
+def _keys_of(entry: ModelDemand) -> list[_Key]:
+    """Return the totals that an entry counts for: its model's, then its adapter's if it has one."""
+    model = _Key(entry.service, entry.model)
+    return [model, _key_of(entry)] if entry.adapter else [model]
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -113,7 +113,7 @@
             "version": node.state.document.version,
             "holder": node.state.leader,
             "fence_token": node.state.fencing_token,
-            "orders": list(self.orders.log),
+            "orders": list(self.orders.recent_orders),
             "data_planes": self.distribution.all_data_planes(),
             "peers": {
                 peer.member.name: {"answered_s_ago": round(now - peer.answered_at, 2), "leaving": peer.leaving}
--- /dev/null
+++ b/mulleinhatch/instance/protocol/http_peers.py
@@ -0,0 +1,138 @@
+"""HTTP between an instance and its peers, and to its dependency: requests to send, heads of the responses."""
+
+from __future__ import annotations
+
+import math
+import re
+from typing import NamedTuple
+
+from mulleinhatch.admission.interface import Ending
+from mulleinhatch.instance.protocol.http_requests import MIN_MEMORY_KB, NUMBER
+from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
+
+DECIMAL_PLACES = 15  # the most digits after the point that `parse_decimal` reads
+MAX_RANK = 1.0 - 1e-15  # the highest that can be written with these places
+NEIGHBOUR_FLOATS = 4  # floats tried on either side of a converted value
+MAX_RESULT_BYTES = 65536  # longest response body of a peer
+STATUS_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
+CALL_PATH = b"/v1/exec"
+
+
+class ResponseHead(NamedTuple):
+    """What counts of a response's head."""
+
+    status: int
+    body_length: int
+    closes_connection: bool
+
+
+def format_decimal(value: float, unit: float = 1.0) -> str:
+    """Return the text that `parse_decimal` reads as exactly this value, if the value came from it.
+
+    With 15 places text and value correspond one to one, but converting a unit rounds; so neighbouring floats are tried as well.
+
+    >>> format_decimal(0.62503), format_decimal(float("173.80371") * 0.001, 0.001), format_decimal(24.5)
+    ('0.62503', '173.80371', '24.5')
+    """
+    near = below = above = value / unit
+    for _ in range(NEIGHBOUR_FLOATS):
+        for candidate in (near, below, above):
+            for text in (f"{candidate:.{DECIMAL_PLACES}g}", f"{candidate:.{DECIMAL_PLACES}f}"):
+                if float(text) * unit == value and NUMBER.fullmatch(text.encode()):
+                    return text
+        below, above = math.nextafter(below, 0.0), math.nextafter(above, math.inf)
+    return f"{near:.{DECIMAL_PLACES}f}"
+
+
+def write_handover_request(
+    ref: str,
+    op_type: str,
+    tenant: str,
+    body: bytes,
+    started_ms: float,
+    wait_ms: float,
+    caller: int,
+    work: float,
+    kb: float,
+    again: bool,
+    rank: float,
+    offer: int,
+    host: str,
+    key: str = "",
+) -> list[bytes]:
+    """The request by which an op goes to a peer, in the callers' own protocol, as pieces for one gathered write. Key and
+    figures are the caller's to the last digit: by them the peer knows a retry that comes to it."""
+    head = (
+        f"POST /svc/{op_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {ref}\r\nX-Request-Start: {started_ms:.0f}\r\n"
+        f"X-Caller: {caller}\r\nX-Memory-Kb: {format_decimal(max(kb, MIN_MEMORY_KB))}\r\n"
+        f"X-Rank: {format_decimal(min(rank, MAX_RANK))}\r\nX-Hand: {offer}\r\n"
+        + (f"X-Timeout-Ms: {wait_ms:.0f}\r\n" if wait_ms > 0.0 else "")
+        + (f"X-Cost-Ms: {format_decimal(work, 0.001)}\r\n" if work else "")
+        + (f"X-Object: {key}\r\n" if key else "")
+        + (f"X-Tenant: {tenant}\r\n" if tenant else "")
+        + ("X-Retry: 1\r\n" if again else "")
+    )
+    return [head.encode("latin-1"), b"Content-Length: %d\r\n\r\n" % len(body), body]
+
+
+def parse_response_head(head: bytes) -> ResponseHead:
+    """Parse the head of a peer's response. An interim response (1xx) has no body.
+
+    Raises:
+        BadRequestError: It is no response head, or it leaves open which bytes are its body (a second response could hide
+        there).
+
+    >>> parse_response_head(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
+    ResponseHead(status=103, body_length=0, closes_connection=False)
+    >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nContent-Length: 6\\r\\n\\r\\n")
+    Traceback (most recent call last):
+    mulleinhatch.networking.http_grammar.BadRequestError: answer length
+    >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\nConnection: close\\r\\n\\r\\n")
+    ResponseHead(status=200, body_length=5, closes_connection=True)
+    """
+    line = STATUS_LINE.match(head)
+    if line is None:
+        raise BadRequestError("answer line")
+    if not HEAD_LINES.fullmatch(head, line.end(), len(head) - len(LINE_END)):
+        raise BadRequestError("answer field")
+    pairs = [field.partition(b":") for field in head[line.end() : -len(HEAD_END)].split(LINE_END)]
+    fields = {name.lower(): text.strip(b" \t") for name, _, text in pairs}
+    if line[1].startswith(b"1"):
+        return ResponseHead(int(line[1]), 0, False)
+    length = fields.get(b"content-length", b"")
+    if (
+        not length.isdigit()
+        or len(length) > 9
+        or int(length) > MAX_RESULT_BYTES
+        or (b"transfer-encoding" in fields or sum(name.lower() == b"content-length" for name, _, _ in pairs) > 1)
+    ):
+        raise BadRequestError("answer length")
+    return ResponseHead(int(line[1]), int(length), fields.get(b"connection", b"").lower() == b"close")
+
+
+def write_dependency_call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
+    """Serialize a call of the dependency: the query unchanged, with the time that is left for it."""
+    return [
+        b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n"
+        % (CALL_PATH, host.encode(), ref.encode("latin-1"), max(1, int(wait_ms)), len(query)),
+        query,
+    ]
+
+
+def parse_dependency_response_head(head: bytes) -> tuple[int, int, bool]:
+    """Parse the head of the dependency's response: how the call ended, the body's length, and whether the connection closes.
+
+    Only a response with `Never-Started` proves that the call had no effect; any other failure may have had one.
+
+    >>> parse_dependency_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\n")
+    (<Ending.OK: 1>, 5, False)
+    >>> parse_dependency_response_head(b"HTTP/1.1 503 Busy\\r\\nNever-Started: 1\\r\\nContent-Length: 0\\r\\n\\r\\n")[0]
+    <Ending.FULL: 3>
+    """
+    status, length, last = parse_response_head(head)
+    if status < 200:
+        return status, length, last
+    if status == 200:
+        return Ending.OK, length, last
+    unstarted = b"\r\nnever-started:" in head.lower()
+    return Ending.FULL if unstarted else Ending.TIMEOUT if status in (408, 504) else Ending.ERROR, length, last
