--- /dev/null
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -0,0 +1,244 @@
+"""One client request from its arrival to the end of its response.
+
+A request waits in the admission queue, is sent to a backend by an `Attempt`, and ends with exactly one response to the client.
+`request_state` decides what follows each event; this module carries the decision out.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from mulleinhatch.data_plane.admission_queue import PendingRequest, Rejection
+from mulleinhatch.data_plane.attempt import Attempt, AttemptResources
+from mulleinhatch.data_plane.request_context import RequestContext
+from mulleinhatch.data_plane.request_log import RequestLog
+from mulleinhatch.data_plane.request_state import NextStep
+from mulleinhatch.data_plane.retry_budget import RetryBudget
+from mulleinhatch.data_plane.wait_reason import WaitReason
+
+LOG = logging.getLogger(__name__)
+DEADLINE_GRACE_S = 0.05  # after the deadline: a response that is just arriving is still forwarded
+MIN_SEND_TIME_S = 0.02  # with less time left a request is not sent again
+
+
+class Scheduler(Protocol):
+    """What a request needs of the scheduler that owns it; `request_scheduler.RequestScheduler` implements it."""
+
+    def requeue(self, request: ClientRequest) -> None:
+        """Return a started request for which no backend was available to the queue."""
+
+    def retry(self, request: ClientRequest) -> None:
+        """Queue a request for another backend, with its age."""
+
+    def attempt_finished(self, request: ClientRequest, is_completed: bool, was_overloaded: bool) -> None:
+        """Free the request's slot and measure the service rate."""
+
+    def remove(self, request: ClientRequest) -> None:
+        """Forget a finished request."""
+
+    def retry_after_s(self, request: ClientRequest) -> float:
+        """Estimate when the client should come back."""
+
+
+@dataclass(frozen=True, slots=True)
+class RequestServices:
+    """The data plane's objects that each client request uses."""
+
+    loop: asyncio.AbstractEventLoop
+    scheduler: Scheduler
+    attempt_resources: AttemptResources
+    retry_budget: RetryBudget
+    request_log: RequestLog
+    data_plane_count: Callable[[], int]  # that share the retry budget
+
+
+class ClientRequest:
+    """One client request. Observes its attempts as an `AttemptObserver` and is cancelled by its `ClientSession`.
+
+    Args:
+        services: Shared objects of the data plane.
+        context: The request's facts.
+    """
+
+    __slots__ = (
+        "_attempt",
+        "_deadline_timer",
+        "_services",
+        "context",
+        "is_finished",
+        "pending",
+        "rejected_by",
+        "wait_reason",
+    )
+
+    def __init__(self, services: RequestServices, context: RequestContext) -> None:
+        self._services, self.context = services, context
+        route = context.route
+        self.pending = PendingRequest(
+            self,
+            context.name,
+            route.priority,
+            route.target_s,
+            context.prompt.session,
+            services.loop.time(),
+            context.deadline,
+        )
+        self._attempt: Attempt | None = None
+        self.rejected_by: set[str] = set()  # ids of backends that did not serve it; avoided while others are available
+        self.is_finished = False
+        self.wait_reason = WaitReason.NONE  # why no backend could take it when it arrived
+        self._deadline_timer = services.loop.call_at(context.deadline + DEADLINE_GRACE_S, self._on_deadline)
+
+    def answer_before(self, shutdown_at: float) -> None:
+        """Answer the request by `shutdown_at` (loop time) unless it is at a backend by then."""
+        if shutdown_at < self.context.deadline and self._attempt is None and not self.is_finished:
+            self._deadline_timer.cancel()
+            self._deadline_timer = self._services.loop.call_at(shutdown_at, self._on_shutdown)
+
+    def _on_shutdown(self) -> None:
+        if self.is_finished:
+            return
+        if self._attempt is None:
+            self._follow(self.context.state.no_backend(), "this instance ends")
+        else:
+            self._deadline_timer = self._services.loop.call_at(self.context.deadline + DEADLINE_GRACE_S, self._on_deadline)
+
+    # Called by the scheduler.
+
+    def start(self) -> None:
+        """Send the request to a backend, or return it to the queue if none is available."""
+        services, context = self._services, self.context
+        backend = services.attempt_resources.selector.select(context.name, context.prompt.prefix, self.rejected_by)
+        if backend is None:
+            services.scheduler.requeue(self)
+            return
+        if context.state.sends and not self._spend_retry():
+            self._follow(context.state.no_backend(), "no budget for another stub")
+            return
+        self._attempt = Attempt(context, backend, services.attempt_resources, self)
+        self._attempt.start()
+
+    def _spend_retry(self) -> bool:
+        services = self._services
+        return services.retry_budget.try_spend(self.context.service, services.loop.time(), services.data_plane_count())
+
+    def reject(self, rejection: Rejection) -> None:
+        """Answer a request that the queue did not accept, or gave up before it ran."""
+        self._follow(self.context.state.no_backend(), rejection.reason.value, rejection.retry_after_s)
+
+    # Called by the attempt.
+
+    def on_sent(self) -> None:
+        """Count the first sending as a request of the retry budget's rule."""
+        if self.context.state.sends == 1:
+            self._services.retry_budget.record_request(self.context.service, self._services.loop.time())
+
+    def on_first_byte(self, latency_s: float) -> None:
+        """Log a response that starts after the route's latency target."""
+        waited_s = self._services.loop.time() - self.pending.arrived_at
+        if waited_s > self.context.route.target_s:
+            self._services.request_log.late(self, waited_s, latency_s)
+
+    def on_rejected_by_backend(self, attempt: Attempt, was_overloaded: bool) -> None:
+        """Handle a backend's statement that it did not execute the request."""
+        self._release_attempt(was_overloaded=was_overloaded)
+        self.rejected_by.add(attempt.backend.id)
+        self._follow(self.context.state.not_executed(), "no stub could take it")
+
+    def on_unreachable(self, attempt: Attempt) -> None:
+        """Handle a failed connect: no byte of the request reached the backend."""
+        self._release_attempt()
+        self.rejected_by.add(attempt.backend.id)
+        self._follow(self.context.state.unreachable(len(self.rejected_by)), "no stub could be reached")
+
+    def on_connection_lost(self, attempt: Attempt) -> None:
+        """Handle a connection loss after the request may have executed."""
+        self._release_attempt()
+        self.rejected_by.add(attempt.backend.id)
+        next_step = self.context.state.connection_lost()
+        if next_step is NextStep.RETRY and self.context.event_filter is not None:
+            self.context.event_filter.discard_partial_event()
+        self._follow(next_step, "the stub broke off; whether it ran is not known")
+
+    def on_completed(self) -> None:
+        """Finish the request after its complete response was forwarded."""
+        self._release_attempt(is_completed=True)
+        self._finish()
+        self.context.session.finish()
+        self._services.request_log.served()
+
+    def _release_attempt(self, is_completed: bool = False, was_overloaded: bool = False) -> None:
+        self._attempt = None
+        self._services.scheduler.attempt_finished(self, is_completed, was_overloaded)
+
+    # Called by the client's session.
+
+    def cancel(self) -> None:
+        """Stop the request because its client disconnected: its backend is freed at once."""
+        if not self.is_finished:
+            self._abandon_attempt()
+            self._finish()
+
+    def on_writable(self, is_writable: bool) -> None:
+        """Pause reading from the backend while the client does not read."""
+        if self._attempt is not None:
+            self._attempt.pause(not is_writable)
+
+    # Ends.
+
+    def _on_deadline(self) -> None:
+        if self.is_finished:
+            return
+        self._abandon_attempt()
+        self._follow(self.context.state.deadline_exceeded(), "the time is over")
+
+    def _abandon_attempt(self) -> None:
+        if self._attempt is not None:
+            self._attempt.abandon()
+            self._release_attempt()
+
+    def _follow(self, next_step: NextStep, why: str, retry_after_s: float | None = None) -> None:
+        """Carry out a decision of the request's state machine.
+
+        Args:
+            next_step: The decision.
+            why: Reason, part of the client's error message.
+            retry_after_s: Seconds for `Retry-After` of a rejection; estimated where None.
+        """
+        if next_step is NextStep.RETRY:
+            self._retry()
+        elif next_step is NextStep.REJECT:
+            self._respond_rejection(why, retry_after_s)
+        elif next_step is NextStep.ABORT:
+            self._finish()
+            self.context.session.abort()
+        else:
+            self._respond_failure(504 if next_step is NextStep.TIME_OUT else 502, why)
+
+    def _retry(self) -> None:
+        if self._services.loop.time() + MIN_SEND_TIME_S > self.context.deadline:
+            self._on_deadline()
+        else:
+            self._services.scheduler.retry(self)
+
+    def _respond_rejection(self, why: str, retry_after_s: float | None) -> None:
+        if retry_after_s is None:
+            retry_after_s = self._services.scheduler.retry_after_s(self)
+        self._finish()
+        LOG.debug("request answered as not executed", extra={"request_id": self.context.request_id_text, "reason": why})
+        self._services.request_log.not_served(self, why, retry_after_s)
+        self.context.session.respond_error(503, f"not run: {why}", retry_after_s)
+
+    def _respond_failure(self, status: int, why: str) -> None:
+        self._finish()
+        LOG.debug("request answered as failed", extra={"request_id": self.context.request_id_text, "reason": why})
+        self.context.session.respond_error(status, why)
+
+    def _finish(self) -> None:
+        self.is_finished = True
+        self._deadline_timer.cancel()
+        self._services.scheduler.remove(self)
--- a/mulleinhatch/testing/fake_model_server/request_runner.py
+++ b/mulleinhatch/testing/fake_model_server/request_runner.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from mulleinhatch.data_plane.exchange import read_prompt
+from mulleinhatch.data_plane.request_headers import read_prompt
 from mulleinhatch.networking.http_streaming import Head, write_response
 from mulleinhatch.testing.fake_model_server.config import Counters, FakeModelServerConfig
 from mulleinhatch.testing.fake_model_server.model_store import ModelStore
