--- a/mulleinhatch/control_plane/api/backend_heartbeats.py
+++ b/mulleinhatch/control_plane/api/backend_heartbeats.py
@@ -11,6 +11,7 @@
 
 from mulleinhatch.configuration.document import read_json
 from mulleinhatch.control_plane.api.responses import empty_response, error_response, no_majority_response
+from mulleinhatch.control_plane.backend_handoff import BackendHandoff
 from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.messages.cluster import Backend, LoadedModel
 from mulleinhatch.networking.http_server import HttpServerRequest, HttpServerResponse
@@ -70,18 +71,11 @@
     return LoadedModel(name=payload["name"], version=payload.get("version", 0), adapters=list(payload.get("adapters", ())))
 
 
-class PeerHeartbeats(Protocol):
-    """The sender of heartbeats to the other core machines."""
-
-    def backend_changed(self, backend_id: str) -> None:
-        """Include a backend's record in the next heartbeat to each peer."""
-
-
 class BackendNode(Protocol):
     """What the backends' interface needs of the node; `CoreNode` satisfies it."""
 
     registry: BackendRegistry
-    heartbeats: PeerHeartbeats
+    backend_handoff: BackendHandoff
 
     def request_heartbeat(self) -> None:
         """Send a heartbeat to the peers as soon as possible."""
@@ -124,7 +118,7 @@
         node = self._node
         is_new = backend.id not in node.registry.entries
         if node.registry.merge(backend, self._clock()):
-            node.heartbeats.backend_changed(backend.id)
+            node.backend_handoff.record_change(backend.id)
         if is_new:
             node.request_heartbeat()
         if backend.draining and not await node.record_departure(backend.id):
--- a/mulleinhatch/control_plane/api/internal.py
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -58,11 +58,11 @@
 def build_internal_api(node: CoreNode) -> InternalApi:
     """Return an interface with a route to each job of the node that answers its peers."""
     api = InternalApi()
-    api.register("heartbeat", cluster.Heartbeat, node.heartbeats.on_heartbeat)
+    api.register("heartbeat", cluster.Heartbeat, node.heartbeat_responder.on_heartbeat)
     api.register("prepare", cluster.PrepareRequest, node.view_changer.on_prepare)
     api.register("accept", cluster.AcceptRequest, node.view_changer.on_accept)
     api.register("confirm", cluster.ConfirmRequest, node.view_changer.on_confirm)
     api.register("append", cluster.AppendRequest, node.replicated_log.on_append)
-    api.register("snapshot", cluster.SnapshotRequest, node.catch_up.on_snapshot)
-    api.register("leave", cluster.LeaveRequest, node.configuration_changes.on_leave)
+    api.register("snapshot", cluster.SnapshotRequest, node.snapshot_server.on_snapshot)
+    api.register("leave", cluster.LeaveRequest, node.backend_departures.on_leave)
     return api
--- a/mulleinhatch/control_plane/api/operator.py
+++ b/mulleinhatch/control_plane/api/operator.py
@@ -6,20 +6,22 @@
 from typing import Protocol
 
 from mulleinhatch.control_plane.api.responses import error_response, unavailable_response
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer
+from mulleinhatch.control_plane.configuration_changes import ConfigurationResult, ResultKind
 from mulleinhatch.networking.http_server import HttpServerRequest, HttpServerResponse
 from mulleinhatch.replication.state import ControlState
 
+REJECTION_STATUS = {ResultKind.INVALID: HTTPStatus.BAD_REQUEST, ResultKind.CONFLICT: HTTPStatus.PRECONDITION_FAILED}
+
 
 class ConfigurationNode(Protocol):
     """What the operator's interface needs of the node; `CoreNode` satisfies it."""
 
     state: ControlState
 
-    async def read_configuration(self) -> tuple[ChangeAnswer, bytes]:
-        """Return an outcome and, if its status is 200, the newest configuration as JSON."""
+    async def read_configuration(self) -> ConfigurationResult:
+        """Return the newest configuration, or why it cannot be served."""
 
-    async def change_configuration(self, method: str, base: int | None, body: bytes) -> ChangeAnswer:
+    async def change_configuration(self, method: str, base: int | None, body: bytes) -> ConfigurationResult:
         """Replace (PUT) or patch (PATCH) the configuration version `base`."""
 
 
@@ -35,23 +37,26 @@
             return await self._read()
         if request.method not in ("PUT", "PATCH"):
             return error_response(HTTPStatus.METHOD_NOT_ALLOWED, "use GET, PUT or PATCH")
-        answer = await self._node.change_configuration(request.method, _parse_base_version(request), request.body)
-        return self._change_response(answer)
+        result = await self._node.change_configuration(request.method, _parse_base_version(request), request.body)
+        if result.kind is ResultKind.OK:
+            return HttpServerResponse.of_json(HTTPStatus.OK, {"version": self._node.state.document.version})
+        return _unserved_response(result)
 
     async def _read(self) -> HttpServerResponse:
-        answer, text = await self._node.read_configuration()
-        if answer.status == HTTPStatus.OK:
-            return HttpServerResponse(HTTPStatus.OK, text)
-        return self._change_response(answer)
-
-    def _change_response(self, answer: ChangeAnswer) -> HttpServerResponse:
-        if answer.status == HTTPStatus.OK:
-            return HttpServerResponse.of_json(HTTPStatus.OK, {"version": self._node.state.document.version})
-        if answer.status == HTTPStatus.TEMPORARY_REDIRECT:
-            return error_response(HTTPStatus.TEMPORARY_REDIRECT, answer.message, {"Location": answer.location})
-        if answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            return unavailable_response(answer.message)
-        return error_response(answer.status, answer.message)
+        result = await self._node.read_configuration()
+        if result.kind is ResultKind.OK:
+            return HttpServerResponse(HTTPStatus.OK, result.text)
+        return _unserved_response(result)
+
+
+def _unserved_response(result: ConfigurationResult) -> HttpServerResponse:
+    """Return the response to a request that was not served."""
+    if result.kind is ResultKind.REDIRECT:
+        location = f"http://{result.control_address}/configuration"
+        return error_response(HTTPStatus.TEMPORARY_REDIRECT, result.message, {"Location": location})
+    if result.kind is ResultKind.RETRY:
+        return unavailable_response(result.message)
+    return error_response(REJECTION_STATUS[result.kind], result.message)
 
 
 def _parse_base_version(request: HttpServerRequest) -> int | None:
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -37,18 +37,33 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.http_client = HttpClient()
-        self.node = CoreNode(settings, self.http_client, self.clock, self._on_change)
+        self.node = CoreNode(settings, self.http_client, self.clock, self)
         self.distribution = Distribution(self.node, self.clock)
         self.placement = PlacementController(self.node, self.http_client, self.clock, settings.bounds)
-        self.node.placement_idle_s = self.placement.idle_s
-        self.node.on_store_load = self.placement.record_store_load
-        self.node.data_planes = self.distribution.count_local_data_planes
-        self.node.on_backend_change = lambda backend_id: self._on_change()
         self.stopped = asyncio.Event()
 
-    def _on_change(self) -> None:
+    # What the node observes of this process, and reports to it (`NodeObserver`).
+
+    def on_change(self) -> None:
+        """Answer the data planes' polls when the configuration, the view or the node's role changed."""
+        self.distribution.notify_changed()
+
+    def on_backend_change(self, backend_id: str) -> None:
+        """Answer the data planes' polls when a backend's record changed."""
         self.distribution.notify_changed()
 
+    def on_store_load(self) -> None:
+        """Count a load from the weight store against the rate limit."""
+        self.placement.record_store_load()
+
+    def count_data_planes(self) -> int:
+        """Return the number of data planes that poll this process."""
+        return self.distribution.count_local_data_planes()
+
+    def placement_idle_s(self) -> float:
+        """Return the seconds since this process last sent an order to a backend."""
+        return self.placement.idle_s()
+
     async def run(self) -> None:
         """Serve until SIGTERM, and then until the other core machines no longer need this one."""
         await self._open_state()
--- a/mulleinhatch/simulation/control_plane/__init__.py
+++ b/mulleinhatch/simulation/control_plane/__init__.py
@@ -1,8 +1,8 @@
-"""Core machines in virtual time: the real `CoreNode`, interfaces and `ControlPlaneClient`s on stand-in disks and a
-stand-in network, with losses, replacements, cuts and disks in trouble in any order. What must hold is checked from outside, by
-what was answered.
+"""Simulate the control plane in virtual time: the real nodes, APIs and data planes' clients on virtual disks and networks.
 
-`play(seed)` gives a `History`; one seed is one history. A planted `Defect` must make some history fail.
+Faults (losses, replacements, partitions, failing disks) are injected in any order, and invariants are checked from outside, by
+what the clients were answered. `play(seed)` returns a `History`; a seed determines it completely. Each planted `Defect` must
+violate an invariant in some history.
 """
 
 from __future__ import annotations
@@ -14,19 +14,17 @@
 from typing import Any
 
 from mulleinhatch.simulation.control_plane.defects import Defect, planted
+from mulleinhatch.simulation.control_plane.history_plan import HistoryPlan
 from mulleinhatch.simulation.control_plane.invariant_checks import History
 from mulleinhatch.simulation.control_plane.world import World
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 __all__ = ["Defect", "History", "World", "play", "play_script"]
-SYNC_S = (0.001, 0.008)
-TROUBLE_S = 25.0
-PACE_S = (0.05, 0.8)  # between two changes of one operator
-OVERLAPPING_PART = 0.15  # of the troubles: those beyond the tolerance
+Script = Callable[[World], Coroutine[Any, Any, None]]
 
 
 class _Errors(logging.Handler):
-    """Errors with a traceback that the code logs: each breaks the history."""
+    """Records each exception that the code logs as a violation."""
 
     def __init__(self, history: History) -> None:
         super().__init__(logging.ERROR)
@@ -34,7 +32,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         if record.exc_info and record.exc_info[1] is not None:
-            self._history.broken.append(f"error in the code: {record.exc_info[1]!r}")
+            self._history.violations.append(f"error in the code: {record.exc_info[1]!r}")
 
 
 def play(
@@ -42,34 +40,21 @@
     machines: int = 3,
     tolerated: int = 1,
     defect: Defect = Defect.NONE,
-    sync_s: tuple[float, float] = SYNC_S,
-    troubled: bool = True,
-    trouble_s: float = TROUBLE_S,
-    pace_s: tuple[float, float] = PACE_S,
-    overlapping_part: float = OVERLAPPING_PART,
+    sync_duration_s: tuple[float, float] = HistoryPlan.sync_duration_s,
+    with_faults: bool = True,
 ) -> History:
-    """One history of `trouble_s` virtual seconds and some more."""
+    """Play one history of random users and faults; see `HistoryPlan` for the parameters."""
 
     async def begin(world: World) -> None:
-        await world.play(troubled)
+        await world.play(with_faults)
 
-    return _played(begin, seed, machines, tolerated, defect, sync_s, trouble_s, pace_s, overlapping_part)
+    return _run(begin, seed, HistoryPlan(machines, tolerated, defect, sync_duration_s))
 
 
-def _played(
-    begin: Callable[[World], Coroutine[Any, Any, None]],
-    seed: int,
-    machines: int,
-    tolerated: int,
-    defect: Defect,
-    sync_s: tuple[float, float],
-    trouble_s: float,
-    pace_s: tuple[float, float],
-    overlapping_part: float,
-) -> History:
+def _run(begin: Script, seed: int, plan: HistoryPlan) -> History:
     loop, history = VirtualLoop(), History(seed)
     asyncio.set_event_loop(loop)
-    loop.set_exception_handler(lambda _, context: _note_exception(history, context))
+    loop.set_exception_handler(lambda _, context: _record_exception(history, context))
     log, handler = logging.getLogger("mulleinhatch"), _Errors(history)
     level, propagate = log.level, log.propagate
     log.addHandler(handler)
@@ -77,8 +62,8 @@
     log.propagate = False
     random.seed(seed)
     try:
-        with planted(defect):
-            world = World(history, loop, machines, tolerated, defect, sync_s, trouble_s, pace_s, overlapping_part)
+        with planted(plan.defect):
+            world = World(history, loop, plan)
             loop.run_until_complete(begin(world))
     finally:
         log.removeHandler(handler)
@@ -88,26 +73,20 @@
     return history
 
 
-def play_script(
-    script: Callable[[World], Coroutine[Any, Any, None]],
-    seed: int = 1,
-    machines: int = 3,
-    tolerated: int = 1,
-    defect: Defect = Defect.NONE,
-) -> History:
-    """One history in which a script does what is to happen, on a core that has just started."""
+def play_script(script: Script, seed: int = 1, machines: int = 3, tolerated: int = 1, defect: Defect = Defect.NONE) -> History:
+    """Play one history whose events a script brings about, on a core that has just started."""
 
     async def begin(world: World) -> None:
         await world.start()
         await script(world)
 
-    return _played(begin, seed, machines, tolerated, defect, SYNC_S, TROUBLE_S, PACE_S, 0.0)
+    return _run(begin, seed, HistoryPlan(machines, tolerated, defect))
 
 
-def _note_exception(history: History, context: dict) -> None:
+def _record_exception(history: History, context: dict) -> None:
     error = context.get("exception")
     if error is not None and not isinstance(error, (OSError, asyncio.CancelledError)):
-        history.broken.append(f"error in the code: {error!r}")
+        history.violations.append(f"error in the code: {error!r}")
 
 
 def _end(loop: VirtualLoop, world: World) -> None:
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -1,6 +1,7 @@
-"""Faults that are planted to see whether the checks find them: those that were found, and one for each promise of the core.
+"""Defects that are planted in the real code to show that the invariant checks find them.
 
-Each is a patch of one place of the real code, for as long as a history lasts.
+There is one for each guarantee of the core, and one for each defect that was found earlier. Each patches one or two functions
+for the duration of a history.
 """
 
 from __future__ import annotations
@@ -14,45 +15,47 @@
 
 from result import Err
 
-from mulleinhatch.consensus import view_planner as planning
+from mulleinhatch.consensus import view_planner
 from mulleinhatch.consensus.paxos import Voter
-from mulleinhatch.control_plane import shutdown as departure
-from mulleinhatch.control_plane.configuration_changes import ChangeAnswer, ConfigurationChanges
+from mulleinhatch.control_plane import shutdown
+from mulleinhatch.control_plane.backend_departures import BackendDepartures
+from mulleinhatch.control_plane.configuration_changes import ConfigurationChanges, ConfigurationResult, ResultKind
 from mulleinhatch.control_plane.peers import Peers
 from mulleinhatch.control_plane.view_change import ViewChanger
+from mulleinhatch.control_plane.write_gate import WriteGate
 from mulleinhatch.messages.cluster import LeaveResponse
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ChangeOutcome, ControlState
 
 
 class Defect(Enum):
-    """A planted fault."""
+    """A planted defect."""
 
     NONE = "none"
-    FORGET_SYNC = "a sync that does not last"
-    VOTE_AFTER_WIPE = "an emptied disk keeps its identity"
-    REFUSE_UNSETTLED = "412 while an earlier change is not settled"
-    READ_ANYWHERE = "reads without asking whether the view stands"
-    SHORT_CHAIN = "a chain of one acknowledges"
-    ADD_NEWCOMER = "a newcomer is added as a further voter"
-    LEAVE_UNHEARD = "a leave is acknowledged whoever has heard of it"
-    LOST_DESCRIPTOR = "after a rewrite whose folder sync failed, records go to a file without a name"
-    VIEW_BEFORE_DISK = "a view counts before the disk has it, and is not told again"
-    AUTHORITY_WITHOUT_EPOCH = "authority counts voters that answer, in whatever view"
-    FORGET_DIGESTS = "a change that is sent again is not known"
-    TWO_ON_ONE_BASE = "the version that a change builds on is not compared"
-    END_AT_ONCE = "a machine that leaves ends whether or not it holds the only copy"
-    LEAD_UNSETTLED = "who joined leads whatever it holds"
+    LOSE_SYNCED_WRITE = "a synced write may be lost"
+    KEEP_IDENTITY_AFTER_WIPE = "an emptied disk keeps its identity"
+    REJECT_DURING_PENDING_CHANGE = "412 while an earlier change is not committed"
+    READ_WITHOUT_CONFIRMATION = "reads without confirming the view"
+    SHORT_CHAIN = "a chain of one replica acknowledges"
+    ADD_NEWCOMER = "a joining machine is added as a further voter"
+    ACKNOWLEDGE_UNRECORDED_LEAVE = "a departure is acknowledged without being recorded"
+    WRITE_TO_UNLINKED_FILE = "after a rewrite whose folder sync failed, records go to an unlinked file"
+    VIEW_BEFORE_DISK = "a view is in force before it is durable, and is not learned again"
+    CONFIRM_WITHOUT_EPOCH = "majority contact counts voters of any view"
+    FORGET_DIGESTS = "a change that is sent again is not recognised"
+    ACCEPT_STALE_BASE = "the version that a change builds on is not compared"
+    SHUT_DOWN_AT_ONCE = "a leaving machine ends even if it has the only complete replica"
+    LEAD_WITH_INCOMPLETE_LOG = "a joined replica leads with an incomplete log"
 
 
 def _add_newcomer(view: Any, health: Any, tolerated: int) -> list[Any]:
-    """The planner's rule until the third replacement in a row left no majority."""
-    voters, candidates = list(view.voters), planning._voter_candidates(view, health)
-    planning._replace_wiped_voters(voters, candidates)
+    """Apply a former rule of the planner: after three replacements in a row no majority was left."""
+    voters, candidates = list(view.voters), view_planner._voter_candidates(view, health)
+    view_planner._replace_wiped_voters(voters, candidates)
     silent = [
-        place
-        for place in planning._unreachable_voter_positions(voters, health)
-        if health[voters[place].identity].unreachable_for_s > 8.0
+        index
+        for index in view_planner._unreachable_voter_positions(voters, health)
+        if health[voters[index].identity].unreachable_for_s > 8.0
     ]
     if candidates and silent:
         voters[silent[0]] = candidates[0]
@@ -63,12 +66,12 @@
     return voters
 
 
-async def _acknowledge_leave(self: ConfigurationChanges, backend_id: str) -> bool:
+async def _acknowledge_leave(self: BackendDepartures, backend_id: str) -> bool:
     await asyncio.sleep(0.05)
     return True
 
 
-async def _take_leave(self: ConfigurationChanges, request: Any) -> LeaveResponse:
+async def _acknowledge_any_leave(self: BackendDepartures, request: Any) -> LeaveResponse:
     return LeaveResponse(accepted=True)
 
 
@@ -76,17 +79,17 @@
     async with self.lock:
         before = self._voter.state
         self._voter = Voter(self._voter.identity, before)
-        said = step(self._voter)
+        response = step(self._voter)
         if self._voter.state is not before:
             await self._write(self._voter.state)
-    self._node.activate_view(self.view)
-    return said
+    self._activate_view(self.view)
+    return response
 
 
-def _change_at_once(real: Any) -> Any:
-    async def change(self: ConfigurationChanges, *args: Any) -> ChangeAnswer:
-        if self._node.replicated_log.change_pending():
-            return ChangeAnswer(ChangeOutcome.CONFLICT.http_status, "planted")
+def _reject_while_pending(real: Any) -> Any:
+    async def change(self: ConfigurationChanges, *args: Any) -> ConfigurationResult:
+        if self._log.has_pending_change():
+            return ConfigurationResult(ResultKind.CONFLICT, "planted")
         return await real(self, *args)
 
     return change
@@ -113,7 +116,7 @@
     return check
 
 
-def _adopt_settled(real: Any) -> Any:
+def _adopt_as_log_complete(real: Any) -> Any:
     def adopt(self: Replica, view: Any) -> None:
         real(self, view)
         self.log_complete = self.position >= 0
@@ -122,53 +125,55 @@
     return adopt
 
 
-async def _always(self: ViewChanger) -> bool:
+async def _confirm_always(self: ViewChanger) -> bool:
     return True
 
 
-async def _end_at_once(node: Any, grace_s: float) -> None:
+async def _shut_down_at_once(node: Any, grace_s: float) -> None:
     node.leaving = True
 
 
 def _patches(defect: Defect) -> list[Any]:
-    if defect is Defect.REFUSE_UNSETTLED:
-        return [mock.patch.object(ConfigurationChanges, "_change", _change_at_once(ConfigurationChanges._change))]
-    if defect is Defect.READ_ANYWHERE:
-        return [mock.patch.object(ViewChanger, "confirm_view", _always)]
+    if defect is Defect.REJECT_DURING_PENDING_CHANGE:
+        return [mock.patch.object(ConfigurationChanges, "_change", _reject_while_pending(ConfigurationChanges._change))]
+    if defect is Defect.READ_WITHOUT_CONFIRMATION:
+        return [mock.patch.object(ViewChanger, "confirm_view", _confirm_always)]
     if defect is Defect.SHORT_CHAIN:
-        real = planning.plan_next_view
+        real = view_planner.plan_next_view
         return [
-            mock.patch("mulleinhatch.control_plane.node.plan_next_view", lambda view, health, tolerated: real(view, health, 0)),
-            mock.patch.object(ConfigurationChanges, "_leads", lambda self: self._node.replica.is_head),
+            mock.patch(
+                "mulleinhatch.control_plane.view_manager.plan_next_view", lambda view, health, tolerated: real(view, health, 0)
+            ),
+            mock.patch.object(WriteGate, "can_accept_writes", lambda self: self._replica.is_head),
         ]
     if defect is Defect.ADD_NEWCOMER:
-        return [mock.patch.object(planning, "_plan_voters", _add_newcomer)]
-    if defect is Defect.LEAVE_UNHEARD:
+        return [mock.patch.object(view_planner, "_plan_voters", _add_newcomer)]
+    if defect is Defect.ACKNOWLEDGE_UNRECORDED_LEAVE:
         return [
-            mock.patch.object(ConfigurationChanges, "backend_leaves", _acknowledge_leave),
-            mock.patch.object(ConfigurationChanges, "on_leave", _take_leave),
+            mock.patch.object(BackendDepartures, "record", _acknowledge_leave),
+            mock.patch.object(BackendDepartures, "on_leave", _acknowledge_any_leave),
         ]
     if defect is Defect.VIEW_BEFORE_DISK:
         return [
             mock.patch.object(ViewChanger, "_step", _step_first),
             mock.patch.object(Peers, "has_confirmed_majority", Peers.reaches_majority),
         ]
-    if defect is Defect.AUTHORITY_WITHOUT_EPOCH:
+    if defect is Defect.CONFIRM_WITHOUT_EPOCH:
         return [mock.patch.object(Peers, "has_confirmed_majority", Peers.reaches_majority)]
     if defect is Defect.FORGET_DIGESTS:
         return [mock.patch.object(ControlState, "check", _forget_digests(ControlState.check))]
-    if defect is Defect.TWO_ON_ONE_BASE:
+    if defect is Defect.ACCEPT_STALE_BASE:
         return [mock.patch.object(ControlState, "check", _check_without_base(ControlState.check))]
-    if defect is Defect.END_AT_ONCE:
-        return [mock.patch.object(departure, "leave", _end_at_once)]
-    if defect is Defect.LEAD_UNSETTLED:
-        return [mock.patch.object(Replica, "adopt_view", _adopt_settled(Replica.adopt_view))]
+    if defect is Defect.SHUT_DOWN_AT_ONCE:
+        return [mock.patch.object(shutdown, "leave", _shut_down_at_once)]
+    if defect is Defect.LEAD_WITH_INCOMPLETE_LOG:
+        return [mock.patch.object(Replica, "adopt_view", _adopt_as_log_complete(Replica.adopt_view))]
     return []
 
 
 @contextlib.contextmanager
 def planted(defect: Defect) -> Iterator[None]:
-    """The real code with a defect, until the end of the block."""
+    """Patch the real code with a defect for the duration of the block."""
     with contextlib.ExitStack() as stack:
         for patch in _patches(defect):
             stack.enter_context(patch)
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -1,4 +1,4 @@
-"""One history: machines, links, operators, backends, data planes, troubles and checks, on one virtual clock."""
+"""One simulated history: machines, links, clients, faults and invariant checks on one virtual clock."""
 
 from __future__ import annotations
 
@@ -7,63 +7,59 @@
 from typing import Any
 
 from mulleinhatch.simulation.control_plane.clients import Backend, DataPlane, Operator, Reader
-from mulleinhatch.simulation.control_plane.defects import Defect
-from mulleinhatch.simulation.control_plane.faults import CATCH_UP_S, Troubles
-from mulleinhatch.simulation.control_plane.invariant_checks import History, Watch
+from mulleinhatch.simulation.control_plane.fault_actions import CATCH_UP_S
+from mulleinhatch.simulation.control_plane.faults import FaultInjector
+from mulleinhatch.simulation.control_plane.history_plan import HistoryPlan
+from mulleinhatch.simulation.control_plane.invariant_checks import History, InvariantChecker
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.control_plane.network import Links, Network
 from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 
-RECOVERY_S = 12.0  # after all troubles: the core must answer again
-LOOK_S = 0.1
+RECOVERY_S = 12.0  # after the last fault the core must answer within this time
+CHECK_INTERVAL_S = 0.1
 CLAIM_S = 1.7
 FIRST_S = 2.0
 
 
 class World:
-    """What the parts of a history share."""
-
-    def __init__(
-        self,
-        history: History,
-        loop: VirtualLoop,
-        machines: int,
-        tolerated: int,
-        defect: Defect,
-        sync_s: tuple[float, float],
-        trouble_s: float,
-        pace_s: tuple[float, float],
-        overlapping_part: float,
-    ) -> None:
-        self.history, self.loop, self.tolerated, self.defect = history, loop, tolerated, defect
-        self.sync_s, self.trouble_s, self.pace_s, self.overlapping_part = sync_s, trouble_s, pace_s, overlapping_part
-        self.chance = random.Random(history.seed)
+    """The shared state of a history's parts.
+
+    Attributes:
+        first: Whether the core starts for the first time.
+    """
+
+    def __init__(self, history: History, loop: VirtualLoop, plan: HistoryPlan) -> None:
+        self.history, self.loop, self.plan = history, loop, plan
+        self.rng = random.Random(history.seed)
         self.links = Links()
         self.first = True
-        self.machines = [Machine(number, self) for number in range(machines)]
-        self._numbers = machines
+        self.machines = [Machine(number, self) for number in range(plan.machines)]
+        self._numbers = plan.machines
         self._core_event_at = 0.0
         self.planes = [DataPlane(self, number) for number in range(2)]
-        self.watch = Watch(self, history)
-        self.troubles = Troubles(self)
+        self.checker = InvariantChecker(self, history)
+        self.faults = FaultInjector(self)
 
     def note(self, text: str) -> None:
+        """Add an event to the history."""
         self.history.events.append(f"{self.loop.time():8.3f} {text}")
 
     # Machines.
 
     def seeds(self) -> tuple[str, ...]:
-        """Control addresses of three machines, as the operator's list stands."""
+        """Return the control addresses of the first three machines, as the settings files name them."""
         return tuple(machine.control_address for machine in self.machines[:3])
 
-    def caller(self, place: Any, process: Process) -> Any:
-        return Network(self, place, process)
+    def caller(self, endpoint: Any, process: Process) -> Any:
+        """Return the network client of one process."""
+        return Network(self, endpoint, process)
 
     def machine_at(self, address: str) -> Machine | None:
-        return next((one for one in self.machines if address in (one.internal, one.control_address)), None)
+        """Return the machine at a control or internal address."""
+        return next((machine for machine in self.machines if address in (machine.internal, machine.control_address)), None)
 
     def add_machine(self, former: Machine) -> Machine:
-        """An empty machine at an address of its own, in the place of one that is gone or will be."""
+        """Start an empty machine at a new address, which replaces a machine that is or will be removed."""
         machine = Machine(self._numbers, self)
         self._numbers += 1
         if former.removed:
@@ -72,40 +68,47 @@
             self.machines.append(machine)
         machine.start()
         machine.lost_until = self.loop.time() + CATCH_UP_S
-        self.core_event()
+        self.record_core_event()
         self.note(f"{machine.number} comes for {former.number}")
         return machine
 
     def remove(self, machine: Machine) -> None:
+        """Remove a machine that was shut down for good."""
         self.machines.remove(machine)
 
     def lost(self) -> int:
-        """Machines that count as lost now."""
+        """Return the number of machines that count as lost now."""
         now = self.loop.time()
         return sum(machine.node is None or machine.lost_until > now for machine in self.machines)
 
-    def core_event(self) -> None:
+    def record_core_event(self) -> None:
+        """Record that a fault hit the core or ended."""
         self._core_event_at = self.loop.time()
 
-    def core_calm(self, since: float) -> bool:
-        """Whether nothing happened to the core after a moment, and more than half of it runs and is connected."""
-        running = [one for one in self.machines if one.node is not None and not one.process.frozen]
+    def is_core_stable(self, since: float) -> bool:
+        """Return whether no fault hit the core since a time, and more than half of its machines run and are connected."""
+        running = [machine for machine in self.machines if machine.node is not None and not machine.process.frozen]
         connected = max(
-            (sum(self.links.open(one, other) and self.links.open(other, one) for other in running) for one in running),
+            (
+                sum(self.links.open(machine, other) and self.links.open(other, machine) for other in running)
+                for machine in running
+            ),
             default=0,
         )
         return self._core_event_at < since and 2 * connected > len(self.machines)
 
-    def in_touch(self, plane: DataPlane, since: float) -> bool:
+    def is_connected(self, plane: DataPlane, since: float) -> bool:
+        """Return whether a data plane has run since a time."""
         return plane.process is not None and plane.started_at < since
 
     def on_acknowledgement(self) -> None:
-        self.troubles.acknowledged()
+        """Handle that a change was acknowledged to an operator."""
+        self.faults.on_acknowledged()
 
     # The history.
 
     async def start(self) -> None:
-        """All machines and data planes start for the first time."""
+        """Start all machines and data planes for the first time."""
         for machine in self.machines:
             machine.start()
             machine.lost_until = CATCH_UP_S
@@ -113,27 +116,27 @@
             plane.start()
         await asyncio.sleep(0.05)
         self.first = False
-        self.loop.start(self._look_forever())
+        self.loop.start(self._check_forever())
         self.loop.start(self._claim_forever())
         await asyncio.sleep(FIRST_S)
 
-    async def play(self, troubled: bool) -> None:
-        """A history with users, and troubles drawn by chance."""
+    async def play(self, with_faults: bool) -> None:
+        """Play a history with clients and, if wanted, random faults; check the recovery at the end."""
         await self.start()
-        users = [Operator(self, "one").run(), Operator(self, "two").run(), Reader(self).run()]
-        users += [Backend(self, number).run() for number in range(2)]
-        await asyncio.gather(*users, *([self.troubles.run()] if troubled else []))
-        await self._mark_log_complete()
+        clients = [Operator(self, "one").run(), Operator(self, "two").run(), Reader(self).run()]
+        clients += [Backend(self, number).run() for number in range(2)]
+        await asyncio.gather(*clients, *([self.faults.run()] if with_faults else []))
+        await self._verify_recovery()
 
-    async def _look_forever(self) -> None:
+    async def _check_forever(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.watch.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.checker.check()
 
     async def _claim_forever(self) -> None:
-        """Whoever leads claims the orders now and then, as a new holder does."""
+        """Let machines at the head of the chain claim the leadership at random times."""
         while True:
-            await asyncio.sleep(self.chance.uniform(0.2, CLAIM_S))
+            await asyncio.sleep(self.rng.uniform(0.2, CLAIM_S))
             for machine in self.machines:
                 if machine.node is None or machine.claiming is machine.process:
                     continue
@@ -148,34 +151,34 @@
             token = 0
         machine.claiming = None
         if token:
-            self.watch.claimed(token)
+            self.checker.record_claim(token)
 
-    async def _mark_log_complete(self) -> None:
-        """All are back; the core must answer, and hold what was acknowledged and nothing that was refused."""
-        await asyncio.sleep(9.0)  # what is under way ends: a leave takes its grace period
+    async def _verify_recovery(self) -> None:
+        """Check that the core answers after all faults, and that it has all acknowledged changes and no rejected one."""
+        await asyncio.sleep(9.0)  # operations in progress end: a shutdown may take its grace period
         self.links.clear()
         for machine in self.machines:
             if machine.node is None:
                 machine.start()
         end = self.loop.time() + RECOVERY_S
-        reader, answered = Reader(self), False
-        while self.loop.time() < end and not answered:
+        reader, is_readable = Reader(self), False
+        while self.loop.time() < end and not is_readable:
             await asyncio.sleep(0.3)
-            answered = await reader.read()
-        if not answered:
-            self.watch.breaks("no read is answered after all troubles are over")
+            is_readable = await reader.read()
+        if not is_readable:
+            self.checker.record_violation("no read is answered after all faults")
             return
-        await self._last_change(end)
-        self.watch.check_end()
+        await self._verify_change_accepted(end)
+        self.checker.check_end()
 
-    async def _last_change(self, end: float) -> None:
-        """A change must be taken again."""
+    async def _verify_change_accepted(self, end: float) -> None:
+        """Check that the core accepts a change again."""
         operator = Operator(self, "last")
         while self.loop.time() < end:
             await Reader(self).read()
-            sent = operator.change(self.watch.believed)
-            self.watch.sends(sent)
-            await operator.until_clear(sent)
+            sent = operator.change(self.checker.assumed_version)
+            self.checker.record_submission(sent)
+            await operator.send_until_answered(sent)
             if sent.acknowledged_at >= 0:
                 return
-        self.watch.breaks("no change is acknowledged after all troubles are over")
+        self.checker.record_violation("no change is acknowledged after all faults")
