--- a/benchmarks/loudest.py
+++ b/benchmarks/loudest.py
@@ -22,7 +22,7 @@
 
 from docopt import docopt
 
-from mulleinhatch.instance.gossip.heavy_hitters import Loudest
+from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
 
 TENANTS, KEPT, LOUD = 100_000, 256, 4
 ROUNDS = 3
@@ -53,18 +53,18 @@
     def count(now: float, name: str) -> None:
         plain[name] += 1
 
-    sketch = Loudest(KEPT)
+    sketch = HeavyHitters(KEPT)
     held = {}
     for what, add in (("dict", count), ("sketch", sketch.add)):
         tracemalloc.start()
         timed(names, add)
         held[what] = tracemalloc.get_traced_memory()[0] / 1024.0
         tracemalloc.stop()
-    found = {loud.name for loud in sketch.most(len(names) / 50_000.0, LOUD)}
+    found = {loud.name for loud in sketch.top(len(names) / 50_000.0, LOUD)}
     true = {name for name, _ in plain.most_common(LOUD)}
     cost = {
         "dict": min(timed(names, count) for _ in range(ROUNDS)),
-        "sketch": min(timed(names, Loudest(KEPT).add) for _ in range(ROUNDS)),
+        "sketch": min(timed(names, HeavyHitters(KEPT).add) for _ in range(ROUNDS)),
     }
     print(f"{'':8}{'us an op':>10}{'KB held':>10}{'names':>10}")
     for what, names_held in (("dict", len(plain)), ("sketch", len(sketch.counts))):
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -40,11 +40,11 @@
 from mulleinhatch.admission.interface import Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.gossip import messages as words
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.instance.gossip.budgets import Part
-from mulleinhatch.instance.gossip.core import Fleet, Local
+from mulleinhatch.instance.gossip.budgets import LeasedQuota
+from mulleinhatch.instance.gossip.core import GossipNode, LocalState
 from mulleinhatch.instance.gossip.counters import FIGURES
-from mulleinhatch.instance.gossip.heavy_hitters import Loudest
-from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
+from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
+from mulleinhatch.instance.gossip.messages import GossipMessage, MemberUpdate, Report
 from mulleinhatch.instance.maintenance import messages as upkeep_words
 from mulleinhatch.instance.maintenance.core import Bounds, Known, Upkeep
 from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
@@ -144,11 +144,11 @@
         def beat() -> None:
             for part in parts:
                 part.usable(now)
-                part.plan(now, 0.5, [])
+                part.plan_requests(now, 0.5, [])
                 for _ in range(LETTERS):
-                    part.spare(now, 0.5)
+                    part.spare_units(now, 0.5)
                 for _ in range(1 + LETTERS):
-                    part.pieces(now)
+                    part.usable_pieces(now)
 
         return cpu(beat, max(1, 1_000 // count), self.turns)
 
@@ -302,14 +302,14 @@
         return self.names[self.turn]
 
 
-def filled(names: Names, adds: int) -> Loudest:
-    sketch = Loudest(TENANTS_KEPT)
+def filled(names: Names, adds: int) -> HeavyHitters:
+    sketch = HeavyHitters(TENANTS_KEPT)
     for turn in range(adds):
         sketch.add(turn / 275.0, names.next())
     return sketch
 
 
-def adding(sketch: Loudest, names: Names, since: int) -> Callable[[], None]:
+def adding(sketch: HeavyHitters, names: Names, since: int) -> Callable[[], None]:
     clock = count_from(since)
     return lambda: sketch.add(next(clock) / 275.0, names.next())
 
@@ -317,8 +317,8 @@
 SEATS = tuple(f"n{place}" for place in range(MEMBERS))
 
 
-def all_parts(count: int) -> list[Part]:
-    return [Part(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
+def all_parts(count: int) -> list[LeasedQuota]:
+    return [LeasedQuota(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
 def one_try(desk: Desk, caller: int, number: int) -> None:
@@ -401,7 +401,7 @@
         super().__init__(count, most=1, works=1e6, seed=seed)
 
     def _word(self, data: bytes) -> None:
-        if words.decode(data, "virtual").more:
+        if words.decode(data, "virtual").extension:
             self.heard["words"] += 1
             self.heard["bytes"] += HEADERS + len(data)
 
@@ -419,22 +419,22 @@
 
 def asked_voter(count: int) -> tuple[Upkeep, bytes]:
     """A voter that knows so many members, all of which wait, and one more query of the last."""
-    fleet = Fleet(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
+    fleet = GossipNode(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
     core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
     requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
     letters = [
-        Letter(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
+        GossipMessage(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
         for place, request in enumerate(requests)
     ]
     for letter, request in zip(letters, requests):
-        core.fleet.letter(1.0, letter)
+        core.fleet.handle_message(1.0, letter)
         core.requests[request.name] = Known(request, 1.0)
     query = upkeep_words.encode(upkeep_words.Query(requests[-1]))
-    return core, words.encode(msgspec.structs.replace(letters[-1], more=query))
+    return core, words.encode(msgspec.structs.replace(letters[-1], extension=query))
 
 
 def answered(core: Upkeep, query: bytes) -> None:
-    core.fleet.datagram(1.0, query)
+    core.fleet.handle_datagram(1.0, query)
     if not core.said():
         raise ValueError("the voter gave no answer: nothing was measured")
 
@@ -463,7 +463,7 @@
     side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
     side.socket.close()
     now = time.monotonic()
-    side.core = core = Fleet(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
+    side.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
     for number in range(1, count):
         name, address = f"n{number}", f"10.1.{number // 250}.{number % 250}:7300"
         report = Report(
@@ -475,9 +475,9 @@
             [1],
             [(f"tenant {(4 * number * differ + one) % TENANTS}", 5.0) for one in range(4)],
         )
-        core.letter(
+        core.handle_message(
             now,
-            Letter(
+            GossipMessage(
                 words.VERSION,
                 "f",
                 name,
@@ -485,11 +485,11 @@
                 1_700_000_000_000,
                 0,
                 "word",
-                rumours=[Rumour(name, address, 1_700_000_000_000, 0, words.ALIVE)],
+                member_updates=[MemberUpdate(name, address, 1_700_000_000_000, 0, words.ALIVE)],
                 reports=[report],
             ),
         )
-    core.beat(now, Local())
+    core.heartbeat(now, LocalState())
     return side
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -36,7 +36,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.instance.load_balancing.estimates import SCATTER, Window, drawn, usual
+from mulleinhatch.instance.load_balancing.estimates import SCATTER, DecayingWindow, estimate_population, shrink_towards_mean
 from mulleinhatch.simulation.gossip_world import Plan
 from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, SpreadWorld, common_queue
 from mulleinhatch.testing import duplicate_runs as second_runs
@@ -162,17 +162,17 @@
             paces = [draw.choice((1.0, 1.0, 2.5)) * draw.uniform(0.9, 1.1) for _ in range(100)]
             seen = []
             for pace in paces:
-                short, window, at = [], Window(10.0), 0.0
+                short, window, at = [], DecayingWindow(10.0), 0.0
                 while (at := at + draw.expovariate(rate)) < 30.0:
                     value = pace * draw.uniform(0.4, 1.6) * draw.uniform(0.5, 1.5)
                     window.add(at, value)
                     short += [value] if at > 27.5 else []
                 seen.append((short, window.evidence(30.0)))
-            mean, differ = usual([evidence for _, evidence in seen], SCATTER)
+            mean, differ = estimate_population([evidence for _, evidence in seen], SCATTER)
             for pace, (short, evidence) in zip(paces, seen):
                 # Where the window is empty today's text knows nothing: it is taken for the usual pace.
                 own = sum(short) / len(short) if short else 1.0
-                value = drawn(30.0, evidence, SCATTER, mean, differ).value
+                value = shrink_towards_mean(30.0, evidence, SCATTER, mean, differ).value
                 errors["own"] += ((own - pace) / pace) ** 2
                 errors["drawn"] += ((value - pace) / pace) ** 2
                 whole_count += 1
--- a/mulleinhatch/instance/gossip/__init__.py
+++ b/mulleinhatch/instance/gossip/__init__.py
@@ -1,5 +1,6 @@
-"""What instances may know of each other: members, counts, budgets, judgements; happenings and datagrams in, errands out.
+"""Gossip between instances: membership, failure detection, shared counters, leased quotas and outlier detection.
 
-`program/fleet.py` calls it where the operator's file has a `fleet` node. It never decides what becomes of an op, keeps no
-clock, and whatever is lost, late, repeated, stopped or started anew it never lets a budget's total be exceeded.
+Events and datagrams go in, datagrams and state changes come out; nothing here does I/O or reads a clock.
+`instance/runtime/gossip.py` drives it where the operator's file has a `fleet` node. It takes no decision about a request, and
+no lost, late, repeated or reordered message, pause or restart lets the instances together exceed the total of a budget.
 """
--- a/mulleinhatch/instance/gossip/bounds.py
+++ b/mulleinhatch/instance/gossip/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds that an operator sets for the fleet, with what holds where none is set."""
+"""Settings of the gossip protocol, with the values that hold where the operator's file sets none."""
 
 from __future__ import annotations
 
@@ -6,50 +6,60 @@
 
 
 class BudgetBounds(NamedTuple):
-    """One total for the whole fleet, in units a window; `seats` names share it evenly, a name without a seat borrows."""
+    """One total for all instances together, in units per window.
+
+    Each name in `seats` owns an even share of the total; a name without a seat can only borrow.
+    """
 
     name: str
     total: int  # units that all instances together may use in any window
-    seats: tuple[str, ...]  # the names that own an even part each
-    window: float = 1.0  # seconds; 0 for what is held, not used up
-    lease: float = 5.0  # seconds that a borrowed part lasts without a word of its giver
-    drift: float = 0.03  # by which clocks may run apart, as a share: 1% each, with room
-    tenant: str = ""  # whose runs it bounds, in a window, or in hand where that is 0
-    retries: bool = False  # heard in a storm; neither: calls in hand at the shared dependency
+    seats: tuple[str, ...]  # names that own an even share each
+    window: float = 1.0  # seconds; 0 for units that are occupied and freed instead of used up
+    lease: float = 5.0  # seconds that borrowed units last without a renewal
+    drift: float = 0.03  # largest difference between two clocks' rates as a fraction: 1% each way, plus a margin
+    tenant: str = ""  # tenant whose runs are limited: per window, or concurrent runs where the window is 0
+    retries: bool = False  # limits retries during a retry storm; without tenant or retries: calls to the shared dependency
 
 
 class FleetBounds(NamedTuple):
-    """Times are seconds; what is sent a beat does not depend on the fleet's size."""
+    """Settings of one member. Times are in seconds; the messages per heartbeat do not depend on the number of members."""
 
-    fleet: str  # its name: datagrams of others are dropped
+    fleet: str  # name of the fleet: datagrams of others are dropped
     listen: tuple[str, int] = ("127.0.0.1", 0)
-    advertise: str = ""  # host:port that the others are told; else what is listened on
-    seeds: tuple[str, ...] = ()  # host:port of some members, to join by
-    beat: float = 0.1
-    status: str = ""  # host:port where the command line asks
-    probes: int = 2  # members asked a beat
-    probe_wait: float = 0.3  # until others are asked to ask for us
-    helpers: int = 3  # as many
-    probe_fails: float = 0.65  # until it is suspected
-    suspect_for: float = 1.95  # until a suspected one is gone
-    late: float = 0.4  # a beat that comes so late is our own trouble
-    forget: float = 600.0  # how long one that is gone is still asked now and then
+    advertise: str = ""  # host:port under which peers reach this member; empty: the address that it listens on
+    seeds: tuple[str, ...] = ()  # host:port of members to join through
+    heartbeat_s: float = 0.1
+    status: str = ""  # host:port that the command line asks
+    probes_per_heartbeat: int = 2
+    indirect_probe_after_s: float = 0.3  # without an acknowledgement, other members are asked to probe
+    indirect_probers: int = 3  # how many other members are asked
+    probe_timeout_s: float = 0.65  # then the member is suspected
+    suspicion_timeout_s: float = 1.95  # then a suspected member is declared gone
+    late_after_s: float = 0.4  # a heartbeat delayed by more than this was paused itself, so its open probes prove nothing
+    forget_after_s: float = 600.0  # how long a member that is gone is still contacted now and then
     budgets: tuple[BudgetBounds, ...] = ()
-    report_every: float = 0.3  # between reports of our own figures
-    fresh: float = 2.0  # an older report is of a silent member
-    ask_every: float = 0.7  # between asks for a part of the same giver
-    # In levels (`docs/design/levels.md`): where this member stands. Without a zone all are one group.
+    report_interval_s: float = 0.3  # between reports of this member's own figures
+    fresh_for_s: float = 2.0  # older reports count as missing
+    request_interval_s: float = 0.7  # between lease requests to the same member
+    # Position in the aggregation tree (`docs/design/levels.md`). Without a zone all members form one group.
     zone: str = ""
     region: str = ""
-    groups: int = 1  # of the zone; a member's is a hash of its name
-    beyond: tuple[str, ...] = ()  # host:port of some members of other zones and regions; `seeds` are the zone's own
+    groups: int = 1  # groups of the zone; a hash of the name assigns a member to one
+    beyond: tuple[str, ...] = ()  # host:port of members of other zones and regions; `seeds` belong to the own zone
 
 
-# What the times are in levels: within 3 KB a second, and a dead member known to its group within 5 s.
-IN_LEVELS = {"beat": 0.25, "report_every": 4.0, "fresh": 30.0, "ask_every": 2.0, "suspect_for": 2.3, "forget": 7200.0}
+# Defaults with an aggregation tree: traffic stays below 3 KB/s, and a group knows of a dead member within 5 s.
+GROUPED_TIMING = {
+    "heartbeat_s": 0.25,
+    "report_interval_s": 4.0,
+    "fresh_for_s": 30.0,
+    "request_interval_s": 2.0,
+    "suspicion_timeout_s": 2.3,
+    "forget_after_s": 7200.0,
+}
 
 
-def levelled(bounds: FleetBounds) -> FleetBounds:
-    """The times that hold in levels in place of the usual ones; what an operator set stays."""
-    usual = FleetBounds._field_defaults
-    return bounds._replace(**{key: value for key, value in IN_LEVELS.items() if getattr(bounds, key) == usual[key]})
+def with_grouped_timing(bounds: FleetBounds) -> FleetBounds:
+    """Return the settings with the defaults for an aggregation tree; values that an operator set are kept."""
+    defaults = FleetBounds._field_defaults
+    return bounds._replace(**{key: value for key, value in GROUPED_TIMING.items() if getattr(bounds, key) == defaults[key]})
--- a/mulleinhatch/instance/gossip/budgets.py
+++ b/mulleinhatch/instance/gossip/budgets.py
@@ -1,9 +1,13 @@
-"""A total for the fleet that all together never exceed: even parts that are one's own, and leased ones that move.
+"""Quotas with leases: units of a fleet-wide total that instances own, lend and borrow without ever exceeding the total.
 
-Each seat owns an even part for good: a cut-off member lives on it. What it can spare it lends. The giver loses first: it stops
-using what it lends, waits a window, and only then gives; it has it back a window after the lease ran out by its own clock,
-stretched by the drift, counted from a later moment than the taker's. So no word between them has to arrive for the sum
-to stay within the total. `Part` is one budget in one instance; `simulation/budget_model_checker.py` drives it.
+Each seat owns an even share for good, on which an isolated member keeps going. It lends what it can spare. The lender gives
+up first: it stops using what it lends, waits for a window, and only then grants it; it takes it back a window after the
+lease has expired by its own clock, extended by the clock drift, and counted from a later moment than the borrower's. So the
+total holds whatever messages are lost. `LeasedQuota` is one budget at one instance; `simulation/budget_model_checker.py`
+explores its states.
+
+Source: Gray, Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency" (1989),
+section 5, for clocks that drift.
 """
 
 from __future__ import annotations
@@ -13,274 +17,340 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
 
-ASK_EVERY, ASK_AGAIN = 0.7, 2.0  # seconds with an answer; and times that without one
-ROOM, KEEP = 1.0, 2.0  # square roots of its demand beside it: kept or wished for, and given back above
-GIVERS = 4  # asked at a time
-TRIES = 4  # asks without more, after which no more is hoped for from there
-COLLECT = 3.0  # seconds that what was set aside for an asker waits for its next ask
-Asker = tuple[str, int]  # name and life
+REQUEST_INTERVAL_S = 0.7  # between requests to the same lender that are answered
+UNANSWERED_FACTOR = 2.0  # times that interval after a request without an answer
+# Reserve beside the demand, in square roots of it (how much a random demand scatters): below the first units are borrowed,
+# above the second they are given back, between the two nothing moves.
+BORROW_BELOW_ROOTS, RETURN_ABOVE_ROOTS = 1.0, 2.0
+MAX_LENDERS = 4  # asked at a time
+MAX_FRUITLESS_REQUESTS = 4  # after which no more is expected of a lender
+COLLECT_WITHIN_S = 3.0  # units reserved for a borrower wait this long for its next request
+Borrower = tuple[str, int]  # name and process epoch
+
 
+class LeaseRequest(NamedTuple):
+    """A borrower's message to a lender."""
 
-class Ask(NamedTuple):
     number: int
-    have: int  # the asker uses no more of ours than this from now on
-    want: int
+    amount: int  # the borrower uses no more of the lender's units than this from now on
+    wanted: int  # in total
+
 
+class LeaseGrant(NamedTuple):
+    """A lender's answer."""
 
-class Give(NamedTuple):
-    number: int  # of the ask that it answers
-    have: int
+    number: int  # of the request that it answers
+    amount: int  # that the borrower may use
 
 
 class Loan:
-    """What one asker may have of ours: `amount` until `until`; `aside` is set aside and given after `ready`."""
+    """Units lent to one borrower: `amount` until `expires_at`; `reserved` ones are granted from `ready_at` on."""
 
-    __slots__ = ("amount", "until", "number", "aside", "ready")
+    __slots__ = ("amount", "expires_at", "number", "reserved", "ready_at")
 
     def __init__(self) -> None:
-        self.amount = self.number = self.aside = 0
-        self.until = self.ready = -1e9
+        self.amount = self.number = self.reserved = 0
+        self.expires_at = self.ready_at = -1e9
 
 
-class Borrowed:
-    """What we may use of another's part, by our own clock."""
+class BorrowedQuota:
+    """Units borrowed from one lender, by this instance's own clock."""
 
-    __slots__ = ("amount", "until", "number", "asked_at", "answered", "want", "tries")
+    __slots__ = ("amount", "until", "number", "requested_at", "is_answered", "wanted", "fruitless_requests")
 
     def __init__(self) -> None:
-        self.amount = self.number = self.want = self.tries = 0
-        self.until = self.asked_at = -1e9
-        self.answered = True
+        self.amount = self.number = self.wanted = self.fruitless_requests = 0
+        self.until = self.requested_at = -1e9
+        self.is_answered = True
 
 
-class Part:
-    """
+class LeasedQuota:
+    """One instance's part of one budget, as lender and as borrower.
+
+    Args:
+        bounds: the budget.
+        name: seat of this instance; with an aggregation tree, the seat's full path, since an instance of the same name at
+            another location owns another seat or none.
+        now: seconds of the caller's clock.
+        request_interval_s: between requests to the same lender.
+
     >>> bounds = BudgetBounds("q", total=20, seats=("a", "b"), window=1.0, lease=5.0)
-    >>> a, b = Part(bounds, "a", 0.0), Part(bounds, "b", 0.0)
+    >>> a, b = LeasedQuota(bounds, "a", 0.0), LeasedQuota(bounds, "b", 0.0)
     >>> a.usable(0.0), a.usable(7.0), b.usable(7.0)
     (0, 10, 10)
-    >>> a.asked(7.0, ("b", 1), b.ask(7.0, "a", 4), spare=6), a.usable(7.0)      # set aside, not given yet
-    (Give(number=1, have=0), 6)
-    >>> give = a.asked(8.5, ("b", 1), b.ask(8.5, "a", 4), spare=6); b.given(8.6, "a", give); b.usable(8.6), a.usable(8.6)
+    >>> a.handle_request(7.0, ("b", 1), b.create_request(7.0, "a", 4), spare=6), a.usable(7.0)      # reserved, not granted yet
+    (LeaseGrant(number=1, amount=0), 6)
+    >>> grant = a.handle_request(8.5, ("b", 1), b.create_request(8.5, "a", 4), spare=6)
+    >>> b.handle_grant(8.6, "a", grant); b.usable(8.6), a.usable(8.6)
     (14, 6)
-    >>> b.usable(13.4), b.usable(13.5), a.usable(14.6), a.usable(14.7)      # no word since: back, after drift and window
+    >>> b.usable(13.4), b.usable(13.5), a.usable(14.6), a.usable(14.7)      # expired: returned after drift and window
     (14, 10, 6, 10)
     """
 
-    def __init__(self, bounds: BudgetBounds, name: str, now: float, ask_every: float = ASK_EVERY) -> None:
-        self.bounds, self.name, self.ask_every = bounds, name, ask_every
-        # In levels `name` is that of the seat, with its place: who has the same name elsewhere owns another part or none.
-        self.home = bounds.total // len(bounds.seats) if name in bounds.seats else 0
-        # What an earlier life of ours lent is not known here: until that is back for certain nothing is ours.
-        self.ours_from = now + self._lent_for() + self._rest()
-        self.loans: dict[Asker, Loan] = {}
-        self.cooling: list[tuple[float, int]] = []  # until when it may still have been used by others
-        self.borrowed: dict[str, Borrowed] = {}
+    def __init__(self, bounds: BudgetBounds, name: str, now: float, request_interval_s: float = REQUEST_INTERVAL_S) -> None:
+        self.bounds, self.name, self.request_interval_s = bounds, name, request_interval_s
+        self.even_share = bounds.total // len(bounds.seats) if name in bounds.seats else 0
+        # What an earlier process of this instance lent is unknown here: nothing is owned until that is certainly returned.
+        self.owned_from = now + self._lender_lease_s() + self._window_s()
+        self.loans: dict[Borrower, Loan] = {}
+        self.quarantined: list[tuple[float, int]] = []  # until when units may still count as used by others, and how many
+        self.borrowed: dict[str, BorrowedQuota] = {}
         self.number = 0
-        self.stripped = False  # another instance goes by our name
+        self.has_duplicate_name = False  # another instance uses the own name: nothing is owned
 
-    def _lent_for(self) -> float:
+    def _lender_lease_s(self) -> float:
         return self.bounds.lease * (1.0 + self.bounds.drift)
 
-    def _rest(self) -> float:
-        """A window by any member's clock: what was used just before counts for so long."""
+    def _window_s(self) -> float:
+        """Return a window by any member's clock: units used just before count for so long."""
         return self.bounds.window * (1.0 + self.bounds.drift)
 
-    # The guards, each by itself, so that the checker can take out one.
+    # The guards, each a method of its own, so that the model checker can remove one at a time.
 
-    def _may_give(self, now: float, loan: Loan) -> bool:
-        return now >= loan.ready
+    def _may_grant(self, now: float, loan: Loan) -> bool:
+        return now >= loan.ready_at
 
-    def _is_latest(self, have: Borrowed, give: Give) -> bool:
-        """An older answer may tell of what the giver took back since, on a later word of ours."""
-        return give.number == have.number
+    def _is_latest(self, borrowed: BorrowedQuota, grant: LeaseGrant) -> bool:
+        """Reject an earlier answer: the lender may have taken back units since, on a later request."""
+        return grant.number == borrowed.number
 
-    def _is_newer(self, loan: Loan, ask: Ask) -> bool:
-        return ask.number > loan.number
+    def _is_newer(self, loan: Loan, request: LeaseRequest) -> bool:
+        return request.number > loan.number
 
-    def _counted_from(self, have: Borrowed, now: float) -> float:
-        """The lease runs from when we asked: the giver's runs from when it heard, which is later."""
-        return have.asked_at
+    def _lease_starts_at(self, borrowed: BorrowedQuota, now: float) -> float:
+        """Return the time of the request; the lender counts from its arrival, which is later."""
+        return borrowed.requested_at
 
-    def _is_ours(self, now: float) -> bool:
-        return now >= self.ours_from and not self.stripped
+    def _owns_share(self, now: float) -> bool:
+        return now >= self.owned_from and not self.has_duplicate_name
 
-    def _cools(self, now: float, amount: int) -> None:
+    def _quarantine(self, now: float, amount: int) -> None:
         if amount:
-            self.cooling.append((now + self._rest(), amount))
+            self.quarantined.append((now + self._window_s(), amount))
 
-    # What we may use.
+    # What may be used.
 
-    def own(self, now: float) -> int:
-        """Of our even part, what is not lent, set aside or cooling."""
-        self._pass_time(now)
-        if not self._is_ours(now):
+    def own_units(self, now: float) -> int:
+        """Return the units of the own share that are not lent, reserved or quarantined."""
+        self._expire(now)
+        if not self._owns_share(now):
             return 0
-        lent = sum(loan.amount + loan.aside for loan in self.loans.values())
-        return self.home - lent - sum(amount for _, amount in self.cooling)
+        lent = sum(loan.amount + loan.reserved for loan in self.loans.values())
+        return self.even_share - lent - sum(amount for _, amount in self.quarantined)
 
     def usable(self, now: float, lasts: float = 0.0) -> int:
-        """Units that may be used now; with `lasts`, by what holds them for so long."""
-        return self.own(now) + sum(have.amount for have in self.borrowed.values() if now + lasts < have.until)
+        """Return the units that may be used now, by something that occupies them for `lasts` seconds."""
+        borrowed = sum(borrowed.amount for borrowed in self.borrowed.values() if now + lasts < borrowed.until)
+        return self.own_units(now) + borrowed
 
-    def pieces(self, now: float) -> list[tuple[float, float]]:
-        """What may be used, as units and until when: our own without an end, since only we can give it away."""
+    def usable_pieces(self, now: float) -> list[tuple[float, float]]:
+        """Return what may be used as units and expiry; the own units have none, since only this instance can lend them."""
         return [
-            (float(self.own(now)), inf),
-            *((float(have.amount), have.until) for have in self.borrowed.values() if have.amount and now < have.until),
+            (float(self.own_units(now)), inf),
+            *(
+                (float(borrowed.amount), borrowed.until)
+                for borrowed in self.borrowed.values()
+                if borrowed.amount and now < borrowed.until
+            ),
         ]
 
-    def _pass_time(self, now: float) -> None:
-        for asker, loan in list(self.loans.items()):
-            if loan.aside and now > loan.ready + COLLECT:
-                loan.aside = 0  # nobody used it: it is ours again at once
-            if loan.amount and now >= loan.until:
-                self._cools(loan.until, loan.amount)
+    def _expire(self, now: float) -> None:
+        for borrower, loan in list(self.loans.items()):
+            if loan.reserved and now > loan.ready_at + COLLECT_WITHIN_S:
+                loan.reserved = 0  # never granted, so nobody used it
+            if loan.amount and now >= loan.expires_at:
+                self._quarantine(loan.expires_at, loan.amount)
                 loan.amount = 0
-            if not loan.amount and not loan.aside and now > loan.until + self._lent_for():
-                del self.loans[asker]
-        self.cooling = [(until, amount) for until, amount in self.cooling if until > now]
-
-    # As a giver.
-
-    def asked(self, now: float, asker: Asker, ask: Ask, spare: int, needed: int = 0) -> Give | None:
-        """`spare` is what we can do without now; `needed` what we lack, and take back from what is lent."""
-        self._pass_time(now)
-        if not self._is_ours(now):
+            if not loan.amount and not loan.reserved and now > loan.expires_at + self._lender_lease_s():
+                del self.loans[borrower]
+        self.quarantined = [(until, amount) for until, amount in self.quarantined if until > now]
+
+    # As lender.
+
+    def handle_request(
+        self, now: float, borrower: Borrower, request: LeaseRequest, spare: int, reclaim: int = 0
+    ) -> LeaseGrant | None:
+        """Answer a request, or return None where it is outdated or nothing is owned.
+
+        Args:
+            now: seconds of the caller's clock.
+            borrower: name and process epoch.
+            request: what it wants.
+            spare: units that this instance does not need now.
+            reclaim: units that it needs back from what is lent.
+        """
+        self._expire(now)
+        if not self._owns_share(now):
             return None
-        loan = self.loans.get(asker)
+        loan = self.loans.get(borrower)
         if loan is None:
-            loan = self.loans[asker] = Loan()
-        if not self._is_newer(loan, ask):
+            loan = self.loans[borrower] = Loan()
+        if not self._is_newer(loan, request):
             return None
-        loan.number, loan.until = ask.number, now + self._lent_for()
-        if ask.have < loan.amount:
-            self._cools(now, loan.amount - ask.have)
-            loan.amount = ask.have
-        if loan.aside and self._may_give(now, loan):
-            loan.amount += loan.aside
-            loan.aside = 0
-        more = min(ask.want - loan.amount - loan.aside, spare, self.own(now))
-        if more > 0 and not loan.aside:
-            loan.aside, loan.ready = more, now + self._rest()
-            if self._may_give(now, loan):
-                loan.amount, loan.aside = loan.amount + more, 0
+        loan.number, loan.expires_at = request.number, now + self._lender_lease_s()
+        self._shrink(now, loan, request.amount)
+        if loan.reserved and self._may_grant(now, loan):
+            loan.amount += loan.reserved
+            loan.reserved = 0
+        more = min(request.wanted - loan.amount - loan.reserved, spare, self.own_units(now))
+        if more > 0 and not loan.reserved:
+            loan.reserved, loan.ready_at = more, now + self._window_s()
+            if self._may_grant(now, loan):
+                loan.amount, loan.reserved = loan.amount + more, 0
         lent = sum(other.amount for other in self.loans.values())
-        return Give(ask.number, max(0, loan.amount - (-(-needed * loan.amount // lent) if lent else 0)))
-
-    # As a taker.
-
-    def ask(self, now: float, giver: str, want: int) -> Ask:
-        have = self.borrowed.setdefault(giver, Borrowed())
-        if now >= have.until:
-            have.amount = 0
-        have.amount = min(have.amount, want)
+        taken_back = -(-reclaim * loan.amount // lent) if lent else 0  # rounded up
+        return LeaseGrant(request.number, max(0, loan.amount - taken_back))
+
+    def _shrink(self, now: float, loan: Loan, amount: int) -> None:
+        """Take back what the borrower no longer uses, after the window in which it still counts as used."""
+        if amount < loan.amount:
+            self._quarantine(now, loan.amount - amount)
+            loan.amount = amount
+
+    def spare_units(self, now: float, demand: float) -> int:
+        """Return the own units that this instance does not need."""
+        return max(0, self.own_units(now) - self._needed(demand, BORROW_BELOW_ROOTS))
+
+    def units_to_reclaim(self, now: float, demand: float) -> int:
+        """Return the lent units that are needed back: the demand of others must not push an instance below its own share."""
+        return max(0, min(self.even_share, int(demand)) - self.own_units(now))
+
+    # As borrower.
+
+    def create_request(self, now: float, lender: str, wanted: int) -> LeaseRequest:
+        """Return a request for `wanted` units in total; units above that are given back and no longer used."""
+        borrowed = self.borrowed.setdefault(lender, BorrowedQuota())
+        if now >= borrowed.until:
+            borrowed.amount = 0
+        borrowed.amount = min(borrowed.amount, wanted)
         self.number += 1
-        have.tries = have.tries + 1 if want > have.amount else 0
-        have.number, have.asked_at, have.answered, have.want = self.number, now, False, want
-        return Ask(self.number, have.amount, want)
-
-    def given(self, now: float, giver: str, give: Give) -> None:
-        have = self.borrowed.get(giver)
-        if have is None or not self._is_latest(have, give):
+        borrowed.fruitless_requests = borrowed.fruitless_requests + 1 if wanted > borrowed.amount else 0
+        borrowed.number, borrowed.requested_at = self.number, now
+        borrowed.is_answered, borrowed.wanted = False, wanted
+        return LeaseRequest(self.number, borrowed.amount, wanted)
+
+    def handle_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
+        """Use what a lender grants, if it answers the latest request."""
+        borrowed = self.borrowed.get(lender)
+        if borrowed is None or not self._is_latest(borrowed, grant):
             return
-        have.answered = True
-        if give.have > have.amount:
-            have.tries = 0
-        have.until = self._counted_from(have, now) + self.bounds.lease
-        have.amount = give.have
-
-    # Whom to ask for how much.
-
-    def plan(self, now: float, demand: float, spares: list[tuple[str, int]]) -> list[tuple[str, int]]:
-        """Asks that are due: giver and what is wished for in all. `spares` are others with what they can do without, the
-        most first, as their last reports said."""
-        due: list[tuple[str, int]] = []
-        for giver, have in list(self.borrowed.items()):
-            if now >= have.until and not have.amount and now - have.asked_at > COLLECT:
-                del self.borrowed[giver]
-        lacks = self._wished(demand, ROOM) - self.usable(now)
-        held = {giver: have.amount for giver, have in self.borrowed.items() if now < have.until}
-        if lacks <= 0:
-            give_back = self.usable(now) - self._wished(demand, KEEP)  # between the two nothing moves
-            wants = {}
-            for giver in sorted(held):
-                back = max(0, min(held[giver], give_back))
-                wants[giver], give_back = held[giver] - back, give_back - back
+        borrowed.is_answered = True
+        if grant.amount > borrowed.amount:
+            borrowed.fruitless_requests = 0
+        borrowed.until = self._lease_starts_at(borrowed, now) + self.bounds.lease
+        borrowed.amount = grant.amount
+
+    def plan_requests(self, now: float, demand: float, spares: list[tuple[str, int]]) -> list[tuple[str, int]]:
+        """Return the requests that are due: lender, and units wanted of it in total.
+
+        Args:
+            now: seconds of the caller's clock.
+            demand: units that this instance needs.
+            spares: other members with what they can spare, by their last reports, in order of preference.
+        """
+        for lender, borrowed in list(self.borrowed.items()):
+            if now >= borrowed.until and not borrowed.amount and now - borrowed.requested_at > COLLECT_WITHIN_S:
+                del self.borrowed[lender]
+        missing = self._needed(demand, BORROW_BELOW_ROOTS) - self.usable(now)
+        current = {lender: borrowed.amount for lender, borrowed in self.borrowed.items() if now < borrowed.until}
+        if missing <= 0:
+            wanted = self._plan_return(now, demand, current)
         else:
-            # What was asked for a moment ago is set aside by now, and no longer in its giver's reports.
-            wants = {
-                giver: max(held.get(giver, 0), have.want if have.tries < TRIES else 0)
-                for giver, have in self.borrowed.items()
-                if giver in held or have.want
-            }
-            lacks -= sum(want - held.get(giver, 0) for giver, want in wants.items())
-            chosen = [
-                (giver, spare)
-                for giver, spare in spares
-                if spare > 0
-                and giver != self.name
-                and wants.get(giver, 0) <= held.get(giver, 0)
-                and not self._gave_nothing(now, giver)
-            ][:GIVERS]
-            whole = sum(spare for _, spare in chosen)
-            for giver, spare in chosen if lacks > 0 else ():
-                wants[giver] = held.get(giver, 0) + min(spare, -(-lacks * spare // whole))
-                if giver in self.borrowed:
-                    self.borrowed[giver].tries = 0  # else what it sets aside now would not be collected
-        for giver, want in wants.items():
-            have = self.borrowed.get(giver)
-            if have and now - have.asked_at < self.ask_every * (1.0 if have.answered else ASK_AGAIN):
+            wanted = self._plan_borrowing(now, missing, current, spares)
+        due: list[tuple[str, int]] = []
+        for lender, amount in wanted.items():
+            borrowed = self.borrowed.get(lender)
+            if borrowed and now - borrowed.requested_at < self._interval_s(borrowed):
                 continue
-            if want or have and have.amount:
-                due.append((giver, want))
+            if amount or borrowed and borrowed.amount:
+                due.append((lender, amount))
         return due
 
-    def _gave_nothing(self, now: float, giver: str) -> bool:
-        have = self.borrowed.get(giver)
-        return have is not None and have.tries >= TRIES and now - have.asked_at < COLLECT
-
-    def spare(self, now: float, demand: float) -> int:
-        return max(0, self.own(now) - self._wished(demand, ROOM))
+    def _plan_return(self, now: float, demand: float, current: dict[str, int]) -> dict[str, int]:
+        """Renew the leases, without what is above the larger reserve."""
+        surplus = self.usable(now) - self._needed(demand, RETURN_ABOVE_ROOTS)
+        wanted = {}
+        for lender in sorted(current):
+            returned = max(0, min(current[lender], surplus))
+            wanted[lender], surplus = current[lender] - returned, surplus - returned
+        return wanted
+
+    def _plan_borrowing(
+        self, now: float, missing: int, current: dict[str, int], spares: list[tuple[str, int]]
+    ) -> dict[str, int]:
+        """Renew the leases, and distribute what is missing over some lenders by what they can spare."""
+        # What was requested a moment ago is reserved by now, and no longer in its lender's reports.
+        wanted = {
+            lender: max(
+                current.get(lender, 0),
+                borrowed.wanted if borrowed.fruitless_requests < MAX_FRUITLESS_REQUESTS else 0,
+            )
+            for lender, borrowed in self.borrowed.items()
+            if lender in current or borrowed.wanted
+        }
+        missing -= sum(amount - current.get(lender, 0) for lender, amount in wanted.items())
+        if missing <= 0:
+            return wanted
+        chosen = [
+            (lender, spare)
+            for lender, spare in spares
+            if spare > 0
+            and lender != self.name
+            and wanted.get(lender, 0) <= current.get(lender, 0)
+            and not self._gave_nothing_lately(now, lender)
+        ][:MAX_LENDERS]
+        total_spare = sum(spare for _, spare in chosen)
+        for lender, spare in chosen:
+            portion = -(-missing * spare // total_spare)  # rounded up
+            wanted[lender] = current.get(lender, 0) + min(spare, portion)
+            if lender in self.borrowed:
+                self.borrowed[lender].fruitless_requests = 0  # otherwise what it reserves now would not be collected
+        return wanted
+
+    def _interval_s(self, borrowed: BorrowedQuota) -> float:
+        return self.request_interval_s * (1.0 if borrowed.is_answered else UNANSWERED_FACTOR)
+
+    def _gave_nothing_lately(self, now: float, lender: str) -> bool:
+        borrowed = self.borrowed.get(lender)
+        if borrowed is None or borrowed.fruitless_requests < MAX_FRUITLESS_REQUESTS:
+            return False
+        return now - borrowed.requested_at < COLLECT_WITHIN_S
 
     @staticmethod
-    def _wished(demand: float, roots: float) -> int:
-        """What a demand that comes by chance needs: its root is how much it scatters."""
+    def _needed(demand: float, roots: float) -> int:
+        """Return the units for a demand that arrives at random: its square root is how much it scatters."""
         return int(demand + roots * sqrt(demand) + 1.0)
 
-    def needed(self, now: float, demand: float) -> int:
-        """What of the lent we want back: as an own part beyond which others' demand must not push us."""
-        return max(0, min(self.home, int(demand)) - self.own(now))
 
+class QuotaMeter:
+    """Keeps one instance to its part of a rate: no window uses more units than the quota at the time of use.
 
-class Meter:
-    """Keeps one instance to its part of a rate: in no window are more units used than the part that held then.
-
-    >>> meter = Meter(window=1.0); [meter.take(0.1 * n, part=3) for n in range(5)], meter.take(1.05, part=3)
+    >>> meter = QuotaMeter(window=1.0); [meter.take(0.1 * n, quota=3) for n in range(5)], meter.take(1.05, quota=3)
     ([True, True, True, False, False], True)
     """
 
     def __init__(self, window: float) -> None:
         self.window = window
-        self.used: list[float] = []
-        self.asked: list[float] = []
-
-    def take(self, now: float, part: int) -> bool:
-        self._pass(now)
-        self.asked.append(now)
-        if len(self.used) >= part:
+        self.used_at: list[float] = []
+        self.requested_at: list[float] = []
+
+    def take(self, now: float, quota: int) -> bool:
+        """Use one unit, or return False where the quota is used up."""
+        self._drop_old(now)
+        self.requested_at.append(now)
+        if len(self.used_at) >= quota:
             return False
-        self.used.append(now)
+        self.used_at.append(now)
         return True
 
     def demand(self, now: float) -> int:
-        """Units asked for in the last window, those refused too."""
-        self._pass(now)
-        return len(self.asked)
-
-    def _pass(self, now: float) -> None:
-        for times in (self.used, self.asked):
-            gone = 0
-            while gone < len(times) and times[gone] <= now - self.window:
-                gone += 1
-            del times[:gone]
+        """Return the units requested in the last window, refused ones included."""
+        self._drop_old(now)
+        return len(self.requested_at)
+
+    def _drop_old(self, now: float) -> None:
+        for times in (self.used_at, self.requested_at):
+            expired = 0
+            while expired < len(times) and times[expired] <= now - self.window:
+                expired += 1
+            del times[:expired]
--- a/mulleinhatch/instance/gossip/core.py
+++ b/mulleinhatch/instance/gossip/core.py
@@ -1,421 +1,264 @@
-"""One instance's side of the fleet: a beat or a datagram goes in, datagrams and news come out. No I/O, no clock.
+"""One instance's side of the gossip protocol: a heartbeat or a datagram goes in, datagrams and state changes come out.
 
-Members, counts, budgets and judgements each keep their own state; here their words are put into letters that fit, and taken
-apart again. What is local is told at each beat as `Local`; what the module may hear is asked of `parts`.
+`GossipNode` wires membership, reports, leases, outlier detection and the aggregation tree, each of which keeps its own state.
+No I/O and no clock: `instance/runtime/gossip.py` owns the socket and the timer.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Iterator
-from typing import NamedTuple
-
-from mulleinhatch.instance.gossip import messages as words
-from mulleinhatch.instance.gossip.aggregation_tree import MOST_GROUP, Levels, Total, place_of
-from mulleinhatch.instance.gossip.bounds import FleetBounds, levelled
-from mulleinhatch.instance.gossip.budgets import Ask, Give, Part
-from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD, Counts
-from mulleinhatch.instance.gossip.members import Change, Members
-from mulleinhatch.instance.gossip.messages import MOST_BYTES, InvalidMessageError, Letter, Report, Trade
-from mulleinhatch.instance.gossip.outlier_detection import Verdicts
-from mulleinhatch.instance.gossip.peer_groups import Mates
+from collections.abc import Callable, Iterable
+
+from mulleinhatch.instance.gossip import messages
+from mulleinhatch.instance.gossip.aggregation_tree import MAX_GROUP_MEMBERS, AggregationTree
+from mulleinhatch.instance.gossip.bounds import FleetBounds, with_grouped_timing
+from mulleinhatch.instance.gossip.budgets import LeasedQuota
+from mulleinhatch.instance.gossip.counters import FleetCounters
+from mulleinhatch.instance.gossip.lease_exchange import LeaseExchange
+from mulleinhatch.instance.gossip.locations import locate
+from mulleinhatch.instance.gossip.members import Membership, MembershipChange
+from mulleinhatch.instance.gossip.message_composer import MessageComposer
+from mulleinhatch.instance.gossip.messages import ACK, NOTICE, PING, GossipMessage, InvalidMessageError, Offer
+from mulleinhatch.instance.gossip.outgoing import Datagram, OutgoingMessage
+from mulleinhatch.instance.gossip.outlier_detection import OutlierDetector
+from mulleinhatch.instance.gossip.peer_groups import PeerGroup
+from mulleinhatch.instance.gossip.report_selection import (
+    FlatReportSelection,
+    GroupReportSelection,
+    LocalState,
+    ReportSelection,
+    ReportSource,
+)
+from mulleinhatch.instance.gossip.summary_table import Total
 
 MOST_MEMBERS = 1000
-ENVELOPE = 64  # bytes of a letter beside its names and lists, at most
-RUMOURS = 780  # bytes of it for rumours, at most; reports get the rest
-JUDGE_EVERY = 0.5
-MOST_OPINIONS = 3  # in a report
-SMOOTH = 3.0  # seconds that demand is smoothed over
-# In levels, where bytes are few:
-REPORTS = 150  # bytes of a letter for reports
-TOLD_REPORTS = 3  # times that a report is passed on by each
-SPARING = 1000.0  # bytes over the pace beyond which others' reports are not passed on
-OPINIONS_EVERY = 4  # reports
-LOUD_IN_LEVELS = 1  # tenants that a report names
+JUDGE_INTERVAL_S = 0.5
+MAX_SUBJECT_LENGTH = 40
+TREE_SEED_OFFSET = 5  # so that the tree does not repeat the membership's random sequence
+MessageListener = Callable[[float, GossipMessage], None]
 
+__all__ = ["MOST_MEMBERS", "GossipNode", "LocalState", "interpreter_of"]
 
-def interpreter_of(name: str) -> str:
-    """The subject of opinions on a member's interpreter."""
-    return f"interpreter of {name}"[:40]
 
+def interpreter_of(name: str) -> str:
+    """Return the subject of opinions on a member's interpreter."""
+    return f"interpreter of {name}"[:MAX_SUBJECT_LENGTH]
 
-class Local(NamedTuple):
-    """What this instance says of itself, by `FIGURES`; demand by budget in units a window; its loudest tenants; opinions."""
 
-    figures: list[int] = [0] * len(FIGURES)
-    demands: tuple[float, ...] = ()
-    loudest: list[tuple[str, float]] = []
-    opinions: list[tuple[str, int, int]] = []  # subject, percent of the evidence that is bad, pieces of it
+class GossipNode:
+    """This member of the fleet.
 
+    Args:
+        bounds: settings.
+        name: of this member.
+        address: host:port under which the others reach it.
+        process_epoch: a number that grows with each restart of the process.
+        seed: of the random choices.
+        now: seconds of the caller's clock.
 
-class Fleet:
-    """
-    >>> bounds = FleetBounds("f", seeds=("10.0.0.1:1",), beat=0.1)
-    >>> one, two = Fleet(bounds, "a", "10.0.0.1:1", 7, 1, 0.0), Fleet(bounds, "b", "10.0.0.1:2", 8, 2, 0.0)
-    >>> [(to, datagram)] = two.beat(0.1, Local()); to
+    >>> bounds = FleetBounds("f", seeds=("10.0.0.1:1",), heartbeat_s=0.1)
+    >>> a, b = GossipNode(bounds, "a", "10.0.0.1:1", 7, 1, 0.0), GossipNode(bounds, "b", "10.0.0.1:2", 8, 2, 0.0)
+    >>> [(to, datagram)] = b.heartbeat(0.1, LocalState()); to
     '10.0.0.1:1'
-    >>> [(to, datagram)] = one.datagram(0.1, datagram); to, one.members.alive()
+    >>> [(to, datagram)] = a.handle_datagram(0.1, datagram); to, a.members.alive()
     ('10.0.0.1:2', ['b'])
-    >>> two.datagram(0.2, datagram), two.members.alive(), two.datagram(0.2, b"?"), two.counts["unfit_garbage"]
+    >>> b.handle_datagram(0.2, datagram), b.members.alive(), b.handle_datagram(0.2, b"?"), b.counts["unfit_garbage"]
     ([], ['a'], [], 1)
     """
 
-    def __init__(self, bounds: FleetBounds, name: str, address: str, life: int, seed: int, now: float) -> None:
-        place = place_of(bounds, name)
-        self.bounds = bounds = levelled(bounds) if place else bounds
+    def __init__(self, bounds: FleetBounds, name: str, address: str, process_epoch: int, seed: int, now: float) -> None:
+        location = locate(bounds, name)
+        self.bounds = bounds = with_grouped_timing(bounds) if location else bounds
         self.name = name
-        self.members: Members = (Mates if place else Members)(name, address, life, bounds, seed, now)
-        self.most = MOST_GROUP if place else MOST_MEMBERS
-        self.known = Counts(self.most, bounds.fresh)
-        self.levels = Levels(bounds, place, self.members, self.known, seed + 5, now) if place else None
-        self.ours = Counts(1)  # our own report as others see it
-        self.verdicts = Verdicts()
-        seat = f"{place.region}/{place.zone}/{name}" if place else name
-        self.parts = [Part(budget, seat, now, bounds.ask_every) for budget in bounds.budgets]
-        self.local, self.demands, self.beat_at = Local(), [0.0] * len(self.parts), now
         self.counts: Counter[str] = Counter()
-        self.reported_at, self.judged_at, self.reports = -1e9, now, 0
-        self.order: list[str] = []  # whose reports are passed on next
-        self.passed: dict[str, tuple[int, int]] = {}  # in levels: number of the report, how often we passed it on
-        self.out: list[str] = []
-        self.ops_at = ""  # where peers may send ops, if they may
-        self.want = 0  # ops that we hold and would hand over, told in each letter
-        # For who stands on us: each letter of a member's present life.
-        self.listeners: list[Callable[[float, Letter], None]] = []
-        # Of interpreters as the host says, and of members by our own probes, as in our last report.
-        self.said: list[tuple[str, int, int]] = []
-
-    # What comes in.
-
-    def beat(self, now: float, local: Local) -> list[tuple[str, bytes]]:
-        self.local = local
-        weight, self.beat_at = min(1.0, (now - self.beat_at) / SMOOTH), now
-        for place, demand in enumerate(local.demands[: len(self.demands)]):
-            self.demands[place] += weight * (demand - self.demands[place])
-        if now - self.reported_at >= self.bounds.report_every:
-            self._report(now)
-        errands = list(self.members.beat(now))
-        if self.levels:
-            errands += self.levels.beat(now, self.ours.rows.get(self.name))
-        doubled = self.members.doubled(now)
-        for place, part in enumerate(self.parts):
-            part.stripped = doubled
-            errands += self._asks(now, place, part)
-        if now - self.judged_at >= JUDGE_EVERY:
+        self.max_members = MAX_GROUP_MEMBERS if location else MOST_MEMBERS
+        self.members: Membership = (PeerGroup if location else Membership)(name, address, process_epoch, bounds, seed, now)
+        self.fleet_counters = FleetCounters(self.max_members, bounds.fresh_for_s)
+        self.own_counters = FleetCounters(1)  # the own reports as others see them
+        self.outlier_detector = OutlierDetector()
+        self.ejected: list[str] = []
+        self.aggregation_tree = (
+            AggregationTree(bounds, location, self.members, self.fleet_counters, seed + TREE_SEED_OFFSET, now)
+            if location
+            else None
+        )
+        seat = f"{location.region}/{location.zone}/{name}" if location else name
+        is_grouped = location is not None
+        self.leases = LeaseExchange(bounds, seat, self.members, self.fleet_counters, self.counts, is_grouped, now)
+        self.report_source = ReportSource(self.members, self.leases.spare_units, is_grouped)
+        self.report_selection = self._create_report_selection()
+        tree = self.aggregation_tree
+        self.composer = MessageComposer(bounds.fleet, self.members, tree, self.report_selection, self.counts)
+        self.heartbeat_at = self.judged_at = now
+        self.pending_requests = 0  # requests that this instance queues and would hand over, sent with each message
+        self.listeners: list[MessageListener] = []
+
+    def _create_report_selection(self) -> ReportSelection:
+        if self.aggregation_tree:
+            return GroupReportSelection(self.report_source, self.fleet_counters, self.aggregation_tree.byte_rate)
+        return FlatReportSelection(self.report_source, self.fleet_counters, self.members.draw)
+
+    @property
+    def quotas(self) -> list[LeasedQuota]:
+        """Leased quotas in the order of the budgets."""
+        return self.leases.quotas
+
+    @property
+    def demands(self) -> list[float]:
+        """Smoothed demands in units per window, in the order of the budgets."""
+        return self.leases.demands
+
+    @property
+    def own_opinions(self) -> list[tuple[str, int, int]]:
+        """Opinions in this member's current report."""
+        return self.report_source.opinions
+
+    @property
+    def handover_address(self) -> str:
+        """Where peers may hand requests over to this instance; empty where they may not."""
+        return self.report_source.handover_address
+
+    @handover_address.setter
+    def handover_address(self, address: str) -> None:
+        self.report_source.handover_address = address
+
+    def subscribe(self, listener: MessageListener) -> None:
+        """Call a listener with each message of a member's current process."""
+        self.listeners.append(listener)
+
+    # Events.
+
+    def heartbeat(self, now: float, local: LocalState) -> list[Datagram]:
+        """Run one period of the protocol and return what to send."""
+        self.report_source.local = local
+        self.leases.update_demands(local.demands, now - self.heartbeat_at)
+        self.heartbeat_at = now
+        if now - self.report_source.made_at >= self.bounds.report_interval_s:
+            self._start_report(now)
+        outgoing = list(self.members.heartbeat(now))
+        if self.aggregation_tree:
+            outgoing += self.aggregation_tree.heartbeat(now, self.own_counters.rows.get(self.name))
+        outgoing += self.leases.heartbeat(now)
+        if now - self.judged_at >= JUDGE_INTERVAL_S:
             self.judged_at = now
-            self.known.forget(now)
+            self.fleet_counters.drop_old(now)
             self._judge(now)
-        return [self._sent(now, *errand) for errand in errands]
+        return self._compose(now, outgoing)
 
-    def datagram(self, now: float, data: bytes) -> list[tuple[str, bytes]]:
-        """Whatever it is; what is none of ours is counted and dropped."""
+    def handle_datagram(self, now: float, data: bytes) -> list[Datagram]:
+        """Handle any bytes that arrived and return the answers; invalid ones are counted and dropped."""
         self.counts["datagrams_heard"] += 1
-        if self.levels:
-            self.levels.pace.add(now, len(data))
+        if self.aggregation_tree:
+            self.aggregation_tree.byte_rate.add(now, len(data))
         try:
-            letter = words.decode(data, self.bounds.fleet)
+            message = messages.decode(data, self.bounds.fleet)
         except InvalidMessageError as error:
             self.counts[f"unfit_{error}"] += 1
             return []
-        return [self._sent(now, *errand) for errand in self.letter(now, letter)]
-
-    def letter(self, now: float, letter: Letter) -> list[tuple[str, dict]]:
-        if self.levels and not self.levels.is_mate(letter):
-            return self._from_outside(now, letter)
-        if letter.sender not in self.members.view and len(self.members.view) >= self.most:
+        return self._compose(now, self.handle_message(now, message))
+
+    def handle_message(self, now: float, message: GossipMessage) -> list[OutgoingMessage]:
+        """Handle a valid message and return the answers."""
+        tree, members = self.aggregation_tree, self.members
+        if tree and not tree.is_peer(message):
+            return self._handle_foreign_message(now, tree, message)
+        if message.sender not in members.view and len(members.view) >= self.max_members:
             self.counts["members_refused"] += 1
             return []
-        errands = list(self.members.heard(now, letter))
-        if self.levels:
-            upward = self.levels.upward(letter)
-            if letter.what == "ping" and self.levels.tells_all(now, upward):
-                errands = [(address, {**told, "new": True}) for address, told in errands]
-            errands += self.levels.heard(now, letter, upward)
-        if letter.sender == self.name or letter.life < self.members.view[letter.sender].life:
-            return errands
-        for report in letter.reports:
+        outgoing = list(members.handle_message(now, message))
+        if tree:
+            summaries = tree.decode_summaries(message)
+            if message.kind == PING and tree.should_send_all_members(now, summaries):
+                outgoing = [answer._replace(sends_all_members=True) for answer in outgoing]
+            outgoing += tree.handle_message(now, message, summaries)
+        if message.sender == self.name or message.process_epoch < members.view[message.sender].process_epoch:
+            return outgoing
+        self._handle_reports(now, message)
+        for listener in self.listeners:
+            listener(now, message)
+        if answer := self.leases.handle_messages(now, message):
+            outgoing.append(answer)
+        return outgoing
+
+    def _handle_reports(self, now: float, message: GossipMessage) -> None:
+        for report in message.reports:
             if report.name == self.name or report.name not in self.members.view:
                 continue
-            if not self.known.heard(now, report):
-                # Heard again: others tell it too, so that we may tell something else.
-                self.passed[report.name] = report.number, self._times(report.name, report.number) + 1
-            else:
-                for subject, bad, evidence in report.opinions:
-                    self.verdicts.heard(now, report.name, subject, bad / 100.0, evidence, report.age)
-        for listener in self.listeners:
-            listener(now, letter)
-        answers = [answer for trade in letter.trades if (answer := self._trade(now, letter, trade))]
-        if answers:
-            errands.append((letter.address, self._short({"what": "word", "to": letter.sender, "trades": answers})))
-        return errands
-
-    def _from_outside(self, now: float, letter: Letter) -> list[tuple[str, dict]]:
-        """Of another group, or of a member that knows of no levels: it is answered, so that it thinks us alive, and no mate."""
-        if letter.sender == self.name:
-            self.counts["names_elsewhere"] += letter.address != self.members.address
+            if not self.fleet_counters.record(now, report):
+                self.report_selection.record_repeated(report)
+                continue
+            for subject, bad_percent, evidence in report.opinions:
+                self.outlier_detector.record(now, report.name, subject, bad_percent / 100.0, evidence, report.age_s)
+
+    def _handle_foreign_message(self, now: float, tree: AggregationTree, message: GossipMessage) -> list[OutgoingMessage]:
+        """Answer a member of another group, or one without an aggregation tree: it sees this one alive and is no peer."""
+        if message.sender == self.name:
+            self.counts["names_elsewhere"] += message.address != self.members.address
         else:
-            self.members.stranger(now, letter)
-        if letter.place:
-            return list(self.levels.heard(now, letter, self.levels.upward(letter)))
+            self.members.on_foreign_message(now, message)
+        if message.group_key:
+            return list(tree.handle_message(now, message, tree.decode_summaries(message)))
         self.counts["letters_without_levels"] += 1
-        if letter.what != "ping":
+        if message.kind != PING:
             return []
-        return [(letter.address, {"what": "ack", "number": letter.number, "short": True})]
+        return [OutgoingMessage(message.address, ACK, number=message.number, is_brief=True)]
 
-    def totals(self, now: float) -> dict[str, Total]:
-        """What is known of `group`, `zone`, `region` and `fleet`; empty where there are no levels."""
-        return self.levels.totals(now) if self.levels else {}
-
-    def leave(self, now: float) -> list[tuple[str, bytes]]:
-        """In order: what is borrowed goes back, and some are told."""
-        errands = list(self.members.leave())
-        for place, part in enumerate(self.parts):
-            for giver, have in part.borrowed.items():
-                if have.amount and giver in self.members.view:
-                    errands.append(self._ask(now, place, part, giver, 0))
-        return [self._sent(now, *errand) for errand in errands]
-
-    def changes(self) -> list[Change]:
-        told, self.members.changes = self.members.changes, []
-        return told
-
-    def word_to(self, now: float, name: str, **told: object) -> list[tuple[str, bytes]]:
-        """A short word to a member, with `offers` or `more`; none to one that we do not know. What others think and count goes
-        along with the beats: hundreds of these a second would pay for it each."""
-        member = self.members.view.get(name)
-        return [self._sent(now, member.address, {"what": "word", "to": name, "short": True, **told})] if member else []
-
-    # Budgets.
-
-    def _asks(self, now: float, place: int, part: Part) -> Iterator[tuple[str, dict]]:
-        demand = self._demand(place)
-        spares = []
-        if part.usable(now) < demand + 1:
-            for name, row in self.known.rows.items():
-                if now - row.made_at <= self.known.fresh and place < len(row.report.spares) and self._there(name):
-                    spares.append((name, row.report.spares[place]))
-            # Not all to the richest: who has much is chosen by chance, or all that lack would ask the same one.
-            start = self.members.draw(len(spares)) if spares else 0
-            spares = sorted(spares[start:] + spares[:start], key=lambda spare: -spare[1].bit_length())
-        for giver, want in part.plan(now, demand, spares):
-            if giver in self.members.view:
-                yield self._ask(now, place, part, giver, want)
-
-    def _there(self, name: str) -> bool:
+    def leave(self, now: float) -> list[Datagram]:
+        """Leave in an orderly way: notify some members, and return what is borrowed."""
+        outgoing = list(self.members.leave())
+        outgoing += self.leases.return_borrowed(now)
+        return self._compose(now, outgoing)
+
+    def message_to(self, now: float, name: str, *, offers: Iterable[Offer] = (), extension: bytes = b"") -> list[Datagram]:
+        """Return a brief message to a member, or nothing where it is unknown.
+
+        Updates and reports go with the heartbeats: with hundreds of brief messages a second, each would pay for them.
+        """
         member = self.members.view.get(name)
-        return member is not None and member.state == words.ALIVE
+        if member is None:
+            return []
+        message = OutgoingMessage(member.address, NOTICE, name, is_brief=True, offers=list(offers), extension=extension)
+        return self._compose(now, [message])
 
-    def _demand(self, place: int) -> float:
-        """Of the last seconds: parts that ran after each window's chance would never rest."""
-        return self.demands[place]
+    # Queries.
 
-    def _ask(self, now: float, place: int, part: Part, giver: str, want: int) -> tuple[str, dict]:
-        ask = part.ask(now, giver, want)
-        self.counts["asks"] += 1
-        return self.members.view[giver].address, self._short(
-            {"what": "word", "to": giver, "trades": [Trade(place, ask.number, False, ask.have, ask.want)]}
-        )
+    def take_changes(self) -> list[MembershipChange]:
+        """Return the changes of membership since the last call."""
+        changes, self.members.changes = self.members.changes, []
+        return changes
 
-    def _short(self, told: dict) -> dict:
-        """In levels what is traded goes without what is told along."""
-        return {**told, "short": True} if self.levels else told
-
-    def _trade(self, now: float, letter: Letter, trade: Trade) -> Trade | None:
-        if trade.budget >= len(self.parts):
-            self.counts["trades_unknown"] += 1
-            return None
-        part, demand = self.parts[trade.budget], self._demand(trade.budget)
-        if trade.give:
-            if trade.life == self.members.life:
-                part.given(now, letter.sender, Give(trade.number, trade.have))
-                self.counts["gives_heard"] += 1
-            return None
-        give = part.asked(
-            now,
-            (letter.sender, letter.life),
-            Ask(trade.number, trade.have, trade.want),
-            part.spare(now, demand),
-            part.needed(now, demand),
-        )
-        return give and Trade(trade.budget, give.number, True, give.have, 0, letter.life)
+    def totals(self, now: float) -> dict[str, Total]:
+        """Return the sums over `group`, `zone`, `region` and `fleet`; empty without an aggregation tree."""
+        return self.aggregation_tree.totals(now) if self.aggregation_tree else {}
+
+    def usable_quota(self, now: float, budget: int, lasts: float = 0.0) -> int:
+        """Return the units of a budget that may be used now, by something that occupies them for `lasts` seconds."""
+        return self.quotas[budget].usable(now, lasts)
+
+    def is_judged_unhealthy(self) -> bool:
+        """Return whether this member or its interpreter is ejected; never while few members are heard."""
+        return not self.members.frozen and (self.name in self.ejected or interpreter_of(self.name) in self.ejected)
+
+    def free_fraction(self, now: float) -> float:
+        """Return the fraction of the other members' slots that is free; negative where most are silent.
+
+        With an aggregation tree of the own group alone: a hash draws its members from the zone, so that they stand for it, and
+        their figures are more recent than any summary.
+        """
+        return -1.0 if self.members.frozen else self.fleet_counters.free_fraction(now, set(self.members.alive()))
 
-    def part(self, now: float, place: int, lasts: float = 0.0) -> int:
-        """Units of a budget that this instance may use now."""
-        return self.parts[place].usable(now, lasts)
+    # Internals.
 
-    # Judgements.
+    def _start_report(self, now: float) -> None:
+        self.report_source.start_report(now)
+        if self.aggregation_tree:
+            self.own_counters.record(now, self.report_source.current(now))
 
     def _judge(self, now: float) -> None:
-        for subject, bad, evidence in self.said:
-            self.verdicts.heard(now, self.name, subject, bad / 100.0, evidence)
-        self.out = self.verdicts.judge(now, {self.name, *self.members.alive()}, self.members.frozen)
-
-    def judged_ill(self) -> bool:
-        """Whether the others' verdict is that we, or our interpreter, should not serve. Nobody's while we hear nobody."""
-        return not self.members.frozen and (self.name in self.out or interpreter_of(self.name) in self.out)
-
-    def free(self, now: float) -> float:
-        """`Counts.free` of the others; not known while most are silent to us. In levels of our group: its members are
-        drawn by a hash from the zone, so that they stand for it, and their figures are younger than any sum."""
-        return -1.0 if self.members.frozen else self.known.free(now, set(self.members.alive()))
-
-    # Letters.
-
-    def _report(self, now: float) -> None:
-        self.reported_at = now
-        self.reports += 1
-        # In every other: they make a report half as long again, and more reports pass on in a letter without.
-        tells = self.reports % OPINIONS_EVERY == 0 if self.levels else self.reports % 2
-        self.said = [*self.local.opinions, *self.members.opinions(now)][:MOST_OPINIONS] if tells else []
-        if self.levels:
-            self.ours.heard(now, self._own_report(now))
-
-    def _own_report(self, now: float) -> Report:
-        local = self.local
-        spares = [part.spare(now, self._demand(place)) for place, part in enumerate(self.parts)]
-        loud = MOST_LOUD if not self.levels else LOUD_IN_LEVELS if self.reports % OPINIONS_EVERY == 0 else 0
-        return Report(
-            self.name,
-            self.members.life,
-            self.reports,
-            max(0.0, now - self.reported_at),
-            local.figures,
-            spares,
-            local.loudest[:loud],
-            self.said,
-            self.ops_at,
-        )
+        for subject, bad_percent, evidence in self.own_opinions:
+            self.outlier_detector.record(now, self.name, subject, bad_percent / 100.0, evidence)
+        observers = {self.name, *self.members.alive()}
+        self.ejected = self.outlier_detector.judge(now, observers, self.members.frozen)
 
-    def _sent(self, now: float, address: str, told: dict) -> tuple[str, bytes]:
-        members, to = self.members, told.get("to", "")
-        trades, offers = told.get("trades", []), told.get("offers", [])
-        room = (
-            MOST_BYTES
-            - ENVELOPE
-            - len(members.name)
-            - len(members.address)
-            - len(self.bounds.fleet)
-            - len(told.get("about", ""))
-            - 40 * len(trades)
-            - 45 * len(offers)
-        )
-        upward = told.get("upward", b"")
-        if self.levels and not upward and to in members.view and "short" not in told:
-            upward = self.levels.to_mate(now, told["what"] == "ping")
-        room -= len(upward)
-        rumours = (
-            members.doubt(now, to)
-            if "short" in told
-            else members.rumours(now, room - 60 if "new" in told else min(RUMOURS, room), to, "new" in told)
-        )
-        room -= (
-            sum(34 + len(rumour.name) + len(rumour.address) for rumour in rumours)
-            if not self.levels
-            else sum(25 + len(rumour.name) + len(rumour.address) for rumour in rumours)
-        )
-        reports = [] if "short" in told else self._passed_to_mates(now, room, to) if self.levels else self._passed_on(now, room)
-        letter = Letter(
-            words.VERSION,
-            self.bounds.fleet,
-            members.name,
-            members.address,
-            members.life,
-            members.incarnation,
-            told["what"],
-            told.get("number", 0),
-            told.get("about", ""),
-            rumours,
-            reports,
-            trades,
-            self.want,
-            offers,
-            told.get("more", b""),
-            self.levels.place.key if self.levels else 0,
-            upward,
-        )
-        data = words.encode(letter)
-        self.counts["datagrams_sent"] += 1
-        self.counts["bytes_sent"] += len(data)
-        if self.levels:
-            self.levels.pace.add(now, len(data))
-        return address, data
-
-    def _passed_on(self, now: float, room: int) -> list[Report]:
-        """Our own report and the next of the others in turn."""
-        chosen: list[Report] = []
-        if self.reports and self._size(own := self._own_report(now)) <= room:
-            room -= self._size(own)
-            chosen.append(own)
-        for _ in range(8):
-            if not self.order:
-                self.order = list(self.known.rows)
-                if not self.order:
-                    break
-                start = self.members.draw(len(self.order))
-                self.order = self.order[start:] + self.order[:start]
-            row = self.known.rows.get(self.order[-1])
-            if row is None or now - row.made_at > self.known.fresh:
-                self.order.pop()
-                continue
-            report = row.report
-            if self._size(report) > room:
-                break
-            self.order.pop()
-            room -= self._size(report)
-            chosen.append(
-                Report(
-                    report.name,
-                    report.life,
-                    report.number,
-                    now - row.made_at,
-                    report.figures,
-                    report.spares,
-                    report.loudest,
-                    report.opinions,
-                    report.at,
-                )
-            )
-        return chosen
-
-    def _passed_to_mates(self, now: float, room: int, to: str) -> list[Report]:
-        """Those that we passed on least, the newest first, each some times: most mates then hear it, and the rest its next."""
-        room, chosen = min(room, REPORTS), []
-        line = []
-        busy = self.levels.pace.over > SPARING  # who speaks for the group leaves it to the others
-        if self.reports:
-            line.append((self._times(self.name, self.reports), 0.0, self.name))
-        for name, row in self.known.rows.items():
-            times = self._times(name, row.report.number)
-            if name != to and not busy and times < TOLD_REPORTS and now - row.made_at <= self.known.fresh:
-                line.append((times, now - row.made_at, name))
-        for times, age, name in sorted(line):
-            report = self._own_report(now)
-            if name != self.name:
-                told = self.known.rows[name].report
-                report = Report(
-                    told.name, told.life, told.number, age, told.figures, told.spares, told.loudest, told.opinions, told.at
-                )
-            room -= words.size(report)
-            if times >= TOLD_REPORTS or room < 0:
-                break
-            self.passed[name] = report.number, times + 1
-            chosen.append(report)
-        if len(self.passed) > 2 * self.most:
-            self.passed = {name: told for name, told in self.passed.items() if name in self.known.rows}
-        return chosen
-
-    def _times(self, name: str, number: int) -> int:
-        passed = self.passed.get(name, (0, 0))
-        return passed[1] if passed[0] == number else 0
-
-    @staticmethod
-    def _size(report: Report) -> int:
-        whole = [*report.figures, *report.spares]
-        return (
-            35
-            + len(report.name)
-            + len(report.at)
-            + sum(2 if figure < 128 else 3 if figure < 1 << 16 else 9 for figure in whole)
-            + sum(12 + len(name) for name, _ in report.loudest)
-            + sum(14 + len(name) for name, *_ in report.opinions)
-        )
+    def _compose(self, now: float, outgoing: list[OutgoingMessage]) -> list[Datagram]:
+        return [self.composer.compose(now, message, self.pending_requests) for message in outgoing]
--- a/mulleinhatch/instance/gossip/counters.py
+++ b/mulleinhatch/instance/gossip/counters.py
@@ -1,7 +1,8 @@
-"""What the members counted, and sums over the fleet that say how sure they are.
+"""The last report of each member, and sums over all members that state how certain they are.
 
-A figure from elsewhere has an age. Who is silent may have done anything from nothing to all that it can, so a sum is a range:
-its least is what is known, its most adds what the silent ones could have done. Bounded: a row a member, four tenants each.
+A figure of another member has an age. A silent member may have done anything from nothing to all that it can, so a sum is a
+range: the least counts what is known, the most adds what the silent members could have done. Memory is bounded: a row for
+each member, with four tenants each.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from mulleinhatch.instance.gossip.messages import Report
 
-# New ones go to the end: in a fleet of two versions the older one's reports are shorter, and lack them.
+# The order is on the wire. New figures go to the end: reports of an older version are shorter and lack them.
 FIGURES = (
     "first_tries",
     "repeats",
@@ -28,126 +29,153 @@
     "pace",
     "load_ops",
     "load",
-)  # of the last four: evidence in tenths, figures in thousandths
-RATED = ("first_tries", "repeats", "acked", "nacked", "failed")  # counted since the start of a life; the rest as it stands
-PLACE = {figure: place for place, figure in enumerate(FIGURES)}
-OLDEST = 8  # figures of the first version
-FRESH = 2.0  # seconds: an older report is of a silent member
-MOST_LOUD = 4  # tenants that a report names
-OLD = 30.0  # and after these its row is dropped
+)  # of the last four: amounts of evidence in tenths, values in thousandths
+# Totals since the start of the process, shown as rates; the other figures are current values.
+RATE_FIGURES = ("first_tries", "repeats", "acked", "nacked", "failed")
+INDEX_OF = {figure: index for index, figure in enumerate(FIGURES)}
+MIN_FIGURES = 8  # figures of the first version
+FRESH_FOR_S = 2.0  # an older report counts as missing
+MAX_HEAVY_HITTERS = 4  # tenants that a report names
+DROPPED_AFTER_S = 30.0
 
 
 class Range(NamedTuple):
-    """Of a figure over the fleet: the least and the most that it may be, members behind it, silent ones, the oldest age."""
+    """A figure over all members. The names of the fields are keys of the command line's JSON."""
 
     least: float
     most: float
-    members: int
-    silent: int
-    oldest: float
+    members: int  # that reported
+    silent: int  # of these, members whose report is too old
+    oldest: float  # seconds
 
 
-class Row:
-    """The last report of a member and the one that its rates are measured from."""
+class MemberFigures:
+    """The last report of a member, and an earlier one from which rates are measured. Slots: one for each member."""
 
-    __slots__ = ("report", "made_at", "before", "before_at")
+    __slots__ = ("report", "made_at", "previous", "previous_at")
 
     def __init__(self, report: Report, made_at: float) -> None:
-        self.report = self.before = report
-        self.made_at = self.before_at = made_at
+        self.report = self.previous = report
+        self.made_at = self.previous_at = made_at
 
     def value(self, figure: str) -> float:
-        """A second since the report before of what is counted, as it stands of the rest; 0 of what it does not tell."""
-        place, figures = PLACE[figure], self.report.figures
-        if place >= len(figures):
+        """Return a rate per second or a current value; 0 for a figure that the report lacks."""
+        index, figures = INDEX_OF[figure], self.report.figures
+        if index >= len(figures):
             return 0.0
-        if figure not in RATED:
-            return float(figures[place])
-        span, before = self.made_at - self.before_at, self.before.figures
-        return max(0.0, figures[place] - before[place]) / span if span > 0.0 and place < len(before) else 0.0
+        if figure not in RATE_FIGURES:
+            return float(figures[index])
+        span_s, previous = self.made_at - self.previous_at, self.previous.figures
+        if span_s <= 0.0 or index >= len(previous):
+            return 0.0
+        return max(0.0, figures[index] - previous[index]) / span_s
 
 
-class Counts:
-    """
-    >>> counts = Counts(most=10)
-    >>> for number, acked in ((1, 0), (2, 50)):
+class FleetCounters:
+    """Reports of members, and sums over them.
+
+    Args:
+        max_members: reports of further members are ignored.
+        fresh_for_s: after which a report counts as missing.
+
+    >>> counters = FleetCounters(max_members=10)
+    >>> for number, served in ((1, 0), (2, 50)):
     ...     for name in ("a", "b"):
-    ...         _ = counts.heard(float(number), Report(name, 1, number, 0.0, [0, 0, acked, 0, 0, 0, 80, 1]))
-    >>> counts.total(2.0, "acked")
+    ...         _ = counters.record(float(number), Report(name, 1, number, 0.0, [0, 0, served, 0, 0, 0, 80, 1]))
+    >>> counters.total(2.0, "acked")
     Range(least=100.0, most=100.0, members=2, silent=0, oldest=0.0)
-    >>> counts.total(5.0, "acked")
+    >>> counters.total(5.0, "acked")
     Range(least=0.0, most=160.0, members=2, silent=2, oldest=3.0)
     """
 
-    def __init__(self, most: int, fresh: float = FRESH) -> None:
-        """`fresh`: seconds after which a report is of a silent member."""
-        self.most, self.fresh, self.old = most, fresh, max(OLD, 2.0 * fresh)
-        self.rows: dict[str, Row] = {}
+    def __init__(self, max_members: int, fresh_for_s: float = FRESH_FOR_S) -> None:
+        self.max_members, self.fresh_for_s = max_members, fresh_for_s
+        self.dropped_after_s = max(DROPPED_AFTER_S, 2.0 * fresh_for_s)
+        self.rows: dict[str, MemberFigures] = {}
 
-    def heard(self, now: float, report: Report) -> bool:
-        """Whether it was news."""
-        row, made_at = self.rows.get(report.name), now - report.age
-        if now - made_at > self.old or len(report.figures) < OLDEST:
+    def record(self, now: float, report: Report) -> bool:
+        """Record a report and return whether it was newer than what was known."""
+        row, made_at = self.rows.get(report.name), now - report.age_s
+        if now - made_at > self.dropped_after_s or len(report.figures) < MIN_FIGURES:
             return False
         if row is None:
-            if len(self.rows) >= self.most:
+            if len(self.rows) >= self.max_members:
                 return False
-            self.rows[report.name] = Row(report, made_at)
+            self.rows[report.name] = MemberFigures(report, made_at)
             return True
-        if (report.life, report.number) <= (row.report.life, row.report.number):
+        if (report.process_epoch, report.number) <= (row.report.process_epoch, row.report.number):
             return False
-        if report.life != row.report.life:
-            self.rows[report.name] = Row(report, made_at)
+        if report.process_epoch != row.report.process_epoch:
+            self.rows[report.name] = MemberFigures(report, made_at)
             return True
-        if made_at - row.made_at >= 0.5 * min(FRESH, self.fresh) or row.before is row.report:
-            row.before, row.before_at = row.report, row.made_at  # rates over half a second of luck tell nothing
+        # The base of the rates moves only after a while: over a fraction of a second they would be noise.
+        if made_at - row.made_at >= 0.5 * min(FRESH_FOR_S, self.fresh_for_s) or row.previous is row.report:
+            row.previous, row.previous_at = row.report, row.made_at
         row.report, row.made_at = report, max(made_at, row.made_at + 1e-6)
         return True
 
-    def forget(self, now: float) -> None:
-        for name in [name for name, row in self.rows.items() if now - row.made_at > self.old]:
+    def is_fresh(self, now: float, row: MemberFigures) -> bool:
+        """Return whether a report is recent enough to count."""
+        return now - row.made_at <= self.fresh_for_s
+
+    def drop_old(self, now: float) -> None:
+        """Drop reports of members that are silent for long."""
+        for name in [name for name, row in self.rows.items() if now - row.made_at > self.dropped_after_s]:
             del self.rows[name]
 
     def total(self, now: float, figure: str) -> Range:
-        """Ops a second of what is counted, as it stands of the rest."""
-        return self._sum(now, lambda row: (row.value(figure), row.value(figure)))
+        """Return the sum of a figure: rates per second, or current values."""
+
+        def bounds_of(row: MemberFigures) -> tuple[float, float]:
+            value = row.value(figure)
+            return value, value
+
+        return self._sum(now, bounds_of)
 
     def tenant(self, now: float, name: str) -> Range:
-        """Ops a second of a tenant: who does not name it among its loudest has at most as much of it as of its least loud."""
+        """Return the requests per second of a tenant.
+
+        A member that does not name it among its most active ones has at most as many of it as of the least active one named.
+        """
+
+        def bounds_of(row: MemberFigures) -> tuple[float, float]:
+            hitters = row.report.heavy_hitters
+            rate = next((rate for tenant, rate in hitters if tenant == name), None)
+            if rate is not None:
+                return rate, rate
+            return 0.0, hitters[-1][1] if len(hitters) == MAX_HEAVY_HITTERS else 0.0
 
-        def told(row: Row) -> tuple[float, float]:
-            loudest = row.report.loudest
-            value = next((rate for tenant, rate in loudest if tenant == name), None)
-            return value or 0.0, value if value is not None else loudest[-1][1] if len(loudest) == MOST_LOUD else 0.0
+        return self._sum(now, bounds_of)
 
-        return self._sum(now, told)
+    def heavy_hitters(self, now: float, limit: int) -> list[tuple[str, Range]]:
+        """Return the most active tenants over all members, by what is known for certain."""
+        names = {tenant for row in self.rows.values() for tenant, _ in row.report.heavy_hitters}
+        tenants = ((name, self.tenant(now, name)) for name in names)
+        return sorted(tenants, key=lambda tenant: (-tenant[1].least, tenant[0]))[:limit]
 
-    def loudest(self, now: float, places: int) -> list[tuple[str, Range]]:
-        """Tenants over the fleet, by what is known of them."""
-        names = {tenant for row in self.rows.values() for tenant, _ in row.report.loudest}
-        return sorted(((name, self.tenant(now, name)) for name in names), key=lambda told: (-told[1].least, told[0]))[:places]
+    def free_fraction(self, now: float, members: set[str]) -> float:
+        """Return the fraction of the members' slots that is free, at least.
 
-    def free(self, now: float, members: set[str]) -> float:
-        """The share of the members' places that is free, by the poor end: who is silent counts as full; below 0 where more
-        than half are."""
-        free = places = 0.0
+        A silent member counts as full. Negative where more than half of the members are silent.
+        """
+        free = slots = 0.0
         silent = len(members - self.rows.keys())
         for name, row in self.rows.items():
             if name in members:
-                room = row.value("room") if row.value("healthy") else 0.0
-                fresh = now - row.made_at <= self.fresh
-                silent += not fresh
-                free += room if fresh else 0.0
-                places += row.value("room") + row.value("held") + row.value("running")
-        return -1.0 if 2 * silent > len(members) or not members else free / max(1.0, places)
-
-    def _sum(self, now: float, told: Callable[[Row], tuple[float, float]]) -> Range:
-        """`told` gives the least and the most of a row; of the silent all that they can."""
+                is_fresh = self.is_fresh(now, row)
+                silent += not is_fresh
+                if is_fresh and row.value("healthy"):
+                    free += row.value("room")
+                slots += row.value("room") + row.value("held") + row.value("running")
+        return -1.0 if 2 * silent > len(members) or not members else free / max(1.0, slots)
+
+    def _sum(self, now: float, bounds_of: Callable[[MemberFigures], tuple[float, float]]) -> Range:
+        """Add the least and the most of each row; a silent member adds at most its capacity."""
         least, most, silent, oldest = 0.0, 0.0, 0, 0.0
         for row in self.rows.values():
-            age, (low, high) = now - row.made_at, told(row)
-            oldest = max(oldest, age)
-            if age <= self.fresh:
+            age_s, (low, high) = now - row.made_at, bounds_of(row)
+            oldest = max(oldest, age_s)
+            if age_s <= self.fresh_for_s:
                 least, most = least + low, most + high
             else:
                 silent += 1
--- a/mulleinhatch/instance/gossip/heavy_hitters.py
+++ b/mulleinhatch/instance/gossip/heavy_hitters.py
@@ -1,7 +1,9 @@
-"""Who asks most, in bounded room: a Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005) that fades.
+"""The most active tenants in bounded memory: a Space-Saving sketch with exponential decay.
 
-A plain dict by tenant grows with every name that callers make up; this holds `room` names, and whoever asks for more than
-`total / room` is among them. Each count carries how much of it may be another's.
+A plain dict by tenant grows with each name that callers invent. The sketch holds a fixed number of names, and a tenant with
+more than `total / capacity` requests is always among them. Each count carries how much of it may belong to others.
+
+Source: Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams" (2005).
 """
 
 from __future__ import annotations
@@ -9,68 +11,78 @@
 import heapq
 from typing import NamedTuple
 
-FADE_EVERY = 1.0  # seconds
-FADE = 0.7  # of each count that is left after it: a rate over some 3 s
+DECAY_INTERVAL_S = 1.0
+DECAY = 0.7  # of each count is left after an interval: the rates cover about 3 s
+MAX_DECAYED_SPAN_S = 3.3  # with the span at its limit and no counts left, further decay changes nothing
+MIN_COUNT = 0.05  # a name whose count decayed below this is dropped
+
 
+class HeavyHitter(NamedTuple):
+    """A tenant with its rate."""
 
-class Loud(NamedTuple):
     name: str
-    rate: float  # a second, at the most
-    over: float  # of which so much may be others'
+    rate: float  # per second, an upper bound
+    over: float  # part of the rate that may belong to others
 
 
-class Loudest:
-    """
-    >>> loudest = Loudest(room=3)
+class HeavyHitters:
+    """Counts by name, for at most `capacity` names.
+
+    >>> hitters = HeavyHitters(capacity=3)
     >>> for turn in range(40):
     ...     for name in ("a", "a", "b", f"passing {turn}"):
-    ...         loudest.add(0.1 * turn, name)
-    >>> [loud.name for loud in loudest.most(4.0, 2)], len(loudest.counts)
+    ...         hitters.add(0.1 * turn, name)
+    >>> [hitter.name for hitter in hitters.top(4.0, 2)], len(hitters.counts)
     (['a', 'b'], 3)
     """
 
-    def __init__(self, room: int) -> None:
-        self.room = room
-        self.counts: dict[str, list[float]] = {}  # by name: count, of which others'
-        self.line: list[tuple[float, str]] = []  # a heap: counts as they stood when it was looked at last
-        self.faded_at: float | None = None
-        self.weight = 0.0  # seconds that a count covers, faded as they are
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.counts: dict[str, list[float]] = {}  # by name: the count, and how much of it may belong to others
+        self.queue: list[tuple[float, str]] = []  # a heap: counts as of when they were last compared
+        self.decayed_at: float | None = None
+        self.span_s = 0.0  # that a count covers, with the same decay
 
     def add(self, now: float, name: str, count: float = 1.0) -> None:
-        self._fade(now)
-        held = self.counts.get(name)
-        if held is not None:
-            held[0] += count
-        elif len(self.counts) < self.room:
+        """Count requests of a tenant."""
+        self._decay(now)
+        entry = self.counts.get(name)
+        if entry is not None:
+            entry[0] += count
+        elif len(self.counts) < self.capacity:
             self.counts[name] = [count, 0.0]
-            heapq.heappush(self.line, (count, name))
+            heapq.heappush(self.queue, (count, name))
         else:
-            # The least gives its place, and its count: so nobody's is ever told too low.
-            floor, least = self.line[0]
+            # The least active name gives up its entry and passes on its count: so no count is ever too low.
+            floor, least = self.queue[0]
             while self.counts[least][0] > floor:
-                heapq.heapreplace(self.line, (self.counts[least][0], least))
-                floor, least = self.line[0]
+                heapq.heapreplace(self.queue, (self.counts[least][0], least))
+                floor, least = self.queue[0]
             del self.counts[least]
             self.counts[name] = [floor + count, floor]
-            heapq.heapreplace(self.line, (floor + count, name))
+            heapq.heapreplace(self.queue, (floor + count, name))
 
-    def _fade(self, now: float) -> None:
-        if self.faded_at is None:
-            self.faded_at = now
-        while now - self.faded_at >= FADE_EVERY:
-            self.faded_at += FADE_EVERY
-            if self.weight > 3.3 and not self.counts:
-                self.faded_at = now
+    def _decay(self, now: float) -> None:
+        if self.decayed_at is None:
+            self.decayed_at = now
+        while now - self.decayed_at >= DECAY_INTERVAL_S:
+            self.decayed_at += DECAY_INTERVAL_S
+            if self.span_s > MAX_DECAYED_SPAN_S and not self.counts:
+                self.decayed_at = now
                 break
-            self.weight = FADE * (self.weight + FADE_EVERY)
+            self.span_s = DECAY * (self.span_s + DECAY_INTERVAL_S)
             self.counts = {
-                name: [FADE * count, FADE * over] for name, (count, over) in self.counts.items() if FADE * count >= 0.05
+                name: [DECAY * count, DECAY * over] for name, (count, over) in self.counts.items() if DECAY * count >= MIN_COUNT
             }
-            self.line = sorted((count, name) for name, (count, _) in self.counts.items())
+            self.queue = sorted((count, name) for name, (count, _) in self.counts.items())
 
-    def most(self, now: float, places: int) -> list[Loud]:
-        """The loudest first; those of whom most may be others' are left out."""
-        self._fade(now)
-        span = self.weight + max(0.05, now - (self.faded_at if self.faded_at is not None else now))
-        loud = [Loud(name, count / span, over / span) for name, (count, over) in self.counts.items() if over <= 0.5 * count]
-        return sorted(loud, key=lambda one: (-one.rate, one.name))[:places]
+    def top(self, now: float, limit: int) -> list[HeavyHitter]:
+        """Return the most active names, highest rate first, without those of whose count most may belong to others."""
+        self._decay(now)
+        span_s = self.span_s + max(0.05, now - (self.decayed_at if self.decayed_at is not None else now))
+        hitters = [
+            HeavyHitter(name, count / span_s, over / span_s)
+            for name, (count, over) in self.counts.items()
+            if over <= 0.5 * count
+        ]
+        return sorted(hitters, key=lambda hitter: (-hitter.rate, hitter.name))[:limit]
--- a/mulleinhatch/instance/gossip/messages.py
+++ b/mulleinhatch/instance/gossip/messages.py
@@ -1,6 +1,7 @@
-"""What passes between members: MessagePack of at most 1,200 bytes, checked into these structs by msgspec.
+"""Datagrams between members: MessagePack arrays of at most 1,200 bytes, validated by msgspec.
 
-No datagram is answered at length, and none that is not of this fleet, this version and a good form is answered at all.
+The order of the fields is the wire format: a new field goes to the end and has a default. A datagram of another fleet, of
+another version or of invalid form is never answered.
 """
 
 from __future__ import annotations
@@ -10,11 +11,17 @@
 import msgspec
 from msgspec import Meta
 
-MOST_BYTES = 1200
+MAX_DATAGRAM_BYTES = 1200
 VERSION = 1
 
+# What `GossipMessage.kind` may be. The values are on the wire.
+PING = "ping"
+ACK = "ack"
+PROBE_REQUEST = "help"  # asks the receiver to probe `subject` on behalf of the sender
+NOTICE = "word"  # carries state only; needs no answer
+
 Name = Annotated[str, Meta(min_length=1, max_length=40)]
-# Numbers alone: a name would be looked up by whoever sends there, and hold its loop for as long as that takes.
+# Numeric addresses only: resolving a host name would block the sender's event loop.
 Address = Annotated[str, Meta(min_length=9, max_length=21, pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
 Number = Annotated[int, Meta(ge=0, le=2**62)]
 Amount = Annotated[int, Meta(ge=0, le=10**12)]
@@ -24,169 +31,180 @@
 STATES = ("alive", "suspect", "gone", "left")
 
 
-class Rumour(msgspec.Struct, array_like=True, frozen=True):
-    """What is thought of a member; the higher life, incarnation and state win, in this order."""
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """State of a member; the higher process epoch, then incarnation, then state wins."""
 
     name: Name
     address: Address
-    life: Number
-    incarnation: Number
+    process_epoch: Number  # grows with each restart of the process
+    incarnation: Number  # grows each time that the member refutes a suspicion
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
-    age: Age = 0.0  # seconds since it was suspected first
+    age_s: Age = 0.0  # since the suspicion began
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """A member's own figures: those that `counts.py` names; by budget what it can spare; its loudest tenants in ops a
-    second; what it thinks of others: subject, percent of evidence that is bad, pieces of evidence."""
+    """A member's own figures in the order of `counters.FIGURES`, and its observations of others."""
 
     name: Name
-    life: Number
-    number: Number  # grows with each report of this life
-    age: Age  # since it was made
-    figures: Annotated[list[Amount], Meta(max_length=16)]  # whole numbers: most of a letter is these
-    spares: Annotated[list[Amount], Meta(max_length=16)] = []
-    loudest: Annotated[list[tuple[Name, Figure]], Meta(max_length=4)] = []
+    process_epoch: Number
+    number: Number  # grows with each report of this process
+    age_s: Age  # since the report was made
+    figures: Annotated[list[Amount], Meta(max_length=16)]  # integers, because they make up most of a datagram
+    spare_units: Annotated[list[Amount], Meta(max_length=16)] = []  # by budget
+    heavy_hitters: Annotated[list[tuple[Name, Figure]], Meta(max_length=4)] = []  # tenants, requests per second
+    # Subject, percent of the evidence that is bad, amount of evidence.
     opinions: Annotated[list[tuple[Name, Annotated[int, Meta(ge=0, le=100)], Amount]], Meta(max_length=4)] = []
-    at: Annotated[str, Meta(max_length=21, pattern=r"^([0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5})?$")] = ""  # where its ops go
+    # Where peers may hand requests over to it.
+    handover_address: Annotated[str, Meta(max_length=21, pattern=r"^([0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5})?$")] = ""
 
 
-class Trade(msgspec.Struct, array_like=True, frozen=True):
-    """An ask (`have` is used from now on at most, `want` is wished for in all) or a give (`have` may be used)."""
+class LeaseMessage(msgspec.Struct, array_like=True, frozen=True):
+    """A lease request (uses at most `amount` from now on, wants `wanted` in total) or a grant (`amount` may be used)."""
 
     budget: Annotated[int, Meta(ge=0, lt=16)]
     number: Number
-    give: bool
-    have: Amount
-    want: Amount = 0
-    life: Number = 0  # of the asker, in a give: an earlier life's answer is none of ours
+    is_grant: bool
+    amount: Amount
+    wanted: Amount = 0
+    process_epoch: Number = 0  # of the borrower, in a grant: one meant for an earlier process is ignored
 
 
 class Offer(msgspec.Struct, array_like=True, frozen=True):
-    """Room for one op, for the member it is sent to."""
+    """Capacity for one request, reserved for the receiver of the message."""
+
+    number: Number  # grows with each offer of this process
+    valid_for_s: Annotated[float, Meta(ge=0.0, le=60.0)]
+    address: Address  # where to send the request
 
-    number: Number  # grows with each offer of this life
-    lasts: Annotated[float, Meta(ge=0.0, le=60.0)]  # seconds
-    at: Address  # where the op goes
 
+class GossipMessage(msgspec.Struct, array_like=True, frozen=True):
+    """One datagram: its kind, and the state that it carries along."""
 
-class Letter(msgspec.Struct, array_like=True, frozen=True):
     version: int
     fleet: Name
     sender: Name
     address: Address
-    life: Number
+    process_epoch: Number
     incarnation: Number
-    what: Annotated[str, Meta(pattern=r"^(ping|ack|help|word)$")]
-    number: Number = 0  # of the ping that is sent, helped with or answered
-    about: Annotated[str, Meta(max_length=40)] = ""  # whom a helper asked, or is to ask
-    rumours: Annotated[list[Rumour], Meta(max_length=40)] = []
+    kind: Annotated[str, Meta(pattern=r"^(ping|ack|help|word)$")]
+    number: Number = 0  # of the ping that is sent, forwarded or acknowledged
+    subject: Annotated[str, Meta(max_length=40)] = ""  # member that an indirect probe is about
+    member_updates: Annotated[list[MemberUpdate], Meta(max_length=40)] = []
     reports: Annotated[list[Report], Meta(max_length=40)] = []
-    trades: Annotated[list[Trade], Meta(max_length=32)] = []
-    want: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # ops that the sender holds and would hand over
+    lease_messages: Annotated[list[LeaseMessage], Meta(max_length=32)] = []
+    pending_requests: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # requests that the sender queues and would hand over
     offers: Annotated[list[Offer], Meta(max_length=16)] = []
-    more: Annotated[bytes, Meta(max_length=1000)] = b""  # of who stands on the fleet: not looked into here
-    place: Number = 0  # of the sender's group (`levels.Place.key`); 0 of a member that knows of no levels
-    upward: Annotated[bytes, Meta(max_length=1000)] = b""  # an `Upward`, read on its own: a bad one costs no letter
+    extension: Annotated[bytes, Meta(max_length=1000)] = b""  # for protocols on top of gossip; opaque here
+    group_key: Number = 0  # `GroupLocation.key` of the sender; 0 from a member without an aggregation tree
+    # An encoded `SummaryMessage`. Decoded on its own, so that an invalid one does not invalidate the whole datagram.
+    summary_data: Annotated[bytes, Meta(max_length=1000)] = b""
 
 
-Packed = Annotated[bytes, Meta(max_length=24)]  # up to four IPv4 addresses with their ports, six bytes each
-PlaceName = Annotated[str, Meta(min_length=1, max_length=32)]
+PackedAddresses = Annotated[bytes, Meta(max_length=24)]  # up to four IPv4 addresses with their ports, six bytes each
+LocationName = Annotated[str, Meta(min_length=1, max_length=32)]
 GROUP, ZONE, REGION = 0, 1, 2
 LEVELS = ("group", "zone", "region")
 
 
-class Sum(msgspec.Struct, array_like=True, frozen=True):
-    """What a group, zone or region is and does in all, as somebody in it worked out `age` seconds ago."""
+class Summary(msgspec.Struct, array_like=True, frozen=True):
+    """Sums over a group, zone or region, as computed by one of its members `age_ds` tenths of a second ago."""
 
     level: Annotated[int, Meta(ge=GROUP, le=REGION)]
-    name: PlaceName
-    age: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second
+    name: LocationName
+    age_ds: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second
     members: Amount  # that serve as far as is known
-    silent: Amount  # and of them those whose figures are too old to count
-    unknown: Amount  # requests a second that the silent could serve
-    oldest: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second: of the figures that count
+    silent: Amount  # members of these whose figures are too old to count
+    unknown_capacity: Amount  # requests per second that the silent ones may serve
+    oldest_ds: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second: age of the oldest figures that count
     figures: Annotated[list[Amount], Meta(max_length=16)]
-    contacts: Packed = b""  # members who speak for it
+    contacts: PackedAddresses = b""  # members that speak for it
 
 
-class Upward(msgspec.Struct, array_like=True, frozen=True):
-    """What passes between groups, zones and regions; the names are left out between members of one group."""
+class SummaryMessage(msgspec.Struct, array_like=True, frozen=True):
+    """What groups, zones and regions exchange; the names are empty between members of one group."""
 
     region: Annotated[str, Meta(max_length=32)] = ""
     zone: Annotated[str, Meta(max_length=32)] = ""
     group: Annotated[str, Meta(max_length=32)] = ""
-    wants: bool = False  # asks for contacts nearer to its own place
-    contacts: Packed = b""  # the answer to that
-    ages: Annotated[bytes, Meta(max_length=128)] = b""  # since somebody spoke for each part: `Levels._ages`
-    sums: Annotated[list[Sum], Meta(max_length=16)] = []
-    view: Annotated[int, Meta(ge=0, le=0xFFFF)] = 0  # of whom the sender, a mate, thinks there: who sees others tells it all
+    wants_contacts: bool = False  # asks for contacts closer to its own location
+    contacts: PackedAddresses = b""  # the answer to that
+    ages: Annotated[bytes, Meta(max_length=128)] = b""  # see `summary_table.encode_ages`
+    summaries: Annotated[list[Summary], Meta(max_length=16)] = []
+    view_digest: Annotated[int, Meta(ge=0, le=0xFFFF)] = 0  # of the members that the sender sees in its group
 
 
 _encoder = msgspec.msgpack.Encoder()
-_upward = msgspec.msgpack.Decoder(Upward)
-_decoder = msgspec.msgpack.Decoder(Letter)
-_first = msgspec.msgpack.Decoder(list)
+_summary_decoder = msgspec.msgpack.Decoder(SummaryMessage)
+_decoder = msgspec.msgpack.Decoder(GossipMessage)
+_list_decoder = msgspec.msgpack.Decoder(list)
 
 
 class InvalidMessageError(ValueError):
-    """The text is the counter that it goes by: garbage, other_version, other_fleet, too_long."""
+    """A datagram that is dropped. The text ends the counter's name: garbage, other_version, other_fleet or too_long."""
 
 
-def encode(letter: Letter) -> bytes:
-    return _encoder.encode(letter)
+def encode(message: GossipMessage) -> bytes:
+    """Return the message as bytes."""
+    return _encoder.encode(message)
 
 
-def size(report: Report) -> int:
-    """Bytes that it takes in a letter."""
+def encoded_size(report: Report) -> int:
+    """Return the bytes that a report takes in a datagram."""
     return len(_encoder.encode(report))
 
 
-def decode(datagram: bytes, fleet: str) -> Letter:
-    """
-    >>> letter = Letter(VERSION, "f", "n1", "127.0.0.1:9", 7, 0, "ping", 3)
-    >>> decode(encode(letter), "f") == letter
+def decode(datagram: bytes, fleet: str) -> GossipMessage:
+    """Decode and validate a datagram.
+
+    Raises:
+        InvalidMessageError: it is not a valid message of this fleet and version.
+
+    >>> message = GossipMessage(VERSION, "f", "n1", "127.0.0.1:9", 7, 0, "ping", 3)
+    >>> decode(encode(message), "f") == message
     True
-    >>> decode(encode(letter), "g")
+    >>> decode(encode(message), "g")
     Traceback (most recent call last):
     mulleinhatch.instance.gossip.messages.InvalidMessageError: other_fleet
     >>> decode(b"\\x93\\x02", "f")
     Traceback (most recent call last):
     mulleinhatch.instance.gossip.messages.InvalidMessageError: garbage
     """
-    if len(datagram) > MOST_BYTES:
+    if len(datagram) > MAX_DATAGRAM_BYTES:
         raise InvalidMessageError("too_long")
     try:
-        letter = _decoder.decode(datagram)
+        message = _decoder.decode(datagram)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise InvalidMessageError(_why(datagram)) from None
-    if letter.version != VERSION:
+        raise InvalidMessageError(_invalid_reason(datagram)) from None
+    if message.version != VERSION:
         raise InvalidMessageError("other_version")
-    if letter.fleet != fleet:
+    if message.fleet != fleet:
         raise InvalidMessageError("other_fleet")
-    return letter
+    return message
 
 
-def decode_upward(data: bytes) -> Upward | None:
-    """None for what is no `Upward`.
+def decode_summary_message(data: bytes) -> SummaryMessage | None:
+    """Decode the summaries of a message, or return None where they are invalid.
 
-    >>> decode_upward(encode_upward(Upward("r", "z", "1/4", True))).group, decode_upward(b"?")
+    >>> message = SummaryMessage("r", "z", "1/4", True)
+    >>> decode_summary_message(encode_summary_message(message)).group, decode_summary_message(b"?")
     ('1/4', None)
     """
     try:
-        return _upward.decode(data)
+        return _summary_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
 
 
-def encode_upward(upward: Upward) -> bytes:
-    return _encoder.encode(upward)
+def encode_summary_message(message: SummaryMessage) -> bytes:
+    """Return the summaries as bytes."""
+    return _encoder.encode(message)
 
 
-def _why(datagram: bytes) -> str:
-    """A newer version may have other fields: told from garbage by its first one."""
+def _invalid_reason(datagram: bytes) -> str:
+    """Tell a newer version, whose fields may differ, from garbage by the first field."""
     try:
-        first = _first.decode(datagram)
+        fields = _list_decoder.decode(datagram)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return "garbage"
-    newer = first and isinstance(first[0], int) and not isinstance(first[0], bool) and first[0] > VERSION
-    return "other_version" if newer else "garbage"
+    is_newer = fields and isinstance(fields[0], int) and not isinstance(fields[0], bool) and fields[0] > VERSION
+    return "other_version" if is_newer else "garbage"
--- a/mulleinhatch/instance/gossip/outlier_detection.py
+++ b/mulleinhatch/instance/gossip/outlier_detection.py
@@ -1,100 +1,133 @@
-"""What instances think of each other, of their interpreters and of services below: one voice each, and bounds on the verdict.
+"""Outlier detection by votes: which members, interpreters or downstream services most observers find failing.
 
-A subject is any name. A voice weighs by its evidence and its age, and has no more than one vote however often it speaks.
-Nobody is judged out on one voice, no more than a share at a time, nobody where most look ill (then it is something that
-all share), and who hears nothing judges nothing. What one voice alone finds bad is that voice's own trouble.
+A subject is any name. An observer's weight follows from its amount of evidence and its age, and never exceeds one vote,
+however often it reports. Nobody is ejected on the word of one observer, no more than a fraction at a time, and nobody where
+most look unhealthy (the cause is then something that all share); an observer that hears few members judges nothing. Where a
+single observer disagrees with all others, the fault is taken to be its own.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-ENOUGH = 20  # pieces of evidence that make a whole voice
-OLD = 6.0  # seconds after which a voice counts for nothing
-VOICES = 2.0  # whole voices at least
-OUT, BACK = 0.6, 0.3  # of the weight that finds it ill: from here it is out, below there it is back
-MOST_OUT = 0.2  # of a kind's subjects at a time, one at least
-MOST_ILL = 0.5  # ill ones of a kind beyond which nobody is out
-ALONE = 0.8  # of one voice's evidence that is bad where all the others find the subject well
+FULL_VOTE_EVIDENCE = 20  # amount of evidence that makes a full vote
+MAX_AGE_S = 6.0  # after which an opinion weighs nothing
+MIN_VOTES = 2.0
+EJECT_AT, RETURN_BELOW = 0.6, 0.3  # bad fraction of the votes: ejected from the first on, back below the second
+MAX_EJECTED_FRACTION = 0.2  # of the subjects at a time, one at least
+MAX_UNHEALTHY_FRACTION = 0.5  # with more unhealthy subjects nobody is ejected
+SINGLE_ACCUSATION = 0.8  # bad fraction of one observer's evidence where all others find the subject healthy
 
 
 class Opinion(NamedTuple):
-    bad: float  # share of its evidence
+    """What one observer last reported of a subject."""
+
+    bad: float  # fraction of its evidence
     evidence: int
     at: float
 
 
-class Verdicts:
-    """
-    >>> verdicts = Verdicts()
-    >>> for voice in ("a", "b", "c"):
+class OutlierDetector:
+    """Opinions by subject and observer, and the subjects that are ejected.
+
+    Args:
+        max_subjects: further subjects are ignored.
+
+    >>> detector = OutlierDetector()
+    >>> for observer in ("a", "b", "c"):
     ...     for subject in ("x", "y", "z"):
-    ...         verdicts.heard(1.0, voice, subject, 0.9 if subject == "x" else 0.0, 40)
-    >>> verdicts.judge(1.0, {"a", "b", "c"}, cut_off=False)
+    ...         detector.record(1.0, observer, subject, 0.9 if subject == "x" else 0.0, 40)
+    >>> detector.judge(1.0, {"a", "b", "c"}, is_isolated=False)
     ['x']
-    >>> verdicts.heard(2.0, "a", "y", 1.0, 40); verdicts.judge(2.0, {"a", "b", "c"}, False), verdicts.alone
+    >>> detector.record(2.0, "a", "y", 1.0, 40); detector.judge(2.0, {"a", "b", "c"}, False), detector.single_accusers
     (['x'], {('a', 'y')})
-    >>> verdicts.judge(30.0, {"a", "b", "c"}, cut_off=False)
+    >>> detector.judge(30.0, {"a", "b", "c"}, is_isolated=False)
     []
     """
 
-    def __init__(self, most: int = 4096) -> None:
-        self.most = most
+    def __init__(self, max_subjects: int = 4096) -> None:
+        self.max_subjects = max_subjects
         self.opinions: dict[str, dict[str, Opinion]] = {}
-        self.out: dict[str, float] = {}  # since when
-        self.alone: set[tuple[str, str]] = set()  # voices that find ill what others find well
-        self.held_back = 0  # verdicts that a bound forbade, at the last look
+        self.ejected_since: dict[str, float] = {}
+        self.single_accusers: set[tuple[str, str]] = set()  # observer and the subject that only it finds unhealthy
+        self.blocked_ejections = 0  # that a limit prevented, in the last judgement
 
-    def heard(self, now: float, voice: str, subject: str, bad: float, evidence: int, age: float = 0.0) -> None:
-        if subject not in self.opinions and len(self.opinions) >= self.most:
+    def record(self, now: float, observer: str, subject: str, bad: float, evidence: int, age_s: float = 0.0) -> None:
+        """Record an opinion; an older one than is known changes nothing."""
+        if subject not in self.opinions and len(self.opinions) >= self.max_subjects:
             return
-        voices = self.opinions.setdefault(subject, {})
-        if voice not in voices or voices[voice].at <= now - age:
-            voices[voice] = Opinion(bad, evidence, now - age)
-
-    def share(self, now: float, subject: str, voices: set[str]) -> tuple[float, float]:
-        """The part of the weight that finds it ill, and the weight in whole voices."""
-        ill = whole = 0.0
-        for voice, opinion in self.opinions.get(subject, {}).items():
-            if voice in voices and voice != subject:
-                weight = min(1.0, opinion.evidence / ENOUGH) * max(0.0, 1.0 - (now - opinion.at) / OLD)
-                ill, whole = ill + weight * opinion.bad, whole + weight
-        return (ill / whole if whole else 0.0), whole
-
-    def judge(self, now: float, voices: set[str], cut_off: bool) -> list[str]:
-        """Subjects that are out now; `voices` are those whose word counts: the members that are there."""
-        for subject, said in list(self.opinions.items()):
-            for voice in [voice for voice, opinion in said.items() if now - opinion.at > OLD]:
-                del said[voice]
-            if not said:
-                del self.opinions[subject]
-        if cut_off:
-            return sorted(self.out)
-        shares = {subject: self.share(now, subject, voices) for subject in self.opinions}
-        self.out = {
-            subject: since
-            for subject, since in self.out.items()
-            if subject in shares and shares[subject][1] > 0.0 and shares[subject][0] >= BACK
+        by_observer = self.opinions.setdefault(subject, {})
+        if observer not in by_observer or by_observer[observer].at <= now - age_s:
+            by_observer[observer] = Opinion(bad, evidence, now - age_s)
+
+    def vote(self, now: float, subject: str, observers: set[str]) -> tuple[float, float]:
+        """Return the fraction of the votes that finds a subject bad, and the weight of all votes."""
+        bad = total = 0.0
+        for observer, opinion in self.opinions.get(subject, {}).items():
+            if observer in observers and observer != subject:
+                weight = min(1.0, opinion.evidence / FULL_VOTE_EVIDENCE) * max(0.0, 1.0 - (now - opinion.at) / MAX_AGE_S)
+                bad, total = bad + weight * opinion.bad, total + weight
+        return (bad / total if total else 0.0), total
+
+    def judge(self, now: float, observers: set[str], is_isolated: bool) -> list[str]:
+        """Return the subjects that are ejected now.
+
+        Args:
+            now: seconds of the caller's clock.
+            observers: members whose opinions count.
+            is_isolated: whether this member hears few others: then nothing changes.
+        """
+        self._drop_old(now)
+        if is_isolated:
+            return sorted(self.ejected_since)
+        votes = {subject: self.vote(now, subject, observers) for subject in self.opinions}
+        self.ejected_since = {
+            subject: since for subject, since in self.ejected_since.items() if self._stays_ejected(votes.get(subject))
         }
-        ill = sorted(
-            (subject for subject, (share, whole) in shares.items() if share >= OUT and whole >= VOICES),
-            key=lambda subject: (-shares[subject][0], subject),
+        unhealthy = sorted(
+            (subject for subject, (bad, total) in votes.items() if bad >= EJECT_AT and total >= MIN_VOTES),
+            key=lambda subject: (-votes[subject][0], subject),
         )
-        self.held_back = 0
-        if len(ill) > MOST_ILL * len(shares):
-            self.held_back = len(ill)
-            self.out.clear()
-        else:
-            room = max(1, int(MOST_OUT * len(shares)))
-            for subject in ill:
-                if subject not in self.out and len(self.out) < room:
-                    self.out[subject] = now
-                elif subject not in self.out:
-                    self.held_back += 1
-        self.alone = {
-            (voice, subject)
-            for subject, said in self.opinions.items()
-            for voice, opinion in said.items()
-            if opinion.bad >= ALONE and len(said) > 2 and all(other.bad < BACK for name, other in said.items() if name != voice)
+        self._eject(now, unhealthy, len(votes))
+        self.single_accusers = self._find_single_accusers()
+        return sorted(self.ejected_since)
+
+    def _drop_old(self, now: float) -> None:
+        for subject, by_observer in list(self.opinions.items()):
+            for observer in [observer for observer, opinion in by_observer.items() if now - opinion.at > MAX_AGE_S]:
+                del by_observer[observer]
+            if not by_observer:
+                del self.opinions[subject]
+
+    @staticmethod
+    def _stays_ejected(vote: tuple[float, float] | None) -> bool:
+        if vote is None:
+            return False
+        bad, total = vote
+        return total > 0.0 and bad >= RETURN_BELOW
+
+    def _eject(self, now: float, unhealthy: list[str], subjects: int) -> None:
+        """Eject as many as the limits allow, the worst first."""
+        self.blocked_ejections = 0
+        if len(unhealthy) > MAX_UNHEALTHY_FRACTION * subjects:
+            self.blocked_ejections = len(unhealthy)
+            self.ejected_since.clear()
+            return
+        max_ejected = max(1, int(MAX_EJECTED_FRACTION * subjects))
+        for subject in unhealthy:
+            if subject in self.ejected_since:
+                continue
+            if len(self.ejected_since) < max_ejected:
+                self.ejected_since[subject] = now
+            else:
+                self.blocked_ejections += 1
+
+    def _find_single_accusers(self) -> set[tuple[str, str]]:
+        return {
+            (observer, subject)
+            for subject, by_observer in self.opinions.items()
+            for observer, opinion in by_observer.items()
+            if opinion.bad >= SINGLE_ACCUSATION
+            and len(by_observer) > 2
+            and all(other.bad < RETURN_BELOW for name, other in by_observer.items() if name != observer)
         }
-        return sorted(self.out)
--- a/mulleinhatch/instance/gossip/peer_groups.py
+++ b/mulleinhatch/instance/gossip/peer_groups.py
@@ -1,8 +1,9 @@
-"""Who is there in one group of a zone: `Members` at a fraction of the words, for groups of bounded size.
+"""Membership of one group of a zone: `Membership` with a fraction of the messages, for groups of bounded size.
 
-Each asks the next on a ring of names, and now and then one by chance; who misses the word of the one before it asks that
-one. Before anybody is declared gone each mate has asked it itself, and who refutes tells all its mates at once: in a
-group of a few dozen that costs little, and a stall of two seconds among lost letters declares nobody.
+Each member probes its successor on a ring of names, and now and then one at random; it probes its predecessor when it misses
+its messages. Before a suspected member is declared gone, each peer has probed it itself, and a member that refutes a
+suspicion notifies all its peers at once. In a group of a few dozen this costs little, and a pause of two seconds with loss
+of messages lets nobody be declared gone.
 """
 
 from __future__ import annotations
@@ -10,127 +11,127 @@
 from collections.abc import Iterator
 
 from mulleinhatch.instance.gossip.bounds import FleetBounds
-from mulleinhatch.instance.gossip.members import Members
-from mulleinhatch.instance.gossip.messages import ALIVE, GONE, LEFT, SUSPECT, Letter, Rumour
+from mulleinhatch.instance.gossip.members import Membership
+from mulleinhatch.instance.gossip.messages import ALIVE, GONE, LEFT, NOTICE, PING, SUSPECT, GossipMessage, MemberUpdate
+from mulleinhatch.instance.gossip.outgoing import OutgoingMessage
+from mulleinhatch.instance.gossip.update_selection import UpdateSelection
 
-RING_EVERY, OTHERS_EVERY = 1.0, 3.0  # seconds between probes of the next on the ring, and of one by chance
-UNASKED = 1.75  # seconds without a word of the one before us, after which we ask it
-GONE_EVERY = 4.0  # seconds between words to one of the gone
-CHECKS = (0.0, 1.2)  # seconds after a suspicion began at which each mate asks for itself
-REFUTED_TIMES = 2  # beats at which who refutes tells all
-LIVED_ELSEWHERE = "moved"
+RING_PROBE_INTERVAL_S, RANDOM_PROBE_INTERVAL_S = 1.0, 3.0
+PREDECESSOR_TIMEOUT_S = 1.75  # without a message of the predecessor, after which it is probed
+GONE_CONTACT_INTERVAL_S = 4.0
+SUSPECT_PROBE_DELAYS_S = (0.0, 1.2)  # after the start of a suspicion, when each peer probes the suspect itself
+REFUTATION_HEARTBEATS = 2  # heartbeats at which a member that refutes a suspicion notifies all peers
+MOVED = "moved"
 
 
-class Mates(Members):
-    """
+class PeerGroup(Membership):
+    """The members of the own group; see `Membership` for the arguments.
+
     >>> from mulleinhatch.instance.gossip.messages import STATES
-    >>> one = Mates("a", "10.0.0.1:1", 7, FleetBounds("f"), 1, 0.0)
-    >>> _ = list(one.heard(0.1, Letter(1, "f", "b", "10.0.0.1:2", 7, 0, "ping", 3)))
-    >>> one.moved(0.2, "b", 8); STATES[one.view["b"].state], one.alive()
+    >>> group = PeerGroup("a", "10.0.0.1:1", 7, FleetBounds("f"), 1, 0.0)
+    >>> _ = list(group.handle_message(0.1, GossipMessage(1, "f", "b", "10.0.0.1:2", 7, 0, "ping", 3)))
+    >>> group.on_peer_moved(0.2, "b", 8); STATES[group.view["b"].state], group.alive()
     ('left', [])
     """
 
-    def __init__(self, name: str, address: str, life: int, bounds: FleetBounds, seed: int, now: float) -> None:
-        super().__init__(name, address, life, bounds, seed, now)
-        # Started together they would ask together.
-        self.ring_at = now - RING_EVERY * self.draw(100) / 100.0
-        self.others_at = now - OTHERS_EVERY * self.draw(100) / 100.0
-        self.watched_at = self.gone_at = now
-        self.refuting = 0
-        self.checked: dict[str, int] = {}  # by suspect: how often we asked it ourselves
-
-    def _ask_around(self, now: float) -> Iterator[tuple[str, dict]]:
-        yield from self._refute()
-        yield from self._check(now)
-        half = 0.5 * self.bounds.beat
-        if now - self.ring_at >= RING_EVERY - half:
-            self.ring_at = max(self.ring_at + RING_EVERY, now - RING_EVERY)
-            if name := self._beside(1):
-                yield self._probe(now, self.view[name])
-        if now - self.others_at >= OTHERS_EVERY - half:
-            self.others_at = now
-            for name in self._next(1):
-                yield self._probe(now, self.view[name])
-        before = self._beside(-1)
-        if before and now - max(self.view[before].heard_at, self.watched_at) >= UNASKED:
-            self.watched_at = now
-            yield self._probe(now, self.view[before])
-        if now - self.gone_at >= GONE_EVERY:
-            self.gone_at = now
-            yield from self._ask_the_gone(now)
-
-    def _beside(self, step: int) -> str:
-        """The next of the living by name, or the one before us; empty where we are alone."""
+    update_overhead_bytes = 25  # close to the encoded size: so all of a group of a few dozen fit into one message
+
+    def __init__(self, name: str, address: str, process_epoch: int, bounds: FleetBounds, seed: int, now: float) -> None:
+        super().__init__(name, address, process_epoch, bounds, seed, now)
+        # At random offsets: members that were started together would all probe at the same moment.
+        self.ring_probed_at = now - RING_PROBE_INTERVAL_S * self.draw(100) / 100.0
+        self.random_probed_at = now - RANDOM_PROBE_INTERVAL_S * self.draw(100) / 100.0
+        self.predecessor_probed_at = self.gone_contacted_at = now
+        self.refutations_left = 0
+        self.suspect_probes: dict[str, int] = {}  # by suspect: how often this member probed it
+
+    def _probe_members(self, now: float) -> Iterator[OutgoingMessage]:
+        yield from self._send_refutation()
+        yield from self._probe_suspects(now)
+        tolerance_s = 0.5 * self.bounds.heartbeat_s
+        if now - self.ring_probed_at >= RING_PROBE_INTERVAL_S - tolerance_s:
+            self.ring_probed_at = max(self.ring_probed_at + RING_PROBE_INTERVAL_S, now - RING_PROBE_INTERVAL_S)
+            if name := self._ring_neighbour(1):
+                yield self.prober.ping(now, self.view[name])
+        if now - self.random_probed_at >= RANDOM_PROBE_INTERVAL_S - tolerance_s:
+            self.random_probed_at = now
+            for name in self.prober.next_targets(1):
+                yield self.prober.ping(now, self.view[name])
+        predecessor = self._ring_neighbour(-1)
+        if predecessor:
+            heard_at = max(self.view[predecessor].heard_at, self.predecessor_probed_at)
+            if now - heard_at >= PREDECESSOR_TIMEOUT_S:
+                self.predecessor_probed_at = now
+                yield self.prober.ping(now, self.view[predecessor])
+        if now - self.gone_contacted_at >= GONE_CONTACT_INTERVAL_S:
+            self.gone_contacted_at = now
+            yield from self._contact_gone_member(now)
+
+    def _ring_neighbour(self, step: int) -> str:
+        """Return the successor (1) or predecessor (-1) among those alive, by name; empty where there is none."""
         ring = sorted([self.name, *(member.name for member in self.view.values() if member.state == ALIVE)])
         name = ring[(ring.index(self.name) + step) % len(ring)]
         return name if name != self.name else ""
 
-    def _check(self, now: float) -> Iterator[tuple[str, dict]]:
-        """Each asks a suspect itself; what it answers is heard whoever suspected it. No probe: it is not our accusation."""
+    def _probe_suspects(self, now: float) -> Iterator[OutgoingMessage]:
+        """Ping each suspect; not as a probe, since a timeout here must not raise a further suspicion."""
         suspects = {member.name: member for member in self.view.values() if member.state == SUSPECT}
-        self.checked = {name: done for name, done in self.checked.items() if name in suspects}
+        self.suspect_probes = {name: count for name, count in self.suspect_probes.items() if name in suspects}
         for name, member in suspects.items():
-            done = self.checked.get(name, 0)
-            if done < len(CHECKS) and now - member.since >= CHECKS[done]:
-                self.checked[name] = done + 1
+            count = self.suspect_probes.get(name, 0)
+            if count < len(SUSPECT_PROBE_DELAYS_S) and now - member.since >= SUSPECT_PROBE_DELAYS_S[count]:
+                self.suspect_probes[name] = count + 1
                 if member.heard_at > member.since:
                     continue
-                self.number += 1
-                yield member.address, {"what": "ping", "number": self.number, "to": name, "short": True}
+                yield OutgoingMessage(member.address, PING, name, self.prober.next_number(), is_brief=True)
 
-    def _refute(self) -> Iterator[tuple[str, dict]]:
-        if self.refuting:
-            self.refuting -= 1
+    def _send_refutation(self) -> Iterator[OutgoingMessage]:
+        if self.refutations_left:
+            self.refutations_left -= 1
             for name in self.alive():
-                yield self.view[name].address, {"what": "word", "to": name, "short": True}
-
-    def _of_us(self, now: float, rumour: Rumour) -> None:
-        before = self.incarnation
-        super()._of_us(now, rumour)
-        if self.incarnation > before:
-            self.refuting = REFUTED_TIMES
-
-    def stranger(self, now: float, letter: Letter) -> None:
-        """A letter from outside the group: what it says of us is ours to refute, all else is its own group's matter."""
-        for rumour in letter.rumours:
-            if rumour.name == self.name and rumour.address == self.address:
-                self._of_us(now, rumour)
-        member = self.view.get(letter.sender)
-        if member and member.address == letter.address and letter.life >= member.life:
-            self.moved(now, letter.sender, letter.life)
-
-    def moved(self, now: float, name: str, life: int) -> None:
-        """A mate that was started anew in another group, or as a member that knows of no groups: it left, and is not gone."""
+                yield OutgoingMessage(self.view[name].address, NOTICE, name, is_brief=True)
+
+    def _apply_update_about_self(self, now: float, update: MemberUpdate) -> None:
+        previous = self.incarnation
+        super()._apply_update_about_self(now, update)
+        if self.incarnation > previous:
+            self.refutations_left = REFUTATION_HEARTBEATS
+
+    def on_foreign_message(self, now: float, message: GossipMessage) -> None:
+        """Handle a message from outside the group: only what it says about this member matters, and where the sender is."""
+        for update in message.member_updates:
+            if update.name == self.name and update.address == self.address:
+                self._apply_update_about_self(now, update)
+        member = self.view.get(message.sender)
+        if member and member.address == message.address and message.process_epoch >= member.process_epoch:
+            self.on_peer_moved(now, message.sender, message.process_epoch)
+
+    def on_peer_moved(self, now: float, name: str, process_epoch: int) -> None:
+        """Mark a peer that was restarted in another group, or without an aggregation tree, as left: it is not gone."""
         member = self.view[name]
         if member.state != LEFT:
-            member.life = life
-            self._become(now, member, LEFT, LIVED_ELSEWHERE)
+            member.process_epoch = process_epoch
+            self._set_state(now, member, LEFT, MOVED)
 
-    def doubt(self, now: float, to: str) -> list[Rumour]:
-        """That we suspect whom it goes to, which else might answer us again and again and never refute it."""
+    def select_suspicion(self, now: float, to: str) -> list[MemberUpdate]:
+        """Return the receiver's own suspicion, which it otherwise might answer again and again without refuting it."""
         member = self.view.get(to)
-        return [self._rumour(now, member)] if member and member.state in (SUSPECT, GONE) else []
+        return [self._update_of(now, member)] if member and member.state in (SUSPECT, GONE) else []
 
-    def rumours(self, now: float, room: int, to: str, new: bool = False) -> list[Rumour]:
-        """News, and whatever is wrong with whom it goes to; all to a `new` one, which sees others there than we do."""
-        chosen: dict[str, Rumour] = {}
-        if self.left:  # else the letter itself says that we live
-            room -= self._add(chosen, Rumour(self.name, self.address, self.life, self.incarnation, LEFT), room)
+    def select_updates(self, now: float, free_bytes: int, to: str, all_members: bool = False) -> list[MemberUpdate]:
+        """Return recent changes and a doubtful state of the receiver; all members for one that sees others than this one."""
+        selection = UpdateSelection(free_bytes, self.update_overhead_bytes)
+        if self.left:  # otherwise the message itself proves that this member is alive
+            selection.add(self._own_update(LEFT))
         if (member := self.view.get(to)) and member.state != ALIVE:
-            room -= self._add(chosen, self._rumour(now, member), room)
-        room -= self._add_news(now, chosen, room)
-        if new:
-            there = [member for member in self.view.values() if member.state <= SUSPECT and member.name != to]
-            start = self.draw(len(there)) if there else 0  # where not all fit, others another time
-            for member in there[start:] + there[:start]:
-                room -= self._add(chosen, self._rumour(now, member), room)
-        return list(chosen.values())
-
-    @staticmethod
-    def _add(chosen: dict[str, Rumour], rumour: Rumour, room: int) -> int:
-        """By what it takes as bytes: all of a group of a few dozen then fit into one letter."""
-        taken = 25 + len(rumour.name) + len(rumour.address)
-        if taken > room or rumour.name in chosen:
-            return 0
-        chosen[rumour.name] = rumour
-        return taken
+            selection.add(self._update_of(now, member))
+        self.updates.fill(selection, len(self.view), lambda name: self._find_update(now, name))
+        if all_members:
+            self._add_all_members(now, selection, to)
+        return selection.updates()
+
+    def _add_all_members(self, now: float, selection: UpdateSelection, to: str) -> None:
+        serving = [member for member in self.view.values() if member.state <= SUSPECT and member.name != to]
+        start = self.draw(len(serving)) if serving else 0  # at random: where not all fit, the others go another time
+        for member in serving[start:] + serving[:start]:
+            selection.add(self._update_of(now, member))
--- a/mulleinhatch/instance/load_balancing/__init__.py
+++ b/mulleinhatch/instance/load_balancing/__init__.py
@@ -1,5 +1,5 @@
-"""Even load over instances that each see little: estimates that lean on the fleet, shares, offers of room and who takes an op.
+"""Load balancing between instances that each see little of the load: estimates, offers of capacity, handover and redirects.
 
-`program/fleet.py` calls it where the operator's file has a `spread` node. It never decides that an op is handed over, nor runs
-or answers one: the module decides that, and here it is settled where to.
+`instance/runtime/load_balancing.py` calls it where the operator's file has a `spread` node. It neither decides that a request
+is handed over nor runs or answers one: the admission controller decides that, and this package chooses the receiver.
 """
--- a/mulleinhatch/instance/load_balancing/bounds.py
+++ b/mulleinhatch/instance/load_balancing/bounds.py
@@ -1,19 +1,19 @@
-"""The bounds that an operator sets for the spread of load, with what holds where none is set."""
+"""Settings of load balancing, with the values that hold where the operator's file sets none."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-class SpreadBounds(NamedTuple):
-    """Times are seconds."""
+class LoadBalancingBounds(NamedTuple):
+    """Names of the fields are keys of the operator's `spread` node. Times are in seconds."""
 
-    hand_over: bool = True  # False: advice alone, nothing passes between instances but fleet state
-    advice: bool = False  # callers are told what share of what comes is wished elsewhere; beside hand-over it costs
-    at: str = ""  # host:port where peers send ops: where callers connect, unless it is told
-    offer_for: float = 0.2  # how long an offer holds
-    most_offers: int = 8  # given at a time; never more than there is room for
+    hand_over: bool = True  # False: advice alone, no request passes between instances
+    advice: bool = False  # callers are told which fraction to send elsewhere; costs throughput beside handover
+    at: str = ""  # host:port where peers send requests; empty: where callers connect
+    offer_for: float = 0.2  # how long an offer is valid
+    most_offers: int = 8  # outstanding at a time; never more than there are free slots
     links: int = 4  # connections kept to a peer
-    guesses: bool = True  # without offers: a choice of two by the fleet's view
-    step: float = 0.05  # of the share wished elsewhere, at a time
-    step_every: float = 0.5
+    guesses: bool = True  # without offers: two random choices by the peers' reports
+    step: float = 0.05  # largest change of the redirected fraction at a time
+    step_every: float = 0.5  # between changes
--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -1,8 +1,9 @@
-"""One instance's side of the spread: what it has room for and holds goes in; offers, wants and a wish come out.
+"""One instance's side of load balancing: free slots and pending requests go in; offers and a redirected fraction come out.
 
-No I/O, no clock. Stands on `fleet/` for members, figures and letters. It falls back to what each does alone, in this order: a
-leaving instance only gives away; in a storm nothing passes (a repeat handed on is a repeat still); who hears nobody, is
-frozen or of whose fleet most look ill neither offers nor asks; without offers it may guess by two reports. All is counted.
+No I/O and no clock. Uses the gossip protocol for members, figures and messages. What each instance does alone is the fallback,
+in this order: a leaving instance only hands over; during a retry storm nothing is handed over (a retry stays a retry at a
+peer); an instance that hears nobody, whose view is frozen or of whose fleet most members look unhealthy neither issues nor
+uses offers; without offers it may guess by two reports. Each fallback has a counter.
 """
 
 from __future__ import annotations
@@ -10,261 +11,243 @@
 from collections import Counter
 from typing import NamedTuple
 
-from mulleinhatch.instance.gossip import messages as words
-from mulleinhatch.instance.gossip.core import Fleet, interpreter_of
-from mulleinhatch.instance.gossip.counters import Row
-from mulleinhatch.instance.gossip.messages import Letter, Offer
-from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
-from mulleinhatch.instance.load_balancing.estimates import SCATTER, Estimate, Evidence, Window, drawn, usual
-from mulleinhatch.instance.load_balancing.offers import NEEDS_LAST, Giver, Offered, Taker
-from mulleinhatch.instance.load_balancing.shares import Seen, Share
-
-PACE_MEMORY = 10.0  # seconds over which runs, and ops that came, tell of us
-LOAD_MEMORY = 8.0
-ASKED = 2  # members that are told a beat what we want, besides those that are written to anyway
-GUESS_FRESH = 1.0  # seconds: an older report is nothing to guess by
-GUESS_ROOM = 2  # places free at least, less what we sent there since
-FAILING, FEW_RUNS = 0.5, 4.0  # of own runs: who fails that many offers no room, however idle it looks
-EVEN_EVERY = 0.5  # seconds between looks at how full the fleet is
-
-
-class Here(NamedTuple):
+from mulleinhatch.instance.gossip.core import GossipNode, interpreter_of
+from mulleinhatch.instance.gossip.counters import MemberFigures
+from mulleinhatch.instance.gossip.messages import GossipMessage, Offer
+from mulleinhatch.instance.gossip.outgoing import Datagram
+from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
+from mulleinhatch.instance.load_balancing.estimates import Estimate
+from mulleinhatch.instance.load_balancing.load_statistics import LoadStatistics
+from mulleinhatch.instance.load_balancing.offers import NEEDS_VALID_FOR_S, OfferIssuer, OfferReceiver, ReceivedOffer
+from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
+
+MAX_ASKED = 2  # members that are told of pending requests by a message of its own, each heartbeat
+GUESS_FRESH_FOR_S = 1.0  # older reports are not used for guesses
+MIN_GUESS_SLOTS = 2  # free at the peer, less what was sent there since its report
+OBSERVATION_INTERVAL_S = 0.5
+MAX_OPINIONS = 2
+RECEIVER_SEED_OFFSET, REDIRECT_SEED_OFFSET = 1, 2  # so that the parts do not repeat each other's random sequence
+
+
+class InstanceLoad(NamedTuple):
     """What this instance knows of itself just now."""
 
-    room: int  # ops that could start at once
-    held: int  # that it holds and might hand over
-    places: int  # ops that may run at a time
-    leaving: bool = False
-    storm: bool = False
+    free_slots: int  # requests that could start at once
+    pending: int  # queued requests that could be handed over
+    slots: int  # requests that may run at a time
+    is_leaving: bool = False
+    in_retry_storm: bool = False
 
 
-class Spread:
-    def __init__(self, bounds: SpreadBounds, fleet: Fleet, seed: int, now: float, returns: bool) -> None:
+class LoadBalancer:
+    """Offers to peers, handover to peers, and the redirected fraction.
+
+    Args:
+        bounds: settings.
+        fleet: members, their reports and messages.
+        seed: of the random choices.
+        now: seconds of the caller's clock.
+        returns: whether the instance was just started and warms up.
+    """
+
+    def __init__(self, bounds: LoadBalancingBounds, fleet: GossipNode, seed: int, now: float, returns: bool) -> None:
         self.bounds, self.fleet = bounds, fleet
-        self.giver = Giver(bounds.offer_for, bounds.most_offers, seed)
-        self.taker = Taker(seed + 1)
-        self.share = Share(bounds.step, bounds.step_every, seed + 2, now, returns)
-        self.pace, self.loads = Window(PACE_MEMORY), Window(LOAD_MEMORY)
-        self.failed = Window(PACE_MEMORY)
-        self.needs: dict[str, tuple[int, float]] = {}
-        self.lives: dict[str, int] = {}
-        self.sent_to: dict[str, list[float]] = {}  # guesses of ours, by member
+        self.offer_issuer = OfferIssuer(bounds.offer_for, bounds.most_offers, seed)
+        self.offer_receiver = OfferReceiver(seed + RECEIVER_SEED_OFFSET)
+        self.redirects = RedirectController(bounds.step, bounds.step_every, seed + REDIRECT_SEED_OFFSET, now, returns)
+        self.statistics = LoadStatistics(fleet, now)
+        self.needs: dict[str, tuple[int, float]] = {}  # by member: pending requests, and when it reported them
+        self.peer_epochs: dict[str, int] = {}
+        self.guesses_sent: dict[str, list[float]] = {}  # by member: when a request was sent there on a guess
         self.counts: Counter[str] = Counter()
-        self.here = Here(0, 0, 1)
-        self.started, self.evened_at = now, now
-        self.seen = Seen(0.0, -1.0)
-        self.wish = 0.0
-        self.letters: list[tuple[str, bytes]] = []  # to be sent since the last beat
-        self.guessed_at = now
-        fleet.listeners.append(self._letter)
-
-    # What happens here.
-
-    def came(self, now: float, work: float) -> None:
-        """An op of our own callers: by its work, or as one where none is told."""
-        self.loads.add(now, work or 1.0)
-
-    def ran(self, now: float, seconds: float, work: float, failed: bool) -> None:
-        self.pace.add(now, seconds / (work or 1.0))
-        self.failed.add(now, float(failed))
-
-    def beat(self, now: float, here: Here) -> list[tuple[str, bytes]]:
-        """Letters to be sent. `offered` and `wish` may have changed."""
-        self.here = here
-        letters, self.letters = self.letters, []
-        self._forget(now)
-        self.taker.shunned = {
-            name for name in self.fleet.members.alive() if name in self.fleet.out or interpreter_of(name) in self.fleet.out
-        }
-        held_back = self.held_back()
-        if held_back:
-            self.counts["held_back_" + held_back] += 1
-        self.fleet.want = here.held if self.bounds.hand_over and not held_back else 0
-        if self.fleet.want and not self.taker.count(now):
-            letters += self._ask(now)
-        letters += self._give(now)
-        if now - self.evened_at >= EVEN_EVERY:
-            self.evened_at = now
-            self._look_round(now)
-        self.wish = self.share.beat(now, self.seen) if self.bounds.advice else 0.0
-        return letters
-
-    def nudge(self, now: float, here: Here) -> list[tuple[str, bytes]]:
-        """An op came or a run ended between two beats: who just began to hold asks at once, who just got room offers it."""
-        before, self.here = self.here, here
-        letters = self._give(now) if here.room and self.needs else []
-        if here.held and not before.held and self.bounds.hand_over and not self.taker.count(now) and not self.held_back():
-            self.fleet.want = here.held
-            letters += self._ask(now)
-        return letters
-
-    def held_back(self) -> str:
-        """Why nothing is handed over just now; empty where it may be."""
+        self.load = InstanceLoad(0, 0, 1)
+        self.observed_at = self.guessed_at = now
+        self.observation = LoadObservation(0.0, -1.0)
+        self.redirect_fraction = 0.0
+        self.outgoing: list[Datagram] = []
+        fleet.subscribe(self._on_message)
+
+    # Events of this instance.
+
+    def record_arrival(self, now: float, work: float) -> None:
+        """Record a request of the own callers."""
+        self.statistics.record_arrival(now, work)
+
+    def record_run(self, now: float, seconds: float, work: float, failed: bool) -> None:
+        """Record a completed run."""
+        self.statistics.record_run(now, seconds, work, failed)
+
+    def heartbeat(self, now: float, load: InstanceLoad) -> list[Datagram]:
+        """Run one period and return what to send; `count_offers` and `redirect_fraction` may have changed."""
+        self.load = load
+        datagrams = self.take_messages()
+        self._drop_old(now)
+        self._update_ejected()
+        reason = self.suspension_reason()
+        if reason:
+            self.counts["held_back_" + reason] += 1
+        self.fleet.pending_requests = load.pending if self.bounds.hand_over and not reason else 0
+        if self.fleet.pending_requests and not self.offer_receiver.count(now):
+            datagrams += self._ask_for_offers(now)
+        datagrams += self._issue_offers(now)
+        if now - self.observed_at >= OBSERVATION_INTERVAL_S:
+            self.observed_at = now
+            self.observation = self.statistics.observe(now, load.slots)
+        self.redirect_fraction = self.redirects.update(now, self.observation) if self.bounds.advice else 0.0
+        return datagrams
+
+    def on_load_change(self, now: float, load: InstanceLoad) -> list[Datagram]:
+        """Handle an arrival or a completed run between two heartbeats, and return what to send.
+
+        An instance that just began to queue asks for offers at once; one with free slots issues them.
+        """
+        previous, self.load = self.load, load
+        datagrams = self._issue_offers(now) if load.free_slots and self.needs else []
+        starts_to_queue = load.pending and not previous.pending and self.bounds.hand_over
+        if starts_to_queue and not self.offer_receiver.count(now) and not self.suspension_reason():
+            self.fleet.pending_requests = load.pending
+            datagrams += self._ask_for_offers(now)
+        return datagrams
+
+    def suspension_reason(self) -> str:
+        """Return why nothing is handed over just now, as the end of a counter's name; empty where it may be."""
         fleet = self.fleet
-        if self.here.storm:
+        if self.load.in_retry_storm:
             return "storm"
         if fleet.members.frozen or not fleet.members.alive():
             return "deaf"
-        return "sick" if fleet.verdicts.held_back > 1 and not fleet.out else ""
+        return "sick" if fleet.outlier_detector.blocked_ejections > 1 and not fleet.ejected else ""
 
-    def _forget(self, now: float) -> None:
-        for name in [name for name, (_, at) in self.needs.items() if now - at > NEEDS_LAST]:
+    def _update_ejected(self) -> None:
+        ejected = self.fleet.ejected
+        self.offer_receiver.ejected = {
+            name for name in self.fleet.members.alive() if name in ejected or interpreter_of(name) in ejected
+        }
+
+    def _drop_old(self, now: float) -> None:
+        for name in [name for name, (_, at) in self.needs.items() if now - at > NEEDS_VALID_FOR_S]:
             del self.needs[name]
-        for name in [name for name, times in self.sent_to.items() if now - times[-1] > GUESS_FRESH]:
-            del self.sent_to[name]
-
-    # Letters.
-
-    def _letter(self, now: float, letter: Letter) -> None:
-        if letter.life != self.lives.get(letter.sender):
-            self.lives[letter.sender] = letter.life
-            self.taker.new_life(letter.sender)
-        for offer in letter.offers:
-            self.taker.heard(now, letter.sender, offer.at, offer.number, offer.lasts)
-        if letter.want:
-            self.needs[letter.sender] = letter.want, now
-            self.letters += self._give(now)
+        for name in [name for name, times in self.guesses_sent.items() if now - times[-1] > GUESS_FRESH_FOR_S]:
+            del self.guesses_sent[name]
+
+    # Messages.
+
+    def _on_message(self, now: float, message: GossipMessage) -> None:
+        if message.process_epoch != self.peer_epochs.get(message.sender):
+            self.peer_epochs[message.sender] = message.process_epoch
+            self.offer_receiver.on_peer_restart(message.sender)
+        for offer in message.offers:
+            received = ReceivedOffer(message.sender, offer.address, offer.number, now + offer.valid_for_s)
+            self.offer_receiver.receive(now, received)
+        if message.pending_requests:
+            self.needs[message.sender] = message.pending_requests, now
+            self.outgoing += self._issue_offers(now)
         else:
-            self.needs.pop(letter.sender, None)
+            self.needs.pop(message.sender, None)
 
-    def said(self) -> list[tuple[str, bytes]]:
-        """What letters that came made us write; to be sent at once."""
-        letters, self.letters = self.letters, []
-        return letters
+    def take_messages(self) -> list[Datagram]:
+        """Return the answers to messages that arrived, to be sent at once."""
+        datagrams, self.outgoing = self.outgoing, []
+        return datagrams
 
-    def _give(self, now: float) -> list[tuple[str, bytes]]:
-        if not self.bounds.hand_over or not self.needs or self.held_back() or self.here.leaving or self._fails(now):
+    def _issue_offers(self, now: float) -> list[Datagram]:
+        if not self.bounds.hand_over or not self.needs or self.suspension_reason() or self.load.is_leaving:
+            return []
+        is_failing = self.statistics.is_failing(now)
+        self.counts["held_back_failing"] += is_failing
+        if is_failing:
             return []
         offers: dict[str, list[Offer]] = {}
-        for to, number in self.giver.give(now, self.here.room, {name: need for name, (need, _) in self.needs.items()}):
+        needs = {name: need for name, (need, _) in self.needs.items()}
+        for to, number in self.offer_issuer.issue(now, self.load.free_slots, needs):
             offers.setdefault(to, []).append(Offer(number, self.bounds.offer_for, self.bounds.at))
-        return [letter for to, several in offers.items() for letter in self.fleet.word_to(now, to, offers=several)]
-
-    def _fails(self, now: float) -> bool:
-        failed = self.failed.evidence(now)
-        fails = failed.count >= FEW_RUNS and failed.mean >= FAILING
-        self.counts["held_back_failing"] += fails
-        return fails
+        return [
+            datagram
+            for to, offers_to_one in offers.items()
+            for datagram in self.fleet.message_to(now, to, offers=offers_to_one)
+        ]
 
-    def _ask(self, now: float) -> list[tuple[str, bytes]]:
-        """What we want, which stands in each letter, to some that are not written to anyway."""
-        return [letter for name in self._to_ask(now) for letter in self.fleet.word_to(now, name)]
+    def _ask_for_offers(self, now: float) -> list[Datagram]:
+        """Return messages to a few members; each message states how many requests are pending."""
+        return [datagram for name in self._members_to_ask(now) for datagram in self.fleet.message_to(now, name)]
 
-    def _to_ask(self, now: float) -> list[str]:
-        """Those that told of room lately, by chance; others where too few did."""
-        fleet = self.fleet
-        there = fleet.members.alive()
-        with_room = [
+    def _members_to_ask(self, now: float) -> list[str]:
+        """Return members that lately reported free slots, at random; others where there are too few."""
+        fleet, draw = self.fleet, self.offer_receiver.draw
+        serving = fleet.members.alive()
+        with_free_slots = [
             name
-            for name, row in fleet.known.rows.items()
-            if now - row.made_at <= fleet.known.fresh and row.value("room") > 0.0 and name in fleet.members.view
+            for name, row in fleet.fleet_counters.rows.items()
+            if fleet.fleet_counters.is_fresh(now, row) and row.value("room") > 0.0 and name in fleet.members.view
         ]
-        chosen = [with_room.pop(self.taker.draw(len(with_room))) for _ in range(min(ASKED, len(with_room)))]
-        while len(chosen) < min(ASKED, len(there)):
-            name = there.pop(self.taker.draw(len(there)))
+        chosen = [with_free_slots.pop(draw(len(with_free_slots))) for _ in range(min(MAX_ASKED, len(with_free_slots)))]
+        while len(chosen) < min(MAX_ASKED, len(serving)):
+            name = serving.pop(draw(len(serving)))
             if name not in chosen:
                 chosen.append(name)
         return chosen
 
-    # Handing over.
+    # Handover.
 
-    def offered(self, now: float) -> int:
-        """Ops that peers have room for, as the module is told."""
-        if not self.bounds.hand_over or self.held_back():
+    def count_offers(self, now: float) -> int:
+        """Return how many requests can be handed over now."""
+        if not self.bounds.hand_over or self.suspension_reason():
             return 0
-        return self.taker.count(now) or int(self._guess(now) is not None)
+        return self.offer_receiver.count(now) or int(self._guess(now) is not None)
 
-    def take(self, now: float) -> Offered | None:
-        """Where the op goes that the module hands over; None where what was offered is over by now."""
-        if offer := self.taker.take(now):
+    def take_offer(self, now: float) -> ReceivedOffer | None:
+        """Return where to hand a request over to, or None where what was offered has expired."""
+        if offer := self.offer_receiver.take(now):
             self.counts["handed_on_offers"] += 1
             return offer
         if guess := self._guess(now):
             self.guessed_at = now
-            self.sent_to.setdefault(guess.giver, []).append(now)
+            self.guesses_sent.setdefault(guess.issuer, []).append(now)
             self.counts["handed_on_guesses"] += 1
         return guess
 
-    def _guess(self, now: float) -> Offered | None:
-        """Of two by chance the one with more room by its report, less what we sent there since; at most one a beat."""
-        if not self.bounds.guesses or now - self.guessed_at < self.fleet.bounds.beat:
+    def _guess(self, now: float) -> ReceivedOffer | None:
+        """Return the better one of two random members by their reports; at most one guess each heartbeat.
+
+        Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (2001).
+        """
+        if not self.bounds.guesses or now - self.guessed_at < self.fleet.bounds.heartbeat_s:
             return None
-        known = [
-            (row.value("room") - len(self.sent_to.get(name, ())), name, row)
-            for name, row in self.fleet.known.rows.items()
-            if now - row.made_at <= GUESS_FRESH
-            and row.report.at
-            and self.taker.well(now, name)
-            and row.value("healthy")
-            and name in self.fleet.members.view
-        ]
-        known = [told for told in known if told[0] >= GUESS_ROOM]
-        if len(known) < 2:
+        candidates = self._guess_candidates(now)
+        if len(candidates) < 2:
             return None
-        first, second = self.taker.draw(len(known)), self.taker.draw(len(known))
-        _, name, row = max(known[first], known[second], key=lambda told: told[:2])
-        return Offered(name, row.report.at, 0, now)
-
-    def ended(self, now: float, offer: Offered, bad: bool, gone: bool) -> None:
-        self.taker.ended(now, offer.giver, bad, gone)
+        draw = self.offer_receiver.draw
+        first, second = draw(len(candidates)), draw(len(candidates))
+        _, name, row = max(candidates[first], candidates[second], key=lambda candidate: candidate[:2])
+        return ReceivedOffer(name, row.report.handover_address, 0, now)
+
+    def _guess_candidates(self, now: float) -> list[tuple[float, str, MemberFigures]]:
+        """Return the members that probably have free slots: how many, name and report."""
+        candidates = []
+        for name, row in self.fleet.fleet_counters.rows.items():
+            is_fresh = now - row.made_at <= GUESS_FRESH_FOR_S and row.report.handover_address
+            if not is_fresh or not self.offer_receiver.is_usable(now, name):
+                continue
+            free_slots = row.value("room") - len(self.guesses_sent.get(name, ()))
+            if free_slots >= MIN_GUESS_SLOTS and row.value("healthy") and name in self.fleet.members.view:
+                candidates.append((free_slots, name, row))
+        return candidates
+
+    def record_handover(self, now: float, offer: ReceivedOffer, is_bad: bool, is_unreachable: bool) -> None:
+        """Record what became of a request at a peer."""
+        self.offer_receiver.record_outcome(now, offer.issuer, is_bad, is_unreachable)
+
+    # Reports.
 
     def opinions(self, now: float) -> list[tuple[str, int, int]]:
-        return [(interpreter_of(name), bad, evidence) for name, bad, evidence in self.taker.opinions(now, 2)]
-
-    # How full we are and the fleet is.
+        """Return observations of peers' interpreters."""
+        observed = self.offer_receiver.opinions(now, MAX_OPINIONS)
+        return [(interpreter_of(name), bad_percent, evidence) for name, bad_percent, evidence in observed]
 
     def figures(self, now: float) -> list[int]:
-        """Ours for the report, by `FIGURES`: places, evidence and figures of pace and load."""
-        pace, load = self.pace.evidence(now), self._own_load(now)
-        return [
-            self.here.places,
-            round(10 * pace.count),
-            round(1000 * min(1e6, pace.mean)),
-            round(10 * load.count),
-            round(1000 * min(1e6, load.mean)),
-        ]
+        """Return the own figures on pace and load for the report."""
+        return self.statistics.figures(now, self.load.slots)
 
     def estimate(self, now: float) -> Estimate | None:
-        """Our pace, drawn towards that of our like."""
-        return self._drawn_to(now, *self._like(now))
-
-    def _drawn_to(self, now: float, mean: float, differ: float) -> Estimate | None:
-        return drawn(now, self.pace.evidence(now), self.pace.scatter(), mean, differ)
-
-    def _like(self, now: float) -> tuple[float, float]:
-        """Of those with as many places: mean pace and how far they differ."""
-        rows = [row for row in self._fresh(now) if row.value("places") == self.here.places]
-        return usual([self._evidence(row, "pace_runs", "pace") for row in rows], SCATTER)
-
-    def _fresh(self, now: float) -> list[Row]:
-        return [
-            row
-            for name, row in self.fleet.known.rows.items()
-            if now - row.made_at <= self.fleet.known.fresh
-            and (member := self.fleet.members.view.get(name))
-            and member.state <= words.SUSPECT
-        ]
-
-    @staticmethod
-    def _evidence(row: Row, count: str, figure: str) -> Evidence:
-        return Evidence(row.value(count) / 10.0, row.value(figure) / 1000.0, row.made_at)
-
-    def _own_load(self, now: float) -> Evidence:
-        """Work that came over what can be served: by the time of a slot that it takes here."""
-        came = self.loads.evidence(now)
-        span = LOAD_MEMORY * (1.0 - 2.718281828459045 ** (-max(0.1, now - self.started) / LOAD_MEMORY))
-        pace = self.pace.evidence(now).mean
-        return Evidence(came.count, came.count * came.mean * pace / span / max(1, self.here.places), came.at)
-
-    def _look_round(self, now: float) -> None:
-        """The fleet's figure needs half of the members: nobody moves on the word of a few."""
-        rows = self._fresh(now)
-        if self.fleet.members.frozen or 2 * len(rows) < len(self.fleet.members.alive()) or not rows:
-            self.seen = Seen(0.0, -1.0)
-            return
-        loads = [self._evidence(row, "load_ops", "load") for row in rows]
-        mean, differ = usual(loads, 1.0)
-        own = drawn(now, self._own_load(now), 1.0, mean, differ)
-        like, apart = self._like(now)
-        pace = self._drawn_to(now, like, apart)
-        self.seen = Seen(own.value if own else 0.0, mean, pace.value / like if pace and like else 0.0)
+        """Return the own pace, drawn towards that of similar instances."""
+        return self.statistics.estimate_pace(now, self.load.slots)
--- /dev/null
+++ b/mulleinhatch/instance/load_balancing/load_statistics.py
@@ -0,0 +1,109 @@
+"""How loaded this instance and the fleet are, from own measurements and the reports of others."""
+
+from __future__ import annotations
+
+from mulleinhatch.instance.gossip.core import GossipNode
+from mulleinhatch.instance.gossip.counters import MemberFigures
+from mulleinhatch.instance.gossip.messages import SUSPECT
+from mulleinhatch.instance.load_balancing.estimates import (
+    EULER,
+    SCATTER,
+    DecayingWindow,
+    Estimate,
+    Evidence,
+    estimate_population,
+    shrink_towards_mean,
+)
+from mulleinhatch.instance.load_balancing.redirects import LoadObservation
+
+PACE_MEMORY_S = 10.0
+LOAD_MEMORY_S = 8.0
+LOAD_SCATTER = 1.0
+# An instance that fails at least this fraction of its runs issues no offers, however idle it looks; given so many runs.
+FAILING_FRACTION, MIN_RUNS = 0.5, 4.0
+MAX_VALUE = 1e6  # of a reported mean
+
+
+class LoadStatistics:
+    """Measurements of this instance, and estimates that combine them with reports of others.
+
+    Args:
+        fleet: gives the reports.
+        now: seconds of the caller's clock.
+    """
+
+    def __init__(self, fleet: GossipNode, now: float) -> None:
+        self.fleet, self.started_at = fleet, now
+        self.pace, self.loads = DecayingWindow(PACE_MEMORY_S), DecayingWindow(LOAD_MEMORY_S)
+        self.failures = DecayingWindow(PACE_MEMORY_S)
+
+    def record_arrival(self, now: float, work: float) -> None:
+        """Record a request of the own callers by its work; by 1 where it states none."""
+        self.loads.add(now, work or 1.0)
+
+    def record_run(self, now: float, seconds: float, work: float, failed: bool) -> None:
+        """Record a completed run."""
+        self.pace.add(now, seconds / (work or 1.0))
+        self.failures.add(now, float(failed))
+
+    def is_failing(self, now: float) -> bool:
+        """Return whether most of the own runs fail."""
+        failures = self.failures.evidence(now)
+        return failures.count >= MIN_RUNS and failures.mean >= FAILING_FRACTION
+
+    def figures(self, now: float, slots: int) -> list[int]:
+        """Return the last five figures of a report: slots, then evidence in tenths and value in thousandths twice."""
+        pace, load = self.pace.evidence(now), self._own_load(now, slots)
+        return [
+            slots,
+            round(10 * pace.count),
+            round(1000 * min(MAX_VALUE, pace.mean)),
+            round(10 * load.count),
+            round(1000 * min(MAX_VALUE, load.mean)),
+        ]
+
+    def estimate_pace(self, now: float, slots: int) -> Estimate | None:
+        """Return the own pace, drawn towards that of similar instances."""
+        return self._shrink_pace(now, *self._similar_pace(now, slots))
+
+    def observe(self, now: float, slots: int) -> LoadObservation:
+        """Return the own load and the fleet's, which is unknown without reports of half of the members."""
+        rows = self._fresh_rows(now)
+        members = self.fleet.members
+        if members.frozen or 2 * len(rows) < len(members.alive()) or not rows:
+            return LoadObservation(0.0, -1.0)
+        loads = [_evidence_of(row, "load_ops", "load") for row in rows]
+        mean, deviation = estimate_population(loads, LOAD_SCATTER)
+        own = shrink_towards_mean(now, self._own_load(now, slots), LOAD_SCATTER, mean, deviation)
+        similar_pace, pace_deviation = self._similar_pace(now, slots)
+        pace = self._shrink_pace(now, similar_pace, pace_deviation)
+        relative_pace = pace.value / similar_pace if pace and similar_pace else 0.0
+        return LoadObservation(own.value if own else 0.0, mean, relative_pace)
+
+    def _shrink_pace(self, now: float, mean: float, deviation: float) -> Estimate | None:
+        return shrink_towards_mean(now, self.pace.evidence(now), self.pace.scatter(), mean, deviation)
+
+    def _similar_pace(self, now: float, slots: int) -> tuple[float, float]:
+        """Return mean and standard deviation of the pace of instances with as many slots."""
+        rows = [row for row in self._fresh_rows(now) if row.value("places") == slots]
+        return estimate_population([_evidence_of(row, "pace_runs", "pace") for row in rows], SCATTER)
+
+    def _fresh_rows(self, now: float) -> list[MemberFigures]:
+        counters, view = self.fleet.fleet_counters, self.fleet.members.view
+        return [
+            row
+            for name, row in counters.rows.items()
+            if counters.is_fresh(now, row) and (member := view.get(name)) and member.state <= SUSPECT
+        ]
+
+    def _own_load(self, now: float, slots: int) -> Evidence:
+        """Return the work that arrived over what can be served, by the slot time that work takes here."""
+        arrived = self.loads.evidence(now)
+        running_s = max(0.1, now - self.started_at)
+        span_s = LOAD_MEMORY_S * (1.0 - EULER ** (-running_s / LOAD_MEMORY_S))
+        pace = self.pace.evidence(now).mean
+        return Evidence(arrived.count, arrived.count * arrived.mean * pace / span_s / max(1, slots), arrived.at)
+
+
+def _evidence_of(row: MemberFigures, count: str, figure: str) -> Evidence:
+    return Evidence(row.value(count) / 10.0, row.value(figure) / 1000.0, row.made_at)
--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -13,8 +13,8 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.gossip import messages as fleet_words
-from mulleinhatch.instance.gossip.core import Fleet
-from mulleinhatch.instance.gossip.messages import Letter
+from mulleinhatch.instance.gossip.core import GossipNode
+from mulleinhatch.instance.gossip.messages import GossipMessage
 from mulleinhatch.instance.maintenance import messages as words
 from mulleinhatch.instance.maintenance.messages import (
     Answered,
@@ -30,7 +30,7 @@
 from mulleinhatch.instance.maintenance.paxos_register import Kept, Round, Voter
 from mulleinhatch.instance.maintenance.schedule import Request, carries, order
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
-from mulleinhatch.random_source import Chance
+from mulleinhatch.random_source import RandomSource
 
 QUERY_EVERY, QUERY_FAR = 0.5, 2.0  # seconds between asks where we stand; with many before us
 FAR = 10
@@ -72,7 +72,7 @@
     def __init__(
         self,
         bounds: Bounds,
-        fleet: Fleet,
+        fleet: GossipNode,
         seed: int,
         now: float,
         kept: Kept | None = None,
@@ -80,7 +80,7 @@
     ) -> None:
         """`kept`: what a voter's disk held, None where it held nothing; `keep` writes it, None where there is no disk."""
         self.bounds, self.fleet, self.name = bounds, fleet, fleet.name
-        self._draw = Chance(seed).part
+        self._draw = RandomSource(seed).fraction
         self.first = Table(tuple(sorted(bounds.voters)), bounds.most, bounds.zone_most)
         self.known = self.first
         self.voter = Voter(self.name, kept or Kept(), abstains=kept is None) if self.name in bounds.voters else None
@@ -105,7 +105,7 @@
         self.changes: list[tuple[str, str]] = []  # state and why, a line of the log each
         self.wall = 0.0
         self.now_heard = now
-        fleet.listeners.append(self._letter)
+        fleet.subscribe(self._letter)
 
     def _become(self, state: State, why: str) -> None:
         if state is not self.state:
@@ -220,7 +220,7 @@
 
     def _carried(self, now: float) -> bool:
         """Whether the others can bear their load and ours, by the poor ends; ours is taken to be as theirs."""
-        known = self.fleet.known
+        known = self.fleet.fleet_counters
         capacity, demand = known.total(now, "capacity"), known.total(now, "first_tries")
         ours = demand.most / demand.members if demand.members else 0.0
         return self.fleet.members.frozen is False and carries(capacity.least, demand.least + ours, 0.0, MARGIN)
@@ -236,7 +236,9 @@
         self.rounds += 1
         self.number += 1
         self.counts["rounds"] += 1
-        self.round = Round(f"{self.name}.{self.fleet.members.life}.{self.rounds}"[-60:], self.number, self.known, change)
+        self.round = Round(
+            f"{self.name}.{self.fleet.members.process_epoch}.{self.rounds}"[-60:], self.number, self.known, change
+        )
         self.round_at = now
         self._send_round(now)
         return self.round
@@ -294,7 +296,7 @@
             self._word(self.now_heard, name, word)
             return
         try:
-            self.letters += self.fleet.word_to(self.now_heard, name, more=words.encode(word))
+            self.letters += self.fleet.message_to(self.now_heard, name, extension=words.encode(word))
         except InvalidMessageError as error:
             self.counts[f"words_{error}".replace(" ", "_")] += 1
 
@@ -302,11 +304,11 @@
         for voter in self.known.voters:
             self._to(voter, word)
 
-    def _letter(self, now: float, letter: Letter) -> None:
-        if letter.more:
+    def _letter(self, now: float, letter: GossipMessage) -> None:
+        if letter.extension:
             self.now_heard = now
             try:
-                self._word(now, letter.sender, words.decode(letter.more))
+                self._word(now, letter.sender, words.decode(letter.extension))
             except InvalidMessageError:
                 self.counts["words_unfit"] += 1
 
--- a/mulleinhatch/instance/runtime/background_tasks.py
+++ b/mulleinhatch/instance/runtime/background_tasks.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from mulleinhatch.random_source import Chance
+from mulleinhatch.random_source import RandomSource
 
 LOG = logging.getLogger(__name__)
 FIRST_PAUSE, LAST_PAUSE = 0.05, 2.0  # seconds before a task that failed runs again, doubled in between
@@ -22,7 +22,7 @@
     """`keep` for what is to go on until the end, `every` for what is done again and again."""
 
     def __init__(self, count: Callable[[str], None], seed: int) -> None:
-        self.count, self.draw = count, Chance(seed).below
+        self.count, self.draw = count, RandomSource(seed).below
         self.running: set[asyncio.Task[None]] = set()
 
     def keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from mulleinhatch.instance.gossip.core import Fleet, Local, interpreter_of
-from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD
-from mulleinhatch.instance.gossip.heavy_hitters import Loudest
-from mulleinhatch.instance.gossip.messages import LEVELS, MOST_BYTES, STATES
+from mulleinhatch.instance.gossip.core import GossipNode, LocalState, interpreter_of
+from mulleinhatch.instance.gossip.counters import FIGURES, MAX_HEAVY_HITTERS
+from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
+from mulleinhatch.instance.gossip.messages import LEVELS, MAX_DATAGRAM_BYTES, STATES
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 
@@ -41,7 +41,7 @@
         self.bounds = placement.fleet
         self.counts: Counter[str] = Counter()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.core: Fleet | None = None
+        self.core: GossipNode | None = None
         self.spread: SpreadSide | None = None
         self.upkeep: UpkeepSide | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -51,7 +51,7 @@
             budget.tenant: [0, 0] for budget in self.bounds.budgets if budget.tenant and budget.window
         }
         self.window_at: dict[str, float] = {}
-        self.loudest = Loudest(TENANTS_KEPT)
+        self.loudest = HeavyHitters(TENANTS_KEPT)
         self.ended, self.recent, self.recent_at = (0, 0), [0.0, 0.0], 0.0  # runs and errors: at the last look, and faded
         self.hear_most, self.shut = math.inf, 0.0
         self.dropped: set[str] = set()  # of these a line was written
@@ -64,8 +64,8 @@
         host, port = self.socket.getsockname()
         address, now = self.bounds.advertise or f"{host}:{port}", time.monotonic()
         # A life's number must grow over restarts and has no disk to stand on: the wall clock, and where that was set
-        # back the others tell (`Members._our_name`).
-        self.core = Fleet(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
+        # back the others tell (`Membership._resolve_name_conflict`).
+        self.core = GossipNode(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
         if self.placement.spread:
             from mulleinhatch.instance.runtime.load_balancing import SpreadSide
 
@@ -128,7 +128,7 @@
             demands.append(counts[0] + (1.0 - part) * counts[1])
         return tuple(demands)
 
-    def _local(self, now: float) -> Local:
+    def _local(self, now: float) -> LocalState:
         reducer = self.reducer
         counts, hatch = reducer.counts, reducer.hatch
         storms = reducer.storms
@@ -152,8 +152,8 @@
             figures += self.spread.core.figures(now)
             opinions += self.spread.core.opinions(now)
         assert len(figures) <= len(FIGURES)
-        loudest = [(loud.name[:40], round(loud.rate, 2)) for loud in self.loudest.most(now, MOST_LOUD)]
-        return Local(figures, self._demands(now), loudest, opinions)
+        loudest = [(loud.name[:40], round(loud.rate, 2)) for loud in self.loudest.top(now, MAX_HEAVY_HITTERS)]
+        return LocalState(figures, self._demands(now), loudest, opinions)
 
     def _of_our_interpreter(self, now: float) -> list[tuple[str, int, int]]:
         """Of lately: what failed an hour ago says nothing. While it is well nobody needs our word on it."""
@@ -168,18 +168,18 @@
 
     def _beat(self) -> None:
         now = time.monotonic()
-        self.timer = asyncio.get_running_loop().call_later(self.core.bounds.beat, self._beat)
+        self.timer = asyncio.get_running_loop().call_later(self.core.bounds.heartbeat_s, self._beat)
         try:
             if self.spread:
                 self._send(self.spread.beat(now))
-                self.shut = self.spread.core.wish
+                self.shut = self.spread.core.redirect_fraction
             if self.upkeep:
                 self._send(self.upkeep.beat(now))
-            self._send(self.core.beat(now, self._local(now)))
+            self._send(self.core.heartbeat(now, self._local(now)))
             self._tell_parts(now)
             self._tell_others(now)
             self._tell_dropped()
-            for change in self.core.changes():
+            for change in self.core.take_changes():
                 LOG.info("fleet", extra={"fields": {"member": change.name, "state": change.state, "why": change.why}})
         except Exception:
             # The fleet is help, not service: what goes wrong here must not take the instance with it.
@@ -188,7 +188,10 @@
 
     def _tell_dropped(self) -> None:
         """Once for each cause: the counters tell how often."""
-        for name, count in {**self.core.counts, **(self.core.levels.counts if self.core.levels else {})}.items():
+        for name, count in {
+            **self.core.counts,
+            **(self.core.aggregation_tree.counts if self.core.aggregation_tree else {}),
+        }.items():
             if count and name.startswith(DROPPED) and name not in self.dropped:
                 self.dropped.add(name)
                 LOG.warning("fleet letter dropped", extra={"fields": {"why": name}})
@@ -196,12 +199,12 @@
     def _readable(self) -> None:
         for _ in range(A_TURN):
             try:
-                data = self.socket.recv(MOST_BYTES + 1)
+                data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # nothing more, or the word of a closed port
                 return
             try:
                 now = time.monotonic()
-                self._send(self.core.datagram(now, data))
+                self._send(self.core.handle_datagram(now, data))
                 if self.spread:
                     self._send(self.spread.heard(now))
                 if self.upkeep:
@@ -219,7 +222,7 @@
 
     def _tell_parts(self, now: float) -> None:
         """At once when a part changes: what was lent a moment ago must not be used."""
-        for budget, part in zip(self.bounds.budgets, self.core.parts):
+        for budget, part in zip(self.bounds.budgets, self.core.quotas):
             if budget.retries:
                 self.hear_most = part.usable(now) / budget.window
                 continue
@@ -229,14 +232,14 @@
                     self.told_pieces[budget.name] = [(share, 0.0)]
                     self.take(Happening.CALLS, share)
                 continue
-            pieces = part.pieces(now)
+            pieces = part.usable_pieces(now)
             if self.told_pieces.get(budget.name) != pieces:
                 self.told_pieces[budget.name] = pieces
                 self.take(Happening.PART, budget.tenant, budget.window, pieces)
 
     def _tell_others(self, now: float) -> None:
         """How the others fare, when it changed by what is worth a word."""
-        told = (self.core.free(now), self.core.judged_ill(), self.hear_most, self.shut)
+        told = (self.core.free_fraction(now), self.core.is_judged_unhealthy(), self.hear_most, self.shut)
         before = self.told_others
         if (
             told[1] is not before[1]
@@ -258,7 +261,7 @@
                 "address": members.address,
                 "state": "left" if members.left else "self",
                 "heard": 0.0,
-                "life": members.life,
+                "life": members.process_epoch,
                 "incarnation": members.incarnation,
             }
         ]
@@ -267,14 +270,14 @@
                 "name": member.name,
                 "address": member.address,
                 "state": STATES[member.state],
-                "life": member.life,
+                "life": member.process_epoch,
                 "incarnation": member.incarnation,
                 "heard": round(min(1e6, now - member.heard_at), 2),
             }
             for member in members.view.values()
         ]
         budgets = []
-        for place, (budget, part) in enumerate(zip(self.bounds.budgets, core.parts)):
+        for place, (budget, part) in enumerate(zip(self.bounds.budgets, core.quotas)):
             budgets.append(
                 {
                     "name": budget.name,
@@ -282,30 +285,30 @@
                     "window": budget.window,
                     "tenant": budget.tenant,
                     "retries": budget.retries,
-                    "home": part.home,
-                    "own": part.own(now),
+                    "home": part.even_share,
+                    "own": part.own_units(now),
                     "usable": part.usable(now),
                     "demand": round(core.demands[place], 1),
                     "lent": sum(loan.amount for loan in part.loans.values()),
                     "borrowed": sum(have.amount for have in part.borrowed.values() if now < have.until),
                 }
             )
-        sums: dict[str, Any] = {figure: core.known.total(now, figure)._asdict() for figure in FIGURES}
-        loudest = [(name, *known) for name, known in core.known.loudest(now, 8)]
+        sums: dict[str, Any] = {figure: core.fleet_counters.total(now, figure)._asdict() for figure in FIGURES}
+        loudest = [(name, *known) for name, known in core.fleet_counters.heavy_hitters(now, 8)]
         return json.dumps(
             {
                 "fleet": self.bounds.fleet,
                 "frozen": members.frozen,
-                "doubled": members.doubled(now),
+                "doubled": members.has_duplicate_name(now),
                 "members": rows,
                 "budgets": budgets,
                 "sums": sums,
-                "out": core.out,
+                "out": core.ejected,
                 "loudest": loudest,
-                "judged_ill": core.judged_ill(),
-                "others_free": round(core.free(now), 3),
-                "alone": sorted(core.verdicts.alone),
-                "held_back": core.verdicts.held_back,
+                "judged_ill": core.is_judged_unhealthy(),
+                "others_free": round(core.free_fraction(now), 3),
+                "alone": sorted(core.outlier_detector.single_accusers),
+                "held_back": core.outlier_detector.blocked_ejections,
                 "levels": self._levels(now),
                 "spread": self.spread and self.spread.told(now),
                 "carried": self._carried(now),
@@ -314,26 +317,26 @@
 
     def _levels(self, now: float) -> dict[str, Any] | None:
         """Where this member stands, whether it speaks for its group, and what is known of each level."""
-        levels = self.core.levels
+        levels = self.core.aggregation_tree
         if not levels:
             return None
         return {
-            "region": levels.place.region,
-            "zone": levels.place.zone,
-            "group": levels.place.group,
-            "speaks": levels.speaks(now),
-            "over_pace": round(levels.pace.over),
+            "region": levels.location.region,
+            "zone": levels.location.zone,
+            "group": levels.location.group,
+            "speaks": levels.is_speaker(now),
+            "over_pace": round(levels.byte_rate.excess),
             "totals": {name: total._asdict() for name, total in self.core.totals(now).items()},
             "parts": [
                 {
                     "level": LEVELS[level],
                     "name": name,
-                    "members": row.sum.members,
-                    "silent": row.sum.silent,
+                    "members": row.summary.members,
+                    "silent": row.summary.silent,
                     "heard": round(min(1e6, now - row.seen_at), 1),
                     "made": round(min(1e6, now - row.made_at), 1),
                 }
-                for (level, name), row in sorted(levels.rows.items())
+                for (level, name), row in sorted(levels.summaries.rows.items())
             ],
         }
 
@@ -352,7 +355,7 @@
                 "pace": row.value("pace") / 1000.0,
                 "load": row.value("load") / 1000.0,
             }
-            for name, row in sorted(self.core.known.rows.items())
+            for name, row in sorted(self.core.fleet_counters.rows.items())
         ]
 
     def counted(self) -> dict[str, int]:
@@ -360,12 +363,16 @@
             return dict(self.counts)
         members = self.core.members
         spread = {**(self.spread.counted() if self.spread else {}), **(self.upkeep.counted() if self.upkeep else {})}
-        counts = {**self.core.counts, **members.counts, **(self.core.levels.counts if self.core.levels else {})}
+        counts = {
+            **self.core.counts,
+            **members.counts,
+            **(self.core.aggregation_tree.counts if self.core.aggregation_tree else {}),
+        }
         return {
             **self.counts,
             **spread,
             **{f"fleet_{name}": count for name, count in counts.items()},
             "fleet_members": len(members.alive()) + 1,
             "fleet_is_frozen": int(members.frozen),
-            "fleet_is_doubled": int(members.doubled(time.monotonic())),
+            "fleet_is_doubled": int(members.has_duplicate_name(time.monotonic())),
         }
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.gossip.core import Fleet
-from mulleinhatch.instance.load_balancing.core import Here, Spread
-from mulleinhatch.instance.load_balancing.offers import Offered
+from mulleinhatch.instance.gossip.core import GossipNode
+from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
+from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
@@ -29,7 +29,7 @@
     def __init__(
         self,
         placement: Placement,
-        fleet: Fleet,
+        fleet: GossipNode,
         reducer: Reducer,
         take: Callable[..., None],
         send: Callable[[list[tuple[str, bytes]]], None],
@@ -38,22 +38,22 @@
         if not bounds.at:
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.take, self.send = reducer, take, send
-        self.core = Spread(bounds, fleet, placement.seed, time.monotonic(), returns=True)
+        self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
         self.peers = Peers(bounds.links, http.answer_told, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.told_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        fleet.ops_at = bounds.at if bounds.hand_over else ""
+        fleet.handover_address = bounds.at if bounds.hand_over else ""
         reducer.hands = True
         self.nudged = False
         reducer.on_run, reducer.on_op = self._ran, self._came
 
     def _ran(self, *told: Any) -> None:
-        self.core.ran(*told)
+        self.core.record_run(*told)
         self._nudge()
 
     def _came(self, *told: Any) -> None:
-        self.core.came(*told)
+        self.core.record_arrival(*told)
         self._nudge()
 
     def _nudge(self) -> None:
@@ -64,12 +64,12 @@
 
     def _nudges(self) -> None:
         self.nudged, now = False, time.monotonic()
-        self.send(self.core.nudge(now, self._here()))
+        self.send(self.core.on_load_change(now, self._here()))
         self.tell(now)
 
-    def _here(self) -> Here:
+    def _here(self) -> InstanceLoad:
         reducer = self.reducer
-        return Here(
+        return InstanceLoad(
             reducer.room(time.monotonic()),
             reducer.handable(),
             int(reducer.hatch.limit) if reducer.hatch else 1,
@@ -78,32 +78,32 @@
         )
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
-        letters = self.core.beat(now, self._here())
+        letters = self.core.heartbeat(now, self._here())
         self.peers.sweep()
         self.tell(now)
         return letters
 
     def heard(self, now: float) -> list[tuple[str, bytes]]:
         """After letters came: at once, for an offer is worth most to an op that waits now."""
-        self.core.here = self.core.here._replace(room=self.reducer.room(now))
+        self.core.load = self.core.load._replace(free_slots=self.reducer.room(now))
         self.tell(now)
-        return self.core.said()
+        return self.core.take_messages()
 
     def tell(self, now: float) -> None:
         """The module counts down what it hands over, and so do we (`hand`)."""
-        count = self.core.offered(now) if self.reducer.owed else 0
+        count = self.core.count_offers(now) if self.reducer.owed else 0
         if count != self.told_count:
             self.told_count = count
             self.take(Happening.OFFERS, count)
 
     def came(self, number: bytes) -> None:
-        self.core.giver.came(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
+        self.core.offer_issuer.redeem(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
 
     # Handing over.
 
     def hand(self, ref: str, *told: Any) -> None:
         self.told_count -= 1
-        offer = self.core.take(time.monotonic())
+        offer = self.core.take_offer(time.monotonic())
         if offer is None:
             self.counts["hand_offers_over"] += 1
             # Not within the errands of the happening that decided it: it would be told in the middle of another.
@@ -115,7 +115,7 @@
 
     async def _hand(
         self,
-        offer: Offered,
+        offer: ReceivedOffer,
         ref: str,
         op_type: str,
         tenant: str,
@@ -143,24 +143,24 @@
             again,
             rank,
             offer.number,
-            offer.at,
+            offer.address,
             key,
         )
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.ask(offer.at, pieces, wait or AT_MOST)
+            status, result = await self.peers.ask(offer.address, pieces, wait or AT_MOST)
             ending = Ending.OK if status == 200 else Ending.FULL if status in UNRUN else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
             ending = Ending.UNREACHABLE
         except ConnectionLostError as error:
-            LOG.debug("hand-over broke off", extra={"fields": {"ref": ref, "peer": offer.giver, "error": error}})
+            LOG.debug("hand-over broke off", extra={"fields": {"ref": ref, "peer": offer.issuer, "error": error}})
         except Exception:
             self.counts["spread_errors_inside"] += 1
             LOG.exception("error inside", extra={"fields": {"at": "hand-over"}})
         finally:
             now = time.monotonic()
-            self.core.ended(
+            self.core.record_handover(
                 now, offer, ending in (Ending.ERROR, Ending.INTERRUPTED), ending in (Ending.UNREACHABLE, Ending.INTERRUPTED)
             )
             self.take(Happening.HAND_ENDED, ref, ending, result if ending is Ending.OK else b"")
@@ -174,12 +174,12 @@
         core = self.core
         pace = core.estimate(now)
         return {
-            "room": core.here.room,
-            "held": core.here.held,
-            "places": core.here.places,
-            "wish": round(core.wish, 3),
-            "load": round(core.seen.own, 3),
-            "fleet_load": round(core.seen.fleet, 3),
+            "room": core.load.free_slots,
+            "held": core.load.pending,
+            "places": core.load.slots,
+            "wish": round(core.redirect_fraction, 3),
+            "load": round(core.observation.own, 3),
+            "fleet_load": round(core.observation.fleet, 3),
             "pace": pace
             and {
                 "value": round(pace.value, 3),
@@ -187,18 +187,18 @@
                 "most": round(pace.most, 3),
                 "age": round(min(1e6, pace.age), 1),
             },
-            "offers_out": core.giver.outstanding(now),
-            "offers_held": core.taker.count(now),
+            "offers_out": core.offer_issuer.outstanding(now),
+            "offers_held": core.offer_receiver.count(now),
             "away": self.reducer.away,
-            "held_back": core.held_back(),
+            "held_back": core.suspension_reason(),
         }
 
     def counted(self) -> dict[str, int]:
         core = self.core
         return {
             **self.counts,
-            **core.giver.counts,
-            **core.taker.counts,
+            **core.offer_issuer.counts,
+            **core.offer_receiver.counts,
             **{f"spread_{name}": count for name, count in core.counts.items()},
             "ops_at_peers": self.reducer.away,
         }
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mulleinhatch.instance.gossip.core import Fleet
+from mulleinhatch.instance.gossip.core import GossipNode
 from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
 from mulleinhatch.instance.maintenance.schedule import Request, order, schedule
 from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
@@ -31,7 +31,7 @@
     def __init__(
         self,
         placement: Placement,
-        fleet: Fleet,
+        fleet: GossipNode,
         reducer: Reducer,
         send: Callable[[list[tuple[str, bytes]]], None],
         leave: Callable[[], None],
