--- a/mulleinhatch/instance/runtime/operator_file.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -131,7 +131,7 @@
     storms: StormBounds | None
     traces: Any = None  # the bounds of a trace's files, a `TraceBounds`
     fleet: Any = None  # of what passes between instances, a `FleetBounds`
-    spread: Any = None  # of load over them, a `SpreadBounds`
+    spread: Any = None  # of load over them, a `LoadBalancingBounds`
     upkeep: Any = None  # of machines out for work, an `UpkeepBounds`
 
 
@@ -221,14 +221,14 @@
 
 
 def _spread(checked: OperatorFile, text: str, path: str) -> Any:
-    from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
+    from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
 
     if checked.fleet is None:
         raise OperatorFileError(
             f"{path}:{_line(text, ('spread',))}: spread: wants a fleet node: load is spread over its members"
         )
     told = msgspec.structs.asdict(checked.spread)
-    return SpreadBounds(**{**told, "at": told["at"] or ""})
+    return LoadBalancingBounds(**{**told, "at": told["at"] or ""})
 
 
 def _upkeep(checked: OperatorFile, text: str, path: str) -> UpkeepBounds:
@@ -308,7 +308,7 @@
         several(told.seeds),
         told.beat,
         status=told.status or "",
-        suspect_for=told.suspect_for,
+        suspicion_timeout_s=told.suspect_for,
         budgets=tuple(budgets),
         zone=told.zone or "",
         region=told.region or "",
--- a/mulleinhatch/random_source.py
+++ b/mulleinhatch/random_source.py
@@ -1,14 +1,17 @@
-"""Chance from a seed: the same seed draws the same everywhere, so pure modules may use it."""
+"""Seeded pseudo-random numbers for modules that must be deterministic: the same seed gives the same sequence everywhere."""
 
 from __future__ import annotations
 
 
-class Chance:
-    """A linear congruential generator of 64 bits (Knuth's multiplier), of which the high bits are drawn.
+class RandomSource:
+    """A 64-bit linear congruential generator with Knuth's multiplier, of which the high 31 bits are used.
 
-    >>> chance, again = Chance(7), Chance(7); [chance.below(10) for _ in range(5)] == [again.below(10) for _ in range(5)]
+    Source: D. E. Knuth, The Art of Computer Programming, volume 2, section 3.3.4 (the MMIX generator).
+
+    >>> source, same_seed = RandomSource(7), RandomSource(7)
+    >>> [source.below(10) for _ in range(5)] == [same_seed.below(10) for _ in range(5)]
     True
-    >>> 0.0 <= chance.part() < 1.0
+    >>> 0.0 <= source.fraction() < 1.0
     True
     """
 
@@ -18,9 +21,11 @@
         self.state = seed % 2**64
 
     def below(self, count: int) -> int:
+        """Return an integer from 0 up to, but not including, `count`."""
         return self._next() % count
 
-    def part(self) -> float:
+    def fraction(self) -> float:
+        """Return a number from 0.0 up to, but not including, 1.0."""
         return self._next() / 2**31
 
     def _next(self) -> int:
--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -1,6 +1,6 @@
 """A model checker for the parts of a budget: three members, every order of what can happen, to a stated depth.
 
-It drives `Part` as it is and watches from outside: what the three may use together in any window, those that died in it
+It drives `LeasedQuota` as it is and watches from outside: what the three may use together in any window, those that died in it
 too, must stay within the total. Time goes in ticks; clocks may run apart. A state is what the parts and the words on their
 way are, not how they came about, so each is looked at once.
 """
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
-from mulleinhatch.instance.gossip.budgets import Ask, Give, Part
+from mulleinhatch.instance.gossip.budgets import LeasedQuota, LeaseGrant, LeaseRequest
 from mulleinhatch.simulation import state_exploration as exploring
 
 NAMES = ("a", "b", "c")
@@ -22,7 +22,7 @@
 
 
 class Model(NamedTuple):
-    part: type[Part] = Part
+    part: type[LeasedQuota] = LeasedQuota
     drift: float = 0.25
     rates: tuple[float, float, float] = (1.1, 0.9, 1.0)  # of the members' clocks
     needed: int = 0
@@ -36,7 +36,7 @@
     """Parts by place (None: crashed), lives, words on their way, the tick, and the most that each could use in this window."""
 
     def __init__(self, model: Model) -> None:
-        self.parts: list[Part | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
+        self.parts: list[LeasedQuota | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
         self.lives = [1, 1, 1]
         self.words: list[tuple[int, int, int, Any]] = []  # from, its life, to, what
         self.tick = 0
@@ -76,7 +76,7 @@
         state.parts[place] = model.part(model.bounds, NAMES[place], state.local(model, place))
     elif what == "ask":
         taker, giver, want = told
-        ask = state.parts[taker].ask(state.local(model, taker), NAMES[giver], want)
+        ask = state.parts[taker].create_request(state.local(model, taker), NAMES[giver], want)
         state.words.append((taker, state.lives[taker], giver, ask))
     else:
         word = state.words[told[0]]
@@ -85,16 +85,16 @@
         _deliver(model, state, *word)
 
 
-def _deliver(model: Model, state: State, sender: int, life: int, to: int, word: Ask | Give) -> None:
+def _deliver(model: Model, state: State, sender: int, life: int, to: int, word: LeaseRequest | LeaseGrant) -> None:
     part, now = state.parts[to], state.local(model, to)
     if part is None:
         return
-    if isinstance(word, Ask):
-        give = part.asked(now, (NAMES[sender], life), word, spare=part.own(now), needed=model.needed)
+    if isinstance(word, LeaseRequest):
+        give = part.handle_request(now, (NAMES[sender], life), word, spare=part.own_units(now), reclaim=model.needed)
         if give and len(state.words) < MOST_WORDS:
             state.words.append((to, state.lives[to], sender, (life, give)))
     elif word[0] == state.lives[to]:  # an answer to an earlier life of the asker finds nobody
-        part.given(now, NAMES[sender], word[1])
+        part.handle_grant(now, NAMES[sender], word[1])
 
 
 def broken(model: Model, state: State) -> str:
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -8,15 +8,15 @@
 
 from mulleinhatch.admission import PROVES_UNRUN, AdmissionController, Stage
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.gossip.members import Members
-from mulleinhatch.instance.load_balancing.offers import Giver
+from mulleinhatch.instance.gossip.members import Membership
+from mulleinhatch.instance.load_balancing.offers import OfferIssuer
 from mulleinhatch.instance.maintenance.paxos_register import Round, Voter
 from mulleinhatch.instance.maintenance.table import Table
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 
 
-def _offer_twice(giver: Giver, now: float) -> int:
-    return len([1 for given in giver.given.values() if given.until > now]) // 2
+def _offer_twice(giver: OfferIssuer, now: float) -> int:
+    return len([1 for given in giver.issued.values() if given.until > now]) // 2
 
 
 def _reruns(hatch: AdmissionController, now: float, ref: str, ending: int) -> None:
@@ -37,7 +37,7 @@
 
 _USUAL = {"hand ended": Reducer._hand_ended}
 DEFECTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "an offer counts half": [(Giver, "outstanding", _offer_twice)],
+    "an offer counts half": [(OfferIssuer, "outstanding", _offer_twice)],
     "a broken link proves that nothing ran": [(Reducer, "_hand_ended", _reruns_reducer)],
     "a voter promises nothing": [(Voter, "_may", lambda voter, ballot: True)],
     "one voter is a majority": [(Round, "_is_majority", lambda done, count: count >= 1)],
@@ -51,8 +51,8 @@
         )
     ],
     "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
-    "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
-    "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
+    "suspicion is never refuted": [(Membership, "_apply_update_about_self", lambda members, now, rumour: None)],
+    "the gone are never asked again": [(Membership, "heard_lately", lambda members, now, name: False)],
     "an op at a peer is never given up": [(AdmissionController, "_give_up", lambda hatch: None)],
     "one that leaves forgets what it holds": [(AdmissionController, "leave_notice", lambda hatch, now, grace: None)],
 }
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -86,12 +86,12 @@
                     min(2, members[1]),
                     min(2, members[2]),
                     min(1, members[3]),
-                    node.spread.held_back(),
+                    node.spread.suspension_reason(),
                     self.cores[node.name].state.value,
                     node.reducer.healthy,
                     bool(node.reducer.away),
                     node.reducer.stop_at is not None,
-                    bool(node.core.out),
+                    bool(node.core.ejected),
                 )
             )
             if len(node.reducer.owed) > MOST_OWED:
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -13,9 +13,9 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.instance.gossip.budgets import Meter
-from mulleinhatch.instance.gossip.core import Fleet, Local
-from mulleinhatch.instance.gossip.counters import FRESH
+from mulleinhatch.instance.gossip.budgets import QuotaMeter
+from mulleinhatch.instance.gossip.core import GossipNode, LocalState
+from mulleinhatch.instance.gossip.counters import FRESH_FOR_S
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
@@ -50,10 +50,10 @@
         self.rate = rates[place % len(rates)] if rates else world.draw.uniform(0.99, 1.01)
         self.offset = world.draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.life, self.lives = 0, 0
-        self.core: Fleet | None = None
+        self.core: GossipNode | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
-        self.meters: list[Meter] = []
+        self.meters: list[QuotaMeter] = []
 
     def clock(self, now: float) -> float:
         return now * self.rate + self.offset
@@ -68,7 +68,7 @@
         self.bounds = FleetBounds(
             "virtual",
             seeds=("10.0.0.1:0", "10.0.0.1:1", f"10.0.0.1:{plan.instances // 2}"),
-            beat=plan.beat,
+            heartbeat_s=plan.beat,
             budgets=self.budgets,
         )
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -109,11 +109,11 @@
         local = node.clock(self.now)
         # A life's number comes from a clock that may have been set back since the last one.
         life = int(1000.0 * (self.now + 7200.0 + (node.offset if node.lives > 1 else 0.0)))
-        node.core = Fleet(self.bounds, node.name, node.address, life, self.draw.getrandbits(48), local)
+        node.core = GossipNode(self.bounds, node.name, node.address, life, self.draw.getrandbits(48), local)
         if not self.plan.leases:
-            for part in node.core.parts:
+            for part in node.core.quotas:
                 part.plan = lambda *told: []
-        node.meters = [Meter(budget.window) for budget in self.budgets]
+        node.meters = [QuotaMeter(budget.window) for budget in self.budgets]
         self.at(self.now, self._beat, node, node.lives)
         for place in range(len(self.budgets)):
             self.at(self.now + self.draw.uniform(0.0, 0.1), self._use, node, node.lives, place)
@@ -152,13 +152,13 @@
         if node.stalled:
             return
         gone = node.core.members.counts["declared_gone"]
-        self._send(node, node.core.beat(node.clock(self.now), self.local(node)))
+        self._send(node, node.core.heartbeat(node.clock(self.now), self.local(node)))
         if node.core.members.counts["declared_gone"] > gone:
             self._declared(node)
 
-    def local(self, node: Node) -> Local:
+    def local(self, node: Node) -> LocalState:
         window = self.budgets[0].window if self.budgets else 1.0
-        return Local(demands=tuple(meter.demand(node.clock(self.now)) if window else 0.0 for meter in node.meters))
+        return LocalState(demands=tuple(meter.demand(node.clock(self.now)) if window else 0.0 for meter in node.meters))
 
     def _send(self, node: Node, errands: list[tuple[str, bytes]]) -> None:
         for address, data in errands:
@@ -191,7 +191,7 @@
             self._heard(node, data)
 
     def _heard(self, node: Node, data: bytes) -> None:
-        self._send(node, node.core.datagram(node.clock(self.now), data))
+        self._send(node, node.core.handle_datagram(node.clock(self.now), data))
 
     def _use(self, node: Node, life: int, budget: int) -> None:
         """Asks for units at the rate of its demand, one at a time."""
@@ -204,9 +204,9 @@
         if node.stalled:
             return
         self.wanted[node.place] += 1
-        part = node.core.part(node.clock(self.now), budget)
+        part = node.core.usable_quota(node.clock(self.now), budget)
         if self.plan.gossip:
-            heard = sum(node.clock(self.now) - row.made_at <= FRESH for row in node.core.known.rows.values())
+            heard = sum(node.clock(self.now) - row.made_at <= FRESH_FOR_S for row in node.core.fleet_counters.rows.values())
             part = bounds.total // (1 + heard)
         if part < 0:
             raise InvariantBrokenError(f"at {self.now:.3f} {node.name} holds a part of {part}")
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -16,17 +16,17 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Advice, Deployment, Effect, Ending
-from mulleinhatch.instance.gossip.counters import FRESH
-from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
-from mulleinhatch.instance.load_balancing.core import Here, Spread
-from mulleinhatch.instance.load_balancing.offers import Offered
+from mulleinhatch.instance.gossip.counters import FRESH_FOR_S
+from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
+from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
+from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fake_interpreter import Cores
 
-USUAL = SpreadBounds()
+USUAL = LoadBalancingBounds()
 MODES = ("alone", "advice", "spread", "random", "freshest")
 KINDS = (("read", Effect.RETRYABLE, 1.0, 0.85), ("signoff", Effect.NON_RETRYABLE, 5.0, 0.15))
 TARGET, TIMEOUT = 1.8, 4.5
@@ -73,7 +73,7 @@
 
     def __init__(self, world: SpreadWorld, place: int) -> None:
         super().__init__(world, place)
-        self.spread: Spread | None = None
+        self.spread: LoadBalancer | None = None
         self.reducer: Reducer | None = None
         self.cores: Cores | None = None
         self.waiting_ops: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
@@ -87,7 +87,7 @@
 
 
 class SpreadWorld(FleetWorld):
-    def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: SpreadBounds = USUAL) -> None:
+    def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: LoadBalancingBounds = USUAL) -> None:
         assert mode in MODES
         self.load, self.mode, self.spread_bounds = (
             load,
@@ -151,8 +151,8 @@
         node.spread = None
         if self.mode != "alone":
             bounds = self.spread_bounds._replace(at=f"10.0.0.1:{node.place}")
-            node.spread = Spread(bounds, node.core, self.draw.getrandbits(40), now, returns=node.lives > 1)
-            node.core.ops_at = bounds.at
+            node.spread = LoadBalancer(bounds, node.core, self.draw.getrandbits(40), now, returns=node.lives > 1)
+            node.core.handover_address = bounds.at
             if self.mode in ("random", "freshest"):
                 self._compared(node)
         deployment: Deployment = {
@@ -175,7 +175,7 @@
         node.notices, node.level = 0, 0.0
         if node.spread:
             node.reducer.hands = self.spread_bounds.hand_over
-            node.reducer.on_run, node.reducer.on_op = node.spread.ran, node.spread.came
+            node.reducer.on_run, node.reducer.on_op = node.spread.record_run, node.spread.record_arrival
         self._take(node, Happening.LINK_OPENED)
         cold = node.lives > 1 and load.cold_for > 0.0
         node.cold_since = self.now if cold else -math.inf
@@ -190,25 +190,25 @@
     def _compared(self, node: Service) -> None:
         """What others do without offers, for the same module and rules."""
         spread = node.spread
-        spread.giver.give = lambda *told, **more: []
+        spread.offer_issuer.issue = lambda *told, **more: []
 
         def choices() -> list[tuple[float, str]]:
             now = node.clock(self.now)
             rows = [
                 (row.value("room"), name)
-                for name, row in node.core.known.rows.items()
-                if now - row.made_at <= FRESH and name in node.core.members.view
+                for name, row in node.core.fleet_counters.rows.items()
+                if now - row.made_at <= FRESH_FOR_S and name in node.core.members.view
             ]
             return rows if self.mode == "random" else [row for row in rows if row[0] >= 1.0]
 
-        def take(now: float) -> Offered | None:
+        def take(now: float) -> ReceivedOffer | None:
             rows = choices()
             if not rows:
                 return None
             name = self.draw.choice(rows)[1] if self.mode == "random" else max(rows)[1]
-            return Offered(name, f"10.0.0.1:{name[1:]}", 0, now)
+            return ReceivedOffer(name, f"10.0.0.1:{name[1:]}", 0, now)
 
-        spread.take, spread.offered = take, lambda now: 4 if choices() else 0
+        spread.take_offer, spread.count_offers = take, lambda now: 4 if choices() else 0
 
     def _fault(self, fault: faults.Fault) -> None:
         before = [(self.nodes[place], self.nodes[place].core) for place in fault.places]
@@ -243,10 +243,10 @@
             return
         if node.spread and not node.stalled:
             now = node.clock(self.now)
-            self._send(node, node.spread.beat(now, self._here(node)))
+            self._send(node, node.spread.heartbeat(now, self._here(node)))
             self._check_offers(node, now)
             self._offers(node)
-            told = (node.core.free(now), node.core.judged_ill(), math.inf, node.spread.wish)
+            told = (node.core.free_fraction(now), node.core.is_judged_unhealthy(), math.inf, node.spread.redirect_fraction)
             if told != getattr(node, "told", None):
                 node.told = told
                 self._take(node, Happening.OTHERS, *told)
@@ -275,26 +275,26 @@
         return super().local(node)._replace(figures=figures, opinions=opinions)
 
     def _check_offers(self, node: Service, now: float) -> None:
-        giver = node.spread.giver
+        giver = node.spread.offer_issuer
         if giver.counts["offers_given"] > getattr(node, "given", 0):
             node.given = giver.counts["offers_given"]
-            if sum(given.until > now for given in giver.given.values()) > max(0, node.spread.here.room):
+            if sum(given.until > now for given in giver.issued.values()) > max(0, node.spread.load.free_slots):
                 raise InvariantBrokenError(
-                    f"at {self.now:.3f} {node.name} offers {len(giver.given)} with room for {node.spread.here.room}"
+                    f"at {self.now:.3f} {node.name} offers {len(giver.issued)} with room for {node.spread.load.free_slots}"
                 )
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.spread:
-            node.spread.here = node.spread.here._replace(room=node.reducer.room(node.clock(self.now)))
+            node.spread.load = node.spread.load._replace(free_slots=node.reducer.room(node.clock(self.now)))
         super()._heard(node, data)
         if node.spread:
-            self._send(node, node.spread.said())
+            self._send(node, node.spread.take_messages())
             self._check_offers(node, node.clock(self.now))
             self._offers(node)
 
     def _offers(self, node: Service) -> None:
         if node.reducer.owed and self.spread_bounds.hand_over:
-            self._take(node, Happening.OFFERS, node.spread.offered(node.clock(self.now)))
+            self._take(node, Happening.OFFERS, node.spread.count_offers(node.clock(self.now)))
 
     # What a reducer asks for.
 
@@ -318,13 +318,13 @@
     def _nudged(self, node: Service, life: int) -> None:
         node.nudged = False
         if node.lives == life and node.core and not node.stalled:
-            self._send(node, node.spread.nudge(node.clock(self.now), self._here(node)))
+            self._send(node, node.spread.on_load_change(node.clock(self.now), self._here(node)))
             self._check_offers(node, node.clock(self.now))
             self._offers(node)
 
-    def _here(self, node: Service) -> Here:
+    def _here(self, node: Service) -> InstanceLoad:
         reducer, now = node.reducer, node.clock(self.now)
-        return Here(reducer.room(now), reducer.handable(), int(reducer.hatch.limit), reducer.stop_at is not None)
+        return InstanceLoad(reducer.room(now), reducer.handable(), int(reducer.hatch.limit), reducer.stop_at is not None)
 
     def _do(self, node: Service, errand: Errand, fields: list[Any]) -> None:
         if errand is Errand.RUN:
@@ -419,12 +419,12 @@
         rank: float,
         key: str,
     ) -> None:
-        offer = node.spread.take(node.clock(self.now))
+        offer = node.spread.take_offer(node.clock(self.now))
         life = node.lives
         if offer is None:
             self.at(self.now, self._for_life, node, life, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
             return
-        peer = self.nodes[int(offer.at.rpartition(":")[2])]
+        peer = self.nodes[int(offer.address.rpartition(":")[2])]
         self.handed["to " + ("offers" if offer.number else "guesses")] += 1
         ended = []
 
@@ -434,7 +434,7 @@
             ended.append(ending)
             self.handed[ending.name.lower()] += 1
             if node.lives == life and node.core:
-                node.spread.ended(
+                node.spread.record_handover(
                     node.clock(self.now),
                     offer,
                     ending in (Ending.ERROR, Ending.INTERRUPTED),
@@ -476,7 +476,7 @@
         )
 
     def _arrives_handed(
-        self, node: Service, peer: Service, life: int, offer: Offered, over: Callable[..., None], told: tuple
+        self, node: Service, peer: Service, life: int, offer: ReceivedOffer, over: Callable[..., None], told: tuple
     ) -> None:
         if peer.core is None or peer.lives != life:
             over(Ending.INTERRUPTED)
@@ -484,7 +484,7 @@
         if self.now - peer.cold_since < self.load.cold_for:
             self.handed_cold.setdefault((peer.place, peer.lives), []).append(self.now - peer.cold_since)
         if peer.spread:
-            peer.spread.giver.came(peer.clock(self.now), offer.number)
+            peer.spread.offer_issuer.redeem(peer.clock(self.now), offer.number)
 
         def answered(what: str, result: Any) -> None:
             passes = faults.passes(self.links, self.now, peer.place, node.place)
@@ -626,7 +626,7 @@
             self.idle_needed += LOOK * idle
         if len(self.busy) < 2.0 * (self.now - SETTLED):
             self.busy.append([min(1.0, len(node.works) / self.load.cores) if node.core else -1.0 for node in self.nodes])
-            self.wishes.append([node.spread.wish if node.spread else node.level for node in self.nodes])
+            self.wishes.append([node.spread.redirect_fraction if node.spread else node.level for node in self.nodes])
 
     def figures(self) -> dict[str, float]:
         """Of all that was asked for after `SETTLED`."""
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.instance.gossip.core import Local
+from mulleinhatch.instance.gossip.core import LocalState
 from mulleinhatch.testing import fault_script as faults
 
 LINKS = ((0.004, 0.006), (0.005, 0.008), (0.030, 0.045))  # seconds of a datagram with both loops: in a zone, a region, beyond
@@ -126,7 +126,7 @@
         plan = self.plan
         seats = self.seats() if plan.budgets else ()
         budgets = tuple(BudgetBounds(name, total, seats, window) for name, total, window in plan.budgets)
-        usual = FleetBounds("hollow", beat=plan.beat or (LEVELS_BEAT if plan.levels else FLAT_BEAT), budgets=budgets)
+        usual = FleetBounds("hollow", heartbeat_s=plan.beat or (LEVELS_BEAT if plan.levels else FLAT_BEAT), budgets=budgets)
         if not plan.levels:
             seeds = tuple(self.address(place, 0) for place in (0, 1, plan.members // 2))
             return [usual._replace(seeds=seeds)] * len(self.firsts)
@@ -158,9 +158,9 @@
             else []
         )
 
-    def local(self, age: float, demands: tuple[float, ...]) -> Local:
+    def local(self, age: float, demands: tuple[float, ...]) -> LocalState:
         if not self.busy:
-            return Local(demands=demands)
+            return LocalState(demands=demands)
         ops = self.rate * age
         figures = [
             int(ops),
@@ -179,7 +179,7 @@
             100,
             850,
         ]
-        return Local(figures, demands, self.loudest)
+        return LocalState(figures, demands, self.loudest)
 
 
 # Weather.
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -20,11 +20,11 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.instance.gossip import messages as words
-from mulleinhatch.instance.gossip.budgets import Meter
-from mulleinhatch.instance.gossip.core import Fleet
+from mulleinhatch.instance.gossip.budgets import QuotaMeter
+from mulleinhatch.instance.gossip.core import GossipNode
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
-from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
-from mulleinhatch.instance.load_balancing.core import Here, Spread
+from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
+from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
 from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
 from mulleinhatch.instance.maintenance.core import Upkeep
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
@@ -91,8 +91,8 @@
         draw = random.Random(plan.seed * 1_000_003 + place)
         self.place, self.chance = place, draw
         self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
-        self.core: Fleet | None = None
-        self.spread: Spread | None = None
+        self.core: GossipNode | None = None
+        self.spread: LoadBalancer | None = None
         self.upkeep: Upkeep | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
@@ -213,7 +213,7 @@
         now = self.now * node.rate + node.offset
         bounds = self.bounds[self.ground.zone[place]]
         generation = self.generation[place]
-        node.core = Fleet(
+        node.core = GossipNode(
             bounds,
             self.ground.name(place, generation),
             self.ground.address(place, generation),
@@ -224,12 +224,14 @@
         node.spread = node.upkeep = None
         if plan.spread:
             at = node.core.members.address
-            node.spread = Spread(SpreadBounds(at=at), node.core, node.chance.getrandbits(40), now, returns=node.lives > 1)
-            node.core.ops_at = at
+            node.spread = LoadBalancer(
+                LoadBalancingBounds(at=at), node.core, node.chance.getrandbits(40), now, returns=node.lives > 1
+            )
+            node.core.handover_address = at
         if plan.upkeep:
             voters = tuple(self.ground.name(voter, 0) for voter in range(plan.upkeep))
             node.upkeep = Upkeep(UpkeepBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now)
-        node.meters = [Meter(budget.window) for budget in bounds.budgets]
+        node.meters = [QuotaMeter(budget.window) for budget in bounds.budgets]
         if plan.introduced and node.lives == 1:
             self._introduce(node, now)
         self._later(node, 0.0, (BEAT, node.lives))
@@ -242,12 +244,16 @@
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
             told = [
-                words.Rumour(ground.name(place, 0), ground.address(place, 0), self.life_from(self.starts[place]), 0, ALIVE)
+                words.MemberUpdate(
+                    ground.name(place, 0), ground.address(place, 0), self.life_from(self.starts[place]), 0, ALIVE
+                )
                 for place in some
             ]
-            letter = words.Letter(words.VERSION, "hollow", told[0].name, told[0].address, told[0].life, 0, "word", rumours=told)
-            node.core.datagram(now, words.encode(letter))
-        node.core.members.news.clear()
+            letter = words.GossipMessage(
+                words.VERSION, "hollow", told[0].name, told[0].address, told[0].process_epoch, 0, "word", member_updates=told
+            )
+            node.core.handle_datagram(now, words.encode(letter))
+        node.core.members.updates.unsent.clear()
         node.core.members.changes.clear()
 
     def _fault(self, fault: faults.Fault) -> None:
@@ -324,7 +330,7 @@
         if self.plan.levels:
             total = node.core.totals(now)["fleet"]
             return total.members, total.silent, total.oldest
-        known = node.core.known.total(now, "capacity")
+        known = node.core.fleet_counters.total(now, "capacity")
         return 1 + len(node.core.members.alive()), known.silent, known.oldest
 
     # Instances.
@@ -335,7 +341,7 @@
 
     def _beat(self, node: Hollow, again: bool = True) -> None:
         if again:
-            self._later(node, node.core.bounds.beat * node.chance.uniform(0.95, 1.1), (BEAT, node.lives))
+            self._later(node, node.core.bounds.heartbeat_s * node.chance.uniform(0.95, 1.1), (BEAT, node.lives))
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
@@ -343,11 +349,11 @@
         begun = time.thread_time_ns()
         datagrams = []
         if node.spread:
-            datagrams += node.spread.beat(now, Here(8, 0, 48))
+            datagrams += node.spread.heartbeat(now, InstanceLoad(8, 0, 48))
             local = local._replace(figures=local.figures[:11] + node.spread.figures(now), opinions=node.spread.opinions(now))
         if node.upkeep:
             datagrams += node.upkeep.beat(now, self.now + node.offset, True)
-        datagrams += node.core.beat(now, local)
+        datagrams += node.core.heartbeat(now, local)
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
         self._send(node, datagrams)
@@ -356,9 +362,9 @@
 
     def _heard(self, node: Hollow, data: bytes) -> None:
         begun = time.thread_time_ns()
-        datagrams = node.core.datagram(self.now * node.rate + node.offset, data)
+        datagrams = node.core.handle_datagram(self.now * node.rate + node.offset, data)
         if node.spread:
-            datagrams += node.spread.said()
+            datagrams += node.spread.take_messages()
         if node.upkeep:
             datagrams += node.upkeep.said()
         node.cpu += time.thread_time_ns() - begun
@@ -371,7 +377,7 @@
     def _send(self, node: Hollow, datagrams: list[tuple[str, bytes]]) -> None:
         place, second, owner, chance = node.place, int(self.now), self.owner, node.chance.random
         for address, data in datagrams:
-            if len(data) > words.MOST_BYTES:
+            if len(data) > words.MAX_DATAGRAM_BYTES:
                 raise InvariantBrokenError(f"at {self.now:.3f} a datagram of {len(data)} bytes")
             node.sent[second] += len(data) + HEADERS
             node.sent_count[second] += 1
@@ -409,13 +415,13 @@
             subject = self.ground.place_named(change.name)
             same = change.name.rpartition("/")[2] == self.ground.name(subject, self.generation[subject])
             known = node.core.members.view.get(change.name)
-            wrong = bool(self.up[subject] and same and known and known.life == self.life[subject])
+            wrong = bool(self.up[subject] and same and known and known.process_epoch == self.life[subject])
             self.counts["wrong" if wrong else "right"] += 1
             if len(self.gone) < MOST_KEPT:
                 self.gone.append(Gone(self.now, node.place, subject, change.why, wrong))
 
     def _part(self, node: Hollow, now: float, budget: int) -> int:
-        return node.core.part(now, budget)
+        return node.core.usable_quota(now, budget)
 
     def _use(self, node: Hollow, budget: int) -> None:
         """Asks for units at the rate of its demand, one at a time."""
@@ -493,7 +499,7 @@
         """Places that speak for their group just now, if levels can tell."""
         found = []
         for node in self.nodes:
-            if node and node.core and (speaks := getattr(getattr(node.core, "levels", None), "speaks", None)):
+            if node and node.core and (speaks := getattr(getattr(node.core, "aggregation_tree", None), "is_speaker", None)):
                 found += [node.place] * bool(speaks(self.now * node.rate + node.offset))
         return found
 
@@ -510,15 +516,17 @@
     (
         "membership",
         lambda node: [
-            getattr(node.core.members, name)
-            for name in ("probes", "helping", "rounds", "evidence", "news", "outcomes")
-            if hasattr(node.core.members, name)
+            node.core.members.prober.pending,
+            node.core.members.prober.forwarded,
+            node.core.members.prober.order,
+            node.core.members.prober.evidence,
+            node.core.members.updates,
         ],
     ),
-    ("reports", lambda node: node.core.known.rows),
-    ("verdicts", lambda node: node.core.verdicts.__dict__),
-    ("budgets", lambda node: [part.__dict__ for part in node.core.parts]),
-    ("levels", lambda node: getattr(node.core, "levels", None)),
+    ("reports", lambda node: node.core.fleet_counters.rows),
+    ("verdicts", lambda node: node.core.outlier_detector.__dict__),
+    ("budgets", lambda node: [part.__dict__ for part in node.core.quotas]),
+    ("levels", lambda node: getattr(node.core, "aggregation_tree", None)),
     ("spread", lambda node: node.spread and {key: value for key, value in node.spread.__dict__.items() if key != "fleet"}),
     ("upkeep", lambda node: node.upkeep and {key: value for key, value in node.upkeep.__dict__.items() if key != "fleet"}),
 )
@@ -526,7 +534,14 @@
 
 def state_of(node: Hollow) -> dict[str, float]:
     # What is settings, or the instance itself, is no state of this kind.
-    seen = {id(node), id(node.core), id(node.core.members), id(node.core.bounds), id(node.core.known), id(node.core.verdicts)}
+    seen = {
+        id(node),
+        id(node.core),
+        id(node.core.members),
+        id(node.core.bounds),
+        id(node.core.fleet_counters),
+        id(node.core.outlier_detector),
+    }
     return {kind: float(deep_size(told(node), seen)) for kind, told in KINDS_OF_STATE}
 
 
--- a/tests/system/test_old_messages.py
+++ b/tests/system/test_old_messages.py
@@ -51,8 +51,8 @@
     "DemandAnswer": cluster.DemandResponse,
 }
 CURRENT_WORDS: dict[str, type[msgspec.Struct]] = {
-    "Letter": fleet_words.Letter,
-    "Upward": fleet_words.Upward,
+    "Letter": fleet_words.GossipMessage,
+    "Upward": fleet_words.SummaryMessage,
     "Query": upkeep_words.Query,
     "Reply": upkeep_words.Reply,
     "Asked": upkeep_words.Asked,
@@ -167,14 +167,14 @@
                     letter = fleet_words.decode(data, "blue")
                     self.check(told, letter, fleet_words.encode(letter))
                 else:
-                    upward = fleet_words.decode_upward(data)
-                    self.check(told, upward, fleet_words.encode_upward(upward))
+                    upward = fleet_words.decode_summary_message(data)
+                    self.check(told, upward, fleet_words.encode_summary_message(upward))
 
     def test_letters_carry_the_other_messages(self):
         letter = fleet_words.decode(bytes.fromhex(RECORDED["fleet"][0]["bytes"]), "blue")
-        upward = fleet_words.decode_upward(letter.upward)
+        upward = fleet_words.decode_summary_message(letter.summary_data)
         self.assertEqual(plain(upward), RECORDED["fleet"][-1]["values"])
-        self.assertIs(type(upkeep_words.decode(letter.more)), CURRENT_WORDS["Tell"])
+        self.assertIs(type(upkeep_words.decode(letter.extension)), CURRENT_WORDS["Tell"])
 
     def test_maintenance(self):
         for told in RECORDED["upkeep"]:
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
-from mulleinhatch.instance.gossip.budgets import Ask, Borrowed, Give, Loan, Meter, Part
+from mulleinhatch.instance.gossip.budgets import BorrowedQuota, LeasedQuota, LeaseGrant, LeaseRequest, Loan, QuotaMeter
 from mulleinhatch.simulation.budget_model_checker import LENT, Model, explore, wander
 
 TICK3 = (("tick",),) * 3
@@ -26,33 +26,33 @@
 APART = {"rates": (1.5, 0.6, 1.0)}
 
 
-class NoRest(Part):
-    def _may_give(self, now: float, loan: Loan) -> bool:
+class NoRest(LeasedQuota):
+    def _may_grant(self, now: float, loan: Loan) -> bool:
         return True
 
 
-class AnyAnswer(Part):
-    def _is_latest(self, have: Borrowed, give: Give) -> bool:
+class AnyAnswer(LeasedQuota):
+    def _is_latest(self, borrowed: BorrowedQuota, grant: LeaseGrant) -> bool:
         return True
 
 
-class AnyAsk(Part):
-    def _is_newer(self, loan: Loan, ask: Ask) -> bool:
+class AnyAsk(LeasedQuota):
+    def _is_newer(self, loan: Loan, request: LeaseRequest) -> bool:
         return True
 
 
-class FromArrival(Part):
-    def _counted_from(self, have: Borrowed, now: float) -> float:
+class FromArrival(LeasedQuota):
+    def _lease_starts_at(self, borrowed: BorrowedQuota, now: float) -> float:
         return now
 
 
-class NoQuarantine(Part):
-    def _is_ours(self, now: float) -> bool:
-        return not self.stripped
+class NoQuarantine(LeasedQuota):
+    def _owns_share(self, now: float) -> bool:
+        return not self.has_duplicate_name
 
 
-class NoCooling(Part):
-    def _cools(self, now: float, amount: int) -> None:
+class NoCooling(LeasedQuota):
+    def _quarantine(self, now: float, amount: int) -> None:
         pass
 
 
@@ -74,11 +74,11 @@
         (FromArrival, SLOW_GIVE, {}),
         (NoQuarantine, LENT, {}),
         (NoCooling, LENT, {}),
-        (Part, LENT, {**APART, "drift": 0.0}),
+        (LeasedQuota, LENT, {**APART, "drift": 0.0}),
     ],
     ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"],
 )
-def test_the_checker_finds_what_each_guard_is_for(part: type[Part], before: tuple, model: dict) -> None:
+def test_the_checker_finds_what_each_guard_is_for(part: type[LeasedQuota], before: tuple, model: dict) -> None:
     """Without it the same search finds a total exceeded: else the guard, or the search, would be for nothing."""
     _, history = explore(Model(part, **model), 6, before, most_states=60_000)
     assert "in one window" in history
@@ -93,27 +93,27 @@
 
 def test_a_restarted_seat_waits_until_its_former_loans_are_back() -> None:
     bounds = BudgetBounds("q", 20, ("a", "b"), window=1.0, lease=5.0)
-    part = Part(bounds, "a", 100.0)
-    assert part.usable(106.1) == 0 and part.asked(106.1, ("b", 1), Ask(1, 0, 5), spare=10) is None
+    part = LeasedQuota(bounds, "a", 100.0)
+    assert part.usable(106.1) == 0 and part.handle_request(106.1, ("b", 1), LeaseRequest(1, 0, 5), spare=10) is None
     assert part.usable(100.0 + 5.0 * 1.03 + 1.03) == 10
 
 
 def test_what_is_held_is_not_started_beyond_its_lease() -> None:
     """A call of two seconds on a part that lasts one more would run on when its giver has it back."""
     bounds = BudgetBounds("calls", 8, ("a", "b"), window=0.0, lease=5.0)
-    giver, taker = Part(bounds, "a", -99.0), Part(bounds, "b", -99.0)
-    taker.given(0.0, "a", giver.asked(0.0, ("b", 1), taker.ask(0.0, "a", 2), spare=4))
+    giver, taker = LeasedQuota(bounds, "a", -99.0), LeasedQuota(bounds, "b", -99.0)
+    taker.handle_grant(0.0, "a", giver.handle_request(0.0, ("b", 1), taker.create_request(0.0, "a", 2), spare=4))
     assert (taker.usable(4.0, lasts=0.5), taker.usable(4.0, lasts=2.0)) == (6, 4)
 
 
 def test_two_of_one_name_use_nothing_twice() -> None:
-    part = Part(BudgetBounds("q", 20, ("a", "b")), "a", -99.0)
-    part.stripped = True
+    part = LeasedQuota(BudgetBounds("q", 20, ("a", "b")), "a", -99.0)
+    part.has_duplicate_name = True
     assert part.usable(0.0) == 0
 
 
 def test_a_meter_under_a_changing_part() -> None:
-    meter, used = Meter(1.0), []
+    meter, used = QuotaMeter(1.0), []
     for step in range(400):
         now, part = 0.05 * step, (3, 7)[step // 50 % 2]
         if meter.take(now, part):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,10 +11,10 @@
 
 from mulleinhatch.instance.gossip import messages as words
 from mulleinhatch.instance.gossip.bounds import FleetBounds
-from mulleinhatch.instance.gossip.core import Fleet, Local
-from mulleinhatch.instance.gossip.counters import FIGURES, Counts
-from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
-from mulleinhatch.instance.gossip.outlier_detection import Verdicts
+from mulleinhatch.instance.gossip.core import GossipNode, LocalState
+from mulleinhatch.instance.gossip.counters import FIGURES, FleetCounters
+from mulleinhatch.instance.gossip.messages import GossipMessage, MemberUpdate, Report
+from mulleinhatch.instance.gossip.outlier_detection import OutlierDetector
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.gossip_world import FleetWorld, Plan, weather
 from mulleinhatch.testing import fault_script as faults
@@ -155,26 +155,30 @@
 def test_two_of_one_name_hear_of_each_other_and_one_gives_way() -> None:
     bounds = FleetBounds("f", seeds=("10.0.0.1:0",))
     fleet = {
-        "10.0.0.1:0": Fleet(bounds, "a", "10.0.0.1:0", 5, 1, 0.0),
-        "10.0.0.1:1": Fleet(bounds, "b", "10.0.0.1:1", 5, 2, 0.0),
-        "10.0.0.1:2": Fleet(bounds, "b", "10.0.0.1:2", 9, 3, 0.0),
+        "10.0.0.1:0": GossipNode(bounds, "a", "10.0.0.1:0", 5, 1, 0.0),
+        "10.0.0.1:1": GossipNode(bounds, "b", "10.0.0.1:1", 5, 2, 0.0),
+        "10.0.0.1:2": GossipNode(bounds, "b", "10.0.0.1:2", 9, 3, 0.0),
     }
     for turn in range(1, 30):
-        waiting = [errand for core in fleet.values() for errand in core.beat(0.1 * turn, Local())]
+        waiting = [errand for core in fleet.values() for errand in core.heartbeat(0.1 * turn, LocalState())]
         while waiting:
             address, data = waiting.pop(0)
-            waiting += fleet[address].datagram(0.1 * turn, data)
+            waiting += fleet[address].handle_datagram(0.1 * turn, data)
     assert fleet["10.0.0.1:1"].members.outlived and not fleet["10.0.0.1:2"].members.outlived
     assert fleet["10.0.0.1:0"].members.view["b"].address == "10.0.0.1:2"
 
 
 def test_no_datagram_is_too_long_whatever_is_to_be_told() -> None:
-    fleet = Fleet(FleetBounds("a fleet of a long name", seeds=("10.0.0.1:0",)), "n" * 40, "127.0.0.100:65535", 10**13, 1, 0.0)
-    fleet.beat(0.0, Local([10**9] * len(FIGURES), (), [("tenant" * 6, 1e9)] * 4, [("interpreter of x" * 2, 100, 10**9)] * 4))
+    fleet = GossipNode(
+        FleetBounds("a fleet of a long name", seeds=("10.0.0.1:0",)), "n" * 40, "127.0.0.100:65535", 10**13, 1, 0.0
+    )
+    fleet.heartbeat(
+        0.0, LocalState([10**9] * len(FIGURES), (), [("tenant" * 6, 1e9)] * 4, [("interpreter of x" * 2, 100, 10**9)] * 4)
+    )
     for number in range(1200):
         name = f"{'m' * 30}{number}"
         report = Report(name, 2**40, number + 1, 0.1, [10**9] * len(FIGURES), [10**9] * 8, [("t" * 40, 1e8)] * 4, [])
-        letter = Letter(
+        message = GossipMessage(
             words.VERSION,
             "a fleet of a long name",
             name,
@@ -184,44 +188,46 @@
             "ping",
             number,
             "",
-            [Rumour(f"{'r' * 35}{number}", "127.0.100.1:1000", 2**40, 1, 1, 0.3)],
+            [MemberUpdate(f"{'r' * 35}{number}", "127.0.100.1:1000", 2**40, 1, 1, 0.3)],
             [report],
         )
-        for _, data in fleet.datagram(0.001 * number, words.encode(letter)):
-            assert len(data) <= words.MOST_BYTES
-    assert len(fleet.members.view) <= 1001 + 1000 and len(fleet.known.rows) <= 1000
+        for _, data in fleet.handle_datagram(0.001 * number, words.encode(message)):
+            assert len(data) <= words.MAX_DATAGRAM_BYTES
+    assert len(fleet.members.view) <= 1001 + 1000 and len(fleet.fleet_counters.rows) <= 1000
     assert fleet.counts["members_refused"]
 
 
 def test_bad_datagrams_are_counted_and_dropped() -> None:
-    draw, fleet = random.Random(2), Fleet(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
+    draw, fleet = random.Random(2), GossipNode(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
     good = words.encode(
-        Letter(words.VERSION, "f", "b", "10.0.0.1:1", 7, 0, "ping", 3, "", [Rumour("c", "10.0.0.1:2", 4, 0, 0)])
+        GossipMessage(words.VERSION, "f", "b", "10.0.0.1:1", 7, 0, "ping", 3, "", [MemberUpdate("c", "10.0.0.1:2", 4, 0, 0)])
     )
-    assert fleet.datagram(0.1, good)
+    assert fleet.handle_datagram(0.1, good)
     for _ in range(3000):
         data = bytearray(good)
         for _ in range(draw.randrange(1, 4)):
             data[draw.randrange(len(data))] = draw.randrange(256)
-        fleet.datagram(0.1, bytes(data[: draw.randrange(1, len(data) + 1)]))
+        fleet.handle_datagram(0.1, bytes(data[: draw.randrange(1, len(data) + 1)]))
     assert fleet.counts["unfit_garbage"] > 1000
-    newer = words.encode(Letter(words.VERSION + 1, "f", "b", "10.0.0.1:1", 7, 0, "ping"))
-    assert fleet.datagram(0.1, newer) == [] and fleet.counts["unfit_other_version"] >= 1
-    assert fleet.datagram(0.1, b"\x00" * 3000) == [] and fleet.counts["unfit_too_long"] == 1
+    newer = words.encode(GossipMessage(words.VERSION + 1, "f", "b", "10.0.0.1:1", 7, 0, "ping"))
+    assert fleet.handle_datagram(0.1, newer) == [] and fleet.counts["unfit_other_version"] >= 1
+    assert fleet.handle_datagram(0.1, b"\x00" * 3000) == [] and fleet.counts["unfit_too_long"] == 1
 
 
 def test_a_datagram_of_an_earlier_life_changes_nothing() -> None:
-    fleet = Fleet(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
-    for life, state in ((9, 0), (7, 0)):
-        fleet.datagram(0.1, words.encode(Letter(words.VERSION, "f", "b", f"10.0.0.1:{life}", life, 0, "ping", 1)))
+    fleet = GossipNode(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
+    for process_epoch, state in ((9, 0), (7, 0)):
+        fleet.handle_datagram(
+            0.1, words.encode(GossipMessage(words.VERSION, "f", "b", f"10.0.0.1:{process_epoch}", process_epoch, 0, "ping", 1))
+        )
     assert fleet.members.view["b"].address == "10.0.0.1:9" and fleet.members.counts["earlier_lives"] == 1
 
 
 def test_sums_say_what_the_silent_may_have_done() -> None:
-    counts = Counts(100)
+    counts = FleetCounters(100)
     for name, at in (("a", 10.0), ("b", 10.0), ("c", 4.0)):
         for number in (1, 2):
-            counts.heard(
+            counts.record(
                 at + number - 2,
                 Report(
                     name,
@@ -243,23 +249,23 @@
     voices = {f"v{number}" for number in range(10)}
 
     def judged(ill: int, by: int, cut_off: bool = False) -> list[str]:
-        verdicts = Verdicts()
+        outlier_detector = OutlierDetector()
         for voice in sorted(voices)[:by]:
             for subject in range(10):
-                verdicts.heard(1.0, voice, f"s{subject}", 1.0 if subject < ill else 0.0, 1000)
-        return verdicts.judge(1.0, voices, cut_off)
+                outlier_detector.record(1.0, voice, f"s{subject}", 1.0 if subject < ill else 0.0, 1000)
+        return outlier_detector.judge(1.0, voices, cut_off)
 
     assert judged(1, 1) == [] and judged(1, 3) == ["s0"] and judged(4, 10) == ["s0", "s1"]
     assert judged(6, 10) == [] and judged(1, 10, cut_off=True) == []
 
 
 def test_a_verdict_has_hysteresis() -> None:
-    verdicts, said = Verdicts(), []
+    outlier_detector, said = OutlierDetector(), []
     for step, bad in enumerate((0.7, 0.5, 0.4, 0.5, 0.2, 0.5, 0.7)):
         for voice in ("a", "b", "c"):
-            verdicts.heard(float(step), voice, "s", bad, 100)
-            verdicts.heard(float(step), voice, "t", 0.0, 100)
-        said.append(bool(verdicts.judge(float(step), {"a", "b", "c"}, False)))
+            outlier_detector.record(float(step), voice, "s", bad, 100)
+            outlier_detector.record(float(step), voice, "t", 0.0, 100)
+        said.append(bool(outlier_detector.judge(float(step), {"a", "b", "c"}, False)))
     assert said == [True, True, True, True, False, False, True]
 
 
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -10,10 +10,10 @@
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Advice, Decision, Effect, Ending, Verb
 from mulleinhatch.instance.gossip.bounds import FleetBounds
-from mulleinhatch.instance.gossip.core import Fleet, Local, interpreter_of
-from mulleinhatch.instance.gossip.counters import FIGURES, Counts
-from mulleinhatch.instance.gossip.heavy_hitters import Loudest
-from mulleinhatch.instance.gossip.messages import ALIVE, Report, Rumour
+from mulleinhatch.instance.gossip.core import GossipNode, LocalState, interpreter_of
+from mulleinhatch.instance.gossip.counters import FIGURES, FleetCounters
+from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
+from mulleinhatch.instance.gossip.messages import ALIVE, MemberUpdate, Report
 from mulleinhatch.instance.runtime import operator_file as operator
 
 OP_TYPES = [
@@ -155,51 +155,51 @@
 
 
 def test_free_places_count_by_their_poor_end() -> None:
-    counts = Counts(10)
+    counts = FleetCounters(10)
     for name, at in (("a", 10.0), ("b", 10.0), ("c", 5.0)):
-        counts.heard(at, Report(name, 1, 1, 0.0, [0, 0, 0, 0, 2, 3, 50, 1, 0, 5]))
-    assert counts.free(10.0, {"a", "b", "c"}) == pytest.approx(10 / 30)
-    assert counts.free(10.0, {"a", "b", "c", "d", "e", "f"}) == -1.0 and counts.free(10.0, set()) == -1.0
+        counts.record(at, Report(name, 1, 1, 0.0, [0, 0, 0, 0, 2, 3, 50, 1, 0, 5]))
+    assert counts.free_fraction(10.0, {"a", "b", "c"}) == pytest.approx(10 / 30)
+    assert counts.free_fraction(10.0, {"a", "b", "c", "d", "e", "f"}) == -1.0 and counts.free_fraction(10.0, set()) == -1.0
 
 
 def test_a_shorter_report_of_an_older_version_counts_for_what_it_tells() -> None:
-    counts = Counts(10)
-    assert counts.heard(1.0, Report("a", 1, 1, 0.0, [0, 0, 0, 0, 2, 3, 50, 1]))
+    counts = FleetCounters(10)
+    assert counts.record(1.0, Report("a", 1, 1, 0.0, [0, 0, 0, 0, 2, 3, 50, 1]))
     assert counts.total(1.0, "held").least == 2.0 and counts.total(1.0, "room").least == 0.0
-    assert not counts.heard(1.0, Report("b", 1, 1, 0.0, [1] * 7)) and len(FIGURES) > 8
+    assert not counts.record(1.0, Report("b", 1, 1, 0.0, [1] * 7)) and len(FIGURES) > 8
 
 
 def test_the_loudest_are_found_among_a_hundred_thousand_made_up_names() -> None:
     """Nobody that asks for more than a part in `room` is missed, and room stays bounded whoever makes names up."""
-    draw, loudest, true = random.Random(3), Loudest(64), Counter()
+    draw, loudest, true = random.Random(3), HeavyHitters(64), Counter()
     for number in range(60_000):
         name = draw.choice(("loud", "loud", "also", "third")) if draw.random() < 0.4 else f"made up {draw.randrange(100_000)}"
         true[name] += 1
         loudest.add(number / 10_000.0, name)
-    most = loudest.most(6.0, 3)
+    most = loudest.top(6.0, 3)
     assert [loud.name for loud in most][0] == "loud" and {loud.name for loud in most} == {"loud", "also", "third"}
     assert len(loudest.counts) <= 64 and most[0].rate == pytest.approx(2000.0, rel=0.15)
-    assert loudest.most(60.0, 3) == [], "who fell silent is forgotten"
+    assert loudest.top(60.0, 3) == [], "who fell silent is forgotten"
 
 
 def test_a_member_whose_probes_fail_is_judged_by_many_and_by_nobody_that_hears_little() -> None:
     bounds = FleetBounds("f")
-    fleet = Fleet(bounds, "a", "10.0.0.1:0", 5, 1, 0.0)
+    fleet = GossipNode(bounds, "a", "10.0.0.1:0", 5, 1, 0.0)
     for name in ("b", "c", "d", "e", "x"):
-        fleet.members._take(0.0, Rumour(name, "10.0.0.1:1", 4, 0, ALIVE))
+        fleet.members._apply_update(0.0, MemberUpdate(name, "10.0.0.1:1", 4, 0, ALIVE))
     for turn in range(12):
         for name in ("b", "c", "d", "e", "x"):
-            fleet.members._outcome(0.1 * turn, name, name != "x")
+            fleet.members.prober.evidence.record(0.1 * turn, name, name != "x")
     said = {name: bad for name, bad, _ in fleet.members.opinions(1.2)}
     assert said["x"] == 100 and len(said) == 2 and 0 in said.values()
     fleet.members.frozen = True
     assert fleet.members.opinions(1.2) == []
     fleet.members.frozen = False
-    fleet.out = [interpreter_of("a")]
-    assert fleet.judged_ill()
+    fleet.ejected = [interpreter_of("a")]
+    assert fleet.is_judged_unhealthy()
     fleet.members.frozen = True
-    assert not fleet.judged_ill()
-    fleet.beat(1.3, Local([0] * len(FIGURES)))
+    assert not fleet.is_judged_unhealthy()
+    fleet.heartbeat(1.3, LocalState([0] * len(FIGURES)))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -116,7 +116,7 @@
         assert known_after(gone, {5: 11, 6: 1}, 4.0, 1.0) is None
         # Planted: one declares another gone that runs.
         core = world.local.nodes[2].core
-        core.members._become(0.0, core.members.view["n7"], GONE, "silent")
+        core.members._set_state(0.0, core.members.view["n7"], GONE, "silent")
         world.play(9.3)
         assert [(one.observer, one.subject, one.wrong) for one in world.listed("gone") if one.wrong][0] == (2, 7, True)
         assert world.counts()["wrong"] >= 1
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,10 +11,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
-from mulleinhatch.instance.load_balancing.estimates import SCATTER, Evidence, Window, drawn, usual
-from mulleinhatch.instance.load_balancing.offers import Giver, Taker
-from mulleinhatch.instance.load_balancing.shares import Seen, Share
+from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
+from mulleinhatch.instance.load_balancing.estimates import (
+    SCATTER,
+    DecayingWindow,
+    Evidence,
+    estimate_population,
+    shrink_towards_mean,
+)
+from mulleinhatch.instance.load_balancing.offers import OfferIssuer, OfferReceiver, ReceivedOffer
+from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking import http
 from mulleinhatch.simulation.gossip_world import Plan, weather
@@ -29,37 +35,37 @@
     st.lists(st.tuples(st.sampled_from(("give", "came", "late", "wait")), st.integers(0, 6), st.integers(0, 20)), max_size=60)
 )
 def test_never_more_offers_than_room_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
-    giver, now = Giver(0.3, 8, 1), 0.0
+    giver, now = OfferIssuer(0.3, 8, 1), 0.0
     for what, amount, other in steps:
         if what == "give":
             before = giver.outstanding(now)
-            given = giver.give(now, amount, {"a": other, "b": 3})
+            given = giver.issue(now, amount, {"a": other, "b": 3})
             assert len(given) <= max(0, amount - before) and giver.outstanding(now) == before + len(given)
         elif what == "came":
-            giver.came(now, other)
+            giver.redeem(now, other)
         elif what == "late":
-            giver.came(now, 10**6)  # an offer of an earlier life
+            giver.redeem(now, 10**6)  # an offer of an earlier life
         now += 0.1 * (what == "wait")
 
 
 def test_an_offer_is_used_once_and_a_repeated_datagram_brings_none() -> None:
-    taker = Taker(1)
+    taker = OfferReceiver(1)
     for _ in range(3):
-        taker.heard(0.0, "a", "127.0.0.1:1", 5, 0.3)
-    taker.heard(0.0, "a", "127.0.0.1:1", 4, 0.3)  # swapped on the way
+        taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 5, 0.3))
+    taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 4, 0.3))  # swapped on the way
     assert taker.take(0.1).number == 5 and taker.take(0.1) is None
-    taker.new_life("a")
-    taker.heard(0.2, "a", "127.0.0.1:1", 1, 0.3)
+    taker.on_peer_restart("a")
+    taker.receive(0.2, ReceivedOffer("a", "127.0.0.1:1", 1, 0.2 + 0.3))
     assert taker.count(0.3) == 1 and taker.count(0.51) == 0
 
 
 def test_a_peer_that_broke_off_rests_and_returns() -> None:
-    taker = Taker(1)
-    taker.heard(0.0, "a", "127.0.0.1:1", 1, 9.0)
-    taker.ended(0.1, "a", bad=True, gone=True)
+    taker = OfferReceiver(1)
+    taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 1, 9.0))
+    taker.record_outcome(0.1, "a", is_bad=True, is_unreachable=True)
     assert taker.count(0.1) == 0
-    taker.heard(1.0, "a", "127.0.0.1:1", 2, 9.0)
-    taker.heard(4.0, "a", "127.0.0.1:1", 3, 9.0)
+    taker.receive(1.0, ReceivedOffer("a", "127.0.0.1:1", 2, 1.0 + 9.0))
+    taker.receive(4.0, ReceivedOffer("a", "127.0.0.1:1", 3, 4.0 + 9.0))
     assert taker.count(4.0) == 1
 
 
@@ -71,38 +77,38 @@
         paces = [draw.choice((1.0, 1.0, 2.5)) * draw.uniform(0.9, 1.1) for _ in range(60)]
         windows = []
         for pace in paces:
-            window = Window(1e9)
+            window = DecayingWindow(1e9)
             for _ in range(runs):
                 window.add(1.0, pace * draw.uniform(0.4, 1.6) * draw.uniform(0.4, 1.6))
             windows.append(window.evidence(1.0))
-        mean, differ = usual(windows, SCATTER)
+        mean, differ = estimate_population(windows, SCATTER)
         for pace, evidence in zip(paces, windows):
             own_error += (evidence.mean - pace) ** 2
-            drawn_error += (drawn(1.0, evidence, SCATTER, mean, differ).value - pace) ** 2
+            drawn_error += (shrink_towards_mean(1.0, evidence, SCATTER, mean, differ).value - pace) ** 2
         assert drawn_error <= better * own_error, (runs, drawn_error / own_error)
 
 
 def test_an_estimate_has_a_range_that_narrows() -> None:
     widths = []
     for count in (0.0, 1.0, 10.0, 100.0):
-        estimate = drawn(5.0, Evidence(count, 3.0 if count else 0.0, 4.0), 0.5, 2.0, 0.5)
+        estimate = shrink_towards_mean(5.0, Evidence(count, 3.0 if count else 0.0, 4.0), 0.5, 2.0, 0.5)
         assert estimate.least <= estimate.value <= estimate.most
         widths.append(estimate.most - estimate.least)
     assert widths == sorted(widths, reverse=True)
-    assert drawn(5.0, Evidence(0.0, 0.0, -1e9), 0.5, 0.0, 0.0) is None
+    assert shrink_towards_mean(5.0, Evidence(0.0, 0.0, -1e9), 0.5, 0.0, 0.0) is None
 
 
 @pytest.mark.parametrize("heeds", [0.0, 0.3, 0.8, 1.0])
 def test_shares_settle_whoever_heeds_them(heeds: float) -> None:
     """Twelve, four of them asked twice as much: what all say comes to rest, in bounded steps, and the load evens out."""
     asked = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
-    shares = [Share(0.05, 0.5, place, 0.0, False) for place in range(12)]
+    shares = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
     wishes, history = [0.0] * 12, []
     for beat in range(900):
         leaves = [heeds * wish * load for wish, load in zip(wishes, asked)]
         loads = [0.6 * (load - gone + sum(leaves) / 12) for load, gone in zip(asked, leaves)]
         fleet = sum(loads) / 12
-        before, wishes = wishes, [share.beat(0.1 * beat, Seen(load, fleet)) for share, load in zip(shares, loads)]
+        before, wishes = wishes, [share.update(0.1 * beat, LoadObservation(load, fleet)) for share, load in zip(shares, loads)]
         assert all(abs(new - old) <= 0.05 + 1e-9 for new, old in zip(wishes, before))
         history.append((max(loads), sum(abs(new - old) for new, old in zip(wishes, before))))
     assert sum(moved for _, moved in history[-100:]) < 0.1, "it goes on moving"
@@ -111,9 +117,9 @@
 
 
 def test_one_that_returns_opens_by_its_pace_and_all_open_when_nobody_is_heard() -> None:
-    share = Share(0.05, 0.5, 1, 0.0, returns=True)
-    assert [share.beat(0.1 * beat, Seen(0.2, 0.8, 3.0)) for beat in range(50)][-1] == 0.5
-    opened = [share.beat(5.0 + 0.1 * beat, Seen(0.2, 0.8, 1.1)) for beat in range(200)]
+    share = RedirectController(0.05, 0.5, 1, 0.0, is_warming_up=True)
+    assert [share.update(0.1 * beat, LoadObservation(0.2, 0.8, 3.0)) for beat in range(50)][-1] == 0.5
+    opened = [share.update(5.0 + 0.1 * beat, LoadObservation(0.2, 0.8, 1.1)) for beat in range(200)]
     assert opened[-1] == 0.0 and opened[3] > 0.3
 
 
@@ -207,7 +213,7 @@
 
 def test_without_hand_over_nothing_passes_but_fleet_state() -> None:
     world = SpreadWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
-    assert not world.handed and not any(node.spread.giver.counts["offers_given"] for node in world.nodes)
+    assert not world.handed and not any(node.spread.offer_issuer.counts["offers_given"] for node in world.nodes)
 
 
 # Processes.
@@ -253,4 +259,4 @@
         asked, in_time = asked + sum(stub["first"].values()), in_time + sum(stub["in_time"].values())
     # Alone the two can serve 40 of their 60 a second: 0.75 of all; a stall, a failing one and a leave cost the rest.
     assert in_time > 0.8 * asked, (in_time, asked, told["stubs"][0]["counts"])
-    assert SpreadBounds().hand_over
+    assert LoadBalancingBounds().hand_over
