--- a/mulleinhatch/instance/gossip/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -14,6 +14,7 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import FleetBounds
+from mulleinhatch.instance.gossip.connectivity import measure_silence
 from mulleinhatch.instance.gossip.messages import (
     ACK,
     ALIVE,
@@ -29,14 +30,11 @@
 )
 from mulleinhatch.instance.gossip.outgoing import OutgoingMessage
 from mulleinhatch.instance.gossip.probing import Prober
-from mulleinhatch.instance.gossip.update_selection import MIN_FREE_BYTES, UpdateQueue, UpdateSelection
+from mulleinhatch.instance.gossip.update_selection import UpdateQueue, UpdateSelection, add_random_members
 from mulleinhatch.random_source import RandomSource
 
 HEARD_LATELY_S = 1.0  # a member that sent a message within this time is not declared gone
 SEED_INTERVAL = 10  # heartbeats between pings to a seed, for each 16 members
-MAX_RANDOM_UPDATES = 8  # per message
-FREEZING_FRACTION = 0.4  # of the members: when so many are silent the view freezes; half, less what is not known yet
-COUNTS_AS_SILENT_S = 10.0  # how long a member declared gone counts as silent: else a minority would go on, one by one
 DUPLICATE_SEEN_FOR_S = 3.0  # how long a message of a second instance of the own name counts
 MAX_SUSPICION_AGE_S = 86_400.0
 COUNTERS = (
@@ -67,6 +65,12 @@
         """What decides between two states of a member: the higher one is the newer."""
         return self.process_epoch, self.incarnation, self.state
 
+    def to_update(self, now: float) -> MemberUpdate:
+        """Return the state as it is sent to others."""
+        age_s = max(0.0, now - self.since) if self.state == SUSPECT else 0.0
+        age_s = min(age_s, MAX_SUSPICION_AGE_S)
+        return MemberUpdate(self.name, self.address, self.process_epoch, self.incarnation, self.state, age_s)
+
 
 class MembershipChange(NamedTuple):
     """A change of a member's state, for the log."""
@@ -151,9 +155,7 @@
         """Restart all timers: what was not heard during a pause of this process says nothing about others."""
         self.counts["beats_late"] += 1
         self.prober.clear()
-        for member in self.view.values():
-            if member.state == SUSPECT:
-                member.since = now
+        self._reset_suspicions(now, SUSPECT)
 
     def _probe_members(self, now: float) -> Iterator[OutgoingMessage]:
         bounds = self.bounds
@@ -187,30 +189,22 @@
             self.counts["suspected"] += 1
 
     def _judge_own_connectivity(self, now: float) -> None:
-        """Freeze the view where most own probes fail, or `FREEZING_FRACTION` of the members are silent."""
-        living, silent, gone = 1, 0, 0
-        for member in self.view.values():
-            if member.state == SUSPECT and not self.heard_lately(now, member.name):
-                silent += 1
-            elif member.state <= SUSPECT:
-                living += 1
-            elif member.state == GONE and now - member.since < COUNTS_AS_SILENT_S:
-                gone += 1
-        many_silent = silent + gone >= FREEZING_FRACTION * (living + silent + gone)
-        frozen = silent > 0 and (self.prober.evidence.most_failed() or many_silent)
+        """Freeze the view while this member seems to be cut off, and thaw it afterwards."""
+        silence = measure_silence(now, self.view.values(), self.heard_lately)
+        frozen = silence.is_cut_off(self.prober.evidence.most_failed())
         thaws = self.frozen and not frozen
         if frozen is not self.frozen:
             self.frozen = frozen
             state = "frozen" if frozen else "thawed"
             self.counts[state] += 1
-            self.changes.append(MembershipChange(self.name, state, f"{silent} silent of {living + silent}"))
+            self.changes.append(MembershipChange(self.name, state, silence.describe()))
         if frozen:
             self.ignores_suspicions_until = now + 2.0 * self.bounds.suspicion_timeout_s
         if frozen or thaws:
             self._reset_suspicions(now, SUSPECT if frozen else ALIVE)
 
     def _reset_suspicions(self, now: float, state: int) -> None:
-        """Restart or lift suspicions raised while few members were heard: hundreds would have to refute them, each to all."""
+        """Restart or lift suspicions from a time when few members were heard: else hundreds would have to refute theirs."""
         for member in self.view.values():
             if member.state == SUSPECT:
                 member.state, member.since = state, now
@@ -352,36 +346,14 @@
         selection = UpdateSelection(free_bytes, self.update_overhead_bytes)
         selection.add(self._own_update(LEFT if self.left else ALIVE))
         if member := self.view.get(to):
-            selection.add(self._update_of(now, member))
-        self.updates.fill(selection, len(self.view), lambda name: self._find_update(now, name))
-        self._add_random_members(now, selection)
+            selection.add(member.to_update(now))
+        self.updates.fill(selection, self.view, now)
+        add_random_members(selection, list(self.view.values()), self.draw, now)
         return selection.updates()
 
     def select_suspicion(self, now: float, to: str) -> list[MemberUpdate]:
         """Return the updates for a brief message: none here."""
         return []
 
-    def _add_random_members(self, now: float, selection: UpdateSelection) -> None:
-        names = list(self.view)
-        for _ in range(min(len(names), MAX_RANDOM_UPDATES)):
-            member = self.view[names[self.draw(len(names))]]
-            if selection.free_bytes >= MIN_FREE_BYTES:
-                selection.add(self._update_of(now, member))
-
     def _own_update(self, state: int) -> MemberUpdate:
         return MemberUpdate(self.name, self.address, self.process_epoch, self.incarnation, state)
-
-    def _find_update(self, now: float, name: str) -> MemberUpdate | None:
-        member = self.view.get(name)
-        return self._update_of(now, member) if member else None
-
-    def _update_of(self, now: float, member: Member) -> MemberUpdate:
-        age_s = max(0.0, now - member.since) if member.state == SUSPECT else 0.0
-        return MemberUpdate(
-            member.name,
-            member.address,
-            member.process_epoch,
-            member.incarnation,
-            member.state,
-            min(age_s, MAX_SUSPICION_AGE_S),
-        )
--- a/mulleinhatch/instance/gossip/peer_groups.py
+++ b/mulleinhatch/instance/gossip/peer_groups.py
@@ -116,7 +116,7 @@
     def select_suspicion(self, now: float, to: str) -> list[MemberUpdate]:
         """Return the receiver's own suspicion, which it otherwise might answer again and again without refuting it."""
         member = self.view.get(to)
-        return [self._update_of(now, member)] if member and member.state in (SUSPECT, GONE) else []
+        return [member.to_update(now)] if member and member.state in (SUSPECT, GONE) else []
 
     def select_updates(self, now: float, free_bytes: int, to: str, all_members: bool = False) -> list[MemberUpdate]:
         """Return recent changes and a doubtful state of the receiver; all members for one that sees others than this one."""
@@ -124,8 +124,8 @@
         if self.left:  # otherwise the message itself proves that this member is alive
             selection.add(self._own_update(LEFT))
         if (member := self.view.get(to)) and member.state != ALIVE:
-            selection.add(self._update_of(now, member))
-        self.updates.fill(selection, len(self.view), lambda name: self._find_update(now, name))
+            selection.add(member.to_update(now))
+        self.updates.fill(selection, self.view, now)
         if all_members:
             self._add_all_members(now, selection, to)
         return selection.updates()
@@ -134,4 +134,4 @@
         serving = [member for member in self.view.values() if member.state <= SUSPECT and member.name != to]
         start = self.draw(len(serving)) if serving else 0  # at random: where not all fit, the others go another time
         for member in serving[start:] + serving[:start]:
-            selection.add(self._update_of(now, member))
+            selection.add(member.to_update(now))
--- a/mulleinhatch/instance/gossip/update_selection.py
+++ b/mulleinhatch/instance/gossip/update_selection.py
@@ -6,13 +6,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from itertools import islice
+from typing import TYPE_CHECKING
 
 from mulleinhatch.instance.gossip.messages import MemberUpdate
 
+if TYPE_CHECKING:
+    from mulleinhatch.instance.gossip.members import Member
+
 SENDS_PER_DOUBLING = 1.0  # how often a change is sent, for each doubling of the number of members
 MAX_CHANGES = 24  # per message
+MAX_RANDOM_UPDATES = 8  # per message
 MIN_FREE_BYTES = 110  # of the largest update: with less room left, no further one is tried
 
 
@@ -59,25 +64,30 @@
         """Forget a member."""
         self.unsent.pop(name, None)
 
-    def fill(self, selection: UpdateSelection, members: int, find: Callable[[str], MemberUpdate | None]) -> None:
-        """Move queued changes into a message, and queue each again until it was sent often enough.
-
-        Args:
-            selection: updates of the message.
-            members: how many other members there are.
-            find: returns the current update of a member, or None where it is no longer known.
-        """
-        max_sends = SENDS_PER_DOUBLING * (members + 1).bit_length()
+    def fill(self, selection: UpdateSelection, view: Mapping[str, Member], now: float) -> None:
+        """Move queued changes into a message, and queue each again until it was sent often enough."""
+        max_sends = SENDS_PER_DOUBLING * (len(view) + 1).bit_length()
         for name in list(islice(self.unsent, MAX_CHANGES)):
             if selection.free_bytes < MIN_FREE_BYTES:
                 break
             sends = self.unsent.pop(name)
-            update = find(name)
-            if update is None:
+            member = view.get(name)
+            if member is None:
                 continue
             if name in selection:
                 self.unsent[name] = sends
                 continue
-            selection.add(update)
+            selection.add(member.to_update(now))
             if sends + 1 < max_sends:
                 self.unsent[name] = sends + 1
+
+
+def add_random_members(selection: UpdateSelection, members: Sequence[Member], draw: Callable[[int], int], now: float) -> None:
+    """Add the updates of a few members at random, as far as they fit.
+
+    The number of draws does not depend on the free bytes, so that simulations stay comparable.
+    """
+    for _ in range(min(len(members), MAX_RANDOM_UPDATES)):
+        member = members[draw(len(members))]
+        if selection.free_bytes >= MIN_FREE_BYTES:
+            selection.add(member.to_update(now))
