--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -112,7 +112,7 @@
         node.core = GossipNode(self.bounds, node.name, node.address, life, self.draw.getrandbits(48), local)
         if not self.plan.leases:
             for part in node.core.quotas:
-                part.plan = lambda *told: []
+                part.plan_requests = lambda *told: []
         node.meters = [QuotaMeter(budget.window) for budget in self.budgets]
         self.at(self.now, self._beat, node, node.lives)
         for place in range(len(self.budgets)):
