--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,23 +1,23 @@
-"""Even load over many instances that each see little: in virtual time, and by real processes on loopback.
+"""Load balancing between many instances that each see little: in virtual time, and with real processes on loopback.
 
 Usage:
   spread [--quick] [--seed N] [--instances N] [--for SECONDS] [--faults FILE] [--only PART] [--plot FILE]
 
 Options:
   --quick         24 instances, three cases in virtual time and one with processes, within 45 s.
-  --seed N        Of loads and faults [default: 1].
-  --instances N   Else 24 quick, 200 with processes and 60 in virtual time in full.
-  --for SECONDS   How long is measured, after what it takes to settle.
-  --faults FILE   Only this script, in virtual time and with processes: what must never happen is checked as ever.
+  --seed N        Seed of loads and faults [default: 1].
+  --instances N   24 with --quick, else 200 processes and 60 in virtual time.
+  --for SECONDS   How long to measure, after the warm-up.
+  --faults FILE   Run only this script, in virtual time and with processes, with the checks that always hold.
   --only PART     estimates, virtual or processes.
-  --plot FILE     Heat maps of who was busy when, alone and with hand-over, as PNG (matplotlib).
+  --plot FILE     Heat maps of busy instances over time, without and with handover, as PNG (matplotlib).
 
-estimates  the pace drawn towards that of the like beside the own window, at 0.2 to 20 ops a second
-virtual    today's text, advice, hand-over to anybody, to the freshest report, on offers; one common line as the limit
-processes  today's text and hand-over on offers, one after the other; a window without a fault script is compared
-Rules are checked at each step of the virtual runs (one answer, one run of what may not run twice, offers within room).
-Of processes, a second run of a sign-off is an instance's fault but where its caller sent it again after a kill broke the
-connection, to another life: such are counted beside (`testing/duplicate_runs.py`).
+estimates  the pace drawn towards the mean of similar instances beside the own window, at 0.2 to 20 requests per second
+virtual    no load balancing, advice, handover to random peers, by the freshest report, on offers; one common queue as the limit
+processes  no load balancing and handover on offers, one after the other; compared where no fault script is given
+In virtual time the rules are checked at each step: one answer per request, one run of what must not run twice, offers within
+the free slots. With processes, a second run of a sign-off is an instance's fault unless its client sent it again, to a new
+process, after a kill broke the connection: such runs are counted separately (`testing/duplicate_runs.py`).
 """
 
 from __future__ import annotations
@@ -44,25 +44,25 @@
 from mulleinhatch.testing.instance_harness import keep_environment
 
 COUNTED = ("in_time", "idle_needed", "most_over_mean", "p50", "p99", "nacked", "handed", "refused by peers")
-Holds = dict[str, bool]
+Checks = dict[str, bool]
 
 
-def cases(count: int, length: float) -> dict[str, tuple[str, float, Load]]:
-    """By name: fault script, how long, load."""
+def create_cases(count: int, length: float) -> dict[str, tuple[str, float, Load]]:
+    """Return fault script, duration and load by the name of the case."""
 
-    def some(first: int, share: float) -> str:
-        return f"{first}-{first + max(1, round(share * count)) - 1}"
+    def node_range(first: int, fraction: float) -> str:
+        return f"{first}-{first + max(1, round(fraction * count)) - 1}"
 
-    holes = ",".join(str(place) for place in range(0, count, 8))
+    failing_nodes = ",".join(str(place) for place in range(0, count, 8))
     half, callers = count // 2, max(4, count // 2)
     return {
         "a third by one caller": ("", length, Load(one=0.33, callers=8)),
         "callers of five, uneven": ("", length, Load(callers=callers // 2, uneven=3.0)),
         "1.1 of capacity": ("", length, Load(1.1, callers=callers)),
         "a third slower by 2.5": ("", length, Load(callers=callers, speeds=(1.0, 1.0, 0.4))),
-        "black hole, one in eight": (f"at 6 failing {holes} 1.0 for {length}", length, Load(0.8, callers=callers)),
+        "black hole, one in eight": (f"at 6 failing {failing_nodes} 1.0 for {length}", length, Load(0.8, callers=callers)),
         "three in ten cold at once": (
-            f"at 6 kill {some(0, 0.3)} for 1\nat 7 slow {some(0, 0.3)} by 3 for 4",
+            f"at 6 kill {node_range(0, 0.3)} for 1\nat 7 slow {node_range(0, 0.3)} by 3 for 4",
             length + 2.0,
             Load(0.6, callers=callers),
         ),
@@ -81,6 +81,7 @@
 
 
 def play(job: tuple[str, str, int, int, str, float, Load, bool]) -> tuple[str, str, dict[str, float], Any]:
+    """Play one case in one mode; a function of one argument, for a process pool."""
     name, mode, count, seed, script, length, load, plotted = job
     plan = Plan(count, script, until=SETTLED + length + 2.5, seed=seed)
     if mode == "one line":
@@ -89,8 +90,9 @@
     return name, mode, world.figures(), world.busy if plotted else None
 
 
-def virtual(count: int, seed: int, quick: bool, length: float, script: str | None, plot: str | None) -> tuple[dict, Holds]:
-    chosen = cases(count, length)
+def run_virtual(count: int, seed: int, quick: bool, length: float, script: str | None, plot: str | None) -> tuple[dict, Checks]:
+    """Play the cases in all modes and check what load balancing must improve."""
+    chosen = create_cases(count, length)
     if script is not None:
         chosen = {"own script": (script, length, Load(callers=max(4, count // 2)))}
     elif quick:
@@ -101,13 +103,13 @@
         for mode in (*MODES, "one line")
     ]
     with multiprocessing.Pool() as pool:
-        told = pool.map(play, jobs, chunksize=1)
+        played = pool.map(play, jobs, chunksize=1)
     figures: dict[str, dict[str, dict[str, float]]] = {}
-    for name, mode, sums, _ in told:
+    for name, mode, sums, _ in played:
         figures.setdefault(name, {})[mode] = {key: round(value, 3) for key, value in sums.items()}
     if plot:
-        draw([(f"{name}, {mode}", busy) for name, mode, _, busy in told if busy][:2], plot)
-    holds: Holds = {}
+        draw([(f"{name}, {mode}", busy) for name, mode, _, busy in played if busy][:2], plot)
+    checks: Checks = {}
     for name, modes in figures.items():
         spread, alone = modes["spread"], modes["alone"]
         if script is not None:
@@ -115,20 +117,21 @@
         if name == "1.1 of capacity":
             for key in ("in_time", "idle_needed", "most_over_mean", "p50", "p99", "nacked"):
                 better = spread[key] >= alone[key] - 0.002 if key == "in_time" else spread[key] <= 1.02 * alone[key]
-                holds[f"{name}: {key} no worse"] = better
+                checks[f"{name}: {key} no worse"] = better
             continue
         if chosen[name][0] == "":
-            holds[f"{name}: in time 0.95 of one line"] = spread["in_time"] >= 0.95 * modes["one line"]["in_time"]
-            holds[f"{name}: idle while needed a fifth"] = spread["idle_needed"] <= 0.2 * alone["idle_needed"]
-        holds[f"{name}: in time as alone"] = spread["in_time"] >= alone["in_time"]
+            checks[f"{name}: in time 0.95 of one line"] = spread["in_time"] >= 0.95 * modes["one line"]["in_time"]
+            checks[f"{name}: idle while needed a fifth"] = spread["idle_needed"] <= 0.2 * alone["idle_needed"]
+        checks[f"{name}: in time as alone"] = spread["in_time"] >= alone["in_time"]
         if "cold" in name or "replaced" in name:
-            holds[f"{name}: no more than 3 times the mean"] = spread["most_over_mean"] <= 3.0
+            checks[f"{name}: no more than 3 times the mean"] = spread["most_over_mean"] <= 3.0
         if name == "a third by one caller":
-            holds["the freshest report herds"] = modes["freshest"]["refused by peers"] > 5 * max(1, spread["refused by peers"])
-    return figures, holds
+            checks["the freshest report herds"] = modes["freshest"]["refused by peers"] > 5 * max(1, spread["refused by peers"])
+    return figures, checks
 
 
 def draw(maps: list[tuple[str, list[list[float]]]], path: str) -> None:
+    """Draw heat maps of busy instances."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -152,36 +155,37 @@
     figure.savefig(path, dpi=100)
 
 
-def estimates(count: int, seed: int, quick: bool) -> tuple[dict, Holds]:
-    """Root of the mean square error of the pace, as a share of it: own window of 2.5 s, and drawn towards the like."""
-    draw, figures, holds = random.Random(seed), {}, {}
+def run_estimates(count: int, seed: int, quick: bool) -> tuple[dict, Checks]:
+    """Return the root of the mean square error of the pace, as a fraction of it: own window of 2.5 s, and drawn estimate."""
+    draw, figures, checks = random.Random(seed), {}, {}
     for rate in (0.2, 1.0, 5.0, 20.0):
         errors: Counter[str] = Counter()
-        whole_count = 0
+        samples = 0
         for _ in range(4 if quick else 40):
             paces = [draw.choice((1.0, 1.0, 2.5)) * draw.uniform(0.9, 1.1) for _ in range(100)]
-            seen = []
+            measured = []
             for pace in paces:
                 short, window, at = [], DecayingWindow(10.0), 0.0
                 while (at := at + draw.expovariate(rate)) < 30.0:
                     value = pace * draw.uniform(0.4, 1.6) * draw.uniform(0.5, 1.5)
                     window.add(at, value)
                     short += [value] if at > 27.5 else []
-                seen.append((short, window.evidence(30.0)))
-            mean, differ = estimate_population([evidence for _, evidence in seen], SCATTER)
-            for pace, (short, evidence) in zip(paces, seen):
-                # Where the window is empty today's text knows nothing: it is taken for the usual pace.
+                measured.append((short, window.evidence(30.0)))
+            mean, deviation = estimate_population([evidence for _, evidence in measured], SCATTER)
+            for pace, (short, evidence) in zip(paces, measured):
+                # Without runs in the window, the instance has to assume the usual pace.
                 own = sum(short) / len(short) if short else 1.0
-                value = shrink_towards_mean(30.0, evidence, SCATTER, mean, differ).value
+                value = shrink_towards_mean(30.0, evidence, SCATTER, mean, deviation).value
                 errors["own"] += ((own - pace) / pace) ** 2
                 errors["drawn"] += ((value - pace) / pace) ** 2
-                whole_count += 1
-        figures[f"{rate:g} a second"] = {name: round((total / whole_count) ** 0.5, 3) for name, total in errors.items()}
-        holds[f"{rate:g} a second: drawn is nearer"] = errors["drawn"] < errors["own"]
-    return figures, holds
+                samples += 1
+        figures[f"{rate:g} a second"] = {name: round((total / samples) ** 0.5, 3) for name, total in errors.items()}
+        checks[f"{rate:g} a second: drawn is nearer"] = errors["drawn"] < errors["own"]
+    return figures, checks
 
 
-async def processes(count: int, seed: int, length: float, script: str | None, folder: Path) -> tuple[dict, Holds]:
+async def run_processes(count: int, seed: int, length: float, script: str | None, folder: Path) -> tuple[dict, Checks]:
+    """Run real processes without and with load balancing."""
     cores, work = (2, 200.0) if count <= 50 else (1, 400.0)
     rate = 0.9 * count * cores / work * 1000.0
     few = f"0-{max(4, count // 5 - 1)}"  # known to callers of three tenths of the load, as five are of 24
@@ -201,50 +205,51 @@
             spread=spread,
         )
         (folder / name).mkdir()
-        async with FleetRig(case, folder / name) as rig:
-            names = {node.name for node in rig.nodes}
-            await rig.wait_for(lambda views, names=names: whole(views, names), 30.0)
-            await rig.go()
-            await rig.until(1.0)
-            before = rig.usage()
-            await rig.until(length)
-            after = rig.usage()
-            counts = [Counter(await node.counters()) for node in rig.nodes[:: max(1, count // 48)]]
-            told = await rig.finish()
+        async with FleetRig(case, folder / name) as harness:
+            names = {node.name for node in harness.nodes}
+            await harness.wait_for(lambda views, names=names: whole(views, names), 30.0)
+            await harness.go()
+            await harness.until(1.0)
+            before = harness.usage()
+            await harness.until(length)
+            after = harness.usage()
+            counts = [Counter(await node.counters()) for node in harness.nodes[:: max(1, count // 48)]]
+            results = await harness.finish()
         cpu = sum(now[0] - then[0] for now, then in zip(after, before) if now and then)
-        worth = {"read": 1.0, "signoff": 5.0}
-        asked = sum(worth[kind] * sums[0] for stub in told["stubs"] for kind, sums in stub["by_kind"].items())
-        in_time = sum(worth[kind] * sums[2] for stub in told["stubs"] for kind, sums in stub["by_kind"].items())
-        second = second_runs.of_fleet(told)
-        for fault in second.faults:
+        value_of = {"read": 1.0, "signoff": 5.0}
+        asked = sum(value_of[kind] * sums[0] for client in results["stubs"] for kind, sums in client["by_kind"].items())
+        in_time = sum(value_of[kind] * sums[2] for client in results["stubs"] for kind, sums in client["by_kind"].items())
+        second_runs_found = second_runs.of_fleet(results)
+        for fault in second_runs_found.faults:
             print(f"{name}: {fault}", file=sys.stderr)
-        ops = sum(sum(stub["first"].values()) for stub in told["stubs"])
+        requests = sum(sum(client["first"].values()) for client in results["stubs"])
         figures[name] = {
             "in_time": round(in_time / asked, 3),
-            "p50": max(stub["latency"]["50"] for stub in told["stubs"]),
-            "p99": max(stub["latency"]["99"] for stub in told["stubs"]),
-            "cpu_ms_an_op": round(1000.0 * cpu / ops, 2),
-            "memory_mb": round(max(told[1] for told in after if told) / 1e6, 1),
-            "nacked": sum(stub["counts"]["nacked"] for stub in told["stubs"]),
+            "p50": max(client["latency"]["50"] for client in results["stubs"]),
+            "p99": max(client["latency"]["99"] for client in results["stubs"]),
+            "cpu_ms_an_op": round(1000.0 * cpu / requests, 2),
+            "memory_mb": round(max(usage[1] for usage in after if usage) / 1e6, 1),
+            "nacked": sum(client["counts"]["nacked"] for client in results["stubs"]),
             "handed": sum(count["decided_hand"] for count in counts),
-            "sign-offs twice": len(second.faults),
-            "repeated after a kill": len(second.repeats),
-            "wrong": sum(stub["counts"]["wrong"] for stub in told["stubs"]),
-            "late": round(told["late"], 3),
+            "sign-offs twice": len(second_runs_found.faults),
+            "repeated after a kill": len(second_runs_found.repeats),
+            "wrong": sum(client["counts"]["wrong"] for client in results["stubs"]),
+            "late": round(results["late"], 3),
             "errors inside": sum(count["errors_inside"] + count["spread_errors_inside"] for count in counts),
         }
-    holds = {
+    checks = {
         "no sign-off twice": not any(row["sign-offs twice"] for row in figures.values()),
         "no answer of a stranger": not figures["spread"]["wrong"],
         "no error inside": not figures["spread"]["errors inside"],
         "the machine was not too busy to tell": figures["spread"]["late"] <= 0.1,
     }
     if script is None:
-        holds["in time well above today's"] = figures["spread"]["in_time"] >= figures["alone"]["in_time"]
-    return figures, holds
+        checks["in time well above today's"] = figures["spread"]["in_time"] >= figures["alone"]["in_time"]
+    return figures, checks
 
 
 def table(name: str, figures: dict[str, Any]) -> Table:
+    """Return figures as a table with a row each."""
     shown = Table(name, *next(iter(figures.values())))
     for row, values in figures.items():
         shown.add_row(row, *(str(values.get(key, "-")) for key in next(iter(figures.values()))))
@@ -252,14 +257,15 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
+    """Run the chosen parts and print their figures; return 1 where a check failed."""
+    options = docopt(__doc__, argv)
     keep_environment()
-    quick, seed, script = told["--quick"], int(told["--seed"]), None
-    if told["--faults"]:
-        script = Path(told["--faults"]).read_text()
+    quick, seed, script = options["--quick"], int(options["--seed"]), None
+    if options["--faults"]:
+        script = Path(options["--faults"]).read_text()
     parts = (
-        [told["--only"]]
-        if told["--only"]
+        [options["--only"]]
+        if options["--only"]
         else ["virtual", "processes"]
         if script is not None
         else ["estimates", "virtual", "processes"]
@@ -268,22 +274,22 @@
         sys.exit(f"spread: no part {sorted(unknown)[0]!r}; there are: estimates, virtual, processes")
     result, missed, console = {}, {}, Console(width=150)
     for part in parts:
-        count = int(told["--instances"] or (24 if quick else {"processes": 200}.get(part, 60)))
-        length = float(told["--for"] or (8.0 if quick else 20.0))
+        count = int(options["--instances"] or (24 if quick else {"processes": 200}.get(part, 60)))
+        length = float(options["--for"] or (8.0 if quick else 20.0))
         if part == "estimates":
-            figures, holds = estimates(count, seed, quick)
+            figures, checks = run_estimates(count, seed, quick)
             console.print(table("error of the pace", figures))
         elif part == "virtual":
-            figures, holds = virtual(count, seed, quick, length, script, told["--plot"])
+            figures, checks = run_virtual(count, seed, quick, length, script, options["--plot"])
             for name, modes in figures.items():
                 console.print(table(name, modes))
         else:
             with tempfile.TemporaryDirectory() as folder:
-                figures, holds = asyncio.run(processes(count, seed, length, script, Path(folder)))
+                figures, checks = asyncio.run(run_processes(count, seed, length, script, Path(folder)))
             console.print(table(f"{count} processes", figures))
         result[part] = figures
-        if lacks := [aim for aim, held in holds.items() if not held]:
-            missed[part] = lacks
+        if failed := [check for check, passed in checks.items() if not passed]:
+            missed[part] = failed
     print(json.dumps({**result, "missed": missed, "holds": not missed}))
     return 1 if missed else 0
 
--- a/mulleinhatch/instance/gossip/connectivity.py
+++ b/mulleinhatch/instance/gossip/connectivity.py
@@ -17,7 +17,7 @@
 COUNTS_AS_SILENT_S = 10.0  # how long a member declared gone counts as silent: else a minority would go on, one by one
 
 
-class Silence(NamedTuple):
+class MemberCounts(NamedTuple):
     """How many members are heard."""
 
     living: int  # this one included
@@ -35,7 +35,7 @@
         return f"{self.silent} silent of {self.living + self.silent}"
 
 
-def measure_silence(now: float, members: Iterable[Member], heard_lately: Callable[[float, str], bool]) -> Silence:
+def count_members(now: float, members: Iterable[Member], heard_lately: Callable[[float, str], bool]) -> MemberCounts:
     """Count the members that are heard, silent and gone."""
     living, silent, gone = 1, 0, 0
     for member in members:
@@ -45,4 +45,4 @@
             living += 1
         elif member.state == GONE and now - member.since < COUNTS_AS_SILENT_S:
             gone += 1
-    return Silence(living, silent, gone)
+    return MemberCounts(living, silent, gone)
--- a/mulleinhatch/instance/gossip/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import FleetBounds
-from mulleinhatch.instance.gossip.connectivity import measure_silence
+from mulleinhatch.instance.gossip.connectivity import count_members
 from mulleinhatch.instance.gossip.messages import (
     ACK,
     ALIVE,
@@ -190,14 +190,14 @@
 
     def _judge_own_connectivity(self, now: float) -> None:
         """Freeze the view while this member seems to be cut off, and thaw it afterwards."""
-        silence = measure_silence(now, self.view.values(), self.heard_lately)
-        frozen = silence.is_cut_off(self.prober.evidence.most_failed())
+        heard = count_members(now, self.view.values(), self.heard_lately)
+        frozen = heard.is_cut_off(self.prober.evidence.most_failed())
         thaws = self.frozen and not frozen
         if frozen is not self.frozen:
             self.frozen = frozen
             state = "frozen" if frozen else "thawed"
             self.counts[state] += 1
-            self.changes.append(MembershipChange(self.name, state, silence.describe()))
+            self.changes.append(MembershipChange(self.name, state, heard.describe()))
         if frozen:
             self.ignores_suspicions_until = now + 2.0 * self.bounds.suspicion_timeout_s
         if frozen or thaws:
