--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: every order of what can happen to a part, each guard taken out by itself, and histories by chance."""
+"""Leased quotas: every order of events, each guard removed by itself, and random histories."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from mulleinhatch.simulation.budget_model_checker import LENT, Model, explore, wander
 
 TICK3 = (("tick",),) * 3
-# Each history stands a few steps before the place where one guard is all that holds.
-# A give under way while all is handed back; lent, and an ask of before on its way; a give that takes five ticks.
-LATE_GIVE = (*LENT, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
-OLD_ASK = (
+# Each history ends a few steps before the point where a single guard prevents a violation.
+# A grant under way while all is returned; a loan, with an earlier request under way; a grant that takes five ticks.
+LATE_GRANT = (*LENT, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
+OLD_REQUEST = (
     ("ask", 1, 0, 0),
     ("ask", 1, 0, 2),
     ("deliver", 1),
@@ -22,44 +22,44 @@
     ("deliver", 1),
     ("deliver", 1),
 )
-SLOW_GIVE = (*LENT[:-1], *TICK3, ("tick",), ("tick",))
-APART = {"rates": (1.5, 0.6, 1.0)}
+SLOW_GRANT = (*LENT[:-1], *TICK3, ("tick",), ("tick",))
+DRIFTING = {"rates": (1.5, 0.6, 1.0)}
 
 
-class NoRest(LeasedQuota):
+class GrantsWithoutWaiting(LeasedQuota):
     def _may_grant(self, now: float, loan: Loan) -> bool:
         return True
 
 
-class AnyAnswer(LeasedQuota):
+class AcceptsAnyAnswer(LeasedQuota):
     def _is_latest(self, borrowed: BorrowedQuota, grant: LeaseGrant) -> bool:
         return True
 
 
-class AnyAsk(LeasedQuota):
+class AcceptsAnyRequest(LeasedQuota):
     def _is_newer(self, loan: Loan, request: LeaseRequest) -> bool:
         return True
 
 
-class FromArrival(LeasedQuota):
+class LeaseFromArrival(LeasedQuota):
     def _lease_starts_at(self, borrowed: BorrowedQuota, now: float) -> float:
         return now
 
 
-class NoQuarantine(LeasedQuota):
+class OwnsAtOnce(LeasedQuota):
     def _owns_share(self, now: float) -> bool:
         return not self.has_duplicate_name
 
 
-class NoCooling(LeasedQuota):
+class ReusesAtOnce(LeasedQuota):
     def _quarantine(self, now: float, amount: int) -> None:
         pass
 
 
 @pytest.mark.parametrize(
-    "before", [(), LENT, LATE_GIVE, OLD_ASK, SLOW_GIVE], ids=["new", "lent", "late give", "old ask", "slow give"]
+    "before", [(), LENT, LATE_GRANT, OLD_REQUEST, SLOW_GRANT], ids=["new", "lent", "late give", "old ask", "slow give"]
 )
-def test_no_order_of_four_steps_breaks_a_total(before: tuple) -> None:
+def test_no_order_of_four_steps_exceeds_a_total(before: tuple) -> None:
     states, history = explore(Model(), 4, before)
     assert not history, history
     assert states > 500
@@ -68,51 +68,51 @@
 @pytest.mark.parametrize(
     "part, before, model",
     [
-        (NoRest, (), {}),
-        (AnyAnswer, LATE_GIVE, {}),
-        (AnyAsk, OLD_ASK, {}),
-        (FromArrival, SLOW_GIVE, {}),
-        (NoQuarantine, LENT, {}),
-        (NoCooling, LENT, {}),
-        (LeasedQuota, LENT, {**APART, "drift": 0.0}),
+        (GrantsWithoutWaiting, (), {}),
+        (AcceptsAnyAnswer, LATE_GRANT, {}),
+        (AcceptsAnyRequest, OLD_REQUEST, {}),
+        (LeaseFromArrival, SLOW_GRANT, {}),
+        (OwnsAtOnce, LENT, {}),
+        (ReusesAtOnce, LENT, {}),
+        (LeasedQuota, LENT, {**DRIFTING, "drift": 0.0}),
     ],
     ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"],
 )
-def test_the_checker_finds_what_each_guard_is_for(part: type[LeasedQuota], before: tuple, model: dict) -> None:
-    """Without it the same search finds a total exceeded: else the guard, or the search, would be for nothing."""
+def test_model_checker_finds_each_missing_guard(part: type[LeasedQuota], before: tuple, model: dict) -> None:
+    """Without it the same search finds a total exceeded: otherwise the guard or the search would be useless."""
     _, history = explore(Model(part, **model), 6, before, most_states=60_000)
     assert "in one window" in history
 
 
 @pytest.mark.parametrize(
-    "model", [Model(), Model(needed=1), Model(**APART, drift=1.5)], ids=["plain", "takes back", "clocks apart"]
+    "model", [Model(), Model(needed=1), Model(**DRIFTING, drift=1.5)], ids=["plain", "takes back", "clocks apart"]
 )
-def test_long_histories_by_chance(model: Model) -> None:
+def test_long_random_histories(model: Model) -> None:
     assert wander(model, seed=3, walks=1200, steps=40) == ""
 
 
-def test_a_restarted_seat_waits_until_its_former_loans_are_back() -> None:
+def test_restarted_owner_waits_until_its_former_loans_expired() -> None:
     bounds = BudgetBounds("q", 20, ("a", "b"), window=1.0, lease=5.0)
     part = LeasedQuota(bounds, "a", 100.0)
     assert part.usable(106.1) == 0 and part.handle_request(106.1, ("b", 1), LeaseRequest(1, 0, 5), spare=10) is None
     assert part.usable(100.0 + 5.0 * 1.03 + 1.03) == 10
 
 
-def test_what_is_held_is_not_started_beyond_its_lease() -> None:
-    """A call of two seconds on a part that lasts one more would run on when its giver has it back."""
+def test_units_are_not_occupied_beyond_their_lease() -> None:
+    """A call of two seconds on units leased for one more would still run when the lender has them back."""
     bounds = BudgetBounds("calls", 8, ("a", "b"), window=0.0, lease=5.0)
-    giver, taker = LeasedQuota(bounds, "a", -99.0), LeasedQuota(bounds, "b", -99.0)
-    taker.handle_grant(0.0, "a", giver.handle_request(0.0, ("b", 1), taker.create_request(0.0, "a", 2), spare=4))
-    assert (taker.usable(4.0, lasts=0.5), taker.usable(4.0, lasts=2.0)) == (6, 4)
+    lender, borrower = LeasedQuota(bounds, "a", -99.0), LeasedQuota(bounds, "b", -99.0)
+    borrower.handle_grant(0.0, "a", lender.handle_request(0.0, ("b", 1), borrower.create_request(0.0, "a", 2), spare=4))
+    assert (borrower.usable(4.0, lasts=0.5), borrower.usable(4.0, lasts=2.0)) == (6, 4)
 
 
-def test_two_of_one_name_use_nothing_twice() -> None:
+def test_two_instances_of_one_name_use_no_unit_twice() -> None:
     part = LeasedQuota(BudgetBounds("q", 20, ("a", "b")), "a", -99.0)
     part.has_duplicate_name = True
     assert part.usable(0.0) == 0
 
 
-def test_a_meter_under_a_changing_part() -> None:
+def test_meter_with_a_changing_quota() -> None:
     meter, used = QuotaMeter(1.0), []
     for step in range(400):
         now, part = 0.05 * step, (3, 7)[step // 50 % 2]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: hard cases and histories by chance in virtual time, datagrams of every kind, and real processes with faults."""
+"""Gossip: hard cases and random histories in virtual time, datagrams of every kind, and real processes with faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip import messages as wire
 from mulleinhatch.instance.gossip.bounds import FleetBounds
 from mulleinhatch.instance.gossip.core import GossipNode, LocalState
 from mulleinhatch.instance.gossip.counters import FIGURES, FleetCounters
@@ -31,8 +31,8 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_histories_by_chance(seed: int) -> None:
-    """No window over its total, no negative part, nobody declared gone by the smaller part; views one again in 3 s."""
+def test_random_histories(seed: int) -> None:
+    """No window above its total, no negative quota, nobody declared gone by the minority; one view again within 3 s."""
     draw = random.Random(seed)
     instances = draw.choice((3, 4, 5, 6, 8, 12))
     script = weather(draw, instances, 7.0, 6.0)
@@ -71,7 +71,7 @@
     ],
     ids=["halves", "one", "one way", "a third"],
 )
-def test_the_part_that_hears_little_freezes_and_declares_nobody(script: str, cut_off: set[int]) -> None:
+def test_isolated_members_freeze_and_declare_nobody_gone(script: str, cut_off: set[int]) -> None:
     world = FleetWorld(Plan(12, script)).play(9.0)
     assert frozen(world) >= cut_off
     world.play(12.9)
@@ -91,38 +91,38 @@
     ],
     ids=["chain", "loss and order", "stalls", "delay", "loss and a stall"],
 )
-def test_nobody_that_lives_is_declared_gone(script: str) -> None:
+def test_no_running_member_is_declared_gone(script: str) -> None:
     for seed in range(3):
         world = FleetWorld(Plan(12, script, seed=seed)).play(16.0)
         assert not world.declared and world.views_agree(), (seed, world.declared)
 
 
-def test_the_dead_are_known_and_the_long_stalled_return() -> None:
+def test_dead_members_are_detected_and_paused_ones_return() -> None:
     world = FleetWorld(Plan(12, "at 5 kill 1\nat 5 stall 2,3 for 12")).play(8.2)
     assert world.known_gone("n1") == 1.0
     assert not [1 for _, by, _ in world.declared if by in (2, 3)]
     world.play(20.0)
     assert world.views_agree()
-    assert not [1 for _, by, _ in world.declared if by in (2, 3)], "who stood still accused others when it woke"
+    assert not [1 for _, by, _ in world.declared if by in (2, 3)], "a paused member accused others when it resumed"
 
 
 def test_all_restarted_together_with_clocks_set_back() -> None:
-    """Lives are numbered by clocks that may have been set back an hour: the others' word puts them right."""
+    """Process epochs come from clocks that may have been set back an hour: messages of the others correct them."""
     world = FleetWorld(Plan(8, "at 5 kill 0-3 for 1\nat 8 kill all for 1", seed=3)).play(14.0)
     assert world.views_agree()
 
 
-def test_a_fleet_grows_at_once_and_shrinks_in_order() -> None:
+def test_fleet_grows_at_once_and_shrinks_by_leaves() -> None:
     script = "at 0.3 kill 5-59\nat 4 start 5-59\nat 9 leave 5-59"
     world = FleetWorld(Plan(60, script, budgets=())).play(7.5)
     assert world.views_agree()
     world.play(13.0)
     assert world.views_agree()
-    assert {member.state for member in world.nodes[0].core.members.view.values()} >= {words.LEFT}
+    assert {member.state for member in world.nodes[0].core.members.view.values()} >= {wire.LEFT}
 
 
-def test_a_giver_that_dies_with_a_give_under_way() -> None:
-    """Its loans run out, its even part waits until its former loans are back, and comes back with it."""
+def test_lender_dies_with_a_grant_under_way() -> None:
+    """Its loans expire, and its even share is usable again once its former loans are certainly returned."""
     plan = Plan(
         4,
         "at 10 lossy all 0.5 for 3\nat 11 kill 2 for 2",
@@ -135,7 +135,7 @@
     assert world.views_agree() and world.most_used[0] > 130
 
 
-def test_parts_follow_demand_and_a_cut_off_half_keeps_its_even_part() -> None:
+def test_quotas_follow_demand_and_an_isolated_half_keeps_its_even_share() -> None:
     def used(leases: bool, script: str = "") -> tuple[float, float]:
         world = FleetWorld(
             Plan(8, script, leases=leases, budgets=(("quota", 800, 1.0),), demand=lambda place, now: 1.6 if place < 4 else 0.4)
@@ -149,10 +149,10 @@
     shared, _ = used(True)
     assert shared >= 0.9 > 0.75 > used(False)[0]
     _, cut_off_half = used(True, "at 8 cut 0-3 from 4-7 for 20")
-    assert cut_off_half >= 0.93  # of its even part; the rest is chance within each window
+    assert cut_off_half >= 0.93  # of its even share; the rest is random variation within each window
 
 
-def test_two_of_one_name_hear_of_each_other_and_one_gives_way() -> None:
+def test_two_instances_of_one_name_detect_each_other() -> None:
     bounds = FleetBounds("f", seeds=("10.0.0.1:0",))
     fleet = {
         "10.0.0.1:0": GossipNode(bounds, "a", "10.0.0.1:0", 5, 1, 0.0),
@@ -160,7 +160,7 @@
         "10.0.0.1:2": GossipNode(bounds, "b", "10.0.0.1:2", 9, 3, 0.0),
     }
     for turn in range(1, 30):
-        waiting = [errand for core in fleet.values() for errand in core.heartbeat(0.1 * turn, LocalState())]
+        waiting = [outgoing for core in fleet.values() for outgoing in core.heartbeat(0.1 * turn, LocalState())]
         while waiting:
             address, data = waiting.pop(0)
             waiting += fleet[address].handle_datagram(0.1 * turn, data)
@@ -168,7 +168,7 @@
     assert fleet["10.0.0.1:0"].members.view["b"].address == "10.0.0.1:2"
 
 
-def test_no_datagram_is_too_long_whatever_is_to_be_told() -> None:
+def test_no_datagram_exceeds_the_size_limit() -> None:
     fleet = GossipNode(
         FleetBounds("a fleet of a long name", seeds=("10.0.0.1:0",)), "n" * 40, "127.0.0.100:65535", 10**13, 1, 0.0
     )
@@ -179,7 +179,7 @@
         name = f"{'m' * 30}{number}"
         report = Report(name, 2**40, number + 1, 0.1, [10**9] * len(FIGURES), [10**9] * 8, [("t" * 40, 1e8)] * 4, [])
         message = GossipMessage(
-            words.VERSION,
+            wire.VERSION,
             "a fleet of a long name",
             name,
             f"127.0.100.100:{number}",
@@ -191,16 +191,16 @@
             [MemberUpdate(f"{'r' * 35}{number}", "127.0.100.1:1000", 2**40, 1, 1, 0.3)],
             [report],
         )
-        for _, data in fleet.handle_datagram(0.001 * number, words.encode(message)):
-            assert len(data) <= words.MAX_DATAGRAM_BYTES
+        for _, data in fleet.handle_datagram(0.001 * number, wire.encode(message)):
+            assert len(data) <= wire.MAX_DATAGRAM_BYTES
     assert len(fleet.members.view) <= 1001 + 1000 and len(fleet.fleet_counters.rows) <= 1000
     assert fleet.counts["members_refused"]
 
 
 def test_bad_datagrams_are_counted_and_dropped() -> None:
     draw, fleet = random.Random(2), GossipNode(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
-    good = words.encode(
-        GossipMessage(words.VERSION, "f", "b", "10.0.0.1:1", 7, 0, "ping", 3, "", [MemberUpdate("c", "10.0.0.1:2", 4, 0, 0)])
+    good = wire.encode(
+        GossipMessage(wire.VERSION, "f", "b", "10.0.0.1:1", 7, 0, "ping", 3, "", [MemberUpdate("c", "10.0.0.1:2", 4, 0, 0)])
     )
     assert fleet.handle_datagram(0.1, good)
     for _ in range(3000):
@@ -209,21 +209,21 @@
             data[draw.randrange(len(data))] = draw.randrange(256)
         fleet.handle_datagram(0.1, bytes(data[: draw.randrange(1, len(data) + 1)]))
     assert fleet.counts["unfit_garbage"] > 1000
-    newer = words.encode(GossipMessage(words.VERSION + 1, "f", "b", "10.0.0.1:1", 7, 0, "ping"))
+    newer = wire.encode(GossipMessage(wire.VERSION + 1, "f", "b", "10.0.0.1:1", 7, 0, "ping"))
     assert fleet.handle_datagram(0.1, newer) == [] and fleet.counts["unfit_other_version"] >= 1
     assert fleet.handle_datagram(0.1, b"\x00" * 3000) == [] and fleet.counts["unfit_too_long"] == 1
 
 
-def test_a_datagram_of_an_earlier_life_changes_nothing() -> None:
+def test_datagram_of_an_earlier_process_changes_nothing() -> None:
     fleet = GossipNode(FleetBounds("f"), "a", "10.0.0.1:0", 5, 1, 0.0)
     for process_epoch, state in ((9, 0), (7, 0)):
         fleet.handle_datagram(
-            0.1, words.encode(GossipMessage(words.VERSION, "f", "b", f"10.0.0.1:{process_epoch}", process_epoch, 0, "ping", 1))
+            0.1, wire.encode(GossipMessage(wire.VERSION, "f", "b", f"10.0.0.1:{process_epoch}", process_epoch, 0, "ping", 1))
         )
     assert fleet.members.view["b"].address == "10.0.0.1:9" and fleet.members.counts["earlier_lives"] == 1
 
 
-def test_sums_say_what_the_silent_may_have_done() -> None:
+def test_totals_bound_what_silent_members_may_have_done() -> None:
     counts = FleetCounters(100)
     for name, at in (("a", 10.0), ("b", 10.0), ("c", 4.0)):
         for number in (1, 2):
@@ -244,27 +244,27 @@
     assert (counts.tenant(10.0, "loud").least, counts.tenant(10.0, "quiet").most) == (18.0, 54.0)
 
 
-def test_verdicts_stay_in_bounds() -> None:
-    """One voice judges nobody out, however loud; no more than a fifth at a time; none where most look ill; none by the deaf."""
-    voices = {f"v{number}" for number in range(10)}
+def test_ejections_respect_the_limits() -> None:
+    """One observer ejects nobody; at most a fifth at a time; none where most look unhealthy; none by an isolated member."""
+    observers = {f"v{number}" for number in range(10)}
 
-    def judged(ill: int, by: int, cut_off: bool = False) -> list[str]:
+    def judged(unhealthy: int, by: int, cut_off: bool = False) -> list[str]:
         outlier_detector = OutlierDetector()
-        for voice in sorted(voices)[:by]:
+        for observer in sorted(observers)[:by]:
             for subject in range(10):
-                outlier_detector.record(1.0, voice, f"s{subject}", 1.0 if subject < ill else 0.0, 1000)
-        return outlier_detector.judge(1.0, voices, cut_off)
+                outlier_detector.record(1.0, observer, f"s{subject}", 1.0 if subject < unhealthy else 0.0, 1000)
+        return outlier_detector.judge(1.0, observers, cut_off)
 
     assert judged(1, 1) == [] and judged(1, 3) == ["s0"] and judged(4, 10) == ["s0", "s1"]
     assert judged(6, 10) == [] and judged(1, 10, cut_off=True) == []
 
 
-def test_a_verdict_has_hysteresis() -> None:
+def test_ejection_has_hysteresis() -> None:
     outlier_detector, said = OutlierDetector(), []
     for step, bad in enumerate((0.7, 0.5, 0.4, 0.5, 0.2, 0.5, 0.7)):
-        for voice in ("a", "b", "c"):
-            outlier_detector.record(float(step), voice, "s", bad, 100)
-            outlier_detector.record(float(step), voice, "t", 0.0, 100)
+        for observer in ("a", "b", "c"):
+            outlier_detector.record(float(step), observer, "s", bad, 100)
+            outlier_detector.record(float(step), observer, "t", 0.0, 100)
         said.append(bool(outlier_detector.judge(float(step), {"a", "b", "c"}, False)))
     assert said == [True, True, True, True, False, False, True]
 
@@ -292,13 +292,13 @@
         ('fleet {\n name "x"\n}', ":1: fleet"),
     ],
 )
-def test_the_faulty_line_of_a_fleet_is_named(text: str, complaint: str) -> None:
+def test_error_names_the_line_of_the_fleet_node(text: str, complaint: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
         operator.told(text)
     assert str(error.value).startswith("operator.kdl" + complaint), error.value
 
 
-def test_processes_cut_killed_and_stalled(tmp_path: Path) -> None:
+def test_processes_partitioned_killed_and_paused(tmp_path: Path) -> None:
     """Six real processes: a cut of two, a kill with a return, a stall; the tenant's total holds in every window of what the
     interpreters ran, views are one again after each, and nobody that lives is declared gone by who was cut off."""
     keep_environment()
@@ -313,24 +313,24 @@
     )
 
     async def play() -> tuple[dict, dict, float | None, float | None]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await rig.go()
-            await rig.until(4.8)
-            cut = await rig.views()
-            await rig.until(5.0)
-            healed = await rig.wait_for(lambda views: whole(views, names), 10.0)
-            await rig.until(8.3)
-            back = await rig.wait_for(lambda views: whole(views, names), 10.0)
-            return cut, await rig.finish(), healed, back
-
-    cut, told, healed, back = asyncio.run(asyncio.wait_for(play(), 80.0))
+        async with FleetRig(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: whole(views, names), 15.0) is not None
+            await harness.go()
+            await harness.until(4.8)
+            cut = await harness.views()
+            await harness.until(5.0)
+            healed = await harness.wait_for(lambda views: whole(views, names), 10.0)
+            await harness.until(8.3)
+            back = await harness.wait_for(lambda views: whole(views, names), 10.0)
+            return cut, await harness.finish(), healed, back
+
+    cut, results, healed, back = asyncio.run(asyncio.wait_for(play(), 80.0))
     assert all(cut[name]["frozen"] for name in ("n0", "n1")) and not cut["n3"]["frozen"]
     assert not [row for name in ("n0", "n1") for row in cut[name]["members"] if row["state"] == "gone"]
     assert healed is not None and back is not None
-    starts = [at for host in told["ran"] for at, _ in host["starts"]]
-    assert len(starts) > 300 and most_in_window(starts, 1.0 - 4.0 * told["late"] - 0.03) <= case.total
+    starts = [at for host in results["ran"] for at, _ in host["starts"]]
+    assert len(starts) > 300 and most_in_window(starts, 1.0 - 4.0 * results["late"] - 0.03) <= case.total
 
 
 def test_processes_restart_while_the_directory_is_down(tmp_path: Path) -> None:
@@ -348,16 +348,16 @@
     )
 
     async def play() -> tuple[dict, float | None]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await rig.go()
-            await rig.until(2.5)
-            back = await rig.wait_for(lambda views: whole(views, names), 8.0)
-            return await rig.finish(), back
-
-    told, back = asyncio.run(asyncio.wait_for(play(), 60.0))
-    assert back is not None and told["relay"]["directory"]["reports"] > 20 and not told["relay"]["directory"]["broken"]
-    end = max(at for host in told["ran"] for at, _ in host["starts"])
-    late = [sum(at > end - 2.0 for at, _ in host["starts"]) for host in told["ran"]]
+        async with FleetRig(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: whole(views, names), 15.0) is not None
+            await harness.go()
+            await harness.until(2.5)
+            back = await harness.wait_for(lambda views: whole(views, names), 8.0)
+            return await harness.finish(), back
+
+    results, back = asyncio.run(asyncio.wait_for(play(), 60.0))
+    assert back is not None and results["relay"]["directory"]["reports"] > 20 and not results["relay"]["directory"]["broken"]
+    end = max(at for host in results["ran"] for at, _ in host["starts"])
+    late = [sum(at > end - 2.0 for at, _ in host["starts"]) for host in results["ran"]]
     assert all(count > 5 for count in late), late
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,4 @@
-"""Fleet state in levels: letters of every kind by hand, histories by chance in virtual time, and guards that are missed."""
+"""Aggregation tree: messages of every kind by hand, random histories in virtual time, and guards that are removed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip import messages as wire
 from mulleinhatch.instance.gossip.aggregation_tree import MAX_GROUP_MEMBERS
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
 from mulleinhatch.instance.gossip.core import GossipNode, LocalState
@@ -28,7 +28,7 @@
 
 
 def names(group: int, count: int, bounds: FleetBounds = HERE) -> list[str]:
-    """Some that the hash puts into that group."""
+    """Return names that the hash assigns to a group."""
     found = (f"n{turn}" for turn in range(10_000))
     return [name for name in found if locate(bounds, name).index == group][:count]
 
@@ -38,7 +38,7 @@
 
 
 def pass_on(cores: list[GossipNode], messages: list[tuple[str, bytes]], now: float) -> None:
-    """Until nobody has anything more to say."""
+    """Deliver messages and answers until there are no more."""
     by_address = {one.members.address: one for one in cores}
     while messages:
         address, data = messages.pop(0)
@@ -56,7 +56,7 @@
 
 
 def introduce(cores: list[GossipNode], now: float = 0.0) -> None:
-    """All told of all by a ping each way."""
+    """Send a message from each member to each other one."""
     for one in cores:
         for other in cores:
             if one is not other:
@@ -70,28 +70,28 @@
                     "word",
                     group_key=one.aggregation_tree.location.key if one.aggregation_tree else 0,
                 )
-                other.handle_datagram(now, words.encode(message))
+                other.handle_datagram(now, wire.encode(message))
 
 
 def speaker_of(cores: list[GossipNode], now: float) -> GossipNode:
     return next(one for one in cores if one.aggregation_tree.is_speaker(now))
 
 
-def notice(sender: str, bounds: FleetBounds = HERE, upward: SummaryMessage | None = None, **told: object) -> bytes:
-    """A letter of a member of that place."""
+def notice(sender: str, bounds: FleetBounds = HERE, upward: SummaryMessage | None = None, **fields: object) -> bytes:
+    """Return an encoded message of a member at the location that its name and the bounds give."""
     place = locate(bounds, sender)
-    told = {"kind": "word", "process_epoch": 7, **told}
-    return words.encode(
+    fields = {"kind": "word", "process_epoch": 7, **fields}
+    return wire.encode(
         GossipMessage(
             1,
             "f",
             sender,
             f"10.0.0.2:{7000 + int(sender[1:])}",
-            told["process_epoch"],
+            fields["process_epoch"],
             0,
-            told["kind"],
+            fields["kind"],
             group_key=place.key if place else 0,
-            summary_data=words.encode_summary_message(upward) if upward else b"",
+            summary_data=wire.encode_summary_message(upward) if upward else b"",
         )
     )
 
@@ -100,17 +100,17 @@
     return Summary(level, name, age, members, 0, 0, 0, [members] * 11, contacts)
 
 
-# Who hears whom.
+# Who is a peer.
 
 
-def test_a_member_of_another_group_is_answered_and_becomes_no_mate() -> None:
+def test_member_of_another_group_is_answered_and_becomes_no_peer() -> None:
     one, other = core(names(0, 1)[0]), names(1, 1)[0]
     ((address, data),) = one.handle_datagram(1.0, notice(other, kind="ping"))
-    assert address == f"10.0.0.2:{7000 + int(other[1:])}" and words.decode(data, "f").kind == "ack"
+    assert address == f"10.0.0.2:{7000 + int(other[1:])}" and wire.decode(data, "f").kind == "ack"
     assert one.members.view == {} and one.totals(1.0)["fleet"].members == 1
 
 
-def test_an_older_member_without_levels_is_answered_and_neither_declares_the_other_gone() -> None:
+def test_member_without_tree_is_answered_and_neither_declares_the_other_gone() -> None:
     new, old = core("n0"), GossipNode(FleetBounds("f", seeds=("10.0.0.1:7000",)), "n1", "10.0.0.1:7001", 7, 1, 0.0)
     now = 0.0
     while now < 20.0:
@@ -122,15 +122,15 @@
     assert new.members.view == {} and new.counts["letters_without_levels"] > 100
 
 
-def test_who_suspects_us_without_levels_is_told_that_we_live() -> None:
+def test_suspicion_of_a_member_without_tree_is_refuted() -> None:
     one = core("n0")
-    doubt = words.MemberUpdate("n0", one.members.address, 7, 0, words.SUSPECT, 0.5)
+    doubt = wire.MemberUpdate("n0", one.members.address, 7, 0, wire.SUSPECT, 0.5)
     message = GossipMessage(1, "f", "n1", "10.0.0.1:7001", 7, 0, "ping", 4, member_updates=[doubt])
-    ((_, data),) = one.handle_datagram(1.0, words.encode(message))
-    assert words.decode(data, "f").incarnation == 1
+    ((_, data),) = one.handle_datagram(1.0, wire.encode(message))
+    assert wire.decode(data, "f").incarnation == 1
 
 
-def test_a_mate_that_started_anew_in_another_zone_left_and_is_not_gone() -> None:
+def test_peer_restarted_in_another_zone_has_left_and_is_not_gone() -> None:
     one, name = core(names(0, 1)[0]), names(0, 2)[1]
     one.handle_datagram(1.0, notice(name))
     assert one.members.alive() == [name]
@@ -138,7 +138,7 @@
     assert one.members.view[name].state == LEFT and one.members.counts["declared_gone"] == 0
 
 
-def test_a_name_of_ours_in_another_zone_takes_nothing_from_us() -> None:
+def test_same_name_in_another_zone_owns_another_seat() -> None:
     bounds = HERE._replace(budgets=(BudgetBounds("q", 8, ("r/z/n0", "r/y/n0"), 1.0),))
     one = core("n0", bounds)
     one.handle_datagram(20.0, notice("n0", bounds._replace(zone="y"), process_epoch=9))
@@ -147,7 +147,7 @@
     assert core("n0", bounds._replace(zone="x")).usable_quota(20.0, 0) == 0, "nobody's seat is there"
 
 
-def test_a_group_takes_no_more_than_its_bound() -> None:
+def test_group_size_is_bounded() -> None:
     bounds = HERE._replace(groups=1)
     one = core("n0", bounds)
     for turn in range(1, 150):
@@ -155,10 +155,10 @@
     assert len(one.members.view) == MAX_GROUP_MEMBERS and one.counts["members_refused"] == 149 - MAX_GROUP_MEMBERS
 
 
-# Sums.
+# Summaries.
 
 
-def test_sums_add_up_and_none_is_counted_twice() -> None:
+def test_summaries_add_up_and_none_is_counted_twice() -> None:
     one = core(names(0, 1)[0])
     peer = names(0, 2)[1]
     one.handle_datagram(
@@ -180,7 +180,7 @@
     assert [one.totals(1.0)[level].members for level in ("group", "zone", "region", "fleet")] == [2, 22, 102, 402]
 
 
-def test_a_stranger_tells_of_what_it_stands_in_and_of_nothing_else() -> None:
+def test_summaries_of_a_foreign_sender_count_only_for_its_own_location() -> None:
     one = core(names(0, 1)[0])
     abroad, near = HERE._replace(region="s", zone="q"), HERE._replace(zone="y")
     one.handle_datagram(
@@ -200,20 +200,20 @@
 
 
 @pytest.mark.parametrize("age, patience", [(0, 1.0), (40, 1.0), (0, 2.0)])
-def test_an_old_sum_counts_as_silent_and_never_grows_young_by_being_passed_on(age: int, patience: float) -> None:
+def test_stale_summary_counts_as_silent_and_relaying_never_makes_it_younger(age: int, patience: float) -> None:
     row = ReceivedSummary(total(ZONE, "y", 80), 10.0 - age / 10.0)
     last = 10.0 - age / 10.0 + patience * STALE_AFTER_S[ZONE]
     assert (row.total(last, patience).members, row.total(last + 0.1, patience).members) == (80, 0)
     assert (row.total(last + 0.1, patience).silent, row.total(last + 0.1, patience).most("acked")) == (80, 80.0)
     now, born, worn = 10.0, row.made_at, row
     for _ in range(50):  # passed on within 33 ms a hop, its age rounded down each time it would stay young
-        told = worn.relayed(now)
+        relayed = worn.relayed(now)
         now += 0.033
-        worn = ReceivedSummary(told, now - 0.033 - told.age_ds / 10.0)
-        assert worn.made_at <= born + 1e-6, "taken for newer than it is it would be told as news for ever"
+        worn = ReceivedSummary(relayed, now - 0.033 - relayed.age_ds / 10.0)
+        assert worn.made_at <= born + 1e-6, "taken for newer than it is, it would be sent as a change for ever"
 
 
-def test_an_earlier_sum_changes_nothing_and_who_missed_news_is_told_with_the_next_word() -> None:
+def test_earlier_summary_changes_nothing_and_a_missed_change_is_sent_with_the_next_message() -> None:
     one, peer = core(names(0, 1)[0]), names(0, 2)[1]
     one.handle_datagram(10.0, notice(peer, upward=SummaryMessage(summaries=[total(GROUP, "1/4", 20)])))
     one.handle_datagram(10.1, notice(peer, upward=SummaryMessage(summaries=[total(GROUP, "1/4", 25, age=30)])))
@@ -228,16 +228,16 @@
     assert row.peer_sends_left == 1
 
 
-def test_a_speaker_that_missed_news_of_a_group_is_answered_at_once() -> None:
-    """With the next word another group would hear it: 14 s passed in a zone of 16 groups until all knew of one."""
+def test_speaker_that_missed_a_change_is_answered_at_once() -> None:
+    """With the next message another group would hear it: it took 14 s in a zone of 16 groups until all knew of one change."""
     one, peer, other = core(names(0, 1)[0]), names(0, 2)[1], names(2, 1)[0]
     one.handle_datagram(10.0, notice(peer, upward=SummaryMessage(summaries=[total(GROUP, "1/4", 20)])))
     ages = bytearray(one.aggregation_tree.summaries.encode_ages(10.1))
     assert not one.handle_datagram(10.1, notice(other, upward=SummaryMessage("r", "z", "2/4", ages=bytes(ages))))
     ages[2 + 2 * 1 : 2 + 2 * 1 + 2] = 3, 12
     ((address, data),) = one.handle_datagram(10.5, notice(other, upward=SummaryMessage("r", "z", "2/4", ages=bytes(ages))))
-    told = words.decode_summary_message(words.decode(data, "f").summary_data)
-    assert address.startswith("10.0.0.2") and [(row.name, row.members) for row in told.summaries] == [("1/4", 20)]
+    decoded = wire.decode_summary_message(wire.decode(data, "f").summary_data)
+    assert address.startswith("10.0.0.2") and [(row.name, row.members) for row in decoded.summaries] == [("1/4", 20)]
 
 
 @pytest.mark.parametrize(
@@ -249,23 +249,23 @@
         msgspec.msgpack.encode(["r" * 400]),
     ],
 )
-def test_what_is_no_upward_is_counted_and_the_rest_of_the_letter_holds(upward: bytes) -> None:
+def test_invalid_summaries_are_counted_and_the_rest_of_the_message_is_used(upward: bytes) -> None:
     one, peer = core(names(0, 1)[0]), names(0, 2)[1]
     message = GossipMessage(
         1, "f", peer, "10.0.0.1:7900", 7, 0, "word", group_key=one.aggregation_tree.location.key, summary_data=upward
     )
-    one.handle_datagram(1.0, words.encode(message))
+    one.handle_datagram(1.0, wire.encode(message))
     assert one.aggregation_tree.counts["upward_unfit"] == 1 and one.members.alive() == [peer]
 
 
 @pytest.mark.parametrize("name", ["9/4", "x/4", "1", "1/900", "1/2/3"])
-def test_a_group_that_there_can_be_none_of_is_refused(name: str) -> None:
+def test_impossible_group_names_are_rejected(name: str) -> None:
     one, peer = core(names(0, 1)[0]), names(0, 2)[1]
     one.handle_datagram(1.0, notice(peer, upward=SummaryMessage(summaries=[total(GROUP, name, 20)], ages=b"\0" * 9)))
     assert not one.aggregation_tree.summaries.rows and one.aggregation_tree.counts["sums_refused"] == 1
 
 
-def test_more_zones_than_the_bound_are_refused_and_a_letter_stays_within_its_bytes() -> None:
+def test_number_of_zones_and_bytes_of_a_message_are_bounded() -> None:
     one, peer = core(names(0, 1)[0]), names(0, 2)[1]
     for turn in range(40):
         one.handle_datagram(
@@ -275,7 +275,7 @@
     assert len(one.aggregation_tree.composer.for_group(1.0)) <= MAX_SUMMARY_BYTES
 
 
-# Who speaks.
+# Speaker election.
 
 
 def group_of_five(now: float = 0.0) -> list[GossipNode]:
@@ -284,17 +284,17 @@
     return cores
 
 
-def test_one_speaks_and_when_it_dies_the_next_does() -> None:
+def test_one_member_speaks_and_its_standby_takes_over() -> None:
     cores = group_of_five()
     now = play(cores, 0.0, 6.0)
     assert sum(one.aggregation_tree.is_speaker(now) for one in cores) == 1
     dead = speaker_of(cores, now)
     left = [one for one in cores if one is not dead]
     now = play(left, now, now + 3.0)
-    assert sum(one.aggregation_tree.is_speaker(now) for one in left) == 1, "on the suspicion, before it is declared gone"
+    assert sum(one.aggregation_tree.is_speaker(now) for one in left) == 1, "on suspicion, before it is declared gone"
 
 
-def test_a_member_that_hears_few_and_one_that_just_started_speak_for_nobody() -> None:
+def test_isolated_and_just_started_members_do_not_speak() -> None:
     cores = group_of_five()
     now = play(cores, 0.0, 6.0)
     alone = speaker_of(cores, now)
@@ -304,8 +304,8 @@
     assert not fresh.aggregation_tree.is_speaker(later + SILENT_AFTER_START_S - 0.1)
 
 
-def test_who_spoke_before_does_not_tell_its_old_sum_as_new() -> None:
-    """A standby that had spoken told its sum of then with age 0: the fleet's sums went to and fro."""
+def test_former_speaker_does_not_present_its_old_summary_as_new() -> None:
+    """A standby that had spoken before sent its old summary with age 0: the totals of the fleet alternated."""
     cores = group_of_five()
     now = play(cores, 0.0, 6.0)
     speaker = speaker_of(cores, now)
@@ -313,7 +313,7 @@
     assert speaker.aggregation_tree.group_summary.current(now).age_ds >= 300
 
 
-# Histories.
+# Random histories.
 
 
 def settled(world: World, within: float = 45.0) -> bool:
@@ -333,7 +333,7 @@
         yield world
 
 
-def test_all_join_and_the_sums_count_them(joined: World) -> None:
+def test_all_members_join_and_are_counted(joined: World) -> None:
     speakers = joined.speakers()
     assert len(speakers) == 9, "one a group"
     for _ in range(20):  # views are one: the sums follow
@@ -344,7 +344,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_histories_by_chance(seed: int) -> None:
+def test_random_histories(seed: int) -> None:
     """Speakers die, stall, come in pairs, are cut from their group alone; one-way cuts: no living one declared gone by those
     that hear it, no total exceeded, all one again."""
     draw = random.Random(seed)
@@ -362,45 +362,45 @@
         assert not wrong, (script, wrong)
 
 
-# Planted defects: each guard is missed when it is taken out.
+# Planted defects: a test fails when its guard is removed.
 
 
-def test_missed_without_the_checks_of_suspects(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_suspects_are_probed_by_each_peer(monkeypatch: pytest.MonkeyPatch) -> None:
     """A suspect that none but one of its mates ever asked can't answer them: they hear of it by the others alone."""
     cores = group_of_five()
     now = play(cores, 0.0, 3.0)
     one, suspect = cores[0], cores[1]
-    one.members._set_state(now, one.members.view[suspect.name], words.SUSPECT, "told")
-    asked = [address for address, data in one.heartbeat(now + 0.25, BUSY) if words.decode(data, "f").kind == "ping"]
+    one.members._set_state(now, one.members.view[suspect.name], wire.SUSPECT, "told")
+    asked = [address for address, data in one.heartbeat(now + 0.25, BUSY) if wire.decode(data, "f").kind == "ping"]
     assert suspect.members.address in asked
     monkeypatch.setattr(PeerGroup, "_probe_suspects", lambda self, now: iter(()))
     one.members.ring_probed_at = one.members.random_probed_at = one.members.predecessor_probed_at = now + 10.0
-    asked = [address for address, data in one.heartbeat(now + 0.5, BUSY) if words.decode(data, "f").kind == "ping"]
+    asked = [address for address, data in one.heartbeat(now + 0.5, BUSY) if wire.decode(data, "f").kind == "ping"]
     assert suspect.members.address not in asked
 
 
-def test_a_check_tells_the_suspect_of_the_suspicion_and_it_tells_all_that_it_lives(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_probe_carries_the_suspicion_and_the_suspect_refutes_it_to_all_peers(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that answers and does not know that it is suspected refutes nothing, and is declared gone between two answers."""
     cores = group_of_five()
     now = play(cores, 0.0, 3.0)
     one, suspect = cores[0], cores[1]
 
     def doubted() -> list[str]:
-        one.members._set_state(now, one.members.view[suspect.name], words.SUSPECT, "told")
+        one.members._set_state(now, one.members.view[suspect.name], wire.SUSPECT, "told")
         one.members.suspect_probes.clear()
         for address, data in one.heartbeat(now, BUSY):
             if address == suspect.members.address:
                 suspect.handle_datagram(now, data)
-        return [address for address, data in suspect.heartbeat(now + 0.25, BUSY) if words.decode(data, "f").incarnation]
+        return [address for address, data in suspect.heartbeat(now + 0.25, BUSY) if wire.decode(data, "f").incarnation]
 
     with monkeypatch.context() as without:
         without.setattr(PeerGroup, "select_suspicion", lambda self, now, to: [])
-        without.setattr(PeerGroup, "select_updates", lambda self, *told, **more: [])
+        without.setattr(PeerGroup, "select_updates", lambda self, *args, **kwargs: [])
         assert not doubted() and suspect.members.incarnation == 0
     assert len(set(doubted())) >= 4 and suspect.members.incarnation == 1
 
 
-def test_two_parts_of_a_group_become_one_by_the_third_contact(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_parts_of_a_group_merge_through_the_third_contact(monkeypatch: pytest.MonkeyPatch) -> None:
     """A row names contacts of both parts; of two alone each part's speaker hears of itself again and again."""
     first, second = group_of_five()[:2], names(0, 5)[3:]
     other = core(names(1, 1)[0])
@@ -409,9 +409,9 @@
         sums = [total(GROUP, "0/4", members, 0, contacts)]
         other.handle_datagram(10.0 + members, notice(name, upward=SummaryMessage("r", "z", "0/4", summaries=sums)))
         other.aggregation_tree.summaries.rows[GROUP, "0/4"].made_at -= 1.0
-    told = other.aggregation_tree.summaries.rows[GROUP, "0/4"].relayed(13.0)
-    assert len(unpack_addresses(told.contacts)) == 3
-    assert first[0].members.address in unpack_addresses(told.contacts)
+    relayed = other.aggregation_tree.summaries.rows[GROUP, "0/4"].relayed(13.0)
+    assert len(unpack_addresses(relayed.contacts)) == 3
+    assert first[0].members.address in unpack_addresses(relayed.contacts)
 
 
 # Operator's file.
@@ -424,14 +424,14 @@
 """
 
 
-def told(*lines: str) -> object:
+def read_fleet_node(*lines: str) -> object:
     return operator.told(FLEET.format(more="\n".join(f"    {line}" for line in lines)))
 
 
-def test_where_a_member_stands_is_read() -> None:
-    fleet = told('zone "z1"', 'region "eu"', "groups 16", 'beyond "10.0.0.9:7300"').fleet
+def test_location_is_read_from_the_operators_file() -> None:
+    fleet = read_fleet_node('zone "z1"', 'region "eu"', "groups 16", 'beyond "10.0.0.9:7300"').fleet
     assert (fleet.zone, fleet.region, fleet.groups, fleet.beyond) == ("z1", "eu", 16, ("10.0.0.9:7300",))
-    assert told().fleet.zone == "" and locate(told().fleet, "n1") is None
+    assert read_fleet_node().fleet.zone == "" and locate(read_fleet_node().fleet, "n1") is None
 
 
 @pytest.mark.parametrize(
@@ -450,13 +450,13 @@
         ),
     ],
 )
-def test_a_place_told_by_half_is_named_with_its_line(lines: list[str], error: str) -> None:
+def test_error_names_the_line_of_an_incomplete_location(lines: list[str], error: str) -> None:
     with pytest.raises(operator.OperatorFileError) as caught:
-        told(*lines)
+        read_fleet_node(*lines)
     assert error in str(caught.value)
 
 
-def test_upkeep_beside_a_zone_is_refused() -> None:
+def test_maintenance_beside_a_zone_is_rejected() -> None:
     text = FLEET.format(more='    zone "z1"\n    region "eu"') + 'upkeep {\n    voters "n0"\n}\n'
     with pytest.raises(operator.OperatorFileError, match="upkeep.there is no order yet among members of several groups"):
         operator.told(text)
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -1,4 +1,4 @@
-"""What the module makes of the others' figures, how these are known, and what it hands over."""
+"""How the admission controller uses figures of other instances, how these are computed, and what it hands over."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from mulleinhatch.instance.gossip.messages import ALIVE, MemberUpdate, Report
 from mulleinhatch.instance.runtime import operator_file as operator
 
-OP_TYPES = [
+REQUEST_TYPES = [
     {"effect": effect, "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5, "repeat_window": 60.0}
     for effect in (Effect.RETRYABLE, Effect.NON_RETRYABLE, Effect.KEYED)
 ]
 
 
-class Told:
-    """A module with one core; runs end when the test says so."""
+class ControllerHarness:
+    """An admission controller with one core; runs complete when the test says so."""
 
     def __init__(self, **more: object) -> None:
-        self.hatch = AdmissionController(
+        self.controller = AdmissionController(
             {
-                "op_types": OP_TYPES,
+                "op_types": REQUEST_TYPES,
                 "cores": 1,
                 "tenants": [{"fraction": 1.0}],
                 "callers": 4,
@@ -41,45 +41,47 @@
         )
 
     def pull(self, now: float) -> list[Decision]:
-        return [decision for decision in iter(lambda: self.hatch.next_decision(now), None) if decision.verb is not Verb.WAKE]
+        return [
+            decision for decision in iter(lambda: self.controller.next_decision(now), None) if decision.verb is not Verb.WAKE
+        ]
 
     def read(
         self, now: float, ref: str, op_type: int = 0, work: float = 0.5, wait: float = 4.0, handed: bool = False
     ) -> list[tuple[Verb, str]]:
-        self.hatch.op_read(now, ref, op_type, 0.0, wait, 0, "", 1, work, 1.0, False)
+        self.controller.op_read(now, ref, op_type, 0.0, wait, 0, "", 1, work, 1.0, False)
         if handed:
-            self.hatch.came_handed(now, ref)
+            self.controller.came_handed(now, ref)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
     def ended(self, now: float, ref: str, ending: Ending = Ending.OK) -> list[tuple[Verb, str]]:
-        self.hatch.run_ended(now, ref, ending)
+        self.controller.run_ended(now, ref, ending)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
 
-def warm() -> Told:
-    """One that knows its pace: half a second a run."""
-    told = Told()
+def create_warm_harness() -> ControllerHarness:
+    """Return a controller that has measured its pace: half a second per run."""
+    harness = ControllerHarness()
     for turn in range(4):
-        told.read(0.5 * turn, f"w{turn}")
-        told.ended(0.5 * turn + 0.5, f"w{turn}")
-    told.read(2.0, "running")
-    return told
+        harness.read(0.5 * turn, f"w{turn}")
+        harness.ended(0.5 * turn + 0.5, f"w{turn}")
+    harness.read(2.0, "running")
+    return harness
 
 
-def test_nothing_is_handed_over_without_an_offer_nor_more_than_offered() -> None:
-    told = warm()
-    assert told.read(2.0, "a") == []
-    told.hatch.offers_told(2.0, 2)
-    assert [decision.ref for decision in told.pull(2.0)] == ["a"]
-    assert told.read(2.0, "b") == [(Verb.HAND, "b")] and told.read(2.0, "c") == []
+def test_no_more_is_handed_over_than_offered() -> None:
+    harness = create_warm_harness()
+    assert harness.read(2.0, "a") == []
+    harness.controller.offers_told(2.0, 2)
+    assert [decision.ref for decision in harness.pull(2.0)] == ["a"]
+    assert harness.read(2.0, "b") == [(Verb.HAND, "b")] and harness.read(2.0, "c") == []
 
 
 @pytest.mark.parametrize("op_type, handed", [(2, False), (0, True)], ids=["keyed", "came from a peer"])
-def test_what_stays(op_type: int, handed: bool) -> None:
-    told = warm()
-    told.hatch.offers_told(2.0, 5)
-    assert (Verb.HAND, "a") not in told.read(2.0, "a", op_type, handed=handed)
-    assert (Verb.HAND, "b") in told.read(2.0, "b")
+def test_requests_that_are_not_handed_over(op_type: int, handed: bool) -> None:
+    harness = create_warm_harness()
+    harness.controller.offers_told(2.0, 5)
+    assert (Verb.HAND, "a") not in harness.read(2.0, "a", op_type, handed=handed)
+    assert (Verb.HAND, "b") in harness.read(2.0, "b")
 
 
 @pytest.mark.parametrize(
@@ -94,67 +96,67 @@
         (1, Ending.FULL, "held"),
     ],
 )
-def test_what_becomes_of_an_op_at_a_peer(op_type: int, ending: Ending, then: str) -> None:
+def test_outcome_of_a_request_at_a_peer(op_type: int, ending: Ending, then: str) -> None:
     """A link that broke tells nothing: what may not run twice is over here, what may runs here, and none goes on again."""
-    told = warm()
-    told.hatch.offers_told(2.0, 5)
-    assert told.read(2.0, "a", op_type) == [(Verb.HAND, "a")]
-    told.hatch.hand_ended(2.1, "a", ending)
-    assert told.pull(2.1) == [] and ("a" in told.hatch.ops) is (then == "held")
+    harness = create_warm_harness()
+    harness.controller.offers_told(2.0, 5)
+    assert harness.read(2.0, "a", op_type) == [(Verb.HAND, "a")]
+    harness.controller.hand_ended(2.1, "a", ending)
+    assert harness.pull(2.1) == [] and ("a" in harness.controller.ops) is (then == "held")
     if then == "held":
-        assert told.ended(2.4, "running") == [(Verb.RUN, "a")]
+        assert harness.ended(2.4, "running") == [(Verb.RUN, "a")]
 
 
-def test_an_op_at_a_peer_is_given_up_in_time_and_never_nacked() -> None:
-    told = warm()
-    told.hatch.offers_told(2.0, 5)
-    told.read(2.0, "a", 1, wait=1.0)
-    told.hatch.woken(2.98, 0, ())
-    assert (Verb.FAIL, "a") in [(decision.verb, decision.ref) for decision in told.pull(2.98)]
-    told.hatch.hand_ended(3.0, "a", Ending.OK)
-    assert told.pull(3.0) == []
+def test_request_at_a_peer_times_out_and_is_never_rejected() -> None:
+    harness = create_warm_harness()
+    harness.controller.offers_told(2.0, 5)
+    harness.read(2.0, "a", 1, wait=1.0)
+    harness.controller.woken(2.98, 0, ())
+    assert (Verb.FAIL, "a") in [(decision.verb, decision.ref) for decision in harness.pull(2.98)]
+    harness.controller.hand_ended(3.0, "a", Ending.OK)
+    assert harness.pull(3.0) == []
 
 
-def test_one_that_leaves_hands_over_what_it_holds() -> None:
-    told = Told()
-    told.read(0.0, "running")
-    told.read(0.0, "a", work=0.01)
-    told.hatch.offers_told(0.1, 3)
-    assert told.pull(0.1) == []  # a short line is not worth it
-    told.hatch.leave_notice(0.2, 2.5)
-    assert (Verb.HAND, "a") in [(decision.verb, decision.ref) for decision in told.pull(0.2)]
+def test_leaving_instance_hands_over_its_queue() -> None:
+    harness = ControllerHarness()
+    harness.read(0.0, "running")
+    harness.read(0.0, "a", work=0.01)
+    harness.controller.offers_told(0.1, 3)
+    assert harness.pull(0.1) == []  # a short queue is not worth a handover
+    harness.controller.leave_notice(0.2, 2.5)
+    assert (Verb.HAND, "a") in [(decision.verb, decision.ref) for decision in harness.pull(0.2)]
 
 
-def test_a_cap_over_the_fleet_bounds_what_runs_and_ends_with_its_piece() -> None:
-    told = Told(cores=4)
-    told.hatch.part_told(0.0, 0, 0.0, [(1.0, 1e9), (1.0, 2.6)])
-    runs = [told.read(0.0, ref) for ref in "abc"]
+def test_quota_limits_concurrent_runs_until_its_lease_expires() -> None:
+    harness = ControllerHarness(cores=4)
+    harness.controller.part_told(0.0, 0, 0.0, [(1.0, 1e9), (1.0, 2.6)])
+    runs = [harness.read(0.0, ref) for ref in "abc"]
     assert runs == [[(Verb.RUN, "a")], [(Verb.RUN, "b")], []]
-    assert told.ended(0.5, "a") == [(Verb.RUN, "c")]
-    told.ended(0.5, "b")
-    told.ended(1.0, "c")
-    # What is borrowed is over before a run of now would be.
-    assert told.read(1.8, "d") == [(Verb.RUN, "d")] and told.read(1.8, "e") == []
-    assert told.ended(2.3, "d") == [(Verb.RUN, "e")]
-
-
-def test_the_others_word_on_health_room_and_retries() -> None:
-    told = Told(advice=Advice.FLOOR)
-    told.hatch.others_told(0.0, 0.5, True, 3.0, 0.3)
-    told.hatch.storm_told(0.2, True, 0.1)
-    said = {decision.verb: decision for decision in told.pull(0.2)}
+    assert harness.ended(0.5, "a") == [(Verb.RUN, "c")]
+    harness.ended(0.5, "b")
+    harness.ended(1.0, "c")
+    # The lease expires before a run that starts now would complete.
+    assert harness.read(1.8, "d") == [(Verb.RUN, "d")] and harness.read(1.8, "e") == []
+    assert harness.ended(2.3, "d") == [(Verb.RUN, "e")]
+
+
+def test_reports_of_peers_on_health_capacity_and_retries() -> None:
+    harness = ControllerHarness(advice=Advice.FLOOR)
+    harness.controller.others_told(0.0, 0.5, True, 3.0, 0.3)
+    harness.controller.storm_told(0.2, True, 0.1)
+    said = {decision.verb: decision for decision in harness.pull(0.2)}
     assert not said[Verb.HEALTH].flag and said[Verb.HEAR].level <= 3.0
-    told = Told(advice=Advice.FLOOR)
-    told.hatch.others_told(0.0, 0.02, False, 1e9, 0.3)
-    assert {decision.verb: decision for decision in told.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
-    told.read(0.2, "running", wait=3.0)
-    told.read(0.2, "held", wait=1.0)
-    told.hatch.leave_notice(0.3, 0.1)  # nothing is free elsewhere: nobody else is to be asked, either
-    nacks = [decision for decision in told.pull(0.3) if decision.verb is Verb.NACK]
-    assert [(nack.ref, nack.flag) for nack in nacks] == [("held", True)]
+    harness = ControllerHarness(advice=Advice.FLOOR)
+    harness.controller.others_told(0.0, 0.02, False, 1e9, 0.3)
+    assert {decision.verb: decision for decision in harness.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
+    harness.read(0.2, "running", wait=3.0)
+    harness.read(0.2, "held", wait=1.0)
+    harness.controller.leave_notice(0.3, 0.1)  # nothing is free elsewhere: the caller should not try other instances, either
+    rejections = [decision for decision in harness.pull(0.3) if decision.verb is Verb.NACK]
+    assert [(rejection.ref, rejection.flag) for rejection in rejections] == [("held", True)]
 
 
-def test_free_places_count_by_their_poor_end() -> None:
+def test_free_fraction_is_a_lower_bound() -> None:
     counts = FleetCounters(10)
     for name, at in (("a", 10.0), ("b", 10.0), ("c", 5.0)):
         counts.record(at, Report(name, 1, 1, 0.0, [0, 0, 0, 0, 2, 3, 50, 1, 0, 5]))
@@ -162,27 +164,27 @@
     assert counts.free_fraction(10.0, {"a", "b", "c", "d", "e", "f"}) == -1.0 and counts.free_fraction(10.0, set()) == -1.0
 
 
-def test_a_shorter_report_of_an_older_version_counts_for_what_it_tells() -> None:
+def test_shorter_report_of_an_older_version_counts() -> None:
     counts = FleetCounters(10)
     assert counts.record(1.0, Report("a", 1, 1, 0.0, [0, 0, 0, 0, 2, 3, 50, 1]))
     assert counts.total(1.0, "held").least == 2.0 and counts.total(1.0, "room").least == 0.0
     assert not counts.record(1.0, Report("b", 1, 1, 0.0, [1] * 7)) and len(FIGURES) > 8
 
 
-def test_the_loudest_are_found_among_a_hundred_thousand_made_up_names() -> None:
+def test_heavy_hitters_are_found_among_invented_names() -> None:
     """Nobody that asks for more than a part in `room` is missed, and room stays bounded whoever makes names up."""
-    draw, loudest, true = random.Random(3), HeavyHitters(64), Counter()
+    draw, hitters, true = random.Random(3), HeavyHitters(64), Counter()
     for number in range(60_000):
         name = draw.choice(("loud", "loud", "also", "third")) if draw.random() < 0.4 else f"made up {draw.randrange(100_000)}"
         true[name] += 1
-        loudest.add(number / 10_000.0, name)
-    most = loudest.top(6.0, 3)
+        hitters.add(number / 10_000.0, name)
+    most = hitters.top(6.0, 3)
     assert [loud.name for loud in most][0] == "loud" and {loud.name for loud in most} == {"loud", "also", "third"}
-    assert len(loudest.counts) <= 64 and most[0].rate == pytest.approx(2000.0, rel=0.15)
-    assert loudest.top(60.0, 3) == [], "who fell silent is forgotten"
+    assert len(hitters.counts) <= 64 and most[0].rate == pytest.approx(2000.0, rel=0.15)
+    assert hitters.top(60.0, 3) == [], "a tenant without further requests is forgotten"
 
 
-def test_a_member_whose_probes_fail_is_judged_by_many_and_by_nobody_that_hears_little() -> None:
+def test_member_whose_probes_fail_is_judged_by_several_observers() -> None:
     bounds = FleetBounds("f")
     fleet = GossipNode(bounds, "a", "10.0.0.1:0", 5, 1, 0.0)
     for name in ("b", "c", "d", "e", "x"):
@@ -211,6 +213,6 @@
     assert (bool(bounds.tenant), bounds.retries, bounds.window) == (kind == "cap", kind == "retries", float(kind == "retries"))
 
 
-def test_a_seed_by_name_is_refused() -> None:
+def test_seed_with_a_host_name_is_rejected() -> None:
     with pytest.raises(operator.OperatorFileError, match=":4: fleet.seeds"):
         operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n seeds "some.host:7300"\n}')
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Even load: pure parts, histories in virtual time with faults, and real processes that hand ops to each other."""
+"""Load balancing: pure parts, histories in virtual time with faults, and real processes that hand over requests."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 @given(
     st.lists(st.tuples(st.sampled_from(("give", "came", "late", "wait")), st.integers(0, 6), st.integers(0, 20)), max_size=60)
 )
-def test_never_more_offers_than_room_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
+def test_never_more_offers_than_free_slots(steps: list[tuple[str, int, int]]) -> None:
     giver, now = OfferIssuer(0.3, 8, 1), 0.0
     for what, amount, other in steps:
         if what == "give":
@@ -44,22 +44,22 @@
         elif what == "came":
             giver.redeem(now, other)
         elif what == "late":
-            giver.redeem(now, 10**6)  # an offer of an earlier life
+            giver.redeem(now, 10**6)  # an offer of an earlier process
         now += 0.1 * (what == "wait")
 
 
-def test_an_offer_is_used_once_and_a_repeated_datagram_brings_none() -> None:
+def test_offer_is_used_once_and_a_repeated_datagram_adds_none() -> None:
     taker = OfferReceiver(1)
     for _ in range(3):
         taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 5, 0.3))
-    taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 4, 0.3))  # swapped on the way
+    taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 4, 0.3))  # reordered on the way
     assert taker.take(0.1).number == 5 and taker.take(0.1) is None
     taker.on_peer_restart("a")
     taker.receive(0.2, ReceivedOffer("a", "127.0.0.1:1", 1, 0.2 + 0.3))
     assert taker.count(0.3) == 1 and taker.count(0.51) == 0
 
 
-def test_a_peer_that_broke_off_rests_and_returns() -> None:
+def test_unreachable_peer_is_avoided_for_a_while() -> None:
     taker = OfferReceiver(1)
     taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 1, 9.0))
     taker.record_outcome(0.1, "a", is_bad=True, is_unreachable=True)
@@ -69,8 +69,8 @@
     assert taker.count(4.0) == 1
 
 
-def test_few_runs_are_drawn_to_the_like_and_beat_the_own_window() -> None:
-    """At three runs a window the drawn figure is far nearer to the truth than the own mean, at hundreds it is no worse."""
+def test_shrunk_estimate_is_better_than_the_own_mean_with_few_runs() -> None:
+    """With three runs per window the estimate is far closer to the truth than the own mean, with hundreds it is no worse."""
     draw = random.Random(4)
     for runs, better in ((3, 0.75), (300, 1.02)):
         own_error = drawn_error = 0.0
@@ -88,7 +88,7 @@
         assert drawn_error <= better * own_error, (runs, drawn_error / own_error)
 
 
-def test_an_estimate_has_a_range_that_narrows() -> None:
+def test_range_of_an_estimate_narrows() -> None:
     widths = []
     for count in (0.0, 1.0, 10.0, 100.0):
         estimate = shrink_towards_mean(5.0, Evidence(count, 3.0 if count else 0.0, 4.0), 0.5, 2.0, 0.5)
@@ -99,31 +99,31 @@
 
 
 @pytest.mark.parametrize("heeds", [0.0, 0.3, 0.8, 1.0])
-def test_shares_settle_whoever_heeds_them(heeds: float) -> None:
-    """Twelve, four of them asked twice as much: what all say comes to rest, in bounded steps, and the load evens out."""
+def test_redirects_converge_however_many_callers_comply(heeds: float) -> None:
+    """Twelve instances, four with twice the load: the fractions converge in bounded steps, and the load evens out."""
     asked = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
     shares = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
     wishes, history = [0.0] * 12, []
-    for beat in range(900):
+    for turn in range(900):
         leaves = [heeds * wish * load for wish, load in zip(wishes, asked)]
         loads = [0.6 * (load - gone + sum(leaves) / 12) for load, gone in zip(asked, leaves)]
         fleet = sum(loads) / 12
-        before, wishes = wishes, [share.update(0.1 * beat, LoadObservation(load, fleet)) for share, load in zip(shares, loads)]
+        before, wishes = wishes, [share.update(0.1 * turn, LoadObservation(load, fleet)) for share, load in zip(shares, loads)]
         assert all(abs(new - old) <= 0.05 + 1e-9 for new, old in zip(wishes, before))
         history.append((max(loads), sum(abs(new - old) for new, old in zip(wishes, before))))
-    assert sum(moved for _, moved in history[-100:]) < 0.1, "it goes on moving"
+    assert sum(moved for _, moved in history[-100:]) < 0.1, "the fractions keep changing"
     if heeds >= 0.8:
         assert history[-1][0] < 1.15 * fleet < history[0][0]
 
 
-def test_one_that_returns_opens_by_its_pace_and_all_open_when_nobody_is_heard() -> None:
+def test_started_instance_redirects_less_as_it_warms_up() -> None:
     share = RedirectController(0.05, 0.5, 1, 0.0, is_warming_up=True)
-    assert [share.update(0.1 * beat, LoadObservation(0.2, 0.8, 3.0)) for beat in range(50)][-1] == 0.5
-    opened = [share.update(5.0 + 0.1 * beat, LoadObservation(0.2, 0.8, 1.1)) for beat in range(200)]
+    assert [share.update(0.1 * turn, LoadObservation(0.2, 0.8, 3.0)) for turn in range(50)][-1] == 0.5
+    opened = [share.update(5.0 + 0.1 * turn, LoadObservation(0.2, 0.8, 1.1)) for turn in range(200)]
     assert opened[-1] == 0.0 and opened[3] > 0.3
 
 
-def test_the_request_to_a_peer_is_one_that_the_own_reader_takes() -> None:
+def test_request_to_a_peer_is_parsed_by_the_own_reader() -> None:
     pieces = http.handed("00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1")
     reader = http.RequestReader()
     data = b"".join(pieces)
@@ -144,23 +144,23 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
     ],
 )
-def test_a_peers_answer_that_is_none(head: bytes) -> None:
+def test_invalid_response_of_a_peer_is_rejected(head: bytes) -> None:
     with pytest.raises(ValueError):
         http.answer_told(head)
 
 
-def test_the_spread_node_wants_a_fleet_and_names_the_faulty_line() -> None:
+def test_load_balancing_requires_a_fleet_and_errors_name_the_line() -> None:
     with pytest.raises(operator.OperatorFileError, match=":1: spread: wants a fleet"):
         operator.told("spread {\n}")
     with pytest.raises(operator.OperatorFileError, match=":6: spread.ofer-for: no such key"):
         operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
 
 
-# Virtual time: one answer an op, no non-retryable op run twice and offers within room are checked at each step.
+# Virtual time: each step checks one answer per request, no second run of a non-retryable one, and offers within the free slots.
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_histories_by_chance(seed: int) -> None:
+def test_random_histories(seed: int) -> None:
     draw = random.Random(seed)
     instances = draw.choice((3, 5, 8, 12))
     script = weather(draw, instances, 5.0, 4.0)
@@ -174,44 +174,44 @@
     until = max(12.0, faults.end_of(faults.read(script, instances)) + 3.0)
     world = SpreadWorld(Plan(instances, script, until=until, seed=seed), load).play()
     assert world.in_time > 0.0
-    owed = [ref for node in world.nodes if node.core for ref, op in node.reducer.owed.items() if op.place is not None]
-    assert not owed, "ops that nobody answered"
+    owed = [ref for node in world.nodes if node.core for ref, request in node.reducer.owed.items() if request.place is not None]
+    assert not owed, "requests that nobody answered"
 
 
-def test_load_of_two_busy_callers_comes_near_one_common_line() -> None:
+def test_load_balancing_comes_close_to_one_common_queue() -> None:
     plan, load = Plan(12, until=13.0, seed=2), Load(0.85, callers=4, uneven=3.0, listed=3)
     alone, spread = (SpreadWorld(plan, load, mode).play().figures() for mode in ("alone", "spread"))
     assert spread["in_time"] >= 0.97 * common_queue(plan, load)["in_time"] > alone["in_time"] + 0.02
     assert spread["idle_needed"] < 0.5 * alone["idle_needed"] and spread["most_over_mean"] < 3.0
 
 
-def test_the_freshest_report_herds_and_offers_do_not() -> None:
+def test_choosing_the_freshest_report_herds_and_offers_do_not() -> None:
     plan, load = Plan(16, until=10.0, seed=3), Load(1.0, callers=8, cores=1)
     freshest, spread = (SpreadWorld(plan, load, mode).play() for mode in ("freshest", "spread"))
     assert freshest.handed["full"] > 5 * max(1, spread.handed["full"])
     assert freshest.figures()["most_over_mean"] > 1.2 * spread.figures()["most_over_mean"]
 
 
-def test_a_black_hole_draws_little() -> None:
+def test_failing_instance_attracts_few_requests() -> None:
     plan, load = Plan(12, "at 5 failing 0,6 1.0 for 20", until=14.0, seed=4), Load(0.8, callers=6)
-    chance, spread = (SpreadWorld(plan, load, mode).play() for mode in ("random", "spread"))
-    assert spread.handed["error"] < 0.5 * chance.handed["error"]
+    random_mode, spread = (SpreadWorld(plan, load, mode).play() for mode in ("random", "spread"))
+    assert spread.handed["error"] < 0.5 * random_mode.handed["error"]
 
 
-def test_one_that_leaves_gives_its_ops_away_and_loses_none() -> None:
+def test_leaving_instance_hands_over_its_requests_and_loses_none() -> None:
     plan, load = Plan(6, "at 6 leave 0,1", until=12.0, seed=5), Load(0.5, callers=3, listed=2, heeding=0.0)
     world = SpreadWorld(plan, load).play()
     assert world.counts["broken"] == 0 and world.handed["ok"] > 0
 
 
-def test_a_cut_between_giver_and_taker_fails_what_may_not_run_twice() -> None:
+def test_partition_during_handover_fails_what_must_not_run_twice() -> None:
     plan = Plan(8, "at 5 cut 0-3 from 4-7 for 3", until=12.0, seed=6)
     world = SpreadWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
     assert world.handed["interrupted"] + world.handed["unreachable"] > 0
     assert not [number for number in world.once if world.ran[number] > 1]
 
 
-def test_without_hand_over_nothing_passes_but_fleet_state() -> None:
+def test_without_handover_no_request_is_passed() -> None:
     world = SpreadWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
     assert not world.handed and not any(node.spread.offer_issuer.counts["offers_given"] for node in world.nodes)
 
@@ -219,7 +219,7 @@
 # Processes.
 
 
-def test_processes_hand_over_through_a_stall_and_a_failing_peer(tmp_path: Path) -> None:
+def test_processes_hand_over_with_a_paused_and_a_failing_peer(tmp_path: Path) -> None:
     """Six real ones, two of them asked half as much again as they can do: the rest take it. A stalled taker, one that fails
     all it runs, one that leaves: no sign-off runs twice, no answer is lost or a stranger's."""
     keep_environment()
@@ -235,28 +235,28 @@
     )
 
     async def play() -> tuple[dict, list[Counter[str]], dict]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await rig.go()
-            await rig.until(8.7)
-            counts = [Counter(await node.counters()) for node in rig.nodes]
-            views = await rig.views()
-            return await rig.finish(), counts, views
-
-    told, counts, views = asyncio.run(asyncio.wait_for(play(), 60.0))
+        async with FleetRig(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: whole(views, names), 15.0) is not None
+            await harness.go()
+            await harness.until(8.7)
+            counts = [Counter(await node.counters()) for node in harness.nodes]
+            views = await harness.views()
+            return await harness.finish(), counts, views
+
+    results, counts, views = asyncio.run(asyncio.wait_for(play(), 60.0))
     assert views["n2"]["spread"]["places"] >= 2 and len(views["n2"]["carried"]) == 5
     busy, free = counts[0] + counts[1], counts[2] + counts[3] + counts[4] + counts[5]
     assert busy["decided_hand"] > 40 and free["ops_from_peers"] > 40 and free["offers_given"] > 40
     assert not any(count["spread_errors_inside"] + count["errors_inside"] + count["fleet_errors_inside"] for count in counts)
     ran = Counter[str]()
-    for host in told["ran"]:
+    for host in results["ran"]:
         ran.update(host["signoffs"])
     assert ran and max(ran.values()) == 1, [name for name, count in ran.items() if count > 1]
     asked = in_time = 0
-    for stub in told["stubs"]:
-        assert stub["counts"]["wrong"] == 0 and stub["counts"]["unanswered"] <= 8, stub["counts"]
-        asked, in_time = asked + sum(stub["first"].values()), in_time + sum(stub["in_time"].values())
+    for client in results["stubs"]:
+        assert client["counts"]["wrong"] == 0 and client["counts"]["unanswered"] <= 8, client["counts"]
+        asked, in_time = asked + sum(client["first"].values()), in_time + sum(client["in_time"].values())
     # Alone the two can serve 40 of their 60 a second: 0.75 of all; a stall, a failing one and a leave cost the rest.
-    assert in_time > 0.8 * asked, (in_time, asked, told["stubs"][0]["counts"])
+    assert in_time > 0.8 * asked, (in_time, asked, results["stubs"][0]["counts"])
     assert LoadBalancingBounds().hand_over
