--- a/mulleinhatch/instance/gossip/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -185,7 +185,7 @@
     def _on_probe_failed(self, now: float, member: Member) -> None:
         self.counts["probes_failed"] += 1
         if member.state == ALIVE and not self.heard_lately(now, member.name):
-            self._set_state(now, member, SUSPECT, "no answer to us")
+            self._set_state(now, member, SUSPECT, "no answer to probes")
             self.counts["suspected"] += 1
 
     def _judge_own_connectivity(self, now: float) -> None:
@@ -291,13 +291,13 @@
         is_suspicion = update.state == SUSPECT and now >= self.ignores_suspicions_until
         member.since = now - update.age_s if is_suspicion else now
         if previous != update.state:
-            self.changes.append(MembershipChange(update.name, STATES[update.state], "told"))
+            self.changes.append(MembershipChange(update.name, STATES[update.state], "reported by another member"))
 
     def _add_member(self, now: float, update: MemberUpdate) -> None:
         if update.state <= SUSPECT:
             self.view[update.name] = Member(update, now)
             self.updates.add(update.name)
-            self.changes.append(MembershipChange(update.name, STATES[update.state], "told"))
+            self.changes.append(MembershipChange(update.name, STATES[update.state], "reported by another member"))
 
     def _apply_known_suspicion(self, now: float, member: Member, update: MemberUpdate) -> None:
         """Take over the earlier start of a suspicion that is known already."""
--- a/mulleinhatch/instance/gossip/peer_groups.py
+++ b/mulleinhatch/instance/gossip/peer_groups.py
@@ -21,7 +21,7 @@
 GONE_CONTACT_INTERVAL_S = 4.0
 SUSPECT_PROBE_DELAYS_S = (0.0, 1.2)  # after the start of a suspicion, when each peer probes the suspect itself
 REFUTATION_HEARTBEATS = 2  # heartbeats at which a member that refutes a suspicion notifies all peers
-MOVED = "moved"
+MOVED = "restarted in another group"
 
 
 class PeerGroup(Membership):
