--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -17,7 +17,7 @@
 
 slopes    each cost (bytes and datagrams sent and received with UDP/IP headers, CPU, state by kind, memory) at four sizes,
           fitted as constant, line or logarithm, whichever is off least, and set out at the full size
-full      the full size played as a whole, calm: the fits must meet it within 15%. Flat, more than MOST_MEMBERS are refused:
+full      the full size played as a whole, calm: the fits must meet it within 15%. Flat, more than MAX_MEMBERS are refused:
           then the fits are checked at that many, or at 200 with --quick
 events    each: time until known to the members that hold the dead one and in the sums of the other zones, living ones declared
           gone, most bytes, time until views and sums are one again
@@ -50,7 +50,7 @@
 from rich.table import Table
 
 from benchmarks import fits, records
-from mulleinhatch.instance.gossip.core import MOST_MEMBERS
+from mulleinhatch.instance.gossip.core import MAX_MEMBERS
 from mulleinhatch.simulation.scale_checks import in_sums, known_after, traffic_of
 from mulleinhatch.simulation.scale_instances import (
     RACK,
@@ -94,7 +94,7 @@
         full, events = (min(members, 1800), 225) if quick else (members, members)
     else:
         steps = [25, 50, 100, 150] if quick else [25, 100, 200, 400]
-        full, events = min(members, 200 if quick else MOST_MEMBERS), 27 if quick else 225
+        full, events = min(members, 200 if quick else MAX_MEMBERS), 27 if quick else 225
     small = [step for step in steps if step < full] or [full]
     # Flat, all know each other from the start: who started late would be declared gone by those who wait for it.
     start = 0.1 if not levels else 3.0 if quick else 60.0
@@ -236,8 +236,8 @@
 
     def play_full(self) -> None:
         members, told = self.told.sizes.checked, self.told
-        if not told.levels and told.members > MOST_MEMBERS:
-            self.notes.append(f"refused: a flat fleet holds {MOST_MEMBERS} members, so {told.members} cannot be played")
+        if not told.levels and told.members > MAX_MEMBERS:
+            self.notes.append(f"refused: a flat fleet holds {MAX_MEMBERS} members, so {told.members} cannot be played")
             self.judge("full", {f"{told.members} members in one fleet": False})
         if members < told.members:
             self.notes.append(f"played as a whole: {members} of {told.members}")
--- a/mulleinhatch/instance/gossip/core.py
+++ b/mulleinhatch/instance/gossip/core.py
@@ -31,13 +31,13 @@
 )
 from mulleinhatch.instance.gossip.summary_table import Total
 
-MOST_MEMBERS = 1000
+MAX_MEMBERS = 1000
 JUDGE_INTERVAL_S = 0.5
 MAX_SUBJECT_LENGTH = 40
 TREE_SEED_OFFSET = 5  # so that the tree does not repeat the membership's random sequence
 MessageListener = Callable[[float, GossipMessage], None]
 
-__all__ = ["MOST_MEMBERS", "GossipNode", "LocalState", "interpreter_of"]
+__all__ = ["MAX_MEMBERS", "GossipNode", "LocalState", "interpreter_of"]
 
 
 def interpreter_of(name: str) -> str:
@@ -71,7 +71,7 @@
         self.bounds = bounds = with_grouped_timing(bounds) if location else bounds
         self.name = name
         self.counts: Counter[str] = Counter()
-        self.max_members = MAX_GROUP_MEMBERS if location else MOST_MEMBERS
+        self.max_members = MAX_GROUP_MEMBERS if location else MAX_MEMBERS
         self.members: Membership = (PeerGroup if location else Membership)(name, address, process_epoch, bounds, seed, now)
         self.fleet_counters = FleetCounters(self.max_members, bounds.fresh_for_s)
         self.own_counters = FleetCounters(1)  # the own reports as others see them
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -218,8 +218,8 @@
         ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = "json"', r"no module of mulleinhatch"),
         ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = ""', r"mechanism: missing"),
         (
-            'bound = "mulleinhatch.instance.gossip.core:MOST_MEMBERS"',
-            'bound = "mulleinhatch.instance.gossip.core:MOST"',
+            'bound = "mulleinhatch.instance.gossip.core:MAX_MEMBERS"',
+            'bound = "mulleinhatch.instance.gossip.core:MAX"',
             r"is no number",
         ),
         ('bound = "control_core"', 'bound = "control_cores"', r"no module of mulleinhatch"),
