--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -55,7 +55,7 @@
         self.offer_issuer = OfferIssuer(bounds.offer_for, bounds.most_offers, seed)
         self.offer_receiver = OfferReceiver(seed + RECEIVER_SEED_OFFSET)
         self.redirects = RedirectController(bounds.step, bounds.step_every, seed + REDIRECT_SEED_OFFSET, now, returns)
-        self.statistics = LoadStatistics(fleet, now)
+        self.statistics = LoadStatistics(fleet.members, fleet.fleet_counters, now)
         self.needs: dict[str, tuple[int, float]] = {}  # by member: pending requests, and when it reported them
         self.peer_epochs: dict[str, int] = {}
         self.guesses_sent: dict[str, list[float]] = {}  # by member: when a request was sent there on a guess
--- a/mulleinhatch/instance/load_balancing/load_statistics.py
+++ b/mulleinhatch/instance/load_balancing/load_statistics.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mulleinhatch.instance.gossip.core import GossipNode
-from mulleinhatch.instance.gossip.counters import MemberFigures
+from mulleinhatch.instance.gossip.counters import FleetCounters, MemberFigures
+from mulleinhatch.instance.gossip.members import Membership
 from mulleinhatch.instance.gossip.messages import SUSPECT
 from mulleinhatch.instance.load_balancing.estimates import (
     EULER,
@@ -28,12 +28,13 @@
     """Measurements of this instance, and estimates that combine them with reports of others.
 
     Args:
-        fleet: gives the reports.
+        members: who is there.
+        fleet_counters: their reports.
         now: seconds of the caller's clock.
     """
 
-    def __init__(self, fleet: GossipNode, now: float) -> None:
-        self.fleet, self.started_at = fleet, now
+    def __init__(self, members: Membership, fleet_counters: FleetCounters, now: float) -> None:
+        self.members, self.fleet_counters, self.started_at = members, fleet_counters, now
         self.pace, self.loads = DecayingWindow(PACE_MEMORY_S), DecayingWindow(LOAD_MEMORY_S)
         self.failures = DecayingWindow(PACE_MEMORY_S)
 
@@ -69,8 +70,7 @@
     def observe(self, now: float, slots: int) -> LoadObservation:
         """Return the own load and the fleet's, which is unknown without reports of half of the members."""
         rows = self._fresh_rows(now)
-        members = self.fleet.members
-        if members.frozen or 2 * len(rows) < len(members.alive()) or not rows:
+        if self.members.frozen or 2 * len(rows) < len(self.members.alive()) or not rows:
             return LoadObservation(0.0, -1.0)
         loads = [_evidence_of(row, "load_ops", "load") for row in rows]
         mean, deviation = estimate_population(loads, LOAD_SCATTER)
@@ -89,7 +89,7 @@
         return estimate_population([_evidence_of(row, "pace_runs", "pace") for row in rows], SCATTER)
 
     def _fresh_rows(self, now: float) -> list[MemberFigures]:
-        counters, view = self.fleet.fleet_counters, self.fleet.members.view
+        counters, view = self.fleet_counters, self.members.view
         return [
             row
             for name, row in counters.rows.items()
