--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -35,38 +35,38 @@
     st.lists(st.tuples(st.sampled_from(("give", "came", "late", "wait")), st.integers(0, 6), st.integers(0, 20)), max_size=60)
 )
 def test_never_more_offers_than_free_slots(steps: list[tuple[str, int, int]]) -> None:
-    giver, now = OfferIssuer(0.3, 8, 1), 0.0
+    issuer, now = OfferIssuer(0.3, 8, 1), 0.0
     for what, amount, other in steps:
         if what == "give":
-            before = giver.outstanding(now)
-            given = giver.issue(now, amount, {"a": other, "b": 3})
-            assert len(given) <= max(0, amount - before) and giver.outstanding(now) == before + len(given)
+            before = issuer.outstanding(now)
+            given = issuer.issue(now, amount, {"a": other, "b": 3})
+            assert len(given) <= max(0, amount - before) and issuer.outstanding(now) == before + len(given)
         elif what == "came":
-            giver.redeem(now, other)
+            issuer.redeem(now, other)
         elif what == "late":
-            giver.redeem(now, 10**6)  # an offer of an earlier process
+            issuer.redeem(now, 10**6)  # an offer of an earlier process
         now += 0.1 * (what == "wait")
 
 
 def test_offer_is_used_once_and_a_repeated_datagram_adds_none() -> None:
-    taker = OfferReceiver(1)
+    receiver = OfferReceiver(1)
     for _ in range(3):
-        taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 5, 0.3))
-    taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 4, 0.3))  # reordered on the way
-    assert taker.take(0.1).number == 5 and taker.take(0.1) is None
-    taker.on_peer_restart("a")
-    taker.receive(0.2, ReceivedOffer("a", "127.0.0.1:1", 1, 0.2 + 0.3))
-    assert taker.count(0.3) == 1 and taker.count(0.51) == 0
+        receiver.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 5, 0.3))
+    receiver.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 4, 0.3))  # reordered on the way
+    assert receiver.take(0.1).number == 5 and receiver.take(0.1) is None
+    receiver.on_peer_restart("a")
+    receiver.receive(0.2, ReceivedOffer("a", "127.0.0.1:1", 1, 0.2 + 0.3))
+    assert receiver.count(0.3) == 1 and receiver.count(0.51) == 0
 
 
 def test_unreachable_peer_is_avoided_for_a_while() -> None:
-    taker = OfferReceiver(1)
-    taker.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 1, 9.0))
-    taker.record_outcome(0.1, "a", is_bad=True, is_unreachable=True)
-    assert taker.count(0.1) == 0
-    taker.receive(1.0, ReceivedOffer("a", "127.0.0.1:1", 2, 1.0 + 9.0))
-    taker.receive(4.0, ReceivedOffer("a", "127.0.0.1:1", 3, 4.0 + 9.0))
-    assert taker.count(4.0) == 1
+    receiver = OfferReceiver(1)
+    receiver.receive(0.0, ReceivedOffer("a", "127.0.0.1:1", 1, 9.0))
+    receiver.record_outcome(0.1, "a", is_bad=True, is_unreachable=True)
+    assert receiver.count(0.1) == 0
+    receiver.receive(1.0, ReceivedOffer("a", "127.0.0.1:1", 2, 1.0 + 9.0))
+    receiver.receive(4.0, ReceivedOffer("a", "127.0.0.1:1", 3, 4.0 + 9.0))
+    assert receiver.count(4.0) == 1
 
 
 def test_shrunk_estimate_is_better_than_the_own_mean_with_few_runs() -> None:
@@ -81,10 +81,10 @@
             for _ in range(runs):
                 window.add(1.0, pace * draw.uniform(0.4, 1.6) * draw.uniform(0.4, 1.6))
             windows.append(window.evidence(1.0))
-        mean, differ = estimate_population(windows, SCATTER)
+        mean, deviation = estimate_population(windows, SCATTER)
         for pace, evidence in zip(paces, windows):
             own_error += (evidence.mean - pace) ** 2
-            drawn_error += (shrink_towards_mean(1.0, evidence, SCATTER, mean, differ).value - pace) ** 2
+            drawn_error += (shrink_towards_mean(1.0, evidence, SCATTER, mean, deviation).value - pace) ** 2
         assert drawn_error <= better * own_error, (runs, drawn_error / own_error)
 
 
@@ -102,24 +102,27 @@
 def test_redirects_converge_however_many_callers_comply(heeds: float) -> None:
     """Twelve instances, four with twice the load: the fractions converge in bounded steps, and the load evens out."""
     asked = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
-    shares = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
-    wishes, history = [0.0] * 12, []
+    controllers = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
+    fractions, history = [0.0] * 12, []
     for turn in range(900):
-        leaves = [heeds * wish * load for wish, load in zip(wishes, asked)]
+        leaves = [heeds * fraction * load for fraction, load in zip(fractions, asked)]
         loads = [0.6 * (load - gone + sum(leaves) / 12) for load, gone in zip(asked, leaves)]
         fleet = sum(loads) / 12
-        before, wishes = wishes, [share.update(0.1 * turn, LoadObservation(load, fleet)) for share, load in zip(shares, loads)]
-        assert all(abs(new - old) <= 0.05 + 1e-9 for new, old in zip(wishes, before))
-        history.append((max(loads), sum(abs(new - old) for new, old in zip(wishes, before))))
+        before, fractions = (
+            fractions,
+            [controller.update(0.1 * turn, LoadObservation(load, fleet)) for controller, load in zip(controllers, loads)],
+        )
+        assert all(abs(new - old) <= 0.05 + 1e-9 for new, old in zip(fractions, before))
+        history.append((max(loads), sum(abs(new - old) for new, old in zip(fractions, before))))
     assert sum(moved for _, moved in history[-100:]) < 0.1, "the fractions keep changing"
     if heeds >= 0.8:
         assert history[-1][0] < 1.15 * fleet < history[0][0]
 
 
 def test_started_instance_redirects_less_as_it_warms_up() -> None:
-    share = RedirectController(0.05, 0.5, 1, 0.0, is_warming_up=True)
-    assert [share.update(0.1 * turn, LoadObservation(0.2, 0.8, 3.0)) for turn in range(50)][-1] == 0.5
-    opened = [share.update(5.0 + 0.1 * turn, LoadObservation(0.2, 0.8, 1.1)) for turn in range(200)]
+    controller = RedirectController(0.05, 0.5, 1, 0.0, is_warming_up=True)
+    assert [controller.update(0.1 * turn, LoadObservation(0.2, 0.8, 3.0)) for turn in range(50)][-1] == 0.5
+    opened = [controller.update(5.0 + 0.1 * turn, LoadObservation(0.2, 0.8, 1.1)) for turn in range(200)]
     assert opened[-1] == 0.0 and opened[3] > 0.3
 
 
