--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -205,7 +205,7 @@
         if fleet:
             await wait_for_complete_views(harness, {node.name for node in harness.nodes}, 30.0)
             await harness.go()
-        await asyncio.sleep(2.0 if count < 50 else 10.0)  # until the joining has been told on to all
+        await asyncio.sleep(2.0 if count < 50 else 10.0)  # until all members know each other
         before, begun = harness.usage(), time.monotonic()
         sent = [(await node.counters()).get("fleet_bytes_sent", 0) for node in harness.nodes[:4]]
         await asyncio.sleep(seconds)
--- a/mulleinhatch/instance/gossip/aggregation_tree.py
+++ b/mulleinhatch/instance/gossip/aggregation_tree.py
@@ -129,7 +129,7 @@
 
     def _ping_seeds(self, now: float, rank: int) -> Iterator[OutgoingMessage]:
         is_alone = self.election.is_alone()
-        if is_alone:  # each seed once at first: then any member of the group that asks one of them is told of this one
+        if is_alone:  # each seed once at first: then any member of the group that asks one of them learns of this one
             repeated = max(0, self.lonely_pings - len(self.bounds.seeds))
             interval_s = min(ALONE_MAX_INTERVAL_S, ALONE_MIN_INTERVAL_S + ALONE_INTERVAL_STEP_S * repeated)
         elif self.summaries.known_groups() >= self.location.groups:
--- a/mulleinhatch/instance/gossip/locations.py
+++ b/mulleinhatch/instance/gossip/locations.py
@@ -1,4 +1,4 @@
-"""Where a member stands in the aggregation tree: region, zone and group; and addresses in packed form."""
+"""The location of a member in the aggregation tree: region, zone and group; and addresses in packed form."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/instance/gossip/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -308,10 +308,10 @@
     def _is_unreliable(self, now: float, member: Member, update: MemberUpdate) -> bool:
         """Return whether an update that is newer than what is known must not be believed."""
         if update.state == GONE:
-            # A partition that hears few declares nobody gone, and a member that just sent a message is there.
+            # An isolated partition declares nobody gone, and a member that just sent a message is there.
             return self.frozen or self.heard_lately(now, update.name)
         return (
-            # Raised by a member that hears few, or before this one heard the others again.
+            # Raised by an isolated member, or before this one was connected to the others again.
             update.state == SUSPECT
             and not self.frozen
             and now < self.ignores_suspicions_until
--- a/mulleinhatch/instance/gossip/outlier_detection.py
+++ b/mulleinhatch/instance/gossip/outlier_detection.py
@@ -1,8 +1,8 @@
 """Outlier detection by votes: which members, interpreters or downstream services most observers find failing.
 
 A subject is any name. An observer's weight follows from its amount of evidence and its age, and never exceeds one vote,
-however often it reports. Nobody is ejected on the word of one observer, no more than a fraction at a time, and nobody where
-most look unhealthy (the cause is then something that all share); an observer that hears few members judges nothing. Where a
+however often it reports. Nobody is ejected because of one observer, no more than a fraction at a time, and nobody where
+most look unhealthy (the cause is then something that all share); an isolated observer judges nothing. Where a
 single observer disagrees with all others, the fault is taken to be its own.
 """
 
@@ -75,7 +75,7 @@
         Args:
             now: seconds of the caller's clock.
             observers: members whose opinions count.
-            is_isolated: whether this member hears few others: then nothing changes.
+            is_isolated: whether this member is cut off from most others: then nothing changes.
         """
         self._drop_old(now)
         if is_isolated:
--- a/mulleinhatch/instance/gossip/speaker_election.py
+++ b/mulleinhatch/instance/gossip/speaker_election.py
@@ -28,7 +28,7 @@
     def __init__(self, location: GroupLocation, members: PeerGroup, started_at: float) -> None:
         self.location, self.members, self.started_at = location, members, started_at
         self.ranked: list[str] = []
-        # A member that is no speaker hears of other groups through its peers alone, which takes longer.
+        # A member that is no speaker learns of other groups through its peers alone, which takes longer.
         self.patience = 1.0
 
     def rank(self) -> int:
--- a/mulleinhatch/instance/gossip/summary_table.py
+++ b/mulleinhatch/instance/gossip/summary_table.py
@@ -178,7 +178,7 @@
         Args:
             now: seconds of the caller's clock.
             summary: one of the message's.
-            message: tells where the sender stands, if it is no peer.
+            message: states the location of the sender, if it is no peer.
             is_peer: whether the sender belongs to the own group.
         """
         if not self._is_relevant(summary, message, is_peer):
@@ -217,7 +217,7 @@
         return summary.name != self.location.group and (is_peer or self.is_own_zone(message))
 
     def is_own_zone(self, message: SummaryMessage) -> bool:
-        """Return whether the sender stands in the own zone."""
+        """Return whether the sender is in the own zone."""
         return (message.region, message.zone) == (self.location.region, self.location.zone)
 
     def _has_capacity_for(self, summary: Summary) -> bool:
--- a/mulleinhatch/instance/load_balancing/bounds.py
+++ b/mulleinhatch/instance/load_balancing/bounds.py
@@ -9,7 +9,7 @@
     """Names of the fields are keys of the operator's `spread` node. Times are in seconds."""
 
     hand_over: bool = True  # False: advice alone, no request passes between instances
-    advice: bool = False  # callers are told which fraction to send elsewhere; costs throughput beside handover
+    advice: bool = False  # callers are asked to send a fraction elsewhere; costs throughput beside handover
     at: str = ""  # host:port where peers send requests; empty: where callers connect
     offer_for: float = 0.2  # how long an offer is valid
     most_offers: int = 8  # outstanding at a time; never more than there are free slots
--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -2,7 +2,7 @@
 
 No I/O and no clock. Uses the gossip protocol for members, figures and messages. What each instance does alone is the fallback,
 in this order: a leaving instance only hands over; during a retry storm nothing is handed over (a retry stays a retry at a
-peer); an instance that hears nobody, whose view is frozen or of whose fleet most members look unhealthy neither issues nor
+peer); an instance that is isolated, whose view is frozen or of whose fleet most members look unhealthy neither issues nor
 uses offers; without offers it may guess by two reports. Each fallback has a counter.
 """
 
@@ -21,7 +21,7 @@
 from mulleinhatch.instance.load_balancing.offers import NEEDS_VALID_FOR_S, OfferIssuer, OfferReceiver, ReceivedOffer
 from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
 
-MAX_ASKED = 2  # members that are told of pending requests by a message of its own, each heartbeat
+MAX_ASKED = 2  # members that get a message of their own about pending requests, each heartbeat
 GUESS_FRESH_FOR_S = 1.0  # older reports are not used for guesses
 MIN_GUESS_SLOTS = 2  # free at the peer, less what was sent there since its report
 OBSERVATION_INTERVAL_S = 0.5
