--- a/mulleinhatch/control_plane/placement/load_rate_limiter.py
+++ b/mulleinhatch/control_plane/placement/load_rate_limiter.py
@@ -1,4 +1,4 @@
-"""How many loads from the weight store may still begin: a sliding window and a steady pace. Pure."""
+"""Limits the rate of loads from the shared weight store over a sliding window. Pure."""
 
 from __future__ import annotations
 
@@ -6,30 +6,38 @@
 
 
 class LoadRateLimiter:
-    """
-    >>> ceiling = LoadRateLimiter(5.0); ceiling.configure(2.0)
-    >>> for _ in range(9): ceiling.note(0.0)
-    >>> ceiling.room(0.1), ceiling.room(5.1)
+    """Counts the loads that started within the window, by whichever instance they were ordered.
+
+    At least one load in each window is always allowed.
+
+    >>> limiter = LoadRateLimiter(5.0); limiter.configure(2.0)
+    >>> for _ in range(9): limiter.record(0.0)
+    >>> limiter.available(0.1), limiter.available(5.1)
     (1, 10)
+
+    Args:
+        window_s: Length of the window in seconds.
     """
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._per_s = 1.0
-        self._begun: deque[float] = deque()
+        self._loads_per_s = 1.0
+        self._started_at: deque[float] = deque()
 
     def configure(self, loads_per_s: float) -> None:
-        self._per_s = loads_per_s
+        """Set the average rate that the window allows."""
+        self._loads_per_s = loads_per_s
 
     @property
-    def _most(self) -> int:
-        return max(1, int(self._per_s * self._window_s))
-
-    def room(self, now: float) -> int:
-        recent = [begun for begun in self._begun if begun > now - self._window_s]
-        self._begun = deque(recent)
-        return self._most - len(recent)
-
-    def note(self, now: float) -> None:
-        """A load from the store began, by whose order ever."""
-        self._begun.append(now)
+    def _limit(self) -> int:
+        return max(1, int(self._loads_per_s * self._window_s))
+
+    def available(self, now: float) -> int:
+        """Return how many more loads may start now; zero or less if none may."""
+        recent = [started_at for started_at in self._started_at if started_at > now - self._window_s]
+        self._started_at = deque(recent)
+        return self._limit - len(recent)
+
+    def record(self, now: float) -> None:
+        """Count a load that started at the given time."""
+        self._started_at.append(now)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -21,8 +21,8 @@
 )
 from mulleinhatch.instance.load_balancing.offers import OfferIssuer, OfferReceiver, ReceivedOffer
 from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
+from mulleinhatch.instance.protocol import http_peers, http_requests
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.networking import http
 from mulleinhatch.simulation.gossip_world import Plan, weather
 from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld, common_queue
 from mulleinhatch.testing import fault_script as faults
@@ -127,15 +127,22 @@
 
 
 def test_request_to_a_peer_is_parsed_by_the_own_reader() -> None:
-    pieces = http.handed("00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1")
-    reader = http.RequestReader()
+    pieces = http_peers.write_handover_request(
+        "00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1"
+    )
+    reader = http_requests.RequestReader()
     data = b"".join(pieces)
     reader.room()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
-    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http.op_told(path, fields, 1e9 + 0.5)
+    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http_requests.parse_request(path, fields, 1e9 + 0.5)
     assert (ref, op_type, tenant, caller, again, key, body) == ("00000000000000ab", "read", "t", 3, True, "", b"body")
-    assert (age, wait, work, fields[http.HAND]) == (pytest.approx(0.5), pytest.approx(1.0), 0.05, b"17") and kb > 0.0
+    assert (age, wait, work, fields[http_requests.HANDOVER_FIELD]) == (
+        pytest.approx(0.5),
+        pytest.approx(1.0),
+        0.05,
+        b"17",
+    ) and kb > 0.0
 
 
 @pytest.mark.parametrize(
@@ -149,7 +156,7 @@
 )
 def test_invalid_response_of_a_peer_is_rejected(head: bytes) -> None:
     with pytest.raises(ValueError):
-        http.answer_told(head)
+        http_peers.parse_response_head(head)
 
 
 def test_load_balancing_requires_a_fleet_and_errors_name_the_line() -> None:
