--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -46,9 +46,9 @@
         ]
 
     def read(
-        self, now: float, ref: str, op_type: int = 0, work: float = 0.5, wait: float = 4.0, handed: bool = False
+        self, now: float, ref: str, request_type: int = 0, work: float = 0.5, wait: float = 4.0, handed: bool = False
     ) -> list[tuple[Verb, str]]:
-        self.controller.op_read(now, ref, op_type, 0.0, wait, 0, "", 1, work, 1.0, False)
+        self.controller.op_read(now, ref, request_type, 0.0, wait, 0, "", 1, work, 1.0, False)
         if handed:
             self.controller.came_handed(now, ref)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
@@ -76,16 +76,16 @@
     assert harness.read(2.0, "b") == [(Verb.HAND, "b")] and harness.read(2.0, "c") == []
 
 
-@pytest.mark.parametrize("op_type, handed", [(2, False), (0, True)], ids=["keyed", "came from a peer"])
-def test_requests_that_are_not_handed_over(op_type: int, handed: bool) -> None:
+@pytest.mark.parametrize("request_type, handed", [(2, False), (0, True)], ids=["keyed", "came from a peer"])
+def test_requests_that_are_not_handed_over(request_type: int, handed: bool) -> None:
     harness = create_warm_harness()
     harness.controller.offers_told(2.0, 5)
-    assert (Verb.HAND, "a") not in harness.read(2.0, "a", op_type, handed=handed)
+    assert (Verb.HAND, "a") not in harness.read(2.0, "a", request_type, handed=handed)
     assert (Verb.HAND, "b") in harness.read(2.0, "b")
 
 
 @pytest.mark.parametrize(
-    "op_type, ending, then",
+    "request_type, ending, then",
     [
         (0, Ending.OK, "closed"),
         (0, Ending.ERROR, "closed"),
@@ -96,11 +96,11 @@
         (1, Ending.FULL, "held"),
     ],
 )
-def test_outcome_of_a_request_at_a_peer(op_type: int, ending: Ending, then: str) -> None:
+def test_outcome_of_a_request_at_a_peer(request_type: int, ending: Ending, then: str) -> None:
     """A link that broke tells nothing: what may not run twice is over here, what may runs here, and none goes on again."""
     harness = create_warm_harness()
     harness.controller.offers_told(2.0, 5)
-    assert harness.read(2.0, "a", op_type) == [(Verb.HAND, "a")]
+    assert harness.read(2.0, "a", request_type) == [(Verb.HAND, "a")]
     harness.controller.hand_ended(2.1, "a", ending)
     assert harness.pull(2.1) == [] and ("a" in harness.controller.ops) is (then == "held")
     if then == "held":
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -133,8 +133,8 @@
     reader.room()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
-    ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http.op_told(path, fields, 1e9 + 0.5)
-    assert (ref, op_type, tenant, caller, again, key, body) == ("00000000000000ab", "read", "t", 3, True, "", b"body")
+    ref, request_type, tenant, age, wait, caller, work, kb, again, key, rank = http.op_told(path, fields, 1e9 + 0.5)
+    assert (ref, request_type, tenant, caller, again, key, body) == ("00000000000000ab", "read", "t", 3, True, "", b"body")
     assert (age, wait, work, fields[http.HAND]) == (pytest.approx(0.5), pytest.approx(1.0), 0.05, b"17") and kb > 0.0
 
 
