--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -58,7 +58,7 @@
         marked = [Record(kinds.GAP, records[0][1], (dropped, until)), *records] if dropped else records
         try:
             self.queue.put_nowait((marked, newest))
-        except queue.QueueFullError:
+        except queue.Full:
             self._drop(dropped, records)
 
     def _drop(self, marked_before: int, records: list[Record]) -> None:
@@ -69,7 +69,7 @@
 
     def close(self, within: float = 2.0) -> None:
         """Ends the file, if the disk lets it in that time."""
-        with contextlib.suppress(queue.QueueFullError):
+        with contextlib.suppress(queue.Full):
             self.queue.put(None, timeout=within)
         self.thread.join(within)
 
