--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -45,11 +45,11 @@
 from mulleinhatch.instance.gossip.counters import FIGURES
 from mulleinhatch.instance.gossip.heavy_hitters import Loudest
 from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
-from mulleinhatch.instance.maintenance import messages as upkeep_words
-from mulleinhatch.instance.maintenance.core import Bounds, Known, Upkeep
-from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
+from mulleinhatch.instance.maintenance import messages as maintenance_messages
+from mulleinhatch.instance.maintenance.core import Bounds, MaintenanceCoordinator, ReceivedRequest
+from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, VoterState
 from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, Table
+from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, PermitTable
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
 from mulleinhatch.instance.retry_storms.retry_admission import Desk
@@ -417,10 +417,10 @@
         super()._heard(node, data)
 
 
-def asked_voter(count: int) -> tuple[Upkeep, bytes]:
+def asked_voter(count: int) -> tuple[MaintenanceCoordinator, bytes]:
     """A voter that knows so many members, all of which wait, and one more query of the last."""
     fleet = Fleet(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
-    core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
+    core = MaintenanceCoordinator(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, VoterState(writes=1), None)
     requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
     letters = [
         Letter(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
@@ -428,12 +428,12 @@
     ]
     for letter, request in zip(letters, requests):
         core.fleet.letter(1.0, letter)
-        core.requests[request.name] = Known(request, 1.0)
-    query = upkeep_words.encode(upkeep_words.Query(requests[-1]))
+        core.requests[request.name] = ReceivedRequest(request, 1.0)
+    query = maintenance_messages.encode(maintenance_messages.PositionQuery(requests[-1]))
     return core, words.encode(msgspec.structs.replace(letters[-1], more=query))
 
 
-def answered(core: Upkeep, query: bytes) -> None:
+def answered(core: MaintenanceCoordinator, query: bytes) -> None:
     core.fleet.datagram(1.0, query)
     if not core.said():
         raise ValueError("the voter gave no answer: nothing was measured")
@@ -441,7 +441,7 @@
 
 def table_bytes(out: int, letters: int) -> int:
     """The largest word that carries the table: what a voter tells one that lost its disk."""
-    table = Table(
+    table = PermitTable(
         tuple(f"v{place}".ljust(letters, "x") for place in range(7)),
         MOST_OUT,
         MOST_OUT,
@@ -452,8 +452,12 @@
             for place in range(out)
         ),
     )
-    ballot = Ballot(8_000, "n1.1700000000000.12")
-    return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(ballot, ballot, table, 16_000), False)))
+    proposal = ProposalNumber(8_000, "n1.1700000000000.12")
+    return len(
+        maintenance_messages._encoder.encode(
+            maintenance_messages.VoterStateReply(VoterState(proposal, proposal, table, 16_000), False)
+        )
+    )
 
 
 def fleet_side(count: int, differ: bool) -> FleetSide:
--- a/mulleinhatch/instance/maintenance/messages.py
+++ b/mulleinhatch/instance/maintenance/messages.py
@@ -7,25 +7,25 @@
 import msgspec
 from msgspec import Meta
 
-from mulleinhatch.instance.maintenance.paxos_register import Answer, Ask, Kept
+from mulleinhatch.instance.maintenance.paxos_register import RegisterRequest, RegisterResponse, VoterState
 from mulleinhatch.instance.maintenance.schedule import Request
 
-MOST_BYTES = 1000
-Text = Annotated[str, Meta(max_length=40)]
+MAX_MESSAGE_BYTES = 1000
+ShortText = Annotated[str, Meta(max_length=40)]
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class MaintenanceMessage(msgspec.Struct, array_like=True, frozen=True, tag=True):
     pass
 
 
-class Query(Word):
+class PositionQuery(MaintenanceMessage, tag="Query"):
     """To a voter: my request, if I have one, and where I stand. Voters ask each other so, too."""
 
     request: Request | None = None
     cancelled: bool = False  # I want no more
 
 
-class Reply(Word):
+class PositionReply(MaintenanceMessage, tag="Reply"):
     """What that voter knows: the fence of your permit (0: none), your place among those that wait, how many may go now."""
 
     fence: int
@@ -36,67 +36,76 @@
     version: int = 0  # of the table that it keeps; 0: none
     your_writes: int = 0  # the most writes that it heard of from you, as a voter
     writes: int = 0  # its own
-    frozen: Text = ""
+    frozen: ShortText = ""
     number: int = 0  # of the highest ballot that it promised: a lower one would only be beaten
 
 
-class Asked(Word):
-    ask: Ask
+class RegisterRequestMessage(MaintenanceMessage, tag="Asked"):
+    ask: RegisterRequest
     number: int  # of the sending: its answer names it
 
 
-class Answered(Word):
-    answer: Answer
+class RegisterResponseMessage(MaintenanceMessage, tag="Answered"):
+    answer: RegisterResponse
     number: int
 
 
-class Tell(Word):
+class VoterStateQuery(MaintenanceMessage, tag="Tell"):
     """From a voter that lost what it kept: tell me what you keep."""
 
 
-class Told(Word):
-    kept: Kept
+class VoterStateReply(MaintenanceMessage, tag="Told"):
+    voter_state: VoterState
     empty: bool  # has nothing either, and does not serve as a voter
 
 
-class Please(Word):
+class MaintenanceRequestMessage(MaintenanceMessage, tag="Please"):
     """From one that a person told to ask others: go out for this. Told until it is thanked for."""
 
     request: Request
 
 
-class Thanks(Word):
+class MaintenanceRequestAck(MaintenanceMessage, tag="Thanks"):
     """For the request that was made at that time."""
 
     asked: float
 
 
-Any_ = Query | Reply | Asked | Answered | Tell | Told | Please | Thanks
+AnyMessage = (
+    PositionQuery
+    | PositionReply
+    | RegisterRequestMessage
+    | RegisterResponseMessage
+    | VoterStateQuery
+    | VoterStateReply
+    | MaintenanceRequestMessage
+    | MaintenanceRequestAck
+)
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Any_)
+_decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
 class InvalidMessageError(ValueError):
     pass
 
 
-def encode(word: Word) -> bytes:
+def encode(message: MaintenanceMessage) -> bytes:
     """
-    >>> from mulleinhatch.instance.maintenance.paxos_register import Ballot
-    >>> from mulleinhatch.instance.maintenance.table import Table
-    >>> asked = Asked(Ask(Ballot(3, "n.1"), Table(("a",), 1, 1).go("n", "z", "w")), 7); decode(encode(asked)) == asked
+    >>> from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber
+    >>> from mulleinhatch.instance.maintenance.table import PermitTable
+    >>> asked = RegisterRequestMessage(RegisterRequest(ProposalNumber(3, "n.1"), PermitTable(("a",), 1, 1).grant("n", "z", "w")), 7); decode(encode(asked)) == asked
     True
     >>> decode(b"?")
     Traceback (most recent call last):
     mulleinhatch.instance.maintenance.messages.InvalidMessageError: garbage
     """
-    data = _encoder.encode(word)
-    if len(data) > MOST_BYTES:
+    data = _encoder.encode(message)
+    if len(data) > MAX_MESSAGE_BYTES:
         raise InvalidMessageError("too long")
     return data
 
 
-def decode(data: bytes) -> Word:
+def decode(data: bytes) -> MaintenanceMessage:
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -11,138 +11,151 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 
 
-class Ballot(NamedTuple):
+class ProposalNumber(NamedTuple):
     number: int
     name: str
 
 
-NONE = Ballot(0, "")
+NO_PROPOSAL = ProposalNumber(0, "")
 
 
-class Kept(NamedTuple):
+class VoterState(NamedTuple):
     """What must outlive a voter's restart. `writes` grows with each: a disk that was set back is known by it."""
 
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
-    table: Table | None = None
+    promised: ProposalNumber = NO_PROPOSAL
+    accepted: ProposalNumber = NO_PROPOSAL
+    table: PermitTable | None = None
     writes: int = 0
 
 
-class Ask(NamedTuple):
-    ballot: Ballot
-    table: Table | None = None  # to be taken; None: a promise is asked for
-    first: Table | None = None  # the table that the operator's file names, for who has none yet
+class RegisterRequest(NamedTuple):
+    proposal: ProposalNumber
+    table: PermitTable | None = None  # to be taken; None: a promise is asked for
+    first: PermitTable | None = None  # the table that the operator's file names, for who has none yet
 
 
-class Answer(NamedTuple):
+class RegisterResponse(NamedTuple):
     voter: str
-    ballot: Ballot  # that it answers
+    proposal: ProposalNumber  # that it answers
     taken: bool  # of a prepare: promised; of an accept: accepted
     accept: bool
-    promised: Ballot  # the highest it gave
-    accepted: Ballot = NONE
-    table: Table | None = None
+    promised: ProposalNumber  # the highest it gave
+    accepted: ProposalNumber = NO_PROPOSAL
+    table: PermitTable | None = None
     writes: int = 0
 
 
 class Voter:
     """
-    >>> voter = Voter("a", Kept()); first = Table(voters=("a",), most=1, zone_most=1)
-    >>> voter.asked(Ask(Ballot(2, "x"), first=first)).taken, voter.asked(Ask(Ballot(1, "y"), first=first)).taken
+    >>> voter = Voter("a", VoterState()); first = PermitTable(voters=("a",), most=1, zone_most=1)
+    >>> voter.handle_request(RegisterRequest(ProposalNumber(2, "x"), first=first)).taken, voter.handle_request(RegisterRequest(ProposalNumber(1, "y"), first=first)).taken
     (True, False)
-    >>> voter.asked(Ask(Ballot(2, "x"), table=first.go("n", "z", "w"))).taken, voter.kept.table.out[0].name, voter.kept.writes
+    >>> voter.handle_request(RegisterRequest(ProposalNumber(2, "x"), table=first.grant("n", "z", "w"))).taken, voter.voter_state.table.out[0].name, voter.voter_state.writes
     (True, 'n', 2)
     """
 
-    def __init__(self, name: str, kept: Kept, abstains: bool = False) -> None:
-        """`abstains`: it lost what it promised (no disk, or one that was set back), until `learn`."""
-        self.name, self.kept, self.abstains = name, kept, abstains
+    def __init__(self, name: str, voter_state: VoterState, is_abstaining: bool = False) -> None:
+        """`is_abstaining`: it lost what it promised (no disk, or one that was set back), until `learn`."""
+        self.name, self.voter_state, self.is_abstaining = name, voter_state, is_abstaining
 
-    def _may(self, ballot: Ballot) -> bool:
-        return ballot >= self.kept.promised
+    def _may_promise(self, proposal: ProposalNumber) -> bool:
+        return proposal >= self.voter_state.promised
 
-    def asked(self, ask: Ask) -> Answer | None:
-        """The answer, to be said once `kept` is durable; None while it abstains."""
-        if self.abstains:
+    def handle_request(self, ask: RegisterRequest) -> RegisterResponse | None:
+        """The answer, to be said once `voter_state` is durable; None while it abstains."""
+        if self.is_abstaining:
             return None
-        kept, accept = self.kept, ask.table is not None
-        taken = self._may(ask.ballot)
+        voter_state, accept = self.voter_state, ask.table is not None
+        taken = self._may_promise(ask.proposal)
         if taken and accept:
-            self.kept = Kept(ask.ballot, ask.ballot, ask.table, kept.writes + 1)
-        elif taken and ask.ballot > kept.promised:
-            self.kept = kept._replace(promised=ask.ballot, writes=kept.writes + 1)
-        return Answer(self.name, ask.ballot, taken, accept, self.kept.promised, kept.accepted, kept.table, self.kept.writes)
-
-    def learn(self, told: list[Kept], voters: int, writes: int = 0) -> bool:
+            self.voter_state = VoterState(ask.proposal, ask.proposal, ask.table, voter_state.writes + 1)
+        elif taken and ask.proposal > voter_state.promised:
+            self.voter_state = voter_state._replace(promised=ask.proposal, writes=voter_state.writes + 1)
+        return RegisterResponse(
+            self.name,
+            ask.proposal,
+            taken,
+            accept,
+            self.voter_state.promised,
+            voter_state.accepted,
+            voter_state.table,
+            self.voter_state.writes,
+        )
+
+    def learn(self, told: list[VoterState], voters: int, writes: int = 0) -> bool:
         """What others keep, when it abstains: enough are a majority without it. Safe once no round is under way that it may
         have promised something to: the caller waits for as long as a round may last, and the drift of clocks. `writes` are the
         most that others remember of it."""
         if 2 * len(told) <= voters:
             return False
-        promised = max(kept.promised for kept in told)
-        best = max(told, key=lambda kept: kept.accepted)
-        self.kept = Kept(max(promised, self.kept.promised), best.accepted, best.table, max(writes, self.kept.writes) + 1)
-        self.abstains = False
+        promised = max(voter_state.promised for voter_state in told)
+        best = max(told, key=lambda voter_state: voter_state.accepted)
+        self.voter_state = VoterState(
+            max(promised, self.voter_state.promised), best.accepted, best.table, max(writes, self.voter_state.writes) + 1
+        )
+        self.is_abstaining = False
         return True
 
 
-class Round:
-    """One proposer's try. `asks` are due to the voters when it begins and whenever it says so; `ended` is the outcome.
+class ProposalRound:
+    """One proposer's try. `pending_requests` are due to the voters when it begins and whenever it says so; `outcome` is the outcome.
 
-    >>> first = Table(voters=("a", "b", "c"), most=1, zone_most=1)
-    >>> voters = {name: Voter(name, Kept()) for name in first.voters}
-    >>> one = Round("n", 1, first, lambda table: table.go("n", "z", "kernel"))
-    >>> while not one.ended:
-    ...     for name, ask in one.asks():
-    ...         one.heard(voters[name].asked(ask))
-    >>> one.ended, one.table.permit("n").fence
+    >>> first = PermitTable(voters=("a", "b", "c"), most=1, zone_most=1)
+    >>> voters = {name: Voter(name, VoterState()) for name in first.voters}
+    >>> one = ProposalRound("n", 1, first, lambda table: table.grant("n", "z", "kernel"))
+    >>> while not one.outcome:
+    ...     for name, ask in one.pending_requests():
+    ...         one.handle_response(voters[name].handle_request(ask))
+    >>> one.outcome, one.table.permit("n").fence
     ('agreed', 1)
     """
 
-    def __init__(self, name: str, number: int, known: Table, change: Callable[[Table], Table]) -> None:
+    def __init__(self, name: str, number: int, known: PermitTable, change: Callable[[PermitTable], PermitTable]) -> None:
         """`name` is new with each life, or two tables could go under one ballot. `known`: the latest table
         heard of, which names the voters; `number` above all that were seen."""
-        self.ballot, self.known, self.change = Ballot(number, name), known, change
-        self.table: Table | None = None  # what is proposed, and in the end agreed
-        self.answers: dict[str, Answer] = {}
-        self.ended = ""  # agreed, refused, beaten (try again with a higher number), moved (other voters)
+        self.proposal, self.known, self.change = ProposalNumber(number, name), known, change
+        self.table: PermitTable | None = None  # what is proposed, and in the end agreed
+        self.answers: dict[str, RegisterResponse] = {}
+        self.outcome = ""  # agreed, refused, beaten (try again with a higher number), moved (other voters)
         self.why = ""
         self.highest = number  # of the ballots seen
 
-    def asks(self) -> list[tuple[str, Ask]]:
+    def pending_requests(self) -> list[tuple[str, RegisterRequest]]:
         """To the voters that have not answered this step."""
-        ask = Ask(self.ballot, self.table, None if self.table else self.known)
-        return [] if self.ended else [(voter, ask) for voter in self.known.voters if voter not in self.answers]
+        ask = RegisterRequest(self.proposal, self.table, None if self.table else self.known)
+        return [] if self.outcome else [(voter, ask) for voter in self.known.voters if voter not in self.answers]
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.known.voters)
 
-    def _is_ours(self, answer: Answer) -> bool:
+    def _matches_current_phase(self, answer: RegisterResponse) -> bool:
         """To the step we are in: a late word of the one before must not count."""
-        return answer.ballot == self.ballot and answer.accept is (self.table is not None) and answer.voter in self.known.voters
+        return (
+            answer.proposal == self.proposal and answer.accept is (self.table is not None) and answer.voter in self.known.voters
+        )
 
-    def heard(self, answer: Answer | None) -> None:
-        if answer is None or self.ended or not self._is_ours(answer):
+    def handle_response(self, answer: RegisterResponse | None) -> None:
+        if answer is None or self.outcome or not self._matches_current_phase(answer):
             return
         self.highest = max(self.highest, answer.promised.number)
         self.answers[answer.voter] = answer
         taken = [one for one in self.answers.values() if one.taken]
         if not self._is_majority(len(taken)):
             if self._is_majority(len(self.answers) - len(taken)):
-                self.ended, self.why = "beaten", f"ballot {self.highest} was asked for"
+                self.outcome, self.why = "beaten", f"ballot {self.highest} was asked for"
             return
         if self.table is not None:
-            self.ended = "agreed"
+            self.outcome = "agreed"
             return
         latest = max(taken, key=lambda one: one.accepted)
         table = latest.table or self.known
         if table.epoch > self.known.epoch:
-            self.known, self.ended, self.why = table, "moved", f"epoch {table.epoch} has other voters"
+            self.known, self.outcome, self.why = table, "moved", f"epoch {table.epoch} has other voters"
             return
         try:
             self.table, self.answers = self.change(table), {}
         except PermitRefusedError as error:
-            self.known, self.ended, self.why = table, "refused", str(error)
+            self.known, self.outcome, self.why = table, "refused", str(error)
--- a/mulleinhatch/instance/maintenance/schedule.py
+++ b/mulleinhatch/instance/maintenance/schedule.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-SOON = 2.0  # times its own length: with less left than that before its latest time it goes before others
+DEADLINE_MARGIN = 2.0  # times its own length: with less left than that before its latest time it goes before others
 
 
 class Request(NamedTuple):
@@ -30,13 +30,13 @@
     only_copy: bool = False  # of something that is needed: moved first
 
 
-class Place(NamedTuple):
+class QueuePosition(NamedTuple):
     request: Request
-    may: bool
+    is_allowed: bool
     reasons: tuple[str, ...]
 
 
-def order(requests: Sequence[Request], out: Collection[str], zones_out: dict[str, int], now: float) -> list[Place]:
+def order(requests: Sequence[Request], out: Collection[str], zones_out: dict[str, int], now: float) -> list[QueuePosition]:
     """
     >>> asked = [Request(name, zone, "kernel", 60.0, 5.0, last_out=last) for name, zone, last in (
     ...     ("a", "x", 3.0), ("b", "x", 1.0), ("c", "y", 2.0))]
@@ -51,24 +51,30 @@
             latest[request.name] = request
     able, behind = [], []
     for request in latest.values():
-        why = _not_yet(request, now)
+        why = _blocking_reason(request, now)
         (behind if why else able).append((request, why))
     before = Counter(zones_out)
-    places: list[Place] = []
+    places: list[QueuePosition] = []
     waiting = {request.name: request for request, _ in able}
     while waiting:
         chosen = min(
             waiting.values(),
-            key=lambda request: (_class(request, now), before[request.zone], request.last_out, request.asked, request.name),
+            key=lambda request: (
+                _priority_class(request, now),
+                before[request.zone],
+                request.last_out,
+                request.asked,
+                request.name,
+            ),
         )
         del waiting[chosen.name]
-        places.append(Place(chosen, True, _reasons(chosen, now, before[chosen.zone])))
+        places.append(QueuePosition(chosen, True, _reasons(chosen, now, before[chosen.zone])))
         before[chosen.zone] += 1
     behind.sort(key=lambda told: (told[0].wished, told[0].name))
-    return places + [Place(request, False, (why,)) for request, why in behind]
+    return places + [QueuePosition(request, False, (why,)) for request, why in behind]
 
 
-def _not_yet(request: Request, now: float) -> str:
+def _blocking_reason(request: Request, now: float) -> str:
     if request.only_copy:
         return "holds the only copy of something that is needed"
     if request.urgency < 2 and request.wished and now < request.wished:
@@ -76,35 +82,35 @@
     return ""
 
 
-def _class(request: Request, now: float) -> int:
+def _priority_class(request: Request, now: float) -> int:
     if request.urgency >= 2:
         return 0
     if request.ill:
         return 1
-    return 2 if _presses(request, now) else 3 if request.urgency else 4
+    return 2 if _is_deadline_near(request, now) else 3 if request.urgency else 4
 
 
-def _presses(request: Request, now: float) -> bool:
-    return request.latest > 0.0 and request.latest - now < (1.0 + SOON) * request.seconds
+def _is_deadline_near(request: Request, now: float) -> bool:
+    return request.latest > 0.0 and request.latest - now < (1.0 + DEADLINE_MARGIN) * request.seconds
 
 
 def _reasons(request: Request, now: float, before: int) -> tuple[str, ...]:
-    what = ("an emergency", "ill", f"has to be back by {request.latest:.0f}", "urgent", "")[_class(request, now)]
+    what = ("an emergency", "ill", f"has to be back by {request.latest:.0f}", "urgent", "")[_priority_class(request, now)]
     turn = f"zone {request.zone} has {before} before it"
     return (*((what,) if what else ()), turn, "out longest ago")
 
 
-def carries(capacity_least: float, demand_most: float, own: float, margin: float) -> bool:
+def has_spare_capacity(capacity_least: float, demand_most: float, own: float, margin: float) -> bool:
     """Whether the rest can bear the load without one more: by the poor ends of what is known.
 
-    >>> carries(100.0, 70.0, 10.0, 0.2), carries(100.0, 80.0, 10.0, 0.2)
+    >>> has_spare_capacity(100.0, 70.0, 10.0, 0.2), has_spare_capacity(100.0, 80.0, 10.0, 0.2)
     (True, False)
     """
     return capacity_least - own >= demand_most * (1.0 + margin)
 
 
 def schedule(
-    places: Sequence[Place], out: dict[str, tuple[str, float]], most: int, zone_most: int, now: float
+    places: Sequence[QueuePosition], out: dict[str, tuple[str, float]], most: int, zone_most: int, now: float
 ) -> dict[str, float]:
     """When each would go if nothing goes wrong: by name, Unix seconds. `out`: zone and when it will be back, by name.
 
@@ -114,7 +120,7 @@
     """
     running = [(back, zone) for zone, back in out.values()]
     told: dict[str, float] = {}
-    waiting = [place.request for place in places if place.may]
+    waiting = [place.request for place in places if place.is_allowed]
     moment = now
     while waiting and most > 0 and zone_most > 0:
         running = [(back, zone) for back, zone in running if back > moment]
--- a/mulleinhatch/instance/maintenance/store.py
+++ b/mulleinhatch/instance/maintenance/store.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from mulleinhatch.instance.maintenance.paxos_register import Kept
+from mulleinhatch.instance.maintenance.paxos_register import VoterState
 
 MAGIC, VERSION = b"MHUPKEEP", 1
-HEAD = len(MAGIC) + 1 + 4
+HEADER_SIZE = len(MAGIC) + 1 + 4
 
 
-class CorruptFileError(ValueError):
+class CorruptVoterFileError(ValueError):
     """The text names the file and what is wrong with it."""
 
 
@@ -31,28 +31,28 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise CorruptFileError(f"{self.folder}: another process keeps its votes here") from None
+            raise CorruptVoterFileError(f"{self.folder}: another process keeps its votes here") from None
 
-    def read(self) -> Kept | None:
+    def read(self) -> VoterState | None:
         """None where there is nothing yet. What is damaged is no vote: a voter that guesses would break its promises."""
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
             return None
-        body = data[HEAD:]
-        if data[: len(MAGIC)] != MAGIC or len(data) < HEAD:
-            raise CorruptFileError(f"{self.path}: no file of a voter; move it away, and the voter learns from the others")
+        body = data[HEADER_SIZE:]
+        if data[: len(MAGIC)] != MAGIC or len(data) < HEADER_SIZE:
+            raise CorruptVoterFileError(f"{self.path}: no file of a voter; move it away, and the voter learns from the others")
         if data[len(MAGIC)] != VERSION:
-            raise CorruptFileError(f"{self.path}: version {data[len(MAGIC)]}, this text reads {VERSION}")
-        if int.from_bytes(data[len(MAGIC) + 1 : HEAD], "big") != zlib.crc32(body):
-            raise CorruptFileError(f"{self.path}: damaged; move it away, and the voter learns from the others")
+            raise CorruptVoterFileError(f"{self.path}: version {data[len(MAGIC)]}, this text reads {VERSION}")
+        if int.from_bytes(data[len(MAGIC) + 1 : HEADER_SIZE], "big") != zlib.crc32(body):
+            raise CorruptVoterFileError(f"{self.path}: damaged; move it away, and the voter learns from the others")
         try:
-            return msgspec.msgpack.decode(body, type=Kept)
+            return msgspec.msgpack.decode(body, type=VoterState)
         except msgspec.MsgspecError as error:
-            raise CorruptFileError(f"{self.path}: {error}") from None
+            raise CorruptVoterFileError(f"{self.path}: {error}") from None
 
-    def keep(self, kept: Kept) -> None:
-        body = msgspec.msgpack.encode(kept)
+    def persist(self, voter_state: VoterState) -> None:
+        body = msgspec.msgpack.encode(voter_state)
         beside = self.folder / "voter.new"
         with open(beside, "wb") as file:
             file.write(MAGIC + bytes([VERSION]) + zlib.crc32(body).to_bytes(4, "big") + body)
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from mulleinhatch.instance.gossip.core import Fleet
-from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
+from mulleinhatch.instance.maintenance.core import Bounds, MaintenanceCoordinator, State
 from mulleinhatch.instance.maintenance.schedule import Request, order, schedule
-from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
-from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
+from mulleinhatch.instance.maintenance.store import CorruptVoterFileError, Store
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 
@@ -38,16 +38,18 @@
     ) -> None:
         told = placement.upkeep
         self.placement, self.reducer, self.send, self.leave = placement, reducer, send, leave
-        self.store, kept = None, None
+        self.store, voter_state = None, None
         if placement.name in told.voters and told.folder:
             try:
                 self.store = Store(told.folder)
-                kept = self.store.read()
-            except (CorruptFileError, OSError) as error:
+                voter_state = self.store.read()
+            except (CorruptVoterFileError, OSError) as error:
                 raise InvalidSettingsError(f"upkeep.folder: {error}") from None
         zones = dict(told.zones)
         bounds = Bounds(told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after)
-        self.core = Upkeep(bounds, fleet, placement.seed + 3, time.monotonic(), kept, self.store and self.store.keep)
+        self.core = MaintenanceCoordinator(
+            bounds, fleet, placement.seed + 3, time.monotonic(), voter_state, self.store and self.store.persist
+        )
         self.fit_since: float | None = None
         self.left = False
         self.server: asyncio.AbstractServer | None = None
@@ -147,7 +149,9 @@
                 latest=float(told.get("latest", 0.0)),
                 urgency=int(told.get("urgency", 0)),
             )
-            core.ask_others(time.monotonic(), self._several(one, told.get("names"), told.get("zone"), bool(told.get("all"))))
+            core.request_for_others(
+                time.monotonic(), self._several(one, told.get("names"), told.get("zone"), bool(told.get("all")))
+            )
         elif what == "cancel":
             core.cancel()
         elif what == "freeze":
@@ -166,7 +170,7 @@
                 raise PermitRefusedError("a reason is wanted to go over the bound")
             LOG.warning("over the bound by hand", extra={"fields": {"name": name, "why": why}})
             zone = dict(self.placement.upkeep.zones).get(name, "")
-            await self._agreed(lambda table: table.go(name, zone, "by hand", over=why))
+            await self._agreed(lambda table: table.grant(name, zone, "by hand", over=why))
         elif what != "show":
             raise PermitRefusedError(f"no such word: {what}")
         return self.told()
@@ -188,26 +192,26 @@
         return [one._replace(name=name, zone=zones.get(name, "")) for name in chosen]
 
     @staticmethod
-    def _released(table: Table, name: str) -> Table:
+    def _released(table: PermitTable, name: str) -> PermitTable:
         permit = table.permit(name)
         if permit is None:
             raise PermitRefusedError(f"{name} holds no permit")
-        return table.back(name, permit.fence)
+        return table.release(name, permit.fence)
 
-    async def _agreed(self, change: Callable[[Table], Table]) -> None:
+    async def _agreed(self, change: Callable[[PermitTable], PermitTable]) -> None:
         """Round after round until it is agreed or refused: others may be asking, too."""
         until, done = time.monotonic() + ANSWER_WITHIN, None
-        while time.monotonic() < until and (done is None or done.ended in ("beaten", "moved", "")):
+        while time.monotonic() < until and (done is None or done.outcome in ("beaten", "moved", "")):
             if self.core.round is None:
                 done = self.core.change(time.monotonic(), change)
                 self.send(self.core.said())
             await asyncio.sleep(0.02)
-        if done is None or done.ended != "agreed":
+        if done is None or done.outcome != "agreed":
             raise PermitRefusedError(done.why if done and done.why else "no majority of the voters answers")
 
     def told(self) -> dict[str, Any]:
         core, now = self.core, time.monotonic()
-        table = core.voter.kept.table or core.known if core.voter and not core.voter.abstains else core.known
+        table = core.voter.voter_state.table or core.known if core.voter and not core.voter.is_abstaining else core.known
         wall = time.time()
         zones = Counter(permit.zone for permit in table.out)
         places = order(
@@ -219,12 +223,12 @@
             "name": core.name,
             "state": core.state.value,
             "fence": core.fence,
-            "voter": None if core.voter is None else "abstains" if core.voter.abstains else "votes",
+            "voter": None if core.voter is None else "abstains" if core.voter.is_abstaining else "votes",
             "table": table._asdict() | {"out": [permit._asdict() for permit in table.out]},
             "order": [
                 {
                     "name": place.request.name,
-                    "may": place.may,
+                    "may": place.is_allowed,
                     "why": ", ".join(place.reasons),
                     "at": going.get(place.request.name),
                 }
@@ -232,7 +236,7 @@
             ],
             "places": {
                 name: {"place": reply.place, "of": reply.waiting, "may_go": reply.may_go, "why": reply.why}
-                for name, reply in core.told_by_voters(now).items()
+                for name, reply in core.current_replies(now).items()
             },
             "history": self._remembered(),
         }
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -10,8 +10,8 @@
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Members
 from mulleinhatch.instance.load_balancing.offers import Giver
-from mulleinhatch.instance.maintenance.paxos_register import Round, Voter
-from mulleinhatch.instance.maintenance.table import Table
+from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, Voter
+from mulleinhatch.instance.maintenance.table import PermitTable
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 
 
@@ -39,18 +39,18 @@
 DEFECTS: dict[str, list[tuple[Any, str, Any]]] = {
     "an offer counts half": [(Giver, "outstanding", _offer_twice)],
     "a broken link proves that nothing ran": [(Reducer, "_hand_ended", _reruns_reducer)],
-    "a voter promises nothing": [(Voter, "_may", lambda voter, ballot: True)],
-    "one voter is a majority": [(Round, "_is_majority", lambda done, count: count >= 1)],
+    "a voter promises nothing": [(Voter, "_may_promise", lambda voter, proposal: True)],
+    "one voter is a majority": [(ProposalRound, "_is_majority", lambda done, count: count >= 1)],
     "the bound is not looked at": [
         (
-            Table,
-            "go",
+            PermitTable,
+            "grant",
             lambda table, name, zone, *more: (
-                table if table.permit(name) else table._with(out=(*table.out, _permit(table, name, zone)))
+                table if table.permit(name) else table._next_version(out=(*table.out, _permit(table, name, zone)))
             ),
         )
     ],
-    "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
+    "permits are not given back": [(PermitTable, "release", lambda table, name, fence: table)],
     "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
     "an op at a peer is never given up": [(AdmissionController, "_give_up", lambda hatch: None)],
@@ -58,7 +58,7 @@
 }
 
 
-def _permit(table: Table, name: str, zone: str) -> Any:
+def _permit(table: PermitTable, name: str, zone: str) -> Any:
     from mulleinhatch.instance.maintenance.table import Permit
 
     return Permit(name, zone, table.version + 1, "")
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from typing import Any
 
-from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
-from mulleinhatch.instance.maintenance.paxos_register import Kept
+from mulleinhatch.instance.maintenance.core import Bounds, MaintenanceCoordinator, State
+from mulleinhatch.instance.maintenance.paxos_register import VoterState
 from mulleinhatch.instance.maintenance.schedule import Request
 from mulleinhatch.simulation.gossip_world import FleetWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
@@ -20,10 +20,10 @@
     """Beside a `FleetWorld` in the list of bases, before it."""
 
     def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
-        self.disks: dict[str, Kept | None] = {node.name: None for node in self.nodes}
+        self.disks: dict[str, VoterState | None] = {node.name: None for node in self.nodes}
         self.has_disks, self.works, self.most_out, self.most = disks, works, 0, most
         self.permits = Bounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
-        self.cores: dict[str, Upkeep] = {}
+        self.cores: dict[str, MaintenanceCoordinator] = {}
         self.outside: set[str] = set()  # by permit, and not back yet
         self.been: Counter[str] = Counter()
         self.to_go: set[str] = set()
@@ -35,10 +35,10 @@
         super().start(node)
         self.outside.discard(node.name)
 
-        def keep(kept: Kept) -> None:
+        def keep(kept: VoterState) -> None:
             self.disks[node.name] = kept
 
-        self.cores[node.name] = Upkeep(
+        self.cores[node.name] = MaintenanceCoordinator(
             self.permits,
             node.core,
             node.lives * 100 + node.place,
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -1,6 +1,6 @@
 """A model checker for upkeep's permits: voters and askers, every order of what can happen to a stated depth, and long walks.
 
-It drives `Voter`, `Round` and `Table` as they are and watches from outside: how many machines are really out. A word is
+It drives `Voter`, `ProposalRound` and `PermitTable` as they are and watches from outside: how many machines are really out. A word is
 delivered with its answer, delivered with the answer lost, or copied and delivered any time later; who asks may stop, crash and
 start anew; a voter may lose its disk; the voters may change; a person may release a machine that serves. A state is what all
 of them are, not how it came about, so each is looked at once.
@@ -12,8 +12,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from mulleinhatch.instance.maintenance.paxos_register import Ask, Kept, Round, Voter
-from mulleinhatch.instance.maintenance.table import Table
+from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, RegisterRequest, Voter, VoterState
+from mulleinhatch.instance.maintenance.table import PermitTable
 from mulleinhatch.simulation import state_exploration as exploring
 
 MOST_COPIES = 2
@@ -27,8 +27,8 @@
     elects: bool = False  # the voters may change
     releases: bool = False  # a person gives back the permit of one that serves, by what a voter shows
     voter: type[Voter] = Voter
-    round: type[Round] = Round
-    table: type[Table] = Table
+    round: type[ProposalRound] = ProposalRound
+    table: type[PermitTable] = PermitTable
     waits: bool = True  # who lost its disk waits until no round of before is under way
 
 
@@ -38,8 +38,8 @@
     def __init__(self, name: str) -> None:
         self.name = name
 
-    def __call__(self, table: Table) -> Table:
-        return table.go(self.name, "z", "work")
+    def __call__(self, table: PermitTable) -> PermitTable:
+        return table.grant(self.name, "z", "work")
 
 
 class Back(Go):
@@ -47,8 +47,8 @@
         super().__init__(name)
         self.fence = fence
 
-    def __call__(self, table: Table) -> Table:
-        return table.back(self.name, self.fence)
+    def __call__(self, table: PermitTable) -> PermitTable:
+        return table.release(self.name, self.fence)
 
 
 class Elect(Go):
@@ -57,14 +57,14 @@
     def __init__(self, voters: tuple[str, ...]) -> None:
         self.voters = voters
 
-    def __call__(self, table: Table) -> Table:
+    def __call__(self, table: PermitTable) -> PermitTable:
         return table.electorate(self.voters)
 
 
 class Asker:
-    def __init__(self, name: str, known: Table) -> None:
+    def __init__(self, name: str, known: PermitTable) -> None:
         self.name, self.known, self.life, self.number = name, known, 0, 0
-        self.round: Round | None = None
+        self.round: ProposalRound | None = None
         self.fence = 0  # of the permit by which it is out
         self.down = False  # crashed
         self.is_out = False  # really
@@ -75,11 +75,11 @@
         names = tuple("abcdefghi"[: model.voters])
         first = model.table(voters=names, most=model.most, zone_most=model.most)
         spare = "abcdefghi"[model.voters : model.voters + (2 if model.elects else 0)]
-        self.voters = {name: model.voter(name, Kept()) for name in (*names, *spare)}
+        self.voters = {name: model.voter(name, VoterState()) for name in (*names, *spare)}
         self.askers = [Asker(f"n{place}", first) for place in range(model.askers)]
         if model.elects or model.releases:
             self.askers.append(Asker("operator", first))
-        self.copies: list[tuple[int, int, str, Ask]] = []  # asker, its life, voter, ask
+        self.copies: list[tuple[int, int, str, RegisterRequest]] = []  # asker, its life, voter, ask
         self.wiped: dict[str, list[tuple[int, int]]] = {}  # voters without a disk, and the rounds of that time
 
 
@@ -95,8 +95,8 @@
                         # Who asks just now may be out by the time that the word arrives: a person must not release it.
                         if (
                             not (other.is_out or other.down or other.round)
-                            and voter.kept.table
-                            and (voter.kept.table.permit(other.name))
+                            and voter.voter_state.table
+                            and (voter.voter_state.table.permit(other.name))
                         ):
                             yield "release", place, target, name
             if asker.round is None and model.elects:
@@ -106,7 +106,7 @@
             yield ("return" if asker.is_out else "want"), place
         if asker.round is not None:
             yield "stop", place
-            for voter, _ in asker.round.asks():
+            for voter, _ in asker.round.pending_requests():
                 yield "step", place, voter
                 yield "lost", place, voter
                 if len(state.copies) < MOST_COPIES:
@@ -123,7 +123,7 @@
                 yield "wipe", name
 
 
-def _electorates(model: Model, state: State, known: Table) -> Iterator[tuple[str, ...]]:
+def _electorates(model: Model, state: State, known: PermitTable) -> Iterator[tuple[str, ...]]:
     names = tuple(state.voters)
     yield names[: model.voters + 1]
     yield names
@@ -138,28 +138,28 @@
     if what in ("step", "lost", "copy"):
         place, name = told
         asker = state.askers[place]
-        ask = next(ask for voter, ask in asker.round.asks() if voter == name)
+        ask = next(ask for voter, ask in asker.round.pending_requests() if voter == name)
         if what == "copy":
             state.copies.append((place, asker.life, name, ask))
             return
-        answer = state.voters[name].asked(ask)
+        answer = state.voters[name].handle_request(ask)
         if what == "step":
             _heard(asker, answer)
     elif what == "deliver":
         place, life, name, ask = state.copies.pop(told[0])
-        answer, asker = state.voters[name].asked(ask), state.askers[place]
+        answer, asker = state.voters[name].handle_request(ask), state.askers[place]
         if asker.life == life and not asker.down and asker.round is not None:
             _heard(asker, answer)
     elif what == "wipe":
         state.wiped[told[0]] = [(place, asker.life) for place, asker in enumerate(state.askers) if asker.round]
-        state.voters[told[0]] = model.voter(told[0], Kept(), abstains=True)
+        state.voters[told[0]] = model.voter(told[0], VoterState(), is_abstaining=True)
     elif what == "learn":
         name = told[0]
         # As many others as a majority of the voters that the latest of them names; rounds of before the loss are over.
         under_way = model.waits and any(
             state.askers[place].life == life and state.askers[place].round for place, life in state.wiped[name]
         )
-        others = [voter.kept for voter in state.voters.values() if voter.name != name and not voter.abstains]
+        others = [voter.voter_state for voter in state.voters.values() if voter.name != name and not voter.is_abstaining]
         if (
             not under_way
             and not (model.waits and state.copies)
@@ -185,7 +185,7 @@
         asker.life += 1
         if what == "release":
             name = state.askers[more[0]].name
-            change = Back(name, state.voters[more[1]].kept.table.permit(name).fence)
+            change = Back(name, state.voters[more[1]].voter_state.table.permit(name).fence)
         else:
             change = Go(asker.name) if what == "want" else Back(asker.name, asker.fence) if what == "return" else Elect(more[0])
         asker.round = model.round(f"{asker.name}.{asker.life}", asker.number, asker.known, change)
@@ -194,14 +194,14 @@
 
 
 def _heard(asker: Asker, answer: object) -> None:
-    asker.round.heard(answer)
-    if not asker.round.ended:
+    asker.round.handle_response(answer)
+    if not asker.round.outcome:
         return
     done, asker.round = asker.round, None
     asker.number = max(asker.number, done.highest)
-    if done.ended == "moved":
+    if done.outcome == "moved":
         asker.known = done.known
-    elif done.ended == "agreed":
+    elif done.outcome == "agreed":
         asker.known = done.table
         permit = done.table.permit(asker.name)
         if isinstance(done.change, Back):
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -26,7 +26,7 @@
 from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
-from mulleinhatch.instance.maintenance.core import Upkeep
+from mulleinhatch.instance.maintenance.core import MaintenanceCoordinator
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.testing import fault_script as faults
@@ -93,7 +93,7 @@
         self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.core: Fleet | None = None
         self.spread: Spread | None = None
-        self.upkeep: Upkeep | None = None
+        self.upkeep: MaintenanceCoordinator | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
         self.sequence = self.lives = self.cpu = self.calls = self.digest = 0
@@ -228,7 +228,7 @@
             node.core.ops_at = at
         if plan.upkeep:
             voters = tuple(self.ground.name(voter, 0) for voter in range(plan.upkeep))
-            node.upkeep = Upkeep(UpkeepBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now)
+            node.upkeep = MaintenanceCoordinator(UpkeepBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now)
         node.meters = [Meter(budget.window) for budget in bounds.budgets]
         if plan.introduced and node.lives == 1:
             self._introduce(node, now)
--- a/tests/system/test_old_messages.py
+++ b/tests/system/test_old_messages.py
@@ -16,7 +16,7 @@
 from data import messages_3fe6cd9
 
 from mulleinhatch.instance.gossip import messages as fleet_words
-from mulleinhatch.instance.maintenance import messages as upkeep_words
+from mulleinhatch.instance.maintenance import messages as maintenance_messages
 from mulleinhatch.messages import cluster
 
 RECORDED = json.loads((Path(__file__).parent.parent / "data" / "messages.json").read_text())
@@ -53,14 +53,14 @@
 CURRENT_WORDS: dict[str, type[msgspec.Struct]] = {
     "Letter": fleet_words.Letter,
     "Upward": fleet_words.Upward,
-    "Query": upkeep_words.Query,
-    "Reply": upkeep_words.Reply,
-    "Asked": upkeep_words.Asked,
-    "Answered": upkeep_words.Answered,
-    "Tell": upkeep_words.Tell,
-    "Told": upkeep_words.Told,
-    "Please": upkeep_words.Please,
-    "Thanks": upkeep_words.Thanks,
+    "Query": maintenance_messages.PositionQuery,
+    "Reply": maintenance_messages.PositionReply,
+    "Asked": maintenance_messages.RegisterRequestMessage,
+    "Answered": maintenance_messages.RegisterResponseMessage,
+    "Tell": maintenance_messages.VoterStateQuery,
+    "Told": maintenance_messages.VoterStateReply,
+    "Please": maintenance_messages.MaintenanceRequestMessage,
+    "Thanks": maintenance_messages.MaintenanceRequestAck,
 }
 
 
@@ -174,13 +174,13 @@
         letter = fleet_words.decode(bytes.fromhex(RECORDED["fleet"][0]["bytes"]), "blue")
         upward = fleet_words.decode_upward(letter.upward)
         self.assertEqual(plain(upward), RECORDED["fleet"][-1]["values"])
-        self.assertIs(type(upkeep_words.decode(letter.more)), CURRENT_WORDS["Tell"])
+        self.assertIs(type(maintenance_messages.decode(letter.more)), CURRENT_WORDS["Tell"])
 
     def test_maintenance(self):
         for told in RECORDED["upkeep"]:
             with self.subTest(told["class"]):
-                word = upkeep_words.decode(bytes.fromhex(told["bytes"]))
-                self.check(told, word, upkeep_words.encode(word))
+                word = maintenance_messages.decode(bytes.fromhex(told["bytes"]))
+                self.check(told, word, maintenance_messages.encode(word))
                 self.assertEqual(msgspec.msgpack.decode(bytes.fromhex(told["bytes"]))[0], told["class"])
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -11,9 +11,9 @@
 import pytest
 
 from mulleinhatch.control_plane.state_store import Restored, StateStore, backends_record, entry_records, replay
-from mulleinhatch.instance.maintenance.paxos_register import Ask, Ballot, Kept, Voter
+from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, RegisterRequest, Voter, VoterState
 from mulleinhatch.instance.maintenance.store import Store
-from mulleinhatch.instance.maintenance.table import Permit, Table
+from mulleinhatch.instance.maintenance.table import Permit, PermitTable
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.block import Builder
 from mulleinhatch.instance.traces.file import Trace, Writer
@@ -155,32 +155,32 @@
     assert (len(state.digests), state.forgotten_version) == (38, 0)
 
 
-def kept_voter(tmp_path: Path) -> tuple[Store, Kept]:
+def kept_voter(tmp_path: Path) -> tuple[Store, VoterState]:
     shutil.copytree(DATA / "maintenance", tmp_path, dirs_exist_ok=True)
     store = Store(str(tmp_path))
     return store, store.read()
 
 
 def test_maintenance_voter(tmp_path: Path) -> None:
-    store, kept = kept_voter(tmp_path)
+    store, voter_state = kept_voter(tmp_path)
     permits = (Permit("n4", "z1", 1, "kernel"), Permit("n5", "z2", 2, "disk", "the disk is on fire"))
-    table = Table(("n1", "n2", "n3", "n6"), 3, 2, 4, 1, permits, "a sale until noon")
-    assert kept == Kept(Ballot(9, "n3.4"), Ballot(6, "n2.3"), table, 7)
-    assert (kept.table.version, kept.table.epoch, kept.table.frozen) == (4, 1, "a sale until noon")
-    assert kept.table.permit("n5").fence == 2
-    store.keep(kept)
+    table = PermitTable(("n1", "n2", "n3", "n6"), 3, 2, 4, 1, permits, "a sale until noon")
+    assert voter_state == VoterState(ProposalNumber(9, "n3.4"), ProposalNumber(6, "n2.3"), table, 7)
+    assert (voter_state.table.version, voter_state.table.epoch, voter_state.table.frozen) == (4, 1, "a sale until noon")
+    assert voter_state.table.permit("n5").fence == 2
+    store.persist(voter_state)
     store.close()
     assert (tmp_path / "voter").read_bytes() == (DATA / "maintenance" / "voter").read_bytes()
 
 
 def test_maintenance_voter_keeps_its_promise(tmp_path: Path) -> None:
-    store, kept = kept_voter(tmp_path)
+    store, voter_state = kept_voter(tmp_path)
     store.close()
-    voter = Voter("n1", kept)
-    earlier = voter.asked(Ask(Ballot(8, "n2.9")))
-    assert not earlier.taken and earlier.promised == (9, "n3.4") and earlier.table == kept.table
-    assert voter.asked(Ask(Ballot(9, "n3.4"), table=kept.table.back("n4", 1))).taken
-    assert [permit.name for permit in voter.kept.table.out] == ["n5"]
+    voter = Voter("n1", voter_state)
+    earlier = voter.handle_request(RegisterRequest(ProposalNumber(8, "n2.9")))
+    assert not earlier.taken and earlier.promised == (9, "n3.4") and earlier.table == voter_state.table
+    assert voter.handle_request(RegisterRequest(ProposalNumber(9, "n3.4"), table=voter_state.table.release("n4", 1))).taken
+    assert [permit.name for permit in voter.voter_state.table.out] == ["n5"]
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from mulleinhatch.instance.maintenance.paxos_register import Answer, Ballot, Kept, Round, Voter
+from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, ProposalRound, RegisterResponse, Voter, VoterState
 from mulleinhatch.instance.maintenance.schedule import Request, order
-from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
-from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, PermitRefusedError, Table
+from mulleinhatch.instance.maintenance.store import CorruptVoterFileError, Store
+from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, PermitRefusedError, PermitTable
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.gossip_world import weather
 from mulleinhatch.simulation.maintenance_world import Machines
@@ -25,47 +25,47 @@
 class NoPromise(Voter):
     """Listens to any ballot, whatever it promised."""
 
-    def _may(self, ballot: Ballot) -> bool:
+    def _may_promise(self, proposal: ProposalNumber) -> bool:
         return True
 
 
 class NoAbstaining(Voter):
     """Lost its disk and goes on as if nothing was."""
 
-    def __init__(self, name: str, kept: Kept, abstains: bool = False) -> None:
-        super().__init__(name, kept, False)
+    def __init__(self, name: str, voter_state: VoterState, is_abstaining: bool = False) -> None:
+        super().__init__(name, voter_state, False)
 
 
-class NoMajority(Round):
+class NoMajority(ProposalRound):
     def _is_majority(self, count: int) -> bool:
         return 2 * count >= len(self.known.voters) - 1
 
 
-class AnyAnswer(Round):
+class AnyAnswer(ProposalRound):
     """Counts late words of an earlier step, or an earlier round."""
 
-    def _is_ours(self, answer: Answer) -> bool:
+    def _matches_current_phase(self, answer: RegisterResponse) -> bool:
         return True
 
 
-class NoOverlap(Table):
+class NoOverlap(PermitTable):
     def _overlap(self, new: tuple[str, ...]) -> bool:
         return True
 
 
-class OldFence(Table):
+class ReusedToken(PermitTable):
     """Gives a permit that is there still under the fence that it had."""
 
-    def go(self, name: str, zone: str, why: str, gone: dict[str, str] | None = None, over: str = "") -> Table:
-        return self if self.permit(name) else super().go(name, zone, why, gone, over)
+    def grant(self, name: str, zone: str, why: str, gone: dict[str, str] | None = None, over: str = "") -> PermitTable:
+        return self if self.permit(name) else super().grant(name, zone, why, gone, over)
 
 
-class NoFence(Table):
+class IgnoredToken(PermitTable):
     """Gives back whatever permit the name has."""
 
-    def back(self, name: str, fence: int) -> Table:
+    def release(self, name: str, fence: int) -> PermitTable:
         permit = self.permit(name)
-        return super().back(name, permit.fence if permit else fence)
+        return super().release(name, permit.fence if permit else fence)
 
 
 # Two voters join at once, one of the old has taken it, and an asker has heard of it: then the old and the new need not meet.
@@ -106,8 +106,8 @@
     "durable promise": Model(3, wipes=True, voter=NoAbstaining),
     "overlap": Model(3, elects=True, table=NoOverlap),
     "wait after a lost disk": Model(3, wipes=True, waits=False),
-    "fence": Model(3, releases=True, table=NoFence),
-    "new fence": Model(3, releases=True, table=OldFence),
+    "fence": Model(3, releases=True, table=IgnoredToken),
+    "new fence": Model(3, releases=True, table=ReusedToken),
 }
 
 
@@ -146,38 +146,38 @@
 
 
 def test_a_permit_outlives_any_stop_and_ends_by_its_own_fence_alone() -> None:
-    table = Table(("a",), 2, 1).go("n", "z", "kernel")
-    again = table.back("n", 1).go("n", "z", "disk")
-    assert again.back("n", 1) is again and not again.back("n", again.permit("n").fence).out
+    table = PermitTable(("a",), 2, 1).grant("n", "z", "kernel")
+    again = table.release("n", 1).grant("n", "z", "disk")
+    assert again.release("n", 1) is again and not again.release("n", again.permit("n").fence).out
 
 
 def test_the_bounds_hold_unless_a_person_gives_a_reason() -> None:
-    table = Table(("a",), 1, 1).go("n", "z", "kernel")
+    table = PermitTable(("a",), 1, 1).grant("n", "z", "kernel")
     with pytest.raises(PermitRefusedError, match="1 of 1 are out"):
-        table.go("m", "y", "kernel")
-    assert table.go("m", "y", "fire", over="it burns").permit("m").over == "it burns"
+        table.grant("m", "y", "kernel")
+    assert table.grant("m", "y", "fire", over="it burns").permit("m").over == "it burns"
     frozen = table.freeze("the release makes ill")
     with pytest.raises(PermitRefusedError, match="frozen: the release makes ill"):
-        frozen.go("m", "y", "kernel")
+        frozen.grant("m", "y", "kernel")
     with pytest.raises(PermitRefusedError, match="frozen"):
-        frozen.go("n", "z", "kernel")
+        frozen.grant("n", "z", "kernel")
 
 
 def test_a_majority_of_the_voters_stays() -> None:
-    table = Table(("a", "b", "c"), 9, 9).go("a", "z", "w")
+    table = PermitTable(("a", "b", "c"), 9, 9).grant("a", "z", "w")
     with pytest.raises(PermitRefusedError, match="1 of 3 voters are out already"):
-        table.go("b", "y", "w")
+        table.grant("b", "y", "w")
     with pytest.raises(PermitRefusedError, match="1 of 3 voters"):
-        Table(("a", "b", "c"), 9, 9).go("b", "y", "w", gone={"a": "z"})
-    assert table.go("n", "y", "w").permit("n") and Table(("a",), 1, 1).go("a", "z", "w").out
+        PermitTable(("a", "b", "c"), 9, 9).grant("b", "y", "w", gone={"a": "z"})
+    assert table.grant("n", "y", "w").permit("n") and PermitTable(("a",), 1, 1).grant("a", "z", "w").out
 
 
 def test_the_table_stays_small_whatever_people_say() -> None:
-    table = Table(("a",), MOST_OUT, MOST_OUT)
+    table = PermitTable(("a",), MOST_OUT, MOST_OUT)
     for number in range(MOST_OUT):
-        table = table.go(f"n{number}", "z", "w" * 500, over="o" * 500)
+        table = table.grant(f"n{number}", "z", "w" * 500, over="o" * 500)
     with pytest.raises(PermitRefusedError, match="no more can be told of"):
-        table.go("one more", "z", "w", over="because")
+        table.grant("one more", "z", "w", over="because")
     assert all(len(permit.why) == LONGEST_WHY for permit in table.out)
     with pytest.raises(PermitRefusedError, match="a bound is"):
         table.bounds(-1, 1)
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("voters, why", [((), "1 to 9"), ("abcdefghij", "1 to 9"), ("ab", "one voter at a time")])
 def test_an_electorate_that_is_refused(voters: str, why: str) -> None:
     with pytest.raises(PermitRefusedError, match=why):
-        Table(tuple("abcd"), 1, 1).electorate(voters)
+        PermitTable(tuple("abcd"), 1, 1).electorate(voters)
 
 
 # The order.
@@ -226,7 +226,7 @@
         {},
         100.0,
     )
-    assert [(place.request.name, place.may) for place in places] == [
+    assert [(place.request.name, place.is_allowed) for place in places] == [
         ("fire", True),
         ("ill", True),
         ("late", True),
@@ -248,16 +248,18 @@
 def test_a_file_cut_or_changed_at_any_byte_is_refused_and_never_read_as_a_vote(tmp_path: Path) -> None:
     store = Store(str(tmp_path))
     assert store.read() is None
-    kept = Kept(Ballot(7, "n.1"), Ballot(6, "m.2"), Table(("a", "b"), 2, 1).go("n", "z", "kernel"), 9)
-    store.keep(kept)
-    assert store.read() == kept
+    voter_state = VoterState(
+        ProposalNumber(7, "n.1"), ProposalNumber(6, "m.2"), PermitTable(("a", "b"), 2, 1).grant("n", "z", "kernel"), 9
+    )
+    store.persist(voter_state)
+    assert store.read() == voter_state
     data = store.path.read_bytes()
     for at in range(len(data)):
         for changed in (data[:at], data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]):
             store.path.write_bytes(changed)
-            with pytest.raises(CorruptFileError, match=str(store.path)):
+            with pytest.raises(CorruptVoterFileError, match=str(store.path)):
                 store.read()
-    with pytest.raises(CorruptFileError, match="another process"):
+    with pytest.raises(CorruptVoterFileError, match="another process"):
         Store(str(tmp_path))
     store.close()
     Store(str(tmp_path)).close()
@@ -266,13 +268,13 @@
 # One fleet in virtual time, real cores.
 
 
-def agreed(machines: Machines, change: Callable[[Table], Table]) -> None:
+def agreed(machines: Machines, change: Callable[[PermitTable], PermitTable]) -> None:
     """A person's change by n0, again while others ask at the same time."""
     for _ in range(20):
         if machines.cores["n0"].round is None:
             done = machines.cores["n0"].change(machines.nodes[0].clock(machines.now), change)
         machines.play(machines.now + 0.5)
-        if done.ended == "agreed":
+        if done.outcome == "agreed":
             return
     raise AssertionError(done.why)
 
@@ -326,25 +328,25 @@
     machines = Machines(5, "at 12 kill 1 for 1")
     machines.to_go = {"n3"}
     machines.play(11.9)
-    old = Kept(Ballot(1, "n9.1"), writes=1)
+    old = VoterState(ProposalNumber(1, "n9.1"), writes=1)
     assert machines.disks["n1"].writes > 1
     machines.disks["n1"] = old
     machines.play(15.0)
     core = machines.cores["n1"]
     assert core.counts["disk_set_back"] == 1
     machines.play(25.0)
-    assert not core.voter.abstains and core.voter.kept.table is not None
+    assert not core.voter.is_abstaining and core.voter.voter_state.table is not None
 
 
 def test_a_permit_that_was_agreed_without_its_asker_hearing_of_it_is_taken_up() -> None:
     """Seen with 30 processes: its round was beaten, the one that beat it took its table over, and it waited for ever."""
     machines = Machines(4)
     machines.play(8.0)
-    agreed(machines, lambda table: table.go("n3", "z", "kernel"))
+    agreed(machines, lambda table: table.grant("n3", "z", "kernel"))
     machines.to_go = {"n3"}
     machines.cores["n3"].ask(Request("n3", "z", "kernel", 1.0, 0.0))
     machines.play(16.0)
-    assert machines.been == {"n3": 1} and not machines.cores["n0"].voter.kept.table.out
+    assert machines.been == {"n3": 1} and not machines.cores["n0"].voter.voter_state.table.out
 
 
 def test_a_holder_that_never_returns_keeps_its_place_until_a_person_takes_it() -> None:
@@ -354,8 +356,8 @@
     assert machines.most_out == 1 and len(machines.been) == 1
     [gone] = machines.been
     core = machines.cores["n0"]
-    fence = core.voter.kept.table.permit(gone).fence
-    agreed(machines, lambda table: table.back(gone, fence))
+    fence = core.voter.voter_state.table.permit(gone).fence
+    agreed(machines, lambda table: table.release(gone, fence))
     machines.play(45.0)
     # It is off, permit or not: nobody else goes until it is back, or a person allows one more.
     assert len(machines.been) == 1
@@ -386,12 +388,12 @@
     machines.unfit = {"n4"}
     machines.play(8.0)
     for until, names in ((14.0, ["n4"]), (40.0, ["n5", "n2"])):
-        machines.cores["n0"].ask_others(
+        machines.cores["n0"].request_for_others(
             machines.nodes[0].clock(machines.now), [Request(name, "z", "release", 1.0, 0.0) for name in names]
         )
         machines.play(until)
     assert set(machines.been) == {"n4"}
-    assert machines.cores["n0"].voter.kept.table.frozen == "n4 came back and is not fit"
+    assert machines.cores["n0"].voter.voter_state.table.frozen == "n4 came back and is not fit"
     machines.unfit.clear()
     machines.play(44.0)
     agreed(machines, lambda table: table.freeze(""))
