--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -51,8 +51,8 @@
 from mulleinhatch.instance.maintenance.schedule import Request
 from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, PermitTable
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
-from mulleinhatch.instance.retry_storms.retry_admission import Desk
+from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
+from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
 from mulleinhatch.simulation.maintenance_world import Machines
@@ -187,7 +187,7 @@
             "request.storms_memory",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual, count)) for count in callers],
+            [(count, held(full_retry_admission, usual, count)) for count in callers],
             "constant",
             bounded=True,
         )
@@ -196,12 +196,15 @@
             "request.storms_memory_unbounded",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual._replace(callers_kept=count, repeats_kept=count), count)) for count in raised],
+            [
+                (count, held(full_retry_admission, usual._replace(callers_kept=count, repeats_kept=count), count))
+                for count in raised
+            ],
             "linear",
         )
         spent = []
         for count in callers:
-            spent.append((count, 1e6 * cpu(tries_of(full_desk(usual, count), count, self.seed), 5_000, self.turns)))
+            spent.append((count, 1e6 * cpu(tries_of(full_retry_admission(usual, count), count, self.seed), 5_000, self.turns)))
         self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
 
     def loudest(self) -> None:
@@ -321,27 +324,29 @@
     return [Part(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
-def one_try(desk: Desk, caller: int, number: int) -> None:
+def one_try(retry_admission: RetryAdmission, caller: int, number: int) -> None:
     """A first try that is nacked: likeness, books of callers and of tries, as the reducer keeps them."""
-    like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
-    repeat, looks = desk.tries.read(1.0, like, again=False)
-    desk.read(1.0, caller, True, 0.0)
-    desk.tries.closed(looks)
-    desk.tries.nacked(1.0, looks)
+    like = request_fingerprint(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
+    repeat, looks = retry_admission.duplicates.classify(1.0, like, is_marked_retry=False)
+    retry_admission.record_request(1.0, caller, True, 0.0)
+    retry_admission.duplicates.record_closed(looks)
+    retry_admission.duplicates.record_rejected(1.0, looks)
 
 
-def full_desk(bounds: StormBounds, callers: int) -> Desk:
+def full_retry_admission(bounds: StormBounds, callers: int) -> RetryAdmission:
     """One nacked op of each caller, and one run that may not run twice."""
-    desk = Desk(bounds, longest_hold_off=10.0, seed=7)
+    retry_admission = RetryAdmission(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
-        one_try(desk, caller, caller)
-        desk.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
-    return desk
+        one_try(retry_admission, caller, caller)
+        retry_admission.executed.add(
+            1.0, f"r{caller}", request_fingerprint(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0
+        )
+    return retry_admission
 
 
-def tries_of(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
+def tries_of(retry_admission: RetryAdmission, callers: int, seed: int) -> Callable[[], None]:
     draw = random.Random(seed)
-    return lambda: one_try(desk, draw.randrange(callers), draw.randrange(10**9))
+    return lambda: one_try(retry_admission, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -17,10 +17,10 @@
 from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.request_state_machine.tables import Keys, Owed
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, finer, likeness
-from mulleinhatch.instance.retry_storms.request_log import Lately, fingerprint
-from mulleinhatch.instance.retry_storms.retry_admission import Desk
-from mulleinhatch.invariants import must_hold
+from mulleinhatch.instance.retry_storms.duplicate_detection import RequestFingerprint, detailed_fingerprint, request_fingerprint
+from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, fingerprint
+from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
+from mulleinhatch.invariants import check
 
 READINGS_LAST = 1.0  # seconds: gauges that stopped coming tell nothing of the cores now
 RUN_GAP = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
@@ -107,7 +107,7 @@
         self.record = record
         self.deployment, self.seed = deployment, seed
         hold_off = deployment.get("max_hold_off", 0.0) if deployment.get("hold_off_allowed", False) else 0.0
-        self.storms = storms and Desk(storms, hold_off, seed)
+        self.storms = storms and RetryAdmission(storms, hold_off, seed)
         self.may_repeat = {
             name
             for name, op_type in zip(op_types, deployment.get("op_types", []))
@@ -134,7 +134,7 @@
             if op_type.get("effect") is Effect.KEYED
         }
         self.keys = Keys()
-        self.ended = Lately(ENDED_SPAN, ENDED_ROOM)  # ids of ops that may not run twice, and may have run
+        self.ended = ExpiringSet(ENDED_SPAN, ENDED_ROOM)  # ids of ops that may not run twice, and may have run
         self.healthy, self.level = True, None
         self.readings: Sequence[float] = ()
         self.read_at = -math.inf
@@ -148,7 +148,7 @@
         self.stop_at: float | None = None
         self.warm_at = -math.inf  # at the slowest warming
         self.counts: Counter[str] = Counter()
-        self.parked: dict[str, tuple[float, float, Owed, Likeness, tuple]] = {}  # until, since, op, likeness, told
+        self.parked: dict[str, tuple[float, float, Owed, RequestFingerprint, tuple]] = {}  # until, since, op, likeness, told
         self.calls_share: float | None = None
         self.on_run: Callable[[float, float, float, bool], None] | None = None  # told of runs: seconds, work, failed or not
         self.on_op: Callable[[float, float], None] | None = None  # told of the work of each op of our own callers
@@ -213,7 +213,7 @@
 
     def _link_opened(self, now: float) -> None:
         if self.storms:
-            self.storms.watch.outage(now)
+            self.storms.detector.record_outage(now)
         self.greeted = True
         self.errands.append((Errand.GREET, self.last_notice))
         self.resync = math.inf
@@ -245,7 +245,7 @@
     ) -> None:
         self.counts["ops_read"] += 1
         if self.storms:
-            self.storms.runs.asks_again(place)
+            self.storms.executed.confirm_response_read(place)
         if op_type not in self.op_types:
             self.errands.append((Errand.REFUSE, place, "op type"))
         elif self.tenants and tenant not in self.tenants:
@@ -254,7 +254,7 @@
             self._sent_again(place, ref, op_type, tenant, body)
         elif self.hatch is None:
             self.errands.append((Errand.NACK, place, 0.0, False, self.level))
-        elif self.ended.seen(now, ref):
+        elif self.ended.contains(now, ref):
             self._came_again(place, ref, fingerprint(0, op_type, tenant, key, body))
         elif self._key_in_use(now, now - age, op_type, tenant, key, body):
             self.errands.append((Errand.REFUSE, place, "key in use"))
@@ -265,12 +265,12 @@
             if self.hands:
                 owed.told, owed.from_peer = (now - age, caller, work, kb, again, rank), handed
                 self.counts["ops_from_peers"] += handed
-            like = likeness(caller, op_type, tenant, key, body, rank, work, kb) if self.storms else None
+            like = request_fingerprint(caller, op_type, tenant, key, body, rank, work, kb) if self.storms else None
             if (
                 like
                 and again
                 and op_type in self.once
-                and self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now))
+                and self.storms.executed.may_have_executed(now, like, self.storms.duplicates.are_costs_stable(now))
             ):
                 return self._park(now, owed, like, told)
             self._take_in(now, owed, like, *told)
@@ -279,7 +279,7 @@
         self,
         now: float,
         owed: Owed,
-        like: Likeness | None,
+        like: RequestFingerprint | None,
         op_type: str,
         tenant: str,
         age: float,
@@ -298,22 +298,22 @@
         if self.on_op and not owed.from_peer:
             self.on_op(now, work)
         if self.storms:
-            repeat, owed.looks = self.storms.tries.read(now, like, again, op_type in self.once)
-            self.storms.read(now, caller, repeat, age)
+            repeat, owed.looks = self.storms.duplicates.classify(now, like, again, op_type in self.once)
+            self.storms.record_request(now, caller, repeat, age)
             self.storms.counts["repeats_unmarked"] += repeat and not again
-            again = again or repeat and self.storms.on  # unmarked, it is one more of those that crowd
+            again = again or repeat and self.storms.is_active  # unmarked, it is one more of those that crowd
         self.hatch.op_read(
             now, owed.ref, self.op_types[op_type], age, wait, self.tenants.get(tenant, 0), owed.repeats, caller, work, kb, again
         )
         if owed.from_peer:
             self.hatch.came_handed(now, owed.ref)
 
-    def _park(self, now: float, owed: Owed, like: Likeness, told: tuple) -> None:
+    def _park(self, now: float, owed: Owed, like: RequestFingerprint, told: tuple) -> None:
         """A marked retry of a non-retryable op that may have run here. With the figures of that run it is its retry, and
         fails: nobody can tell it that the first had its effect, and a second one is what must not be. With others it
         waits a moment, until the answer of its twin is known to have been read: then it is another op for certain."""
         until = min(now + PARKED_MOST, owed.due - PARKED_MARGIN)
-        if self.storms.runs.doubt(now, like, True) or until <= now:
+        if self.storms.executed.may_have_executed(now, like, True) or until <= now:
             return self._may_have_run(owed, like, now)
         self.parked[owed.ref] = until, now, owed, like, told
         self.errands.append((Errand.ALARM, until - now, 0))
@@ -322,7 +322,7 @@
         for ref, (until, since, owed, like, told) in list(self.parked.items()):
             if owed.place is None:
                 del self.parked[ref]  # its caller is gone
-            elif not self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now)):
+            elif not self.storms.executed.may_have_executed(now, like, self.storms.duplicates.are_costs_stable(now)):
                 del self.parked[ref]
                 self.storms.counts["retries_told_apart"] += 1
                 op_type, tenant, age, wait, *more = told
@@ -360,9 +360,11 @@
         else:
             self.errands.append((Errand.ACK, place, result, self.level))
 
-    def _may_have_run(self, owed: Owed, like: Likeness, now: float) -> None:
+    def _may_have_run(self, owed: Owed, like: RequestFingerprint, now: float) -> None:
         self.counts["repeats_of_run"] += 1
-        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(now, like.plain)  # perhaps a twin's
+        self.storms.counts["repeats_of_run_alike"] += self.storms.duplicates.shared.contains(
+            now, like.coarse
+        )  # perhaps a twin's
         self._answer(now, owed, Errand.FAIL)
 
     def turned_back(
@@ -384,24 +386,30 @@
         goes the ordinary way. Only a repeat is turned back, by the rate that the module named, and none of an op
         that may have run here or is under way. It counts as read, and is no op: it never comes to the module. `figures`
         gives its rank, cost and memory, which few need: to read them costs."""
-        desk = self.storms
+        retry_admission = self.storms
         if ref in self.owed or op_type not in self.op_types or key and self.keys.known((op_type, tenant, key)):
             return None
         plain, once = b"", op_type in self.once
         if not again or once:  # else its likeness tells nothing new, and costs
             plain = fingerprint(caller, op_type, tenant, key, body)
-            if not desk.tries.known(now, plain, lambda: finer(plain, *figures())) if not again else plain in desk.runs.by_plain:
+            if (
+                not retry_admission.duplicates.is_known_repeat(now, plain, lambda: detailed_fingerprint(plain, *figures()))
+                if not again
+                else plain in retry_admission.executed.by_coarse
+            ):
                 return None
-        if not desk.turned_back(now, caller, punctual):
+        if not retry_admission.should_reject(now, caller, punctual):
             return None
         if plain:
-            desk.tries.turned_back(now, plain, lambda: finer(plain, *figures()), again)
-        desk.runs.asks_again(place)
-        desk.read(now, caller, True, 0.0)
-        desk.turned += 1
-        desk.stubborn += stubborn
+            retry_admission.duplicates.record_rejected_unread(
+                now, plain, lambda: detailed_fingerprint(plain, *figures()), again
+            )
+        retry_admission.executed.confirm_response_read(place)
+        retry_admission.record_request(now, caller, True, 0.0)
+        retry_admission.rejected_retries += 1
+        retry_admission.rejected_early_retries += stubborn
         self.back += 1
-        return desk.come_back(now, 0.0, stubborn)
+        return retry_admission.retry_after(now, 0.0, stubborn)
 
     def warmth(self, now: float) -> float:
         """The share of its speed that it has at the slowest warming; 1 once it is warm."""
@@ -411,7 +419,7 @@
     def room(self, now: float) -> int:
         """Ops that could start here at once; none where this instance should not be asked for more. While it is cold its places
         count for the share of its speed that it has: what all peers together send on our word is bounded by our word alone."""
-        if self.hatch is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.on:
+        if self.hatch is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.is_active:
             return 0
         return max(0, max(1, int(self.hatch.limit * self.warmth(now))) - len(self.owed) + self.away)
 
@@ -428,15 +436,15 @@
 
     def connected(self) -> None:
         """A caller's connection was accepted: counted alone, for hundreds come at once and nothing is decided by one."""
-        self.storms.watch.count(connects=1)
+        self.storms.detector.count(connects=1)
 
     def _watch(self, now: float) -> None:
-        if self.storms.watch.due(now):
+        if self.storms.detector.is_due(now):
             if self.back:
                 self.hatch.turned_back(now, self.back)
                 self.back = 0
-            if self.storms.judge(now, self.hatch.capacity()):
-                self.hatch.storm_told(now, *self.storms.told)
+            if self.storms.update(now, self.hatch.capacity()):
+                self.hatch.storm_told(now, *self.storms.last_reported)
 
     def _sent_again(self, place: int, ref: str, *same: object) -> None:
         """The same try on another connection, as it crossed the close of its first: it moves there. Anything
@@ -484,7 +492,7 @@
         if not self._is_news(now, number, ref):
             return
         if self.storms and now - max(self.ended_at, self.idle_until) > RUN_GAP:
-            self.storms.watch.outage(now)
+            self.storms.detector.record_outage(now)
         self.ended_at = now
         self._end_run(now, ref, ending, result)
 
@@ -537,7 +545,7 @@
         owed.running = False
         self.unended -= 1
         if ending is Ending.MOOT and self.storms:
-            self.storms.runs.settled(ref)
+            self.storms.executed.remove(ref)
         if ending is Ending.STOPPED and owed.place is not None:
             ending = Ending.ERROR  # nobody here stopped it, and the module would take it for paused
         self.counts[RUN_COUNTS[ending]] += 1
@@ -579,7 +587,7 @@
     def _checked(self, now: float, place: int) -> None:
         self.counts["checks"] += 1
         if self.storms:
-            self.storms.runs.asks_again(place)
+            self.storms.executed.confirm_response_read(place)
         self.errands.append((Errand.HEALTH, place, self.healthy, self.level))
 
     def _caller_lost(self, now: float, place: int) -> None:
@@ -632,7 +640,7 @@
         unrun = ending in PROVES_UNRUN
         owed.may_have_run = owed.may_have_run and not unrun
         if unrun and self.storms:
-            self.storms.runs.settled(ref)
+            self.storms.executed.remove(ref)
         if owed.place is None:
             self._drop_if_done(now, owed)
             return
@@ -644,12 +652,12 @@
 
     def _do_hand(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
-        must_hold(owed and owed.told and owed.place is not None and not owed.running, "only an op that is held is handed over")
+        check(owed and owed.told and owed.place is not None and not owed.running, "only an op that is held is handed over")
         if owed:
             owed.handed = owed.may_have_run = True
             self.away += 1
             if self.storms and owed.op_type in self.once:
-                self.storms.runs.started(now, owed.ref, Likeness(*owed.looks), owed.due)
+                self.storms.executed.add(now, owed.ref, RequestFingerprint(*owed.looks), owed.due)
             arrived, *figures = owed.told
             left = owed.due - now if owed.due < math.inf else 0.0
             self.errands.append(
@@ -658,14 +666,14 @@
 
     def _do_run(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
-        must_hold(owed and not owed.running, "only an op that is held is run")
+        check(owed and not owed.running, "only an op that is held is run")
         if owed:
             if not self.unended:
                 self.idle_until = now
             self.unended += 1
             owed.running, owed.started, owed.may_have_run = True, now, True
             if self.storms and owed.op_type in self.once:
-                self.storms.runs.started(now, owed.ref, Likeness(*owed.looks), owed.due)
+                self.storms.executed.add(now, owed.ref, RequestFingerprint(*owed.looks), owed.due)
             self._ask_run(owed)
 
     def _do_call(self, now: float, decision: Decision) -> None:
@@ -677,18 +685,18 @@
 
     def _do_nack(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
-        must_hold(owed and not owed.running and owed.place is not None, "only an op that never ran is nacked")
+        check(owed and not owed.running and owed.place is not None, "only an op that never ran is nacked")
         if owed:
             seconds = decision.seconds
             if self.storms:
-                self.storms.tries.nacked(now, owed.looks)
+                self.storms.duplicates.record_rejected(now, owed.looks)
                 if seconds > 0.0:
-                    seconds = self.storms.come_back(now, seconds, False)
+                    seconds = self.storms.retry_after(now, seconds, False)
             self._answer(now, owed, Errand.NACK, seconds, decision.flag)
 
     def _do_fail(self, now: float, decision: Decision) -> None:
         owed = self.owed.get(decision.ref)
-        must_hold(owed and owed.place is not None, "only an op that is owed an answer fails")
+        check(owed and owed.place is not None, "only an op that is owed an answer fails")
         if owed:
             self._answer(now, owed, Errand.FAIL)
             if owed.in_doubt and owed.running:
@@ -722,11 +730,11 @@
         self.errands.append((Errand.ALARM, decision.seconds, decision.ref))
 
     def _do_hear(self, now: float, decision: Decision) -> None:
-        self.storms.limit(now, decision.level)
-        self.errands.append((Errand.TURN_BACK, self.storms.sheds))
+        self.storms.set_rate(now, decision.level)
+        self.errands.append((Errand.TURN_BACK, self.storms.is_limiting))
 
     def _do_other(self, now: float, decision: Decision) -> None:
-        must_hold(False, f"the link has no word for {decision.verb.value}")
+        check(False, f"the link has no word for {decision.verb.value}")
 
     # What both come to.
 
@@ -760,8 +768,8 @@
         if ending is Ending.OK:
             self.keys.store(owed.ref, result)
             if self.storms and owed.place is not None:
-                self.storms.tries.acked(now, owed.looks)
-                self.storms.runs.acked(now, owed.ref, owed.place)
+                self.storms.duplicates.record_served(now, owed.looks)
+                self.storms.executed.record_response(now, owed.ref, owed.place)
             self._answer(now, owed, Errand.ACK, result)
         else:
             self._answer(now, owed, Errand.FAIL)
@@ -777,7 +785,7 @@
         self.places.pop(owed.place, None)
         owed.place = None
         if self.storms:
-            self.storms.tries.closed(owed.looks)
+            self.storms.duplicates.record_closed(owed.looks)
 
     def _drop_if_done(self, now: float, owed: Owed) -> None:
         if owed.place is None and not owed.running and not owed.handed:
--- a/mulleinhatch/instance/retry_storms/calendar.py
+++ b/mulleinhatch/instance/retry_storms/calendar.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 
-class Calendar:
+class ReconnectCalendar:
     """
-    >>> calendar = Calendar(horizon=0.15)
+    >>> calendar = ReconnectCalendar(horizon=0.15)
     >>> calendar.rate = 20.0
-    >>> [round(calendar.book(0.0, 0.0, draw=0.0), 2) for _ in range(4)]
+    >>> [round(calendar.reserve_slot(0.0, 0.0, draw=0.0), 2) for _ in range(4)]
     [0.0, 0.05, 0.1, 0.15]
-    >>> round(calendar.book(0.0, 0.0, draw=0.5), 4), calendar.overbooked, round(calendar.book(0.1, 0.02, 0.0), 2)
+    >>> round(calendar.reserve_slot(0.0, 0.0, draw=0.5), 4), calendar.overbooked, round(calendar.reserve_slot(0.1, 0.02, 0.0), 2)
     (0.1125, 1, 0.1)
     """
 
@@ -21,14 +21,14 @@
         self.horizon, self.rate, self.next_free = horizon, 0.0, 0.0
         self.booked = self.overbooked = 0
 
-    def book(self, now: float, least: float, draw: float) -> float:
-        """Seconds until the caller's slot, `least` at the soonest; `draw` below 1 is its place between this
+    def reserve_slot(self, now: float, min_delay: float, draw: float) -> float:
+        """Seconds until the caller's slot, `min_delay` at the soonest; `draw` below 1 is its place between this
         slot and the next. Past the horizon callers heed nothing: there is no slot then, and it is spread over
         the further half."""
         slot = max(now, self.next_free)
         if self.rate <= 0.0 or slot > now + self.horizon + 1e-9:
             self.overbooked += 1
-            return max(least, (0.5 + 0.5 * draw) * self.horizon)
+            return max(min_delay, (0.5 + 0.5 * draw) * self.horizon)
         self.booked += 1
         self.next_free = slot + 1.0 / self.rate
-        return max(least, min(self.horizon, slot + draw / self.rate - now))
+        return max(min_delay, min(self.horizon, slot + draw / self.rate - now))
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
+from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL_TOLERANCE_S
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http
 
@@ -97,7 +97,7 @@
         told = None if self.leaving else http.short_look(data)
         if told is None:
             return None
-        soon = now < back_at - PUNCTUAL
+        soon = now < back_at - PUNCTUAL_TOLERANCE_S
         seconds = self.turned_back(
             now,
             *told,
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -109,7 +109,7 @@
         for budget in self.bounds.budgets:
             counts = self.asked.get(budget.tenant) if budget.window else None
             if budget.retries:
-                demands.append(self.reducer.storms.watch.repeat_rate * budget.window if self.reducer.storms else 0.0)
+                demands.append(self.reducer.storms.detector.repeat_rate * budget.window if self.reducer.storms else 0.0)
                 continue
             if counts is None:  # of what is in hand: what waits for it, too
                 demands.append(
@@ -134,7 +134,7 @@
         storms = reducer.storms
         repeats = storms.counts["repeats_read"] if storms else 0
         # What peers hand over is their demand: counted twice, the fleet looks as if it could spare nobody.
-        reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.turned if storms else 0)
+        reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.rejected_retries if storms else 0)
         figures = [
             max(0, reads - repeats),
             repeats,
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -20,7 +20,7 @@
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 from mulleinhatch.instance.runtime.interpreter_link import Interpreter
 from mulleinhatch.instance.transport.datagrams import Datagrams
-from mulleinhatch.invariants import BROKEN
+from mulleinhatch.invariants import VIOLATIONS
 
 if TYPE_CHECKING:
     from mulleinhatch.admission import AdmissionController
@@ -247,7 +247,7 @@
         LOG.info(event, extra={"fields": self.counted()})
 
     def counted(self) -> dict[str, int]:
-        storms = self.reducer.storms.counted() if self.reducer.storms else {}
+        storms = self.reducer.storms.counters() if self.reducer.storms else {}
         traces = self.tracing.keeper.counts if self.tracing else {}
         fleet = self.fleet.counted() if self.fleet else {}
         return {
@@ -259,7 +259,7 @@
             "connections_open": len(self.front.connections.open),
             "ops_owed": len(self.reducer.owed),
             "advice_percent": round(100.0 * (self.reducer.level or 0.0)),
-            **{"broken_" + what.replace(" ", "_"): count for what, count in BROKEN.items()},
+            **{"broken_" + what.replace(" ", "_"): count for what, count in VIOLATIONS.items()},
         }
 
     def counters(self) -> str:
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -74,7 +74,7 @@
             reducer.handable(),
             int(reducer.hatch.limit) if reducer.hatch else 1,
             reducer.stop_at is not None,
-            bool(reducer.storms and reducer.storms.on),
+            bool(reducer.storms and reducer.storms.is_active),
         )
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
--- a/mulleinhatch/instance/transport/connections.py
+++ b/mulleinhatch/instance/transport/connections.py
@@ -25,7 +25,7 @@
 from tornado.iostream import StreamClosedError
 
 from mulleinhatch.instance.transport.stream import GatheringStream
-from mulleinhatch.invariants import must_hold
+from mulleinhatch.invariants import check
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 256  # what is not accepted yet may hold a whole request already, and its time runs
@@ -301,7 +301,7 @@
         connection = self.open.get(number)
         if connection is None:
             return False
-        must_hold(connection.owing, "an answer is written where one is owed")
+        check(connection.owing, "an answer is written where one is owed")
         now, last = self.clock(), last or self.closing
         connection.owing, connection.last, connection.quiet_since = False, last, now
         connection.ended_at = now if last else math.inf
--- a/mulleinhatch/invariants.py
+++ b/mulleinhatch/invariants.py
@@ -4,10 +4,10 @@
 
 from collections import Counter
 
-BROKEN: Counter[str] = Counter()
+VIOLATIONS: Counter[str] = Counter()
 
 
-def must_hold(condition: object, what: str) -> None:
+def check(condition: object, what: str) -> None:
     assert condition, what
     if not condition:
-        BROKEN[what] += 1
+        VIOLATIONS[what] += 1
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -130,16 +130,16 @@
         self.take(Happening.INTERPRETER_UP, False, 100.0)
 
     def _spy(self, calendar: Any) -> None:
-        book = calendar.book
+        reserve_slot = calendar.reserve_slot
 
         def spied(now: float, least: float, draw: float) -> float:
             booked, rate = calendar.booked, calendar.rate
-            seconds = book(now, least, draw)
+            seconds = reserve_slot(now, least, draw)
             if calendar.booked > booked and seconds > least:
                 self.slots.append((now + seconds, rate))
             return seconds
 
-        calendar.book = spied
+        calendar.reserve_slot = spied
 
     def take(self, happening: Happening, *told: Any) -> None:
         for errand, *fields in self.reducer.reduce(self.now, happening, *told):
@@ -302,15 +302,18 @@
             if self.up and self.now > due + ANSWER_SLACK:
                 raise InvariantBrokenError(f"at {self.now:.3f} place {place} waits past its time")
             break  # the oldest place that waits tells of the others: waits differ by the patience at most
-        desk = self.reducer.storms
-        if desk is None:
+        retry_admission = self.reducer.storms
+        if retry_admission is None:
             return
-        for bucket in (desk.budget.punctual, desk.budget.others):
-            if not 0.0 <= bucket.tokens <= bucket.most + 1e-9:
+        for bucket in (retry_admission.budget.punctual, retry_admission.budget.others):
+            if not 0.0 <= bucket.tokens <= bucket.max_tokens + 1e-9:
                 raise InvariantBrokenError(f"at {self.now:.3f} a budget of {bucket.tokens}")
-        if len(desk.callers) > desk.bounds.callers_kept or len(desk.tries.outstanding) > 2 * desk.bounds.repeats_kept:
+        if (
+            len(retry_admission.callers) > retry_admission.bounds.callers_kept
+            or len(retry_admission.duplicates.outstanding) > 2 * retry_admission.bounds.repeats_kept
+        ):
             raise InvariantBrokenError(f"at {self.now:.3f} the books outgrew their bound")
-        stage = desk.watch.stage.value
+        stage = retry_admission.detector.stage.value
         if not self.stages or self.stages[-1][1] != stage:
             self.stages.append((self.now, stage))
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -301,7 +301,7 @@
 
     async def instance_hears_repeats(self, rate: str) -> None:
         """As in a storm: so many a second, and the door answers the others."""
-        self.instance.reducer.storms.limit(time.monotonic(), float(rate))
+        self.instance.reducer.storms.set_rate(time.monotonic(), float(rate))
         self.instance.front.turn_back(True)
 
     async def instance_lives(self) -> None:
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -9,7 +9,12 @@
 from mulleinhatch.admission.interface import Effect, Ending
 from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
+from mulleinhatch.instance.retry_storms.duplicate_detection import (
+    DuplicateDetector,
+    ExecutedRequests,
+    ExpiringCounter,
+    RequestFingerprint,
+)
 from mulleinhatch.networking.http import RequestReader, op_told, short_figures
 from mulleinhatch.simulation.instance_world import Weather, World
 
@@ -50,7 +55,7 @@
         )
         world = World(weather, seed).play()
         assert not world.ran_twice(), (seed, weather)
-        assert not world.reducer.parked and not world.reducer.storms.tries.open, seed
+        assert not world.reducer.parked and not world.reducer.storms.duplicates.open, seed
 
 
 class Pair:
@@ -108,30 +113,36 @@
 
 
 def test_an_answer_at_the_last_moment_may_have_found_nobody() -> None:
-    runs, one = Runs(10), Likeness(b"p", b"p1")
-    runs.started(0.0, "r", one, due=1.0)
-    runs.acked(0.9, "r", place=4)
-    runs.asks_again(4)
-    assert runs.doubt(1.0, one, False)
+    executed, fingerprints = ExecutedRequests(10), RequestFingerprint(b"p", b"p1")
+    executed.add(0.0, "r", fingerprints, due=1.0)
+    executed.record_response(0.9, "r", connection=4)
+    executed.confirm_response_read(4)
+    assert executed.may_have_executed(1.0, fingerprints, False)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_books_stay_in_bounds_and_in_step(seed: int) -> None:
     """Ten thousand ops in a few seconds: no generation outgrows its room, and no doubt outlives its run."""
-    draw, runs, tally, tries, now = random.Random(seed), Runs(50), Tally(5.0, 50), Tries(50), 0.0
+    draw, executed, counter, detector, now = (
+        random.Random(seed),
+        ExecutedRequests(50),
+        ExpiringCounter(5.0, 50),
+        DuplicateDetector(50),
+        0.0,
+    )
     for number in range(10_000):
         now += draw.expovariate(100.0)
-        like = Likeness(b"p%d" % draw.randrange(200), b"f%d" % number)
-        runs.started(now, f"r{number}", like, now + 4.0)
+        fingerprints = RequestFingerprint(b"p%d" % draw.randrange(200), b"f%d" % number)
+        executed.add(now, f"r{number}", fingerprints, now + 4.0)
         if draw.random() < 0.5:
-            runs.acked(now, f"r{number}", number)
-            runs.asks_again(number)
-        tally.add(now, like.plain)
-        _, looks = tries.read(now, like, draw.random() < 0.3, True)
-        (tries.nacked if draw.random() < 0.5 else tries.acked)(now, looks)
-        tries.closed(looks)
-        assert len(runs) <= 100 and len(tally) <= 100 and len(tries.outstanding) <= 100 and not tries.open
-        assert sum(map(len, runs.by_plain.values())) == len(runs) and len(runs.answers) <= 100
+            executed.record_response(now, f"r{number}", number)
+            executed.confirm_response_read(number)
+        counter.add(now, fingerprints.coarse)
+        _, keys = detector.classify(now, fingerprints, draw.random() < 0.3, True)
+        (detector.record_rejected if draw.random() < 0.5 else detector.record_served)(now, keys)
+        detector.record_closed(keys)
+        assert len(executed) <= 100 and len(counter) <= 100 and len(detector.outstanding) <= 100 and not detector.open
+        assert sum(map(len, executed.by_coarse.values())) == len(executed) and len(executed.answers) <= 100
 
 
 def test_figures_at_the_door_are_those_of_a_full_reading() -> None:
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -15,7 +15,7 @@
 from mulleinhatch.admission.interface import Decision, Effect, Verb
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
+from mulleinhatch.instance.retry_storms.duplicate_detection import STABLE_COSTS_RETRIES
 from mulleinhatch.networking import http
 from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
 from mulleinhatch.testing.fake_callers import Habits, Load, OpKind
@@ -213,7 +213,7 @@
     for one in (giver, peer):
         one.hands = True
         one.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
-    peer.storms.tries.steady = STEADY_ENOUGH
+    peer.storms.duplicates.stable_retries = STABLE_COSTS_RETRIES
     reads(giver, 10.0, 1, sent("00000000000000aa"), False)
     _, ref, op_type, tenant, body, age, left, *figures = handed_over(giver, 10.0, "00000000000000aa")
     pieces = http.handed(ref, op_type, tenant, body, 1000.0 * NOW, 1000.0 * left, *figures[:5], 17, "peer:1", *figures[5:])
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -13,10 +13,10 @@
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
-from mulleinhatch.instance.retry_storms.calendar import Calendar
-from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
-from mulleinhatch.instance.retry_storms.request_log import HeavyCallers, Lately
-from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
+from mulleinhatch.instance.retry_storms.calendar import ReconnectCalendar
+from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
+from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, HeavyCallers
+from mulleinhatch.instance.retry_storms.storm_detector import UPDATE_INTERVAL_S, Stage, StormDetector
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking.http import BadRequestError, RequestReader, op_told, short_look
 from mulleinhatch.simulation.instance_world import Weather, World
@@ -31,25 +31,25 @@
     """Plays a scenario: `0-2 reads 250 repeats 240 capacity 80` is that at each beat of the time."""
 
     def __init__(self) -> None:
-        self.watch = Watch(StormBounds())
+        self.detector = StormDetector(StormBounds())
 
     def line(self, text: str) -> None:
         word, *rest = text.split()
         if word == ">":
-            assert self.watch.stage.value == rest[0], self.watch.stage
+            assert self.detector.stage.value == rest[0], self.detector.stage
         elif word == "all":
-            assert self.watch.entered[Stage.STORM] == int(rest[1]), self.watch.entered
+            assert self.detector.entered[Stage.STORM] == int(rest[1]), self.detector.entered
         elif rest == ["outage"]:
-            self.watch.outage(float(word))
+            self.detector.record_outage(float(word))
         else:
             told = dict(zip(rest[::2], map(int, rest[1::2])))
             first, _, last = word.partition("-")
             now = float(first)
             while now < float(last or first) + 1e-9:
-                now += BEAT
-                self.watch.count(told["reads"], told["repeats"], told.get("connects", 0))
-                self.watch.judge(now, told["capacity"])
-                if now + BEAT > float(last or first) + 1e-9:
+                now += UPDATE_INTERVAL_S
+                self.detector.count(told["reads"], told["repeats"], told.get("connects", 0))
+                self.detector.update(now, told["capacity"])
+                if now + UPDATE_INTERVAL_S > float(last or first) + 1e-9:
                     break
 
 
@@ -74,27 +74,27 @@
         plain[caller] += 1
     assert len(sketch) <= 32 and sketch.total == 5000 and len(sketch.order) <= 32
     for caller, count in plain.items():
-        assert sketch.surely(caller) <= count
+        assert sketch.at_least(caller) <= count
         assert count <= 5000 / 32 or sketch.at_most(caller) >= count, caller
 
 
-def test_what_was_seen_lately_stays_in_bounds() -> None:
+def test_recently_seen_stays_in_bounds() -> None:
     """Ten thousand fingerprints in a second must not push the memory up, whatever the span."""
-    lately = Lately(span=10.0, room=100)
+    recent = ExpiringSet(span=10.0, capacity=100)
     for number in range(10_000):
-        lately.add(number / 10_000, number)
-        assert len(lately) <= 200 and lately.seen(number / 10_000, number)
+        recent.add(number / 10_000, number)
+        assert len(recent) <= 200 and recent.contains(number / 10_000, number)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_more_slots_than_can_be_served(seed: int) -> None:
     """In no stretch of time lie more slots than the highest rate in force while they were given makes room for."""
-    draw, calendar, slots, now = random.Random(seed), Calendar(20.0), [], 0.0
+    draw, calendar, slots, now = random.Random(seed), ReconnectCalendar(20.0), [], 0.0
     for _ in range(400):
         now += draw.expovariate(40.0)
         calendar.rate = draw.choice((3.0, 5.0, 8.0))
         booked = calendar.booked
-        seconds = calendar.book(now, 0.0, draw.random())
+        seconds = calendar.reserve_slot(now, 0.0, draw.random())
         if calendar.booked > booked:
             slots.append(now + seconds)
     slots.sort()
@@ -106,10 +106,10 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_budget_gives_what_its_rate_allows(seed: int) -> None:
     draw, budget, now, heard = random.Random(seed), RetryBudget(0.9), 0.0, 0
-    budget.limit(0.0, 5.0)
+    budget.set_rate(0.0, 5.0)
     while now < 60.0:
         now += draw.expovariate(200.0)
-        heard += budget.hears(now, draw.random() < 0.02)
+        heard += budget.should_accept(now, draw.random() < 0.02)
         assert min(budget.punctual.tokens, budget.others.tokens) >= 0.0
     assert 0.8 * 5.0 * 60.0 <= heard <= 5.0 * 60.0 + 6.0
 
@@ -140,7 +140,7 @@
     world = World(weather._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
     world.reducer.reduce(last + SETTLED, Happening.CHECKED, 0)  # an idle instance judges when it next hears anything
-    assert world.reducer.storms.watch.stage is Stage.CALM, world.stages
+    assert world.reducer.storms.detector.stage is Stage.CALM, world.stages
     assert not world.waiting
 
 
@@ -305,7 +305,7 @@
             if number == 1:
                 reducer.reduce(0.0, Happening.RUN_ENDED, 1, "r1", Ending.OK, b"")
         reducer.reduce(gap, Happening.RUN_ENDED, 2, "r2", Ending.OK, b"")
-        return reducer.storms.watch.outage_at is not None
+        return reducer.storms.detector.outage_at is not None
 
     assert outage_after(5.0, in_hand=True)
     assert not outage_after(0.2, in_hand=True) and not outage_after(5.0, in_hand=False)
@@ -318,7 +318,7 @@
             {"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7, StormBounds()
         )
         reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
-        reducer.storms.limit(0.0, 0.001)
+        reducer.storms.set_rate(0.0, 0.001)
         told = [
             reducer.turned_back(0.1, f"r{number}", "read", "", 4, True, "", b"", punctual=False, stubborn=number > 2)
             for number in range(6)
@@ -330,10 +330,10 @@
     """Seen on loopback: 20 s after their first nack all unmarked repeats counted as first tries, and came in at once."""
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
     reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
-    reducer.storms.limit(0.0, 0.001)
+    reducer.storms.set_rate(0.0, 0.001)
     told = ("read", "", 4, False, "", b"a body")
     assert reducer.turned_back(0.0, "r0", *told, punctual=False, stubborn=False) is None
-    reducer.storms.tries.nacked(0.0, (likeness(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).plain,))
+    reducer.storms.duplicates.record_rejected(0.0, (request_fingerprint(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).coarse,))
     for tenth in range(1, 600):
         assert reducer.turned_back(0.1 * tenth, f"r{tenth}", *told, punctual=False, stubborn=False) is not None, tenth
     assert reducer.turned_back(120.0, "last", *told, punctual=False, stubborn=False) is None
