--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -34,21 +34,21 @@
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.traces import kinds
-from mulleinhatch.instance.traces.block import Builder
+from mulleinhatch.instance.traces.block import BlockBuilder
 from mulleinhatch.instance.traces.cutting import write
-from mulleinhatch.instance.traces.file import Facts, Trace, Writer
+from mulleinhatch.instance.traces.file import Trace, TraceMetadata, TraceWriter
 from mulleinhatch.instance.traces.kinds import Record
 from mulleinhatch.instance.traces.merging import merge
-from mulleinhatch.instance.traces.recorder import VERBS, Recorder
+from mulleinhatch.instance.traces.recorder import VERB_CODES, Recorder
 
 OP_CPU = 0.6e-3  # seconds of CPU that an op costs the whole instance, as measured on the platform
 BYTES, SEEK, MERGE_MB, SHARE = 24.0, 50.0, 100.0, 0.05
 
 
-def day(ops: int, seed: int) -> Iterator[Record]:
+def day(requests: int, seed: int) -> Iterator[Record]:
     """Six records an op."""
     draw, now = random.Random(seed), 0.0
-    for op in range(1, ops + 1):
+    for op in range(1, requests + 1):
         now = round(now + draw.expovariate(150.0), 6)
         yield Record(
             kinds.READ,
@@ -67,18 +67,20 @@
                 0,
             ),
         )
-        yield Record(kinds.DECIDED_FOR, now, (VERBS[Verb.RUN], op, 0.0, 0, 0.0, "order"))
+        yield Record(kinds.DECIDED_FOR, now, (VERB_CODES[Verb.RUN], op, 0.0, 0, 0.0, "order"))
         yield Record(kinds.PULLED, now, ())
         now = round(now + draw.expovariate(150.0) / 2.0, 6)
         yield Record(kinds.RUN_ENDED, now, (max(1, op - draw.randrange(4)), 1))
         yield Record(kinds.PULLED, now, ())
 
 
-def made(path: Path, ops: int, seed: int, name: str = "n1") -> tuple[int, int, float]:
+def made(path: Path, requests: int, seed: int, name: str = "n1") -> tuple[int, int, float]:
     """Records, bytes, seconds."""
     start = time.perf_counter()
     with open(path, "wb") as file:
-        records = write(day(ops, seed), file, Facts(name, seed, op_types=["a", "b", "c"], tenants=["w", "x", "y", "z"]), 2)
+        records = write(
+            day(requests, seed), file, TraceMetadata(name, seed, op_types=["a", "b", "c"], tenants=["w", "x", "y", "z"]), 2
+        )
     return records, path.stat().st_size, time.perf_counter() - start
 
 
@@ -102,15 +104,15 @@
         return seek, time.perf_counter() - start
 
 
-def op_path(ops: int, traced: bool) -> float:
+def op_path(requests: int, traced: bool) -> float:
     """CPU seconds an op of the reducer, with the recorder and the packing or without."""
-    writer = Writer(io.BytesIO(), Facts("n1", 7))
+    writer = TraceWriter(io.BytesIO(), TraceMetadata("n1", 7))
 
-    def hand_on(records: list[Record], newest: int) -> None:
-        builder = Builder(2, newest)
+    def on_batch(records: list[Record], newest: int) -> None:
+        builder = BlockBuilder(2, newest)
         for record in records:
             builder.add(record)
-        writer.write(builder.block())
+        writer.write(builder.encode())
 
     deployment = {"op_types": [{"importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5}], "cores": 4, "callers": 5}
     reducer = Reducer(
@@ -119,25 +121,27 @@
         [],
         7,
         StormBounds(),
-        (lambda hatch, now, cold, since: Recorder(hatch, now, cold, since, hand_on)) if traced else None,
+        (lambda controller, now, is_cold_start, since: Recorder(controller, now, is_cold_start, since, on_batch))
+        if traced
+        else None,
     )
     reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
     start, now = time.process_time(), 0.0
-    for op in range(ops):
+    for op in range(requests):
         now += 0.0125
         ref = f"{op:016x}"
         reducer.reduce(now, Happening.OP_READ, op, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
         reducer.reduce(now + 0.012, Happening.RUN_ENDED, op + 1, ref, Ending.OK, b"")
-    return (time.process_time() - start) / ops
+    return (time.process_time() - start) / requests
 
 
 def main(argv: list[str] | None = None) -> int:
     told = docopt(__doc__, argv)
     seed, quick = int(told["--seed"]), told["--quick"]
-    ops, merged_ops = (10_000, 1000) if quick else (200_000, 40_000)
+    requests, merged_ops = (10_000, 1000) if quick else (200_000, 40_000)
     with tempfile.TemporaryDirectory() as folder:
         paths = [Path(folder) / f"{number}.mht" for number in range(8)]
-        records, size, written = made(paths[0], ops, seed)
+        records, size, written = made(paths[0], requests, seed)
         count, read = read_all(paths[0])
         assert count == records
         seek, scan = seek_and_scan(paths[0])
@@ -159,7 +163,7 @@
     more = median(other - one for one, other in turns)
     figures = {
         "records": records,
-        "bytes_an_op": round(size / ops, 1),
+        "bytes_an_op": round(size / requests, 1),
         "written_a_second": round(records / written),
         "read_a_second": round(count / read),
         "seek_ms": round(1000 * seek, 2),
@@ -179,7 +183,7 @@
     missed = [
         name
         for name, kept in (
-            ("bytes", size / ops <= BYTES),
+            ("bytes", size / requests <= BYTES),
             ("seek", quick or scan / seek >= SEEK),
             ("merge memory", merge_mb <= MERGE_MB),
             ("cpu", more / OP_CPU <= SHARE),
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -12,7 +12,7 @@
 try:
     from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
     from mulleinhatch.instance.traces.codec import CorruptTraceError
-    from mulleinhatch.instance.traces.cutting import Wanted, cut, write
+    from mulleinhatch.instance.traces.cutting import RecordFilter, extract, write
     from mulleinhatch.instance.traces.file import Trace, UnreadableTraceError
     from mulleinhatch.instance.traces.merging import merge
     from mulleinhatch.instance.traces.replay import IncompleteTraceError, Outcome, replay
@@ -34,7 +34,7 @@
 def missing(trace: Trace) -> str:
     """What could not be read, in a line each."""
     return "".join(
-        f"  lost at byte {lost.place}: {lost.why}"
+        f"  lost at byte {lost.offset}: {lost.why}"
         + (f", {lost.records} records, {lost.last - lost.first:.3f} s" if lost.records else "")
         + "\n"
         for lost in trace.lost
@@ -71,7 +71,7 @@
 def cut_out(told: dict[str, Any]) -> int:
     with open(told["FILE"][0], "rb") as source:
         trace = Trace(source)
-        wanted = Wanted(
+        wanted = RecordFilter(
             told["--since"] and float(told["--since"]),
             told["--until"] and float(told["--until"]),
             place(trace.facts.tenants, told["--tenant"], "tenant"),
@@ -79,7 +79,7 @@
             told["--op"],
         )
         with open(told["--out"], "xb") as file:
-            count = cut(trace, file, wanted)
+            count = extract(trace, file, wanted)
         print(f"{told['--out']}: {count} records")
         print(missing(trace), end="")
     return 0
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -248,7 +248,7 @@
 
     def counted(self) -> dict[str, int]:
         storms = self.reducer.storms.counters() if self.reducer.storms else {}
-        traces = self.tracing.keeper.counts if self.tracing else {}
+        traces = self.tracing.file_manager.counts if self.tracing else {}
         fleet = self.fleet.counted() if self.fleet else {}
         return {
             **self.counts,
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -11,10 +11,10 @@
 from mulleinhatch import admission as decide
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.traces.file import Facts
+from mulleinhatch.instance.traces.file import TraceMetadata
 from mulleinhatch.instance.traces.recorder import Recorder
-from mulleinhatch.instance.traces.replay import told_out
-from mulleinhatch.instance.traces.writer import Keeper
+from mulleinhatch.instance.traces.replay import deployment_to_dict
+from mulleinhatch.instance.traces.writer import TraceFileManager
 
 FLUSH_EVERY = 1.0  # seconds that a record waits for others, at most: what a kill costs
 
@@ -25,19 +25,19 @@
         parts = sorted(Path(decide.__file__).parent.glob("*.py"))
         self.policy = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
         self.clock, self.wall = time.monotonic(), time.time()
-        self.keeper = Keeper(placement.traces, self._facts)
+        self.file_manager = TraceFileManager(placement.traces, self._facts)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
-    def _facts(self, number: int) -> Facts:
+    def _facts(self, number: int) -> TraceMetadata:
         place = self.placement
-        return Facts(
+        return TraceMetadata(
             place.name,
             place.seed,
             self.clock,
             self.wall,
             number,
-            told_out(place.deployment),
+            deployment_to_dict(place.deployment),
             place.op_types,
             place.tenants,
             self.policy,
@@ -45,7 +45,7 @@
         )
 
     def recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
-        self.recorder = Recorder(hatch, now, cold, since, self.keeper.batch)
+        self.recorder = Recorder(hatch, now, cold, since, self.file_manager.enqueue)
         return self.recorder
 
     def beat(self, now: float) -> None:
@@ -56,4 +56,4 @@
     def close(self) -> None:
         if self.recorder:
             self.recorder.flush()
-        self.keeper.close()
+        self.file_manager.close()
--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -9,32 +9,32 @@
 from string import ascii_lowercase, ascii_uppercase, digits
 
 from mulleinhatch.instance.traces import kinds
-from mulleinhatch.instance.traces.file import Facts
+from mulleinhatch.instance.traces.file import TraceMetadata
 from mulleinhatch.instance.traces.kinds import Record
 
 ROUNDS = 8
 HEX = frozenset("0123456789abcdef")
-LEAST_KEY = 16  # bytes: a shorter key could be tried out
+MIN_KEY_BYTES = 16  # bytes: a shorter key could be tried out
 
 
 class Aliases:
     """
     >>> aliases = Aliases(b"a key of sixteen bytes")
-    >>> one, other = aliases.text("Moshi-17"), aliases.text("Moshi-17")
-    >>> one == other != "Moshi-17", len(one), one[5], one[6:].isdigit(), len({aliases.number(n) for n in range(1000)})
+    >>> source, other = aliases.text("Moshi-17"), aliases.text("Moshi-17")
+    >>> source == other != "Moshi-17", len(source), source[5], source[6:].isdigit(), len({aliases.number(n) for n in range(1000)})
     (True, 8, '-', True, 1000)
     """
 
     def __init__(self, key: bytes) -> None:
-        if len(key) < LEAST_KEY:
-            raise ValueError(f"the key has {len(key)} bytes: {LEAST_KEY} or more are wanted")
+        if len(key) < MIN_KEY_BYTES:
+            raise ValueError(f"the key has {len(key)} bytes: {MIN_KEY_BYTES} or more are wanted")
         self.key = blake2b(key, digest_size=32).digest()
 
     def _stream(self, text: str, count: int) -> bytes:
-        out = b""
-        while len(out) < count:
-            out += blake2b(text.encode("utf-8", "surrogateescape"), key=self.key, person=b"%d" % len(out)).digest()
-        return out
+        stream = b""
+        while len(stream) < count:
+            stream += blake2b(text.encode("utf-8", "surrogateescape"), key=self.key, person=b"%d" % len(stream)).digest()
+        return stream
 
     def ref(self, ref: str) -> str:
         """The id of an op."""
@@ -45,7 +45,7 @@
     def text(self, text: str) -> str:
         """Letters and digits by others, the rest as it stands; letters beyond ASCII become plain ones."""
         drawn = self._stream(text, 2 * len(text))
-        return "".join(self._letter(letter, drawn[2 * place] << 8 | drawn[2 * place + 1]) for place, letter in enumerate(text))
+        return "".join(self._letter(letter, drawn[2 * index] << 8 | drawn[2 * index + 1]) for index, letter in enumerate(text))
 
     @staticmethod
     def _letter(letter: str, draw: int) -> str:
@@ -65,17 +65,19 @@
         value = number - low
         while True:
             left, right = value >> half, value & (1 << half) - 1
-            for turn in range(ROUNDS):
-                mixed = blake2b(b"%d %d %d" % (size, turn, right), key=self.key, digest_size=8, person=b"number").digest()
+            for round_number in range(ROUNDS):
+                mixed = blake2b(
+                    b"%d %d %d" % (size, round_number, right), key=self.key, digest_size=8, person=b"number"
+                ).digest()
                 left, right = right, left ^ int.from_bytes(mixed, "big") & (1 << half) - 1
             value = left << half | right
             if value < size:
                 return low + value
 
 
-def anonymous_facts(facts: Facts, aliases: Aliases) -> Facts:
+def anonymous_facts(facts: TraceMetadata, aliases: Aliases) -> TraceMetadata:
     """Seed and deployment stay: a replay needs them, and they name nobody."""
-    return Facts(
+    return TraceMetadata(
         aliases.text(facts.instance),
         facts.seed,
         facts.clock,
@@ -86,7 +88,7 @@
         [aliases.text(tenant) for tenant in facts.tenants],
         facts.policy,
         facts.made_by,
-        [{**one, "instance": aliases.text(str(one.get("instance", "")))} for one in facts.merged],
+        [{**source, "instance": aliases.text(str(source.get("instance", "")))} for source in facts.merged],
     )
 
 
--- a/mulleinhatch/instance/traces/block.py
+++ b/mulleinhatch/instance/traces/block.py
@@ -15,21 +15,25 @@
 import zstandard
 from xxhash import xxh3_64_intdigest
 
-from mulleinhatch.instance.traces.codec import MICRO, MOST_NUMBERS, CorruptTraceError, In, Out
+from mulleinhatch.instance.traces.codec import MAX_NUMBERS, MICRO, ColumnReader, ColumnWriter, CorruptTraceError
 from mulleinhatch.instance.traces.kinds import DECIDED, DECIDED_FOR, KINDS, Kind, Record
 
 MAGIC = b"mhtBLOCK"
 # magic, major, reserved, stored bytes, raw bytes, records, first and last time, newest op before it; then the checksum
 HEAD = struct.Struct("<8sHHIIIddQ")
-SUM = struct.Struct("<QQ")  # checksum, and eight bytes that are zero
-HEAD_SIZE = HEAD.size + SUM.size
-MOST_STORED, MOST_RAW, MOST_RECORDS = 8 << 20, 16 << 20, 1 << 20  # what no block of ours exceeds, and no reader believes
+CHECKSUM = struct.Struct("<QQ")  # checksum, and eight bytes that are zero
+HEAD_SIZE = HEAD.size + CHECKSUM.size
+MAX_STORED_BYTES, MAX_RAW_BYTES, MAX_RECORDS = (
+    8 << 20,
+    16 << 20,
+    1 << 20,
+)  # what no block of ours exceeds, and no reader believes
 TIMES, KINDS_COLUMN, TEXTS = 0, 1, 2  # columns that belong to no kind
-PACKER = zstandard.ZstdCompressor(level=3, write_content_size=True)
+COMPRESSOR = zstandard.ZstdCompressor(level=3, write_content_size=True)
 HEX = frozenset("0123456789abcdef")
 
 
-class Head(NamedTuple):
+class BlockHeader(NamedTuple):
     major: int
     stored: int
     raw: int
@@ -39,17 +43,17 @@
     newest: int
 
 
-class Builder:
+class BlockBuilder:
     """Takes records until it is told to give the block."""
 
     def __init__(self, major: int, newest: int) -> None:
         self.major, self.newest_before, self.newest = major, newest, newest
-        self.columns: dict[tuple[int, int], Out] = {}
-        self.times, self.kinds = Out(), bytearray()
+        self.columns: dict[tuple[int, int], ColumnWriter] = {}
+        self.times, self.kinds = ColumnWriter(), bytearray()
         self.texts: dict[str, int] = {}
         self.first = self.last = 0.0
         self.micro = 0
-        self.puts: dict[int, list[Callable[[Any], None]]] = {}
+        self.writers: dict[int, list[Callable[[Any], None]]] = {}
 
     def add(self, record: Record) -> None:
         kind, time, values = record
@@ -57,116 +61,121 @@
         if not self.kinds:
             self.first = self.last = time
             self.micro = micro
-        apart, self.micro = micro - self.micro, micro
+        delta, self.micro = micro - self.micro, micro
         self.last = max(self.last, time)
-        self.times.whole(2 * apart if apart >= 0 else -2 * apart - 1)
+        self.times.varint(2 * delta if delta >= 0 else -2 * delta - 1)
         self.kinds.append(kind.code)
         if values:
-            for put, value in zip(self.puts.get(kind.code) or self._puts(kind), values):
-                put(value)
+            for write_value, value in zip(self.writers.get(kind.code) or self._make_writers(kind), values):
+                write_value(value)
 
-    def _puts(self, kind: Kind) -> list[Callable[[Any], None]]:
+    def _make_writers(self, kind: Kind) -> list[Callable[[Any], None]]:
         """How the values of that kind go into their columns, settled at its first record."""
-        puts = self.puts[kind.code] = []
-        for place, (_, codec) in enumerate(kind.columns):
-            column = self.columns[kind.code, place] = Out()
-            puts.append(
-                {"whole": column.whole, "number": column.number}.get(codec)
-                or partial({"op": self._op, "numbers": self._numbers, "ref": self._ref, "text": self._text}[codec], column)
+        writers = self.writers[kind.code] = []
+        for column_index, (_, codec) in enumerate(kind.columns):
+            column = self.columns[kind.code, column_index] = ColumnWriter()
+            writers.append(
+                {"whole": column.varint, "number": column.number}.get(codec)
+                or partial(
+                    {"op": self._put_request, "numbers": self._put_numbers, "ref": self._put_ref, "text": self._put_text}[
+                        codec
+                    ],
+                    column,
+                )
             )
-        return puts
+        return writers
 
-    def _op(self, column: Out, value: int) -> None:
+    def _put_request(self, column: ColumnWriter, value: int) -> None:
         if not value:
             column.data.append(0)
             return
-        apart = self.newest - value
-        if apart < 0:
+        delta = self.newest - value
+        if delta < 0:
             self.newest = value
-            column.whole(-2 * apart)
+            column.varint(-2 * delta)
         else:
-            column.whole(2 * apart + 1)
+            column.varint(2 * delta + 1)
 
     @staticmethod
-    def _numbers(column: Out, values: tuple[float, ...]) -> None:
-        column.whole(len(values))
+    def _put_numbers(column: ColumnWriter, values: tuple[float, ...]) -> None:
+        column.varint(len(values))
         for value in values:
             column.number(value)
 
-    def _ref(self, column: Out, ref: str) -> None:
+    def _put_ref(self, column: ColumnWriter, ref: str) -> None:
         if len(ref) == 16 and HEX.issuperset(ref):
             column.data.append(0)
             column.data += bytes.fromhex(ref)
         else:
-            column.whole(1 + self.texts.setdefault(ref, len(self.texts)))
+            column.varint(1 + self.texts.setdefault(ref, len(self.texts)))
 
-    def _text(self, column: Out, text: str) -> None:
-        column.whole(self.texts.setdefault(text, len(self.texts)))
+    def _put_text(self, column: ColumnWriter, text: str) -> None:
+        column.varint(self.texts.setdefault(text, len(self.texts)))
 
     def __len__(self) -> int:
         return len(self.kinds)
 
-    def roughly(self) -> int:
+    def approximate_size(self) -> int:
         """Raw bytes so far."""
         return len(self.kinds) + len(self.times.data) + sum(len(column.data) for column in self.columns.values())
 
-    def block(self) -> bytes:
-        out = Out()
+    def encode(self) -> bytes:
+        writer = ColumnWriter()
         columns = [
             (TIMES, 0, bytes(self.times.data)),
             (KINDS_COLUMN, 0, bytes(self.kinds)),
-            (TEXTS, 0, _texts_out(list(self.texts))),
-            *((code + 2, place, bytes(column.data)) for (code, place), column in sorted(self.columns.items())),
+            (TEXTS, 0, _encode_texts(list(self.texts))),
+            *((code + 2, column_index, bytes(column.data)) for (code, column_index), column in sorted(self.columns.items())),
         ]
-        out.whole(len(columns))
-        for code, place, data in columns:
-            out.whole(code)
-            out.whole(place)
-            out.whole(len(data))
-        raw = bytes(out.data) + b"".join(data for _, _, data in columns)
-        stored = PACKER.compress(raw)
+        writer.varint(len(columns))
+        for code, column_index, data in columns:
+            writer.varint(code)
+            writer.varint(column_index)
+            writer.varint(len(data))
+        raw = bytes(writer.data) + b"".join(data for _, _, data in columns)
+        stored = COMPRESSOR.compress(raw)
         head = HEAD.pack(
             MAGIC, self.major, 0, len(stored), len(raw), len(self.kinds), self.first, self.last, self.newest_before
         )
-        return head + SUM.pack(xxh3_64_intdigest(stored, xxh3_64_intdigest(head)), 0) + stored
+        return head + CHECKSUM.pack(xxh3_64_intdigest(stored, xxh3_64_intdigest(head)), 0) + stored
 
 
-def _texts_out(texts: list[str]) -> bytes:
-    out = Out()
-    out.whole(len(texts))
+def _encode_texts(texts: list[str]) -> bytes:
+    writer = ColumnWriter()
+    writer.varint(len(texts))
     for text in texts:
         data = text.encode("utf-8", "surrogateescape")
-        out.whole(len(data))
-        out.raw(data)
-    return bytes(out.data)
+        writer.varint(len(data))
+        writer.raw(data)
+    return bytes(writer.data)
 
 
-def _texts_in(column: In) -> list[str]:
-    count = column.whole()
+def _decode_texts(column: ColumnReader) -> list[str]:
+    count = column.varint()
     if count > len(column.data):
         raise CorruptTraceError("more texts than bytes")
-    return [column.raw(column.whole()).decode("utf-8", "surrogateescape") for _ in range(count)]
+    return [column.raw(column.varint()).decode("utf-8", "surrogateescape") for _ in range(count)]
 
 
-def head_of(data: bytes) -> Head:
+def read_header(data: bytes) -> BlockHeader:
     """The head alone, bounds looked at before anything is believed; `data` holds `HEAD_SIZE` bytes."""
     if len(data) < HEAD_SIZE:
         raise CorruptTraceError("a block's head is cut")
     magic, major, _, stored, raw, records, first, last, newest = HEAD.unpack_from(data)
     if magic != MAGIC:
         raise CorruptTraceError("no block begins here")
-    if stored > MOST_STORED or raw > MOST_RAW or records > MOST_RECORDS:
+    if stored > MAX_STORED_BYTES or raw > MAX_RAW_BYTES or records > MAX_RECORDS:
         raise CorruptTraceError(f"a block of {stored} bytes, {raw} raw, {records} records")
-    return Head(major, stored, raw, records, first, last, newest)
+    return BlockHeader(major, stored, raw, records, first, last, newest)
 
 
-def check(data: bytes) -> Head:
+def verify(data: bytes) -> BlockHeader:
     """Head and checksum of a whole block."""
-    head = head_of(data)
+    head = read_header(data)
     if len(data) < HEAD_SIZE + head.stored:
         raise CorruptTraceError("a block is cut")
     body = memoryview(data)[HEAD_SIZE : HEAD_SIZE + head.stored]
-    checksum, zero = SUM.unpack_from(data, HEAD.size)
+    checksum, zero = CHECKSUM.unpack_from(data, HEAD.size)
     if zero or checksum != xxh3_64_intdigest(body, xxh3_64_intdigest(data[: HEAD.size])):
         raise CorruptTraceError("a block's checksum does not fit")
     return head
@@ -176,7 +185,7 @@
     """A block that was checked; its records one after another. `unknown` counts those of kinds that this text lacks."""
 
     def __init__(self, data: bytes) -> None:
-        self.head = check(data)
+        self.head = verify(data)
         self.unknown: Counter[int] = Counter()
         try:
             raw = zstandard.ZstdDecompressor(max_window_size=1 << 24).decompress(
@@ -187,25 +196,25 @@
         if len(raw) != self.head.raw:
             raise CorruptTraceError("a block is of another length than it says")
         self.columns = self._split(raw)
-        self.texts = _texts_in(self._column(TEXTS))
+        self.texts = _decode_texts(self._column(TEXTS))
         self.kinds = self._column(KINDS_COLUMN).data
         if len(self.kinds) != self.head.records:
             raise CorruptTraceError("a block has other records than it says")
 
     @staticmethod
     def _split(raw: bytes) -> dict[tuple[int, int], bytes]:
-        into = In(raw)
-        count = into.whole()
+        reader = ColumnReader(raw)
+        count = reader.varint()
         if count > len(raw):
             raise CorruptTraceError("more columns than bytes")
-        told = [(into.whole(), into.whole(), into.whole()) for _ in range(count)]
-        columns = {(code, place): into.raw(size) for code, place, size in told}
-        if not into.over():
+        sizes = [(reader.varint(), reader.varint(), reader.varint()) for _ in range(count)]
+        columns = {(code, column_index): reader.raw(size) for code, column_index, size in sizes}
+        if not reader.is_exhausted():
             raise CorruptTraceError("bytes behind the last column")
         return columns
 
-    def _column(self, code: int, place: int = 0) -> In:
-        return In(self.columns.get((code, place), b""))
+    def _column(self, code: int, column_index: int = 0) -> ColumnReader:
+        return ColumnReader(self.columns.get((code, column_index), b""))
 
     def counts(self) -> Counter[str]:
         return Counter(
@@ -215,50 +224,50 @@
     def records(self) -> Iterator[Record]:
         times, micro, newest = self._column(TIMES), _micro(self.head.first), self.head.newest
         columns = {
-            code: [(codec, self._column(code + 2, place)) for place, (_, codec) in enumerate(kind.columns)]
+            code: [(codec, self._column(code + 2, column_index)) for column_index, (_, codec) in enumerate(kind.columns)]
             for code, kind in KINDS.items()
         }
         for code in self.kinds:
-            apart = times.whole()
-            micro += -(apart + 1) // 2 if apart & 1 else apart // 2
+            delta = times.varint()
+            micro += -(delta + 1) // 2 if delta & 1 else delta // 2
             kind = KINDS.get(code)
             if kind is None:
                 self.unknown[code] += 1
                 continue
             values = []
             for codec, column in columns[code]:
-                value = self._get(codec, column, newest)
+                value = self._read_value(codec, column, newest)
                 if codec == "op":
                     newest = max(newest, value)
                 values.append(value)
             yield Record(kind, micro / MICRO, tuple(values))
 
-    def _get(self, codec: str, column: In, newest: int) -> Any:
+    def _read_value(self, codec: str, column: ColumnReader, newest: int) -> Any:
         if codec == "whole":
-            return column.whole()
+            return column.varint()
         if codec == "op":
-            told = column.whole()
-            if not told:
+            sizes = column.varint()
+            if not sizes:
                 return 0
-            value = newest - (told - 1) // 2 if told & 1 else newest + told // 2
+            value = newest - (sizes - 1) // 2 if sizes & 1 else newest + sizes // 2
             if value <= 0:
                 raise CorruptTraceError("an op before the first")
             return value
         if codec == "number":
             return column.number()
         if codec == "numbers":
-            count = column.whole()
-            if count > MOST_NUMBERS:
+            count = column.varint()
+            if count > MAX_NUMBERS:
                 raise CorruptTraceError(f"{count} numbers in one value")
             return tuple(column.number() for _ in range(count))
-        place = column.whole()
+        column_index = column.varint()
         if codec == "ref":
-            if not place:
+            if not column_index:
                 return column.raw(8).hex()
-            place -= 1
-        if place >= len(self.texts):
+            column_index -= 1
+        if column_index >= len(self.texts):
             raise CorruptTraceError("a text that is not in the table")
-        return self.texts[place]
+        return self.texts[column_index]
 
 
 def _micro(time: float) -> int:
--- a/mulleinhatch/instance/traces/file.py
+++ b/mulleinhatch/instance/traces/file.py
@@ -15,24 +15,24 @@
 from xxhash import xxh3_64_intdigest
 
 from mulleinhatch.instance.traces import block
-from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, Head
+from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, BlockHeader
 from mulleinhatch.instance.traces.codec import CorruptTraceError
 from mulleinhatch.instance.traces.kinds import MAJORS, MINOR, Record
 
 MAGIC = b"mhtTRACE"
 START = struct.Struct("<8sHHIQ")  # magic, major, minor, bytes of the facts, their checksum
-MOST_FACTS = 4 << 20
+MAX_METADATA_BYTES = 4 << 20
 INDEX_MAGIC, INDEX_ROW = b"mhtINDEX", struct.Struct("<QIIdd")  # place, stored bytes, records, first and last time
 INDEX_HEAD, INDEX_TAIL = struct.Struct("<8sI"), struct.Struct("<IQ8s")  # rows; rows, checksum, magic again
-MOST_ROWS = 1 << 22
-LOOK_FOR = 1 << 16  # bytes read at once when the next block is looked for
+MAX_INDEX_ENTRIES = 1 << 22
+SCAN_CHUNK_BYTES = 1 << 16  # bytes read at once when the next block is looked for
 
 
 class UnreadableTraceError(ValueError):
     """No trace file, or one of a later major version."""
 
 
-class Facts(msgspec.Struct, frozen=True):
+class TraceMetadata(msgspec.Struct, frozen=True):
     """What a file says of its origin. `deployment` are the facts that the module was made with, `wall` the system's clock
     when the instance's own stood at `clock`; `policy` names the text of the module by a digest."""
 
@@ -49,52 +49,52 @@
     merged: list[dict[str, Any]] = []
 
 
-class Row(NamedTuple):
-    place: int
+class IndexEntry(NamedTuple):
+    offset: int
     stored: int
     records: int
     first: float
     last: float
 
 
-class Lost(NamedTuple):
+class UnreadableBlock(NamedTuple):
     """What could not be read: why, where, and how much as far as that is known."""
 
-    place: int
+    offset: int
     why: str
     records: int = 0
     first: float = 0.0
     last: float = 0.0
 
 
-def head_bytes(facts: Facts, major: int, minor: int = MINOR) -> bytes:
+def encode_header(facts: TraceMetadata, major: int, minor: int = MINOR) -> bytes:
     body = msgspec.msgpack.encode(facts)
     return START.pack(MAGIC, major, minor, len(body), xxh3_64_intdigest(body)) + body
 
 
-def index_bytes(rows: list[Row]) -> bytes:
+def encode_index(rows: list[IndexEntry]) -> bytes:
     body = b"".join(INDEX_ROW.pack(*row) for row in rows)
     head = INDEX_HEAD.pack(INDEX_MAGIC, len(rows))
     return head + body + INDEX_TAIL.pack(len(rows), xxh3_64_intdigest(head + body), INDEX_MAGIC)
 
 
-class Writer:
+class TraceWriter:
     """Blocks to a binary file that is open at its start; `close` writes the index."""
 
-    def __init__(self, file: BinaryIO, facts: Facts, major: int = MAJORS[-1]) -> None:
+    def __init__(self, file: BinaryIO, facts: TraceMetadata, major: int = MAJORS[-1]) -> None:
         self.file, self.major, self.rows = file, major, []
-        head = head_bytes(facts, major)
+        head = encode_header(facts, major)
         file.write(head)
-        self.place = len(head)
+        self.offset = len(head)
 
     def write(self, data: bytes) -> None:
-        head = block.head_of(data)
+        head = block.read_header(data)
         self.file.write(data)
-        self.rows.append(Row(self.place, head.stored, head.records, head.first, head.last))
-        self.place += len(data)
+        self.rows.append(IndexEntry(self.offset, head.stored, head.records, head.first, head.last))
+        self.offset += len(data)
 
     def close(self) -> None:
-        self.file.write(index_bytes(self.rows))
+        self.file.write(encode_index(self.rows))
         self.file.flush()
 
 
@@ -102,9 +102,9 @@
     """
     >>> from mulleinhatch.instance.traces.kinds import NOTE
     >>> file = io.BytesIO()
-    >>> writer, built = Writer(file, Facts("n1", 7)), block.Builder(2, 0)
+    >>> writer, built = TraceWriter(file, TraceMetadata("n1", 7)), block.BlockBuilder(2, 0)
     >>> built.add(Record(NOTE, 1.5, ("start", "")))
-    >>> writer.write(built.block()); writer.close()
+    >>> writer.write(built.encode()); writer.close()
     >>> trace = Trace(file); [record.named() for record in trace.records()], trace.indexed, trace.lost
     ([{'what': 'start', 'detail': ''}], True, [])
     >>> cut = Trace(io.BytesIO(file.getvalue()[:-50])); len(list(cut.records())), cut.indexed
@@ -123,92 +123,92 @@
         _, self.major, self.minor, size, checksum = START.unpack(start)
         if self.major not in MAJORS:
             raise UnreadableTraceError(f"version {self.major}.{self.minor}: this text reads {', '.join(map(str, MAJORS))}")
-        body = file.read(size) if size <= MOST_FACTS else b""
+        body = file.read(size) if size <= MAX_METADATA_BYTES else b""
         if len(body) < size or xxh3_64_intdigest(body) != checksum:
             raise UnreadableTraceError("the facts at its start are damaged")
         try:
-            self.facts = msgspec.msgpack.decode(body, type=Facts)
+            self.facts = msgspec.msgpack.decode(body, type=TraceMetadata)
         except msgspec.DecodeError as error:
             raise UnreadableTraceError(f"the facts at its start: {error}") from None
         self.start = START.size + size
-        self.lost: list[Lost] = []
+        self.lost: list[UnreadableBlock] = []
         self.unknown = 0
         rows = self._index()
         self.indexed = rows is not None
         self.rows = self._scan() if rows is None else rows
 
-    def _read(self, place: int, count: int) -> bytes:
-        self.file.seek(place)
+    def _read(self, offset: int, count: int) -> bytes:
+        self.file.seek(offset)
         return self.file.read(count)
 
-    def _index(self) -> list[Row] | None:
+    def _index(self) -> list[IndexEntry] | None:
         """The index, if it is there and all it says can be true: in order, side by side, within the file."""
         if self.size < self.start + INDEX_HEAD.size + INDEX_TAIL.size:
             return None
         count, checksum, magic = INDEX_TAIL.unpack(self._read(self.size - INDEX_TAIL.size, INDEX_TAIL.size))
         size = INDEX_HEAD.size + count * INDEX_ROW.size
-        place = self.size - INDEX_TAIL.size - size
-        if magic != INDEX_MAGIC or count > MOST_ROWS or place < self.start:
+        offset = self.size - INDEX_TAIL.size - size
+        if magic != INDEX_MAGIC or count > MAX_INDEX_ENTRIES or offset < self.start:
             return None
-        body = self._read(place, size)
+        body = self._read(offset, size)
         if xxh3_64_intdigest(body) != checksum:
             return None
-        rows = [Row(*row) for row in INDEX_ROW.iter_unpack(body[INDEX_HEAD.size :])]
+        rows = [IndexEntry(*row) for row in INDEX_ROW.iter_unpack(body[INDEX_HEAD.size :])]
         at = self.start
         for row in rows:
-            if row.place != at or row.stored > block.MOST_STORED:
+            if row.offset != at or row.stored > block.MAX_STORED_BYTES:
                 return None
             at += HEAD_SIZE + row.stored
-        return rows if at == place else None
+        return rows if at == offset else None
 
-    def _scan(self) -> list[Row]:
+    def _scan(self) -> list[IndexEntry]:
         """From head to head; behind a damaged one the next is looked for by its magic."""
-        rows, place = [], self.start
-        while place < self.size:
-            data = self._read(place, HEAD_SIZE)
+        rows, offset = [], self.start
+        while offset < self.size:
+            data = self._read(offset, HEAD_SIZE)
             if data.startswith(INDEX_MAGIC):
                 break
             try:
-                head = block.head_of(data)
+                head = block.read_header(data)
             except CorruptTraceError as error:
-                after = self._next(place + 1)
-                self.lost.append(Lost(place, str(error)))
+                after = self._find_next_block(offset + 1)
+                self.lost.append(UnreadableBlock(offset, str(error)))
                 if after is None:
                     break
-                place = after
+                offset = after
                 continue
-            if place + HEAD_SIZE + head.stored > self.size:
-                after = self._next(place + 1)
-                self.lost.append(Lost(place, "a block is cut", head.records, head.first, head.last))
+            if offset + HEAD_SIZE + head.stored > self.size:
+                after = self._find_next_block(offset + 1)
+                self.lost.append(UnreadableBlock(offset, "a block is cut", head.records, head.first, head.last))
                 if after is None:
                     break
-                place = after
+                offset = after
                 continue
-            rows.append(Row(place, head.stored, head.records, head.first, head.last))
-            place += HEAD_SIZE + head.stored
+            rows.append(IndexEntry(offset, head.stored, head.records, head.first, head.last))
+            offset += HEAD_SIZE + head.stored
         return rows
 
-    def _next(self, place: int) -> int | None:
+    def _find_next_block(self, offset: int) -> int | None:
         """Where the next block begins, if any does."""
         kept = b""
-        while place < self.size:
-            data = kept + self._read(place, LOOK_FOR)
+        while offset < self.size:
+            data = kept + self._read(offset, SCAN_CHUNK_BYTES)
             found = data.find(block.MAGIC)
             if found >= 0:
-                return place - len(kept) + found
-            place += LOOK_FOR
+                return offset - len(kept) + found
+            offset += SCAN_CHUNK_BYTES
             kept = data[-len(block.MAGIC) + 1 :]
         return None
 
-    def block(self, row: Row) -> Block | None:
+    def block(self, row: IndexEntry) -> Block | None:
         """The block, or None and an entry in `lost`."""
         try:
-            return Block(self._read(row.place, HEAD_SIZE + row.stored))
+            return Block(self._read(row.offset, HEAD_SIZE + row.stored))
         except CorruptTraceError as error:
-            self.lost.append(Lost(row.place, str(error), row.records, row.first, row.last))
+            self.lost.append(UnreadableBlock(row.offset, str(error), row.records, row.first, row.last))
             return None
 
-    def blocks(self, since: float | None = None, until: float | None = None) -> Iterator[tuple[Head, Block]]:
+    def blocks(self, since: float | None = None, until: float | None = None) -> Iterator[tuple[BlockHeader, Block]]:
         for row in self.rows:
             if (since is None or row.last >= since) and (until is None or row.first <= until) and (read := self.block(row)):
                 yield read.head, read
@@ -221,5 +221,5 @@
                     if (since is None or record.time >= since) and (until is None or record.time <= until):
                         yield record
             except CorruptTraceError as error:
-                self.lost.append(Lost(0, str(error), head.records, head.first, head.last))
+                self.lost.append(UnreadableBlock(0, str(error), head.records, head.first, head.last))
             self.unknown += sum(read.unknown.values())
--- a/mulleinhatch/instance/traces/merging.py
+++ b/mulleinhatch/instance/traces/merging.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from mulleinhatch.instance.traces import kinds
-from mulleinhatch.instance.traces.cutting import OP_PLACES, write
-from mulleinhatch.instance.traces.file import Facts, Trace
+from mulleinhatch.instance.traces.cutting import REQUEST_COLUMNS, write
+from mulleinhatch.instance.traces.file import Trace, TraceMetadata
 from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
-STEP = 0.05  # seconds that the system's clock may drift between two files of one life before it counts as a step
+CLOCK_STEP_S = 0.05  # seconds that the system's clock may drift between two files of one life before it counts as a step
 
 
 class Source(NamedTuple):
@@ -29,23 +29,25 @@
     first: float
 
 
-class Life(NamedTuple):
+class Incarnation(NamedTuple):
     """A life of a node: its name and seed. Two nodes of one name differ in it."""
 
     instance: str
     seed: int
 
 
-def offsets(traces: list[Trace], told: dict[str, float] | None = None) -> tuple[list[Source], list[dict[str, Any]]]:
+def offsets(traces: list[Trace], corrections: dict[str, float] | None = None) -> tuple[list[Source], list[dict[str, Any]]]:
     """Sources by time, and what was taken for each: the system's clock as the first file of a life has it, for all files of
-    that life, so that a step of it moves nothing; `told` corrects by the node's name."""
-    lives: dict[Life, tuple[int, float]] = {}
+    that life, so that a step of it moves nothing; `corrections` corrects by the node's name."""
+    incarnations: dict[Incarnation, tuple[int, float]] = {}
     sources, notes = [], []
     for trace in sorted(traces, key=lambda trace: (trace.facts.instance, trace.facts.seed, trace.facts.number)):
         facts = trace.facts
-        life, seen = Life(facts.instance, facts.seed), facts.wall - facts.clock
-        node, offset = lives.setdefault(life, (len(lives) + 1, seen + (told or {}).get(facts.instance, 0.0)))
-        stepped = seen + (told or {}).get(facts.instance, 0.0) - offset
+        incarnation, seen = Incarnation(facts.instance, facts.seed), facts.wall - facts.clock
+        node, offset = incarnations.setdefault(
+            incarnation, (len(incarnations) + 1, seen + (corrections or {}).get(facts.instance, 0.0))
+        )
+        stepped = seen + (corrections or {}).get(facts.instance, 0.0) - offset
         sources.append(Source(trace, node, offset, min((row.first for row in trace.rows), default=0.0) + offset))
         notes.append(
             {
@@ -54,7 +56,7 @@
                 "node": node,
                 "file": facts.number,
                 "offset": round(offset, 6),
-                "clock_stepped": round(stepped, 6) if abs(stepped) > STEP else 0.0,
+                "clock_stepped": round(stepped, 6) if abs(stepped) > CLOCK_STEP_S else 0.0,
                 "version": trace.major,
             }
         )
@@ -67,7 +69,7 @@
     for source in sources:
         by_node.setdefault(source.node, []).append(source)
 
-    def of(node: int) -> Iterator[tuple[float, int, int, Record]]:
+    def records_of(node: int) -> Iterator[tuple[float, int, int, Record]]:
         count, last = 0, float("-inf")
         for source in by_node[node]:
             for record in source.trace.records():
@@ -75,38 +77,38 @@
                 last = max(last, record.time + source.offset)
                 yield last, node, count, record
 
-    for time, node, _, record in heapq.merge(*(of(node) for node in sorted(by_node))):
+    for time, node, _, record in heapq.merge(*(records_of(node) for node in sorted(by_node))):
         yield time, node, record
 
 
 def merged(sources: list[Source], since: float) -> Iterator[Record]:
     """With numbers of ops that are its own, and a record of the node wherever that changes."""
-    at, newest = 0, 0
+    current_node, newest = 0, 0
     numbers: dict[int, dict[int, int]] = {}
     for time, node, record in ordered(sources):
         time = round(time - since, 6)
-        if node != at:
-            at = node
+        if node != current_node:
+            current_node = node
             yield Record(kinds.NODE, time, (node,))
-        place = OP_PLACES[record.kind.code]
+        column = REQUEST_COLUMNS[record.kind.code]
         values = record.values
-        if place is not None and values[place]:
-            known = numbers.setdefault(node, {})
+        if column is not None and values[column]:
+            node_numbers = numbers.setdefault(node, {})
             if record.kind is kinds.READ:
                 newest += 1
-                known[values[place]] = newest
-                repeat_of = known.get(values[6], 0)
+                node_numbers[values[column]] = newest
+                repeat_of = node_numbers.get(values[6], 0)
                 values = (newest, *values[1:6], repeat_of, *values[7:])
             else:
-                values = (*values[:place], known.get(values[place], 0), *values[place + 1 :])
+                values = (*values[:column], node_numbers.get(values[column], 0), *values[column + 1 :])
             if record.kind is kinds.RUN_ENDED:
-                known.pop(record.values[place], None)
+                node_numbers.pop(record.values[column], None)
         if record.kind is kinds.DECIDED:
             record, values = record._replace(kind=kinds.DECIDED_FOR), (*values, "")
         yield Record(record.kind, time, values)
 
 
-def merge(traces: list[Trace], file: BinaryIO, told: dict[str, float] | None = None) -> tuple[int, list[dict[str, Any]]]:
+def merge(traces: list[Trace], file: BinaryIO, corrections: dict[str, float] | None = None) -> tuple[int, list[dict[str, Any]]]:
     """Into a new file of the newest version; how many records, and what was taken for each source."""
     if not traces:
         raise ValueError("no file to merge")
@@ -114,7 +116,7 @@
     for trace in traces[1:]:
         if (trace.facts.op_types, trace.facts.tenants) != (first.op_types, first.tenants):
             raise ValueError(f"{trace.facts.instance}: other op types or tenants than {first.instance}: their places would lie")
-    sources, notes = offsets(traces, told)
+    sources, notes = offsets(traces, corrections)
     since = min(source.first for source in sources)
     facts = msgspec.structs.replace(first, instance="", seed=0, clock=0.0, wall=since, number=0, merged=notes)
-    return write(merged(sources, since), file, Facts(**msgspec.structs.asdict(facts)), MAJORS[-1]), notes
+    return write(merged(sources, since), file, TraceMetadata(**msgspec.structs.asdict(facts)), MAJORS[-1]), notes
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -13,36 +13,38 @@
 from mulleinhatch.admission.interface import Advice, Decision, Deployment, Effect, StopMode, Verb
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.kinds import Record
-from mulleinhatch.instance.traces.recorder import BY_PLACE
+from mulleinhatch.instance.traces.recorder import VERB_BY_CODE
 
-WORDS = {kind.value: kind for family in (Effect, Advice, StopMode) for kind in family}
-NAMED = ("effect", "stop_mode", "advice")
+ENUM_BY_VALUE = {kind.value: kind for family in (Effect, Advice, StopMode) for kind in family}
+ENUM_FIELDS = ("effect", "stop_mode", "advice")
 
 
-def told_out(deployment: Deployment) -> dict[str, Any]:
-    """A deployment's facts as plain values; `told_in` turns them back.
+def deployment_to_dict(deployment: Deployment) -> dict[str, Any]:
+    """A deployment's facts as plain values; `deployment_from_dict` turns them back.
 
-    >>> told_in(told_out({"op_types": [{"effect": Effect.KEYED}], "advice": Advice.FLOOR, "cores": 2}))
+    >>> deployment_from_dict(deployment_to_dict({"op_types": [{"effect": Effect.KEYED}], "advice": Advice.FLOOR, "cores": 2}))
     {'op_types': [{'effect': <Effect.KEYED: 'keyed'>}], 'advice': <Advice.FLOOR: 'floor'>, 'cores': 2}
     """
-    plain = {name: value.value if name in NAMED and value is not None else value for name, value in deployment.items()}
+    plain = {name: value.value if name in ENUM_FIELDS and value is not None else value for name, value in deployment.items()}
     if "op_types" in plain:
-        plain["op_types"] = [told_out(op_type) for op_type in plain["op_types"]]
+        plain["op_types"] = [deployment_to_dict(op_type) for op_type in plain["op_types"]]
     return plain
 
 
-def told_in(plain: dict[str, Any]) -> Deployment:
-    told = {name: WORDS[value] if name in NAMED and value is not None else value for name, value in plain.items()}
-    if "op_types" in told:
-        told["op_types"] = [told_in(op_type) for op_type in told["op_types"]]
-    return told
+def deployment_from_dict(plain: dict[str, Any]) -> Deployment:
+    deployment_facts = {
+        name: ENUM_BY_VALUE[value] if name in ENUM_FIELDS and value is not None else value for name, value in plain.items()
+    }
+    if "op_types" in deployment_facts:
+        deployment_facts["op_types"] = [deployment_from_dict(op_type) for op_type in deployment_facts["op_types"]]
+    return deployment_facts
 
 
-class Said(NamedTuple):
+class DecisionRecord(NamedTuple):
     """A decision as a trace has it, comparable whatever text it comes from."""
 
     verb: str
-    op: int
+    request: int
     seconds: float
     flag: bool
     level: float
@@ -50,22 +52,22 @@
 
     def __str__(self) -> str:
         more = [
-            word
-            for word, there in (
+            part
+            for part, is_present in (
                 (self.cause, self.cause),
                 (f"{self.seconds:.3f} s", self.seconds),
                 (f"level {self.level:.4f}", self.level),
             )
-            if there
+            if is_present
         ]
-        return " ".join([self.verb, f"op {self.op}" if self.op else "", *more, "flag" if self.flag else ""]).strip()
+        return " ".join([self.verb, f"op {self.request}" if self.request else "", *more, "flag" if self.flag else ""]).strip()
 
 
 class Difference(NamedTuple):
     time: float
     pull: int  # how many times decisions had been asked for
-    recorded: list[Said]
-    replayed: list[Said]
+    recorded: list[DecisionRecord]
+    replayed: list[DecisionRecord]
 
 
 class Outcome(NamedTuple):
@@ -81,71 +83,71 @@
     """The trace does not begin with the start of an instance, or lacks a part: nothing after that can be replayed."""
 
 
-class Player:
+class Replayer:
     """Tells a module what a trace says that it heard."""
 
     def __init__(self, make: Callable[[Deployment, int, float], Any], facts: Any) -> None:
-        self.make, self.facts, self.hatch = make, facts, None
+        self.make, self.facts, self.controller = make, facts, None
         self.refs: dict[int, str] = {0: ""}
         self.numbers: dict[Any, int] = {}
 
-    def tell(self, record: Record) -> None:
+    def apply(self, record: Record) -> None:
         kind, now, values = record
         if kind is kinds.NODE:
             raise IncompleteTraceError("a merged file is of several modules: replay the files it was made of")
         if kind is kinds.GAP:
             raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow for them")
         if kind is kinds.START:
-            cold, since = values
-            deployment = {**told_in(self.facts.deployment), "fresh_start": bool(cold)}
-            self.hatch = self.make(deployment, self.facts.seed, now - since)
-        elif self.hatch is None:
+            is_cold_start, since = values
+            deployment = {**deployment_from_dict(self.facts.deployment), "fresh_start": bool(is_cold_start)}
+            self.controller = self.make(deployment, self.facts.seed, now - since)
+        elif self.controller is None:
             raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, uncut")
         elif kind is kinds.READ:
-            op, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
-            self.refs[op], self.numbers[ref] = ref, op
-            self.hatch.op_read(
+            request, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
+            self.refs[request], self.numbers[ref] = ref, request
+            self.controller.op_read(
                 now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, kb, bool(again)
             )
         elif kind is kinds.RUN_ENDED:
-            self.hatch.run_ended(now, self._ref(values[0]), values[1])
+            self.controller.run_ended(now, self._ref(values[0]), values[1])
         elif kind is kinds.CALL_WANTED:
-            self.hatch.call_wanted(now, self._ref(values[0]))
+            self.controller.call_wanted(now, self._ref(values[0]))
         elif kind is kinds.CALL_ENDED:
-            self.hatch.call_ended(now, self._ref(values[0]), values[1])
+            self.controller.call_ended(now, self._ref(values[0]), values[1])
         elif kind is kinds.ABANDONED:
-            self.hatch.op_abandoned(now, self._ref(values[0]))
+            self.controller.op_abandoned(now, self._ref(values[0]))
         elif kind is kinds.LEAVE:
-            self.hatch.leave_notice(now, values[0])
+            self.controller.leave_notice(now, values[0])
         elif kind is kinds.WOKEN:
-            self.hatch.woken(now, values[0], list(values[1]))
+            self.controller.woken(now, values[0], list(values[1]))
         elif kind is kinds.STORM:
-            self.hatch.storm_told(now, bool(values[0]), values[1])
+            self.controller.storm_told(now, bool(values[0]), values[1])
         elif kind is kinds.TURNED_BACK:
-            self.hatch.turned_back(now, values[0])
+            self.controller.turned_back(now, values[0])
         elif kind is kinds.PART:
-            self.hatch.part_told(now, values[0], values[1], list(zip(values[2][::2], values[2][1::2])))
+            self.controller.part_told(now, values[0], values[1], list(zip(values[2][::2], values[2][1::2])))
         elif kind is kinds.CALLS:
-            self.hatch.calls_told(now, values[0])
+            self.controller.calls_told(now, values[0])
         elif kind is kinds.OTHERS:
             room, ill, hear_most, shut = values
-            self.hatch.others_told(now, room, bool(ill), hear_most, shut)
+            self.controller.others_told(now, room, bool(ill), hear_most, shut)
         elif kind is kinds.OFFERS:
-            self.hatch.offers_told(now, values[0])
+            self.controller.offers_told(now, values[0])
         elif kind is kinds.HANDED:
-            self.hatch.came_handed(now, self._ref(values[0]))
+            self.controller.came_handed(now, self._ref(values[0]))
         elif kind is kinds.HAND_ENDED:
-            self.hatch.hand_ended(now, self._ref(values[0]), values[1])
+            self.controller.hand_ended(now, self._ref(values[0]), values[1])
 
-    def _ref(self, op: int) -> str:
-        return self.refs.get(op, "")
+    def _ref(self, request: int) -> str:
+        return self.refs.get(request, "")
 
-    def pull(self, now: float) -> list[Said]:
-        return [self._said(decision) for decision in iter(lambda: self.hatch.next_decision(now), None)]
+    def pull_decisions(self, now: float) -> list[DecisionRecord]:
+        return [self._record_decision(decision) for decision in iter(lambda: self.controller.next_decision(now), None)]
 
-    def _said(self, decision: Decision) -> Said:
+    def _record_decision(self, decision: Decision) -> DecisionRecord:
         wake = decision.verb is Verb.WAKE
-        return Said(
+        return DecisionRecord(
             decision.verb.value,
             0 if wake else self.numbers.get(decision.ref, 0),
             decision.seconds,
@@ -155,23 +157,27 @@
         )
 
 
-def said(record: Record) -> Said:
-    verb, op, seconds, flag, level, *cause = record.values
-    known = BY_PLACE.get(verb)
-    return Said(known.value if known else f"verb {verb}", op, seconds, bool(flag), level, cause[0] if cause else "")
+def decision_record(record: Record) -> DecisionRecord:
+    verb, request, seconds, flag, level, *cause = record.values
+    known_verb = VERB_BY_CODE.get(verb)
+    return DecisionRecord(
+        known_verb.value if known_verb else f"verb {verb}", request, seconds, bool(flag), level, cause[0] if cause else ""
+    )
 
 
-def pulls(records: Iterable[Record], player: Player) -> Iterator[tuple[float, list[Said], list[Said]]]:
+def compare_decisions(
+    records: Iterable[Record], player: Replayer
+) -> Iterator[tuple[float, list[DecisionRecord], list[DecisionRecord]]]:
     """For each time that decisions were asked for: when, what was decided, and what the player's module decides."""
-    recorded: list[Said] = []
+    recorded: list[DecisionRecord] = []
     for record in records:
         if record.kind is kinds.DECIDED or record.kind is kinds.DECIDED_FOR:
-            recorded.append(said(record))
+            recorded.append(decision_record(record))
         elif record.kind is kinds.PULLED:
-            yield record.time, recorded, player.pull(record.time)
+            yield record.time, recorded, player.pull_decisions(record.time)
             recorded = []
         else:
-            player.tell(record)
+            player.apply(record)
 
 
 def replay(
@@ -186,11 +192,11 @@
     first: Difference | None = None
     recorded_all: Counter[str] = Counter()
     replayed_all: Counter[str] = Counter()
-    for time, recorded, replayed in pulls(records, Player(make, facts)):
+    for time, recorded, replayed in compare_decisions(records, Replayer(make, facts)):
         count += 1
         decisions += len(recorded)
-        recorded_all.update(one.verb for one in recorded)
-        replayed_all.update(one.verb for one in replayed)
+        recorded_all.update(decision.verb for decision in recorded)
+        replayed_all.update(decision.verb for decision in replayed)
         if recorded != replayed:
             differences += 1
             first = first or Difference(time, count, recorded, replayed)
--- a/mulleinhatch/instance/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -14,9 +14,9 @@
 from mulleinhatch.admission.interface import Ending, Verb
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.kinds import Record
-from mulleinhatch.instance.traces.recorder import BY_PLACE
+from mulleinhatch.instance.traces.recorder import VERB_BY_CODE
 
-MOST_MS = 600_000
+MAX_MS = 600_000
 PERCENTILES = (50, 90, 99, 100)
 
 
@@ -29,8 +29,8 @@
         self.by_type: Counter[tuple[str, str]] = Counter()
         self.by_tenant: Counter[tuple[str, str]] = Counter()
         self.seconds: dict[int, Counter[str]] = {}
-        self.held, self.ran = HdrHistogram(1, MOST_MS, 3), HdrHistogram(1, MOST_MS, 3)
-        self.told = HdrHistogram(1, MOST_MS, 3)
+        self.queue_waits, self.run_times = HdrHistogram(1, MAX_MS, 3), HdrHistogram(1, MAX_MS, 3)
+        self.retry_delays = HdrHistogram(1, MAX_MS, 3)
         self.live: dict[int, tuple[int, int, float, float]] = {}  # op: type, tenant, read at, run at
         self.first: float | None = None
         self.last = 0.0
@@ -46,10 +46,10 @@
         elif kind is kinds.RUN_ENDED:
             ending = Ending(values[1]).name.lower() if values[1] in set(Ending) else f"ending {values[1]}"
             self._count(time, f"run_{ending}", values[0])
-            if (op := self.live.pop(values[0], None)) and op[3]:
-                self.ran.record_value(_ms(time - op[3]))
+            if (request := self.live.pop(values[0], None)) and request[3]:
+                self.run_times.record_value(_ms(time - request[3]))
         elif kind in (kinds.DECIDED, kinds.DECIDED_FOR):
-            self._decided(time, *values)
+            self._add_decision(time, *values)
         elif kind is kinds.TURNED_BACK:
             self.counts["turned_back"] += values[0]
             self._second(time)["turned_back"] += values[0]
@@ -58,24 +58,26 @@
         elif kind not in (kinds.PULLED, kinds.NOTE, kinds.NODE):
             self.counts[kind.name.replace(" ", "_")] += 1
 
-    def _decided(self, time: float, verb: int, op: int, seconds: float, flag: int, level: float, cause: str = "") -> None:
-        known = BY_PLACE.get(verb)
-        name = "decided_" + (known.name.lower() if known else str(verb))
-        self._count(time, name, op)
+    def _add_decision(
+        self, time: float, verb: int, request: int, seconds: float, flag: int, level: float, cause: str = ""
+    ) -> None:
+        known_verb = VERB_BY_CODE.get(verb)
+        name = "decided_" + (known_verb.name.lower() if known_verb else str(verb))
+        self._count(time, name, request)
         if cause:
             self.counts[f"{name}_{cause}"] += 1
-        live = self.live.get(op)
-        if known is Verb.RUN and live:
-            self.held.record_value(_ms(time - live[2]))
-            self.live[op] = (*live[:3], time)
-        elif known is Verb.NACK:
-            self.told.record_value(_ms(seconds))
-            self.live.pop(op, None)
-
-    def _count(self, time: float, what: str, op: int) -> None:
+        live = self.live.get(request)
+        if known_verb is Verb.RUN and live:
+            self.queue_waits.record_value(_ms(time - live[2]))
+            self.live[request] = (*live[:3], time)
+        elif known_verb is Verb.NACK:
+            self.retry_delays.record_value(_ms(seconds))
+            self.live.pop(request, None)
+
+    def _count(self, time: float, what: str, request: int) -> None:
         self.counts[what] += 1
         self._second(time)[what] += 1
-        if live := self.live.get(op):
+        if live := self.live.get(request):
             self.by_type[self._name(self.op_types, live[0]), what] += 1
             self.by_tenant[self._name(self.tenants, live[1]), what] += 1
 
@@ -83,10 +85,10 @@
         return self.seconds.setdefault(int(time), Counter())
 
     @staticmethod
-    def _name(names: list[str], place: int) -> str:
-        return names[place] if place < len(names) else str(place)
+    def _name(names: list[str], index: int) -> str:
+        return names[index] if index < len(names) else str(index)
 
-    def told_all(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"{at}%": histogram.get_value_at_percentile(at) / 1000.0 for at in PERCENTILES}
 
@@ -102,9 +104,9 @@
             "counts": dict(sorted(self.counts.items())),
             "by_op_type": by_type,
             "by_tenant": by_tenant,
-            "held_s": quantiles(self.held),
-            "ran_s": quantiles(self.ran),
-            "hold_off_s": quantiles(self.told),
+            "held_s": quantiles(self.queue_waits),
+            "ran_s": quantiles(self.run_times),
+            "hold_off_s": quantiles(self.retry_delays),
             "rates": [
                 {"second": second - int(first), **dict(sorted(counts.items()))}
                 for second, counts in sorted(self.seconds.items())
@@ -113,11 +115,11 @@
 
 
 def _ms(seconds: float) -> int:
-    return max(1, min(MOST_MS, round(1000.0 * seconds)))
+    return max(1, min(MAX_MS, round(1000.0 * seconds)))
 
 
 def summary(records: Iterable[Record], op_types: list[str], tenants: list[str]) -> dict[str, Any]:
-    made = Summary(op_types, tenants)
+    totals = Summary(op_types, tenants)
     for record in records:
-        made.add(record)
-    return made.told_all()
+        totals.add(record)
+    return totals.as_dict()
--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -18,14 +18,14 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.traces import kinds
-from mulleinhatch.instance.traces.block import Builder
-from mulleinhatch.instance.traces.file import Facts, Writer
+from mulleinhatch.instance.traces.block import BlockBuilder
+from mulleinhatch.instance.traces.file import TraceMetadata, TraceWriter
 from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
 LOG = logging.getLogger(__name__)
-WAITING = 16  # batches that wait for the disk, at most: some MB
+MAX_QUEUED_BATCHES = 16  # batches that wait for the disk, at most: some MB
 SUFFIX, OPEN_SUFFIX = ".mht", ".mht.part"
-RETRY_AFTER = 5.0  # seconds without a try after the disk refused
+RETRY_DELAY_S = 5.0  # seconds without a try after the disk refused
 
 
 class TraceBounds(NamedTuple):
@@ -35,23 +35,23 @@
     total_mb: float = 1024.0  # the oldest files of this instance go beyond it
 
 
-class Keeper:
-    """Writes one instance's files in a folder. `batch` is called from the loop, all else happens in its thread."""
+class TraceFileManager:
+    """Writes one instance's files in a folder. `enqueue` is called from the loop, all else happens in its thread."""
 
-    def __init__(self, bounds: TraceBounds, facts: Callable[[int], Facts], major: int = MAJORS[-1]) -> None:
+    def __init__(self, bounds: TraceBounds, facts: Callable[[int], TraceMetadata], major: int = MAJORS[-1]) -> None:
         self.bounds, self.facts, self.major = bounds, facts, major
         self.counts: Counter[str] = Counter()
-        self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(WAITING)
+        self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(MAX_QUEUED_BATCHES)
         self.lock = threading.Lock()  # loop and thread both drop
         self.dropped, self.dropped_until = 0, 0.0
-        self.number, self.refused_at = 0, -RETRY_AFTER
-        self.writer: Writer | None = None
+        self.number, self.refused_at = 0, -RETRY_DELAY_S
+        self.writer: TraceWriter | None = None
         self.path = Path()
         self.opened = 0.0
         self.thread = threading.Thread(target=self._run, name="traces", daemon=True)
         self.thread.start()
 
-    def batch(self, records: list[Record], newest: int) -> None:
+    def enqueue(self, records: list[Record], newest: int) -> None:
         with self.lock:
             dropped, until = self.dropped, self.dropped_until
             self.dropped = 0
@@ -76,25 +76,25 @@
     # In its own thread.
 
     def _run(self) -> None:
-        while (taken := self.queue.get()) is not None:
-            self._write(*taken)
+        while (item := self.queue.get()) is not None:
+            self._write(*item)
         self._end_file()
 
     def _write(self, records: list[Record], newest: int) -> None:
-        if time.monotonic() - self.refused_at < RETRY_AFTER:
+        if time.monotonic() - self.refused_at < RETRY_DELAY_S:
             self._refuse(records)
             return
         try:
             if self.writer is None:
                 self._begin_file()
-            builder = Builder(self.major, newest)
+            builder = BlockBuilder(self.major, newest)
             for record in records:
                 builder.add(record)
-            self.writer.write(builder.block())
+            self.writer.write(builder.encode())
             self.writer.file.flush()
             self.counts["trace_records"] += len(records)
-            self.counts["trace_bytes"] = self.counts["trace_bytes_before"] + self.writer.place
-            if self.writer.place > 1e6 * self.bounds.file_mb or time.monotonic() - self.opened > self.bounds.file_age:
+            self.counts["trace_bytes"] = self.counts["trace_bytes_before"] + self.writer.offset
+            if self.writer.offset > 1e6 * self.bounds.file_mb or time.monotonic() - self.opened > self.bounds.file_age:
                 self._end_file()
         except OSError as error:
             LOG.warning("trace not written", extra={"fields": {"error": error}})
@@ -114,7 +114,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / f"{facts.instance}-{stamp}-{os.getpid()}-{self.number:05d}{OPEN_SUFFIX}"
         file = open(self.path, "xb")  # noqa: SIM115 (`_end_file` closes it)
-        self.writer = Writer(file, facts, self.major)
+        self.writer = TraceWriter(file, facts, self.major)
         self.opened = time.monotonic()
         self._expire(facts.instance)
 
@@ -123,7 +123,7 @@
         writer, self.writer = self.writer, None
         if writer is None:
             return
-        self.counts["trace_bytes_before"] += writer.place
+        self.counts["trace_bytes_before"] += writer.offset
         with contextlib.suppress(OSError), writer.file:
             writer.close()
             os.fsync(writer.file.fileno())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -15,8 +15,8 @@
 from mulleinhatch.instance.maintenance.store import Store
 from mulleinhatch.instance.maintenance.table import Permit, PermitTable
 from mulleinhatch.instance.traces import kinds
-from mulleinhatch.instance.traces.block import Builder
-from mulleinhatch.instance.traces.file import Trace, Writer
+from mulleinhatch.instance.traces.block import BlockBuilder
+from mulleinhatch.instance.traces.file import Trace, TraceWriter
 from mulleinhatch.instance.traces.replay import replay as replay_trace
 from mulleinhatch.instance.traces.summary import summary
 from mulleinhatch.replication.chain import Replica
@@ -247,12 +247,12 @@
 
 def test_trace_is_written_again_as_it_was(trace: Trace) -> None:
     file = io.BytesIO()
-    writer = Writer(file, trace.facts)
+    writer = TraceWriter(file, trace.facts)
     for head, block in trace.blocks():
-        builder = Builder(head.major, head.newest)
+        builder = BlockBuilder(head.major, head.newest)
         for record in block.records():
             builder.add(record)
-        writer.write(builder.block())
+        writer.write(builder.encode())
     writer.close()
     again = Trace(io.BytesIO(file.getvalue()))
     assert (again.facts, list(again.records())) == (trace.facts, list(trace.records()))
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -17,16 +17,16 @@
 
 from mulleinhatch.instance.traces import block, cutting, kinds
 from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
-from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, Builder
-from mulleinhatch.instance.traces.codec import CorruptTraceError, In, Out
-from mulleinhatch.instance.traces.cutting import Wanted, chosen, cut
-from mulleinhatch.instance.traces.file import START, Facts, Trace, UnreadableTraceError, Writer, index_bytes
+from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, BlockBuilder
+from mulleinhatch.instance.traces.codec import ColumnReader, ColumnWriter, CorruptTraceError
+from mulleinhatch.instance.traces.cutting import RecordFilter, extract, select
+from mulleinhatch.instance.traces.file import START, Trace, TraceMetadata, TraceWriter, UnreadableTraceError, encode_index
 from mulleinhatch.instance.traces.kinds import Record
 from mulleinhatch.instance.traces.merging import merge
 from mulleinhatch.instance.traces.recorder import Recorder
-from mulleinhatch.instance.traces.replay import IncompleteTraceError, replay, told_out
+from mulleinhatch.instance.traces.replay import IncompleteTraceError, deployment_to_dict, replay
 from mulleinhatch.instance.traces.summary import summary
-from mulleinhatch.instance.traces.writer import Keeper, TraceBounds
+from mulleinhatch.instance.traces.writer import TraceBounds, TraceFileManager
 from mulleinhatch.simulation.instance_world import KINDS as OP_KINDS
 from mulleinhatch.simulation.instance_world import Weather, World
 from standins import SocketPlay
@@ -54,10 +54,10 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(RECORDS, some.integers(0, 2**40))
 def test_any_records_come_back_as_they_were(records: list[Record], newest: int) -> None:
-    built = Builder(2, newest)
+    built = BlockBuilder(2, newest)
     for record in records:
         built.add(record)
-    read = Block(built.block())
+    read = Block(built.encode())
     assert list(read.records()) == records
     assert read.counts() == Counter(record.kind.name for record in records)
 
@@ -65,9 +65,9 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(some.floats(allow_nan=False))
 def test_a_float_comes_back_to_the_last_bit(value: float) -> None:
-    out = Out()
+    out = ColumnWriter()
     out.number(value)
-    assert struct.pack("<d", In(bytes(out.data)).number()) == struct.pack("<d", value)
+    assert struct.pack("<d", ColumnReader(bytes(out.data)).number()) == struct.pack("<d", value)
 
 
 def traced(weather: Weather, seed: int) -> tuple[World, bytes]:
@@ -83,14 +83,16 @@
     recorder, batches = lives[-1]
     recorder.flush()
     file = io.BytesIO()
-    facts = Facts("n1", seed=world.life, deployment=told_out(world.deployment), op_types=[kind[0] for kind in OP_KINDS])
-    writer = Writer(file, facts)
+    facts = TraceMetadata(
+        "n1", seed=world.life, deployment=deployment_to_dict(world.deployment), op_types=[kind[0] for kind in OP_KINDS]
+    )
+    writer = TraceWriter(file, facts)
     for records, newest in batches:
         for start in range(0, len(records), 500):
-            built = Builder(2, newest)
+            built = BlockBuilder(2, newest)
             for one in records[start : start + 500]:
                 built.add(one)
-            writer.write(built.block())
+            writer.write(built.encode())
             newest = built.newest
     writer.close()
     return world, file.getvalue()
@@ -143,33 +145,33 @@
 
 def test_a_file_cut_at_every_byte_of_its_last_blocks(told: tuple[World, bytes]) -> None:
     """A node killed in mid-write: all whole blocks are read, and what is missing is told."""
-    data, whole = told[1], Trace(io.BytesIO(told[1]))
-    last, before = whole.rows[-1], whole.rows[-2]
-    for end in range(before.place + 1, len(data)):
+    data, complete = told[1], Trace(io.BytesIO(told[1]))
+    last, before = complete.rows[-1], complete.rows[-2]
+    for end in range(before.offset + 1, len(data)):
         trace = Trace(io.BytesIO(data[:end]))
-        expected = sum(row.records for row in whole.rows if row.place + HEAD_SIZE + row.stored <= end)
+        expected = sum(row.records for row in complete.rows if row.offset + HEAD_SIZE + row.stored <= end)
         assert sum(row.records for row in trace.rows) == expected, end
-        cut_in = [row for row in (before, last) if row.place + HEAD_SIZE <= end < row.place + HEAD_SIZE + row.stored]
+        cut_in = [row for row in (before, last) if row.offset + HEAD_SIZE <= end < row.offset + HEAD_SIZE + row.stored]
         assert [(lost.records, lost.first, lost.last) for lost in trace.lost if lost.records] == [
             (row.records, row.first, row.last) for row in cut_in
         ], end
-    trace = Trace(io.BytesIO(data[: last.place + HEAD_SIZE + 5]))
-    assert len(list(trace.records())) == sum(row.records for row in whole.rows[:-1])
+    trace = Trace(io.BytesIO(data[: last.offset + HEAD_SIZE + 5]))
+    assert len(list(trace.records())) == sum(row.records for row in complete.rows[:-1])
 
 
 def test_flipped_bits_lose_their_block_alone(told: tuple[World, bytes]) -> None:
-    draw, data, whole = random.Random(5), told[1], Trace(io.BytesIO(told[1]))
-    total = sum(row.records for row in whole.rows)
+    draw, data, complete = random.Random(5), told[1], Trace(io.BytesIO(told[1]))
+    total = sum(row.records for row in complete.rows)
     for _ in range(60):
-        row = draw.choice(whole.rows)
-        at = row.place + draw.randrange(HEAD_SIZE + row.stored)
+        row = draw.choice(complete.rows)
+        at = row.offset + draw.randrange(HEAD_SIZE + row.stored)
         flipped = bytearray(data)
         flipped[at] ^= 1 << draw.randrange(8)
         trace = Trace(io.BytesIO(bytes(flipped)))
         assert len(list(trace.records())) == total - row.records, at
         assert len(trace.lost) == 1
         # and the same where no index helps
-        end = whole.rows[-1].place + HEAD_SIZE + whole.rows[-1].stored
+        end = complete.rows[-1].offset + HEAD_SIZE + complete.rows[-1].stored
         scanned = Trace(io.BytesIO(bytes(flipped[:end])))
         assert len(list(scanned.records())) == total - row.records and scanned.lost
 
@@ -191,9 +193,9 @@
 
 def packed(raw: bytes, records: int = 1, raw_size: int | None = None) -> bytes:
     """A block with a right checksum round whatever it holds."""
-    stored = block.PACKER.compress(raw)
+    stored = block.COMPRESSOR.compress(raw)
     head = block.HEAD.pack(block.MAGIC, 2, 0, len(stored), len(raw) if raw_size is None else raw_size, records, 0.0, 0.0, 0)
-    return head + block.SUM.pack(block.xxh3_64_intdigest(stored, block.xxh3_64_intdigest(head)), 0) + stored
+    return head + block.CHECKSUM.pack(block.xxh3_64_intdigest(stored, block.xxh3_64_intdigest(head)), 0) + stored
 
 
 HUGE = b"\xff" * 9 + b"\x01"  # 2^64 - 1
@@ -217,16 +219,16 @@
 
 def test_an_index_that_lies_is_not_believed(told: tuple[World, bytes]) -> None:
     """Rows that point at each other, or outside, with a right checksum: the blocks are looked for themselves."""
-    whole = Trace(io.BytesIO(told[1]))
-    end = whole.rows[-1].place + HEAD_SIZE + whole.rows[-1].stored
+    complete = Trace(io.BytesIO(told[1]))
+    end = complete.rows[-1].offset + HEAD_SIZE + complete.rows[-1].stored
     for rows in (
-        [row._replace(place=whole.rows[0].place) for row in whole.rows],
-        whole.rows[:-1],
-        [*whole.rows[:-1], whole.rows[-1]._replace(stored=1 << 31)],
-        whole.rows[::-1],
+        [row._replace(offset=complete.rows[0].offset) for row in complete.rows],
+        complete.rows[:-1],
+        [*complete.rows[:-1], complete.rows[-1]._replace(stored=1 << 31)],
+        complete.rows[::-1],
     ):
-        trace = Trace(io.BytesIO(told[1][:end] + index_bytes(rows)))
-        assert not trace.indexed and trace.rows == whole.rows
+        trace = Trace(io.BytesIO(told[1][:end] + encode_index(rows)))
+        assert not trace.indexed and trace.rows == complete.rows
 
 
 def test_seeded_noise_never_does_more_than_lose(told: tuple[World, bytes]) -> None:
@@ -246,13 +248,13 @@
 def test_both_versions_are_read_and_unknown_kinds_are_counted() -> None:
     unknown = kinds.Kind(200, "of a later text", (("what", "text"),))
     values = (2, 1, 0.5, 1, 0.0)
-    for major, kind, told_values in ((1, kinds.DECIDED, values), (2, kinds.DECIDED_FOR, (*values, "bound"))):
-        file, built = io.BytesIO(), Builder(major, 1)
-        built.add(Record(kind, 1.0, told_values))
+    for major, kind, decision_values in ((1, kinds.DECIDED, values), (2, kinds.DECIDED_FOR, (*values, "bound"))):
+        file, built = io.BytesIO(), BlockBuilder(major, 1)
+        built.add(Record(kind, 1.0, decision_values))
         built.add(Record(unknown, 1.5, ("x",)))
-        built.add(Record(kind, 2.0, told_values))
-        writer = Writer(file, Facts("n1", 1), major)
-        writer.write(built.block())
+        built.add(Record(kind, 2.0, decision_values))
+        writer = TraceWriter(file, TraceMetadata("n1", 1), major)
+        writer.write(built.encode())
         writer.close()
         trace = Trace(file)
         assert trace.major == major and [record.time for record in trace.records()] == [1.0, 2.0]
@@ -261,29 +263,31 @@
 
 def test_a_part_by_time_type_and_op(told: tuple[World, bytes]) -> None:
     trace, file = Trace(io.BytesIO(told[1])), io.BytesIO()
-    whole = list(trace.records())
-    count = cut(trace, file, Wanted(since=6.0, until=7.0, op_type=1))
+    complete = list(trace.records())
+    count = extract(trace, file, RecordFilter(since=6.0, until=7.0, op_type=1))
     part = list(Trace(file).records())
     assert len(part) == count > 0 and all(6.0 <= record.time <= 7.0 for record in part)
     assert all(record.values[2] == 1 for record in part if record.kind is kinds.READ)
-    one = next(record for record in whole if record.kind is kinds.READ)
-    life = list(chosen(whole, Wanted(ref=one.values[1])))
+    one = next(record for record in complete if record.kind is kinds.READ)
+    life = list(select(complete, RecordFilter(ref=one.values[1])))
     assert life[0] == one and {record.named()["op"] for record in life} == {one.values[0]} and len(life) >= 2
 
 
 def test_the_keeper_rolls_expires_and_marks_gaps(tmp_path: Path) -> None:
     """Files are ended by size, the oldest go beyond the total, and what a full queue dropped is marked and counted."""
-    keeper = Keeper(TraceBounds(str(tmp_path), file_mb=0.002, total_mb=0.01), lambda number: Facts("n1", 7, number=number))
+    file_manager = TraceFileManager(
+        TraceBounds(str(tmp_path), file_mb=0.002, total_mb=0.01), lambda number: TraceMetadata("n1", 7, number=number)
+    )
     notes = [Record(kinds.NOTE, place / 10.0, ("note", f"{place * 7919}")) for place in range(300)]
     for _ in range(12):
-        keeper.queue.put((notes, 0))
-    keeper.dropped, keeper.dropped_until = 5, 2.0
-    while not keeper.queue.empty():
+        file_manager.queue.put((notes, 0))
+    file_manager.dropped, file_manager.dropped_until = 5, 2.0
+    while not file_manager.queue.empty():
         pass
-    keeper.batch(notes, 0)
-    keeper.close()
+    file_manager.enqueue(notes, 0)
+    file_manager.close()
     files = sorted(tmp_path.glob("*.mht"))
-    assert keeper.counts["trace_files"] > len(files) > 1 and not list(tmp_path.glob("*.part"))
+    assert file_manager.counts["trace_files"] > len(files) > 1 and not list(tmp_path.glob("*.part"))
     assert sum(path.stat().st_size for path in files) < 20_000
     records = [record for path in files for record in Trace(io.BytesIO(path.read_bytes())).records()]
     assert [record.values for record in records if record.kind is kinds.GAP] == [(5, 2.0)]
@@ -291,10 +295,10 @@
 
 def test_a_disk_that_refuses_costs_the_records_and_nothing_else(tmp_path: Path) -> None:
     (tmp_path / "taken").write_text("no folder")
-    keeper = Keeper(TraceBounds(str(tmp_path / "taken" / "x")), lambda number: Facts("n1", 7))
-    keeper.batch([Record(kinds.NOTE, 1.0, ("a", ""))], 0)
-    keeper.close()
-    assert keeper.counts["trace_records_dropped"] == 1 and keeper.dropped == 1
+    file_manager = TraceFileManager(TraceBounds(str(tmp_path / "taken" / "x")), lambda number: TraceMetadata("n1", 7))
+    file_manager.enqueue([Record(kinds.NOTE, 1.0, ("a", ""))], 0)
+    file_manager.close()
+    assert file_manager.counts["trace_records_dropped"] == 1 and file_manager.dropped == 1
 
 
 def test_an_instance_on_sockets_is_traced_and_replayed(tmp_path: Path) -> None:
@@ -337,13 +341,15 @@
 
 def node_file(name: str, seed: int, number: int, wall: float, times: list[float], major: int = 2) -> bytes:
     """Reads and their decisions at those times, ids `NAME-0` and on; the instance's clock stood at 100 at `wall`."""
-    file, built = io.BytesIO(), Builder(major, 0)
+    file, built = io.BytesIO(), BlockBuilder(major, 0)
     decided = block.decided(major)
     for place, at in enumerate(times, 1):
         built.add(Record(kinds.READ, at, (place, f"{name}-{place}", 0, 0.0, 1.0, 0, 0, 4711, 0.05, 8.0, 0)))
         built.add(Record(decided, at, (0, place, 0.0, 0, 0.0) + (("order",) if major > 1 else ())))
-    writer = Writer(file, Facts(name, seed, 100.0, wall, number, op_types=["read"], tenants=["Moshi Portal"]), major)
-    writer.write(built.block())
+    writer = TraceWriter(
+        file, TraceMetadata(name, seed, 100.0, wall, number, op_types=["read"], tenants=["Moshi Portal"]), major
+    )
+    writer.write(built.encode())
     writer.close()
     return file.getvalue()
 
@@ -381,8 +387,8 @@
     data = file.getvalue()
     trace = Trace(file)
     raw = data + b"".join(
-        repr(sorted(Block(data[row.place : row.place + HEAD_SIZE + row.stored]).columns.items())).encode()
-        + b"".join(Block(data[row.place : row.place + HEAD_SIZE + row.stored]).columns.values())
+        repr(sorted(Block(data[row.offset : row.offset + HEAD_SIZE + row.stored]).columns.items())).encode()
+        + b"".join(Block(data[row.offset : row.offset + HEAD_SIZE + row.stored]).columns.values())
         for row in trace.rows
     )
     for ref in refs:
@@ -401,21 +407,21 @@
     """A mark that is itself dropped must not take what it told of with it."""
     gate = threading.Event()
 
-    def facts(number: int) -> Facts:
+    def facts(number: int) -> TraceMetadata:
         gate.wait(10.0)  # the disk hangs at the first file
-        return Facts("n1", 7)
+        return TraceMetadata("n1", 7)
 
-    keeper = Keeper(TraceBounds(str(tmp_path)), facts)
+    file_manager = TraceFileManager(TraceBounds(str(tmp_path)), facts)
     notes = [Record(kinds.NOTE, place / 10.0, ("note", "")) for place in range(10)]
     for _ in range(30):
-        keeper.batch(notes, 0)
-    dropped = keeper.counts["trace_records_dropped"]
-    assert dropped >= 120 and dropped == keeper.dropped
+        file_manager.enqueue(notes, 0)
+    dropped = file_manager.counts["trace_records_dropped"]
+    assert dropped >= 120 and dropped == file_manager.dropped
     gate.set()
-    while not keeper.queue.empty():
+    while not file_manager.queue.empty():
         time.sleep(0.01)
-    keeper.batch(notes, 0)
-    keeper.close()
+    file_manager.enqueue(notes, 0)
+    file_manager.close()
     (path,) = tmp_path.glob("*.mht")
     records = list(Trace(io.BytesIO(path.read_bytes())).records())
     assert [record.values[0] for record in records if record.kind is kinds.GAP] == [dropped]
