--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -23,7 +23,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.instance.jobs.wheel import Wheel
+from mulleinhatch.instance.jobs.timer_wheel import TimerWheel
 
 
 class Heap:
@@ -40,7 +40,7 @@
     def cancel(self, name: int) -> bool:
         return self.alive.pop(name, None) is not None
 
-    def due(self, now: float) -> list[int]:
+    def pop_due(self, now: float) -> list[int]:
         names = []
         while self.entries and self.entries[0][0] <= now:
             at, name = heapq.heappop(self.entries)
@@ -50,7 +50,7 @@
         return names
 
 
-def played(timers: Wheel | Heap, count: int, seed: int) -> tuple[float, int, int]:
+def played(timers: TimerWheel | Heap, count: int, seed: int) -> tuple[float, int, int]:
     """Seconds, most entries held, alarms that went off."""
     draw, now, fired, most = random.Random(seed), 0.0, 0, 0
     waiting: list[int] = []
@@ -62,8 +62,8 @@
         if number % 10:
             timers.cancel(waiting.pop(draw.randrange(len(waiting))))
         if number % 100 == 0:
-            fired += len(timers.due(now))
-            most = max(most, len(timers) if isinstance(timers, Wheel) else len(timers.entries))
+            fired += len(timers.pop_due(now))
+            most = max(most, len(timers) if isinstance(timers, TimerWheel) else len(timers.entries))
     return time.perf_counter() - start, most, fired
 
 
@@ -71,7 +71,7 @@
     told = docopt(__doc__, argv)
     table, rows = Table("alarms", "heap s", "wheel s", "heap held", "wheel held"), []
     for count in (10_000, 100_000) if told["--quick"] else (10_000, 100_000, 1_000_000):
-        heap, wheel = played(Heap(), count, int(told["--seed"])), played(Wheel(0.0), count, int(told["--seed"]))
+        heap, wheel = played(Heap(), count, int(told["--seed"])), played(TimerWheel(0.0), count, int(told["--seed"]))
         rows.append(
             {
                 "alarms": count,
