--- a/mulleinhatch/instance/maintenance/__init__.py
+++ b/mulleinhatch/instance/maintenance/__init__.py
@@ -1,5 +1,6 @@
-"""Machines go out for work in an order that the instances settle: requests, their order, permits that a majority agrees on.
+"""Coordinated maintenance: instances leave service one after another, by permits that a majority of voters agrees on.
 
-Pure: happenings in, errands out; stands on `fleet/` for who is there. It never takes an instance out by itself. Under any cut,
-loss, stall, crash and restart no more are out than the bound: a permit is held until it is given back, not by a clock.
+The package performs no I/O: events go in, messages come out. Membership comes from `gossip`. It never takes an instance out of
+service itself. Under any partition, message loss, stall, crash or restart, no more instances are out than the bound allows:
+a permit is valid until it is released and never expires by a clock.
 """
--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -1,7 +1,8 @@
-"""One instance's side of upkeep: as an asker, and as a voter where it is one. No I/O and no clock of its own.
+"""One instance's side of coordinated maintenance: it requests permits and, if it is a voter, votes. No I/O and no clock.
 
-Stands on `fleet/` for members and letters. `persist` writes what a voter promised before it is said; where it fails nothing is
-said. Two clocks are told: `now` runs evenly (waiting, sending again), `wall` is Unix time (wishes); safety leans on neither.
+Membership and message transport come from `gossip`. A voter's state is persisted before its response is sent; if that fails,
+nothing is sent. Two clocks are passed in: `now` is monotonic (timeouts, retransmissions), `wall` is Unix time (requested
+times). Safety depends on neither.
 """
 
 from __future__ import annotations
@@ -32,43 +33,72 @@
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.random_source import Chance
 
-QUERY_INTERVAL_S, DISTANT_QUERY_INTERVAL_S = 0.5, 2.0  # seconds between asks where we stand; with many before us
-DISTANT_POSITION = 10
-RESEND_INTERVAL_S = 0.25  # seconds until a step is asked again of who has not answered
-ROUND_TIMEOUT_S = 3.0  # seconds after which a round is given up: a voter without a disk waits for as long, and more
-ABSTENTION_S = 4.0  # seconds: that with the drift of clocks
-BACKOFF_RANGE_S = (0.2, 1.0)  # seconds, drawn, until the next round after a beaten one
-REPLY_LIFETIME_S = 3.0  # seconds that a voter's word on our place counts
-REQUEST_LIFETIME_S = 6.0  # seconds that a request counts at a voter without being told again
+QUERY_INTERVAL_S, DISTANT_QUERY_INTERVAL_S = (
+    0.5,
+    2.0,
+)  # seconds between position queries; the longer one applies to distant positions
+DISTANT_POSITION = 10  # requests ahead of ours from which the longer interval applies
+RESEND_INTERVAL_S = 0.25  # seconds until requests are sent again to voters that have not responded
+ROUND_TIMEOUT_S = 3.0  # seconds until a round is abandoned; must be shorter than ABSTENTION_S
+ABSTENTION_S = 4.0  # seconds that a voter without state waits: ROUND_TIMEOUT_S and clock drift
+BACKOFF_RANGE_S = (0.2, 1.0)  # seconds, drawn uniformly, until the round after a beaten one
+REPLY_LIFETIME_S = 3.0  # seconds for which a position reply is valid
+REQUEST_LIFETIME_S = 6.0  # seconds for which a voter keeps a request that is not repeated
 MAX_REQUESTS = 1000
-REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which others are asked that do not answer
-LOAD_MARGIN = 0.1  # of the load that the rest must be able to carry besides
+REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which unresponsive instances are asked
+LOAD_MARGIN = 0.1  # fraction of the load that the others must be able to carry in addition
 
 
 class State(Enum):
+    """State of an instance; the order is the value of the counter `upkeep_state`."""
+
     SERVING = "serving"
-    WAITING = "waiting"  # has a request, is not first yet
-    ASKING = "asking"  # a round for a permit is under way
-    GOING = "going"  # holds a permit and leaves service
-    CHECKING = "checking"  # back, holds a permit still, not found fit yet
-    RETURNING = "returning"  # a round to give it back is under way
+    WAITING = "waiting"  # has a request; it is not its turn yet
+    ASKING = "asking"  # a round for a permit is in progress
+    GOING = "going"  # holds a permit and is leaving service
+    CHECKING = "checking"  # has returned with its permit and is not healthy yet
+    RETURNING = "returning"  # a round to release the permit is in progress
 
 
 class Bounds(NamedTuple):
+    """The configured bounds.
+
+    Attributes:
+        voters: Names of the voters.
+        most: Maximum number of instances out of service.
+        zone_most: The same for one zone.
+        zone: Zone of this instance.
+        zones: Zones of the other instances by name, to count crashed ones.
+        freeze_after: Seconds after which a returned instance that is still unhealthy freezes the permits; 0 for never.
+    """
+
     voters: tuple[str, ...]
     most: int = 1
     zone_most: int = 1
     zone: str = ""
-    zones: tuple[tuple[str, str], ...] = ()  # of the others, by name, for those that are gone
-    freeze_after: float = 0.0  # seconds in which one that came back is not fit: then nobody else goes; 0: never by itself
+    zones: tuple[tuple[str, str], ...] = ()
+    freeze_after: float = 0.0
 
 
 class ReceivedRequest(NamedTuple):
+    """A request that a voter received, and when (monotonic seconds)."""
+
     request: Request
     at: float
 
 
 class MaintenanceCoordinator:
+    """Requests permits for one instance and acts as a voter if the instance is one.
+
+    Args:
+        bounds: Configured bounds.
+        fleet: Gossip membership and transport.
+        seed: Seed of the backoff times.
+        now: Monotonic seconds.
+        voter_state: A voter's state read from disk; None if there is none.
+        persist: Writes a voter's state durably; None without a disk.
+    """
+
     def __init__(
         self,
         bounds: Bounds,
@@ -78,7 +108,6 @@
         voter_state: VoterState | None = None,
         persist: Callable[[VoterState], None] | None = None,
     ) -> None:
-        """`voter_state`: what a voter's disk held, None where it held nothing; `persist` writes it, None where there is no disk."""
         self.bounds, self.fleet, self.name = bounds, fleet, fleet.name
         self._draw = Chance(seed).part
         self.first = PermitTable(tuple(sorted(bounds.voters)), bounds.most, bounds.zone_most)
@@ -90,10 +119,10 @@
         )
         self.persist = persist
         self.started = now
-        self.told: dict[str, VoterStateReply] = {}  # by voter, while we abstain
-        self.writes: dict[str, int] = {}  # the most writes heard of, by voter
-        self.remembered = 0  # and the most that others heard of from us
-        self.requests: dict[str, ReceivedRequest] = {}  # as a voter
+        self.told: dict[str, VoterStateReply] = {}  # by voter, while abstaining
+        self.writes: dict[str, int] = {}  # highest write count known, by voter
+        self.remembered = 0  # highest write count of ours that others know
+        self.requests: dict[str, ReceivedRequest] = {}  # received as a voter, by instance
         self.request: Request | None = None
         self.state = State.SERVING
         self.fence = 0
@@ -101,12 +130,12 @@
         self.round: ProposalRound | None = None
         self.round_at = self.sent_at = self.asked_at = -1e9
         self.rounds, self.number, self.next_round = 0, 0, now
-        self.requested_of_others: dict[str, tuple[Request, float]] = {}  # whom a person wants asked, and until when
+        self.requested_of_others: dict[str, tuple[Request, float]] = {}  # instances to ask for an operator, and until when
         self.requests_sent_at = now
-        self.back_at, self.has_frozen = math.inf, False  # since when we are back and not fit
+        self.back_at, self.has_frozen = math.inf, False  # returned and not healthy since; whether we froze the permits
         self.outgoing: list[tuple[str, bytes]] = []
         self.counts: Counter[str] = Counter()
-        self.changes: list[tuple[str, str]] = []  # state and why, a line of the log each
+        self.changes: list[tuple[str, str]] = []  # state and reason; the host logs each
         self.wall = 0.0
         self.now_heard = now
         fleet.listeners.append(self._on_gossip_message)
@@ -116,15 +145,16 @@
             self.state = state
             self.changes.append((state.value, why))
 
-    # What people and the instance ask for.
+    # Requests by operators and by the instance itself.
 
     def ask(self, request: Request) -> None:
+        """Request maintenance for this instance; the latest request counts."""
         self.request = request
         if self.state is State.SERVING:
             self._set_state(State.WAITING, request.kind)
 
     def request_for_others(self, now: float, requests: list[Request]) -> None:
-        """By name and zone of each; told again until it says that it heard."""
+        """Ask instances, by the names in the requests, to request maintenance; repeated until they acknowledge."""
         for request in requests:
             if request.name == self.name:
                 self.ask(request)
@@ -132,25 +162,38 @@
                 self.requested_of_others[request.name] = request, now + REQUEST_FOR_OTHERS_TIMEOUT_S
 
     def cancel(self) -> None:
-        """Before it goes; who is out comes back by itself."""
+        """Withdraw the request if no permit was granted yet; an instance that is out returns by itself."""
         if self.state in (State.WAITING, State.ASKING):
             self._send_to_voters(PositionQuery(cancelled=True))
             self.request, self.round = None, None
             self._set_state(State.SERVING, "cancelled")
 
     def change(self, now: float, change: Callable[[PermitTable], PermitTable]) -> ProposalRound:
-        """A person's: freeze, bounds, voters, release; its end is seen in the round."""
+        """Start a round for an operator's change (freeze, bounds, voters, release); its outcome is in the returned round.
+
+        Raises:
+            PermitRefusedError: Another round is in progress here.
+        """
         if self.round:
             raise PermitRefusedError("a round is under way here: again in a moment")
         return self._begin_round(now, change)
 
     def current_replies(self, now: float) -> dict[str, PositionReply]:
+        """Return the voters' position replies that are recent enough, by voter."""
         return {name: reply for name, (reply, at) in self.replies.items() if now - at <= REPLY_LIFETIME_S}
 
-    # The beat.
+    # Periodic work.
 
     def beat(self, now: float, wall: float, fit: bool) -> list[tuple[str, bytes]]:
-        """`fit`: its own checks pass and it is warm. Letters to be sent; `leave` is due when the state became GOING."""
+        """Advance by one period and return the datagrams to send, as (instance, bytes).
+
+        The instance must leave service when `state` becomes `GOING`.
+
+        Args:
+            now: Monotonic seconds.
+            wall: Unix time in seconds.
+            fit: Whether the instance passes its own health checks and is warm.
+        """
         self.wall, self.now_heard = wall, now
         if self.voter and self.voter.is_abstaining:
             self._learn_from_voters(now)
@@ -170,7 +213,7 @@
             and not self.has_frozen
             and (now - self.back_at > self.bounds.freeze_after and now >= self.next_round)
         ):
-            # What made us ill may make the next ones ill, too.
+            # The cause, such as a bad release, may affect the next instances, too.
             self._begin_round(now, self._freeze)
         if self.requested_of_others and now - self.requests_sent_at >= QUERY_INTERVAL_S:
             self._send_maintenance_requests(now)
@@ -202,28 +245,32 @@
                 self._send(name, MaintenanceRequestMessage(request))
 
     def said(self) -> list[tuple[str, bytes]]:
+        """Return and clear the datagrams that received messages gave rise to."""
         outgoing, self.outgoing = self.outgoing, []
         return outgoing
 
-    # As an asker.
+    # As an instance that requests a permit.
 
     def _current_replies(self, now: float) -> list[PositionReply]:
         return [reply for reply, at in self.replies.values() if now - at <= REPLY_LIFETIME_S]
 
     def _queue_position(self, now: float) -> int:
-        """By the voter that puts us furthest back."""
+        """Return the position reported by the voter that puts this instance furthest back, -1 if none did."""
         return max((reply.place for reply in self._current_replies(now)), default=-1)
 
     def _is_turn(self, now: float) -> bool:
-        """By most of the voters; a wrong word costs a round, and never the bound. Who is out in their table, and not in truth,
-        had its round beaten after others took it over: nobody else's turn comes for that permit, so it is ours to take."""
+        """Return whether a majority of the voters reports this instance's turn; an error costs a round, never the bound.
+
+        A voter may list a permit that this instance does not know of: its round was reported as beaten after others had
+        completed it. No other instance can use that permit, so it is claimed.
+        """
         if any(reply.fence for reply in self._current_replies(now)):
             return True
         turns = [0 <= reply.place < reply.may_go for reply in self._current_replies(now)]
         return 2 * sum(turns) > len(self.known.voters) and self._can_others_carry_load(now)
 
     def _can_others_carry_load(self, now: float) -> bool:
-        """Whether the others can bear their load and ours, by the poor ends; ours is taken to be as theirs."""
+        """Return whether the other instances can carry this one's load, by the pessimistic estimates."""
         known = self.fleet.known
         capacity, demand = known.total(now, "capacity"), known.total(now, "first_tries")
         ours = demand.most / demand.members if demand.members else 0.0
@@ -293,7 +340,7 @@
             self.fence, self.request, self.back_at, self.has_frozen = 0, None, math.inf, False
             self._set_state(State.SERVING, "permit given back")
 
-    # Letters.
+    # Messages.
 
     def _send(self, name: str, message: messages.MaintenanceMessage) -> None:
         if name == self.name:
@@ -348,7 +395,10 @@
             self._send(sender, RegisterResponseMessage(answer, message.number))
 
     def _persist_voter_state(self, before: VoterState) -> bool:
-        """Durable before it is said; a disk that fails takes the promise back, and nothing is said."""
+        """Persist the voter's state before it is sent; return whether that succeeded.
+
+        On a disk error the promise is withdrawn and nothing is sent.
+        """
         try:
             if self.persist:
                 self.persist(self.voter.voter_state)
@@ -364,7 +414,7 @@
         self.writes[sender] = max(reply.writes, self.writes.get(sender, 0))
         self.number, self.remembered = max(self.number, reply.number), max(self.remembered, reply.your_writes)
         if self.voter and not self.voter.is_abstaining and reply.your_writes > self.voter.voter_state.writes:
-            # Others heard of more than our disk remembers: it was set back, and what we promised since is lost.
+            # Others know of more writes than our disk holds: it was restored, and later promises are lost.
             self.counts["disk_set_back"] += 1
             self.changes.append(
                 ("voter", f"our disk was set back: {self.voter.voter_state.writes} of {reply.your_writes} writes")
@@ -416,8 +466,10 @@
         )
 
     def _learn_from_voters(self, now: float) -> None:
-        """After a loss: from a majority of the others, once no round of before can be under way. A fleet that starts for the
-        first time has nothing to learn: all the others say so, and no table is agreed."""
+        """Restore a voter that lost its state from a majority of the others, once no earlier round can be in progress.
+
+        A group that starts for the first time has nothing to restore: all other voters report that they have no table.
+        """
         others = [voter for voter in self.first.voters if voter != self.name]
         if now - self.asked_at >= QUERY_INTERVAL_S:
             for voter in others:
--- a/mulleinhatch/instance/maintenance/messages.py
+++ b/mulleinhatch/instance/maintenance/messages.py
@@ -1,4 +1,8 @@
-"""What passes between askers and voters, in the `more` of the fleet's letters: MessagePack, checked into these structs."""
+"""Messages between instances and voters, carried in the `more` field of gossip messages.
+
+They are MessagePack arrays validated into these structs. The tags are part of the protocol: they are the class names of
+earlier versions and must not follow a rename.
+"""
 
 from __future__ import annotations
 
@@ -15,58 +19,84 @@
 
 
 class MaintenanceMessage(msgspec.Struct, array_like=True, frozen=True, tag=True):
+    """Base class of the maintenance messages; a MessagePack array that starts with the tag."""
+
     pass
 
 
 class PositionQuery(MaintenanceMessage, tag="Query"):
-    """To a voter: my request, if I have one, and where I stand. Voters ask each other so, too."""
+    """Ask a voter for the sender's position in the order; voters query each other, too.
+
+    Attributes:
+        request: The sender's request, if it has one.
+        cancelled: Whether the sender withdraws its request.
+    """
 
     request: Request | None = None
-    cancelled: bool = False  # I want no more
+    cancelled: bool = False
 
 
 class PositionReply(MaintenanceMessage, tag="Reply"):
-    """What that voter knows: the fence of your permit (0: none), your place among those that wait, how many may go now."""
+    """A voter's view of the sender's request and permit.
+
+    Attributes:
+        fence: Fencing token of the sender's permit; 0 for none.
+        place: Position in the order from 0; -1 if the sender is not in it.
+        waiting: Number of requests that are allowed to start.
+        may_go: Number of permits left.
+        why: Reasons for the position.
+        version: Version of the voter's table; 0 for none.
+        your_writes: Highest write count the voter knows of the receiver as a voter.
+        writes: The voter's own write count.
+        frozen: Reason of a freeze; empty for none.
+        number: Highest proposal number the voter promised; a lower proposal would only be beaten.
+    """
 
     fence: int
-    place: int  # from 0; -1: not among them
+    place: int
     waiting: int
-    may_go: int  # bound less who is out
+    may_go: int
     why: Annotated[str, Meta(max_length=120)] = ""
-    version: int = 0  # of the table that it keeps; 0: none
-    your_writes: int = 0  # the most writes that it heard of from you, as a voter
-    writes: int = 0  # its own
+    version: int = 0
+    your_writes: int = 0
+    writes: int = 0
     frozen: ShortText = ""
-    number: int = 0  # of the highest ballot that it promised: a lower one would only be beaten
+    number: int = 0
 
 
 class RegisterRequestMessage(MaintenanceMessage, tag="Asked"):
+    """A `RegisterRequest`; the response repeats `number`, which identifies the round."""
+
     ask: RegisterRequest
-    number: int  # of the sending: its answer names it
+    number: int
 
 
 class RegisterResponseMessage(MaintenanceMessage, tag="Answered"):
+    """A `RegisterResponse` to the request with that `number`."""
+
     answer: RegisterResponse
     number: int
 
 
 class VoterStateQuery(MaintenanceMessage, tag="Tell"):
-    """From a voter that lost what it kept: tell me what you keep."""
+    """Ask a voter for its state, sent by a voter that lost its own."""
 
 
 class VoterStateReply(MaintenanceMessage, tag="Told"):
+    """A voter's state; `empty` means that it has none either and abstains."""
+
     voter_state: VoterState
-    empty: bool  # has nothing either, and does not serve as a voter
+    empty: bool
 
 
 class MaintenanceRequestMessage(MaintenanceMessage, tag="Please"):
-    """From one that a person told to ask others: go out for this. Told until it is thanked for."""
+    """Ask another instance, on behalf of an operator, to request maintenance; repeated until acknowledged."""
 
     request: Request
 
 
 class MaintenanceRequestAck(MaintenanceMessage, tag="Thanks"):
-    """For the request that was made at that time."""
+    """Acknowledge the request that was made at the time `asked`."""
 
     asked: float
 
@@ -86,14 +116,22 @@
 
 
 class InvalidMessageError(ValueError):
+    """Raised for bytes that are no valid message, or a message that is too long."""
+
     pass
 
 
 def encode(message: MaintenanceMessage) -> bytes:
-    """
+    """Encode a message.
+
+    Raises:
+        InvalidMessageError: It exceeds `MAX_MESSAGE_BYTES`.
+
     >>> from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber
     >>> from mulleinhatch.instance.maintenance.table import PermitTable
-    >>> asked = RegisterRequestMessage(RegisterRequest(ProposalNumber(3, "n.1"), PermitTable(("a",), 1, 1).grant("n", "z", "w")), 7); decode(encode(asked)) == asked
+    >>> request = RegisterRequest(ProposalNumber(3, "n.1"), PermitTable(("a",), 1, 1).grant("n", "z", "w"))
+    >>> message = RegisterRequestMessage(request, 7)
+    >>> decode(encode(message)) == message
     True
     >>> decode(b"?")
     Traceback (most recent call last):
@@ -106,6 +144,11 @@
 
 
 def decode(data: bytes) -> MaintenanceMessage:
+    """Decode a message.
+
+    Raises:
+        InvalidMessageError: The bytes are no valid message.
+    """
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -1,9 +1,11 @@
-"""One agreed table without a leader or a log: CASPaxos (Rystsov 2018), a register that changes by a function of its value.
+"""A replicated register without a leader or a log: CASPaxos.
 
-A round has two steps. `prepare` asks the voters to promise not to listen to earlier ballots, and learns the latest table that
-any of a majority accepted; the change is made on that; `accept` asks them to take the result. A table that a majority took is
-agreed, whoever dies, and the next round of anybody learns it. What a voter promised or took is durable before it is said:
-`Voter` gives what is to be written, and its answer goes out after. Words may be lost, repeated, late and out of order.
+A round has two phases. In the prepare phase a proposer asks the voters to promise that they ignore lower proposal numbers, and
+learns the latest table that any of a majority accepted. It applies its change to that table and asks the voters to accept the
+result. A table accepted by a majority is agreed whatever crashes, and the next round of any proposer learns it. A voter
+persists a promise or an accepted table before it answers. Messages may be lost, duplicated, delayed and reordered.
+
+Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018).
 """
 
 from __future__ import annotations
@@ -15,6 +17,8 @@
 
 
 class ProposalNumber(NamedTuple):
+    """Proposal number, ordered by `number` and then by the proposer's `name`."""
+
     number: int
     name: str
 
@@ -23,7 +27,16 @@
 
 
 class VoterState(NamedTuple):
-    """What must outlive a voter's restart. `writes` grows with each: a disk that was set back is known by it."""
+    """A voter's durable state (the acceptor state of Paxos).
+
+    Stored as a MessagePack array: the order of the fields is part of the file format.
+
+    Attributes:
+        promised: Highest proposal number promised.
+        accepted: Proposal number of `table`.
+        table: Accepted table, None before the first.
+        writes: Number of writes. A disk that was restored from a backup is detected by a count that is too low.
+    """
 
     promised: ProposalNumber = NO_PROPOSAL
     accepted: ProposalNumber = NO_PROPOSAL
@@ -32,40 +45,71 @@
 
 
 class RegisterRequest(NamedTuple):
+    """A prepare request (`table` is None) or an accept request.
+
+    Attributes:
+        proposal: Number of the proposal.
+        table: Table to accept; None in the prepare phase.
+        first: Initial table from the operator's file, for a voter that has none yet.
+    """
+
     proposal: ProposalNumber
-    table: PermitTable | None = None  # to be taken; None: a promise is asked for
-    first: PermitTable | None = None  # the table that the operator's file names, for who has none yet
+    table: PermitTable | None = None
+    first: PermitTable | None = None
 
 
 class RegisterResponse(NamedTuple):
+    """A voter's response to a `RegisterRequest`.
+
+    Attributes:
+        voter: Name of the voter.
+        proposal: Proposal number of the request.
+        taken: Whether the voter promised (prepare) or accepted (accept).
+        accept: Whether the request was an accept request.
+        promised: Highest proposal number that the voter has promised.
+        accepted: Proposal number of `table`.
+        table: Table the voter had accepted before the request.
+        writes: Number of the voter's writes.
+    """
+
     voter: str
-    proposal: ProposalNumber  # that it answers
-    taken: bool  # of a prepare: promised; of an accept: accepted
+    proposal: ProposalNumber
+    taken: bool
     accept: bool
-    promised: ProposalNumber  # the highest it gave
+    promised: ProposalNumber
     accepted: ProposalNumber = NO_PROPOSAL
     table: PermitTable | None = None
     writes: int = 0
 
 
 class Voter:
-    """
+    """The acceptor of a register.
+
+    Args:
+        name: Name of the voter.
+        voter_state: State read from disk.
+        is_abstaining: The voter lost its promises (no disk, or a restored one). It does not respond until `learn` succeeds.
+
     >>> voter = Voter("a", VoterState()); first = PermitTable(voters=("a",), most=1, zone_most=1)
-    >>> voter.handle_request(RegisterRequest(ProposalNumber(2, "x"), first=first)).taken, voter.handle_request(RegisterRequest(ProposalNumber(1, "y"), first=first)).taken
-    (True, False)
-    >>> voter.handle_request(RegisterRequest(ProposalNumber(2, "x"), table=first.grant("n", "z", "w"))).taken, voter.voter_state.table.out[0].name, voter.voter_state.writes
+    >>> higher, lower = ProposalNumber(2, "x"), ProposalNumber(1, "y")
+    >>> [voter.handle_request(RegisterRequest(proposal, first=first)).taken for proposal in (higher, lower)]
+    [True, False]
+    >>> accepted = voter.handle_request(RegisterRequest(higher, table=first.grant("n", "z", "w")))
+    >>> accepted.taken, voter.voter_state.table.out[0].name, voter.voter_state.writes
     (True, 'n', 2)
     """
 
     def __init__(self, name: str, voter_state: VoterState, is_abstaining: bool = False) -> None:
-        """`is_abstaining`: it lost what it promised (no disk, or one that was set back), until `learn`."""
         self.name, self.voter_state, self.is_abstaining = name, voter_state, is_abstaining
 
     def _may_promise(self, proposal: ProposalNumber) -> bool:
         return proposal >= self.voter_state.promised
 
     def handle_request(self, ask: RegisterRequest) -> RegisterResponse | None:
-        """The answer, to be said once `voter_state` is durable; None while it abstains."""
+        """Handle a request and return the response, or None while abstaining.
+
+        The caller persists `voter_state` before it sends the response.
+        """
         if self.is_abstaining:
             return None
         voter_state, accept = self.voter_state, ask.table is not None
@@ -85,14 +129,24 @@
             self.voter_state.writes,
         )
 
-    def learn(self, told: list[VoterState], voters: int, writes: int = 0) -> bool:
-        """What others keep, when it abstains: enough are a majority without it. Safe once no round is under way that it may
-        have promised something to: the caller waits for as long as a round may last, and the drift of clocks. `writes` are the
-        most that others remember of it."""
-        if 2 * len(told) <= voters:
+    def learn(self, states: list[VoterState], voters: int, writes: int = 0) -> bool:
+        """Restore an abstaining voter from the states of other voters.
+
+        It is safe only when no round is in progress to which this voter may have promised something: the caller first waits
+        for the maximum duration of a round plus the clock drift.
+
+        Args:
+            states: States of other voters.
+            voters: Number of voters in total.
+            writes: Highest write count of this voter that the others remember.
+
+        Returns:
+            False if `states` are not a majority of the voters.
+        """
+        if 2 * len(states) <= voters:
             return False
-        promised = max(voter_state.promised for voter_state in told)
-        best = max(told, key=lambda voter_state: voter_state.accepted)
+        promised = max(voter_state.promised for voter_state in states)
+        best = max(states, key=lambda voter_state: voter_state.accepted)
         self.voter_state = VoterState(
             max(promised, self.voter_state.promised), best.accepted, best.table, max(writes, self.voter_state.writes) + 1
         )
@@ -101,7 +155,16 @@
 
 
 class ProposalRound:
-    """One proposer's try. `pending_requests` are due to the voters when it begins and whenever it says so; `outcome` is the outcome.
+    """One attempt of a proposer to change the table.
+
+    Send `pending_requests` at the start, after a change of phase, and again until the round has an `outcome`: "agreed",
+    "refused" (the change is not allowed), "beaten" (retry with a higher number) or "moved" (the voters changed); "" while in progress.
+
+    Args:
+        name: Proposer's name. It is unique for each incarnation; otherwise two tables could share one proposal number.
+        number: Number higher than all numbers seen.
+        known: Latest table known; it names the voters.
+        change: Returns the changed table or raises `PermitRefusedError`.
 
     >>> first = PermitTable(voters=("a", "b", "c"), most=1, zone_most=1)
     >>> voters = {name: Voter(name, VoterState()) for name in first.voters}
@@ -114,17 +177,15 @@
     """
 
     def __init__(self, name: str, number: int, known: PermitTable, change: Callable[[PermitTable], PermitTable]) -> None:
-        """`name` is new with each life, or two tables could go under one ballot. `known`: the latest table
-        heard of, which names the voters; `number` above all that were seen."""
         self.proposal, self.known, self.change = ProposalNumber(number, name), known, change
-        self.table: PermitTable | None = None  # what is proposed, and in the end agreed
+        self.table: PermitTable | None = None  # proposed, and finally agreed, table
         self.answers: dict[str, RegisterResponse] = {}
-        self.outcome = ""  # agreed, refused, beaten (try again with a higher number), moved (other voters)
+        self.outcome = ""
         self.why = ""
-        self.highest = number  # of the ballots seen
+        self.highest = number  # highest proposal number seen
 
     def pending_requests(self) -> list[tuple[str, RegisterRequest]]:
-        """To the voters that have not answered this step."""
+        """Return the requests of the current phase for the voters that have not responded."""
         ask = RegisterRequest(self.proposal, self.table, None if self.table else self.known)
         return [] if self.outcome else [(voter, ask) for voter in self.known.voters if voter not in self.answers]
 
@@ -132,12 +193,13 @@
         return 2 * count > len(self.known.voters)
 
     def _matches_current_phase(self, answer: RegisterResponse) -> bool:
-        """To the step we are in: a late word of the one before must not count."""
+        """Return whether a response belongs to the current phase; a delayed one of the previous phase must not count."""
         return (
             answer.proposal == self.proposal and answer.accept is (self.table is not None) and answer.voter in self.known.voters
         )
 
     def handle_response(self, answer: RegisterResponse | None) -> None:
+        """Process a voter's response (None: it abstained) and move to the next phase or to an outcome."""
         if answer is None or self.outcome or not self._matches_current_phase(answer):
             return
         self.highest = max(self.highest, answer.promised.number)
--- a/mulleinhatch/instance/maintenance/schedule.py
+++ b/mulleinhatch/instance/maintenance/schedule.py
@@ -1,8 +1,8 @@
-"""Who goes when: a pure function of requests, who is out, zones and time, the same at whoever computes it.
+"""The order of maintenance: a pure function of requests, permits in use, zones and time, with the same result on every voter.
 
-The order: emergencies; then the ill before the well; then who would miss its latest time; then by turns over the zones, whoever
-was out longest ago first. Each place carries its reasons. What is not allowed at all (too early, postponed, the only copy of
-something) stands behind, with why.
+Emergencies come first, then unhealthy instances, then those that would miss their deadline, then the zones in turn, with the
+instance that was out longest ago first. Each position states its reasons. Requests that are blocked (too early, postponed, the
+only copy of data) follow at the end with the reason.
 """
 
 from __future__ import annotations
@@ -11,33 +11,58 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-DEADLINE_MARGIN = 2.0  # times its own length: with less left than that before its latest time it goes before others
+DEADLINE_MARGIN = 2.0  # in durations of the work: with less time left before its deadline, a request goes before others
 
 
 class Request(NamedTuple):
-    """Times are Unix seconds; `last_out` is the asker's own word, 0 for never."""
+    """An instance's request to be out of service; times are Unix seconds.
+
+    Sent as a MessagePack array: the order of the fields is part of the message format.
+
+    Attributes:
+        name: Instance.
+        zone: Its failure domain.
+        kind: Kind of work (kernel, disk, release, ill, memory), shown to operators.
+        seconds: Expected duration.
+        asked: Time of the request.
+        wished: Earliest start; 0 for any time.
+        latest: Time by which the instance must be back; 0 for none.
+        urgency: 2 for an emergency, 1 for urgent, 0 otherwise.
+        last_out: End of its last maintenance as the instance reports it; 0 for never.
+        ill: Whether the instance is unhealthy.
+        only_copy: Whether it holds the only copy of needed data, which must be moved first.
+    """
 
     name: str
     zone: str
-    kind: str  # kernel, disk, release, ill, memory: for people, and for freezing a kind
-    seconds: float  # how long it will be out
+    kind: str
+    seconds: float
     asked: float
-    wished: float = 0.0  # not before
-    latest: float = 0.0  # at the latest; 0: any time
-    urgency: int = 0  # 2: an emergency
+    wished: float = 0.0
+    latest: float = 0.0
+    urgency: int = 0
     last_out: float = 0.0
     ill: bool = False
-    only_copy: bool = False  # of something that is needed: moved first
+    only_copy: bool = False
 
 
 class QueuePosition(NamedTuple):
+    """A request in the order, whether it is allowed to start, and the reasons for its position."""
+
     request: Request
     is_allowed: bool
     reasons: tuple[str, ...]
 
 
 def order(requests: Sequence[Request], out: Collection[str], zones_out: dict[str, int], now: float) -> list[QueuePosition]:
-    """
+    """Sort the requests; blocked ones come last.
+
+    Args:
+        requests: Requests; of several by one instance the latest counts.
+        out: Instances that hold a permit; their requests are left out.
+        zones_out: Number of permits in use, by zone.
+        now: Unix time in seconds.
+
     >>> asked = [Request(name, zone, "kernel", 60.0, 5.0, last_out=last) for name, zone, last in (
     ...     ("a", "x", 3.0), ("b", "x", 1.0), ("c", "y", 2.0))]
     >>> [(place.request.name, place.reasons) for place in order(asked, (), {}, 10.0)][:2]
@@ -49,13 +74,13 @@
     for request in requests:
         if request.name not in out and (request.name not in latest or request.asked > latest[request.name].asked):
             latest[request.name] = request
-    able, behind = [], []
+    allowed, blocked = [], []
     for request in latest.values():
         why = _blocking_reason(request, now)
-        (behind if why else able).append((request, why))
+        (blocked if why else allowed).append((request, why))
     before = Counter(zones_out)
     places: list[QueuePosition] = []
-    waiting = {request.name: request for request, _ in able}
+    waiting = {request.name: request for request, _ in allowed}
     while waiting:
         chosen = min(
             waiting.values(),
@@ -70,11 +95,12 @@
         del waiting[chosen.name]
         places.append(QueuePosition(chosen, True, _reasons(chosen, now, before[chosen.zone])))
         before[chosen.zone] += 1
-    behind.sort(key=lambda told: (told[0].wished, told[0].name))
-    return places + [QueuePosition(request, False, (why,)) for request, why in behind]
+    blocked.sort(key=lambda entry: (entry[0].wished, entry[0].name))
+    return places + [QueuePosition(request, False, (why,)) for request, why in blocked]
 
 
 def _blocking_reason(request: Request, now: float) -> str:
+    """Return why the request must not start now, or an empty string."""
     if request.only_copy:
         return "holds the only copy of something that is needed"
     if request.urgency < 2 and request.wished and now < request.wished:
@@ -83,6 +109,7 @@
 
 
 def _priority_class(request: Request, now: float) -> int:
+    """Return 0 for an emergency, 1 unhealthy, 2 deadline near, 3 urgent, 4 otherwise."""
     if request.urgency >= 2:
         return 0
     if request.ill:
@@ -101,7 +128,13 @@
 
 
 def has_spare_capacity(capacity_least: float, demand_most: float, own: float, margin: float) -> bool:
-    """Whether the rest can bear the load without one more: by the poor ends of what is known.
+    """Return whether the other instances can carry the load without one more.
+
+    Args:
+        capacity_least: Lower bound of their capacity in requests per second.
+        demand_most: Upper bound of the demand.
+        own: Capacity of the instance that wants to leave.
+        margin: Fraction of the demand to keep free.
 
     >>> has_spare_capacity(100.0, 70.0, 10.0, 0.2), has_spare_capacity(100.0, 80.0, 10.0, 0.2)
     (True, False)
@@ -112,14 +145,24 @@
 def schedule(
     places: Sequence[QueuePosition], out: dict[str, tuple[str, float]], most: int, zone_most: int, now: float
 ) -> dict[str, float]:
-    """When each would go if nothing goes wrong: by name, Unix seconds. `out`: zone and when it will be back, by name.
+    """Estimate when each request would start if nothing fails.
+
+    Args:
+        places: The order.
+        out: Zone and expected return time by instance that is out.
+        most: Maximum number of instances out at a time.
+        zone_most: The same for one zone.
+        now: Unix time in seconds.
+
+    Returns:
+        Start times in Unix seconds, by instance.
 
     >>> asked = [Request(name, "x", "kernel", 60.0, 0.0) for name in "abc"]
     >>> schedule(order(asked, (), {}, 0.0), {}, 3, 1, 0.0)
     {'a': 0.0, 'b': 60.0, 'c': 120.0}
     """
     running = [(back, zone) for zone, back in out.values()]
-    told: dict[str, float] = {}
+    start_times: dict[str, float] = {}
     waiting = [place.request for place in places if place.is_allowed]
     moment = now
     while waiting and most > 0 and zone_most > 0:
@@ -130,6 +173,6 @@
             moment = min(back for back, _ in running)
             continue
         waiting.remove(goes)
-        told[goes.name] = moment
+        start_times[goes.name] = moment
         running.append((moment + max(0.001, goes.seconds), goes.zone))
-    return told
+    return start_times
--- a/mulleinhatch/instance/maintenance/store.py
+++ b/mulleinhatch/instance/maintenance/store.py
@@ -1,4 +1,8 @@
-"""What a voter keeps, on disk: written whole beside, flushed, renamed; with magic, version, checksum and a lock."""
+"""Durable storage of a voter's state.
+
+The file is written beside the old one, flushed and renamed, so that a crash leaves one complete file. It carries a magic
+number, a version and a checksum; a lock file keeps a second process out of the directory.
+"""
 
 from __future__ import annotations
 
@@ -16,17 +20,24 @@
 
 
 class CorruptVoterFileError(ValueError):
-    """The text names the file and what is wrong with it."""
+    """Raised for an unreadable or locked voter file; the message names the file and the problem."""
 
 
 class Store:
-    """One voter's file in a folder of its own. A second process on the folder is refused."""
+    """One voter's file, in a directory of its own.
+
+    Args:
+        folder: Directory; it is created if missing.
+
+    Raises:
+        CorruptVoterFileError: Another process uses the directory.
+    """
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.path = self.folder / "voter"
-        self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)  # for as long as the process lives
+        self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)  # held until `close` or the end of the process
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -34,7 +45,11 @@
             raise CorruptVoterFileError(f"{self.folder}: another process keeps its votes here") from None
 
     def read(self) -> VoterState | None:
-        """None where there is nothing yet. What is damaged is no vote: a voter that guesses would break its promises."""
+        """Return the stored state, or None if there is no file yet.
+
+        Raises:
+            CorruptVoterFileError: The file is damaged. A voter that guessed its state could break its promises.
+        """
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
@@ -52,6 +67,7 @@
             raise CorruptVoterFileError(f"{self.path}: {error}") from None
 
     def persist(self, voter_state: VoterState) -> None:
+        """Replace the stored state; it is durable on return."""
         body = msgspec.msgpack.encode(voter_state)
         beside = self.folder / "voter.new"
         with open(beside, "wb") as file:
@@ -59,11 +75,12 @@
             file.flush()
             os.fsync(file.fileno())
         os.replace(beside, self.path)
-        folder = os.open(self.folder, os.O_RDONLY)  # the rename itself must outlive a loss of power
+        folder = os.open(self.folder, os.O_RDONLY)  # the rename itself must survive a power failure
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
 
     def close(self) -> None:
+        """Release the lock on the directory."""
         os.close(self.lock)
--- a/mulleinhatch/instance/maintenance/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -1,7 +1,9 @@
-"""What is agreed: who is out by which permit, the bounds, the voters. Immutable; each change gives a new one or says why not.
+"""The replicated value: permits in use, the bounds, and the voters.
 
-A permit has no end by a clock: who holds it may be stopped for any time and then go on, and a bound that trusted a lease would
-be broken by that. It is given back by its holder, or taken by a person who says why. Its fence is the version that granted it.
+`PermitTable` is immutable; each change returns a new table or raises `PermitRefusedError` with the reason. A permit does not
+expire by a clock: its holder may be paused for any length of time and then continue, which would break a bound that relies on
+a lease. It ends when its holder releases it, or when an operator releases it and gives a reason. The fencing token of a permit
+is the table version that granted it.
 """
 
 from __future__ import annotations
@@ -10,24 +12,48 @@
 from typing import NamedTuple
 
 MOST_VOTERS = 9
-MOST_OUT = 12  # the table must fit a datagram, and with hundreds of instances more at a time want another bound
+MOST_OUT = 12  # the table must fit into one datagram
 LONGEST_WHY = 40
 
 
 class PermitRefusedError(ValueError):
-    """The text says why, for people."""
+    """Raised when a change of the table is not allowed; the message states the reason for an operator."""
 
 
 class Permit(NamedTuple):
+    """Permission for one instance to be out of service.
+
+    The field names appear in the JSON answers of the control port.
+
+    Attributes:
+        name: Instance that holds the permit.
+        zone: Failure domain of that instance.
+        fence: Fencing token: the table version that granted the permit.
+        why: Reason of the request.
+        over: Reason an operator gave for exceeding the bound; empty for an ordinary permit.
+    """
+
     name: str
     zone: str
     fence: int
     why: str
-    over: str = ""  # a person's reason to go over the bound
+    over: str = ""
 
 
 class PermitTable(NamedTuple):
-    """
+    """The agreed state: who may be out of service, the bounds and the voters.
+
+    The field names appear in the JSON answers of the control port.
+
+    Attributes:
+        voters: Names of the voters, sorted.
+        most: Maximum number of instances out of service at a time.
+        zone_most: The same for one zone.
+        version: Number of changes made so far.
+        epoch: Number of changes of the set of voters.
+        out: Permits in use.
+        frozen: Reason why no permit is granted; empty if permits are granted.
+
     >>> table = PermitTable(voters=("a", "b", "c"), most=2, zone_most=1)
     >>> table = table.grant("n1", "z1", "kernel"); table.out[0].fence, table.version
     (1, 1)
@@ -47,17 +73,31 @@
     version: int = 0
     epoch: int = 0
     out: tuple[Permit, ...] = ()
-    frozen: str = ""  # why nobody goes
+    frozen: str = ""
 
     def permit(self, name: str) -> Permit | None:
+        """Return the permit of an instance, or None if it holds none."""
         return next((permit for permit in self.out if permit.name == name), None)
 
     def _next_version(self, **changed: object) -> PermitTable:
         return self._replace(version=self.version + 1, **changed)
 
     def grant(self, name: str, zone: str, why: str, gone: dict[str, str] | None = None, over: str = "") -> PermitTable:
-        """`gone` are members that crashed, with their zones: they are out, too. Who has a permit still gets it under a new
-        fence: a word on the old one, decided while it served, must not take it from under one that is out."""
+        """Grant a permit, or issue a new fencing token for one that the instance already holds.
+
+        The new token protects a holder that is out: a release of the old token, decided while the instance served, no longer
+        matches.
+
+        Args:
+            name: Instance that asks.
+            zone: Its zone.
+            why: Reason, truncated to `LONGEST_WHY` characters.
+            gone: Crashed members and their zones. They count as out of service.
+            over: Reason of an operator to exceed the bounds and a freeze.
+
+        Raises:
+            PermitRefusedError: A bound or a freeze forbids it.
+        """
         if self.frozen and not over:
             raise PermitRefusedError(f"frozen: {self.frozen}")
         if permit := self.permit(name):
@@ -74,29 +114,42 @@
             raise PermitRefusedError(f"{in_zone} of {self.zone_most} are out in zone {zone}")
         voters = sum(voter in missing or self.permit(voter) is not None for voter in self.voters if voter != name)
         if name in self.voters and voters >= max(1, (len(self.voters) - 1) // 2) and not over:
-            # With a majority gone nobody could give back a permit; without disks, nothing agreed would be left.
+            # Without a majority of the voters no permit could be released; without disks the agreed table would be lost.
             raise PermitRefusedError(f"{voters} of {len(self.voters)} voters are out already")
         if len(self.out) >= MOST_OUT:
             raise PermitRefusedError(f"{MOST_OUT} are out, and no more can be told of")
         return self._next_version(out=(*self.out, Permit(name, zone, self.version + 1, why[:LONGEST_WHY], over[:LONGEST_WHY])))
 
     def release(self, name: str, fence: int) -> PermitTable:
-        """Only the permit of that fence: a late word on an earlier one must not end a later."""
+        """Release a permit if the fencing token matches; otherwise return the table unchanged.
+
+        A delayed message about an earlier permit must not end a later one.
+        """
         permit = self.permit(name)
         if permit is None or permit.fence != fence:
             return self
         return self._next_version(out=tuple(other for other in self.out if other is not permit))
 
     def freeze(self, why: str) -> PermitTable:
+        """Stop granting permits; an empty reason resumes."""
         return self if self.frozen == why else self._next_version(frozen=why[:LONGEST_WHY])
 
     def bounds(self, most: int, zone_most: int) -> PermitTable:
+        """Set the maximum number of instances out of service, in total and in one zone.
+
+        Raises:
+            PermitRefusedError: A bound is outside 0 to `MOST_OUT`.
+        """
         if not (0 <= most <= MOST_OUT and 0 <= zone_most <= MOST_OUT):
             raise PermitRefusedError(f"a bound is 0 to {MOST_OUT}")
         return self._next_version(most=most, zone_most=zone_most)
 
     def electorate(self, voters: Collection[str]) -> PermitTable:
-        """One joins or one leaves: majorities of before and after then share a voter."""
+        """Replace the set of voters by one that differs by at most one voter, so that old and new majorities intersect.
+
+        Raises:
+            PermitRefusedError: The size is out of range, or more than one voter changes.
+        """
         new = tuple(sorted(set(voters)))
         if not 1 <= len(new) <= MOST_VOTERS:
             raise PermitRefusedError(f"1 to {MOST_VOTERS} voters are wanted")
