--- a/mulleinhatch/instance/jobs/__init__.py
+++ b/mulleinhatch/instance/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Background work within budgets: what runs when, and what waits while the service is pressed.
+"""Background jobs within budgets: which job runs when, and which wait while the service is under load.
 
-Subsystems submit jobs made of small steps, a runner in the program carries the steps out. It never does any work itself.
+Subsystems submit jobs made of small steps; a runner in the program executes the steps. The package performs no work itself.
 """
--- a/mulleinhatch/instance/jobs/scheduler.py
+++ b/mulleinhatch/instance/jobs/scheduler.py
@@ -1,7 +1,8 @@
-"""Which job takes its next step when: by priority that improves with waiting, within budgets, not while the service is pressed.
+"""Chooses the job that takes the next step: by priority, which improves with waiting, and within budgets.
 
-A job is a name; its work is the runner's matter. The runner asks `next_step`, carries that out, and tells `record_step` what it
-took. A step is paid for afterwards, by what it really cost: budgets go into debt, and the debt is waited for.
+A job is a name; the runner knows its work. The runner asks `next_step`, executes the step, and reports its cost with
+`record_step`. A step is charged after it ran, by its real cost: a budget goes into debt, and the next step waits until the
+debt is paid off.
 """
 
 from __future__ import annotations
@@ -13,33 +14,56 @@
 
 from mulleinhatch.instance.jobs.timer_wheel import TimerWheel
 
-AGEING_S = 10.0  # seconds of waiting that are worth one priority: none waits for ever
-OVERDUE_BONUS = 10.0  # priorities that a passed deadline is worth
-FIRST_RETRY_S, MAX_RETRY_S = 1.0, 300.0  # seconds after a failure, doubled for each in a row
-PRESSED_RATE_FRACTION = 0.1  # of the budgets, for jobs past their deadline while the service is pressed
-MAX_DEBT_S = 10.0  # seconds of its budget that a step may cost: a wrong figure must not stop all work
+AGEING_S = 10.0  # seconds of waiting that improve the priority by one: no job starves
+OVERDUE_BONUS = 10.0  # priorities gained by a passed deadline
+FIRST_RETRY_S, MAX_RETRY_S = 1.0, 300.0  # seconds until a failed job is retried, doubled for each consecutive failure
+PRESSED_RATE_FRACTION = 0.1  # fraction of the budgets for overdue jobs while the service is under load
+MAX_DEBT_S = 10.0  # maximum debt in seconds of the rate: a wrong cost must not stop all jobs
 
 
 class JobState(Enum):
+    """State of a job."""
+
     READY = "ready"
     RUNNING = "running"
-    WAITING = "waiting"  # for its time: not yet due, or to be tried again
+    WAITING = "waiting"  # not due yet, or to be retried
 
 
 class StepOutcome(Enum):
+    """Outcome of a step: the job has more steps, is done, or failed and is retried."""
+
     MORE = "more"
     DONE = "done"
     FAILED = "failed"
 
 
 class Budgets(NamedTuple):
-    cpu_share: float = 0.05  # of one core
+    """Limits of all jobs together.
+
+    Attributes:
+        cpu_share: Share of one CPU core.
+        bytes_a_second: Bytes read and written per second.
+        at_once: Maximum number of steps in progress.
+        most_jobs: Maximum number of jobs.
+    """
+
+    cpu_share: float = 0.05
     bytes_a_second: float = 20e6
-    at_once: int = 1  # steps under way
+    at_once: int = 1
     most_jobs: int = 1000
 
 
 class Job:
+    """A submitted job.
+
+    Args:
+        name: Name of the job.
+        priority: Lower runs first.
+        since: Time since which it waits, in monotonic seconds.
+        deadline: Time from which it runs even while the service is under load.
+        every: Seconds from its end to its next run; 0 for a single run.
+    """
+
     def __init__(self, name: str, priority: float, since: float, deadline: float, every: float) -> None:
         self.name, self.priority, self.since, self.deadline, self.every = name, priority, since, deadline, every
         self.state = JobState.READY
@@ -48,13 +72,13 @@
 
 
 class DebtBudget:
-    """A budget that is paid afterwards: what was used is worked off at the rate."""
+    """A budget charged after use; the debt is paid off at `rate` units per second."""
 
     def __init__(self, rate: float) -> None:
         self.rate, self.debt, self.updated_at = rate, 0.0, -math.inf
 
     def available_at(self, now: float, rate_fraction: float) -> float:
-        """When the next step may begin; `rate_fraction` of the rate is in force."""
+        """Return when the next step may begin, with `rate_fraction` of the rate in force."""
         self._pay_off(now, rate_fraction)
         return now + self.debt / (self.rate * rate_fraction) if self.debt > 0.0 else now
 
@@ -64,16 +88,22 @@
         self.updated_at = max(self.updated_at, now)
 
     def charge(self, now: float, amount: float, rate_fraction: float) -> None:
+        """Charge an amount that was used."""
         self._pay_off(now, rate_fraction)
         self.debt = min(self.debt + max(0.0, amount), MAX_DEBT_S * self.rate)
 
 
 class QueueFullError(Exception):
-    """More jobs than the bound: the submitter has to come again."""
+    """Raised when the maximum number of jobs is reached; the submitter should retry later."""
 
 
 class Scheduler:
-    """
+    """Schedules the steps of jobs within budgets. It has no clock: `now` is monotonic seconds.
+
+    Args:
+        budgets: Limits of all jobs together.
+        now: Current time.
+
     >>> jobs = Scheduler(Budgets(cpu_share=0.1), now=0.0)
     >>> jobs.submit(0.0, "pack", priority=2); jobs.submit(0.0, "expire", priority=1)
     >>> jobs.next_step(0.0), jobs.next_step(0.0)
@@ -98,8 +128,19 @@
     def submit(
         self, now: float, name: str, priority: float = 5.0, after: float = 0.0, within: float = math.inf, every: float = 0.0
     ) -> None:
-        """A job from now on, or `after` so many seconds; past `within` it steps even while the service is pressed. With
-        `every` it comes again so long after each end. One that is known keeps its place; only what was asked for changes."""
+        """Submit a job; for a name that is already submitted only the parameters change.
+
+        Args:
+            now: Current time.
+            name: Name of the job.
+            priority: Lower runs first.
+            after: Seconds until it may run.
+            within: Seconds after which it runs even while the service is under load.
+            every: Seconds from its end to its next run; 0 for a single run.
+
+        Raises:
+            QueueFullError: The maximum number of jobs is reached.
+        """
         if name in self.jobs:
             job = self.jobs[name]
             job.priority, job.every, job.is_cancelled = priority, every, False
@@ -113,7 +154,7 @@
             self._schedule(job, now + after)
 
     def cancel(self, name: str) -> bool:
-        """Whether there was such a job. One whose step is under way ends with it."""
+        """Cancel a job and return whether it existed; a step in progress is completed first."""
         job = self.jobs.get(name)
         if job is None:
             return False
@@ -123,13 +164,13 @@
         return True
 
     def set_pressed(self, now: float, is_pressed: bool) -> None:
-        """Whether the service needs the machine for itself: a storm, a loop that runs late."""
+        """Set whether the service needs the machine for itself, for example in a retry storm or when its loop is late."""
         for debt in (self.cpu, self.bytes):
             debt.available_at(now, self._rate_fraction())
         self.is_pressed = is_pressed
 
     def next_step(self, now: float) -> str | None:
-        """The job whose step is to be carried out now, from then on running; None while there is none, or no budget."""
+        """Return the job whose step the runner must execute now and mark it running; None if no job or budget is available."""
         self._wake_due_jobs(now)
         if self.running >= self.budgets.at_once or self._budgets_available_at(now) > now:
             return None
@@ -145,11 +186,25 @@
 
     @staticmethod
     def _effective_priority(now: float, job: Job) -> float:
-        """Past its deadline far ahead, yet not for ever: a job without an end must not keep out the others."""
+        """Return the priority improved by the waiting time.
+
+        A passed deadline adds a large but finite bonus, so that an endless job does not starve the others.
+        """
         return job.priority - (now - job.since) / AGEING_S - (OVERDUE_BONUS if job.deadline <= now else 0.0)
 
     def record_step(self, now: float, name: str, outcome: StepOutcome, cpu: float = 0.0, used_bytes: float = 0.0) -> None:
-        """What a step came to, and what it cost."""
+        """Record the outcome and the cost of a step.
+
+        Args:
+            now: Current time.
+            name: Job of the step.
+            outcome: Outcome of the step.
+            cpu: CPU seconds used.
+            used_bytes: Bytes read and written.
+
+        Raises:
+            ValueError: No step of the job is in progress.
+        """
         job = self.jobs[name]
         if job.state is not JobState.RUNNING:
             raise ValueError(f"{name}: no step of it is under way")
@@ -176,12 +231,12 @@
             job.failures = 0
 
     def wake_at(self, now: float) -> float:
-        """When to ask again at the latest, if nothing happens before; infinite without any job."""
+        """Return when to call `next_step` again at the latest if nothing happens before; infinite without jobs."""
         self._wake_due_jobs(now)
         if not self.jobs:
             return math.inf
         ready = [job for job in self.jobs.values() if job.state is JobState.READY]
-        moments = [now + 1.0] if len(self.wheel) else []  # a waiting one: the wheel is looked at once a second
+        moments = [now + 1.0] if len(self.wheel) else []  # a waiting job: the timer wheel is checked once a second
         if any(not self.is_pressed or job.deadline <= now for job in ready) and self.running < self.budgets.at_once:
             moments.append(self._budgets_available_at(now))
         elif ready:
--- a/mulleinhatch/instance/jobs/timer_wheel.py
+++ b/mulleinhatch/instance/jobs/timer_wheel.py
@@ -1,5 +1,9 @@
-"""A timer wheel: alarms in slots of time, several wheels for the far ones (Varghese and Lauck, "Hashed and hierarchical timing
-wheels", 1987). Adding, cancelling and firing cost the same however many wait; `python -m benchmarks.wheel` beside a heap.
+"""A hierarchical timer wheel: timers in slots of time, with several wheels for distant ones.
+
+Setting, cancelling and expiry cost the same however many timers there are; `python -m benchmarks.wheel` compares it with a
+heap.
+
+Source: G. Varghese, A. Lauck, "Hashed and hierarchical timing wheels" (1987).
 """
 
 from __future__ import annotations
@@ -12,7 +16,11 @@
 
 
 class TimerWheel:
-    """Alarms by name; one that is set again moves. Times are seconds, kept to `tick`, never early.
+    """Timers by name; setting one again moves it. Times are seconds, rounded up to `tick`: a timer never expires early.
+
+    Args:
+        now: Current time.
+        tick: Resolution in seconds.
 
     >>> wheel = TimerWheel(0.0, tick=0.01)
     >>> wheel.set("a", 0.5); wheel.set("b", 40.0); wheel.set("c", 0.2); wheel.cancel("c")
@@ -25,10 +33,11 @@
         self.tick, self.start, self.current_tick = tick, now, 0
         self.wheels: list[list[dict[Hashable, int]]] = [[{} for _ in range(SLOTS)] for _ in range(WHEELS)]
         self.slots_by_name: dict[Hashable, dict[Hashable, int]] = {}
-        self.counts = [0] * WHEELS  # alarms in each wheel: empty ones need no turning
+        self.counts = [0] * WHEELS  # timers in each wheel: empty wheels need no cascade
         self.levels_by_name: dict[Hashable, int] = {}
 
     def set(self, name: Hashable, at: float) -> None:
+        """Set or move a timer."""
         self.cancel(name)
         self._insert(name, max(self.current_tick + 1, -int(-(at - self.start) / self.tick // 1)))
 
@@ -42,6 +51,7 @@
         self.counts[level] += 1
 
     def cancel(self, name: Hashable) -> bool:
+        """Cancel a timer; return whether it was set."""
         slot = self.slots_by_name.pop(name, None)
         if slot is None:
             return False
@@ -50,7 +60,7 @@
         return True
 
     def pop_due(self, now: float) -> list[Any]:
-        """Names whose time has come, in order of time, those of one tick in the order they were set."""
+        """Remove and return the expired timers in order of time, those of one tick in the order they were set."""
         until, names = int((now - self.start) / self.tick + 1e-9), []
         while self.current_tick < until:
             if not self.slots_by_name:
@@ -66,14 +76,14 @@
         return names
 
     def _skip_empty_ticks(self, until: int) -> None:
-        """Over ticks in which no wheel but a far one has anything: up to the next turn of that one."""
+        """Skip ticks without timers in the nearest wheel, up to the next step of the wheel that has some."""
         level = next(level for level, count in enumerate(self.counts) if count)
         if level:
             span = 1 << SLOT_BITS * level
             self.current_tick = max(self.current_tick, min(until, (self.current_tick // span + 1) * span) - 1)
 
     def _cascade(self) -> None:
-        """Where a nearer wheel has gone round, the next slot of the farther one is dealt out again."""
+        """Move the next slot of a farther wheel into the nearer ones when these have completed a turn."""
         for level in range(1, WHEELS):
             if self.current_tick & (1 << SLOT_BITS * level) - 1:
                 return
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -158,7 +158,8 @@
     """One attempt of a proposer to change the table.
 
     Send `pending_requests` at the start, after a change of phase, and again until the round has an `outcome`: "agreed",
-    "refused" (the change is not allowed), "beaten" (retry with a higher number) or "moved" (the voters changed); "" while in progress.
+    "refused" (the change is not allowed), "beaten" (retry with a higher number) or "moved" (the voters changed); "" while in
+    progress.
 
     Args:
         name: Proposer's name. It is unique for each incarnation; otherwise two tables could share one proposal number.
--- a/mulleinhatch/instance/retry_storms/__init__.py
+++ b/mulleinhatch/instance/retry_storms/__init__.py
@@ -1,5 +1,6 @@
-"""Retry and reconnect storms: told from bursts, deploys and loud callers, and damped until they are over.
+"""Retry and reconnect storms: detect them, tell them from bursts, deploys and a single noisy caller, and damp them.
 
-The reducer calls `Desk`, and the front asks it before a request is read in full; nothing else does.
-It never admits or refuses by itself: it counts, spreads in time, and keeps to the rate that the module names.
+The request state machine calls `RetryAdmission`, and the caller listener asks it before it reads a request in full. The package
+never admits or rejects a request by itself: it counts, spreads retries over time, and keeps to the rate that the admission
+controller sets.
 """
--- a/mulleinhatch/instance/retry_storms/bounds.py
+++ b/mulleinhatch/instance/retry_storms/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds that an operator may set for storms, with what holds where none is set."""
+"""Settings of retry-storm damping and their defaults."""
 
 from __future__ import annotations
 
@@ -6,17 +6,34 @@
 
 
 class StormBounds(NamedTuple):
-    """Shares and multiples are plain numbers, times seconds. What can be served is the module's measure."""
+    """Limits that an operator may set; field names are keys of the operator's file.
 
-    rising_share: float = 0.4  # of what is read that repeats, from which a storm may be rising
-    storm_share: float = 0.6  # and from which it may be one
-    storm_multiple: float = 2.0  # repeats over what can be served, from which it is one
-    calm_multiple: float = 0.5  # and below which it is over
-    confirm: float = 0.5  # how long it must look like one, without an outage seen before
-    settle: float = 3.0  # how long it must look over
-    outage_memory: float = 10.0  # an outage that lies further back makes nothing more likely
-    loud_share: float = 0.6  # of all repeats by one caller: it is loud, the others are no storm
-    callers_kept: int = 512  # callers with a count of their own
-    repeats_kept: int = 8192  # fingerprints of ops nacked or run lately, in each of two generations
-    horizon: float = 30.0  # the longest that a come-back lies ahead, if callers heed so long
-    heeding_part: float = 0.9  # of the retries that are heard, kept first for callers who come when told
+    Shares and multiples are plain numbers, times are seconds. The admission controller measures the rate that can be served.
+
+    Attributes:
+        rising_share: Share of retries among the requests from which a storm may be rising.
+        storm_share: Share from which it may be a storm.
+        storm_multiple: Retries as a multiple of the rate that can be served, from which it is a storm.
+        calm_multiple: Multiple below which it is over.
+        confirm: Seconds for which it must look like a storm if no outage was seen before.
+        settle: Seconds for which it must look over.
+        outage_memory: Seconds after which an outage no longer makes a storm likelier.
+        loud_share: Share of all retries from which a single caller is the cause; the other callers are not limited then.
+        callers_kept: Number of callers with a counter of their own.
+        repeats_kept: Fingerprints of recent requests kept in each of two generations.
+        horizon: Longest retry delay in seconds, if callers accept such a long one.
+        heeding_part: Part of the retry rate reserved for callers that waited as long as they were asked to.
+    """
+
+    rising_share: float = 0.4
+    storm_share: float = 0.6
+    storm_multiple: float = 2.0
+    calm_multiple: float = 0.5
+    confirm: float = 0.5
+    settle: float = 3.0
+    outage_memory: float = 10.0
+    loud_share: float = 0.6
+    callers_kept: int = 512
+    repeats_kept: int = 8192
+    horizon: float = 30.0
+    heeding_part: float = 0.9
--- a/mulleinhatch/instance/retry_storms/budget.py
+++ b/mulleinhatch/instance/retry_storms/budget.py
@@ -1,14 +1,14 @@
-"""How many retries are heard: a rate, most of it first for callers who come when they were told to."""
+"""The rate of retries that are accepted, most of it reserved for callers that waited as long as they were asked to."""
 
 from __future__ import annotations
 
 import math
 
-BURST_S = 0.5  # seconds' worth of the rate that is saved up: retries come in bunches
+BURST_S = 0.5  # burst size in seconds of the rate: retries arrive in bunches
 
 
 class TokenBucket:
-    """Tokens at a rate, saved up to a bound; what no longer fits is left over for another.
+    """A token bucket: it fills at a rate up to `max_tokens` and passes on the overflow.
 
     >>> bucket = TokenBucket(2.0)
     >>> bucket.fill(1.0, 5.0), bucket.try_take(), bucket.try_take(), bucket.try_take()
@@ -19,11 +19,13 @@
         self.max_tokens, self.tokens = max_tokens, 0.0
 
     def fill(self, span: float, rate: float) -> float:
+        """Add `span` seconds of `rate` tokens per second; return the overflow."""
         tokens = self.tokens + span * rate
         self.tokens = min(self.max_tokens, tokens)
         return tokens - self.tokens
 
     def try_take(self) -> bool:
+        """Take one token if there is one; return whether there was."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -31,7 +33,12 @@
 
 
 class RetryBudget:
-    """Without a bound (`rate` infinite) all are heard. What the punctual leave, the others get.
+    """Limits retries to a rate, with a reserved part for punctual callers and the rest for all.
+
+    Tokens that punctual callers leave overflow to the others. An infinite rate accepts every retry.
+
+    Args:
+        heeding_part: Part of the rate reserved for punctual callers, 0 to 1.
 
     >>> budget = RetryBudget(heeding_part=0.5); budget.set_rate(0.0, 4.0)
     >>> [budget.should_accept(1.0, punctual) for punctual in (False, False, False, True, True, True)]
@@ -41,10 +48,10 @@
     def __init__(self, heeding_part: float) -> None:
         self.heeding_part, self.rate, self.filled = heeding_part, math.inf, 0.0
         self.punctual, self.others = TokenBucket(1.0), TokenBucket(1.0)
-        self.empty_until = 0.0  # no token of any kind until then: thousands ask in between
+        self.empty_until = 0.0  # no token before then: saves work for thousands of calls in between
 
     def set_rate(self, now: float, rate: float) -> None:
-        """Retries a second from now on; what was saved up at a higher rate is cut back."""
+        """Set the rate in retries per second; tokens saved up at a higher rate are cut to the new burst size."""
         if self.rate < math.inf:
             self._fill(now)
         self.rate, self.filled, self.empty_until = rate, now, now
@@ -59,6 +66,7 @@
         self.others.fill(1.0, surplus + span * (1.0 - self.heeding_part) * self.rate)
 
     def should_accept(self, now: float, punctual: bool) -> bool:
+        """Return whether to accept a retry, and take its token; `punctual` callers may use the reserved part."""
         if now < self.empty_until:
             return False
         if self.rate == math.inf:
--- a/mulleinhatch/instance/retry_storms/calendar.py
+++ b/mulleinhatch/instance/retry_storms/calendar.py
@@ -1,20 +1,27 @@
-"""When callers are told to come back: one slot after another, as many a second as can be served.
+"""Retry times for rejected callers: slots one after another, as many per second as can be served.
 
-One time is kept, not a page a slot: slots are given out in order, so the next free one says all there is to know
-(the virtual scheduling form of the generic cell rate algorithm, ITU-T I.371).
+Slots are given out in order, so the time of the next free one is the complete state.
+
+Source: ITU-T I.371, generic cell rate algorithm in its virtual scheduling form.
 """
 
 from __future__ import annotations
 
 
 class ReconnectCalendar:
-    """
+    """Gives out retry slots at `rate` slots per second.
+
+    Args:
+        horizon: Longest delay in seconds; callers ignore longer ones.
+
     >>> calendar = ReconnectCalendar(horizon=0.15)
     >>> calendar.rate = 20.0
     >>> [round(calendar.reserve_slot(0.0, 0.0, draw=0.0), 2) for _ in range(4)]
     [0.0, 0.05, 0.1, 0.15]
-    >>> round(calendar.reserve_slot(0.0, 0.0, draw=0.5), 4), calendar.overbooked, round(calendar.reserve_slot(0.1, 0.02, 0.0), 2)
-    (0.1125, 1, 0.1)
+    >>> round(calendar.reserve_slot(0.0, 0.0, draw=0.5), 4), calendar.overbooked
+    (0.1125, 1)
+    >>> round(calendar.reserve_slot(0.1, 0.02, 0.0), 2)
+    0.1
     """
 
     def __init__(self, horizon: float) -> None:
@@ -22,9 +29,15 @@
         self.booked = self.overbooked = 0
 
     def reserve_slot(self, now: float, min_delay: float, draw: float) -> float:
-        """Seconds until the caller's slot, `min_delay` at the soonest; `draw` below 1 is its place between this
-        slot and the next. Past the horizon callers heed nothing: there is no slot then, and it is spread over
-        the further half."""
+        """Reserve the next slot and return the delay until then in seconds.
+
+        Past the horizon there are no slots: the delay is spread over the farther half of the horizon and counted as overbooked.
+
+        Args:
+            now: Monotonic seconds.
+            min_delay: Shortest delay in seconds.
+            draw: Random number in [0, 1): the position between this slot and the next.
+        """
         slot = max(now, self.next_free)
         if self.rate <= 0.0 or slot > now + self.horizon + 1e-9:
             self.overbooked += 1
--- a/mulleinhatch/instance/retry_storms/duplicate_detection.py
+++ b/mulleinhatch/instance/retry_storms/duplicate_detection.py
@@ -1,8 +1,8 @@
-"""Which tries are of one op: what they have in common, and what that proves here and now.
+"""Recognises attempts of the same request by what they have in common.
 
-Callers are stubs with thousands of clients behind each, so two ops may look the same to the last byte of their bodies.
-A likeness that was seen on two ops at once, or again after an ack, is shared and proves nothing from then on; then the
-finer one decides, by the figures that belong to one client's op. `docs/design/lookalikes.md` has the table.
+Each caller is a backend with thousands of clients, so two requests may be equal to the last byte of their bodies. A fingerprint
+that was seen on two requests at once, or again after a response, is shared and proves nothing from then on. Then the detailed
+fingerprint decides, which adds the costs given for a client's request. `docs/design/lookalikes.md` has the table.
 """
 
 from __future__ import annotations
@@ -15,14 +15,20 @@
 
 from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, fingerprint
 
-REJECTED_LIFETIME_S = 10.0  # seconds in which a nacked op is known again; twice that at most
-EXECUTED_LIFETIME_S = 30.0  # and one that ran, when its answer may not have arrived
-STABLE_COSTS_S, STABLE_COSTS_RETRIES = 5.0, 64  # seconds and retries, all with the figures of a try before, until figures tell
-RESPONSE_MARGIN_S = 0.25  # seconds before its time that an answer must leave to have found its caller waiting
+REJECTED_LIFETIME_S = 10.0  # seconds for which a rejected request is recognised, at most twice that
+EXECUTED_LIFETIME_S = 30.0  # the same for an executed one whose response may be lost
+# Seconds and number of retries, all with the costs of an earlier attempt, until costs are relied on.
+STABLE_COSTS_S, STABLE_COSTS_RETRIES = 5.0, 64
+RESPONSE_MARGIN_S = 0.25  # seconds before the deadline by which a response must be written to count as read
 
 
 class RequestFingerprint(NamedTuple):
-    """16 bytes of caller, op type, tenant, key and body; and those with rank, cost (seconds) and memory (KB)."""
+    """Two fingerprints of a request.
+
+    Attributes:
+        coarse: 16 bytes of caller, request type, tenant, key and body.
+        detailed: `coarse` with rank, cost in seconds and memory in KB.
+    """
 
     coarse: bytes
     detailed: bytes
@@ -31,16 +37,22 @@
 def request_fingerprint(
     caller: int, request_type: str, tenant: str, key: str, body: bytes, rank: float, work: float, kb: float
 ) -> RequestFingerprint:
+    """Return both fingerprints of a request; `work` is its cost in seconds, `kb` its memory in KB."""
     coarse = fingerprint(caller, request_type, tenant, key, body)
     return RequestFingerprint(coarse, detailed_fingerprint(coarse, rank, work, kb))
 
 
 def detailed_fingerprint(coarse: bytes, rank: float, work: float, kb: float) -> bytes:
+    """Extend a coarse fingerprint by rank, cost in seconds and memory in KB."""
     return coarse + struct.pack("<3d", rank, work, kb)
 
 
 class ExpiringCounter:
-    """How often each was seen in the last one to two spans and not taken back; at most `capacity` in each of two generations.
+    """Counts items added during the last one to two spans and not removed, in two generations.
+
+    Args:
+        span: Seconds after which a new generation begins.
+        capacity: Maximum number of items of a generation; a full one is replaced early.
 
     >>> tally = ExpiringCounter(span=5.0, capacity=2); tally.add(0.0, "a"); tally.add(4.0, "a")
     >>> tally.remove_one(6.0, "a"), tally.contains(6.0, "a"), tally.remove_one(6.0, "a"), tally.remove_one(6.0, "a")
@@ -58,13 +70,14 @@
             self.current, self.rotated_at = Counter(), now
 
     def add(self, now: float, item: Hashable) -> None:
+        """Count an item at the time `now`."""
         self._rotate(now)
         if len(self.current) >= self.capacity and item not in self.current:
             self.previous, self.current, self.rotated_at = self.current, Counter(), now
         self.current[item] += 1
 
     def remove_one(self, now: float, item: Hashable) -> bool:
-        """One less, of the older ones first; whether there was one."""
+        """Decrease an item's count, the older generation first; return whether there was one."""
         self._rotate(now)
         for counts in (self.previous, self.current):
             if count := counts.get(item):
@@ -76,6 +89,7 @@
         return False
 
     def contains(self, now: float, item: Hashable) -> bool:
+        """Return whether the item has a count."""
         self._rotate(now)
         return item in self.current or item in self.previous
 
@@ -84,16 +98,21 @@
 
 
 class DuplicateDetector:
-    """Told of each try that is read in full, answered or lost; says whether an unmarked one repeats a nacked one.
+    """Decides whether an attempt without a retry mark repeats a rejected request.
+
+    A fingerprint has as many known repeats as rejections that were not retried yet, so a request that was served since is no
+    repeat. `classify` returns the keys of the attempt, by which its rejection, response and end are reported; the detailed key
+    is kept only where it is needed.
 
-    As many repeats of a likeness are known as nacks of it are outstanding, so an op that was acked since is no repeat.
-    What `classify` gives beside are the op's looks, by which all that becomes of it is told: the finer ones are kept only
-    where they are needed.
+    Args:
+        capacity: Maximum number of fingerprints in each of two generations.
 
     >>> detector, fingerprints = DuplicateDetector(capacity=100), RequestFingerprint(b"p", b"p1")
-    >>> repeat, keys = detector.classify(0.0, fingerprints, is_marked_retry=False); detector.record_closed(keys); detector.record_rejected(0.1, keys); repeat, keys
+    >>> repeat, keys = detector.classify(0.0, fingerprints, is_marked_retry=False)
+    >>> detector.record_closed(keys); detector.record_rejected(0.1, keys); repeat, keys
     (False, (b'p',))
-    >>> repeat, keys = detector.classify(0.2, fingerprints, is_marked_retry=False); detector.record_closed(keys); detector.record_served(0.3, keys); repeat
+    >>> repeat, keys = detector.classify(0.2, fingerprints, is_marked_retry=False)
+    >>> detector.record_closed(keys); detector.record_served(0.3, keys); repeat
     True
     >>> detector.classify(0.4, fingerprints, is_marked_retry=False), detector.counts["likenesses_shared"]
     ((False, (b'p', b'p1')), 1)
@@ -104,14 +123,24 @@
         self.outstanding = ExpiringCounter(REJECTED_LIFETIME_S, capacity)
         self.served, self.shared = ExpiringSet(REJECTED_LIFETIME_S, capacity), ExpiringSet(REJECTED_LIFETIME_S, capacity)
         self.counts: Counter[str] = Counter()
-        self.stable_retries = 0  # marked retries in a row that came with the figures of a try before
-        self.unstable_at = -math.inf  # when one came with others
+        self.stable_retries = 0  # consecutive marked retries with the costs of an earlier attempt
+        self.unstable_at = -math.inf  # time of the last one with other costs
 
     def classify(
         self, now: float, fingerprints: RequestFingerprint, is_marked_retry: bool, is_non_retryable: bool = False
     ) -> tuple[bool, tuple[bytes, ...]]:
-        """Whether it is a repeat, marked or not. `is_non_retryable` ones, of op types that may not run twice, tell whether the
-        figures of an op stay over its tries."""
+        """Classify an attempt that was read in full.
+
+        Args:
+            now: Monotonic seconds.
+            fingerprints: Its fingerprints.
+            is_marked_retry: The caller marked it as a retry.
+            is_non_retryable: Its type must not execute twice; such requests show whether the costs stay equal over the
+                attempts.
+
+        Returns:
+            Whether it is a retry, marked or not, and its keys.
+        """
         if not is_marked_retry:
             self._mark_if_shared(now, fingerprints.coarse)
         shared = self.shared.contains(now, fingerprints.coarse)
@@ -134,15 +163,24 @@
         return is_marked_retry or is_known_repeat, keys
 
     def _mark_if_shared(self, now: float, item: bytes) -> None:
-        """A first try that looks like one which waits here, or was acked, is another op with the same looks. So is a
-        second copy that nobody marked: then it counts as a first try, and does no other harm."""
+        """Mark a fingerprint as shared if a first attempt equals one that is pending here or was served.
+
+        An unmarked second copy of a request looks the same; it then counts as a first attempt, with no other effect.
+        """
         if item in self.open or self.served.contains(now, item):
             self.counts["likenesses_shared"] += not self.shared.contains(now, item)
             self.shared.add(now, item)
 
     def is_known_repeat(self, now: float, coarse: bytes, detailed: Callable[[], bytes]) -> bool:
-        """Whether an unmarked try that was not read in full yet repeats a nacked one for certain. One that looks like
-        what waits here or was acked must be read, and compared."""
+        """Return whether an unmarked attempt that was not read in full certainly repeats a rejected request.
+
+        One that equals a pending or served request must be read and compared.
+
+        Args:
+            now: Monotonic seconds.
+            coarse: Coarse fingerprint.
+            detailed: Computes the detailed fingerprint, which is rarely needed.
+        """
         item = detailed() if self.shared.contains(now, coarse) else coarse
         return (
             self.outstanding.contains(now, item)
@@ -152,8 +190,10 @@
         )
 
     def record_rejected_unread(self, now: float, coarse: bytes, detailed: Callable[[], bytes], is_marked_retry: bool) -> None:
-        """Nacked before it was read in full, perhaps once more: it stays known for as long as it keeps coming. Of a marked
-        one nothing needs to be known, but whether its figures stay, where looks are shared."""
+        """Record a rejection of an attempt that was not read in full; its fingerprint stays known while retries arrive.
+
+        Marked retries need no fingerprint; where fingerprints are shared they show whether the costs stay equal.
+        """
         shared = self.shared.contains(now, coarse)
         if is_marked_retry and not shared:
             return
@@ -165,15 +205,17 @@
             self._record_costs(now, removed[1])
 
     def record_rejected(self, now: float, keys: tuple[bytes, ...]) -> None:
+        """Record the rejection of an attempt."""
         for item in keys:
             self.outstanding.add(now, item)
 
     def record_served(self, now: float, keys: tuple[bytes, ...]) -> None:
+        """Record the response to an attempt."""
         for item in keys:
             self.served.add(now, item)
 
     def record_closed(self, keys: tuple[bytes, ...]) -> None:
-        """It waits for nothing any more: answered, or its caller is gone."""
+        """Record that an attempt is no longer pending: it was answered, or its caller disconnected."""
         for item in keys:
             if self.open[item] > 1:
                 self.open[item] -= 1
@@ -181,30 +223,43 @@
                 del self.open[item]
 
     def _record_costs(self, now: float, are_costs_equal: bool) -> None:
-        """Of a retry whose looks were nacked before. One whose first try another instance had looks changed, too: after a
-        start figures tell nothing for a while."""
+        """Record whether a retry has the costs of the rejected attempt.
+
+        The first attempt may have reached another instance, which looks like a change: after a start, costs prove nothing for a
+        while.
+        """
         self.stable_retries += 1
         if not are_costs_equal:
             self.stable_retries, self.unstable_at = 0, now
 
     def are_costs_stable(self, now: float) -> bool:
+        """Return whether retries have repeated the costs of their first attempts often and long enough to rely on them."""
         return self.stable_retries >= STABLE_COSTS_RETRIES and now - self.unstable_at >= STABLE_COSTS_S
 
 
 class ExecutedRequest(NamedTuple):
+    """An executed request and the time until which its caller waits."""
+
     fingerprints: RequestFingerprint
-    due: float  # until when its caller waits
+    due: float
 
 
 class ExecutedRequests:
-    """Runs of ops that may not run twice, while a retry of them is still possible: until the answer is known to have
-    been read, or for one to two spans. Bounded: at most `capacity` in each of two generations.
+    """Executions of non-retryable requests, kept while a retry is still possible.
+
+    An entry is kept until the response is known to have been read, or for one to two spans.
+
+    Args:
+        capacity: Maximum number of entries in each of two generations.
 
     >>> executed, fingerprints = ExecutedRequests(100), RequestFingerprint(b"p", b"p1")
-    >>> executed.add(0.0, "r1", fingerprints, due=4.5); executed.may_have_executed(0.1, fingerprints, False), executed.may_have_executed(0.1, RequestFingerprint(b"p", b"p2"), True)
-    (True, False)
-    >>> executed.record_response(0.2, "r1", connection=7); executed.may_have_executed(0.3, fingerprints, False); executed.confirm_response_read(7); executed.may_have_executed(0.3, fingerprints, False)
+    >>> executed.add(0.0, "r1", fingerprints, due=4.5); executed.may_have_executed(0.1, fingerprints, False)
+    True
+    >>> executed.may_have_executed(0.1, RequestFingerprint(b"p", b"p2"), True)
+    False
+    >>> executed.record_response(0.2, "r1", connection=7); executed.may_have_executed(0.3, fingerprints, False)
     True
+    >>> executed.confirm_response_read(7); executed.may_have_executed(0.3, fingerprints, False)
     False
     """
 
@@ -212,8 +267,8 @@
         self.capacity, self.rotated_at = capacity, 0.0
         self.current: dict[str, ExecutedRequest] = {}
         self.previous: dict[str, ExecutedRequest] = {}
-        self.by_coarse: dict[bytes, dict[str, bytes]] = {}  # and there by id: the fine likeness
-        self.answers: dict[int, str] = {}  # by connection: the run whose ack was the last word on it
+        self.by_coarse: dict[bytes, dict[str, bytes]] = {}  # detailed fingerprint by request ID, by coarse fingerprint
+        self.answers: dict[int, str] = {}  # by connection: request of the last response
 
     def _rotate(self, now: float) -> None:
         if now - self.rotated_at >= EXECUTED_LIFETIME_S or len(self.current) >= self.capacity:
@@ -231,29 +286,30 @@
             del self.by_coarse[executed_request.fingerprints.coarse]
 
     def add(self, now: float, ref: str, fingerprints: RequestFingerprint, due: float) -> None:
+        """Record the start of an execution; the caller waits until `due`."""
         self._rotate(now)
         self.current[ref] = ExecutedRequest(fingerprints, due)
         self.by_coarse.setdefault(fingerprints.coarse, {})[ref] = fingerprints.detailed
 
     def remove(self, ref: str) -> None:
-        """Nothing ran, or its caller has the answer: no retry of it can come."""
+        """Remove a request of which no retry can arrive: it did not execute, or its caller has the response."""
         for executed in (self.current, self.previous):
             if executed_request := executed.pop(ref, None):
                 self._forget(ref, executed_request)
 
     def record_response(self, now: float, ref: str, connection: int) -> None:
-        """The answer was written. One that left at the last moment may have found nobody."""
+        """Record that the response was written; one written at the last moment may not have been read."""
         executed_request = self.current.get(ref) or self.previous.get(ref)
         if executed_request and now <= executed_request.due - RESPONSE_MARGIN_S:
             self.answers[connection] = ref
 
     def confirm_response_read(self, connection: int) -> None:
-        """The next request on a connection: its caller has read the answer before."""
+        """Confirm the last response on a connection: its caller has sent another request on it."""
         if ref := self.answers.pop(connection, None):
             self.remove(ref)
 
     def may_have_executed(self, now: float, fingerprints: RequestFingerprint, are_costs_stable: bool) -> bool:
-        """Whether this marked retry may be of an op that ran."""
+        """Return whether this marked retry may belong to a request that was executed."""
         self._rotate(now)
         same_coarse = self.by_coarse.get(fingerprints.coarse)
         return bool(same_coarse) and (not are_costs_stable or fingerprints.detailed in same_coarse.values())
--- a/mulleinhatch/instance/retry_storms/request_log.py
+++ b/mulleinhatch/instance/retry_storms/request_log.py
@@ -1,7 +1,7 @@
-"""Who asks how often, and what was asked before, both in bounded memory.
+"""Which callers send most requests, and which requests were seen recently, both in bounded memory.
 
-`HeavyCallers` is the space-saving sketch (Metwally, Agrawal, El Abbadi: "Efficient computation of frequent and top-k
-elements in data streams", 2005): a caller without a count takes over the smallest one, and inherits it as its error.
+Source: Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams" (2005), the
+space-saving sketch in `HeavyCallers`: a caller without a counter takes over the smallest one and inherits its count as error.
 """
 
 from __future__ import annotations
@@ -12,7 +12,10 @@
 
 
 class HeavyCallers:
-    """Counts of the callers that ask most, halved by `halve`; any caller above 1/room of the total is among them.
+    """Counts of the most frequent callers; any caller above 1/capacity of the total is among them.
+
+    Args:
+        capacity: Number of counters.
 
     >>> callers = HeavyCallers(2)
     >>> for caller in [7, 7, 7, 8, 9]:
@@ -27,10 +30,11 @@
         self.capacity, self.total = capacity, 0
         self.counts: dict[Hashable, int] = {}
         self.errors: dict[Hashable, int] = {}
-        self.order: list[tuple[int, int, Hashable]] = []  # counts as they were: the least is put right at need
+        self.order: list[tuple[int, int, Hashable]] = []  # counts when pushed; corrected on eviction
         self.sequence = 0
 
     def add(self, caller: Hashable, times: int = 1) -> None:
+        """Count requests of a caller."""
         self.total += times
         counts = self.counts
         if caller in counts:
@@ -47,8 +51,11 @@
         heappush(self.order, (self.counts[caller], self.sequence, caller))
 
     def _evict(self) -> int:
-        """The least count goes. An entry of the heap holds the count of long ago: only one that is still true
-        is the least, the others go back in with what they have now."""
+        """Remove the smallest counter and return its count.
+
+        A heap entry holds the count at the time it was pushed. Only an entry that is still current is the smallest; others are
+        pushed back with their current count.
+        """
         while True:
             was, _, caller = heappop(self.order)
             count = self.counts[caller]
@@ -59,7 +66,7 @@
             self._push(caller)
 
     def halve(self) -> None:
-        """Halves all: who was loud a while ago counts for less. What falls to nothing is dropped."""
+        """Halve all counts, so that old requests weigh less; counters that reach 0 are removed."""
         self.counts = {caller: count // 2 for caller, count in self.counts.items() if count > 1}
         self.errors = {caller: error // 2 for caller, error in self.errors.items() if error > 1 and caller in self.counts}
         self.total //= 2
@@ -68,12 +75,15 @@
         heapify(self.order)
 
     def at_most(self, caller: Hashable) -> int:
+        """Return an upper bound of the requests of a caller that has a counter, 0 for others."""
         return self.counts.get(caller, 0)
 
     def at_least(self, caller: Hashable) -> int:
+        """Return a lower bound of the requests of a caller."""
         return self.counts.get(caller, 0) - self.errors.get(caller, 0)
 
     def most_frequent(self, count: int) -> list[tuple[Hashable, int]]:
+        """Return the `count` most frequent callers and their counts, largest first."""
         return nlargest(count, self.counts.items(), key=lambda item: item[1])
 
     def __len__(self) -> int:
@@ -81,12 +91,16 @@
 
 
 def fingerprint(caller: int, request_type: str, tenant: str, key: str, body: bytes) -> bytes:
-    """What two tries of one op have in common where nothing marks them: 16 bytes."""
+    """Return 16 bytes that two attempts of one request have in common if nothing marks the second as a retry."""
     return blake2b(f"{caller} {request_type} {tenant} {key} ".encode() + body, digest_size=16).digest()
 
 
 class ExpiringSet:
-    """What was seen in the last one to two spans, `capacity` entries in each of two generations at most.
+    """Items seen during the last one to two spans, in two generations.
+
+    Args:
+        span: Seconds after which a new generation begins.
+        capacity: Maximum number of items of a generation; a full one is replaced early.
 
     >>> recent = ExpiringSet(span=5.0, capacity=2)
     >>> recent.add(0.0, "a"); recent.contains(4.0, "a"), recent.contains(6.0, "a"), recent.contains(11.0, "a")
@@ -106,12 +120,14 @@
             self.current, self.rotated_at = {}, now
 
     def add(self, now: float, item: Hashable) -> None:
+        """Add an item at the time `now`."""
         self._rotate(now)
         if len(self.current) >= self.capacity and item not in self.current:
             self.previous, self.current, self.rotated_at = self.current, {}, now
         self.current[item] = None
 
     def contains(self, now: float, item: Hashable) -> bool:
+        """Return whether the item was added recently."""
         self._rotate(now)
         return item in self.current or item in self.previous
 
--- a/mulleinhatch/instance/retry_storms/retry_admission.py
+++ b/mulleinhatch/instance/retry_storms/retry_admission.py
@@ -1,4 +1,4 @@
-"""All that is known of a storm at one instance, and the one word on each try that comes while it lasts."""
+"""Combines detection, budget, retry times and duplicate detection for one instance."""
 
 from __future__ import annotations
 
@@ -12,13 +12,20 @@
 from mulleinhatch.instance.retry_storms.request_log import HeavyCallers
 from mulleinhatch.instance.retry_storms.storm_detector import Stage, StormDetector
 
-HALVING_INTERVAL_S = 2.0  # seconds after which what a caller did counts half
-PUNCTUAL_TOLERANCE_S = 0.02  # seconds too soon that still count as when told: clocks and rounding
+HALVING_INTERVAL_S = 2.0  # seconds after which a caller's counts are halved
+PUNCTUAL_TOLERANCE_S = 0.02  # seconds too early that still count as punctual: clocks and rounding
 
 
 class RetryAdmission:
-    """The host counts in what comes (`record_request`), asks `should_reject` before a retry is heard, `retry_after` for what a
-    nack is to say, and tells the module `first_rate` and `is_active` whenever `update` says that they changed.
+    """Decides for each retry during a storm whether it is rejected early, and when rejected callers should retry.
+
+    The host reports requests (`record_request`), asks `should_reject` before it reads a retry and `retry_after` for the delay
+    in a rejection, and reports `last_reported` to the admission controller when `update` returns True.
+
+    Args:
+        bounds: Configured limits.
+        longest_hold_off: Longest delay in seconds that callers accept.
+        seed: Seed of the random delays.
 
     >>> retry_admission = RetryAdmission(StormBounds(), longest_hold_off=5.0, seed=7)
     >>> for tenth in range(20):
@@ -42,31 +49,34 @@
         self.random_state = seed % 2**64
         self.dominant_caller: int | None = None
         self.halved_at = 0.0
-        self.promised_until = 0.0  # the last come-back that was told to a caller who may heed it
-        self.rejected_retries = self.rejected_early_retries = (
-            0  # tries turned back, and those of them that came before their time
-        )
+        self.promised_until = 0.0  # latest retry time given to a caller
+        self.rejected_retries = 0
+        self.rejected_early_retries = 0  # those of them that came before their retry time
         self.last_reported: tuple[bool, float] = (False, 0.0)
 
     @property
     def is_active(self) -> bool:
-        """From the first signs to the end of the recovery: callers that heed keep a storm from ever being one, and
-        their come-backs still crowd out first tries, as long as any was told to come."""
+        """Whether retries are limited or delayed: from the first signs until the end of the recovery.
+
+        Callers that wait as asked can prevent the stage `STORM`, but their retries still compete with first attempts for as
+        long as retry times are outstanding.
+        """
         return self.detector.stage is not Stage.CALM or self.detector.updated_at < self.promised_until
 
     @property
     def is_limiting(self) -> bool:
-        """Whether a try may be turned back before it is read in full."""
+        """Whether a retry may be rejected before it is read in full."""
         return self.budget.rate < math.inf
 
     def record_request(self, now: float, caller: int, repeat: bool, age: float) -> None:
+        """Count a request that was read; `age` is its age in seconds."""
         self.detector.count(1, repeat, 0, age)
         if repeat:
             self.counts["repeats_read"] += 1
             self.callers.add(caller)
 
     def update(self, now: float, capacity: float) -> bool:
-        """On a beat; whether the module must hear of it."""
+        """Update the detector if it is due; return whether the admission controller must be notified."""
         if not self.detector.is_due(now):
             return False
         self.detector.update(now, capacity)
@@ -74,39 +84,41 @@
             self.callers.halve()
             self.halved_at = now
         self.dominant_caller = self._find_dominant_caller()
-        last_reported = (self.is_active, self.detector.first_rate)
+        report = (self.is_active, self.detector.first_rate)
         changed = (
-            last_reported[0] is not self.last_reported[0]
-            or last_reported[0]
-            and abs(last_reported[1] - self.last_reported[1]) > 0.05 * self.last_reported[1]
+            report[0] is not self.last_reported[0]
+            or report[0]
+            and abs(report[1] - self.last_reported[1]) > 0.05 * self.last_reported[1]
         )
         if changed:
-            self.last_reported = last_reported
+            self.last_reported = report
         return changed
 
     def _find_dominant_caller(self) -> int | None:
-        """A caller with most of all repeats, where there are enough callers for that to mean something."""
+        """Return the caller that sends most of the retries, if there are enough callers to compare."""
         (first, count), *others = self.callers.most_frequent(3) or [(None, 0)]
         alone = count >= self.bounds.loud_share * max(1, self.callers.total)
         return first if alone and len(others) >= 2 else None
 
     def set_rate(self, now: float, rate: float) -> None:
-        """The module's word: retries a second to be heard; infinite when no storm is on."""
+        """Set the accepted retries per second, infinite without a storm; the admission controller decides it."""
         self.budget.set_rate(now, rate)
         self.calendar.rate = rate if rate < math.inf else 0.0
 
     def should_reject(self, now: float, caller: int, punctual: bool) -> bool:
-        """Whether this retry is one too many. Of a loud caller's storm the others hear nothing."""
+        """Return whether to reject this retry; if one caller dominates, only its retries are limited."""
         if self.budget.rate == math.inf or self.dominant_caller is not None and caller != self.dominant_caller:
             return False
         return not self.budget.should_accept(now, punctual)
 
-    def retry_after(self, now: float, least: float, rejected_early_retries: bool) -> float:
-        """What a nack says: seconds to stay away. Out of a storm it is what the module said; in one a slot, but
-        none for those that did not heed the last: they would take those of the others."""
+    def retry_after(self, now: float, least: float, ignored_last_delay: bool) -> float:
+        """Return the seconds after which a rejected caller should retry, at least `least`.
+
+        During a storm it is the time of a slot. Callers that ignored the last delay get no slot, which others would lack.
+        """
         if self.calendar.rate <= 0.0:
             return least
-        if rejected_early_retries:
+        if ignored_last_delay:
             return max(least, (0.5 + 0.5 * self._draw()) * self.calendar.horizon)
         seconds = self.calendar.reserve_slot(now, least, self._draw())
         self.promised_until = max(self.promised_until, now + seconds)
@@ -117,6 +129,7 @@
         return (self.random_state >> 33) / 2**31
 
     def counters(self) -> dict[str, int]:
+        """Return the counters by their public names."""
         detector = self.detector
         return {
             **self.counts,
--- a/mulleinhatch/instance/retry_storms/storm_detector.py
+++ b/mulleinhatch/instance/retry_storms/storm_detector.py
@@ -1,8 +1,8 @@
-"""Whether it storms: calm, rising, storm, recovering, judged beat by beat from counts alone.
+"""Detects retry storms from counts alone, in the stages calm, rising, storm and recovering.
 
-A storm is repeats beyond what can be served. A burst of first tries repeats nothing; a deploy reconnects, and repeats
-what a few seconds of it cost; a slow dependency is asked for the same ops a few times more; one loud caller is told
-from a storm by its part of the repeats. `docs/design/storms.md` has the table of states.
+A storm is retries beyond what can be served. A burst of first attempts has no retries; a deploy causes reconnects and the
+retries of a few seconds; a slow dependency causes some retries of the same requests; a single noisy caller is recognised by its
+share of the retries. `docs/design/storms.md` has the table of stages.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.sliding_window import Ring
 
-UPDATE_INTERVAL_S = 0.25  # seconds between judgements
-WINDOW_BUCKET_S, WINDOW_BUCKETS = 0.25, 4  # the second that is looked at
-CALM_SHARE = 0.25  # of what is read that repeats, below which it is no longer rising
-CALM_S = 1.0  # seconds of that
-EASED_S = 1.0  # seconds under one repeat for each op that can be served, until it is recovering
-USUAL_RATE_WEIGHT = 0.02  # a beat, how fast the usual rate of first tries follows
-OVERLOAD_AGE_S = 0.5  # mean age in seconds from which reading can't keep up: an outage of its own
+UPDATE_INTERVAL_S = 0.25  # seconds between updates
+WINDOW_BUCKET_S, WINDOW_BUCKETS = 0.25, 4  # the last second, in buckets of WINDOW_BUCKET_S seconds
+CALM_SHARE = 0.25  # share of retries below which a storm is no longer rising
+CALM_S = 1.0  # seconds below CALM_SHARE until the stage is calm
+EASED_S = 1.0  # seconds with less than half of the storm multiple until the stage is recovering
+USUAL_RATE_WEIGHT = 0.02  # weight of an update in the moving average of first attempts
+OVERLOAD_AGE_S = 0.5  # mean age in seconds from which reading is overloaded, which counts as an outage
 
 
 class Stage(Enum):
+    """Stage of a storm."""
+
     CALM = "calm"
     RISING = "rising"
     STORM = "storm"
@@ -32,7 +34,8 @@
 
 
 class StormDetector:
-    """
+    """Classifies the current traffic; `update` is called every `UPDATE_INTERVAL_S` seconds.
+
     >>> detector = StormDetector(StormBounds())
     >>> for step in range(8):
     ...     detector.count(reads=250, repeats=240); detector.update(0.25 * (step + 1), capacity=80.0)
@@ -51,26 +54,32 @@
         self.reads, self.repeats, self.connects, self.ages = (Ring(WINDOW_BUCKET_S, WINDOW_BUCKETS) for _ in range(4))
         self.usual_rate = self.first_rate = self.repeat_rate = self.connect_rate = 0.0
         self.updated_at = -math.inf
-        self.calmer_s = self.storm_like_s = 0.0  # seconds: looking calmer, like a storm
+        self.calmer_s = self.storm_like_s = 0.0  # seconds for which it looked calmer, or like a storm
         self.outage_at: float | None = None
         self.entered: dict[Stage, int] = dict.fromkeys(Stage, 0)
 
     def count(self, reads: int = 0, repeats: int = 0, connects: int = 0, age: float = 0.0) -> None:
-        """What came since the last beat; `age` is the sum of the ages at reading, in seconds."""
+        """Count what arrived since the last update; `age` is the sum of the requests' ages in seconds when read."""
         self.new_reads += reads
         self.new_repeats += repeats
         self.new_connects += connects
         self.new_age += age
 
     def record_outage(self, now: float) -> None:
-        """Something here was gone a moment ago: our own start, a gap in the link, runs that stopped ending."""
+        """Record an outage of this instance: a start, a lost link, or executions that stopped completing."""
         self.outage_at = now
 
     def is_due(self, now: float) -> bool:
+        """Return whether the next update is due."""
         return now - self.updated_at >= UPDATE_INTERVAL_S
 
     def update(self, now: float, capacity: float) -> None:
-        """One beat; `capacity` is the ops a second that can be served, 0 where that is not known."""
+        """Update the rates and the stage.
+
+        Args:
+            now: Monotonic seconds.
+            capacity: Requests per second that can be served; 0 if unknown.
+        """
         span = UPDATE_INTERVAL_S if self.updated_at == -math.inf else now - self.updated_at
         self.updated_at = now
         for window, amount in (
@@ -94,13 +103,15 @@
         self._advance_stage(now, span, repeats / reads if reads else 0.0, self.repeat_rate / served)
 
     def _advance_stage(self, now: float, span: float, share: float, multiple: float) -> None:
-        """The one place where the stage changes: by the share of repeats and by their multiple of what can be
-        served. Each way back asks for less than the way there, and for longer: it must not flap."""
+        """Change the stage, by the share of retries and by their multiple of the rate that can be served.
+
+        Each way back has a lower threshold than the way there and must last longer, which prevents flapping.
+        """
         bounds = self.bounds
         is_storm_like = share >= bounds.storm_share and multiple >= bounds.storm_multiple
         self.storm_like_s = (
             self.storm_like_s + min(span, 2.0 * UPDATE_INTERVAL_S) if is_storm_like else 0.0
-        )  # a stall of ours is no storm
+        )  # a stall of this process must not count as a storm
         if self.stage is Stage.CALM:
             if share >= bounds.rising_share and multiple >= 0.5 * bounds.storm_multiple:
                 self._enter(Stage.RISING)
--- a/mulleinhatch/invariants.py
+++ b/mulleinhatch/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold: an assertion in debug runs; in release runs (`python -O`) a count, and service goes on."""
+"""Run-time invariants: an assertion in debug runs; under `python -O` a violation is counted and service continues."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def check(condition: object, what: str) -> None:
+    """Assert that `condition` holds; under `python -O` count a violation under the description `what` instead."""
     assert condition, what
     if not condition:
         VIOLATIONS[what] += 1
