--- a/mulleinhatch/instance/traces/__init__.py
+++ b/mulleinhatch/instance/traces/__init__.py
@@ -1,5 +1,6 @@
-"""Trace files: what an instance was told and what it decided, exactly; read, cut, summarised and replayed.
+"""Trace files: the exact inputs and decisions of an instance's admission controller, to be read, filtered, summarised and
+replayed.
 
-The reducer's recorder fills blocks, a thread writes them, `mulleinhatch trace` reads them. It never decides, never waits
-for a disk on an op's path, and keeps no body of any op.
+The request state machine's recorder fills batches, a thread writes them as blocks, and `mulleinhatch trace` reads them. Tracing
+makes no decisions, never waits for a disk on the path of a request, and stores no request bodies.
 """
--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -1,5 +1,7 @@
-"""Aliases for what names somebody: the same key and text give the same alias, in whatever file; without the key there is no way
-back. Shape and length stay: a hexadecimal id is one again, a letter is a letter, a number keeps its digits.
+"""Aliases for identifying values: the same key and text give the same alias in every file, and without the key it can't be
+reversed.
+
+Shape and length are kept: a hexadecimal ID stays one, letters stay letters, and a number keeps its count of digits.
 """
 
 from __future__ import annotations
@@ -14,15 +16,24 @@
 
 ROUNDS = 8
 HEX = frozenset("0123456789abcdef")
-MIN_KEY_BYTES = 16  # bytes: a shorter key could be tried out
+MIN_KEY_BYTES = 16  # bytes: a shorter key could be guessed
 
 
 class Aliases:
-    """
+    """Maps names, IDs and numbers to aliases.
+
+    Args:
+        key: Secret key of at least `MIN_KEY_BYTES` bytes.
+
+    Raises:
+        ValueError: The key is too short.
+
     >>> aliases = Aliases(b"a key of sixteen bytes")
-    >>> source, other = aliases.text("Moshi-17"), aliases.text("Moshi-17")
-    >>> source == other != "Moshi-17", len(source), source[5], source[6:].isdigit(), len({aliases.number(n) for n in range(1000)})
-    (True, 8, '-', True, 1000)
+    >>> first, second = aliases.text("Moshi-17"), aliases.text("Moshi-17")
+    >>> first == second != "Moshi-17", len(first), first[5], first[6:].isdigit()
+    (True, 8, '-', True)
+    >>> len({aliases.number(number) for number in range(1000)})
+    1000
     """
 
     def __init__(self, key: bytes) -> None:
@@ -37,13 +48,13 @@
         return stream
 
     def ref(self, ref: str) -> str:
-        """The id of an op."""
+        """Return the alias of a request ID."""
         if len(ref) == 16 and HEX.issuperset(ref):
             return blake2b(ref.encode(), key=self.key, digest_size=8, person=b"ref").hexdigest()
         return self.text(ref)
 
     def text(self, text: str) -> str:
-        """Letters and digits by others, the rest as it stands; letters beyond ASCII become plain ones."""
+        """Return the alias of a text; punctuation stays, letters beyond ASCII become plain ones."""
         drawn = self._stream(text, 2 * len(text))
         return "".join(self._letter(letter, drawn[2 * index] << 8 | drawn[2 * index + 1]) for index, letter in enumerate(text))
 
@@ -57,8 +68,12 @@
         return letters[draw % 26]
 
     def number(self, number: int) -> int:
-        """A whole number of as many digits, and no two alike: a Feistel network, walked until it stays in the range
-        (Black and Rogaway: "Ciphers with arbitrary finite domains", 2002)."""
+        """Return the alias of a whole number: one of as many digits, different for each number.
+
+        Source: J. Black, P. Rogaway, "Ciphers with arbitrary finite domains" (2002): a Feistel network, repeated until the
+            result is
+        in the range.
+        """
         low = 10 ** (len(str(number)) - 1) if number > 9 else 0
         size = 10 ** len(str(number)) - low
         half = max(1, ((size - 1).bit_length() + 1) // 2)
@@ -76,7 +91,7 @@
 
 
 def anonymous_facts(facts: TraceMetadata, aliases: Aliases) -> TraceMetadata:
-    """Seed and deployment stay: a replay needs them, and they name nobody."""
+    """Return metadata with aliases; seed and deployment stay, as a replay needs them and they identify nobody."""
     return TraceMetadata(
         aliases.text(facts.instance),
         facts.seed,
@@ -93,7 +108,7 @@
 
 
 def anonymous(records: Iterable[Record], aliases: Aliases) -> Iterator[Record]:
-    """Records with all that names somebody changed: ids of ops, callers, what notes tell."""
+    """Yield the records with aliases for request IDs, callers and the details of notes."""
     for record in records:
         values = record.values
         if record.kind is kinds.READ:
--- a/mulleinhatch/instance/traces/block.py
+++ b/mulleinhatch/instance/traces/block.py
@@ -1,7 +1,7 @@
-"""One block: records as columns, compressed, with a checksum; it needs no other block to be read.
+"""One block of a trace file: records as columns, compressed, with a checksum; each block can be read on its own.
 
-Layout (little endian), as `docs/design/traces.md` tells byte by byte: a head of 64 bytes, then the body, compressed by
-zstandard. The checksum (xxh3, 64 bits) covers the head before it and the body as stored.
+Layout (little endian; byte by byte in `docs/design/traces.md`): a header of 64 bytes, then the body compressed by Zstandard.
+The checksum (xxh3, 64 bits) covers the preceding header and the body as stored.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from mulleinhatch.instance.traces.kinds import DECIDED, DECIDED_FOR, KINDS, Kind, Record
 
 MAGIC = b"mhtBLOCK"
-# magic, major, reserved, stored bytes, raw bytes, records, first and last time, newest op before it; then the checksum
+# magic, major, reserved, stored bytes, raw bytes, records, first and last time, newest request before; then the checksum
 HEAD = struct.Struct("<8sHHIIIddQ")
 CHECKSUM = struct.Struct("<QQ")  # checksum, and eight bytes that are zero
 HEAD_SIZE = HEAD.size + CHECKSUM.size
@@ -27,13 +27,25 @@
     8 << 20,
     16 << 20,
     1 << 20,
-)  # what no block of ours exceeds, and no reader believes
-TIMES, KINDS_COLUMN, TEXTS = 0, 1, 2  # columns that belong to no kind
+)  # limits of a writer, checked by a reader
+TIMES, KINDS_COLUMN, TEXTS = 0, 1, 2  # codes of the columns that belong to no kind
 COMPRESSOR = zstandard.ZstdCompressor(level=3, write_content_size=True)
 HEX = frozenset("0123456789abcdef")
 
 
 class BlockHeader(NamedTuple):
+    """Header of a block.
+
+    Attributes:
+        major: Major version of the file format.
+        stored: Compressed size of the body in bytes.
+        raw: Uncompressed size in bytes.
+        records: Number of records.
+        first: Time of the first record in seconds.
+        last: Latest time of a record.
+        newest: Highest request number before the block.
+    """
+
     major: int
     stored: int
     raw: int
@@ -44,7 +56,12 @@
 
 
 class BlockBuilder:
-    """Takes records until it is told to give the block."""
+    """Collects records and encodes them as a block.
+
+    Args:
+        major: Major version of the file format.
+        newest: Highest request number before the block.
+    """
 
     def __init__(self, major: int, newest: int) -> None:
         self.major, self.newest_before, self.newest = major, newest, newest
@@ -56,6 +73,7 @@
         self.writers: dict[int, list[Callable[[Any], None]]] = {}
 
     def add(self, record: Record) -> None:
+        """Add a record."""
         kind, time, values = record
         micro = round(time * MICRO)
         if not self.kinds:
@@ -70,7 +88,7 @@
                 write_value(value)
 
     def _make_writers(self, kind: Kind) -> list[Callable[[Any], None]]:
-        """How the values of that kind go into their columns, settled at its first record."""
+        """Return the functions that write the values of a kind into its columns; they are kept for later records."""
         writers = self.writers[kind.code] = []
         for column_index, (_, codec) in enumerate(kind.columns):
             column = self.columns[kind.code, column_index] = ColumnWriter()
@@ -116,10 +134,11 @@
         return len(self.kinds)
 
     def approximate_size(self) -> int:
-        """Raw bytes so far."""
+        """Return the uncompressed size so far in bytes."""
         return len(self.kinds) + len(self.times.data) + sum(len(column.data) for column in self.columns.values())
 
     def encode(self) -> bytes:
+        """Return the encoded block."""
         writer = ColumnWriter()
         columns = [
             (TIMES, 0, bytes(self.times.data)),
@@ -158,7 +177,11 @@
 
 
 def read_header(data: bytes) -> BlockHeader:
-    """The head alone, bounds looked at before anything is believed; `data` holds `HEAD_SIZE` bytes."""
+    """Decode the first `HEAD_SIZE` bytes of a block and check the sizes against their limits.
+
+    Raises:
+        CorruptTraceError: The bytes are no valid header.
+    """
     if len(data) < HEAD_SIZE:
         raise CorruptTraceError("a block's head is cut")
     magic, major, _, stored, raw, records, first, last, newest = HEAD.unpack_from(data)
@@ -170,7 +193,11 @@
 
 
 def verify(data: bytes) -> BlockHeader:
-    """Head and checksum of a whole block."""
+    """Return the header of a complete block whose checksum is correct.
+
+    Raises:
+        CorruptTraceError: The block is incomplete or its checksum is wrong.
+    """
     head = read_header(data)
     if len(data) < HEAD_SIZE + head.stored:
         raise CorruptTraceError("a block is cut")
@@ -182,7 +209,11 @@
 
 
 class Block:
-    """A block that was checked; its records one after another. `unknown` counts those of kinds that this text lacks."""
+    """A verified block. `unknown` counts records of kinds that this version does not know.
+
+    Raises:
+        CorruptTraceError: The block is damaged.
+    """
 
     def __init__(self, data: bytes) -> None:
         self.head = verify(data)
@@ -217,11 +248,17 @@
         return ColumnReader(self.columns.get((code, column_index), b""))
 
     def counts(self) -> Counter[str]:
+        """Return the number of records by name of their kind."""
         return Counter(
             {KINDS[code].name if code in KINDS else f"kind {code}": count for code, count in Counter(self.kinds).items()}
         )
 
     def records(self) -> Iterator[Record]:
+        """Yield the records in the order written.
+
+        Raises:
+            CorruptTraceError: A column ends early or has an invalid value.
+        """
         times, micro, newest = self._column(TIMES), _micro(self.head.first), self.head.newest
         columns = {
             code: [(codec, self._column(code + 2, column_index)) for column_index, (_, codec) in enumerate(kind.columns)]
--- a/mulleinhatch/instance/traces/codec.py
+++ b/mulleinhatch/instance/traces/codec.py
@@ -1,17 +1,17 @@
-"""Columns of bytes: whole numbers, exact floats, ids, texts. Reading past any bound raises `CorruptTraceError`."""
+"""Columns of bytes: variable-length integers, exact floats and raw bytes. Reading past a bound raises `CorruptTraceError`."""
 
 from __future__ import annotations
 
 import struct
 
 MICRO = 1e6
-EXACT = 2**52  # whole microseconds up to which a float is told as one
+EXACT = 2**52  # microseconds up to which a float is written as an integer
 F64 = struct.Struct("<d")
-MAX_NUMBERS = 256  # in one value of several
+MAX_NUMBERS = 256  # maximum count in one value of several numbers
 
 
 class CorruptTraceError(ValueError):
-    """What was read can't have been written; the text says what."""
+    """Raised for bytes that no writer can have produced; the message states the problem."""
 
 
 class ColumnWriter:
@@ -28,6 +28,11 @@
         self.data = bytearray()
 
     def varint(self, value: int) -> None:
+        """Append a non-negative integer, 7 bits per byte, least significant first.
+
+        Raises:
+            ValueError: The value is negative.
+        """
         value = int(value)
         if value < 0:
             raise ValueError(f"{value} is no whole number of 0 or more")
@@ -37,8 +42,11 @@
         self.data.append(value)
 
     def number(self, value: float) -> None:
-        """Four times its whole thousandths, where that is exact; else four times its whole millionths, and 2; else, and
-        below zero, a 1 and its eight bytes."""
+        """Append a float exactly.
+
+        A number of milliseconds or microseconds is written as an integer: four times the milliseconds, or four times the
+        microseconds plus 2. All others are written as a byte 1 and eight bytes.
+        """
         micro = value * MICRO
         if 0.0 <= micro < EXACT and (varint := round(micro)) / MICRO == value and (varint or str(value)[0] != "-"):
             if varint % 1000:
@@ -50,16 +58,18 @@
             self.data += F64.pack(value)
 
     def raw(self, data: bytes) -> None:
+        """Append bytes."""
         self.data += data
 
 
 class ColumnReader:
-    """A column to be read from front to back."""
+    """Reads a column from front to back."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.position = data, 0
 
     def varint(self) -> int:
+        """Read a non-negative integer."""
         value = shift = 0
         data, position = self.data, self.position
         while True:
@@ -74,6 +84,7 @@
             shift += 7
 
     def number(self) -> float:
+        """Read a float."""
         value = self.varint()
         if value == 1:
             return F64.unpack(self.raw(8))[0]
@@ -82,6 +93,7 @@
         return (value >> 2) / MICRO if value & 2 else (value >> 2) * 1000 / MICRO
 
     def raw(self, count: int) -> bytes:
+        """Read `count` bytes."""
         data = self.data[self.position : self.position + count]
         if len(data) < count:
             raise CorruptTraceError("a column is too short")
@@ -89,4 +101,5 @@
         return data
 
     def is_exhausted(self) -> bool:
+        """Return whether all bytes were read."""
         return self.position >= len(self.data)
--- a/mulleinhatch/instance/traces/cutting.py
+++ b/mulleinhatch/instance/traces/cutting.py
@@ -1,4 +1,4 @@
-"""Part of a trace as a trace: by time, tenant, op type, op. One pass, one block in memory."""
+"""Extracts part of a trace by time, tenant, request type or request, in one pass with one block in memory."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from mulleinhatch.instance.traces.file import Trace, TraceMetadata, TraceWriter
 from mulleinhatch.instance.traces.kinds import Record
 
-BLOCK_RECORDS = 16384  # larger blocks are smaller an op; a live file's are as the writer was handed them
+BLOCK_RECORDS = 16384  # larger blocks compress better; a live file has one block for each batch
 
 
 class RecordFilter(NamedTuple):
-    """What is kept; None keeps all. Times are the instance's own clock, places those of the facts' lists."""
+    """Which records to keep; None keeps all. Times are the instance's clock, numbers are indices of the metadata's lists."""
 
     since: float | None = None
     until: float | None = None
@@ -23,10 +23,12 @@
     ref: str | None = None
 
     def selects_requests(self) -> bool:
+        """Return whether the filter selects requests, and not only a time span."""
         return self.tenant is not None or self.op_type is not None or self.ref is not None
 
 
 def request_column(kind: kinds.Kind) -> int | None:
+    """Return the column of a kind that has the request number, or None."""
     return next((column for column, (_, codec) in enumerate(kind.columns) if codec == "op"), None)
 
 
@@ -34,7 +36,7 @@
 
 
 def select(records: Iterable[Record], record_filter: RecordFilter) -> Iterator[Record]:
-    """Of an op that is wanted, every record; with an op named, nothing that is of none."""
+    """Yield every record of the selected requests; with a filter on requests, no record without one."""
     requests: set[int] = set()
     for record in records:
         column = REQUEST_COLUMNS[record.kind.code]
@@ -52,7 +54,7 @@
 
 
 def write(records: Iterable[Record], file: BinaryIO, facts: TraceMetadata, major: int) -> int:
-    """Records into a new file; how many there were."""
+    """Write records to a new file; return their number."""
     writer, builder, count = TraceWriter(file, facts, major), BlockBuilder(major, 0), 0
     for record in records:
         builder.add(record)
@@ -67,4 +69,5 @@
 
 
 def extract(trace: Trace, file: BinaryIO, record_filter: RecordFilter) -> int:
+    """Write the selected records of a trace to a new file; return their number."""
     return write(select(trace.records(record_filter.since, record_filter.until), record_filter), file, trace.facts, trace.major)
--- a/mulleinhatch/instance/traces/file.py
+++ b/mulleinhatch/instance/traces/file.py
@@ -1,7 +1,7 @@
-"""A trace file: a head, blocks, an index at the end. Reading needs no more than one block at a time.
+"""A trace file: a header, blocks, and an index at the end. Reading needs no more than one block at a time.
 
-What can be read is read: a block that is damaged is left out alone, a file that is cut is read up to the break, and an
-index that is missing or lies is made anew from the blocks' heads.
+As much as possible is read: a damaged block is skipped, a truncated file is read up to the break, and a missing or wrong
+index is rebuilt from the block headers.
 """
 
 from __future__ import annotations
@@ -20,27 +20,40 @@
 from mulleinhatch.instance.traces.kinds import MAJORS, MINOR, Record
 
 MAGIC = b"mhtTRACE"
-START = struct.Struct("<8sHHIQ")  # magic, major, minor, bytes of the facts, their checksum
+START = struct.Struct("<8sHHIQ")  # magic, major, minor, bytes of the metadata, their checksum
 MAX_METADATA_BYTES = 4 << 20
-INDEX_MAGIC, INDEX_ROW = b"mhtINDEX", struct.Struct("<QIIdd")  # place, stored bytes, records, first and last time
+INDEX_MAGIC, INDEX_ROW = b"mhtINDEX", struct.Struct("<QIIdd")  # offset, stored bytes, records, first and last time
 INDEX_HEAD, INDEX_TAIL = struct.Struct("<8sI"), struct.Struct("<IQ8s")  # rows; rows, checksum, magic again
 MAX_INDEX_ENTRIES = 1 << 22
-SCAN_CHUNK_BYTES = 1 << 16  # bytes read at once when the next block is looked for
+SCAN_CHUNK_BYTES = 1 << 16  # bytes read at once when searching for the next block
 
 
 class UnreadableTraceError(ValueError):
-    """No trace file, or one of a later major version."""
+    """Raised for a file that is no trace file, or has an unknown major version."""
 
 
 class TraceMetadata(msgspec.Struct, frozen=True):
-    """What a file says of its origin. `deployment` are the facts that the module was made with, `wall` the system's clock
-    when the instance's own stood at `clock`; `policy` names the text of the module by a digest."""
+    """Origin of a trace file, stored as a MessagePack map: the field names are part of the file format.
+
+    Attributes:
+        instance: Name of the instance.
+        seed: Seed of its admission controller.
+        clock: The instance's clock in seconds when the metadata was made.
+        wall: Unix time at that moment.
+        number: Number of the file among those of this process.
+        deployment: Settings the admission controller was created with.
+        op_types: Names of the request types.
+        tenants: Names of the tenants.
+        policy: Digest of the admission controller's source.
+        made_by: Program and version.
+        merged: The sources of a merged file.
+    """
 
     instance: str
     seed: int
     clock: float = 0.0
     wall: float = 0.0
-    number: int = 0  # of the file, of those that this life of the instance wrote
+    number: int = 0
     deployment: dict[str, Any] = {}
     op_types: list[str] = []
     tenants: list[str] = []
@@ -50,6 +63,8 @@
 
 
 class IndexEntry(NamedTuple):
+    """Index entry of a block: byte offset, stored bytes, number of records, first and last time."""
+
     offset: int
     stored: int
     records: int
@@ -58,7 +73,7 @@
 
 
 class UnreadableBlock(NamedTuple):
-    """What could not be read: why, where, and how much as far as that is known."""
+    """A block that could not be read: its offset, the reason, and what is known of its content."""
 
     offset: int
     why: str
@@ -68,18 +83,26 @@
 
 
 def encode_header(facts: TraceMetadata, major: int, minor: int = MINOR) -> bytes:
+    """Return the header of a file."""
     body = msgspec.msgpack.encode(facts)
     return START.pack(MAGIC, major, minor, len(body), xxh3_64_intdigest(body)) + body
 
 
 def encode_index(rows: list[IndexEntry]) -> bytes:
+    """Return the index of a file."""
     body = b"".join(INDEX_ROW.pack(*row) for row in rows)
     head = INDEX_HEAD.pack(INDEX_MAGIC, len(rows))
     return head + body + INDEX_TAIL.pack(len(rows), xxh3_64_intdigest(head + body), INDEX_MAGIC)
 
 
 class TraceWriter:
-    """Blocks to a binary file that is open at its start; `close` writes the index."""
+    """Writes blocks to a binary file, positioned at its start; `close` writes the index.
+
+    Args:
+        file: File to write to.
+        facts: Metadata of the file.
+        major: Major version of the format.
+    """
 
     def __init__(self, file: BinaryIO, facts: TraceMetadata, major: int = MAJORS[-1]) -> None:
         self.file, self.major, self.rows = file, major, []
@@ -88,18 +111,27 @@
         self.offset = len(head)
 
     def write(self, data: bytes) -> None:
+        """Write an encoded block."""
         head = block.read_header(data)
         self.file.write(data)
         self.rows.append(IndexEntry(self.offset, head.stored, head.records, head.first, head.last))
         self.offset += len(data)
 
     def close(self) -> None:
+        """Write the index and flush; the file stays open."""
         self.file.write(encode_index(self.rows))
         self.file.flush()
 
 
 class Trace:
-    """
+    """Reads a trace file. `lost` lists the blocks that could not be read.
+
+    Args:
+        file: Seekable binary file.
+
+    Raises:
+        UnreadableTraceError: The file is no trace file, has an unknown version, or its metadata is damaged.
+
     >>> from mulleinhatch.instance.traces.kinds import NOTE
     >>> file = io.BytesIO()
     >>> writer, built = TraceWriter(file, TraceMetadata("n1", 7)), block.BlockBuilder(2, 0)
@@ -142,7 +174,7 @@
         return self.file.read(count)
 
     def _index(self) -> list[IndexEntry] | None:
-        """The index, if it is there and all it says can be true: in order, side by side, within the file."""
+        """Return the index if it is present and consistent: in order, contiguous and within the file."""
         if self.size < self.start + INDEX_HEAD.size + INDEX_TAIL.size:
             return None
         count, checksum, magic = INDEX_TAIL.unpack(self._read(self.size - INDEX_TAIL.size, INDEX_TAIL.size))
@@ -162,7 +194,7 @@
         return rows if at == offset else None
 
     def _scan(self) -> list[IndexEntry]:
-        """From head to head; behind a damaged one the next is looked for by its magic."""
+        """Rebuild the index from the block headers; after a damaged one, search for the next by its magic number."""
         rows, offset = [], self.start
         while offset < self.size:
             data = self._read(offset, HEAD_SIZE)
@@ -189,7 +221,7 @@
         return rows
 
     def _find_next_block(self, offset: int) -> int | None:
-        """Where the next block begins, if any does."""
+        """Return the offset of the next block at or after `offset`, or None."""
         kept = b""
         while offset < self.size:
             data = kept + self._read(offset, SCAN_CHUNK_BYTES)
@@ -201,7 +233,7 @@
         return None
 
     def block(self, row: IndexEntry) -> Block | None:
-        """The block, or None and an entry in `lost`."""
+        """Return a block; if it is damaged, add it to `lost` and return None."""
         try:
             return Block(self._read(row.offset, HEAD_SIZE + row.stored))
         except CorruptTraceError as error:
@@ -209,12 +241,13 @@
             return None
 
     def blocks(self, since: float | None = None, until: float | None = None) -> Iterator[tuple[BlockHeader, Block]]:
+        """Yield headers and blocks that overlap a time span, in seconds of the instance's clock."""
         for row in self.rows:
             if (since is None or row.last >= since) and (until is None or row.first <= until) and (read := self.block(row)):
                 yield read.head, read
 
     def records(self, since: float | None = None, until: float | None = None) -> Iterator[Record]:
-        """In the order written; times are the instance's own. A block that turns out damaged ends there."""
+        """Yield the records of a time span in the order written; a block found damaged ends early."""
         for head, read in self.blocks(since, until):
             try:
                 for record in read.records():
--- a/mulleinhatch/instance/traces/kinds.py
+++ b/mulleinhatch/instance/traces/kinds.py
@@ -1,18 +1,27 @@
-"""The records of a trace and the columns of each. A kind is only ever added, under a new minor version.
+"""The kinds of records and their columns. Codes never change; a kind is only added, with a new minor version.
 
-Codecs of columns: `op` a number of an op, told as the distance from the newest; `ref` an id as the wire gives it; `text`
-from the block's string table; `whole` a whole number of 0 or more; `number` an exact float; `numbers` several of them.
+Codecs of columns: `op` is a request number, stored as distance from the newest; `ref` a request ID as received; `text` an index
+into the block's string table; `whole` a non-negative integer; `number` an exact float; `numbers` several of them.
 """
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-MAJORS = (1, 2)  # that are read; 2 adds the cause of a decision
-MINOR = 2  # 1 adds what a fleet told, 2 what peers have room for and what was handed over
+MAJORS = (1, 2)  # readable versions; 2 adds the cause of a decision
+MINOR = 2  # 1 adds shared quotas, 2 the capacity of peers and handed-over requests
 
 
 class Kind(NamedTuple):
+    """A kind of record.
+
+    Attributes:
+        code: Code in the file.
+        name: Name, shown by `mulleinhatch trace`.
+        columns: Names and codecs of the values.
+        since: First major version that has it.
+    """
+
     code: int
     name: str
     columns: tuple[tuple[str, str], ...]
@@ -20,13 +29,14 @@
 
 
 class Record(NamedTuple):
-    """Time in seconds on the instance's own clock; values in the order of the kind's columns."""
+    """A record: its kind, the time on the instance's clock in seconds, and the values in the order of the columns."""
 
     kind: Kind
     time: float
     values: tuple[Any, ...]
 
     def named(self) -> dict[str, Any]:
+        """Return the values by name of their column."""
         return {name: value for (name, _), value in zip(self.kind.columns, self.values)}
 
 
@@ -56,14 +66,14 @@
 WOKEN = Kind(8, "woken", (("token", "whole"), ("readings", "numbers")))
 TURNED_BACK = Kind(9, "turned back", (("count", "whole"),))
 STORM = Kind(10, "storm", (("on", "whole"), ("first_tries", "number")))
-PULLED = Kind(11, "pulled", ())  # the host asked for decisions, and there was none left
+PULLED = Kind(11, "pulled", ())  # the host asked for decisions until none was left
 DECIDED = Kind(12, "decided", (("verb", "whole"), ("op", "op"), ("seconds", "number"), ("flag", "whole"), ("level", "number")))
-# The same with its cause; a file of major 1 has the one before.
+# A decision with its cause; files of major version 1 have DECIDED.
 DECIDED_FOR = Kind(13, "decided for", (*DECIDED.columns, ("cause", "text")), since=2)
-NOTE = Kind(14, "note", (("what", "text"), ("detail", "text")))  # connections, reloads, counters: for people
-GAP = Kind(15, "gap", (("records", "whole"), ("until", "number")))  # blocks that the disk was too slow for
-NODE = Kind(16, "node", (("node", "whole"),), since=2)  # in a merged file: whose the records that follow are
-PART = Kind(17, "part", (("tenant", "whole"), ("window", "number"), ("pieces", "numbers")))  # units and end, in turn
+NOTE = Kind(14, "note", (("what", "text"), ("detail", "text")))  # connections, reloads, counters: for operators
+GAP = Kind(15, "gap", (("records", "whole"), ("until", "number")))  # batches dropped because the disk was too slow
+NODE = Kind(16, "node", (("node", "whole"),), since=2)  # in a merged file: the node of the records that follow
+PART = Kind(17, "part", (("tenant", "whole"), ("window", "number"), ("pieces", "numbers")))  # units and end times, alternating
 CALLS = Kind(18, "calls", (("share", "number"),))
 OTHERS = Kind(19, "others", (("room", "number"), ("ill", "whole"), ("hear_most", "number"), ("shut", "number")))
 OFFERS = Kind(20, "offers", (("count", "whole"),))
--- a/mulleinhatch/instance/traces/merging.py
+++ b/mulleinhatch/instance/traces/merging.py
@@ -1,7 +1,7 @@
-"""Files of several nodes as one, in one pass: a block of each in memory, ordered by the system's clock.
+"""Merges trace files of several nodes in one pass with one block of each node in memory, ordered by Unix time.
 
-Each node's own clock only goes forward, so its records stay in its own order whatever the system's clock did; where that
-stepped between two files of a node, or two nodes disagree, the offsets that were taken are told in the new file's facts.
+A node's own clock never goes backward, so its records keep their order whatever its system clock did. Where the system clock
+was set between two files of a node, or two nodes disagree, the metadata of the new file lists the offsets used.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from mulleinhatch.instance.traces.file import Trace, TraceMetadata
 from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
-CLOCK_STEP_S = 0.05  # seconds that the system's clock may drift between two files of one life before it counts as a step
+CLOCK_STEP_S = 0.05  # seconds of drift between two files of a process that do not count as setting the clock
 
 
 class Source(NamedTuple):
-    """One file to be merged; `offset` turns its clock into that of the merged file."""
+    """A file to be merged; `offset` in seconds converts its clock to that of the merged file."""
 
     trace: Trace
     node: int
@@ -30,15 +30,21 @@
 
 
 class Incarnation(NamedTuple):
-    """A life of a node: its name and seed. Two nodes of one name differ in it."""
+    """A process of a node, identified by name and seed; two processes of one name differ in the seed."""
 
     instance: str
     seed: int
 
 
 def offsets(traces: list[Trace], corrections: dict[str, float] | None = None) -> tuple[list[Source], list[dict[str, Any]]]:
-    """Sources by time, and what was taken for each: the system's clock as the first file of a life has it, for all files of
-    that life, so that a step of it moves nothing; `corrections` corrects by the node's name."""
+    """Return the sources ordered by time, and a description of each for the metadata.
+
+    All files of a process use the offset of its first file, so that setting the system clock moves no record.
+
+    Args:
+        traces: Files to merge.
+        corrections: Seconds to add, by name of the node.
+    """
     incarnations: dict[Incarnation, tuple[int, float]] = {}
     sources, notes = [], []
     for trace in sorted(traces, key=lambda trace: (trace.facts.instance, trace.facts.seed, trace.facts.number)):
@@ -64,7 +70,7 @@
 
 
 def ordered(sources: list[Source]) -> Iterator[tuple[float, int, Record]]:
-    """Records of all, by time in the merged file's clock; files of a life follow each other, so only one of them is open."""
+    """Yield time, node and record in the order of time; of each process only one file is open at a time."""
     by_node: dict[int, list[Source]] = {}
     for source in sources:
         by_node.setdefault(source.node, []).append(source)
@@ -82,7 +88,7 @@
 
 
 def merged(sources: list[Source], since: float) -> Iterator[Record]:
-    """With numbers of ops that are its own, and a record of the node wherever that changes."""
+    """Yield the records with request numbers of their own, and a `NODE` record wherever the node changes."""
     current_node, newest = 0, 0
     numbers: dict[int, dict[int, int]] = {}
     for time, node, record in ordered(sources):
@@ -109,7 +115,19 @@
 
 
 def merge(traces: list[Trace], file: BinaryIO, corrections: dict[str, float] | None = None) -> tuple[int, list[dict[str, Any]]]:
-    """Into a new file of the newest version; how many records, and what was taken for each source."""
+    """Merge traces into a new file of the newest version.
+
+    Args:
+        traces: Files to merge.
+        file: File to write to.
+        corrections: Seconds to add, by name of the node.
+
+    Returns:
+        The number of records, and the description of each source.
+
+    Raises:
+        ValueError: There are no files, or they differ in request types or tenants.
+    """
     if not traces:
         raise ValueError("no file to merge")
     first = traces[0].facts
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -1,7 +1,7 @@
-"""Between the reducer and the module: passes everything on, and keeps what was told and decided as records.
+"""Records the inputs and decisions of an admission controller.
 
-It has the face that the reducer uses of a `AdmissionController`. Times and what is measured on the way in are rounded to a
-microsecond before the module hears them, so that a file holds exactly what it heard.
+The recorder is placed between the request state machine and the controller and has the controller's methods. Times and measured
+values are rounded to microseconds before the controller gets them, so that a file holds exactly its inputs.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from mulleinhatch.admission.interface import Decision, Ref, Verb
 from mulleinhatch.instance.traces import kinds
 
-BATCH_RECORDS = 4096  # records that are handed on together
-VERB_CODES = {verb: code for code, verb in enumerate(Verb)}  # new verbs go to the end: files hold these numbers
+BATCH_RECORDS = 4096  # records in a batch
+VERB_CODES = {verb: code for code, verb in enumerate(Verb)}  # codes in the files: new verbs are appended
 VERB_BY_CODE = dict(enumerate(Verb))
 
 
@@ -23,7 +23,15 @@
 
 
 class Recorder:
-    """`on_batch` gets each full batch, with the number of the newest op before it; `flush` hands on what there is."""
+    """Forwards each call to an admission controller and records it.
+
+    Args:
+        controller: The admission controller.
+        now: Time of the start in seconds.
+        is_cold_start: Whether the process just started.
+        since: Seconds since the start.
+        on_batch: Called with each batch of records and the highest request number before it.
+    """
 
     def __init__(
         self,
@@ -41,16 +49,18 @@
         self._add(kinds.START, round(now, 6), int(is_cold_start), since)
 
     def _add(self, kind: kinds.Kind, now: float, *values: object) -> None:
-        self.batch.append((kind, now, values))  # a `Record` but in name: that costs more than all else here
+        self.batch.append(
+            (kind, now, values)
+        )  # a plain tuple in the layout of `Record`: creating a NamedTuple would dominate the cost
 
     def _time(self, now: float) -> float:
-        """To the microsecond; one happening asks for the same time again and again."""
+        """Round to microseconds; cached, as one event passes the same time repeatedly."""
         if now != self.raw_time:
             self.raw_time, self.rounded_time = now, round(now * 1e6) / 1e6
         return self.rounded_time
 
     def flush(self) -> None:
-        """Also the moment to forget the numbers of ops that the module forgot."""
+        """Pass on the pending records, and remove the numbers of requests that the controller has forgotten."""
         if self.batch:
             self.on_batch(self.batch, self.newest_before)
             self.batch, self.newest_before = [], self.newest
@@ -59,7 +69,7 @@
                 ref: number for ref, number in self.numbers.items() if ref in controller.ops or ref in controller.keys
             }
 
-    # What the reducer tells the module.
+    # Inputs from the request state machine.
 
     def op_read(
         self,
@@ -75,6 +85,7 @@
         memory_kb: float,
         further_try: bool,
     ) -> None:
+        """Record the input and forward it to `AdmissionController.op_read`."""
         now, age, wait, work = self._time(now), _micro(age), _micro(wait), _micro(work)
         self.newest = self.numbers[ref] = self.newest + 1
         self._add(
@@ -95,85 +106,102 @@
         self.controller.op_read(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, memory_kb, further_try)
 
     def run_ended(self, now: float, ref: Ref, ending: int) -> None:
+        """Record the input and forward it to `AdmissionController.run_ended`."""
         now = self._time(now)
         self._add(kinds.RUN_ENDED, now, self.numbers.get(ref, 0), int(ending))
         self.controller.run_ended(now, ref, ending)
 
     def call_wanted(self, now: float, ref: Ref) -> None:
+        """Record the input and forward it to `AdmissionController.call_wanted`."""
         now = self._time(now)
         self._add(kinds.CALL_WANTED, now, self.numbers.get(ref, 0))
         self.controller.call_wanted(now, ref)
 
     def call_ended(self, now: float, ref: Ref, ending: int) -> None:
+        """Record the input and forward it to `AdmissionController.call_ended`."""
         now = self._time(now)
         self._add(kinds.CALL_ENDED, now, self.numbers.get(ref, 0), int(ending))
         self.controller.call_ended(now, ref, ending)
 
     def op_abandoned(self, now: float, ref: Ref) -> None:
+        """Record the input and forward it to `AdmissionController.op_abandoned`."""
         now = self._time(now)
         self._add(kinds.ABANDONED, now, self.numbers.get(ref, 0))
         self.controller.op_abandoned(now, ref)
 
     def leave_notice(self, now: float, grace: float) -> None:
+        """Record the input and forward it to `AdmissionController.leave_notice`."""
         now, grace = self._time(now), round(grace, 6)
         self._add(kinds.LEAVE, now, grace)
         self.controller.leave_notice(now, grace)
 
     def woken(self, now: float, token: int, readings: Sequence[float]) -> None:
+        """Record the input and forward it to `AdmissionController.woken`."""
         now = self._time(now)
         self._add(kinds.WOKEN, now, token, tuple(readings))
         self.controller.woken(now, token, readings)
 
     def storm_told(self, now: float, on: bool, first_tries: float) -> None:
+        """Record the input and forward it to `AdmissionController.storm_told`."""
         now = self._time(now)
         self._add(kinds.STORM, now, int(on), first_tries)
         self.controller.storm_told(now, on, first_tries)
 
     def turned_back(self, now: float, count: int) -> None:
+        """Record the input and forward it to `AdmissionController.turned_back`."""
         now = self._time(now)
         self._add(kinds.TURNED_BACK, now, count)
         self.controller.turned_back(now, count)
 
     def part_told(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+        """Record the input and forward it to `AdmissionController.part_told`."""
         now = self._time(now)
         self._add(kinds.PART, now, tenant, window, tuple(figure for piece in pieces for figure in piece))
         self.controller.part_told(now, tenant, window, pieces)
 
     def calls_told(self, now: float, share: float) -> None:
+        """Record the input and forward it to `AdmissionController.calls_told`."""
         now = self._time(now)
         self._add(kinds.CALLS, now, share)
         self.controller.calls_told(now, share)
 
     def others_told(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
+        """Record the input and forward it to `AdmissionController.others_told`."""
         now = self._time(now)
         self._add(kinds.OTHERS, now, room, int(ill), hear_most, shut)
         self.controller.others_told(now, room, ill, hear_most, shut)
 
     def offers_told(self, now: float, count: int) -> None:
+        """Record the input and forward it to `AdmissionController.offers_told`."""
         now = self._time(now)
         self._add(kinds.OFFERS, now, count)
         self.controller.offers_told(now, count)
 
     def came_handed(self, now: float, ref: Ref) -> None:
+        """Record the input and forward it to `AdmissionController.came_handed`."""
         now = self._time(now)
         self._add(kinds.HANDED, now, self.numbers.get(ref, 0))
         self.controller.came_handed(now, ref)
 
     def hand_ended(self, now: float, ref: Ref, ending: int) -> None:
+        """Record the input and forward it to `AdmissionController.hand_ended`."""
         now = self._time(now)
         self._add(kinds.HAND_ENDED, now, self.numbers.get(ref, 0), int(ending))
         self.controller.hand_ended(now, ref, ending)
 
     @property
     def limit(self) -> int:
+        """The controller's concurrency limit."""
         return self.controller.limit
 
     def capacity(self) -> float:
+        """Return the controller's measured capacity in requests per second."""
         return self.controller.capacity()
 
-    # What it decides.
+    # Decisions.
 
     def next_decision(self, now: float) -> Decision | None:
+        """Return the controller's next decision, or None if there is none; both are recorded."""
         now = self._time(now)
         decision = self.controller.next_decision(now)
         if decision is None:
@@ -195,5 +223,5 @@
         return decision
 
     def note(self, now: float, what: str, detail: str = "") -> None:
-        """For people: no part of what the module heard."""
+        """Record a note for operators; it is no input of the controller."""
         self._add(kinds.NOTE, self._time(now), what, detail)
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -1,6 +1,7 @@
-"""A trace fed to a fresh module: the same text decides the same, and another tells what it would have decided.
+"""Replays a trace on a new admission controller and compares the decisions.
 
-Same text, same decisions, to the last: that is the proof that a trace holds all that the module heard.
+The same source must make exactly the same decisions, which proves that a trace holds all inputs of the controller; another
+source shows what it would have decided.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def deployment_to_dict(deployment: Deployment) -> dict[str, Any]:
-    """A deployment's facts as plain values; `deployment_from_dict` turns them back.
+    """Return a deployment as plain values; `deployment_from_dict` is the inverse.
 
     >>> deployment_from_dict(deployment_to_dict({"op_types": [{"effect": Effect.KEYED}], "advice": Advice.FLOOR, "cores": 2}))
     {'op_types': [{'effect': <Effect.KEYED: 'keyed'>}], 'advice': <Advice.FLOOR: 'floor'>, 'cores': 2}
@@ -32,6 +33,7 @@
 
 
 def deployment_from_dict(plain: dict[str, Any]) -> Deployment:
+    """Return a deployment from the plain values of a trace's metadata."""
     deployment_facts = {
         name: ENUM_BY_VALUE[value] if name in ENUM_FIELDS and value is not None else value for name, value in plain.items()
     }
@@ -41,7 +43,7 @@
 
 
 class DecisionRecord(NamedTuple):
-    """A decision as a trace has it, comparable whatever text it comes from."""
+    """A decision in a form that can be compared between versions of the source."""
 
     verb: str
     request: int
@@ -64,13 +66,17 @@
 
 
 class Difference(NamedTuple):
+    """The first difference: its time, the number of decision requests so far, and the decisions on both sides."""
+
     time: float
-    pull: int  # how many times decisions had been asked for
+    pull: int
     recorded: list[DecisionRecord]
     replayed: list[DecisionRecord]
 
 
 class Outcome(NamedTuple):
+    """Result of a replay; `recorded` and `replayed` count decisions by verb."""
+
     pulls: int
     decisions: int
     differences: int
@@ -80,11 +86,16 @@
 
 
 class IncompleteTraceError(ValueError):
-    """The trace does not begin with the start of an instance, or lacks a part: nothing after that can be replayed."""
+    """Raised for a trace that lacks the start of its instance, or a part: nothing after that can be replayed."""
 
 
 class Replayer:
-    """Tells a module what a trace says that it heard."""
+    """Passes the recorded inputs to an admission controller.
+
+    Args:
+        make: Creates a controller from deployment, seed and start time.
+        facts: Metadata of the trace.
+    """
 
     def __init__(self, make: Callable[[Deployment, int, float], Any], facts: Any) -> None:
         self.make, self.facts, self.controller = make, facts, None
@@ -92,6 +103,11 @@
         self.numbers: dict[Any, int] = {}
 
     def apply(self, record: Record) -> None:
+        """Pass one recorded input to the controller.
+
+        Raises:
+            IncompleteTraceError: The record can't be replayed.
+        """
         kind, now, values = record
         if kind is kinds.NODE:
             raise IncompleteTraceError("a merged file is of several modules: replay the files it was made of")
@@ -143,6 +159,7 @@
         return self.refs.get(request, "")
 
     def pull_decisions(self, now: float) -> list[DecisionRecord]:
+        """Return all pending decisions of the controller."""
         return [self._record_decision(decision) for decision in iter(lambda: self.controller.next_decision(now), None)]
 
     def _record_decision(self, decision: Decision) -> DecisionRecord:
@@ -158,6 +175,7 @@
 
 
 def decision_record(record: Record) -> DecisionRecord:
+    """Return the decision in a record."""
     verb, request, seconds, flag, level, *cause = record.values
     known_verb = VERB_BY_CODE.get(verb)
     return DecisionRecord(
@@ -168,7 +186,7 @@
 def compare_decisions(
     records: Iterable[Record], player: Replayer
 ) -> Iterator[tuple[float, list[DecisionRecord], list[DecisionRecord]]]:
-    """For each time that decisions were asked for: when, what was decided, and what the player's module decides."""
+    """Yield, for each time that decisions were requested, the time, the recorded and the replayed decisions."""
     recorded: list[DecisionRecord] = []
     for record in records:
         if record.kind is kinds.DECIDED or record.kind is kinds.DECIDED_FOR:
@@ -186,8 +204,17 @@
     make: Callable[[Deployment, int, float], Any] = AdmissionController,
     to_the_end: bool = False,
 ) -> Outcome:
-    """Compares pull by pull; with `to_the_end` it goes on behind the first difference, where what is told is still what
-    happened, not what would have followed."""
+    """Replay a trace and compare the decisions.
+
+    Args:
+        records: Records from the start of the instance.
+        facts: Metadata of the trace.
+        make: Creates a controller from deployment, seed and start time.
+        to_the_end: Continue after the first difference. The inputs remain those recorded, not those that would have followed.
+
+    Raises:
+        IncompleteTraceError: The trace lacks its start or a part.
+    """
     count = decisions = differences = 0
     first: Difference | None = None
     recorded_all: Counter[str] = Counter()
--- a/mulleinhatch/instance/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -1,6 +1,6 @@
-"""What a trace says in sum: ops by type and outcome, rates by second, waits and run times as histograms.
+"""Summarises a trace: requests by type and outcome, rates by second, waiting and execution times as histograms.
 
-Counts are those of the live counters of the same run (`decided_...`, `run_...`, `ops_read`), to the last op.
+The counts equal the live counters of the same run (`decided_...`, `run_...`, `ops_read`).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Summary:
-    """Bounded memory: what is known of an op is dropped with its last record, seconds are counters."""
+    """Accumulates records in bounded memory: a request is dropped with its last record, seconds are counters."""
 
     def __init__(self, op_types: list[str], tenants: list[str]) -> None:
         self.op_types, self.tenants = op_types, tenants
@@ -31,11 +31,12 @@
         self.seconds: dict[int, Counter[str]] = {}
         self.queue_waits, self.run_times = HdrHistogram(1, MAX_MS, 3), HdrHistogram(1, MAX_MS, 3)
         self.retry_delays = HdrHistogram(1, MAX_MS, 3)
-        self.live: dict[int, tuple[int, int, float, float]] = {}  # op: type, tenant, read at, run at
+        self.live: dict[int, tuple[int, int, float, float]] = {}  # by request number: type, tenant, time read, time started
         self.first: float | None = None
         self.last = 0.0
 
     def add(self, record: Record) -> None:
+        """Add a record."""
         kind, time, values = record
         self.first = time if self.first is None else self.first
         self.last = max(self.last, time)
@@ -89,6 +90,8 @@
         return names[index] if index < len(names) else str(index)
 
     def as_dict(self) -> dict[str, Any]:
+        """Return the summary as `mulleinhatch trace summary` prints it; times are seconds."""
+
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"{at}%": histogram.get_value_at_percentile(at) / 1000.0 for at in PERCENTILES}
 
@@ -119,6 +122,7 @@
 
 
 def summary(records: Iterable[Record], op_types: list[str], tenants: list[str]) -> dict[str, Any]:
+    """Return the summary of records; `op_types` and `tenants` are the names from the metadata."""
     totals = Summary(op_types, tenants)
     for record in records:
         totals.add(record)
--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -1,7 +1,8 @@
-"""The thread that packs and writes: batches in by a bounded queue, files out, rolled by size and age, kept within a total.
+"""Writes trace files in a thread: batches arrive through a bounded queue; files are rolled by size and age, and old ones
+deleted.
 
-The instance's loop only hands lists over. When the disk is slow or full, whole batches are dropped, counted, and marked in the
-file by a record of the gap; no op ever waits.
+The event loop only enqueues lists. When the disk is slow or full, whole batches are dropped, counted, and marked in the file
+by a `GAP` record; no request ever waits.
 """
 
 from __future__ import annotations
@@ -23,26 +24,41 @@
 from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
 LOG = logging.getLogger(__name__)
-MAX_QUEUED_BATCHES = 16  # batches that wait for the disk, at most: some MB
+MAX_QUEUED_BATCHES = 16  # batches waiting for the disk: a few MB
 SUFFIX, OPEN_SUFFIX = ".mht", ".mht.part"
-RETRY_DELAY_S = 5.0  # seconds without a try after the disk refused
+RETRY_DELAY_S = 5.0  # seconds without an attempt after a disk error
 
 
 class TraceBounds(NamedTuple):
+    """Limits of the trace files.
+
+    Attributes:
+        folder: Directory of the files.
+        file_mb: Size in MB at which a file is ended.
+        file_age: Age in seconds at which a file is ended.
+        total_mb: Total size in MB of this instance's files; the oldest are deleted beyond it.
+    """
+
     folder: str
-    file_mb: float = 64.0  # a file is ended at that size
-    file_age: float = 600.0  # or after so many seconds
-    total_mb: float = 1024.0  # the oldest files of this instance go beyond it
+    file_mb: float = 64.0
+    file_age: float = 600.0
+    total_mb: float = 1024.0
 
 
 class TraceFileManager:
-    """Writes one instance's files in a folder. `enqueue` is called from the loop, all else happens in its thread."""
+    """Writes one instance's files; `enqueue` and `close` are called from the event loop, everything else runs in its thread.
+
+    Args:
+        bounds: Limits of the files.
+        facts: Returns the metadata for a file number.
+        major: Major version of the format.
+    """
 
     def __init__(self, bounds: TraceBounds, facts: Callable[[int], TraceMetadata], major: int = MAJORS[-1]) -> None:
         self.bounds, self.facts, self.major = bounds, facts, major
         self.counts: Counter[str] = Counter()
         self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(MAX_QUEUED_BATCHES)
-        self.lock = threading.Lock()  # loop and thread both drop
+        self.lock = threading.Lock()  # guards the two fields below: the event loop and the thread both drop batches
         self.dropped, self.dropped_until = 0, 0.0
         self.number, self.refused_at = 0, -RETRY_DELAY_S
         self.writer: TraceWriter | None = None
@@ -52,6 +68,7 @@
         self.thread.start()
 
     def enqueue(self, records: list[Record], newest: int) -> None:
+        """Queue a batch; `newest` is the highest request number before it. A full queue drops the batch."""
         with self.lock:
             dropped, until = self.dropped, self.dropped_until
             self.dropped = 0
@@ -62,13 +79,13 @@
             self._drop(dropped, records)
 
     def _drop(self, marked_before: int, records: list[Record]) -> None:
-        """Counted once; what an earlier mark, lost with this batch, had told of is told again by the next."""
+        """Count dropped records once; a gap mark lost with this batch is repeated by the next one."""
         with self.lock:
             self.counts["trace_records_dropped"] += len(records)
             self.dropped, self.dropped_until = self.dropped + marked_before + len(records), records[-1][1]
 
     def close(self, within: float = 2.0) -> None:
-        """Ends the file, if the disk lets it in that time."""
+        """End the current file if the disk allows it within `within` seconds."""
         with contextlib.suppress(queue.Full):
             self.queue.put(None, timeout=within)
         self.thread.join(within)
@@ -103,7 +120,7 @@
             self._end_file()
 
     def _refuse(self, records: list[Record]) -> None:
-        """The next batch that goes through tells of it: by then this one is long past."""
+        """Drop a batch after a disk error; the next batch that is written marks the gap."""
         self._drop(0, records)
 
     def _begin_file(self) -> None:
@@ -119,7 +136,7 @@
         self._expire(facts.instance)
 
     def _end_file(self) -> None:
-        """A file under its last name is whole: index, flush, then the rename."""
+        """Write the index, flush, and rename: a file under its final name is complete."""
         writer, self.writer = self.writer, None
         if writer is None:
             return
