--- a/benchmarks/caller_books.py
+++ b/benchmarks/caller_books.py
@@ -27,7 +27,7 @@
 
 from mulleinhatch.instance.retry_storms.request_log import HeavyCallers
 
-ROOM = 512
+CAPACITY = 512
 
 
 def measured(make, add, callers: list[int]) -> tuple[object, float, int]:
@@ -36,12 +36,12 @@
     kept = make()
     for caller in callers:
         add(kept, caller)
-    held = tracemalloc.get_traced_memory()[0]
+    memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     timed, start = make(), time.perf_counter()
     for caller in callers:
         add(timed, caller)
-    return kept, 1e6 * (time.perf_counter() - start) / len(callers), held
+    return kept, 1e6 * (time.perf_counter() - start) / len(callers), memory_bytes
 
 
 def plain_add(counts: dict[int, int], caller: int) -> None:
@@ -49,23 +49,23 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    draw, adds = random.Random(int(told["--seed"])), 200_000 if told["--quick"] else 1_000_000
+    options = docopt(__doc__, argv)
+    draw, adds = random.Random(int(options["--seed"])), 200_000 if options["--quick"] else 1_000_000
     table = Table("callers", "dict us", "sketch us", "dict kB", "sketch kB", "heavy found")
     rows = []
     for count in (100, 1000, 10_000, 100_000):
         callers = [draw.randrange(10) if draw.random() < 0.5 else draw.randrange(count) for _ in range(adds)]
         _, plain_us, plain_bytes = measured(dict, plain_add, callers)
-        sketch, us, held = measured(lambda: HeavyCallers(ROOM), HeavyCallers.add, callers)
+        sketch, us, memory_bytes = measured(lambda: HeavyCallers(CAPACITY), HeavyCallers.add, callers)
         heavy = {caller for caller, _ in Counter(callers).most_common(10)}
-        found = len(heavy & {caller for caller, _ in sketch.most(10)})
+        found = len(heavy & {caller for caller, _ in sketch.most_frequent(10)})
         rows.append(
             {
                 "callers": count,
                 "dict_us": round(plain_us, 2),
                 "sketch_us": round(us, 2),
                 "dict_kb": round(plain_bytes / 1000),
-                "sketch_kb": round(held / 1000),
+                "sketch_kb": round(memory_bytes / 1000),
                 "found": found,
             }
         )
--- a/benchmarks/nack_cost.py
+++ b/benchmarks/nack_cost.py
@@ -25,13 +25,13 @@
 from mulleinhatch.testing.instance_harness import Case, keep_environment, played
 
 OFF = "storms enabled=#false"
-AIM = 1 / 3
+OBJECTIVE = 1 / 3
 
 
 def cost(operator: str, seconds: float, seed: int, full: float = 0.0) -> tuple[float, float]:
     """Microseconds of CPU a nack, and nacks a second; `full` is what an op read in full costs beside."""
     first, last = 4.0, 4.0 + seconds
-    told = played(
+    report = played(
         Case(
             f"at 1 freeze 0 for {last}\nat {first} look 0\nat {last} look 0",
             run_for=last + 1.0,
@@ -40,18 +40,18 @@
             seed=seed,
         )
     )
-    (cpu, at, before), (cpu_after, at_after, after) = told["looks"]
-    nacks = after["answers_429"] - before["answers_429"]
+    (cpu, at, before), (cpu_after, at_after, after) = report["looks"]
+    rejections = after["answers_429"] - before["answers_429"]
     if full:
         heard = after["ops_read"] - before["ops_read"]
-        cpu, nacks = cpu + 1e-6 * full * heard, after["turned_back"] - before["turned_back"]
-    return 1e6 * (cpu_after - cpu) / max(1, nacks), nacks / (at_after - at)
+        cpu, rejections = cpu + 1e-6 * full * heard, after["turned_back"] - before["turned_back"]
+    return 1e6 * (cpu_after - cpu) / max(1, rejections), rejections / (at_after - at)
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
+    options = docopt(__doc__, argv)
     keep_environment()
-    seconds, seed = (4.0, 10.0)[not told["--quick"]], int(told["--seed"])
+    seconds, seed = (4.0, 10.0)[not options["--quick"]], int(options["--seed"])
     full = cost(OFF, seconds, seed)
     door = cost("", seconds, seed, full[0])
     table = Table("", "us of CPU a nack", "nacks a second")
@@ -65,13 +65,13 @@
                 "full_us": round(full[0], 1),
                 "door_us": round(door[0], 1),
                 "ratio": round(ratio, 3),
-                "aim": AIM,
+                "aim": OBJECTIVE,
                 "wished": 0.25,
-                "holds": ratio <= AIM,
+                "holds": ratio <= OBJECTIVE,
             }
         )
     )
-    return 0 if ratio <= AIM else 1
+    return 0 if ratio <= OBJECTIVE else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -46,10 +46,10 @@
 from mulleinhatch.instance.gossip.heavy_hitters import Loudest
 from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
 from mulleinhatch.instance.maintenance import messages as maintenance_messages
-from mulleinhatch.instance.maintenance.core import Bounds, MaintenanceCoordinator, ReceivedRequest
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, ReceivedRequest
 from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, VoterState
-from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, PermitTable
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
+from mulleinhatch.instance.maintenance.table import MAX_PERMITS, Permit, PermitTable
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
 from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
@@ -272,7 +272,11 @@
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
         for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
-                name, "bytes", "permits", [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MOST_OUT)], "linear"
+                name,
+                "bytes",
+                "permits",
+                [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MAX_PERMITS)],
+                "linear",
             )
 
     # The operator's tools.
@@ -425,8 +429,8 @@
 def asked_voter(count: int) -> tuple[MaintenanceCoordinator, bytes]:
     """A voter that knows so many members, all of which wait, and one more query of the last."""
     fleet = Fleet(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
-    core = MaintenanceCoordinator(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, VoterState(writes=1), None)
-    requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
+    core = MaintenanceCoordinator(MaintenanceBounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, VoterState(writes=1), None)
+    requests = [MaintenanceRequest(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
     letters = [
         Letter(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
         for place, request in enumerate(requests)
@@ -440,7 +444,7 @@
 
 def answered(core: MaintenanceCoordinator, query: bytes) -> None:
     core.fleet.datagram(1.0, query)
-    if not core.said():
+    if not core.take_outgoing():
         raise ValueError("the voter gave no answer: nothing was measured")
 
 
@@ -448,8 +452,8 @@
     """The largest word that carries the table: what a voter tells one that lost its disk."""
     table = PermitTable(
         tuple(f"v{place}".ljust(letters, "x") for place in range(7)),
-        MOST_OUT,
-        MOST_OUT,
+        MAX_PERMITS,
+        MAX_PERMITS,
         8_000,
         0,
         tuple(
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -75,7 +75,7 @@
         "no worse than without": figures["in_time"] >= plain["in_time"] - 0.02,
         "calm equal": figures["calm"] >= plain["calm"] - 0.02,
     }
-    return [aim for aim, kept_it in kept.items() if not kept_it]
+    return [objective for objective, kept_it in kept.items() if not kept_it]
 
 
 def row(case: Case, figures: dict[str, Any]) -> list[str]:
@@ -142,18 +142,18 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
+    options = docopt(__doc__, argv)
     keep_environment()
-    only = told["--only"]
+    only = options["--only"]
     if only and only not in {**CASES, **LOOKS}:
         sys.exit(f"storms: no case {only!r}; there are: {'; '.join({**CASES, **LOOKS})}")
-    cases = QUICK if told["--quick"] else {only: {**CASES, **LOOKS}[only]} if only else CASES
+    cases = QUICK if options["--quick"] else {only: {**CASES, **LOOKS}[only]} if only else CASES
     table, missed, result, series = Table("", "", *ROW), {}, {}, {}
     console = Console(width=132)
     for name, case in cases.items():
         if name in LOOKS:
             continue
-        case = case._replace(seed=int(told["--seed"]))
+        case = case._replace(seed=int(options["--seed"]))
         plain_case = case._replace(operator=OFF)
         if case.instances == 1:
             runs = played_beside([case, plain_case])
@@ -172,15 +172,15 @@
             }
             for how, figures in (("damped", damped), ("off", plain))
         }
-        if not told["--quick"]:
+        if not options["--quick"]:
             console.print(f"{name}: {' '.join(row(case, damped))} | off {' '.join(row(case, plain))} | missed: {lacks}")
-    for name, case in LOOKS.items() if not told["--quick"] else ():
-        if told["--only"] in (None, name):
-            missed |= look_alikes(name, case._replace(seed=int(told["--seed"])), table, result)
+    for name, case in LOOKS.items() if not options["--quick"] else ():
+        if options["--only"] in (None, name):
+            missed |= look_alikes(name, case._replace(seed=int(options["--seed"])), table, result)
             console.print(f"{name}: {result[name]} missed: {missed.get(name)}")
     console.print(table)
-    if told["--plot"]:
-        plot(series, told["--plot"])
+    if options["--plot"]:
+        plot(series, options["--plot"])
     print(json.dumps({"cases": result, "missed": missed, "holds": not missed}))
     return 1 if missed else 0
 
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -41,20 +41,20 @@
 from mulleinhatch.instance.traces.merging import merge
 from mulleinhatch.instance.traces.recorder import VERB_CODES, Recorder
 
-OP_CPU = 0.6e-3  # seconds of CPU that an op costs the whole instance, as measured on the platform
+REQUEST_CPU = 0.6e-3  # seconds of CPU that an op costs the whole instance, as measured on the platform
 BYTES, SEEK, MERGE_MB, SHARE = 24.0, 50.0, 100.0, 0.05
 
 
 def day(requests: int, seed: int) -> Iterator[Record]:
     """Six records an op."""
     draw, now = random.Random(seed), 0.0
-    for op in range(1, requests + 1):
+    for request in range(1, requests + 1):
         now = round(now + draw.expovariate(150.0), 6)
         yield Record(
             kinds.READ,
             now,
             (
-                op,
+                request,
                 f"{draw.getrandbits(64):016x}",
                 draw.randrange(3),
                 draw.randrange(20) / 1000.0,
@@ -67,10 +67,10 @@
                 0,
             ),
         )
-        yield Record(kinds.DECIDED_FOR, now, (VERB_CODES[Verb.RUN], op, 0.0, 0, 0.0, "order"))
+        yield Record(kinds.DECIDED_FOR, now, (VERB_CODES[Verb.RUN], request, 0.0, 0, 0.0, "order"))
         yield Record(kinds.PULLED, now, ())
         now = round(now + draw.expovariate(150.0) / 2.0, 6)
-        yield Record(kinds.RUN_ENDED, now, (max(1, op - draw.randrange(4)), 1))
+        yield Record(kinds.RUN_ENDED, now, (max(1, request - draw.randrange(4)), 1))
         yield Record(kinds.PULLED, now, ())
 
 
@@ -104,7 +104,7 @@
         return seek, time.perf_counter() - start
 
 
-def op_path(requests: int, traced: bool) -> float:
+def request_path(requests: int, traced: bool) -> float:
     """CPU seconds an op of the reducer, with the recorder and the packing or without."""
     writer = TraceWriter(io.BytesIO(), TraceMetadata("n1", 7))
 
@@ -121,24 +121,24 @@
         [],
         7,
         StormBounds(),
-        (lambda controller, now, is_cold_start, since: Recorder(controller, now, is_cold_start, since, on_batch))
+        (lambda controller, now, is_fresh_start, since: Recorder(controller, now, is_fresh_start, since, on_batch))
         if traced
         else None,
     )
     reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
     start, now = time.process_time(), 0.0
-    for op in range(requests):
+    for request in range(requests):
         now += 0.0125
-        ref = f"{op:016x}"
-        reducer.reduce(now, Happening.OP_READ, op, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
-        reducer.reduce(now + 0.012, Happening.RUN_ENDED, op + 1, ref, Ending.OK, b"")
+        ref = f"{request:016x}"
+        reducer.reduce(now, Happening.OP_READ, request, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
+        reducer.reduce(now + 0.012, Happening.RUN_ENDED, request + 1, ref, Ending.OK, b"")
     return (time.process_time() - start) / requests
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    seed, quick = int(told["--seed"]), told["--quick"]
-    requests, merged_ops = (10_000, 1000) if quick else (200_000, 40_000)
+    options = docopt(__doc__, argv)
+    seed, quick = int(options["--seed"]), options["--quick"]
+    requests, merged_requests = (10_000, 1000) if quick else (200_000, 40_000)
     with tempfile.TemporaryDirectory() as folder:
         paths = [Path(folder) / f"{number}.mht" for number in range(8)]
         records, size, written = made(paths[0], requests, seed)
@@ -146,7 +146,7 @@
         assert count == records
         seek, scan = seek_and_scan(paths[0])
         for number, path in enumerate(paths[1:], 1):
-            made(path, merged_ops, seed + number, f"n{number + 1}")
+            made(path, merged_requests, seed + number, f"n{number + 1}")
         files = [open(path, "rb") for path in paths[1:]]  # noqa: SIM115
         tracemalloc.start()
         start = time.perf_counter()
@@ -156,9 +156,11 @@
         tracemalloc.stop()
         for one in files:
             one.close()
-    path_ops = 4000 if quick else 20_000
-    op_path(path_ops, True)  # warms what both use
-    turns = [(op_path(path_ops, False), op_path(path_ops, True)) for _ in range(7)]  # in turns: the machine's pace drifts
+    path_requests = 4000 if quick else 20_000
+    request_path(path_requests, True)  # warms what both use
+    turns = [
+        (request_path(path_requests, False), request_path(path_requests, True)) for _ in range(7)
+    ]  # in turns: the machine's pace drifts
     plain, traced = median(one for one, _ in turns), median(other for _, other in turns)
     more = median(other - one for one, other in turns)
     figures = {
@@ -174,7 +176,7 @@
         "merge_mb": round(merge_mb, 1),
         "op_us_plain": round(1e6 * plain, 1),
         "op_us_traced": round(1e6 * traced, 1),
-        "share_of_an_op": round(more / OP_CPU, 3),
+        "share_of_an_op": round(more / REQUEST_CPU, 3),
     }
     table = Table("", "")
     for name, value in figures.items():
@@ -186,7 +188,7 @@
             ("bytes", size / requests <= BYTES),
             ("seek", quick or scan / seek >= SEEK),
             ("merge memory", merge_mb <= MERGE_MB),
-            ("cpu", more / OP_CPU <= SHARE),
+            ("cpu", more / REQUEST_CPU <= SHARE),
         )
         if not kept
     ]
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -61,37 +61,39 @@
     )
 
 
-async def roll(told: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
+async def roll(fleet_case: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
     folder.mkdir()
-    zones = {place: ZONES[place % len(ZONES)] for place in range(told.instances)}
-    async with FleetRig(told, folder) as rig:
-        names = {node.name for node in rig.nodes}
-        await rig.wait_for(lambda views: whole(views, names), 30.0)
+    zones = {place: ZONES[place % len(ZONES)] for place in range(fleet_case.instances)}
+    async with FleetRig(fleet_case, folder) as harness:
+        names = {node.name for node in harness.nodes}
+        await harness.wait_for(lambda views: whole(views, names), 30.0)
         await asyncio.sleep(5.0)
-        await rig.go()
-        await rig.until(1.0)
-        outings = Outings(rig, WORKS, zones)
-        outings.start()
-        begun, done = rig.now(), None
+        await harness.go()
+        await harness.until(1.0)
+        windows = Outings(harness, WORKS, zones)
+        windows.start()
+        begun, done = harness.now(), None
         if how == "permits":
-            await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in rig.nodes))
-            done = await outings.all_done(set(zones), within)
+            await asyncio.gather(
+                *(node.upkeep(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
+            )
+            done = await windows.all_done(set(zones), within)
         elif how == "by list":
-            by_list = asyncio.ensure_future(outings.roll_by_list(list(zones), zone_most * len(ZONES), STARTS))
-            done = await outings.all_done(set(zones), within)
+            by_list = asyncio.ensure_future(windows.roll_by_list(list(zones), zone_most * len(ZONES), STARTS))
+            done = await windows.all_done(set(zones), within)
             by_list.cancel()
-        await rig.until(max(rig.now(), told.run_for))
-        await outings.stop()
-        told_after = await rig.finish()
-    stubs = told_after["stubs"]
-    asked, in_time = (sum(sum(stub[what].values()) for stub in stubs) for what in ("first", "in_time"))
+        await harness.until(max(harness.now(), fleet_case.run_for))
+        await windows.stop()
+        report = await harness.finish()
+    backends = report["stubs"]
+    asked, in_time = (sum(sum(backend[what].values()) for backend in backends) for what in ("first", "in_time"))
     return {
-        "most out": outings.most,
-        "most of a zone": max(outings.zone_most.values(), default=0),
-        "done": len(outings.done),
+        "most out": windows.most,
+        "most of a zone": max(windows.zone_most.values(), default=0),
+        "done": len(windows.done),
         "seconds": round(done - begun, 1) if done else None,
         "in time": round(in_time / max(1, asked), 4),
-        "late": round(max(told_after["late"], outings.late), 3),
+        "late": round(max(report["late"], windows.late), 3),
     }
 
 
@@ -102,28 +104,28 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
+    options = docopt(__doc__, argv)
     keep_environment()
-    quick, seed = told["--quick"], int(told["--seed"])
-    count = int(told["--instances"] or (12 if quick else 60))
-    zone_most, within = (1 if count <= 15 else 3), float(told["--for"])
+    quick, seed = options["--quick"], int(options["--seed"])
+    count = int(options["--instances"] or (12 if quick else 60))
+    zone_most, within = (1 if count <= 15 else 3), float(options["--for"])
     expected = least(count, zone_most)
     usual = (
         f"at 4 cut 0-{count // 3} from {count // 3 + 1}-{count - 1} for 8\nat 14 lossy all 0.2 for 10\n"
         f"at 26 stall 1,{count - 1} for 3"
     )
-    script = Path(told["--faults"]).read_text() if told["--faults"] else usual
+    script = Path(options["--faults"]).read_text() if options["--faults"] else usual
     runs = {"permits": ("", "permits")}
     if not quick:
         runs |= {"permits, faults": (script, "permits"), "by list": ("", "by list"), "no roll": ("", "none")}
-    elif told["--faults"]:
+    elif options["--faults"]:
         runs = {"permits, faults": (script, "permits")}
     figures: dict[str, dict[str, Any]] = {}
     with tempfile.TemporaryDirectory() as folder:
         for name, (text, how) in runs.items():
             length = 1.3 * expected + 3.0
-            told_case = case(count, seed, text, length, zone_most)
-            figures[name] = asyncio.run(roll(told_case, Path(folder) / name.replace(" ", "-"), how, zone_most, within))
+            fleet_case = case(count, seed, text, length, zone_most)
+            figures[name] = asyncio.run(roll(fleet_case, Path(folder) / name.replace(" ", "-"), how, zone_most, within))
     holds = {}
     for name, sums in figures.items():
         if name.startswith("permits"):
@@ -139,7 +141,7 @@
     for name, sums in figures.items():
         shown.add_row(name, *map(str, sums.values()))
     Console(width=150).print(shown)
-    missed = [aim for aim, held in holds.items() if not held]
+    missed = [objective for objective, is_met in holds.items() if not is_met]
     print(json.dumps({"instances": count, "least": expected, **figures, "missed": missed, "holds": not missed}))
     return 1 if missed else 0
 
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -68,10 +68,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
+    options = docopt(__doc__, argv)
     table, rows = Table("alarms", "heap s", "wheel s", "heap held", "wheel held"), []
-    for count in (10_000, 100_000) if told["--quick"] else (10_000, 100_000, 1_000_000):
-        heap, wheel = played(Heap(), count, int(told["--seed"])), played(TimerWheel(0.0), count, int(told["--seed"]))
+    for count in (10_000, 100_000) if options["--quick"] else (10_000, 100_000, 1_000_000):
+        heap, wheel = played(Heap(), count, int(options["--seed"])), played(TimerWheel(0.0), count, int(options["--seed"]))
         rows.append(
             {
                 "alarms": count,
--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -29,7 +29,7 @@
     VoterStateReply,
 )
 from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, Voter, VoterState
-from mulleinhatch.instance.maintenance.schedule import Request, has_spare_capacity, order
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, has_spare_capacity, order
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.random_source import Chance
 
@@ -49,7 +49,7 @@
 LOAD_MARGIN = 0.1  # fraction of the load that the others must be able to carry in addition
 
 
-class State(Enum):
+class MaintenanceState(Enum):
     """State of an instance; the order is the value of the counter `upkeep_state`."""
 
     SERVING = "serving"
@@ -60,7 +60,7 @@
     RETURNING = "returning"  # a round to release the permit is in progress
 
 
-class Bounds(NamedTuple):
+class MaintenanceBounds(NamedTuple):
     """The configured bounds.
 
     Attributes:
@@ -83,8 +83,8 @@
 class ReceivedRequest(NamedTuple):
     """A request that a voter received, and when (monotonic seconds)."""
 
-    request: Request
-    at: float
+    request: MaintenanceRequest
+    position: float
 
 
 class MaintenanceCoordinator:
@@ -101,7 +101,7 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: MaintenanceBounds,
         fleet: Fleet,
         seed: int,
         now: float,
@@ -118,42 +118,44 @@
             else None
         )
         self.persist = persist
-        self.started = now
-        self.told: dict[str, VoterStateReply] = {}  # by voter, while abstaining
+        self.started_at = now
+        self.voter_replies: dict[str, VoterStateReply] = {}  # by voter, while abstaining
         self.writes: dict[str, int] = {}  # highest write count known, by voter
-        self.remembered = 0  # highest write count of ours that others know
+        self.writes_known_by_voters = 0  # highest write count of ours that others know
         self.requests: dict[str, ReceivedRequest] = {}  # received as a voter, by instance
-        self.request: Request | None = None
-        self.state = State.SERVING
-        self.fence = 0
+        self.request: MaintenanceRequest | None = None
+        self.state = MaintenanceState.SERVING
+        self.fencing_token = 0
         self.replies: dict[str, tuple[PositionReply, float]] = {}
         self.round: ProposalRound | None = None
         self.round_at = self.sent_at = self.asked_at = -1e9
         self.rounds, self.number, self.next_round = 0, 0, now
-        self.requested_of_others: dict[str, tuple[Request, float]] = {}  # instances to ask for an operator, and until when
+        self.requested_of_others: dict[
+            str, tuple[MaintenanceRequest, float]
+        ] = {}  # instances to ask for an operator, and until when
         self.requests_sent_at = now
         self.back_at, self.has_frozen = math.inf, False  # returned and not healthy since; whether we froze the permits
         self.outgoing: list[tuple[str, bytes]] = []
         self.counts: Counter[str] = Counter()
         self.changes: list[tuple[str, str]] = []  # state and reason; the host logs each
         self.wall = 0.0
-        self.now_heard = now
+        self.last_now = now
         fleet.listeners.append(self._on_gossip_message)
 
-    def _set_state(self, state: State, why: str) -> None:
+    def _set_state(self, state: MaintenanceState, why: str) -> None:
         if state is not self.state:
             self.state = state
             self.changes.append((state.value, why))
 
     # Requests by operators and by the instance itself.
 
-    def ask(self, request: Request) -> None:
+    def ask(self, request: MaintenanceRequest) -> None:
         """Request maintenance for this instance; the latest request counts."""
         self.request = request
-        if self.state is State.SERVING:
-            self._set_state(State.WAITING, request.kind)
+        if self.state is MaintenanceState.SERVING:
+            self._set_state(MaintenanceState.WAITING, request.kind)
 
-    def request_for_others(self, now: float, requests: list[Request]) -> None:
+    def request_for_others(self, now: float, requests: list[MaintenanceRequest]) -> None:
         """Ask instances, by the names in the requests, to request maintenance; repeated until they acknowledge."""
         for request in requests:
             if request.name == self.name:
@@ -163,10 +165,10 @@
 
     def cancel(self) -> None:
         """Withdraw the request if no permit was granted yet; an instance that is out returns by itself."""
-        if self.state in (State.WAITING, State.ASKING):
+        if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING):
             self._send_to_voters(PositionQuery(cancelled=True))
             self.request, self.round = None, None
-            self._set_state(State.SERVING, "cancelled")
+            self._set_state(MaintenanceState.SERVING, "cancelled")
 
     def change(self, now: float, change: Callable[[PermitTable], PermitTable]) -> ProposalRound:
         """Start a round for an operator's change (freeze, bounds, voters, release); its outcome is in the returned round.
@@ -180,11 +182,11 @@
 
     def current_replies(self, now: float) -> dict[str, PositionReply]:
         """Return the voters' position replies that are recent enough, by voter."""
-        return {name: reply for name, (reply, at) in self.replies.items() if now - at <= REPLY_LIFETIME_S}
+        return {name: reply for name, (reply, position) in self.replies.items() if now - position <= REPLY_LIFETIME_S}
 
     # Periodic work.
 
-    def beat(self, now: float, wall: float, fit: bool) -> list[tuple[str, bytes]]:
+    def tick(self, now: float, wall: float, is_fit: bool) -> list[tuple[str, bytes]]:
         """Advance by one period and return the datagrams to send, as (instance, bytes).
 
         The instance must leave service when `state` becomes `GOING`.
@@ -194,21 +196,26 @@
             wall: Unix time in seconds.
             fit: Whether the instance passes its own health checks and is warm.
         """
-        self.wall, self.now_heard = wall, now
+        self.wall, self.last_now = wall, now
         if self.voter and self.voter.is_abstaining:
             self._learn_from_voters(now)
         if self.round:
             self._continue_round(now)
-        elif self.state is State.CHECKING and fit and not (self.voter and self.voter.is_abstaining) and now >= self.next_round:
-            self._set_state(State.RETURNING, "fit")
+        elif (
+            self.state is MaintenanceState.CHECKING
+            and is_fit
+            and not (self.voter and self.voter.is_abstaining)
+            and now >= self.next_round
+        ):
+            self._set_state(MaintenanceState.RETURNING, "fit")
             self._release_permit(now)
-        elif self.state is State.RETURNING and now >= self.next_round:
+        elif self.state is MaintenanceState.RETURNING and now >= self.next_round:
             self._release_permit(now)
-        elif self.state is State.WAITING and now >= self.next_round and self._is_turn(now):
-            self._set_state(State.ASKING, "its turn")
+        elif self.state is MaintenanceState.WAITING and now >= self.next_round and self._is_turn(now):
+            self._set_state(MaintenanceState.ASKING, "its turn")
             self._begin_round(now, self._request_permit)
         elif (
-            self.state is State.CHECKING
+            self.state is MaintenanceState.CHECKING
             and self.bounds.freeze_after
             and not self.has_frozen
             and (now - self.back_at > self.bounds.freeze_after and now >= self.next_round)
@@ -219,17 +226,19 @@
             self._send_maintenance_requests(now)
         places = self._queue_position(now)
         if now - self.asked_at >= (DISTANT_QUERY_INTERVAL_S if places > DISTANT_POSITION else QUERY_INTERVAL_S) and (
-            self.request or self.state is not State.SERVING or now - self.started < 2.0 * ABSTENTION_S
+            self.request or self.state is not MaintenanceState.SERVING or now - self.started_at < 2.0 * ABSTENTION_S
         ):
             self.asked_at = now
-            self._send_to_voters(PositionQuery(self.request if self.state in (State.WAITING, State.ASKING) else None))
-        for name in [name for name, known in self.requests.items() if now - known.at > REQUEST_LIFETIME_S]:
+            self._send_to_voters(
+                PositionQuery(self.request if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING) else None)
+            )
+        for name in [name for name, known in self.requests.items() if now - known.position > REQUEST_LIFETIME_S]:
             del self.requests[name]
         outgoing, self.outgoing = self.outgoing, []
         return outgoing
 
     def _release_permit(self, now: float) -> None:
-        fence = self.fence
+        fence = self.fencing_token
         self._begin_round(now, lambda table: table.release(self.name, fence))
 
     def _freeze(self, table: PermitTable) -> PermitTable:
@@ -244,7 +253,7 @@
             else:
                 self._send(name, MaintenanceRequestMessage(request))
 
-    def said(self) -> list[tuple[str, bytes]]:
+    def take_outgoing(self) -> list[tuple[str, bytes]]:
         """Return and clear the datagrams that received messages gave rise to."""
         outgoing, self.outgoing = self.outgoing, []
         return outgoing
@@ -252,7 +261,7 @@
     # As an instance that requests a permit.
 
     def _current_replies(self, now: float) -> list[PositionReply]:
-        return [reply for reply, at in self.replies.values() if now - at <= REPLY_LIFETIME_S]
+        return [reply for reply, position in self.replies.values() if now - position <= REPLY_LIFETIME_S]
 
     def _queue_position(self, now: float) -> int:
         """Return the position reported by the voter that puts this instance furthest back, -1 if none did."""
@@ -264,7 +273,7 @@
         A voter may list a permit that this instance does not know of: its round was reported as beaten after others had
         completed it. No other instance can use that permit, so it is claimed.
         """
-        if any(reply.fence for reply in self._current_replies(now)):
+        if any(reply.fencing_token for reply in self._current_replies(now)):
             return True
         turns = [0 <= reply.place < reply.may_go for reply in self._current_replies(now)]
         return 2 * sum(turns) > len(self.known.voters) and self._can_others_carry_load(now)
@@ -308,46 +317,46 @@
 
     def _abandon_round(self, now: float, why: str) -> None:
         self.round, self.next_round = None, now + BACKOFF_RANGE_S[0] + (BACKOFF_RANGE_S[1] - BACKOFF_RANGE_S[0]) * self._draw()
-        if self.state is State.ASKING:
-            self._set_state(State.WAITING, why)
+        if self.state is MaintenanceState.ASKING:
+            self._set_state(MaintenanceState.WAITING, why)
 
-    def _on_register_response(self, now: float, told: RegisterResponseMessage) -> None:
-        done = self.round
-        self.writes[told.answer.voter] = max(told.answer.writes, self.writes.get(told.answer.voter, 0))
-        if done is None or told.number != self.rounds:
+    def _on_register_response(self, now: float, response: RegisterResponseMessage) -> None:
+        current_round = self.round
+        self.writes[response.answer.voter] = max(response.answer.writes, self.writes.get(response.answer.voter, 0))
+        if current_round is None or response.number != self.rounds:
             return
-        step = done.table is None
-        done.handle_response(told.answer)
-        if not done.outcome:
-            if step and done.table is not None:
+        was_preparing = current_round.table is None
+        current_round.handle_response(response.answer)
+        if not current_round.outcome:
+            if was_preparing and current_round.table is not None:
                 self._send_round_requests(now)
             return
-        self.counts[f"rounds_{done.outcome}"] += 1
-        self.number = max(self.number, done.highest)
-        if done.outcome in ("moved", "refused"):
-            self.known = done.known
-        if done.outcome != "agreed":
-            self._abandon_round(now, done.why)
+        self.counts[f"rounds_{current_round.outcome}"] += 1
+        self.number = max(self.number, current_round.highest)
+        if current_round.outcome in ("moved", "refused"):
+            self.known = current_round.known
+        if current_round.outcome != "agreed":
+            self._abandon_round(now, current_round.why)
             return
-        self.known, self.round = done.table, None
-        permit = done.table.permit(self.name)
-        if self.state is State.ASKING and permit:
-            self.fence = permit.fence
-            self._set_state(State.GOING, f"permit {permit.fence}")
-        elif self.state is State.CHECKING:
-            self.has_frozen = bool(done.table.frozen)
-        elif self.state is State.RETURNING and not permit:
-            self.fence, self.request, self.back_at, self.has_frozen = 0, None, math.inf, False
-            self._set_state(State.SERVING, "permit given back")
+        self.known, self.round = current_round.table, None
+        permit = current_round.table.permit(self.name)
+        if self.state is MaintenanceState.ASKING and permit:
+            self.fencing_token = permit.fence
+            self._set_state(MaintenanceState.GOING, f"permit {permit.fence}")
+        elif self.state is MaintenanceState.CHECKING:
+            self.has_frozen = bool(current_round.table.frozen)
+        elif self.state is MaintenanceState.RETURNING and not permit:
+            self.fencing_token, self.request, self.back_at, self.has_frozen = 0, None, math.inf, False
+            self._set_state(MaintenanceState.SERVING, "permit given back")
 
     # Messages.
 
     def _send(self, name: str, message: messages.MaintenanceMessage) -> None:
         if name == self.name:
-            self._on_message(self.now_heard, name, message)
+            self._on_message(self.last_now, name, message)
             return
         try:
-            self.outgoing += self.fleet.word_to(self.now_heard, name, more=messages.encode(message))
+            self.outgoing += self.fleet.word_to(self.last_now, name, more=messages.encode(message))
         except InvalidMessageError as error:
             self.counts[f"words_{error}".replace(" ", "_")] += 1
 
@@ -357,20 +366,20 @@
 
     def _on_gossip_message(self, now: float, gossip_message: Letter) -> None:
         if gossip_message.more:
-            self.now_heard = now
+            self.last_now = now
             try:
                 self._on_message(now, gossip_message.sender, messages.decode(gossip_message.more))
             except InvalidMessageError:
                 self.counts["words_unfit"] += 1
 
     def _on_message(self, now: float, sender: str, message: messages.MaintenanceMessage) -> None:
-        self.now_heard = now
+        self.last_now = now
         if isinstance(message, PositionReply):
             self._on_position_reply(now, sender, message)
         elif isinstance(message, RegisterResponseMessage):
             self._on_register_response(now, message)
         elif isinstance(message, VoterStateReply):
-            self.told[sender] = message
+            self.voter_replies[sender] = message
         elif isinstance(message, MaintenanceRequestMessage):
             if self.request is None or message.request.asked > self.request.asked:
                 self.ask(message.request._replace(name=self.name, zone=self.bounds.zone))
@@ -412,20 +421,23 @@
     def _on_position_reply(self, now: float, sender: str, reply: PositionReply) -> None:
         self.replies[sender] = reply, now
         self.writes[sender] = max(reply.writes, self.writes.get(sender, 0))
-        self.number, self.remembered = max(self.number, reply.number), max(self.remembered, reply.your_writes)
+        self.number, self.writes_known_by_voters = (
+            max(self.number, reply.number),
+            max(self.writes_known_by_voters, reply.your_writes),
+        )
         if self.voter and not self.voter.is_abstaining and reply.your_writes > self.voter.voter_state.writes:
             # Others know of more writes than our disk holds: it was restored, and later promises are lost.
             self.counts["disk_set_back"] += 1
             self.changes.append(
                 ("voter", f"our disk was set back: {self.voter.voter_state.writes} of {reply.your_writes} writes")
             )
-            self.voter.is_abstaining, self.started, self.told = True, now, {}
-        if reply.fence and self.state is State.SERVING:
-            self.fence = max(self.fence, reply.fence)
+            self.voter.is_abstaining, self.started_at, self.voter_replies = True, now, {}
+        if reply.fencing_token and self.state is MaintenanceState.SERVING:
+            self.fencing_token = max(self.fencing_token, reply.fencing_token)
             self.back_at = now
-            self._set_state(State.CHECKING, f"we hold permit {reply.fence}")
-        elif reply.fence > self.fence and self.state in (State.CHECKING, State.RETURNING):
-            self.fence = reply.fence
+            self._set_state(MaintenanceState.CHECKING, f"we hold permit {reply.fencing_token}")
+        elif reply.fencing_token > self.fencing_token and self.state in (MaintenanceState.CHECKING, MaintenanceState.RETURNING):
+            self.fencing_token = reply.fencing_token
 
     # As a voter.
 
@@ -441,21 +453,23 @@
         places = order(
             [known.request for known in self.requests.values()], [permit.name for permit in table.out], dict(zones), self.wall
         )
-        able = [place for place in places if place.is_allowed]
-        at, why = next(((at, place.reasons) for at, place in enumerate(able) if place.request.name == sender), (-1, ()))
-        if at < 0:
+        allowed = [place for place in places if place.is_allowed]
+        position, why = next(
+            ((position, place.reasons) for position, place in enumerate(allowed) if place.request.name == sender), (-1, ())
+        )
+        if position < 0:
             why = next((place.reasons for place in places if place.request.name == sender), ())
         permit = table.permit(sender)
-        room = 0 if table.frozen or self.voter.is_abstaining else max(0, table.most - len(table.out))
-        if room and at >= 0 and zones[able[at].request.zone] >= table.zone_most:
-            room = 0
+        available_permits = 0 if table.frozen or self.voter.is_abstaining else max(0, table.most - len(table.out))
+        if available_permits and position >= 0 and zones[allowed[position].request.zone] >= table.zone_most:
+            available_permits = 0
         self._send(
             sender,
             PositionReply(
                 permit.fence if permit else 0,
-                at,
-                len(able),
-                room,
+                position,
+                len(allowed),
+                available_permits,
                 ", ".join(why)[:120],
                 table.version if self.voter.voter_state.table else 0,
                 self.writes.get(sender, 0),
@@ -474,18 +488,20 @@
         if now - self.asked_at >= QUERY_INTERVAL_S:
             for voter in others:
                 self._send(voter, VoterStateQuery())
-        if now - self.started < ABSTENTION_S:
+        if now - self.started_at < ABSTENTION_S:
             return
-        keeps = [told.voter_state for told in self.told.values() if not told.empty]
-        if all(voter in self.told and self.told[voter].voter_state.table is None for voter in others):
-            promised = max([told.voter_state.promised for told in self.told.values()], default=self.voter.voter_state.promised)
+        voter_states = [reply.voter_state for reply in self.voter_replies.values() if not reply.empty]
+        if all(voter in self.voter_replies and self.voter_replies[voter].voter_state.table is None for voter in others):
+            promised = max(
+                [reply.voter_state.promised for reply in self.voter_replies.values()], default=self.voter.voter_state.promised
+            )
             voter_state = self.voter.voter_state
             self.voter.voter_state = voter_state._replace(
-                promised=max(promised, voter_state.promised), writes=max(voter_state.writes, self.remembered) + 1
+                promised=max(promised, voter_state.promised), writes=max(voter_state.writes, self.writes_known_by_voters) + 1
             )
             self.voter.is_abstaining = False
             self.changes.append(("voter", "begins: no voter keeps a table"))
-        elif self.voter.learn(keeps, len(self.first.voters), self.remembered):
-            self.changes.append(("voter", f"learned what {len(keeps)} others keep"))
+        elif self.voter.learn(voter_states, len(self.first.voters), self.writes_known_by_voters):
+            self.changes.append(("voter", f"learned what {len(voter_states)} others keep"))
         if not self.voter.is_abstaining and not self._persist_voter_state(VoterState()):
             self.voter.is_abstaining = True
--- a/mulleinhatch/instance/maintenance/messages.py
+++ b/mulleinhatch/instance/maintenance/messages.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from mulleinhatch.instance.maintenance.paxos_register import RegisterRequest, RegisterResponse, VoterState
-from mulleinhatch.instance.maintenance.schedule import Request
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
 
 MAX_MESSAGE_BYTES = 1000
 ShortText = Annotated[str, Meta(max_length=40)]
@@ -32,7 +32,7 @@
         cancelled: Whether the sender withdraws its request.
     """
 
-    request: Request | None = None
+    request: MaintenanceRequest | None = None
     cancelled: bool = False
 
 
@@ -40,7 +40,7 @@
     """A voter's view of the sender's request and permit.
 
     Attributes:
-        fence: Fencing token of the sender's permit; 0 for none.
+        fencing_token: Fencing token of the sender's permit; 0 for none.
         place: Position in the order from 0; -1 if the sender is not in it.
         waiting: Number of requests that are allowed to start.
         may_go: Number of permits left.
@@ -52,7 +52,7 @@
         number: Highest proposal number the voter promised; a lower proposal would only be beaten.
     """
 
-    fence: int
+    fencing_token: int
     place: int
     waiting: int
     may_go: int
@@ -92,7 +92,7 @@
 class MaintenanceRequestMessage(MaintenanceMessage, tag="Please"):
     """Ask another instance, on behalf of an operator, to request maintenance; repeated until acknowledged."""
 
-    request: Request
+    request: MaintenanceRequest
 
 
 class MaintenanceRequestAck(MaintenanceMessage, tag="Thanks"):
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -105,22 +105,22 @@
     def _may_promise(self, proposal: ProposalNumber) -> bool:
         return proposal >= self.voter_state.promised
 
-    def handle_request(self, ask: RegisterRequest) -> RegisterResponse | None:
+    def handle_request(self, request: RegisterRequest) -> RegisterResponse | None:
         """Handle a request and return the response, or None while abstaining.
 
         The caller persists `voter_state` before it sends the response.
         """
         if self.is_abstaining:
             return None
-        voter_state, accept = self.voter_state, ask.table is not None
-        taken = self._may_promise(ask.proposal)
+        voter_state, accept = self.voter_state, request.table is not None
+        taken = self._may_promise(request.proposal)
         if taken and accept:
-            self.voter_state = VoterState(ask.proposal, ask.proposal, ask.table, voter_state.writes + 1)
-        elif taken and ask.proposal > voter_state.promised:
-            self.voter_state = voter_state._replace(promised=ask.proposal, writes=voter_state.writes + 1)
+            self.voter_state = VoterState(request.proposal, request.proposal, request.table, voter_state.writes + 1)
+        elif taken and request.proposal > voter_state.promised:
+            self.voter_state = voter_state._replace(promised=request.proposal, writes=voter_state.writes + 1)
         return RegisterResponse(
             self.name,
-            ask.proposal,
+            request.proposal,
             taken,
             accept,
             self.voter_state.promised,
@@ -169,11 +169,11 @@
 
     >>> first = PermitTable(voters=("a", "b", "c"), most=1, zone_most=1)
     >>> voters = {name: Voter(name, VoterState()) for name in first.voters}
-    >>> one = ProposalRound("n", 1, first, lambda table: table.grant("n", "z", "kernel"))
-    >>> while not one.outcome:
-    ...     for name, ask in one.pending_requests():
-    ...         one.handle_response(voters[name].handle_request(ask))
-    >>> one.outcome, one.table.permit("n").fence
+    >>> response = ProposalRound("n", 1, first, lambda table: table.grant("n", "z", "kernel"))
+    >>> while not response.outcome:
+    ...     for name, request in response.pending_requests():
+    ...         response.handle_response(voters[name].handle_request(request))
+    >>> response.outcome, response.table.permit("n").fence
     ('agreed', 1)
     """
 
@@ -187,8 +187,8 @@
 
     def pending_requests(self) -> list[tuple[str, RegisterRequest]]:
         """Return the requests of the current phase for the voters that have not responded."""
-        ask = RegisterRequest(self.proposal, self.table, None if self.table else self.known)
-        return [] if self.outcome else [(voter, ask) for voter in self.known.voters if voter not in self.answers]
+        request = RegisterRequest(self.proposal, self.table, None if self.table else self.known)
+        return [] if self.outcome else [(voter, request) for voter in self.known.voters if voter not in self.answers]
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.known.voters)
@@ -205,7 +205,7 @@
             return
         self.highest = max(self.highest, answer.promised.number)
         self.answers[answer.voter] = answer
-        taken = [one for one in self.answers.values() if one.taken]
+        taken = [response for response in self.answers.values() if response.taken]
         if not self._is_majority(len(taken)):
             if self._is_majority(len(self.answers) - len(taken)):
                 self.outcome, self.why = "beaten", f"ballot {self.highest} was asked for"
@@ -213,7 +213,7 @@
         if self.table is not None:
             self.outcome = "agreed"
             return
-        latest = max(taken, key=lambda one: one.accepted)
+        latest = max(taken, key=lambda response: response.accepted)
         table = latest.table or self.known
         if table.epoch > self.known.epoch:
             self.known, self.outcome, self.why = table, "moved", f"epoch {table.epoch} has other voters"
--- a/mulleinhatch/instance/maintenance/schedule.py
+++ b/mulleinhatch/instance/maintenance/schedule.py
@@ -14,7 +14,7 @@
 DEADLINE_MARGIN = 2.0  # in durations of the work: with less time left before its deadline, a request goes before others
 
 
-class Request(NamedTuple):
+class MaintenanceRequest(NamedTuple):
     """An instance's request to be out of service; times are Unix seconds.
 
     Sent as a MessagePack array: the order of the fields is part of the message format.
@@ -42,19 +42,21 @@
     latest: float = 0.0
     urgency: int = 0
     last_out: float = 0.0
-    ill: bool = False
+    is_unhealthy: bool = False
     only_copy: bool = False
 
 
 class QueuePosition(NamedTuple):
     """A request in the order, whether it is allowed to start, and the reasons for its position."""
 
-    request: Request
+    request: MaintenanceRequest
     is_allowed: bool
     reasons: tuple[str, ...]
 
 
-def order(requests: Sequence[Request], out: Collection[str], zones_out: dict[str, int], now: float) -> list[QueuePosition]:
+def order(
+    requests: Sequence[MaintenanceRequest], out: Collection[str], zones_out: dict[str, int], now: float
+) -> list[QueuePosition]:
     """Sort the requests; blocked ones come last.
 
     Args:
@@ -63,14 +65,14 @@
         zones_out: Number of permits in use, by zone.
         now: Unix time in seconds.
 
-    >>> asked = [Request(name, zone, "kernel", 60.0, 5.0, last_out=last) for name, zone, last in (
+    >>> asked = [MaintenanceRequest(name, zone, "kernel", 60.0, 5.0, last_out=last) for name, zone, last in (
     ...     ("a", "x", 3.0), ("b", "x", 1.0), ("c", "y", 2.0))]
     >>> [(place.request.name, place.reasons) for place in order(asked, (), {}, 10.0)][:2]
     [('b', ('zone x has 0 before it', 'out longest ago')), ('c', ('zone y has 0 before it', 'out longest ago'))]
     >>> [place.request.name for place in order(asked, (), {"x": 1}, 10.0)]
     ['c', 'b', 'a']
     """
-    latest: dict[str, Request] = {}
+    latest: dict[str, MaintenanceRequest] = {}
     for request in requests:
         if request.name not in out and (request.name not in latest or request.asked > latest[request.name].asked):
             latest[request.name] = request
@@ -99,7 +101,7 @@
     return places + [QueuePosition(request, False, (why,)) for request, why in blocked]
 
 
-def _blocking_reason(request: Request, now: float) -> str:
+def _blocking_reason(request: MaintenanceRequest, now: float) -> str:
     """Return why the request must not start now, or an empty string."""
     if request.only_copy:
         return "holds the only copy of something that is needed"
@@ -108,20 +110,20 @@
     return ""
 
 
-def _priority_class(request: Request, now: float) -> int:
+def _priority_class(request: MaintenanceRequest, now: float) -> int:
     """Return 0 for an emergency, 1 unhealthy, 2 deadline near, 3 urgent, 4 otherwise."""
     if request.urgency >= 2:
         return 0
-    if request.ill:
+    if request.is_unhealthy:
         return 1
     return 2 if _is_deadline_near(request, now) else 3 if request.urgency else 4
 
 
-def _is_deadline_near(request: Request, now: float) -> bool:
+def _is_deadline_near(request: MaintenanceRequest, now: float) -> bool:
     return request.latest > 0.0 and request.latest - now < (1.0 + DEADLINE_MARGIN) * request.seconds
 
 
-def _reasons(request: Request, now: float, before: int) -> tuple[str, ...]:
+def _reasons(request: MaintenanceRequest, now: float, before: int) -> tuple[str, ...]:
     what = ("an emergency", "ill", f"has to be back by {request.latest:.0f}", "urgent", "")[_priority_class(request, now)]
     turn = f"zone {request.zone} has {before} before it"
     return (*((what,) if what else ()), turn, "out longest ago")
@@ -157,22 +159,24 @@
     Returns:
         Start times in Unix seconds, by instance.
 
-    >>> asked = [Request(name, "x", "kernel", 60.0, 0.0) for name in "abc"]
+    >>> asked = [MaintenanceRequest(name, "x", "kernel", 60.0, 0.0) for name in "abc"]
     >>> schedule(order(asked, (), {}, 0.0), {}, 3, 1, 0.0)
     {'a': 0.0, 'b': 60.0, 'c': 120.0}
     """
     running = [(back, zone) for zone, back in out.values()]
     start_times: dict[str, float] = {}
     waiting = [place.request for place in places if place.is_allowed]
-    moment = now
+    start_time = now
     while waiting and most > 0 and zone_most > 0:
-        running = [(back, zone) for back, zone in running if back > moment]
+        running = [(back, zone) for back, zone in running if back > start_time]
         zones = Counter(zone for _, zone in running)
-        goes = next((request for request in waiting if zones[request.zone] < zone_most), None) if len(running) < most else None
-        if goes is None:
-            moment = min(back for back, _ in running)
+        next_request = (
+            next((request for request in waiting if zones[request.zone] < zone_most), None) if len(running) < most else None
+        )
+        if next_request is None:
+            start_time = min(back for back, _ in running)
             continue
-        waiting.remove(goes)
-        start_times[goes.name] = moment
-        running.append((moment + max(0.001, goes.seconds), goes.zone))
+        waiting.remove(next_request)
+        start_times[next_request.name] = start_time
+        running.append((start_time + max(0.001, next_request.seconds), next_request.zone))
     return start_times
--- a/mulleinhatch/instance/maintenance/store.py
+++ b/mulleinhatch/instance/maintenance/store.py
@@ -69,12 +69,12 @@
     def persist(self, voter_state: VoterState) -> None:
         """Replace the stored state; it is durable on return."""
         body = msgspec.msgpack.encode(voter_state)
-        beside = self.folder / "voter.new"
-        with open(beside, "wb") as file:
+        temporary_path = self.folder / "voter.new"
+        with open(temporary_path, "wb") as file:
             file.write(MAGIC + bytes([VERSION]) + zlib.crc32(body).to_bytes(4, "big") + body)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, self.path)
+        os.replace(temporary_path, self.path)
         folder = os.open(self.folder, os.O_RDONLY)  # the rename itself must survive a power failure
         try:
             os.fsync(folder)
--- a/mulleinhatch/instance/maintenance/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -11,9 +11,9 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-MOST_VOTERS = 9
-MOST_OUT = 12  # the table must fit into one datagram
-LONGEST_WHY = 40
+MAX_VOTERS = 9
+MAX_PERMITS = 12  # the table must fit into one datagram
+MAX_REASON_LENGTH = 40
 
 
 class PermitRefusedError(ValueError):
@@ -91,7 +91,7 @@
         Args:
             name: Instance that asks.
             zone: Its zone.
-            why: Reason, truncated to `LONGEST_WHY` characters.
+            why: Reason, truncated to `MAX_REASON_LENGTH` characters.
             gone: Crashed members and their zones. They count as out of service.
             over: Reason of an operator to exceed the bounds and a freeze.
 
@@ -116,9 +116,11 @@
         if name in self.voters and voters >= max(1, (len(self.voters) - 1) // 2) and not over:
             # Without a majority of the voters no permit could be released; without disks the agreed table would be lost.
             raise PermitRefusedError(f"{voters} of {len(self.voters)} voters are out already")
-        if len(self.out) >= MOST_OUT:
-            raise PermitRefusedError(f"{MOST_OUT} are out, and no more can be told of")
-        return self._next_version(out=(*self.out, Permit(name, zone, self.version + 1, why[:LONGEST_WHY], over[:LONGEST_WHY])))
+        if len(self.out) >= MAX_PERMITS:
+            raise PermitRefusedError(f"{MAX_PERMITS} are out, and no more can be told of")
+        return self._next_version(
+            out=(*self.out, Permit(name, zone, self.version + 1, why[:MAX_REASON_LENGTH], over[:MAX_REASON_LENGTH]))
+        )
 
     def release(self, name: str, fence: int) -> PermitTable:
         """Release a permit if the fencing token matches; otherwise return the table unchanged.
@@ -132,16 +134,16 @@
 
     def freeze(self, why: str) -> PermitTable:
         """Stop granting permits; an empty reason resumes."""
-        return self if self.frozen == why else self._next_version(frozen=why[:LONGEST_WHY])
+        return self if self.frozen == why else self._next_version(frozen=why[:MAX_REASON_LENGTH])
 
     def bounds(self, most: int, zone_most: int) -> PermitTable:
         """Set the maximum number of instances out of service, in total and in one zone.
 
         Raises:
-            PermitRefusedError: A bound is outside 0 to `MOST_OUT`.
+            PermitRefusedError: A bound is outside 0 to `MAX_PERMITS`.
         """
-        if not (0 <= most <= MOST_OUT and 0 <= zone_most <= MOST_OUT):
-            raise PermitRefusedError(f"a bound is 0 to {MOST_OUT}")
+        if not (0 <= most <= MAX_PERMITS and 0 <= zone_most <= MAX_PERMITS):
+            raise PermitRefusedError(f"a bound is 0 to {MAX_PERMITS}")
         return self._next_version(most=most, zone_most=zone_most)
 
     def electorate(self, voters: Collection[str]) -> PermitTable:
@@ -151,8 +153,8 @@
             PermitRefusedError: The size is out of range, or more than one voter changes.
         """
         new = tuple(sorted(set(voters)))
-        if not 1 <= len(new) <= MOST_VOTERS:
-            raise PermitRefusedError(f"1 to {MOST_VOTERS} voters are wanted")
+        if not 1 <= len(new) <= MAX_VOTERS:
+            raise PermitRefusedError(f"1 to {MAX_VOTERS} voters are wanted")
         if not self._overlap(new):
             raise PermitRefusedError("one voter at a time: else a majority of the old and one of the new need not meet")
         return self if new == self.voters else self._next_version(voters=new, epoch=self.epoch + 1)
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from mulleinhatch.instance.gossip.core import Fleet
-from mulleinhatch.instance.maintenance.core import Bounds, MaintenanceCoordinator, State
-from mulleinhatch.instance.maintenance.schedule import Request, order, schedule
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, MaintenanceState
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, order, schedule
 from mulleinhatch.instance.maintenance.store import CorruptVoterFileError, Store
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
@@ -46,7 +46,9 @@
             except (CorruptVoterFileError, OSError) as error:
                 raise InvalidSettingsError(f"upkeep.folder: {error}") from None
         zones = dict(told.zones)
-        bounds = Bounds(told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after)
+        bounds = MaintenanceBounds(
+            told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after
+        )
         self.core = MaintenanceCoordinator(
             bounds, fleet, placement.seed + 3, time.monotonic(), voter_state, self.store and self.store.persist
         )
@@ -65,7 +67,7 @@
         good = self.reducer.healthy and self.reducer.hatch is not None
         self.fit_since = (self.fit_since if self.fit_since is not None else now) if good else None
         self._ask_when_ill(now, good)
-        letters = self.core.beat(now, time.time(), good and now - self.fit_since >= FIT_AFTER)
+        letters = self.core.tick(now, time.time(), good and now - self.fit_since >= FIT_AFTER)
         self._tell()
         return letters
 
@@ -73,12 +75,17 @@
         """An instance that stays ill asks by itself, where the operator wants that."""
         after = self.placement.upkeep.ask_when_ill
         self.ill_since = None if good or self.reducer.hatch is None else self.ill_since if self.ill_since is not None else now
-        if after and self.ill_since is not None and now - self.ill_since >= after and self.core.state is State.SERVING:
-            self.core.ask(self._request("ill", self.placement.upkeep.ill_for, ill=True))
+        if (
+            after
+            and self.ill_since is not None
+            and now - self.ill_since >= after
+            and self.core.state is MaintenanceState.SERVING
+        ):
+            self.core.ask(self._request("ill", self.placement.upkeep.ill_for, is_unhealthy=True))
 
-    def _request(self, kind: str, seconds: float, **more: Any) -> Request:
+    def _request(self, kind: str, seconds: float, **more: Any) -> MaintenanceRequest:
         zone = dict(self.placement.upkeep.zones).get(self.placement.name, "")
-        return Request(self.placement.name, zone, kind[:40], seconds, time.time(), **more)
+        return MaintenanceRequest(self.placement.name, zone, kind[:40], seconds, time.time(), **more)
 
     def _remember(self, state: str, why: str) -> None:
         """In the folder, too, where there is one: a process that went out for work has forgotten why."""
@@ -107,7 +114,7 @@
 
     def heard(self) -> list[tuple[str, bytes]]:
         self._tell()
-        return self.core.said()
+        return self.core.take_outgoing()
 
     def _tell(self) -> None:
         """One line a change, and leaving when the permit is there."""
@@ -115,7 +122,7 @@
         for state, why in changes:
             self._remember(state, why)
             LOG.info("upkeep", extra={"fields": {"state": state, "why": why}})
-        if self.core.state is State.GOING and not self.left:
+        if self.core.state is MaintenanceState.GOING and not self.left:
             self.left = True
             # Not within a datagram or beat of the fleet: leaving tells the fleet, too.
             asyncio.get_running_loop().call_soon(self.leave)
@@ -175,7 +182,9 @@
             raise PermitRefusedError(f"no such word: {what}")
         return self.told()
 
-    def _several(self, one: Request, names: list[str] | None, zone: str | None, everybody: bool) -> list[Request]:
+    def _several(
+        self, one: MaintenanceRequest, names: list[str] | None, zone: str | None, everybody: bool
+    ) -> list[MaintenanceRequest]:
         """This instance, or those named, of a zone, or all that are there."""
         zones = dict(self.placement.upkeep.zones)
         there = [self.placement.name, *self.core.fleet.members.alive()]
@@ -204,7 +213,7 @@
         while time.monotonic() < until and (done is None or done.outcome in ("beaten", "moved", "")):
             if self.core.round is None:
                 done = self.core.change(time.monotonic(), change)
-                self.send(self.core.said())
+                self.send(self.core.take_outgoing())
             await asyncio.sleep(0.02)
         if done is None or done.outcome != "agreed":
             raise PermitRefusedError(done.why if done and done.why else "no majority of the voters answers")
@@ -222,7 +231,7 @@
         return {
             "name": core.name,
             "state": core.state.value,
-            "fence": core.fence,
+            "fence": core.fencing_token,
             "voter": None if core.voter is None else "abstains" if core.voter.is_abstaining else "votes",
             "table": table._asdict() | {"out": [permit._asdict() for permit in table.out]},
             "order": [
@@ -243,6 +252,6 @@
 
     def counted(self) -> dict[str, int]:
         return {f"upkeep_{name}": count for name, count in self.core.counts.items()} | {
-            "upkeep_state": list(State).index(self.core.state),
+            "upkeep_state": list(MaintenanceState).index(self.core.state),
             "upkeep_out": len(self.core.known.out),
         }
--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -56,16 +56,18 @@
     def text(self, text: str) -> str:
         """Return the alias of a text; punctuation stays, letters beyond ASCII become plain ones."""
         drawn = self._stream(text, 2 * len(text))
-        return "".join(self._letter(letter, drawn[2 * index] << 8 | drawn[2 * index + 1]) for index, letter in enumerate(text))
+        return "".join(
+            self._map_character(character, drawn[2 * index] << 8 | drawn[2 * index + 1]) for index, character in enumerate(text)
+        )
 
     @staticmethod
-    def _letter(letter: str, draw: int) -> str:
-        if letter.isdigit():
+    def _map_character(character: str, draw: int) -> str:
+        if character.isdigit():
             return digits[draw % 10]
-        if not letter.isalpha():
-            return letter if letter.isascii() else "_"
-        letters = ascii_uppercase if letter.isupper() else ascii_lowercase
-        return letters[draw % 26]
+        if not character.isalpha():
+            return character if character.isascii() else "_"
+        alphabet = ascii_uppercase if character.isupper() else ascii_lowercase
+        return alphabet[draw % 26]
 
     def number(self, number: int) -> int:
         """Return the alias of a whole number: one of as many digits, different for each number.
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -37,7 +37,7 @@
         self,
         controller: AdmissionController,
         now: float,
-        is_cold_start: bool,
+        is_fresh_start: bool,
         since: float,
         on_batch: Callable[[list[tuple], int], None],
     ) -> None:
@@ -46,7 +46,7 @@
         self.numbers: dict[Ref, int] = {}
         self.newest = self.newest_before = 0
         self.raw_time, self.rounded_time = math.nan, 0.0
-        self._add(kinds.START, round(now, 6), int(is_cold_start), since)
+        self._add(kinds.START, round(now, 6), int(is_fresh_start), since)
 
     def _add(self, kind: kinds.Kind, now: float, *values: object) -> None:
         self.batch.append(
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -114,8 +114,8 @@
         if kind is kinds.GAP:
             raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow for them")
         if kind is kinds.START:
-            is_cold_start, since = values
-            deployment = {**deployment_from_dict(self.facts.deployment), "fresh_start": bool(is_cold_start)}
+            is_fresh_start, since = values
+            deployment = {**deployment_from_dict(self.facts.deployment), "fresh_start": bool(is_fresh_start)}
             self.controller = self.make(deployment, self.facts.seed, now - since)
         elif self.controller is None:
             raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, uncut")
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -9,9 +9,9 @@
 from collections import Counter
 from typing import Any
 
-from mulleinhatch.instance.maintenance.core import Bounds, MaintenanceCoordinator, State
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, MaintenanceState
 from mulleinhatch.instance.maintenance.paxos_register import VoterState
-from mulleinhatch.instance.maintenance.schedule import Request
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
 from mulleinhatch.simulation.gossip_world import FleetWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 
@@ -22,7 +22,7 @@
     def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
         self.disks: dict[str, VoterState | None] = {node.name: None for node in self.nodes}
         self.has_disks, self.works, self.most_out, self.most = disks, works, 0, most
-        self.permits = Bounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
+        self.permits = MaintenanceBounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
         self.cores: dict[str, MaintenanceCoordinator] = {}
         self.outside: set[str] = set()  # by permit, and not back yet
         self.been: Counter[str] = Counter()
@@ -50,20 +50,20 @@
     def _beat(self, node: Node, life: int, again: bool = True) -> None:
         if node.core and node.lives == life and not node.stalled:
             core = self.cores[node.name]
-            if node.name in self.to_go and not self.been[node.name] and core.state is State.SERVING:
-                core.ask(Request(node.name, "z", "kernel", self.works, 0.0))
-            self._send(node, core.beat(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
+            if node.name in self.to_go and not self.been[node.name] and core.state is MaintenanceState.SERVING:
+                core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
+            self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._look_at(node)
         super()._beat(node, life, again)
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.core:
             super()._heard(node, data)
-            self._send(node, self.cores[node.name].said())
+            self._send(node, self.cores[node.name].take_outgoing())
             self._look_at(node)
 
     def _look_at(self, node: Node) -> None:
-        if self.cores[node.name].state is State.GOING and node.name not in self.outside:
+        if self.cores[node.name].state is MaintenanceState.GOING and node.name not in self.outside:
             self.been[node.name] += 1
             self.outside.add(node.name)
             self.most_out = max(self.most_out, len(self.outside))
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -25,8 +25,7 @@
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 from mulleinhatch.instance.load_balancing.core import Here, Spread
-from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
-from mulleinhatch.instance.maintenance.core import MaintenanceCoordinator
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.testing import fault_script as faults
@@ -228,7 +227,9 @@
             node.core.ops_at = at
         if plan.upkeep:
             voters = tuple(self.ground.name(voter, 0) for voter in range(plan.upkeep))
-            node.upkeep = MaintenanceCoordinator(UpkeepBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now)
+            node.upkeep = MaintenanceCoordinator(
+                MaintenanceBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now
+            )
         node.meters = [Meter(budget.window) for budget in bounds.budgets]
         if plan.introduced and node.lives == 1:
             self._introduce(node, now)
@@ -346,7 +347,7 @@
             datagrams += node.spread.beat(now, Here(8, 0, 48))
             local = local._replace(figures=local.figures[:11] + node.spread.figures(now), opinions=node.spread.opinions(now))
         if node.upkeep:
-            datagrams += node.upkeep.beat(now, self.now + node.offset, True)
+            datagrams += node.upkeep.tick(now, self.now + node.offset, True)
         datagrams += node.core.beat(now, local)
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
@@ -360,7 +361,7 @@
         if node.spread:
             datagrams += node.spread.said()
         if node.upkeep:
-            datagrams += node.upkeep.said()
+            datagrams += node.upkeep.take_outgoing()
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
         if datagrams:
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -66,18 +66,18 @@
         self.happens(0.0, Happening.INTERPRETER_UP, False, 9.0)
         self.said = self.reads(0.1, 1, "first", rank=0.25, again=False)
 
-    def happens(self, now: float, *told: object) -> list[tuple]:
+    def happens(self, now: float, *fields_read: object) -> list[tuple]:
         return [
-            (errand, *more[:1])
-            for errand, *more in self.reducer.reduce(now, *told)
-            if errand in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)
+            (effect, *more[:1])
+            for effect, *more in self.reducer.reduce(now, *fields_read)
+            if effect in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)
         ]
 
     def reads(self, now: float, place: int, ref: str, rank: float, again: bool = True) -> list[tuple]:
         return self.happens(now, Happening.OP_READ, place, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, again, "", b"", rank)
 
 
-def test_a_twin_waits_until_the_other_answer_was_read() -> None:
+def test_duplicate_waits_until_the_other_response_was_read() -> None:
     pair = Pair()
     assert pair.said == [(Errand.RUN, "first")]
     assert pair.reads(0.2, 2, "twin", rank=0.75) == []  # perhaps the first one's retry, with another rank
@@ -86,7 +86,7 @@
     assert pair.reducer.storms.counts["retries_told_apart"] == 1
 
 
-def test_a_twin_whose_other_answer_may_be_lost_fails() -> None:
+def test_duplicate_fails_if_the_other_response_may_be_lost() -> None:
     """The rule first: where nothing tells them apart in time, it is not run, and not nacked either."""
     pair = Pair()
     pair.reads(0.2, 2, "twin", rank=0.75)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_books_stay_in_bounds_and_in_step(seed: int) -> None:
+def test_request_tables_stay_bounded_and_consistent(seed: int) -> None:
     """Ten thousand ops in a few seconds: no generation outgrows its room, and no doubt outlives its run."""
     draw, executed, counter, detector, now = (
         random.Random(seed),
@@ -161,5 +161,5 @@
         reader = RequestReader()
         reader.room()[: len(data)] = data
         reader.filled(len(data))
-        *told, rank = op_told(b"/svc/read", reader.message()[2], 1.0)
-        assert short_figures(data) == (rank, told[6], told[7])
+        *fields_read, rank = op_told(b"/svc/read", reader.message()[2], 1.0)
+        assert short_figures(data) == (rank, fields_read[6], fields_read[7])
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -42,13 +42,13 @@
         elif rest == ["outage"]:
             self.detector.record_outage(float(word))
         else:
-            told = dict(zip(rest[::2], map(int, rest[1::2])))
+            fields_read = dict(zip(rest[::2], map(int, rest[1::2])))
             first, _, last = word.partition("-")
             now = float(first)
             while now < float(last or first) + 1e-9:
                 now += UPDATE_INTERVAL_S
-                self.detector.count(told["reads"], told["repeats"], told.get("connects", 0))
-                self.detector.update(now, told["capacity"])
+                self.detector.count(fields_read["reads"], fields_read["repeats"], fields_read.get("connects", 0))
+                self.detector.update(now, fields_read["capacity"])
                 if now + UPDATE_INTERVAL_S > float(last or first) + 1e-9:
                     break
 
@@ -168,7 +168,7 @@
     assert one.counts == other.counts and one.stages == other.stages and one.in_time == other.in_time
 
 
-def test_service_is_back_within_seconds_and_not_without_the_books() -> None:
+def test_service_is_back_within_seconds_only_with_retry_admission() -> None:
     """The outage of the design note on half the cores: 8 s, load 0.92, patience 30 s, nobody heeds."""
     weather = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
     assert World(weather, 1).play().share_in_time(14.0, 21.0) > 0.9
@@ -214,11 +214,15 @@
         reader.filled(len(data))
         try:
             _, path, fields, body = reader.message()
-            told = op_told(path, fields, 1.0)
+            fields_read = op_told(path, fields, 1.0)
         except BadRequestError:
             continue  # a refusal there, a refusal here
         assert not reader.started() and body == looked[6], data
-        assert (told[0], told[1], told[2], told[8], told[9]) == (*looked[:3], looked[4], looked[5]), data
+        assert (fields_read[0], fields_read[1], fields_read[2], fields_read[8], fields_read[9]) == (
+            *looked[:3],
+            looked[4],
+            looked[5],
+        ), data
     assert believed > 500
 
 
@@ -311,7 +315,7 @@
     assert not outage_after(0.2, in_hand=True) and not outage_after(5.0, in_hand=False)
 
 
-def test_no_time_is_told_where_the_settings_allow_none() -> None:
+def test_no_retry_time_is_given_where_the_settings_allow_none() -> None:
     """A longest hold-off may be told beside the word that none is allowed; the door must heed that as the module does."""
     for allowed in (False, True):
         reducer = Reducer(
@@ -319,11 +323,11 @@
         )
         reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
         reducer.storms.set_rate(0.0, 0.001)
-        told = [
+        fields_read = [
             reducer.turned_back(0.1, f"r{number}", "read", "", 4, True, "", b"", punctual=False, stubborn=number > 2)
             for number in range(6)
         ]
-        assert max(told) > 0.0 if allowed else set(told) == {0.0}
+        assert max(fields_read) > 0.0 if allowed else set(fields_read) == {0.0}
 
 
 def test_an_unmarked_repeat_is_known_for_as_long_as_it_keeps_coming() -> None:
@@ -331,9 +335,9 @@
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
     reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
     reducer.storms.set_rate(0.0, 0.001)
-    told = ("read", "", 4, False, "", b"a body")
-    assert reducer.turned_back(0.0, "r0", *told, punctual=False, stubborn=False) is None
+    fields_read = ("read", "", 4, False, "", b"a body")
+    assert reducer.turned_back(0.0, "r0", *fields_read, punctual=False, stubborn=False) is None
     reducer.storms.duplicates.record_rejected(0.0, (request_fingerprint(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).coarse,))
     for tenth in range(1, 600):
-        assert reducer.turned_back(0.1 * tenth, f"r{tenth}", *told, punctual=False, stubborn=False) is not None, tenth
-    assert reducer.turned_back(120.0, "last", *told, punctual=False, stubborn=False) is None
+        assert reducer.turned_back(0.1 * tenth, f"r{tenth}", *fields_read, punctual=False, stubborn=False) is not None, tenth
+    assert reducer.turned_back(120.0, "last", *fields_read, punctual=False, stubborn=False) is None
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -72,15 +72,15 @@
 
 def traced(weather: Weather, seed: int) -> tuple[World, bytes]:
     """A virtual history and the trace of the instance's last life."""
-    lives: list[tuple[Recorder, list[tuple[list[Record], int]]]] = []
+    incarnations: list[tuple[Recorder, list[tuple[list[Record], int]]]] = []
 
-    def record(hatch, now: float, cold: bool, since: float) -> Recorder:
+    def record(controller, now: float, is_fresh_start: bool, since: float) -> Recorder:
         batches: list[tuple[list[Record], int]] = []
-        lives.append((Recorder(hatch, now, cold, since, lambda *batch: batches.append(batch)), batches))
-        return lives[-1][0]
+        incarnations.append((Recorder(controller, now, is_fresh_start, since, lambda *batch: batches.append(batch)), batches))
+        return incarnations[-1][0]
 
     world = World(weather, seed, record=record).play()
-    recorder, batches = lives[-1]
+    recorder, batches = incarnations[-1]
     recorder.flush()
     file = io.BytesIO()
     facts = TraceMetadata(
@@ -99,7 +99,7 @@
 
 
 @pytest.fixture(scope="module")
-def told() -> tuple[World, bytes]:
+def recorded_trace() -> tuple[World, bytes]:
     return traced(SMALL, 3)
 
 
@@ -115,8 +115,8 @@
     assert outcome.decisions == sum(count for name, count in world.reducer.counts.items() if name.startswith("decided_"))
 
 
-def test_a_replay_tells_the_first_difference(told: tuple[World, bytes]) -> None:
-    trace = Trace(io.BytesIO(told[1]))
+def test_replay_reports_the_first_difference(recorded_trace: tuple[World, bytes]) -> None:
+    trace = Trace(io.BytesIO(recorded_trace[1]))
     records = list(trace.records())
     at = next(place for place, one in enumerate(records) if one.kind is kinds.READ and place > 500)
     values = list(records[at].values)
@@ -125,14 +125,14 @@
     assert outcome.differences == 1 and outcome.first.time >= records[at].time
 
 
-def test_a_replay_of_a_part_is_refused(told: tuple[World, bytes]) -> None:
-    trace = Trace(io.BytesIO(told[1]))
+def test_a_replay_of_a_part_is_refused(recorded_trace: tuple[World, bytes]) -> None:
+    trace = Trace(io.BytesIO(recorded_trace[1]))
     with pytest.raises(IncompleteTraceError, match="start"):
         replay(trace.records(since=8.0), trace.facts)
 
 
-def test_the_summary_is_the_live_counters(told: tuple[World, bytes]) -> None:
-    world, data = told
+def test_the_summary_is_the_live_counters(recorded_trace: tuple[World, bytes]) -> None:
+    world, data = recorded_trace
     trace = Trace(io.BytesIO(data))
     sums = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
     live = {name: count for name, count in world.reducer.counts.items() if name.startswith(("decided_", "run_"))}
@@ -143,9 +143,9 @@
     assert sum(sum(second.get("ops_read", 0) for second in sums["rates"]) for _ in "x") == sums["counts"]["ops_read"]
 
 
-def test_a_file_cut_at_every_byte_of_its_last_blocks(told: tuple[World, bytes]) -> None:
+def test_a_file_cut_at_every_byte_of_its_last_blocks(recorded_trace: tuple[World, bytes]) -> None:
     """A node killed in mid-write: all whole blocks are read, and what is missing is told."""
-    data, complete = told[1], Trace(io.BytesIO(told[1]))
+    data, complete = recorded_trace[1], Trace(io.BytesIO(recorded_trace[1]))
     last, before = complete.rows[-1], complete.rows[-2]
     for end in range(before.offset + 1, len(data)):
         trace = Trace(io.BytesIO(data[:end]))
@@ -159,8 +159,8 @@
     assert len(list(trace.records())) == sum(row.records for row in complete.rows[:-1])
 
 
-def test_flipped_bits_lose_their_block_alone(told: tuple[World, bytes]) -> None:
-    draw, data, complete = random.Random(5), told[1], Trace(io.BytesIO(told[1]))
+def test_flipped_bits_lose_their_block_alone(recorded_trace: tuple[World, bytes]) -> None:
+    draw, data, complete = random.Random(5), recorded_trace[1], Trace(io.BytesIO(recorded_trace[1]))
     total = sum(row.records for row in complete.rows)
     for _ in range(60):
         row = draw.choice(complete.rows)
@@ -186,9 +186,9 @@
         (lambda data: START.pack(b"mhtTRACE", 2, 0, 2**32 - 1, 0) + data[START.size :], "damaged"),
     ],
 )
-def test_what_is_no_trace_is_said_to_be_none(told: tuple[World, bytes], spoil, complaint: str) -> None:
+def test_what_is_no_trace_is_said_to_be_none(recorded_trace: tuple[World, bytes], spoil, complaint: str) -> None:
     with pytest.raises(UnreadableTraceError, match=complaint):
-        Trace(io.BytesIO(spoil(told[1])))
+        Trace(io.BytesIO(spoil(recorded_trace[1])))
 
 
 def packed(raw: bytes, records: int = 1, raw_size: int | None = None) -> bytes:
@@ -217,9 +217,9 @@
         list(Block(HOSTILE[name]).records())
 
 
-def test_an_index_that_lies_is_not_believed(told: tuple[World, bytes]) -> None:
+def test_an_index_that_lies_is_not_believed(recorded_trace: tuple[World, bytes]) -> None:
     """Rows that point at each other, or outside, with a right checksum: the blocks are looked for themselves."""
-    complete = Trace(io.BytesIO(told[1]))
+    complete = Trace(io.BytesIO(recorded_trace[1]))
     end = complete.rows[-1].offset + HEAD_SIZE + complete.rows[-1].stored
     for rows in (
         [row._replace(offset=complete.rows[0].offset) for row in complete.rows],
@@ -227,15 +227,15 @@
         [*complete.rows[:-1], complete.rows[-1]._replace(stored=1 << 31)],
         complete.rows[::-1],
     ):
-        trace = Trace(io.BytesIO(told[1][:end] + encode_index(rows)))
+        trace = Trace(io.BytesIO(recorded_trace[1][:end] + encode_index(rows)))
         assert not trace.indexed and trace.rows == complete.rows
 
 
-def test_seeded_noise_never_does_more_than_lose(told: tuple[World, bytes]) -> None:
+def test_seeded_noise_never_does_more_than_lose(recorded_trace: tuple[World, bytes]) -> None:
     """A short fuzz: whatever bytes are put in, reading ends, in records or in an error of ours."""
     draw = random.Random(11)
     for _ in range(200):
-        data = bytearray(told[1])
+        data = bytearray(recorded_trace[1])
         for _ in range(draw.randrange(1, 20)):
             at = draw.randrange(len(data))
             data[at : at + draw.randrange(8)] = draw.randbytes(draw.randrange(8))
@@ -261,19 +261,23 @@
         assert trace.unknown == 1
 
 
-def test_a_part_by_time_type_and_op(told: tuple[World, bytes]) -> None:
-    trace, file = Trace(io.BytesIO(told[1])), io.BytesIO()
+def test_extract_by_time_type_and_request(recorded_trace: tuple[World, bytes]) -> None:
+    trace, file = Trace(io.BytesIO(recorded_trace[1])), io.BytesIO()
     complete = list(trace.records())
     count = extract(trace, file, RecordFilter(since=6.0, until=7.0, op_type=1))
     part = list(Trace(file).records())
     assert len(part) == count > 0 and all(6.0 <= record.time <= 7.0 for record in part)
     assert all(record.values[2] == 1 for record in part if record.kind is kinds.READ)
     one = next(record for record in complete if record.kind is kinds.READ)
-    life = list(select(complete, RecordFilter(ref=one.values[1])))
-    assert life[0] == one and {record.named()["op"] for record in life} == {one.values[0]} and len(life) >= 2
+    request_records = list(select(complete, RecordFilter(ref=one.values[1])))
+    assert (
+        request_records[0] == one
+        and {record.named()["op"] for record in request_records} == {one.values[0]}
+        and len(request_records) >= 2
+    )
 
 
-def test_the_keeper_rolls_expires_and_marks_gaps(tmp_path: Path) -> None:
+def test_file_manager_rolls_expires_and_marks_gaps(tmp_path: Path) -> None:
     """Files are ended by size, the oldest go beyond the total, and what a full queue dropped is marked and counted."""
     file_manager = TraceFileManager(
         TraceBounds(str(tmp_path), file_mb=0.002, total_mb=0.01), lambda number: TraceMetadata("n1", 7, number=number)
@@ -304,7 +308,7 @@
 def test_an_instance_on_sockets_is_traced_and_replayed(tmp_path: Path) -> None:
     """From the start to the stop of a real instance: its file has what its counters have, and replays to the last."""
 
-    async def life() -> dict[str, int]:
+    async def run_instance() -> dict[str, int]:
         play = SocketPlay()
         play.more = {"traces": TraceBounds(str(tmp_path))}
         await play.start()
@@ -327,7 +331,7 @@
             await play.serving
         return play.instance.counted()
 
-    counted = asyncio.run(asyncio.wait_for(life(), 20))
+    counted = asyncio.run(asyncio.wait_for(run_instance(), 20))
     (path,) = tmp_path.glob("n1-*.mht")
     with open(path, "rb") as file:
         trace = Trace(file)
@@ -376,11 +380,11 @@
         replay(records, trace.facts)
 
 
-def test_an_anonymised_file_holds_no_original(told: tuple[World, bytes]) -> None:
+def test_an_anonymised_file_holds_no_original(recorded_trace: tuple[World, bytes]) -> None:
     """In raw and decompressed bytes, in facts and texts; the same key gives the same aliases in another file, and a replay
     of it still decides the same."""
     aliases = Aliases(b"one key of sixteen bytes")
-    source, file = Trace(io.BytesIO(told[1])), io.BytesIO()
+    source, file = Trace(io.BytesIO(recorded_trace[1])), io.BytesIO()
     facts = anonymous_facts(source.facts, aliases)
     cutting.write(anonymous(source.records(), aliases), file, facts, 2)
     refs = {record.values[1] for record in source.records() if record.kind is kinds.READ}
@@ -403,7 +407,7 @@
     assert note.values[0] == "reloaded" and "Juma" not in note.values[1] and len(note.values[1]) == 19
 
 
-def test_what_a_full_queue_drops_is_told_whole_by_the_next_mark(tmp_path: Path) -> None:
+def test_next_gap_mark_reports_all_that_a_full_queue_dropped(tmp_path: Path) -> None:
     """A mark that is itself dropped must not take what it told of with it."""
     gate = threading.Event()
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -10,9 +10,9 @@
 import pytest
 
 from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, ProposalRound, RegisterResponse, Voter, VoterState
-from mulleinhatch.instance.maintenance.schedule import Request, order
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, order
 from mulleinhatch.instance.maintenance.store import CorruptVoterFileError, Store
-from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, PermitRefusedError, PermitTable
+from mulleinhatch.instance.maintenance.table import MAX_PERMITS, MAX_REASON_LENGTH, PermitRefusedError, PermitTable
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.gossip_world import weather
 from mulleinhatch.simulation.maintenance_world import Machines
@@ -145,7 +145,7 @@
     assert history, f"without the guard of {guard} nothing was found"
 
 
-def test_a_permit_outlives_any_stop_and_ends_by_its_own_fence_alone() -> None:
+def test_permit_survives_any_pause_and_ends_by_its_own_token_alone() -> None:
     table = PermitTable(("a",), 2, 1).grant("n", "z", "kernel")
     again = table.release("n", 1).grant("n", "z", "disk")
     assert again.release("n", 1) is again and not again.release("n", again.permit("n").fence).out
@@ -173,12 +173,12 @@
 
 
 def test_the_table_stays_small_whatever_people_say() -> None:
-    table = PermitTable(("a",), MOST_OUT, MOST_OUT)
-    for number in range(MOST_OUT):
+    table = PermitTable(("a",), MAX_PERMITS, MAX_PERMITS)
+    for number in range(MAX_PERMITS):
         table = table.grant(f"n{number}", "z", "w" * 500, over="o" * 500)
     with pytest.raises(PermitRefusedError, match="no more can be told of"):
         table.grant("one more", "z", "w", over="because")
-    assert all(len(permit.why) == LONGEST_WHY for permit in table.out)
+    assert all(len(permit.why) == MAX_REASON_LENGTH for permit in table.out)
     with pytest.raises(PermitRefusedError, match="a bound is"):
         table.bounds(-1, 1)
 
@@ -198,26 +198,26 @@
     assert agreed and not history
 
 
-def asked(name: str, zone: str = "z", **more: float) -> Request:
-    return Request(name, zone, "kernel", 60.0, 5.0, **more)
+def asked(name: str, zone: str = "z", **more: float) -> MaintenanceRequest:
+    return MaintenanceRequest(name, zone, "kernel", 60.0, 5.0, **more)
 
 
 def test_the_order_is_the_same_whoever_computes_it_and_in_whatever_order_it_heard() -> None:
     requests = [
-        asked(f"n{number}", f"z{number % 3}", last_out=float(number % 5), urgency=number % 3, ill=number % 7 == 0)
+        asked(f"n{number}", f"z{number % 3}", last_out=float(number % 5), urgency=number % 3, is_unhealthy=number % 7 == 0)
         for number in range(40)
     ]
-    told = order(requests, ["n3"], {"z1": 1}, 100.0)
-    assert told == order(requests[::-1], ["n3"], {"z1": 1}, 100.0) and len(told) == 39
-    assert [place.request.urgency for place in told[:13]].count(2) == 13
+    result = order(requests, ["n3"], {"z1": 1}, 100.0)
+    assert result == order(requests[::-1], ["n3"], {"z1": 1}, 100.0) and len(result) == 39
+    assert [place.request.urgency for place in result[:13]].count(2) == 13
 
 
-def test_the_ill_go_first_then_who_would_miss_its_time_and_the_only_copy_stays() -> None:
+def test_unhealthy_go_first_then_near_deadlines_and_the_only_copy_stays() -> None:
     places = order(
         [
             asked("well"),
             asked("late", latest=200.0),
-            asked("ill", ill=True),
+            asked("ill", is_unhealthy=True),
             asked("fire", urgency=2),
             asked("copy", only_copy=True),
             asked("later", wished=500.0),
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize("disks", [True, False], ids=["disks", "no disks"])
-def test_histories_by_chance_never_take_too_many_out(disks: bool) -> None:
+def test_random_histories_never_take_too_many_out(disks: bool) -> None:
     """Without a disk a voter abstains until a majority of the others told it what they keep."""
     for seed in range(3):
         draw = random.Random(seed)
@@ -344,7 +344,7 @@
     machines.play(8.0)
     agreed(machines, lambda table: table.grant("n3", "z", "kernel"))
     machines.to_go = {"n3"}
-    machines.cores["n3"].ask(Request("n3", "z", "kernel", 1.0, 0.0))
+    machines.cores["n3"].ask(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
     machines.play(16.0)
     assert machines.been == {"n3": 1} and not machines.cores["n0"].voter.voter_state.table.out
 
@@ -389,7 +389,7 @@
     machines.play(8.0)
     for until, names in ((14.0, ["n4"]), (40.0, ["n5", "n2"])):
         machines.cores["n0"].request_for_others(
-            machines.nodes[0].clock(machines.now), [Request(name, "z", "release", 1.0, 0.0) for name in names]
+            machines.nodes[0].clock(machines.now), [MaintenanceRequest(name, "z", "release", 1.0, 0.0) for name in names]
         )
         machines.play(until)
     assert set(machines.been) == {"n4"}
@@ -411,7 +411,7 @@
         ('voters "a"\n zones {\n  x "a" "b"\n  y "b"\n }', "upkeep.zones: a member in two"),
     ],
 )
-def test_a_faulty_upkeep_node_is_named(lines: str, complaint: str) -> None:
+def test_invalid_maintenance_settings_are_named(lines: str, complaint: str) -> None:
     with pytest.raises(operator.OperatorFileError, match=complaint):
         operator.told(f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n}}\nupkeep {{\n {lines}\n}}')
 
@@ -434,12 +434,12 @@
             await rig.go()
             outings = Outings(rig, 0.5, zones)
             outings.start()
-            told = await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=1.0) for node in rig.nodes))
+            result = await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=1.0) for node in rig.nodes))
             done = await outings.all_done(set(zones), 60.0)
             await outings.stop()
-            return outings, done, list(told)
+            return outings, done, list(result)
 
-    outings, done, told = asyncio.run(asyncio.wait_for(play(), 110.0))
-    assert not any("error" in one for one in told), told
+    outings, done, result = asyncio.run(asyncio.wait_for(play(), 110.0))
+    assert not any("error" in one for one in result), result
     assert done is not None, (outings.done, outings.seen)
     assert outings.most <= 2 and max(outings.zone_most.values()) <= 1, outings.seen
