--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -1,7 +1,8 @@
 """A model checker for upkeep's permits: voters and askers, every order of what can happen to a stated depth, and long walks.
 
-It drives `Voter`, `ProposalRound` and `PermitTable` as they are and watches from outside: how many machines are really out. A word is
-delivered with its answer, delivered with the answer lost, or copied and delivered any time later; who asks may stop, crash and
+It drives `Voter`, `ProposalRound` and `PermitTable` as they are and watches from outside: how many machines are really out. A
+word is delivered with its answer, delivered with the answer lost, or copied and delivered any time later; who asks may stop,
+crash and
 start anew; a voter may lose its disk; the voters may change; a person may release a machine that serves. A state is what all
 of them are, not how it came about, so each is looked at once.
 """
