--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -1,5 +1,7 @@
-"""Aliases for what names somebody: the same key and text give the same alias, in whatever file; without the key there is no way
-back. Shape and length stay: a hexadecimal id is one again, a letter is a letter, a number keeps its digits.
+"""Aliases for identifying values: the same key and text give the same alias in every file, and without the key it can't be
+reversed.
+
+Shape and length are kept: a hexadecimal ID stays one, letters stay letters, and a number keeps its count of digits.
 """
 
 from __future__ import annotations
@@ -9,73 +11,90 @@
 from string import ascii_lowercase, ascii_uppercase, digits
 
 from mulleinhatch.instance.traces import kinds
-from mulleinhatch.instance.traces.file import Facts
+from mulleinhatch.instance.traces.file import TraceMetadata
 from mulleinhatch.instance.traces.kinds import Record
 
 ROUNDS = 8
 HEX = frozenset("0123456789abcdef")
-LEAST_KEY = 16  # bytes: a shorter key could be tried out
+MIN_KEY_BYTES = 16  # bytes: a shorter key could be guessed
 
 
 class Aliases:
-    """
+    """Maps names, IDs and numbers to aliases.
+
+    Args:
+        key: Secret key of at least `MIN_KEY_BYTES` bytes.
+
+    Raises:
+        ValueError: The key is too short.
+
     >>> aliases = Aliases(b"a key of sixteen bytes")
-    >>> one, other = aliases.text("Moshi-17"), aliases.text("Moshi-17")
-    >>> one == other != "Moshi-17", len(one), one[5], one[6:].isdigit(), len({aliases.number(n) for n in range(1000)})
-    (True, 8, '-', True, 1000)
+    >>> first, second = aliases.text("Moshi-17"), aliases.text("Moshi-17")
+    >>> first == second != "Moshi-17", len(first), first[5], first[6:].isdigit()
+    (True, 8, '-', True)
+    >>> len({aliases.number(number) for number in range(1000)})
+    1000
     """
 
     def __init__(self, key: bytes) -> None:
-        if len(key) < LEAST_KEY:
-            raise ValueError(f"the key has {len(key)} bytes: {LEAST_KEY} or more are wanted")
+        if len(key) < MIN_KEY_BYTES:
+            raise ValueError(f"the key has {len(key)} bytes: {MIN_KEY_BYTES} or more are wanted")
         self.key = blake2b(key, digest_size=32).digest()
 
     def _stream(self, text: str, count: int) -> bytes:
-        out = b""
-        while len(out) < count:
-            out += blake2b(text.encode("utf-8", "surrogateescape"), key=self.key, person=b"%d" % len(out)).digest()
-        return out
+        stream = b""
+        while len(stream) < count:
+            stream += blake2b(text.encode("utf-8", "surrogateescape"), key=self.key, person=b"%d" % len(stream)).digest()
+        return stream
 
     def ref(self, ref: str) -> str:
-        """The id of an op."""
+        """Return the alias of a request ID."""
         if len(ref) == 16 and HEX.issuperset(ref):
             return blake2b(ref.encode(), key=self.key, digest_size=8, person=b"ref").hexdigest()
         return self.text(ref)
 
     def text(self, text: str) -> str:
-        """Letters and digits by others, the rest as it stands; letters beyond ASCII become plain ones."""
+        """Return the alias of a text; punctuation stays, letters beyond ASCII become plain ones."""
         drawn = self._stream(text, 2 * len(text))
-        return "".join(self._letter(letter, drawn[2 * place] << 8 | drawn[2 * place + 1]) for place, letter in enumerate(text))
+        return "".join(
+            self._map_character(character, drawn[2 * index] << 8 | drawn[2 * index + 1]) for index, character in enumerate(text)
+        )
 
     @staticmethod
-    def _letter(letter: str, draw: int) -> str:
-        if letter.isdigit():
+    def _map_character(character: str, draw: int) -> str:
+        if character.isdigit():
             return digits[draw % 10]
-        if not letter.isalpha():
-            return letter if letter.isascii() else "_"
-        letters = ascii_uppercase if letter.isupper() else ascii_lowercase
-        return letters[draw % 26]
+        if not character.isalpha():
+            return character if character.isascii() else "_"
+        alphabet = ascii_uppercase if character.isupper() else ascii_lowercase
+        return alphabet[draw % 26]
 
     def number(self, number: int) -> int:
-        """A whole number of as many digits, and no two alike: a Feistel network, walked until it stays in the range
-        (Black and Rogaway: "Ciphers with arbitrary finite domains", 2002)."""
+        """Return the alias of a whole number: one of as many digits, different for each number.
+
+        Source: J. Black, P. Rogaway, "Ciphers with arbitrary finite domains" (2002): a Feistel network, repeated until the
+            result is
+        in the range.
+        """
         low = 10 ** (len(str(number)) - 1) if number > 9 else 0
         size = 10 ** len(str(number)) - low
         half = max(1, ((size - 1).bit_length() + 1) // 2)
         value = number - low
         while True:
             left, right = value >> half, value & (1 << half) - 1
-            for turn in range(ROUNDS):
-                mixed = blake2b(b"%d %d %d" % (size, turn, right), key=self.key, digest_size=8, person=b"number").digest()
+            for round_number in range(ROUNDS):
+                mixed = blake2b(
+                    b"%d %d %d" % (size, round_number, right), key=self.key, digest_size=8, person=b"number"
+                ).digest()
                 left, right = right, left ^ int.from_bytes(mixed, "big") & (1 << half) - 1
             value = left << half | right
             if value < size:
                 return low + value
 
 
-def anonymous_facts(facts: Facts, aliases: Aliases) -> Facts:
-    """Seed and deployment stay: a replay needs them, and they name nobody."""
-    return Facts(
+def anonymous_facts(facts: TraceMetadata, aliases: Aliases) -> TraceMetadata:
+    """Return metadata with aliases; seed and deployment stay, as a replay needs them and they identify nobody."""
+    return TraceMetadata(
         aliases.text(facts.instance),
         facts.seed,
         facts.clock,
@@ -86,12 +105,12 @@
         [aliases.text(tenant) for tenant in facts.tenants],
         facts.policy,
         facts.made_by,
-        [{**one, "instance": aliases.text(str(one.get("instance", "")))} for one in facts.merged],
+        [{**source, "instance": aliases.text(str(source.get("instance", "")))} for source in facts.merged],
     )
 
 
 def anonymous(records: Iterable[Record], aliases: Aliases) -> Iterator[Record]:
-    """Records with all that names somebody changed: ids of ops, callers, what notes tell."""
+    """Yield the records with aliases for request IDs, callers and the details of notes."""
     for record in records:
         values = record.values
         if record.kind is kinds.READ:
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -10,7 +10,12 @@
 from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_figures, parse_request
 from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
+from mulleinhatch.instance.retry_storms.duplicate_detection import (
+    DuplicateDetector,
+    ExecutedRequests,
+    ExpiringCounter,
+    RequestFingerprint,
+)
 from mulleinhatch.simulation.instance_world import Weather, World
 
 AFTER_KILL = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
@@ -50,7 +55,7 @@
         )
         world = World(weather, seed).play()
         assert not world.ran_twice(), (seed, weather)
-        assert not world.reducer.parked and not world.reducer.storms.tries.open, seed
+        assert not world.reducer.parked and not world.reducer.storms.duplicates.open, seed
 
 
 class Pair:
@@ -61,18 +66,18 @@
         self.happens(0.0, Happening.INTERPRETER_UP, False, 9.0)
         self.said = self.reads(0.1, 1, "first", rank=0.25, again=False)
 
-    def happens(self, now: float, *told: object) -> list[tuple]:
+    def happens(self, now: float, *fields_read: object) -> list[tuple]:
         return [
-            (errand, *more[:1])
-            for errand, *more in self.reducer.reduce(now, *told)
-            if errand in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)
+            (effect, *more[:1])
+            for effect, *more in self.reducer.reduce(now, *fields_read)
+            if effect in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)
         ]
 
     def reads(self, now: float, place: int, ref: str, rank: float, again: bool = True) -> list[tuple]:
         return self.happens(now, Happening.OP_READ, place, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, again, "", b"", rank)
 
 
-def test_a_twin_waits_until_the_other_answer_was_read() -> None:
+def test_duplicate_waits_until_the_other_response_was_read() -> None:
     pair = Pair()
     assert pair.said == [(Errand.RUN, "first")]
     assert pair.reads(0.2, 2, "twin", rank=0.75) == []  # perhaps the first one's retry, with another rank
@@ -81,7 +86,7 @@
     assert pair.reducer.storms.counts["retries_told_apart"] == 1
 
 
-def test_a_twin_whose_other_answer_may_be_lost_fails() -> None:
+def test_duplicate_fails_if_the_other_response_may_be_lost() -> None:
     """The rule first: where nothing tells them apart in time, it is not run, and not nacked either."""
     pair = Pair()
     pair.reads(0.2, 2, "twin", rank=0.75)
@@ -108,30 +113,36 @@
 
 
 def test_an_answer_at_the_last_moment_may_have_found_nobody() -> None:
-    runs, one = Runs(10), Likeness(b"p", b"p1")
-    runs.started(0.0, "r", one, due=1.0)
-    runs.acked(0.9, "r", place=4)
-    runs.asks_again(4)
-    assert runs.doubt(1.0, one, False)
+    executed, fingerprints = ExecutedRequests(10), RequestFingerprint(b"p", b"p1")
+    executed.add(0.0, "r", fingerprints, due=1.0)
+    executed.record_response(0.9, "r", connection=4)
+    executed.confirm_response_read(4)
+    assert executed.may_have_executed(1.0, fingerprints, False)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_books_stay_in_bounds_and_in_step(seed: int) -> None:
+def test_request_tables_stay_bounded_and_consistent(seed: int) -> None:
     """Ten thousand ops in a few seconds: no generation outgrows its room, and no doubt outlives its run."""
-    draw, runs, tally, tries, now = random.Random(seed), Runs(50), Tally(5.0, 50), Tries(50), 0.0
+    draw, executed, counter, detector, now = (
+        random.Random(seed),
+        ExecutedRequests(50),
+        ExpiringCounter(5.0, 50),
+        DuplicateDetector(50),
+        0.0,
+    )
     for number in range(10_000):
         now += draw.expovariate(100.0)
-        like = Likeness(b"p%d" % draw.randrange(200), b"f%d" % number)
-        runs.started(now, f"r{number}", like, now + 4.0)
+        fingerprints = RequestFingerprint(b"p%d" % draw.randrange(200), b"f%d" % number)
+        executed.add(now, f"r{number}", fingerprints, now + 4.0)
         if draw.random() < 0.5:
-            runs.acked(now, f"r{number}", number)
-            runs.asks_again(number)
-        tally.add(now, like.plain)
-        _, looks = tries.read(now, like, draw.random() < 0.3, True)
-        (tries.nacked if draw.random() < 0.5 else tries.acked)(now, looks)
-        tries.closed(looks)
-        assert len(runs) <= 100 and len(tally) <= 100 and len(tries.outstanding) <= 100 and not tries.open
-        assert sum(map(len, runs.by_plain.values())) == len(runs) and len(runs.answers) <= 100
+            executed.record_response(now, f"r{number}", number)
+            executed.confirm_response_read(number)
+        counter.add(now, fingerprints.coarse)
+        _, keys = detector.classify(now, fingerprints, draw.random() < 0.3, True)
+        (detector.record_rejected if draw.random() < 0.5 else detector.record_served)(now, keys)
+        detector.record_closed(keys)
+        assert len(executed) <= 100 and len(counter) <= 100 and len(detector.outstanding) <= 100 and not detector.open
+        assert sum(map(len, executed.by_coarse.values())) == len(executed) and len(executed.answers) <= 100
 
 
 def test_figures_at_the_door_are_those_of_a_full_reading() -> None:
@@ -150,5 +161,5 @@
         reader = RequestReader()
         reader.room()[: len(data)] = data
         reader.filled(len(data))
-        *told, rank = parse_request(b"/svc/read", reader.message()[2], 1.0)
-        assert parse_plain_figures(data) == (rank, told[6], told[7])
+        *fields_read, rank = parse_request(b"/svc/read", reader.message()[2], 1.0)
+        assert parse_plain_figures(data) == (rank, fields_read[6], fields_read[7])
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -16,7 +16,7 @@
 from mulleinhatch.instance.protocol import http_peers, http_requests
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
+from mulleinhatch.instance.retry_storms.duplicate_detection import STABLE_COSTS_RETRIES
 from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
 from mulleinhatch.testing.fake_callers import Habits, Load, OpKind
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
@@ -213,7 +213,7 @@
     for one in (giver, peer):
         one.hands = True
         one.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
-    peer.storms.tries.steady = STEADY_ENOUGH
+    peer.storms.duplicates.stable_retries = STABLE_COSTS_RETRIES
     reads(giver, 10.0, 1, sent("00000000000000aa"), False)
     _, ref, op_type, tenant, body, age, left, *figures = handed_over(giver, 10.0, "00000000000000aa")
     pieces = http_peers.write_handover_request(
@@ -236,5 +236,5 @@
     """The errand by which it goes to a peer, as if the module had said so."""
     giver.errands = []
     giver.owed[ref].running = False
-    giver._do_hand(now, Decision(Verb.HAND, ref))
+    giver._do_hand_over(now, Decision(Verb.HAND_OVER, ref))
     return giver.errands[0]
