--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -78,6 +78,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the sub-command that the arguments name; return the exit status."""
     told = docopt(__doc__, argv)
     name = next(name for name in COMMANDS if told[name])
     return import_module(f"mulleinhatch.cli.instance.{name}").run(told)
