--- a/mulleinhatch/instance/deployment_settings.py
+++ b/mulleinhatch/instance/deployment_settings.py
@@ -11,112 +11,112 @@
 EFFECTS = {"safe": Effect.RETRYABLE, "keyed": Effect.KEYED, "unsafe": Effect.NON_RETRYABLE}
 
 
-def seconds(text: str) -> float:
+def seconds_from_ms(text: str) -> float:
     return float(text) / 1000.0
 
 
-def flag(text: str) -> bool:
+def parse_bool(text: str) -> bool:
     return text == "true"
 
 
-def whole(text: str) -> int:
+def parse_int(text: str) -> int:
     return int(float(text))
 
 
-Reading = dict[str, tuple[str, Callable[[str], Any]]]
+SettingsTable = dict[str, tuple[str, Callable[[str], Any]]]
 
-DEPLOYMENT: Reading = {
-    "family_info.cores": ("cores", whole),
-    "family_info.fresh_start": ("fresh_start", flag),
+DEPLOYMENT_SETTINGS: SettingsTable = {
+    "family_info.cores": ("cores", parse_int),
+    "family_info.fresh_start": ("fresh_start", parse_bool),
     "family_info.memory_kb": ("memory_kb", float),
     "family_info.run_factor": ("run_factor", float),
     "family_info.key_kb": ("key_kb", float),
-    "family_info.idle": ("longest_idle", seconds),
-    "family_info.callers": ("callers", whole),
+    "family_info.idle": ("longest_idle", seconds_from_ms),
+    "family_info.callers": ("callers", parse_int),
     "family_info.gauges": ("gauges", lambda text: text.split(",")),
     "family_info.calls_out": ("calls_share", float),
-    "family_info.calls_over": ("calls_window", seconds),
-    "family_info.stays_for": ("call_linger", seconds),
+    "family_info.calls_over": ("calls_window", seconds_from_ms),
+    "family_info.stays_for": ("call_linger", seconds_from_ms),
     "family_info.depends_on": ("shared_dependency", lambda text: text == "one_for_all"),
     "family_info.stop_mode": ("stop_mode", {mode.value: mode for mode in StopMode}.get),
     "family_info.say": ("advice", {advice.value: advice for advice in Advice}.get),
-    "rules.cold": ("cold_for", seconds),
+    "rules.cold": ("cold_for", seconds_from_ms),
     "rules.cold_from": ("cold_speed", float),
-    "rules.drain_grace": ("drain_grace", seconds),
+    "rules.drain_grace": ("drain_grace", seconds_from_ms),
     "rules.tip_multiple": ("crowd_per_core", float),
-    "limits.retry_after": ("hold_off_allowed", flag),
-    "limits.max_retry_after": ("max_hold_off", seconds),
-    "servers": ("instances", whole),
-    "tick": ("tick", seconds),
+    "limits.retry_after": ("hold_off_allowed", parse_bool),
+    "limits.max_retry_after": ("max_hold_off", seconds_from_ms),
+    "servers": ("instances", parse_int),
+    "tick": ("tick", seconds_from_ms),
 }
-OP_TYPE: Reading = {
-    "aim": ("target_latency", seconds),
-    "deadline": ("op_timeout", seconds),
+REQUEST_TYPE_SETTINGS: SettingsTable = {
+    "aim": ("target_latency", seconds_from_ms),
+    "deadline": ("op_timeout", seconds_from_ms),
     "effect": ("effect", EFFECTS.get),
     "late_worth": ("late_worth", float),
-    "memory_span": ("repeat_window", seconds),
+    "memory_span": ("repeat_window", seconds_from_ms),
     "worth": ("importance", float),
 }
-OP_TYPE_LISTS: Reading = {
-    "family_info.class_calls": ("calls_below", flag),
+REQUEST_TYPE_LISTS: SettingsTable = {
+    "family_info.class_calls": ("calls_below", parse_bool),
     "family_info.degraded_worth": ("degraded_worth", float),
 }
-TENANT: Reading = {"fraction": ("fraction", float), "quota_per_s": ("quota_per_s", float)}
+TENANT_SETTINGS: SettingsTable = {"fraction": ("fraction", float), "quota_per_s": ("quota_per_s", float)}
 
 
-def told(pairs: dict[str, str], reading: Reading, prefix: str = "") -> dict[str, Any]:
-    """The pairs that `reading` knows, under our names.
+def read_settings(pairs: dict[str, str], table: SettingsTable, prefix: str = "") -> dict[str, Any]:
+    """The pairs that `table` knows, under our names.
 
-    >>> told({"tick": "2.0", "novel": "1"}, {"tick": ("tick", seconds), "servers": ("instances", whole)})
+    >>> read_settings({"tick": "2.0", "novel": "1"}, {"tick": ("tick", seconds_from_ms), "servers": ("instances", parse_int)})
     {'tick': 0.002}
     """
     values = {
-        name: value(read, pairs[prefix + path], prefix + path)
-        for path, (name, read) in reading.items()
+        name: convert_setting(convert, pairs[prefix + path], prefix + path)
+        for path, (name, convert) in table.items()
         if prefix + path in pairs
     }
     return {name: value for name, value in values.items() if value is not None}
 
 
-def pairs_of_lines(profile: str) -> dict[str, str]:
+def split_profile_lines(profile: str) -> dict[str, str]:
     return dict(line.split("=", 1) for line in profile.splitlines() if "=" in line)
 
 
-def pairs_of_tree(tree: Any, path: str = "") -> dict[str, str]:
+def flatten_settings(tree: Any, path: str = "") -> dict[str, str]:
     """The same pairs out of nested JSON, so that both hosts read one form.
 
-    >>> pairs_of_tree({"a": {"b": True, "c": ["x", 2.5]}, "d": [{"e": 1}]})
+    >>> flatten_settings({"a": {"b": True, "c": ["x", 2.5]}, "d": [{"e": 1}]})
     {'a.b': 'true', 'a.c': 'x,2.5', 'd.count': '1', 'd.0.e': '1'}
     """
     if isinstance(tree, list) and any(isinstance(item, (dict, list)) for item in tree):
-        tree = {"count": len(tree), **{str(place): item for place, item in enumerate(tree)}}
+        tree = {"count": len(tree), **{str(index): item for index, item in enumerate(tree)}}
     if isinstance(tree, dict):
         dot = path + "." if path else ""
-        return {name: text for key, item in tree.items() for name, text in pairs_of_tree(item, dot + key).items()}
-    return {path: ",".join(map(word, tree)) if isinstance(tree, list) else word(tree)}
+        return {name: text for key, item in tree.items() for name, text in flatten_settings(item, dot + key).items()}
+    return {path: ",".join(map(format_setting, tree)) if isinstance(tree, list) else format_setting(tree)}
 
 
-def word(value: Any) -> str:
+def format_setting(value: Any) -> str:
     return str(value).lower() if isinstance(value, bool) else "" if value is None else str(value)
 
 
-def value(read: Callable[[str], Any], text: str, path: str) -> Any:
+def convert_setting(convert: Callable[[str], Any], text: str, path: str) -> Any:
     try:
-        found = read(text)
-        if isinstance(found, float) and not math.isfinite(found):
+        converted = convert(text)
+        if isinstance(converted, float) and not math.isfinite(converted):
             raise ValueError
-        return found
+        return converted
     except (ValueError, OverflowError):
         raise ValueError(f"{path}: {text!r} can't be read") from None
 
 
-def deployment(pairs: dict[str, str]) -> Deployment:
-    facts = told(pairs, DEPLOYMENT)
-    for name, path, reading in (("op_types", "classes", OP_TYPE), ("tenants", "tenants", TENANT)):
-        count = value(whole, pairs.get(f"{path}.count", "0"), f"{path}.count")
-        facts[name] = [told(pairs, reading, f"{path}.{place}.") for place in range(count)]
-    for path, (name, read) in OP_TYPE_LISTS.items():
-        for op_type, text in zip(facts["op_types"], pairs.get(path, "").split(",")):
+def parse_deployment(pairs: dict[str, str]) -> Deployment:
+    values = read_settings(pairs, DEPLOYMENT_SETTINGS)
+    for name, path, table in (("op_types", "classes", REQUEST_TYPE_SETTINGS), ("tenants", "tenants", TENANT_SETTINGS)):
+        count = convert_setting(parse_int, pairs.get(f"{path}.count", "0"), f"{path}.count")
+        values[name] = [read_settings(pairs, table, f"{path}.{index}.") for index in range(count)]
+    for path, (name, convert) in REQUEST_TYPE_LISTS.items():
+        for request_type, text in zip(values["op_types"], pairs.get(path, "").split(",")):
             if text:
-                op_type[name] = value(read, text, path)
-    return Deployment(**facts)
+                request_type[name] = convert_setting(convert, text, path)
+    return Deployment(**values)
--- a/mulleinhatch/instance/protocol/http_requests.py
+++ b/mulleinhatch/instance/protocol/http_requests.py
@@ -69,11 +69,11 @@
 class RequestReader:
     """Parser of the requests of one connection, one after another in one buffer.
 
-    The transport reads into `room()`, reports the count by `filled()` and takes requests from `message()`.
+    The transport reads into `free_space()`, reports the count by `filled()` and takes requests from `message()`.
 
     >>> reader = RequestReader()
     >>> def feed(data):
-    ...     reader.room()[:len(data)] = data
+    ...     reader.free_space()[:len(data)] = data
     ...     reader.filled(len(data))
     >>> feed(b"POST /svc/a HTTP/1.1\\r\\nX-Rank: 0.5\\r\\nContent-Le"); reader.message()
     >>> feed(b"ngth: 2\\r\\n\\r\\nhi\\r\\nGET"); reader.message()
@@ -83,25 +83,25 @@
     """
 
     def __init__(self) -> None:
-        self._hold(INITIAL_BUFFER_BYTES)
+        self._allocate(INITIAL_BUFFER_BYTES)
         self.end = self.searched = 0
 
-    def _hold(self, size: int) -> None:
+    def _allocate(self, size: int) -> None:
         self.buffer = bytearray(size)
         self.view = memoryview(self.buffer)
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Return the free part of the buffer; it is grown or shrunk first where that is due."""
         if self.end == len(self.buffer):
             begun = self.buffer
-            self._hold(MAX_HEAD_BYTES + MAX_BODY_BYTES)
+            self._allocate(MAX_HEAD_BYTES + MAX_BODY_BYTES)
             self.buffer[: self.end] = begun
         elif not self.end and len(self.buffer) > INITIAL_BUFFER_BYTES:
-            self._hold(INITIAL_BUFFER_BYTES)
+            self._allocate(INITIAL_BUFFER_BYTES)
         return self.view[self.end :]
 
     def filled(self, count: int) -> None:
-        """Record that `count` bytes were read into `room()`."""
+        """Record that `count` bytes were read into `free_space()`."""
         self.end += count
 
     def started(self) -> bool:
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -68,7 +68,7 @@
             raise http_grammar.BadRequestError("path", 404)
 
     def _blame(self, place: int, error: http_grammar.BadRequestError) -> int:
-        self.connections.blame(place)
+        self.connections.record_bad_request(place)
         self.count("bad_" + error.cause.replace(" ", "_"))
         LOG.debug("bad request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
@@ -90,7 +90,7 @@
 
     def turn_back(self, shed: bool) -> None:
         """Whether tries may be nacked before they are read in full."""
-        self.connections.turn_back = self._look if shed and self.turned_back else None
+        self.connections.early_answer = self._look if shed and self.turned_back else None
 
     def _look(self, place: int, now: float, data: bytes, back_at: float) -> tuple[bytes, float] | None:
         """The nack of a try that is turned back, and when its caller is told to come back. `back_at` is when the
@@ -114,7 +114,7 @@
 
     def nack(self, place: int, hold_off: float, not_elsewhere: bool, level: float | None) -> None:
         if hold_off > 0.0:
-            self.connections.told_back(place, time.monotonic() + hold_off)
+            self.connections.record_retry_time(place, time.monotonic() + hold_off)
         self._write(place, 503 if self.leaving else 429, level=level, hold_off=hold_off, not_elsewhere=not_elsewhere)
 
     def fail(self, place: int, level: float | None) -> None:
@@ -135,4 +135,4 @@
         last = place in self.closing
         self.closing.discard(place)
         pieces = http_responses.write_response(status, body, close=last or self.leaving, **fields)
-        self.count(f"answers_{status}" if self.connections.answer(place, pieces, last) else "answers_unsent")
+        self.count(f"answers_{status}" if self.connections.respond(place, pieces, last) else "answers_unsent")
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -13,7 +13,7 @@
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
+from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 LINKS_MOST = 64  # connections at a time: of the descriptors that are no callers'
@@ -22,7 +22,7 @@
 class Dependency:
     def __init__(self, host: str, port: int, take: Callable[..., None], count: Callable[[str], None]) -> None:
         self.at, self.take, self.count = f"{host}:{port}", take, count
-        self.peers = Peers(LINKS_MOST, http_peers.parse_dependency_response_head, time.monotonic)
+        self.peers = PeerConnections(LINKS_MOST, http_peers.parse_dependency_response_head, time.monotonic)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def call(self, ref: str, seconds: float, query: bytes) -> None:
@@ -34,7 +34,7 @@
         """However it ends, the run that waits for it hears of it, once."""
         ending, result, until = Ending.INTERRUPTED, b"", time.monotonic() + seconds
         try:
-            status, result = await self.peers.ask(
+            status, result = await self.peers.request(
                 self.at, http_peers.write_dependency_call(ref, query, 1000.0 * seconds, self.at), seconds
             )
             ending = Ending(status)
@@ -55,7 +55,7 @@
         self.at = f"{host}:{port}"
 
     def sweep(self) -> None:
-        self.peers.sweep()
+        self.peers.close_idle()
 
     def close(self) -> None:
         for task in self.tasks:
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -19,7 +19,7 @@
 from mulleinhatch.instance.runtime.caller_listener import HttpFront
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 from mulleinhatch.instance.runtime.interpreter_link import Interpreter
-from mulleinhatch.instance.transport.datagrams import Datagrams
+from mulleinhatch.instance.transport.datagrams import DatagramSender
 from mulleinhatch.invariants import BROKEN
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
             front.turned_back, front.level = self.reducer.turned_back, lambda: self.reducer.level
             front.connections.on_connected = self.reducer.connected
         self.interpreter = interpreter = Interpreter(*placement.interpreter, self.take, self.count)
-        self.datagrams = Datagrams()
+        self.datagrams = DatagramSender()
         self.tasks = Tasks(self.count, placement.seed)
         self.dependency: Dependency | None = None
         if placement.dependency:
@@ -164,7 +164,7 @@
     def _shut(self) -> None:
         if not self.stopped.is_set():
             asyncio.get_running_loop().call_later(SHUT_EVERY, self._shut)
-            self.front.connections.shut()
+            self.front.connections.shut_down()
 
     def _report(self) -> None:
         directory = self.placement.directory
@@ -190,7 +190,7 @@
                 await self.fleet.upkeep.listen()
             if self.fleet.spread:
                 self.errands[Errand.HAND], self.front.on_hand = self.fleet.spread.hand, self.fleet.spread.came
-        self.tasks.keep("link", self.interpreter.link.keep)
+        self.tasks.keep("link", self.interpreter.link.run)
         self.tasks.every("reports", REPORT_EVERY, self._report)
         self.tasks.every("sweep", SWEEP_EVERY, self._sweep)
         await self.stopped.wait()
@@ -237,8 +237,8 @@
         self.count("reloads")
         LOG.info("reloaded", extra={"fields": {"left_until_restart": ",".join(left)}})
         self.placement = self.placement._replace(**{key: getattr(new, key) for key in TAKEN_OVER})
-        self.front.connections.most = connections_held(new)
-        self.interpreter.link.move(*new.interpreter)
+        self.front.connections.max_connections = connections_held(new)
+        self.interpreter.link.change_address(*new.interpreter)
         if self.dependency and new.dependency:
             self.dependency.move(*new.dependency)
         self._report()
--- a/mulleinhatch/instance/runtime/instance_settings.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Deployment
-from mulleinhatch.instance.deployment_settings import deployment, pairs_of_tree
+from mulleinhatch.instance.deployment_settings import flatten_settings, parse_deployment
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 
 LOG = logging.getLogger(__name__)
@@ -86,7 +86,7 @@
     if not isinstance(settings, dict):
         raise InvalidSettingsError("settings: an object is wanted")
     try:
-        return deployment(pairs_of_tree(settings))
+        return parse_deployment(flatten_settings(settings))
     except ValueError as error:
         raise InvalidSettingsError(f"settings.{error}") from None
 
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -8,7 +8,7 @@
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import link
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.transport.link import Link
+from mulleinhatch.instance.transport.link import ReconnectingLink
 
 LOG = logging.getLogger(__name__)
 SPOILT_MOST = 1000
@@ -19,7 +19,7 @@
         self.take, self.count = take, count
         self.complained: set[str] = set()
         self.spoilt: set[str] = set()  # runs whose end came spoilt once
-        self.link = Link(host, port, on_open=lambda: take(Happening.LINK_OPENED), on_line=self.line, count=count)
+        self.link = ReconnectingLink(host, port, on_open=lambda: take(Happening.LINK_OPENED), on_line=self.line, count=count)
 
     def line(self, line: bytes) -> None:
         try:
@@ -89,7 +89,7 @@
         self.link.send(link.connect(last_notice))
 
     def renew(self) -> None:
-        self.link.renew()
+        self.link.reconnect()
 
     def run(self, ref: str, op_type: str, body: bytes) -> None:
         self.link.send(link.apply(ref, op_type, body))
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -16,7 +16,7 @@
 from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
+from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
@@ -39,7 +39,7 @@
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.take, self.send = reducer, take, send
         self.core = Spread(bounds, fleet, placement.seed, time.monotonic(), returns=True)
-        self.peers = Peers(bounds.links, http_peers.parse_response_head, time.monotonic)
+        self.peers = PeerConnections(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.told_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -79,7 +79,7 @@
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
         letters = self.core.beat(now, self._here())
-        self.peers.sweep()
+        self.peers.close_idle()
         self.tell(now)
         return letters
 
@@ -148,7 +148,7 @@
         )
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.ask(offer.at, pieces, wait or AT_MOST)
+            status, result = await self.peers.request(offer.at, pieces, wait or AT_MOST)
             ending = Ending.OK if status == 200 else Ending.FULL if status in UNRUN else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
--- a/mulleinhatch/instance/transport/datagrams.py
+++ b/mulleinhatch/instance/transport/datagrams.py
@@ -5,7 +5,7 @@
 import socket
 
 
-class Datagrams:
+class DatagramSender:
     def __init__(self) -> None:
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
--- a/mulleinhatch/instance/transport/peers.py
+++ b/mulleinhatch/instance/transport/peers.py
@@ -1,4 +1,4 @@
-"""Connections to peers, one request at a time on each, kept for the next one: bytes out, head and body in."""
+"""Connections to peers, one request at a time on each, kept open for the next one: bytes out, head and body in."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from mulleinhatch.instance.transport.stream import GatheringStream
 
-CONNECT_WAIT = 0.5  # seconds: a peer that is gone may not answer at all, and the op has little time
-MOST_HEAD = 8192
-IDLE_KEPT = 5.0  # seconds
-MOST_INTERIM = 8  # answers that only announce another one
+CONNECT_TIMEOUT_S = 0.5  # seconds: a peer that is gone may not answer at all, and the op has little time
+MAX_HEAD_BYTES = 8192
+MAX_IDLE_S = 5.0  # seconds
+MAX_INTERIM_RESPONSES = 8  # answers that only announce another one
 
 
 class ConnectFailedError(OSError):
@@ -24,58 +24,65 @@
     """The request may have been read, and what became of it is not known."""
 
 
-class Peers:
+class PeerConnections:
     """`told` reads a head: status, length of the body, whether the connection closes; ValueError where it is none."""
 
-    def __init__(self, most: int, told: Callable[[bytes], tuple[int, int, bool]], clock: Callable[[], float]) -> None:
-        self.most, self.told, self.clock = most, told, clock
+    def __init__(
+        self, max_per_peer: int, parse_head: Callable[[bytes], tuple[int, int, bool]], clock: Callable[[], float]
+    ) -> None:
+        self.max_per_peer, self.parse_head, self.clock = max_per_peer, parse_head, clock
         self.idle: dict[str, list[tuple[float, GatheringStream]]] = {}
         self.open: dict[str, int] = {}
 
-    async def ask(self, address: str, pieces: Sequence[bytes], within: float) -> tuple[int, bytes]:
+    async def request(self, address: str, chunks: Sequence[bytes], timeout_s: float) -> tuple[int, bytes]:
         """Status and body. Unreached or BrokenOff where there is none in time."""
-        until = self.clock() + within
-        stream = await self._connected(address, min(CONNECT_WAIT, within))
-        keep = False
+        deadline = self.clock() + timeout_s
+        stream = await self._acquire(address, min(CONNECT_TIMEOUT_S, timeout_s))
+        is_reusable = False
         try:
-            stream.write_gathered(pieces)
-            status, length, last = await self._head(stream, until)
-            body = await asyncio.wait_for(stream.read_bytes(length), until - self.clock()) if length else b""
-            if stream.has_more():
+            stream.write_gathered(chunks)
+            status, length, closes = await self._read_head(stream, deadline)
+            body = await asyncio.wait_for(stream.read_bytes(length), deadline - self.clock()) if length else b""
+            if stream.has_buffered():
                 # Nothing else was asked for: its length is wrong, or the bytes before it were not its own.
                 raise ConnectionLostError("more came than one answer")
-            keep = not last
+            is_reusable = not closes
             return status, body
         except (TimeoutError, OSError, StreamClosedError, UnsatisfiableReadError, ValueError) as error:
             raise ConnectionLostError(str(error)) from None
         finally:
-            self._done(address, stream, keep)
+            self._release(address, stream, is_reusable)
 
-    async def _head(self, stream: GatheringStream, until: float) -> tuple[int, int, bool]:
+    async def _read_head(self, stream: GatheringStream, deadline: float) -> tuple[int, int, bool]:
         """Of the answer itself: interim ones before it say nothing that counts here."""
-        for _ in range(MOST_INTERIM):
-            head = await asyncio.wait_for(stream.read_until(b"\r\n\r\n", max_bytes=MOST_HEAD), until - self.clock())
-            told = self.told(head)
-            if not 100 <= told[0] < 200:
-                return told
+        for _ in range(MAX_INTERIM_RESPONSES):
+            head = await asyncio.wait_for(stream.read_until(b"\r\n\r\n", max_bytes=MAX_HEAD_BYTES), deadline - self.clock())
+            parsed = self.parse_head(head)
+            if not 100 <= parsed[0] < 200:
+                return parsed
         raise ConnectionLostError("one interim answer after another")
 
-    async def _connected(self, address: str, within: float) -> GatheringStream:
+    async def _acquire(self, address: str, timeout_s: float) -> GatheringStream:
         """A kept one that the peer has not closed meanwhile, else a new one."""
-        kept = self.idle.get(address, [])
-        while kept:
-            since, stream = kept.pop()
+        idle = self.idle.get(address, [])
+        while idle:
+            since, stream = idle.pop()
             # Something to read where nothing was asked is an end, or no peer of ours: a request written there is lost.
-            if not stream.closed() and not stream.has_more() and self.clock() - since < IDLE_KEPT and not self._ended(stream):
+            if (
+                not stream.closed()
+                and not stream.has_buffered()
+                and self.clock() - since < MAX_IDLE_S
+                and not self._has_input_or_end(stream)
+            ):
                 return stream
             self._close(address, stream)
-        if self.open.get(address, 0) >= self.most:
+        if self.open.get(address, 0) >= self.max_per_peer:
             raise ConnectFailedError("as many connections as are kept to a peer are in use")
         self.open[address] = self.open.get(address, 0) + 1
         stream = GatheringStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         host, _, port = address.rpartition(":")
         try:
-            await asyncio.wait_for(stream.connect((host, int(port))), within)
+            await asyncio.wait_for(stream.connect((host, int(port))), timeout_s)
         except BaseException as error:
             self._close(address, stream)
             if isinstance(error, TimeoutError | OSError | StreamClosedError):
@@ -84,7 +91,7 @@
         return stream
 
     @staticmethod
-    def _ended(stream: GatheringStream) -> bool:
+    def _has_input_or_end(stream: GatheringStream) -> bool:
         try:
             stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -93,8 +100,8 @@
             pass
         return True
 
-    def _done(self, address: str, stream: GatheringStream, keep: bool) -> None:
-        if keep and not stream.closed():
+    def _release(self, address: str, stream: GatheringStream, is_reusable: bool) -> None:
+        if is_reusable and not stream.closed():
             self.idle.setdefault(address, []).append((self.clock(), stream))
         else:
             self._close(address, stream)
@@ -106,16 +113,16 @@
             del self.open[address]
             self.idle.pop(address, None)
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Ends what was not used for a while."""
-        for address, kept in list(self.idle.items()):
-            old = [stream for since, stream in kept if self.clock() - since >= IDLE_KEPT or stream.closed()]
-            self.idle[address] = [(since, stream) for since, stream in kept if stream not in old]
+        for address, idle in list(self.idle.items()):
+            old = [stream for since, stream in idle if self.clock() - since >= MAX_IDLE_S or stream.closed()]
+            self.idle[address] = [(since, stream) for since, stream in idle if stream not in old]
             for stream in old:
                 self._close(address, stream)
 
     def close(self) -> None:
-        for kept in list(self.idle.values()):
-            for _, stream in kept:
+        for idle in list(self.idle.values()):
+            for _, stream in idle:
                 stream.close()
         self.idle.clear()
--- a/mulleinhatch/instance/transport/stream.py
+++ b/mulleinhatch/instance/transport/stream.py
@@ -11,15 +11,15 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-CHUNK = 8192  # read at once where no buffer is given: each read makes a new one, and clears it
-RESET = 7  # the state of a TCP socket whose peer reset it, first byte of TCP_INFO
+READ_CHUNK_BYTES = 8192  # read at once where no buffer is given: each read makes a new one, and clears it
+TCP_CLOSE_STATE = 7  # the state of a TCP socket whose peer reset it, first byte of TCP_INFO
 
 
 class GatheringStream(IOStream):
     def __init__(self, sock: socket.socket) -> None:
-        super().__init__(sock, read_chunk_size=CHUNK)
+        super().__init__(sock, read_chunk_size=READ_CHUNK_BYTES)
         self.parked = self.was_parked = False
-        self.doorman: Callable[[], bool] | None = None
+        self.read_interceptor: Callable[[], bool] | None = None
         self.set_nodelay(True)
 
     def park(self) -> None:
@@ -43,7 +43,7 @@
         """The loop stops watching a parked stream only when something comes: few peers send ahead, and two
         system calls for each op would be much of what it costs."""
         if not self.parked or not events & IOLoop.READ:
-            if self.doorman and events == IOLoop.READ and self.doorman():
+            if self.read_interceptor and events == IOLoop.READ and self.read_interceptor():
                 return  # what came is answered already; the read that waits goes on waiting
             super()._handle_events(fd, events)
             return
@@ -53,7 +53,7 @@
             self._add_io_state(IOLoop.WRITE)
 
     def was_reset(self) -> bool:
-        return struct.unpack("B", self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1))[0] == RESET
+        return struct.unpack("B", self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1))[0] == TCP_CLOSE_STATE
 
     def has_unread(self) -> bool:
         """Bytes that came and were not read yet: a close would lose them, and be a reset. One that is closed
@@ -65,48 +65,48 @@
         except OSError:
             return False
 
-    def has_more(self) -> bool:
+    def has_buffered(self) -> bool:
         """Bytes that were read from the socket, and asked for by nobody yet."""
         return self._read_buffer_size > 0
 
-    def end_writing(self) -> None:
+    def shut_down_writing(self) -> None:
         """The peer sees an end behind the last answer, while what it still sends can be read. What the socket had no
         room for yet leaves before: an end in the middle of an answer would cut it."""
         if self.closed():
             return
         if self.writing():
-            self.write(b"").add_done_callback(lambda done: done.exception() or self.end_writing())
+            self.write(b"").add_done_callback(lambda done: done.exception() or self.shut_down_writing())
             return
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
 
-    def write_at_once(self, words: bytes) -> None:
+    def write_immediately(self, response: bytes) -> None:
         """A short answer to one that waits, on a stream that writes nothing else; its end is no error of ours."""
         try:
-            sent = self.socket.send(words)
+            sent = self.socket.send(response)
         except BlockingIOError:
             sent = 0
         except OSError as error:
             self.close(exc_info=error)
             return
-        if sent < len(words):
-            self.write(words[sent:])
+        if sent < len(response):
+            self.write(response[sent:])
 
-    def write_gathered(self, pieces: Sequence[bytes]) -> None:
-        """The pieces leave in one system call without being joined; IOStream's own buffer takes only what the
+    def write_gathered(self, chunks: Sequence[bytes]) -> None:
+        """The chunks leave in one system call without being joined; IOStream's own buffer takes only what the
         socket has no room for, and all of it while older bytes wait there."""
         if self.closed():
             raise StreamClosedError(self.error)
         sent = 0
         if not self.writing():
             try:
-                sent = self.socket.sendmsg(pieces)
+                sent = self.socket.sendmsg(chunks)
             except BlockingIOError:
                 pass
             except OSError as error:
                 self.close(exc_info=error)
                 raise StreamClosedError(error) from None
-        for piece in pieces:
-            if sent < len(piece):
-                self.write(piece[sent:])
-            sent = max(0, sent - len(piece))
+        for chunk in chunks:
+            if sent < len(chunk):
+                self.write(chunk[sent:])
+            sent = max(0, sent - len(chunk))
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -8,7 +8,7 @@
 
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Decision, Verb
-from mulleinhatch.instance.deployment_settings import deployment, pairs_of_lines
+from mulleinhatch.instance.deployment_settings import parse_deployment, split_profile_lines
 
 BATCH = struct.Struct(">IdI")
 REPLY = struct.Struct(">III")
@@ -98,7 +98,7 @@
     @staticmethod
     def create(profile: bytes, seed: int, now: float, place: int) -> AdmissionController:
         try:
-            facts = deployment(pairs_of_lines(profile.decode()))
+            facts = parse_deployment(split_profile_lines(profile.decode()))
         except ValueError as error:
             raise MalformedFrameError(f"unreadable opening pairs at byte {place}: {error}") from None
         return AdmissionController(facts, seed, now)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,7 +31,7 @@
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
 from mulleinhatch.instance.transport import connections as transport
 from mulleinhatch.instance.transport.connections import Connection, Connections
-from mulleinhatch.instance.transport.link import CONNECT_WAIT, Link
+from mulleinhatch.instance.transport.link import CONNECT_TIMEOUT_S, ReconnectingLink
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http_grammar
 from standins import SocketPlay, told_at_start
@@ -64,14 +64,14 @@
 
     def message(self, number: int, *_: object) -> None:
         self.heard.append(number)
-        self.connections.answer(number, http_responses.write_response(200, b"ok"))
+        self.connections.respond(number, http_responses.write_response(200, b"ok"))
 
     def broken(self, number: int, _: ValueError) -> None:
-        self.connections.answer(number, http_responses.write_response(400), last=True)
+        self.connections.respond(number, http_responses.write_response(400), is_last=True)
 
     def too_late(self, number: int) -> None:
         self.late.append(number)
-        self.connections.answer(number, http_responses.write_response(408, self.body, close=True), last=True)
+        self.connections.respond(number, http_responses.write_response(408, self.body, close=True), is_last=True)
 
     def caller(self, receive: int = 0) -> socket.socket:
         sock = socket.socket()
@@ -127,25 +127,25 @@
 
 
 def trimmed(place: Place) -> None:
-    place.connections.sweep(longest_idle=-1.0)
+    place.connections.sweep(max_idle_s=-1.0)
 
 
 def silent(place: Place) -> None:
-    place.now = transport.FIRST_WAIT + 1.0
-    place.connections.sweep(longest_idle=1e9)
+    place.now = transport.FIRST_MESSAGE_TIMEOUT_S + 1.0
+    place.connections.sweep(max_idle_s=1e9)
 
 
 def evicted(place: Place) -> None:
-    place.connections._end_spare()
+    place.connections._evict_one()
 
 
 def lowered(place: Place) -> None:
-    place.connections.most = 0
-    place.connections.sweep(longest_idle=1e9)
+    place.connections.max_connections = 0
+    place.connections.sweep(max_idle_s=1e9)
 
 
 def shut(place: Place) -> None:
-    place.connections.shut()
+    place.connections.shut_down()
 
 
 @pytest.mark.parametrize("end", [trimmed, silent, evicted, lowered, shut])
@@ -195,7 +195,7 @@
     async def cross() -> None:
         place = Place()
         caller, _ = await half_a_line(place)
-        place.connections.shut()
+        place.connections.shut_down()
         caller.send(CHECK[9:])  # the rest of it is read, and not run
         assert (await read_to_end(caller)).startswith(b"HTTP/1.1 408") and place.heard == []
         caller.close()
@@ -209,8 +209,8 @@
         place.body = bytes(3_000_000)
         caller, connection = await half_a_line(place, receive=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        place.now = transport.MESSAGE_WAIT + 1.0
-        place.connections.sweep(longest_idle=1e9)
+        place.now = transport.MESSAGE_TIMEOUT_S + 1.0
+        place.connections.sweep(max_idle_s=1e9)
         assert place.late and connection.stream.writing()
         place.now = 0.0
         assert len(await read_to_end(caller)) > len(place.body)
@@ -224,11 +224,11 @@
         place = Place()
         quiet, loud = place.caller(), place.caller()
         await place.taken(2)
-        place.connections.shut()
+        place.connections.shut_down()
         loud.send(CHECK)
         await asyncio.sleep(0)
         assert len(place.connections.open) == 2
-        place.now = transport.LINGER + 1.0
+        place.now = transport.LINGER_TIMEOUT_S + 1.0
         await until(lambda: place.connections.sweep(1e9) or not place.connections.open)
         assert place.heard == []
         quiet.close()
@@ -254,14 +254,14 @@
         callers = [place.caller() for _ in range(20)]
         for caller in callers:
             caller.send(CHECK)  # accepted by the system, not by us: the loop has not run
-        place.connections.shut()
+        place.connections.shut_down()
         with pytest.raises(ConnectionRefusedError):
             place.caller()
         for caller in callers:
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
         assert len(place.heard) == 20
-        place.connections.shut()  # again, as until the stop
+        place.connections.shut_down()  # again, as until the stop
 
     run(cross())
 
@@ -272,7 +272,7 @@
         asyncio.get_running_loop().set_exception_handler(lambda _, context: failed.append(context))
         listener = place.connections.listeners[0]
         place.connections._pause_listening(listener)
-        place.connections.shut()
+        place.connections.shut_down()
         place.connections._resume_listening(listener)
         await asyncio.sleep(0)
         assert not failed
@@ -336,12 +336,12 @@
         later = place.caller()
         later.send(CHECK)
         for number in list(place.heard):
-            place.connections.answer(number, http_responses.write_response(200), last=True)
+            place.connections.respond(number, http_responses.write_response(200), is_last=True)
         for caller in callers:
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
         await until(lambda: len(place.heard) == 6)
-        place.connections.answer(place.heard[5], http_responses.write_response(200))
+        place.connections.respond(place.heard[5], http_responses.write_response(200))
         assert (await asyncio.get_running_loop().sock_recv(later, 4096)).startswith(b"HTTP/1.1 200")
         later.close()
 
@@ -356,8 +356,8 @@
 
         def bad(number: int, *_: object) -> None:
             place.heard.append(number)
-            place.connections.blame(number)
-            place.connections.answer(number, http_responses.write_response(404))
+            place.connections.record_bad_request(number)
+            place.connections.respond(number, http_responses.write_response(404))
 
         place.connections.on_message = bad
         bads = [place.caller() for _ in range(8)]
@@ -365,7 +365,7 @@
             caller.send(200 * CHECK)
         await until(lambda: all(place.heard.count(number) for number in range(1, 9)))
         for connection in place.connections.open.values():
-            connection.blamed = transport.BLAMED_MOST
+            connection.bad_request_count = transport.MAX_BAD_REQUESTS
         place.connections.on_message = place.message
         good = place.caller()
         good.send(CHECK)
@@ -381,17 +381,17 @@
 
     rooms = 0
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         self.rooms += 1
         assert self.rooms < 100, "it goes round without a wait"
-        return super().room()
+        return super().free_space()
 
 
 class Full(Counted):
     """Waits for more, and has no room for it."""
 
-    def room(self) -> memoryview:
-        return super().room()[:0]
+    def free_space(self) -> memoryview:
+        return super().free_space()[:0]
 
 
 @pytest.mark.parametrize(
@@ -532,11 +532,11 @@
         writer.close()
 
 
-def linked(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[Link, Tasks, Counter[str]]:
+def linked(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[ReconnectingLink, Tasks, Counter[str]]:
     counts: Counter[str] = Counter()
-    link = Link("127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda what: counts.update([what]))
+    link = ReconnectingLink("127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda what: counts.update([what]))
     tasks = Tasks(lambda what: counts.update([what]), 1)
-    tasks.keep("link", link.keep)
+    tasks.keep("link", link.run)
     return link, tasks, counts
 
 
@@ -546,8 +546,8 @@
         ports = [await far.listen() for far in (first, second, third)]
         link, tasks, _ = linked(ports[0])
         await until(lambda: link.stream)
-        link.move("127.0.0.1", ports[1])
-        link.successor.add_done_callback(lambda _: link.move("127.0.0.1", ports[2]))
+        link.change_address("127.0.0.1", ports[1])
+        link.successor.add_done_callback(lambda _: link.change_address("127.0.0.1", ports[2]))
         await until(lambda: third.links)
         await until(lambda: link.stream and link.stream.socket.getpeername()[1] == ports[2])
         tasks.cancel()
@@ -567,13 +567,13 @@
                 filler.connect_ex(deaf.getsockname())
                 fillers.append(filler)
             link, tasks, _ = linked(deaf.getsockname()[1])
-            await until(lambda: link.connecting)
+            await until(lambda: link.pending_stream)
             await asyncio.sleep(0.05)
             assert link.stream is None
             started = time.monotonic()
-            link.move("127.0.0.1", port)
+            link.change_address("127.0.0.1", port)
             await until(lambda: link.stream and link.stream.socket.getpeername()[1] == port)
-            assert time.monotonic() - started < 0.5 * CONNECT_WAIT
+            assert time.monotonic() - started < 0.5 * CONNECT_TIMEOUT_S
             tasks.cancel()
             for filler in fillers:
                 filler.close()
@@ -587,7 +587,7 @@
         port = await far.listen()
         link, tasks, counts = linked(port)
         await until(lambda: link.stream)
-        link.move("127.0.0.1", port)
+        link.change_address("127.0.0.1", port)
         await asyncio.sleep(0.05)
         assert link.successor is None and counts["link_opened"] == 1
         tasks.cancel()
@@ -769,7 +769,7 @@
                 caller = place.caller()
                 await place.taken()
                 shut_one = next(iter(place.connections.open.values()))
-                place.connections._end(shut_one, "connections_trimmed")
+                place.connections._half_close(shut_one, "connections_trimmed")
                 caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 caller.close()
                 await until(lambda: not place.connections.open)
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -148,7 +148,7 @@
         draw.shuffle(head)
         data = b"POST /svc/read HTTP/1.1\r\n" + b"\r\n".join(head) + b"\r\nContent-Length: 16\r\n\r\n\r\nX-Rank: 0.99\r\n"
         reader = RequestReader()
-        reader.room()[: len(data)] = data
+        reader.free_space()[: len(data)] = data
         reader.filled(len(data))
         *told, rank = parse_request(b"/svc/read", reader.message()[2], 1.0)
         assert parse_plain_figures(data) == (rank, told[6], told[7])
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -207,7 +207,7 @@
     for cut in range(len(text) + 1):
         reader, found = RequestReader(), []
         for piece in (text[:cut], text[cut:]):
-            reader.room()[: len(piece)] = piece
+            reader.free_space()[: len(piece)] = piece
             reader.filled(len(piece))
             while message := reader.message():
                 found.append((message[1], message[3]))
@@ -229,7 +229,7 @@
         text = words + (length - len(words) - len(HEAD_END)) * b"a" + HEAD_END + MAX_BODY_BYTES * b"b"
         reader, found, most = RequestReader(), None, first
         while text and not found:
-            room = reader.room()
+            room = reader.free_space()
             assert room, f"waits for more of a head of {length}, and has no room"
             count = min(most, len(room), len(text))
             room[:count], text, most = text[:count], text[count:], len(room)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -123,7 +123,7 @@
     )
     reader = http_requests.RequestReader()
     data = b"".join(pieces)
-    reader.room()[: len(data)] = data
+    reader.free_space()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
     ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank = http_requests.parse_request(path, fields, 1e9 + 0.5)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -211,7 +211,7 @@
             continue
         believed += 1
         reader = RequestReader()
-        reader.room()[: len(data)] = data
+        reader.free_space()[: len(data)] = data
         reader.filled(len(data))
         try:
             _, path, fields, body = reader.message()
