--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -28,20 +28,21 @@
             most,
             http_requests.RequestReader,
             time.monotonic,
-            on_message=self.request,
-            on_broken=self.broken,
-            on_late=self.late,
-            on_lost=self.lost,
-            count=count,
+            observer=self,
         )
         self.closing: set[int] = set()  # places whose caller asked that the connection be closed
         self.leaving = False
         self.turned_back: Callable[..., float | None] | None = None
         self.level: Callable[[], float | None] = lambda: None
         self.on_hand: Callable[[bytes], None] | None = None  # told of an op that came from a peer, by its offer
+        self.on_connected: Callable[[], None] | None = None
         self.fleet: Callable[[], bytes] | None = None  # what is known of the others, as JSON
 
-    def request(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def on_connection_accepted(self) -> None:
+        if self.on_connected:
+            self.on_connected()
+
+    def on_message(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         if fields.get(b"connection", b"").lower() == b"close":
             self.closing.add(place)
         try:
@@ -73,15 +74,15 @@
         LOG.debug("bad request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
 
-    def broken(self, place: int, error: http_grammar.BadRequestError) -> None:
+    def on_malformed_message(self, place: int, error: http_grammar.BadRequestError) -> None:
         """Where the next request would begin is not known: the connection ends with this answer."""
         self.closing.add(place)
         self._write(place, self._blame(place, error))
 
-    def late(self, place: int) -> None:
-        self.broken(place, http_grammar.BadRequestError("slow sender", 408))
+    def on_slow_message(self, place: int) -> None:
+        self.on_malformed_message(place, http_grammar.BadRequestError("slow sender", 408))
 
-    def lost(self, place: int) -> None:
+    def on_connection_lost(self, place: int) -> None:
         self.closing.discard(place)
         self.take(Happening.CALLER_LOST, place)
 
@@ -90,19 +91,19 @@
 
     def turn_back(self, shed: bool) -> None:
         """Whether tries may be nacked before they are read in full."""
-        self.connections.early_answer = self._look if shed and self.turned_back else None
+        self.connections.set_early_answers(bool(shed and self.turned_back))
 
-    def _look(self, place: int, now: float, data: bytes, back_at: float) -> tuple[bytes, float] | None:
-        """The nack of a try that is turned back, and when its caller is told to come back. `back_at` is when the
+    def answer_early(self, place: int, now: float, data: bytes, retry_at: float) -> tuple[bytes, float] | None:
+        """The nack of a try that is turned back, and when its caller is told to come back. `retry_at` is when the
         connection's last answer told it to; who never heard of such a time is neither punctual nor stubborn."""
         told = None if self.leaving else http_requests.parse_plain_request(data)
         if told is None:
             return None
-        soon = now < back_at - PUNCTUAL
+        soon = now < retry_at - PUNCTUAL
         seconds = self.turned_back(
             now,
             *told,
-            punctual=back_at > 0.0 and not soon,
+            punctual=retry_at > 0.0 and not soon,
             stubborn=soon,
             place=place,
             figures=partial(http_requests.parse_plain_figures, data),
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -64,7 +64,7 @@
         self.front = front = HttpFront(connections_held(placement), self.take, self.count, self.counters)
         if placement.storms:
             front.turned_back, front.level = self.reducer.turned_back, lambda: self.reducer.level
-            front.connections.on_connected = self.reducer.connected
+            front.on_connected = self.reducer.connected
         self.interpreter = interpreter = Interpreter(*placement.interpreter, self.take, self.count)
         self.datagrams = DatagramSender()
         self.tasks = Tasks(self.count, placement.seed)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -29,9 +29,11 @@
 from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.runtime.background_tasks import Tasks
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
-from mulleinhatch.instance.transport import connections as transport
-from mulleinhatch.instance.transport.connections import Connection, Connections
+from mulleinhatch.instance.transport import limits
+from mulleinhatch.instance.transport.connection import Connection
+from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.link import CONNECT_TIMEOUT_S, ReconnectingLink
+from mulleinhatch.instance.transport.observer import ConnectionObserver
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http_grammar
 from standins import SocketPlay, told_at_start
@@ -41,7 +43,7 @@
 CHECK = b"GET /status/live HTTP/1.1\r\n\r\n"
 
 
-class Place:
+class Place(ConnectionObserver):
     """Connections on loopback whose messages are kept, and answered when the test says so."""
 
     def __init__(self, most: int = 100) -> None:
@@ -53,23 +55,22 @@
             most,
             http_requests.RequestReader,
             lambda: time.monotonic() + self.now,
-            on_message=self.message,
-            on_broken=self.broken,
-            on_late=self.too_late,
-            on_lost=lambda _: None,
-            count=lambda what: self.counts.update([what]),
+            observer=self,
         )
         self.port = self.connections.listen("127.0.0.1", 0)
         self.body = b""
 
-    def message(self, number: int, *_: object) -> None:
+    def count(self, counter: str) -> None:
+        self.counts.update([counter])
+
+    def on_message(self, number: int, *_: object) -> None:
         self.heard.append(number)
         self.connections.respond(number, http_responses.write_response(200, b"ok"))
 
-    def broken(self, number: int, _: ValueError) -> None:
+    def on_malformed_message(self, number: int, _: ValueError) -> None:
         self.connections.respond(number, http_responses.write_response(400), is_last=True)
 
-    def too_late(self, number: int) -> None:
+    def on_slow_message(self, number: int) -> None:
         self.late.append(number)
         self.connections.respond(number, http_responses.write_response(408, self.body, close=True), is_last=True)
 
@@ -131,7 +132,7 @@
 
 
 def silent(place: Place) -> None:
-    place.now = transport.FIRST_MESSAGE_TIMEOUT_S + 1.0
+    place.now = limits.FIRST_MESSAGE_TIMEOUT_S + 1.0
     place.connections.sweep(max_idle_s=1e9)
 
 
@@ -209,7 +210,7 @@
         place.body = bytes(3_000_000)
         caller, connection = await half_a_line(place, receive=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        place.now = transport.MESSAGE_TIMEOUT_S + 1.0
+        place.now = limits.MESSAGE_TIMEOUT_S + 1.0
         place.connections.sweep(max_idle_s=1e9)
         assert place.late and connection.stream.writing()
         place.now = 0.0
@@ -228,7 +229,7 @@
         loud.send(CHECK)
         await asyncio.sleep(0)
         assert len(place.connections.open) == 2
-        place.now = transport.LINGER_TIMEOUT_S + 1.0
+        place.now = limits.LINGER_TIMEOUT_S + 1.0
         await until(lambda: place.connections.sweep(1e9) or not place.connections.open)
         assert place.heard == []
         quiet.close()
@@ -270,10 +271,10 @@
     async def cross() -> None:
         place, failed = Place(), []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: failed.append(context))
-        listener = place.connections.listeners[0]
-        place.connections._pause_listening(listener)
+        listener = place.connections.listener.sockets[0]
+        place.connections.listener._pause(listener)
         place.connections.shut_down()
-        place.connections._resume_listening(listener)
+        place.connections.listener._resume(listener)
         await asyncio.sleep(0)
         assert not failed
 
@@ -295,8 +296,8 @@
     async def cross() -> None:
         place, listener = Place(), Listener()
         paused = []
-        place.connections._pause_listening = paused.append
-        place.connections._accept(listener, 0)
+        place.connections.listener._pause = paused.append
+        place.connections.listener._accept(listener, 0)
         assert paused == [listener] and listener.tries == 1
 
     run(cross())
@@ -327,8 +328,7 @@
 def test_all_places_owed_an_answer_keep_them_and_the_next_one_waits() -> None:
     async def cross() -> None:
         place = Place(most=4)
-        place.message = lambda number, *_: place.heard.append(number)
-        place.connections.on_message = place.message
+        place.on_message = lambda number, *_: place.heard.append(number)
         callers = [place.caller() for _ in range(5)]
         for caller in callers:
             caller.send(CHECK)
@@ -359,14 +359,14 @@
             place.connections.record_bad_request(number)
             place.connections.respond(number, http_responses.write_response(404))
 
-        place.connections.on_message = bad
+        place.on_message = bad
         bads = [place.caller() for _ in range(8)]
         for caller in bads:
             caller.send(200 * CHECK)
         await until(lambda: all(place.heard.count(number) for number in range(1, 9)))
         for connection in place.connections.open.values():
-            connection.bad_request_count = transport.MAX_BAD_REQUESTS
-        place.connections.on_message = place.message
+            connection.bad_request_count = limits.MAX_BAD_REQUESTS
+        del place.on_message
         good = place.caller()
         good.send(CHECK)
         assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(good, 4096), SOON)).startswith(b"HTTP/1.1 200")
@@ -408,7 +408,7 @@
 
     async def cross() -> None:
         place = Place()
-        place.connections.reader = Counted
+        place.connections.make_reader = Counted
         long, other = place.caller(), place.caller()
         await place.taken(2)
         words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MAX_BODY_BYTES
@@ -436,11 +436,11 @@
 def test_a_reader_without_room_costs_its_connection_and_no_other() -> None:
     async def cross() -> None:
         place, full = Place(), Full()
-        place.connections.reader = lambda: full
+        place.connections.make_reader = lambda: full
         stuck = place.caller()
         await until(lambda: place.counts["errors_inside"])
         assert full.rooms == 1
-        place.connections.reader = http_requests.RequestReader
+        place.connections.make_reader = http_requests.RequestReader
         other = place.caller()
         other.send(CHECK)
         assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -15,6 +15,7 @@
 import sys
 from collections import Counter
 from pathlib import Path
+from types import SimpleNamespace
 
 import pytest
 
@@ -185,15 +186,16 @@
 
     async def crowd() -> tuple[int, int, int]:
         now, counts = [5.0], Counter()
-        connections = Connections(100, RequestReader, lambda: now[0], *[print] * 4, count=lambda what: counts.update([what]))
+        observer = SimpleNamespace(count=lambda counter: counts.update([counter]), on_connection_accepted=lambda: None)
+        connections = Connections(100, RequestReader, lambda: now[0], observer)
         with socket.create_server(("127.0.0.1", 0), backlog=64) as listener:
             listener.setblocking(False)
             callers = [socket.create_connection(listener.getsockname()) for _ in range(40)]
-            connections._accept(listener, 0)
+            connections.listener._accept(listener, 0)
             taken, now[0] = len(connections.open), 5.3
-            connections._accept(listener, 0)
+            connections.listener._accept(listener, 0)
             callers.append(socket.create_connection(listener.getsockname()))
-            connections._accept(listener, 0)
+            connections.listener._accept(listener, 0)
             for sock in callers:
                 sock.close()
         return taken, counts["connections_shed"], len(connections.open)
