--- a/mulleinhatch/instance/protocol/http_peers.py
+++ b/mulleinhatch/instance/protocol/http_peers.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol.http_requests import MIN_MEMORY_KB, NUMBER
+from mulleinhatch.instance.protocol.http_requests import MIN_MEMORY_KB, NUMBER, IncomingRequest
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
 DECIMAL_PLACES = 15  # the most digits after the point that `parse_decimal` reads
@@ -44,33 +44,32 @@
     return f"{near:.{DECIMAL_PLACES}f}"
 
 
-def write_handover_request(
-    ref: str,
-    op_type: str,
-    tenant: str,
-    body: bytes,
-    started_ms: float,
-    wait_ms: float,
-    caller: int,
-    work: float,
-    kb: float,
-    again: bool,
-    rank: float,
-    offer: int,
-    host: str,
-    key: str = "",
-) -> list[bytes]:
-    """The request by which an op goes to a peer, in the callers' own protocol, as pieces for one gathered write. Key and
-    figures are the caller's to the last digit: by them the peer knows a retry that comes to it."""
+def write_handover_request(request: IncomingRequest, body: bytes, now: float, offer: int, host: str) -> list[bytes]:
+    """Serialize the request that hands a client's request over to a peer, in the clients' own protocol.
+
+    Key and numbers are written so that the peer parses the client's exact values: by them it recognizes a retry of the client.
+
+    Args:
+        request: The client's request; `remaining_wait_s` is the time that the peer may take, 0 for no limit.
+        body: Its body.
+        now: Wall-clock time in seconds, at which `age_s` and `remaining_wait_s` hold.
+        offer: Number of the peer's capacity offer.
+        host: Address of the peer.
+
+    Returns:
+        The chunks for one gathered write.
+    """
+    timeout_ms = 1000.0 * (request.age_s + request.remaining_wait_s) if request.remaining_wait_s else 0.0
     head = (
-        f"POST /svc/{op_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {ref}\r\nX-Request-Start: {started_ms:.0f}\r\n"
-        f"X-Caller: {caller}\r\nX-Memory-Kb: {format_decimal(max(kb, MIN_MEMORY_KB))}\r\n"
-        f"X-Rank: {format_decimal(min(rank, MAX_RANK))}\r\nX-Hand: {offer}\r\n"
-        + (f"X-Timeout-Ms: {wait_ms:.0f}\r\n" if wait_ms > 0.0 else "")
-        + (f"X-Cost-Ms: {format_decimal(work, 0.001)}\r\n" if work else "")
-        + (f"X-Object: {key}\r\n" if key else "")
-        + (f"X-Tenant: {tenant}\r\n" if tenant else "")
-        + ("X-Retry: 1\r\n" if again else "")
+        f"POST /svc/{request.request_type} HTTP/1.1\r\nHost: {host}\r\nX-Request-Id: {request.request_id}\r\n"
+        f"X-Request-Start: {1000.0 * (now - request.age_s):.0f}\r\nX-Caller: {request.client}\r\n"
+        f"X-Memory-Kb: {format_decimal(max(request.memory_kb, MIN_MEMORY_KB))}\r\n"
+        f"X-Rank: {format_decimal(min(request.rank, MAX_RANK))}\r\nX-Hand: {offer}\r\n"
+        + (f"X-Timeout-Ms: {timeout_ms:.0f}\r\n" if timeout_ms > 0.0 else "")
+        + (f"X-Cost-Ms: {format_decimal(request.cost_s, 0.001)}\r\n" if request.cost_s else "")
+        + (f"X-Object: {request.key}\r\n" if request.key else "")
+        + (f"X-Tenant: {request.tenant}\r\n" if request.tenant else "")
+        + ("X-Retry: 1\r\n" if request.is_retry else "")
     )
     return [head.encode("latin-1"), b"Content-Length: %d\r\n\r\n" % len(body), body]
 
@@ -119,20 +118,31 @@
     ]
 
 
-def parse_dependency_response_head(head: bytes) -> tuple[int, int, bool]:
-    """Parse the head of the dependency's response: how the call ended, the body's length, and whether the connection closes.
+def parse_dependency_response_head(head: bytes) -> ResponseHead:
+    """Parse the head of the dependency's response.
 
     Only a response with `Never-Started` proves that the call had no effect; any other failure may have had one.
 
+    Returns:
+        The head; the status of a final response is replaced by the `Ending` of the call.
+
+    Raises:
+        BadRequestError: As `parse_response_head`.
+
     >>> parse_dependency_response_head(b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\n")
-    (<Ending.OK: 1>, 5, False)
-    >>> parse_dependency_response_head(b"HTTP/1.1 503 Busy\\r\\nNever-Started: 1\\r\\nContent-Length: 0\\r\\n\\r\\n")[0]
+    ResponseHead(status=<Ending.OK: 1>, body_length=5, closes_connection=False)
+    >>> parse_dependency_response_head(b"HTTP/1.1 503 Busy\\r\\nNever-Started: 1\\r\\nContent-Length: 0\\r\\n\\r\\n").status
     <Ending.FULL: 3>
     """
-    status, length, last = parse_response_head(head)
-    if status < 200:
-        return status, length, last
+    response = parse_response_head(head)
+    if response.status < 200:
+        return response
+    return response._replace(status=_call_ending(response.status, head))
+
+
+def _call_ending(status: int, head: bytes) -> Ending:
     if status == 200:
-        return Ending.OK, length, last
-    unstarted = b"\r\nnever-started:" in head.lower()
-    return Ending.FULL if unstarted else Ending.TIMEOUT if status in (408, 504) else Ending.ERROR, length, last
+        return Ending.OK
+    if b"\r\nnever-started:" in head.lower():
+        return Ending.FULL
+    return Ending.TIMEOUT if status in (408, 504) else Ending.ERROR
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -14,6 +14,7 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.protocol import http_peers
+from mulleinhatch.instance.protocol.http_requests import IncomingRequest
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, PeerConnections
@@ -130,22 +131,8 @@
         key: str,
     ) -> None:
         wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
-        pieces = http_peers.write_handover_request(
-            ref,
-            op_type,
-            tenant,
-            body,
-            1000.0 * (time.time() - age),
-            1000.0 * (age + wait) if wait else 0.0,
-            caller,
-            work,
-            kb,
-            again,
-            rank,
-            offer.number,
-            offer.at,
-            key,
-        )
+        request = IncomingRequest(ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank)
+        pieces = http_peers.write_handover_request(request, body, time.time(), offer.number, offer.at)
         ending, result = Ending.INTERRUPTED, b""
         try:
             status, result = await self.peers.request(offer.at, pieces, wait or AT_MOST)
--- a/mulleinhatch/instance/transport/peers.py
+++ b/mulleinhatch/instance/transport/peers.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 from collections.abc import Callable, Sequence
+from typing import Protocol
 
 from tornado.iostream import StreamClosedError, UnsatisfiableReadError
 
@@ -24,12 +25,26 @@
     """The request may have been read, and what became of it is not known."""
 
 
+class ParsedHead(Protocol):
+    """What the head of a response says about the bytes that follow."""
+
+    @property
+    def status(self) -> int:
+        """From 100 to 199 for an interim response; a final one follows."""
+
+    @property
+    def body_length(self) -> int:
+        """Length of the body in bytes."""
+
+    @property
+    def closes_connection(self) -> bool:
+        """Whether the peer closes the connection after the response."""
+
+
 class PeerConnections:
     """`told` reads a head: status, length of the body, whether the connection closes; ValueError where it is none."""
 
-    def __init__(
-        self, max_per_peer: int, parse_head: Callable[[bytes], tuple[int, int, bool]], clock: Callable[[], float]
-    ) -> None:
+    def __init__(self, max_per_peer: int, parse_head: Callable[[bytes], ParsedHead], clock: Callable[[], float]) -> None:
         self.max_per_peer, self.parse_head, self.clock = max_per_peer, parse_head, clock
         self.idle: dict[str, list[tuple[float, GatheringStream]]] = {}
         self.open: dict[str, int] = {}
@@ -41,24 +56,28 @@
         is_reusable = False
         try:
             stream.write_gathered(chunks)
-            status, length, closes = await self._read_head(stream, deadline)
-            body = await asyncio.wait_for(stream.read_bytes(length), deadline - self.clock()) if length else b""
+            head = await self._read_head(stream, deadline)
+            body = (
+                await asyncio.wait_for(stream.read_bytes(head.body_length), deadline - self.clock())
+                if head.body_length
+                else b""
+            )
             if stream.has_buffered():
                 # Nothing else was asked for: its length is wrong, or the bytes before it were not its own.
                 raise ConnectionLostError("more came than one answer")
-            is_reusable = not closes
-            return status, body
+            is_reusable = not head.closes_connection
+            return head.status, body
         except (TimeoutError, OSError, StreamClosedError, UnsatisfiableReadError, ValueError) as error:
             raise ConnectionLostError(str(error)) from None
         finally:
             self._release(address, stream, is_reusable)
 
-    async def _read_head(self, stream: GatheringStream, deadline: float) -> tuple[int, int, bool]:
+    async def _read_head(self, stream: GatheringStream, deadline: float) -> ParsedHead:
         """Of the answer itself: interim ones before it say nothing that counts here."""
         for _ in range(MAX_INTERIM_RESPONSES):
             head = await asyncio.wait_for(stream.read_until(b"\r\n\r\n", max_bytes=MAX_HEAD_BYTES), deadline - self.clock())
             parsed = self.parse_head(head)
-            if not 100 <= parsed[0] < 200:
+            if not 100 <= parsed.status < 200:
                 return parsed
         raise ConnectionLostError("one interim answer after another")
 
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -215,10 +215,12 @@
         one.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
     peer.storms.tries.steady = STEADY_ENOUGH
     reads(giver, 10.0, 1, sent("00000000000000aa"), False)
-    _, ref, op_type, tenant, body, age, left, *figures = handed_over(giver, 10.0, "00000000000000aa")
-    pieces = http_peers.write_handover_request(
-        ref, op_type, tenant, body, 1000.0 * NOW, 1000.0 * left, *figures[:5], 17, "peer:1", *figures[5:]
+    _, ref, op_type, tenant, body, age, left, caller, work, memory, again, read_rank, read_key = handed_over(
+        giver, 10.0, "00000000000000aa"
     )
+    assert age == 0.0
+    request = http_requests.IncomingRequest(ref, op_type, tenant, age, left, caller, work, memory, again, read_key, read_rank)
+    pieces = http_peers.write_handover_request(request, body, NOW, 17, "peer:1")
     assert Errand.RUN in reads(peer, 10.0, 1, op_told(b"".join(pieces)), True)
     peer.reduce(10.1, Happening.CALLER_LOST, 1)
     assert reads(peer, 10.2, 2, sent("00000000000000bb", "X-Retry: 1\r\n"), False) == {Errand.FAIL}
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -118,9 +118,8 @@
 
 
 def test_the_request_to_a_peer_is_one_that_the_own_reader_takes() -> None:
-    pieces = http_peers.write_handover_request(
-        "00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1"
-    )
+    handed_over = http_requests.IncomingRequest("00000000000000ab", "read", "t", 0.0, 1.5, 3, 0.05, 0.0, True, "", 1.0)
+    pieces = http_peers.write_handover_request(handed_over, b"body", 1e9, 17, "h:1")
     reader = http_requests.RequestReader()
     data = b"".join(pieces)
     reader.free_space()[: len(data)] = data
