--- a/mulleinhatch/instance/deployment_settings.py
+++ b/mulleinhatch/instance/deployment_settings.py
@@ -1,4 +1,8 @@
-"""What an instance is told at start, in the words of `interface.Deployment`. What is not there stays out."""
+"""Parsing of the deployment settings of a service instance into `admission.interface.Deployment`.
+
+A settings table maps each settings key to a field of the deployment and the function that converts its text. A key that is
+missing in the settings is left out of the result; a key that is in no table is ignored.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +16,17 @@
 
 
 def seconds_from_ms(text: str) -> float:
+    """Convert milliseconds to seconds."""
     return float(text) / 1000.0
 
 
 def parse_bool(text: str) -> bool:
+    """Return whether the text is `true`; any other text is false."""
     return text == "true"
 
 
 def parse_int(text: str) -> int:
+    """Parse a number and truncate it."""
     return int(float(text))
 
 
@@ -65,7 +72,18 @@
 
 
 def read_settings(pairs: dict[str, str], table: SettingsTable, prefix: str = "") -> dict[str, Any]:
-    """The pairs that `table` knows, under our names.
+    """Convert the settings that a table lists.
+
+    Args:
+        pairs: Text by settings key.
+        table: Fields and conversions by settings key.
+        prefix: Precedes each key of the table in `pairs`.
+
+    Returns:
+        Converted values by field.
+
+    Raises:
+        ValueError: A value cannot be converted; the message names its key.
 
     >>> read_settings({"tick": "2.0", "novel": "1"}, {"tick": ("tick", seconds_from_ms), "servers": ("instances", parse_int)})
     {'tick': 0.002}
@@ -79,11 +97,12 @@
 
 
 def split_profile_lines(profile: str) -> dict[str, str]:
+    """Return text by settings key from a profile with one `key=text` per line; other lines are skipped."""
     return dict(line.split("=", 1) for line in profile.splitlines() if "=" in line)
 
 
 def flatten_settings(tree: Any, path: str = "") -> dict[str, str]:
-    """The same pairs out of nested JSON, so that both hosts read one form.
+    """Return text by settings key from nested JSON, in the form of `split_profile_lines`.
 
     >>> flatten_settings({"a": {"b": True, "c": ["x", 2.5]}, "d": [{"e": 1}]})
     {'a.b': 'true', 'a.c': 'x,2.5', 'd.count': '1', 'd.0.e': '1'}
@@ -97,10 +116,16 @@
 
 
 def format_setting(value: Any) -> str:
+    """Return the text of a JSON value, as it would stand in a profile line."""
     return str(value).lower() if isinstance(value, bool) else "" if value is None else str(value)
 
 
 def convert_setting(convert: Callable[[str], Any], text: str, path: str) -> Any:
+    """Convert the text of one setting.
+
+    Raises:
+        ValueError: It cannot be converted, or is not finite; the message names the key `path`.
+    """
     try:
         converted = convert(text)
         if isinstance(converted, float) and not math.isfinite(converted):
@@ -111,6 +136,11 @@
 
 
 def parse_deployment(pairs: dict[str, str]) -> Deployment:
+    """Build the deployment from text by settings key.
+
+    Raises:
+        ValueError: A value cannot be converted; the message names its key.
+    """
     values = read_settings(pairs, DEPLOYMENT_SETTINGS)
     for name, path, table in (("op_types", "classes", REQUEST_TYPE_SETTINGS), ("tenants", "tenants", TENANT_SETTINGS)):
         count = convert_setting(parse_int, pairs.get(f"{path}.count", "0"), f"{path}.count")
--- a/mulleinhatch/instance/transport/__init__.py
+++ b/mulleinhatch/instance/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: bytes in, bytes out, no idea of what they mean. Imports none of the other layers."""
+"""Sockets of the service instance: bytes in, bytes out, without knowledge of their meaning. Imports no other layer."""
--- a/mulleinhatch/instance/transport/datagrams.py
+++ b/mulleinhatch/instance/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams, sent and forgotten."""
+"""Sending datagrams without delivery guarantee."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 
 
 class DatagramSender:
+    """A non-blocking UDP socket."""
+
     def __init__(self) -> None:
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
 
     def send(self, address: tuple[str, int], datagram: bytes) -> bool:
-        """Whether it left: the other side may be down, which a later datagram must not suffer from."""
+        """Send a datagram.
+
+        Returns:
+            Whether it was sent completely; false also if an earlier one found no receiver, which the system reports here.
+        """
         try:
             return self.socket.sendto(datagram, address) == len(datagram)
         except OSError:
--- a/mulleinhatch/instance/transport/link.py
+++ b/mulleinhatch/instance/transport/link.py
@@ -1,4 +1,4 @@
-"""A link of lines that is kept open: connected again whenever it ends."""
+"""A line-based client connection that is reconnected whenever it ends."""
 
 from __future__ import annotations
 
@@ -14,13 +14,24 @@
 from mulleinhatch.instance.transport.stream import GatheringStream
 
 LOG = logging.getLogger(__name__)
-MIN_RETRY_S, MAX_RETRY_S = 0.02, 0.5  # seconds between tries to connect, doubled in between, drawn by half
-CONNECT_TIMEOUT_S = 1.0  # seconds for one try: an address that is gone may not answer at all
-MAX_LINE_BYTES = 1 << 20  # bytes: far beyond any notice, so that one that is spoilt is read and passed over, not come back to
+MIN_RETRY_S, MAX_RETRY_S = 0.02, 0.5  # pause between attempts to connect; doubled each time, with jitter of one half
+CONNECT_TIMEOUT_S = 1.0  # for one attempt: a host that is gone may not answer at all
+MAX_LINE_BYTES = 1 << 20  # far beyond any valid line, so that a damaged one is read and skipped and does not end the link
 
 
 class ReconnectingLink:
-    """Always to the address told last: a move ends the try, the pause or the successor that was on its way elsewhere."""
+    """A connection that always leads to the address set last.
+
+    A change of the address ends the attempt or pause that concerns the old one. An established connection serves until its
+    successor at the new address is established.
+
+    Args:
+        host: IPv4 address of the server.
+        port: Its port.
+        on_open: Called for each new connection, before its first line.
+        on_line: Called with each line.
+        count: Increments a counter.
+    """
 
     def __init__(
         self, host: str, port: int, on_open: Callable[[], None], on_line: Callable[[bytes], None], count: Callable[[str], None]
@@ -33,30 +44,31 @@
         self.address_changed = asyncio.Event()
 
     async def run(self) -> None:
+        """Keep the link connected until cancelled."""
         try:
             while True:
                 try:
                     await self._serve(*await (self.successor or self._connect()))
-                except (OSError, UnsatisfiableReadError) as error:  # a closed stream is an OSError
-                    LOG.debug("link ended", extra={"fields": {"error": error}})
+                except (OSError, UnsatisfiableReadError) as error:  # StreamClosedError is an OSError
+                    LOG.debug("link connection ended", extra={"fields": {"error": error}})
         finally:
             if self.successor:
                 self.successor.cancel()
                 self.successor = None
 
     async def _connect(self) -> tuple[tuple[str, int], GatheringStream]:
-        """A new stream, to the address that is in force when it stands."""
+        """Return a connected stream and its address, which was the current one when the connection was established."""
         while True:
             address, stream = self.address, None
             self.address_changed.clear()
             try:
-                # Without a descriptor there is no socket: that, too, must wait and not spin.
+                # Creating the socket fails without a free descriptor: that must lead to a pause as well.
                 stream = self.pending_stream = GatheringStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
                 await asyncio.wait_for(stream.connect(address), CONNECT_TIMEOUT_S)
                 if address == self.address:
                     return address, stream
             except (TimeoutError, OSError) as error:
-                LOG.debug("no link yet", extra={"fields": {"error": error}})
+                LOG.debug("link connection attempt failed", extra={"fields": {"error": error}})
             except BaseException:
                 if stream:
                     stream.close()
@@ -78,7 +90,7 @@
         self.count("link_opened")
         try:
             self.on_open()
-            if address != self.address:  # moved between its connecting and now
+            if address != self.address:  # it changed after the connection was established and before this task ran
                 self._start_successor()
             while True:
                 self.on_line(await stream.read_until(b"\n", max_bytes=MAX_LINE_BYTES))
@@ -91,7 +103,7 @@
                 await self._wait_before_retry()
 
     def change_address(self, host: str, port: int) -> None:
-        """To another address: the old link serves until the new one stands."""
+        """Set the address; the old connection serves until the new one is established."""
         if (host, port) == self.address:
             return
         self.address, self.retry_s = (host, port), MIN_RETRY_S
@@ -106,11 +118,15 @@
         self.successor.add_done_callback(lambda done: done.cancelled() or self.reconnect())
 
     def reconnect(self) -> None:
+        """Close the current connection, so that `run` continues with the next one."""
         if self.stream is not None:
             self.stream.close()
 
     def send(self, chunks: Sequence[bytes]) -> None:
-        """What finds no link is lost; who sends learns of each new one by `on_open`."""
+        """Send bytes, which are lost while there is no connection.
+
+        `on_open` reports each new connection, so that the owner can send again what was lost.
+        """
         if self.stream is not None:
             try:
                 self.stream.write_gathered(chunks)
--- a/mulleinhatch/instance/transport/peers.py
+++ b/mulleinhatch/instance/transport/peers.py
@@ -1,4 +1,4 @@
-"""Connections to peers, one request at a time on each, kept open for the next one: bytes out, head and body in."""
+"""Client connections to peers, reused, with one request at a time on each."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from mulleinhatch.instance.transport.stream import GatheringStream
 
-CONNECT_TIMEOUT_S = 0.5  # seconds: a peer that is gone may not answer at all, and the op has little time
+CONNECT_TIMEOUT_S = 0.5  # a peer that is gone may not answer at all, and the request has little time
 MAX_HEAD_BYTES = 8192
-MAX_IDLE_S = 5.0  # seconds
-MAX_INTERIM_RESPONSES = 8  # answers that only announce another one
+MAX_IDLE_S = 5.0  # an idle connection is closed after it
+MAX_INTERIM_RESPONSES = 8  # status 1xx, before the final response
 
 
 class ConnectFailedError(OSError):
-    """Nothing of the request left: no peer can have run it."""
+    """No byte of the request was sent: no peer can have run it."""
 
 
 class ConnectionLostError(OSError):
-    """The request may have been read, and what became of it is not known."""
+    """The request may have been received and executed; its outcome is unknown."""
 
 
 class ParsedHead(Protocol):
@@ -42,7 +42,13 @@
 
 
 class PeerConnections:
-    """`told` reads a head: status, length of the body, whether the connection closes; ValueError where it is none."""
+    """Connections to any number of peers.
+
+    Args:
+        max_per_peer: Limit of open connections to one peer.
+        parse_head: Parses the head of a response; raises ValueError if it is none.
+        clock: Monotonic time in seconds.
+    """
 
     def __init__(self, max_per_peer: int, parse_head: Callable[[bytes], ParsedHead], clock: Callable[[], float]) -> None:
         self.max_per_peer, self.parse_head, self.clock = max_per_peer, parse_head, clock
@@ -50,7 +56,20 @@
         self.open: dict[str, int] = {}
 
     async def request(self, address: str, chunks: Sequence[bytes], timeout_s: float) -> tuple[int, bytes]:
-        """Status and body. Unreached or BrokenOff where there is none in time."""
+        """Send a request and wait for its response.
+
+        Args:
+            address: `host:port` of the peer.
+            chunks: Bytes of the request.
+            timeout_s: Limit for connecting, sending and receiving together.
+
+        Returns:
+            Status, as `parse_head` returned it, and body.
+
+        Raises:
+            ConnectFailedError: Nothing was sent.
+            ConnectionLostError: No valid response arrived in time.
+        """
         deadline = self.clock() + timeout_s
         stream = await self._acquire(address, min(CONNECT_TIMEOUT_S, timeout_s))
         is_reusable = False
@@ -63,7 +82,7 @@
                 else b""
             )
             if stream.has_buffered():
-                # Nothing else was asked for: its length is wrong, or the bytes before it were not its own.
+                # Its length is wrong, or the response belongs to an earlier request.
                 raise ConnectionLostError("more came than one answer")
             is_reusable = not head.closes_connection
             return head.status, body
@@ -73,7 +92,7 @@
             self._release(address, stream, is_reusable)
 
     async def _read_head(self, stream: GatheringStream, deadline: float) -> ParsedHead:
-        """Of the answer itself: interim ones before it say nothing that counts here."""
+        """Return the head of the final response; interim responses before it carry no result."""
         for _ in range(MAX_INTERIM_RESPONSES):
             head = await asyncio.wait_for(stream.read_until(b"\r\n\r\n", max_bytes=MAX_HEAD_BYTES), deadline - self.clock())
             parsed = self.parse_head(head)
@@ -82,11 +101,11 @@
         raise ConnectionLostError("one interim answer after another")
 
     async def _acquire(self, address: str, timeout_s: float) -> GatheringStream:
-        """A kept one that the peer has not closed meanwhile, else a new one."""
+        """Return an idle connection that the peer has not closed meanwhile, else a new one."""
         idle = self.idle.get(address, [])
         while idle:
             since, stream = idle.pop()
-            # Something to read where nothing was asked is an end, or no peer of ours: a request written there is lost.
+            # Input without a request is the peer's close or a protocol error: a request written there would be lost.
             if (
                 not stream.closed()
                 and not stream.has_buffered()
@@ -111,6 +130,7 @@
 
     @staticmethod
     def _has_input_or_end(stream: GatheringStream) -> bool:
+        """Return whether the peer has sent something, closed or reset."""
         try:
             stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -133,7 +153,7 @@
             self.idle.pop(address, None)
 
     def close_idle(self) -> None:
-        """Ends what was not used for a while."""
+        """Close the connections that were idle for too long."""
         for address, idle in list(self.idle.items()):
             old = [stream for since, stream in idle if self.clock() - since >= MAX_IDLE_S or stream.closed()]
             self.idle[address] = [(since, stream) for since, stream in idle if stream not in old]
@@ -141,6 +161,7 @@
                 self._close(address, stream)
 
     def close(self) -> None:
+        """Close all idle connections; the others are closed by the end of their requests."""
         for idle in list(self.idle.values()):
             for _, stream in idle:
                 stream.close()
--- a/mulleinhatch/instance/transport/stream.py
+++ b/mulleinhatch/instance/transport/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's IOStream with gathered writes, and deaf to its peer while an answer is under way."""
+"""Tornado's IOStream with gathered writes, which ignores its peer while a response is due."""
 
 from __future__ import annotations
 
@@ -11,11 +11,17 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-READ_CHUNK_BYTES = 8192  # read at once where no buffer is given: each read makes a new one, and clears it
-TCP_CLOSE_STATE = 7  # the state of a TCP socket whose peer reset it, first byte of TCP_INFO
+READ_CHUNK_BYTES = 8192  # read at once where no buffer is given; small, because each read allocates and clears a new one
+TCP_CLOSE_STATE = 7  # first byte of TCP_INFO for a socket that its peer has reset (Linux, `tcp_states.h`)
 
 
 class GatheringStream(IOStream):
+    """A stream with gathered writes, a pause of reading, and an interceptor of arriving bytes.
+
+    Attributes:
+        read_interceptor: Called when bytes arrive and nothing else happens; returns whether it consumed them.
+    """
+
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, read_chunk_size=READ_CHUNK_BYTES)
         self.parked = self.was_parked = False
@@ -23,28 +29,35 @@
         self.set_nodelay(True)
 
     def park(self) -> None:
-        """Until the next read nothing is read: an end of the peer's side, which IOStream takes for a lost
-        connection, must not cost it the answer that it waits for."""
+        """Read nothing until the next `read_into`.
+
+        IOStream takes a close of the peer's side for a lost connection; a half-closed peer must still get its response.
+        """
         self.parked = self.was_parked = True
 
     def read_into(self, buf: memoryview, partial: bool = False) -> Awaitable[int]:
+        """Read into a buffer, as IOStream does, and end the pause of reading."""
         self.parked = False
         return super().read_into(buf, partial)
 
     def _try_inline_read(self) -> None:
-        """Tornado looks at the socket before it waits for it. A new one has something to say, but then peers
-        send when they were answered: the look finds nothing, a system call and an error raised for each op."""
+        """Skip IOStream's read before it waits, except on a new connection.
+
+        Later requests are sent after a response, so that read would find nothing: a system call and an exception per request.
+        """
         if self.was_parked and not self.closed() and self._find_read_pos() is None:
             self._add_io_state(IOLoop.READ)
         else:
             super()._try_inline_read()
 
     def _handle_events(self, fd: Any, events: int) -> None:
-        """The loop stops watching a parked stream only when something comes: few peers send ahead, and two
-        system calls for each op would be much of what it costs."""
+        """Handle readiness; a paused stream is removed from the event loop only when bytes arrive.
+
+        Few peers pipeline, and removing and adding each stream would cost two system calls per request.
+        """
         if not self.parked or not events & IOLoop.READ:
             if self.read_interceptor and events == IOLoop.READ and self.read_interceptor():
-                return  # what came is answered already; the read that waits goes on waiting
+                return  # the bytes are consumed; the pending read stays pending
             super()._handle_events(fd, events)
             return
         self.io_loop.remove_handler(self.fileno())
@@ -53,11 +66,14 @@
             self._add_io_state(IOLoop.WRITE)
 
     def was_reset(self) -> bool:
+        """Return whether the peer has reset the connection."""
         return struct.unpack("B", self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1))[0] == TCP_CLOSE_STATE
 
     def has_unread(self) -> bool:
-        """Bytes that came and were not read yet: a close would lose them, and be a reset. One that is closed
-        already, while its coroutine has not run since, has none."""
+        """Return whether bytes have arrived that were not read yet: a close would lose them and send a reset.
+
+        False on a closed stream, whose coroutine may not have run since.
+        """
         if self.closed():
             return False
         try:
@@ -66,12 +82,11 @@
             return False
 
     def has_buffered(self) -> bool:
-        """Bytes that were read from the socket, and asked for by nobody yet."""
+        """Return whether bytes were read from the socket that no read has returned yet."""
         return self._read_buffer_size > 0
 
     def shut_down_writing(self) -> None:
-        """The peer sees an end behind the last answer, while what it still sends can be read. What the socket had no
-        room for yet leaves before: an end in the middle of an answer would cut it."""
+        """Close our side after all pending writes, so that no response is truncated; reading stays possible."""
         if self.closed():
             return
         if self.writing():
@@ -81,7 +96,7 @@
             self.socket.shutdown(socket.SHUT_WR)
 
     def write_immediately(self, response: bytes) -> None:
-        """A short answer to one that waits, on a stream that writes nothing else; its end is no error of ours."""
+        """Write a short response on a stream with no pending writes; a lost connection closes the stream without an error."""
         try:
             sent = self.socket.send(response)
         except BlockingIOError:
@@ -93,8 +108,13 @@
             self.write(response[sent:])
 
     def write_gathered(self, chunks: Sequence[bytes]) -> None:
-        """The chunks leave in one system call without being joined; IOStream's own buffer takes only what the
-        socket has no room for, and all of it while older bytes wait there."""
+        """Write the chunks in one system call without joining them.
+
+        Only what the socket does not accept is copied to IOStream's buffer, or everything while older bytes wait there.
+
+        Raises:
+            StreamClosedError: The connection has ended.
+        """
         if self.closed():
             raise StreamClosedError(self.error)
         sent = 0
