--- a/mulleinhatch/instance/protocol/reports.py
+++ b/mulleinhatch/instance/protocol/directory_reports.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-LISTED_FOR_S = 3.0  # how long the directory keeps an entry after its last report
+ENTRY_LIFETIME_S = 3.0  # how long the directory keeps an entry after its last report
 
 
-def report(name: str, is_open: bool) -> bytes:
+def write_report(name: str, is_open: bool) -> bytes:
     """Return the datagram that says whether an instance takes work.
 
-    >>> report("n3", True)
+    >>> write_report("n3", True)
     b'PULSE n3 open'
     """
     return f"PULSE {name} {'open' if is_open else 'closed'}".encode()
--- a/mulleinhatch/instance/protocol/link.py
+++ b/mulleinhatch/instance/protocol/interpreter_messages.py
@@ -13,37 +13,37 @@
 ENDINGS = {"good": Ending.OK, "bad": Ending.ERROR, "cut": Ending.STOPPED, "gone": Ending.MOOT}
 
 
-def connect(last_notice: int) -> list[bytes]:
+def write_connect(last_notice: int) -> list[bytes]:
     """Return the greeting, with the number of the last notice that was received."""
     return [b'{"t":"CONNECT","no":%d}\n' % last_notice]
 
 
-def apply(ref: str, request_type: str, body: bytes) -> list[bytes]:
+def write_apply(ref: str, request_type: str, body: bytes) -> list[bytes]:
     """Return the command that runs a request.
 
-    >>> b"".join(apply("9b", "read", b"hi"))
+    >>> b"".join(write_apply("9b", "read", b"hi"))
     b'{"t":"APPLY","rid":"9b","route":"read","b64":"aGk="}\\n'
     """
     start = f'{{"t":"APPLY","rid":{json.dumps(ref)},"route":{json.dumps(request_type)},"b64":"'
     return [start.encode(), b64encode(body), b'"}\n']
 
 
-def resolve(ref: str, result: bytes) -> list[bytes]:
+def write_resolve(ref: str, result: bytes) -> list[bytes]:
     """Return the command that hands a run the result of its dependency call."""
     return [f'{{"t":"RESOLVE","rid":{json.dumps(ref)},"status":"good","b64":"'.encode(), b64encode(result), b'"}\n']
 
 
-def skip_call(ref: str) -> list[bytes]:
+def write_skip_call(ref: str) -> list[bytes]:
     """Return the command that lets a run go on without its dependency call."""
     return [f'{{"t":"STUB","rid":{json.dumps(ref)}}}\n'.encode()]
 
 
-def request_gauges(number: int) -> list[bytes]:
+def write_gauges_request(number: int) -> list[bytes]:
     """Return the command that asks for the gauges; the notice that answers carries the same number."""
     return [b'{"t":"TOP","mark":"%d"}\n' % number]
 
 
-def notice(line: bytes) -> dict:
+def parse_notice(line: bytes) -> dict:
     """Parse a notice.
 
     Raises:
@@ -55,21 +55,21 @@
     return fields
 
 
-def result(fields: dict, wanted: bool) -> bytes:
+def parse_result(fields: dict, wanted: bool) -> bytes:
     """Return the result that a notice carries; empty if there is none.
 
     Raises:
         ValueError: A result is wanted and missing, or it is not base64 to the last character: decoded as far as possible, a
             damaged result would be served.
 
-    >>> result({"b64": "aGk="}, True), result({}, False)
+    >>> parse_result({"b64": "aGk="}, True), parse_result({}, False)
     (b'hi', b'')
     """
     encoded = fields["b64"] if wanted else fields.get("b64") or ""
-    return b64decode(text(encoded), validate=True)
+    return b64decode(parse_text(encoded), validate=True)
 
 
-def text(value: object) -> str:
+def parse_text(value: object) -> str:
     """Return a value that must be text.
 
     Raises:
@@ -80,13 +80,13 @@
     return value
 
 
-def non_negative_int(value: object) -> int:
+def parse_non_negative_int(value: object) -> int:
     """Return a whole number that the link sends as a number or as its digits.
 
     Raises:
         ValueError: It is no whole number, or below zero.
 
-    >>> non_negative_int(7), non_negative_int("12")
+    >>> parse_non_negative_int(7), parse_non_negative_int("12")
     (7, 12)
     """
     if isinstance(value, bool) or not isinstance(value, int | str) or isinstance(value, str) and not value.isdecimal():
@@ -96,7 +96,7 @@
     return int(value)
 
 
-def non_negative_float(value: object) -> float:
+def parse_non_negative_float(value: object) -> float:
     """Return a finite number of 0 or more.
 
     Raises:
@@ -107,7 +107,7 @@
     return float(value)
 
 
-def readings(values: object) -> list[float]:
+def parse_gauges(values: object) -> list[float]:
     """Return a list of gauges.
 
     Raises:
@@ -115,4 +115,4 @@
     """
     if not isinstance(values, list):
         raise ValueError("no list")
-    return [non_negative_float(value) for value in values]
+    return [parse_non_negative_float(value) for value in values]
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -13,7 +13,7 @@
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, PeerConnections
+from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 LINKS_MOST = 64  # connections at a time: of the descriptors that are no callers'
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol import reports
+from mulleinhatch.instance.protocol import directory_reports
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import Tasks
@@ -36,7 +36,7 @@
 LISTEN_RETRY, LISTEN_RETRY_MOST = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
 SHUT_BEFORE, SHUT_EVERY = 0.12, 0.02  # seconds before the stop: later than the module's last answers; until all have heard it
 OUTLIVE_STOP = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
-REPORT_EVERY = reports.LISTED_FOR_S / 6
+REPORT_EVERY = directory_reports.ENTRY_LIFETIME_S / 6
 SWEEP_EVERY = 0.25
 TAKEN_OVER = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
 
@@ -169,7 +169,7 @@
     def _report(self) -> None:
         directory = self.placement.directory
         if directory and self.listed_open is not None:
-            sent = self.datagrams.send(directory, reports.report(self.placement.name, self.listed_open))
+            sent = self.datagrams.send(directory, directory_reports.write_report(self.placement.name, self.listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
     # Its life.
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol import link
+from mulleinhatch.instance.protocol import interpreter_messages
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.transport.link import ReconnectingLink
+from mulleinhatch.instance.transport.reconnecting_link import ReconnectingLink
 
 LOG = logging.getLogger(__name__)
 SPOILT_MOST = 1000
@@ -23,7 +23,7 @@
 
     def line(self, line: bytes) -> None:
         try:
-            told = link.notice(line)
+            told = interpreter_messages.parse_notice(line)
         except (ValueError, RecursionError):
             self._complain("lines_broken", {"line": line[:80]})
             self.take(Happening.LINE_BROKEN)
@@ -59,46 +59,55 @@
     def _notice(self, told: dict) -> None:
         what, status = told.get("t"), told.get("status")
         if what == "VALUE":
-            ending = link.ENDINGS.get(status, Ending.ERROR)
+            ending = interpreter_messages.ENDINGS.get(status, Ending.ERROR)
             self.take(
                 Happening.RUN_ENDED,
-                link.non_negative_int(told["no"]),
-                link.text(told["rid"]),
+                interpreter_messages.parse_non_negative_int(told["no"]),
+                interpreter_messages.parse_text(told["rid"]),
                 ending,
-                link.result(told, ending is Ending.OK),
+                interpreter_messages.parse_result(told, ending is Ending.OK),
             )
         elif what == "AWAIT":
-            self.take(Happening.CALL_WANTED, link.non_negative_int(told["no"]), link.text(told["rid"]), link.result(told, True))
+            self.take(
+                Happening.CALL_WANTED,
+                interpreter_messages.parse_non_negative_int(told["no"]),
+                interpreter_messages.parse_text(told["rid"]),
+                interpreter_messages.parse_result(told, True),
+            )
         elif what == "TOPS":
-            self.take(Happening.GAUGES, link.non_negative_int(told["mark"]), link.readings(told["v"]))
+            self.take(
+                Happening.GAUGES,
+                interpreter_messages.parse_non_negative_int(told["mark"]),
+                interpreter_messages.parse_gauges(told["v"]),
+            )
         elif what == "BANNER":
-            since = link.non_negative_float(told["time_ms"]) / 1000.0
+            since = interpreter_messages.parse_non_negative_float(told["time_ms"]) / 1000.0
             LOG.info("interpreter up", extra={"fields": {"status": status, "ms": told["time_ms"]}})
             self.take(Happening.INTERPRETER_UP, status == "new", since)
         elif what == "ERROR":
             self._complain("interpreter_errors", {"command": status, "ref": told.get("rid")})
             if status == "APPLY":
-                self.take(Happening.RUN_UNKNOWN, link.text(told["rid"]))
+                self.take(Happening.RUN_UNKNOWN, interpreter_messages.parse_text(told["rid"]))
         else:
             if what != "TRACE":
                 self._complain("notices_unknown", {"t": what})
             if "no" in told:
-                self.take(Happening.NOTICE_PASSED, link.non_negative_int(told["no"]))
+                self.take(Happening.NOTICE_PASSED, interpreter_messages.parse_non_negative_int(told["no"]))
 
     def greet(self, last_notice: int) -> None:
-        self.link.send(link.connect(last_notice))
+        self.link.send(interpreter_messages.write_connect(last_notice))
 
     def renew(self) -> None:
         self.link.reconnect()
 
     def run(self, ref: str, op_type: str, body: bytes) -> None:
-        self.link.send(link.apply(ref, op_type, body))
+        self.link.send(interpreter_messages.write_apply(ref, op_type, body))
 
     def resolve(self, ref: str, result: bytes) -> None:
-        self.link.send(link.resolve(ref, result))
+        self.link.send(interpreter_messages.write_resolve(ref, result))
 
     def skip(self, ref: str) -> None:
-        self.link.send(link.skip_call(ref))
+        self.link.send(interpreter_messages.write_skip_call(ref))
 
     def gauges(self, mark: int) -> None:
-        self.link.send(link.request_gauges(mark))
+        self.link.send(interpreter_messages.write_gauges_request(mark))
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.protocol.http_requests import IncomingRequest
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, PeerConnections
+from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
--- a/mulleinhatch/instance/transport/message_exchange.py
+++ b/mulleinhatch/instance/transport/message_exchange.py
@@ -65,7 +65,7 @@
         connection.deadline = math.inf
         self.ranks.update(connection)
         connection.response_written.clear()
-        stream.park()
+        stream.pause_reading()
         self.observer.on_message(connection.number, *message)
         await connection.response_written.wait()
         if stream.writing():
--- a/mulleinhatch/instance/transport/peers.py
+++ b/mulleinhatch/instance/transport/peer_connections.py
@@ -81,7 +81,7 @@
                 if head.body_length
                 else b""
             )
-            if stream.has_buffered():
+            if stream.has_buffered_input():
                 # Its length is wrong, or the response belongs to an earlier request.
                 raise ConnectionLostError("more came than one answer")
             is_reusable = not head.closes_connection
@@ -108,7 +108,7 @@
             # Input without a request is the peer's close or a protocol error: a request written there would be lost.
             if (
                 not stream.closed()
-                and not stream.has_buffered()
+                and not stream.has_buffered_input()
                 and self.clock() - since < MAX_IDLE_S
                 and not self._has_input_or_end(stream)
             ):
--- a/mulleinhatch/instance/transport/stream.py
+++ b/mulleinhatch/instance/transport/stream.py
@@ -24,20 +24,20 @@
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, read_chunk_size=READ_CHUNK_BYTES)
-        self.parked = self.was_parked = False
+        self.is_reading_paused = self.has_paused_reading = False
         self.read_interceptor: Callable[[], bool] | None = None
         self.set_nodelay(True)
 
-    def park(self) -> None:
+    def pause_reading(self) -> None:
         """Read nothing until the next `read_into`.
 
         IOStream takes a close of the peer's side for a lost connection; a half-closed peer must still get its response.
         """
-        self.parked = self.was_parked = True
+        self.is_reading_paused = self.has_paused_reading = True
 
     def read_into(self, buf: memoryview, partial: bool = False) -> Awaitable[int]:
         """Read into a buffer, as IOStream does, and end the pause of reading."""
-        self.parked = False
+        self.is_reading_paused = False
         return super().read_into(buf, partial)
 
     def _try_inline_read(self) -> None:
@@ -45,7 +45,7 @@
 
         Later requests are sent after a response, so that read would find nothing: a system call and an exception per request.
         """
-        if self.was_parked and not self.closed() and self._find_read_pos() is None:
+        if self.has_paused_reading and not self.closed() and self._find_read_pos() is None:
             self._add_io_state(IOLoop.READ)
         else:
             super()._try_inline_read()
@@ -55,7 +55,7 @@
 
         Few peers pipeline, and removing and adding each stream would cost two system calls per request.
         """
-        if not self.parked or not events & IOLoop.READ:
+        if not self.is_reading_paused or not events & IOLoop.READ:
             if self.read_interceptor and events == IOLoop.READ and self.read_interceptor():
                 return  # the bytes are consumed; the pending read stays pending
             super()._handle_events(fd, events)
@@ -81,7 +81,7 @@
         except OSError:
             return False
 
-    def has_buffered(self) -> bool:
+    def has_buffered_input(self) -> bool:
         """Return whether bytes were read from the socket that no read has returned yet."""
         return self._read_buffer_size > 0
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -32,8 +32,8 @@
 from mulleinhatch.instance.transport import limits
 from mulleinhatch.instance.transport.connection import Connection
 from mulleinhatch.instance.transport.connections import Connections
-from mulleinhatch.instance.transport.link import CONNECT_TIMEOUT_S, ReconnectingLink
 from mulleinhatch.instance.transport.observer import ConnectionObserver
+from mulleinhatch.instance.transport.reconnecting_link import CONNECT_TIMEOUT_S, ReconnectingLink
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http_grammar
 from standins import SocketPlay, told_at_start
@@ -604,11 +604,11 @@
             tries.append(1)
             raise OSError(errno.EMFILE, "no descriptor")
 
-        monkeypatch.setattr("mulleinhatch.instance.transport.link.socket.socket", none)
+        monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", none)
         link, tasks, _ = linked(port)
         await asyncio.wait_for(asyncio.sleep(0.2), SOON)  # a loop that spins never comes back to this
         assert 1 <= len(tries) < 30
-        monkeypatch.setattr("mulleinhatch.instance.transport.link.socket.socket", real)
+        monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", real)
         await until(lambda: link.stream)
         tasks.cancel()
 
