--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -39,22 +39,22 @@
 from standins import SocketPlay, told_at_start
 
 ROOT = Path(__file__).parent.parent
-SOON = 3.0
-CHECK = b"GET /status/live HTTP/1.1\r\n\r\n"
+TIMEOUT_S = 3.0
+HEALTH_REQUEST = b"GET /status/live HTTP/1.1\r\n\r\n"
 
 
-class Place(ConnectionObserver):
+class ListenerHarness(ConnectionObserver):
     """Connections on loopback whose messages are kept, and answered when the test says so."""
 
-    def __init__(self, most: int = 100) -> None:
+    def __init__(self, max_connections: int = 100) -> None:
         self.counts: Counter[str] = Counter()
-        self.heard: list[int] = []
-        self.late: list[int] = []
-        self.now = 0.0  # added to the clock
+        self.received: list[int] = []
+        self.timed_out: list[int] = []
+        self.clock_offset = 0.0  # added to the clock
         self.connections = Connections(
-            most,
+            max_connections,
             http_requests.RequestReader,
-            lambda: time.monotonic() + self.now,
+            lambda: time.monotonic() + self.clock_offset,
             observer=self,
         )
         self.port = self.connections.listen("127.0.0.1", 0)
@@ -64,14 +64,14 @@
         self.counts.update([counter])
 
     def on_message(self, number: int, *_: object) -> None:
-        self.heard.append(number)
+        self.received.append(number)
         self.connections.respond(number, http_responses.write_response(200, b"ok"))
 
     def on_malformed_message(self, number: int, _: ValueError) -> None:
         self.connections.respond(number, http_responses.write_response(400), is_last=True)
 
     def on_slow_message(self, number: int) -> None:
-        self.late.append(number)
+        self.timed_out.append(number)
         self.connections.respond(number, http_responses.write_response(408, self.body, close=True), is_last=True)
 
     def caller(self, receive: int = 0) -> socket.socket:
@@ -82,7 +82,7 @@
         sock.setblocking(False)
         return sock
 
-    async def taken(self, count: int = 1) -> list[Connection]:
+    async def wait_until_idle(self, count: int = 1) -> list[Connection]:
         """All that are open, once there are so many and each waits for its peer."""
         return await until(
             lambda: (
@@ -93,19 +93,19 @@
         )
 
 
-async def until(what: Callable[[], object]) -> object:
-    for _ in range(int(SOON / 0.002)):
-        if found := what():
-            return found
+async def until(condition: Callable[[], object]) -> object:
+    for _ in range(int(TIMEOUT_S / 0.002)):
+        if value := condition():
+            return value
         await asyncio.sleep(0.002)
     raise AssertionError("it never came")
 
 
-async def half_a_line(place: Place, receive: int = 0) -> tuple[socket.socket, Connection]:
+async def send_partial_request(harness: ListenerHarness, receive: int = 0) -> tuple[socket.socket, Connection]:
     """A caller of whose request a part was read."""
-    caller = place.caller(receive)
-    connection = (await place.taken())[0]
-    caller.send(CHECK[:9])
+    caller = harness.caller(receive)
+    connection = (await harness.wait_until_idle())[0]
+    caller.send(HEALTH_REQUEST[:9])
     await until(lambda: connection.reader.started() and connection.stream.reading())
     return caller, connection
 
@@ -113,281 +113,285 @@
 async def read_to_end(sock: socket.socket) -> bytes:
     """All until the end; a reset raises."""
     data, loop = b"", asyncio.get_running_loop()
-    while piece := await asyncio.wait_for(loop.sock_recv(sock, 65536), SOON):
-        data += piece
+    while chunk := await asyncio.wait_for(loop.sock_recv(sock, 65536), TIMEOUT_S):
+        data += chunk
     return data
 
 
-def arrived(sock: socket.socket) -> None:
+def wait_until_readable(sock: socket.socket) -> None:
     """Waits, and lets the loop do nothing meanwhile."""
-    assert select.select([sock], [], [], SOON)[0]
+    assert select.select([sock], [], [], TIMEOUT_S)[0]
 
 
-def run(work: object) -> None:
-    asyncio.run(asyncio.wait_for(work, 20))
+def run_with_timeout(scenario: object) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 20))
 
 
-def trimmed(place: Place) -> None:
-    place.connections.sweep(max_idle_s=-1.0)
+def close_idle(harness: ListenerHarness) -> None:
+    harness.connections.sweep(max_idle_s=-1.0)
 
 
-def silent(place: Place) -> None:
-    place.now = limits.FIRST_MESSAGE_TIMEOUT_S + 1.0
-    place.connections.sweep(max_idle_s=1e9)
+def close_silent(harness: ListenerHarness) -> None:
+    harness.clock_offset = limits.FIRST_MESSAGE_TIMEOUT_S + 1.0
+    harness.connections.sweep(max_idle_s=1e9)
 
 
-def evicted(place: Place) -> None:
-    place.connections._evict_one()
+def evict(harness: ListenerHarness) -> None:
+    harness.connections._evict_one()
 
 
-def lowered(place: Place) -> None:
-    place.connections.max_connections = 0
-    place.connections.sweep(max_idle_s=1e9)
+def lower_limit(harness: ListenerHarness) -> None:
+    harness.connections.max_connections = 0
+    harness.connections.sweep(max_idle_s=1e9)
 
 
-def shut(place: Place) -> None:
-    place.connections.shut_down()
+def shut_down(harness: ListenerHarness) -> None:
+    harness.connections.shut_down()
 
 
-@pytest.mark.parametrize("end", [trimmed, silent, evicted, lowered, shut])
-def test_a_request_that_comes_between_look_and_end_is_neither_run_nor_answered_by_a_reset(end: Callable[[Place], None]) -> None:
-    async def cross() -> None:
-        place = Place()
-        caller = place.caller()
-        connection = (await place.taken())[0]
-        look = connection.stream.has_unread
+@pytest.mark.parametrize("end", [close_idle, close_silent, evict, lower_limit, shut_down])
+def test_a_request_that_arrives_between_the_check_and_the_close_is_neither_run_nor_reset(
+    end: Callable[[ListenerHarness], None],
+) -> None:
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        caller = harness.caller()
+        connection = (await harness.wait_until_idle())[0]
+        original_check = connection.stream.has_unread
 
-        def looked() -> bool:
-            found = look()
-            caller.send(CHECK)
-            arrived(connection.stream.socket)
-            return found
+        def check_then_receive() -> bool:
+            value = original_check()
+            caller.send(HEALTH_REQUEST)
+            wait_until_readable(connection.stream.socket)
+            return value
 
-        connection.stream.has_unread = looked
-        end(place)
+        connection.stream.has_unread = check_then_receive
+        end(harness)
         assert await read_to_end(caller) == b""
-        assert place.heard == []
+        assert harness.received == []
         caller.close()
-        await until(lambda: not place.connections.open)
+        await until(lambda: not harness.connections.open)
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-@pytest.mark.parametrize("end", [trimmed, silent, evicted, shut])
-def test_a_request_read_in_this_turn_of_the_loop_is_answered(end: Callable[[Place], None]) -> None:
+@pytest.mark.parametrize("end", [close_idle, close_silent, evict, shut_down])
+def test_a_request_read_in_this_turn_of_the_loop_is_answered(end: Callable[[ListenerHarness], None]) -> None:
     """Its bytes are out of the socket, and its coroutine has not run yet: neither look can see it."""
 
-    async def cross() -> None:
-        place = Place()
-        caller = place.caller()
-        stream = (await place.taken())[0].stream
-        caller.send(CHECK)
-        arrived(stream.socket)
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        caller = harness.caller()
+        stream = (await harness.wait_until_idle())[0].stream
+        caller.send(HEALTH_REQUEST)
+        wait_until_readable(stream.socket)
         stream._handle_events(stream.fileno(), IOLoop.READ)
-        end(place)
+        end(harness)
         answer = await asyncio.get_running_loop().sock_recv(caller, 4096)
-        assert answer.startswith(b"HTTP/1.1 200") and len(place.heard) == 1
+        assert answer.startswith(b"HTTP/1.1 200") and len(harness.received) == 1
         caller.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_half_a_line_at_the_end_has_an_answer_and_no_reset() -> None:
-    async def cross() -> None:
-        place = Place()
-        caller, _ = await half_a_line(place)
-        place.connections.shut_down()
-        caller.send(CHECK[9:])  # the rest of it is read, and not run
-        assert (await read_to_end(caller)).startswith(b"HTTP/1.1 408") and place.heard == []
+def test_a_partial_request_at_the_close_is_answered_and_not_reset() -> None:
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        caller, _ = await send_partial_request(harness)
+        harness.connections.shut_down()
+        caller.send(HEALTH_REQUEST[9:])  # the rest of it is read, and not run
+        assert (await read_to_end(caller)).startswith(b"HTTP/1.1 408") and harness.received == []
         caller.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_an_answer_partly_in_the_send_buffer_is_not_cut_by_the_end() -> None:
-    async def cross() -> None:
-        place = Place()
-        place.body = bytes(3_000_000)
-        caller, connection = await half_a_line(place, receive=4096)
+def test_a_response_partly_in_the_send_buffer_is_not_truncated_by_the_close() -> None:
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        harness.body = bytes(3_000_000)
+        caller, connection = await send_partial_request(harness, receive=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        place.now = limits.MESSAGE_TIMEOUT_S + 1.0
-        place.connections.sweep(max_idle_s=1e9)
-        assert place.late and connection.stream.writing()
-        place.now = 0.0
-        assert len(await read_to_end(caller)) > len(place.body)
+        harness.clock_offset = limits.MESSAGE_TIMEOUT_S + 1.0
+        harness.connections.sweep(max_idle_s=1e9)
+        assert harness.timed_out and connection.stream.writing()
+        harness.clock_offset = 0.0
+        assert len(await read_to_end(caller)) > len(harness.body)
         caller.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_a_caller_that_never_closes_is_let_go_and_one_that_sends_on_too() -> None:
-    async def cross() -> None:
-        place = Place()
-        quiet, loud = place.caller(), place.caller()
-        await place.taken(2)
-        place.connections.shut_down()
-        loud.send(CHECK)
+def test_a_caller_that_never_closes_or_keeps_sending_is_dropped() -> None:
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        quiet, loud = harness.caller(), harness.caller()
+        await harness.wait_until_idle(2)
+        harness.connections.shut_down()
+        loud.send(HEALTH_REQUEST)
         await asyncio.sleep(0)
-        assert len(place.connections.open) == 2
-        place.now = limits.LINGER_TIMEOUT_S + 1.0
-        await until(lambda: place.connections.sweep(1e9) or not place.connections.open)
-        assert place.heard == []
+        assert len(harness.connections.open) == 2
+        harness.clock_offset = limits.LINGER_TIMEOUT_S + 1.0
+        await until(lambda: harness.connections.sweep(1e9) or not harness.connections.open)
+        assert harness.received == []
         quiet.close()
         loud.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_small_answers_leave_at_once() -> None:
-    async def look() -> None:
-        place = Place()
-        caller = place.caller()
-        connection = (await place.taken())[0]
+def test_small_responses_are_sent_without_delay() -> None:
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        caller = harness.caller()
+        connection = (await harness.wait_until_idle())[0]
         assert connection.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         caller.close()
 
-    run(look())
+    run_with_timeout(scenario())
 
 
 def test_a_request_in_the_backlog_is_answered_before_the_listener_closes() -> None:
-    async def cross() -> None:
-        place = Place()
-        callers = [place.caller() for _ in range(20)]
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        callers = [harness.caller() for _ in range(20)]
         for caller in callers:
-            caller.send(CHECK)  # accepted by the system, not by us: the loop has not run
-        place.connections.shut_down()
+            caller.send(HEALTH_REQUEST)  # accepted by the system, not by us: the loop has not run
+        harness.connections.shut_down()
         with pytest.raises(ConnectionRefusedError):
-            place.caller()
+            harness.caller()
         for caller in callers:
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
-        assert len(place.heard) == 20
-        place.connections.shut_down()  # again, as until the stop
+        assert len(harness.received) == 20
+        harness.connections.shut_down()  # again, as until the stop
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_a_listener_that_pauses_is_not_looked_at_again_once_it_is_shut() -> None:
-    async def cross() -> None:
-        place, failed = Place(), []
+def test_a_paused_listener_is_not_watched_again_after_the_shutdown() -> None:
+    async def scenario() -> None:
+        harness, failed = ListenerHarness(), []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: failed.append(context))
-        listener = place.connections.listener.sockets[0]
-        place.connections.listener._pause(listener)
-        place.connections.shut_down()
-        place.connections.listener._resume(listener)
+        listener = harness.connections.listener.sockets[0]
+        harness.connections.listener._pause(listener)
+        harness.connections.shut_down()
+        harness.connections.listener._resume(listener)
         await asyncio.sleep(0)
         assert not failed
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_without_means_to_accept_the_loop_does_not_spin(error: int) -> None:
+def test_the_loop_does_not_spin_when_accepting_fails(error: int) -> None:
     class Listener:
-        tries = 0
+        attempts = 0
 
         def accept(self) -> None:
-            self.tries += 1
+            self.attempts += 1
             raise OSError(error, "none")
 
         def fileno(self) -> int:
             return 10_000
 
-    async def cross() -> None:
-        place, listener = Place(), Listener()
+    async def scenario() -> None:
+        harness, listener = ListenerHarness(), Listener()
         paused = []
-        place.connections.listener._pause = paused.append
-        place.connections.listener._accept(listener, 0)
-        assert paused == [listener] and listener.tries == 1
+        harness.connections.listener._pause = paused.append
+        harness.connections.listener._accept(listener, 0)
+        assert paused == [listener] and listener.attempts == 1
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_idle_callers_fill_the_places_and_a_new_one_is_served_in_its_time() -> None:
+def test_a_new_caller_is_served_in_time_when_idle_callers_hold_all_connections() -> None:
     """They never close, not even when we end: their places come free after what may cross."""
 
-    async def cross() -> None:
-        place = Place(most=20)
-        idle = [place.caller() for _ in range(40)]
-        await until(lambda: place.counts["connections_accepted"] >= 20)
+    async def scenario() -> None:
+        harness = ListenerHarness(max_connections=20)
+        idle = [harness.caller() for _ in range(40)]
+        await until(lambda: harness.counts["connections_accepted"] >= 20)
         started = time.monotonic()
         for _ in range(5):
-            caller = place.caller()
-            caller.send(CHECK)
-            answer = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(caller, 4096), SOON)
+            caller = harness.caller()
+            caller.send(HEALTH_REQUEST)
+            answer = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(caller, 4096), TIMEOUT_S)
             assert answer.startswith(b"HTTP/1.1 200")
             idle.append(caller)
-        assert time.monotonic() - started < SOON and len(place.connections.open) <= 21
-        assert not place.counts["connections_shed"]
+        assert time.monotonic() - started < TIMEOUT_S and len(harness.connections.open) <= 21
+        assert not harness.counts["connections_shed"]
         for caller in idle:
             caller.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_all_places_owed_an_answer_keep_them_and_the_next_one_waits() -> None:
-    async def cross() -> None:
-        place = Place(most=4)
-        place.on_message = lambda number, *_: place.heard.append(number)
-        callers = [place.caller() for _ in range(5)]
+def test_connections_with_a_pending_response_are_kept_and_the_next_one_waits() -> None:
+    async def scenario() -> None:
+        harness = ListenerHarness(max_connections=4)
+        harness.on_message = lambda number, *_: harness.received.append(number)
+        callers = [harness.caller() for _ in range(5)]
         for caller in callers:
-            caller.send(CHECK)
-        await until(lambda: len(place.heard) == 5 and place.counts["accepts_paused"])
-        later = place.caller()
-        later.send(CHECK)
-        for number in list(place.heard):
-            place.connections.respond(number, http_responses.write_response(200), is_last=True)
+            caller.send(HEALTH_REQUEST)
+        await until(lambda: len(harness.received) == 5 and harness.counts["accepts_paused"])
+        later = harness.caller()
+        later.send(HEALTH_REQUEST)
+        for number in list(harness.received):
+            harness.connections.respond(number, http_responses.write_response(200), is_last=True)
         for caller in callers:
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
-        await until(lambda: len(place.heard) == 6)
-        place.connections.respond(place.heard[5], http_responses.write_response(200))
+        await until(lambda: len(harness.received) == 6)
+        harness.connections.respond(harness.received[5], http_responses.write_response(200))
         assert (await asyncio.get_running_loop().sock_recv(later, 4096)).startswith(b"HTTP/1.1 200")
         later.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_bad_senders_on_all_places_make_room() -> None:
+def test_bad_senders_on_all_connections_are_evicted() -> None:
     """Each sends well-formed requests for nothing, one behind another, and reads no answer."""
 
-    async def cross() -> None:
-        place = Place(most=8)
+    async def scenario() -> None:
+        harness = ListenerHarness(max_connections=8)
 
-        def bad(number: int, *_: object) -> None:
-            place.heard.append(number)
-            place.connections.record_bad_request(number)
-            place.connections.respond(number, http_responses.write_response(404))
+        def reject(number: int, *_: object) -> None:
+            harness.received.append(number)
+            harness.connections.record_bad_request(number)
+            harness.connections.respond(number, http_responses.write_response(404))
 
-        place.on_message = bad
-        bads = [place.caller() for _ in range(8)]
-        for caller in bads:
-            caller.send(200 * CHECK)
-        await until(lambda: all(place.heard.count(number) for number in range(1, 9)))
-        for connection in place.connections.open.values():
+        harness.on_message = reject
+        bad_callers = [harness.caller() for _ in range(8)]
+        for caller in bad_callers:
+            caller.send(200 * HEALTH_REQUEST)
+        await until(lambda: all(harness.received.count(number) for number in range(1, 9)))
+        for connection in harness.connections.open.values():
             connection.bad_request_count = limits.MAX_BAD_REQUESTS
-        del place.on_message
-        good = place.caller()
-        good.send(CHECK)
-        assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(good, 4096), SOON)).startswith(b"HTTP/1.1 200")
-        for caller in (*bads, good):
+        del harness.on_message
+        good_caller = harness.caller()
+        good_caller.send(HEALTH_REQUEST)
+        assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(good_caller, 4096), TIMEOUT_S)).startswith(
+            b"HTTP/1.1 200"
+        )
+        for caller in (*bad_callers, good_caller):
             caller.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-class Counted(http_requests.RequestReader):
+class BoundedReader(http_requests.RequestReader):
     """Gives room so often that any request would be read, and then an error: what would go round for ever fails here."""
 
-    rooms = 0
+    buffer_requests = 0
 
     def free_space(self) -> memoryview:
-        self.rooms += 1
-        assert self.rooms < 100, "it goes round without a wait"
+        self.buffer_requests += 1
+        assert self.buffer_requests < 100, "it goes round without a wait"
         return super().free_space()
 
 
-class Full(Counted):
+class FullReader(BoundedReader):
     """Waits for more, and has no room for it."""
 
     def free_space(self) -> memoryview:
@@ -403,148 +407,152 @@
         http_requests.MAX_HEAD_BYTES + http_requests.MAX_BODY_BYTES,
     ],
 )
-def test_a_long_head_that_comes_whole_with_a_part_of_its_body_leaves_the_others_served(head: int) -> None:
+def test_a_long_head_that_arrives_at_once_leaves_the_others_served(head: int) -> None:
     """It lies there whole before the first read: its end is found in the same read in which it grew too long."""
 
-    async def cross() -> None:
-        place = Place()
-        place.connections.make_reader = Counted
-        long, other = place.caller(), place.caller()
-        await place.taken(2)
-        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MAX_BODY_BYTES
-        sent = (
-            words
-            + (head - len(words) - len(http_grammar.HEAD_END)) * b"a"
+    async def scenario() -> None:
+        harness = ListenerHarness()
+        harness.connections.make_reader = BoundedReader
+        long_sender, other = harness.caller(), harness.caller()
+        await harness.wait_until_idle(2)
+        head_prefix = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MAX_BODY_BYTES
+        request = (
+            head_prefix
+            + (head - len(head_prefix) - len(http_grammar.HEAD_END)) * b"a"
             + http_grammar.HEAD_END
             + http_requests.MAX_BODY_BYTES * b"b"
         )
-        assert long.send(sent) == len(sent)
-        arrived(long_end := next(iter(place.connections.open.values())).stream.socket)
-        assert len(long_end.recv(len(sent), socket.MSG_PEEK)) == len(sent)
-        other.send(CHECK)
+        assert long_sender.send(request) == len(request)
+        wait_until_readable(accepted := next(iter(harness.connections.open.values())).stream.socket)
+        assert len(accepted.recv(len(request), socket.MSG_PEEK)) == len(request)
+        other.send(HEALTH_REQUEST)
         loop = asyncio.get_running_loop()
-        assert (await asyncio.wait_for(loop.sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
-        answer = await asyncio.wait_for(loop.sock_recv(long, 4096), SOON)
+        assert (await asyncio.wait_for(loop.sock_recv(other, 4096), TIMEOUT_S)).startswith(b"HTTP/1.1 200")
+        answer = await asyncio.wait_for(loop.sock_recv(long_sender, 4096), TIMEOUT_S)
         assert answer.startswith(b"HTTP/1.1 200" if head <= http_requests.MAX_HEAD_BYTES else b"HTTP/1.1 400")
-        assert not place.counts["errors_inside"]
-        for caller in (long, other):
+        assert not harness.counts["errors_inside"]
+        for caller in (long_sender, other):
             caller.close()
 
-    run(cross())
-
-
-def test_a_reader_without_room_costs_its_connection_and_no_other() -> None:
-    async def cross() -> None:
-        place, full = Place(), Full()
-        place.connections.make_reader = lambda: full
-        stuck = place.caller()
-        await until(lambda: place.counts["errors_inside"])
-        assert full.rooms == 1
-        place.connections.make_reader = http_requests.RequestReader
-        other = place.caller()
-        other.send(CHECK)
-        assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(other, 4096), SOON)).startswith(b"HTTP/1.1 200")
+    run_with_timeout(scenario())
+
+
+def test_a_reader_without_space_costs_its_connection_and_no_other() -> None:
+    async def scenario() -> None:
+        harness, full = ListenerHarness(), FullReader()
+        harness.connections.make_reader = lambda: full
+        stuck = harness.caller()
+        await until(lambda: harness.counts["errors_inside"])
+        assert full.buffer_requests == 1
+        harness.connections.make_reader = http_requests.RequestReader
+        other = harness.caller()
+        other.send(HEALTH_REQUEST)
+        assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(other, 4096), TIMEOUT_S)).startswith(
+            b"HTTP/1.1 200"
+        )
         assert await read_to_end(stuck) == b""
         other.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 # Background work.
 
 
 def test_a_report_that_fails_costs_one_report() -> None:
-    async def cross() -> None:
+    async def scenario() -> None:
         counts: Counter[str] = Counter()
-        tasks, turns = Tasks(lambda what: counts.update([what]), 1), []
+        tasks, turns = Tasks(lambda counter: counts.update([counter]), 1), []
 
-        def work() -> None:
+        def fail() -> None:
             turns.append(1)
             if len(turns) < 3:
                 raise RuntimeError("a fault on no list")
 
-        tasks.every("reports", 0.001, work)
+        tasks.every("reports", 0.001, fail)
         await until(lambda: len(turns) >= 5)
         tasks.cancel()
         assert counts["errors_inside"] == 2
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 def test_a_task_that_fails_runs_again_later_each_time() -> None:
-    async def cross() -> None:
+    async def scenario() -> None:
         counts: Counter[str] = Counter()
-        tasks, at = Tasks(lambda what: counts.update([what]), 1), []
+        tasks, started_at = Tasks(lambda counter: counts.update([counter]), 1), []
 
-        async def work() -> None:
-            at.append(time.monotonic())
+        async def fail() -> None:
+            started_at.append(time.monotonic())
             raise RuntimeError("a fault on no list")
 
-        tasks.keep("link", work)
-        await until(lambda: len(at) >= 4)
+        tasks.keep("link", fail)
+        await until(lambda: len(started_at) >= 4)
         tasks.cancel()
-        assert counts["errors_inside"] >= 4 and at[3] - at[0] > 0.15
+        assert counts["errors_inside"] >= 4 and started_at[3] - started_at[0] > 0.15
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 def test_an_instance_whose_report_and_sweep_fail_goes_on_reporting() -> None:
-    async def cross() -> None:
-        play = SocketPlay()
-        await play.line("interpreter", "up")
-        await play.line("directory", "hears", "PULSE", "n1", "open")
-        send, failed = play.instance.datagrams.send, []
+    async def scenario() -> None:
+        instance_harness = SocketPlay()
+        await instance_harness.line("interpreter", "up")
+        await instance_harness.line("directory", "hears", "PULSE", "n1", "open")
+        send, failed = instance_harness.instance.datagrams.send, []
 
         def fails(*_: object) -> bool:
             failed.append(1)
             raise ValueError("an address that nobody foresaw")
 
-        play.instance.datagrams.send = fails
-        play.instance.front.connections.sweep = fails
+        instance_harness.instance.datagrams.send = fails
+        instance_harness.instance.front.connections.sweep = fails
         await until(lambda: len(failed) >= 2)
-        play.instance.datagrams.send = send
-        while not play.directory.heard.empty():
-            play.directory.heard.get_nowait()
-        await asyncio.wait_for(play.directory.heard.get(), SOON)
-        assert play.instance.counts["errors_inside"]
-        play.instance.stopped.set()
-        await play.serving
+        instance_harness.instance.datagrams.send = send
+        while not instance_harness.directory.heard.empty():
+            instance_harness.directory.heard.get_nowait()
+        await asyncio.wait_for(instance_harness.directory.heard.get(), TIMEOUT_S)
+        assert instance_harness.instance.counts["errors_inside"]
+        instance_harness.instance.stopped.set()
+        await instance_harness.serving
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 # The link.
 
 
-class Far:
+class FakeServer:
     """Somebody who accepts links, and says what the test wants."""
 
     def __init__(self) -> None:
         self.links: list[asyncio.StreamWriter] = []
 
     async def listen(self) -> int:
-        self.server = await asyncio.start_server(self._linked, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         return self.server.sockets[0].getsockname()[1]
 
-    async def _linked(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.links.append(writer)
         await reader.read()
         writer.close()
 
 
-def linked(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[ReconnectingLink, Tasks, Counter[str]]:
+def connect_link(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[ReconnectingLink, Tasks, Counter[str]]:
     counts: Counter[str] = Counter()
-    link = ReconnectingLink("127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda what: counts.update([what]))
-    tasks = Tasks(lambda what: counts.update([what]), 1)
+    link = ReconnectingLink(
+        "127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda counter: counts.update([counter])
+    )
+    tasks = Tasks(lambda counter: counts.update([counter]), 1)
     tasks.keep("link", link.run)
     return link, tasks, counts
 
 
-def test_a_link_moved_between_its_successor_standing_and_its_use_goes_where_it_was_told_last() -> None:
-    async def cross() -> None:
-        first, second, third = Far(), Far(), Far()
-        ports = [await far.listen() for far in (first, second, third)]
-        link, tasks, _ = linked(ports[0])
+def test_a_link_moved_between_connecting_and_use_leads_to_the_last_address() -> None:
+    async def scenario() -> None:
+        first, second, third = FakeServer(), FakeServer(), FakeServer()
+        ports = [await server.listen() for server in (first, second, third)]
+        link, tasks, _ = connect_link(ports[0])
         await until(lambda: link.stream)
         link.change_address("127.0.0.1", ports[1])
         link.successor.add_done_callback(lambda _: link.change_address("127.0.0.1", ports[2]))
@@ -552,21 +560,21 @@
         await until(lambda: link.stream and link.stream.socket.getpeername()[1] == ports[2])
         tasks.cancel()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_a_move_while_the_old_address_does_not_answer_waits_for_nothing() -> None:
-    async def cross() -> None:
-        far = Far()
-        port = await far.listen()
-        with socket.create_server(("127.0.0.1", 0), backlog=0) as deaf:
-            fillers = []
+def test_a_move_does_not_wait_for_an_old_address_that_does_not_answer() -> None:
+    async def scenario() -> None:
+        server = FakeServer()
+        port = await server.listen()
+        with socket.create_server(("127.0.0.1", 0), backlog=0) as silent_server:
+            backlog_clients = []
             for _ in range(4):  # its backlog is full: who comes now hears nothing
-                filler = socket.socket()
-                filler.setblocking(False)
-                filler.connect_ex(deaf.getsockname())
-                fillers.append(filler)
-            link, tasks, _ = linked(deaf.getsockname()[1])
+                backlog_client = socket.socket()
+                backlog_client.setblocking(False)
+                backlog_client.connect_ex(silent_server.getsockname())
+                backlog_clients.append(backlog_client)
+            link, tasks, _ = connect_link(silent_server.getsockname()[1])
             await until(lambda: link.pending_stream)
             await asyncio.sleep(0.05)
             assert link.stream is None
@@ -575,112 +583,114 @@
             await until(lambda: link.stream and link.stream.socket.getpeername()[1] == port)
             assert time.monotonic() - started < 0.5 * CONNECT_TIMEOUT_S
             tasks.cancel()
-            for filler in fillers:
-                filler.close()
+            for backlog_client in backlog_clients:
+                backlog_client.close()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_the_same_address_again_leaves_the_link_as_it_is() -> None:
-    async def cross() -> None:
-        far = Far()
-        port = await far.listen()
-        link, tasks, counts = linked(port)
+def test_setting_the_same_address_leaves_the_link_unchanged() -> None:
+    async def scenario() -> None:
+        server = FakeServer()
+        port = await server.listen()
+        link, tasks, counts = connect_link(port)
         await until(lambda: link.stream)
         link.change_address("127.0.0.1", port)
         await asyncio.sleep(0.05)
         assert link.successor is None and counts["link_opened"] == 1
         tasks.cancel()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 def test_without_a_descriptor_the_link_waits_and_the_loop_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def cross() -> None:
-        far, tries, real = Far(), [], socket.socket
-        port = await far.listen()
+    async def scenario() -> None:
+        server, attempts, real = FakeServer(), [], socket.socket
+        port = await server.listen()
 
-        def none(*more: object) -> socket.socket:
-            tries.append(1)
+        def fail_to_create(*arguments: object) -> socket.socket:
+            attempts.append(1)
             raise OSError(errno.EMFILE, "no descriptor")
 
-        monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", none)
-        link, tasks, _ = linked(port)
-        await asyncio.wait_for(asyncio.sleep(0.2), SOON)  # a loop that spins never comes back to this
-        assert 1 <= len(tries) < 30
+        monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", fail_to_create)
+        link, tasks, _ = connect_link(port)
+        await asyncio.wait_for(asyncio.sleep(0.2), TIMEOUT_S)  # a loop that spins never comes back to this
+        assert 1 <= len(attempts) < 30
         monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", real)
         await until(lambda: link.stream)
         tasks.cancel()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_a_line_that_fails_in_a_way_on_no_list_ends_neither_link_nor_keeper() -> None:
-    async def cross() -> None:
-        far, lines = Far(), []
+def test_an_unexpected_error_on_a_line_ends_neither_the_link_nor_its_task() -> None:
+    async def scenario() -> None:
+        server, lines = FakeServer(), []
 
         def fails(line: bytes) -> None:
             lines.append(line)
             if len(lines) == 1:
                 raise RuntimeError("a fault on no list")
 
-        port = await far.listen()
-        link, tasks, counts = linked(port, fails)
-        await until(lambda: far.links)
-        far.links[0].write(b"one\n")
-        await until(lambda: len(far.links) == 2)
-        far.links[1].write(b"two\n")
+        port = await server.listen()
+        link, tasks, counts = connect_link(port, fails)
+        await until(lambda: server.links)
+        server.links[0].write(b"one\n")
+        await until(lambda: len(server.links) == 2)
+        server.links[1].write(b"two\n")
         await until(lambda: lines == [b"one\n", b"two\n"])
         assert counts["errors_inside"] == 1
         tasks.cancel()
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 # Starting and stopping.
 
 
-def shell_line() -> str:
+def shell_command() -> str:
     """Until Python runs, only who starts it can keep a SIGHUP from ending it."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return "trap '' HUP; " + line.replace(".venv/bin/python", sys.executable)
 
 
-async def started_with(told: dict, path: Path, *, then: Callable[[asyncio.subprocess.Process], object]) -> tuple[int, str]:
-    path.write_text(json.dumps(told))
+async def run_process(
+    node_config: dict, path: Path, *, then: Callable[[asyncio.subprocess.Process], object]
+) -> tuple[int, str]:
+    path.write_text(json.dumps(node_config))
     process = await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", shell_line(), cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE
+        "/bin/sh", "-c", shell_command(), cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE
     )
     await then(process)
-    log = (await asyncio.wait_for(process.communicate(), SOON + 5.0))[1].decode()
+    log = (await asyncio.wait_for(process.communicate(), TIMEOUT_S + 5.0))[1].decode()
     return process.returncode, log
 
 
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        return free.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as sock:
+        return sock.getsockname()[1]
 
 
-def test_hangups_from_the_first_moment_neither_end_it_nor_are_missed(tmp_path: Path) -> None:
+def test_hangups_during_the_start_neither_end_it_nor_are_missed(tmp_path: Path) -> None:
     """They come in every moment of the start, the last one before it listens; the address named last is the one in force."""
 
-    async def cross() -> None:
-        old, new, path = Far(), Far(), tmp_path / "told.json"
-        told = {
+    async def scenario() -> None:
+        old, new, path = FakeServer(), FakeServer(), tmp_path / "told.json"
+        node_config = {
             **told_at_start(),
             "vm": f"127.0.0.1:{await old.listen()}",
             "listen": f"127.0.0.1:{free_port()}",
             "stop_ms": 200,
         }
-        moved = json.dumps({**told, "vm": f"127.0.0.1:{await new.listen()}"})
+        new_config = json.dumps({**node_config, "vm": f"127.0.0.1:{await new.listen()}"})
 
-        async def hang_up(process: asyncio.subprocess.Process) -> None:
+        async def send_hangups(process: asyncio.subprocess.Process) -> None:
             replaced = False
             await until(lambda: "mulleinhatch" in psutil.Process(process.pid).cmdline())  # it is not the shell any more
             while not old.links and not new.links:
                 process.send_signal(signal.SIGHUP)
                 if not replaced:  # whole at each moment, as a file that is replaced
-                    (tmp_path / "next.json").write_text(moved)
+                    (tmp_path / "next.json").write_text(new_config)
                     os.replace(tmp_path / "next.json", path)
                     replaced = True
                 await asyncio.sleep(0.003)
@@ -688,30 +698,30 @@
             await until(lambda: new.links)
             process.terminate()
 
-        status, log = await started_with(told, path, then=hang_up)
+        status, log = await run_process(node_config, path, then=send_hangups)
         assert status == 0 and "Traceback" not in log, log
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
-def test_a_notice_to_leave_while_the_address_is_held_is_heard(tmp_path: Path) -> None:
-    async def cross() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as holder:
-            told = {**told_at_start(), "listen": "127.0.0.1:%d" % holder.getsockname()[1], "stop_ms": 100}
+def test_a_stop_signal_while_the_address_is_in_use_is_handled(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        with socket.create_server(("127.0.0.1", 0)) as occupant:
+            node_config = {**told_at_start(), "listen": "127.0.0.1:%d" % occupant.getsockname()[1], "stop_ms": 100}
 
-            async def leave(process: asyncio.subprocess.Process) -> None:
+            async def stop(process: asyncio.subprocess.Process) -> None:
                 while b"can't listen yet" not in await process.stderr.readline():
                     pass
                 process.terminate()
                 process.terminate()
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.05)
-                holder.close()
+                occupant.close()
 
-            status, log = await started_with(told, tmp_path / "told.json", then=leave)
+            status, log = await run_process(node_config, tmp_path / "told.json", then=stop)
         assert status == 0 and "Traceback" not in log and "event=stopped" in log, log
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 @pytest.mark.parametrize(
@@ -726,20 +736,20 @@
         ("limits", [1], "limits:"),
     ],
 )
-def test_a_faulty_reload_leaves_the_old_in_force_and_names_the_key(key: str, value: object, complaint: str) -> None:
-    async def cross() -> None:
-        play = SocketPlay()
-        await play.line("interpreter", "up")
-        before = play.instance.placement
-        play.told_first[key] = value
-        play.instance.reload()
-        assert play.instance.placement is before and play.instance.counts["reloads_refused"] == 1
+def test_a_faulty_reload_keeps_the_old_settings_and_names_the_key(key: str, value: object, complaint: str) -> None:
+    async def scenario() -> None:
+        instance_harness = SocketPlay()
+        await instance_harness.line("interpreter", "up")
+        before = instance_harness.instance.placement
+        instance_harness.told_first[key] = value
+        instance_harness.instance.reload()
+        assert instance_harness.instance.placement is before and instance_harness.instance.counts["reloads_refused"] == 1
         with pytest.raises(InvalidSettingsError, match=complaint):
-            placed(play.told_first)
-        play.instance.stopped.set()
-        await play.serving
+            placed(instance_harness.told_first)
+        instance_harness.instance.stopped.set()
+        await instance_harness.serving
 
-    run(cross())
+    run_with_timeout(scenario())
 
 
 @pytest.mark.parametrize(
@@ -750,33 +760,33 @@
         ("classes", [{"name": "a"}, {"name": "a"}], "settings.classes"),
     ],
 )
-def test_settings_that_are_no_figures_end_the_start_with_their_key(path: str, value: object, complaint: str) -> None:
-    told = told_at_start()
-    told["settings"][path] = value
+def test_settings_that_are_no_numbers_end_the_start_and_name_the_key(path: str, value: object, complaint: str) -> None:
+    node_config = told_at_start()
+    node_config["settings"][path] = value
     with pytest.raises(InvalidSettingsError, match=complaint):
-        placed(told)
+        placed(node_config)
 
 
-def test_callers_that_reset_after_our_end_leave_nothing_behind() -> None:
+def test_callers_that_reset_after_our_close_leave_no_garbage() -> None:
     """The error of a stream holds its traceback, that one the stream: thousands of them stayed until a full collection."""
 
-    async def cross() -> None:
-        place = Place()
+    async def scenario() -> None:
+        harness = ListenerHarness()
         gc.collect()
         gc.disable()
         try:
             for _ in range(30):
-                caller = place.caller()
-                await place.taken()
-                shut_one = next(iter(place.connections.open.values()))
-                place.connections._half_close(shut_one, "connections_trimmed")
+                caller = harness.caller()
+                await harness.wait_until_idle()
+                half_closed = next(iter(harness.connections.open.values()))
+                harness.connections._half_close(half_closed, "connections_trimmed")
                 caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 caller.close()
-                await until(lambda: not place.connections.open)
-                del shut_one
+                await until(lambda: not harness.connections.open)
+                del half_closed
             await asyncio.sleep(0)
-            assert sum(isinstance(thing, GatheringStream) for thing in gc.get_objects()) <= 1
+            assert sum(isinstance(candidate, GatheringStream) for candidate in gc.get_objects()) <= 1
         finally:
             gc.enable()
 
-    run(cross())
+    run_with_timeout(scenario())
