--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -1,4 +1,4 @@
-"""Who answers for a second run of what may not run twice: the judge, what it is told by stand-ins, and real processes."""
+"""Second runs of requests that must not run twice: their attribution, the reports of fake callers, and real processes."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 BROKEN, DEATH = BrokenTry(0, 4.9, 5.2), Death(0, 5.1, 5.2)
 
 
-def test_a_repeat_after_a_kill_is_its_callers() -> None:
+def test_a_second_run_after_a_kill_is_attributed_to_the_caller() -> None:
     assert judged([LATER, FIRST], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
-def test_a_repeat_at_the_next_life_of_the_same_place_is_its_callers() -> None:
+def test_a_second_run_by_the_restarted_instance_is_attributed_to_the_caller() -> None:
     assert judged([FIRST, LATER._replace(place=0, life=2)], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
-def test_one_run_each_is_nothing() -> None:
+def test_single_runs_are_not_reported() -> None:
     assert judged([FIRST, LATER._replace(op="b")], {}, []) == SecondRuns([], [])
 
 
@@ -43,34 +43,43 @@
     [
         (LATER._replace(ref="r1"), BROKEN, [DEATH], "one try"),
         (LATER._replace(place=0), BROKEN, [DEATH], "one life"),
-        (LATER, None, [DEATH], "had not ended by a death"),  # answered, or its time was over
-        (LATER, BROKEN, [], "had not ended by a death"),  # an instance that lives broke it
-        (LATER, BROKEN, [DEATH._replace(place=1)], "had not ended by a death"),  # another one died
+        (LATER, None, [DEATH], "had not ended by a death"),  # answered, or timed out
+        (LATER, BROKEN, [], "had not ended by a death"),  # a live instance broke the connection
+        (LATER, BROKEN, [DEATH._replace(place=1)], "had not ended by a death"),  # another instance died
         (LATER, BROKEN, [Death(0, 5.3, 5.4)], "had not ended by a death"),  # it broke before the kill
-        (LATER, BROKEN._replace(sent_at=5.25, broken_at=5.4), [DEATH], "had not ended by a death"),  # sent to the next life
+        (
+            LATER,
+            BROKEN._replace(sent_at=5.25, broken_at=5.4),
+            [DEATH],
+            "had not ended by a death",
+        ),  # sent to the restarted instance
         (LATER._replace(at=5.15), BROKEN, [DEATH], "had not ended by a death"),  # the second ran before it broke
     ],
 )
-def test_all_else_is_an_instances_fault(later: Run, broken: BrokenTry | None, deaths: list[Death], why: str) -> None:
+def test_any_other_second_run_is_a_fault_of_an_instance(
+    later: Run, broken: BrokenTry | None, deaths: list[Death], why: str
+) -> None:
     faults, repeats = judged([FIRST, later], {"r1": broken} if broken else {}, deaths)
     assert len(faults) == 1 and faults[0].endswith(why) and not repeats
 
 
-def test_of_three_runs_each_is_held_against_all_before() -> None:
-    """The second is its caller's. The third isn't, though the first try had ended by a death: the second had not."""
+def test_each_of_three_runs_is_compared_with_all_before() -> None:
+    """The second run is the caller's. The third is not: the first attempt had ended by a death, the second had not."""
     third = Run("a", 6.0, 2, 1, "r3")
     faults, repeats = judged([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
     assert faults == ["a ran at 1 as r2, and at 2 as r3: the first try had not ended by a death"] and not repeats
 
 
-# What stand-ins tell.
+# Reports of fake callers.
 
 
-async def stub_at(answer: bytes | None, try_wait: float = 4.5) -> tuple[Load, list[bytes]]:
-    """One op that may not run twice, at a server that reads its first try in full, and then says `answer` and closes, or (None)
-    nothing at all."""
+async def send_one_request(answer: bytes | None, try_wait: float = 4.5) -> tuple[Load, list[bytes]]:
+    """Send one non-retryable request to a server that reads its first attempt completely, writes `answer` and closes.
+
+    With None it writes nothing and waits until the caller closes.
+    """
     heads: list[bytes] = []
-    seen = asyncio.Event()
+    served = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -78,10 +87,10 @@
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
         await reader.readexactly(length)
         if answer is None:
-            await reader.read()  # until its caller has enough of it
+            await reader.read()  # until the caller closes
         writer.write(answer or b"")
         writer.close()
-        seen.set()
+        served.set()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     load = Load(
@@ -96,69 +105,71 @@
             pause=0.0,
         )
     )
-    over = asyncio.Event()
-    inner, load.over = load.over, lambda op, how: (inner(op, how), over.set())
+    finished = asyncio.Event()
+    original_over, load.over = load.over, lambda op, outcome: (original_over(op, outcome), finished.set())
     load.born(time.time())
-    await asyncio.wait_for(asyncio.gather(seen.wait(), over.wait()), 10.0)
+    await asyncio.wait_for(asyncio.gather(served.wait(), finished.wait()), 10.0)
     server.close()
     return load, heads
 
 
-def test_a_stub_tells_of_the_try_whose_connection_broke() -> None:
-    load, (head,) = asyncio.run(stub_at(b""))
+def test_a_fake_caller_reports_the_attempt_whose_connection_broke() -> None:
+    load, (head,) = asyncio.run(send_one_request(b""))
     ((ref, (place, sent_at, broken_at)),) = load.report()["broken_once"].items()
     assert b"X-Request-Id: " + ref.encode() in head and load.refs[ref] == 1
     assert place == 0 and sent_at <= broken_at <= time.time() and load.counts["broken"] == 1
 
 
 @pytest.mark.parametrize(
-    ("answer", "try_wait", "how"),
+    ("answer", "try_wait", "outcome"),
     [
         (b"HTTP/1.1 500 Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", 4.5, "failed"),
-        (None, 0.05, "unanswered"),  # it closes the connection itself
+        (None, 0.05, "unanswered"),  # the caller closes the connection
     ],
 )
-def test_a_stub_tells_of_no_other_end(answer: bytes | None, try_wait: float, how: str) -> None:
-    load, heads = asyncio.run(stub_at(answer, try_wait))
-    assert load.counts[how] == 1 and len(heads) == 1 and not load.broken_once
+def test_a_fake_caller_reports_no_other_outcome(answer: bytes | None, try_wait: float, outcome: str) -> None:
+    load, heads = asyncio.run(send_one_request(answer, try_wait))
+    assert load.counts[outcome] == 1 and len(heads) == 1 and not load.broken_once
 
 
 # Processes.
 
 
-def test_what_a_killed_instance_ran_runs_again_for_its_caller_alone(tmp_path: Path) -> None:
-    """Two real ones. At the first no run ends before its caller's time is over, and it is killed as soon as it has begun one.
-    Their callers ask the other. A count over both calls that a fault, and it is nobody's."""
+def test_requests_of_a_killed_instance_run_again_only_for_their_callers(tmp_path: Path) -> None:
+    """Two real instances: on the first every run outlasts its caller's timeout, and it is killed once a run has begun.
+
+    Its callers retry at the other one. Counting the runs of both finds second runs, which are no fault of an instance.
+    """
     keep_environment()
     case = FleetCase(2, run_for=3.0, cores=8, work_ms=200.0, loads=(("all", 15.0),), signoffs=1.0, tries=4)
 
-    async def play() -> dict:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            rig.host.stdin.write(b"slow 0 50\n")
-            await rig.go()
-            while not await rig.begun(0):
+    async def scenario() -> dict:
+        async with FleetRig(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: whole(views, names), 15.0) is not None
+            harness.host.stdin.write(b"slow 0 50\n")
+            await harness.go()
+            while not await harness.begun(0):
                 await asyncio.sleep(0.01)
-            await rig.kill(rig.nodes[0])
-            return await rig.finish()
+            await harness.kill(harness.nodes[0])
+            return await harness.finish()
 
-    told = asyncio.run(asyncio.wait_for(play(), 60.0))
-    second = of_fleet(told)
+    report = asyncio.run(asyncio.wait_for(scenario(), 60.0))
+    second = of_fleet(report)
     assert second.repeats and not second.faults, second
     ran = Counter[str]()
-    for host in told["ran"]:
+    for host in report["ran"]:
         ran.update(host["signoffs"])
     assert {op for op, times in ran.items() if times > 1} == set(second.repeats)
-    # Without its death, each of the same runs is a fault.
-    assert len(of_fleet({**told, "deaths": []}).faults) >= len(second.repeats)
+    # Without the record of the death, each of these second runs is a fault.
+    assert len(of_fleet({**report, "deaths": []}).faults) >= len(second.repeats)
 
 
-# Hand-over: what a peer ran for us it must know again, when our caller comes to it.
+# Hand-over: a peer must recognize a retry of a request that was handed over to it.
 
 
-def op_told(head: bytes) -> tuple:
-    """As the front tells the reducer of a request; the body comes beside."""
+def parse_head(head: bytes) -> tuple:
+    """Parse the head of a request as the listener does."""
     line, *fields = head.partition(b"\r\n\r\n")[0].split(b"\r\n")
     return http_requests.parse_request(
         line.split(b" ")[1], {name.lower(): value for name, _, value in (field.partition(b": ") for field in fields)}, NOW
@@ -182,25 +193,27 @@
         ("0.123456789012345", "4999.123456789012345", "1999.123456789012345", "Idempotency-Key: \xe4 1\r\n"),
     ],
 )
-def test_the_retry_of_what_a_peer_handed_over_does_not_run_again(rank: str, cost: str, kb: str, key: str) -> None:
-    """The instance that read the first try handed it to this one, which runs it, and died. The caller's own words for the
-    retry, marked, come here: whatever they are written like, it is the op that runs. That figures stay over the tries of an
-    op this one has seen on others."""
+def test_a_retry_of_a_handed_over_request_does_not_run_again(rank: str, cost: str, kb: str, key: str) -> None:
+    """The instance that received the first attempt handed it over to this one, which runs it, and then died.
 
-    def sent(ref: str, more: str = "") -> tuple:
-        return op_told(
+    The caller's marked retry arrives here and must be recognized, in whatever form its numbers are written. That numbers stay
+    the same over the attempts of a request, this instance has seen on others.
+    """
+
+    def incoming(ref: str, extra_fields: str = "") -> tuple:
+        return parse_head(
             (
                 f"POST /svc/signoff HTTP/1.1\r\nX-Request-Id: {ref}\r\nX-Request-Start: {1000.0 * NOW:.0f}\r\n"
                 f"X-Timeout-Ms: 4500\r\nX-Caller: 4\r\nX-Cost-Ms: {cost}\r\nX-Memory-Kb: {kb}\r\nX-Rank: {rank}\r\n"
-                f"{more}{key}\r\n"
+                f"{extra_fields}{key}\r\n"
             ).encode("latin-1")
         )
 
-    def reads(peer: Reducer, now: float, place: int, told: tuple, from_peer: bool) -> set[Errand]:
-        *most, read_rank = told
-        return {errand for errand, *_ in peer.reduce(now, Happening.OP_READ, place, *most, b"in", read_rank, from_peer)}
+    def receive(peer: Reducer, now: float, place: int, request: tuple, from_peer: bool) -> set[Errand]:
+        *fields, read_rank = request
+        return {effect for effect, *_ in peer.reduce(now, Happening.OP_READ, place, *fields, b"in", read_rank, from_peer)}
 
-    giver, peer = (
+    origin, peer = (
         Reducer(
             {"op_types": [{"effect": Effect.NON_RETRYABLE, "op_timeout": 4.5}], "cores": 4, "callers": 8},
             ["signoff"],
@@ -210,33 +223,35 @@
         )
         for _ in range(2)
     )
-    for one in (giver, peer):
-        one.hands = True
-        one.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
+    for reducer in (origin, peer):
+        reducer.hands = True
+        reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
     peer.storms.tries.steady = STEADY_ENOUGH
-    reads(giver, 10.0, 1, sent("00000000000000aa"), False)
-    _, ref, op_type, tenant, body, age, left, caller, work, memory, again, read_rank, read_key = handed_over(
-        giver, 10.0, "00000000000000aa"
+    receive(origin, 10.0, 1, incoming("00000000000000aa"), False)
+    _, ref, request_type, tenant, body, age, left, caller, work, memory, again, read_rank, read_key = handed_over(
+        origin, 10.0, "00000000000000aa"
     )
     assert age == 0.0
-    request = http_requests.IncomingRequest(ref, op_type, tenant, age, left, caller, work, memory, again, read_key, read_rank)
-    pieces = http_peers.write_handover_request(request, body, NOW, 17, "peer:1")
-    assert Errand.RUN in reads(peer, 10.0, 1, op_told(b"".join(pieces)), True)
+    handed = http_requests.IncomingRequest(
+        ref, request_type, tenant, age, left, caller, work, memory, again, read_key, read_rank
+    )
+    chunks = http_peers.write_handover_request(handed, body, NOW, 17, "peer:1")
+    assert Errand.RUN in receive(peer, 10.0, 1, parse_head(b"".join(chunks)), True)
     peer.reduce(10.1, Happening.CALLER_LOST, 1)
-    assert reads(peer, 10.2, 2, sent("00000000000000bb", "X-Retry: 1\r\n"), False) == {Errand.FAIL}
+    assert receive(peer, 10.2, 2, incoming("00000000000000bb", "X-Retry: 1\r\n"), False) == {Errand.FAIL}
     assert peer.counts["repeats_of_run"] == 1
 
 
 @given(st.decimals(0, 99_999, places=15, allow_nan=False), st.integers(0, 15), st.sampled_from((1.0, 0.001)))
 @settings(max_examples=400, deadline=None, derandomize=True)
-def test_a_figure_goes_to_a_peer_as_it_came(written: Decimal, places: int, unit: float) -> None:
+def test_a_number_reaches_a_peer_unchanged(written: Decimal, places: int, unit: float) -> None:
     read = http_requests.parse_decimal({b"x": f"{written:.{places}f}".encode()}, b"x", unit=unit)
     assert http_requests.parse_decimal({b"x": http_peers.format_decimal(read, unit).encode()}, b"x", unit=unit) == read
 
 
-def handed_over(giver: Reducer, now: float, ref: str) -> tuple:
-    """The errand by which it goes to a peer, as if the module had said so."""
-    giver.errands = []
-    giver.owed[ref].running = False
-    giver._do_hand(now, Decision(Verb.HAND, ref))
-    return giver.errands[0]
+def handed_over(origin: Reducer, now: float, ref: str) -> tuple:
+    """Return the effect that hands the request over to a peer, as if the controller had decided so."""
+    origin.errands = []
+    origin.owed[ref].running = False
+    origin._do_hand(now, Decision(Verb.HAND, ref))
+    return origin.errands[0]
