--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Two events that cross, each forced into the order in which harm could come, on real connections.
+"""Races between two events, each forced into the harmful order on real connections.
 
-`docs/design/crossings.md` has the table. What forces an order: a hook between two steps, a loop that does not run, small
-buffers, clocks that the test sets. No sleep decides what is seen; waits only bound how long a test may hang.
+`docs/design/crossings.md` lists them. An order is forced by a hook between two steps, an event loop that does not run, small
+socket buffers, or a clock that the test sets. No sleep decides what is observed; waits only bound how long a test may hang.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
 
 
 class ListenerHarness(ConnectionObserver):
-    """Connections on loopback whose messages are kept, and answered when the test says so."""
+    """A listener on loopback that records messages and responds as the test wants."""
 
     def __init__(self, max_connections: int = 100) -> None:
         self.counts: Counter[str] = Counter()
         self.received: list[int] = []
         self.timed_out: list[int] = []
-        self.clock_offset = 0.0  # added to the clock
+        self.clock_offset = 0.0  # seconds added to the clock
         self.connections = Connections(
             max_connections,
             http_requests.RequestReader,
@@ -83,7 +83,7 @@
         return sock
 
     async def wait_until_idle(self, count: int = 1) -> list[Connection]:
-        """All that are open, once there are so many and each waits for its peer."""
+        """Return the open connections once there are `count` and each waits for its peer."""
         return await until(
             lambda: (
                 len(self.connections.open) >= count
@@ -98,11 +98,11 @@
         if value := condition():
             return value
         await asyncio.sleep(0.002)
-    raise AssertionError("it never came")
+    raise AssertionError("the condition never became true")
 
 
 async def send_partial_request(harness: ListenerHarness, receive: int = 0) -> tuple[socket.socket, Connection]:
-    """A caller of whose request a part was read."""
+    """Return a caller and its connection, on which a part of a request was read."""
     caller = harness.caller(receive)
     connection = (await harness.wait_until_idle())[0]
     caller.send(HEALTH_REQUEST[:9])
@@ -111,7 +111,7 @@
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
-    """All until the end; a reset raises."""
+    """Return all bytes until the end of the stream; a reset raises an error."""
     data, loop = b"", asyncio.get_running_loop()
     while chunk := await asyncio.wait_for(loop.sock_recv(sock, 65536), TIMEOUT_S):
         data += chunk
@@ -119,7 +119,7 @@
 
 
 def wait_until_readable(sock: socket.socket) -> None:
-    """Waits, and lets the loop do nothing meanwhile."""
+    """Block the event loop until the socket is readable."""
     assert select.select([sock], [], [], TIMEOUT_S)[0]
 
 
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("end", [close_idle, close_silent, evict, shut_down])
 def test_a_request_read_in_this_turn_of_the_loop_is_answered(end: Callable[[ListenerHarness], None]) -> None:
-    """Its bytes are out of the socket, and its coroutine has not run yet: neither look can see it."""
+    """Its bytes were read from the socket, and its coroutine has not run yet: no check of either finds it."""
 
     async def scenario() -> None:
         harness = ListenerHarness()
@@ -199,7 +199,7 @@
         harness = ListenerHarness()
         caller, _ = await send_partial_request(harness)
         harness.connections.shut_down()
-        caller.send(HEALTH_REQUEST[9:])  # the rest of it is read, and not run
+        caller.send(HEALTH_REQUEST[9:])  # the rest is read and not processed
         assert (await read_to_end(caller)).startswith(b"HTTP/1.1 408") and harness.received == []
         caller.close()
 
@@ -256,7 +256,7 @@
         harness = ListenerHarness()
         callers = [harness.caller() for _ in range(20)]
         for caller in callers:
-            caller.send(HEALTH_REQUEST)  # accepted by the system, not by us: the loop has not run
+            caller.send(HEALTH_REQUEST)  # in the backlog: the event loop has not run
         harness.connections.shut_down()
         with pytest.raises(ConnectionRefusedError):
             harness.caller()
@@ -264,7 +264,7 @@
             assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
         assert len(harness.received) == 20
-        harness.connections.shut_down()  # again, as until the stop
+        harness.connections.shut_down()  # repeated, as before a stop
 
     run_with_timeout(scenario())
 
@@ -306,7 +306,7 @@
 
 
 def test_a_new_caller_is_served_in_time_when_idle_callers_hold_all_connections() -> None:
-    """They never close, not even when we end: their places come free after what may cross."""
+    """They never close, not even after our side has: their descriptors are freed when no request can be under way."""
 
     async def scenario() -> None:
         harness = ListenerHarness(max_connections=20)
@@ -351,7 +351,7 @@
 
 
 def test_bad_senders_on_all_connections_are_evicted() -> None:
-    """Each sends well-formed requests for nothing, one behind another, and reads no answer."""
+    """Each pipelines well-formed requests that are rejected, and reads no response."""
 
     async def scenario() -> None:
         harness = ListenerHarness(max_connections=8)
@@ -381,18 +381,18 @@
 
 
 class BoundedReader(http_requests.RequestReader):
-    """Gives room so often that any request would be read, and then an error: what would go round for ever fails here."""
+    """Fails after more reads than any request needs, where an endless loop would hang the test."""
 
     buffer_requests = 0
 
     def free_space(self) -> memoryview:
         self.buffer_requests += 1
-        assert self.buffer_requests < 100, "it goes round without a wait"
+        assert self.buffer_requests < 100, "an endless loop without suspending"
         return super().free_space()
 
 
 class FullReader(BoundedReader):
-    """Waits for more, and has no room for it."""
+    """Waits for more bytes and has no space for them."""
 
     def free_space(self) -> memoryview:
         return super().free_space()[:0]
@@ -408,7 +408,7 @@
     ],
 )
 def test_a_long_head_that_arrives_at_once_leaves_the_others_served(head: int) -> None:
-    """It lies there whole before the first read: its end is found in the same read in which it grew too long."""
+    """It has arrived completely before the first read: that read finds its end and that it is too long."""
 
     async def scenario() -> None:
         harness = ListenerHarness()
@@ -467,7 +467,7 @@
         def fail() -> None:
             turns.append(1)
             if len(turns) < 3:
-                raise RuntimeError("a fault on no list")
+                raise RuntimeError("an unexpected error")
 
         tasks.every("reports", 0.001, fail)
         await until(lambda: len(turns) >= 5)
@@ -484,7 +484,7 @@
 
         async def fail() -> None:
             started_at.append(time.monotonic())
-            raise RuntimeError("a fault on no list")
+            raise RuntimeError("an unexpected error")
 
         tasks.keep("link", fail)
         await until(lambda: len(started_at) >= 4)
@@ -503,7 +503,7 @@
 
         def fails(*_: object) -> bool:
             failed.append(1)
-            raise ValueError("an address that nobody foresaw")
+            raise ValueError("an unexpected address")
 
         instance_harness.instance.datagrams.send = fails
         instance_harness.instance.front.connections.sweep = fails
@@ -519,11 +519,11 @@
     run_with_timeout(scenario())
 
 
-# The link.
+# The interpreter link.
 
 
 class FakeServer:
-    """Somebody who accepts links, and says what the test wants."""
+    """Accepts links and sends what the test wants."""
 
     def __init__(self) -> None:
         self.links: list[asyncio.StreamWriter] = []
@@ -569,7 +569,7 @@
         port = await server.listen()
         with socket.create_server(("127.0.0.1", 0), backlog=0) as silent_server:
             backlog_clients = []
-            for _ in range(4):  # its backlog is full: who comes now hears nothing
+            for _ in range(4):  # fill its backlog: further attempts to connect get no reply
                 backlog_client = socket.socket()
                 backlog_client.setblocking(False)
                 backlog_client.connect_ex(silent_server.getsockname())
@@ -614,7 +614,7 @@
 
         monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", fail_to_create)
         link, tasks, _ = connect_link(port)
-        await asyncio.wait_for(asyncio.sleep(0.2), TIMEOUT_S)  # a loop that spins never comes back to this
+        await asyncio.wait_for(asyncio.sleep(0.2), TIMEOUT_S)  # never returns in a loop that spins
         assert 1 <= len(attempts) < 30
         monkeypatch.setattr("mulleinhatch.instance.transport.reconnecting_link.socket.socket", real)
         await until(lambda: link.stream)
@@ -630,7 +630,7 @@
         def fails(line: bytes) -> None:
             lines.append(line)
             if len(lines) == 1:
-                raise RuntimeError("a fault on no list")
+                raise RuntimeError("an unexpected error")
 
         port = await server.listen()
         link, tasks, counts = connect_link(port, fails)
@@ -649,7 +649,7 @@
 
 
 def shell_command() -> str:
-    """Until Python runs, only who starts it can keep a SIGHUP from ending it."""
+    """Return the start command, which ignores SIGHUP: until Python runs, only its parent can do so."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return "trap '' HUP; " + line.replace(".venv/bin/python", sys.executable)
 
@@ -672,7 +672,7 @@
 
 
 def test_hangups_during_the_start_neither_end_it_nor_are_missed(tmp_path: Path) -> None:
-    """They come in every moment of the start, the last one before it listens; the address named last is the one in force."""
+    """They arrive at every moment of the start, the last one before it listens; the last address in the file is used."""
 
     async def scenario() -> None:
         old, new, path = FakeServer(), FakeServer(), tmp_path / "told.json"
@@ -686,10 +686,10 @@
 
         async def send_hangups(process: asyncio.subprocess.Process) -> None:
             replaced = False
-            await until(lambda: "mulleinhatch" in psutil.Process(process.pid).cmdline())  # it is not the shell any more
+            await until(lambda: "mulleinhatch" in psutil.Process(process.pid).cmdline())  # the shell has been replaced
             while not old.links and not new.links:
                 process.send_signal(signal.SIGHUP)
-                if not replaced:  # whole at each moment, as a file that is replaced
+                if not replaced:  # replaced atomically, so that it is complete at each moment
                     (tmp_path / "next.json").write_text(new_config)
                     os.replace(tmp_path / "next.json", path)
                     replaced = True
@@ -768,7 +768,7 @@
 
 
 def test_callers_that_reset_after_our_close_leave_no_garbage() -> None:
-    """The error of a stream holds its traceback, that one the stream: thousands of them stayed until a full collection."""
+    """A stream's error references its traceback, which references the stream: a cycle until a full garbage collection."""
 
     async def scenario() -> None:
         harness = ListenerHarness()
