--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -1,6 +1,6 @@
-"""A whole system on one machine: three control planes, two data planes, stand-in backends, streaming clients, a live table.
+"""Run a complete system on one machine: three control planes, two data planes, simulated backends, streaming clients.
 
-All on loopback addresses of its own, in processes of their own for the planes; nothing outlives the demonstration.
+The planes are processes with loopback addresses of their own; all of them end with the demonstration.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.networking.http_streaming import write_request
 from mulleinhatch.process.settings import FILE_VARIABLE
-from mulleinhatch.testing.fake_model_server import BackendFacts, ModelBackend
+from mulleinhatch.testing.fake_model_server import FakeModelServer, FakeModelServerConfig
 
 ROOT = Path(__file__).resolve().parents[3]
 SERVICE, HOST = "writer", "demo.example"
@@ -31,8 +31,8 @@
 
 
 @dataclass
-class Tally:
-    """What the clients saw."""
+class ClientTally:
+    """Outcomes of the clients' requests."""
 
     served: int = 0
     refused: int = 0
@@ -40,24 +40,37 @@
     first_token_s: list[float] = field(default_factory=list)
 
 
-def control_ip(number: int) -> str:
+def control_plane_ip(number: int) -> str:
+    """Return the loopback address of a control plane."""
     return f"127.1.{number}.1"
 
 
-def front_ip(number: int) -> str:
+def data_plane_ip(number: int) -> str:
+    """Return the loopback address of a data plane."""
     return f"127.2.{number}.1"
 
 
-def settings_of(folder: Path, kind: str, number: int, cores: int, first: bool) -> Path:
-    """Writes the settings file of one plane."""
-    ip = control_ip(number) if kind == "control" else front_ip(number)
+def write_settings(folder: Path, kind: str, number: int, cores: int, first: bool) -> Path:
+    """Write the settings file of one plane.
+
+    Args:
+        folder: The directory of the file and of the persisted state.
+        kind: "control" or "data".
+        number: The number of the plane among those of its kind.
+        cores: The number of control planes.
+        first: Whether the whole system starts for the first time.
+
+    Returns:
+        The path of the file.
+    """
+    ip = control_plane_ip(number) if kind == "control" else data_plane_ip(number)
     lines = [
         f"node_name={kind}-{number}",
         f"ip_address={ip}",
         f"zone=zone-{number}",
         "region=here",
         f"internal_port_range={INTERNAL_PORT},{INTERNAL_PORT + 9}",
-        "seeds=" + ",".join(f"{control_ip(core)}:{CONTROL_PORT}" for core in range(cores)),
+        "seeds=" + ",".join(f"{control_plane_ip(core)}:{CONTROL_PORT}" for core in range(cores)),
         f"first_start={str(first).lower()}",
         f"fault_tolerance.machines={1 if cores > 2 else 0}",
         "heartbeat_interval_ms=1000",
@@ -72,8 +85,8 @@
 
 
 def start_plane(folder: Path, kind: str, number: int, cores: int, first: bool = True) -> subprocess.Popen[bytes]:
-    """Starts one plane as a process; its log goes to a file beside its settings. `first`: the whole system starts anew."""
-    path = settings_of(folder, kind, number, cores, first)
+    """Start one plane as a process; its log goes to a file beside its settings (see `write_settings` for the arguments)."""
+    path = write_settings(folder, kind, number, cores, first)
     script = "control_plane.py" if kind == "control" else "data_plane.py"
     with open(path.with_suffix(".log"), "ab") as log:
         return subprocess.Popen(
@@ -82,6 +95,7 @@
 
 
 def configuration(version: int = 1) -> dict:
+    """Return a configuration with one streaming route and one service."""
     route = {
         "name": "write",
         "host": HOST,
@@ -106,7 +120,11 @@
 
 
 async def put_configuration(caller: HttpClient, address: str, within_s: float = 20.0) -> None:
-    """Sends the first configuration until a control plane takes it."""
+    """Send the first configuration until a control plane accepts it.
+
+    Raises:
+        TimeoutError: None accepted it within `within_s` seconds.
+    """
     loop = asyncio.get_running_loop()
     end, at = loop.time() + within_s, address
     while loop.time() < end:
@@ -124,16 +142,17 @@
                 return
             if answer.status == 307:
                 at = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
-        except CallError:
+        except HttpCallError:
             at = address
         await asyncio.sleep(0.2)
     raise TimeoutError("no control plane took the configuration; see the logs in the demonstration's folder")
 
 
-def make_backends(count: int, control: list[str]) -> list[ModelBackend]:
+def make_backends(count: int, control: list[str]) -> list[FakeModelServer]:
+    """Return simulated backends that send heartbeats to some control addresses."""
     backends = []
     for number in range(count):
-        facts = BackendFacts(
+        facts = FakeModelServerConfig(
             SERVICE,
             f"127.3.{number}.1:{BACKEND_PORT}",
             f"zone-{number % 2}",
@@ -143,12 +162,12 @@
             dict.fromkeys(MODELS, MODEL_MB),
             0.8,
         )
-        backends.append(ModelBackend(facts, control, {MODELS[number % 4]: set()}))
+        backends.append(FakeModelServer(facts, control, {MODELS[number % 4]: set()}))
     return backends
 
 
-async def ask(front: str, model: str, tally: Tally) -> str:
-    """One streaming request; its id."""
+async def send_request(front: str, model: str, tally: ClientTally) -> str:
+    """Send one streaming request, count its outcome and return its id."""
     request_id = uuid.uuid4().hex[:16]
     fields = [
         (b"Host", HOST.encode()),
@@ -183,16 +202,17 @@
     return request_id
 
 
-async def _client(fronts: list[str], tally: Tally, until: float) -> None:
+async def _client(fronts: list[str], tally: ClientTally, until: float) -> None:
     loop = asyncio.get_running_loop()
     while loop.time() < until:
         model = MODELS[min(len(MODELS) - 1, int(random.expovariate(0.6)))]
         adapter = f"/a{random.randrange(1, 5)}" if random.random() < 0.3 else ""
-        await ask(random.choice(fronts), model + adapter, tally)
+        await send_request(random.choice(fronts), model + adapter, tally)
         await asyncio.sleep(random.uniform(0.0, 0.3))
 
 
-def _show(backends: list[ModelBackend], tally: Tally, left_s: float) -> None:
+def print_status(backends: list[FakeModelServer], tally: ClientTally, left_s: float) -> None:
+    """Print the clients' outcomes and the models of each backend."""
     first = sorted(tally.first_token_s) or [0.0]
     print(
         f"\n{left_s:4.0f} s left   served {tally.served}  refused {tally.refused}  failed {tally.failed}  "
@@ -200,18 +220,18 @@
     )
     print(f"{'stub':<14}{'running':>8}  holds")
     for backend in backends:
-        held = ", ".join(
+        loaded = ", ".join(
             name + (f" ({', '.join(sorted(adapters))})" if adapters else "")
             for name, adapters in sorted(backend.models.items())
         )
-        print(f"{backend.id:<14}{backend.running:>8}  {held}")
+        print(f"{backend.id:<14}{backend.running:>8}  {loaded}")
 
 
-async def _demo(seconds: float, folder: Path) -> Tally:
-    cores, fronts, caller, tally = 3, 2, HttpClient(), Tally()
+async def _demo(seconds: float, folder: Path) -> ClientTally:
+    cores, fronts, caller, tally = 3, 2, HttpClient(), ClientTally()
     planes = [start_plane(folder, "control", number, cores) for number in range(cores)]
     planes += [start_plane(folder, "data", number, cores) for number in range(fronts)]
-    control = [f"{control_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
+    control = [f"{control_plane_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
     backends = make_backends(4, control)
     try:
         for backend in backends:
@@ -219,11 +239,11 @@
         await put_configuration(caller, control[0])
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        addresses = [f"{front_ip(number)}:{FRONT_PORT}" for number in range(fronts)]
+        addresses = [f"{data_plane_ip(number)}:{FRONT_PORT}" for number in range(fronts)]
         clients = [asyncio.ensure_future(_client(addresses, tally, until)) for _ in range(CLIENTS)]
         while loop.time() < until:
             await asyncio.sleep(min(SHOW_S, max(0.05, until - loop.time())))
-            _show(backends, tally, until - loop.time())
+            print_status(backends, tally, until - loop.time())
         await asyncio.gather(*clients)
         return tally
     finally:
@@ -237,7 +257,7 @@
 
 
 def run_demo(seconds: float) -> None:
-    """Runs the demonstration for some seconds of traffic."""
+    """Run the demonstration for some seconds of traffic."""
     with tempfile.TemporaryDirectory(prefix="mulleinhatch-demo-") as folder:
         tally = asyncio.run(_demo(seconds, Path(folder)))
         print(f"\nserved {tally.served}, refused {tally.refused}, failed {tally.failed}")
--- a/mulleinhatch/consensus/view_planner.py
+++ b/mulleinhatch/consensus/view_planner.py
@@ -1,13 +1,21 @@
-"""Which view should follow the one in force. Pure: from a view and who is alive to a view, or None where it may stay.
+"""Plan the view that should follow the current one, from the health of the known nodes.
 
-Rules that keep what was acknowledged: survivors keep their order, so that each predecessor holds all that its successor holds;
-only machines that are caught up in the view's epoch join, at the tail; the head holds, for certain, all that was committed; a
-chain has more members than disks may be lost at once.
+Rules that preserve acknowledged writes:
 
-Rules that keep a majority: the voters are an odd number, twice the machines that may be lost at once and one as soon as
-there are so many; a machine that holds the state takes the place of a voter that is silent or leaves, in the one view, so
-that the loss after it finds a majority again. Voters of a view choose the next one by a decision of that view alone, so
-any number of them may change at once (reconfiguration by the former members, as in Vertical Paxos and in SMART).
+* Survivors keep their order in the chain, so that each predecessor still holds every entry that its successor holds.
+* Only nodes that are caught up in the current epoch join, at the tail.
+* The head's log is complete: it certainly holds every committed entry.
+* The chain is longer than the number of disks that may be lost at once.
+
+Rules that preserve a majority:
+
+* The number of voters is odd, and 2 * tolerated + 1 as soon as there are as many nodes.
+* A caught-up node replaces an unreachable or leaving voter in a single view change, so that the next loss still leaves a
+  majority.
+
+Voters of a view choose the next view on their own, so any number of them may change at once (reconfiguration by the former
+members). Source: L. Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and Primary-Backup Replication" (2009); J. Lorch et al., "The
+SMART Way to Migrate Replicated Stateful Services" (2006).
 """
 
 from __future__ import annotations
@@ -20,70 +28,120 @@
 
 
 @dataclass(frozen=True)
-class Health:
-    """How a core machine fares, as the planner sees it."""
+class MemberHealth:
+    """The health of one core node, as the planner sees it.
+
+    Attributes:
+        member: The node.
+        is_alive: It responded within the failure timeout, and is not leaving.
+        is_caught_up: It holds every entry that is committed in the current view.
+        unreachable_for_s: Seconds since its last response.
+        log_complete: For a member of the chain: it holds every entry that was committed before the view.
+        unresponsive_peers: Identities of nodes that have not responded to it for long.
+    """
 
     member: Member
-    alive: bool  # heard within the failure timeout, and not leaving
-    caught_up: bool  # holds all that was committed in the view in force
-    gone_for_s: float = 0.0  # since it was last heard
-    log_complete: bool = True  # of a member of the chain: it holds all that was committed before the view
-    misses: frozenset[str] = frozenset()  # identities of machines that have not answered it for long
+    is_alive: bool
+    is_caught_up: bool
+    unreachable_for_s: float = 0.0
+    log_complete: bool = True
+    unresponsive_peers: frozenset[str] = frozenset()
+
 
+def bootstrap_view(seeds: Iterable[str], internal_of: Callable[[str], str]) -> View:
+    """Return the view that every seed of a first start derives on its own, without communication.
 
-def first_view(seeds: Iterable[str], internal_of: Callable[[str], str]) -> View:
-    """The view that all seeds of a first start agree on without a word. `seeds` are control addresses; `internal_of` gives the
-    internal address beside one."""
+    Args:
+        seeds: Control addresses.
+        internal_of: Returns the internal address that belongs to a control address.
+    """
     members = [
         Member(identity=f"first-{seed}", name=seed, control_address=seed, internal_address=internal_of(seed)) for seed in seeds
     ]
     return View(epoch=1, voters=members, chain=members)
 
 
-def _linked(one: Health, other: Health) -> bool:
-    """Whether two machines reach each other, as far as they told."""
-    return one.member.identity not in other.misses and other.member.identity not in one.misses
+def plan_next_view(view: View, health: Mapping[str, MemberHealth], tolerated: int) -> View | None:
+    """Return the view that should follow.
 
+    Args:
+        view: The current view.
+        health: Every known node and every voter, by identity.
+        tolerated: How many disks may be lost at once.
 
-def _chain(view: View, health: Mapping[str, Health]) -> list[Member]:
-    """Survivors in their order, then those that are caught up, by identity; each reaches the one before it."""
-    survivors = [health[member.identity] for member in view.chain if member.identity in health]
-    known = identities(view.chain)
-    joining = sorted(
-        (one for one in health.values() if one.caught_up and one.member.identity not in known),
-        key=lambda one: one.member.identity,
-    )
-    chain: list[Health] = []
-    for one in survivors + joining:
-        if one.alive and (not chain or _linked(chain[-1], one)):
-            chain.append(one)
-    return [one.member for one in chain]
+    Returns:
+        The next view; None where the current one needs no change, or where no safe successor exists.
+    """
+    chain = _plan_chain(view, health)
+    if not chain or chain[0].identity not in identities(view.chain):
+        return None
+    if not health[chain[0].identity].log_complete or len(chain) < tolerated + 1:
+        return None
+    voters = _plan_voters(view, health, tolerated)
+    if identities(chain) == identities(view.chain) and identities(voters) == identities(view.voters):
+        return None
+    return View(epoch=view.epoch + 1, voters=voters, chain=chain)
 
 
-def _same_place(one: Member, other: Member) -> bool:
-    return one.internal_address == other.internal_address
+def _are_connected(first: MemberHealth, second: MemberHealth) -> bool:
+    """Return whether neither node reports the other as unresponsive."""
+    if first.member.identity in second.unresponsive_peers:
+        return False
+    return second.member.identity not in first.unresponsive_peers
+
+
+def _plan_chain(view: View, health: Mapping[str, MemberHealth]) -> list[Member]:
+    """Return the survivors in their order, then joining nodes by identity; each node reaches its predecessor."""
+    survivors = [health[member.identity] for member in view.chain if member.identity in health]
+    current = identities(view.chain)
+    joining = [node for node in health.values() if node.is_caught_up and node.member.identity not in current]
+    joining.sort(key=lambda node: node.member.identity)
+    chain: list[MemberHealth] = []
+    for node in survivors + joining:
+        if node.is_alive and (not chain or _are_connected(chain[-1], node)):
+            chain.append(node)
+    return [node.member for node in chain]
+
+
+def _plan_voters(view: View, health: Mapping[str, MemberHealth], tolerated: int) -> list[Member]:
+    """Return the next voters: the current ones, with the unreachable replaced where candidates exist."""
+    voters = list(view.voters)
+    candidates = _voter_candidates(view, health)
+    target_count = 2 * tolerated + 1
+    _replace_wiped_voters(voters, candidates)
+    _add_voters(voters, candidates, target_count)
+    for position, candidate in zip(_unreachable_voter_positions(voters, health), candidates):
+        voters[position] = candidate
+    while len(voters) > target_count and len(voters) % 2 == 0:
+        unreachable = _unreachable_voter_positions(voters, health)
+        if not unreachable:
+            break
+        del voters[unreachable[0]]
+    return voters
 
 
-def _candidates(view: View, health: Mapping[str, Health]) -> list[Member]:
-    """Machines that hold the state and have no vote, by identity."""
+def _voter_candidates(view: View, health: Mapping[str, MemberHealth]) -> list[Member]:
+    """Return the caught-up nodes without a vote, by identity."""
     voting = identities(view.voters)
-    able = (one.member for one in health.values() if one.alive and one.caught_up and one.member.identity not in voting)
-    return sorted(able, key=lambda member: member.identity)
+    candidates = [
+        node.member for node in health.values() if node.is_alive and node.is_caught_up and node.member.identity not in voting
+    ]
+    return sorted(candidates, key=lambda member: member.identity)
 
 
-def _take_former_places(voters: list[Member], candidates: list[Member]) -> None:
-    """Who speaks from a voter's address with another identity has its place: the disk was emptied, the former one is gone."""
+def _replace_wiped_voters(voters: list[Member], candidates: list[Member]) -> None:
+    """Replace a voter by the candidate at its address: the disk was wiped, and its former identity is gone."""
     for candidate in list(candidates):
-        for place, voter in enumerate(voters):
-            if _same_place(voter, candidate):
-                voters[place] = candidate
+        for position, voter in enumerate(voters):
+            if voter.internal_address == candidate.internal_address:
+                voters[position] = candidate
                 candidates.remove(candidate)
                 break
 
 
-def _grow(voters: list[Member], candidates: list[Member], wanted: int) -> None:
-    """Adds voters up to the wanted number; their number stays odd, or becomes it."""
-    while len(voters) < wanted:
+def _add_voters(voters: list[Member], candidates: list[Member], target_count: int) -> None:
+    """Add voters up to the target count, one or two at a time so that their number is odd after each step."""
+    while len(voters) < target_count:
         step = 1 + len(voters) % 2
         if len(candidates) < step:
             return
@@ -91,34 +149,7 @@
         del candidates[:step]
 
 
-def _silent_places(voters: list[Member], health: Mapping[str, Health]) -> list[int]:
-    """Places of voters that are out of reach or leave, the longest gone first."""
-    places = [place for place, voter in enumerate(voters) if not health[voter.identity].alive]
-    return sorted(places, key=lambda place: -health[voters[place].identity].gone_for_s)
-
-
-def _voters(view: View, health: Mapping[str, Health], tolerated: int) -> list[Member]:
-    voters, candidates = list(view.voters), _candidates(view, health)
-    wanted = 2 * tolerated + 1
-    _take_former_places(voters, candidates)
-    _grow(voters, candidates, wanted)
-    for place, candidate in zip(_silent_places(voters, health), candidates):
-        voters[place] = candidate
-    while len(voters) > wanted and len(voters) % 2 == 0 and (silent := _silent_places(voters, health)):
-        del voters[silent[0]]
-    return voters
-
-
-def next_view(view: View, health: Mapping[str, Health], tolerated: int) -> View | None:
-    """The view that should follow, None where the one in force is right or no safe one can be formed.
-
-    `health` tells of every machine known and of every voter, by identity; `tolerated` is how many disks may be lost at once."""
-    chain = _chain(view, health)
-    if not chain or chain[0].identity not in identities(view.chain):
-        return None
-    if not health[chain[0].identity].log_complete or len(chain) < tolerated + 1:
-        return None
-    voters = _voters(view, health, tolerated)
-    if identities(chain) == identities(view.chain) and identities(voters) == identities(view.voters):
-        return None
-    return View(epoch=view.epoch + 1, voters=voters, chain=chain)
+def _unreachable_voter_positions(voters: list[Member], health: Mapping[str, MemberHealth]) -> list[int]:
+    """Return the positions of voters that are unreachable or leaving, the longest unreachable first."""
+    positions = [position for position, voter in enumerate(voters) if not health[voter.identity].is_alive]
+    return sorted(positions, key=lambda position: -health[voters[position].identity].unreachable_for_s)
--- /dev/null
+++ b/mulleinhatch/data_plane/event_stream.py
@@ -0,0 +1,58 @@
+"""Complete events of a `text/event-stream` response, for streams that may be resumed at another backend. Pure.
+
+Source: WHATWG HTML, section 9.2 (server-sent events): events end with an empty line; `id` sets the last event id.
+"""
+
+from __future__ import annotations
+
+import re
+
+EVENT_TERMINATOR = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+ID_FIELD = re.compile(rb"(?:\A|[\r\n])id:[ ]?([^\r\n]*)")
+
+
+class EventStreamFilter:
+    """Passes complete events only, each once: an event whose id is not above the last one is left out.
+
+    >>> stream = EventStreamFilter()
+    >>> stream.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), stream.last_event_id
+    (b'id: 1\\ndata: a\\n\\n', b'1')
+    >>> stream.discard_partial_event(); stream.feed(b"id: 1\\ndata: a\\n\\nid: 2\\ndata: b\\n\\n")
+    b'id: 2\\ndata: b\\n\\n'
+
+    Attributes:
+        last_event_id: Id of the last event that was passed; a resumed stream continues behind it.
+        partial_event: Bytes of the next event, whose end has not arrived.
+    """
+
+    __slots__ = ("last_event_id", "partial_event")  # one object a resumable stream; `feed` runs for each event
+
+    def __init__(self, last_event_id: bytes = b"") -> None:
+        self.last_event_id = last_event_id
+        self.partial_event = b""
+
+    def feed(self, data: bytes) -> bytes:
+        """Return the new events that are complete with these bytes."""
+        self.partial_event += data
+        events, start = [], 0
+        for terminator in EVENT_TERMINATOR.finditer(self.partial_event):
+            event = self.partial_event[start : terminator.end()]
+            start = terminator.end()
+            if self._is_new(event):
+                events.append(event)
+        self.partial_event = self.partial_event[start:]
+        return b"".join(events)
+
+    def _is_new(self, event: bytes) -> bool:
+        match = ID_FIELD.search(event)
+        if match is None:
+            return True
+        event_id = match.group(1)
+        if self.last_event_id.isdigit() and event_id.isdigit() and int(event_id) <= int(self.last_event_id):
+            return False
+        self.last_event_id = event_id
+        return True
+
+    def discard_partial_event(self) -> None:
+        """Drop the bytes of the next event after the connection was lost; the resumed stream sends it anew."""
+        self.partial_event = b""
--- /dev/null
+++ b/mulleinhatch/networking/http_connection.py
@@ -0,0 +1,214 @@
+"""HTTP/1.1 client connections: one request at a time, the response body passed on as it arrives.
+
+`ClientConnection` reports to a `ResponseSink`. It knows no pool; an `IdleConnectionOwner` learns when an idle one ends.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from enum import Enum
+from typing import Protocol
+
+from mulleinhatch.networking.http_grammar import BadRequestError
+from mulleinhatch.networking.http_streaming import Head, MessageReader
+
+MAX_RESPONSE_HEAD_BYTES = 65536
+CONNECT_TIMEOUT_S = 1.0
+TCP_USER_TIMEOUT_MS = 2500  # a peer that acknowledges no bytes for so long is unreachable
+
+
+class Loss(Enum):
+    """How a connection ended before the response was complete."""
+
+    NO_ANSWER = "no answer"  # the request may have arrived
+    BROKEN = "broken"  # in the middle of the response, or the bytes were no response
+
+
+class ResponseSink(Protocol):
+    """Receives one response; each call may close the connection."""
+
+    def expects(self, head: Head) -> bool:
+        """Return whether a head belongs to the request; a response that does not is discarded."""
+
+    def on_head(self, head: Head) -> None:
+        """Handle the head of the response."""
+
+    def on_body(self, data: bytes) -> None:
+        """Handle a part of the body."""
+
+    def on_end(self) -> None:
+        """Handle the end of a complete response."""
+
+    def on_loss(self, loss: Loss) -> None:
+        """Handle the end of the connection before the response was complete."""
+
+
+class IdleConnectionOwner(Protocol):
+    """Keeps a connection between requests."""
+
+    def on_idle_loss(self, connection: ClientConnection) -> None:
+        """Handle the end of a connection that carried no request."""
+
+
+class ClientConnection(asyncio.Protocol):
+    """A connection to a backend or to another process of the system.
+
+    Attributes:
+        usable: Whether it may carry another request.
+        idle_until: The loop time, in seconds, from which it must not be used again; 0 if it was never idle.
+        requests: The number of requests sent.
+        pool: Who keeps it between requests, if it is to learn of its end.
+    """
+
+    def __init__(self) -> None:
+        self.transport: asyncio.Transport | None = None
+        self.usable = False
+        self.idle_until = 0.0
+        self.requests = 0
+        self.pool: IdleConnectionOwner | None = None
+        self._reader = MessageReader(answers=True, max_head_bytes=MAX_RESPONSE_HEAD_BYTES)
+        self._sink: ResponseSink | None = None
+        self._head: Head | None = None
+        self._is_paused = False
+        self._is_discarding = False  # the response being read belongs to an earlier request
+        self._is_desynchronized = False  # such a response arrived: no further request may use the connection
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set socket options; asyncio calls it once."""
+        self.transport = transport  # type: ignore[assignment]
+        self.usable = True
+        sock = transport.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+
+    def send(self, data: bytes, sink: ResponseSink) -> None:
+        """Send the bytes of a request; its response goes to `sink`."""
+        assert self._sink is None and self.transport is not None
+        self._sink, self._head = sink, None
+        self.requests += 1
+        self.transport.write(data)
+
+    def close(self) -> None:
+        """Abort the connection; the sink gets no further call."""
+        self.usable, self._sink = False, None
+        if self.transport is not None:
+            self.transport.abort()
+
+    def pause(self, paused: bool) -> None:
+        """Stop or resume reading, for backpressure from the receiver of the response."""
+        if self.transport is None or paused is self._is_paused or self.transport.is_closing():
+            return
+        self._is_paused = paused
+        if paused:
+            self.transport.pause_reading()
+        else:
+            self.transport.resume_reading()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse bytes of the response; asyncio calls it."""
+        self._reader.feed(data)
+        if self._sink is None:
+            self._end_idle()  # bytes that belong to no request
+            return
+        try:
+            self._read()
+        except BadRequestError:
+            self._lose(Loss.BROKEN)
+
+    def _read(self) -> None:
+        sink = self._sink
+        if self._head is None and not self._is_discarding:
+            head = self._read_final_head()
+            if head is None:
+                return
+            if not sink.expects(head):
+                self._is_discarding, self._is_desynchronized = True, True
+            else:
+                self._head = head
+                sink.on_head(head)
+            if self._sink is not sink:
+                return  # the sink closed this connection
+        if self._is_discarding:
+            self._discard()
+            return
+        chunk = self._reader.body()
+        if chunk:
+            sink.on_body(chunk)
+        if self._sink is sink and self._reader.done:
+            self._finish()
+
+    def _read_final_head(self) -> Head | None:
+        """Return the next head that is not an interim (1xx) response, None until it is complete."""
+        head = self._reader.head()
+        while head is not None and head.status < 200:
+            self._reader.next()
+            head = self._reader.head()
+        return head
+
+    def _discard(self) -> None:
+        """Discard a response to an earlier request; the expected one may follow it."""
+        self._reader.body()
+        if self._reader.done:
+            self._is_discarding = False
+            self._reader.next()
+            if self._reader.surplus():
+                self._read()
+
+    def _finish(self) -> None:
+        sink, head, self._sink = self._sink, self._head, None
+        has_unsent_bytes = self.transport.get_write_buffer_size() > 0  # the response came before the request was sent
+        if has_unsent_bytes or self._is_desynchronized or self._reader.surplus() or not head.keep_alive or head.until_close:
+            self.usable = False
+            self.transport.close()
+        else:
+            self._reader.next()
+            self.pause(False)
+        sink.on_end()
+
+    def _lose(self, loss: Loss) -> None:
+        sink, self._sink, self.usable = self._sink, None, False
+        self.transport.abort()
+        if sink is not None:
+            sink.on_loss(loss)
+
+    def _end_idle(self) -> None:
+        self.usable = False
+        self.transport.abort()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Report the end to the sink, or to the owner if no request was in progress; asyncio calls it once."""
+        self.usable = False
+        sink, self._sink = self._sink, None
+        if sink is None:
+            if self.pool is not None:
+                self.pool.on_idle_loss(self)
+            return
+        if error is None and self._head is not None and self._reader.ended():
+            sink.on_end()
+            return
+        sink.on_loss(Loss.NO_ANSWER if self._head is None else Loss.BROKEN)
+
+
+def take_usable(idle: list[ClientConnection]) -> ClientConnection | None:
+    """Remove and return the newest idle connection that may carry a request; close the newer ones that may not."""
+    now = asyncio.get_running_loop().time()
+    while idle:
+        connection = idle.pop()
+        if connection.usable and connection.idle_until > now:
+            return connection
+        connection.close()
+    return None
+
+
+async def connect(address: str, timeout_s: float = CONNECT_TIMEOUT_S) -> ClientConnection:
+    """Open a connection to "HOST:PORT".
+
+    Raises:
+        OSError: The connection was refused, or not open after `timeout_s` seconds (TimeoutError).
+    """
+    host, _, port = address.rpartition(":")
+    loop = asyncio.get_running_loop()
+    async with asyncio.timeout(timeout_s):
+        _, connection = await loop.create_connection(ClientConnection, host, int(port), family=socket.AF_INET)
+    return connection
--- a/mulleinhatch/simulation/control_plane/faults.py
+++ b/mulleinhatch/simulation/control_plane/faults.py
@@ -1,269 +1,115 @@
-"""Losses, returns, cuts and disks in trouble, in any order that the tolerance allows, and some that it does not."""
+"""Inject faults into machines, links and disks: in any order within the tolerance, and some beyond it."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable, Coroutine
+from enum import Enum
 from typing import Any
 
-from mulleinhatch.control_plane import shutdown as departure
+from mulleinhatch.simulation.control_plane.disk_faults import DiskFaults
+from mulleinhatch.simulation.control_plane.link_faults import LinkFaults
+from mulleinhatch.simulation.control_plane.machine_faults import MachineFaults
 from mulleinhatch.simulation.control_plane.machines import Machine
+from mulleinhatch.simulation.control_plane.outages import Outages
 
-CATCH_UP_S = 4.0  # a machine that is back counts as lost so long
-GRACE_S = 8.0
-SINGLE = (
-    "kill", "power", "wipe", "cut", "one way", "one pair", "freeze", "slow disk", "stalled disk", "full disk",
-    "refused folder sync", "term", "replace", "planned replace", "wipe and power of all others",
-)  # fmt: skip
-OVERLAPPING = ("kill all", "power all", "halves", "power of some", "data planes")
 
+class Fault(Enum):
+    """A fault that can be injected. The values appear in a history's events."""
 
-class Troubles:
-    """Draws troubles and carries them out; keeps who counts as lost."""
+    KILL = "kill"
+    POWER = "power"
+    WIPE = "wipe"
+    ISOLATE = "cut"
+    ISOLATE_ONE_WAY = "one way"
+    ISOLATE_PAIR = "one pair"
+    FREEZE = "freeze"
+    SLOW_DISK = "slow disk"
+    STALLED_DISK = "stalled disk"
+    FULL_DISK = "full disk"
+    REFUSED_FOLDER_SYNC = "refused folder sync"
+    TERMINATE = "term"
+    REPLACE = "replace"
+    PLANNED_REPLACE = "planned replace"
+    WIPE_AND_POWER_OF_ALL_OTHERS = "wipe and power of all others"
+    KILL_ALL = "kill all"
+    POWER_ALL = "power all"
+    PARTITION = "halves"
+    POWER_OF_SOME = "power of some"
+    DATA_PLANES = "data planes"
+
+
+OVERLAPPING = (Fault.KILL_ALL, Fault.POWER_ALL, Fault.PARTITION, Fault.POWER_OF_SOME, Fault.DATA_PLANES)
+SINGLE = tuple(fault for fault in Fault if fault not in OVERLAPPING)  # within the tolerance, each at one machine
+
+
+class FaultInjector:
+    """Draws random faults and injects them."""
 
     def __init__(self, world: Any) -> None:
         self._world = world
-        self.armed: Machine | None = None  # loses its disk at the next acknowledgement, and all others lose power
+        self._machine_faults = MachineFaults(world)
+        links, disks, outages = LinkFaults(world), DiskFaults(world), Outages(world)
+        self._handlers: dict[Fault, Callable[[Any, float], Coroutine[Any, Any, None]]] = {
+            Fault.KILL: self._machine_faults.kill,
+            Fault.POWER: self._machine_faults.power,
+            Fault.WIPE: self._machine_faults.wipe,
+            Fault.ISOLATE: links.isolate,
+            Fault.ISOLATE_ONE_WAY: links.isolate_one_way,
+            Fault.ISOLATE_PAIR: links.isolate_pair,
+            Fault.FREEZE: self._machine_faults.freeze,
+            Fault.SLOW_DISK: disks.slow_disk,
+            Fault.STALLED_DISK: disks.stalled_disk,
+            Fault.FULL_DISK: disks.full_disk,
+            Fault.REFUSED_FOLDER_SYNC: disks.refused_folder_sync,
+            Fault.TERMINATE: self._machine_faults.terminate,
+            Fault.REPLACE: self._machine_faults.replace,
+            Fault.PLANNED_REPLACE: self._machine_faults.planned_replace,
+            Fault.WIPE_AND_POWER_OF_ALL_OTHERS: self._machine_faults.wipe_and_power_of_all_others,
+            Fault.KILL_ALL: outages.kill_all,
+            Fault.POWER_ALL: outages.power_all,
+            Fault.PARTITION: links.partition,
+            Fault.POWER_OF_SOME: outages.power_of_some,
+            Fault.DATA_PLANES: outages.restart_data_plane,
+        }
 
     async def run(self) -> None:
+        """Inject faults until the fault period ends."""
         world = self._world
-        while world.loop.time() < world.trouble_s:
+        while world.loop.time() < world.plan.fault_period_s:
             await asyncio.sleep(self._pause())
-            if world.chance.random() < world.overlapping_part:
-                self._begin(world.chance.choice(OVERLAPPING), None)
+            if world.rng.random() < world.plan.overlapping_fraction:
+                self._inject(world.rng.choice(OVERLAPPING), None)
             elif (machine := self._next()) is not None:
-                self._begin(world.chance.choice(SINGLE), machine)
+                self._inject(world.rng.choice(SINGLE), machine)
 
     def _pause(self) -> float:
-        """Until the next trouble: a while, or the instant at which the tolerance allows it."""
+        """Return the time until the next fault: random, or until just after the tolerance allows one again."""
         world = self._world
         free_at = max((machine.lost_until for machine in world.machines), default=0.0)
-        if world.chance.random() < 0.5 and 0 < free_at - world.loop.time() < 12.0:
+        if world.rng.random() < 0.5 and 0 < free_at - world.loop.time() < 12.0:
             return free_at - world.loop.time() + 0.001
-        return world.chance.uniform(0.2, 5.0)
+        return world.rng.uniform(0.2, 5.0)
 
     def _next(self) -> Machine | None:
         world = self._world
-        if world.lost() >= world.tolerated or self.armed is not None:
+        if world.lost() >= world.plan.tolerated or self._machine_faults.is_armed:
             return None
         now = world.loop.time()
-        able = [one for one in world.machines if one.node is not None and one.lost_until <= now and not one.retiring]
-        return world.chance.choice(able) if able else None
-
-    def _begin(self, kind: str, machine: Machine | None) -> None:
-        for_s = self._world.chance.uniform(0.2, 4.0)
-        self._world.note(f"{kind} {'' if machine is None else machine.number} for {for_s:.1f}")
-        if machine is not None:
-            machine.lost_until = 1e9  # until the trouble tells its end
-        self._world.loop.start(getattr(self, "_" + kind.replace(" ", "_"))(machine, for_s))
-
-    def _back(self, machine: Machine) -> None:
-        machine.lost_until = self._world.loop.time() + CATCH_UP_S
-        self._world.core_event()
-
-    def _start(self, machine: Machine) -> None:
-        if machine.node is None and not machine.removed:
-            machine.start()
-        self._back(machine)
-
-    # Losses of one machine.
-
-    async def _down(self, machine: Machine, for_s: float, wipe: bool) -> None:
-        self._world.core_event()
-        machine.stop(wipe)
-        await asyncio.sleep(for_s)
-        self._start(machine)
-
-    async def _kill(self, machine: Machine, for_s: float) -> None:
-        await self._down(machine, min(for_s, 1.0), wipe=False)
-
-    async def _power(self, machine: Machine, for_s: float) -> None:
-        await self._down(machine, for_s, wipe=False)
-
-    async def _wipe(self, machine: Machine, for_s: float) -> None:
-        await self._down(machine, for_s, wipe=True)
-
-    async def _wipe_and_power_of_all_others(self, machine: Machine, for_s: float) -> None:
-        """At the next acknowledgement."""
-        self.armed = machine
-        await asyncio.sleep(6.0)
-        if self.armed is machine:
-            self.armed = None
-            machine.lost_until = 0.0
-
-    def acknowledged(self) -> None:
-        """An operator was told that a change is in force: what waits for this strikes now."""
-        machine, self.armed = self.armed, None
+        candidates = [
+            machine
+            for machine in world.machines
+            if machine.node is not None and machine.lost_until <= now and not machine.retiring
+        ]
+        return world.rng.choice(candidates) if candidates else None
+
+    def _inject(self, fault: Fault, machine: Machine | None) -> None:
+        for_s = self._world.rng.uniform(0.2, 4.0)
+        self._world.note(f"{fault.value} {'' if machine is None else machine.number} for {for_s:.1f}")
         if machine is not None:
-            self._world.note(f"disk of {machine.number} lost, power of all others")
-            self._world.loop.start(self._strike(machine))
-
-    async def _strike(self, machine: Machine) -> None:
-        machine.stop(wipe=True)
-        await self._all_down(self._world.machines, self._world.chance.uniform(0.1, 2.0), planes=True)
-
-    async def _freeze(self, machine: Machine, for_s: float) -> None:
-        process = machine.process
-        process.frozen = True
-        self._world.core_event()
-        await asyncio.sleep(for_s)
-        self._world.loop.thaw(process)
-        self._back(machine)
-
-    async def _term(self, machine: Machine, for_s: float) -> None:
-        await self._leave(machine)
-        await asyncio.sleep(min(1.0, for_s))
-        self._start(machine)
-
-    async def _leave(self, machine: Machine) -> bool:
-        """SIGTERM; whether the machine ended by it, and by nothing else."""
-        self._world.core_event()
-        process = machine.process
-        if process is None:
-            return False
-        leaving = self._world.loop.start(departure.leave(machine.node, GRACE_S), process)
-        end = self._world.loop.time() + GRACE_S
-        while not leaving.done() and self._world.loop.time() < end and machine.process is process:
-            await asyncio.sleep(0.05)
-        ended = machine.process is process
-        if ended:
-            machine.stop()
-        self._world.core_event()
-        return ended
-
-    async def _replace(self, machine: Machine, for_s: float) -> None:
-        """Gone for good; an empty one comes later at another address."""
-        self._world.core_event()
-        machine.stop(wipe=True)
-        machine.removed = True
-        await asyncio.sleep(for_s)
-        self._world.add_machine(machine)
-
-    async def _planned_replace(self, machine: Machine, for_s: float) -> None:
-        """The new one first; when it has had its time the old one is asked to leave, and its disk goes with it. Nobody
-        counts as lost then, not even at the moment at which the old one has ended."""
-        successor = self._world.add_machine(machine)
-        machine.lost_until, machine.retiring = 0.0, True
-        await asyncio.sleep(CATCH_UP_S + 0.1 * for_s)
-        if machine.process is None or machine.lost_until > self._world.loop.time():
-            self._back(successor)  # what is removed was lost before, without a word
-        if not await self._leave(machine):
-            machine.retiring = False  # it lost power while it left: it comes back, and stays
-            return
-        machine.removed, machine.records = True, []
-        self._world.remove(machine)
-
-    # Links.
-
-    async def _links(self, machine: Machine, others: list[Any], for_s: float, both: bool = True) -> None:
-        links = self._world.links
-        self._world.core_event()
-        for other in others:
-            links.cut(machine, other, both)
-        await asyncio.sleep(for_s)
-        for other in others:
-            links.heal(machine, other, both)
-        self._back(machine)
-
-    def _other_machines(self, machine: Machine) -> list[Any]:
-        return [other for other in self._world.machines if other is not machine]
-
-    async def _cut(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, self._other_machines(machine), for_s)
-
-    async def _one_way(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, self._other_machines(machine), for_s, both=False)
-
-    async def _one_pair(self, machine: Machine, for_s: float) -> None:
-        await self._links(machine, [self._world.chance.choice(self._other_machines(machine))], for_s)
-
-    async def _halves(self, _: None, for_s: float) -> None:
-        world = self._world
-        half = world.chance.sample(world.machines, len(world.machines) // 2)
-        pairs = [(one, other) for one in half for other in world.machines if other not in half]
-        world.core_event()
-        for one, other in pairs:
-            world.links.cut(one, other)
-        await asyncio.sleep(for_s)
-        for one, other in pairs:
-            world.links.heal(one, other)
-        for machine in world.machines:
-            machine.lost_until = max(machine.lost_until, world.loop.time() + CATCH_UP_S)
-        world.core_event()
-
-    # Disks.
-
-    async def _disk(self, machine: Machine, for_s: float, **trouble: Any) -> None:
-        calm = {name: getattr(machine, name) for name in trouble}
-        self._world.core_event()
-        for name, value in trouble.items():
-            setattr(machine, name, value)
-        await asyncio.sleep(for_s)
-        for name, value in calm.items():
-            setattr(machine, name, value)
-        self._back(machine)
-
-    async def _slow_disk(self, machine: Machine, for_s: float) -> None:
-        await self._disk(machine, for_s, slower=30.0)
-
-    async def _stalled_disk(self, machine: Machine, for_s: float) -> None:
-        await self._disk(machine, for_s, stalled=True)
-
-    async def _full_disk(self, machine: Machine, for_s: float) -> None:
-        await self._disk(machine, for_s, full=True)
-
-    async def _refused_folder_sync(self, machine: Machine, for_s: float) -> None:
-        """The file is rewritten meanwhile; as soon as that is allowed another loses its disk, and all others lose power."""
-        if machine.node is not None:
-            self._world.loop.start(self._rewrite(machine), machine.process)
-        await self._disk(machine, for_s, refuse_folder_sync=True)
-        await asyncio.sleep(CATCH_UP_S + 0.1)
-        others = self._other_machines(machine)
-        if self._world.lost() == 0:
-            other = self._world.chance.choice(others)
-            self._world.note(f"disk of {other.number} lost, power of all others")
-            await self._strike(other)
-
-    async def _rewrite(self, machine: Machine) -> None:
-        await asyncio.sleep(0.05)
-        machine.node.replicated_log.rewrite_due = True
-        try:
-            await machine.node.replicated_log.compact()
-        except OSError:
-            pass
-
-    # Beyond the tolerance: no further disk is lost.
-
-    async def _all_down(self, machines: list[Machine], for_s: float, planes: bool) -> None:
-        world = self._world
-        world.core_event()
-        for machine in machines:
-            machine.stop()
-        for plane in world.planes if planes else []:
-            plane.stop()
-        await asyncio.sleep(for_s)
-        for machine in machines:
-            if machine.node is None and not machine.removed:
-                machine.start()
-        for machine in world.machines:
-            machine.lost_until = max(machine.lost_until if machine.lost_until < 1e8 else 0.0, world.loop.time() + CATCH_UP_S)
-        for plane in world.planes if planes else []:
-            plane.start()
-        world.core_event()
-
-    async def _kill_all(self, _: None, for_s: float) -> None:
-        await self._all_down(self._world.machines, min(1.0, for_s), planes=False)
-
-    async def _power_all(self, _: None, for_s: float) -> None:
-        await self._all_down(self._world.machines, for_s, planes=self._world.chance.random() < 0.5)
-
-    async def _power_of_some(self, _: None, for_s: float) -> None:
-        world = self._world
-        some = world.chance.sample(world.machines, world.chance.randint(1, len(world.machines)))
-        await self._all_down(some, for_s, planes=False)
+            machine.lost_until = 1e9  # until the fault has ended
+        self._world.loop.start(self._handlers[fault](machine, for_s))
 
-    async def _data_planes(self, _: None, for_s: float) -> None:
-        plane = self._world.chance.choice(self._world.planes)
-        plane.stop()
-        await asyncio.sleep(for_s)
-        if plane.process is None:
-            plane.start()
+    def on_acknowledged(self) -> None:
+        """Inject the fault that waits for the acknowledgement of a change."""
+        self._machine_faults.on_acknowledged()
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -1,102 +1,110 @@
-"""Calls between machines in place of sockets: delays, losses, and cuts in one direction or in both."""
+"""A network in place of sockets: delays, losses, and partitions in one direction or in both."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any
 
-from mulleinhatch.networking.http_client import CallError, HttpResponse
+from mulleinhatch.networking.http_client import HttpCallError, HttpResponse
 from mulleinhatch.networking.http_server import HttpServerRequest, HttpServerResponse
 from mulleinhatch.simulation.control_plane.machines import Machine
 from mulleinhatch.simulation.virtual_time import Process
 
 DELAY_S = (0.001, 0.006)
-LOST_PART = 0.02  # of messages between core machines
-RESET_S = 0.001  # a machine that runs nothing refuses at once
+MESSAGE_LOSS_PROBABILITY = 0.02  # of each message between core machines
+RESET_S = 0.001  # a machine without a process refuses connections at once
 
 
 class Links:
-    """Which way is cut: pairs of places, from and to. A place is any object that can be told from others."""
+    """Disconnected pairs of endpoints, by direction. An endpoint is any hashable object."""
 
     def __init__(self) -> None:
-        self._cut: dict[tuple[Any, Any], int] = {}
+        self._disconnected: dict[tuple[Any, Any], int] = {}
 
-    def cut(self, one: Any, other: Any, both: bool = True) -> None:
+    def disconnect(self, one: Any, other: Any, both: bool = True) -> None:
+        """Disconnect two endpoints, or only messages from `one` to `other`. Disconnections of a pair are counted."""
         for pair in ((one, other), (other, one)) if both else ((one, other),):
-            self._cut[pair] = self._cut.get(pair, 0) + 1
+            self._disconnected[pair] = self._disconnected.get(pair, 0) + 1
 
-    def heal(self, one: Any, other: Any, both: bool = True) -> None:
+    def reconnect(self, one: Any, other: Any, both: bool = True) -> None:
+        """Undo one disconnection."""
         for pair in ((one, other), (other, one)) if both else ((one, other),):
-            left = self._cut.get(pair, 0) - 1
+            left = self._disconnected.get(pair, 0) - 1
             if left > 0:
-                self._cut[pair] = left
+                self._disconnected[pair] = left
             else:
-                self._cut.pop(pair, None)
+                self._disconnected.pop(pair, None)
 
     def clear(self) -> None:
-        self._cut.clear()
+        """Reconnect all endpoints."""
+        self._disconnected.clear()
 
     def open(self, one: Any, other: Any) -> bool:
-        return (one, other) not in self._cut
+        """Return whether messages pass from one endpoint to the other."""
+        return (one, other) not in self._disconnected
 
 
 class Network:
-    """The calls of one process to core machines, in place of `services.http_client.HttpClient`."""
+    """The calls of one process to core machines, in place of `networking.http_client.HttpClient`."""
 
-    def __init__(self, world: Any, place: Any, process: Process | None) -> None:
-        self._world, self._place, self._process = world, place, process
+    def __init__(self, world: Any, endpoint: Any, process: Process | None) -> None:
+        self._world, self._endpoint, self._process = world, endpoint, process
 
     def forget(self, address: str) -> None:
-        """Nothing is kept."""
+        """Do nothing: no connections are kept."""
 
     async def request(
         self, address: str, method: str, path: str, body: bytes, within: float, *_: Any, headers: dict[str, str] | None = None
     ) -> HttpResponse:
-        """The answer, or CallFailed after `within` seconds at most."""
+        """Send a request to a core machine.
+
+        Raises:
+            HttpCallError: No response came within `within` seconds.
+        """
         loop = self._world.loop
-        answered: asyncio.Future[HttpServerResponse | None] = loop.create_future()
-        loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), answered))
+        response: asyncio.Future[HttpServerResponse | None] = loop.create_future()
+        loop.start(self._carry(address, HttpServerRequest(method, path, headers or {}, body), response))
         try:
             async with asyncio.timeout(within):
-                answer = await answered
+                answer = await response
         except TimeoutError:
             answer = None
         if answer is None:
-            raise CallError(address, "no answer")
+            raise HttpCallError(address, "no answer")
         return HttpResponse(answer.status, answer.headers, answer.body)  # type: ignore[arg-type]
 
     def _passes(self, one: Any, other: Any) -> bool:
         world = self._world
-        lost_part = LOST_PART if isinstance(self._place, Machine) else 0.0
-        return world.links.open(one, other) and world.chance.random() >= lost_part
+        loss_probability = MESSAGE_LOSS_PROBABILITY if isinstance(self._endpoint, Machine) else 0.0
+        return world.links.open(one, other) and world.rng.random() >= loss_probability
 
     async def _carry(
-        self, address: str, request: HttpServerRequest, answered: asyncio.Future[HttpServerResponse | None]
+        self, address: str, request: HttpServerRequest, response: asyncio.Future[HttpServerResponse | None]
     ) -> None:
         world = self._world
         target: Machine | None = world.machine_at(address)
-        await asyncio.sleep(world.chance.uniform(*DELAY_S))
-        if target is None or not self._passes(self._place, target):
+        await asyncio.sleep(world.rng.uniform(*DELAY_S))
+        if target is None or not self._passes(self._endpoint, target):
             return
         process = target.process
         if process is None:
             await asyncio.sleep(RESET_S)
-            self._answer(answered, None)
+            self._answer(response, None)
             return
         api = target.control if address == target.control_address else target.internal_api
-        handled: asyncio.Task[HttpServerResponse] = world.loop.start(api.answer(request), process)
-        await _ended(world.loop, handled)
-        await asyncio.sleep(world.chance.uniform(*DELAY_S))
-        if target.process is process and self._passes(target, self._place):
-            self._answer(answered, handled.result())
+        handled: asyncio.Task[HttpServerResponse] = world.loop.start(api.handle_request(request), process)
+        await _completion_of(world.loop, handled)
+        await asyncio.sleep(world.rng.uniform(*DELAY_S))
+        if target.process is process and self._passes(target, self._endpoint):
+            self._answer(response, handled.result())
 
-    def _answer(self, answered: asyncio.Future[HttpServerResponse | None], answer: HttpServerResponse | None) -> None:
-        if not answered.done() and (self._process is None or not self._process.dead):
-            answered.set_result(answer)
+    def _answer(self, response: asyncio.Future[HttpServerResponse | None], answer: HttpServerResponse | None) -> None:
+        if not response.done() and (self._process is None or not self._process.dead):
+            response.set_result(answer)
 
 
-def _ended(loop: Any, task: asyncio.Task[Any]) -> asyncio.Future[None]:
-    """A future of no process that is done when a task of one is."""
+def _completion_of(loop: Any, task: asyncio.Task[Any]) -> asyncio.Future[None]:
+    """Return a future that completes with a task, and belongs to no process: a killed process must not wake its callers."""
     done: asyncio.Future[None] = loop.create_future()
     task.add_done_callback(lambda _: done.set_result(None))
     return done
