--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -253,5 +253,5 @@
     """Return the effect that hands the request over to a peer, as if the controller had decided so."""
     origin.errands = []
     origin.owed[ref].running = False
-    origin._do_hand(now, Decision(Verb.HAND, ref))
+    origin._do_hand_over(now, Decision(Verb.HAND_OVER, ref))
     return origin.errands[0]
