--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -45,14 +45,14 @@
 from mulleinhatch.instance.gossip.counters import FIGURES
 from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
 from mulleinhatch.instance.gossip.messages import GossipMessage, MemberUpdate, Report
-from mulleinhatch.instance.maintenance import messages as upkeep_words
-from mulleinhatch.instance.maintenance.core import Bounds, Known, Upkeep
-from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
-from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, Table
+from mulleinhatch.instance.maintenance import messages as maintenance_messages
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, ReceivedRequest
+from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, VoterState
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
+from mulleinhatch.instance.maintenance.table import MAX_PERMITS, Permit, PermitTable
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
-from mulleinhatch.instance.retry_storms.retry_admission import Desk
+from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
+from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
 from mulleinhatch.simulation.maintenance_world import Machines
@@ -187,7 +187,7 @@
             "request.storms_memory",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual, count)) for count in callers],
+            [(count, held(full_retry_admission, usual, count)) for count in callers],
             "constant",
             bounded=True,
         )
@@ -196,12 +196,15 @@
             "request.storms_memory_unbounded",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual._replace(callers_kept=count, repeats_kept=count), count)) for count in raised],
+            [
+                (count, held(full_retry_admission, usual._replace(callers_kept=count, repeats_kept=count), count))
+                for count in raised
+            ],
             "linear",
         )
         spent = []
         for count in callers:
-            spent.append((count, 1e6 * cpu(tries_of(full_desk(usual, count), count, self.seed), 5_000, self.turns)))
+            spent.append((count, 1e6 * cpu(tries_of(full_retry_admission(usual, count), count, self.seed), 5_000, self.turns)))
         self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
 
     def loudest(self) -> None:
@@ -269,7 +272,11 @@
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
         for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
-                name, "bytes", "permits", [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MOST_OUT)], "linear"
+                name,
+                "bytes",
+                "permits",
+                [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MAX_PERMITS)],
+                "linear",
             )
 
     # The operator's tools.
@@ -321,27 +328,29 @@
     return [LeasedQuota(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
-def one_try(desk: Desk, caller: int, number: int) -> None:
+def one_try(retry_admission: RetryAdmission, caller: int, number: int) -> None:
     """A first try that is nacked: likeness, books of callers and of tries, as the reducer keeps them."""
-    like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
-    repeat, looks = desk.tries.read(1.0, like, again=False)
-    desk.read(1.0, caller, True, 0.0)
-    desk.tries.closed(looks)
-    desk.tries.nacked(1.0, looks)
+    like = request_fingerprint(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
+    repeat, looks = retry_admission.duplicates.classify(1.0, like, is_marked_retry=False)
+    retry_admission.record_request(1.0, caller, True, 0.0)
+    retry_admission.duplicates.record_closed(looks)
+    retry_admission.duplicates.record_rejected(1.0, looks)
 
 
-def full_desk(bounds: StormBounds, callers: int) -> Desk:
+def full_retry_admission(bounds: StormBounds, callers: int) -> RetryAdmission:
     """One nacked op of each caller, and one run that may not run twice."""
-    desk = Desk(bounds, longest_hold_off=10.0, seed=7)
+    retry_admission = RetryAdmission(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
-        one_try(desk, caller, caller)
-        desk.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
-    return desk
+        one_try(retry_admission, caller, caller)
+        retry_admission.executed.add(
+            1.0, f"r{caller}", request_fingerprint(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0
+        )
+    return retry_admission
 
 
-def tries_of(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
+def tries_of(retry_admission: RetryAdmission, callers: int, seed: int) -> Callable[[], None]:
     draw = random.Random(seed)
-    return lambda: one_try(desk, draw.randrange(callers), draw.randrange(10**9))
+    return lambda: one_try(retry_admission, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
@@ -417,34 +426,34 @@
         super()._heard(node, data)
 
 
-def asked_voter(count: int) -> tuple[Upkeep, bytes]:
+def asked_voter(count: int) -> tuple[MaintenanceCoordinator, bytes]:
     """A voter that knows so many members, all of which wait, and one more query of the last."""
     fleet = GossipNode(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
-    core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
-    requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
+    core = MaintenanceCoordinator(MaintenanceBounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, VoterState(writes=1), None)
+    requests = [MaintenanceRequest(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
     letters = [
         GossipMessage(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
         for place, request in enumerate(requests)
     ]
     for letter, request in zip(letters, requests):
         core.fleet.handle_message(1.0, letter)
-        core.requests[request.name] = Known(request, 1.0)
-    query = upkeep_words.encode(upkeep_words.Query(requests[-1]))
+        core.requests[request.name] = ReceivedRequest(request, 1.0)
+    query = maintenance_messages.encode(maintenance_messages.PositionQuery(requests[-1]))
     return core, words.encode(msgspec.structs.replace(letters[-1], extension=query))
 
 
-def answered(core: Upkeep, query: bytes) -> None:
+def answered(core: MaintenanceCoordinator, query: bytes) -> None:
     core.fleet.handle_datagram(1.0, query)
-    if not core.said():
+    if not core.take_outgoing():
         raise ValueError("the voter gave no answer: nothing was measured")
 
 
 def table_bytes(out: int, letters: int) -> int:
     """The largest word that carries the table: what a voter tells one that lost its disk."""
-    table = Table(
+    table = PermitTable(
         tuple(f"v{place}".ljust(letters, "x") for place in range(7)),
-        MOST_OUT,
-        MOST_OUT,
+        MAX_PERMITS,
+        MAX_PERMITS,
         8_000,
         0,
         tuple(
@@ -452,8 +461,12 @@
             for place in range(out)
         ),
     )
-    ballot = Ballot(8_000, "n1.1700000000000.12")
-    return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(ballot, ballot, table, 16_000), False)))
+    proposal = ProposalNumber(8_000, "n1.1700000000000.12")
+    return len(
+        maintenance_messages._encoder.encode(
+            maintenance_messages.VoterStateReply(VoterState(proposal, proposal, table, 16_000), False)
+        )
+    )
 
 
 def fleet_side(count: int, differ: bool) -> FleetSide:
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -1,9 +1,11 @@
-"""One agreed table without a leader or a log: CASPaxos (Rystsov 2018), a register that changes by a function of its value.
+"""A replicated register without a leader or a log: CASPaxos.
 
-A round has two steps. `prepare` asks the voters to promise not to listen to earlier ballots, and learns the latest table that
-any of a majority accepted; the change is made on that; `accept` asks them to take the result. A table that a majority took is
-agreed, whoever dies, and the next round of anybody learns it. What a voter promised or took is durable before it is said:
-`Voter` gives what is to be written, and its answer goes out after. Words may be lost, repeated, late and out of order.
+A round has two phases. In the prepare phase a proposer asks the voters to promise that they ignore lower proposal numbers, and
+learns the latest table that any of a majority accepted. It applies its change to that table and asks the voters to accept the
+result. A table accepted by a majority is agreed whatever crashes, and the next round of any proposer learns it. A voter
+persists a promise or an accepted table before it answers. Messages may be lost, duplicated, delayed and reordered.
+
+Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018).
 """
 
 from __future__ import annotations
@@ -11,138 +13,212 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
+
 
+class ProposalNumber(NamedTuple):
+    """Proposal number, ordered by `number` and then by the proposer's `name`."""
 
-class Ballot(NamedTuple):
     number: int
     name: str
 
 
-NONE = Ballot(0, "")
+NO_PROPOSAL = ProposalNumber(0, "")
+
+
+class VoterState(NamedTuple):
+    """A voter's durable state (the acceptor state of Paxos).
 
+    Stored as a MessagePack array: the order of the fields is part of the file format.
 
-class Kept(NamedTuple):
-    """What must outlive a voter's restart. `writes` grows with each: a disk that was set back is known by it."""
+    Attributes:
+        promised: Highest proposal number promised.
+        accepted: Proposal number of `table`.
+        table: Accepted table, None before the first.
+        writes: Number of writes. A disk that was restored from a backup is detected by a count that is too low.
+    """
 
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
-    table: Table | None = None
+    promised: ProposalNumber = NO_PROPOSAL
+    accepted: ProposalNumber = NO_PROPOSAL
+    table: PermitTable | None = None
     writes: int = 0
 
 
-class Ask(NamedTuple):
-    ballot: Ballot
-    table: Table | None = None  # to be taken; None: a promise is asked for
-    first: Table | None = None  # the table that the operator's file names, for who has none yet
+class RegisterRequest(NamedTuple):
+    """A prepare request (`table` is None) or an accept request.
+
+    Attributes:
+        proposal: Number of the proposal.
+        table: Table to accept; None in the prepare phase.
+        first: Initial table from the operator's file, for a voter that has none yet.
+    """
+
+    proposal: ProposalNumber
+    table: PermitTable | None = None
+    first: PermitTable | None = None
 
 
-class Answer(NamedTuple):
+class RegisterResponse(NamedTuple):
+    """A voter's response to a `RegisterRequest`.
+
+    Attributes:
+        voter: Name of the voter.
+        proposal: Proposal number of the request.
+        taken: Whether the voter promised (prepare) or accepted (accept).
+        accept: Whether the request was an accept request.
+        promised: Highest proposal number that the voter has promised.
+        accepted: Proposal number of `table`.
+        table: Table the voter had accepted before the request.
+        writes: Number of the voter's writes.
+    """
+
     voter: str
-    ballot: Ballot  # that it answers
-    taken: bool  # of a prepare: promised; of an accept: accepted
+    proposal: ProposalNumber
+    taken: bool
     accept: bool
-    promised: Ballot  # the highest it gave
-    accepted: Ballot = NONE
-    table: Table | None = None
+    promised: ProposalNumber
+    accepted: ProposalNumber = NO_PROPOSAL
+    table: PermitTable | None = None
     writes: int = 0
 
 
 class Voter:
-    """
-    >>> voter = Voter("a", Kept()); first = Table(voters=("a",), most=1, zone_most=1)
-    >>> voter.asked(Ask(Ballot(2, "x"), first=first)).taken, voter.asked(Ask(Ballot(1, "y"), first=first)).taken
-    (True, False)
-    >>> voter.asked(Ask(Ballot(2, "x"), table=first.go("n", "z", "w"))).taken, voter.kept.table.out[0].name, voter.kept.writes
+    """The acceptor of a register.
+
+    Args:
+        name: Name of the voter.
+        voter_state: State read from disk.
+        is_abstaining: The voter lost its promises (no disk, or a restored one). It does not respond until `learn` succeeds.
+
+    >>> voter = Voter("a", VoterState()); first = PermitTable(voters=("a",), most=1, zone_most=1)
+    >>> higher, lower = ProposalNumber(2, "x"), ProposalNumber(1, "y")
+    >>> [voter.handle_request(RegisterRequest(proposal, first=first)).taken for proposal in (higher, lower)]
+    [True, False]
+    >>> accepted = voter.handle_request(RegisterRequest(higher, table=first.grant("n", "z", "w")))
+    >>> accepted.taken, voter.voter_state.table.out[0].name, voter.voter_state.writes
     (True, 'n', 2)
     """
 
-    def __init__(self, name: str, kept: Kept, abstains: bool = False) -> None:
-        """`abstains`: it lost what it promised (no disk, or one that was set back), until `learn`."""
-        self.name, self.kept, self.abstains = name, kept, abstains
+    def __init__(self, name: str, voter_state: VoterState, is_abstaining: bool = False) -> None:
+        self.name, self.voter_state, self.is_abstaining = name, voter_state, is_abstaining
 
-    def _may(self, ballot: Ballot) -> bool:
-        return ballot >= self.kept.promised
+    def _may_promise(self, proposal: ProposalNumber) -> bool:
+        return proposal >= self.voter_state.promised
 
-    def asked(self, ask: Ask) -> Answer | None:
-        """The answer, to be said once `kept` is durable; None while it abstains."""
-        if self.abstains:
+    def handle_request(self, request: RegisterRequest) -> RegisterResponse | None:
+        """Handle a request and return the response, or None while abstaining.
+
+        The caller persists `voter_state` before it sends the response.
+        """
+        if self.is_abstaining:
             return None
-        kept, accept = self.kept, ask.table is not None
-        taken = self._may(ask.ballot)
+        voter_state, accept = self.voter_state, request.table is not None
+        taken = self._may_promise(request.proposal)
         if taken and accept:
-            self.kept = Kept(ask.ballot, ask.ballot, ask.table, kept.writes + 1)
-        elif taken and ask.ballot > kept.promised:
-            self.kept = kept._replace(promised=ask.ballot, writes=kept.writes + 1)
-        return Answer(self.name, ask.ballot, taken, accept, self.kept.promised, kept.accepted, kept.table, self.kept.writes)
-
-    def learn(self, told: list[Kept], voters: int, writes: int = 0) -> bool:
-        """What others keep, when it abstains: enough are a majority without it. Safe once no round is under way that it may
-        have promised something to: the caller waits for as long as a round may last, and the drift of clocks. `writes` are the
-        most that others remember of it."""
-        if 2 * len(told) <= voters:
+            self.voter_state = VoterState(request.proposal, request.proposal, request.table, voter_state.writes + 1)
+        elif taken and request.proposal > voter_state.promised:
+            self.voter_state = voter_state._replace(promised=request.proposal, writes=voter_state.writes + 1)
+        return RegisterResponse(
+            self.name,
+            request.proposal,
+            taken,
+            accept,
+            self.voter_state.promised,
+            voter_state.accepted,
+            voter_state.table,
+            self.voter_state.writes,
+        )
+
+    def learn(self, states: list[VoterState], voters: int, writes: int = 0) -> bool:
+        """Restore an abstaining voter from the states of other voters.
+
+        It is safe only when no round is in progress to which this voter may have promised something: the caller first waits
+        for the maximum duration of a round plus the clock drift.
+
+        Args:
+            states: States of other voters.
+            voters: Number of voters in total.
+            writes: Highest write count of this voter that the others remember.
+
+        Returns:
+            False if `states` are not a majority of the voters.
+        """
+        if 2 * len(states) <= voters:
             return False
-        promised = max(kept.promised for kept in told)
-        best = max(told, key=lambda kept: kept.accepted)
-        self.kept = Kept(max(promised, self.kept.promised), best.accepted, best.table, max(writes, self.kept.writes) + 1)
-        self.abstains = False
+        promised = max(voter_state.promised for voter_state in states)
+        best = max(states, key=lambda voter_state: voter_state.accepted)
+        self.voter_state = VoterState(
+            max(promised, self.voter_state.promised), best.accepted, best.table, max(writes, self.voter_state.writes) + 1
+        )
+        self.is_abstaining = False
         return True
 
 
-class Round:
-    """One proposer's try. `asks` are due to the voters when it begins and whenever it says so; `ended` is the outcome.
+class ProposalRound:
+    """One attempt of a proposer to change the table.
+
+    Send `pending_requests` at the start, after a change of phase, and again until the round has an `outcome`: "agreed",
+    "refused" (the change is not allowed), "beaten" (retry with a higher number) or "moved" (the voters changed); "" while in
+    progress.
+
+    Args:
+        name: Proposer's name. It is unique for each incarnation; otherwise two tables could share one proposal number.
+        number: Number higher than all numbers seen.
+        known: Latest table known; it names the voters.
+        change: Returns the changed table or raises `PermitRefusedError`.
 
-    >>> first = Table(voters=("a", "b", "c"), most=1, zone_most=1)
-    >>> voters = {name: Voter(name, Kept()) for name in first.voters}
-    >>> one = Round("n", 1, first, lambda table: table.go("n", "z", "kernel"))
-    >>> while not one.ended:
-    ...     for name, ask in one.asks():
-    ...         one.heard(voters[name].asked(ask))
-    >>> one.ended, one.table.permit("n").fence
+    >>> first = PermitTable(voters=("a", "b", "c"), most=1, zone_most=1)
+    >>> voters = {name: Voter(name, VoterState()) for name in first.voters}
+    >>> response = ProposalRound("n", 1, first, lambda table: table.grant("n", "z", "kernel"))
+    >>> while not response.outcome:
+    ...     for name, request in response.pending_requests():
+    ...         response.handle_response(voters[name].handle_request(request))
+    >>> response.outcome, response.table.permit("n").fence
     ('agreed', 1)
     """
 
-    def __init__(self, name: str, number: int, known: Table, change: Callable[[Table], Table]) -> None:
-        """`name` is new with each life, or two tables could go under one ballot. `known`: the latest table
-        heard of, which names the voters; `number` above all that were seen."""
-        self.ballot, self.known, self.change = Ballot(number, name), known, change
-        self.table: Table | None = None  # what is proposed, and in the end agreed
-        self.answers: dict[str, Answer] = {}
-        self.ended = ""  # agreed, refused, beaten (try again with a higher number), moved (other voters)
+    def __init__(self, name: str, number: int, known: PermitTable, change: Callable[[PermitTable], PermitTable]) -> None:
+        self.proposal, self.known, self.change = ProposalNumber(number, name), known, change
+        self.table: PermitTable | None = None  # proposed, and finally agreed, table
+        self.answers: dict[str, RegisterResponse] = {}
+        self.outcome = ""
         self.why = ""
-        self.highest = number  # of the ballots seen
+        self.highest = number  # highest proposal number seen
 
-    def asks(self) -> list[tuple[str, Ask]]:
-        """To the voters that have not answered this step."""
-        ask = Ask(self.ballot, self.table, None if self.table else self.known)
-        return [] if self.ended else [(voter, ask) for voter in self.known.voters if voter not in self.answers]
+    def pending_requests(self) -> list[tuple[str, RegisterRequest]]:
+        """Return the requests of the current phase for the voters that have not responded."""
+        request = RegisterRequest(self.proposal, self.table, None if self.table else self.known)
+        return [] if self.outcome else [(voter, request) for voter in self.known.voters if voter not in self.answers]
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.known.voters)
 
-    def _is_ours(self, answer: Answer) -> bool:
-        """To the step we are in: a late word of the one before must not count."""
-        return answer.ballot == self.ballot and answer.accept is (self.table is not None) and answer.voter in self.known.voters
+    def _matches_current_phase(self, answer: RegisterResponse) -> bool:
+        """Return whether a response belongs to the current phase; a delayed one of the previous phase must not count."""
+        return (
+            answer.proposal == self.proposal and answer.accept is (self.table is not None) and answer.voter in self.known.voters
+        )
 
-    def heard(self, answer: Answer | None) -> None:
-        if answer is None or self.ended or not self._is_ours(answer):
+    def handle_response(self, answer: RegisterResponse | None) -> None:
+        """Process a voter's response (None: it abstained) and move to the next phase or to an outcome."""
+        if answer is None or self.outcome or not self._matches_current_phase(answer):
             return
         self.highest = max(self.highest, answer.promised.number)
         self.answers[answer.voter] = answer
-        taken = [one for one in self.answers.values() if one.taken]
+        taken = [response for response in self.answers.values() if response.taken]
         if not self._is_majority(len(taken)):
             if self._is_majority(len(self.answers) - len(taken)):
-                self.ended, self.why = "beaten", f"ballot {self.highest} was asked for"
+                self.outcome, self.why = "beaten", f"ballot {self.highest} was asked for"
             return
         if self.table is not None:
-            self.ended = "agreed"
+            self.outcome = "agreed"
             return
-        latest = max(taken, key=lambda one: one.accepted)
+        latest = max(taken, key=lambda response: response.accepted)
         table = latest.table or self.known
         if table.epoch > self.known.epoch:
-            self.known, self.ended, self.why = table, "moved", f"epoch {table.epoch} has other voters"
+            self.known, self.outcome, self.why = table, "moved", f"epoch {table.epoch} has other voters"
             return
         try:
             self.table, self.answers = self.change(table), {}
         except PermitRefusedError as error:
-            self.known, self.ended, self.why = table, "refused", str(error)
+            self.known, self.outcome, self.why = table, "refused", str(error)
--- a/mulleinhatch/instance/retry_storms/budget.py
+++ b/mulleinhatch/instance/retry_storms/budget.py
@@ -1,29 +1,31 @@
-"""How many retries are heard: a rate, most of it first for callers who come when they were told to."""
+"""The rate of retries that are accepted, most of it reserved for callers that waited as long as they were asked to."""
 
 from __future__ import annotations
 
 import math
 
-BURST = 0.5  # seconds' worth of the rate that is saved up: retries come in bunches
+BURST_S = 0.5  # burst size in seconds of the rate: retries arrive in bunches
 
 
-class Bucket:
-    """Tokens at a rate, saved up to a bound; what no longer fits is left over for another.
+class TokenBucket:
+    """A token bucket: it fills at a rate up to `max_tokens` and passes on the overflow.
 
-    >>> bucket = Bucket(2.0)
-    >>> bucket.fill(1.0, 5.0), bucket.take(), bucket.take(), bucket.take()
+    >>> bucket = TokenBucket(2.0)
+    >>> bucket.fill(1.0, 5.0), bucket.try_take(), bucket.try_take(), bucket.try_take()
     (3.0, True, True, False)
     """
 
-    def __init__(self, most: float) -> None:
-        self.most, self.tokens = most, 0.0
+    def __init__(self, max_tokens: float) -> None:
+        self.max_tokens, self.tokens = max_tokens, 0.0
 
     def fill(self, span: float, rate: float) -> float:
+        """Add `span` seconds of `rate` tokens per second; return the overflow."""
         tokens = self.tokens + span * rate
-        self.tokens = min(self.most, tokens)
+        self.tokens = min(self.max_tokens, tokens)
         return tokens - self.tokens
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
+        """Take one token if there is one; return whether there was."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -31,42 +33,48 @@
 
 
 class RetryBudget:
-    """Without a bound (`rate` infinite) all are heard. What the punctual leave, the others get.
+    """Limits retries to a rate, with a reserved part for punctual callers and the rest for all.
 
-    >>> budget = RetryBudget(heeding_part=0.5); budget.limit(0.0, 4.0)
-    >>> [budget.hears(1.0, punctual) for punctual in (False, False, False, True, True, True)]
+    Tokens that punctual callers leave overflow to the others. An infinite rate accepts every retry.
+
+    Args:
+        heeding_part: Part of the rate reserved for punctual callers, 0 to 1.
+
+    >>> budget = RetryBudget(heeding_part=0.5); budget.set_rate(0.0, 4.0)
+    >>> [budget.should_accept(1.0, punctual) for punctual in (False, False, False, True, True, True)]
     [True, True, False, True, True, False]
     """
 
     def __init__(self, heeding_part: float) -> None:
         self.heeding_part, self.rate, self.filled = heeding_part, math.inf, 0.0
-        self.punctual, self.others = Bucket(1.0), Bucket(1.0)
-        self.none_before = 0.0  # no token of any kind until then: thousands ask in between
+        self.punctual, self.others = TokenBucket(1.0), TokenBucket(1.0)
+        self.empty_until = 0.0  # no token before then: saves work for thousands of calls in between
 
-    def limit(self, now: float, rate: float) -> None:
-        """Retries a second from now on; what was saved up at a higher rate is cut back."""
+    def set_rate(self, now: float, rate: float) -> None:
+        """Set the rate in retries per second; tokens saved up at a higher rate are cut to the new burst size."""
         if self.rate < math.inf:
             self._fill(now)
-        self.rate, self.filled, self.none_before = rate, now, now
+        self.rate, self.filled, self.empty_until = rate, now, now
         if rate < math.inf:
             for bucket in (self.punctual, self.others):
-                bucket.most = max(1.0, BURST * rate)
-                bucket.tokens = min(bucket.tokens, bucket.most)
+                bucket.max_tokens = max(1.0, BURST_S * rate)
+                bucket.tokens = min(bucket.tokens, bucket.max_tokens)
 
     def _fill(self, now: float) -> None:
         span, self.filled = max(0.0, now - self.filled), max(now, self.filled)
-        left = self.punctual.fill(span, self.heeding_part * self.rate)
-        self.others.fill(1.0, left + span * (1.0 - self.heeding_part) * self.rate)
+        surplus = self.punctual.fill(span, self.heeding_part * self.rate)
+        self.others.fill(1.0, surplus + span * (1.0 - self.heeding_part) * self.rate)
 
-    def hears(self, now: float, punctual: bool) -> bool:
-        if now < self.none_before:
+    def should_accept(self, now: float, punctual: bool) -> bool:
+        """Return whether to accept a retry, and take its token; `punctual` callers may use the reserved part."""
+        if now < self.empty_until:
             return False
         if self.rate == math.inf:
             return True
         self._fill(now)
-        if punctual and self.punctual.take() or self.others.take():
+        if punctual and self.punctual.try_take() or self.others.try_take():
             return True
         if self.rate and self.punctual.tokens < 1.0:
-            lacks = (1.0 - max(self.punctual.tokens, self.others.tokens)) / self.rate
-            self.none_before = now + lacks
+            wait_s = (1.0 - max(self.punctual.tokens, self.others.tokens)) / self.rate
+            self.empty_until = now + wait_s
         return False
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -13,7 +13,7 @@
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.request_state_machine.reducer import Happening
-from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
+from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL_TOLERANCE_S
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http_grammar
 
@@ -99,7 +99,7 @@
         told = None if self.leaving else http_requests.parse_plain_request(data)
         if told is None:
             return None
-        soon = now < retry_at - PUNCTUAL
+        soon = now < retry_at - PUNCTUAL_TOLERANCE_S
         seconds = self.turned_back(
             now,
             *told,
--- a/mulleinhatch/instance/transport/connections.py
+++ b/mulleinhatch/instance/transport/connections.py
@@ -29,7 +29,7 @@
 from mulleinhatch.instance.transport.message_exchange import MessageExchange
 from mulleinhatch.instance.transport.observer import ConnectionObserver
 from mulleinhatch.instance.transport.stream import GatheringStream
-from mulleinhatch.invariants import must_hold
+from mulleinhatch.invariants import check
 
 LOG = logging.getLogger(__name__)
 
@@ -150,7 +150,7 @@
         connection = self.open.get(number)
         if connection is None:
             return False
-        must_hold(connection.is_response_pending, "a response is written only where one is due")
+        check(connection.is_response_pending, "a response is written only where one is due")
         now, is_last = self.clock(), is_last or self.is_shutting_down
         connection.is_response_pending, connection.is_closing, connection.idle_since = False, is_last, now
         connection.write_closed_at = now if is_last else math.inf
--- a/mulleinhatch/invariants.py
+++ b/mulleinhatch/invariants.py
@@ -1,13 +1,14 @@
-"""What must hold: an assertion in debug runs; in release runs (`python -O`) a count, and service goes on."""
+"""Run-time invariants: an assertion in debug runs; under `python -O` a violation is counted and service continues."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-BROKEN: Counter[str] = Counter()
+VIOLATIONS: Counter[str] = Counter()
 
 
-def must_hold(condition: object, what: str) -> None:
+def check(condition: object, what: str) -> None:
+    """Assert that `condition` holds; under `python -O` count a violation under the description `what` instead."""
     assert condition, what
     if not condition:
-        BROKEN[what] += 1
+        VIOLATIONS[what] += 1
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -25,8 +25,7 @@
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
 from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
-from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
-from mulleinhatch.instance.maintenance.core import Upkeep
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
 from mulleinhatch.testing import fault_script as faults
@@ -93,7 +92,7 @@
         self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.core: GossipNode | None = None
         self.spread: LoadBalancer | None = None
-        self.upkeep: Upkeep | None = None
+        self.upkeep: MaintenanceCoordinator | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
         self.sequence = self.lives = self.cpu = self.calls = self.digest = 0
@@ -230,7 +229,9 @@
             node.core.handover_address = at
         if plan.upkeep:
             voters = tuple(self.ground.name(voter, 0) for voter in range(plan.upkeep))
-            node.upkeep = Upkeep(UpkeepBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now)
+            node.upkeep = MaintenanceCoordinator(
+                MaintenanceBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now
+            )
         node.meters = [QuotaMeter(budget.window) for budget in bounds.budgets]
         if plan.introduced and node.lives == 1:
             self._introduce(node, now)
@@ -352,7 +353,7 @@
             datagrams += node.spread.heartbeat(now, InstanceLoad(8, 0, 48))
             local = local._replace(figures=local.figures[:11] + node.spread.figures(now), opinions=node.spread.opinions(now))
         if node.upkeep:
-            datagrams += node.upkeep.beat(now, self.now + node.offset, True)
+            datagrams += node.upkeep.tick(now, self.now + node.offset, True)
         datagrams += node.core.heartbeat(now, local)
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
@@ -366,7 +367,7 @@
         if node.spread:
             datagrams += node.spread.take_messages()
         if node.upkeep:
-            datagrams += node.upkeep.said()
+            datagrams += node.upkeep.take_outgoing()
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
         if datagrams:
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -16,7 +16,7 @@
 from mulleinhatch.instance.protocol import http_peers, http_requests
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
+from mulleinhatch.instance.retry_storms.duplicate_detection import STABLE_COSTS_RETRIES
 from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
 from mulleinhatch.testing.fake_callers import Habits, Load, OpKind
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
@@ -226,7 +226,7 @@
     for reducer in (origin, peer):
         reducer.hands = True
         reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
-    peer.storms.tries.steady = STEADY_ENOUGH
+    peer.storms.duplicates.stable_retries = STABLE_COSTS_RETRIES
     receive(origin, 10.0, 1, incoming("00000000000000aa"), False)
     _, ref, request_type, tenant, body, age, left, caller, work, memory, again, read_rank, read_key = handed_over(
         origin, 10.0, "00000000000000aa"
