--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -12,14 +12,14 @@
 from typing import TYPE_CHECKING, Any
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol import reports
+from mulleinhatch.instance.protocol import directory_reports
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import Tasks
 from mulleinhatch.instance.runtime.caller_listener import HttpFront
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 from mulleinhatch.instance.runtime.interpreter_link import Interpreter
-from mulleinhatch.instance.transport.datagrams import Datagrams
+from mulleinhatch.instance.transport.datagrams import DatagramSender
 from mulleinhatch.invariants import VIOLATIONS
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 LISTEN_RETRY, LISTEN_RETRY_MOST = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
 SHUT_BEFORE, SHUT_EVERY = 0.12, 0.02  # seconds before the stop: later than the module's last answers; until all have heard it
 OUTLIVE_STOP = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
-REPORT_EVERY = reports.LISTED_FOR_S / 6
+REPORT_EVERY = directory_reports.ENTRY_LIFETIME_S / 6
 SWEEP_EVERY = 0.25
 TAKEN_OVER = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
 
@@ -64,9 +64,9 @@
         self.front = front = HttpFront(connections_held(placement), self.take, self.count, self.counters)
         if placement.storms:
             front.turned_back, front.level = self.reducer.turned_back, lambda: self.reducer.level
-            front.connections.on_connected = self.reducer.connected
+            front.on_connected = self.reducer.connected
         self.interpreter = interpreter = Interpreter(*placement.interpreter, self.take, self.count)
-        self.datagrams = Datagrams()
+        self.datagrams = DatagramSender()
         self.tasks = Tasks(self.count, placement.seed)
         self.dependency: Dependency | None = None
         if placement.dependency:
@@ -164,12 +164,12 @@
     def _shut(self) -> None:
         if not self.stopped.is_set():
             asyncio.get_running_loop().call_later(SHUT_EVERY, self._shut)
-            self.front.connections.shut()
+            self.front.connections.shut_down()
 
     def _report(self) -> None:
         directory = self.placement.directory
         if directory and self.listed_open is not None:
-            sent = self.datagrams.send(directory, reports.report(self.placement.name, self.listed_open))
+            sent = self.datagrams.send(directory, directory_reports.write_report(self.placement.name, self.listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
     # Its life.
@@ -190,7 +190,7 @@
                 await self.fleet.upkeep.listen()
             if self.fleet.spread:
                 self.errands[Errand.HAND], self.front.on_hand = self.fleet.spread.hand, self.fleet.spread.came
-        self.tasks.keep("link", self.interpreter.link.keep)
+        self.tasks.keep("link", self.interpreter.link.run)
         self.tasks.every("reports", REPORT_EVERY, self._report)
         self.tasks.every("sweep", SWEEP_EVERY, self._sweep)
         await self.stopped.wait()
@@ -237,8 +237,8 @@
         self.count("reloads")
         LOG.info("reloaded", extra={"fields": {"left_until_restart": ",".join(left)}})
         self.placement = self.placement._replace(**{key: getattr(new, key) for key in TAKEN_OVER})
-        self.front.connections.most = connections_held(new)
-        self.interpreter.link.move(*new.interpreter)
+        self.front.connections.max_connections = connections_held(new)
+        self.interpreter.link.change_address(*new.interpreter)
         if self.dependency and new.dependency:
             self.dependency.move(*new.dependency)
         self._report()
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -14,9 +14,10 @@
 from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
 from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.protocol import http_peers
+from mulleinhatch.instance.protocol.http_requests import IncomingRequest
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
+from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
@@ -39,7 +40,7 @@
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.take, self.send = reducer, take, send
         self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
-        self.peers = Peers(bounds.links, http_peers.parse_response_head, time.monotonic)
+        self.peers = PeerConnections(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.told_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -79,7 +80,7 @@
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
         letters = self.core.heartbeat(now, self._here())
-        self.peers.sweep()
+        self.peers.close_idle()
         self.tell(now)
         return letters
 
@@ -130,25 +131,11 @@
         key: str,
     ) -> None:
         wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
-        pieces = http_peers.write_handover_request(
-            ref,
-            op_type,
-            tenant,
-            body,
-            1000.0 * (time.time() - age),
-            1000.0 * (age + wait) if wait else 0.0,
-            caller,
-            work,
-            kb,
-            again,
-            rank,
-            offer.number,
-            offer.address,
-            key,
-        )
+        request = IncomingRequest(ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank)
+        pieces = http_peers.write_handover_request(request, body, time.time(), offer.number, offer.address)
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.ask(offer.address, pieces, wait or AT_MOST)
+            status, result = await self.peers.request(offer.address, pieces, wait or AT_MOST)
             ending = Ending.OK if status == 200 else Ending.FULL if status in UNRUN else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -127,12 +127,11 @@
 
 
 def test_request_to_a_peer_is_parsed_by_the_own_reader() -> None:
-    pieces = http_peers.write_handover_request(
-        "00000000000000ab", "read", "t", b"body", 1e12, 1500.0, 3, 0.05, 0.0, True, 1.0, 17, "h:1"
-    )
+    handed_over = http_requests.IncomingRequest("00000000000000ab", "read", "t", 0.0, 1.5, 3, 0.05, 0.0, True, "", 1.0)
+    pieces = http_peers.write_handover_request(handed_over, b"body", 1e9, 17, "h:1")
     reader = http_requests.RequestReader()
     data = b"".join(pieces)
-    reader.room()[: len(data)] = data
+    reader.free_space()[: len(data)] = data
     reader.filled(len(data))
     method, path, fields, body = reader.message()
     ref, request_type, tenant, age, wait, caller, work, kb, again, key, rank = http_requests.parse_request(
