--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -31,11 +31,11 @@
 
 ROOT = Path(__file__).parent.parent
 OUR_PACKAGE = "mulleinhatch"
-BEYOND = 1.2  # times the largest size of a run, from which a need is marked as set out beyond its points
-OFF = 0.15  # by which a run at another size may miss the fit
-NEAR = 3.0  # times the target size, up to which what breaks later is listed too
-MARK = "<!-- from the records: "
-STEPS = 200  # of halving, when a size is sought
+EXTRAPOLATION_FACTOR = 1.2  # times the largest size of a run, from which a need is marked as set out beyond its points
+MAX_FIT_ERROR = 0.15  # by which a run at another size may miss the fit
+MAX_LISTED_SHARE = 3.0  # times the target size, up to which what breaks later is listed too
+TABLE_MARKER = "<!-- from the records: "
+BISECTION_STEPS = 200  # of halving, when a size is sought
 ROW_KEYS = {
     "role": str,
     "kind": str,
@@ -65,10 +65,10 @@
     text: str  # where it comes from
 
 
-class Missing(NamedTuple):
+class MissingMechanism(NamedTuple):
     name: str
-    on_it: tuple[str, ...]  # modules that stand on it
-    stands_on: tuple[str, ...]  # other missing ones that it needs itself
+    dependents: tuple[str, ...]  # modules that stand on it
+    prerequisites: tuple[str, ...]  # other missing ones that it needs itself
     why: str
 
 
@@ -106,8 +106,8 @@
         """What runs took, by size; of a product of costs none."""
         if self.cost is None or self.times:
             return []
-        told = [*self.cost.points, *([self.cost.checked] if self.cost.checked else [])]
-        return [(size, self.factor * value) for size, value in told]
+        points = [*self.cost.points, *([self.cost.checked] if self.cost.checked else [])]
+        return [(size, self.factor * value) for size, value in points]
 
     @property
     def run_there(self) -> float | None:
@@ -142,7 +142,7 @@
             return self.target * self.bound.value / self.at_target
         if self.need(high) <= self.bound.value:
             return math.inf
-        for _ in range(STEPS):
+        for _ in range(BISECTION_STEPS):
             middle = 0.5 * (low + high)
             low, high = (middle, high) if self.need(middle) <= self.bound.value else (low, middle)
         return low
@@ -158,75 +158,76 @@
         return max(self.breaks_at, self.smallest) / self.target
 
 
-class Book(NamedTuple):
+class CapacityModel(NamedTuple):
     """All that the page's tables are made of."""
 
     target: list[tuple[str, str]]
     roles: dict[str, str]
     rows: list[Row]
-    missing: dict[str, Missing]
+    missing: dict[str, MissingMechanism]
     records: dict[str, Record]
 
 
 # Reading what is declared.
 
 
-def read_book(folder: Path = RECORDED) -> Book:
+def read_model(folder: Path = RECORDED) -> CapacityModel:
     path = folder / "rows.toml"
     try:
-        told = tomllib.loads(path.read_text())
+        declared = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise InvalidRecordError(f"{path.name}: can't be read: {error}") from None
     for key in ("target", "roles", "sizes", "bounds", "missing", "row"):
-        if key not in told:
+        if key not in declared:
             raise InvalidRecordError(f"{path.name}: {key}: missing")
     records = read_all(folder)
-    bounds = {name: Bound(float(bound["value"]), bound["text"]) for name, bound in told["bounds"].items()}
-    missing = _missing(f"{path.name}: missing", told["missing"])
+    bounds = {name: Bound(float(bound["value"]), bound["text"]) for name, bound in declared["bounds"].items()}
+    missing = _missing(f"{path.name}: missing", declared["missing"])
     rows = []
-    for place, row in enumerate(told["row"]):
+    for place, row in enumerate(declared["row"]):
         where = f"{path.name}: row {place + 1} ({row.get('what', '?')})"
-        _keys(where, row)
+        _check_keys(where, row)
         _bound(where, row, bounds)  # of rows that wait for their record, too
         if _recorded(row.get("if_recorded", ""), records):
-            rows.append(_row(where, row, told, bounds, missing, records))
-    roles = dict(told["roles"])
+            rows.append(_row(where, row, declared, bounds, missing, records))
+    roles = dict(declared["roles"])
     if lost := [row.role for row in rows if row.role not in roles]:
         raise InvalidRecordError(f"{path.name}: role {lost[0]!r} is none of {', '.join(roles)}")
-    return Book([(what, target) for what, target in told["target"]], roles, rows, missing, records)
+    return CapacityModel([(what, target) for what, target in declared["target"]], roles, rows, missing, records)
 
 
-def _missing(where: str, told: list[dict[str, Any]]) -> dict[str, Missing]:
+def _missing(where: str, declarations: list[dict[str, Any]]) -> dict[str, MissingMechanism]:
     missing = {
-        one["name"]: Missing(one["name"], tuple(one["on_it"]), tuple(one.get("stands_on", ())), one["why"]) for one in told
+        one["name"]: MissingMechanism(one["name"], tuple(one["on_it"]), tuple(one.get("stands_on", ())), one["why"])
+        for one in declarations
     }
     for one in missing.values():
-        for module in one.on_it:
+        for module in one.dependents:
             _importable(f"{where} {one.name!r}", module)
-        for name in one.stands_on:
+        for name in one.prerequisites:
             if name not in missing:
                 raise InvalidRecordError(f"{where} {one.name!r}: stands_on: {name!r} is told of nowhere")
-    _grounded(missing)
+    _check_no_cycle(missing)
     return missing
 
 
-def _grounded(missing: dict[str, Missing]) -> None:
+def _check_no_cycle(missing: dict[str, MissingMechanism]) -> None:
     """None of them stands on itself over others, whichever of them are missing today."""
-    left = dict(missing)
-    while able := [name for name, one in left.items() if not left.keys() & set(one.stands_on)]:
-        for name in able:
-            del left[name]
-    if left:
-        raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(left))} stand on each other")
+    remaining = dict(missing)
+    while ready := [name for name, one in remaining.items() if not remaining.keys() & set(one.prerequisites)]:
+        for name in ready:
+            del remaining[name]
+    if remaining:
+        raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(remaining))} stand on each other")
 
 
-def _recorded(told: str, records: dict[str, Record]) -> bool:
+def _recorded(condition: str, records: dict[str, Record]) -> bool:
     """`record`, or `record:cost`, is there; nothing told asks for nothing."""
-    name, _, cost = told.partition(":")
+    name, _, cost = condition.partition(":")
     return not name or name in records and (not cost or cost in records[name].costs)
 
 
-def _keys(where: str, row: dict[str, Any]) -> None:
+def _check_keys(where: str, row: dict[str, Any]) -> None:
     for key, value in row.items():
         kind = ROW_KEYS.get(key)
         if kind is None:
@@ -248,9 +249,9 @@
 def _row(
     where: str,
     row: dict[str, Any],
-    told: dict[str, Any],
+    declared: dict[str, Any],
     bounds: dict[str, Bound],
-    missing: dict[str, Missing],
+    missing: dict[str, MissingMechanism],
     records: dict[str, Record],
 ) -> Row:
     for module in row["mechanism"].split(", "):
@@ -265,9 +266,9 @@
         record, cost = _cost(where, row.get("record", ""), row.get("cost", ""), records)
         unit, size = row.get("unit", cost.unit), cost.size
     times = tuple(_cost(where, row["record"], name, records)[1] for name in row.get("times", "").split(", ") if name)
-    if size and "at" not in row and size not in told["sizes"]:
+    if size and "at" not in row and size not in declared["sizes"]:
         raise InvalidRecordError(f"{where}: size: there is no target for {size!r}")
-    target = float(row["at"]) if "at" in row else float(told["sizes"][size]) if size else 1.0
+    target = float(row["at"]) if "at" in row else float(declared["sizes"][size]) if size else 1.0
     found = Row(
         row["role"],
         row["kind"],
@@ -308,20 +309,20 @@
 
 def _bound(where: str, row: dict[str, Any], bounds: dict[str, Bound]) -> Bound | None:
     """A number, the name of a bound of the target, or a constant of the code as `module:NAME`."""
-    told = row.get("bound", "")
-    if told == "":
+    declaration = row.get("bound", "")
+    if declaration == "":
         return None
-    if not isinstance(told, str):
-        return Bound(float(told), row.get("bound_text", ""))
-    if told in bounds:
-        return bounds[told]
-    module, _, name = told.partition(":")
+    if not isinstance(declaration, str):
+        return Bound(float(declaration), row.get("bound_text", ""))
+    if declaration in bounds:
+        return bounds[declaration]
+    module, _, name = declaration.partition(":")
     _importable(where, module)
     value = importlib.import_module(module)
     for part in name.split("."):
         value = getattr(value, part, None)
     if not isinstance(value, (int, float)) or isinstance(value, bool):
-        raise InvalidRecordError(f"{where}: bound: {told} is no number")
+        raise InvalidRecordError(f"{where}: bound: {declaration} is no number")
     return Bound(float(value), f"`{name}` of `{module}`")
 
 
@@ -378,7 +379,7 @@
     if cost.checked:
         size, value = cost.checked
         off = fit.at(size) / value - 1.0 if value else 0.0
-        text += f"; {'met' if abs(off) <= OFF else 'MISSED'} by a run at {number(size)} ({off:+.0%})"
+        text += f"; {'met' if abs(off) <= MAX_FIT_ERROR else 'MISSED'} by a run at {number(size)} ({off:+.0%})"
     return text
 
 
@@ -391,7 +392,7 @@
     for cost in row.times:
         text += f"; times {fit_text(cost)}"
     reached = max([size for size, _ in row.cost.points] + ([row.cost.checked[0]] if row.cost.checked else []))
-    if row.cost.fit.form != "constant" and row.target > BEYOND * reached:
+    if row.cost.fit.form != "constant" and row.target > EXTRAPOLATION_FACTOR * reached:
         text += f"; set out {number(row.target / reached)} times beyond its largest run"
     return text
 
@@ -407,8 +408,8 @@
     return f"{text}, where `{row.replaced_by}` does not stand in for it" if row.replaced_by else text
 
 
-def role_table(book: Book, role: str) -> str:
-    rows = [row for row in book.rows if row.role == role]
+def role_table(model: CapacityModel, role: str) -> str:
+    rows = [row for row in model.rows if row.role == role]
     lines = [
         (
             row.kind,
@@ -425,31 +426,33 @@
     return table(("kind", "what", "at the target", "slope", "run", "bound", "need / bound", "carried by"), lines)
 
 
-def together_table(book: Book) -> str:
+def together_table(model: CapacityModel) -> str:
     """What one instance has to bear at once, by bound: the rows that say that they add up."""
     sums: dict[Bound, list[Row]] = {}
-    for row in book.rows:
+    for row in model.rows:
         if row.adds and row.bound and not row.replaced_by:
             sums.setdefault(row.bound, []).append(row)
     lines = []
     for bound, rows in sums.items():
         if len({row.unit for row in rows}) > 1:
             raise InvalidRecordError(f"rows.toml: adds: {', '.join(row.what for row in rows)} add up in different units")
-        whole = sum(row.at_target for row in rows)
+        total = sum(row.at_target for row in rows)
         lines.append(
             (
                 "; ".join(f"{row.what}: {number(row.at_target)}" for row in rows),
-                f"{number(whole)} {rows[0].unit}",
+                f"{number(total)} {rows[0].unit}",
                 bound_text(bound),
-                number(whole / bound.value),
+                number(total / bound.value),
             )
         )
     return table(("parts", "together", "bound", "need / bound"), lines)
 
 
-def breaking(book: Book) -> list[Row]:
+def breaking(model: CapacityModel) -> list[Row]:
     """What has a bound and breaks, or nearly does, the smallest share of the target first."""
-    rows = [row for row in book.rows if row.bound and not row.replaced_by and (row.share <= NEAR or row.ratio > 1.0)]
+    rows = [
+        row for row in model.rows if row.bound and not row.replaced_by and (row.share <= MAX_LISTED_SHARE or row.ratio > 1.0)
+    ]
     return sorted(rows, key=lambda row: (row.share, -row.ratio, row.what))
 
 
@@ -459,7 +462,7 @@
     return f"{number(row.breaks_at)} {row.size}" if row.size else "at any size", percent(row.share)
 
 
-def breaks_table(book: Book) -> str:
+def breaks_table(model: CapacityModel) -> str:
     return table(
         ("what", "role", "breaks at", "share of the target size", "need / bound", "behind it", "missing"),
         [
@@ -471,43 +474,43 @@
                 f"run `{row.record.name}`" if row.record else "reckoned",
                 row.missing if row.ratio > 1.0 else "",
             )
-            for row in breaking(book)
+            for row in breaking(model)
         ],
     )
 
 
-def next_missing(book: Book) -> list[tuple[Missing, Row]]:
+def next_missing(model: CapacityModel) -> list[tuple[MissingMechanism, Row]]:
     """By the page's rule: the smallest share of the target size, of those on which others stand; the rest behind. What
     itself stands on a missing one comes after that."""
     first: dict[str, Row] = {}
-    for row in breaking(book):
+    for row in breaking(model):
         if row.ratio > 1.0:
             first.setdefault(row.missing, row)
-    left = sorted(
-        ((book.missing[name], row) for name, row in first.items()),
-        key=lambda told: (not told[0].on_it, told[1].share, -told[1].ratio),
+    remaining = sorted(
+        ((model.missing[name], row) for name, row in first.items()),
+        key=lambda candidate: (not candidate[0].dependents, candidate[1].share, -candidate[1].ratio),
     )
-    order: list[tuple[Missing, Row]] = []
-    while left:
-        names = {missing.name for missing, _ in left}
-        able = next((told for told in left if not names & set(told[0].stands_on)), None)
-        if able is None:
+    order: list[tuple[MissingMechanism, Row]] = []
+    while remaining:
+        names = {missing.name for missing, _ in remaining}
+        ready = next((candidate for candidate in remaining if not names & set(candidate[0].prerequisites)), None)
+        if ready is None:
             raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(names))} stand on each other")
-        left.remove(able)
-        order.append(able)
+        remaining.remove(ready)
+        order.append(ready)
     return order
 
 
-def missing_table(book: Book) -> str:
-    order = next_missing(book)
+def missing_table(model: CapacityModel) -> str:
+    order = next_missing(model)
     lines = [
         (
             str(place + 1),
             missing.name,
             row.what,
             breaks_text(row)[1],
-            ", ".join(f"`{module}`" for module in missing.on_it) or "nothing",
-            ", ".join(missing.stands_on) or "none missing",
+            ", ".join(f"`{module}`" for module in missing.dependents) or "nothing",
+            ", ".join(missing.prerequisites) or "none missing",
             missing.why,
         )
         for place, (missing, row) in enumerate(order)
@@ -517,7 +520,7 @@
     return head + table(head_line, lines)
 
 
-def events_table(book: Book) -> str:
+def events_table(model: CapacityModel) -> str:
     return table(
         ("event", "figures", "run"),
         [
@@ -529,13 +532,13 @@
                 ),
                 f"`{record.name}`",
             )
-            for record in book.records.values()
+            for record in model.records.values()
             for event, figures in record.events.items()
         ],
     )
 
 
-def runs_table(book: Book) -> str:
+def runs_table(model: CapacityModel) -> str:
     return table(
         ("run", "commit", "command", "seed", "notes"),
         [
@@ -546,79 +549,79 @@
                 str(record.seed),
                 " ".join(note if note.endswith(".") else note + "." for note in record.notes),
             )
-            for record in book.records.values()
+            for record in model.records.values()
         ],
     )
 
 
-def tables(book: Book) -> dict[str, str]:
+def tables(model: CapacityModel) -> dict[str, str]:
     """By the name that stands in the page's markers."""
     return {
-        "target": table(("what", "target"), book.target),
-        **{role: role_table(book, role) for role in book.roles},
-        "together": together_table(book),
-        "breaks": breaks_table(book),
-        "missing": missing_table(book),
-        "events": events_table(book),
-        "runs": runs_table(book),
+        "target": table(("what", "target"), model.target),
+        **{role: role_table(model, role) for role in model.roles},
+        "together": together_table(model),
+        "breaks": breaks_table(model),
+        "missing": missing_table(model),
+        "events": events_table(model),
+        "runs": runs_table(model),
     }
 
 
 # The page.
 
 
-def marks(name: str) -> tuple[str, str]:
-    return f"{MARK}{name} -->\n", "\n<!-- end -->"
+def markers(name: str) -> tuple[str, str]:
+    return f"{TABLE_MARKER}{name} -->\n", "\n<!-- end -->"
 
 
-def shown(page: str, name: str) -> str | None:
+def marked_text(page: str, name: str) -> str | None:
     """What stands between the markers of a table; None where these don't stand there once, and in order."""
-    begin, end = marks(name)
+    begin, end = markers(name)
     if page.count(begin) != 1:
         return None
     inside, found, _ = page.split(begin)[1].partition(end)
-    return inside if found and MARK not in inside else None
+    return inside if found and TABLE_MARKER not in inside else None
 
 
-def parted(page: str, wanted: dict[str, str]) -> list[str]:
+def differences(page: str, expected_tables: dict[str, str]) -> list[str]:
     """Where page and records differ, by table and line."""
     found = []
-    for name, text in wanted.items():
-        inside = shown(page, name)
+    for name, text in expected_tables.items():
+        inside = marked_text(page, name)
         if inside is None:
             found.append(f"{name}: its markers are not in the page once, and in order")
             continue
-        ours, theirs = text.splitlines(), inside.splitlines()
-        for place in range(max(len(ours), len(theirs))):
-            one, other = (lines[place] if place < len(lines) else "(nothing)" for lines in (ours, theirs))
-            if one != other:
-                found.append(f"{name}, line {place + 1}: the page has {other!r}, the records give {one!r}")
-    if extra := page.count(MARK) - len(wanted):
+        expected_lines, page_lines = text.splitlines(), inside.splitlines()
+        for place in range(max(len(expected_lines), len(page_lines))):
+            expected, actual = (lines[place] if place < len(lines) else "(nothing)" for lines in (expected_lines, page_lines))
+            if expected != actual:
+                found.append(f"{name}, line {place + 1}: the page has {actual!r}, the records give {expected!r}")
+    if extra := page.count(TABLE_MARKER) - len(expected_tables):
         found.append(f"{extra} marked tables too many")
     return found
 
 
-def written(page: str, wanted: dict[str, str]) -> str:
-    for name, text in wanted.items():
-        inside = shown(page, name)
+def with_tables(page: str, expected_tables: dict[str, str]) -> str:
+    for name, text in expected_tables.items():
+        inside = marked_text(page, name)
         if inside is None:
             raise InvalidRecordError(f"the page has no markers for {name}, or not once and in order")
-        begin, end = marks(name)
+        begin, end = markers(name)
         page = page.replace(begin + inside + end, begin + text + end)
     return page
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    page = Path(told["--page"])
+    options = docopt(__doc__, argv)
+    page = Path(options["--page"])
     try:
-        book = read_book(Path(told["--recorded"] or RECORDED))
-        wanted = tables(book)
-        if told["--write"]:
-            page.write_text(written(page.read_text(), wanted))
-        elif told["--check"]:
-            if found := parted(page.read_text(), wanted):
-                print("\n".join(found), file=sys.stderr)
+        model = read_model(Path(options["--recorded"] or RECORDED))
+        wanted = tables(model)
+        if options["--write"]:
+            page.write_text(with_tables(page.read_text(), wanted))
+        elif options["--check"]:
+            if differing := differences(page.read_text(), wanted):
+                print("\n".join(differing), file=sys.stderr)
                 return 1
         else:
             for name, text in wanted.items():
@@ -626,14 +629,14 @@
     except (InvalidRecordError, OSError) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 1
-    over = [row for row in breaking(book) if row.ratio > 1.0]
+    over = [row for row in breaking(model) if row.ratio > 1.0]
     print(
         json.dumps(
             {
                 "benchmark": "capacity",
-                "rows": len(book.rows),
+                "rows": len(model.rows),
                 "over": len(over),
-                "missing": [missing.name for missing, _ in next_missing(book)],
+                "missing": [missing.name for missing, _ in next_missing(model)],
                 "holds": True,
             }
         )
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -9,9 +9,9 @@
 
 from benchmarks.records import Fit, fitted
 
-FLAT = 0.03  # a constant that is off by no more than this is the whole truth
-CHECK = 0.15  # by which a fit may be off at a size that it was not made from
-WORTH = 0.02  # of residual that a slope must take away, where a cost is not flat by that bound
+MAX_CONSTANT_RESIDUAL = 0.03  # a constant that is off by no more than this is the whole truth
+MAX_CHECK_ERROR = 0.15  # by which a fit may be off at a size that it was not made from
+MIN_RESIDUAL_GAIN = 0.02  # of residual that a slope must take away, where a cost is not flat by that bound
 FORMS = ("constant", "linear", "log2")
 
 
@@ -26,8 +26,8 @@
         raise ValueError("a fit needs points of sizes from 1 on")
     found = {form: fitted(points, form) for form in FORMS}
     best = found["constant"]
-    if best.residual > FLAT and len(points) > 2:
-        best = min(found["linear"], found["log2"], key=lambda one: one.residual)
+    if best.residual > MAX_CONSTANT_RESIDUAL and len(points) > 2:
+        best = min(found["linear"], found["log2"], key=lambda candidate: candidate.residual)
     return Fit(best.form, *(round(value, 9) for value in best[1:]))
 
 
@@ -42,8 +42,8 @@
     if len(points) < 2:
         raise ValueError(f"a fit of {len(points)} points")
     constant, *grown = (fitted([(size, value) for size, value in points], form) for form in FORMS)
-    best = min(grown, key=lambda one: one.residual)
-    best = best if best.residual < constant.residual - WORTH else constant
+    best = min(grown, key=lambda candidate: candidate.residual)
+    best = best if best.residual < constant.residual - MIN_RESIDUAL_GAIN else constant
     return Fit(best.form, rounded(best.constant), rounded(best.slope), round(best.residual, 4))
 
 
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -15,8 +15,8 @@
 
 RECORDED = Path(__file__).parent / "recorded"
 FORMS = ("constant", "log2", "linear", "square")
-LEAST_POINTS = 3  # of a cost that is said to grow: two points lie on any line
-SLACK = 1e-3  # of a figure, as records are rounded
+MIN_POINTS = 3  # of a cost that is said to grow: two points lie on any line
+ROUNDING_TOLERANCE = 1e-3  # of a figure, as records are rounded
 
 
 class InvalidRecordError(ValueError):
@@ -158,31 +158,31 @@
 
 def read(path: Path) -> Record:
     try:
-        told = json.loads(path.read_text())
+        document = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise InvalidRecordError(f"{path.name}: can't be read: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise InvalidRecordError(f"{path.name}: an object is wanted")
-    text = {key: _want(path, told, key, str) for key in ("commit", "benchmark", "command", "mechanism")}
+    text = {key: _required(path, document, key, str) for key in ("commit", "benchmark", "command", "mechanism")}
     for key, value in text.items():
         if not value:
             raise InvalidRecordError(f"{path.name}: {key}: empty")
-    costs = {name: _cost(path, f"costs.{name}", one) for name, one in _want(path, told, "costs", dict).items()}
-    events = _want(path, told, "events", dict)
+    costs = {name: _cost(path, f"costs.{name}", cost) for name, cost in _required(path, document, "costs", dict).items()}
+    events = _required(path, document, "events", dict)
     for name, figures in events.items():
         if not isinstance(figures, dict):
             raise InvalidRecordError(f"{path.name}: events.{name}: an object of figures is wanted")
-    notes = told.get("notes", [])
+    notes = document.get("notes", [])
     if not isinstance(notes, list) or not all(isinstance(note, str) for note in notes):
         raise InvalidRecordError(f"{path.name}: notes: a list of texts is wanted")
-    return Record(path.stem, seed=_want(path, told, "seed", int), costs=costs, events=events, notes=notes, **text)
+    return Record(path.stem, seed=_required(path, document, "seed", int), costs=costs, events=events, notes=notes, **text)
 
 
-def _want(path: Path, told: dict[str, Any], key: str, kind: type, way: str = "") -> Any:
+def _required(path: Path, document: dict[str, Any], key: str, kind: type, way: str = "") -> Any:
     where = f"{path.name}: {way}{'.' if way else ''}{key}"
-    if key not in told:
+    if key not in document:
         raise InvalidRecordError(f"{where}: missing")
-    value = told[key]
+    value = document[key]
     if isinstance(value, bool) or not isinstance(value, (int, float) if kind is float else kind):
         raise InvalidRecordError(f"{where}: {value!r} is no {'number' if kind is float else kind.__name__}")
     if kind is float and not math.isfinite(value):
@@ -190,45 +190,47 @@
     return value
 
 
-def _cost(path: Path, way: str, told: Any) -> Cost:
-    if not isinstance(told, dict):
+def _cost(path: Path, way: str, document: Any) -> Cost:
+    if not isinstance(document, dict):
         raise InvalidRecordError(f"{path.name}: {way}: an object is wanted")
-    points = [_pair(path, f"{way}.points.{place}", pair) for place, pair in enumerate(_want(path, told, "points", list, way))]
-    form = _want(path, told, "form", str, way)
+    points = [
+        _pair(path, f"{way}.points.{place}", pair) for place, pair in enumerate(_required(path, document, "points", list, way))
+    ]
+    form = _required(path, document, "form", str, way)
     if form not in FORMS:
         raise InvalidRecordError(f"{path.name}: {way}.form: {form!r} is none of {', '.join(FORMS)}")
     sizes = {size for size, _ in points}
-    if len(sizes) < (1 if form == "constant" else LEAST_POINTS):
+    if len(sizes) < (1 if form == "constant" else MIN_POINTS):
         raise InvalidRecordError(f"{path.name}: {way}.points: {len(sizes)} sizes are too few for a {form} fit")
-    fit = Fit(form, *(float(_want(path, told, key, float, way)) for key in ("constant", "slope", "residual")))
-    checked = told.get("checked")
+    fit = Fit(form, *(float(_required(path, document, key, float, way)) for key in ("constant", "slope", "residual")))
+    checked = document.get("checked")
     found = Cost(
-        _want(path, told, "unit", str, way),
-        _want(path, told, "size", str, way),
+        _required(path, document, "unit", str, way),
+        _required(path, document, "size", str, way),
         points,
         fit,
         None if checked is None else _pair(path, f"{way}.checked", checked),
     )
-    _reproduces(path, way, found)
+    _check_fit_reproduces(path, way, found)
     return found
 
 
-def _pair(path: Path, where: str, told: Any) -> tuple[float, float]:
+def _pair(path: Path, where: str, pair: Any) -> tuple[float, float]:
     if (
-        not isinstance(told, list)
-        or len(told) != 2
-        or not all(isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value) for value in told)
+        not isinstance(pair, list)
+        or len(pair) != 2
+        or not all(isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value) for value in pair)
     ):
-        raise InvalidRecordError(f"{path.name}: {where}: {told!r} is no pair of size and value")
-    if told[0] <= 0:
-        raise InvalidRecordError(f"{path.name}: {where}: {told[0]!r} is no size")
-    return float(told[0]), float(told[1])
+        raise InvalidRecordError(f"{path.name}: {where}: {pair!r} is no pair of size and value")
+    if pair[0] <= 0:
+        raise InvalidRecordError(f"{path.name}: {where}: {pair[0]!r} is no size")
+    return float(pair[0]), float(pair[1])
 
 
-def _reproduces(path: Path, way: str, found: Cost) -> None:
+def _check_fit_reproduces(path: Path, way: str, found: Cost) -> None:
     """The fit as recorded must meet its own points within its own residual."""
     off = residual(found.fit, found.points)
-    if off > found.fit.residual * (1.0 + SLACK) + SLACK:
+    if off > found.fit.residual * (1.0 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE:
         raise InvalidRecordError(
             f"{path.name}: {way}: the fit misses its points by {off:.2%}, its residual says {found.fit.residual:.2%}"
         )
@@ -243,6 +245,6 @@
 
 def _same(one: Fit, other: Fit, points: list[tuple[float, float]]) -> bool:
     """Whether two fits say the same at each point, and of the slope, but for the rounding of what is recorded."""
-    return all(abs(one.at(size) - other.at(size)) <= SLACK * (abs(value) or 1.0) for size, value in points) and (
-        abs(one.slope - other.slope) <= SLACK * abs(other.slope) + 1e-12
+    return all(abs(one.at(size) - other.at(size)) <= ROUNDING_TOLERANCE * (abs(value) or 1.0) for size, value in points) and (
+        abs(one.slope - other.slope) <= ROUNDING_TOLERANCE * abs(other.slope) + 1e-12
     )
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -23,36 +23,43 @@
 
 from mulleinhatch.simulation.fault_search import campaign, defects
 
-WITHIN = 60.0
-QUICK = ("the bound is not looked at", "an op at a peer is never given up", "one voter is a majority")
+MAX_DETECTION_S = 60.0
+QUICK_DEFECTS = ("the bound is not looked at", "an op at a peer is never given up", "one voter is a majority")
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    quick, seed = told["--quick"], int(told["--seed"])
-    plain = campaign.campaign(itertools.count(seed), float(told["--seconds"] or (15 if quick else 300)))
+    options = docopt(__doc__, argv)
+    quick, seed = options["--quick"], int(options["--seed"])
+    without_defect = campaign.campaign(itertools.count(seed), float(options["--seconds"] or (15 if quick else 300)))
     table, found = Table("planted", "seconds", "histories", "what was seen"), {}
-    for name in QUICK if quick else defects.DEFECTS:
-        done = campaign.campaign(itertools.count(seed), WITHIN, name, stop_at_first=True)
-        found[name] = round(done.seconds, 1) if done.findings else None
-        table.add_row(name, str(found[name]), str(done.histories), done.findings[0].what if done.findings else "nothing")
+    for name in QUICK_DEFECTS if quick else defects.DEFECTS:
+        with_defect = campaign.campaign(itertools.count(seed), MAX_DETECTION_S, name, stop_at_first=True)
+        found[name] = round(with_defect.seconds, 1) if with_defect.findings else None
+        table.add_row(
+            name,
+            str(found[name]),
+            str(with_defect.histories),
+            with_defect.findings[0].what if with_defect.findings else "nothing",
+        )
     console = Console(width=150)
     console.print(table)
-    a_minute = 60.0 * plain.histories / plain.seconds
-    console.print(f"{plain.histories} histories, {a_minute:.0f} a minute, {plain.states} states, growth {plain.growth}")
-    for finding in plain.findings:
+    a_minute = 60.0 * without_defect.histories / without_defect.seconds
+    console.print(
+        f"{without_defect.histories} histories, {a_minute:.0f} a minute, {without_defect.states} states, growth {without_defect.growth}"
+    )
+    for finding in without_defect.findings:
         console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.as_text(finding.short)}")
     missed = [f"found: {name}" for name, seconds in found.items() if seconds is None]
-    missed += [f"nothing without a defect: {finding.what}" for finding in plain.findings]
+    missed += [f"nothing without a defect: {finding.what}" for finding in without_defect.findings]
     print(
         json.dumps(
             {
-                "histories": plain.histories,
+                "histories": without_defect.histories,
                 "a minute": round(a_minute),
-                "states": plain.states,
-                "growth": plain.growth,
+                "states": without_defect.states,
+                "growth": without_defect.growth,
                 "found": found,
-                "worst": plain.worst,
+                "worst": without_defect.worst,
                 "missed": missed,
                 "holds": not missed,
             }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -25,14 +25,14 @@
 
 
 @pytest.fixture(scope="module")
-def book() -> capacity.Book:
-    return capacity.read_book()
+def model() -> capacity.CapacityModel:
+    return capacity.read_model()
 
 
 def changed(path: Path, cost: str, **values: object) -> None:
-    told = json.loads(path.read_text())
-    told["costs"][cost].update(values)
-    path.write_text(json.dumps(told))
+    document = json.loads(path.read_text())
+    document["costs"][cost].update(values)
+    path.write_text(json.dumps(document))
 
 
 def some_cost(form: str) -> str:
@@ -48,24 +48,24 @@
 # Page and records.
 
 
-def test_the_page_says_what_the_records_give(book: capacity.Book) -> None:
-    assert capacity.parted(PAGE.read_text(), capacity.tables(book)) == []
+def test_the_page_says_what_the_records_give(model: capacity.CapacityModel) -> None:
+    assert capacity.differences(PAGE.read_text(), capacity.tables(model)) == []
 
 
 def test_the_command_checks_the_same(capsys: pytest.CaptureFixture[str]) -> None:
     assert capacity.main(["--check", "--page", str(PAGE)]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert told["holds"] and told["rows"] > 20
+    report = json.loads(capsys.readouterr().out)
+    assert report["holds"] and report["rows"] > 20
 
 
-def test_a_wrong_figure_in_the_page_is_found(book: capacity.Book, tmp_path: Path) -> None:
+def test_a_wrong_figure_in_the_page_is_found(model: capacity.CapacityModel, tmp_path: Path) -> None:
     text = PAGE.read_text()
-    begin, _ = capacity.marks("voter")
+    begin, _ = capacity.markers("voter")
     at = text.index(begin)
     figure = re.compile(r"\| ([\d.,]+) \| `mulleinhatch").search(text, at)
     page = tmp_path / "CAPACITY.md"
     page.write_text(text[: figure.start(1)] + "0.123" + text[figure.end(1) :])
-    found = capacity.parted(page.read_text(), capacity.tables(book))
+    found = capacity.differences(page.read_text(), capacity.tables(model))
     assert len(found) == 1 and found[0].startswith("voter, line")
     assert capacity.main(["--check", "--page", str(page)]) == 1
     assert capacity.main(["--write", "--page", str(page)]) == 0
@@ -73,11 +73,13 @@
 
 
 @pytest.mark.parametrize("wrong", ["lost", "twice", "stray"])
-def test_wrong_markers_are_found(book: capacity.Book, wrong: str) -> None:
-    begin, end = capacity.marks("breaks")
+def test_wrong_markers_are_found(model: capacity.CapacityModel, wrong: str) -> None:
+    begin, end = capacity.markers("breaks")
     text = PAGE.read_text()
-    page = {"lost": text.replace(begin, ""), "twice": text + "\n" + begin + end, "stray": text + capacity.marks("x")[0]}[wrong]
-    assert capacity.parted(page, capacity.tables(book))
+    page = {"lost": text.replace(begin, ""), "twice": text + "\n" + begin + end, "stray": text + capacity.markers("x")[0]}[
+        wrong
+    ]
+    assert capacity.differences(page, capacity.tables(model))
 
 
 # Records and their fits.
@@ -128,7 +130,7 @@
     slope = records.read_all()["parts"].costs[name].fit.slope
     changed(folder / "parts.json", name, slope=1.05 * slope)
     with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.{re.escape(name)}"):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
 
 
 def test_a_wrong_slope_is_found_under_a_wide_residual(folder: Path) -> None:
@@ -136,7 +138,7 @@
     slope = records.read_all()["parts"].costs[name].fit.slope
     changed(folder / "parts.json", name, slope=1.05 * slope, residual=0.9)
     with pytest.raises(InvalidRecordError, match=rf"costs\.{re.escape(name)}\.slope"):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
 
 
 def test_another_point_parts_page_and_record(folder: Path) -> None:
@@ -145,22 +147,22 @@
     cost = records.read_all()["parts"].costs[name]
     points = [(size, 2.0 * value) for size, value in cost.points]
     changed(folder / "parts.json", name, **records.cost(cost.unit, cost.size, points, "linear"))
-    assert capacity.parted(PAGE.read_text(), capacity.tables(capacity.read_book(folder)))
+    assert capacity.differences(PAGE.read_text(), capacity.tables(capacity.read_model(folder)))
 
 
 def test_a_lost_record_is_found(folder: Path) -> None:
     (folder / "parts.json").unlink()
     with pytest.raises(InvalidRecordError, match=r"rows\.toml: row \d+ .*there is no parts\.json"):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
     assert capacity.main(["--check", "--page", str(PAGE), "--recorded", str(folder)]) == 1
 
 
 def test_a_lost_cost_is_found(folder: Path) -> None:
-    told = json.loads((folder / "parts.json").read_text())
-    del told["costs"]["voter.bytes"]
-    (folder / "parts.json").write_text(json.dumps(told))
+    document = json.loads((folder / "parts.json").read_text())
+    del document["costs"]["voter.bytes"]
+    (folder / "parts.json").write_text(json.dumps(document))
     with pytest.raises(InvalidRecordError, match=r"parts\.json has no voter\.bytes"):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
 
 
 @pytest.mark.parametrize(
@@ -174,7 +176,7 @@
 def test_bad_json_names_file_and_key(folder: Path, text: str, why: str) -> None:
     (folder / "parts.json").write_text(text)
     with pytest.raises(InvalidRecordError, match=why):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
 
 
 @pytest.mark.parametrize(
@@ -194,7 +196,7 @@
 def test_a_bad_cost_names_its_key(folder: Path, values: dict[str, object], why: str) -> None:
     changed(folder / "parts.json", "voter.bytes", **values)
     with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.voter\.bytes\.{why}"):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
 
 
 # Rows.
@@ -235,12 +237,12 @@
 def test_a_wrong_row_is_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
     with pytest.raises(InvalidRecordError, match=why):
-        capacity.read_book(folder)
+        capacity.read_model(folder)
 
 
-def test_ratios_and_breaks(book: capacity.Book) -> None:
+def test_ratios_and_breaks(model: capacity.CapacityModel) -> None:
     """Of each row, by arithmetic of its own."""
-    for row in book.rows:
+    for row in model.rows:
         need = row.factor * (
             row.value
             if row.cost is None
@@ -248,13 +250,13 @@
         )
         for cost in row.times:
             need *= cost.fit.constant + cost.fit.slope * records.scale(cost.fit.form, row.target)
-        told = [*row.cost.points, *([row.cost.checked] if row.cost.checked else [])] if row.cost and not row.times else []
-        need = max((row.factor * value for size, value in told if size == row.target), default=need)
+        points = [*row.cost.points, *([row.cost.checked] if row.cost.checked else [])] if row.cost and not row.times else []
+        need = max((row.factor * value for size, value in points if size == row.target), default=need)
         assert row.at_target == pytest.approx(need)
         if row.bound:
             assert row.ratio == pytest.approx(need / row.bound.value)
-            over = min((size for size, value in told if row.factor * value > row.bound.value), default=math.inf)
-            within = max((size for size, _ in told if size < over), default=0.0)
+            over = min((size for size, value in points if row.factor * value > row.bound.value), default=math.inf)
+            within = max((size for size, _ in points if size < over), default=0.0)
             assert within <= row.breaks_at <= over
             if row.breaks_at not in (0.0, within, over, math.inf):
                 assert row.need(row.breaks_at) == pytest.approx(row.bound.value, rel=1e-6)
@@ -275,7 +277,7 @@
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", points, "linear")
     changed(tmp_path / "flat.json", "bytes", checked=[100, checked])
-    row = capacity.read_book(tmp_path).rows[0]
+    row = capacity.read_model(tmp_path).rows[0]
     assert (row.ratio, row.breaks_at) == (pytest.approx(ratio), pytest.approx(breaks))
     text = capacity.slope_text(row)
     assert "MISSED by a run at 100" in text and f"took {capacity.number(checked)}, which counts" in text
@@ -284,29 +286,29 @@
 def test_a_break_lies_between_the_runs_within_the_bound_and_over_it(tmp_path: Path) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", [(10, 2900.0), (20, 2950.0), (40, 2990.0), (80, 6000.0)], "linear")
-    row = capacity.read_book(tmp_path).rows[0]
+    row = capacity.read_model(tmp_path).rows[0]
     assert row.cost.fit.reaches(3000.0) < 40.0 and row.breaks_at == 40.0
 
 
-def test_what_breaks_first_is_in_order(book: capacity.Book) -> None:
-    shares = [row.share for row in capacity.breaking(book)]
+def test_what_breaks_first_is_in_order(model: capacity.CapacityModel) -> None:
+    shares = [row.share for row in capacity.breaking(model)]
     assert shares == sorted(shares) and shares[0] < 1.0
 
 
-def test_missing_first_by_the_rule(book: capacity.Book) -> None:
+def test_missing_first_by_the_rule(model: capacity.CapacityModel) -> None:
     """The smallest share of those on which others stand and that stand on no missing one; what nothing stands on comes behind,
     but for what it stands on itself."""
     shares: dict[str, float] = {}
-    for row in book.rows:
+    for row in model.rows:
         if row.ratio > 1.0 and not row.replaced_by:
             shares[row.missing] = min(row.share, shares.get(row.missing, math.inf))
-    order = [missing for missing, _ in capacity.next_missing(book)]
+    order = [missing for missing, _ in capacity.next_missing(model)]
     assert sorted(missing.name for missing in order) == sorted(shares)
     for place, missing in enumerate(order):
         behind = order[place + 1 :]
-        assert not {one.name for one in behind} & set(missing.stands_on)
-        free = [one for one in behind if not {other.name for other in order[place:]} & set(one.stands_on)]
-        assert all((not missing.on_it, shares[missing.name]) <= (not one.on_it, shares[one.name]) for one in free)
+        assert not {one.name for one in behind} & set(missing.prerequisites)
+        free = [one for one in behind if not {other.name for other in order[place:]} & set(one.prerequisites)]
+        assert all((not missing.dependents, shares[missing.name]) <= (not one.dependents, shares[one.name]) for one in free)
 
 
 @pytest.mark.parametrize(
@@ -327,7 +329,7 @@
 def test_mechanisms_that_stand_on_each_other_are_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
     with pytest.raises(InvalidRecordError, match=why):
-        capacity.next_missing(capacity.read_book(folder))
+        capacity.next_missing(capacity.read_model(folder))
 
 
 SMALL = """
@@ -384,14 +386,14 @@
 def test_a_row_counts_once_its_record_is_there(tmp_path: Path) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", [(10, 1000.0), (20, 2000.0), (40, 4000.0)], "linear")
-    book = capacity.read_book(tmp_path)
-    assert [row.what for row in book.rows] == ["flat"] and book.rows[0].breaks_at == pytest.approx(30.0)
-    assert book.rows[0].ratio == pytest.approx(10_000.0 / 3000.0)
-    assert [missing.name for missing, _ in capacity.next_missing(book)] == ["levels"]
+    model = capacity.read_model(tmp_path)
+    assert [row.what for row in model.rows] == ["flat"] and model.rows[0].breaks_at == pytest.approx(30.0)
+    assert model.rows[0].ratio == pytest.approx(10_000.0 / 3000.0)
+    assert [missing.name for missing, _ in capacity.next_missing(model)] == ["levels"]
     small_record(tmp_path, "levels", [(10, 2000.0), (20, 2000.0), (40, 2000.0)], "constant")
-    book = capacity.read_book(tmp_path)
-    assert [row.what for row in book.rows] == ["flat", "in levels"] and capacity.next_missing(book) == []
-    assert book.rows[1].ratio == pytest.approx(2.0 / 3.0) and book.rows[1].breaks_at == math.inf
+    model = capacity.read_model(tmp_path)
+    assert [row.what for row in model.rows] == ["flat", "in levels"] and capacity.next_missing(model) == []
+    assert model.rows[1].ratio == pytest.approx(2.0 / 3.0) and model.rows[1].breaks_at == math.inf
 
 
 # The benchmark of single parts.
@@ -405,15 +407,15 @@
         parts.answered(core, b"?")
 
 
-def test_an_answer_tells_all_members() -> None:
+def test_an_answer_lists_all_members() -> None:
     for differ, tenants in ((False, 4), (True, 8)):
-        told = json.loads(parts.fleet_side(25, differ).told())
-        assert len(told["members"]) == 25 and len(told["loudest"]) == tenants
+        answer = json.loads(parts.fleet_side(25, differ).told())
+        assert len(answer["members"]) == 25 and len(answer["loudest"]) == tenants
 
 
 def test_a_run_of_some_parts_keeps_the_others(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(parts, "RECORDED", folder)
-    monkeypatch.setattr(parts, "keep", lambda name, told: records.keep(name, told, folder))
+    monkeypatch.setattr(parts, "keep", lambda name, document: records.keep(name, document, folder))
     before = records.read(folder / "parts.json")
     one = parts.Parts(quick=True, seed=1)
     one.add("voter.table_bytes", "bytes", "permits", [(1, 2.0), (2, 4.0), (3, 6.0)], "linear")
