--- /dev/null
+++ b/benchmarks/capacity_page.py
@@ -0,0 +1,48 @@
+"""Find, compare and replace the generated tables between the markers of docs/CAPACITY.md."""
+
+from __future__ import annotations
+
+from benchmarks.records import InvalidRecordError
+
+TABLE_MARKER = "<!-- from the records: "
+
+
+def markers(name: str) -> tuple[str, str]:
+    return f"{TABLE_MARKER}{name} -->\n", "\n<!-- end -->"
+
+
+def marked_text(page: str, name: str) -> str | None:
+    """What stands between the markers of a table; None where these don't stand there once, and in order."""
+    begin, end = markers(name)
+    if page.count(begin) != 1:
+        return None
+    inside, found, _ = page.split(begin)[1].partition(end)
+    return inside if found and TABLE_MARKER not in inside else None
+
+
+def differences(page: str, expected_tables: dict[str, str]) -> list[str]:
+    """Where page and records differ, by table and line."""
+    found = []
+    for name, text in expected_tables.items():
+        inside = marked_text(page, name)
+        if inside is None:
+            found.append(f"{name}: its markers are not in the page once, and in order")
+            continue
+        expected_lines, page_lines = text.splitlines(), inside.splitlines()
+        for place in range(max(len(expected_lines), len(page_lines))):
+            expected, actual = (lines[place] if place < len(lines) else "(nothing)" for lines in (expected_lines, page_lines))
+            if expected != actual:
+                found.append(f"{name}, line {place + 1}: the page has {actual!r}, the records give {expected!r}")
+    if extra := page.count(TABLE_MARKER) - len(expected_tables):
+        found.append(f"{extra} marked tables too many")
+    return found
+
+
+def with_tables(page: str, expected_tables: dict[str, str]) -> str:
+    for name, text in expected_tables.items():
+        inside = marked_text(page, name)
+        if inside is None:
+            raise InvalidRecordError(f"the page has no markers for {name}, or not once and in order")
+        begin, end = markers(name)
+        page = page.replace(begin + inside + end, begin + text + end)
+    return page
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -45,7 +45,8 @@
     console.print(table)
     a_minute = 60.0 * without_defect.histories / without_defect.seconds
     console.print(
-        f"{without_defect.histories} histories, {a_minute:.0f} a minute, {without_defect.states} states, growth {without_defect.growth}"
+        f"{without_defect.histories} histories, {a_minute:.0f} a minute, {without_defect.states} states, "
+        f"growth {without_defect.growth}"
     )
     for finding in without_defect.findings:
         console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.as_text(finding.short)}")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from benchmarks import capacity, parts, records
+from benchmarks import capacity, capacity_model, capacity_page, capacity_reading, capacity_tables, parts, records
 from benchmarks.records import InvalidRecordError
 
 ROOT = Path(__file__).parent.parent
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture(scope="module")
-def model() -> capacity.CapacityModel:
-    return capacity.read_model()
+def model() -> capacity_model.CapacityModel:
+    return capacity_reading.read_model()
 
 
 def changed(path: Path, cost: str, **values: object) -> None:
@@ -40,7 +40,7 @@
 
 
 def test_doctests() -> None:
-    for module in (records, capacity):
+    for module in (records, capacity_tables):
         failed, tried = doctest.testmod(module)
         assert not failed and tried, module.__name__
 
@@ -48,8 +48,8 @@
 # Page and records.
 
 
-def test_the_page_says_what_the_records_give(model: capacity.CapacityModel) -> None:
-    assert capacity.differences(PAGE.read_text(), capacity.tables(model)) == []
+def test_the_page_says_what_the_records_give(model: capacity_model.CapacityModel) -> None:
+    assert capacity_page.differences(PAGE.read_text(), capacity_tables.tables(model)) == []
 
 
 def test_the_command_checks_the_same(capsys: pytest.CaptureFixture[str]) -> None:
@@ -58,14 +58,14 @@
     assert report["holds"] and report["rows"] > 20
 
 
-def test_a_wrong_figure_in_the_page_is_found(model: capacity.CapacityModel, tmp_path: Path) -> None:
+def test_a_wrong_figure_in_the_page_is_found(model: capacity_model.CapacityModel, tmp_path: Path) -> None:
     text = PAGE.read_text()
-    begin, _ = capacity.markers("voter")
+    begin, _ = capacity_page.markers("voter")
     at = text.index(begin)
     figure = re.compile(r"\| ([\d.,]+) \| `mulleinhatch").search(text, at)
     page = tmp_path / "CAPACITY.md"
     page.write_text(text[: figure.start(1)] + "0.123" + text[figure.end(1) :])
-    found = capacity.differences(page.read_text(), capacity.tables(model))
+    found = capacity_page.differences(page.read_text(), capacity_tables.tables(model))
     assert len(found) == 1 and found[0].startswith("voter, line")
     assert capacity.main(["--check", "--page", str(page)]) == 1
     assert capacity.main(["--write", "--page", str(page)]) == 0
@@ -73,13 +73,13 @@
 
 
 @pytest.mark.parametrize("wrong", ["lost", "twice", "stray"])
-def test_wrong_markers_are_found(model: capacity.CapacityModel, wrong: str) -> None:
-    begin, end = capacity.markers("breaks")
+def test_wrong_markers_are_found(model: capacity_model.CapacityModel, wrong: str) -> None:
+    begin, end = capacity_page.markers("breaks")
     text = PAGE.read_text()
-    page = {"lost": text.replace(begin, ""), "twice": text + "\n" + begin + end, "stray": text + capacity.markers("x")[0]}[
+    page = {"lost": text.replace(begin, ""), "twice": text + "\n" + begin + end, "stray": text + capacity_page.markers("x")[0]}[
         wrong
     ]
-    assert capacity.differences(page, capacity.tables(model))
+    assert capacity_page.differences(page, capacity_tables.tables(model))
 
 
 # Records and their fits.
@@ -130,7 +130,7 @@
     slope = records.read_all()["parts"].costs[name].fit.slope
     changed(folder / "parts.json", name, slope=1.05 * slope)
     with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.{re.escape(name)}"):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
 
 
 def test_a_wrong_slope_is_found_under_a_wide_residual(folder: Path) -> None:
@@ -138,7 +138,7 @@
     slope = records.read_all()["parts"].costs[name].fit.slope
     changed(folder / "parts.json", name, slope=1.05 * slope, residual=0.9)
     with pytest.raises(InvalidRecordError, match=rf"costs\.{re.escape(name)}\.slope"):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
 
 
 def test_another_point_parts_page_and_record(folder: Path) -> None:
@@ -147,13 +147,13 @@
     cost = records.read_all()["parts"].costs[name]
     points = [(size, 2.0 * value) for size, value in cost.points]
     changed(folder / "parts.json", name, **records.cost(cost.unit, cost.size, points, "linear"))
-    assert capacity.differences(PAGE.read_text(), capacity.tables(capacity.read_model(folder)))
+    assert capacity_page.differences(PAGE.read_text(), capacity_tables.tables(capacity_reading.read_model(folder)))
 
 
 def test_a_lost_record_is_found(folder: Path) -> None:
     (folder / "parts.json").unlink()
     with pytest.raises(InvalidRecordError, match=r"rows\.toml: row \d+ .*there is no parts\.json"):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
     assert capacity.main(["--check", "--page", str(PAGE), "--recorded", str(folder)]) == 1
 
 
@@ -162,7 +162,7 @@
     del document["costs"]["voter.bytes"]
     (folder / "parts.json").write_text(json.dumps(document))
     with pytest.raises(InvalidRecordError, match=r"parts\.json has no voter\.bytes"):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
 def test_bad_json_names_file_and_key(folder: Path, text: str, why: str) -> None:
     (folder / "parts.json").write_text(text)
     with pytest.raises(InvalidRecordError, match=why):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
 
 
 @pytest.mark.parametrize(
@@ -196,7 +196,7 @@
 def test_a_bad_cost_names_its_key(folder: Path, values: dict[str, object], why: str) -> None:
     changed(folder / "parts.json", "voter.bytes", **values)
     with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.voter\.bytes\.{why}"):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
 
 
 # Rows.
@@ -237,10 +237,10 @@
 def test_a_wrong_row_is_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
     with pytest.raises(InvalidRecordError, match=why):
-        capacity.read_model(folder)
+        capacity_reading.read_model(folder)
 
 
-def test_ratios_and_breaks(model: capacity.CapacityModel) -> None:
+def test_ratios_and_breaks(model: capacity_model.CapacityModel) -> None:
     """Of each row, by arithmetic of its own."""
     for row in model.rows:
         need = row.factor * (
@@ -277,32 +277,32 @@
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", points, "linear")
     changed(tmp_path / "flat.json", "bytes", checked=[100, checked])
-    row = capacity.read_model(tmp_path).rows[0]
+    row = capacity_reading.read_model(tmp_path).rows[0]
     assert (row.ratio, row.breaks_at) == (pytest.approx(ratio), pytest.approx(breaks))
-    text = capacity.slope_text(row)
-    assert "MISSED by a run at 100" in text and f"took {capacity.number(checked)}, which counts" in text
+    text = capacity_tables.slope_text(row)
+    assert "MISSED by a run at 100" in text and f"took {capacity_tables.number(checked)}, which counts" in text
 
 
 def test_a_break_lies_between_the_runs_within_the_bound_and_over_it(tmp_path: Path) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", [(10, 2900.0), (20, 2950.0), (40, 2990.0), (80, 6000.0)], "linear")
-    row = capacity.read_model(tmp_path).rows[0]
+    row = capacity_reading.read_model(tmp_path).rows[0]
     assert row.cost.fit.reaches(3000.0) < 40.0 and row.breaks_at == 40.0
 
 
-def test_what_breaks_first_is_in_order(model: capacity.CapacityModel) -> None:
-    shares = [row.share for row in capacity.breaking(model)]
+def test_what_breaks_first_is_in_order(model: capacity_model.CapacityModel) -> None:
+    shares = [row.share for row in capacity_tables.breaking(model)]
     assert shares == sorted(shares) and shares[0] < 1.0
 
 
-def test_missing_first_by_the_rule(model: capacity.CapacityModel) -> None:
+def test_missing_first_by_the_rule(model: capacity_model.CapacityModel) -> None:
     """The smallest share of those on which others stand and that stand on no missing one; what nothing stands on comes behind,
     but for what it stands on itself."""
     shares: dict[str, float] = {}
     for row in model.rows:
         if row.ratio > 1.0 and not row.replaced_by:
             shares[row.missing] = min(row.share, shares.get(row.missing, math.inf))
-    order = [missing for missing, _ in capacity.next_missing(model)]
+    order = [missing for missing, _ in capacity_tables.next_missing(model)]
     assert sorted(missing.name for missing in order) == sorted(shares)
     for place, missing in enumerate(order):
         behind = order[place + 1 :]
@@ -329,7 +329,7 @@
 def test_mechanisms_that_stand_on_each_other_are_found(folder: Path, was: str, now: str, why: str) -> None:
     declared(folder, was, now)
     with pytest.raises(InvalidRecordError, match=why):
-        capacity.next_missing(capacity.read_model(folder))
+        capacity_tables.next_missing(capacity_reading.read_model(folder))
 
 
 SMALL = """
@@ -386,13 +386,13 @@
 def test_a_row_counts_once_its_record_is_there(tmp_path: Path) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", [(10, 1000.0), (20, 2000.0), (40, 4000.0)], "linear")
-    model = capacity.read_model(tmp_path)
+    model = capacity_reading.read_model(tmp_path)
     assert [row.what for row in model.rows] == ["flat"] and model.rows[0].breaks_at == pytest.approx(30.0)
     assert model.rows[0].ratio == pytest.approx(10_000.0 / 3000.0)
-    assert [missing.name for missing, _ in capacity.next_missing(model)] == ["levels"]
+    assert [missing.name for missing, _ in capacity_tables.next_missing(model)] == ["levels"]
     small_record(tmp_path, "levels", [(10, 2000.0), (20, 2000.0), (40, 2000.0)], "constant")
-    model = capacity.read_model(tmp_path)
-    assert [row.what for row in model.rows] == ["flat", "in levels"] and capacity.next_missing(model) == []
+    model = capacity_reading.read_model(tmp_path)
+    assert [row.what for row in model.rows] == ["flat", "in levels"] and capacity_tables.next_missing(model) == []
     assert model.rows[1].ratio == pytest.approx(2.0 / 3.0) and model.rows[1].breaks_at == math.inf
 
 
