--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,17 +1,17 @@
-"""The tables of docs/CAPACITY.md, from the recorded slopes and from the rows that say what they are held against.
+"""Generate the tables of docs/CAPACITY.md from recorded costs and from the rows that compare them with bounds.
 
 Usage:
   capacity [--check | --write] [--page FILE] [--recorded FOLDER]
 
 Options:
-  --check            Ends with 1, and says where, if page and records part.
-  --write            Writes the tables into the page; else they are printed.
+  --check            Exit with 1 and print the differences if page and records differ.
+  --write            Write the tables into the page; without it they are printed.
   --page FILE        The page [default: docs/CAPACITY.md].
   --recorded FOLDER  Records and rows.toml; else those beside this file.
 
-A row's need is what a run of the target size took, or else its cost's fit there (times another cost, where the row says so).
-The ratio is need over bound. It breaks where the fit reaches the bound, between the last run within it and the first over it.
-Rows without a run say their arithmetic and are marked as reckoned.
+A row's need is the value measured at the target size, or else the fit of its cost there (times another cost, if the row says
+so). The ratio is need over bound. A row breaks at the size at which the fit reaches the bound, between the last run within it
+and the first run over it. Rows without a run state their arithmetic and are marked as reckoned.
 """
 
 from __future__ import annotations
@@ -29,6 +29,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Print, check or write the tables; return the exit status."""
     options = docopt(__doc__, argv)
     page = Path(options["--page"])
     try:
--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -1,4 +1,8 @@
-"""The rows, bounds and mechanisms that the capacity tables are made of, and the arithmetic of a row."""
+"""The rows, bounds and mechanisms behind the capacity tables, and the arithmetic of a row.
+
+A row compares what one cost needs at the target size with its bound. Sizes are counts of what the cost grows with (members,
+tenants, ...); needs and bounds are in the unit of the row.
+"""
 
 from __future__ import annotations
 
@@ -7,37 +11,66 @@
 
 from benchmarks.records import Cost, Record
 
-BISECTION_STEPS = 200  # of halving, when a size is sought
+BISECTION_STEPS = 200
 KINDS = ("state", "messages", "processor time", "memory", "time")
 
 
 class Bound(NamedTuple):
+    """An upper limit for a need.
+
+    Attributes:
+        value: The limit, in the unit of the rows that refer to it.
+        text: Where the limit comes from, as printed.
+    """
+
     value: float
-    text: str  # where it comes from
+    text: str
 
 
 class MissingMechanism(NamedTuple):
+    """A mechanism that does not exist yet and that rows over their bound wait for.
+
+    Attributes:
+        name: Its name in `rows.toml`.
+        dependents: Modules that depend on it.
+        prerequisites: Other missing mechanisms that it depends on itself.
+        why: Why it is needed.
+    """
+
     name: str
-    dependents: tuple[str, ...]  # modules that stand on it
-    prerequisites: tuple[str, ...]  # other missing ones that it needs itself
+    dependents: tuple[str, ...]
+    prerequisites: tuple[str, ...]
     why: str
 
 
 class Row(NamedTuple):
-    """One line of a role's table, with its figures at the target."""
+    """One line of a role's table, with its figures at the target size.
+
+    Attributes:
+        cost: The measured cost, or None if the need is reckoned (computed by hand).
+        times: Costs that the need is multiplied by.
+        factor: Factor from the unit of the cost to the unit of the row.
+        reckoned: The arithmetic of a reckoned need, as text.
+        value: The reckoned need at the target size.
+        size: What the need grows with; empty if it is constant.
+        target: The target size.
+        missing: Name of the missing mechanism if the need exceeds the bound.
+        replaced_by: Name of the record whose mechanism replaces this one; empty if there is none.
+        adds: Whether the need adds up with others of the same bound on one instance.
+    """
 
     role: str
     kind: str
     what: str
     mechanism: str
-    cost: Cost | None  # None: reckoned
+    cost: Cost | None
     record: Record | None
     times: tuple[Cost, ...]
     factor: float
     reckoned: str
-    value: float  # reckoned, at the target size
+    value: float
     unit: str
-    size: str  # what it grows with; empty: with nothing
+    size: str
     target: float
     bound: Bound | None
     missing: str
@@ -45,6 +78,7 @@
     adds: bool
 
     def need(self, size: float) -> float:
+        """Return the need at a size, by the fit or the reckoning."""
         if self.cost is None:
             return self.factor * self.value * (size / self.target if self.size else 1.0)
         need = self.factor * self.cost.fit.at(size)
@@ -54,7 +88,7 @@
 
     @property
     def measured(self) -> list[tuple[float, float]]:
-        """What runs took, by size; of a product of costs none."""
+        """Pairs of size and measured need; none for a product of costs."""
         if self.cost is None or self.times:
             return []
         points = [*self.cost.points, *([self.cost.checked] if self.cost.checked else [])]
@@ -62,22 +96,26 @@
 
     @property
     def run_there(self) -> float | None:
-        """What a run at the target size itself took."""
+        """The need measured by a run at the target size, or None."""
         return max((value for size, value in self.measured if size == self.target), default=None)
 
     @property
     def at_target(self) -> float:
-        """What a run at that size took, or else what the fit says."""
+        """The need at the target size: measured if there is such a run, else by the fit."""
         return self.need(self.target) if self.run_there is None else self.run_there
 
     @property
     def ratio(self) -> float:
+        """The need at the target size over the bound; 0 without a bound."""
         return self.at_target / self.bound.value if self.bound else 0.0
 
     @property
     def breaks_at(self) -> float:
-        """The size at which the bound is reached: 0 where it is passed at any size, infinite where at none. By the fit, but
-        not where a run says otherwise: after the last of those within the bound, and at the first that is over it."""
+        """The size at which the need reaches the bound.
+
+        It is 0 if the bound is exceeded at any size and infinite if it never is. Runs take precedence over the fit: the size
+        lies after the last run within the bound and not after the first run over it.
+        """
         if self.bound is None:
             return math.inf
         runs = sorted(self.measured)
@@ -100,17 +138,17 @@
 
     @property
     def smallest(self) -> float:
-        """The smallest size of a run: of a break below it no more is known than that."""
+        """The smallest measured size; about a break below it nothing more is known."""
         return min(size for size, _ in self.cost.points) if self.cost else 0.0
 
     @property
     def share(self) -> float:
-        """Of the target size, at which it is broken for certain."""
+        """The share of the target size at which the bound is certainly exceeded."""
         return max(self.breaks_at, self.smallest) / self.target
 
 
 class CapacityModel(NamedTuple):
-    """All that the page's tables are made of."""
+    """Everything that the tables are rendered from."""
 
     target: list[tuple[str, str]]
     roles: dict[str, str]
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -8,11 +8,12 @@
 
 
 def markers(name: str) -> tuple[str, str]:
+    """Return the text that begins and the text that ends a generated table."""
     return f"{TABLE_MARKER}{name} -->\n", "\n<!-- end -->"
 
 
 def marked_text(page: str, name: str) -> str | None:
-    """What stands between the markers of a table; None where these don't stand there once, and in order."""
+    """Return the text between the markers of a table, or None unless they occur once and in order."""
     begin, end = markers(name)
     if page.count(begin) != 1:
         return None
@@ -21,7 +22,7 @@
 
 
 def differences(page: str, expected_tables: dict[str, str]) -> list[str]:
-    """Where page and records differ, by table and line."""
+    """Describe where the page differs from the expected tables, by table and line."""
     found = []
     for name, text in expected_tables.items():
         inside = marked_text(page, name)
@@ -39,6 +40,11 @@
 
 
 def with_tables(page: str, expected_tables: dict[str, str]) -> str:
+    """Return the page with its tables replaced.
+
+    Raises:
+        InvalidRecordError: If the markers of a table do not occur once and in order.
+    """
     for name, text in expected_tables.items():
         inside = marked_text(page, name)
         if inside is None:
--- a/benchmarks/capacity_reading.py
+++ b/benchmarks/capacity_reading.py
@@ -36,6 +36,11 @@
 
 
 def read_model(folder: Path = RECORDED) -> CapacityModel:
+    """Read `rows.toml` and all records of a folder.
+
+    Raises:
+        InvalidRecordError: If a file can't be read or is inconsistent; the text names file and key.
+    """
     path = folder / "rows.toml"
     try:
         declared = tomllib.loads(path.read_text())
@@ -76,7 +81,7 @@
 
 
 def _check_no_cycle(missing: dict[str, MissingMechanism]) -> None:
-    """None of them stands on itself over others, whichever of them are missing today."""
+    """Raise `InvalidRecordError` if mechanisms depend on each other in a cycle."""
     remaining = dict(missing)
     while ready := [name for name, one in remaining.items() if not remaining.keys() & set(one.prerequisites)]:
         for name in ready:
@@ -86,7 +91,7 @@
 
 
 def _recorded(condition: str, records: dict[str, Record]) -> bool:
-    """`record`, or `record:cost`, is there; nothing told asks for nothing."""
+    """Return whether a condition, `record` or `record:cost`, is met; an empty one always is."""
     name, _, cost = condition.partition(":")
     return not name or name in records and (not cost or cost in records[name].costs)
 
@@ -172,7 +177,7 @@
 
 
 def _bound(where: str, row: dict[str, Any], bounds: dict[str, Bound]) -> Bound | None:
-    """A number, the name of a bound of the target, or a constant of the code as `module:NAME`."""
+    """Return the bound of a row: a number, a named bound of the target, or a constant of the code as `module:NAME`."""
     declaration = row.get("bound", "")
     if declaration == "":
         return None
@@ -191,6 +196,7 @@
 
 
 def _importable(where: str, module: str) -> None:
+    """Raise `InvalidRecordError` unless the text names an importable module of the package."""
     if module.split(".")[0] != OUR_PACKAGE:
         raise InvalidRecordError(f"{where}: {module!r} is no module of {OUR_PACKAGE}")
     try:
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -7,13 +7,14 @@
 from benchmarks.capacity_model import KINDS, Bound, CapacityModel, MissingMechanism, Row
 from benchmarks.records import Cost, InvalidRecordError
 
-EXTRAPOLATION_FACTOR = 1.2  # times the largest size of a run, from which a need is marked as set out beyond its points
-MAX_FIT_ERROR = 0.15  # by which a run at another size may miss the fit
-MAX_LISTED_SHARE = 3.0  # times the target size, up to which what breaks later is listed too
+EXTRAPOLATION_FACTOR = 1.2  # times the largest measured size: a need beyond it is marked as extrapolated
+MAX_FIT_ERROR = 0.15  # relative error of the fit allowed at a run that it was not made from
+MAX_LISTED_SHARE = 3.0  # of the target size: rows that break beyond it are not listed
 
 
 def number(value: float, figures: int = 3) -> str:
-    """
+    """Format a number with thousands separators and so many significant digits.
+
     >>> number(28704.4), number(0.012345), number(3.0), number(0.0), number(1234567.8), number(1024.0), number(1.5e-6)
     ('28,700', '0.0123', '3', '0', '1,235,000', '1,024', '1.5e-06')
     """
@@ -29,7 +30,8 @@
 
 
 def percent(share: float) -> str:
-    """
+    """Format a share as a percentage.
+
     >>> percent(0.2778), percent(0.00055555), percent(2.5), percent(0.0)
     ('27.8%', '0.0556%', '250%', '0%')
     """
@@ -37,11 +39,13 @@
 
 
 def table(head: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
+    """Format a Markdown table."""
     lines = [head, ("---",) * len(head), *rows]
     return "\n".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |" for line in lines)
 
 
 def fit_text(cost: Cost) -> str:
+    """Describe a fit, its largest error and its check by another run."""
     fit, sizes = cost.fit, [size for size, _ in cost.points]
     over = {"linear": cost.size, "log2": f"log2({cost.size})", "square": f"{cost.size} squared"}
     slope = f"{number(abs(fit.slope))} x {over[fit.form]}" if fit.form != "constant" else ""
@@ -56,6 +60,7 @@
 
 
 def slope_text(row: Row) -> str:
+    """Describe how the need of a row grows and where that is extrapolated."""
     if row.cost is None:
         return f"reckoned: {row.reckoned}"
     text = fit_text(row.cost)
@@ -70,10 +75,12 @@
 
 
 def bound_text(bound: Bound | None) -> str:
+    """Describe a bound and its origin."""
     return "none told" if bound is None else number(bound.value) + (f" ({bound.text})" if bound.text else "")
 
 
 def mechanism_text(row: Row) -> str:
+    """Name the modules that implement a row's mechanism."""
     if row.mechanism == "none":
         return "none"
     text = ", ".join(f"`{module}`" for module in row.mechanism.split(", "))
@@ -81,6 +88,7 @@
 
 
 def role_table(model: CapacityModel, role: str) -> str:
+    """Render the table of one role."""
     rows = [row for row in model.rows if row.role == role]
     lines = [
         (
@@ -99,7 +107,11 @@
 
 
 def together_table(model: CapacityModel) -> str:
-    """What one instance has to bear at once, by bound: the rows that say that they add up."""
+    """Render the sums of rows that load one instance at the same time, by bound.
+
+    Raises:
+        InvalidRecordError: If rows of different units add up.
+    """
     sums: dict[Bound, list[Row]] = {}
     for row in model.rows:
         if row.adds and row.bound and not row.replaced_by:
@@ -121,7 +133,7 @@
 
 
 def breaking(model: CapacityModel) -> list[Row]:
-    """What has a bound and breaks, or nearly does, the smallest share of the target first."""
+    """Return rows that exceed their bound at the target size or not far beyond it, the smallest share of the target first."""
     rows = [
         row for row in model.rows if row.bound and not row.replaced_by and (row.share <= MAX_LISTED_SHARE or row.ratio > 1.0)
     ]
@@ -129,12 +141,14 @@
 
 
 def breaks_text(row: Row) -> tuple[str, str]:
+    """Return the size at which a row breaks and its share of the target size, as text."""
     if row.breaks_at < row.smallest:
         return f"under {number(row.smallest)} {row.size}, the smallest run", f"under {percent(row.share)}"
     return f"{number(row.breaks_at)} {row.size}" if row.size else "at any size", percent(row.share)
 
 
 def breaks_table(model: CapacityModel) -> str:
+    """Render the rows that break, in the order in which they do."""
     return table(
         ("what", "role", "breaks at", "share of the target size", "need / bound", "behind it", "missing"),
         [
@@ -152,8 +166,13 @@
 
 
 def next_missing(model: CapacityModel) -> list[tuple[MissingMechanism, Row]]:
-    """By the page's rule: the smallest share of the target size, of those on which others stand; the rest behind. What
-    itself stands on a missing one comes after that."""
+    """Return the missing mechanisms in the order in which to build them, each with its first row to break.
+
+    Mechanisms with dependents come first, by the smallest share of the target size; each comes after its prerequisites.
+
+    Raises:
+        InvalidRecordError: If mechanisms depend on each other in a cycle.
+    """
     first: dict[str, Row] = {}
     for row in breaking(model):
         if row.ratio > 1.0:
@@ -174,6 +193,7 @@
 
 
 def missing_table(model: CapacityModel) -> str:
+    """Render the missing mechanisms in the order in which to build them."""
     order = next_missing(model)
     lines = [
         (
@@ -193,6 +213,7 @@
 
 
 def events_table(model: CapacityModel) -> str:
+    """Render the figures of recorded events."""
     return table(
         ("event", "figures", "run"),
         [
@@ -211,6 +232,7 @@
 
 
 def runs_table(model: CapacityModel) -> str:
+    """Render the commit, command, seed and notes of each record."""
     return table(
         ("run", "commit", "command", "seed", "notes"),
         [
@@ -227,7 +249,7 @@
 
 
 def tables(model: CapacityModel) -> dict[str, str]:
-    """By the name that stands in the page's markers."""
+    """Render all tables, by the name in the page's markers."""
     return {
         "target": table(("what", "target"), model.target),
         **{role: role_table(model, role) for role in model.roles},
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -1,4 +1,4 @@
-"""Which form a cost by size has: constant, line or logarithm; and the cost as the record that the capacity page is made of."""
+"""Choose the form of a cost over a size (constant, line or logarithm) and write costs as records."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 from benchmarks.records import Fit, fitted
 
-MAX_CONSTANT_RESIDUAL = 0.03  # a constant that is off by no more than this is the whole truth
-MAX_CHECK_ERROR = 0.15  # by which a fit may be off at a size that it was not made from
-MIN_RESIDUAL_GAIN = 0.02  # of residual that a slope must take away, where a cost is not flat by that bound
+MAX_CONSTANT_RESIDUAL = 0.03  # relative: up to it a constant is accepted without trying other forms
+MAX_CHECK_ERROR = 0.15  # relative error of a fit allowed at a size that it was not made from
+MIN_RESIDUAL_GAIN = 0.02  # reduction of the residual that justifies a slope
 FORMS = ("constant", "linear", "log2")
 
 
 def fit(points: list[tuple[float, float]]) -> Fit:
-    """
+    """Return the constant if it is good enough, else the better of line and logarithm.
+
     >>> fit([(25, 7.5), (100, 15.0), (400, 45.0), (1000, 105.0)])
     Fit(form='linear', constant=5.0, slope=0.1, residual=0.0)
     >>> fit([(2, 5.0), (8, 9.0), (32, 13.0)]).form, fit([(25, 1.0), (100, 1.01), (400, 0.99)]).form
@@ -32,7 +33,7 @@
 
 
 def worthwhile(points: Sequence[Sequence[float]]) -> Fit:
-    """A slope only where it takes away enough of the error of a constant.
+    """Return a growing fit only if it reduces the error of the constant by enough.
 
     >>> worthwhile([[10, 105.0], [100, 150.0], [1000, 600.0], [10_000, 5100.0]])
     Fit(form='linear', constant=100.0, slope=0.5, residual=0.0)
@@ -48,6 +49,7 @@
 
 
 def cost(unit: str, points: list[tuple[int, float]], checked: tuple[int, float] | None = None) -> dict[str, Any]:
+    """Return a cost over members as a record stores it."""
     best = fit([(float(size), value) for size, value in points])
     return {
         "unit": unit,
@@ -62,10 +64,11 @@
 
 
 def rounded(value: float) -> float:
-    """To six figures that count."""
+    """Round to six significant digits."""
     return float(f"{value:.6g}")
 
 
 def written(file: Path, record: dict[str, Any]) -> None:
+    """Write a record to a file as JSON."""
     file.parent.mkdir(parents=True, exist_ok=True)
     file.write_text(json.dumps(record, indent=1) + "\n")
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -1,8 +1,8 @@
-"""Recorded slopes: what a benchmark measured at several sizes, kept as JSON in `benchmarks/recorded/`, and the fits over it.
+"""Recorded costs: what a benchmark measured at several sizes, stored as JSON in `benchmarks/recorded/`, and fits over it.
 
 A cost is a constant, or a line over a size, its base-2 logarithm or its square, by least squares of the relative errors: sizes
-span orders of magnitude, and the plain errors of the largest would hide all others. The residual is the largest error at the
-points, as a share of what was measured there. `InvalidRecordError` names file and key of what is wrong.
+span orders of magnitude, so the absolute errors of the largest would hide all others. The residual is the largest error at the
+points, as a share of the measured value. `InvalidRecordError` names the file and key that are wrong.
 """
 
 from __future__ import annotations
@@ -15,16 +15,20 @@
 
 RECORDED = Path(__file__).parent / "recorded"
 FORMS = ("constant", "log2", "linear", "square")
-MIN_POINTS = 3  # of a cost that is said to grow: two points lie on any line
-ROUNDING_TOLERANCE = 1e-3  # of a figure, as records are rounded
+MIN_POINTS = 3  # for a fit that grows: two points lie on any line
+ROUNDING_TOLERANCE = 1e-3  # relative, as records are rounded
 
 
 class InvalidRecordError(ValueError):
-    """A record, or what is made of it, can't be used; the text names file and key."""
+    """A record or `rows.toml` can't be used; the text names file and key."""
 
 
 class Fit(NamedTuple):
-    """`constant + slope * size`, or of the logarithm of the size; `residual` as a share of the points."""
+    """A fitted law: `constant + slope * scale(form, size)`.
+
+    Attributes:
+        residual: Largest error at the fitted points, as a share of the measured value.
+    """
 
     form: str
     constant: float
@@ -32,14 +36,15 @@
     residual: float = 0.0
 
     def at(self, size: float) -> float:
-        """
+        """Return the fitted value at a size.
+
         >>> Fit("linear", 10.0, 2.0).at(5.0), Fit("log2", 10.0, 2.0).at(8.0)
         (20.0, 16.0)
         """
         return self.constant + self.slope * scale(self.form, size)
 
     def reaches(self, value: float) -> float:
-        """The size at which the fit reaches this value from below; infinite where it never does, 0 where it always has.
+        """Return the size at which the fit rises to a value; infinity if it never does, 0 if it is above it at any size.
 
         >>> Fit("linear", 10.0, 2.0).reaches(20.0), Fit("log2", 10.0, 2.0).reaches(16.0), Fit("constant", 10.0).reaches(9.0)
         (5.0, 8.0, 0.0)
@@ -53,15 +58,28 @@
 
 
 class Cost(NamedTuple):
+    """One measured cost over a size.
+
+    Attributes:
+        size: What the points are over: members, tenants, ...
+        checked: A run at another size, which the fit was not made from.
+    """
+
     unit: str
-    size: str  # what the points are over: members, tenants, ...
+    size: str
     points: list[tuple[float, float]]
     fit: Fit
-    checked: tuple[float, float] | None  # a run at another size, that the fit was not made from
+    checked: tuple[float, float] | None
 
 
 class Record(NamedTuple):
-    name: str  # of the file, without its ending
+    """One file of recorded costs.
+
+    Attributes:
+        name: Name of the file without its suffix.
+    """
+
+    name: str
     commit: str
     benchmark: str
     command: str
@@ -73,11 +91,12 @@
 
 
 def scale(form: str, size: float) -> float:
+    """Return the term of the size that a form is linear in."""
     return {"constant": 0.0, "log2": math.log2(max(1.0, size)), "linear": size, "square": size * size}[form]
 
 
 def fitted(points: list[tuple[float, float]], form: str, relative: bool = True) -> Fit:
-    """Least squares of the relative errors, or of the plain ones.
+    """Fit points by least squares of the relative errors, or of the absolute ones.
 
     >>> fit = fitted([(1.0, 3.0), (2.0, 5.0), (4.0, 9.0)], "linear"); round(fit.constant, 9), round(fit.slope, 9)
     (1.0, 2.0)
@@ -96,14 +115,14 @@
 
 
 def residual(fit: Fit, points: list[tuple[float, float]]) -> float:
-    """The largest error at the points, as a share; at a point of 0 the error as it stands."""
+    """Return the largest error at the points, as a share of the value; at a value of 0 the absolute error."""
     return max(abs(fit.at(size) - value) / (abs(value) or 1.0) for size, value in points)
 
 
 def cost(
     unit: str, size: str, points: list[tuple[float, float]], form: str, checked: tuple[float, float] | None = None
 ) -> dict[str, Any]:
-    """One cost as a record keeps it."""
+    """Return a cost as a record stores it, with its fit."""
     points = [(size, rounded(value)) for size, value in points]
     fit = fitted(points, form)
     return {
@@ -119,7 +138,8 @@
 
 
 def rounded(value: float, figures: int = 4) -> float:
-    """
+    """Round to a number of significant digits.
+
     >>> rounded(123456.0), rounded(0.00123456)
     (123500.0, 0.001235)
     """
@@ -127,7 +147,7 @@
 
 
 def commit() -> str:
-    """The short hash of what is measured, with `+` where program text differs from it."""
+    """Return the short hash of the commit, with `+` if the package differs from it."""
 
     def git(*words: str) -> str:
         return subprocess.run(["git", *words], capture_output=True, text=True, check=True, cwd=RECORDED.parent).stdout.strip()
@@ -136,7 +156,7 @@
 
 
 def keep(name: str, told: dict[str, Any], folder: Path = RECORDED) -> Path:
-    """Written a cost a line, so that a new run shows in a diff as what it changed."""
+    """Write a record with one cost a line, so that a diff shows which costs a new run changed."""
     inner = {key: {name: json.dumps(value) for name, value in told[key].items()} for key in ("costs", "events")}
     lines = [
         f" {json.dumps(key)}: "
@@ -153,10 +173,16 @@
 
 
 def read_all(folder: Path = RECORDED) -> dict[str, Record]:
+    """Read all records of a folder, by name."""
     return {path.stem: read(path) for path in sorted(folder.glob("*.json"))}
 
 
 def read(path: Path) -> Record:
+    """Read and check one record.
+
+    Raises:
+        InvalidRecordError: If it can't be read, misses a key or does not match its own fits.
+    """
     try:
         document = json.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -179,6 +205,7 @@
 
 
 def _required(path: Path, document: dict[str, Any], key: str, kind: type, way: str = "") -> Any:
+    """Return a value of the document after checking that it is there and of the right type."""
     where = f"{path.name}: {way}{'.' if way else ''}{key}"
     if key not in document:
         raise InvalidRecordError(f"{where}: missing")
@@ -228,7 +255,7 @@
 
 
 def _check_fit_reproduces(path: Path, way: str, found: Cost) -> None:
-    """The fit as recorded must meet its own points within its own residual."""
+    """Raise `InvalidRecordError` unless the recorded fit is what least squares give over its own points."""
     off = residual(found.fit, found.points)
     if off > found.fit.residual * (1.0 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE:
         raise InvalidRecordError(
@@ -244,7 +271,7 @@
 
 
 def _same(one: Fit, other: Fit, points: list[tuple[float, float]]) -> bool:
-    """Whether two fits say the same at each point, and of the slope, but for the rounding of what is recorded."""
+    """Return whether two fits agree at each point and in the slope, up to the rounding of records."""
     return all(abs(one.at(size) - other.at(size)) <= ROUNDING_TOLERANCE * (abs(value) or 1.0) for size, value in points) and (
         abs(one.slope - other.slope) <= ROUNDING_TOLERANCE * abs(other.slope) + 1e-12
     )
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -1,14 +1,14 @@
-"""The search for failures of a whole fleet: how fast, how much it sees, and whether it finds what is planted.
+"""Measure the fault search over a simulated fleet: speed, coverage, and whether it detects planted defects.
 
 Usage:
   search [--quick] [--seed N] [--seconds N]
 
 Options:
   --quick      Histories for 15 s and three planted defects.
-  --seed N     The first history's [default: 1].
-  --seconds N  How long the campaign without a defect lasts; else 15 quick, 300 in full.
+  --seed N     Seed of the first history [default: 1].
+  --seconds N  Duration of the campaign without a defect; without it 15 s with --quick, else 300 s.
 
-Aims: each planted defect is found within 60 s; without one nothing is found.
+Aims: each planted defect is detected within 60 s; without a defect nothing is reported.
 """
 
 from __future__ import annotations
@@ -28,6 +28,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the campaigns and print their figures; return 1 if an aim is missed."""
     options = docopt(__doc__, argv)
     quick, seed = options["--quick"], int(options["--seed"])
     without_defect = campaign.campaign(itertools.count(seed), float(options["--seconds"] or (15 if quick else 300)))
