--- a/benchmarks/days/__main__.py
+++ b/benchmarks/days/__main__.py
@@ -40,8 +40,8 @@
         for name in POINTS:
             yield point_day(name, site, options.seed)
         return
-    told = subprocess.run([str(options.bench), "kinds", str(path)], capture_output=True, text=True, check=True).stdout
-    for cell in cells(kinds_of(told)):
+    kinds = subprocess.run([str(options.bench), "kinds", str(path)], capture_output=True, text=True, check=True).stdout
+    for cell in cells(kinds_of(kinds)):
         yield day_of(cell, site, options.seed)
 
 
@@ -67,15 +67,15 @@
 def main() -> int:
     options = _options()
     known = _known(options.results)
-    wanted = []
+    pending = []
     for path in options.site:
         site = tomllib.loads(path.read_text())
         days = (day for day in _days(options, path, site) if options.only in day["name"])
-        wanted += [(path, day) for day in days if (path.stem, day["name"]) not in known]
+        pending += [(path, day) for day in days if (path.stem, day["name"]) not in known]
     broken: list[tuple[Path, Day, Played]] = []
     with ThreadPoolExecutor(options.jobs) as pool, options.results.open("a") as file:
         why = f"days of our own: {options.what}"
-        running = [(path, day, pool.submit(play, options.bench, path, day, why)) for path, day in wanted]
+        running = [(path, day, pool.submit(play, options.bench, path, day, why)) for path, day in pending]
         for number, (path, day, future) in enumerate(running, 1):
             try:
                 played = future.result()
@@ -85,12 +85,12 @@
             file.write(played.line() + "\n")
             file.flush()
             state = f"BROKEN {played.rules} {played.fault}" if played.broken else "held"
-            print(f"{number}/{len(running)} {played.site} {played.day}: {state}, worth {played.worth}", flush=True)
+            print(f"{number}/{len(running)} {played.site} {played.day}: {state}, worth {played.value}", flush=True)
             if played.broken:
                 broken.append((path, day, played))
     for path, day, played in broken:
-        least = _shrunk(options.bench, path, day, set(played.rules))
-        print(f"{played.site} {played.day}: {played.rules} still breaks with {least['plan']} {least['faults']}")
+        shortest = _shrunk(options.bench, path, day, set(played.rules))
+        print(f"{played.site} {played.day}: {played.rules} still breaks with {shortest['plan']} {shortest['faults']}")
     return 1 if broken else 0
 
 
--- a/benchmarks/days/matrix.py
+++ b/benchmarks/days/matrix.py
@@ -50,11 +50,11 @@
 
 
 def _variants(rest: str) -> list[str]:
-    _, how, told = rest.partition("how: ")
+    _, how, variants = rest.partition("how: ")
     if not how:
         return []
-    bare = re.sub(r"\([^()]*\)", "", told).split(";")[0].split("(")[0]
-    words = [word.strip() for part in bare.split(",") for word in part.split(" ")]
+    plain_text = re.sub(r"\([^()]*\)", "", variants).split(";")[0].split("(")[0]
+    words = [word.strip() for part in plain_text.split(",") for word in part.split(" ")]
     return list(dict.fromkeys(word for word in words if WORD.fullmatch(word) and word not in SKIPPED))
 
 
@@ -80,14 +80,14 @@
     plan: list[dict[str, Any]] = [
         {"at": round(0.3 * length_s, 2), "kind": "config_storm", "for_s": 8.0, "gap_s": 0.4, "how": "idle"}
     ]
-    beside = "burst" if cell.kind in CORE_KINDS or "core" in cell.kind or "disk" in cell.kind else "node_kill"
+    companion = "burst" if cell.kind in CORE_KINDS or "core" in cell.kind or "disk" in cell.kind else "node_kill"
     faults: list[dict[str, Any]] = []
-    if beside == "node_kill":
+    if companion == "node_kill":
         faults.append(
-            {"at": round(first + 1.0, 2), "kind": beside, "on": "core", "count": 1, "for_s": 2.0, "how": "leader race"}
+            {"at": round(first + 1.0, 2), "kind": companion, "on": "core", "count": 1, "for_s": 2.0, "how": "leader race"}
         )
     else:
-        faults.append({"at": round(first + 1.0, 2), "kind": beside, "x": 1.5, "for_s": 3.0})
+        faults.append({"at": round(first + 1.0, 2), "kind": companion, "x": 1.5, "for_s": 3.0})
     target = plan if cell.kind in PLANNED else faults
     for at in (first, second):
         entry: dict[str, Any] = {"at": round(at, 2), "kind": cell.kind}
--- a/benchmarks/days/playing.py
+++ b/benchmarks/days/playing.py
@@ -22,7 +22,7 @@
     rules: dict[str, int]
     fault: str
     short: str  # what the gate wants beside unbroken rules and does not get
-    worth: float
+    value: float
     served: float
     processor_s: float
 
@@ -31,7 +31,9 @@
         return bool(self.rules or self.fault)
 
     def line(self) -> str:
-        return json.dumps(asdict(self), sort_keys=True)
+        fields = asdict(self)
+        fields["worth"] = fields.pop("value")  # the key of results files of older versions
+        return json.dumps(fields, sort_keys=True)
 
 
 class DayFailedError(RuntimeError):
@@ -47,14 +49,14 @@
         run = subprocess.run(command, capture_output=True, text=True)
         if not report.exists():
             raise DayFailedError(f"{day['name']}: {(run.stdout + run.stderr)[-600:]}")
-        told = json.loads(report.read_text())
+        outcome = json.loads(report.read_text())
     return Played(
         site.stem,
         day["name"],
-        {rule: int(count) if isinstance(count, (int, float)) else 1 for rule, count in (told.get("breaks") or {}).items()},
-        str(told.get("fault") or ""),
-        "; ".join(str(part) for part in told.get("short") or ()),
-        round(float(told.get("G") or 0.0), 3),
-        round(float(told.get("served") or 0.0), 3),
-        round(float(told.get("cpu_s") or 0.0), 1),
+        {rule: int(count) if isinstance(count, (int, float)) else 1 for rule, count in (outcome.get("breaks") or {}).items()},
+        str(outcome.get("fault") or ""),
+        "; ".join(str(part) for part in outcome.get("short") or ()),
+        round(float(outcome.get("G") or 0.0), 3),
+        round(float(outcome.get("served") or 0.0), 3),
+        round(float(outcome.get("cpu_s") or 0.0), 1),
     )
--- a/benchmarks/pairs/__main__.py
+++ b/benchmarks/pairs/__main__.py
@@ -10,14 +10,15 @@
 
 import argparse
 import json
+import sys
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
 from benchmarks.pairs.comparing import mean_parts, pair
-from benchmarks.pairs.playing import Book, Outcome, PlayFailedError, Task, build, play, read_marks
+from benchmarks.pairs.playing import Outcome, OutcomeLog, PlayFailedError, Task, build, play, read_marks
 from benchmarks.pairs.variants import Variant, digest, prepare, read_variant
 
-LEAST_SHOWN = 0.003  # of worth: parts and prices that differ by less are not printed
+MIN_SHOWN_DIFFERENCE = 0.003  # of worth: parts and prices that differ by less are not printed
 
 
 def _arguments() -> argparse.Namespace:
@@ -35,61 +36,65 @@
 
 
 def _tasks(sites: list[Path], days: str, seeds: str, small: bool, text: str) -> list[tuple[Path, Task]]:
-    told = []
+    tasks = []
     for site in sites:
         names = days.split(",") if days else list(read_marks(site))
-        told += [(site, Task(text, site.stem, day, int(seed), small)) for day in names for seed in seeds.split(",")]
-    return told
+        tasks += [(site, Task(text, site.stem, day, int(seed), small)) for day in names for seed in seeds.split(",")]
+    return tasks
 
 
 def main() -> int:
-    chosen = _arguments()
-    bench, folder = chosen.bench.absolute(), chosen.folder.absolute()
-    sites = [site.absolute() for site in chosen.sites]
+    options = _arguments()
+    bench, folder = options.bench.absolute(), options.folder.absolute()
+    sites = [site.absolute() for site in options.sites]
     folder.mkdir(parents=True, exist_ok=True)
-    book = Book(folder / "outcomes.jsonl")
-    roots = {variant: prepare(variant, Path.cwd(), folder) for variant in chosen.texts}
+    outcome_log = OutcomeLog(folder / "outcomes.jsonl")
+    roots = {variant: prepare(variant, Path.cwd(), folder) for variant in options.texts}
     for root in roots.values():
         build(bench, root)
-    tasks = {v: _tasks(sites, chosen.days, chosen.seeds, chosen.small, digest(root)) for v, root in roots.items()}
+    tasks = {v: _tasks(sites, options.days, options.seeds, options.small, digest(root)) for v, root in roots.items()}
 
     def fill(variant: Variant, site: Path, task: Task) -> None:
-        if book.get(task) is not None:
+        if outcome_log.get(task) is not None:
             return
         try:
-            book.add(task, play(bench, roots[variant], site, task, f"{chosen.why}: text {variant.name}"))
+            outcome_log.add(task, play(bench, roots[variant], site, task, f"{options.why}: text {variant.name}"))
         except PlayFailedError as error:
             print(f"not played: {error}", flush=True)
 
-    with ThreadPoolExecutor(chosen.jobs) as pool:
-        pending = [(v, *tasks[v][place]) for place in range(len(tasks[chosen.texts[0]])) for v in chosen.texts]
+    with ThreadPoolExecutor(options.jobs) as pool:
+        pending = [(v, *tasks[v][place]) for place in range(len(tasks[options.texts[0]])) for v in options.texts]
         for waiting in [pool.submit(fill, *one) for one in pending]:
             waiting.result()
-    return _print(book, tasks)
+    return _print(outcome_log, tasks)
 
 
-def _print(book: Book, tasks: dict[Variant, list[tuple[Path, Task]]]) -> int:
+def _print(outcome_log: OutcomeLog, tasks: dict[Variant, list[tuple[Path, Task]]]) -> int:
     first = next(iter(tasks))
     complete = [
-        place for place in range(len(tasks[first])) if all(book.get(told[place][1]) is not None for told in tasks.values())
+        place
+        for place in range(len(tasks[first]))
+        if all(outcome_log.get(results[place][1]) is not None for results in tasks.values())
     ]
     if not complete:
         print("nothing was played on all texts")
         return 1
-    outcomes = {v: [book.get(told[place][1]) for place in complete] for v, told in tasks.items()}
+    outcomes = {v: [outcome_log.get(results[place][1]) for place in complete] for v, results in tasks.items()}
     days = [tasks[first][place][1] for place in complete]
     print(f"{'text':24} mean  spread  difference      better worse of  broken")
-    for variant, told in outcomes.items():
-        one = pair(outcomes[first], told)
-        broken = ", ".join(f"{rule} {count}" for rule, count in one.broken.items())
+    for variant, results in outcomes.items():
+        pairing = pair(outcomes[first], results)
+        broken = ", ".join(f"{rule} {count}" for rule, count in pairing.broken.items())
         print(
-            f"{variant.name:24} {one.mean:.3f} {one.spread:.3f}   {one.difference:+.3f} +- {one.error:.3f} "
-            f"{one.better:6} {one.worse:5} {one.count:3} {broken}"
+            f"{variant.name:24} {pairing.mean:.3f} {pairing.spread:.3f}   {pairing.difference:+.3f} +- {pairing.error:.3f} "
+            f"{pairing.better:6} {pairing.worse:5} {pairing.count:3} {broken}"
         )
-        _print_days(days, told)
+        _print_days(days, results)
         if variant is not first:
-            _print_parts(outcomes[first], told)
-    print(json.dumps({"means": {v.name: pair(outcomes[first], told).mean for v, told in outcomes.items()}, "holds": True}))
+            _print_parts(outcomes[first], results)
+    print(
+        json.dumps({"means": {v.name: pair(outcomes[first], results).mean for v, results in outcomes.items()}, "holds": True})
+    )
     return 0
 
 
@@ -105,9 +110,10 @@
     shown = [
         f"{name} {after.get(name, 0.0) - value:+.3f}"
         for name, value in before.items()
-        if abs(after.get(name, 0.0) - value) >= LEAST_SHOWN
+        if abs(after.get(name, 0.0) - value) >= MIN_SHOWN_DIFFERENCE
     ]
     print("   " + ", ".join(shown))
 
 
-raise SystemExit(main())
+if __name__ == "__main__":
+    sys.exit(main())
--- a/benchmarks/pairs/comparing.py
+++ b/benchmarks/pairs/comparing.py
@@ -9,7 +9,7 @@
 
 from benchmarks.pairs.playing import Outcome
 
-EVEN = 0.005  # of a score: a difference below it counts as none
+MAX_EVEN_DIFFERENCE = 0.005  # of a score: a difference below it counts as none
 
 
 @dataclass(frozen=True)
@@ -29,28 +29,28 @@
 
 def pair(first: Sequence[Outcome], other: Sequence[Outcome]) -> Pairing:
     """
-    >>> told = pair([Outcome(0.4, 0, 0, 0), Outcome(0.6, 0, 0, 0)], [Outcome(0.5, 0, 0, 0), Outcome(0.6, 0, 0, 0)])
-    >>> round(told.difference, 2), told.better, told.worse
+    >>> pairing = pair([Outcome(0.4, 0, 0, 0), Outcome(0.6, 0, 0, 0)], [Outcome(0.5, 0, 0, 0), Outcome(0.6, 0, 0, 0)])
+    >>> round(pairing.difference, 2), pairing.better, pairing.worse
     (0.05, 1, 0)
     """
     differences = [b.score - a.score for a, b in zip(first, other, strict=True)]
     count = len(differences)
     return Pairing(
-        statistics.fmean(one.score for one in other),
-        statistics.fmean(one.score for one in first),
-        statistics.stdev(one.score for one in other) if count > 1 else 0.0,
+        statistics.fmean(outcome.score for outcome in other),
+        statistics.fmean(outcome.score for outcome in first),
+        statistics.stdev(outcome.score for outcome in other) if count > 1 else 0.0,
         statistics.fmean(differences),
         statistics.stdev(differences) / count**0.5 if count > 1 else 0.0,
-        sum(one > EVEN for one in differences),
-        sum(one < -EVEN for one in differences),
+        sum(difference > MAX_EVEN_DIFFERENCE for difference in differences),
+        sum(difference < -MAX_EVEN_DIFFERENCE for difference in differences),
         count,
-        Counter(rule for one in other for rule in one.broken),
+        Counter(rule for outcome in other for rule in outcome.broken),
     )
 
 
 def mean_parts(outcomes: Sequence[Outcome]) -> dict[str, float]:
     """Mean of each part of the worth and of each price, prices as negative figures."""
-    names = dict.fromkeys(name for one in outcomes for name in one.parts)
-    prices = dict.fromkeys(name for one in outcomes for name in one.prices)
-    told = {name: statistics.fmean(one.parts.get(name, 0.0) for one in outcomes) for name in names}
-    return told | {name: -statistics.fmean(one.prices.get(name, 0.0) for one in outcomes) for name in prices}
+    names = dict.fromkeys(name for outcome in outcomes for name in outcome.parts)
+    prices = dict.fromkeys(name for outcome in outcomes for name in outcome.prices)
+    means = {name: statistics.fmean(outcome.parts.get(name, 0.0) for outcome in outcomes) for name in names}
+    return means | {name: -statistics.fmean(outcome.prices.get(name, 0.0) for outcome in outcomes) for name in prices}
--- a/benchmarks/pairs/playing.py
+++ b/benchmarks/pairs/playing.py
@@ -9,6 +9,7 @@
 import tomllib
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
+from typing import Any
 
 
 @dataclass(frozen=True)
@@ -27,7 +28,7 @@
     """What came of one play. `score` is the day's place between its two marks, 0 to 1; worths are shares of what is owed."""
 
     score: float
-    worth: float
+    value: float
     served: float
     refused: float
     parts: dict[str, float] = field(default_factory=dict)
@@ -46,12 +47,12 @@
     zero: float
     one: float
 
-    def score(self, worth: float) -> float:
+    def score(self, value: float) -> float:
         """
         >>> Marks(0.5, 1.0).score(0.75)
         0.5
         """
-        return min(1.0, max(0.0, (worth - self.zero) / (self.one - self.zero)))
+        return min(1.0, max(0.0, (value - self.zero) / (self.one - self.zero)))
 
 
 def read_marks(site: Path) -> dict[str, Marks]:
@@ -60,19 +61,19 @@
     return {day["name"]: Marks(float(day["zero"]), float(day["one"])) for day in days}
 
 
-def read_outcome(told: dict, marks: Marks) -> Outcome:
+def read_outcome(report: dict, marks: Marks) -> Outcome:
     """An outcome from the bench's report."""
-    worth = float(told.get("G") or 0.0)
-    broken = sorted(told.get("breaks") or {})
-    if told.get("fault"):
-        broken.append(f"fault: {told['fault']}")
+    value = float(report.get("G") or 0.0)
+    broken = sorted(report.get("breaks") or {})
+    if report.get("fault"):
+        broken.append(f"fault: {report['fault']}")
     return Outcome(
-        0.0 if broken else marks.score(worth),
-        worth,
-        float(told.get("served") or 0.0),
-        float(told.get("refused") or 0.0),
-        {name: float(value) for name, _, value in told.get("parts") or ()},
-        {name: float(price) for name, _, price in told.get("prices") or ()},
+        0.0 if broken else marks.score(value),
+        value,
+        float(report.get("served") or 0.0),
+        float(report.get("refused") or 0.0),
+        {name: float(value) for name, _, value in report.get("parts") or ()},
+        {name: float(price) for name, _, price in report.get("prices") or ()},
         tuple(broken),
     )
 
@@ -97,24 +98,36 @@
         return read_outcome(json.loads(report.read_text()), read_marks(site)[task.day])
 
 
-class Book:
+class OutcomeLog:
     """Outcomes kept in a file of JSON lines; safe for several threads."""
 
     def __init__(self, file: Path) -> None:
         self._file, self._lock = file, threading.Lock()
-        self._known: dict[Task, Outcome] = {}
+        self._outcomes: dict[Task, Outcome] = {}
         if file.exists():
             for line in file.read_text().splitlines():
-                value = json.loads(line)
-                value["outcome"]["broken"] = tuple(value["outcome"]["broken"])
-                self._known[Task(**value["task"])] = Outcome(**value["outcome"])
+                entry = json.loads(line)
+                self._outcomes[Task(**entry["task"])] = _stored_outcome(entry["outcome"])
 
     def get(self, task: Task) -> Outcome | None:
         with self._lock:
-            return self._known.get(task)
+            return self._outcomes.get(task)
 
     def add(self, task: Task, outcome: Outcome) -> None:
         with self._lock:
-            self._known[task] = outcome
+            self._outcomes[task] = outcome
             with self._file.open("a") as file:
-                file.write(json.dumps({"task": asdict(task), "outcome": asdict(outcome)}, sort_keys=True) + "\n")
+                file.write(json.dumps({"task": asdict(task), "outcome": _stored_fields(outcome)}, sort_keys=True) + "\n")
+
+
+def _stored_fields(outcome: Outcome) -> dict[str, Any]:
+    """Return an outcome as the log stores it: the value has the key `worth`, as in logs of older versions."""
+    fields = asdict(outcome)
+    fields["worth"] = fields.pop("value")
+    return fields
+
+
+def _stored_outcome(fields: dict[str, Any]) -> Outcome:
+    """Return the outcome of an entry of the log."""
+    remaining = {name: value for name, value in fields.items() if name not in ("worth", "broken")}
+    return Outcome(**remaining, value=fields["worth"], broken=tuple(fields["broken"]))
--- a/benchmarks/pairs/variants.py
+++ b/benchmarks/pairs/variants.py
@@ -89,11 +89,11 @@
         subprocess.run(["cp", "-a", str(built), str(root / "target")], check=True)
     if not (root / ".git").exists():
         subprocess.run(["git", "init", "-q", str(root)], check=True)
-    for one in variant.replacements:
-        file = root / PACKAGE / one.file
+    for replacement in variant.replacements:
+        file = root / PACKAGE / replacement.file
         if not file.exists():
-            raise VariantError(f"{one.file}: no such file below {PACKAGE}/")
-        file.write_text(replace_constant(file.read_text(), one.constant, one.value))
+            raise VariantError(f"{replacement.file}: no such file below {PACKAGE}/")
+        file.write_text(replace_constant(file.read_text(), replacement.constant, replacement.value))
     return root
 
 
@@ -112,8 +112,8 @@
 
 def digest(root: Path) -> str:
     """A short digest of what decides a play: the package, the programs and the deploy file."""
-    whole = hashlib.sha256()
+    hasher = hashlib.sha256()
     files = [*sorted((root / PACKAGE).rglob("*.py")), *sorted(root.glob("*.py")), root / "deploy" / "system.toml"]
     for file in files:
-        whole.update(str(file.relative_to(root)).encode() + b"\0" + file.read_bytes())
-    return whole.hexdigest()[:12]
+        hasher.update(str(file.relative_to(root)).encode() + b"\0" + file.read_bytes())
+    return hasher.hexdigest()[:12]
--- a/benchmarks/pairs/varied.py
+++ b/benchmarks/pairs/varied.py
@@ -10,6 +10,7 @@
 import argparse
 import re
 import shutil
+import sys
 from pathlib import Path
 
 NUMBER = r"(-?\d+(?:\.\d+)?)"
@@ -29,7 +30,7 @@
     return f"{value:.6g}" if "." in written and value != int(value) else f"{value:.1f}" if "." in written else str(round(value))
 
 
-def fewer_models(text: str, most: int) -> str:
+def fewer_models(text: str, limit: int) -> str:
     """Leaves out the models of the list behind the first `most`.
 
     >>> fewer_models('models = [\\n  { name = "m0" },\\n  { name = "m1" },\\n]\\n', 1)
@@ -38,13 +39,13 @@
     begin = text.index("models = [\n")
     end = text.index("\n]", begin)
     lines = text[begin:end].splitlines()
-    return text[:begin] + "\n".join(lines[: 1 + most]) + text[end:]
+    return text[:begin] + "\n".join(lines[: 1 + limit]) + text[end:]
 
 
-def varied(text: str, name: str, loads: float, memory: float, aims: float, traffic: float, models: int) -> str:
+def varied(text: str, name: str, loads: float, memory: float, latency_targets: float, traffic: float, models: int) -> str:
     """The text of a site file with other figures; `models` 0 keeps all."""
     text = re.sub(r'^name = "[^"]*"', f'name = "{name}"', text, count=1, flags=re.MULTILINE)
-    for key, factor in {"load_s": loads, "warm_s": loads, "aim_ms": aims, "per_s": traffic}.items():
+    for key, factor in {"load_s": loads, "warm_s": loads, "aim_ms": latency_targets, "per_s": traffic}.items():
         text = scaled(text, key, factor)
     text = re.sub(
         rf"(kv_bytes = [^}}]*?\bmb = ){NUMBER}", lambda match: match[1] + _like(match[2], float(match[2]) * memory), text
@@ -59,15 +60,15 @@
     for key in ("loads", "memory", "aims", "traffic"):
         parser.add_argument(f"--{key}", type=float, default=1.0)
     parser.add_argument("--models", type=int, default=0)
-    chosen = parser.parse_args()
+    options = parser.parse_args()
     text = varied(
-        chosen.site.read_text(), chosen.out.stem, chosen.loads, chosen.memory, chosen.aims, chosen.traffic, chosen.models
+        options.site.read_text(), options.out.stem, options.loads, options.memory, options.aims, options.traffic, options.models
     )
-    chosen.out.write_text(text)
-    for beside in ("wire.json",):
-        shutil.copy(chosen.site.parent / beside, chosen.out.parent / beside)
+    options.out.write_text(text)
+    for companion in ("wire.json",):
+        shutil.copy(options.site.parent / companion, options.out.parent / companion)
     return 0
 
 
 if __name__ == "__main__":
-    raise SystemExit(main())
+    sys.exit(main())
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -1,12 +1,13 @@
-"""Paired comparisons and the account of lost worth: reading, pairing, resuming."""
+"""Paired comparisons and the analysis of lost value: reading, pairing, resuming."""
 
+import json
 import tempfile
 import unittest
 from pathlib import Path
 
 from benchmarks.lost_worth import lost_requests, order_times, read_lines
 from benchmarks.pairs.comparing import mean_parts, pair
-from benchmarks.pairs.playing import Book, Marks, Outcome, Task, read_outcome
+from benchmarks.pairs.playing import Marks, Outcome, OutcomeLog, Task, read_outcome
 from benchmarks.pairs.variants import VariantError, digest, prepare, read_variant, replace_constant
 
 
@@ -36,31 +37,33 @@
 
 class Pairs(unittest.TestCase):
     def test_a_broken_rule_scores_nothing_and_is_counted(self):
-        told = read_outcome({"G": 0.9, "served": 0.9, "refused": 0.1, "breaks": {"ROUTE": 2}}, Marks(0.5, 1.0))
-        self.assertEqual((told.score, told.broken), (0.0, ("ROUTE",)))
+        outcome = read_outcome({"G": 0.9, "served": 0.9, "refused": 0.1, "breaks": {"ROUTE": 2}}, Marks(0.5, 1.0))
+        self.assertEqual((outcome.score, outcome.broken), (0.0, ("ROUTE",)))
         fine = Outcome(0.8, 0.9, 1.0, 0.0)
-        paired = pair([fine, fine], [told, fine])
+        paired = pair([fine, fine], [outcome, fine])
         self.assertEqual((paired.worse, paired.better, dict(paired.broken)), (1, 0, {"ROUTE": 1}))
         self.assertAlmostEqual(paired.difference, -0.4)
 
     def test_prices_count_against(self):
-        told = read_outcome({"G": 0.7, "parts": [["whole day", 0.7, 0.9]], "prices": [["loads", 3, 0.02]]}, Marks(0.2, 0.7))
-        self.assertEqual(mean_parts([told]), {"whole day": 0.9, "loads": -0.02})
+        outcome = read_outcome({"G": 0.7, "parts": [["whole day", 0.7, 0.9]], "prices": [["loads", 3, 0.02]]}, Marks(0.2, 0.7))
+        self.assertEqual(mean_parts([outcome]), {"whole day": 0.9, "loads": -0.02})
 
-    def test_a_book_resumes(self):
+    def test_an_outcome_log_resumes(self):
         task, outcome = Task("text", "site", "day", 3, True), Outcome(0.5, 0.6, 0.9, 0.0, {"a": 1.0}, {}, ("LOST",))
         with tempfile.TemporaryDirectory() as folder:
-            Book(Path(folder) / "o.jsonl").add(task, outcome)
-            again = Book(Path(folder) / "o.jsonl")
+            OutcomeLog(Path(folder) / "o.jsonl").add(task, outcome)
+            stored = json.loads((Path(folder) / "o.jsonl").read_text())
+            again = OutcomeLog(Path(folder) / "o.jsonl")
         self.assertEqual(again.get(task), outcome)
+        self.assertEqual(stored["outcome"]["worth"], 0.6)
         self.assertIsNone(again.get(Task("other", "site", "day", 3, True)))
 
 
 LATE = {"message": "late", "model": "m", "priority": 1, "delay": "held", "sends": 1, "waited_s": 2.0, "at_stub_s": 1.5}
 
 
-class LostWorth(unittest.TestCase):
-    def test_what_the_backend_took_is_told_from_what_came_before(self):
+class LostValue(unittest.TestCase):
+    def test_backend_time_is_distinguished_from_waiting_before_it(self):
         records = [
             (1.0, LATE),
             (2.0, LATE | {"at_stub_s": 0.2}),
