--- a/benchmarks/days/__init__.py
+++ b/benchmarks/days/__init__.py
@@ -1,5 +1,5 @@
-"""Days of our own for a deployment's bench: one for each of the users' worst days, and a matrix of every kind of trouble.
+"""Generated days for a deployment's bench: one for each of the users' worst days, and a matrix of every kind of fault.
 
-`python -m benchmarks.days` writes and plays them; the paths of the site file and of the bench are its arguments. It knows no
-deployment: what it names comes from the site file.
+`python -m benchmarks.days` writes and runs them; the paths of the site file and of the bench are its arguments. It depends on
+no deployment: all names come from the site file.
 """
--- a/benchmarks/days/__main__.py
+++ b/benchmarks/days/__main__.py
@@ -1,7 +1,7 @@
 """Command line: `python -m benchmarks.days points|matrix --bench PATH --site PATH [--site PATH] --results FILE [--jobs N]`.
 
-Results are lines of JSON; a day that stands there is not played again, so that a run that was stopped goes on. It ends with 1
-where a rule broke.
+Run generated days on a bench. Results are lines of JSON; a day that is in the results file is not run again, so an interrupted
+run can be resumed. The exit status is 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 def _shrunk(bench: Path, path: Path, day: Day, rules: set[str]) -> Day:
-    """The day made shorter by leaving out entries as long as one of the same rules breaks."""
+    """Return the day without the entries that are not needed to violate one of the same rules."""
     for candidate in shorter(day):
         try:
             again = play(bench, path, candidate, "a day that broke, made shorter")
@@ -65,6 +65,7 @@
 
 
 def main() -> int:
+    """Run the days that are not in the results file; return 1 if a rule was violated."""
     options = _options()
     known = _known(options.results)
     pending = []
--- a/benchmarks/days/matrix.py
+++ b/benchmarks/days/matrix.py
@@ -1,6 +1,6 @@
-"""Every kind of trouble with every variant, twice in a day beside another trouble, at three moments.
+"""Days for every kind of fault with every variant: each twice in a day beside another fault, at three moments.
 
-`cells` reads the kinds from what the bench tells of a site, so that it holds whatever kinds the contracts in force bring.
+The kinds are read from what the bench lists for a site, so that new kinds are covered.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """One day of the matrix."""
+    """One day of the matrix: a kind of fault, its variant (empty for the plain one) and the moment."""
 
     kind: str
     how: str
@@ -31,11 +31,12 @@
 
     @property
     def name(self) -> str:
+        """The name of the day."""
         return "-".join(part.replace(" ", "_") for part in (self.kind, self.how or "plain", self.moment))
 
 
 def kinds_of(text: str) -> dict[str, list[str]]:
-    """Kinds with their variants, from the bench's list: lines of `kind: what it does; how: variants`.
+    """Parse the bench's list, lines of `kind: what it does; how: variants`, into kinds with their variants.
 
     >>> kinds_of("burst: x times the traffic\\nsrv_crash: share down; how: dark (silent), gone (for good)")
     {'burst': [''], 'srv_crash': ['', 'dark', 'gone']}
@@ -59,6 +60,7 @@
 
 
 def cells(kinds: Mapping[str, list[str]]) -> Iterator[Cell]:
+    """Yield every combination of kind, variant and moment."""
     for kind, hows in kinds.items():
         for how in hows:
             for moment in MOMENTS:
@@ -74,7 +76,7 @@
 
 
 def day_of(cell: Cell, site: Mapping[str, Any], seed: int) -> dict[str, Any]:
-    """The day: the trouble twice, a storm of changes, and beside it a kill of a core machine or a burst."""
+    """Return the day: the fault twice, a burst of changes, and beside it a kill of a core machine or a burst of traffic."""
     length_s = float(site["length_s"])
     first, second = _times(cell.moment, length_s)
     plan: list[dict[str, Any]] = [
@@ -107,7 +109,7 @@
 
 
 def shorter(day: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
-    """The day with one entry left out, for each entry."""
+    """Yield the day with one entry left out, for each entry."""
     for key in ("faults", "plan"):
         for place in range(len(day[key])):
             yield {**day, key: [entry for at, entry in enumerate(day[key]) if at != place]}
--- a/benchmarks/days/playing.py
+++ b/benchmarks/days/playing.py
@@ -1,4 +1,4 @@
-"""Plays days on the bench and reads what it reports."""
+"""Run days on the bench and read its report."""
 
 from __future__ import annotations
 
@@ -15,33 +15,48 @@
 
 @dataclass(frozen=True)
 class Played:
-    """What came of one day; `rules` are those that broke, with how often."""
+    """The outcome of one day.
+
+    Attributes:
+        rules: Violated rules, with their counts.
+        fault: Failure that the bench reports; empty if there is none.
+        short: Requirements beside the rules that were not met.
+        value: Share of the achievable value.
+        served: Share of requests that were served.
+        processor_s: Processor time in seconds.
+    """
 
     site: str
     day: str
     rules: dict[str, int]
     fault: str
-    short: str  # what the gate wants beside unbroken rules and does not get
+    short: str
     value: float
     served: float
     processor_s: float
 
     @property
     def broken(self) -> bool:
+        """Whether a rule was violated or the bench reports a failure."""
         return bool(self.rules or self.fault)
 
     def line(self) -> str:
+        """Return the outcome as a line of the results file."""
         fields = asdict(self)
         fields["worth"] = fields.pop("value")  # the key of results files of older versions
         return json.dumps(fields, sort_keys=True)
 
 
 class DayFailedError(RuntimeError):
-    """The bench played no day; the message holds the end of what it printed."""
+    """The bench wrote no report; the message holds the end of its output."""
 
 
 def play(bench: Path, site: Path, day: Mapping[str, Any], why: str) -> Played:
-    """One day in full. DayFailed where the bench gives no report."""
+    """Run one day in full size.
+
+    Raises:
+        DayFailedError: If the bench writes no report.
+    """
     with tempfile.TemporaryDirectory() as folder:
         file, report = Path(folder) / f"{day['name']}.toml", Path(folder) / "report.json"
         file.write_text(day_text(day))
--- a/benchmarks/days/points.py
+++ b/benchmarks/days/points.py
@@ -1,6 +1,6 @@
-"""The users' five points as days: what each is made of, at any deployment.
+"""Days for the users' five points, at any deployment.
 
-Times are seconds from the start of traffic. Losses come as soon as the deployment's tolerance allows the next one.
+Times are seconds from the start of traffic. Failures follow each other as soon as the deployment's tolerance allows.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def model_service(site: Mapping[str, Any]) -> str:
-    """The service whose backends run models, else the first one."""
+    """Return the name of the service whose backends run models, else of the first service."""
     services = site["services"]
     return next((service["name"] for service in services if service.get("model")), services[0]["name"])
 
@@ -95,7 +95,11 @@
 
 
 def point_day(name: str, site: Mapping[str, Any], seed: int) -> dict[str, Any]:
-    """The day of a point. ValueError where there is none of that name."""
+    """Return the day of a point.
+
+    Raises:
+        ValueError: If there is no point of that name.
+    """
     if name not in POINTS:
         raise ValueError(f"no point {name!r}; there are {', '.join(POINTS)}")
     catch_up_s, length_s = float(site["timing"]["catch_up_s"]), float(site["length_s"])
--- a/benchmarks/days/toml_text.py
+++ b/benchmarks/days/toml_text.py
@@ -1,4 +1,4 @@
-"""A day as TOML text, the form in which the bench reads one."""
+"""Format a day as TOML, the form that the bench reads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 def value_text(value: Any) -> str:
-    """
+    """Format a value as inline TOML.
+
+    Raises:
+        TypeError: If the type has no TOML form.
+
     >>> value_text({"at": 1.5, "how": "leader", "on": [1, True]})
     '{ at = 1.5, how = "leader", on = [1, true] }'
     """
@@ -26,7 +30,7 @@
 
 
 def day_text(day: Mapping[str, Any]) -> str:
-    """A line a key; entries of lists on lines of their own."""
+    """Format a day, one line a key; entries of lists have lines of their own."""
     lines = []
     for key, value in day.items():
         if isinstance(value, list) and value and isinstance(value[0], Mapping):
--- a/benchmarks/pairs/__main__.py
+++ b/benchmarks/pairs/__main__.py
@@ -1,9 +1,9 @@
 """`python -m benchmarks.pairs BENCH SITE... --text NAME=REVISION[,FILE:CONSTANT=VALUE]... [--text ...]`
 
-Plays the same days with the same seeds on each text (no processor time charged, small twins with `--small`), and prints
-each text beside the first: mean score, spread, mean difference with its standard error, pairs better and worse, broken
-rules, and the parts and prices that differ. What was played is kept in FOLDER/outcomes.jsonl and not played again. A
-revision `WORK` is the working tree. FOLDER must lie where the bench's processes may read it, so not below /tmp.
+Compare source texts: run the same days with the same seeds on each (no processor time charged, scaled-down days with
+`--small`) and print each text beside the first: mean score, spread, mean difference with its standard error, pairs better and
+worse, violated rules, and the parts and prices that differ. Outcomes are stored in FOLDER/outcomes.jsonl and are not run
+again. The revision `WORK` is the working tree. FOLDER must be readable by the bench's processes, so it can't be below /tmp.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from benchmarks.pairs.playing import Outcome, OutcomeLog, PlayFailedError, Task, build, play, read_marks
 from benchmarks.pairs.variants import Variant, digest, prepare, read_variant
 
-MIN_SHOWN_DIFFERENCE = 0.003  # of worth: parts and prices that differ by less are not printed
+MIN_SHOWN_DIFFERENCE = 0.003  # parts and prices that differ by less are not printed
 
 
 def _arguments() -> argparse.Namespace:
@@ -44,6 +44,7 @@
 
 
 def main() -> int:
+    """Run what is not stored yet and print the comparison; return 1 if nothing was run on all texts."""
     options = _arguments()
     bench, folder = options.bench.absolute(), options.folder.absolute()
     sites = [site.absolute() for site in options.sites]
--- a/benchmarks/pairs/comparing.py
+++ b/benchmarks/pairs/comparing.py
@@ -1,4 +1,4 @@
-"""Paired comparison of outcomes: means, spread, signs, and where worth and prices differ. Pure."""
+"""Compare paired outcomes: means, spread, signs, and the parts and prices that differ. Pure functions."""
 
 from __future__ import annotations
 
@@ -9,18 +9,30 @@
 
 from benchmarks.pairs.playing import Outcome
 
-MAX_EVEN_DIFFERENCE = 0.005  # of a score: a difference below it counts as none
+MAX_EVEN_DIFFERENCE = 0.005  # score difference up to which two runs count as equal
 
 
 @dataclass(frozen=True)
 class Pairing:
-    """One text beside the first one, over the same days and seeds."""
+    """One text beside the first one, over the same days and seeds.
+
+    Attributes:
+        mean: Mean score of this text.
+        first_mean: Mean score of the first text.
+        spread: Standard deviation of the scores of this text.
+        difference: Mean difference of the scores.
+        error: Standard error of the mean difference.
+        better: Number of pairs in which this text scored better.
+        worse: Number of pairs in which it scored worse.
+        count: Number of pairs.
+        broken: Violated rules, with the number of runs.
+    """
 
     mean: float
     first_mean: float
-    spread: float  # standard deviation of a single play's score
+    spread: float
     difference: float
-    error: float  # standard error of the mean difference
+    error: float
     better: int
     worse: int
     count: int
@@ -28,7 +40,8 @@
 
 
 def pair(first: Sequence[Outcome], other: Sequence[Outcome]) -> Pairing:
-    """
+    """Compare two lists of outcomes, pair by pair.
+
     >>> pairing = pair([Outcome(0.4, 0, 0, 0), Outcome(0.6, 0, 0, 0)], [Outcome(0.5, 0, 0, 0), Outcome(0.6, 0, 0, 0)])
     >>> round(pairing.difference, 2), pairing.better, pairing.worse
     (0.05, 1, 0)
@@ -49,7 +62,7 @@
 
 
 def mean_parts(outcomes: Sequence[Outcome]) -> dict[str, float]:
-    """Mean of each part of the worth and of each price, prices as negative figures."""
+    """Return the mean of each part of the value and of each price; prices are negative."""
     names = dict.fromkeys(name for outcome in outcomes for name in outcome.parts)
     prices = dict.fromkeys(name for outcome in outcomes for name in outcome.prices)
     means = {name: statistics.fmean(outcome.parts.get(name, 0.0) for outcome in outcomes) for name in names}
--- a/benchmarks/pairs/playing.py
+++ b/benchmarks/pairs/playing.py
@@ -1,4 +1,4 @@
-"""Plays one day of one text with one seed, and keeps what came of it, so that a comparison that was broken off resumes."""
+"""Run one day of one text with one seed, and store outcomes so that an interrupted comparison can be resumed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 
 @dataclass(frozen=True)
 class Task:
-    """One play: which text (by digest), site, day and seed, as a small twin or in full size."""
+    """One run to make.
+
+    Attributes:
+        text: Digest of the source text.
+        site: Name of the site.
+        day: Name of the day.
+        seed: Seed of the run.
+        small: Whether the scaled-down form of the day is run.
+    """
 
     text: str
     site: str
@@ -25,7 +33,17 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What came of one play. `score` is the day's place between its two marks, 0 to 1; worths are shares of what is owed."""
+    """The outcome of one run.
+
+    Attributes:
+        score: Position of the value between the day's two marks, 0 to 1; 0 if a rule was violated.
+        value: Share of the achievable value.
+        served: Share of requests that were served.
+        refused: Share of requests that were rejected.
+        parts: Value by part.
+        prices: Deductions by kind.
+        broken: Names of violated rules.
+    """
 
     score: float
     value: float
@@ -37,18 +55,19 @@
 
 
 class PlayFailedError(RuntimeError):
-    """The bench gave no report; the message holds the end of what it printed."""
+    """The bench wrote no report; the message holds the end of its output."""
 
 
 @dataclass(frozen=True)
 class Marks:
-    """The worths between which a day's score lies."""
+    """The values at which a day's score is 0 and 1."""
 
     zero: float
     one: float
 
     def score(self, value: float) -> float:
-        """
+        """Return the score of a value.
+
         >>> Marks(0.5, 1.0).score(0.75)
         0.5
         """
@@ -56,13 +75,13 @@
 
 
 def read_marks(site: Path) -> dict[str, Marks]:
-    """The marks of each standard day of a site file."""
+    """Return the marks of each standard day of a site file."""
     days = tomllib.loads(site.read_text())["day"]
     return {day["name"]: Marks(float(day["zero"]), float(day["one"])) for day in days}
 
 
 def read_outcome(report: dict, marks: Marks) -> Outcome:
-    """An outcome from the bench's report."""
+    """Return the outcome that a bench's report describes."""
     value = float(report.get("G") or 0.0)
     broken = sorted(report.get("breaks") or {})
     if report.get("fault"):
@@ -79,14 +98,22 @@
 
 
 def build(bench: Path, root: Path) -> None:
-    """Builds a text once, so that plays at the same time do not."""
+    """Build a text once, so that concurrent runs do not.
+
+    Raises:
+        PlayFailedError: If the build fails.
+    """
     run = subprocess.run([str(bench), "build"], cwd=root, capture_output=True, text=True)
     if run.returncode:
         raise PlayFailedError(f"{root.name}: not built: {(run.stdout + run.stderr)[-600:]}")
 
 
 def play(bench: Path, root: Path, site: Path, task: Task, why: str) -> Outcome:
-    """Plays one day; PlayFailed where the bench gives no report."""
+    """Run one day.
+
+    Raises:
+        PlayFailedError: If the bench writes no report.
+    """
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [str(bench), "run", str(site), task.day, "--seed", str(task.seed), "--no-cpu", "--jobs", "1"]
@@ -99,7 +126,7 @@
 
 
 class OutcomeLog:
-    """Outcomes kept in a file of JSON lines; safe for several threads."""
+    """Outcomes stored in a file of JSON lines; safe for several threads."""
 
     def __init__(self, file: Path) -> None:
         self._file, self._lock = file, threading.Lock()
@@ -110,10 +137,12 @@
                 self._outcomes[Task(**entry["task"])] = _stored_outcome(entry["outcome"])
 
     def get(self, task: Task) -> Outcome | None:
+        """Return the stored outcome of a task, or None."""
         with self._lock:
             return self._outcomes.get(task)
 
     def add(self, task: Task, outcome: Outcome) -> None:
+        """Store the outcome of a task and append it to the file."""
         with self._lock:
             self._outcomes[task] = outcome
             with self._file.open("a") as file:
--- a/benchmarks/pairs/variants.py
+++ b/benchmarks/pairs/variants.py
@@ -1,4 +1,4 @@
-"""Texts to compare: a checkout, with some of its constants or lines replaced. A switch for measuring, never a setting.
+"""Prepare source texts to compare: a checkout with some module constants replaced, for measuring only.
 
 A variant is written as `NAME=REVISION[,FILE:CONSTANT=VALUE]...`; `FILE` is below `mulleinhatch/`. Example:
 `slow=HEAD,control_plane/placement.py:KEEP_ADVANTAGE=3.0`.
@@ -16,12 +16,12 @@
 
 
 class VariantError(ValueError):
-    """A variant that can't be made; the message tells what to write instead."""
+    """A variant can't be made; the message says what to write instead."""
 
 
 @dataclass(frozen=True)
 class Replacement:
-    """One module constant with another value."""
+    """Another value for a module constant."""
 
     file: str
     constant: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A text to measure."""
+    """A source text to measure."""
 
     name: str
     revision: str
@@ -38,7 +38,11 @@
 
 
 def read_variant(text: str) -> Variant:
-    """
+    """Parse `NAME=REVISION[,FILE:CONSTANT=VALUE]...`.
+
+    Raises:
+        VariantError: If the text has another form.
+
     >>> read_variant("slow=HEAD,control_plane/placement.py:KEEP_ADVANTAGE=3.0").replacements
     (Replacement(file='control_plane/placement.py', constant='KEEP_ADVANTAGE', value='3.0'),)
     """
@@ -58,7 +62,10 @@
 
 
 def replace_constant(source: str, constant: str, value: str) -> str:
-    """Source text with a module constant set to another value; the comment behind it stays.
+    """Return source text with another value for a module constant; the trailing comment stays.
+
+    Raises:
+        VariantError: Unless there is exactly one such constant.
 
     >>> replace_constant("A = 1.0  # seconds\\n", "A", "2.0")
     'A = 2.0  # seconds\\n'
@@ -73,7 +80,11 @@
 
 
 def prepare(variant: Variant, repository: Path, folder: Path) -> Path:
-    """Writes a variant's text below `folder` and returns its root; one that stands there already is made anew."""
+    """Write a variant's text below `folder` and return its root; an existing one is replaced.
+
+    Raises:
+        VariantError: If a replacement does not fit the text.
+    """
     root = folder / variant.name
     root.mkdir(parents=True, exist_ok=True)
     subprocess.run(["rm", "-rf", str(root / PACKAGE), str(root / "deploy")], check=True)
@@ -98,7 +109,7 @@
 
 
 def _copy_work(repository: Path, root: Path) -> None:
-    """The files as they are in the working tree."""
+    """Copy the files of the working tree."""
     names = subprocess.run(
         ["git", "-C", str(repository), "ls-files", "-z", "--cached", "--others", "--exclude-standard", "--", ".", ":!journal"],
         check=True,
@@ -111,7 +122,7 @@
 
 
 def digest(root: Path) -> str:
-    """A short digest of what decides a play: the package, the programs and the deploy file."""
+    """Return a short digest of what decides a run: the package, the programs and the deploy file."""
     hasher = hashlib.sha256()
     files = [*sorted((root / PACKAGE).rglob("*.py")), *sorted(root.glob("*.py")), root / "deploy" / "system.toml"]
     for file in files:
--- a/benchmarks/pairs/varied.py
+++ b/benchmarks/pairs/varied.py
@@ -1,8 +1,8 @@
 """`python -m benchmarks.pairs.varied SITE OUT [--loads X] [--memory X] [--aims X] [--traffic X] [--models N]`
 
-Writes a deployment of our own kind from a site file: other times of loads, memory of backends, latency aims, traffic, and the
-models' list cut off behind N of them, with a name of its own. For days that no text was tuned on; its marks are those of the
-site it was made from, so only the difference of two texts counts.
+Write a variant of a site file: scaled load times, backend memory, latency targets and traffic, and only the first N models. It
+serves to test texts on a deployment that none was tuned for. The marks are those of the original site, so only the difference
+of two texts is meaningful.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def scaled(text: str, key: str, factor: float) -> str:
-    """Every number behind `key =` times a factor.
+    """Multiply every number after `key =` by a factor.
 
     >>> scaled("{ load_s = 2.0, warm_load_s = 2.0 }", "load_s", 0.5)
     '{ load_s = 1.0, warm_load_s = 2.0 }'
@@ -26,12 +26,12 @@
 
 
 def _like(written: str, value: float) -> str:
-    """A number in the form in which another was written: whole ones stay whole."""
+    """Format a number like another one: integers stay integers."""
     return f"{value:.6g}" if "." in written and value != int(value) else f"{value:.1f}" if "." in written else str(round(value))
 
 
 def fewer_models(text: str, limit: int) -> str:
-    """Leaves out the models of the list behind the first `most`.
+    """Keep only the first models of the list.
 
     >>> fewer_models('models = [\\n  { name = "m0" },\\n  { name = "m1" },\\n]\\n', 1)
     'models = [\\n  { name = "m0" },\\n]\\n'
@@ -43,7 +43,7 @@
 
 
 def varied(text: str, name: str, loads: float, memory: float, latency_targets: float, traffic: float, models: int) -> str:
-    """The text of a site file with other figures; `models` 0 keeps all."""
+    """Return the text of a site file with other figures; `models` 0 keeps all models."""
     text = re.sub(r'^name = "[^"]*"', f'name = "{name}"', text, count=1, flags=re.MULTILINE)
     for key, factor in {"load_s": loads, "warm_s": loads, "aim_ms": latency_targets, "per_s": traffic}.items():
         text = scaled(text, key, factor)
@@ -54,6 +54,7 @@
 
 
 def main() -> int:
+    """Write the variant and the files that belong to it."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.pairs.varied", description="A deployment of our own kind.")
     parser.add_argument("site", type=Path)
     parser.add_argument("out", type=Path)
