--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -33,7 +33,7 @@
 import msgspec
 from docopt import docopt
 from rich.console import Console
-from rich.table import Table as Shown
+from rich.table import Table as ConsoleTable
 
 from benchmarks.records import RECORDED, commit, cost, keep, rounded
 from mulleinhatch.admission import AdmissionController
@@ -66,28 +66,28 @@
 Points = list[tuple[float, float]]
 
 
-def held(make: Callable[..., Any], *told: Any) -> float:
+def retained_bytes(make: Callable[..., Any], *arguments: Any) -> float:
     """Bytes that stay allocated by what `make` gives."""
     tracemalloc.start()
-    kept = make(*told)
+    kept = make(*arguments)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     del kept
     return float(size)
 
 
-def cpu(act: Callable[..., Any], times: int, turns: int, *told: Any) -> float:
+def cpu_s(act: Callable[..., Any], times: int, turns: int, *arguments: Any) -> float:
     """Seconds of CPU of one `act`, the median of some turns of so many."""
     spent = []
     for _ in range(turns):
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(times):
-            act(*told)
-        spent.append((time.process_time() - begun) / times)
+            act(*arguments)
+        spent.append((time.process_time() - started_at) / times)
     return statistics.median(spent)
 
 
-class Parts:
+class PartCosts:
     def __init__(self, quick: bool, seed: int) -> None:
         self.quick, self.seed, self.turns = quick, seed, QUICK_TURNS if quick else TURNS
         self.costs: dict[str, dict[str, Any]] = {}
@@ -117,7 +117,7 @@
     def budgets(self) -> None:
         sizes = self.sizes(16, 100, 1_000, 10_000)
         last = None if self.quick else 40_000
-        memory = [(count, held(all_parts, count)) for count in (*sizes, *([last] if last else []))]
+        memory = [(count, retained_bytes(all_parts, count)) for count in (*sizes, *([last] if last else []))]
         spent = [(count, BEATS * self._beat_of(count)) for count in (*sizes, *([last] if last else []))]
         for name, unit, points in (("control.budgets_memory", "bytes", memory), ("control.budgets_cpu", "cores", spent)):
             self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
@@ -150,7 +150,7 @@
                 for _ in range(1 + LETTERS):
                     part.pieces(now)
 
-        return cpu(beat, max(1, 1_000 // count), self.turns)
+        return cpu_s(beat, max(1, 1_000 // count), self.turns)
 
     def few(self) -> None:
         """Fleet state among few members: where its bytes pass the bound of the target."""
@@ -159,16 +159,16 @@
             world = FleetWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
             before = Counter(world.play(5.0).counts)
             world.play(10.0 if self.quick else 20.0)
-            sent, data = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
-            points.append((count, 2.0 * (data + HEADERS * sent) / count / (world.now - 5.0)))
+            sent, data_bytes = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
+            points.append((count, 2.0 * (data_bytes + HEADERS * sent) / count / (world.now - 5.0)))
         # Two have one to probe a beat, and half of the letters.
         self.events["fleet state of two members"] = {"bytes a second, sent and received": rounded(points[0][1])}
         self.add("control.few_bytes", "bytes/s", "members", points[1:], "constant")
 
     def even_parts(self) -> None:
         """By a reckoned distribution of totals: rank and rate by Zipf's law of exponent 1 over the target's peak."""
-        whole = sum(1.0 / rank for rank in range(1, TENANTS + 1))
-        totals = sorted(max(1, int(HEADROOM * PEAK / whole / rank)) for rank in range(1, TENANTS + 1))
+        harmonic_sum = sum(1.0 / rank for rank in range(1, TENANTS + 1))
+        totals = sorted(max(1, int(HEADROOM * PEAK / harmonic_sum / rank)) for rank in range(1, TENANTS + 1))
         self.events["even parts (totals are reckoned)"] = {
             "median tenant's total, runs a second": totals[TENANTS // 2],
             "largest": totals[-1],
@@ -187,7 +187,7 @@
             "request.storms_memory",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual, count)) for count in callers],
+            [(count, retained_bytes(filled_retry_admission, usual, count)) for count in callers],
             "constant",
             bounded=True,
         )
@@ -196,24 +196,29 @@
             "request.storms_memory_unbounded",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual._replace(callers_kept=count, repeats_kept=count), count)) for count in raised],
+            [
+                (count, retained_bytes(filled_retry_admission, usual._replace(callers_kept=count, repeats_kept=count), count))
+                for count in raised
+            ],
             "linear",
         )
         spent = []
         for count in callers:
-            spent.append((count, 1e6 * cpu(tries_of(full_desk(usual, count), count, self.seed), 5_000, self.turns)))
+            spent.append(
+                (count, 1e6 * cpu_s(first_tries(filled_retry_admission(usual, count), count, self.seed), 5_000, self.turns))
+            )
         self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
 
     def loudest(self) -> None:
         memory, spent, adds = [], [], 20_000 if self.quick else 200_000
         for count in self.sizes(1_000, 10_000, 100_000, TENANTS):
             names = Names(count, self.seed)
-            memory.append((count, held(filled, names, adds)))
+            memory.append((count, retained_bytes(filled, names, adds)))
             spent.append(
                 (
                     count,
-                    1e6 * cpu(adding(filled(names, adds), names, adds), 20_000, self.turns)
-                    - 1e6 * cpu(names.next, 20_000, self.turns),
+                    1e6 * cpu_s(adding(filled(names, adds), names, adds), 20_000, self.turns)
+                    - 1e6 * cpu_s(names.next, 20_000, self.turns),
                 )
             )
         self.add("request.loudest_memory", "bytes", "tenants", memory, "constant", bounded=True)
@@ -224,24 +229,28 @@
     def decisions(self) -> None:
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 25_000, TENANTS):
-            told = deployment(count, 10)
-            memory.append((count, held(AdmissionController, told, 1, 0.0)))
-            spent.append((count, 1e6 * cpu(cycle(AdmissionController(told, 1, 0.0), count, 10, self.seed), 500, self.turns)))
+            settings = deployment(count, 10)
+            memory.append((count, retained_bytes(AdmissionController, settings, 1, 0.0)))
+            spent.append(
+                (count, 1e6 * cpu_s(cycle(AdmissionController(settings, 1, 0.0), count, 10, self.seed), 500, self.turns))
+            )
         self.add("request.decide_memory", "bytes", "tenants", memory, "linear")
         self.add("request.decide_cpu", "us a request", "tenants", spent, "constant", bounded=True)
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 10_000, CLASSES):
-            told = deployment(10, count)
-            memory.append((count, held(AdmissionController, told, 1, 0.0)))
-            spent.append((count, 1e6 * cpu(cycle(AdmissionController(told, 1, 0.0), 10, count, self.seed), 500, self.turns)))
+            settings = deployment(10, count)
+            memory.append((count, retained_bytes(AdmissionController, settings, 1, 0.0)))
+            spent.append(
+                (count, 1e6 * cpu_s(cycle(AdmissionController(settings, 1, 0.0), 10, count, self.seed), 500, self.turns))
+            )
         self.add("request.decide_classes_memory", "bytes", "classes", memory, "linear")
         self.add("request.decide_classes_cpu", "us a request", "classes", spent, "constant", bounded=True)
 
     def settings(self) -> None:
         """The file that carries configuration today, whole at each change."""
         for name, size, sizes, rows in (
-            ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenants_told),
-            ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), classes_told),
+            ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenant_settings),
+            ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), class_settings),
         ):
             self.add(name, "bytes", size, [(count, float(len(json.dumps(rows(count))))) for count in sizes], "linear")
 
@@ -265,7 +274,7 @@
         for count in self.sizes(30, 100, 300, 990):
             core, query = asked_voter(count)
             turns = self.turns if count < 500 else QUICK_TURNS
-            spent.append((count, 1e6 * cpu(answered, max(2, 1_000 // count), turns, core, query)))
+            spent.append((count, 1e6 * cpu_s(answered, max(2, 1_000 // count), turns, core, query)))
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
         for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
@@ -282,7 +291,7 @@
             for count in sizes:
                 side = fleet_side(count, differ)
                 size.append((count, float(len(side.told()))))
-                spent.append((count, 1e3 * cpu(side.told, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS)))
+                spent.append((count, 1e3 * cpu_s(side.told, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS)))
             if not differ:
                 self.add("tools.fleet_answer_bytes", "bytes", "members", size, "linear")
             self.add(f"tools.fleet_answer_cpu{name}", "ms an answer", "members", spent, form)
@@ -321,7 +330,7 @@
     return [Part(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
-def one_try(desk: Desk, caller: int, number: int) -> None:
+def record_first_try(desk: Desk, caller: int, number: int) -> None:
     """A first try that is nacked: likeness, books of callers and of tries, as the reducer keeps them."""
     like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
     repeat, looks = desk.tries.read(1.0, like, again=False)
@@ -330,18 +339,18 @@
     desk.tries.nacked(1.0, looks)
 
 
-def full_desk(bounds: StormBounds, callers: int) -> Desk:
+def filled_retry_admission(bounds: StormBounds, callers: int) -> Desk:
     """One nacked op of each caller, and one run that may not run twice."""
     desk = Desk(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
-        one_try(desk, caller, caller)
+        record_first_try(desk, caller, caller)
         desk.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
     return desk
 
 
-def tries_of(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
+def first_tries(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
     draw = random.Random(seed)
-    return lambda: one_try(desk, draw.randrange(callers), draw.randrange(10**9))
+    return lambda: record_first_try(desk, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
@@ -358,35 +367,35 @@
     }
 
 
-def cycle(hatch: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
+def cycle(controller: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
     """One request from its reading to its end, as a host drives it, at the target's rate of an instance."""
     draw, clock = random.Random(seed), count_from(0)
 
     def one() -> None:
         turn = next(clock)
         now = turn / 275.0
-        hatch.record_arrival(
+        controller.record_arrival(
             now, turn + 1, draw.randrange(classes), 0.0, 1.0, draw.randrange(tenants), 0, turn % 100, 0.002, 1.0, False
         )
-        started = [decision.ref for decision in decisions(hatch, now) if decision.verb is Verb.RUN]
+        started = [decision.ref for decision in decisions(controller, now) if decision.verb is Verb.RUN]
         for ref in started:
-            hatch.record_run_end(now + 0.002, ref, Ending.OK)
-        for _ in decisions(hatch, now + 0.002):
+            controller.record_run_end(now + 0.002, ref, Ending.OK)
+        for _ in decisions(controller, now + 0.002):
             pass
 
     return one
 
 
-def decisions(hatch: AdmissionController, now: float) -> Iterator[Any]:
-    while decision := hatch.next_decision(now):
+def decisions(controller: AdmissionController, now: float) -> Iterator[Any]:
+    while decision := controller.next_decision(now):
         yield decision
 
 
-def tenants_told(count: int) -> list[dict[str, Any]]:
+def tenant_settings(count: int) -> list[dict[str, Any]]:
     return [{"name": f"tenant-{place:06}", "fraction": 0.001, "quota_per_s": 10.0} for place in range(count)]
 
 
-def classes_told(count: int) -> list[dict[str, Any]]:
+def class_settings(count: int) -> list[dict[str, Any]]:
     return [
         {"name": f"route-{place:05}", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}
         for place in range(count)
@@ -496,15 +505,15 @@
 PARTS = ("budgets", "few", "storms", "loudest", "decisions", "settings", "voters", "answers")
 
 
-def measured(parts: Parts, names: list[str]) -> Parts:
+def measured(parts: PartCosts, names: list[str]) -> PartCosts:
     for name in names:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         getattr(parts, name)()
-        print(f"{name}: {time.monotonic() - begun:.1f} s", file=sys.stderr)
+        print(f"{name}: {time.monotonic() - started_at:.1f} s", file=sys.stderr)
     return parts
 
 
-def record(parts: Parts, names: list[str], at: str, load: float) -> None:
+def record(parts: PartCosts, names: list[str], at: str, load: float) -> None:
     """Each run leaves a note of its commit and of how busy the machine was."""
     busy = (
         f"{at}, {','.join(names)}: load average {load:.1f} at start, {os.getloadavg()[0]:.1f} at the end, "
@@ -530,22 +539,24 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    names = told["--only"].split(",") if told["--only"] else list(PARTS)
+    options = docopt(__doc__, argv)
+    names = options["--only"].split(",") if options["--only"] else list(PARTS)
     if wrong := [name for name in names if name not in PARTS]:
         print(f"parts: there is no part {wrong[0]!r}", file=sys.stderr)
         return 1
     load, at = os.getloadavg()[0], commit()
-    parts = measured(Parts(told["--quick"], int(told["--seed"])), names)
-    shown = Shown("cost", "unit", "by", "points", "fit", "residual")
-    for name, one in parts.costs.items():
-        points = ", ".join(f"{size:g}: {value:g}" for size, value in one["points"])
-        fit = f"{one['constant']:g}" + (f" + {one['slope']:g} x {one['form']}" if one["form"] != "constant" else "")
-        shown.add_row(name, one["unit"], one["size"], points, fit, f"{one['residual']:.3f}")
-    Console(width=200).print(shown)
+    parts = measured(PartCosts(options["--quick"], int(options["--seed"])), names)
+    table = ConsoleTable("cost", "unit", "by", "points", "fit", "residual")
+    for name, cost_record in parts.costs.items():
+        points = ", ".join(f"{size:g}: {value:g}" for size, value in cost_record["points"])
+        fit = f"{cost_record['constant']:g}" + (
+            f" + {cost_record['slope']:g} x {cost_record['form']}" if cost_record["form"] != "constant" else ""
+        )
+        table.add_row(name, cost_record["unit"], cost_record["size"], points, fit, f"{cost_record['residual']:.3f}")
+    Console(width=200).print(table)
     grown = {name: rounded(points[-1][1] / points[-2][1], 3) for name, points in parts.bounded.items()}
     holds = {name: ratio <= 2.0 for name, ratio in grown.items()}
-    if told["--record"] and not told["--quick"]:
+    if options["--record"] and not options["--quick"]:
         record(parts, names, at, load)
     print(json.dumps({"benchmark": "parts", "grown": grown, "events": parts.events, "holds": holds}))
     return 0 if all(holds.values()) else 1
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -65,13 +65,13 @@
 from mulleinhatch.simulation.scale_shards import World
 from mulleinhatch.testing.fault_script import FaultScriptError
 
-BYTES, CORE, STATE_MB = 3000.0, 0.02, 8.0
-KNOWN, IN_SUMS, AGAIN, JOINED, BURST = 5.0, 7.0, 10.0, 30.0, 2.0
-TARGET = 3600
-A_DAY = 8000.0  # restarts and replacements, at the target
-AN_HOUR = 333
+MAX_BYTES_A_S, MAX_CORE_SHARE, MAX_STATE_MB = 3000.0, 0.02, 8.0
+MAX_KNOWN_S, MAX_IN_SUMS_S, MAX_MERGED_S, MAX_JOINED_S, MAX_BURST_FACTOR = 5.0, 7.0, 10.0, 30.0, 2.0
+TARGET_MEMBERS = 3600
+RESTARTS_A_DAY = 8000.0  # restarts and replacements, at the target
+BURST_RESTARTS = 333
 ROLE = "instance.control"
-Holds = dict[str, bool]
+Checks = dict[str, bool]
 Figures = dict[str, Any]
 
 
@@ -104,7 +104,7 @@
     return Sizes(tuple(small), full, min(members, events), settle, calm, cut, minute, start)
 
 
-class Told(NamedTuple):
+class Options(NamedTuple):
     """What the command line says."""
 
     quick: bool
@@ -125,7 +125,7 @@
         return self.workers or (6 if members >= 1800 else 4)
 
 
-def until_one(world: World, within: float, step: float = 0.5) -> float | None:
+def time_until_merged(world: World, within: float, step: float = 0.5) -> float | None:
     """Seconds from now until views are one."""
     since = world.now
     while not world.one():
@@ -135,14 +135,14 @@
     return world.now - since
 
 
-def calm(told: Told, members: int, start: float = 0.1) -> Figures:
+def measure_calm(options: Options, members: int, start: float = 0.1) -> Figures:
     """All costs of a calm fleet of that size, in the mean of its instances."""
-    sizes, begun = told.sizes, time.monotonic()
+    sizes, started_at = options.sizes, time.monotonic()
     # A flat fleet of hundreds would take most of the time to join; what it costs once joined is asked here.
-    with World(told.plan(members, introduced=not told.levels, start_within=start), told.shards(members)) as world:
-        joined = until_one(world.play(max(1.0, start)), JOINED + 30.0)
+    with World(options.plan(members, introduced=not options.levels, start_within=start), options.shards(members)) as world:
+        joined = time_until_merged(world.play(max(1.0, start)), MAX_JOINED_S + 30.0)
         # A flat fleet's reports take the longer to reach all the more there are; after 5 s at 1,000 half the rows are missing.
-        world.play(float(int(world.now + sizes.settle + (0.0 if told.levels else members / 40.0)) + 1))
+        world.play(float(int(world.now + sizes.settle + (0.0 if options.levels else members / 40.0)) + 1))
         since = world.now
         world.ask("mark")
         world.play(since + sizes.calm)
@@ -167,7 +167,7 @@
         "worst core": max(cpu),
         "joined": joined,
         "wrong": wrong,
-        "speed": round(world.now / (time.monotonic() - begun), 3),
+        "speed": round(world.now / (time.monotonic() - started_at), 3),
         "load": os.getloadavg()[0],
     }
 
@@ -188,41 +188,41 @@
     return COSTS.get(cost, "bytes")
 
 
-class Run:
+class ScaleRun:
     """What is measured in one call of the benchmark: parts add to it."""
 
-    def __init__(self, told: Told) -> None:
-        self.told, self.commit = told, records.commit()
+    def __init__(self, options: Options) -> None:
+        self.options, self.commit = options, records.commit()
         self.by_size: dict[int, Figures] = {}
         self.full: tuple[int, Figures] | None = None
         self.events: dict[str, Figures] = {}
         self.notes: list[str] = []
         self.missed: dict[str, list[str]] = {}
 
-    def judge(self, part: str, holds: Holds) -> None:
-        if lacks := [aim for aim, held in holds.items() if not held]:
-            self.missed.setdefault(part, []).extend(lacks)
+    def judge(self, part: str, holds: Checks) -> None:
+        if missed := [aim for aim, is_met in holds.items() if not is_met]:
+            self.missed.setdefault(part, []).extend(missed)
 
     # Slopes and the full size.
 
-    def side_by_side(self, members: int, play: Callable[[Any], Any], jobs: list[Any]) -> list[Any]:
+    def run_concurrently(self, members: int, play: Callable[[Any], Any], jobs: list[Any]) -> list[Any]:
         """Worlds of up to that size, as many at a time as there may be processes."""
-        at_a_time = max(1, self.told.most_workers(members) // self.told.shards(members))
+        at_a_time = max(1, self.options.most_workers(members) // self.options.shards(members))
         with ThreadPoolExecutor(at_a_time) as pool:
             return list(pool.map(play, jobs))
 
     def slopes(self) -> None:
-        small = [size for size in self.told.sizes.slopes if self.told.shards(size) == 1]
-        large = [size for size in self.told.sizes.slopes if size not in small]
+        small = [size for size in self.options.sizes.slopes if self.options.shards(size) == 1]
+        large = [size for size in self.options.sizes.slopes if size not in small]
         for sizes in [small, *([size] for size in large)]:
-            figured = self.side_by_side(max(sizes, default=2), lambda size: calm(self.told, size), sizes)
-            for size, figures in zip(sizes, figured):
+            results = self.run_concurrently(max(sizes, default=2), lambda size: measure_calm(self.options, size), sizes)
+            for size, figures in zip(sizes, results):
                 self.by_size[size] = self.measured(size, figures)
 
     def measured(self, members: int, figures: Figures) -> Figures:
-        print(f"{members} members: {told_in_line(figures)}", file=sys.stderr, flush=True)
+        print(f"{members} members: {figures_text(figures)}", file=sys.stderr, flush=True)
         self.notes.append(
-            f"{members} members calm: {figures['speed']} virtual s a second by {self.told.shards(members)} "
+            f"{members} members calm: {figures['speed']} virtual s a second by {self.options.shards(members)} "
             f"processes, load {figures['load']:.0f}"
         )
         self.judge(
@@ -235,29 +235,29 @@
         return figures
 
     def play_full(self) -> None:
-        members, told = self.told.sizes.checked, self.told
-        if not told.levels and told.members > MOST_MEMBERS:
-            self.notes.append(f"refused: a flat fleet holds {MOST_MEMBERS} members, so {told.members} cannot be played")
-            self.judge("full", {f"{told.members} members in one fleet": False})
-        if members < told.members:
-            self.notes.append(f"played as a whole: {members} of {told.members}")
-        figures = self.measured(members, calm(told, members, told.sizes.start))
+        members, options = self.options.sizes.checked, self.options
+        if not options.levels and options.members > MOST_MEMBERS:
+            self.notes.append(f"refused: a flat fleet holds {MOST_MEMBERS} members, so {options.members} cannot be played")
+            self.judge("full", {f"{options.members} members in one fleet": False})
+        if members < options.members:
+            self.notes.append(f"played as a whole: {members} of {options.members}")
+        figures = self.measured(members, measure_calm(options, members, options.sizes.start))
         self.full = members, figures
         self.judge(
             "full",
             {
-                f"{BYTES:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= BYTES,
-                f"{CORE:g} of a core": figures["core"] < CORE,
-                f"{STATE_MB:g} MB": figures["memory"] < STATE_MB * 1e6,
-                f"joined in {JOINED:g} s": figures["joined"] is not None and figures["joined"] <= JOINED,
+                f"{MAX_BYTES_A_S:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= MAX_BYTES_A_S,
+                f"{MAX_CORE_SHARE:g} of a core": figures["core"] < MAX_CORE_SHARE,
+                f"{MAX_STATE_MB:g} MB": figures["memory"] < MAX_STATE_MB * 1e6,
+                f"joined in {MAX_JOINED_S:g} s": figures["joined"] is not None and figures["joined"] <= MAX_JOINED_S,
             },
         )
         for name, cost in self.costs().items():
             if cost["checked"]:
-                off = abs(self.fit_of(cost).at(members) / max(cost["checked"][1], 1e-9) - 1.0)
+                error = abs(self.fit_of(cost).at(members) / max(cost["checked"][1], 1e-9) - 1.0)
                 if name.removeprefix(f"{ROLE}.") in ("bytes", "core", "state"):
-                    aim = f"fit of {name} within {fits.CHECK:.0%} at {members} (off {off:.0%})"
-                    self.judge("full", {aim: off <= fits.CHECK})
+                    aim = f"fit of {name} within {fits.MAX_CHECK_ERROR:.0%} at {members} (off {error:.0%})"
+                    self.judge("full", {aim: error <= fits.MAX_CHECK_ERROR})
 
     @staticmethod
     def fit_of(cost: Figures) -> records.Fit:
@@ -268,25 +268,25 @@
             return {}
         first = next(iter(self.by_size.values()))
         names = [name for name in first if name in COSTS or name.startswith("state.")]
-        told = {}
+        costs = {}
         for name in names:
             points = [(size, figures[name]) for size, figures in self.by_size.items() if figures[name] == figures[name]]
             if points and any(value for _, value in points):
                 checked = (self.full[0], self.full[1][name]) if self.full and self.full[1][name] == self.full[1][name] else None
-                told[f"{ROLE}.{name}"] = fits.cost(unit(name), points, checked)
-        return told
+                costs[f"{ROLE}.{name}"] = fits.cost(unit(name), points, checked)
+        return costs
 
     # Events.
 
     def play_events(self, names: list[str]) -> None:
-        def play(name: str) -> tuple[Figures, Holds]:
-            begun = time.monotonic()
-            figures, holds = EVENTS[name](self.told)
-            figures["speed"] = round(figures.pop("virtual") / (time.monotonic() - begun), 3)
-            print(f"{name}: {told_in_line(figures)}", file=sys.stderr, flush=True)
+        def play(name: str) -> tuple[Figures, Checks]:
+            started_at = time.monotonic()
+            figures, holds = EVENTS[name](self.options)
+            figures["speed"] = round(figures.pop("virtual") / (time.monotonic() - started_at), 3)
+            print(f"{name}: {figures_text(figures)}", file=sys.stderr, flush=True)
             return figures, holds
 
-        for name, (figures, holds) in zip(names, self.side_by_side(self.told.sizes.events, play, names)):
+        for name, (figures, holds) in zip(names, self.run_concurrently(self.options.sizes.events, play, names)):
             self.events[name] = figures
             self.judge(name, holds)
 
@@ -297,8 +297,8 @@
             "commit": self.commit,
             "benchmark": "scale",
             "command": command,
-            "seed": self.told.seed,
-            "mechanism": "levels" if self.told.levels else "flat",
+            "seed": self.options.seed,
+            "mechanism": "levels" if self.options.levels else "flat",
             "costs": self.costs(),
             "events": self.events,
             "notes": self.notes,
@@ -312,7 +312,7 @@
                 *(str(size) for size in self.by_size),
                 "fit",
                 "off at most",
-                f"at {self.told.members}",
+                f"at {self.options.members}",
                 "played",
                 title="slopes",
             )
@@ -329,21 +329,21 @@
                     *(f"{value:.4g}" for _, value in cost["points"]),
                     form,
                     f"{best.residual:.1%}",
-                    f"{best.at(self.told.members):.4g}",
+                    f"{best.at(self.options.members):.4g}",
                     f"{cost['checked'][1]:.4g} at {cost['checked'][0]}" if cost["checked"] else "",
                 )
             console.print(table)
         table = Table("part", "figures", "missed", title="calm, events")
         if self.full:
-            table.add_row("full", told_in_line(self.full[1]), "; ".join(self.missed.get("full", [])))
+            table.add_row("full", figures_text(self.full[1]), "; ".join(self.missed.get("full", [])))
         for name, figures in self.events.items():
-            table.add_row(name, told_in_line(figures), "; ".join(self.missed.get(name, [])))
+            table.add_row(name, figures_text(figures), "; ".join(self.missed.get(name, [])))
         console.print(table)
         for note in self.notes:
             console.print(note)
 
 
-def told_in_line(figures: Figures) -> str:
+def figures_text(figures: Figures) -> str:
     return "  ".join(f"{key} {value:.4g}" if isinstance(value, float) else f"{key} {value}" for key, value in figures.items())
 
 
@@ -360,21 +360,21 @@
     died: float = 0.0  # after the begin
     down: float = 12.0
     members: int = 0  # 0: as many as the events' size
-    again: float = AGAIN
+    again: float = MAX_MERGED_S
     burst: float = 0.0  # most of the mean instance's bytes over its calm mean; 0: no aim
 
 
-def played(told: Told, event: Event) -> tuple[Figures, Holds]:
+def play_event(options: Options, event: Event) -> tuple[Figures, Checks]:
     """Joins, is calm for 10 s, meets the script, and is watched until it is one again and 10 s longer."""
-    members = event.members or told.sizes.events
-    with World(told.plan(members), told.shards(members)) as world:
-        joined = until_one(world.play(world.plan.start_within), JOINED + 30.0)
-        world.play(float(int(world.now + told.sizes.settle) + 1))
+    members = event.members or options.sizes.events
+    with World(options.plan(members), options.shards(members)) as world:
+        joined = time_until_merged(world.play(world.plan.start_within), MAX_JOINED_S + 30.0)
+        world.play(float(int(world.now + options.sizes.settle) + 1))
         calm_from = world.now
         world.play(calm_from + 10.0)
         before = traffic_of(world.traffic(calm_from, world.now))
         short = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
-        wrong = world.counts()["wrong"]
+        wrongly_gone = world.counts()["wrong"]
         begin = world.now
         world.ask("mark")
         dead = event.dead(world) if event.dead else []
@@ -386,11 +386,11 @@
             world.play(min(begin + event.lasts, world.now + max(1.0, event.lasts / 8.0)))
             frozen = max(frozen, world.frozen())
         over = world.now
-        again = until_one(world, 30.0, 0.25)
+        merged_after_s = time_until_merged(world, 30.0, 0.25)
         world.play(float(int(world.now) + 11))
         after = traffic_of(world.traffic(begin, world.now))
         looks, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
-        wrong = world.counts()["wrong"] - wrong
+        wrongly_gone = world.counts()["wrong"] - wrongly_gone
         core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
         ground = world.ground
     figures: Figures = {
@@ -402,27 +402,27 @@
         "worst second": after.second,
         "over calm": after.mean_second / max(1.0, before.mean),
         "core": core,
-        "wrong": wrong,
+        "wrong": wrongly_gone,
         "frozen": frozen,
         "sums short in calm": short,
-        "again": again,
+        "again": merged_after_s,
         "virtual": virtual,
     }
-    holds: Holds = {
+    holds: Checks = {
         "joined": joined is not None,
-        f"{BYTES:g} bytes/s in any 10 s": after.worst <= BYTES,
-        f"{CORE:g} of a core": core < CORE,
-        "no living one declared gone": wrong == 0,
-        f"one again in {event.again:g} s": again is not None and again <= event.again,
+        f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": after.worst <= MAX_BYTES_A_S,
+        f"{MAX_CORE_SHARE:g} of a core": core < MAX_CORE_SHARE,
+        "no living one declared gone": wrongly_gone == 0,
+        f"one again in {event.again:g} s": merged_after_s is not None and merged_after_s <= event.again,
     }
     places = {look.place for look in looks}
     if dead:
         died = begin + event.died
         elsewhere = {place for place in places if ground.zone[place] not in {ground.zone[one] for one in dead}}
-        figures["known"] = known_after(gone, holders, died, 1.0 if told.levels else 0.99)
+        figures["known"] = known_after(gone, holders, died, 1.0 if options.levels else 0.99)
         figures["in sums"] = in_sums(looks, elsewhere, died, min(died + event.down, virtual))
-        holds[f"known in {KNOWN:g} s"] = figures["known"] is not None and figures["known"] <= KNOWN
-        holds[f"in sums in {IN_SUMS:g} s"] = figures["in sums"] is not None and figures["in sums"] <= IN_SUMS
+        holds[f"known in {MAX_KNOWN_S:g} s"] = figures["known"] is not None and figures["known"] <= MAX_KNOWN_S
+        holds[f"in sums in {MAX_IN_SUMS_S:g} s"] = figures["in sums"] is not None and figures["in sums"] <= MAX_IN_SUMS_S
     figures["sums again"] = in_sums(looks, places, over, virtual, 0.99)
     holds[f"sums right in {event.again:g} s"] = figures["sums again"] is not None and figures["sums again"] <= event.again
     if event.burst:
@@ -430,8 +430,8 @@
     return figures, holds
 
 
-def draw_of(told: Told) -> random.Random:
-    return random.Random(told.seed + 17)
+def random_source(options: Options) -> random.Random:
+    return random.Random(options.seed + 17)
 
 
 def regions_cut(begin: float, lasts: float, regions: int = 3) -> str:
@@ -442,133 +442,142 @@
     )
 
 
-def middle(world: World) -> int:
+def unwatched_place(world: World) -> int:
     """A place that is no seed and is not watched."""
     ground = world.ground
     return next(place for place in range(ground.firsts[1] - 1, 0, -1) if place not in ground.watched())
 
 
-def dead(told: Told) -> tuple[Figures, Holds]:
-    return played(
-        told,
+def play_death(options: Options) -> tuple[Figures, Checks]:
+    return play_event(
+        options,
         Event(
-            lambda world, begin: f"at {begin + 0.5:.2f} kill {middle(world)} for 12", 13.0, lambda world: [middle(world)], 0.5
+            lambda world, begin: f"at {begin + 0.5:.2f} kill {unwatched_place(world)} for 12",
+            13.0,
+            lambda world: [unwatched_place(world)],
+            0.5,
         ),
     )
 
 
-def loss(told: Told) -> tuple[Figures, Holds]:
+def play_packet_loss(options: Options) -> tuple[Figures, Checks]:
     def script(world: World, begin: float) -> str:
-        draw, members = draw_of(told), world.plan.members
-        rest = [place for place in range(members) if place != middle(world)]
-        stalls = [f"at {begin + at:.2f} stall {listed(draw.sample(rest, max(1, members // 20)))} for 2" for at in (1.0, 7.0)]
-        kill = f"at {begin + 12.0:.2f} kill {middle(world)} for 12"
+        rng, members = random_source(options), world.plan.members
+        rest = [place for place in range(members) if place != unwatched_place(world)]
+        stalls = [f"at {begin + at:.2f} stall {listed(rng.sample(rest, max(1, members // 20)))} for 2" for at in (1.0, 7.0)]
+        kill = f"at {begin + 12.0:.2f} kill {unwatched_place(world)} for 12"
         return "\n".join([f"at {begin:.2f} lossy all 0.05 for 25", *stalls, kill])
 
-    return played(told, Event(script, 25.0, lambda world: [middle(world)], 12.0))
+    return play_event(options, Event(script, 25.0, lambda world: [unwatched_place(world)], 12.0))
 
 
-def churned(told: Told, at_once: bool) -> tuple[Figures, Holds]:
-    lasts = told.sizes.minute
-    rate = AN_HOUR * 86_400.0 / 60.0 if at_once else A_DAY
+def play_churn(options: Options, at_once: bool) -> tuple[Figures, Checks]:
+    lasts = options.sizes.minute
+    rate = BURST_RESTARTS * 86_400.0 / 60.0 if at_once else RESTARTS_A_DAY
 
     def script(world: World, begin: float) -> str:
         members = world.plan.members
         # At a small size and a short time less than one would go; one goes then.
-        rated = max(rate * members / TARGET, 86_400.0 / lasts)
-        return churn(draw_of(told), members, rated, begin, lasts)
+        rated = max(rate * members / TARGET_MEMBERS, 86_400.0 / lasts)
+        return churn(random_source(options), members, rated, begin, lasts)
 
-    return played(told, Event(script, lasts + 8.0))
+    return play_event(options, Event(script, lasts + 8.0))
 
 
-def rack(told: Told) -> tuple[Figures, Holds]:
+def play_rack_loss(options: Options) -> tuple[Figures, Checks]:
     """40 of a zone's 400, and so a tenth of a smaller zone: more would be most of a group."""
 
     def places(world: World) -> list[int]:
-        size = max(2, RACK * world.plan.members // TARGET)
+        size = max(2, RACK * world.plan.members // TARGET_MEMBERS)
         first = world.ground.firsts[1] + 2
         return [place for place in range(first, first + size) if place not in world.ground.watched()]
 
-    return played(
-        told, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0, places, 0.5)
+    return play_event(
+        options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0, places, 0.5)
     )
 
 
-def zone(told: Told) -> tuple[Figures, Holds]:
+def play_zone_loss(options: Options) -> tuple[Figures, Checks]:
     def places(world: World) -> list[int]:
         first, last = world.ground.places_of("zone1")
         return list(range(first, last + 1))
 
-    return played(told, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill zone1 for 14", 15.0, places, 0.5))
+    return play_event(options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill zone1 for 14", 15.0, places, 0.5))
 
 
-def cut(told: Told) -> tuple[Figures, Holds]:
-    lasts = told.sizes.cut
-    return played(told, Event(lambda world, begin: regions_cut(begin, lasts), lasts + 0.5, burst=BURST))
+def play_partition(options: Options) -> tuple[Figures, Checks]:
+    lasts = options.sizes.cut
+    return play_event(options, Event(lambda world, begin: regions_cut(begin, lasts), lasts + 0.5, burst=MAX_BURST_FACTOR))
 
 
-def hour(told: Told) -> tuple[Figures, Holds]:
-    return played(told, Event(lambda world, begin: regions_cut(begin, 3600.0), 3600.5, members=90, burst=BURST))
+def play_hour_of_partition(options: Options) -> tuple[Figures, Checks]:
+    return play_event(
+        options, Event(lambda world, begin: regions_cut(begin, 3600.0), 3600.5, members=90, burst=MAX_BURST_FACTOR)
+    )
 
 
-def restart(told: Told) -> tuple[Figures, Holds]:
-    lasts = told.sizes.minute
-    return played(
-        told,
-        Event(lambda world, begin: restart_all(draw_of(told), world.plan.members, begin, lasts), lasts + 1.0, again=JOINED),
+def play_restart_of_all(options: Options) -> tuple[Figures, Checks]:
+    lasts = options.sizes.minute
+    return play_event(
+        options,
+        Event(
+            lambda world, begin: restart_all(random_source(options), world.plan.members, begin, lasts),
+            lasts + 1.0,
+            again=MAX_JOINED_S,
+        ),
     )
 
 
-def start(told: Told) -> tuple[Figures, Holds]:
+def play_start_of_all(options: Options) -> tuple[Figures, Checks]:
     """All started within the minute: from the last one on until views are one and sums count 0.99."""
-    members, lasts = told.sizes.events, told.sizes.minute
-    with World(told.plan(members, start_within=lasts), told.shards(members)) as world:
+    members, lasts = options.sizes.events, options.sizes.minute
+    with World(options.plan(members, start_within=lasts), options.shards(members)) as world:
         world.play(lasts)
-        joined = until_one(world, JOINED + 30.0)
+        joined = time_until_merged(world, MAX_JOINED_S + 30.0)
         world.play(world.now + 5.0)
         looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
         traffic = traffic_of(world.traffic(0, int(world.now)))
-    sums = in_sums(looks, {look.place for look in looks}, lasts, virtual, 0.99)
+    in_sums_after_s = in_sums(looks, {look.place for look in looks}, lasts, virtual, 0.99)
     figures = {
         "members": members,
         "joined": joined,
-        "in sums": sums,
+        "in sums": in_sums_after_s,
         "worst 10 s": traffic.worst,
         "worst second": traffic.second,
         "wrong": wrong,
         "virtual": virtual,
     }
     return figures, {
-        f"joined in {JOINED:g} s": joined is not None and joined <= JOINED,
-        f"in sums in {JOINED:g} s": sums is not None and sums <= JOINED,
-        f"{BYTES:g} bytes/s in any 10 s": traffic.worst <= BYTES,
+        f"joined in {MAX_JOINED_S:g} s": joined is not None and joined <= MAX_JOINED_S,
+        f"in sums in {MAX_JOINED_S:g} s": in_sums_after_s is not None and in_sums_after_s <= MAX_JOINED_S,
+        f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": traffic.worst <= MAX_BYTES_A_S,
         "no living one declared gone": wrong == 0,
     }
 
 
-EVENTS: dict[str, Callable[[Told], tuple[Figures, Holds]]] = {
-    "dead": dead,
-    "loss": loss,
-    "churn": lambda told: churned(told, False),
-    "burst": lambda told: churned(told, True),
-    "rack": rack,
-    "zone": zone,
-    "cut": cut,
-    "hour": hour,
-    "restart": restart,
-    "start": start,
+EVENTS: dict[str, Callable[[Options], tuple[Figures, Checks]]] = {
+    "dead": play_death,
+    "loss": play_packet_loss,
+    "churn": lambda options: play_churn(options, False),
+    "burst": lambda options: play_churn(options, True),
+    "rack": play_rack_loss,
+    "zone": play_zone_loss,
+    "cut": play_partition,
+    "hour": play_hour_of_partition,
+    "restart": play_restart_of_all,
+    "start": play_start_of_all,
 }
 NOT_QUICK = ("hour",)
 PARTS = ("slopes", "full", "events", "instance")
 
 
-def own_script(run: Run, script: str, seconds: float) -> None:
-    told = run.told
-    with World(told.plan(told.members, script=script), told.shards(told.members)) as world:
+def play_script(run: ScaleRun, script: str, seconds: float) -> None:
+    options = run.options
+    with World(options.plan(options.members, script=script), options.shards(options.members)) as world:
         world.play(seconds)
         traffic, wrong = traffic_of(world.traffic(0, seconds)), world.counts()["wrong"]
         run.events["faults"] = {
-            "members": told.members,
+            "members": options.members,
             "worst 10 s": traffic.worst,
             "worst second": traffic.second,
             "wrong": wrong,
@@ -577,7 +586,7 @@
     run.judge("faults", {"no living one declared gone": wrong == 0})
 
 
-def instance(run: Run) -> Figures:
+def measure_instance(run: ScaleRun) -> Figures:
     try:
         module = importlib.import_module("benchmarks.scale_instance")
     except ModuleNotFoundError as error:
@@ -585,62 +594,62 @@
             raise
         run.notes.append("instance: benchmarks/scale_instance.py is not there, not run")
         return {}
-    figures, holds = module.measure(run.told.quick, run.told.seed)
+    figures, holds = module.measure(run.options.quick, run.options.seed)
     run.judge("instance", holds)
     return figures
 
 
-def read(argv: list[str] | None) -> tuple[Told, dict[str, Any]]:
+def read_options(argv: list[str] | None) -> tuple[Options, dict[str, Any]]:
     """Errors: `SystemExit` with a line that names what is wrong."""
-    options = docopt(__doc__, argv)
+    arguments = docopt(__doc__, argv)
     try:
-        members, seed, workers = int(options["--members"]), int(options["--seed"]), int(options["--workers"] or 0)
-        seconds = float(options["--for"])
+        members, seed, workers = int(arguments["--members"]), int(arguments["--seed"]), int(arguments["--workers"] or 0)
+        seconds = float(arguments["--for"])
     except ValueError as error:
         sys.exit(f"scale: {error}: --members, --seed, --workers and --for are numbers")
     if members < 9 or not 0 <= workers <= 8 or seconds < 1.0:
         sys.exit("scale: 9 members, 1 to 8 workers and a second are the least and most")
-    only = options["--only"]
+    only = arguments["--only"]
     if only and only not in (*PARTS, *EVENTS):
         sys.exit(f"scale: no part {only!r}; there are: {', '.join((*PARTS, *EVENTS))}")
-    levels = options["--levels"] or knows_levels() and not options["--flat"]
+    levels = arguments["--levels"] or knows_levels() and not arguments["--flat"]
     if levels and not knows_levels():
         sys.exit("scale: these cores know no levels; --flat measures what there is")
-    quick = options["--quick"]
-    return Told(quick, seed, members, levels, workers, sizes(levels, quick, members)), options
+    quick = arguments["--quick"]
+    return Options(quick, seed, members, levels, workers, sizes(levels, quick, members)), arguments
 
 
 def main(argv: list[str] | None = None) -> int:
-    told, options = read(argv)
-    run, only, extra = Run(told), options["--only"], {}
-    if options["--faults"]:
+    options, arguments = read_options(argv)
+    run, only, extra = ScaleRun(options), arguments["--only"], {}
+    if arguments["--faults"]:
         try:
-            script = Path(options["--faults"]).read_text()
-            Ground(told.plan(told.members)).faults(script)
+            script = Path(arguments["--faults"]).read_text()
+            Ground(options.plan(options.members)).faults(script)
         except (OSError, FaultScriptError, InvalidPlanError) as error:
             sys.exit(f"scale: {error}")
-        own_script(run, script, float(options["--for"]))
+        play_script(run, script, float(arguments["--for"]))
     else:
         if only in (None, "slopes", "full"):
             run.slopes()
         if only in (None, "full"):
             run.play_full()
         chosen = [name for name in EVENTS if only in (None, "events", name)]
-        if told.quick and only not in NOT_QUICK:
+        if options.quick and only not in NOT_QUICK:
             run.notes += [f"{name}: not run with --quick" for name in chosen if name in NOT_QUICK]
             chosen = [name for name in chosen if name not in NOT_QUICK]
         run.play_events(chosen)
         if only in (None, "instance"):
-            extra = instance(run)
+            extra = measure_instance(run)
     run.print(Console(width=200))
     command = "python -m benchmarks.scale " + " ".join(sys.argv[1:] if argv is None else argv)
     record = run.record(command)
-    if options["--record"]:
-        fits.written(Path(options["--record"]), record)
+    if arguments["--record"]:
+        fits.written(Path(arguments["--record"]), record)
     print(
         json.dumps(
             {
-                "members": told.members,
+                "members": options.members,
                 "mechanism": record["mechanism"],
                 "costs": record["costs"],
                 "events": run.events,
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -43,15 +43,18 @@
 from mulleinhatch.testing.load_generator import calm_latencies
 from mulleinhatch.testing.single_instance import Driving, Lone, driven, settings
 
-ADDED_MOST, CORE_MOST = 2.6, 0.9  # milliseconds at p99; share of a core
-LATE_MOST, CALM_LEAST = 0.0005, 500  # seconds that a driver is late in a calm slice at most; answers that are enough
-CALM, ZONE_GONE, REGION_GONE = 275, 309, 413  # requests a second
+MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # milliseconds at p99; share of a core
+MAX_DRIVER_LATE_S, MIN_CALM_ANSWERS = (
+    0.0005,
+    500,
+)  # seconds that a driver is late in a calm slice at most; answers that are enough
+CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests a second
 CHANGES_A_DAY = 5700
-CHECK_WITHIN = 0.15
-WARM = 2.0  # seconds at the calm rate, after which caches and pools are what they will be
+MAX_CHECK_ERROR = 0.15
+WARM_UP_S = 2.0  # seconds at the calm rate, after which caches and pools are what they will be
 
 
-class Book:
+class Measurements:
     """What the parts found: figures, costs by size, events, aims."""
 
     def __init__(self, quick: bool, seed: int) -> None:
@@ -64,32 +67,32 @@
         self.late: list[float] = []  # p99 of the driver's own lateness, ms
         self.lost = self.broken = 0  # requests without an answer; of these with a connection that ended or never stood
 
-    def drive(self, lone: Lone, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
-        return self.heard(driven(lone, rate, run_for, seed=self.seed, **habits))
+    def drive(self, instance: Lone, rate: float, run_for: float, **load_options: Any) -> dict[str, Any]:
+        return self.add_report(driven(instance, rate, run_for, seed=self.seed, **load_options))
 
-    def heard(self, told: dict[str, Any]) -> dict[str, Any]:
-        self.late.append(told["late_ms"]["p99"])
-        self.lost += told["lost"]
-        self.broken += told["broken"]
-        return told
+    def add_report(self, report: dict[str, Any]) -> dict[str, Any]:
+        self.late.append(report["late_ms"]["p99"])
+        self.lost += report["lost"]
+        self.broken += report["broken"]
+        return report
 
     def cost(self, name: str, unit: str, size: str, points: list[tuple[float, float]]) -> None:
         """The largest of five sizes or more checks the fit of the others."""
         points = [(float(at), float(f"{value:.5g}")) for at, value in points]
-        kept = points if len(points) < 5 else points[:-1]
+        fitted_points = points if len(points) < 5 else points[:-1]
         self.costs[f"instance.{name}"] = {
             "unit": unit,
             "size": size,
-            "points": kept,
-            **worthwhile(kept)._asdict(),
-            "checked": None if kept is points else points[-1],
+            "points": fitted_points,
+            **worthwhile(fitted_points)._asdict(),
+            "checked": None if fitted_points is points else points[-1],
         }
 
     def is_wait(self, name: str) -> bool:
         """Whether it is time on the clock, in which others on the machine have their part; CPU and memory are the process's."""
         return self.costs[name]["unit"].split()[0] == "s" and "CPU" not in self.costs[name]["unit"]
 
-    def off(self, name: str) -> float | None:
+    def check_error(self, name: str) -> float | None:
         """By what part the fit misses the value at the largest size."""
         cost = self.costs[name]
         if not cost["checked"]:
@@ -101,65 +104,84 @@
 # What it adds to a request.
 
 
-def quantile(values: list[float], part: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(part * len(values)))]
+def quantile(values: list[float], fraction: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
-def pairs(book: Book, lone: Lone, beside: int, rate: float, count: int, seconds: float) -> dict[str, float]:
+def paired_latencies(
+    measurements: Measurements, instance: Lone, beside: int, rate: float, count: int, seconds: float
+) -> dict[str, float]:
     """Latency alone and through the instance, in turns, in milliseconds; and the instance's CPU. `pair_p99` is the median of
     the pairs' differences, over all answers. `added_` is between all turns of each kind, over the calm slices of time if there
     are enough of them: those in which the driver itself was on time, which owes nothing to who answers."""
     rounds = []
     for number in range(count):
-        habits = {"skip": 0.5, "seed": book.seed + number, "keep": True}
-        alone = book.heard(Driving(beside, rate, seconds + 0.5, wire="link", **habits).done())
+        load_options = {"skip": 0.5, "seed": measurements.seed + number, "keep": True}
+        alone = measurements.add_report(Driving(beside, rate, seconds + 0.5, wire="link", **load_options).done())
         rounds.append(
-            (alone, book.heard(driven(lone, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **habits)))
+            (
+                alone,
+                measurements.add_report(
+                    driven(instance, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **load_options)
+                ),
+            )
         )
-    calm = [[latency for run in side for latency in calm_latencies(run, LATE_MOST)] for side in zip(*rounds)]
-    enough = min(map(len, calm)) >= CALM_LEAST
-    sides = calm if enough else [[latency for run in side for _, latency in run["kept"]] for side in zip(*rounds)]
-    told = {"rate": rate, "pairs": count, "calm": int(enough), "alone_n": len(sides[0]), "through_n": len(sides[1])}
-    for name, part in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
-        alone_ms, through_ms = (1000.0 * quantile(side, part) for side in sides)
-        told |= {
+    calm = [[latency for run in side for latency in calm_latencies(run, MAX_DRIVER_LATE_S)] for side in zip(*rounds)]
+    has_enough = min(map(len, calm)) >= MIN_CALM_ANSWERS
+    sides = calm if has_enough else [[latency for run in side for _, latency in run["kept"]] for side in zip(*rounds)]
+    row = {"rate": rate, "pairs": count, "calm": int(has_enough), "alone_n": len(sides[0]), "through_n": len(sides[1])}
+    for name, fraction in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
+        alone_ms, through_ms = (1000.0 * quantile(side, fraction) for side in sides)
+        row |= {
             f"alone_{name}": round(alone_ms, 3),
             f"through_{name}": round(through_ms, 3),
             f"added_{name}": round(through_ms - alone_ms, 3),
         }
-    told["pair_p99"] = round(median(t["latency_ms"]["p99"] - a["latency_ms"]["p99"] for a, t in rounds), 3)
-    told["driver_late_p99"] = median(run["late_ms"]["p99"] for pair in rounds for run in pair)
-    told["cpu_ms"] = round(median(through["cpu_ms"] for _, through in rounds), 4)
-    told["core"] = round(median(through["core"] for _, through in rounds), 4)
-    told["rejected"] = sum(through["answered"] - through["statuses"].get("200", 0) for _, through in rounds)
-    told["lost"] = sum(run["lost"] for pair in rounds for run in pair)
-    return told
+    row["pair_p99"] = round(median(t["latency_ms"]["p99"] - a["latency_ms"]["p99"] for a, t in rounds), 3)
+    row["driver_late_p99"] = median(run["late_ms"]["p99"] for pair in rounds for run in pair)
+    row["cpu_ms"] = round(median(through["cpu_ms"] for _, through in rounds), 4)
+    row["core"] = round(median(through["core"] for _, through in rounds), 4)
+    row["rejected"] = sum(through["answered"] - through["statuses"].get("200", 0) for _, through in rounds)
+    row["lost"] = sum(run["lost"] for pair in rounds for run in pair)
+    return row
 
 
-def holds_up(row: dict[str, float]) -> bool:
-    return row["added_p99"] <= ADDED_MOST and row["core"] <= CORE_MOST and not row["lost"] and not row["rejected"]
+def is_within_limits(row: dict[str, float]) -> bool:
+    return row["added_p99"] <= MAX_ADDED_MS and row["core"] <= MAX_CORE_SHARE and not row["lost"] and not row["rejected"]
 
 
-def added(book: Book, folder: Path) -> None:
-    count, seconds = (2, 2.0) if book.quick else (4, 4.0)
-    with Lone(folder, settings(1000)) as lone:
+def added(measurements: Measurements, folder: Path) -> None:
+    count, seconds = (2, 2.0) if measurements.quick else (4, 4.0)
+    with Lone(folder, settings(1000)) as instance:
         other = Lone._interpreter(port := free_port())
         try:
-            book.drive(lone, CALM, WARM, tenants=1000, callers=1000)
-            rows = [pairs(book, lone, port, rate, count, seconds) for rate in (CALM, ZONE_GONE, REGION_GONE)]
-            rising = [] if book.quick else [pairs(book, lone, port, 100, 1, seconds)]
-            rate, goes_on = float(REGION_GONE), True
-            while goes_on and rate < 5000:
-                rate *= 1.5 if book.quick else 1.25
-                rising.append(pairs(book, lone, port, round(rate), 1 if book.quick else 2, 1.5 if book.quick else 2.0))
-                goes_on = holds_up(rising[-1])
+            measurements.drive(instance, CALM_RATE, WARM_UP_S, tenants=1000, callers=1000)
+            rows = [
+                paired_latencies(measurements, instance, port, rate, count, seconds)
+                for rate in (CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE)
+            ]
+            rising = [] if measurements.quick else [paired_latencies(measurements, instance, port, 100, 1, seconds)]
+            rate, is_rising = float(REGION_LOST_RATE), True
+            while is_rising and rate < 5000:
+                rate *= 1.5 if measurements.quick else 1.25
+                rising.append(
+                    paired_latencies(
+                        measurements,
+                        instance,
+                        port,
+                        round(rate),
+                        1 if measurements.quick else 2,
+                        1.5 if measurements.quick else 2.0,
+                    )
+                )
+                is_rising = is_within_limits(rising[-1])
         finally:
             other.kill()
             other.wait()
     by_rate = sorted([*rows, *rising], key=lambda row: row["rate"])
-    broke = next((row for row in by_rate if not holds_up(row)), by_rate[-1])
-    most = max((row["rate"] for row in by_rate if row["rate"] < broke["rate"]), default=0)
-    book.figures["added"] = {"rows": rows, "rising": rising, "most": most}
+    broke = next((row for row in by_rate if not is_within_limits(row)), by_rate[-1])
+    highest_rate = max((row["rate"] for row in by_rate if row["rate"] < broke["rate"]), default=0)
+    measurements.figures["added"] = {"rows": rows, "rising": rising, "most": highest_rate}
     steady = by_rate if by_rate[-1] is not broke else by_rate[:-1]  # beyond what it carries, waits grow with the run
     for name, unit, key in (
         ("request.added_p50", "ms", "added_p50"),
@@ -167,9 +189,9 @@
         ("request.cpu", "ms of CPU a request", "cpu_ms"),
         ("request.core", "share of a core", "core"),
     ):
-        book.cost(name, unit, "requests/s", [(row["rate"], row[key]) for row in steady])
+        measurements.cost(name, unit, "requests/s", [(row["rate"], row[key]) for row in steady])
     for event, row in zip(("calm rate", "a zone gone", "a region gone"), rows):
-        book.events[event] = {
+        measurements.events[event] = {
             key: row[key]
             for key in (
                 "rate",
@@ -185,32 +207,36 @@
                 "core",
             )
         }
-    book.events["most that one instance carries"] = {
-        "rate": most,
+    measurements.events["most that one instance carries"] = {
+        "rate": highest_rate,
         "broke_at": broke["rate"],
         "broke_added_p99": broke["added_p99"],
         "broke_core": broke["core"],
     }
-    for word, row in zip(("at 275/s", "a zone gone", "a region gone"), rows):
-        book.holds[f"added p99 within {ADDED_MOST} ms: {word}"] = row["added_p99"] <= ADDED_MOST
+    for label, row in zip(("at 275/s", "a zone gone", "a region gone"), rows):
+        measurements.holds[f"added p99 within {MAX_ADDED_MS} ms: {label}"] = row["added_p99"] <= MAX_ADDED_MS
 
 
 # What is open, and who asks.
 
 
-def connections(book: Book, folder: Path) -> None:
-    sizes, rows = ((50, 200, 500, 1000) if book.quick else (50, 200, 500, 1000, 2000)), []
-    with Lone(folder, settings(1000), sockets=8192) as lone:
-        book.drive(lone, CALM, WARM, tenants=1000)
+def connections(measurements: Measurements, folder: Path) -> None:
+    sizes, rows = ((50, 200, 500, 1000) if measurements.quick else (50, 200, 500, 1000, 2000)), []
+    with Lone(folder, settings(1000), sockets=8192) as instance:
+        measurements.drive(instance, CALM_RATE, WARM_UP_S, tenants=1000)
         for size in sizes:
-            told = book.drive(lone, 50, 2.0 if book.quick else 8.0, idle=size, tenants=1000, connections=16)
+            report = measurements.drive(
+                instance, 50, 2.0 if measurements.quick else 8.0, idle=size, tenants=1000, connections=16
+            )
             rows.append(
-                {"connections": size, "memory_mb": told["memory"] / 1e6, "core": told["core"], "cpu_ms": told["cpu_ms"]}
+                {"connections": size, "memory_mb": report["memory"] / 1e6, "core": report["core"], "cpu_ms": report["cpu_ms"]}
             )
             time.sleep(0.5)
-    book.figures["connections"] = rows
-    book.cost("request.connections_memory", "MB", "connections", [(row["connections"], row["memory_mb"]) for row in rows])
-    book.cost(
+    measurements.figures["connections"] = rows
+    measurements.cost(
+        "request.connections_memory", "MB", "connections", [(row["connections"], row["memory_mb"]) for row in rows]
+    )
+    measurements.cost(
         "request.connections_core",
         "share of a core at 50 requests/s",
         "connections",
@@ -218,63 +244,81 @@
     )
 
 
-def callers(book: Book, folder: Path) -> None:
+def callers(measurements: Measurements, folder: Path) -> None:
     """Without tenants, where fairness goes by callers. A fifth of the requests are marked as further tries: the ledger of
     callers counts these. Before, as many requests of ten callers as fill all that is kept by request."""
-    sizes = (10, 300, 1000, 3000) if book.quick else (10, 1000, 5000, 20_000, 48_000)
-    warm, rate, rows, had = 1600 if book.quick else 20_000, 800, [], 0
-    with Lone(folder, settings()) as lone:
-        book.drive(lone, rate, warm / rate, callers=10, repeats=0.2)
+    sizes = (10, 300, 1000, 3000) if measurements.quick else (10, 1000, 5000, 20_000, 48_000)
+    warm, rate, rows, answered = 1600 if measurements.quick else 20_000, 800, [], 0
+    with Lone(folder, settings()) as instance:
+        measurements.drive(instance, rate, warm / rate, callers=10, repeats=0.2)
         for size in sizes:
-            told = book.drive(lone, rate, max(2.0, 1.05 * size / rate), callers=size, repeats=0.2, connections=256)
-            had += told["answered"]
-            rows.append({"callers": size, "memory_mb": lone.memory() / 1e6, "cpu_ms": told["cpu_ms"], "requests": had})
-    book.figures["callers"] = rows
-    book.cost("request.callers_memory", "MB", "callers", [(row["callers"], row["memory_mb"]) for row in rows])
-    book.cost("request.callers_cpu", "ms of CPU a request", "callers", [(row["callers"], row["cpu_ms"]) for row in rows])
-    if not book.quick:
-        with Lone(folder, settings()) as lone:  # as many requests, ten callers: what is by requests, and not by callers
-            book.drive(lone, rate, (warm + had) / rate, callers=10, repeats=0.2, connections=256)
-            book.events["as many requests of ten callers"] = {"requests": warm + had, "memory_mb": lone.memory() / 1e6}
+            report = measurements.drive(
+                instance, rate, max(2.0, 1.05 * size / rate), callers=size, repeats=0.2, connections=256
+            )
+            answered += report["answered"]
+            rows.append(
+                {"callers": size, "memory_mb": instance.memory() / 1e6, "cpu_ms": report["cpu_ms"], "requests": answered}
+            )
+    measurements.figures["callers"] = rows
+    measurements.cost("request.callers_memory", "MB", "callers", [(row["callers"], row["memory_mb"]) for row in rows])
+    measurements.cost(
+        "request.callers_cpu", "ms of CPU a request", "callers", [(row["callers"], row["cpu_ms"]) for row in rows]
+    )
+    if not measurements.quick:
+        with Lone(folder, settings()) as instance:  # as many requests, ten callers: what is by requests, and not by callers
+            measurements.drive(instance, rate, (warm + answered) / rate, callers=10, repeats=0.2, connections=256)
+            measurements.events["as many requests of ten callers"] = {
+                "requests": warm + answered,
+                "memory_mb": instance.memory() / 1e6,
+            }
 
 
 # What it is told.
 
 
-def started(book: Book, folder: Path, told: dict[str, Any], run_for: float, **habits: Any) -> dict[str, float]:
-    with Lone(folder, told) as lone:
+def measure_start(
+    measurements: Measurements, folder: Path, instance_settings: dict[str, Any], run_for: float, **load_options: Any
+) -> dict[str, float]:
+    with Lone(folder, instance_settings) as instance:
         row = {
-            "json_mb": lone.json_bytes / 1e6,
-            "ready_s": lone.ready_s,
-            "ready_cpu_s": lone.ready_cpu_s,
-            "serving_s": lone.serving_s,
-            "serving_cpu_s": lone.serving_cpu_s,
-            "memory_mb": lone.ready_bytes / 1e6,
-            "peak_mb": lone.peak_bytes / 1e6,
+            "json_mb": instance.json_bytes / 1e6,
+            "ready_s": instance.ready_s,
+            "ready_cpu_s": instance.ready_cpu_s,
+            "serving_s": instance.serving_s,
+            "serving_cpu_s": instance.serving_cpu_s,
+            "memory_mb": instance.ready_bytes / 1e6,
+            "peak_mb": instance.peak_bytes / 1e6,
         }
-        used = book.drive(lone, CALM, run_for, connections=256, **habits)
+        used = measurements.drive(instance, CALM_RATE, run_for, connections=256, **load_options)
         row |= {
             "cpu_ms": used["cpu_ms"],
             "p99_ms": used["latency_ms"]["p99"],
             "used_memory_mb": used["memory"] / 1e6,
             "rejected": used["answered"] - used["statuses"].get("200", 0),
         }
-        if "tenants" in habits:
+        if "tenants" in load_options:
             # Who sends bad requests is read more slowly the more it sent: many connections, a small rate.
-            unknown = book.drive(lone, 60, 2.0 if book.quick else 6.0, connections=400, tenant="x%07d", **habits)
+            unknown = measurements.drive(
+                instance, 60, 2.0 if measurements.quick else 6.0, connections=400, tenant="x%07d", **load_options
+            )
             row |= {"unknown_cpu_ms": unknown["cpu_ms"], "unknown_refused": unknown["statuses"].get("400", 0) / unknown["sent"]}
     return {name: round(value, 4) for name, value in row.items()}
 
 
-def tenants(book: Book, folder: Path) -> None:
-    sizes = (10, 1000, 5000, 25_000) if book.quick else (10, 1000, 25_000, 100_000, 250_000)
+def tenants(measurements: Measurements, folder: Path) -> None:
+    sizes = (10, 1000, 5000, 25_000) if measurements.quick else (10, 1000, 25_000, 100_000, 250_000)
     rows = [
-        {"tenants": size, **started(book, folder, settings(size), 2.0 if book.quick else 8.0, tenants=size, callers=1000)}
+        {
+            "tenants": size,
+            **measure_start(
+                measurements, folder, settings(size), 2.0 if measurements.quick else 8.0, tenants=size, callers=1000
+            ),
+        }
         for size in sizes
     ]
-    book.figures["tenants"] = rows
-    settings_costs(book, "tenants", rows)
-    book.cost(
+    measurements.figures["tenants"] = rows
+    settings_costs(measurements, "tenants", rows)
+    measurements.cost(
         "request.tenants_unknown_cpu",
         "ms of CPU a request",
         "tenants",
@@ -282,7 +326,7 @@
     )
 
 
-def settings_costs(book: Book, size: str, rows: list[dict[str, float]]) -> None:
+def settings_costs(measurements: Measurements, size: str, rows: list[dict[str, float]]) -> None:
     for name, unit, key in (
         ("json", "MB", "json_mb"),
         ("ready", "s", "ready_s"),
@@ -293,38 +337,43 @@
         ("peak", "MB resident at most", "peak_mb"),
         ("used_memory", "MB", "used_memory_mb"),
     ):
-        book.cost(f"settings.{size}_{name}", unit, size, [(row[size], row[key]) for row in rows])
-    book.cost(f"request.{size}_cpu", "ms of CPU a request", size, [(row[size], row["cpu_ms"]) for row in rows])
+        measurements.cost(f"settings.{size}_{name}", unit, size, [(row[size], row[key]) for row in rows])
+    measurements.cost(f"request.{size}_cpu", "ms of CPU a request", size, [(row[size], row["cpu_ms"]) for row in rows])
 
 
-def routes(book: Book, folder: Path) -> None:
+def routes(measurements: Measurements, folder: Path) -> None:
     """Four distinct worths, as a deployment has few; then as many as there are classes."""
-    sizes = (10, 100, 1000, 5000) if book.quick else (10, 100, 1000, 10_000, 44_000)
-    run_for = 2.0 if book.quick else 8.0
+    sizes = (10, 100, 1000, 5000) if measurements.quick else (10, 100, 1000, 10_000, 44_000)
+    run_for = 2.0 if measurements.quick else 8.0
     rows = [
-        {"classes": size, **started(book, folder, settings(0, size), run_for, classes=size, callers=1000)} for size in sizes
+        {"classes": size, **measure_start(measurements, folder, settings(0, size), run_for, classes=size, callers=1000)}
+        for size in sizes
     ]
-    book.figures["routes"] = rows
-    settings_costs(book, "classes", rows)
+    measurements.figures["routes"] = rows
+    settings_costs(measurements, "classes", rows)
     each = []
-    for size in (1000, 2000) if book.quick else (1000, 5000, 10_000, 20_000):
-        with Lone(folder, settings(0, size, worths=size)) as lone:
-            each.append({"classes": size, "serving_s": round(lone.serving_s, 3), "serving_cpu_s": round(lone.serving_cpu_s, 3)})
-    book.figures["routes_each_its_worth"] = each
-    book.events["each class its own worth"] = {f"serving_cpu_s_at_{row['classes']}": row["serving_cpu_s"] for row in each}
+    for size in (1000, 2000) if measurements.quick else (1000, 5000, 10_000, 20_000):
+        with Lone(folder, settings(0, size, worths=size)) as instance:
+            each.append(
+                {"classes": size, "serving_s": round(instance.serving_s, 3), "serving_cpu_s": round(instance.serving_cpu_s, 3)}
+            )
+    measurements.figures["routes_each_its_worth"] = each
+    measurements.events["each class its own worth"] = {
+        f"serving_cpu_s_at_{row['classes']}": row["serving_cpu_s"] for row in each
+    }
 
 
 # What is told anew.
 
 
-def reload_row(book: Book, folder: Path, size: int, times: int) -> dict[str, float]:
+def measure_reload(measurements: Measurements, folder: Path, size: int, times: int) -> dict[str, float]:
     """Each with one tenant's quota changed, under an even stream of requests on connections that are open before."""
-    told, rate = settings(size), 40.0
-    with Lone(folder, told, sockets=4096) as lone:
-        book.drive(lone, CALM, 0.5 * WARM, tenants=size)
-        guess = 0.5 + 2.0 * lone.ready_cpu_s
+    instance_settings, rate = settings(size), 40.0
+    with Lone(folder, instance_settings, sockets=4096) as instance:
+        measurements.drive(instance, CALM_RATE, 0.5 * WARM_UP_S, tenants=size)
+        guess = 0.5 + 2.0 * instance.ready_cpu_s
         driving = Driving(
-            lone.port,
+            instance.port,
             rate,
             2.0 + times * (guess + 0.7),
             even=True,
@@ -333,29 +382,34 @@
             opened=400,
             tenants=size,
             callers=1000,
-            seed=book.seed,
+            seed=measurements.seed,
         )
         time.sleep(0.5)
-        cpu, at = lone.cpu(), time.monotonic()
+        cpu, at = instance.cpu(), time.monotonic()
         time.sleep(1.0)
-        usual = (lone.cpu() - cpu) / (time.monotonic() - at)
-        before, spent, spans, kept = lone.memory(), [], [], []
-        lone.forget_peak()
+        usual = (instance.cpu() - cpu) / (time.monotonic() - at)
+        before, spent, spans, memory_after = instance.memory(), [], [], []
+        instance.forget_peak()
         for number in range(times):
-            told["tenants"][0]["quota_per_s"] = 1000.0 + number
-            lone.write(told)
-            cpu, at = lone.cpu(), time.monotonic()
-            lone.reload()
+            instance_settings["tenants"][0]["quota_per_s"] = 1000.0 + number
+            instance.write(instance_settings)
+            cpu, at = instance.cpu(), time.monotonic()
+            instance.reload()
             time.sleep(0.1)
-            while lone.counters().get("reloads", 0) <= number and time.monotonic() < at + 60.0:
+            while instance.counters().get("reloads", 0) <= number and time.monotonic() < at + 60.0:
                 time.sleep(0.1)
             time.sleep(0.3)
             end = time.monotonic()
-            spent.append(lone.cpu() - cpu - usual * (end - at))
+            spent.append(instance.cpu() - cpu - usual * (end - at))
             spans.append((at, end))
-            kept.append(lone.memory())
+            memory_after.append(instance.memory())
             time.sleep(max(0.0, guess - (end - at)))
-        report, counted, peak, left = book.heard(driving.done()), lone.counters(), lone.peak(), lone.left()
+        report, counted, peak, left = (
+            measurements.add_report(driving.done()),
+            instance.counters(),
+            instance.peak(),
+            instance.left(),
+        )
     late = [latency for due, latency in report["kept"] if any(at - 0.05 <= due <= end for at, end in spans)]
     calm = [latency for due, latency in report["kept"] if due < spans[0][0] - 0.05]
     ends = sorted(due + latency for due, latency in report["kept"])
@@ -368,8 +422,8 @@
         "calm_p100_s": round(max(calm), 4),
         "gap_s": round(gap, 4),
         "before_mb": round(before / 1e6, 2),
-        "after_first_mb": round(kept[0] / 1e6, 2),
-        "after_last_mb": round(kept[-1] / 1e6, 2),
+        "after_first_mb": round(memory_after[0] / 1e6, 2),
+        "after_last_mb": round(memory_after[-1] / 1e6, 2),
         "peak_mb": round(peak / 1e6, 2),
         "left": left,
         "lost": report["lost"],
@@ -378,29 +432,31 @@
     }
 
 
-def reload(book: Book, folder: Path) -> None:
-    sizes, times = ((1000, 2500, 5000, 25_000), 1) if book.quick else ((1000, 5000, 25_000, 100_000, 250_000), 3)
-    rows = [reload_row(book, folder, size, times) for size in sizes]
-    book.figures["reload"] = rows
+def reload(measurements: Measurements, folder: Path) -> None:
+    sizes, times = ((1000, 2500, 5000, 25_000), 1) if measurements.quick else ((1000, 5000, 25_000, 100_000, 250_000), 3)
+    rows = [measure_reload(measurements, folder, size, times) for size in sizes]
+    measurements.figures["reload"] = rows
     points = {
         key: [(row["tenants"], row[key]) for row in rows]
         for key in ("cpu_s", "stall_s", "after_last_mb", "peak_mb", "core_at_target")
     }
-    book.cost("settings.reload_cpu", "s of CPU a reload", "tenants", points["cpu_s"])
-    book.cost("settings.reload_stall", "s that requests waited at most", "tenants", points["stall_s"])
-    book.cost("settings.reload_memory", "MB after the last reload", "tenants", points["after_last_mb"])
-    book.cost("settings.reload_peak", "MB resident at most", "tenants", points["peak_mb"])
-    book.cost("settings.reload_core", "share of a core at 5,700 a day", "tenants", points["core_at_target"])
-    book.notes.append(f"reload: of the changed tenants nothing came into force, left until a restart: {rows[-1]['left']}")
+    measurements.cost("settings.reload_cpu", "s of CPU a reload", "tenants", points["cpu_s"])
+    measurements.cost("settings.reload_stall", "s that requests waited at most", "tenants", points["stall_s"])
+    measurements.cost("settings.reload_memory", "MB after the last reload", "tenants", points["after_last_mb"])
+    measurements.cost("settings.reload_peak", "MB resident at most", "tenants", points["peak_mb"])
+    measurements.cost("settings.reload_core", "share of a core at 5,700 a day", "tenants", points["core_at_target"])
+    measurements.notes.append(
+        f"reload: of the changed tenants nothing came into force, left until a restart: {rows[-1]['left']}"
+    )
     for row in rows:
-        book.events[f"reload with {row['tenants']} tenants"] = {
+        measurements.events[f"reload with {row['tenants']} tenants"] = {
             key: value for key, value in row.items() if key not in ("tenants", "left")
         }
-    book.holds["no request lost in a reload"] = not sum(row["lost"] for row in rows)
-    book.holds["each reload came through"] = all(row["reloads"] == times for row in rows)
+    measurements.holds["no request lost in a reload"] = not sum(row["lost"] for row in rows)
+    measurements.holds["each reload came through"] = all(row["reloads"] == times for row in rows)
 
 
-PARTS: dict[str, Callable[[Book, Path], None]] = {
+PARTS: dict[str, Callable[[Measurements, Path], None]] = {
     "added": added,
     "connections": connections,
     "callers": callers,
@@ -410,35 +466,44 @@
 }
 
 
-def measured(quick: bool, seed: int, parts: list[str]) -> Book:
-    book = Book(quick, seed)
+def measured(quick: bool, seed: int, parts: list[str]) -> Measurements:
+    measurements = Measurements(quick, seed)
     keep_environment()
     for part in parts:
-        before, since, lost, broken = os.getloadavg()[0], time.monotonic(), book.lost, book.broken
-        book.late.clear()
+        before, since, lost, broken = os.getloadavg()[0], time.monotonic(), measurements.lost, measurements.broken
+        measurements.late.clear()
         with tempfile.TemporaryDirectory() as folder:
-            PARTS[part](book, Path(folder))
-        late = book.late or [0.0]
-        book.notes.append(
+            PARTS[part](measurements, Path(folder))
+        late = measurements.late or [0.0]
+        measurements.notes.append(
             f"{part}: load average {before:.1f} at start, {os.getloadavg()[0]:.1f} at end of "
             f"{time.monotonic() - since:.0f} s on {os.cpu_count()} cores; the driver itself was late by "
             f"{median(late):.2f} ms at p99 of its median run, {max(late):.2f} ms of its worst; "
-            f"{book.lost - lost} requests lost, {book.broken - broken} of them with their connection"
+            f"{measurements.lost - lost} requests lost, {measurements.broken - broken} of them with their connection"
         )
-    book.holds["no request lost"] = not book.lost
-    off = {name: part for name, part in ((name, book.off(name)) for name in book.costs) if part is not None}
-    steady = [part for name, part in off.items() if name.startswith("instance.settings.") and not book.is_wait(name)]
-    if off:
-        book.figures["off_at_check"] = {name: round(part, 3) for name, part in off.items()}
-    if steady:
-        book.holds["fits of settings within 15% of their checks"] = max(steady) <= CHECK_WITHIN
-    return book
+    measurements.holds["no request lost"] = not measurements.lost
+    check_errors = {
+        name: part for name, part in ((name, measurements.check_error(name)) for name in measurements.costs) if part is not None
+    }
+    settings_errors = [
+        part for name, part in check_errors.items() if name.startswith("instance.settings.") and not measurements.is_wait(name)
+    ]
+    if check_errors:
+        measurements.figures["off_at_check"] = {name: round(part, 3) for name, part in check_errors.items()}
+    if settings_errors:
+        measurements.holds["fits of settings within 15% of their checks"] = max(settings_errors) <= MAX_CHECK_ERROR
+    return measurements
 
 
 def measure(quick: bool, seed: int) -> tuple[dict[str, Any], dict[str, bool]]:
     """Figures by part, with `costs`, `events` and `notes` as a record has them, and the aims with whether they hold."""
-    book = measured(quick, seed, list(PARTS))
-    return {**book.figures, "costs": book.costs, "events": book.events, "notes": book.notes}, book.holds
+    measurements = measured(quick, seed, list(PARTS))
+    return {
+        **measurements.figures,
+        "costs": measurements.costs,
+        "events": measurements.events,
+        "notes": measurements.notes,
+    }, measurements.holds
 
 
 def commit() -> str:
@@ -450,35 +515,35 @@
         return "unknown"
 
 
-def record(path: Path, book: Book, command: str, parts: list[str]) -> None:
+def record(path: Path, measurements: Measurements, command: str, parts: list[str]) -> None:
     """Parts that are not of this run stay as they were recorded; each note begins with its part."""
     old = json.loads(path.read_text()) if path.exists() and len(parts) < len(PARTS) else {}
     notes = [note for note in old.get("notes", []) if note.partition(":")[0] not in parts]
-    told = {
+    document = {
         "commit": commit(),
         "benchmark": "scale_instance",
         "command": command,
-        "seed": book.seed,
+        "seed": measurements.seed,
         "mechanism": "instance",
-        "costs": {**old.get("costs", {}), **book.costs},
-        "events": {**old.get("events", {}), **book.events},
-        "notes": [*notes, *(f"{note}; commit {commit()}" for note in book.notes)],
+        "costs": {**old.get("costs", {}), **measurements.costs},
+        "events": {**old.get("events", {}), **measurements.events},
+        "notes": [*notes, *(f"{note}; commit {commit()}" for note in measurements.notes)],
     }
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text(json.dumps(told, indent=1) + "\n")
+    path.write_text(json.dumps(document, indent=1) + "\n")
 
 
-def show(book: Book) -> None:
+def show(measurements: Measurements) -> None:
     console = Console(width=160)
-    for part, found in book.figures.items():
+    for part, found in measurements.figures.items():
         rows = found if isinstance(found, list) else [*found["rows"], *found["rising"]] if "rows" in found else [found]
         table = Table(*rows[0], title=part)
         for row in rows:
             table.add_row(*(f"{value:.4g}" if isinstance(value, float) else str(value) for value in row.values()))
         console.print(table)
     table = Table("cost", "unit", "form", "constant", "slope", "residual", "off at check", title="costs by size")
-    for name, cost in book.costs.items():
-        off = book.off(name)
+    for name, cost in measurements.costs.items():
+        error = measurements.check_error(name)
         table.add_row(
             name,
             f"{cost['unit']} by {cost['size']}",
@@ -486,34 +551,34 @@
             f"{cost['constant']:.4g}",
             f"{cost['slope']:.4g}",
             f"{cost['residual']:.1%}",
-            "" if off is None else f"{off:.1%}",
+            "" if error is None else f"{error:.1%}",
         )
     console.print(table)
-    for note in book.notes:
+    for note in measurements.notes:
         console.print(note)
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    if told["--only"] and told["--only"] not in PARTS:
-        print(f"scale_instance: --only: {told['--only']!r} is none of {', '.join(PARTS)}", file=sys.stderr)
+    options = docopt(__doc__, argv)
+    if options["--only"] and options["--only"] not in PARTS:
+        print(f"scale_instance: --only: {options['--only']!r} is none of {', '.join(PARTS)}", file=sys.stderr)
         return 2
-    if not told["--seed"].isdecimal():
-        print(f"scale_instance: --seed: {told['--seed']!r} is no whole number", file=sys.stderr)
+    if not options["--seed"].isdecimal():
+        print(f"scale_instance: --seed: {options['--seed']!r} is no whole number", file=sys.stderr)
         return 2
-    parts = [told["--only"]] if told["--only"] else list(PARTS)
-    book = measured(told["--quick"], int(told["--seed"]), parts)
-    if told["--record"]:
-        words = [
-            word
+    parts = [options["--only"]] if options["--only"] else list(PARTS)
+    measurements = measured(options["--quick"], int(options["--seed"]), parts)
+    if options["--record"]:
+        arguments = [
+            argument
             for key in ("--quick", "--seed", "--only")
-            if told[key]
-            for word in ([key] if told[key] is True else [key, told[key]])
+            if options[key]
+            for argument in ([key] if options[key] is True else [key, options[key]])
         ]
-        record(Path(told["--record"]), book, " ".join(["python -m benchmarks.scale_instance", *words]), parts)
-    show(book)
-    print(json.dumps({"benchmark": "scale_instance", "figures": book.figures, "holds": book.holds}))
-    return 0 if all(book.holds.values()) else 1
+        record(Path(options["--record"]), measurements, " ".join(["python -m benchmarks.scale_instance", *arguments]), parts)
+    show(measurements)
+    print(json.dumps({"benchmark": "scale_instance", "figures": measurements.figures, "holds": measurements.holds}))
+    return 0 if all(measurements.holds.values()) else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -33,20 +33,20 @@
 
 from mulleinhatch.testing.instance_harness import keep_environment
 
-HELD, LATE, GIVE_UP = 1.0, 1.5, 30.0  # seconds
-CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
+ADDRESS_BUSY_S, INTERPRETER_DELAY_S, GIVE_UP_S = 1.0, 1.5, 30.0  # seconds
+HEALTH_CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        return free.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return listener.getsockname()[1]
 
 
-def told(name: str, port: int, link: int) -> dict[str, Any]:
+def instance_settings(name: str, port: int, interpreter_port: int) -> dict[str, Any]:
     return {
         "name": name,
         "listen": f"127.0.0.1:{port}",
-        "vm": f"127.0.0.1:{link}",
+        "vm": f"127.0.0.1:{interpreter_port}",
         "seed": "5",
         "stop_ms": 100,
         "settings": {
@@ -63,7 +63,7 @@
     except OSError:
         return False
     try:
-        writer.write(CHECK)
+        writer.write(HEALTH_CHECK)
         return (await asyncio.wait_for(reader.readline(), 1.0)).startswith(b"HTTP/1.1 200")
     except (OSError, TimeoutError):
         return False
@@ -71,15 +71,15 @@
         writer.close()
 
 
-class One:
+class StartingInstance:
     def __init__(self, number: int, cause: str, folder: Path) -> None:
-        self.cause, self.port, self.link = cause, free_port(), free_port()
+        self.cause, self.port, self.interpreter_port = cause, free_port(), free_port()
         self.path = folder / f"{number}.json"
-        self.path.write_text(json.dumps(told(f"n{number}", self.port, self.link)))
+        self.path.write_text(json.dumps(instance_settings(f"n{number}", self.port, self.interpreter_port)))
         self.greeted = asyncio.Event()
-        self.ready = GIVE_UP
+        self.ready = GIVE_UP_S
 
-    async def greet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_interpreter(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if b"CONNECT" in await reader.readline():
             writer.write(b'{"t":"BANNER","status":"old","time_ms":3600000}\n')
             self.greeted.set()
@@ -88,21 +88,29 @@
         writer.close()
 
     async def start(self) -> None:
-        holder = socket.create_server(("127.0.0.1", self.port)) if self.cause == "address held" else None
-        server = None if self.cause == "interpreter late" else await asyncio.start_server(self.greet, "127.0.0.1", self.link)
-        since = time.monotonic()
+        blocking_socket = socket.create_server(("127.0.0.1", self.port)) if self.cause == "address held" else None
+        server = (
+            None
+            if self.cause == "interpreter late"
+            else await asyncio.start_server(self.serve_interpreter, "127.0.0.1", self.interpreter_port)
+        )
+        started_at = time.monotonic()
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", self.path, "--log", "error"
         )
-        if holder:
-            asyncio.get_running_loop().call_later(HELD, holder.close)
+        if blocking_socket:
+            asyncio.get_running_loop().call_later(ADDRESS_BUSY_S, blocking_socket.close)
         if server is None:
-            await asyncio.sleep(LATE)
-            server = await asyncio.start_server(self.greet, "127.0.0.1", self.link)
+            await asyncio.sleep(INTERPRETER_DELAY_S)
+            server = await asyncio.start_server(self.serve_interpreter, "127.0.0.1", self.interpreter_port)
         try:
-            while time.monotonic() - since < GIVE_UP:
-                if self.greeted.is_set() and not (holder and time.monotonic() - since < HELD) and await healthy(self.port):
-                    self.ready = time.monotonic() - since
+            while time.monotonic() - started_at < GIVE_UP_S:
+                if (
+                    self.greeted.is_set()
+                    and not (blocking_socket and time.monotonic() - started_at < ADDRESS_BUSY_S)
+                    and await healthy(self.port)
+                ):
+                    self.ready = time.monotonic() - started_at
                     return
                 await asyncio.sleep(0.02)
         finally:
@@ -112,46 +120,47 @@
 
     @property
     def beyond_need(self) -> float:
-        return self.ready - {"address held": HELD, "interpreter late": LATE}.get(self.cause, 0.0)
+        return self.ready - {"address held": ADDRESS_BUSY_S, "interpreter late": INTERPRETER_DELAY_S}.get(self.cause, 0.0)
 
 
-async def measure(count: int, seed: int) -> list[One]:
+async def measure(count: int, seed: int) -> list[StartingInstance]:
     causes = (["nothing", "address held", "interpreter late"] * count)[:count]
     random.Random(seed).shuffle(causes)
     with tempfile.TemporaryDirectory() as folder:
-        ones = [One(number, cause, Path(folder)) for number, cause in enumerate(causes)]
-        await asyncio.gather(*(one.start() for one in ones))
-    return ones
+        instances = [StartingInstance(number, cause, Path(folder)) for number, cause in enumerate(causes)]
+        await asyncio.gather(*(instance.start() for instance in instances))
+    return instances
 
 
-def quantile(values: list[float], part: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(part * len(values)))]
+def quantile(values: list[float], fraction: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 def main() -> int:
-    asked = docopt(__doc__)
+    options = docopt(__doc__)
     keep_environment()
     os.environ.pop("NODE_NAME", None)
-    count = int(asked["--count"] or (12 if asked["--quick"] else 30))
-    ones = asyncio.run(measure(count, int(asked["--seed"])))
+    count = int(options["--count"] or (12 if options["--quick"] else 30))
+    instances = asyncio.run(measure(count, int(options["--seed"])))
     table = Table("held up by", "instances", "ready, s: median", "nine in ten", "most", "beyond need, nine in ten")
     figures: dict[str, Any] = {}
     for cause in ("nothing", "address held", "interpreter late"):
-        ready = [one.ready for one in ones if one.cause == cause]
-        beyond = [one.beyond_need for one in ones if one.cause == cause]
+        ready = [instance.ready for instance in instances if instance.cause == cause]
+        beyond_need = [instance.beyond_need for instance in instances if instance.cause == cause]
         figures[cause] = {
             "median": quantile(ready, 0.5),
             "nine": quantile(ready, 0.9),
             "most": max(ready),
-            "beyond": quantile(beyond, 0.9),
+            "beyond": quantile(beyond_need, 0.9),
         }
         table.add_row(cause, str(len(ready)), *(f"{figures[cause][name]:.2f}" for name in ("median", "nine", "most", "beyond")))
     Console().print(table)
-    usual = figures["nothing"]["median"]
+    median_start_s = figures["nothing"]["median"]
     holds = {
-        "nine in ten within 10 s": quantile([one.ready for one in ones], 0.9) <= 10.0,
-        "all ready": max(one.ready for one in ones) < GIVE_UP,
-        "no wait beyond need": max(figures["address held"]["beyond"], figures["interpreter late"]["beyond"]) < 1.5 + usual,
+        "nine in ten within 10 s": quantile([instance.ready for instance in instances], 0.9) <= 10.0,
+        "all ready": max(instance.ready for instance in instances) < GIVE_UP_S,
+        "no wait beyond need": max(figures["address held"]["beyond"], figures["interpreter late"]["beyond"])
+        < 1.5 + median_start_s,
     }
     print(json.dumps({"benchmark": "starts", "count": count, "figures": figures, "holds": holds}))
     return 0 if all(holds.values()) else 1
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -417,7 +417,7 @@
     monkeypatch.setattr(parts, "RECORDED", folder)
     monkeypatch.setattr(parts, "keep", lambda name, document: records.keep(name, document, folder))
     before = records.read(folder / "parts.json")
-    one = parts.Parts(quick=True, seed=1)
+    one = parts.PartCosts(quick=True, seed=1)
     one.add("voter.table_bytes", "bytes", "permits", [(1, 2.0), (2, 4.0), (3, 6.0)], "linear")
     parts.record(one, ["voters"], "abc1234", 1.0)
     after = records.read(folder / "parts.json")
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -220,25 +220,26 @@
 
 
 def test_the_largest_of_five_sizes_checks_the_fit_of_the_others() -> None:
-    book = scale_instance.Book(quick=False, seed=1)
+    measurements = scale_instance.Measurements(quick=False, seed=1)
     straight = [(size, 10.0 + 0.01 * size) for size in (10, 100, 1000, 5000)]
-    book.cost("settings.straight", "MB", "tenants", [*straight, (50_000, 510.0)])
-    book.cost("settings.bent", "MB", "tenants", [*straight, (50_000, 1020.0)])
-    book.cost("settings.four", "MB", "tenants", straight)
-    cost = book.costs["instance.settings.straight"]
+    measurements.cost("settings.straight", "MB", "tenants", [*straight, (50_000, 510.0)])
+    measurements.cost("settings.bent", "MB", "tenants", [*straight, (50_000, 1020.0)])
+    measurements.cost("settings.four", "MB", "tenants", straight)
+    cost = measurements.costs["instance.settings.straight"]
     assert cost["form"] == "linear" and cost["checked"] == (50_000.0, 510.0) and len(cost["points"]) == 4
     assert Fit(cost["form"], cost["constant"], cost["slope"]).at(50_000) == pytest.approx(510.0, rel=1e-3)
-    assert book.off("instance.settings.straight") < 0.01 and book.off("instance.settings.bent") == pytest.approx(0.5, abs=0.01)
-    assert book.off("instance.settings.four") is None
+    assert measurements.check_error("instance.settings.straight") < 0.01
+    assert measurements.check_error("instance.settings.bent") == pytest.approx(0.5, abs=0.01)
+    assert measurements.check_error("instance.settings.four") is None
 
 
 def test_a_part_is_recorded_beside_the_others(tmp_path: Path) -> None:
     path, points = tmp_path / "instance.json", [(1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0)]
     for part in ("tenants", "routes", "tenants"):
-        book = scale_instance.Book(quick=False, seed=1)
-        book.cost(f"settings.{part}_memory", "MB", part, points)
-        book.notes.append(f"{part}: calm")
-        scale_instance.record(path, book, "python -m benchmarks.scale_instance", [part])
+        measurements = scale_instance.Measurements(quick=False, seed=1)
+        measurements.cost(f"settings.{part}_memory", "MB", part, points)
+        measurements.notes.append(f"{part}: calm")
+        scale_instance.record(path, measurements, "python -m benchmarks.scale_instance", [part])
     told = json.loads(path.read_text())
     assert sorted(told["costs"]) == ["instance.settings.routes_memory", "instance.settings.tenants_memory"]
     assert len(told["notes"]) == 2 and told["mechanism"] == "instance" and told["benchmark"] == "scale_instance"
