--- /dev/null
+++ b/benchmarks/scale_events.py
@@ -0,0 +1,248 @@
+"""The events that the scale benchmark plays: deaths, losses, churn, partitions, restarts."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from typing import NamedTuple
+
+from benchmarks.scale_calm import time_until_merged
+from benchmarks.scale_options import (
+    MAX_BURST_FACTOR,
+    MAX_BYTES_A_S,
+    MAX_CORE_SHARE,
+    MAX_IN_SUMS_S,
+    MAX_JOINED_S,
+    MAX_KNOWN_S,
+    MAX_MERGED_S,
+    TARGET_MEMBERS,
+    Checks,
+    Figures,
+    Options,
+)
+from mulleinhatch.simulation.scale_checks import in_sums, known_after, traffic_of
+from mulleinhatch.simulation.scale_instances import RACK, churn, listed, restart_all
+from mulleinhatch.simulation.scale_shards import World
+
+RESTARTS_A_DAY = 8000.0  # restarts and replacements, at the target
+BURST_RESTARTS = 333
+
+
+class Event(NamedTuple):
+    """`script` is told the moment at which it may begin, and may ask the world; `dead` are those that it kills and keeps down
+    for `down` seconds; it is over `lasts` after its begin."""
+
+    script: Callable[[World, float], str]
+    lasts: float
+    dead: Callable[[World], list[int]] | None = None
+    died: float = 0.0  # after the begin
+    down: float = 12.0
+    members: int = 0  # 0: as many as the events' size
+    again: float = MAX_MERGED_S
+    burst: float = 0.0  # most of the mean instance's bytes over its calm mean; 0: no aim
+
+
+def play_event(options: Options, event: Event) -> tuple[Figures, Checks]:
+    """Joins, is calm for 10 s, meets the script, and is watched until it is one again and 10 s longer."""
+    members = event.members or options.sizes.events
+    with World(options.plan(members), options.shards(members)) as world:
+        joined = time_until_merged(world.play(world.plan.start_within), MAX_JOINED_S + 30.0)
+        world.play(float(int(world.now + options.sizes.settle) + 1))
+        calm_from = world.now
+        world.play(calm_from + 10.0)
+        before = traffic_of(world.traffic(calm_from, world.now))
+        short = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
+        wrongly_gone = world.counts()["wrong"]
+        begin = world.now
+        world.ask("mark")
+        dead = event.dead(world) if event.dead else []
+        world.script(event.script(world, begin))
+        world.play(begin + event.died)
+        holders = {place: there for place, (there, _) in world.holding(dead, frozenset(dead)).items()}
+        frozen = 0
+        while world.now < begin + event.lasts:
+            world.play(min(begin + event.lasts, world.now + max(1.0, event.lasts / 8.0)))
+            frozen = max(frozen, world.frozen())
+        over = world.now
+        merged_after_s = time_until_merged(world, 30.0, 0.25)
+        world.play(float(int(world.now) + 11))
+        after = traffic_of(world.traffic(begin, world.now))
+        looks, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
+        wrongly_gone = world.counts()["wrong"] - wrongly_gone
+        core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
+        ground = world.ground
+    figures: Figures = {
+        "members": members,
+        "joined": joined,
+        "calm bytes": before.mean,
+        "worst 10 s": after.worst,
+        "mean 10 s": after.mean_worst,
+        "worst second": after.second,
+        "over calm": after.mean_second / max(1.0, before.mean),
+        "core": core,
+        "wrong": wrongly_gone,
+        "frozen": frozen,
+        "sums short in calm": short,
+        "again": merged_after_s,
+        "virtual": virtual,
+    }
+    holds: Checks = {
+        "joined": joined is not None,
+        f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": after.worst <= MAX_BYTES_A_S,
+        f"{MAX_CORE_SHARE:g} of a core": core < MAX_CORE_SHARE,
+        "no living one declared gone": wrongly_gone == 0,
+        f"one again in {event.again:g} s": merged_after_s is not None and merged_after_s <= event.again,
+    }
+    places = {look.place for look in looks}
+    if dead:
+        died = begin + event.died
+        elsewhere = {place for place in places if ground.zone[place] not in {ground.zone[one] for one in dead}}
+        figures["known"] = known_after(gone, holders, died, 1.0 if options.levels else 0.99)
+        figures["in sums"] = in_sums(looks, elsewhere, died, min(died + event.down, virtual))
+        holds[f"known in {MAX_KNOWN_S:g} s"] = figures["known"] is not None and figures["known"] <= MAX_KNOWN_S
+        holds[f"in sums in {MAX_IN_SUMS_S:g} s"] = figures["in sums"] is not None and figures["in sums"] <= MAX_IN_SUMS_S
+    figures["sums again"] = in_sums(looks, places, over, virtual, 0.99)
+    holds[f"sums right in {event.again:g} s"] = figures["sums again"] is not None and figures["sums again"] <= event.again
+    if event.burst:
+        holds[f"no burst above {event.burst:g} x calm"] = figures["over calm"] <= event.burst
+    return figures, holds
+
+
+def random_source(options: Options) -> random.Random:
+    return random.Random(options.seed + 17)
+
+
+def regions_cut(begin: float, lasts: float, regions: int = 3) -> str:
+    return "\n".join(
+        f"at {begin + 0.5:.2f} cut region{one} from region{other} for {lasts:g}"
+        for one in range(regions)
+        for other in range(one + 1, regions)
+    )
+
+
+def unwatched_place(world: World) -> int:
+    """A place that is no seed and is not watched."""
+    ground = world.ground
+    return next(place for place in range(ground.firsts[1] - 1, 0, -1) if place not in ground.watched())
+
+
+def play_death(options: Options) -> tuple[Figures, Checks]:
+    return play_event(
+        options,
+        Event(
+            lambda world, begin: f"at {begin + 0.5:.2f} kill {unwatched_place(world)} for 12",
+            13.0,
+            lambda world: [unwatched_place(world)],
+            0.5,
+        ),
+    )
+
+
+def play_packet_loss(options: Options) -> tuple[Figures, Checks]:
+    def script(world: World, begin: float) -> str:
+        rng, members = random_source(options), world.plan.members
+        rest = [place for place in range(members) if place != unwatched_place(world)]
+        stalls = [f"at {begin + at:.2f} stall {listed(rng.sample(rest, max(1, members // 20)))} for 2" for at in (1.0, 7.0)]
+        kill = f"at {begin + 12.0:.2f} kill {unwatched_place(world)} for 12"
+        return "\n".join([f"at {begin:.2f} lossy all 0.05 for 25", *stalls, kill])
+
+    return play_event(options, Event(script, 25.0, lambda world: [unwatched_place(world)], 12.0))
+
+
+def play_churn(options: Options, at_once: bool) -> tuple[Figures, Checks]:
+    lasts = options.sizes.minute
+    rate = BURST_RESTARTS * 86_400.0 / 60.0 if at_once else RESTARTS_A_DAY
+
+    def script(world: World, begin: float) -> str:
+        members = world.plan.members
+        # At a small size and a short time less than one would go; one goes then.
+        rated = max(rate * members / TARGET_MEMBERS, 86_400.0 / lasts)
+        return churn(random_source(options), members, rated, begin, lasts)
+
+    return play_event(options, Event(script, lasts + 8.0))
+
+
+def play_rack_loss(options: Options) -> tuple[Figures, Checks]:
+    """40 of a zone's 400, and so a tenth of a smaller zone: more would be most of a group."""
+
+    def places(world: World) -> list[int]:
+        size = max(2, RACK * world.plan.members // TARGET_MEMBERS)
+        first = world.ground.firsts[1] + 2
+        return [place for place in range(first, first + size) if place not in world.ground.watched()]
+
+    return play_event(
+        options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0, places, 0.5)
+    )
+
+
+def play_zone_loss(options: Options) -> tuple[Figures, Checks]:
+    def places(world: World) -> list[int]:
+        first, last = world.ground.places_of("zone1")
+        return list(range(first, last + 1))
+
+    return play_event(options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill zone1 for 14", 15.0, places, 0.5))
+
+
+def play_partition(options: Options) -> tuple[Figures, Checks]:
+    lasts = options.sizes.cut
+    return play_event(options, Event(lambda world, begin: regions_cut(begin, lasts), lasts + 0.5, burst=MAX_BURST_FACTOR))
+
+
+def play_hour_of_partition(options: Options) -> tuple[Figures, Checks]:
+    return play_event(
+        options, Event(lambda world, begin: regions_cut(begin, 3600.0), 3600.5, members=90, burst=MAX_BURST_FACTOR)
+    )
+
+
+def play_restart_of_all(options: Options) -> tuple[Figures, Checks]:
+    lasts = options.sizes.minute
+    return play_event(
+        options,
+        Event(
+            lambda world, begin: restart_all(random_source(options), world.plan.members, begin, lasts),
+            lasts + 1.0,
+            again=MAX_JOINED_S,
+        ),
+    )
+
+
+def play_start_of_all(options: Options) -> tuple[Figures, Checks]:
+    """All started within the minute: from the last one on until views are one and sums count 0.99."""
+    members, lasts = options.sizes.events, options.sizes.minute
+    with World(options.plan(members, start_within=lasts), options.shards(members)) as world:
+        world.play(lasts)
+        joined = time_until_merged(world, MAX_JOINED_S + 30.0)
+        world.play(world.now + 5.0)
+        looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
+        traffic = traffic_of(world.traffic(0, int(world.now)))
+    in_sums_after_s = in_sums(looks, {look.place for look in looks}, lasts, virtual, 0.99)
+    figures = {
+        "members": members,
+        "joined": joined,
+        "in sums": in_sums_after_s,
+        "worst 10 s": traffic.worst,
+        "worst second": traffic.second,
+        "wrong": wrong,
+        "virtual": virtual,
+    }
+    return figures, {
+        f"joined in {MAX_JOINED_S:g} s": joined is not None and joined <= MAX_JOINED_S,
+        f"in sums in {MAX_JOINED_S:g} s": in_sums_after_s is not None and in_sums_after_s <= MAX_JOINED_S,
+        f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": traffic.worst <= MAX_BYTES_A_S,
+        "no living one declared gone": wrong == 0,
+    }
+
+
+EVENTS: dict[str, Callable[[Options], tuple[Figures, Checks]]] = {
+    "dead": play_death,
+    "loss": play_packet_loss,
+    "churn": lambda options: play_churn(options, False),
+    "burst": lambda options: play_churn(options, True),
+    "rack": play_rack_loss,
+    "zone": play_zone_loss,
+    "cut": play_partition,
+    "hour": play_hour_of_partition,
+    "restart": play_restart_of_all,
+    "start": play_start_of_all,
+}
+NOT_QUICK = ("hour",)
