--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,26 +1,26 @@
-"""What an instance's control costs at the target's size: hollow instances in virtual time, slopes, the full size, events.
+"""Measure what gossip costs an instance at the target size: simulated members in virtual time, slopes, the full size, events.
 
 Usage:
   scale [options] [--flat | --levels]
 
 Options:
   --quick         Smaller sizes and shorter times, within 5 minutes.
-  --seed N        Of the whole history [default: 1].
+  --seed N        Seed of the whole run [default: 1].
   --faults FILE   Only this script (of `simulation/scale_instances.py`), at the size of --members; checks the invariants.
-  --for SECONDS   How long such a script is played [default: 30].
+  --for SECONDS   How long the script of --faults runs [default: 30].
   --members N     The full size; slopes are measured below it [default: 3600].
   --only PART     slopes, full, events, instance, or one event by name.
   --flat          One flat fleet: every member knows every other.
   --levels        Fleet state in levels; the default where the cores have it.
-  --workers N     Processes at most; else 4, and 6 at the full size.
-  --record FILE   What was measured, as JSON for docs/CAPACITY.md.
+  --workers N     Largest number of processes; without it 4, and 6 at the full size.
+  --record FILE   Write what was measured as JSON for docs/CAPACITY.md.
 
 slopes    each cost (bytes and datagrams sent and received with UDP/IP headers, CPU, state by kind, memory) at four sizes,
           fitted as constant, line or logarithm, whichever is off least, and set out at the full size
 full      the full size played as a whole, calm: the fits must meet it within 15%. Flat, more than MOST_MEMBERS are refused:
           then the fits are checked at that many, or at 200 with --quick
-events    each: time until known to the members that hold the dead one and in the sums of the other zones, living ones declared
-          gone, most bytes, time until views and sums are one again
+events    each: time until the death is known to the members that track the dead one and in the sums of the other zones, living
+          members declared gone, largest traffic, time until views and sums are merged again
   dead      one dies             loss      5% loss, a twentieth stalled 2 s twice, then one dies
   churn     8,000 a day          burst     an hour of that (333) in a minute
   rack      40 of 400 at once    zone      a ninth, gone and back
@@ -28,8 +28,9 @@
   restart   everybody in a minute                         start  everybody started in a minute
 instance  real processes, by `benchmarks/scale_instance.py`, where that is there
 
-Virtual time: all but CPU seconds and memory is the same on any machine. CPU is thread time in the cores, so a busy machine's
-shared caches and sibling threads show in it; `load` tells how busy it was. Sizes of events are scaled with the members.
+In virtual time, all figures but CPU seconds and memory are the same on any machine. CPU is thread time of the protocol code, so
+shared caches and sibling threads of a busy machine affect it; `load` shows how busy it was. Sizes of events scale with the
+members.
 """
 
 from __future__ import annotations
@@ -56,6 +57,7 @@
 
 
 def play_script(run: ScaleRun, script: str, seconds: float) -> None:
+    """Run one fault script at the full size and check that no living member is declared gone."""
     options = run.options
     with World(options.plan(options.members, script=script), options.shards(options.members)) as world:
         world.play(seconds)
@@ -71,6 +73,7 @@
 
 
 def measure_instance(run: ScaleRun) -> Figures:
+    """Run the benchmark of one real instance and return its figures."""
     try:
         module = importlib.import_module("benchmarks.scale_instance")
     except ModuleNotFoundError as error:
@@ -84,7 +87,11 @@
 
 
 def read_options(argv: list[str] | None) -> tuple[Options, dict[str, Any]]:
-    """Errors: `SystemExit` with a line that names what is wrong."""
+    """Parse the command line.
+
+    Raises:
+        SystemExit: With a line that names the wrong argument.
+    """
     arguments = docopt(__doc__, argv)
     try:
         members, seed, workers = int(arguments["--members"]), int(arguments["--seed"]), int(arguments["--workers"] or 0)
@@ -104,6 +111,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the chosen parts and print their figures; return 1 if a check failed."""
     options, arguments = read_options(argv)
     run, only, extra = ScaleRun(options), arguments["--only"], {}
     if arguments["--faults"]:
--- a/benchmarks/scale_calm.py
+++ b/benchmarks/scale_calm.py
@@ -1,4 +1,4 @@
-"""Measure the costs of a calm fleet of a given size in virtual time."""
+"""Measure the costs of a calm fleet in virtual time."""
 
 from __future__ import annotations
 
@@ -22,11 +22,16 @@
 
 
 def unit(cost: str) -> str:
+    """Return the unit of a cost."""
     return COSTS.get(cost, "bytes")
 
 
 def time_until_merged(world: World, within: float, step: float = 0.5) -> float | None:
-    """Seconds from now until views are one."""
+    """Play until all members have the same view.
+
+    Returns:
+        Virtual seconds that it took, or None after `within` seconds.
+    """
     since = world.now
     while not world.one():
         if world.now - since >= within:
@@ -36,12 +41,18 @@
 
 
 def measure_calm(options: Options, members: int, start: float = 0.1) -> Figures:
-    """All costs of a calm fleet of that size, in the mean of its instances."""
+    """Return all costs of a calm fleet, as the mean over its instances.
+
+    Args:
+        options: Options of the run.
+        members: Size of the fleet.
+        start: Virtual seconds in which the members start.
+    """
     sizes, started_at = options.sizes, time.monotonic()
-    # A flat fleet of hundreds would take most of the time to join; what it costs once joined is asked here.
+    # A flat fleet of hundreds would spend most of the time on joining; only its costs afterwards are measured here.
     with World(options.plan(members, introduced=not options.levels, start_within=start), options.shards(members)) as world:
         joined = time_until_merged(world.play(max(1.0, start)), MAX_JOINED_S + 30.0)
-        # A flat fleet's reports take the longer to reach all the more there are; after 5 s at 1,000 half the rows are missing.
+        # In a flat fleet reports reach all members the later, the more there are; after 5 s at 1,000 half the rows are missing.
         world.play(float(int(world.now + sizes.settle + (0.0 if options.levels else members / 40.0)) + 1))
         since = world.now
         world.ask("mark")
@@ -73,4 +84,5 @@
 
 
 def figures_text(figures: Figures) -> str:
+    """Format figures as one line."""
     return "  ".join(f"{key} {value:.4g}" if isinstance(value, float) else f"{key} {value}" for key, value in figures.items())
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -1,4 +1,7 @@
-"""The events that the scale benchmark plays: deaths, losses, churn, partitions, restarts."""
+"""The events that the scale benchmark plays: deaths, packet loss, churn, partitions, restarts.
+
+An event joins a fleet, runs a fault script and checks how fast views and sums are correct again. Times are virtual seconds.
+"""
 
 from __future__ import annotations
 
@@ -24,26 +27,36 @@
 from mulleinhatch.simulation.scale_instances import RACK, churn, listed, restart_all
 from mulleinhatch.simulation.scale_shards import World
 
-RESTARTS_A_DAY = 8000.0  # restarts and replacements, at the target
+RESTARTS_A_DAY = 8000.0  # restarts and replacements at the target size
 BURST_RESTARTS = 333
 
 
 class Event(NamedTuple):
-    """`script` is told the moment at which it may begin, and may ask the world; `dead` are those that it kills and keeps down
-    for `down` seconds; it is over `lasts` after its begin."""
+    """A fault scenario.
+
+    Attributes:
+        script: Returns the fault script, given the world and the time at which the script may begin.
+        lasts: Time from the begin until the faults are over.
+        dead: Returns the places of members that the script kills and keeps down.
+        died: Time from the begin until they are killed.
+        down: Time for which they stay down.
+        members: Size of the fleet; 0 takes that of the run's events.
+        again: Allowed time until views and sums are correct again.
+        burst: Allowed traffic in any second, as a multiple of the calm mean; 0 sets no limit.
+    """
 
     script: Callable[[World, float], str]
     lasts: float
     dead: Callable[[World], list[int]] | None = None
-    died: float = 0.0  # after the begin
+    died: float = 0.0
     down: float = 12.0
-    members: int = 0  # 0: as many as the events' size
+    members: int = 0
     again: float = MAX_MERGED_S
-    burst: float = 0.0  # most of the mean instance's bytes over its calm mean; 0: no aim
+    burst: float = 0.0
 
 
 def play_event(options: Options, event: Event) -> tuple[Figures, Checks]:
-    """Joins, is calm for 10 s, meets the script, and is watched until it is one again and 10 s longer."""
+    """Play one event: join, stay calm for 10 s, run the script, and observe until 10 s after the views have merged."""
     members = event.members or options.sizes.events
     with World(options.plan(members), options.shards(members)) as world:
         joined = time_until_merged(world.play(world.plan.start_within), MAX_JOINED_S + 30.0)
@@ -109,10 +122,12 @@
 
 
 def random_source(options: Options) -> random.Random:
+    """Return the source of the draws in fault scripts."""
     return random.Random(options.seed + 17)
 
 
 def regions_cut(begin: float, lasts: float, regions: int = 3) -> str:
+    """Return a script that separates all regions from each other."""
     return "\n".join(
         f"at {begin + 0.5:.2f} cut region{one} from region{other} for {lasts:g}"
         for one in range(regions)
@@ -121,12 +136,13 @@
 
 
 def unwatched_place(world: World) -> int:
-    """A place that is no seed and is not watched."""
+    """Return a place that is neither a seed nor watched."""
     ground = world.ground
     return next(place for place in range(ground.firsts[1] - 1, 0, -1) if place not in ground.watched())
 
 
 def play_death(options: Options) -> tuple[Figures, Checks]:
+    """Kill one member."""
     return play_event(
         options,
         Event(
@@ -139,6 +155,8 @@
 
 
 def play_packet_loss(options: Options) -> tuple[Figures, Checks]:
+    """Lose 5% of datagrams, pause a twentieth of the members twice, then kill one."""
+
     def script(world: World, begin: float) -> str:
         rng, members = random_source(options), world.plan.members
         rest = [place for place in range(members) if place != unwatched_place(world)]
@@ -150,12 +168,13 @@
 
 
 def play_churn(options: Options, at_once: bool) -> tuple[Figures, Checks]:
+    """Restart members at the rate of a day, or an hour's restarts in a minute."""
     lasts = options.sizes.minute
     rate = BURST_RESTARTS * 86_400.0 / 60.0 if at_once else RESTARTS_A_DAY
 
     def script(world: World, begin: float) -> str:
         members = world.plan.members
-        # At a small size and a short time less than one would go; one goes then.
+        # At a small size and over a short time, less than one would restart; then one does.
         rated = max(rate * members / TARGET_MEMBERS, 86_400.0 / lasts)
         return churn(random_source(options), members, rated, begin, lasts)
 
@@ -163,7 +182,7 @@
 
 
 def play_rack_loss(options: Options) -> tuple[Figures, Checks]:
-    """40 of a zone's 400, and so a tenth of a smaller zone: more would be most of a group."""
+    """Kill 40 of a zone's 400 members, so a tenth of a smaller zone: more would be most of a group."""
 
     def places(world: World) -> list[int]:
         size = max(2, RACK * world.plan.members // TARGET_MEMBERS)
@@ -176,6 +195,8 @@
 
 
 def play_zone_loss(options: Options) -> tuple[Figures, Checks]:
+    """Kill a whole zone and bring it back."""
+
     def places(world: World) -> list[int]:
         first, last = world.ground.places_of("zone1")
         return list(range(first, last + 1))
@@ -184,17 +205,20 @@
 
 
 def play_partition(options: Options) -> tuple[Figures, Checks]:
+    """Separate the regions for minutes."""
     lasts = options.sizes.cut
     return play_event(options, Event(lambda world, begin: regions_cut(begin, lasts), lasts + 0.5, burst=MAX_BURST_FACTOR))
 
 
 def play_hour_of_partition(options: Options) -> tuple[Figures, Checks]:
+    """Separate the regions for an hour, in a small fleet."""
     return play_event(
         options, Event(lambda world, begin: regions_cut(begin, 3600.0), 3600.5, members=90, burst=MAX_BURST_FACTOR)
     )
 
 
 def play_restart_of_all(options: Options) -> tuple[Figures, Checks]:
+    """Restart all members within a minute."""
     lasts = options.sizes.minute
     return play_event(
         options,
@@ -207,7 +231,7 @@
 
 
 def play_start_of_all(options: Options) -> tuple[Figures, Checks]:
-    """All started within the minute: from the last one on until views are one and sums count 0.99."""
+    """Start all members within a minute, and measure from the last start until views are merged and sums count 0.99."""
     members, lasts = options.sizes.events, options.sizes.minute
     with World(options.plan(members, start_within=lasts), options.shards(members)) as world:
         world.play(lasts)
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -55,6 +55,7 @@
 
 
 def measured(quick: bool, seed: int, parts: list[str]) -> Measurements:
+    """Run parts, each in a new folder, and return what they measured."""
     measurements = Measurements(quick, seed)
     keep_environment()
     for part in parts:
@@ -84,7 +85,11 @@
 
 
 def measure(quick: bool, seed: int) -> tuple[dict[str, Any], dict[str, bool]]:
-    """Figures by part, with `costs`, `events` and `notes` as a record has them, and the aims with whether they hold."""
+    """Run all parts.
+
+    Returns:
+        Figures by part, with `costs`, `events` and `notes` as a record has them, and the checks with whether they hold.
+    """
     measurements = measured(quick, seed, list(PARTS))
     return {
         **measurements.figures,
@@ -95,6 +100,7 @@
 
 
 def commit() -> str:
+    """Return the short hash of the commit, or `unknown` outside a repository."""
     try:
         return subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=True, cwd=Path(__file__).parent
@@ -104,7 +110,10 @@
 
 
 def record(path: Path, measurements: Measurements, command: str, parts: list[str]) -> None:
-    """Parts that are not of this run stay as they were recorded; each note begins with its part."""
+    """Write the record; parts that did not run keep their recorded costs.
+
+    Each note begins with its part, by which the notes of a part are replaced.
+    """
     old = json.loads(path.read_text()) if path.exists() and len(parts) < len(PARTS) else {}
     notes = [note for note in old.get("notes", []) if note.partition(":")[0] not in parts]
     document = {
@@ -122,6 +131,7 @@
 
 
 def show(measurements: Measurements) -> None:
+    """Print the tables."""
     console = Console(width=160)
     for part, found in measurements.figures.items():
         rows = found if isinstance(found, list) else [*found["rows"], *found["rising"]] if "rows" in found else [found]
@@ -147,6 +157,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the chosen parts and print their figures; return 1 if a check failed, 2 for a wrong argument."""
     options = docopt(__doc__, argv)
     if options["--only"] and options["--only"] not in PARTS:
         print(f"scale_instance: --only: {options['--only']!r} is none of {', '.join(PARTS)}", file=sys.stderr)
--- a/benchmarks/scale_instance_load.py
+++ b/benchmarks/scale_instance_load.py
@@ -19,19 +19,26 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
+    """Return a quantile of the values."""
     return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 def paired_latencies(
-    measurements: Measurements, instance: Lone, beside: int, rate: float, count: int, seconds: float
+    measurements: Measurements, instance: Lone, interpreter_port: int, rate: float, count: int, seconds: float
 ) -> dict[str, float]:
-    """Latency alone and through the instance, in turns, in milliseconds; and the instance's CPU. `pair_p99` is the median of
-    the pairs' differences, over all answers. `added_` is between all turns of each kind, over the calm slices of time if there
-    are enough of them: those in which the driver itself was on time, which owes nothing to who answers."""
+    """Compare latency to the interpreter alone and through the instance, in alternating runs.
+
+    `pair_p99` is the median of the pairs' differences over all responses. The `added_` figures are between all runs of each
+    kind, over the time slices in which the load generator itself was on time, if there are enough of them; that choice does
+    not depend on which side responds.
+
+    Returns:
+        Latencies in milliseconds, the instance's CPU use, and counts of lost and rejected requests.
+    """
     rounds = []
     for number in range(count):
         load_options = {"skip": 0.5, "seed": measurements.seed + number, "keep": True}
-        alone = measurements.add_report(Driving(beside, rate, seconds + 0.5, wire="link", **load_options).done())
+        alone = measurements.add_report(Driving(interpreter_port, rate, seconds + 0.5, wire="link", **load_options).done())
         rounds.append(
             (
                 alone,
@@ -61,10 +68,12 @@
 
 
 def is_within_limits(row: dict[str, float]) -> bool:
+    """Return whether added latency and CPU are within their limits and no request was lost or rejected."""
     return row["added_p99"] <= MAX_ADDED_MS and row["core"] <= MAX_CORE_SHARE and not row["lost"] and not row["rejected"]
 
 
 def added(measurements: Measurements, folder: Path) -> None:
+    """Measure the added latency at the rates of the target, and the highest rate that one instance carries."""
     count, seconds = (2, 2.0) if measurements.quick else (4, 4.0)
     with Lone(folder, settings(1000)) as instance:
         other = Lone._interpreter(port := free_port())
@@ -96,7 +105,7 @@
     broke = next((row for row in by_rate if not is_within_limits(row)), by_rate[-1])
     highest_rate = max((row["rate"] for row in by_rate if row["rate"] < broke["rate"]), default=0)
     measurements.figures["added"] = {"rows": rows, "rising": rising, "most": highest_rate}
-    steady = by_rate if by_rate[-1] is not broke else by_rate[:-1]  # beyond what it carries, waits grow with the run
+    steady = by_rate if by_rate[-1] is not broke else by_rate[:-1]  # beyond its capacity, waits grow with the run
     for name, unit, key in (
         ("request.added_p50", "ms", "added_p50"),
         ("request.added_p99", "ms", "added_p99"),
@@ -132,6 +141,7 @@
 
 
 def connections(measurements: Measurements, folder: Path) -> None:
+    """Measure the memory and CPU of idle connections."""
     sizes, rows = ((50, 200, 500, 1000) if measurements.quick else (50, 200, 500, 1000, 2000)), []
     with Lone(folder, settings(1000), sockets=8192) as instance:
         measurements.drive(instance, CALM_RATE, WARM_UP_S, tenants=1000)
@@ -156,8 +166,11 @@
 
 
 def callers(measurements: Measurements, folder: Path) -> None:
-    """Without tenants, where fairness goes by callers. A fifth of the requests are marked as further tries: the ledger of
-    callers counts these. Before, as many requests of ten callers as fill all that is kept by request."""
+    """Measure memory and CPU by the number of callers, without tenants, so that fairness goes by callers.
+
+    A fifth of the requests are marked as retries, which the retry accounting by caller counts. Before, ten callers send enough
+    requests to fill everything that is kept by request.
+    """
     sizes = (10, 300, 1000, 3000) if measurements.quick else (10, 1000, 5000, 20_000, 48_000)
     warm, rate, rows, answered = 1600 if measurements.quick else 20_000, 800, [], 0
     with Lone(folder, settings()) as instance:
--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -9,11 +9,17 @@
 from mulleinhatch.testing.single_instance import Lone, driven
 
 CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests a second
-WARM_UP_S = 2.0  # seconds at the calm rate, after which caches and pools are what they will be
+WARM_UP_S = 2.0  # at the calm rate, after which caches and pools no longer grow
 
 
 class Measurements:
-    """What the parts found: figures, costs by size, events, aims."""
+    """Figures by part, costs by size, events and checks.
+
+    Attributes:
+        late: The load generator's own lateness at p99 of each run, in ms.
+        lost: Requests without a response.
+        broken: Those of them whose connection ended or was never established.
+    """
 
     def __init__(self, quick: bool, seed: int) -> None:
         self.quick, self.seed = quick, seed
@@ -22,20 +28,29 @@
         self.events: dict[str, dict[str, float]] = {}
         self.holds: dict[str, bool] = {}
         self.notes: list[str] = []
-        self.late: list[float] = []  # p99 of the driver's own lateness, ms
-        self.lost = self.broken = 0  # requests without an answer; of these with a connection that ended or never stood
+        self.late: list[float] = []
+        self.lost = self.broken = 0
 
     def drive(self, instance: Lone, rate: float, run_for: float, **load_options: Any) -> dict[str, Any]:
+        """Load an instance and return the load generator's report.
+
+        Args:
+            instance: The instance.
+            rate: Requests per second.
+            run_for: Duration in seconds.
+            load_options: Further options of the load generator.
+        """
         return self.add_report(driven(instance, rate, run_for, seed=self.seed, **load_options))
 
     def add_report(self, report: dict[str, Any]) -> dict[str, Any]:
+        """Count the losses and lateness of a report and return it."""
         self.late.append(report["late_ms"]["p99"])
         self.lost += report["lost"]
         self.broken += report["broken"]
         return report
 
     def cost(self, name: str, unit: str, size: str, points: list[tuple[float, float]]) -> None:
-        """The largest of five sizes or more checks the fit of the others."""
+        """Fit and store a cost; the largest of five or more sizes checks the fit of the others."""
         points = [(float(at), float(f"{value:.5g}")) for at, value in points]
         fitted_points = points if len(points) < 5 else points[:-1]
         self.costs[f"instance.{name}"] = {
@@ -47,11 +62,11 @@
         }
 
     def is_wait(self, name: str) -> bool:
-        """Whether it is time on the clock, in which others on the machine have their part; CPU and memory are the process's."""
+        """Return whether a cost is wall-clock time, which other processes on the machine influence."""
         return self.costs[name]["unit"].split()[0] == "s" and "CPU" not in self.costs[name]["unit"]
 
     def check_error(self, name: str) -> float | None:
-        """By what part the fit misses the value at the largest size."""
+        """Return the relative error of a fit at the largest size, or None if that is not checked."""
         cost = self.costs[name]
         if not cost["checked"]:
             return None
--- a/benchmarks/scale_instance_settings.py
+++ b/benchmarks/scale_instance_settings.py
@@ -16,6 +16,11 @@
 def measure_start(
     measurements: Measurements, folder: Path, instance_settings: dict[str, Any], run_for: float, **load_options: Any
 ) -> dict[str, float]:
+    """Start an instance with given settings and load it.
+
+    Returns:
+        Time and CPU until ready and serving, memory, and CPU of requests.
+    """
     with Lone(folder, instance_settings) as instance:
         row = {
             "json_mb": instance.json_bytes / 1e6,
@@ -43,6 +48,7 @@
 
 
 def tenants(measurements: Measurements, folder: Path) -> None:
+    """Measure starts and requests by the number of tenants."""
     sizes = (10, 1000, 5000, 25_000) if measurements.quick else (10, 1000, 25_000, 100_000, 250_000)
     rows = [
         {
@@ -64,6 +70,7 @@
 
 
 def settings_costs(measurements: Measurements, size: str, rows: list[dict[str, float]]) -> None:
+    """Store the costs of starts over a size."""
     for name, unit, key in (
         ("json", "MB", "json_mb"),
         ("ready", "s", "ready_s"),
@@ -79,7 +86,7 @@
 
 
 def routes(measurements: Measurements, folder: Path) -> None:
-    """Four distinct worths, as a deployment has few; then as many as there are classes."""
+    """Measure starts by the number of classes: four distinct values as a deployment has few, then one value per class."""
     sizes = (10, 100, 1000, 5000) if measurements.quick else (10, 100, 1000, 10_000, 44_000)
     run_for = 2.0 if measurements.quick else 8.0
     rows = [
@@ -101,7 +108,7 @@
 
 
 def measure_reload(measurements: Measurements, folder: Path, size: int, times: int) -> dict[str, float]:
-    """Each with one tenant's quota changed, under an even stream of requests on connections that are open before."""
+    """Reload settings with one tenant's quota changed, under an even load on connections that were opened before."""
     instance_settings, rate = settings(size), 40.0
     with Lone(folder, instance_settings, sockets=4096) as instance:
         measurements.drive(instance, CALM_RATE, 0.5 * WARM_UP_S, tenants=size)
@@ -167,6 +174,7 @@
 
 
 def reload(measurements: Measurements, folder: Path) -> None:
+    """Measure reloads by the number of tenants."""
     sizes, times = ((1000, 2500, 5000, 25_000), 1) if measurements.quick else ((1000, 5000, 25_000, 100_000, 250_000), 3)
     rows = [measure_reload(measurements, folder, size, times) for size in sizes]
     measurements.figures["reload"] = rows
--- a/benchmarks/scale_options.py
+++ b/benchmarks/scale_options.py
@@ -1,4 +1,7 @@
-"""What a run of the scale benchmark plays and the limits that its figures must keep."""
+"""What a run of the scale benchmark plays, and the limits that its figures must keep.
+
+Durations are seconds of virtual time.
+"""
 
 from __future__ import annotations
 
@@ -15,19 +18,37 @@
 
 
 class Sizes(NamedTuple):
-    """How much is played; seconds are virtual."""
+    """Numbers of members and durations in virtual seconds.
+
+    Attributes:
+        slopes: Members of each fleet that costs are fitted over.
+        checked: Members of the fleet that the fits are checked against.
+        events: Members of the fleets that events are played in.
+        settle: Time after joining until its news has spread.
+        calm: Time over which costs are measured.
+        cut: Duration of the partition.
+        minute: Time in which a burst of churn comes, or all members restart.
+        start: Time in which the members of the checked fleet start.
+    """
 
     slopes: tuple[int, ...]
-    checked: int  # of the full part
+    checked: int
     events: int
-    settle: float  # after joining, until nothing of it is told on
-    calm: float  # measured
+    settle: float
+    calm: float
     cut: float
-    minute: float  # in which an hour's churn comes, or all restart
-    start: float  # in which the full part's members start
+    minute: float
+    start: float
 
 
 def sizes(levels: bool, quick: bool, members: int) -> Sizes:
+    """Choose members and durations.
+
+    Args:
+        levels: Whether fleet state is aggregated in levels.
+        quick: Whether a short run is wanted.
+        members: The full size.
+    """
     if levels:
         steps = [225, 450, 900, 1350] if quick else [225, 450, 900, 1800]
         full, events = (min(members, 1800), 225) if quick else (members, members)
@@ -35,16 +56,22 @@
         steps = [25, 50, 100, 150] if quick else [25, 100, 200, 400]
         full, events = min(members, 200 if quick else MOST_MEMBERS), 27 if quick else 225
     small = [step for step in steps if step < full] or [full]
-    # Flat, all know each other from the start: who started late would be declared gone by those who wait for it.
+    # In a flat fleet all know each other from the start: a member that starts late would be declared gone by the others.
     start = 0.1 if not levels else 3.0 if quick else 60.0
-    # News of a start in a minute is over some 25 s after all have joined.
+    # The news of starts within a minute has spread some 25 s after all have joined.
     full_times = (25.0, 10.0, 180.0, 60.0) if levels else (5.0, 10.0, 60.0, 60.0)
     settle, calm, cut, minute = (4.0, 5.0, 20.0, 10.0) if quick else full_times
     return Sizes(tuple(small), full, min(members, events), settle, calm, cut, minute, start)
 
 
 class Options(NamedTuple):
-    """What the command line says."""
+    """The options of a run.
+
+    Attributes:
+        members: The full size.
+        levels: Whether fleet state is aggregated in levels; else every member knows every other.
+        workers: Largest number of processes; 0 chooses by size.
+    """
 
     quick: bool
     seed: int
@@ -54,11 +81,13 @@
     sizes: Sizes
 
     def plan(self, members: int, **more: Any) -> Plan:
+        """Return the plan of a simulated fleet; further fields of `Plan` may be given."""
         return Plan(members=members, levels=self.levels, seed=self.seed, **more)
 
     def shards(self, members: int) -> int:
-        """A window of few members is over sooner than its processes are woken."""
+        """Return the number of processes for a fleet: for few members, waking the processes would take longer than the work."""
         return max(1, min(self.most_workers(members), members // (300 if self.levels else 100)))
 
     def most_workers(self, members: int) -> int:
+        """Return the largest number of processes for fleets up to a size."""
         return self.workers or (6 if members >= 1800 else 4)
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -1,4 +1,4 @@
-"""One run of the scale benchmark: slopes, the full size and events, and the record and tables made of them."""
+"""One run of the scale benchmark: slopes, the full size and events, with the record and the tables made of them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScaleRun:
-    """What is measured in one call of the benchmark: parts add to it."""
+    """Collects the figures and failed checks of one run."""
 
     def __init__(self, options: Options) -> None:
         self.options, self.commit = options, records.commit()
@@ -32,18 +32,20 @@
         self.missed: dict[str, list[str]] = {}
 
     def judge(self, part: str, holds: Checks) -> None:
+        """Note the checks of a part that failed."""
         if missed := [aim for aim, is_met in holds.items() if not is_met]:
             self.missed.setdefault(part, []).extend(missed)
 
     # Slopes and the full size.
 
     def run_concurrently(self, members: int, play: Callable[[Any], Any], jobs: list[Any]) -> list[Any]:
-        """Worlds of up to that size, as many at a time as there may be processes."""
+        """Run jobs on worlds of up to a size, as many at a time as there may be processes."""
         at_a_time = max(1, self.options.most_workers(members) // self.options.shards(members))
         with ThreadPoolExecutor(at_a_time) as pool:
             return list(pool.map(play, jobs))
 
     def slopes(self) -> None:
+        """Measure calm fleets at each size that costs are fitted over."""
         small = [size for size in self.options.sizes.slopes if self.options.shards(size) == 1]
         large = [size for size in self.options.sizes.slopes if size not in small]
         for sizes in [small, *([size] for size in large)]:
@@ -52,6 +54,7 @@
                 self.by_size[size] = self.measured(size, figures)
 
     def measured(self, members: int, figures: Figures) -> Figures:
+        """Note and check the figures of a calm fleet."""
         print(f"{members} members: {figures_text(figures)}", file=sys.stderr, flush=True)
         self.notes.append(
             f"{members} members calm: {figures['speed']} virtual s a second by {self.options.shards(members)} "
@@ -67,6 +70,7 @@
         return figures
 
     def play_full(self) -> None:
+        """Measure the full size as a whole and check limits and fits there."""
         members, options = self.options.sizes.checked, self.options
         if not options.levels and options.members > MOST_MEMBERS:
             self.notes.append(f"refused: a flat fleet holds {MOST_MEMBERS} members, so {options.members} cannot be played")
@@ -93,9 +97,11 @@
 
     @staticmethod
     def fit_of(cost: Figures) -> records.Fit:
+        """Return the fit of a cost."""
         return records.Fit(cost["form"], cost["constant"], cost["slope"], cost["residual"])
 
     def costs(self) -> dict[str, Figures]:
+        """Return the costs by name, as a record stores them."""
         if not self.by_size:
             return {}
         first = next(iter(self.by_size.values()))
@@ -111,6 +117,8 @@
     # Events.
 
     def play_events(self, names: list[str]) -> None:
+        """Play events by name."""
+
         def play(name: str) -> tuple[Figures, Checks]:
             started_at = time.monotonic()
             figures, holds = EVENTS[name](self.options)
@@ -125,6 +133,7 @@
     # What comes out.
 
     def record(self, command: str) -> Figures:
+        """Return the record of the run."""
         return {
             "commit": self.commit,
             "benchmark": "scale",
@@ -137,6 +146,7 @@
         }
 
     def print(self, console: Console) -> None:
+        """Print the tables of the run."""
         if costs := self.costs():
             table = Table(
                 "cost of an instance",
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,17 +1,17 @@
-"""How long instances take to be ready when many start at once, some while their address is held or their interpreter is late.
+"""Measure how long instances take to be ready when many start at once, some delayed by a busy address or a late interpreter.
 
 Usage:
   starts [--quick] [--seed N] [--count N]
 
 Options:
   --quick    12 instances.
-  --seed N   Of which are held up [default: 1].
-  --count N  Else 30, all started in one moment.
+  --seed N   Seed of which instances are delayed [default: 1].
+  --count N  Number of instances, all started at the same time; without it 30.
 
-Ready is who answers a health check with 200 and has greeted its interpreter. A third find their address held for a second, a
-third their interpreter not listening for a second and a half. Beside the time from the start stands what was waited for longer
-than needed: from when nothing held it up any more. Aims: nine in ten ready within 10 s, all in the end; the wait beyond need
-under 1.5 s for nine in ten of the held up, beside the median start of the others.
+An instance is ready when it answers a health check with 200 and has greeted its interpreter. A third find their address in use
+for a second, a third find their interpreter not listening for a second and a half. The time beyond need counts from when the
+delay was over. Aims: nine in ten ready within 10 s, and all within 30 s; the time beyond need under 1.5 s plus the median
+start of the undelayed ones, for nine in ten of the delayed.
 """
 
 from __future__ import annotations
@@ -33,16 +33,18 @@
 
 from mulleinhatch.testing.instance_harness import keep_environment
 
-ADDRESS_BUSY_S, INTERPRETER_DELAY_S, GIVE_UP_S = 1.0, 1.5, 30.0  # seconds
+ADDRESS_BUSY_S, INTERPRETER_DELAY_S, GIVE_UP_S = 1.0, 1.5, 30.0
 HEALTH_CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 def free_port() -> int:
+    """Return a port of the loopback address that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return listener.getsockname()[1]
 
 
 def instance_settings(name: str, port: int, interpreter_port: int) -> dict[str, Any]:
+    """Return the configuration of one instance."""
     return {
         "name": name,
         "listen": f"127.0.0.1:{port}",
@@ -58,6 +60,7 @@
 
 
 async def healthy(port: int) -> bool:
+    """Return whether the instance answers a health check with 200."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -72,6 +75,13 @@
 
 
 class StartingInstance:
+    """One instance that starts, with its interpreter stand-in.
+
+    Attributes:
+        cause: What delays the start.
+        ready: Seconds from the start until it was ready.
+    """
+
     def __init__(self, number: int, cause: str, folder: Path) -> None:
         self.cause, self.port, self.interpreter_port = cause, free_port(), free_port()
         self.path = folder / f"{number}.json"
@@ -80,6 +90,7 @@
         self.ready = GIVE_UP_S
 
     async def serve_interpreter(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the instance's greeting as its interpreter."""
         if b"CONNECT" in await reader.readline():
             writer.write(b'{"t":"BANNER","status":"old","time_ms":3600000}\n')
             self.greeted.set()
@@ -88,6 +99,7 @@
         writer.close()
 
     async def start(self) -> None:
+        """Start the process and wait until it is ready."""
         blocking_socket = socket.create_server(("127.0.0.1", self.port)) if self.cause == "address held" else None
         server = (
             None
@@ -120,10 +132,12 @@
 
     @property
     def beyond_need(self) -> float:
+        """Seconds that it took longer than the delay."""
         return self.ready - {"address held": ADDRESS_BUSY_S, "interpreter late": INTERPRETER_DELAY_S}.get(self.cause, 0.0)
 
 
 async def measure(count: int, seed: int) -> list[StartingInstance]:
+    """Start all instances at the same time and wait for them."""
     causes = (["nothing", "address held", "interpreter late"] * count)[:count]
     random.Random(seed).shuffle(causes)
     with tempfile.TemporaryDirectory() as folder:
@@ -133,10 +147,12 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
+    """Return a quantile of the values."""
     return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 def main() -> int:
+    """Run the benchmark; return 1 if an aim is missed."""
     options = docopt(__doc__)
     keep_environment()
     os.environ.pop("NODE_NAME", None)
