--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -35,7 +35,7 @@
 from benchmarks.footprint_planes import FULL_LOAD, QUICK_LOAD, measure_round, origin
 from benchmarks.footprint_play import record_play, replay
 
-SLACK = 0.03  # by how much a median may be worse
+MAX_CHANGE = 0.03  # by how much a median may be worse
 ROUNDS, QUICK_ROUNDS = 7, 3
 PLAY_S, QUICK_PLAY_S = 20.0, 5.0
 PLAY_FIGURE = "decision play, processor s"
@@ -62,7 +62,7 @@
     @property
     def holds(self) -> bool:
         """Whether the median is at most by the slack worse."""
-        return self.change <= SLACK
+        return self.change <= MAX_CHANGE
 
     @property
     def beyond_scatter(self) -> bool:
@@ -76,11 +76,11 @@
     >>> scatter([9.0, 10.0, 11.0]), scatter([5.0])
     (0.1, 0.0)
     """
-    middle = median(values)
-    if len(values) < 2 or not middle:
+    center = median(values)
+    if len(values) < 2 or not center:
         return 0.0
     low, _, high = quantiles(values, n=4, method="inclusive")
-    return (high - low) / abs(middle)
+    return (high - low) / abs(center)
 
 
 def compare(before: list[Figures], after: list[Figures]) -> list[Comparison]:
@@ -108,8 +108,8 @@
 
 def verdict(comparisons: list[Comparison], answers_equal: bool | None) -> dict[str, bool]:
     """What holds, by name; the equality of the answers only where a play was made."""
-    held = {comparison.name: comparison.holds for comparison in comparisons}
-    return held if answers_equal is None else {**held, "same decisions": answers_equal}
+    checks = {comparison.name: comparison.holds for comparison in comparisons}
+    return checks if answers_equal is None else {**checks, "same decisions": answers_equal}
 
 
 def rows(comparisons: list[Comparison]) -> list[tuple[str, ...]]:
@@ -136,10 +136,10 @@
     return table
 
 
-def turns(count: int) -> list[tuple[int, int]]:
+def round_orders(count: int) -> list[tuple[int, int]]:
     """Who plays in which order in each round: 0 is the tree before, 1 the tree after.
 
-    >>> turns(3)
+    >>> round_orders(3)
     [(0, 1), (1, 0), (0, 1)]
     """
     return [(0, 1) if number % 2 == 0 else (1, 0) for number in range(count)]
@@ -151,7 +151,7 @@
     measured: tuple[list[Figures], list[Figures]] = ([], [])
     for tree in trees:
         asyncio.run(measure_round(tree, QUICK_LOAD))
-    for order in turns(rounds):
+    for order in round_orders(rounds):
         for place in order:
             measured[place].append(asyncio.run(measure_round(trees[place], load)))
     return measured
@@ -164,31 +164,31 @@
     play = record_play(trees[0], QUICK_PLAY_S if quick else PLAY_S, seed=seed)
     measured: tuple[list[Figures], list[Figures]] = ([], [])
     digests, sizes = {play.digest}, set()
-    for order in turns(rounds):
+    for order in round_orders(rounds):
         for place in order:
             answer = replay(trees[place], play.batches)
             digests.add(answer.digest)
             sizes.add(answer.answer_bytes)
             measured[place].append({PLAY_FIGURE: answer.processor_s})
-    told = {"requests": play.requests, "events": play.records, "answer_bytes": sorted(sizes), "digests": sorted(digests)}
-    return *measured, told
+    summary = {"requests": play.requests, "events": play.records, "answer_bytes": sorted(sizes), "digests": sorted(digests)}
+    return *measured, summary
 
 
 def main() -> int:
     """Measures, prints table and JSON line; 1 where the tree after is worse or decides otherwise."""
-    asked = docopt(__doc__)
-    quick = bool(asked["--quick"])
-    rounds = int(asked["--rounds"] or (QUICK_ROUNDS if quick else ROUNDS))
-    trees = (Path(asked["--before"]).resolve(), Path(asked["--after"]).resolve())
+    options = docopt(__doc__)
+    quick = bool(options["--quick"])
+    rounds = int(options["--rounds"] or (QUICK_ROUNDS if quick else ROUNDS))
+    trees = (Path(options["--before"]).resolve(), Path(options["--after"]).resolve())
     for name, tree in zip(("before", "after"), trees, strict=True):
         print(f"{name}: {origin(tree)}")
     comparisons: list[Comparison] = []
     answers_equal: bool | None = None
     play: dict[str, object] = {}
-    if not asked["--decisions"]:
+    if not options["--decisions"]:
         comparisons += compare(*measure_planes(trees, rounds, quick))
-    if not asked["--planes"]:
-        before, after, play = measure_decisions(trees, rounds, quick, int(asked["--seed"]))
+    if not options["--planes"]:
+        before, after, play = measure_decisions(trees, rounds, quick, int(options["--seed"]))
         comparisons += compare(before, after)
         answers_equal = len(play["digests"]) == 1
         print("the decisions are the same" if answers_equal else "THE DECISIONS DIFFER", json.dumps(play))
@@ -198,8 +198,8 @@
         comparison.name: {**asdict(comparison), "change": comparison.change, "beyond_scatter": comparison.beyond_scatter}
         for comparison in comparisons
     }
-    told = {"benchmark": "footprint", "quick": quick, "rounds": rounds, "play": play, "figures": figures, "holds": holds}
-    print(json.dumps(told))
+    report = {"benchmark": "footprint", "quick": quick, "rounds": rounds, "play": play, "figures": figures, "holds": holds}
+    print(json.dumps(report))
     return 0 if all(holds.values()) else 1
 
 
--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -25,11 +25,11 @@
 SETTINGS_VARIABLE = "MULLEINHATCH_NODE_FILE"
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, MODEL_PORT = 18146, 17660, 18144, 18140, 18300
 HOST, MODEL = "footprint.example", "model-0"
-RATE = 100.0  # requests a second, that of the small sites
+REQUESTS_A_S = 100.0  # requests a second, that of the small sites
 GIVE_UP_S = 30.0
-LOOK_S = 0.002  # between two looks at whether a plane is ready
-EVENTS, EVENT_GAP_S = 20, 0.005  # of a stream
-STREAM_RATE = 10.0
+READY_POLL_S = 0.002  # between two looks at whether a plane is ready
+EVENTS_A_STREAM, EVENT_GAP_S = 20, 0.005  # of a stream
+STREAMS_A_S = 10.0
 
 
 @dataclass(frozen=True)
@@ -78,14 +78,14 @@
     fields = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in head[1:])}
     if fields.get(b"transfer-encoding", b"").lower() != b"chunked":
         return Message(head[0], fields, await reader.readexactly(int(fields.get(b"content-length", b"0"))))
-    body, heard = b"", 0
+    body, seen_events = b"", 0
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
         body += (await reader.readexactly(size + 2))[:-2]
         now = time.perf_counter_ns()
         *events, _ = body.split(b"\n\n")
         if arrivals is not None:
-            arrivals += [1e-9 * (now - int(event.rpartition(b"data: ")[2])) for event in events[heard:]]
-        heard = len(events)
+            arrivals += [1e-9 * (now - int(event.rpartition(b"data: ")[2])) for event in events[seen_events:]]
+        seen_events = len(events)
     await reader.readuntil(b"\r\n")
     return Message(head[0], fields, body)
 
@@ -160,7 +160,7 @@
             "slots": 16,
             "state": "ready",
             "cold_remaining_ms": 0,
-            "models": self._held(),
+            "models": self._model_states(),
             "sequence": self._sequence,
         }
         fields = {b"Host": b"control", b"Content-Type": b"application/json"}
@@ -168,7 +168,7 @@
         return (await self._control.send(message_bytes(line, fields, json.dumps(body).encode()))).status
 
     @staticmethod
-    def _held() -> list[dict[str, object]]:
+    def _model_states() -> list[dict[str, object]]:
         return [{"name": MODEL, "version": 1, "adapters": []}]
 
     async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -186,7 +186,7 @@
         target = request.first_line.split()[1]
         fields = {b"Instance-Id": self.identity.encode()}
         if target == b"/report":
-            report = {"models": self._held(), "busy": False, "sequence": 0, "waiting": 0, "running": 0}
+            report = {"models": self._model_states(), "busy": False, "sequence": 0, "waiting": 0, "running": 0}
             writer.write(message_bytes(b"HTTP/1.1 200 OK", fields, json.dumps(report).encode()))
         elif target == b"/health":
             writer.write(message_bytes(b"HTTP/1.1 200 OK", fields))
@@ -205,7 +205,7 @@
         fields = {**fields, b"Content-Type": b"text/event-stream", b"Transfer-Encoding": b"chunked"}
         lines = b"".join(b"%b: %b\r\n" % field for field in fields.items())
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n" % lines)
-        for number in range(1, EVENTS + 1):
+        for number in range(1, EVENTS_A_STREAM + 1):
             await asyncio.sleep(EVENT_GAP_S)
             event = b"id: %d\ndata: %d\n\n" % (number, time.perf_counter_ns())
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
@@ -326,7 +326,7 @@
                 pass
             finally:
                 client.close()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(READY_POLL_S)
         raise TimeoutError(f"{self.process.args} was not ready: {self.log.read_text()[-2000:]}")
 
     def end(self) -> None:
@@ -396,7 +396,7 @@
             await asyncio.sleep(load.idle_s)
             for kind, pid in pids.items():
                 figures[f"{kind} idle, processor ms a second"] = 1000.0 * (processor_s(pid) - before[kind]) / load.idle_s
-            await _loads(figures, pids, server, front, direct, load)
+            await _measure_load(figures, pids, server, front, direct, load)
             await asyncio.sleep(load.settle_s)
             for kind, pid in pids.items():
                 figures[f"{kind} after load, MB"] = memory_mb(pid, "VmRSS")
@@ -410,7 +410,7 @@
     return figures
 
 
-async def _loads(
+async def _measure_load(
     figures: dict[str, float], pids: dict[str, int], server: ModelServer, front: Client, direct: Client, load: Load
 ) -> None:
     async def heartbeat(number: int) -> None:
@@ -418,7 +418,7 @@
             raise RuntimeError(f"heartbeat {number} was answered {status}")
 
     before = processor_s(pids["control"])
-    await at_rate(load.heartbeats, RATE, heartbeat)
+    await at_rate(load.heartbeats, REQUESTS_A_S, heartbeat)
     figures["control heartbeat, processor us"] = 1e6 * (processor_s(pids["control"]) - before) / load.heartbeats
 
     spent: dict[Client, list[float]] = {front: [], direct: []}
@@ -432,7 +432,7 @@
                 raise RuntimeError(f"request {number} was answered {answer.status}")
 
         before, answered = processor_s(pids["data"]), server.answered
-        await at_rate(load.requests, RATE, ask)
+        await at_rate(load.requests, REQUESTS_A_S, ask)
         if server.answered - answered != load.requests:
             raise RuntimeError(f"{load.requests} requests were run {server.answered - answered} times")
         if client is front:
@@ -446,19 +446,21 @@
 
         async def stream(number: int, client: Client = client) -> None:
             answer = await client.send(request_bytes(b"/write/%d" % number), events[client])
-            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS:
+            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS_A_STREAM:
                 raise RuntimeError(f"stream {number} was answered {answer.status} {answer.body[-200:]!r}")
 
         before = processor_s(pids["data"])
-        await at_rate(load.streams, STREAM_RATE, stream)
+        await at_rate(load.streams, STREAMS_A_S, stream)
         if client is front:
-            figures["data stream event, processor us"] = 1e6 * (processor_s(pids["data"]) - before) / (load.streams * EVENTS)
+            figures["data stream event, processor us"] = (
+                1e6 * (processor_s(pids["data"]) - before) / (load.streams * EVENTS_A_STREAM)
+            )
     figures["event added median, us"] = 1e6 * (median(events[front]) - median(events[direct]))
 
 
 def origin(tree: Path) -> str:
     """From where a child of this tree imports the package; RuntimeError where that is another tree."""
-    told = subprocess.run(
+    package_file = subprocess.run(
         [sys.executable, "-O", "-c", "import mulleinhatch; print(mulleinhatch.__file__)"],
         cwd=tree,
         env=tree_environment(tree),
@@ -466,6 +468,6 @@
         text=True,
         check=True,
     ).stdout.strip()
-    if not Path(told).resolve().is_relative_to(tree):
-        raise RuntimeError(f"{tree}: the package would come from {told}")
-    return os.path.dirname(told)
+    if not Path(package_file).resolve().is_relative_to(tree):
+        raise RuntimeError(f"{tree}: the package would come from {package_file}")
+    return os.path.dirname(package_file)
--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -81,7 +81,7 @@
     profile: str
     stop_mode: str
     calls_below: bool
-    tells_gone: bool
+    reports_disconnects: bool
     works: dict[int, float] = field(default_factory=dict)
     operation_types: dict[int, int] = field(default_factory=dict)
     running: dict[int, int] = field(default_factory=dict)  # by request: the run that counts, as stopped ones end for nothing
@@ -100,7 +100,7 @@
 def profile_of(number: int) -> tuple[str, str, bool, bool]:
     """Settings of an instance by its number, its stop mode, and whether it calls below and hears of callers that left."""
     stop_mode = ("off", "discard", "freeze")[number % 3]
-    calls_below, tells_gone = number % 2 == 1, number % 4 != 2
+    calls_below, reports_disconnects = number % 2 == 1, number % 4 != 2
     say = ("floor", "allowance", "weight", "off")[number % 4]
     pairs: dict[str, object] = {
         "servers": 6,
@@ -115,7 +115,7 @@
         "family_info.say": say,
         "family_info.said_for": 900.0,
         "family_info.stop_mode": stop_mode,
-        "family_info.tells_gone": str(tells_gone).lower(),
+        "family_info.tells_gone": str(reports_disconnects).lower(),
         "family_info.fresh_start": str(number % 5 == 4).lower(),
         "family_info.fresh_for": 400.0 if number % 3 == 0 else 0.0,
         "family_info.depends_on": "one_for_all" if calls_below else "off",
@@ -140,11 +140,11 @@
     for place, (effect, aim, deadline, worth) in enumerate(
         (("safe", 500.0, 1500.0, 1.0), ("keyed", 900.0, 2500.0, 3.0), ("unsafe", 1200.0, 3000.0, 5.0))
     ):
-        words = {"effect": effect, "aim": aim, "deadline": deadline, "worth": worth, "late_worth": 0.2, "memory_span": 4000.0}
-        pairs |= {f"classes.{place}.{name}": value for name, value in words.items()}
+        values = {"effect": effect, "aim": aim, "deadline": deadline, "worth": worth, "late_worth": 0.2, "memory_span": 4000.0}
+        pairs |= {f"classes.{place}.{name}": value for name, value in values.items()}
     for place, fraction in enumerate((0.5, 0.3, 0.2) if number % 2 == 0 else ()):
         pairs |= {f"tenants.{place}.fraction": fraction, f"tenants.{place}.quota_per_s": 200.0 * fraction}
-    return "".join(f"{name}={value}\n" for name, value in pairs.items()), stop_mode, calls_below, tells_gone
+    return "".join(f"{name}={value}\n" for name, value in pairs.items()), stop_mode, calls_below, reports_disconnects
 
 
 def read_actions(records: bytes) -> Iterator[Action]:
@@ -183,11 +183,11 @@
         surge = 1.6 if int(self.now / 3000.0) % 2 else 0.7  # busy and calm stretches of 3 s
         return self.random.expovariate(surge * OVERLOAD * CORES / WORK_MS)
 
-    def _at(self, time_ms: float, number: int, *what: object) -> None:
-        heapq.heappush(self._due, (time_ms, next(self._order), number, what))
+    def _at(self, time_ms: float, number: int, *kind: object) -> None:
+        heapq.heappush(self._due, (time_ms, next(self._order), number, kind))
 
     def batches(self, seconds: float) -> Iterator[tuple[float, bytes]]:
-        """Clock and body of each batch; after each one the reply must be given to `hear`."""
+        """Clock and body of each batch; after each one the reply must be given to `apply_reply`."""
         for number in self.instances:
             if number % 3 == 1:
                 self._at(700.0 * seconds, number, "retire", int(150.0 * seconds))
@@ -195,19 +195,21 @@
                 self._at(850.0 * seconds, number, "restart")
         while self._due and self._due[0][0] < 1000.0 * seconds:
             self.now = max(self.now + TICK_MS, self._due[0][0])
-            told: dict[int, list[bytes]] = {}
+            events_by_instance: dict[int, list[bytes]] = {}
             while self._due and self._due[0][0] <= self.now:
-                _, _, number, what = heapq.heappop(self._due)
-                told.setdefault(number, []).extend(self._happen(self.instances[number], *what))
-            parts = [struct.pack(">BH", 10, number) + b"".join(events) for number, events in told.items() if events]
-            self.records += sum(len(events) for events in told.values())
+                _, _, number, kind = heapq.heappop(self._due)
+                events_by_instance.setdefault(number, []).extend(self._events_of(self.instances[number], *kind))
+            parts = [
+                struct.pack(">BH", 10, number) + b"".join(events) for number, events in events_by_instance.items() if events
+            ]
+            self.records += sum(len(events) for events in events_by_instance.values())
             if parts:
                 yield self.now, b"".join(parts)
 
-    def _happen(self, instance: Instance, what: str, *facts: int) -> list[bytes]:
+    def _events_of(self, instance: Instance, kind: str, *arguments: int) -> list[bytes]:
         """The events that the instance is told of what is due."""
-        if what == "create" or what == "restart":
-            start = [b"\x09"] if what == "restart" else []
+        if kind == "create" or kind == "restart":
+            start = [b"\x09"] if kind == "restart" else []
             for ref in list(instance.works):
                 instance.forget(ref)
             instance.kept.clear()
@@ -216,22 +218,22 @@
             heapq.heapify(self._due)
             profile = instance.profile.encode()
             return [*start, struct.pack(">BQI", 1, self.random.getrandbits(64), len(profile)) + profile]
-        if what == "arrive":
+        if kind == "arrive":
             self._at(self.now + self._gap(), instance.number, "arrive")
             return [self._request(instance)]
-        if what == "retire":
-            return [struct.pack(">Bd", 6, float(facts[0]))]
-        if what == "fired":
-            return [self._fired(instance, facts[0])]
-        ref = facts[0]
-        if what == "gone":
+        if kind == "retire":
+            return [struct.pack(">Bd", 6, float(arguments[0]))]
+        if kind == "fired":
+            return [self._fired(instance, arguments[0])]
+        ref = arguments[0]
+        if kind == "gone":
             if ref not in instance.works:
                 return []
             if ref not in instance.running and ref not in instance.called:
                 instance.forget(ref)
             return [REF.pack(7, ref)]
-        if what == "run end":
-            if instance.running.get(ref) != facts[1]:
+        if kind == "run end":
+            if instance.running.get(ref) != arguments[1]:
                 return []
             if instance.calls_below and instance.operation_types[ref] != KEYED and ref not in instance.called:
                 del instance.running[ref]
@@ -239,34 +241,34 @@
                 return [REF.pack(4, ref)]
             instance.forget(ref)
             return [RESULT.pack(3, ref, 1 if self.random.random() < 0.96 else 2, WORK_MS)]
-        if what == "call end" and ref in instance.called:
+        if kind == "call end" and ref in instance.called:
             ending = self.random.choice((1, 1, 1, 1, 1, 1, 2, 4, 5))
             if ending == 1:
                 self._run(instance, ref)
             return [RESULT.pack(5, ref, ending, 30.0)]
-        if what == "stopped" and ref in instance.works:
+        if kind == "stopped" and ref in instance.works:
             return [RESULT.pack(3, ref, 7, WORK_MS)]
-        if what == "ended" and ref in instance.works:
+        if kind == "ended" and ref in instance.works:
             instance.forget(ref)
-            return [RESULT.pack(3, ref, facts[1], 5.0)]
+            return [RESULT.pack(3, ref, arguments[1], 5.0)]
         return []
 
     def _request(self, instance: Instance) -> bytes:
         self.requests += 1
-        chance = self.random
-        ref = (chance.getrandbits(20) << 24 | next(self._unique)) & ((1 << 52) - 1)
-        operation_type = chance.choices((SAFE, KEYED, UNSAFE), (6, 3, 1))[0]
+        rng = self.random
+        ref = (rng.getrandbits(20) << 24 | next(self._unique)) & ((1 << 52) - 1)
+        operation_type = rng.choices((SAFE, KEYED, UNSAFE), (6, 3, 1))[0]
         live = [kept for kept, until in instance.kept.items() if until > self.now]
-        repeat_of = chance.choice(live) if live and operation_type == KEYED and chance.random() < 0.2 else 0
-        work = chance.lognormvariate(0.0, 0.6) * WORK_MS * (0.5, 1.0, 3.0)[operation_type]
+        repeat_of = rng.choice(live) if live and operation_type == KEYED and rng.random() < 0.2 else 0
+        work = rng.lognormvariate(0.0, 0.6) * WORK_MS * (0.5, 1.0, 3.0)[operation_type]
         instance.works[ref], instance.operation_types[ref] = work, operation_type
         deadline = (1500.0, 2500.0, 3000.0)[operation_type]
-        age = chance.expovariate(0.2)
-        if instance.tells_gone and chance.random() < 0.3:
-            self._at(self.now + chance.uniform(50.0, deadline), instance.number, "gone", ref)
-        state_bits = (chance.random() < 0.8) | 2 * (repeat_of > 0 or chance.random() < 0.1)
-        tenant = chance.choices((0, 1, 2), (5, 3, 3))[0] if instance.number % 2 == 0 else 0
-        rank = (operation_type + chance.random()) / 3.0
+        age = rng.expovariate(0.2)
+        if instance.reports_disconnects and rng.random() < 0.3:
+            self._at(self.now + rng.uniform(50.0, deadline), instance.number, "gone", ref)
+        state_bits = (rng.random() < 0.8) | 2 * (repeat_of > 0 or rng.random() < 0.1)
+        tenant = rng.choices((0, 1, 2), (5, 3, 3))[0] if instance.number % 2 == 0 else 0
+        rank = (operation_type + rng.random()) / 3.0
         return REQUEST.pack(
             2,
             ref,
@@ -276,11 +278,11 @@
             rank,
             repeat_of,
             operation_type,
-            chance.randrange(8),
-            chance.randrange(1, 200) if operation_type == SAFE else 0,
+            rng.randrange(8),
+            rng.randrange(1, 200) if operation_type == SAFE else 0,
             state_bits,
-            work * chance.uniform(0.7, 1.4),
-            chance.uniform(5.0, 60.0),
+            work * rng.uniform(0.7, 1.4),
+            rng.uniform(5.0, 60.0),
         )
 
     def _fired(self, instance: Instance, token: int) -> bytes:
@@ -296,21 +298,21 @@
         crowd = max(1.0, len(instance.running) / CORES)
         self._at(self.now + instance.works[ref] * crowd * self.random.uniform(0.8, 1.3), instance.number, "run end", ref, turn)
 
-    def hear(self, records: bytes) -> None:
+    def apply_reply(self, records: bytes) -> None:
         """Takes in what the instances did."""
         instance = self.instances[0]
-        for code, facts in read_actions(records):
+        for code, arguments in read_actions(records):
             if code == SOURCE:
-                instance = self.instances[facts[0]]
+                instance = self.instances[arguments[0]]
             elif code == SLEEP:
-                self._at(self.now + max(TICK_MS, facts[0]), instance.number, "fired", facts[1])
-            elif code in ACTION_FIELDS and facts and isinstance(facts[0], int):
-                self._act(instance, code, facts)
+                self._at(self.now + max(TICK_MS, arguments[0]), instance.number, "fired", arguments[1])
+            elif code in ACTION_FIELDS and arguments and isinstance(arguments[0], int):
+                self._act(instance, code, arguments)
 
-    def _act(self, instance: Instance, code: int, facts: tuple) -> None:
-        ref = facts[0]
+    def _act(self, instance: Instance, code: int, arguments: tuple) -> None:
+        ref = arguments[0]
         if code == MEMO:
-            instance.kept[ref] = self.now + facts[1]
+            instance.kept[ref] = self.now + arguments[1]
         elif code == ERASE:
             instance.kept.pop(ref, None)
         elif ref not in instance.works:
@@ -336,8 +338,10 @@
 
 def tree_environment(tree: Path) -> dict[str, str]:
     """The environment of a child that must import the package of this tree, not one that is installed."""
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("MULLEINHATCH_") and name != "NODE_NAME"}
-    return {**kept, "PYTHONPATH": str(tree)}
+    environment = {
+        name: value for name, value in os.environ.items() if not name.startswith("MULLEINHATCH_") and name != "NODE_NAME"
+    }
+    return {**environment, "PYTHONPATH": str(tree)}
 
 
 def record_play(tree: Path, seconds: float, instances: int = 6, seed: int = 1) -> Play:
@@ -352,14 +356,14 @@
     Returns:
         The bytes that the world said, to be replayed, and the digest of the answer.
     """
-    world, said, answer = World(instances, seed), [], hashlib.sha256()
+    world, batches, answer = World(instances, seed), [], hashlib.sha256()
     with subprocess.Popen(
         ADAPTER, cwd=tree, env=tree_environment(tree), stdin=subprocess.PIPE, stdout=subprocess.PIPE
     ) as adapter:
         assert adapter.stdin is not None and adapter.stdout is not None
         for number, (clock, body) in enumerate(world.batches(seconds)):
             batch = BATCH.pack(len(body), clock, number) + body
-            said.append(batch)
+            batches.append(batch)
             adapter.stdin.write(batch)
             adapter.stdin.flush()
             head = adapter.stdout.read(REPLY.size)
@@ -367,9 +371,9 @@
                 raise RuntimeError("the adapter ended before the play did")
             records = adapter.stdout.read(REPLY.unpack(head)[1])
             answer.update(head + records)
-            world.hear(records)
+            world.apply_reply(records)
         adapter.stdin.close()
-    return Play(b"".join(said), answer.hexdigest(), world.requests, world.records)
+    return Play(b"".join(batches), answer.hexdigest(), world.requests, world.records)
 
 
 def replay(tree: Path, batches: bytes) -> Replay:
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks import footprint, footprint_planes, footprint_play
-from benchmarks.footprint import Comparison, compare, rows, scatter, turns, verdict
+from benchmarks.footprint import Comparison, compare, round_orders, rows, scatter, verdict
 
 
 def compared(before: list[float], after: list[float]) -> Comparison:
@@ -40,7 +40,7 @@
     assert compared([before], [after]).holds is holds
 
 
-def test_scatter_is_the_middle_half_and_tells_what_lies_beyond_it():
+def test_scatter_is_the_middle_half_and_shows_what_lies_beyond_it():
     assert scatter([80.0, 90.0, 100.0, 110.0, 500.0]) == pytest.approx(0.2)
     assert scatter([0.0, 0.0]) == 0.0
     assert not compared([80.0, 90.0, 100.0, 110.0, 120.0], [110.0] * 5).beyond_scatter
@@ -62,8 +62,8 @@
 
 
 def test_the_table_shows_medians_change_scatter_and_judgement():
-    told = rows([Comparison("start", 200.0, 150.0, 0.01, 0.02, 3), Comparison("peak", 10.0, 11.0, 0.2, 0.3, 3)])
-    assert told == [
+    lines = rows([Comparison("start", 200.0, 150.0, 0.01, 0.02, 3), Comparison("peak", 10.0, 11.0, 0.2, 0.3, 3)])
+    assert lines == [
         ("start", "200", "150", "-25.0 %", "1.0 %", "2.0 %", "holds, beyond scatter"),
         ("peak", "10", "11", "+10.0 %", "20.0 %", "30.0 %", "WORSE"),
     ]
@@ -71,8 +71,8 @@
 
 
 def test_each_tree_is_first_in_every_other_round():
-    assert [order[0] for order in turns(4)] == [0, 1, 0, 1]
-    assert all(sorted(order) == [0, 1] for order in turns(5))
+    assert [order[0] for order in round_orders(4)] == [0, 1, 0, 1]
+    assert all(sorted(order) == [0, 1] for order in round_orders(5))
 
 
 def test_actions_of_a_reply_are_read_and_giving_in_is_an_error():
@@ -105,7 +105,7 @@
     for _, body in world.batches(0.5):
         ended.append(body)
         if ref := next(iter(instance.works), None):
-            world.hear(struct.pack(">BHBQ", 80, 0, 65, ref))
+            world.apply_reply(struct.pack(">BHBQ", 80, 0, 65, ref))
     assert any(struct.pack(">BH", 10, 0) + b"\x03" in body for body in ended)
 
 
@@ -116,8 +116,8 @@
         reader.feed_eof()
         return await footprint_planes.read_message(reader, arrivals)
 
-    whole = footprint_planes.message_bytes(b"HTTP/1.1 200 OK", {b"Request-Id": b"r"}, b"body")
-    answer = asyncio.run(read(whole))
+    by_length = footprint_planes.message_bytes(b"HTTP/1.1 200 OK", {b"Request-Id": b"r"}, b"body")
+    answer = asyncio.run(read(by_length))
     assert (answer.status, answer.fields[b"request-id"], answer.body) == (200, b"r", b"body")
     arrivals: list[float] = []
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -127,7 +127,7 @@
     assert answer.body == b"id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n"
     assert len(arrivals) == 2
     with pytest.raises(asyncio.IncompleteReadError):
-        asyncio.run(read(whole[:-1]))
+        asyncio.run(read(by_length[:-1]))
 
 
 def test_trees_that_answer_otherwise_have_other_digests(tmp_path):
