--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -413,49 +413,65 @@
 async def _measure_load(
     figures: dict[str, float], pids: dict[str, int], server: ModelServer, front: Client, direct: Client, load: Load
 ) -> None:
+    figures["control heartbeat, processor us"] = await _measure_heartbeats(pids["control"], server, load.heartbeats)
+    figures |= await _measure_requests(pids["data"], server, front, direct, load.requests)
+    figures |= await _measure_streams(pids["data"], front, direct, load.streams)
+
+
+async def _measure_heartbeats(pid: int, server: ModelServer, count: int) -> float:
+    """Return the processor time of a heartbeat in the control plane, in us."""
+
     async def heartbeat(number: int) -> None:
         if (status := await server.heartbeat()) != 200:
             raise RuntimeError(f"heartbeat {number} was answered {status}")
 
-    before = processor_s(pids["control"])
-    await at_rate(load.heartbeats, REQUESTS_A_S, heartbeat)
-    figures["control heartbeat, processor us"] = 1e6 * (processor_s(pids["control"]) - before) / load.heartbeats
+    before = processor_s(pid)
+    await at_rate(count, REQUESTS_A_S, heartbeat)
+    return 1e6 * (processor_s(pid) - before) / count
+
 
-    spent: dict[Client, list[float]] = {front: [], direct: []}
-    for client in (direct, front):  # each opens its connections before what counts
+async def _measure_requests(pid: int, server: ModelServer, front: Client, direct: Client, count: int) -> dict[str, float]:
+    """Return the processor time of a request in the data plane and the latency that it adds."""
+    figures: dict[str, float] = {}
+    latencies: dict[Client, list[float]] = {front: [], direct: []}
+    for client in (direct, front):  # each opens its connections before the figures are taken
 
         async def ask(number: int, client: Client = client) -> None:
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             answer = await client.send(request_bytes(b"/read/%d" % number))
-            spent[client].append(time.perf_counter() - begun)
+            latencies[client].append(time.perf_counter() - started_at)
             if answer.status != 200:
                 raise RuntimeError(f"request {number} was answered {answer.status}")
 
-        before, answered = processor_s(pids["data"]), server.answered
-        await at_rate(load.requests, REQUESTS_A_S, ask)
-        if server.answered - answered != load.requests:
-            raise RuntimeError(f"{load.requests} requests were run {server.answered - answered} times")
+        before, answered = processor_s(pid), server.answered
+        await at_rate(count, REQUESTS_A_S, ask)
+        if server.answered - answered != count:
+            raise RuntimeError(f"{count} requests were run {server.answered - answered} times")
         if client is front:
-            figures["data request, processor us"] = 1e6 * (processor_s(pids["data"]) - before) / load.requests
-    base = median(spent[direct])
-    figures["request added median, us"] = 1e6 * (median(spent[front]) - base)
-    figures["request added p99, us"] = 1e6 * (quantiles(spent[front], n=100)[98] - base)
+            figures["data request, processor us"] = 1e6 * (processor_s(pid) - before) / count
+    base = median(latencies[direct])
+    figures["request added median, us"] = 1e6 * (median(latencies[front]) - base)
+    figures["request added p99, us"] = 1e6 * (quantiles(latencies[front], n=100)[98] - base)
+    return figures
+
 
-    events: dict[Client, list[float]] = {front: [], direct: []}
+async def _measure_streams(pid: int, front: Client, direct: Client, count: int) -> dict[str, float]:
+    """Return the processor time of a stream event in the data plane and the latency that it adds."""
+    figures: dict[str, float] = {}
+    latencies: dict[Client, list[float]] = {front: [], direct: []}
     for client in (direct, front):
 
         async def stream(number: int, client: Client = client) -> None:
-            answer = await client.send(request_bytes(b"/write/%d" % number), events[client])
+            answer = await client.send(request_bytes(b"/write/%d" % number), latencies[client])
             if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS_A_STREAM:
                 raise RuntimeError(f"stream {number} was answered {answer.status} {answer.body[-200:]!r}")
 
-        before = processor_s(pids["data"])
-        await at_rate(load.streams, STREAMS_A_S, stream)
+        before = processor_s(pid)
+        await at_rate(count, STREAMS_A_S, stream)
         if client is front:
-            figures["data stream event, processor us"] = (
-                1e6 * (processor_s(pids["data"]) - before) / (load.streams * EVENTS_A_STREAM)
-            )
-    figures["event added median, us"] = 1e6 * (median(events[front]) - median(events[direct]))
+            figures["data stream event, processor us"] = 1e6 * (processor_s(pid) - before) / (count * EVENTS_A_STREAM)
+    figures["event added median, us"] = 1e6 * (median(latencies[front]) - median(latencies[direct]))
+    return figures
 
 
 def origin(tree: Path) -> str:
--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -183,8 +183,8 @@
         surge = 1.6 if int(self.now / 3000.0) % 2 else 0.7  # busy and calm stretches of 3 s
         return self.random.expovariate(surge * OVERLOAD * CORES / WORK_MS)
 
-    def _at(self, time_ms: float, number: int, *kind: object) -> None:
-        heapq.heappush(self._due, (time_ms, next(self._order), number, kind))
+    def _at(self, time_ms: float, number: int, *due: object) -> None:
+        heapq.heappush(self._due, (time_ms, next(self._order), number, due))
 
     def batches(self, seconds: float) -> Iterator[tuple[float, bytes]]:
         """Clock and body of each batch; after each one the reply must be given to `apply_reply`."""
@@ -197,8 +197,8 @@
             self.now = max(self.now + TICK_MS, self._due[0][0])
             events_by_instance: dict[int, list[bytes]] = {}
             while self._due and self._due[0][0] <= self.now:
-                _, _, number, kind = heapq.heappop(self._due)
-                events_by_instance.setdefault(number, []).extend(self._events_of(self.instances[number], *kind))
+                _, _, number, due = heapq.heappop(self._due)
+                events_by_instance.setdefault(number, []).extend(self._events_of(self.instances[number], *due))
             parts = [
                 struct.pack(">BH", 10, number) + b"".join(events) for number, events in events_by_instance.items() if events
             ]
@@ -207,51 +207,64 @@
                 yield self.now, b"".join(parts)
 
     def _events_of(self, instance: Instance, kind: str, *arguments: int) -> list[bytes]:
-        """The events that the instance is told of what is due."""
-        if kind == "create" or kind == "restart":
-            start = [b"\x09"] if kind == "restart" else []
-            for ref in list(instance.works):
-                instance.forget(ref)
-            instance.kept.clear()
-            # Timers and runs of the earlier life never come.
-            self._due = [due for due in self._due if due[2] != instance.number or due[3][0] in ("arrive", "retire", "restart")]
-            heapq.heapify(self._due)
-            profile = instance.profile.encode()
-            return [*start, struct.pack(">BQI", 1, self.random.getrandbits(64), len(profile)) + profile]
-        if kind == "arrive":
-            self._at(self.now + self._gap(), instance.number, "arrive")
-            return [self._request(instance)]
-        if kind == "retire":
-            return [struct.pack(">Bd", 6, float(arguments[0]))]
-        if kind == "fired":
-            return [self._fired(instance, arguments[0])]
-        ref = arguments[0]
-        if kind == "gone":
-            if ref not in instance.works:
-                return []
-            if ref not in instance.running and ref not in instance.called:
-                instance.forget(ref)
-            return [REF.pack(7, ref)]
-        if kind == "run end":
-            if instance.running.get(ref) != arguments[1]:
-                return []
-            if instance.calls_below and instance.operation_types[ref] != KEYED and ref not in instance.called:
-                del instance.running[ref]
-                instance.called.add(ref)
-                return [REF.pack(4, ref)]
+        """Return the events that the instance is sent for something that is due."""
+        match kind:
+            case "create":
+                return [self._create(instance)]
+            case "restart":
+                return [b"\x09", self._create(instance)]
+            case "arrive":
+                self._at(self.now + self._gap(), instance.number, "arrive")
+                return [self._request(instance)]
+            case "retire":
+                return [struct.pack(">Bd", 6, float(arguments[0]))]
+            case "fired":
+                return [self._fired(instance, arguments[0])]
+            case "gone":
+                return self._caller_gone(instance, arguments[0])
+            case "run end":
+                return self._run_end(instance, arguments[0], arguments[1])
+            case "call end" if arguments[0] in instance.called:
+                return self._call_end(instance, arguments[0])
+            case "stopped" if arguments[0] in instance.works:
+                return [RESULT.pack(3, arguments[0], 7, WORK_MS)]
+            case "ended" if arguments[0] in instance.works:
+                instance.forget(arguments[0])
+                return [RESULT.pack(3, arguments[0], arguments[1], 5.0)]
+        return []
+
+    def _create(self, instance: Instance) -> bytes:
+        for ref in list(instance.works):
             instance.forget(ref)
-            return [RESULT.pack(3, ref, 1 if self.random.random() < 0.96 else 2, WORK_MS)]
-        if kind == "call end" and ref in instance.called:
-            ending = self.random.choice((1, 1, 1, 1, 1, 1, 2, 4, 5))
-            if ending == 1:
-                self._run(instance, ref)
-            return [RESULT.pack(5, ref, ending, 30.0)]
-        if kind == "stopped" and ref in instance.works:
-            return [RESULT.pack(3, ref, 7, WORK_MS)]
-        if kind == "ended" and ref in instance.works:
+        instance.kept.clear()
+        # Timers and runs of the earlier life must not reach the new one.
+        self._due = [due for due in self._due if due[2] != instance.number or due[3][0] in ("arrive", "retire", "restart")]
+        heapq.heapify(self._due)
+        profile = instance.profile.encode()
+        return struct.pack(">BQI", 1, self.random.getrandbits(64), len(profile)) + profile
+
+    def _caller_gone(self, instance: Instance, ref: int) -> list[bytes]:
+        if ref not in instance.works:
+            return []
+        if ref not in instance.running and ref not in instance.called:
             instance.forget(ref)
-            return [RESULT.pack(3, ref, arguments[1], 5.0)]
-        return []
+        return [REF.pack(7, ref)]
+
+    def _run_end(self, instance: Instance, ref: int, run: int) -> list[bytes]:
+        if instance.running.get(ref) != run:
+            return []
+        if instance.calls_below and instance.operation_types[ref] != KEYED and ref not in instance.called:
+            del instance.running[ref]
+            instance.called.add(ref)
+            return [REF.pack(4, ref)]
+        instance.forget(ref)
+        return [RESULT.pack(3, ref, 1 if self.random.random() < 0.96 else 2, WORK_MS)]
+
+    def _call_end(self, instance: Instance, ref: int) -> list[bytes]:
+        ending = self.random.choice((1, 1, 1, 1, 1, 1, 2, 4, 5))
+        if ending == 1:
+            self._run(instance, ref)
+        return [RESULT.pack(5, ref, ending, 30.0)]
 
     def _request(self, instance: Instance) -> bytes:
         self.requests += 1
