--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -1,4 +1,4 @@
-"""What two source trees take, side by side: start, memory, processor time and added time of both planes, cost of decisions.
+"""Compare two source trees: start, memory, processor time and added latency of both planes, and the cost of decisions.
 
 Usage:
   footprint --before DIR --after DIR [--quick] [--rounds N] [--decisions | --planes] [--seed N]
@@ -12,11 +12,11 @@
   --planes      Only the two planes.
   --seed N      Of the play of the decision module [default: 1].
 
-The trees take turns, and who is first changes from round to round, so a machine that grows busy moves both. Only the planes and
-the adapter come from the measured trees; the load comes from where this benchmark stands. The play of the decision module is
-recorded once with the tree before and fed to both, whose answers must be the same bytes. A figure fails where its median is
-over 3 % worse in the tree after; beside it stands how far apart the middle half of its rounds lies (scatter), and whether the
-difference is beyond the scatter of both. Each tree is started once uncounted, which leaves compiled files in it.
+The trees alternate, and which one is first changes from round to round, so that a busy machine affects both. Only the planes
+and the adapter come from the measured trees; the load comes from this benchmark. The conversation with the decision module is
+recorded once with the tree before and replayed to both, whose replies must be the same bytes. A figure fails if its median is
+over 3 % worse in the tree after. The table shows the interquartile range of its rounds (scatter) and whether the difference is
+larger than the scatter of both. Each tree is started once without being measured, which leaves compiled files in it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from benchmarks.footprint_planes import FULL_LOAD, QUICK_LOAD, measure_round, origin
 from benchmarks.footprint_play import record_play, replay
 
-MAX_CHANGE = 0.03  # by how much a median may be worse
+MAX_CHANGE = 0.03  # share by which a median may be worse
 ROUNDS, QUICK_ROUNDS = 7, 3
 PLAY_S, QUICK_PLAY_S = 20.0, 5.0
 PLAY_FIGURE = "decision play, processor s"
@@ -45,7 +45,15 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """One figure in both trees. Scatters are the distance of the quartiles, as a share of the median; less is better."""
+    """One figure in both trees; lower is better.
+
+    Attributes:
+        before: Median in the tree before.
+        after: Median in the tree after.
+        scatter_before: Interquartile range as a share of the median, in the tree before.
+        scatter_after: The same in the tree after.
+        rounds: Rounds of each tree.
+    """
 
     name: str
     before: float
@@ -56,12 +64,12 @@
 
     @property
     def change(self) -> float:
-        """By how much the tree after is worse, as a share of the tree before; negative where it is better."""
+        """By how much the tree after is worse, as a share of the tree before; negative if it is better."""
         return (self.after - self.before) / abs(self.before) if self.before else float(self.after > 0.0)
 
     @property
     def holds(self) -> bool:
-        """Whether the median is at most by the slack worse."""
+        """Whether the median is worse by `MAX_CHANGE` at most."""
         return self.change <= MAX_CHANGE
 
     @property
@@ -71,7 +79,7 @@
 
 
 def scatter(values: list[float]) -> float:
-    """The distance of the quartiles as a share of the median, 0 for a single value.
+    """Return the interquartile range as a share of the median, 0 for a single value.
 
     >>> scatter([9.0, 10.0, 11.0]), scatter([5.0])
     (0.1, 0.0)
@@ -84,7 +92,7 @@
 
 
 def compare(before: list[Figures], after: list[Figures]) -> list[Comparison]:
-    """Compares the rounds of two trees figure by figure.
+    """Compare the rounds of two trees figure by figure.
 
     Args:
         before: The figures of each round of the tree before.
@@ -94,7 +102,7 @@
         One comparison for each figure, in the order of the first round.
 
     Raises:
-        ValueError: Some round has other figures than the first.
+        ValueError: If a round has other figures than the first.
     """
     names = list(before[0])
     if any(set(figures) != set(names) for figures in (*before, *after)):
@@ -107,13 +115,13 @@
 
 
 def verdict(comparisons: list[Comparison], answers_equal: bool | None) -> dict[str, bool]:
-    """What holds, by name; the equality of the answers only where a play was made."""
+    """Return what holds, by name; the equality of decisions only if they were compared."""
     checks = {comparison.name: comparison.holds for comparison in comparisons}
     return checks if answers_equal is None else {**checks, "same decisions": answers_equal}
 
 
 def rows(comparisons: list[Comparison]) -> list[tuple[str, ...]]:
-    """The lines of the table: figure, medians, change, scatters, judgement."""
+    """Return the lines of the table: figure, medians, change, scatters, verdict."""
     return [
         (
             comparison.name,
@@ -129,7 +137,7 @@
 
 
 def show(comparisons: list[Comparison]) -> Table:
-    """The table of all figures."""
+    """Return the table of all figures."""
     table = Table("figure", "before", "after", "change", "scatter before", "scatter after", "")
     for row in rows(comparisons):
         table.add_row(*row)
@@ -137,7 +145,7 @@
 
 
 def round_orders(count: int) -> list[tuple[int, int]]:
-    """Who plays in which order in each round: 0 is the tree before, 1 the tree after.
+    """Return the order of the trees in each round: 0 is the tree before, 1 the tree after.
 
     >>> round_orders(3)
     [(0, 1), (1, 0), (0, 1)]
@@ -146,7 +154,7 @@
 
 
 def measure_planes(trees: tuple[Path, Path], rounds: int, quick: bool) -> tuple[list[Figures], list[Figures]]:
-    """The figures of both planes, by tree and round."""
+    """Return the figures of both planes, by tree and round."""
     load = QUICK_LOAD if quick else FULL_LOAD
     measured: tuple[list[Figures], list[Figures]] = ([], [])
     for tree in trees:
@@ -160,7 +168,7 @@
 def measure_decisions(
     trees: tuple[Path, Path], rounds: int, quick: bool, seed: int
 ) -> tuple[list[Figures], list[Figures], dict[str, object]]:
-    """The processor time of the play by tree and round, and what was played and answered."""
+    """Return the processor time of the decisions by tree and round, and a summary of the recorded conversation."""
     play = record_play(trees[0], QUICK_PLAY_S if quick else PLAY_S, seed=seed)
     measured: tuple[list[Figures], list[Figures]] = ([], [])
     digests, sizes = {play.digest}, set()
@@ -175,7 +183,7 @@
 
 
 def main() -> int:
-    """Measures, prints table and JSON line; 1 where the tree after is worse or decides otherwise."""
+    """Measure and print the table and the JSON line; return 1 if the tree after is worse or decides otherwise."""
     options = docopt(__doc__)
     quick = bool(options["--quick"])
     rounds = int(options["--rounds"] or (QUICK_ROUNDS if quick else ROUNDS))
--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -1,8 +1,8 @@
-"""Both planes of one source tree as processes on loopback, under a small fixed load, with what they take measured from outside.
+"""Run both planes of one source tree as processes on loopback, under a small fixed load, and measure them from outside.
 
-The planes come from the measured tree; model server and clients stand in the process of the benchmark and speak plain HTTP of
-their own, with no name from the package, so that trees whose modules have other names meet the same load. A round starts one
-control plane and one data plane, lets them rest, sends heartbeats, requests and streams at fixed rates, and ends them by pid.
+The planes come from the measured tree. The model server and the clients run in the benchmark's process and speak plain HTTP
+without using any name of the package, so that trees with other module names meet the same load. A round starts one control
+plane and one data plane, leaves them idle, sends heartbeats, requests and streams at fixed rates, and kills them by pid.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 SETTINGS_VARIABLE = "MULLEINHATCH_NODE_FILE"
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, MODEL_PORT = 18146, 17660, 18144, 18140, 18300
 HOST, MODEL = "footprint.example", "model-0"
-REQUESTS_A_S = 100.0  # requests a second, that of the small sites
+REQUESTS_A_S = 100.0  # the rate of the small sites
 GIVE_UP_S = 30.0
-READY_POLL_S = 0.002  # between two looks at whether a plane is ready
-EVENTS_A_STREAM, EVENT_GAP_S = 20, 0.005  # of a stream
+READY_POLL_S = 0.002
+EVENTS_A_STREAM, EVENT_GAP_S = 20, 0.005
 STREAMS_A_S = 10.0
 
 
 @dataclass(frozen=True)
 class Load:
-    """How much a round does."""
+    """The load of a round: idle times in seconds and numbers of messages."""
 
     settle_s: float
     idle_s: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """A request or an answer that was read: first line, fields by lower-case name, body."""
+    """A request or response: first line, fields by lower-case name, body."""
 
     first_line: bytes
     fields: dict[bytes, bytes]
@@ -57,22 +57,25 @@
 
     @property
     def status(self) -> int:
-        """Of an answer."""
+        """The status code of a response."""
         return int(self.first_line.split()[1])
 
 
 def message_bytes(first_line: bytes, fields: dict[bytes, bytes], body: bytes = b"") -> bytes:
-    """A message whose body is told by its length."""
+    """Return a message with a `Content-Length`."""
     lines = [b"%b: %b" % field for field in fields.items()]
     return b"\r\n".join([first_line, *lines, b"Content-Length: %d" % len(body), b"", body])
 
 
 async def read_message(reader: asyncio.StreamReader, arrivals: list[float] | None = None) -> Message:
-    """Reads one message; IncompleteReadError where the connection ends before.
+    """Read one message.
 
     Args:
-        reader: Of the connection.
-        arrivals: Takes, for each event of a stream, the seconds from its sending to its arrival.
+        reader: Reader of the connection.
+        arrivals: If given, receives the seconds from sending to arrival of each event of a stream.
+
+    Raises:
+        IncompleteReadError: If the connection ends before the message does.
     """
     head = (await reader.readuntil(b"\r\n\r\n"))[:-4].split(b"\r\n")
     fields = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in head[1:])}
@@ -91,14 +94,14 @@
 
 
 class Client:
-    """Keeps connections to one address and sends requests over them."""
+    """Sends requests to one address over connections that it keeps open."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def send(self, request: bytes, arrivals: list[float] | None = None) -> Message:
-        """The answer to one request."""
+        """Send one request and return the response."""
         reader, writer = self._idle.pop() if self._idle else await asyncio.open_connection(*self.address)
         try:
             writer.write(request)
@@ -113,13 +116,13 @@
         return answer
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Close all connections."""
         for _, writer in self._idle:
             writer.close()
 
 
 class ModelServer:
-    """A model server that answers at once; the events of its streams carry the time at which they were sent."""
+    """A model server that responds immediately; the events of its streams carry the time at which they were sent."""
 
     def __init__(self, address: tuple[str, int], control: tuple[str, int]) -> None:
         self.address, self.identity = address, f"i-{random.getrandbits(40):010x}"
@@ -130,12 +133,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listens, and registers once a second from now on."""
+        """Listen, and register once a second from now on."""
         self._server = await asyncio.start_server(self._converse, *self.address)
         self._tasks.append(asyncio.ensure_future(self._register()))
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Close all connections."""
         for task in self._tasks:
             task.cancel()
         for writer in list(self._writers):
@@ -150,7 +153,7 @@
             await asyncio.sleep(1.0)
 
     async def heartbeat(self) -> int:
-        """Tells the control plane of this server; the status of the answer."""
+        """Register at the control plane and return the status of the response."""
         self._sequence += 1
         body = {
             "service": "writer",
@@ -280,7 +283,7 @@
 
 
 def request_bytes(path: bytes) -> bytes:
-    """One request of a client, with an id of its own."""
+    """Return one request of a client, with an ID of its own."""
     fields = {
         b"Host": HOST.encode(),
         b"Request-Id": b"%016x" % random.getrandbits(64),
@@ -312,10 +315,18 @@
 
     @property
     def pid(self) -> int:
+        """The process ID."""
         return self.process.pid
 
     async def ready(self) -> float:
-        """Waits until it is ready; the seconds since it was spawned."""
+        """Wait until the plane is ready.
+
+        Returns:
+            Seconds since it was started.
+
+        Raises:
+            TimeoutError: If it is not ready in time or has exited.
+        """
         request = message_bytes(b"GET %b HTTP/1.1" % self.ready_path, {b"Host": b"plane"})
         while time.perf_counter() - self._begun < GIVE_UP_S and self.process.poll() is None:
             client = Client(self.ready_at)
@@ -330,12 +341,13 @@
         raise TimeoutError(f"{self.process.args} was not ready: {self.log.read_text()[-2000:]}")
 
     def end(self) -> None:
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
 
 async def at_rate(count: int, rate: float, act) -> None:
-    """Starts `act(number)` at even distances, however long the earlier ones take; returns when all are done."""
+    """Start `act(number)` at a fixed rate, however long the earlier ones take; return when all are done."""
     loop = asyncio.get_running_loop()
     begun, tasks = loop.time(), []
     for number in range(count):
@@ -345,7 +357,7 @@
 
 
 async def put_configuration(control: Client) -> None:
-    """Gives the control plane its first configuration."""
+    """Put the first configuration into the control plane."""
     fields = {b"Host": b"control", b"Content-Type": b"application/json", b"If-Match": b"0"}
     request = message_bytes(b"PUT /configuration HTTP/1.1", fields, json.dumps(configuration()).encode())
     end = time.perf_counter() + GIVE_UP_S
@@ -364,14 +376,14 @@
 
 
 async def measure_round(tree: Path, load: Load) -> dict[str, float]:
-    """Starts both planes of a tree, loads them and ends them.
+    """Start both planes of a tree, put them under load and end them.
 
     Args:
         tree: Folder with control_plane.py and data_plane.py.
-        load: How much the round does.
+        load: The load of the round.
 
     Returns:
-        Each figure by its name; all are such that less is better.
+        Each figure by its name; lower is better.
     """
     address, figures = free_loopback(), {}
     planes: dict[str, Plane] = {}
@@ -475,7 +487,11 @@
 
 
 def origin(tree: Path) -> str:
-    """From where a child of this tree imports the package; RuntimeError where that is another tree."""
+    """Return the folder that a child of this tree imports the package from.
+
+    Raises:
+        RuntimeError: If that is in another tree.
+    """
     package_file = subprocess.run(
         [sys.executable, "-O", "-c", "import mulleinhatch; print(mulleinhatch.__file__)"],
         cwd=tree,
--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -1,9 +1,9 @@
-"""A fixed conversation on the simulator's wire, and what a source tree answers to it.
+"""Record a fixed conversation in the simulator's protocol, and replay it to a source tree.
 
-`record_play` plays a small seeded world of instances against the adapter of one tree and keeps every byte the world said.
-`replay` feeds the same bytes to the adapter of any tree and gives the digest of its answer and the processor time it took.
-Equal digests mean equal decisions, in the same order, at the same times. Only the command `python -m mulleinhatch.benchlink` is
-used, no name inside the package, so trees whose modules have other names can be compared.
+`record_play` runs a small seeded world of instances against the adapter of one tree and stores every byte that the world sent.
+`replay` sends the same bytes to the adapter of any tree and returns the digest of its replies and its processor time. Equal
+digests mean equal decisions, in the same order, at the same times. Only the command `python -m mulleinhatch.benchlink` is used,
+no name inside the package, so trees with other module names can be compared.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 @dataclass
 class Play:
-    """A recorded conversation: the batches as bytes, what the recording tree answered, and how much it was."""
+    """A recorded conversation: batches, digest of the recording tree's replies, and numbers of requests and events."""
 
     batches: bytes
     digest: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Replay:
-    """What one tree answered to a play. `answer_bytes` tells that it answered at all."""
+    """The reply of one tree to a conversation; `answer_bytes` shows that there was one at all."""
 
     digest: str
     answer_bytes: int
@@ -75,7 +75,12 @@
 
 @dataclass
 class Instance:
-    """What the world knows of one instance of the adapter: its settings and the requests that it was given."""
+    """What the world knows of one instance: its settings and the requests that were sent to it.
+
+    Attributes:
+        running: By request, the run that counts; runs that were stopped end without effect.
+        kept: By request, the time until which its entry is kept.
+    """
 
     number: int
     profile: str
@@ -84,13 +89,13 @@
     reports_disconnects: bool
     works: dict[int, float] = field(default_factory=dict)
     operation_types: dict[int, int] = field(default_factory=dict)
-    running: dict[int, int] = field(default_factory=dict)  # by request: the run that counts, as stopped ones end for nothing
+    running: dict[int, int] = field(default_factory=dict)
     paused: set[int] = field(default_factory=set)
     called: set[int] = field(default_factory=set)
-    kept: dict[int, float] = field(default_factory=dict)  # by request: until when its entry stays
+    kept: dict[int, float] = field(default_factory=dict)
 
     def forget(self, ref: int) -> None:
-        """The request is over: no further event names it."""
+        """Forget a request that has ended: no further event names it."""
         for known in (self.works, self.operation_types, self.running):
             known.pop(ref, None)
         self.paused.discard(ref)
@@ -98,7 +103,7 @@
 
 
 def profile_of(number: int) -> tuple[str, str, bool, bool]:
-    """Settings of an instance by its number, its stop mode, and whether it calls below and hears of callers that left."""
+    """Return an instance's settings, its stop mode, whether it calls below, and whether disconnects are sent to it."""
     stop_mode = ("off", "discard", "freeze")[number % 3]
     calls_below, reports_disconnects = number % 2 == 1, number % 4 != 2
     say = ("floor", "allowance", "weight", "off")[number % 4]
@@ -148,7 +153,10 @@
 
 
 def read_actions(records: bytes) -> Iterator[Action]:
-    """The actions of a reply.
+    """Yield the actions of a reply.
+
+    Raises:
+        RuntimeError: If the adapter reports that it gave up.
 
     >>> list(read_actions(bytes.fromhex("500003" "41000aa7605d3a91c4")))
     [(80, (3,)), (65, (2998782089925060,))]
@@ -165,7 +173,7 @@
 
 
 class World:
-    """Callers, cores and timers of some instances; it says batches and hears replies. All chance comes from the seed."""
+    """Callers, cores and timers of some instances: sends batches and applies replies. All random draws come from one seed."""
 
     def __init__(self, instances: int, seed: int) -> None:
         self.random = random.Random(seed)
@@ -173,7 +181,7 @@
         self.now = 0.0
         self.requests = self.records = 0
         self._order = count()
-        self._due: list[tuple[float, int, int, tuple]] = []  # heap: time, order, instance, what happens
+        self._due: list[tuple[float, int, int, tuple]] = []  # heap: time, order, instance, event
         self._unique = count(1)
         for number in self.instances:
             self._at(0.0, number, "create")
@@ -187,7 +195,7 @@
         heapq.heappush(self._due, (time_ms, next(self._order), number, due))
 
     def batches(self, seconds: float) -> Iterator[tuple[float, bytes]]:
-        """Clock and body of each batch; after each one the reply must be given to `apply_reply`."""
+        """Yield the clock and body of each batch; each reply must be given to `apply_reply` before the next one."""
         for number in self.instances:
             if number % 3 == 1:
                 self._at(700.0 * seconds, number, "retire", int(150.0 * seconds))
@@ -312,7 +320,7 @@
         self._at(self.now + instance.works[ref] * crowd * self.random.uniform(0.8, 1.3), instance.number, "run end", ref, turn)
 
     def apply_reply(self, records: bytes) -> None:
-        """Takes in what the instances did."""
+        """Apply the actions of the instances."""
         instance = self.instances[0]
         for code, arguments in read_actions(records):
             if code == SOURCE:
@@ -350,7 +358,7 @@
 
 
 def tree_environment(tree: Path) -> dict[str, str]:
-    """The environment of a child that must import the package of this tree, not one that is installed."""
+    """Return the environment in which a child imports the package of this tree."""
     environment = {
         name: value for name, value in os.environ.items() if not name.startswith("MULLEINHATCH_") and name != "NODE_NAME"
     }
@@ -358,16 +366,19 @@
 
 
 def record_play(tree: Path, seconds: float, instances: int = 6, seed: int = 1) -> Play:
-    """Plays a world against the adapter of a tree.
+    """Run a world against the adapter of a tree.
 
     Args:
         tree: Folder of the tree.
-        seconds: Length of the play in its own time.
-        instances: How many instances the adapter hosts.
-        seed: Of all chance in the world.
+        seconds: Duration in virtual time.
+        instances: Number of instances that the adapter hosts.
+        seed: Seed of all draws of the world.
 
     Returns:
-        The bytes that the world said, to be replayed, and the digest of the answer.
+        The bytes that the world sent, and the digest of the replies.
+
+    Raises:
+        RuntimeError: If the adapter exits early.
     """
     world, batches, answer = World(instances, seed), [], hashlib.sha256()
     with subprocess.Popen(
@@ -390,14 +401,17 @@
 
 
 def replay(tree: Path, batches: bytes) -> Replay:
-    """Feeds recorded batches to the adapter of a tree.
+    """Send recorded batches to the adapter of a tree.
 
     Args:
         tree: Folder of the tree.
-        batches: What `record_play` kept.
+        batches: The batches of a `Play`.
 
     Returns:
-        Digest and size of the answer, and the processor time of the whole process.
+        Digest and size of the replies, and the processor time of the whole process.
+
+    Raises:
+        RuntimeError: If the adapter fails.
     """
     with tempfile.TemporaryFile() as source, tempfile.TemporaryFile() as sink:
         source.write(batches)
