--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -60,8 +60,8 @@
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
 HEADROOM = 2.0  # of a tenant's total over its mean rate at the peak
-LETTERS = 4  # that a member sends, and hears, a beat: two probes and their answers
-BEATS = 10  # a second
+MESSAGES_PER_HEARTBEAT = 4  # that a member sends, and receives: two probes and their answers
+HEARTBEATS_A_S = 10
 TURNS, QUICK_TURNS = 7, 3
 Points = list[tuple[float, float]]
 
@@ -69,10 +69,10 @@
 def retained_bytes(make: Callable[..., Any], *arguments: Any) -> float:
     """Bytes that stay allocated by what `make` gives."""
     tracemalloc.start()
-    kept = make(*arguments)
+    retained = make(*arguments)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return float(size)
 
 
@@ -114,11 +114,11 @@
 
     # Budgets.
 
-    def budgets(self) -> None:
+    def measure_budgets(self) -> None:
         sizes = self.sizes(16, 100, 1_000, 10_000)
         last = None if self.quick else 40_000
         memory = [(count, retained_bytes(all_parts, count)) for count in (*sizes, *([last] if last else []))]
-        spent = [(count, BEATS * self._beat_of(count)) for count in (*sizes, *([last] if last else []))]
+        spent = [(count, HEARTBEATS_A_S * self._heartbeat_cpu_s(count)) for count in (*sizes, *([last] if last else []))]
         for name, unit, points in (("control.budgets_memory", "bytes", memory), ("control.budgets_cpu", "cores", spent)):
             self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
         bytes_a_second, datagrams = [], []
@@ -134,25 +134,25 @@
             bytes_a_second.append((count, 2.0 * ((world.counts["bytes"] - before["bytes"]) / per + HEADERS * sent)))
         self.add("control.budgets_bytes", "bytes/s", "budgets", bytes_a_second, "constant")
         self.add("control.budgets_datagrams", "datagrams/s", "budgets", datagrams, "constant")
-        self.even_parts()
+        self._note_even_shares()
 
-    def _beat_of(self, count: int) -> float:
+    def _heartbeat_cpu_s(self, count: int) -> float:
         """What a beat asks of each part: use, a plan, a spare for each letter sent, the pieces on each one heard."""
         parts = all_parts(count)
         now = 100.0
 
-        def beat() -> None:
+        def heartbeat() -> None:
             for part in parts:
                 part.usable(now)
                 part.plan(now, 0.5, [])
-                for _ in range(LETTERS):
+                for _ in range(MESSAGES_PER_HEARTBEAT):
                     part.spare(now, 0.5)
-                for _ in range(1 + LETTERS):
+                for _ in range(1 + MESSAGES_PER_HEARTBEAT):
                     part.pieces(now)
 
-        return cpu_s(beat, max(1, 1_000 // count), self.turns)
+        return cpu_s(heartbeat, max(1, 1_000 // count), self.turns)
 
-    def few(self) -> None:
+    def measure_small_fleets(self) -> None:
         """Fleet state among few members: where its bytes pass the bound of the target."""
         points = []
         for count in (2, 4, 8, 16) if self.quick else (2, 4, 8, 16, 32, 64):
@@ -165,7 +165,7 @@
         self.events["fleet state of two members"] = {"bytes a second, sent and received": rounded(points[0][1])}
         self.add("control.few_bytes", "bytes/s", "members", points[1:], "constant")
 
-    def even_parts(self) -> None:
+    def _note_even_shares(self) -> None:
         """By a reckoned distribution of totals: rank and rate by Zipf's law of exponent 1 over the target's peak."""
         harmonic_sum = sum(1.0 / rank for rank in range(1, TENANTS + 1))
         totals = sorted(max(1, int(HEADROOM * PEAK / harmonic_sum / rank)) for rank in range(1, TENANTS + 1))
@@ -180,7 +180,7 @@
 
     # Storm books and sketches.
 
-    def storms(self) -> None:
+    def measure_retry_admission(self) -> None:
         # At whole generations of the books, where they hold the most that they ever do.
         usual, callers = StormBounds(), self.sizes(16_384, 32_768, 49_152)
         self.add(
@@ -209,7 +209,7 @@
             )
         self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
 
-    def loudest(self) -> None:
+    def measure_heavy_hitters(self) -> None:
         memory, spent, adds = [], [], 20_000 if self.quick else 200_000
         for count in self.sizes(1_000, 10_000, 100_000, TENANTS):
             names = Names(count, self.seed)
@@ -226,7 +226,7 @@
 
     # Decisions.
 
-    def decisions(self) -> None:
+    def measure_decisions(self) -> None:
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 25_000, TENANTS):
             settings = deployment(count, 10)
@@ -246,7 +246,7 @@
         self.add("request.decide_classes_memory", "bytes", "classes", memory, "linear")
         self.add("request.decide_classes_cpu", "us a request", "classes", spent, "constant", bounded=True)
 
-    def settings(self) -> None:
+    def measure_settings(self) -> None:
         """The file that carries configuration today, whole at each change."""
         for name, size, sizes, rows in (
             ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenant_settings),
@@ -256,7 +256,7 @@
 
     # Voters.
 
-    def voters(self) -> None:
+    def measure_voters(self) -> None:
         messages, sent = [], []
         for count in (18, 24, 30) if self.quick else (24, 40, 60, 80, 120):
             world = Asking(count, self.seed)
@@ -283,7 +283,7 @@
 
     # The operator's tools.
 
-    def answers(self) -> None:
+    def measure_operator_answers(self) -> None:
         """Where all members name the same loudest tenants, and where each names others."""
         sizes = (25, 50, 100) if self.quick else (25, 100, 400, 1_000)
         for name, differ, form in (("", False, "linear"), ("_tenants_differ", True, "square")):
@@ -330,27 +330,27 @@
     return [Part(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
-def record_first_try(desk: Desk, caller: int, number: int) -> None:
+def record_first_try(admission: Desk, caller: int, number: int) -> None:
     """A first try that is nacked: likeness, books of callers and of tries, as the reducer keeps them."""
     like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
-    repeat, looks = desk.tries.read(1.0, like, again=False)
-    desk.read(1.0, caller, True, 0.0)
-    desk.tries.closed(looks)
-    desk.tries.nacked(1.0, looks)
+    repeat, looks = admission.tries.read(1.0, like, again=False)
+    admission.read(1.0, caller, True, 0.0)
+    admission.tries.closed(looks)
+    admission.tries.nacked(1.0, looks)
 
 
 def filled_retry_admission(bounds: StormBounds, callers: int) -> Desk:
     """One nacked op of each caller, and one run that may not run twice."""
-    desk = Desk(bounds, longest_hold_off=10.0, seed=7)
+    admission = Desk(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
-        record_first_try(desk, caller, caller)
-        desk.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
-    return desk
+        record_first_try(admission, caller, caller)
+        admission.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
+    return admission
 
 
-def first_tries(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
+def first_tries(admission: Desk, callers: int, seed: int) -> Callable[[], None]:
     draw = random.Random(seed)
-    return lambda: record_first_try(desk, draw.randrange(callers), draw.randrange(10**9))
+    return lambda: record_first_try(admission, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
@@ -414,11 +414,11 @@
             self.heard["words"] += 1
             self.heard["bytes"] += HEADERS + len(data)
 
-    def _send(self, node: Any, errands: list[tuple[str, bytes]]) -> None:
+    def _send(self, node: Any, effects: list[tuple[str, bytes]]) -> None:
         if node.place == 1:
-            for _, data in errands:
+            for _, data in effects:
                 self._word(data)
-        super()._send(node, errands)
+        super()._send(node, effects)
 
     def _heard(self, node: Any, data: bytes) -> None:
         if node.place == 1:
@@ -448,21 +448,21 @@
         raise ValueError("the voter gave no answer: nothing was measured")
 
 
-def table_bytes(out: int, letters: int) -> int:
+def table_bytes(out: int, name_length: int) -> int:
     """The largest word that carries the table: what a voter tells one that lost its disk."""
     table = Table(
-        tuple(f"v{place}".ljust(letters, "x") for place in range(7)),
+        tuple(f"v{place}".ljust(name_length, "x") for place in range(7)),
         MOST_OUT,
         MOST_OUT,
         8_000,
         0,
         tuple(
-            Permit(f"n{place}".ljust(letters, "x"), "r1z1", 8_000 - place, "release".ljust(letters, "x"))
+            Permit(f"n{place}".ljust(name_length, "x"), "r1z1", 8_000 - place, "release".ljust(name_length, "x"))
             for place in range(out)
         ),
     )
-    ballot = Ballot(8_000, "n1.1700000000000.12")
-    return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(ballot, ballot, table, 16_000), False)))
+    proposal = Ballot(8_000, "n1.1700000000000.12")
+    return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(proposal, proposal, table, 16_000), False)))
 
 
 def fleet_side(count: int, differ: bool) -> FleetSide:
@@ -502,13 +502,22 @@
     return side
 
 
-PARTS = ("budgets", "few", "storms", "loudest", "decisions", "settings", "voters", "answers")
+PARTS: dict[str, Callable[[PartCosts], None]] = {
+    "budgets": PartCosts.measure_budgets,
+    "few": PartCosts.measure_small_fleets,
+    "storms": PartCosts.measure_retry_admission,
+    "loudest": PartCosts.measure_heavy_hitters,
+    "decisions": PartCosts.measure_decisions,
+    "settings": PartCosts.measure_settings,
+    "voters": PartCosts.measure_voters,
+    "answers": PartCosts.measure_operator_answers,
+}
 
 
 def measured(parts: PartCosts, names: list[str]) -> PartCosts:
     for name in names:
         started_at = time.monotonic()
-        getattr(parts, name)()
+        PARTS[name](parts)
         print(f"{name}: {time.monotonic() - started_at:.1f} s", file=sys.stderr)
     return parts
 
