--- a/benchmarks/days/matrix.py
+++ b/benchmarks/days/matrix.py
@@ -55,8 +55,8 @@
     if not how:
         return []
     plain_text = re.sub(r"\([^()]*\)", "", variants).split(";")[0].split("(")[0]
-    words = [word.strip() for part in plain_text.split(",") for word in part.split(" ")]
-    return list(dict.fromkeys(word for word in words if WORD.fullmatch(word) and word not in SKIPPED))
+    candidates = [word.strip() for part in plain_text.split(",") for word in part.split(" ")]
+    return list(dict.fromkeys(word for word in candidates if WORD.fullmatch(word) and word not in SKIPPED))
 
 
 def cells(kinds: Mapping[str, list[str]]) -> Iterator[Cell]:
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,17 +1,17 @@
-"""What single parts cost by size, in pure code: budgets, storm books, sketches, permits, decisions, the operator's answer.
+"""Measure single parts by size, in pure code: budgets, retry admission, sketches, permits, decisions, the operator's view.
 
 Usage:
   parts [--quick] [--record] [--seed N] [--only PARTS]
 
 Options:
-  --quick       Fewer sizes and turns; what it finds is not recorded.
-  --record      Writes benchmarks/recorded/parts.json, from which docs/CAPACITY.md is made.
-  --seed N      Of names and draws [default: 1].
+  --quick       Fewer sizes and turns; the result is not recorded.
+  --record      Write benchmarks/recorded/parts.json, from which docs/CAPACITY.md is generated.
+  --seed N      Seed of names and draws [default: 1].
   --only PARTS  Some of budgets,few,storms,loudest,decisions,settings,voters,answers; the record keeps the others.
 
-Memory is what the structures hold (tracemalloc), time the process's own CPU, the median of several turns. Aims: what is said to
-be bounded is: the sketch of tenants, the storm books and an op's decision cost at their largest size at most twice what they
-cost at the size before. Two sizes of one run are compared, so a busy machine moves both.
+Memory is what the structures retain (tracemalloc); time is the process's own CPU, the median of several turns. Aim: bounded
+costs (the sketch of tenants, retry admission, the decision about a request) at their largest size are at most twice the cost at
+the size before. Two sizes of one run are compared, so that a busy machine affects both.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 def retained_bytes(make: Callable[..., Any], *arguments: Any) -> float:
-    """Bytes that stay allocated by what `make` gives."""
+    """Return the bytes that stay allocated by the result of `make`."""
     tracemalloc.start()
     retained = make(*arguments)
     size = tracemalloc.get_traced_memory()[0]
@@ -77,7 +77,7 @@
 
 
 def cpu_s(act: Callable[..., Any], times: int, turns: int, *arguments: Any) -> float:
-    """Seconds of CPU of one `act`, the median of some turns of so many."""
+    """Return the CPU seconds of one call of `act`: the median of some turns of so many calls."""
     spent = []
     for _ in range(turns):
         started_at = time.process_time()
@@ -88,14 +88,22 @@
 
 
 class PartCosts:
+    """Measures the parts and collects their costs by size.
+
+    Attributes:
+        costs: Costs by name, as a record stores them.
+        events: Figures that have no size.
+        bounded: Points of the costs that must not grow beyond their bound.
+    """
+
     def __init__(self, quick: bool, seed: int) -> None:
         self.quick, self.seed, self.turns = quick, seed, QUICK_TURNS if quick else TURNS
         self.costs: dict[str, dict[str, Any]] = {}
         self.events: dict[str, dict[str, float]] = {}
-        self.bounded: dict[str, Points] = {}  # by cost: what must not grow beyond its bound
+        self.bounded: dict[str, Points] = {}
 
     def sizes(self, *all_sizes: int) -> tuple[int, ...]:
-        """In a quick run without the largest."""
+        """Return the sizes to measure; a quick run leaves out the largest."""
         return all_sizes[:3] if self.quick else all_sizes
 
     def add(
@@ -108,6 +116,17 @@
         bounded: bool = False,
         checked: tuple[float, float] | None = None,
     ) -> None:
+        """Fit and store a cost.
+
+        Args:
+            name: Name of the cost in the record.
+            unit: Unit of the values.
+            size: What the points are over.
+            points: Pairs of size and value.
+            form: Form of the fit.
+            bounded: Whether the cost must not grow beyond its bound.
+            checked: A run at another size, which the fit is not made from.
+        """
         self.costs[name] = cost(unit, size, points, form, checked)
         if bounded:
             self.bounded[name] = points
@@ -115,6 +134,7 @@
     # Budgets.
 
     def measure_budgets(self) -> None:
+        """Measure memory, CPU and traffic of budgets."""
         sizes = self.sizes(16, 100, 1_000, 10_000)
         last = None if self.quick else 40_000
         memory = [(count, retained_bytes(all_parts, count)) for count in (*sizes, *([last] if last else []))]
@@ -137,7 +157,7 @@
         self._note_even_shares()
 
     def _heartbeat_cpu_s(self, count: int) -> float:
-        """What a beat asks of each part: use, a plan, a spare for each letter sent, the pieces on each one heard."""
+        """Return the CPU seconds that a heartbeat takes for all budgets."""
         parts = all_parts(count)
         now = 100.0
 
@@ -153,7 +173,7 @@
         return cpu_s(heartbeat, max(1, 1_000 // count), self.turns)
 
     def measure_small_fleets(self) -> None:
-        """Fleet state among few members: where its bytes pass the bound of the target."""
+        """Measure the traffic of fleet state among few members, where it exceeds the bound of the target."""
         points = []
         for count in (2, 4, 8, 16) if self.quick else (2, 4, 8, 16, 32, 64):
             world = FleetWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
@@ -161,12 +181,12 @@
             world.play(10.0 if self.quick else 20.0)
             sent, data_bytes = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
             points.append((count, 2.0 * (data_bytes + HEADERS * sent) / count / (world.now - 5.0)))
-        # Two have one to probe a beat, and half of the letters.
+        # With two members there is one to probe in a heartbeat, so half of the messages.
         self.events["fleet state of two members"] = {"bytes a second, sent and received": rounded(points[0][1])}
         self.add("control.few_bytes", "bytes/s", "members", points[1:], "constant")
 
     def _note_even_shares(self) -> None:
-        """By a reckoned distribution of totals: rank and rate by Zipf's law of exponent 1 over the target's peak."""
+        """Note the even shares of computed totals: rank and rate follow Zipf's law of exponent 1 over the target's peak."""
         harmonic_sum = sum(1.0 / rank for rank in range(1, TENANTS + 1))
         totals = sorted(max(1, int(HEADROOM * PEAK / harmonic_sum / rank)) for rank in range(1, TENANTS + 1))
         self.events["even parts (totals are reckoned)"] = {
@@ -181,7 +201,8 @@
     # Storm books and sketches.
 
     def measure_retry_admission(self) -> None:
-        # At whole generations of the books, where they hold the most that they ever do.
+        """Measure memory and CPU of retry admission by the number of callers."""
+        # At full generations of the logs, where they hold the most.
         usual, callers = StormBounds(), self.sizes(16_384, 32_768, 49_152)
         self.add(
             "request.storms_memory",
@@ -210,6 +231,7 @@
         self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
 
     def measure_heavy_hitters(self) -> None:
+        """Measure memory and CPU of the sketch of the most active tenants."""
         memory, spent, adds = [], [], 20_000 if self.quick else 200_000
         for count in self.sizes(1_000, 10_000, 100_000, TENANTS):
             names = Names(count, self.seed)
@@ -227,6 +249,7 @@
     # Decisions.
 
     def measure_decisions(self) -> None:
+        """Measure memory and CPU of admission decisions by the numbers of tenants and classes."""
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 25_000, TENANTS):
             settings = deployment(count, 10)
@@ -247,7 +270,7 @@
         self.add("request.decide_classes_cpu", "us a request", "classes", spent, "constant", bounded=True)
 
     def measure_settings(self) -> None:
-        """The file that carries configuration today, whole at each change."""
+        """Measure the size of the configuration file, which is sent as a whole at each change."""
         for name, size, sizes, rows in (
             ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenant_settings),
             ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), class_settings),
@@ -257,6 +280,7 @@
     # Voters.
 
     def measure_voters(self) -> None:
+        """Measure traffic and CPU of a voter that grants maintenance permits."""
         messages, sent = [], []
         for count in (18, 24, 30) if self.quick else (24, 40, 60, 80, 120):
             world = Asking(count, self.seed)
@@ -284,7 +308,7 @@
     # The operator's tools.
 
     def measure_operator_answers(self) -> None:
-        """Where all members name the same loudest tenants, and where each names others."""
+        """Measure the operator's view, where all members report the same top tenants and where each reports others."""
         sizes = (25, 50, 100) if self.quick else (25, 100, 400, 1_000)
         for name, differ, form in (("", False, "linear"), ("_tenants_differ", True, "square")):
             size, spent = [], []
@@ -298,7 +322,7 @@
 
 
 class Names:
-    """Tenants by Zipf's law of exponent 1, drawn before: the draw must not be what is timed."""
+    """Tenant names by Zipf's law of exponent 1, drawn in advance so that the draw is not measured."""
 
     def __init__(self, count: int, seed: int) -> None:
         draw = random.Random(seed)
@@ -307,11 +331,13 @@
         self.turn = 0
 
     def next(self) -> str:
+        """Return the next name."""
         self.turn = (self.turn + 1) % len(self.names)
         return self.names[self.turn]
 
 
 def filled(names: Names, adds: int) -> Loudest:
+    """Return a sketch after a number of additions."""
     sketch = Loudest(TENANTS_KEPT)
     for turn in range(adds):
         sketch.add(turn / 275.0, names.next())
@@ -319,6 +345,7 @@
 
 
 def adding(sketch: Loudest, names: Names, since: int) -> Callable[[], None]:
+    """Return a function that adds the next name to a sketch."""
     clock = count_from(since)
     return lambda: sketch.add(next(clock) / 275.0, names.next())
 
@@ -327,11 +354,12 @@
 
 
 def all_parts(count: int) -> list[Part]:
+    """Return the state of so many budgets."""
     return [Part(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
 def record_first_try(admission: Desk, caller: int, number: int) -> None:
-    """A first try that is nacked: likeness, books of callers and of tries, as the reducer keeps them."""
+    """Process a first attempt that is rejected, as an instance does."""
     like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
     repeat, looks = admission.tries.read(1.0, like, again=False)
     admission.read(1.0, caller, True, 0.0)
@@ -340,7 +368,7 @@
 
 
 def filled_retry_admission(bounds: StormBounds, callers: int) -> Desk:
-    """One nacked op of each caller, and one run that may not run twice."""
+    """Return retry admission with a rejected request of each caller and a running request of each that must not run twice."""
     admission = Desk(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
         record_first_try(admission, caller, caller)
@@ -349,11 +377,13 @@
 
 
 def first_tries(admission: Desk, callers: int, seed: int) -> Callable[[], None]:
+    """Return a function that processes the first attempt of a random caller."""
     draw = random.Random(seed)
     return lambda: record_first_try(admission, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
+    """Return a deployment with so many tenants and classes."""
     return {
         "op_types": [
             {"effect": Effect.RETRYABLE, "importance": float(place % 10), "target_latency": 1.0, "op_timeout": 2.0}
@@ -368,7 +398,7 @@
 
 
 def cycle(controller: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
-    """One request from its reading to its end, as a host drives it, at the target's rate of an instance."""
+    """Return a function that takes one request from arrival to end, at the target's rate of an instance."""
     draw, clock = random.Random(seed), count_from(0)
 
     def one() -> None:
@@ -387,15 +417,18 @@
 
 
 def decisions(controller: AdmissionController, now: float) -> Iterator[Any]:
+    """Yield all decisions that are due."""
     while decision := controller.next_decision(now):
         yield decision
 
 
 def tenant_settings(count: int) -> list[dict[str, Any]]:
+    """Return the settings of so many tenants."""
     return [{"name": f"tenant-{place:06}", "fraction": 0.001, "quota_per_s": 10.0} for place in range(count)]
 
 
 def class_settings(count: int) -> list[dict[str, Any]]:
+    """Return the settings of so many classes."""
     return [
         {"name": f"route-{place:05}", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}
         for place in range(count)
@@ -403,7 +436,7 @@
 
 
 class Asking(Machines):
-    """All ask to go out and one at a time may: what words a voter hears and says, with headers."""
+    """Machines that all wait for a permit, one at a time; counts the messages of one voter and their bytes with headers."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.heard: Counter[str] = Counter()
@@ -427,7 +460,7 @@
 
 
 def asked_voter(count: int) -> tuple[Upkeep, bytes]:
-    """A voter that knows so many members, all of which wait, and one more query of the last."""
+    """Return a voter that knows so many waiting members, and another query of the last one."""
     fleet = Fleet(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
     core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
     requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
@@ -443,13 +476,18 @@
 
 
 def answered(core: Upkeep, query: bytes) -> None:
+    """Let a voter answer a query.
+
+    Raises:
+        ValueError: If there is no answer, so that nothing was measured.
+    """
     core.fleet.datagram(1.0, query)
     if not core.said():
         raise ValueError("the voter gave no answer: nothing was measured")
 
 
 def table_bytes(out: int, name_length: int) -> int:
-    """The largest word that carries the table: what a voter tells one that lost its disk."""
+    """Return the size of the largest message that carries the permit table: the reply to a voter that lost its disk."""
     table = Table(
         tuple(f"v{place}".ljust(name_length, "x") for place in range(7)),
         MOST_OUT,
@@ -466,7 +504,7 @@
 
 
 def fleet_side(count: int, differ: bool) -> FleetSide:
-    """An instance's side that has heard of so many members with a report each: no socket is bound, nothing is sent."""
+    """Return an instance's gossip with a report of so many members; it has no socket and sends nothing."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
     place = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
     side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
@@ -515,6 +553,7 @@
 
 
 def measured(parts: PartCosts, names: list[str]) -> PartCosts:
+    """Measure parts by name."""
     for name in names:
         started_at = time.monotonic()
         PARTS[name](parts)
@@ -523,7 +562,7 @@
 
 
 def record(parts: PartCosts, names: list[str], at: str, load: float) -> None:
-    """Each run leaves a note of its commit and of how busy the machine was."""
+    """Write the record, with a note of the commit and of how busy the machine was."""
     busy = (
         f"{at}, {','.join(names)}: load average {load:.1f} at start, {os.getloadavg()[0]:.1f} at the end, "
         f"on {os.cpu_count()} cores."
@@ -548,6 +587,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Measure the chosen parts and print their costs; return 1 if a bounded cost grew."""
     options = docopt(__doc__, argv)
     names = options["--only"].split(",") if options["--only"] else list(PARTS)
     if wrong := [name for name in names if name not in PARTS]:
