--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -142,11 +142,18 @@
         "classes.count": 3,
         "tenants.count": 3 if number % 2 == 0 else 0,
     }
-    for place, (effect, aim, deadline, worth) in enumerate(
+    for place, (effect, aim, deadline, class_value) in enumerate(
         (("safe", 500.0, 1500.0, 1.0), ("keyed", 900.0, 2500.0, 3.0), ("unsafe", 1200.0, 3000.0, 5.0))
     ):
-        values = {"effect": effect, "aim": aim, "deadline": deadline, "worth": worth, "late_worth": 0.2, "memory_span": 4000.0}
-        pairs |= {f"classes.{place}.{name}": value for name, value in values.items()}
+        settings = {
+            "effect": effect,
+            "aim": aim,
+            "deadline": deadline,
+            "worth": class_value,
+            "late_worth": 0.2,
+            "memory_span": 4000.0,
+        }
+        pairs |= {f"classes.{place}.{name}": value for name, value in settings.items()}
     for place, fraction in enumerate((0.5, 0.3, 0.2) if number % 2 == 0 else ()):
         pairs |= {f"tenants.{place}.fraction": fraction, f"tenants.{place}.quota_per_s": 200.0 * fraction}
     return "".join(f"{name}={value}\n" for name, value in pairs.items()), stop_mode, calls_below, reports_disconnects
