--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -40,19 +40,19 @@
 from mulleinhatch.admission.interface import Deployment, Effect, Ending, Verb
 from mulleinhatch.instance.gossip import messages as words
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
-from mulleinhatch.instance.gossip.budgets import Part
-from mulleinhatch.instance.gossip.core import Fleet, Local
+from mulleinhatch.instance.gossip.budgets import LeasedQuota
+from mulleinhatch.instance.gossip.core import GossipNode, LocalState
 from mulleinhatch.instance.gossip.counters import FIGURES
-from mulleinhatch.instance.gossip.heavy_hitters import Loudest
-from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
-from mulleinhatch.instance.maintenance import messages as upkeep_words
-from mulleinhatch.instance.maintenance.core import Bounds, Known, Upkeep
-from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
-from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, Table
+from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
+from mulleinhatch.instance.gossip.messages import GossipMessage, MemberUpdate, Report
+from mulleinhatch.instance.maintenance import messages as maintenance_messages
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, ReceivedRequest
+from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, VoterState
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
+from mulleinhatch.instance.maintenance.table import MAX_PERMITS, Permit, PermitTable
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
-from mulleinhatch.instance.retry_storms.retry_admission import Desk
+from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
+from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
 from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
 from mulleinhatch.simulation.maintenance_world import Machines
@@ -164,11 +164,11 @@
         def heartbeat() -> None:
             for part in parts:
                 part.usable(now)
-                part.plan(now, 0.5, [])
+                part.plan_requests(now, 0.5, [])
                 for _ in range(MESSAGES_PER_HEARTBEAT):
-                    part.spare(now, 0.5)
+                    part.spare_units(now, 0.5)
                 for _ in range(1 + MESSAGES_PER_HEARTBEAT):
-                    part.pieces(now)
+                    part.usable_pieces(now)
 
         return cpu_s(heartbeat, max(1, 1_000 // count), self.turns)
 
@@ -302,7 +302,11 @@
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
         for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
-                name, "bytes", "permits", [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MOST_OUT)], "linear"
+                name,
+                "bytes",
+                "permits",
+                [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MAX_PERMITS)],
+                "linear",
             )
 
     # The operator's tools.
@@ -336,15 +340,15 @@
         return self.names[self.turn]
 
 
-def filled(names: Names, adds: int) -> Loudest:
+def filled(names: Names, adds: int) -> HeavyHitters:
     """Return a sketch after a number of additions."""
-    sketch = Loudest(TENANTS_KEPT)
+    sketch = HeavyHitters(TENANTS_KEPT)
     for turn in range(adds):
         sketch.add(turn / 275.0, names.next())
     return sketch
 
 
-def adding(sketch: Loudest, names: Names, since: int) -> Callable[[], None]:
+def adding(sketch: HeavyHitters, names: Names, since: int) -> Callable[[], None]:
     """Return a function that adds the next name to a sketch."""
     clock = count_from(since)
     return lambda: sketch.add(next(clock) / 275.0, names.next())
@@ -353,33 +357,35 @@
 SEATS = tuple(f"n{place}" for place in range(MEMBERS))
 
 
-def all_parts(count: int) -> list[Part]:
+def all_parts(count: int) -> list[LeasedQuota]:
     """Return the state of so many budgets."""
-    return [Part(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
+    return [LeasedQuota(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
-def record_first_try(admission: Desk, caller: int, number: int) -> None:
+def record_first_try(retry_admission: RetryAdmission, caller: int, number: int) -> None:
     """Process a first attempt that is rejected, as an instance does."""
-    like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
-    repeat, looks = admission.tries.read(1.0, like, again=False)
-    admission.read(1.0, caller, True, 0.0)
-    admission.tries.closed(looks)
-    admission.tries.nacked(1.0, looks)
+    like = request_fingerprint(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
+    repeat, looks = retry_admission.duplicates.classify(1.0, like, is_marked_retry=False)
+    retry_admission.record_request(1.0, caller, True, 0.0)
+    retry_admission.duplicates.record_closed(looks)
+    retry_admission.duplicates.record_rejected(1.0, looks)
 
 
-def filled_retry_admission(bounds: StormBounds, callers: int) -> Desk:
+def filled_retry_admission(bounds: StormBounds, callers: int) -> RetryAdmission:
     """Return retry admission with a rejected request of each caller and a running request of each that must not run twice."""
-    admission = Desk(bounds, longest_hold_off=10.0, seed=7)
+    retry_admission = RetryAdmission(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
-        record_first_try(admission, caller, caller)
-        admission.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
-    return admission
+        record_first_try(retry_admission, caller, caller)
+        retry_admission.executed.add(
+            1.0, f"r{caller}", request_fingerprint(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0
+        )
+    return retry_admission
 
 
-def first_tries(admission: Desk, callers: int, seed: int) -> Callable[[], None]:
+def first_tries(retry_admission: RetryAdmission, callers: int, seed: int) -> Callable[[], None]:
     """Return a function that processes the first attempt of a random caller."""
     draw = random.Random(seed)
-    return lambda: record_first_try(admission, draw.randrange(callers), draw.randrange(10**9))
+    return lambda: record_first_try(retry_admission, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
@@ -443,7 +449,7 @@
         super().__init__(count, most=1, works=1e6, seed=seed)
 
     def _word(self, data: bytes) -> None:
-        if words.decode(data, "virtual").more:
+        if words.decode(data, "virtual").extension:
             self.heard["words"] += 1
             self.heard["bytes"] += HEADERS + len(data)
 
@@ -459,39 +465,39 @@
         super()._heard(node, data)
 
 
-def asked_voter(count: int) -> tuple[Upkeep, bytes]:
+def asked_voter(count: int) -> tuple[MaintenanceCoordinator, bytes]:
     """Return a voter that knows so many waiting members, and another query of the last one."""
-    fleet = Fleet(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
-    core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
-    requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
-    letters = [
-        Letter(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
+    fleet = GossipNode(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
+    core = MaintenanceCoordinator(MaintenanceBounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, VoterState(writes=1), None)
+    requests = [MaintenanceRequest(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
+    gossip_messages = [
+        GossipMessage(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
         for place, request in enumerate(requests)
     ]
-    for letter, request in zip(letters, requests):
-        core.fleet.letter(1.0, letter)
-        core.requests[request.name] = Known(request, 1.0)
-    query = upkeep_words.encode(upkeep_words.Query(requests[-1]))
-    return core, words.encode(msgspec.structs.replace(letters[-1], more=query))
+    for message, request in zip(gossip_messages, requests):
+        core.fleet.handle_message(1.0, message)
+        core.requests[request.name] = ReceivedRequest(request, 1.0)
+    query = maintenance_messages.encode(maintenance_messages.PositionQuery(requests[-1]))
+    return core, words.encode(msgspec.structs.replace(gossip_messages[-1], extension=query))
 
 
-def answered(core: Upkeep, query: bytes) -> None:
+def answered(core: MaintenanceCoordinator, query: bytes) -> None:
     """Let a voter answer a query.
 
     Raises:
         ValueError: If there is no answer, so that nothing was measured.
     """
-    core.fleet.datagram(1.0, query)
-    if not core.said():
+    core.fleet.handle_datagram(1.0, query)
+    if not core.take_outgoing():
         raise ValueError("the voter gave no answer: nothing was measured")
 
 
 def table_bytes(out: int, name_length: int) -> int:
     """Return the size of the largest message that carries the permit table: the reply to a voter that lost its disk."""
-    table = Table(
+    table = PermitTable(
         tuple(f"v{place}".ljust(name_length, "x") for place in range(7)),
-        MOST_OUT,
-        MOST_OUT,
+        MAX_PERMITS,
+        MAX_PERMITS,
         8_000,
         0,
         tuple(
@@ -499,8 +505,12 @@
             for place in range(out)
         ),
     )
-    proposal = Ballot(8_000, "n1.1700000000000.12")
-    return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(proposal, proposal, table, 16_000), False)))
+    proposal = ProposalNumber(8_000, "n1.1700000000000.12")
+    return len(
+        maintenance_messages._encoder.encode(
+            maintenance_messages.VoterStateReply(VoterState(proposal, proposal, table, 16_000), False)
+        )
+    )
 
 
 def fleet_side(count: int, differ: bool) -> FleetSide:
@@ -510,7 +520,7 @@
     side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
     side.socket.close()
     now = time.monotonic()
-    side.core = core = Fleet(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
+    side.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
     for number in range(1, count):
         name, address = f"n{number}", f"10.1.{number // 250}.{number % 250}:7300"
         report = Report(
@@ -522,9 +532,9 @@
             [1],
             [(f"tenant {(4 * number * differ + one) % TENANTS}", 5.0) for one in range(4)],
         )
-        core.letter(
+        core.handle_message(
             now,
-            Letter(
+            GossipMessage(
                 words.VERSION,
                 "f",
                 name,
@@ -532,11 +542,11 @@
                 1_700_000_000_000,
                 0,
                 "word",
-                rumours=[Rumour(name, address, 1_700_000_000_000, 0, words.ALIVE)],
+                member_updates=[MemberUpdate(name, address, 1_700_000_000_000, 0, words.ALIVE)],
                 reports=[report],
             ),
         )
-    core.beat(now, Local())
+    core.heartbeat(now, LocalState())
     return side
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -17,7 +17,7 @@
 
 slopes    each cost (bytes and datagrams sent and received with UDP/IP headers, CPU, state by kind, memory) at four sizes,
           fitted as constant, line or logarithm, whichever is off least, and set out at the full size
-full      the full size played as a whole, calm: the fits must meet it within 15%. Flat, more than MOST_MEMBERS are refused:
+full      the full size played as a whole, calm: the fits must meet it within 15%. Flat, more than MAX_MEMBERS are refused:
           then the fits are checked at that many, or at 200 with --quick
 events    each: time until the death is known to the members that track the dead one and in the sums of the other zones, living
           members declared gone, largest traffic, time until views and sums are merged again
--- a/benchmarks/scale_options.py
+++ b/benchmarks/scale_options.py
@@ -7,7 +7,7 @@
 
 from typing import Any, NamedTuple
 
-from mulleinhatch.instance.gossip.core import MOST_MEMBERS
+from mulleinhatch.instance.gossip.core import MAX_MEMBERS
 from mulleinhatch.simulation.scale_instances import Plan
 
 MAX_BYTES_A_S, MAX_CORE_SHARE, MAX_STATE_MB = 3000.0, 0.02, 8.0
@@ -54,7 +54,7 @@
         full, events = (min(members, 1800), 225) if quick else (members, members)
     else:
         steps = [25, 50, 100, 150] if quick else [25, 100, 200, 400]
-        full, events = min(members, 200 if quick else MOST_MEMBERS), 27 if quick else 225
+        full, events = min(members, 200 if quick else MAX_MEMBERS), 27 if quick else 225
     small = [step for step in steps if step < full] or [full]
     # In a flat fleet all know each other from the start: a member that starts late would be declared gone by the others.
     start = 0.1 if not levels else 3.0 if quick else 60.0
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -15,7 +15,7 @@
 from benchmarks.scale_calm import COSTS, figures_text, measure_calm, unit
 from benchmarks.scale_events import EVENTS
 from benchmarks.scale_options import MAX_BYTES_A_S, MAX_CORE_SHARE, MAX_JOINED_S, MAX_STATE_MB, Checks, Figures, Options
-from mulleinhatch.instance.gossip.core import MOST_MEMBERS
+from mulleinhatch.instance.gossip.core import MAX_MEMBERS
 
 ROLE = "instance.control"
 
@@ -72,8 +72,8 @@
     def play_full(self) -> None:
         """Measure the full size as a whole and check limits and fits there."""
         members, options = self.options.sizes.checked, self.options
-        if not options.levels and options.members > MOST_MEMBERS:
-            self.notes.append(f"refused: a flat fleet holds {MOST_MEMBERS} members, so {options.members} cannot be played")
+        if not options.levels and options.members > MAX_MEMBERS:
+            self.notes.append(f"refused: a flat fleet holds {MAX_MEMBERS} members, so {options.members} cannot be played")
             self.judge("full", {f"{options.members} members in one fleet": False})
         if members < options.members:
             self.notes.append(f"played as a whole: {members} of {options.members}")
