--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -142,13 +142,13 @@
         "classes.count": 3,
         "tenants.count": 3 if number % 2 == 0 else 0,
     }
-    for place, (effect, aim, deadline, class_value) in enumerate(
+    for place, (effect, latency_target_ms, deadline_ms, class_value) in enumerate(
         (("safe", 500.0, 1500.0, 1.0), ("keyed", 900.0, 2500.0, 3.0), ("unsafe", 1200.0, 3000.0, 5.0))
     ):
         settings = {
             "effect": effect,
-            "aim": aim,
-            "deadline": deadline,
+            "aim": latency_target_ms,
+            "deadline": deadline_ms,
             "worth": class_value,
             "late_worth": 0.2,
             "memory_span": 4000.0,
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -283,7 +283,7 @@
         """Measure traffic and CPU of a voter that grants maintenance permits."""
         messages, sent = [], []
         for count in (18, 24, 30) if self.quick else (24, 40, 60, 80, 120):
-            world = Asking(count, self.seed)
+            world = WaitingMachines(count, self.seed)
             world.play(4.0)
             world.to_go = {node.name for node in world.nodes[3:]}
             world.play(8.0)
@@ -300,12 +300,12 @@
             turns = self.turns if count < 500 else QUICK_TURNS
             spent.append((count, 1e6 * cpu_s(answered, max(2, 1_000 // count), turns, core, query)))
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
-        for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
+        for name, name_length in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
                 name,
                 "bytes",
                 "permits",
-                [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MAX_PERMITS)],
+                [(out, float(table_bytes(out, name_length))) for out in (1, 3, 6, 9, MAX_PERMITS)],
                 "linear",
             )
 
@@ -441,7 +441,7 @@
     ]
 
 
-class Asking(Machines):
+class WaitingMachines(Machines):
     """Machines that all wait for a permit, one at a time; counts the messages of one voter and their bytes with headers."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -517,7 +517,7 @@
     """Return an instance's gossip with a report of so many members; it has no socket and sends nothing."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
     place = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
-    side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
+    side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *arguments: None, lambda: None)
     side.socket.close()
     now = time.monotonic()
     side.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -149,15 +149,17 @@
 def commit() -> str:
     """Return the short hash of the commit, with `+` if the package differs from it."""
 
-    def git(*words: str) -> str:
-        return subprocess.run(["git", *words], capture_output=True, text=True, check=True, cwd=RECORDED.parent).stdout.strip()
+    def git(*arguments: str) -> str:
+        return subprocess.run(
+            ["git", *arguments], capture_output=True, text=True, check=True, cwd=RECORDED.parent
+        ).stdout.strip()
 
     return git("rev-parse", "--short", "HEAD") + ("+" if git("status", "--porcelain", "--", "../mulleinhatch") else "")
 
 
-def keep(name: str, told: dict[str, Any], folder: Path = RECORDED) -> Path:
+def keep(name: str, document: dict[str, Any], folder: Path = RECORDED) -> Path:
     """Write a record with one cost a line, so that a diff shows which costs a new run changed."""
-    inner = {key: {name: json.dumps(value) for name, value in told[key].items()} for key in ("costs", "events")}
+    inner = {key: {name: json.dumps(value) for name, value in document[key].items()} for key in ("costs", "events")}
     lines = [
         f" {json.dumps(key)}: "
         + (
@@ -165,7 +167,7 @@
             if inner.get(key)
             else json.dumps(value)
         )
-        for key, value in told.items()
+        for key, value in document.items()
     ]
     path = folder / f"{name}.json"
     path.write_text("{\n" + ",\n".join(lines) + "\n}\n")
