--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -33,7 +33,7 @@
 
     def judge(self, part: str, holds: Checks) -> None:
         """Note the checks of a part that failed."""
-        if missed := [aim for aim, is_met in holds.items() if not is_met]:
+        if missed := [check for check, is_met in holds.items() if not is_met]:
             self.missed.setdefault(part, []).extend(missed)
 
     # Slopes and the full size.
@@ -92,8 +92,8 @@
             if cost["checked"]:
                 error = abs(self.fit_of(cost).at(members) / max(cost["checked"][1], 1e-9) - 1.0)
                 if name.removeprefix(f"{ROLE}.") in ("bytes", "core", "state"):
-                    aim = f"fit of {name} within {fits.MAX_CHECK_ERROR:.0%} at {members} (off {error:.0%})"
-                    self.judge("full", {aim: error <= fits.MAX_CHECK_ERROR})
+                    check = f"fit of {name} within {fits.MAX_CHECK_ERROR:.0%} at {members} (off {error:.0%})"
+                    self.judge("full", {check: error <= fits.MAX_CHECK_ERROR})
 
     @staticmethod
     def fit_of(cost: Figures) -> records.Fit:
