--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -1,8 +1,8 @@
-"""Both planes of one source tree as processes on loopback, under a small fixed load, with what they take measured from outside.
+"""Run both planes of one source tree as processes on loopback, under a small fixed load, and measure them from outside.
 
-The planes come from the measured tree; model server and clients stand in the process of the benchmark and speak plain HTTP of
-their own, with no name from the package, so that trees whose modules have other names meet the same load. A round starts one
-control plane and one data plane, lets them rest, sends heartbeats, requests and streams at fixed rates, and ends them by pid.
+The planes come from the measured tree. The model server and the clients run in the benchmark's process and speak plain HTTP
+without using any name of the package, so that trees with other module names meet the same load. A round starts one control
+plane and one data plane, leaves them idle, sends heartbeats, requests and streams at fixed rates, and kills them by pid.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 SETTINGS_VARIABLE = "MULLEINHATCH_NODE_FILE"
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, MODEL_PORT = 18146, 17660, 18144, 18140, 18300
 HOST, MODEL = "footprint.example", "model-0"
-RATE = 100.0  # requests a second, that of the small sites
+REQUESTS_A_S = 100.0  # the rate of the small sites
 GIVE_UP_S = 30.0
-LOOK_S = 0.002  # between two looks at whether a plane is ready
-EVENTS, EVENT_GAP_S = 20, 0.005  # of a stream
-STREAM_RATE = 10.0
+READY_POLL_S = 0.002
+EVENTS_A_STREAM, EVENT_GAP_S = 20, 0.005
+STREAMS_A_S = 10.0
 
 
 @dataclass(frozen=True)
 class Load:
-    """How much a round does."""
+    """The load of a round: idle times in seconds and numbers of messages."""
 
     settle_s: float
     idle_s: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """A request or an answer that was read: first line, fields by lower-case name, body."""
+    """A request or response: first line, fields by lower-case name, body."""
 
     first_line: bytes
     fields: dict[bytes, bytes]
@@ -57,48 +57,51 @@
 
     @property
     def status(self) -> int:
-        """Of an answer."""
+        """The status code of a response."""
         return int(self.first_line.split()[1])
 
 
 def message_bytes(first_line: bytes, fields: dict[bytes, bytes], body: bytes = b"") -> bytes:
-    """A message whose body is told by its length."""
+    """Return a message with a `Content-Length`."""
     lines = [b"%b: %b" % field for field in fields.items()]
     return b"\r\n".join([first_line, *lines, b"Content-Length: %d" % len(body), b"", body])
 
 
 async def read_message(reader: asyncio.StreamReader, arrivals: list[float] | None = None) -> Message:
-    """Reads one message; IncompleteReadError where the connection ends before.
+    """Read one message.
 
     Args:
-        reader: Of the connection.
-        arrivals: Takes, for each event of a stream, the seconds from its sending to its arrival.
+        reader: Reader of the connection.
+        arrivals: If given, receives the seconds from sending to arrival of each event of a stream.
+
+    Raises:
+        IncompleteReadError: If the connection ends before the message does.
     """
     head = (await reader.readuntil(b"\r\n\r\n"))[:-4].split(b"\r\n")
     fields = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in head[1:])}
     if fields.get(b"transfer-encoding", b"").lower() != b"chunked":
         return Message(head[0], fields, await reader.readexactly(int(fields.get(b"content-length", b"0"))))
-    body, heard = b"", 0
+    body, seen_events = b"", 0
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
         body += (await reader.readexactly(size + 2))[:-2]
         now = time.perf_counter_ns()
         *events, _ = body.split(b"\n\n")
         if arrivals is not None:
-            arrivals += [1e-9 * (now - int(event.rpartition(b"data: ")[2])) for event in events[heard:]]
-        heard = len(events)
+            arrivals += [1e-9 * (now - int(event.rpartition(b"data: ")[2])) for event in events[seen_events:]]
+        seen_events = len(events)
     await reader.readuntil(b"\r\n")
     return Message(head[0], fields, body)
 
 
 class Client:
-    """Keeps connections to one address and sends requests over them."""
+    """Sends requests to one address over connections that it keeps open."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def send(self, request: bytes, arrivals: list[float] | None = None) -> Message:
-        """The answer to one request."""
+        """Send one request and return the response."""
         reader, writer = self._idle.pop() if self._idle else await asyncio.open_connection(*self.address)
         try:
             writer.write(request)
@@ -113,13 +116,13 @@
         return answer
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Close all connections."""
         for _, writer in self._idle:
             writer.close()
 
 
 class ModelServer:
-    """A model server that answers at once; the events of its streams carry the time at which they were sent."""
+    """A model server that responds immediately; the events of its streams carry the time at which they were sent."""
 
     def __init__(self, address: tuple[str, int], control: tuple[str, int]) -> None:
         self.address, self.identity = address, f"i-{random.getrandbits(40):010x}"
@@ -130,12 +133,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listens, and registers once a second from now on."""
+        """Listen, and register once a second from now on."""
         self._server = await asyncio.start_server(self._converse, *self.address)
         self._tasks.append(asyncio.ensure_future(self._register()))
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Close all connections."""
         for task in self._tasks:
             task.cancel()
         for writer in list(self._writers):
@@ -150,7 +153,7 @@
             await asyncio.sleep(1.0)
 
     async def heartbeat(self) -> int:
-        """Tells the control plane of this server; the status of the answer."""
+        """Register at the control plane and return the status of the response."""
         self._sequence += 1
         body = {
             "service": "writer",
@@ -160,7 +163,7 @@
             "slots": 16,
             "state": "ready",
             "cold_remaining_ms": 0,
-            "models": self._held(),
+            "models": self._model_states(),
             "sequence": self._sequence,
         }
         fields = {b"Host": b"control", b"Content-Type": b"application/json"}
@@ -168,7 +171,7 @@
         return (await self._control.send(message_bytes(line, fields, json.dumps(body).encode()))).status
 
     @staticmethod
-    def _held() -> list[dict[str, object]]:
+    def _model_states() -> list[dict[str, object]]:
         return [{"name": MODEL, "version": 1, "adapters": []}]
 
     async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -186,7 +189,7 @@
         target = request.first_line.split()[1]
         fields = {b"Instance-Id": self.identity.encode()}
         if target == b"/report":
-            report = {"models": self._held(), "busy": False, "sequence": 0, "waiting": 0, "running": 0}
+            report = {"models": self._model_states(), "busy": False, "sequence": 0, "waiting": 0, "running": 0}
             writer.write(message_bytes(b"HTTP/1.1 200 OK", fields, json.dumps(report).encode()))
         elif target == b"/health":
             writer.write(message_bytes(b"HTTP/1.1 200 OK", fields))
@@ -205,7 +208,7 @@
         fields = {**fields, b"Content-Type": b"text/event-stream", b"Transfer-Encoding": b"chunked"}
         lines = b"".join(b"%b: %b\r\n" % field for field in fields.items())
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n" % lines)
-        for number in range(1, EVENTS + 1):
+        for number in range(1, EVENTS_A_STREAM + 1):
             await asyncio.sleep(EVENT_GAP_S)
             event = b"id: %d\ndata: %d\n\n" % (number, time.perf_counter_ns())
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
@@ -280,7 +283,7 @@
 
 
 def request_bytes(path: bytes) -> bytes:
-    """One request of a client, with an id of its own."""
+    """Return one request of a client, with an ID of its own."""
     fields = {
         b"Host": HOST.encode(),
         b"Request-Id": b"%016x" % random.getrandbits(64),
@@ -312,10 +315,18 @@
 
     @property
     def pid(self) -> int:
+        """The process ID."""
         return self.process.pid
 
     async def ready(self) -> float:
-        """Waits until it is ready; the seconds since it was spawned."""
+        """Wait until the plane is ready.
+
+        Returns:
+            Seconds since it was started.
+
+        Raises:
+            TimeoutError: If it is not ready in time or has exited.
+        """
         request = message_bytes(b"GET %b HTTP/1.1" % self.ready_path, {b"Host": b"plane"})
         while time.perf_counter() - self._begun < GIVE_UP_S and self.process.poll() is None:
             client = Client(self.ready_at)
@@ -326,16 +337,17 @@
                 pass
             finally:
                 client.close()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(READY_POLL_S)
         raise TimeoutError(f"{self.process.args} was not ready: {self.log.read_text()[-2000:]}")
 
     def end(self) -> None:
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
 
 async def at_rate(count: int, rate: float, act) -> None:
-    """Starts `act(number)` at even distances, however long the earlier ones take; returns when all are done."""
+    """Start `act(number)` at a fixed rate, however long the earlier ones take; return when all are done."""
     loop = asyncio.get_running_loop()
     begun, tasks = loop.time(), []
     for number in range(count):
@@ -345,7 +357,7 @@
 
 
 async def put_configuration(control: Client) -> None:
-    """Gives the control plane its first configuration."""
+    """Put the first configuration into the control plane."""
     fields = {b"Host": b"control", b"Content-Type": b"application/json", b"If-Match": b"0"}
     request = message_bytes(b"PUT /configuration HTTP/1.1", fields, json.dumps(configuration()).encode())
     end = time.perf_counter() + GIVE_UP_S
@@ -364,14 +376,14 @@
 
 
 async def measure_round(tree: Path, load: Load) -> dict[str, float]:
-    """Starts both planes of a tree, loads them and ends them.
+    """Start both planes of a tree, put them under load and end them.
 
     Args:
         tree: Folder with control_plane.py and data_plane.py.
-        load: How much the round does.
+        load: The load of the round.
 
     Returns:
-        Each figure by its name; all are such that less is better.
+        Each figure by its name; lower is better.
     """
     address, figures = free_loopback(), {}
     planes: dict[str, Plane] = {}
@@ -396,7 +408,7 @@
             await asyncio.sleep(load.idle_s)
             for kind, pid in pids.items():
                 figures[f"{kind} idle, processor ms a second"] = 1000.0 * (processor_s(pid) - before[kind]) / load.idle_s
-            await _loads(figures, pids, server, front, direct, load)
+            await _measure_load(figures, pids, server, front, direct, load)
             await asyncio.sleep(load.settle_s)
             for kind, pid in pids.items():
                 figures[f"{kind} after load, MB"] = memory_mb(pid, "VmRSS")
@@ -410,55 +422,77 @@
     return figures
 
 
-async def _loads(
+async def _measure_load(
     figures: dict[str, float], pids: dict[str, int], server: ModelServer, front: Client, direct: Client, load: Load
 ) -> None:
+    figures["control heartbeat, processor us"] = await _measure_heartbeats(pids["control"], server, load.heartbeats)
+    figures |= await _measure_requests(pids["data"], server, front, direct, load.requests)
+    figures |= await _measure_streams(pids["data"], front, direct, load.streams)
+
+
+async def _measure_heartbeats(pid: int, server: ModelServer, count: int) -> float:
+    """Return the processor time of a heartbeat in the control plane, in us."""
+
     async def heartbeat(number: int) -> None:
         if (status := await server.heartbeat()) != 200:
             raise RuntimeError(f"heartbeat {number} was answered {status}")
 
-    before = processor_s(pids["control"])
-    await at_rate(load.heartbeats, RATE, heartbeat)
-    figures["control heartbeat, processor us"] = 1e6 * (processor_s(pids["control"]) - before) / load.heartbeats
+    before = processor_s(pid)
+    await at_rate(count, REQUESTS_A_S, heartbeat)
+    return 1e6 * (processor_s(pid) - before) / count
 
-    spent: dict[Client, list[float]] = {front: [], direct: []}
-    for client in (direct, front):  # each opens its connections before what counts
+
+async def _measure_requests(pid: int, server: ModelServer, front: Client, direct: Client, count: int) -> dict[str, float]:
+    """Return the processor time of a request in the data plane and the latency that it adds."""
+    figures: dict[str, float] = {}
+    latencies: dict[Client, list[float]] = {front: [], direct: []}
+    for client in (direct, front):  # each opens its connections before the figures are taken
 
         async def ask(number: int, client: Client = client) -> None:
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             answer = await client.send(request_bytes(b"/read/%d" % number))
-            spent[client].append(time.perf_counter() - begun)
+            latencies[client].append(time.perf_counter() - started_at)
             if answer.status != 200:
                 raise RuntimeError(f"request {number} was answered {answer.status}")
 
-        before, answered = processor_s(pids["data"]), server.answered
-        await at_rate(load.requests, RATE, ask)
-        if server.answered - answered != load.requests:
-            raise RuntimeError(f"{load.requests} requests were run {server.answered - answered} times")
+        before, answered = processor_s(pid), server.answered
+        await at_rate(count, REQUESTS_A_S, ask)
+        if server.answered - answered != count:
+            raise RuntimeError(f"{count} requests were run {server.answered - answered} times")
         if client is front:
-            figures["data request, processor us"] = 1e6 * (processor_s(pids["data"]) - before) / load.requests
-    base = median(spent[direct])
-    figures["request added median, us"] = 1e6 * (median(spent[front]) - base)
-    figures["request added p99, us"] = 1e6 * (quantiles(spent[front], n=100)[98] - base)
+            figures["data request, processor us"] = 1e6 * (processor_s(pid) - before) / count
+    base = median(latencies[direct])
+    figures["request added median, us"] = 1e6 * (median(latencies[front]) - base)
+    figures["request added p99, us"] = 1e6 * (quantiles(latencies[front], n=100)[98] - base)
+    return figures
+
 
-    events: dict[Client, list[float]] = {front: [], direct: []}
+async def _measure_streams(pid: int, front: Client, direct: Client, count: int) -> dict[str, float]:
+    """Return the processor time of a stream event in the data plane and the latency that it adds."""
+    figures: dict[str, float] = {}
+    latencies: dict[Client, list[float]] = {front: [], direct: []}
     for client in (direct, front):
 
         async def stream(number: int, client: Client = client) -> None:
-            answer = await client.send(request_bytes(b"/write/%d" % number), events[client])
-            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS:
+            answer = await client.send(request_bytes(b"/write/%d" % number), latencies[client])
+            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS_A_STREAM:
                 raise RuntimeError(f"stream {number} was answered {answer.status} {answer.body[-200:]!r}")
 
-        before = processor_s(pids["data"])
-        await at_rate(load.streams, STREAM_RATE, stream)
+        before = processor_s(pid)
+        await at_rate(count, STREAMS_A_S, stream)
         if client is front:
-            figures["data stream event, processor us"] = 1e6 * (processor_s(pids["data"]) - before) / (load.streams * EVENTS)
-    figures["event added median, us"] = 1e6 * (median(events[front]) - median(events[direct]))
+            figures["data stream event, processor us"] = 1e6 * (processor_s(pid) - before) / (count * EVENTS_A_STREAM)
+    figures["event added median, us"] = 1e6 * (median(latencies[front]) - median(latencies[direct]))
+    return figures
 
 
 def origin(tree: Path) -> str:
-    """From where a child of this tree imports the package; RuntimeError where that is another tree."""
-    told = subprocess.run(
+    """Return the folder that a child of this tree imports the package from.
+
+    Raises:
+        RuntimeError: If that is in another tree.
+    """
+    package_file = subprocess.run(
         [sys.executable, "-O", "-c", "import mulleinhatch; print(mulleinhatch.__file__)"],
         cwd=tree,
         env=tree_environment(tree),
@@ -466,6 +500,6 @@
         text=True,
         check=True,
     ).stdout.strip()
-    if not Path(told).resolve().is_relative_to(tree):
-        raise RuntimeError(f"{tree}: the package would come from {told}")
-    return os.path.dirname(told)
+    if not Path(package_file).resolve().is_relative_to(tree):
+        raise RuntimeError(f"{tree}: the package would come from {package_file}")
+    return os.path.dirname(package_file)
--- a/benchmarks/pairs/comparing.py
+++ b/benchmarks/pairs/comparing.py
@@ -1,4 +1,4 @@
-"""Paired comparison of outcomes: means, spread, signs, and where worth and prices differ. Pure."""
+"""Compare paired outcomes: means, spread, signs, and the parts and prices that differ. Pure functions."""
 
 from __future__ import annotations
 
@@ -9,18 +9,30 @@
 
 from benchmarks.pairs.playing import Outcome
 
-EVEN = 0.005  # of a score: a difference below it counts as none
+MAX_EVEN_DIFFERENCE = 0.005  # score difference up to which two runs count as equal
 
 
 @dataclass(frozen=True)
 class Pairing:
-    """One text beside the first one, over the same days and seeds."""
+    """One text beside the first one, over the same days and seeds.
+
+    Attributes:
+        mean: Mean score of this text.
+        first_mean: Mean score of the first text.
+        spread: Standard deviation of the scores of this text.
+        difference: Mean difference of the scores.
+        error: Standard error of the mean difference.
+        better: Number of pairs in which this text scored better.
+        worse: Number of pairs in which it scored worse.
+        count: Number of pairs.
+        broken: Violated rules, with the number of runs.
+    """
 
     mean: float
     first_mean: float
-    spread: float  # standard deviation of a single play's score
+    spread: float
     difference: float
-    error: float  # standard error of the mean difference
+    error: float
     better: int
     worse: int
     count: int
@@ -28,29 +40,30 @@
 
 
 def pair(first: Sequence[Outcome], other: Sequence[Outcome]) -> Pairing:
-    """
-    >>> told = pair([Outcome(0.4, 0, 0, 0), Outcome(0.6, 0, 0, 0)], [Outcome(0.5, 0, 0, 0), Outcome(0.6, 0, 0, 0)])
-    >>> round(told.difference, 2), told.better, told.worse
+    """Compare two lists of outcomes, pair by pair.
+
+    >>> pairing = pair([Outcome(0.4, 0, 0, 0), Outcome(0.6, 0, 0, 0)], [Outcome(0.5, 0, 0, 0), Outcome(0.6, 0, 0, 0)])
+    >>> round(pairing.difference, 2), pairing.better, pairing.worse
     (0.05, 1, 0)
     """
     differences = [b.score - a.score for a, b in zip(first, other, strict=True)]
     count = len(differences)
     return Pairing(
-        statistics.fmean(one.score for one in other),
-        statistics.fmean(one.score for one in first),
-        statistics.stdev(one.score for one in other) if count > 1 else 0.0,
+        statistics.fmean(outcome.score for outcome in other),
+        statistics.fmean(outcome.score for outcome in first),
+        statistics.stdev(outcome.score for outcome in other) if count > 1 else 0.0,
         statistics.fmean(differences),
         statistics.stdev(differences) / count**0.5 if count > 1 else 0.0,
-        sum(one > EVEN for one in differences),
-        sum(one < -EVEN for one in differences),
+        sum(difference > MAX_EVEN_DIFFERENCE for difference in differences),
+        sum(difference < -MAX_EVEN_DIFFERENCE for difference in differences),
         count,
-        Counter(rule for one in other for rule in one.broken),
+        Counter(rule for outcome in other for rule in outcome.broken),
     )
 
 
 def mean_parts(outcomes: Sequence[Outcome]) -> dict[str, float]:
-    """Mean of each part of the worth and of each price, prices as negative figures."""
-    names = dict.fromkeys(name for one in outcomes for name in one.parts)
-    prices = dict.fromkeys(name for one in outcomes for name in one.prices)
-    told = {name: statistics.fmean(one.parts.get(name, 0.0) for one in outcomes) for name in names}
-    return told | {name: -statistics.fmean(one.prices.get(name, 0.0) for one in outcomes) for name in prices}
+    """Return the mean of each part of the value and of each price; prices are negative."""
+    names = dict.fromkeys(name for outcome in outcomes for name in outcome.parts)
+    prices = dict.fromkeys(name for outcome in outcomes for name in outcome.prices)
+    means = {name: statistics.fmean(outcome.parts.get(name, 0.0) for outcome in outcomes) for name in names}
+    return means | {name: -statistics.fmean(outcome.prices.get(name, 0.0) for outcome in outcomes) for name in prices}
