--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,8 +36,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
+from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, most_in_window, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 KNOWN, BACK, USED, EVEN = 3.0, 3.0, 0.9, 0.9
@@ -51,11 +51,11 @@
     return f"{first}-{last}" if last > first else str(first)
 
 
-async def gone_in(rig: FleetRig, dead: str, within: float) -> float | None:
+async def gone_in(harness: FleetHarness, dead: str, within: float) -> float | None:
     """Seconds until 0.99 of the others say that it is gone."""
     begun = time.monotonic()
     while time.monotonic() - begun < within:
-        views = [view for name, view in (await rig.views()).items() if name != dead]
+        views = [view for name, view in (await harness.views()).items() if name != dead]
         known = sum(any(row["name"] == dead and row["state"] == "gone" for row in view["members"]) for view in views)
         if views and known >= 0.99 * len(views):
             return time.monotonic() - begun
@@ -68,8 +68,8 @@
     return sum(row["state"] == "gone" and row["name"] in names for view in views.values() for row in view["members"])
 
 
-async def together(rig: FleetRig, names: set[str], within: float) -> float | None:
-    return await rig.wait_for(lambda views: whole(views, names), within)
+async def together(harness: FleetHarness, names: set[str], within: float) -> float | None:
+    return await harness.wait_for(lambda views: views_agree(views, names), within)
 
 
 async def members(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
@@ -80,19 +80,19 @@
         + "\n".join(f"at {at:.1f} stall {stalled} for 2" for at in (1.0, 5.0, 9.0, 13.0) if at + 3.0 < length)
         + f"\nat {length + 1} kill 1"
     )
-    async with FleetRig(FleetCase(count, script, seed=seed, run_for=length), folder) as rig:
-        names = {node.name for node in rig.nodes}
-        joined = await together(rig, names, 30.0)
-        await rig.go()
+    async with FleetHarness(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
+        names = {node.name for node in harness.nodes}
+        joined = await together(harness, names, 30.0)
+        await harness.go()
         false = 0
-        while rig.now() < length:
-            false = max(false, declared(await rig.views(), names))
+        while harness.now() < length:
+            false = max(false, declared(await harness.views(), names))
             await asyncio.sleep(0.2)
-        await rig.until(length + 1.0)
-        known = await gone_in(rig, "n1", 8.0)
-        views = await rig.views()
-        told = await rig.finish()
-        counters = await rig.nodes[0].counters()
+        await harness.until(length + 1.0)
+        known = await gone_in(harness, "n1", 8.0)
+        views = await harness.views()
+        told = await harness.finish()
+        counters = await harness.nodes[0].counters()
     false = max(false, declared(views, names - {"n1"}))
     return (
         {
@@ -114,16 +114,16 @@
 async def cut(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
     half, length = count // 2, 12.0 if quick else 30.0
     script = f"at 0.5 cut {places(0, half - 1)} from {places(half, count - 1)} for {length}"
-    async with FleetRig(FleetCase(count, script, seed=seed, run_for=length), folder) as rig:
-        names = {node.name for node in rig.nodes}
-        await together(rig, names, 30.0)
-        await rig.go()
-        await rig.until(0.5 + length - 0.5)
-        views = await rig.views()
+    async with FleetHarness(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
+        names = {node.name for node in harness.nodes}
+        await together(harness, names, 30.0)
+        await harness.go()
+        await harness.until(0.5 + length - 0.5)
+        views = await harness.views()
         frozen, false = sum(view["frozen"] for view in views.values()) / len(views), declared(views, names)
-        await rig.until(0.5 + length)
-        back = await together(rig, names, 10.0)
-        told = await rig.finish()
+        await harness.until(0.5 + length)
+        back = await together(harness, names, 10.0)
+        told = await harness.finish()
     return (
         {"frozen": frozen, "false": false, "back": back, "late": told["late"]},
         {f"views one in {BACK:g} s": back is not None and back <= BACK, "nobody declared gone": false == 0},
@@ -132,12 +132,12 @@
 
 async def used(case: FleetCase, folder: Path, since: float, first: int) -> dict[str, Any]:
     """Runs in any window, and as a share of the total from `since` on; of the first half, of its even part."""
-    async with FleetRig(case, folder) as rig:
-        names = {node.name for node in rig.nodes}
-        await together(rig, names, 30.0)
-        await rig.go()
-        told = await rig.finish()
-        zero = rig.start_at
+    async with FleetHarness(case, folder) as harness:
+        names = {node.name for node in harness.nodes}
+        await together(harness, names, 30.0)
+        await harness.go()
+        told = await harness.finish()
+        zero = harness.start_at
     window = case.window - 4.0 * told["late"] - 0.02
     starts = [[at - zero for at, _ in host["starts"]] for host in told["ran"]]
     span = case.run_for - since
@@ -185,16 +185,16 @@
 
 
 async def usage(count: int, seed: int, seconds: float, fleet: bool, folder: Path) -> dict[str, float]:
-    async with FleetRig(FleetCase(count, seed=seed, fleet=fleet, total=UNITS * count if fleet else 0), folder) as rig:
+    async with FleetHarness(FleetCase(count, seed=seed, fleet=fleet, total=UNITS * count if fleet else 0), folder) as harness:
         if fleet:
-            await together(rig, {node.name for node in rig.nodes}, 30.0)
-            await rig.go()
+            await together(harness, {node.name for node in harness.nodes}, 30.0)
+            await harness.go()
         await asyncio.sleep(2.0 if count < 50 else 10.0)  # until the joining has been told on to all
-        before, begun = rig.usage(), time.monotonic()
-        sent = [(await node.counters()).get("fleet_bytes_sent", 0) for node in rig.nodes[:4]]
+        before, begun = harness.usage(), time.monotonic()
+        sent = [(await node.counters()).get("fleet_bytes_sent", 0) for node in harness.nodes[:4]]
         await asyncio.sleep(seconds)
-        after, span = rig.usage(), time.monotonic() - begun
-        bytes_sent = [(await node.counters()).get("fleet_bytes_sent", 0) - was for node, was in zip(rig.nodes[:4], sent)]
+        after, span = harness.usage(), time.monotonic() - begun
+        bytes_sent = [(await node.counters()).get("fleet_bytes_sent", 0) - was for node, was in zip(harness.nodes[:4], sent)]
     cores = sorted((last[0] - first[0]) / span for first, last in zip(before, after) if first and last)
     memory = sorted(last[1] / 1e6 for last in after if last)
     return {"cpu": cores[len(cores) // 2], "mb": memory[len(memory) // 2], "bytes": sum(bytes_sent) / len(bytes_sent) / span}
@@ -230,7 +230,7 @@
 async def beside(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Holds]:
     figures: dict[str, Any] = {}
     for name, how in (("leases", {}), ("even", {"leases": False}), ("gossip", {"leases": False, "gossip": True})):
-        world = FleetWorld(
+        world = GossipWorld(
             Plan(
                 12,
                 "at 24 cut 0-5 from 6-11 for 8",
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -54,8 +54,8 @@
 from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
 from mulleinhatch.instance.retry_storms.retry_admission import Desk
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
-from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
-from mulleinhatch.simulation.maintenance_world import Machines
+from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
+from mulleinhatch.simulation.maintenance_world import MaintenanceWorld
 
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
@@ -123,7 +123,7 @@
             self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
         bytes_a_second, datagrams = [], []
         for count in (1, 4, 8, 16):
-            world = FleetWorld(
+            world = GossipWorld(
                 Plan(25, until=15.0, budgets=tuple((f"b{place}", 100, 1.0) for place in range(count)), seed=self.seed)
             )
             before = Counter(world.play(5.0).counts)
@@ -156,7 +156,7 @@
         """Fleet state among few members: where its bytes pass the bound of the target."""
         points = []
         for count in (2, 4, 8, 16) if self.quick else (2, 4, 8, 16, 32, 64):
-            world = FleetWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
+            world = GossipWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
             before = Counter(world.play(5.0).counts)
             world.play(10.0 if self.quick else 20.0)
             sent, data = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
@@ -393,7 +393,7 @@
     ]
 
 
-class Asking(Machines):
+class Asking(MaintenanceWorld):
     """All ask to go out and one at a time may: what words a voter hears and says, with headers."""
 
     def __init__(self, count: int, seed: int) -> None:
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -41,7 +41,7 @@
 from benchmarks.records import Fit
 from mulleinhatch.testing.instance_harness import free_port, keep_environment
 from mulleinhatch.testing.load_generator import calm_latencies
-from mulleinhatch.testing.single_instance import Driving, Lone, driven, settings
+from mulleinhatch.testing.single_instance import Driving, SingleInstance, driven, settings
 
 ADDED_MOST, CORE_MOST = 2.6, 0.9  # milliseconds at p99; share of a core
 LATE_MOST, CALM_LEAST = 0.0005, 500  # seconds that a driver is late in a calm slice at most; answers that are enough
@@ -64,8 +64,8 @@
         self.late: list[float] = []  # p99 of the driver's own lateness, ms
         self.lost = self.broken = 0  # requests without an answer; of these with a connection that ended or never stood
 
-    def drive(self, lone: Lone, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
-        return self.heard(driven(lone, rate, run_for, seed=self.seed, **habits))
+    def drive(self, single_instance: SingleInstance, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
+        return self.heard(driven(single_instance, rate, run_for, seed=self.seed, **habits))
 
     def heard(self, told: dict[str, Any]) -> dict[str, Any]:
         self.late.append(told["late_ms"]["p99"])
@@ -105,7 +105,9 @@
     return sorted(values)[min(len(values) - 1, int(part * len(values)))]
 
 
-def pairs(book: Book, lone: Lone, beside: int, rate: float, count: int, seconds: float) -> dict[str, float]:
+def pairs(
+    book: Book, single_instance: SingleInstance, beside: int, rate: float, count: int, seconds: float
+) -> dict[str, float]:
     """Latency alone and through the instance, in turns, in milliseconds; and the instance's CPU. `pair_p99` is the median of
     the pairs' differences, over all answers. `added_` is between all turns of each kind, over the calm slices of time if there
     are enough of them: those in which the driver itself was on time, which owes nothing to who answers."""
@@ -114,7 +116,10 @@
         habits = {"skip": 0.5, "seed": book.seed + number, "keep": True}
         alone = book.heard(Driving(beside, rate, seconds + 0.5, wire="link", **habits).done())
         rounds.append(
-            (alone, book.heard(driven(lone, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **habits)))
+            (
+                alone,
+                book.heard(driven(single_instance, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **habits)),
+            )
         )
     calm = [[latency for run in side for latency in calm_latencies(run, LATE_MOST)] for side in zip(*rounds)]
     enough = min(map(len, calm)) >= CALM_LEAST
@@ -142,16 +147,18 @@
 
 def added(book: Book, folder: Path) -> None:
     count, seconds = (2, 2.0) if book.quick else (4, 4.0)
-    with Lone(folder, settings(1000)) as lone:
-        other = Lone._interpreter(port := free_port())
+    with SingleInstance(folder, settings(1000)) as single_instance:
+        other = SingleInstance._interpreter(port := free_port())
         try:
-            book.drive(lone, CALM, WARM, tenants=1000, callers=1000)
-            rows = [pairs(book, lone, port, rate, count, seconds) for rate in (CALM, ZONE_GONE, REGION_GONE)]
-            rising = [] if book.quick else [pairs(book, lone, port, 100, 1, seconds)]
+            book.drive(single_instance, CALM, WARM, tenants=1000, callers=1000)
+            rows = [pairs(book, single_instance, port, rate, count, seconds) for rate in (CALM, ZONE_GONE, REGION_GONE)]
+            rising = [] if book.quick else [pairs(book, single_instance, port, 100, 1, seconds)]
             rate, goes_on = float(REGION_GONE), True
             while goes_on and rate < 5000:
                 rate *= 1.5 if book.quick else 1.25
-                rising.append(pairs(book, lone, port, round(rate), 1 if book.quick else 2, 1.5 if book.quick else 2.0))
+                rising.append(
+                    pairs(book, single_instance, port, round(rate), 1 if book.quick else 2, 1.5 if book.quick else 2.0)
+                )
                 goes_on = holds_up(rising[-1])
         finally:
             other.kill()
@@ -200,10 +207,10 @@
 
 def connections(book: Book, folder: Path) -> None:
     sizes, rows = ((50, 200, 500, 1000) if book.quick else (50, 200, 500, 1000, 2000)), []
-    with Lone(folder, settings(1000), sockets=8192) as lone:
-        book.drive(lone, CALM, WARM, tenants=1000)
+    with SingleInstance(folder, settings(1000), sockets=8192) as single_instance:
+        book.drive(single_instance, CALM, WARM, tenants=1000)
         for size in sizes:
-            told = book.drive(lone, 50, 2.0 if book.quick else 8.0, idle=size, tenants=1000, connections=16)
+            told = book.drive(single_instance, 50, 2.0 if book.quick else 8.0, idle=size, tenants=1000, connections=16)
             rows.append(
                 {"connections": size, "memory_mb": told["memory"] / 1e6, "core": told["core"], "cpu_ms": told["cpu_ms"]}
             )
@@ -223,36 +230,43 @@
     callers counts these. Before, as many requests of ten callers as fill all that is kept by request."""
     sizes = (10, 300, 1000, 3000) if book.quick else (10, 1000, 5000, 20_000, 48_000)
     warm, rate, rows, had = 1600 if book.quick else 20_000, 800, [], 0
-    with Lone(folder, settings()) as lone:
-        book.drive(lone, rate, warm / rate, callers=10, repeats=0.2)
+    with SingleInstance(folder, settings()) as single_instance:
+        book.drive(single_instance, rate, warm / rate, callers=10, repeats=0.2)
         for size in sizes:
-            told = book.drive(lone, rate, max(2.0, 1.05 * size / rate), callers=size, repeats=0.2, connections=256)
+            told = book.drive(single_instance, rate, max(2.0, 1.05 * size / rate), callers=size, repeats=0.2, connections=256)
             had += told["answered"]
-            rows.append({"callers": size, "memory_mb": lone.memory() / 1e6, "cpu_ms": told["cpu_ms"], "requests": had})
+            rows.append(
+                {"callers": size, "memory_mb": single_instance.memory() / 1e6, "cpu_ms": told["cpu_ms"], "requests": had}
+            )
     book.figures["callers"] = rows
     book.cost("request.callers_memory", "MB", "callers", [(row["callers"], row["memory_mb"]) for row in rows])
     book.cost("request.callers_cpu", "ms of CPU a request", "callers", [(row["callers"], row["cpu_ms"]) for row in rows])
     if not book.quick:
-        with Lone(folder, settings()) as lone:  # as many requests, ten callers: what is by requests, and not by callers
-            book.drive(lone, rate, (warm + had) / rate, callers=10, repeats=0.2, connections=256)
-            book.events["as many requests of ten callers"] = {"requests": warm + had, "memory_mb": lone.memory() / 1e6}
+        with SingleInstance(
+            folder, settings()
+        ) as single_instance:  # as many requests, ten callers: what is by requests, and not by callers
+            book.drive(single_instance, rate, (warm + had) / rate, callers=10, repeats=0.2, connections=256)
+            book.events["as many requests of ten callers"] = {
+                "requests": warm + had,
+                "memory_mb": single_instance.memory() / 1e6,
+            }
 
 
 # What it is told.
 
 
 def started(book: Book, folder: Path, told: dict[str, Any], run_for: float, **habits: Any) -> dict[str, float]:
-    with Lone(folder, told) as lone:
+    with SingleInstance(folder, told) as single_instance:
         row = {
-            "json_mb": lone.json_bytes / 1e6,
-            "ready_s": lone.ready_s,
-            "ready_cpu_s": lone.ready_cpu_s,
-            "serving_s": lone.serving_s,
-            "serving_cpu_s": lone.serving_cpu_s,
-            "memory_mb": lone.ready_bytes / 1e6,
-            "peak_mb": lone.peak_bytes / 1e6,
+            "json_mb": single_instance.json_bytes / 1e6,
+            "ready_s": single_instance.ready_s,
+            "ready_cpu_s": single_instance.ready_cpu_s,
+            "serving_s": single_instance.serving_s,
+            "serving_cpu_s": single_instance.serving_cpu_s,
+            "memory_mb": single_instance.ready_bytes / 1e6,
+            "peak_mb": single_instance.peak_bytes / 1e6,
         }
-        used = book.drive(lone, CALM, run_for, connections=256, **habits)
+        used = book.drive(single_instance, CALM, run_for, connections=256, **habits)
         row |= {
             "cpu_ms": used["cpu_ms"],
             "p99_ms": used["latency_ms"]["p99"],
@@ -261,7 +275,7 @@
         }
         if "tenants" in habits:
             # Who sends bad requests is read more slowly the more it sent: many connections, a small rate.
-            unknown = book.drive(lone, 60, 2.0 if book.quick else 6.0, connections=400, tenant="x%07d", **habits)
+            unknown = book.drive(single_instance, 60, 2.0 if book.quick else 6.0, connections=400, tenant="x%07d", **habits)
             row |= {"unknown_cpu_ms": unknown["cpu_ms"], "unknown_refused": unknown["statuses"].get("400", 0) / unknown["sent"]}
     return {name: round(value, 4) for name, value in row.items()}
 
@@ -308,8 +322,14 @@
     settings_costs(book, "classes", rows)
     each = []
     for size in (1000, 2000) if book.quick else (1000, 5000, 10_000, 20_000):
-        with Lone(folder, settings(0, size, worths=size)) as lone:
-            each.append({"classes": size, "serving_s": round(lone.serving_s, 3), "serving_cpu_s": round(lone.serving_cpu_s, 3)})
+        with SingleInstance(folder, settings(0, size, worths=size)) as single_instance:
+            each.append(
+                {
+                    "classes": size,
+                    "serving_s": round(single_instance.serving_s, 3),
+                    "serving_cpu_s": round(single_instance.serving_cpu_s, 3),
+                }
+            )
     book.figures["routes_each_its_worth"] = each
     book.events["each class its own worth"] = {f"serving_cpu_s_at_{row['classes']}": row["serving_cpu_s"] for row in each}
 
@@ -320,11 +340,11 @@
 def reload_row(book: Book, folder: Path, size: int, times: int) -> dict[str, float]:
     """Each with one tenant's quota changed, under an even stream of requests on connections that are open before."""
     told, rate = settings(size), 40.0
-    with Lone(folder, told, sockets=4096) as lone:
-        book.drive(lone, CALM, 0.5 * WARM, tenants=size)
-        guess = 0.5 + 2.0 * lone.ready_cpu_s
+    with SingleInstance(folder, told, sockets=4096) as single_instance:
+        book.drive(single_instance, CALM, 0.5 * WARM, tenants=size)
+        guess = 0.5 + 2.0 * single_instance.ready_cpu_s
         driving = Driving(
-            lone.port,
+            single_instance.port,
             rate,
             2.0 + times * (guess + 0.7),
             even=True,
@@ -336,26 +356,31 @@
             seed=book.seed,
         )
         time.sleep(0.5)
-        cpu, at = lone.cpu(), time.monotonic()
+        cpu, at = single_instance.cpu(), time.monotonic()
         time.sleep(1.0)
-        usual = (lone.cpu() - cpu) / (time.monotonic() - at)
-        before, spent, spans, kept = lone.memory(), [], [], []
-        lone.forget_peak()
+        usual = (single_instance.cpu() - cpu) / (time.monotonic() - at)
+        before, spent, spans, kept = single_instance.memory(), [], [], []
+        single_instance.forget_peak()
         for number in range(times):
             told["tenants"][0]["quota_per_s"] = 1000.0 + number
-            lone.write(told)
-            cpu, at = lone.cpu(), time.monotonic()
-            lone.reload()
+            single_instance.write(told)
+            cpu, at = single_instance.cpu(), time.monotonic()
+            single_instance.reload()
             time.sleep(0.1)
-            while lone.counters().get("reloads", 0) <= number and time.monotonic() < at + 60.0:
+            while single_instance.counters().get("reloads", 0) <= number and time.monotonic() < at + 60.0:
                 time.sleep(0.1)
             time.sleep(0.3)
             end = time.monotonic()
-            spent.append(lone.cpu() - cpu - usual * (end - at))
+            spent.append(single_instance.cpu() - cpu - usual * (end - at))
             spans.append((at, end))
-            kept.append(lone.memory())
+            kept.append(single_instance.memory())
             time.sleep(max(0.0, guess - (end - at)))
-        report, counted, peak, left = book.heard(driving.done()), lone.counters(), lone.peak(), lone.left()
+        report, counted, peak, left = (
+            book.heard(driving.done()),
+            single_instance.counters(),
+            single_instance.peak(),
+            single_instance.left(),
+        )
     late = [latency for due, latency in report["kept"] if any(at - 0.05 <= due <= end for at, end in spans)]
     calm = [latency for due, latency in report["kept"] if due < spans[0][0] - 0.05]
     ends = sorted(due + latency for due, latency in report["kept"])
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -41,7 +41,7 @@
     a_minute = 60.0 * plain.histories / plain.seconds
     console.print(f"{plain.histories} histories, {a_minute:.0f} a minute, {plain.states} states, growth {plain.growth}")
     for finding in plain.findings:
-        console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.as_text(finding.short)}")
+        console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.format_history(finding.short)}")
     missed = [f"found: {name}" for name, seconds in found.items() if seconds is None]
     missed += [f"nothing without a defect: {finding.what}" for finding in plain.findings]
     print(
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -38,9 +38,9 @@
 
 from mulleinhatch.instance.load_balancing.estimates import SCATTER, Window, drawn, usual
 from mulleinhatch.simulation.gossip_world import Plan
-from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, SpreadWorld, common_queue
+from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, LoadBalancingWorld, common_queue
 from mulleinhatch.testing import duplicate_runs as second_runs
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 COUNTED = ("in_time", "idle_needed", "most_over_mean", "p50", "p99", "nacked", "handed", "refused by peers")
@@ -85,7 +85,7 @@
     plan = Plan(count, script, until=SETTLED + length + 2.5, seed=seed)
     if mode == "one line":
         return name, mode, common_queue(plan, load), None
-    world = SpreadWorld(plan, load, mode).play()
+    world = LoadBalancingWorld(plan, load, mode).play()
     return name, mode, world.figures(), world.busy if plotted else None
 
 
@@ -201,21 +201,21 @@
             spread=spread,
         )
         (folder / name).mkdir()
-        async with FleetRig(case, folder / name) as rig:
-            names = {node.name for node in rig.nodes}
-            await rig.wait_for(lambda views, names=names: whole(views, names), 30.0)
-            await rig.go()
-            await rig.until(1.0)
-            before = rig.usage()
-            await rig.until(length)
-            after = rig.usage()
-            counts = [Counter(await node.counters()) for node in rig.nodes[:: max(1, count // 48)]]
-            told = await rig.finish()
+        async with FleetHarness(case, folder / name) as harness:
+            names = {node.name for node in harness.nodes}
+            await harness.wait_for(lambda views, names=names: views_agree(views, names), 30.0)
+            await harness.go()
+            await harness.until(1.0)
+            before = harness.usage()
+            await harness.until(length)
+            after = harness.usage()
+            counts = [Counter(await node.counters()) for node in harness.nodes[:: max(1, count // 48)]]
+            told = await harness.finish()
         cpu = sum(now[0] - then[0] for now, then in zip(after, before) if now and then)
         worth = {"read": 1.0, "signoff": 5.0}
         asked = sum(worth[kind] * sums[0] for stub in told["stubs"] for kind, sums in stub["by_kind"].items())
         in_time = sum(worth[kind] * sums[2] for stub in told["stubs"] for kind, sums in stub["by_kind"].items())
-        second = second_runs.of_fleet(told)
+        second = second_runs.second_runs_of_fleet(told)
         for fault in second.faults:
             print(f"{name}: {fault}", file=sys.stderr)
         ops = sum(sum(stub["first"].values()) for stub in told["stubs"])
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -28,9 +28,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
-from mulleinhatch.testing.maintenance_windows import Outings
+from mulleinhatch.testing.maintenance_windows import MaintenanceWindows
 
 WORKS, STOPS = 1.0, 1.0  # seconds of the work, and from the permit to the stop
 STARTS = 4.3  # seconds from a process's start until it was found fit and its permit is back
@@ -64,34 +64,36 @@
 async def roll(told: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
     folder.mkdir()
     zones = {place: ZONES[place % len(ZONES)] for place in range(told.instances)}
-    async with FleetRig(told, folder) as rig:
-        names = {node.name for node in rig.nodes}
-        await rig.wait_for(lambda views: whole(views, names), 30.0)
+    async with FleetHarness(told, folder) as harness:
+        names = {node.name for node in harness.nodes}
+        await harness.wait_for(lambda views: views_agree(views, names), 30.0)
         await asyncio.sleep(5.0)
-        await rig.go()
-        await rig.until(1.0)
-        outings = Outings(rig, WORKS, zones)
-        outings.start()
-        begun, done = rig.now(), None
+        await harness.go()
+        await harness.until(1.0)
+        maintenance_windows = MaintenanceWindows(harness, WORKS, zones)
+        maintenance_windows.start()
+        begun, done = harness.now(), None
         if how == "permits":
-            await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in rig.nodes))
-            done = await outings.all_done(set(zones), within)
+            await asyncio.gather(
+                *(node.upkeep(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
+            )
+            done = await maintenance_windows.all_done(set(zones), within)
         elif how == "by list":
-            by_list = asyncio.ensure_future(outings.roll_by_list(list(zones), zone_most * len(ZONES), STARTS))
-            done = await outings.all_done(set(zones), within)
+            by_list = asyncio.ensure_future(maintenance_windows.roll_by_list(list(zones), zone_most * len(ZONES), STARTS))
+            done = await maintenance_windows.all_done(set(zones), within)
             by_list.cancel()
-        await rig.until(max(rig.now(), told.run_for))
-        await outings.stop()
-        told_after = await rig.finish()
+        await harness.until(max(harness.now(), told.run_for))
+        await maintenance_windows.stop()
+        told_after = await harness.finish()
     stubs = told_after["stubs"]
     asked, in_time = (sum(sum(stub[what].values()) for stub in stubs) for what in ("first", "in_time"))
     return {
-        "most out": outings.most,
-        "most of a zone": max(outings.zone_most.values(), default=0),
-        "done": len(outings.done),
+        "most out": maintenance_windows.most,
+        "most of a zone": max(maintenance_windows.zone_most.values(), default=0),
+        "done": len(maintenance_windows.done),
         "seconds": round(done - begun, 1) if done else None,
         "in time": round(in_time / max(1, asked), 4),
-        "late": round(max(told_after["late"], outings.late), 3),
+        "late": round(max(told_after["late"], maintenance_windows.late), 3),
     }
 
 
--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -17,7 +17,7 @@
     from rich.table import Table
 
     from mulleinhatch.testing import fault_script as faults
-    from mulleinhatch.testing.instance_harness import Case, Rig, keep_environment, outcome
+    from mulleinhatch.testing.instance_harness import Case, InstanceHarness, keep_environment, outcome
 except ImportError as error:
     print(f"mulleinhatch: demo needs {error.name}: pip install 'mulleinhatch[lab]'", file=sys.stderr)
     raise SystemExit(2) from None
@@ -74,15 +74,15 @@
         return table
 
 
-async def shown(rig: Rig, picture: Picture, console: Console) -> dict[str, Any]:
-    playing = asyncio.ensure_future(rig.play())
+async def shown(harness: InstanceHarness, picture: Picture, console: Console) -> dict[str, Any]:
+    playing = asyncio.ensure_future(harness.play())
     with Live(picture.table(), console=console, transient=True) if console.is_terminal else contextlib.nullcontext() as live:
         told = 0.0
         while not playing.done():
             await asyncio.wait([playing], timeout=LOOK)
-            into = time.time() - rig.start_at
+            into = time.time() - harness.start_at
             if 0.0 < into < picture.seconds:
-                picture.look(into, await rig.places[0].counters())
+                picture.look(into, await harness.places[0].counters())
                 if live:
                     live.update(picture.table())
                 elif into >= told:
@@ -107,7 +107,7 @@
         f"three of ten heed advice.\nWhat goes wrong: {'; '.join(script.splitlines())}"
     )
     with tempfile.TemporaryDirectory() as folder:
-        raw = asyncio.run(shown(Rig(case, Path(folder)), Picture(seconds), console))
+        raw = asyncio.run(shown(InstanceHarness(case, Path(folder)), Picture(seconds), console))
     figures = outcome(case, raw)
     counts, back = figures["counts"], figures["back_after"]
     table = Table(title="What became of it")
--- a/mulleinhatch/cli/instance/search.py
+++ b/mulleinhatch/cli/instance/search.py
@@ -19,7 +19,7 @@
     try:
         if told["replay"]:
             return again(told, campaign, play)
-        done = campaign.campaign(itertools.count(int(told["--seed"] or 1)), float(told["--seconds"]), told=print)
+        done = campaign.campaign(itertools.count(int(told["--seed"] or 1)), float(told["--seconds"]), report_line=print)
         print(f"{done.histories} histories in {done.seconds:.0f} s, {done.states} states, {len(done.findings)} findings")
         if told["--out"]:
             path = Path(told["--out"])
@@ -29,7 +29,7 @@
             print(f"{path}")
         for number, finding in enumerate(done.findings):
             kept = Path(f"finding-{int(time.time())}-{number}.txt")
-            kept.write_text(campaign.as_text(finding.short))
+            kept.write_text(campaign.format_history(finding.short))
             print(f"{kept}: {finding.what}")
     except (OSError, ValueError, KeyError) as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
@@ -40,7 +40,7 @@
 def again(told: dict[str, Any], campaign: Any, play: Any) -> int:
     failed = 0
     for name in told["FILE"]:
-        found = play.play(campaign.replayed(Path(name).read_text()))
+        found = play.play(campaign.parse_history(Path(name).read_text()))
         failed += bool(found.what)
         print(
             f"{name}: {found.what or 'all held'}; in time {found.before:.2f} before, {found.worst:.2f} in the worst second, "
--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -126,7 +126,7 @@
     )
 
 
-def wander(model: Model, seed: int, walks: int, steps: int) -> str:
+def explore_random_walks(model: Model, seed: int, walks: int, steps: int) -> str:
     """Long histories by chance, for what lies deeper than all of them can be looked at."""
     draw = random.Random(seed)
     for _ in range(walks):
@@ -136,11 +136,11 @@
             act(model, state, action)
             way.append(action)
             if what := broken(model, state):
-                return exploring.told(what, way)
+                return exploring.describe_violation(what, way)
     return ""
 
 
-LENT = (
+LOAN_IN_PROGRESS = (
     ("ask", 1, 0, 2),
     ("deliver", 0),
     ("lose", 0),
--- a/mulleinhatch/simulation/fault_search/campaign.py
+++ b/mulleinhatch/simulation/fault_search/campaign.py
@@ -11,8 +11,8 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.simulation.fault_search import defects
-from mulleinhatch.simulation.fault_search.histories import KINDS, History, drawn
-from mulleinhatch.simulation.fault_search.play import Found, kind_of, play
+from mulleinhatch.simulation.fault_search.histories import KINDS, History, draw_history
+from mulleinhatch.simulation.fault_search.play import SearchOutcome, play, violation_kind
 
 BATCH = 2  # histories a process between two looks at the weights
 NOVEL = 0.05  # of weight for each new state, LEAST at least and MOST at most
@@ -37,22 +37,22 @@
     slowest: list[tuple[float, int]]  # recovery, and the seed
 
 
-def _played(job: tuple[int, dict[str, float], str]) -> tuple[History, Found]:
+def _played(job: tuple[int, dict[str, float], str]) -> tuple[History, SearchOutcome]:
     seed, weights, defect = job
-    history = drawn(seed, weights)
+    history = draw_history(seed, weights)
     with defects.planted(defect):
         return history, play(history)
 
 
-def shrunk(history: History, what: str, defect: str = "", most: int = 60) -> tuple[History, int]:
+def shrink_history(history: History, what: str, defect: str = "", most: int = 60) -> tuple[History, int]:
     """Lines and then the rest that is not needed taken away, as long as it fails in the same way (delta debugging)."""
-    kind, tries = kind_of(what), 0
+    kind, tries = violation_kind(what), 0
 
     def fails(other: History) -> bool:
         nonlocal tries
         tries += 1
         with defects.planted(defect):
-            return kind_of(play(other).what) == kind
+            return violation_kind(play(other).what) == kind
 
     chunk = max(1, len(history.lines) // 2)
     while chunk and tries < most:
@@ -65,7 +65,7 @@
                 at += chunk
         chunk //= 2
     for plainer in (
-        history._replace(upkeep=False),
+        history._replace(is_maintenance_requested=False),
         history._replace(load=history.load._replace(speeds=(), one=0.0)),
         history._replace(load=history.load._replace(uneven=0.0, heeding=0.0)),
     ):
@@ -81,7 +81,7 @@
     stop_at_first: bool = False,
     most: int = 10**9,
     processes: int | None = None,
-    told: Callable[[str], None] = lambda line: None,
+    report_line: Callable[[str], None] = lambda line: None,
 ) -> Campaign:
     begun, states, growth = time.monotonic(), set[tuple](), list[int]()
     weights, novel, kinds = dict.fromkeys(KINDS, 1.0), Counter[str](), Counter[str]()
@@ -101,10 +101,10 @@
                     novel[kind] += new
                 worst.append((round(found.worst, 3), history.seed))
                 slowest.append((found.recovered, history.seed))
-                if found.what and kind_of(found.what) not in seen:
-                    seen.add(kind_of(found.what))
-                    told(f"seed {history.seed}: {found.what}")
-                    short, tries = (history, 0) if stop_at_first else shrunk(history, found.what, defect)
+                if found.what and violation_kind(found.what) not in seen:
+                    seen.add(violation_kind(found.what))
+                    report_line(f"seed {history.seed}: {found.what}")
+                    short, tries = (history, 0) if stop_at_first else shrink_history(history, found.what, defect)
                     findings.append(Finding(history, found.what, short, tries))
             growth.append(len(states))
             weights = {kind: min(MOST, max(LEAST, 1.0 + NOVEL * novel[kind] / max(1, kinds[kind]))) for kind in KINDS}
@@ -121,10 +121,10 @@
     )
 
 
-def as_text(history: History) -> str:
-    """A file that `replayed` reads: what is not the fault script stands in its first line.
+def format_history(history: History) -> str:
+    """A file that `parse_history` reads: what is not the fault script stands in its first line.
 
-    >>> history = drawn(5); replayed(as_text(history)) == history
+    >>> history = draw_history(5); parse_history(format_history(history)) == history
     True
     """
     told = {
@@ -132,12 +132,12 @@
         "instances": history.instances,
         "kinds": history.kinds,
         "load": history.load._asdict(),
-        "upkeep": history.upkeep,
+        "upkeep": history.is_maintenance_requested,
     }
     return f"# {json.dumps(told)}\n{history.script}\n"
 
 
-def replayed(text: str) -> History:
+def parse_history(text: str) -> History:
     head, _, script = text.partition("\n")
     told = json.loads(head.removeprefix("#"))
     from mulleinhatch.simulation.load_balancing_world import Load
@@ -174,7 +174,7 @@
         "states": done.states,
         "kinds": done.kinds,
         "findings": [
-            {"what": finding.what, "script": as_text(finding.short), "tries": finding.tries} for finding in done.findings
+            {"what": finding.what, "script": format_history(finding.short), "tries": finding.tries} for finding in done.findings
         ],
         "worst": done.worst,
         "slowest": [[at if at < 1e9 else None, seed] for at, seed in done.slowest],
--- a/mulleinhatch/simulation/fault_search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -36,14 +36,14 @@
     kinds: tuple[str, ...]
     lines: tuple[str, ...]  # of the fault script
     load: Load
-    upkeep: bool  # all are asked to go out for work when the faults begin
+    is_maintenance_requested: bool  # all are asked to go out for work when the faults begin
 
     @property
     def script(self) -> str:
         return "\n".join(self.lines)
 
 
-def drawn(seed: int, weights: dict[str, float] | None = None) -> History:
+def draw_history(seed: int, weights: dict[str, float] | None = None) -> History:
     draw = random.Random(seed)
     instances = draw.choice((5, 6, 8, 12))
     weight = [(weights or {}).get(kind, 1.0) for kind in KINDS]
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -10,8 +10,8 @@
 from mulleinhatch.simulation.fault_search.histories import FIRST, History
 from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
-from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, SpreadWorld
-from mulleinhatch.simulation.maintenance_world import WithUpkeep, asked_all
+from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, LoadBalancingWorld
+from mulleinhatch.simulation.maintenance_world import MaintenanceMixin, request_maintenance_of_all
 from mulleinhatch.testing import fault_script as faults
 
 AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
@@ -22,7 +22,7 @@
 MOST_OWED = 400  # ops that one instance may owe answers at a time
 
 
-class Found(NamedTuple):
+class SearchOutcome(NamedTuple):
     what: str  # empty: all held
     states: frozenset[tuple]
     before: float  # share in time before the faults
@@ -30,22 +30,22 @@
     after: float  # once recovered
     recovered: float  # seconds after the last fault
     handed: int
-    outings: int
+    maintenance_windows: int
 
 
-class Whole(WithUpkeep, SpreadWorld):
+class SearchWorld(MaintenanceMixin, LoadBalancingWorld):
     def __init__(self, history: History) -> None:
         script = history.script
         self.end = max(FIRST + 1.0, faults.end_of(faults.read(script, history.instances)))
-        last = self.end + RECOVERS_WITHIN + 6.0 + (UPKEEP_WITHIN if history.upkeep else 0.0)
+        last = self.end + RECOVERS_WITHIN + 6.0 + (UPKEEP_WITHIN if history.is_maintenance_requested else 0.0)
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
         self.ready(most=2, voters=3, disks=True, works=1.0)
         self.history = history
         self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which an op was born
         self.states: set[tuple] = set()
         self.answered_late = 0
-        if history.upkeep:
-            self.at(FIRST, asked_all, self)
+        if history.is_maintenance_requested:
+            self.at(FIRST, request_maintenance_of_all, self)
         self.at(FIRST - 2.0, self._see)
 
     def goes_out(self, node: Node) -> None:
@@ -114,13 +114,13 @@
         return sum(sums[1] for sums in seconds) / asked if asked else 1.0
 
 
-def play(history: History) -> Found:
-    world = Whole(history)
+def play(history: History) -> SearchOutcome:
+    world = SearchWorld(history)
     what, recovered = "", math.inf
     try:
         world.play(world.end + AGREE_WITHIN)
         agreed = [world.play(world.end + AGREE_WITHIN + 0.25 * look).views_agree() for look in range(12)]
-        going = bool(history.upkeep)  # while some go and come back views are never one for long
+        going = bool(history.is_maintenance_requested)  # while some go and come back views are never one for long
         if not any(agreed) and not going:
             raise InvariantBrokenError(f"views are not one {AGREE_WITHIN + 3.0:.0f} s after the last fault")
         world.play(world.end + RECOVERS_WITHIN + 6.0)
@@ -150,7 +150,7 @@
     except InvariantBrokenError as error:
         what = str(error)
     worst = min((sums[1] / sums[0] for second, sums in world.by_second.items() if sums[0] and second >= FIRST - 2), default=1.0)
-    return Found(
+    return SearchOutcome(
         what,
         frozenset(world.states),
         world.share(FIRST - 4.0, FIRST),
@@ -171,6 +171,6 @@
     return last.get(place) in ("kill", "leave")
 
 
-def kind_of(what: str) -> str:
+def violation_kind(what: str) -> str:
     """What went wrong without its figures and names: shrinking must keep that."""
     return " ".join(word for word in what.split() if word.isalpha())
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -44,7 +44,7 @@
 class Node:
     """One instance: its core, its clock, its meters; what waits in its socket while it is stopped."""
 
-    def __init__(self, world: FleetWorld, place: int) -> None:
+    def __init__(self, world: GossipWorld, place: int) -> None:
         self.place, self.name, self.address = place, f"n{place}", f"10.0.0.1:{place}"
         rates = world.plan.clocks
         self.rate = rates[place % len(rates)] if rates else world.draw.uniform(0.99, 1.01)
@@ -59,7 +59,7 @@
         return now * self.rate + self.offset
 
 
-class FleetWorld:
+class GossipWorld:
     def __init__(self, plan: Plan) -> None:
         self.plan, self.draw, self.now, self.turn = plan, random.Random(plan.seed), 0.0, 0
         self.faults = faults.read(plan.script, plan.instances)
@@ -90,7 +90,7 @@
         self.turn += 1
         heapq.heappush(self.events, (when, self.turn, act, told))
 
-    def play(self, until: float | None = None) -> FleetWorld:
+    def play(self, until: float | None = None) -> GossipWorld:
         until = self.plan.until if until is None else until
         while self.events and self.events[0][0] <= until:
             self.now, _, act, told = heapq.heappop(self.events)
@@ -285,7 +285,7 @@
         return sum(member is not None and member.state >= GONE for member in others) / max(1, len(others))
 
 
-def weather(draw: random.Random, instances: int, start: float, length: float) -> str:
+def draw_fault_script(draw: random.Random, instances: int, start: float, length: float) -> str:
     """A fault script by chance: a few faults that overlap, all over by `start + length`."""
     lines = []
     for _ in range(draw.randint(1, 4)):
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -27,7 +27,7 @@
     """A rule or a bound did not hold; the text says when."""
 
 
-class Weather(NamedTuple):
+class Scenario(NamedTuple):
     """What the player lets happen; times are seconds, rates ops a second."""
 
     rate: float = 70.0
@@ -50,29 +50,29 @@
 class Op:
     """A client's op through all its tries."""
 
-    def __init__(self, number: int, born: float, draw: random.Random, weather: Weather) -> None:
+    def __init__(self, number: int, born: float, draw: random.Random, scenario: Scenario) -> None:
         self.number, self.born = number, born
         self.kind = draw.choices(KINDS, [kind[2] for kind in KINDS])[0]
-        self.caller = draw.randrange(weather.callers)
-        self.heeds, self.marks = draw.random() < weather.heeding, draw.random() < weather.marked
+        self.caller = draw.randrange(scenario.callers)
+        self.heeds, self.marks = draw.random() < scenario.heeding, draw.random() < scenario.marked
         self.tries, self.over, self.back_at = 0, False, 0.0
-        self.body = b"any op" if draw.random() < weather.alike else b"op %d of the virtual callers" % number
-        self.steady, self.draw, self.weather = draw.random() < weather.steady, draw, weather
-        self.drawn = draw.random(), weather.work * draw.uniform(0.8, 1.2)
+        self.body = b"any op" if draw.random() < scenario.alike else b"op %d of the virtual callers" % number
+        self.steady, self.draw, self.scenario = draw.random() < scenario.steady, draw, scenario
+        self.drawn = draw.random(), scenario.work * draw.uniform(0.8, 1.2)
 
     @property
     def figures(self) -> tuple[float, float, float]:
         """Rank, cost in seconds, memory in KB, as a try of it tells them."""
-        rank, cost = self.drawn if self.steady else (self.draw.random(), self.weather.work * self.draw.uniform(0.8, 1.2))
+        rank, cost = self.drawn if self.steady else (self.draw.random(), self.scenario.work * self.draw.uniform(0.8, 1.2))
         return rank, cost, 1.0
 
 
 class World:
     def __init__(
-        self, weather: Weather, seed: int, storms: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
+        self, scenario: Scenario, seed: int, storms: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
     ) -> None:
         self.record = record
-        self.weather, self.draw, self.storms = weather, random.Random(seed), storms
+        self.scenario, self.draw, self.storms = scenario, random.Random(seed), storms
         self.now, self.turn = 0.0, 0
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.first: Counter[int] = Counter()
@@ -86,15 +86,15 @@
         self.number_of: dict[str, int] = {}  # by id of the try: the number of its op
         self._start()
         self.at(0.0, self._born)
-        self.at(weather.outage[0], self._fall)
-        self.at(weather.outage[1], self._rise)
+        self.at(scenario.outage[0], self._fall)
+        self.at(scenario.outage[1], self._rise)
 
     def at(self, when: float, act: Callable[..., None], *told: Any) -> None:
         self.turn += 1
         heapq.heappush(self.events, (max(when, self.now), self.turn, act, told))
 
     def play(self) -> World:
-        while self.events and self.events[0][0] <= self.weather.until:
+        while self.events and self.events[0][0] <= self.scenario.until:
             self.now, _, act, told = heapq.heappop(self.events)
             act(*told)
             self._check()
@@ -103,15 +103,15 @@
     # The instance and its interpreter.
 
     def _start(self) -> None:
-        weather = self.weather
+        scenario = self.scenario
         deployment: Deployment = {
             "op_types": [
                 {"effect": kind[1], "importance": 1.0, "target_latency": 1.8, "op_timeout": 4.5, "repeat_window": 60.0}
                 for kind in KINDS
             ],
-            "cores": weather.cores,
+            "cores": scenario.cores,
             "crowd_per_core": 8.0,
-            "callers": weather.callers,
+            "callers": scenario.callers,
             "hold_off_allowed": True,
             "max_hold_off": 10.0,
         }
@@ -150,7 +150,7 @@
             ref = fields[0]
             number = self.number_of[ref]
             self.ran[number] += 1
-            self.running[ref] = self.weather.work * self.draw.uniform(0.7, 1.3)
+            self.running[ref] = self.scenario.work * self.draw.uniform(0.7, 1.3)
             if not self.frozen:
                 self.at(self.now + self.running[ref], self._ended, self.life, ref)
         elif errand is Errand.GAUGES:
@@ -176,11 +176,11 @@
             self.take(Happening.ALARM, token)
 
     def _fall(self) -> None:
-        if self.weather.kind == "freeze":
+        if self.scenario.kind == "freeze":
             self.frozen = True
             return
         self.up = False
-        if self.weather.kind != "kill":
+        if self.scenario.kind != "kill":
             return
         self.alive = False
         lost, self.waiting = self.waiting, {}
@@ -188,7 +188,7 @@
             self._again(op, PAUSE)
 
     def _rise(self) -> None:
-        if self.weather.kind == "kill":
+        if self.scenario.kind == "kill":
             self._start()
         self.up = True
         if self.frozen:
@@ -199,19 +199,19 @@
     # The callers.
 
     def _born(self) -> None:
-        if self.now >= self.weather.load_until:
+        if self.now >= self.scenario.load_until:
             return
         self.number += 1
-        op = Op(self.number, self.now, self.draw, self.weather)
+        op = Op(self.number, self.now, self.draw, self.scenario)
         self.effect[op.number] = op.kind[1] is not Effect.RETRYABLE
         self.first[int(self.now)] += 1
         self._try(op)
-        self.at(self.now + self.draw.expovariate(self.weather.rate), self._born)
+        self.at(self.now + self.draw.expovariate(self.scenario.rate), self._born)
 
     def _try(self, op: Op) -> None:
         if op.over:
             return
-        if self.now - op.born > self.weather.patience:
+        if self.now - op.born > self.scenario.patience:
             op.over = True
             return
         op.tries += 1
@@ -220,11 +220,11 @@
             return
         self.counts["tries"] += 1
         again, ref = op.tries > 1 and op.marks, f"{self.draw.getrandbits(64):016x}"
-        wait = min(4.5, op.born + self.weather.patience - self.now)
+        wait = min(4.5, op.born + self.scenario.patience - self.now)
         if wait <= 0.05:
             op.over = True
             return
-        back_at = 0.0 if self.draw.random() < self.weather.reconnects else op.back_at
+        back_at = 0.0 if self.draw.random() < self.scenario.reconnects else op.back_at
         told, figures = (op.kind[0], "", op.caller), op.figures
         self.number_of[ref] = op.number
         key = f"k{op.number}" if op.kind[1] is Effect.KEYED else ""
@@ -270,7 +270,7 @@
         self.counts[errand.value] += 1
         self.idle.append(place)
         if errand is Errand.ACK:
-            if self.draw.random() < self.weather.lost_acks:
+            if self.draw.random() < self.scenario.lost_acks:
                 self.counts["acks lost"] += 1
                 self.idle.pop()
                 self._again(op, PAUSE)
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -21,7 +21,7 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
-from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import GRACE, LINK, GossipWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fake_interpreter import Cores
@@ -71,7 +71,7 @@
 class Service(Node):
     """An instance with its reducer and its interpreter."""
 
-    def __init__(self, world: SpreadWorld, place: int) -> None:
+    def __init__(self, world: LoadBalancingWorld, place: int) -> None:
         super().__init__(world, place)
         self.spread: Spread | None = None
         self.reducer: Reducer | None = None
@@ -86,7 +86,7 @@
         self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while it is stalled
 
 
-class SpreadWorld(FleetWorld):
+class LoadBalancingWorld(GossipWorld):
     def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: SpreadBounds = USUAL) -> None:
         assert mode in MODES
         self.load, self.mode, self.spread_bounds = (
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -12,12 +12,12 @@
 from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
 from mulleinhatch.instance.maintenance.paxos_register import Kept
 from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.simulation.gossip_world import FleetWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import GossipWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 
 
-class WithUpkeep:
-    """Beside a `FleetWorld` in the list of bases, before it."""
+class MaintenanceMixin:
+    """Beside a `GossipWorld` in the list of bases, before it."""
 
     def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
         self.disks: dict[str, Kept | None] = {node.name: None for node in self.nodes}
@@ -78,7 +78,7 @@
         self.at(self.now + self.works, self.start, node)
 
 
-class Machines(WithUpkeep, FleetWorld):
+class MaintenanceWorld(MaintenanceMixin, GossipWorld):
     def __init__(
         self,
         count: int,
@@ -93,5 +93,5 @@
         self.ready(most, voters, disks, works)
 
 
-def asked_all(world: Any) -> None:
+def request_maintenance_of_all(world: Any) -> None:
     world.to_go = {node.name for node in world.nodes}
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -248,7 +248,7 @@
 }
 
 
-def wander(model: Model, seed: int, walks: int, steps: int, before: tuple[tuple, ...] = ()) -> tuple[int, str]:
+def explore_random_walks(model: Model, seed: int, walks: int, steps: int, before: tuple[tuple, ...] = ()) -> tuple[int, str]:
     """Long histories by chance after those steps: how many permits were agreed in them, and the first over the bound."""
     draw, agreed = random.Random(seed), 0
     for _ in range(walks):
@@ -263,5 +263,5 @@
             agreed += sum(asker.is_out for asker in state.askers) > were_out
             way.append(action)
             if what := broken(model, state):
-                return agreed, exploring.told(what, way)
+                return agreed, exploring.describe_violation(what, way)
     return agreed, ""
--- a/mulleinhatch/simulation/scale_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from mulleinhatch.simulation.scale_instances import Plan, weather
+from mulleinhatch.simulation.scale_instances import Plan, draw_fault_script
 from mulleinhatch.simulation.scale_shards import World
 from mulleinhatch.simulation.scale_world import Gone, Look
 
@@ -126,7 +126,7 @@
     """
     with World(plan._replace(seed=seed), processes=False) as world:
         world.play(calm)
-        script = weather(random.Random(seed), world.ground, world.speakers(), calm, length)
+        script = draw_fault_script(random.Random(seed), world.ground, world.speakers(), calm, length)
         world.script(script)
         world.play(calm + length)
         one = None
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -1,4 +1,4 @@
-"""Hollow instances: where they stand, what they are told at start, what they say of themselves, which weather they meet.
+"""Simulated instances: where they stand, what they are told at start, what they say of themselves, which weather they meet.
 
 A hollow instance is the real cores (fleet; spread and upkeep as configured) with their real datagrams as bytes, without callers
 and interpreter. `hollow_world.py` plays many of them in virtual time, `hollow_shards.py` in several processes.
@@ -216,7 +216,7 @@
     return ",".join(f"{first}-{last}" if last > first else f"{first}" for first, last in runs)
 
 
-def weather(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
+def draw_fault_script(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
     """A script by chance for levels: speakers that die, stall or are cut from their zone alone, one-way cuts and cuts between
     regions, loss. `speakers` are those that speak for their groups when it is drawn (`World.speakers`); any others will do.
     All is over by `start + length`."""
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -60,7 +60,7 @@
     living: int  # in truth
 
 
-class Hollow:
+class SimulatedInstance:
     """One instance: its cores, its clock, its chance, its books."""
 
     __slots__ = (
@@ -108,8 +108,8 @@
         self.plan, self.ground, self.now, self.index = plan, Ground(plan), 0.0, index
         self.owner = owner or [0] * plan.members
         self.bounds = self.ground.bounds()
-        self.nodes: list[Hollow | None] = [
-            Hollow(plan, place) if who == index else None for place, who in enumerate(self.owner)
+        self.nodes: list[SimulatedInstance | None] = [
+            SimulatedInstance(plan, place) if who == index else None for place, who in enumerate(self.owner)
         ]
         self.events: list[Event] = []
         self.out: dict[int, list[Event]] = {}
@@ -204,7 +204,7 @@
     def life_from(start: float) -> int:
         return int(1000.0 * (start + 7200.0))
 
-    def _begin(self, node: Hollow) -> None:
+    def _begin(self, node: SimulatedInstance) -> None:
         place, plan = node.place, self.plan
         node.lives += 1
         node.stalled = False
@@ -236,7 +236,7 @@
         for budget in range(len(plan.budgets)):
             self._later(node, node.chance.uniform(0.0, 0.1), (USE, node.lives, budget))
 
-    def _introduce(self, node: Hollow, now: float) -> None:
+    def _introduce(self, node: SimulatedInstance, now: float) -> None:
         """Letters that name all others, as a member that knows them would write, and none of it news to be told on."""
         ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
@@ -283,7 +283,7 @@
         else:
             raise faults.FaultScriptError(f"{what} is nothing that a hollow instance meets")
 
-    def _go_on(self, node: Hollow) -> None:
+    def _go_on(self, node: SimulatedInstance) -> None:
         """Its timer is overdue, its socket full."""
         self._beat(node, again=False)
         waiting = list(node.waiting)
@@ -318,7 +318,7 @@
             if node.core and not node.stalled:
                 self.looks.append(Look(self.now, place, *self._sum(node), living))
 
-    def _sum(self, node: Hollow) -> tuple[int, int, float]:
+    def _sum(self, node: SimulatedInstance) -> tuple[int, int, float]:
         """Members alive in its sum of the fleet, silent ones, the oldest age; flat, what its own view holds."""
         now = self.now * node.rate + node.offset
         if self.plan.levels:
@@ -329,11 +329,11 @@
 
     # Instances.
 
-    def _later(self, node: Hollow, after: float, what: tuple) -> None:
+    def _later(self, node: SimulatedInstance, after: float, what: tuple) -> None:
         node.sequence += 1
         heapq.heappush(self.events, (self.now + after, node.place, node.sequence, node.place, what))
 
-    def _beat(self, node: Hollow, again: bool = True) -> None:
+    def _beat(self, node: SimulatedInstance, again: bool = True) -> None:
         if again:
             self._later(node, node.core.bounds.beat * node.chance.uniform(0.95, 1.1), (BEAT, node.lives))
         if node.stalled:
@@ -354,7 +354,7 @@
         if node.core.members.changes:
             self._changes(node)
 
-    def _heard(self, node: Hollow, data: bytes) -> None:
+    def _heard(self, node: SimulatedInstance, data: bytes) -> None:
         begun = time.thread_time_ns()
         datagrams = node.core.datagram(self.now * node.rate + node.offset, data)
         if node.spread:
@@ -368,7 +368,7 @@
         if node.core.members.changes:
             self._changes(node)
 
-    def _send(self, node: Hollow, datagrams: list[tuple[str, bytes]]) -> None:
+    def _send(self, node: SimulatedInstance, datagrams: list[tuple[str, bytes]]) -> None:
         place, second, owner, chance = node.place, int(self.now), self.owner, node.chance.random
         for address, data in datagrams:
             if len(data) > words.MOST_BYTES:
@@ -400,7 +400,7 @@
         amounts = self.amounts.get(what)
         return max(amounts[sender], amounts[to]) if amounts else 0.0
 
-    def _changes(self, node: Hollow) -> None:
+    def _changes(self, node: SimulatedInstance) -> None:
         changes, node.core.members.changes = node.core.members.changes, []
         for change in changes:
             self.counts[change.state] += 1
@@ -414,10 +414,10 @@
             if len(self.gone) < MOST_KEPT:
                 self.gone.append(Gone(self.now, node.place, subject, change.why, wrong))
 
-    def _part(self, node: Hollow, now: float, budget: int) -> int:
+    def _part(self, node: SimulatedInstance, now: float, budget: int) -> int:
         return node.core.part(now, budget)
 
-    def _use(self, node: Hollow, budget: int) -> None:
+    def _use(self, node: SimulatedInstance, budget: int) -> None:
         """Asks for units at the rate of its demand, one at a time."""
         _, total, window = self.plan.budgets[budget]
         rate = max(0.01, total / self.plan.members / (window or 1.0) * self.plan.demand)
@@ -505,7 +505,7 @@
         return getattr(self, what)
 
 
-KINDS_OF_STATE: tuple[tuple[str, Callable[[Hollow], Any]], ...] = (
+KINDS_OF_STATE: tuple[tuple[str, Callable[[SimulatedInstance], Any]], ...] = (
     ("members", lambda node: node.core.members.view),
     (
         "membership",
@@ -524,7 +524,7 @@
 )
 
 
-def state_of(node: Hollow) -> dict[str, float]:
+def state_of(node: SimulatedInstance) -> dict[str, float]:
     # What is settings, or the instance itself, is no state of this kind.
     seen = {id(node), id(node.core), id(node.core.members), id(node.core.bounds), id(node.core.known), id(node.core.verdicts)}
     return {kind: float(deep_size(told(node), seen)) for kind, told in KINDS_OF_STATE}
@@ -559,4 +559,4 @@
     return size
 
 
-__all__ = ["LOOKAHEAD", "Gone", "Hollow", "Look", "Shard", "deep_size", "state_of"]
+__all__ = ["LOOKAHEAD", "Gone", "SimulatedInstance", "Look", "Shard", "deep_size", "state_of"]
--- a/mulleinhatch/simulation/state_exploration.py
+++ b/mulleinhatch/simulation/state_exploration.py
@@ -28,7 +28,7 @@
             act(state, action)
             way = (*history, action)
             if what := broken(state):
-                return len(seen), told(what, way)
+                return len(seen), describe_violation(what, way)
             after = pickle.dumps(state)
             if after not in seen:
                 seen.add(after)
@@ -37,9 +37,9 @@
     return len(seen), ""
 
 
-def told(what: str, way: Iterable[tuple]) -> str:
+def describe_violation(what: str, way: Iterable[tuple]) -> str:
     """
-    >>> told("two are out", [("want", 0), ("step", 0, "a")])
+    >>> describe_violation("two are out", [("want", 0), ("step", 0, "a")])
     'two are out: want 0 | step 0 a'
     """
     return f"{what}: {' | '.join(' '.join(map(str, step)) for step in way)}"
--- a/mulleinhatch/testing/duplicate_runs.py
+++ b/mulleinhatch/testing/duplicate_runs.py
@@ -15,10 +15,10 @@
 class Run(NamedTuple):
     """As an interpreter saw it begin."""
 
-    op: str  # who it is, by its body
+    request: str  # who it is, by its body
     at: float
     place: int
-    life: int  # of the interpreter there, which dies with its instance
+    incarnation: int  # of the interpreter there, which dies with its instance
     ref: str  # id of the try
 
 
@@ -43,31 +43,31 @@
     repeats: list[str]  # ops that their callers sent again after a death, and that ran again by it
 
 
-def judged(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
+def find_second_runs(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
     """`broken` by the id of the try. Each run is held against all runs of its op before: it is its caller's repeat only where
     each of those tries had lost its connection to a death by then, and none ran in the same life.
 
     >>> first, second = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.2, 1, 1, "r2")
-    >>> judged([first, second], {"r1": BrokenTry(0, 4.9, 5.1)}, [Death(0, 5.05, 5.1)])
+    >>> find_second_runs([first, second], {"r1": BrokenTry(0, 4.9, 5.1)}, [Death(0, 5.05, 5.1)])
     SecondRuns(faults=[], repeats=['a'])
-    >>> judged([first, second], {}, [])
+    >>> find_second_runs([first, second], {}, [])
     SecondRuns(faults=['a ran at 0 as r1, and at 1 as r2: the first try had not ended by a death'], repeats=[])
     """
     deaths = list(deaths)
-    by_op: dict[str, list[Run]] = {}
+    by_request: dict[str, list[Run]] = {}
     for run in sorted(runs, key=lambda run: run.at):
-        by_op.setdefault(run.op, []).append(run)
+        by_request.setdefault(run.request, []).append(run)
     faults: list[str] = []
     repeats: list[str] = []
-    for op, its in by_op.items():
+    for request, runs_of_request in by_request.items():
         wrong = [
-            f"{op} ran at {first.place} as {first.ref}, and at {later.place} as {later.ref}: {why}"
-            for number, later in enumerate(its)
-            for first in its[:number]
+            f"{request} ran at {first.place} as {first.ref}, and at {later.place} as {later.ref}: {why}"
+            for number, later in enumerate(runs_of_request)
+            for first in runs_of_request[:number]
             if (why := _fault(first, later, broken.get(first.ref), deaths))
         ]
         faults += wrong
-        repeats += [op] if len(its) > 1 and not wrong else []
+        repeats += [request] if len(runs_of_request) > 1 and not wrong else []
     return SecondRuns(faults, repeats)
 
 
@@ -75,7 +75,7 @@
     """Why the later of two runs is an instance's fault; empty if its caller may have asked for it."""
     if first.ref == later.ref:
         return "one try"
-    if (first.place, first.life) == (later.place, later.life):
+    if (first.place, first.incarnation) == (later.place, later.incarnation):
         return "one life"
     if broken is None or broken.broken_at > later.at or not _by_a_death(broken, deaths):
         return "the first try had not ended by a death"
@@ -91,8 +91,12 @@
     )
 
 
-def of_fleet(told: Mapping[str, Any]) -> SecondRuns:
-    """By what `FleetRig.finish` tells."""
-    runs = [Run(op, at, place, life, ref) for place, host in enumerate(told["ran"]) for at, life, ref, op in host["once"]]
-    broken = {ref: BrokenTry(*seen) for stub in told["stubs"] for ref, seen in stub["broken_once"].items()}
-    return judged(runs, broken, [Death(*death) for death in told["deaths"]])
+def second_runs_of_fleet(told: Mapping[str, Any]) -> SecondRuns:
+    """By what `FleetHarness.finish` tells."""
+    runs = [
+        Run(request, at, place, incarnation, ref)
+        for place, host in enumerate(told["ran"])
+        for at, incarnation, ref, request in host["once"]
+    ]
+    broken = {ref: BrokenTry(*seen) for client in told["stubs"] for ref, seen in client["broken_once"].items()}
+    return find_second_runs(runs, broken, [Death(*death) for death in told["deaths"]])
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -26,7 +26,7 @@
 LIST_EVERY = 0.5  # seconds between two lists of the directory
 
 
-class OpKind(msgspec.Struct, frozen=True):
+class RequestKind(msgspec.Struct, frozen=True):
     name: str
     share: float
     repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a nack or a broken link
@@ -36,7 +36,7 @@
     """What the stubs of one process do; times are seconds, rates ops a second, shares from 0 to 1."""
 
     instances: list[tuple[str, int]]
-    kinds: list[OpKind]
+    kinds: list[RequestKind]
     start_at: float  # on the system's clock
     run_for: float
     rate: float
@@ -63,7 +63,7 @@
     """What an op is through all its tries; `state` holds what changes: tries, whether it is over, its place."""
 
     number: int
-    kind: OpKind
+    kind: RequestKind
     caller: int
     born: float
     heeds: bool
@@ -206,7 +206,7 @@
         if habits.second_copy and kind.repeats == "safe":
             asyncio.get_running_loop().call_later(habits.second_copy, self.copy, op)
 
-    def looks(self, kind: OpKind) -> tuple[float, list[Any], bytes, float, bool]:
+    def looks(self, kind: RequestKind) -> tuple[float, list[Any], bytes, float, bool]:
         """An op that looks like others tells its interpreter the usual work, and not who it is."""
         draw, habits = self.draw, self.habits
         work, alike = habits.work_ms * draw.uniform(0.7, 1.3), draw.random() < habits.alike
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -79,29 +79,29 @@
 
 
 class Node:
-    def __init__(self, rig: FleetRig, place: int) -> None:
-        self.rig, self.place, self.name = rig, place, f"n{place}"
-        self.port, self.udp = rig.ports[place], rig.udp[place]
+    def __init__(self, harness: FleetHarness, place: int) -> None:
+        self.harness, self.place, self.name = harness, place, f"n{place}"
+        self.port, self.udp = harness.ports[place], harness.udp[place]
         self.process: asyncio.subprocess.Process | None = None
         self.watched: psutil.Process | None = None
         self.stalled = False
 
     async def start(self) -> None:
-        rig, case = self.rig, self.rig.case
+        harness, case = self.harness, self.harness.case
         told = {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
-            "vm": f"127.0.0.1:{rig.links[self.place]}",
-            **({"lookup": f"127.0.0.1:{rig.reports[0]}"} if case.directory else {}),
+            "vm": f"127.0.0.1:{harness.links[self.place]}",
+            **({"lookup": f"127.0.0.1:{harness.reports[0]}"} if case.directory else {}),
             "seed": f"{case.seed * 10_000 + self.place:x}",
             "stop_ms": 1000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": settings(case),
         }
-        config, operator = rig.folder / f"{self.name}.json", rig.folder / f"{self.name}.kdl"
+        config, operator = harness.folder / f"{self.name}.json", harness.folder / f"{self.name}.kdl"
         config.write_text(json.dumps(told))
         names = " ".join(f'"n{place}"' for place in range(case.instances))
-        seeds = " ".join(f'"127.0.0.1:{rig.here[place]}"' for place in rig.seeds)
+        seeds = " ".join(f'"127.0.0.1:{harness.here[place]}"' for place in harness.seeds)
         budget = (
             f'budgets {{\n t {{\n tenant "t"\n total {case.total}\n window {case.window}\n lease {case.lease}\n }}\n }}'
             if case.total
@@ -109,7 +109,7 @@
         )
         operator.write_text(
             f'fleet {{\n name "rig"\n listen "127.0.0.1:{self.udp}"\n status "127.0.0.1:{self.port}"\n'
-            f' advertise "127.0.0.1:{rig.here[self.place]}"\n seeds {seeds}\n beat {case.beat}\n'
+            f' advertise "127.0.0.1:{harness.here[self.place]}"\n seeds {seeds}\n beat {case.beat}\n'
             f" seats {names}\n {budget}\n}}\n"
             if case.fleet
             else ""
@@ -120,10 +120,10 @@
         if case.upkeep:
             with open(operator, "a") as more:
                 lines = case.upkeep.format(
-                    folder=rig.folder / f"votes-{self.name}", control=f"127.0.0.1:{rig.controls[self.place]}"
+                    folder=harness.folder / f"votes-{self.name}", control=f"127.0.0.1:{harness.controls[self.place]}"
                 )
                 more.write(f"upkeep {{\n{lines}\n}}\n")
-        with open(rig.folder / f"{self.name}.log", "a") as log:
+        with open(harness.folder / f"{self.name}.log", "a") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
@@ -154,7 +154,7 @@
     async def upkeep(self, **told: Any) -> dict[str, Any]:
         """A person's word to it; what it says, with `error` where it refuses or is not there."""
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.rig.controls[self.place])
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.harness.controls[self.place])
             try:
                 writer.write(json.dumps(told).encode() + b"\n")
                 return json.loads(await asyncio.wait_for(reader.readline(), 12.0))
@@ -199,8 +199,11 @@
     return found
 
 
-class FleetRig:
-    """`async with FleetRig(case, folder) as rig`: all are up and in view of each other; the script's zero is `start_at`."""
+class FleetHarness:
+    """Runs a fleet: `async with FleetHarness(case, folder) as harness`. On entry all instances are up and see each other.
+
+    `start_at` is the zero of the fault script's clock.
+    """
 
     def __init__(self, case: FleetCase, folder: Path) -> None:
         self.case, self.folder = case, folder
@@ -221,7 +224,7 @@
         self.loads: list[asyncio.subprocess.Process] = []
         self.scripted: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> FleetRig:
+    async def __aenter__(self) -> FleetHarness:
         try:
             links = ",".join(map(str, self.links)) + ("," if len(self.links) == 1 else "")
             self.host = await self._stand_in("fake_interpreter", links, str(self.case.cores), "1.0", "0.0")
@@ -405,7 +408,7 @@
         await asyncio.gather(*(node.end() for node in self.nodes))
 
 
-def whole(views: dict[str, dict[str, Any]], names: set[str]) -> bool:
+def views_agree(views: dict[str, dict[str, Any]], names: set[str]) -> bool:
     """Whether these see each other as there, and nobody else."""
     return len(views) >= min(len(names), LOOKED_AT - 1) and all(
         {row["name"] for row in view["members"] if row["state"] in ("alive", "self")} == names
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -175,8 +175,8 @@
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
 
-class Rig:
-    def __init__(self, case: Case, folder: Path, on_sample: Callable[[Rig], None] | None = None) -> None:
+class InstanceHarness:
+    def __init__(self, case: Case, folder: Path, on_sample: Callable[[InstanceHarness], None] | None = None) -> None:
         self.case, self.folder, self.on_sample = case, folder, on_sample
         self.faults = faults.read(case.script)
         self.places = [Place(case, number, folder) for number in range(case.instances)]
@@ -331,24 +331,24 @@
     return most
 
 
-def played(case: Case, keep: Path | None = None, on_sample: Callable[[Rig], None] | None = None) -> dict[str, Any]:
+def played(case: Case, keep: Path | None = None, on_sample: Callable[[InstanceHarness], None] | None = None) -> dict[str, Any]:
     """One run from start to end; `keep` is a folder for the instances' logs."""
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(case, keep or Path(folder), on_sample)
-        return asyncio.run(rig.play())
+        harness = InstanceHarness(case, keep or Path(folder), on_sample)
+        return asyncio.run(harness.play())
 
 
-def played_beside(cases: list[Case], on_sample: Callable[[Rig], None] | None = None) -> list[dict[str, Any]]:
+def played_beside(cases: list[Case], on_sample: Callable[[InstanceHarness], None] | None = None) -> list[dict[str, Any]]:
     """Several runs at one time, for a comparison under the same conditions: each takes four processes or more."""
 
     async def all_of_them() -> list[dict[str, Any]]:
         with tempfile.TemporaryDirectory() as folder:
-            rigs = []
+            harnesses = []
             for number, case in enumerate(cases):
                 place = Path(folder) / str(number)
                 place.mkdir()
-                rigs.append(Rig(case, place, on_sample))
-            return list(await asyncio.gather(*(rig.play() for rig in rigs)))
+                harnesses.append(InstanceHarness(case, place, on_sample))
+            return list(await asyncio.gather(*(harness.play() for harness in harnesses)))
 
     return asyncio.run(all_of_them())
 
--- a/mulleinhatch/testing/maintenance_windows.py
+++ b/mulleinhatch/testing/maintenance_windows.py
@@ -10,7 +10,7 @@
 import time
 from typing import NamedTuple
 
-from mulleinhatch.testing.fleet_harness import FleetRig
+from mulleinhatch.testing.fleet_harness import FleetHarness
 
 LOOK = 0.02
 
@@ -21,9 +21,9 @@
     out: bool
 
 
-class Outings:
-    def __init__(self, rig: FleetRig, works: float, zone_of: dict[int, str]) -> None:
-        self.rig, self.works, self.zone_of = rig, works, zone_of
+class MaintenanceWindows:
+    def __init__(self, harness: FleetHarness, works: float, zone_of: dict[int, str]) -> None:
+        self.harness, self.works, self.zone_of = harness, works, zone_of
         self.seen: list[Seen] = []
         self.most = 0
         self.zone_most: dict[str, int] = {}
@@ -42,10 +42,10 @@
         while True:
             await asyncio.sleep(LOOK)
             self.late, last = max(self.late, time.monotonic() - last - LOOK), time.monotonic()
-            now_out = {node.place for node in self.rig.nodes if not node.up}
+            now_out = {node.place for node in self.harness.nodes if not node.up}
             for place in sorted(now_out ^ out):
-                self.seen.append(Seen(self.rig.now(), place, place in now_out))
-                if place in now_out and self.rig.nodes[place].process.returncode == 0:
+                self.seen.append(Seen(self.harness.now(), place, place in now_out))
+                if place in now_out and self.harness.nodes[place].process.returncode == 0:
                     task = asyncio.ensure_future(self._work(place))
                     self.tasks.add(task)
                     task.add_done_callback(self.tasks.discard)
@@ -57,9 +57,9 @@
 
     async def _work(self, place: int) -> None:
         await asyncio.sleep(self.works)
-        self.rig.host.stdin.write(f"reset {place}\n".encode())
-        await self.rig.nodes[place].start()
-        self.done[place] = self.rig.now()
+        self.harness.host.stdin.write(f"reset {place}\n".encode())
+        await self.harness.nodes[place].start()
+        self.done[place] = self.harness.now()
 
     async def all_done(self, places: set[int], within: float) -> float | None:
         """Seconds of the script's clock when the last of them was back, or None."""
@@ -74,12 +74,12 @@
         """Without agreement: the first so many leave, and whenever one is back for `starts` seconds the next."""
         waiting, leaving = list(places), set[int]()
         while waiting or leaving:
-            leaving = {place for place in leaving if place not in self.done or self.rig.now() - self.done[place] < starts}
+            leaving = {place for place in leaving if place not in self.done or self.harness.now() - self.done[place] < starts}
             while waiting and len(leaving) < at_a_time:
                 place = waiting.pop(0)
                 leaving.add(place)
-                if self.rig.nodes[place].up:
-                    self.rig.nodes[place].process.send_signal(signal.SIGTERM)
+                if self.harness.nodes[place].up:
+                    self.harness.nodes[place].process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
 
     async def stop(self) -> None:
--- a/mulleinhatch/testing/single_instance.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -1,7 +1,7 @@
 """One service instance and its stand-in interpreter as real processes, with settings of any size, and what they cost.
 
 CPU seconds are user and system time of all threads, to the nanosecond where the system tells it; memory is what belongs to
-the process alone (USS), in bytes. Who makes a `Lone` ends it by `stop`, or uses it in a `with`.
+the process alone (USS), in bytes. Who makes a `SingleInstance` ends it by `stop`, or uses it in a `with`.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
     return times.user + times.system
 
 
-class Lone:
+class SingleInstance:
     def __init__(self, folder: Path, told: dict[str, Any], sockets: int = 1024, operator: str = "") -> None:
         self.folder, self.port, self.link = folder, free_port(), free_port()
         self.config, self.log = folder / "config.json", folder / "instance.log"
@@ -99,7 +99,7 @@
             self.stop()
             raise
 
-    def __enter__(self) -> Lone:
+    def __enter__(self) -> SingleInstance:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -234,12 +234,12 @@
         return json.loads(out)
 
 
-def driven(lone: Lone, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
+def driven(single_instance: SingleInstance, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
     """One run of a driver against the instance: its report, with the instance's CPU and, towards its end, memory."""
-    driving = Driving(lone.port, rate, run_for, **habits)
-    cpu, at = lone.cpu(), time.monotonic()
+    driving = Driving(single_instance.port, rate, run_for, **habits)
+    cpu, at = single_instance.cpu(), time.monotonic()
     time.sleep(0.8 * run_for)
-    memory = lone.memory()
+    memory = single_instance.memory()
     told = driving.done()
-    cpu, took = lone.cpu() - cpu, time.monotonic() - at
+    cpu, took = single_instance.cpu() - cpu, time.monotonic() - at
     return {**told, "cpu_ms": 1000.0 * cpu / max(1, told["answered"]), "core": cpu / took, "memory": memory, "took": took}
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -6,12 +6,12 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
 from mulleinhatch.instance.gossip.budgets import Ask, Borrowed, Give, Loan, Meter, Part
-from mulleinhatch.simulation.budget_model_checker import LENT, Model, explore, wander
+from mulleinhatch.simulation.budget_model_checker import LOAN_IN_PROGRESS, Model, explore, explore_random_walks
 
 TICK3 = (("tick",),) * 3
 # Each history stands a few steps before the place where one guard is all that holds.
 # A give under way while all is handed back; lent, and an ask of before on its way; a give that takes five ticks.
-LATE_GIVE = (*LENT, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
+LATE_GIVE = (*LOAN_IN_PROGRESS, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
 OLD_ASK = (
     ("ask", 1, 0, 0),
     ("ask", 1, 0, 2),
@@ -22,7 +22,7 @@
     ("deliver", 1),
     ("deliver", 1),
 )
-SLOW_GIVE = (*LENT[:-1], *TICK3, ("tick",), ("tick",))
+SLOW_GIVE = (*LOAN_IN_PROGRESS[:-1], *TICK3, ("tick",), ("tick",))
 APART = {"rates": (1.5, 0.6, 1.0)}
 
 
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    "before", [(), LENT, LATE_GIVE, OLD_ASK, SLOW_GIVE], ids=["new", "lent", "late give", "old ask", "slow give"]
+    "before", [(), LOAN_IN_PROGRESS, LATE_GIVE, OLD_ASK, SLOW_GIVE], ids=["new", "lent", "late give", "old ask", "slow give"]
 )
 def test_no_order_of_four_steps_breaks_a_total(before: tuple) -> None:
     states, history = explore(Model(), 4, before)
@@ -72,9 +72,9 @@
         (AnyAnswer, LATE_GIVE, {}),
         (AnyAsk, OLD_ASK, {}),
         (FromArrival, SLOW_GIVE, {}),
-        (NoQuarantine, LENT, {}),
-        (NoCooling, LENT, {}),
-        (Part, LENT, {**APART, "drift": 0.0}),
+        (NoQuarantine, LOAN_IN_PROGRESS, {}),
+        (NoCooling, LOAN_IN_PROGRESS, {}),
+        (Part, LOAN_IN_PROGRESS, {**APART, "drift": 0.0}),
     ],
     ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"],
 )
@@ -88,7 +88,7 @@
     "model", [Model(), Model(needed=1), Model(**APART, drift=1.5)], ids=["plain", "takes back", "clocks apart"]
 )
 def test_long_histories_by_chance(model: Model) -> None:
-    assert wander(model, seed=3, walks=1200, steps=40) == ""
+    assert explore_random_walks(model, seed=3, walks=1200, steps=40) == ""
 
 
 def test_a_restarted_seat_waits_until_its_former_loans_are_back() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,9 +16,9 @@
 from mulleinhatch.instance.gossip.messages import Letter, Report, Rumour
 from mulleinhatch.instance.gossip.outlier_detection import Verdicts
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.simulation.gossip_world import FleetWorld, Plan, weather
+from mulleinhatch.simulation.gossip_world import GossipWorld, Plan, draw_fault_script
 from mulleinhatch.testing import fault_script as faults
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, most_in_window, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 
@@ -26,7 +26,7 @@
     return 2.0 if (place + int(now / 4)) % 2 else 0.4
 
 
-def frozen(world: FleetWorld) -> set[int]:
+def frozen(world: GossipWorld) -> set[int]:
     return {node.place for node in world.nodes if node.core and node.core.members.frozen}
 
 
@@ -35,9 +35,9 @@
     """No window over its total, no negative part, nobody declared gone by the smaller part; views one again in 3 s."""
     draw = random.Random(seed)
     instances = draw.choice((3, 4, 5, 6, 8, 12))
-    script = weather(draw, instances, 7.0, 6.0)
+    script = draw_fault_script(draw, instances, 7.0, 6.0)
     end = max(7.0, faults.end_of(faults.read(script, instances)))
-    world = FleetWorld(
+    world = GossipWorld(
         Plan(
             instances,
             script,
@@ -72,7 +72,7 @@
     ids=["halves", "one", "one way", "a third"],
 )
 def test_the_part_that_hears_little_freezes_and_declares_nobody(script: str, cut_off: set[int]) -> None:
-    world = FleetWorld(Plan(12, script)).play(9.0)
+    world = GossipWorld(Plan(12, script)).play(9.0)
     assert frozen(world) >= cut_off
     world.play(12.9)
     assert not [declared for declared in world.declared if declared[1] in cut_off], world.declared
@@ -93,12 +93,12 @@
 )
 def test_nobody_that_lives_is_declared_gone(script: str) -> None:
     for seed in range(3):
-        world = FleetWorld(Plan(12, script, seed=seed)).play(16.0)
+        world = GossipWorld(Plan(12, script, seed=seed)).play(16.0)
         assert not world.declared and world.views_agree(), (seed, world.declared)
 
 
 def test_the_dead_are_known_and_the_long_stalled_return() -> None:
-    world = FleetWorld(Plan(12, "at 5 kill 1\nat 5 stall 2,3 for 12")).play(8.2)
+    world = GossipWorld(Plan(12, "at 5 kill 1\nat 5 stall 2,3 for 12")).play(8.2)
     assert world.known_gone("n1") == 1.0
     assert not [1 for _, by, _ in world.declared if by in (2, 3)]
     world.play(20.0)
@@ -108,13 +108,13 @@
 
 def test_all_restarted_together_with_clocks_set_back() -> None:
     """Lives are numbered by clocks that may have been set back an hour: the others' word puts them right."""
-    world = FleetWorld(Plan(8, "at 5 kill 0-3 for 1\nat 8 kill all for 1", seed=3)).play(14.0)
+    world = GossipWorld(Plan(8, "at 5 kill 0-3 for 1\nat 8 kill all for 1", seed=3)).play(14.0)
     assert world.views_agree()
 
 
 def test_a_fleet_grows_at_once_and_shrinks_in_order() -> None:
     script = "at 0.3 kill 5-59\nat 4 start 5-59\nat 9 leave 5-59"
-    world = FleetWorld(Plan(60, script, budgets=())).play(7.5)
+    world = GossipWorld(Plan(60, script, budgets=())).play(7.5)
     assert world.views_agree()
     world.play(13.0)
     assert world.views_agree()
@@ -131,13 +131,13 @@
         seed=5,
         demand=lambda place, now: 2.5 if place < 2 else 0.2,
     )
-    world = FleetWorld(plan).play(30.0)
+    world = GossipWorld(plan).play(30.0)
     assert world.views_agree() and world.most_used[0] > 130
 
 
 def test_parts_follow_demand_and_a_cut_off_half_keeps_its_even_part() -> None:
     def used(leases: bool, script: str = "") -> tuple[float, float]:
-        world = FleetWorld(
+        world = GossipWorld(
             Plan(8, script, leases=leases, budgets=(("quota", 800, 1.0),), demand=lambda place, now: 1.6 if place < 4 else 0.4)
         ).play(14.0)
         before = Counter(world.took)
@@ -307,17 +307,17 @@
     )
 
     async def play() -> tuple[dict, dict, float | None, float | None]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await rig.go()
-            await rig.until(4.8)
-            cut = await rig.views()
-            await rig.until(5.0)
-            healed = await rig.wait_for(lambda views: whole(views, names), 10.0)
-            await rig.until(8.3)
-            back = await rig.wait_for(lambda views: whole(views, names), 10.0)
-            return cut, await rig.finish(), healed, back
+        async with FleetHarness(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
+            await harness.go()
+            await harness.until(4.8)
+            cut = await harness.views()
+            await harness.until(5.0)
+            healed = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
+            await harness.until(8.3)
+            back = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
+            return cut, await harness.finish(), healed, back
 
     cut, told, healed, back = asyncio.run(asyncio.wait_for(play(), 80.0))
     assert all(cut[name]["frozen"] for name in ("n0", "n1")) and not cut["n3"]["frozen"]
@@ -342,13 +342,13 @@
     )
 
     async def play() -> tuple[dict, float | None]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await rig.go()
-            await rig.until(2.5)
-            back = await rig.wait_for(lambda views: whole(views, names), 8.0)
-            return await rig.finish(), back
+        async with FleetHarness(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
+            await harness.go()
+            await harness.until(2.5)
+            back = await harness.wait_for(lambda views: views_agree(views, names), 8.0)
+            return await harness.finish(), back
 
     told, back = asyncio.run(asyncio.wait_for(play(), 60.0))
     assert back is not None and told["relay"]["directory"]["reports"] > 20 and not told["relay"]["directory"]["broken"]
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.gossip.messages import GROUP, LEFT, REGION, ZONE, Letter, Sum, Upward
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.scale_checks import over_budgets
-from mulleinhatch.simulation.scale_instances import Ground, Plan, weather
+from mulleinhatch.simulation.scale_instances import Ground, Plan, draw_fault_script
 from mulleinhatch.simulation.scale_shards import World
 
 HERE = FleetBounds("f", zone="z", region="r", groups=4)
@@ -340,7 +340,7 @@
     plan = Plan(members=54, levels=True, group_size=6, seed=seed, budgets=(("quota", 540, 1.0),), demand=1.3)
     with World(plan, 1, processes=False) as world:
         assert settled(world.play(8.0))
-        script = weather(draw, Ground(plan), world.speakers(), world.now + 1.0, 8.0)
+        script = draw_fault_script(draw, Ground(plan), world.speakers(), world.now + 1.0, 8.0)
         world.script(script)
         world.play(world.now + 9.0)
         assert settled(world, 30.0), script
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -11,19 +11,19 @@
 from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
-from mulleinhatch.simulation.instance_world import Weather, World
+from mulleinhatch.simulation.instance_world import Scenario, World
 
-AFTER_KILL = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
-OVERLOAD = Weather(rate=44.0, cores=2, patience=4.5, outage=(1e3, 1e3), load_until=20.0, until=22.0, heeding=0.5)
+AFTER_KILL = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
+OVERLOAD = Scenario(rate=44.0, cores=2, patience=4.5, outage=(1e3, 1e3), load_until=20.0, until=22.0, heeding=0.5)
 
 
-@pytest.mark.parametrize("weather, span", [(AFTER_KILL, (13.0, 23.0)), (OVERLOAD, (2.0, 19.0))], ids=["kill", "overload"])
-def test_service_is_the_same_whatever_share_looks_alike(weather: Weather, span: tuple[float, float]) -> None:
+@pytest.mark.parametrize("scenario, span", [(AFTER_KILL, (13.0, 23.0)), (OVERLOAD, (2.0, 19.0))], ids=["kill", "overload"])
+def test_service_is_the_same_whatever_share_looks_alike(scenario: Scenario, span: tuple[float, float]) -> None:
     """Seen on loopback: with bodies all the same first tries went behind as repeats, 0.43 in time instead of 0.95."""
-    worlds = {share: World(weather._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
+    worlds = {share: World(scenario._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
     served = {share: world.share_in_time(*span) for share, world in worlds.items()}
     assert max(served.values()) - min(served.values()) <= 0.03, served
-    assert min(served.values()) >= World(weather, 2, storms=None).play().share_in_time(*span) - 0.02, served
+    assert min(served.values()) >= World(scenario, 2, storms=None).play().share_in_time(*span) - 0.02, served
     for share, world in worlds.items():
         assert not world.ran_twice()
         signoffs = sum(world.effect.values())
@@ -34,7 +34,7 @@
     """Acks lost on the way, figures that stay or are drawn anew, any share alike; marked retries, as the protocol has them."""
     draw = random.Random(4)
     for seed in range(12):
-        weather = Weather(
+        scenario = Scenario(
             rate=draw.uniform(8.0, 24.0),
             cores=1,
             heeding=draw.choice((0.0, 0.5)),
@@ -48,8 +48,8 @@
             lost_acks=0.05,
             reconnects=draw.choice((0.0, 0.3)),
         )
-        world = World(weather, seed).play()
-        assert not world.ran_twice(), (seed, weather)
+        world = World(scenario, seed).play()
+        assert not world.ran_twice(), (seed, scenario)
         assert not world.reducer.parked and not world.reducer.storms.tries.open, seed
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Hollow instances: one seed one history, by however many processes; what is counted, what checkers and fits find."""
+"""Simulated instances: one seed one history, by however many processes; what is counted, what checkers and fits find."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     InvalidPlanError,
     Plan,
     churn,
+    draw_fault_script,
     knows_levels,
     restart_all,
-    weather,
 )
 from mulleinhatch.simulation.scale_shards import ShardStoppedError, World
 from mulleinhatch.simulation.scale_world import Gone, Look, Shard
@@ -204,7 +204,7 @@
     for seed in range(30):
         ends = [
             fault.until if fault.until < math.inf else fault.at
-            for fault in ground.faults(weather(random.Random(seed), ground, [3, 5, 400], 10.0, 20.0))
+            for fault in ground.faults(draw_fault_script(random.Random(seed), ground, [3, 5, 400], 10.0, 20.0))
         ]
         assert max(ends, default=30.0) <= 30.01
 
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -21,7 +21,7 @@
 from benchmarks.records import Fit
 from mulleinhatch.instance.runtime.instance_settings import placement
 from mulleinhatch.testing.load_generator import Driver, Habits
-from mulleinhatch.testing.single_instance import Lone, cpu_seconds, driven, settings
+from mulleinhatch.testing.single_instance import SingleInstance, cpu_seconds, driven, settings
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -159,18 +159,22 @@
 
 
 def test_an_instance_answers_by_name_for_each_tenant_and_refuses_those_it_never_heard_of(tmp_path: Path) -> None:
-    with Lone(tmp_path, settings(50)) as lone:
-        good = driven(lone, 100, 0.8, tenants=50)
-        unknown = driven(lone, 20, 0.3, tenants=50, tenant="x%07d", connections=50)
+    with SingleInstance(tmp_path, settings(50)) as single_instance:
+        good = driven(single_instance, 100, 0.8, tenants=50)
+        unknown = driven(single_instance, 20, 0.3, tenants=50, tenant="x%07d", connections=50)
         told = settings(50)
         told["tenants"][0]["quota_per_s"] = 1.0
-        lone.write(told)
-        lone.reload()
+        single_instance.write(told)
+        single_instance.reload()
         until = time.monotonic() + 5.0
-        while not lone.counters().get("reloads") and time.monotonic() < until:
+        while not single_instance.counters().get("reloads") and time.monotonic() < until:
             time.sleep(0.02)
-        left = lone.left()
-        assert cpu_seconds(lone.watched) > 0.05 and lone.memory() > 5e6 and lone.peak() > lone.memory()
+        left = single_instance.left()
+        assert (
+            cpu_seconds(single_instance.watched) > 0.05
+            and single_instance.memory() > 5e6
+            and single_instance.peak() > single_instance.memory()
+        )
     # Some may be rejected where the machine is busy; who is not known is refused with 400, whatever the load.
     assert good["lost"] == 0 and set(good["statuses"]) <= {"200", "429"} and good["cpu_ms"] > 0.0
     assert good["statuses"]["200"] >= good["sent"] // 2
@@ -182,7 +186,7 @@
     told = settings(2)
     told["tenants"][1]["name"] = told["tenants"][0]["name"]
     with pytest.raises(RuntimeError, match="ended with 2.*a name comes twice"):
-        Lone(tmp_path, told)
+        SingleInstance(tmp_path, told)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -17,9 +17,9 @@
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
-from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
-from mulleinhatch.testing.fake_callers import Habits, Load, OpKind
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, find_second_runs, second_runs_of_fleet
+from mulleinhatch.testing.fake_callers import Habits, Load, RequestKind
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 FIRST, LATER = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.5, 1, 1, "r2")
@@ -27,15 +27,15 @@
 
 
 def test_a_repeat_after_a_kill_is_its_callers() -> None:
-    assert judged([LATER, FIRST], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
+    assert find_second_runs([LATER, FIRST], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
 def test_a_repeat_at_the_next_life_of_the_same_place_is_its_callers() -> None:
-    assert judged([FIRST, LATER._replace(place=0, life=2)], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
+    assert find_second_runs([FIRST, LATER._replace(place=0, incarnation=2)], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
 def test_one_run_each_is_nothing() -> None:
-    assert judged([FIRST, LATER._replace(op="b")], {}, []) == SecondRuns([], [])
+    assert find_second_runs([FIRST, LATER._replace(request="b")], {}, []) == SecondRuns([], [])
 
 
 @pytest.mark.parametrize(
@@ -52,14 +52,14 @@
     ],
 )
 def test_all_else_is_an_instances_fault(later: Run, broken: BrokenTry | None, deaths: list[Death], why: str) -> None:
-    faults, repeats = judged([FIRST, later], {"r1": broken} if broken else {}, deaths)
+    faults, repeats = find_second_runs([FIRST, later], {"r1": broken} if broken else {}, deaths)
     assert len(faults) == 1 and faults[0].endswith(why) and not repeats
 
 
 def test_of_three_runs_each_is_held_against_all_before() -> None:
     """The second is its caller's. The third isn't, though the first try had ended by a death: the second had not."""
     third = Run("a", 6.0, 2, 1, "r3")
-    faults, repeats = judged([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
+    faults, repeats = find_second_runs([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
     assert faults == ["a ran at 1 as r2, and at 2 as r3: the first try had not ended by a death"] and not repeats
 
 
@@ -87,7 +87,7 @@
     load = Load(
         Habits(
             [server.sockets[0].getsockname()[:2]],
-            [OpKind("signoff", 1.0, "unsafe")],
+            [RequestKind("signoff", 1.0, "unsafe")],
             time.time(),
             1.0,
             1.0,
@@ -97,7 +97,7 @@
         )
     )
     over = asyncio.Event()
-    inner, load.over = load.over, lambda op, how: (inner(op, how), over.set())
+    inner, load.over = load.over, lambda request, how: (inner(request, how), over.set())
     load.born(time.time())
     await asyncio.wait_for(asyncio.gather(seen.wait(), over.wait()), 10.0)
     server.close()
@@ -133,25 +133,25 @@
     case = FleetCase(2, run_for=3.0, cores=8, work_ms=200.0, loads=(("all", 15.0),), signoffs=1.0, tries=4)
 
     async def play() -> dict:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            rig.host.stdin.write(b"slow 0 50\n")
-            await rig.go()
-            while not await rig.begun(0):
+        async with FleetHarness(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
+            harness.host.stdin.write(b"slow 0 50\n")
+            await harness.go()
+            while not await harness.begun(0):
                 await asyncio.sleep(0.01)
-            await rig.kill(rig.nodes[0])
-            return await rig.finish()
+            await harness.kill(harness.nodes[0])
+            return await harness.finish()
 
     told = asyncio.run(asyncio.wait_for(play(), 60.0))
-    second = of_fleet(told)
+    second = second_runs_of_fleet(told)
     assert second.repeats and not second.faults, second
     ran = Counter[str]()
     for host in told["ran"]:
         ran.update(host["signoffs"])
-    assert {op for op, times in ran.items() if times > 1} == set(second.repeats)
+    assert {request for request, times in ran.items() if times > 1} == set(second.repeats)
     # Without its death, each of the same runs is a fault.
-    assert len(of_fleet({**told, "deaths": []}).faults) >= len(second.repeats)
+    assert len(second_runs_of_fleet({**told, "deaths": []}).faults) >= len(second.repeats)
 
 
 # Hand-over: what a peer ran for us it must know again, when our caller comes to it.
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -17,10 +17,10 @@
 from mulleinhatch.instance.load_balancing.shares import Seen, Share
 from mulleinhatch.instance.protocol import http_peers, http_requests
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.simulation.gossip_world import Plan, weather
-from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld, common_queue
+from mulleinhatch.simulation.gossip_world import Plan, draw_fault_script
+from mulleinhatch.simulation.load_balancing_world import Load, LoadBalancingWorld, common_queue
 from mulleinhatch.testing import fault_script as faults
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 
@@ -164,7 +164,7 @@
 def test_histories_by_chance(seed: int) -> None:
     draw = random.Random(seed)
     instances = draw.choice((3, 5, 8, 12))
-    script = weather(draw, instances, 5.0, 4.0)
+    script = draw_fault_script(draw, instances, 5.0, 4.0)
     load = Load(
         draw.choice((0.5, 0.9, 1.2)),
         callers=draw.choice((2, 6)),
@@ -173,7 +173,7 @@
         mixed=draw.random() < 0.5,
     )
     until = max(12.0, faults.end_of(faults.read(script, instances)) + 3.0)
-    world = SpreadWorld(Plan(instances, script, until=until, seed=seed), load).play()
+    world = LoadBalancingWorld(Plan(instances, script, until=until, seed=seed), load).play()
     assert world.in_time > 0.0
     owed = [ref for node in world.nodes if node.core for ref, op in node.reducer.owed.items() if op.place is not None]
     assert not owed, "ops that nobody answered"
@@ -181,39 +181,39 @@
 
 def test_load_of_two_busy_callers_comes_near_one_common_line() -> None:
     plan, load = Plan(12, until=13.0, seed=2), Load(0.85, callers=4, uneven=3.0, listed=3)
-    alone, spread = (SpreadWorld(plan, load, mode).play().figures() for mode in ("alone", "spread"))
+    alone, spread = (LoadBalancingWorld(plan, load, mode).play().figures() for mode in ("alone", "spread"))
     assert spread["in_time"] >= 0.97 * common_queue(plan, load)["in_time"] > alone["in_time"] + 0.02
     assert spread["idle_needed"] < 0.5 * alone["idle_needed"] and spread["most_over_mean"] < 3.0
 
 
 def test_the_freshest_report_herds_and_offers_do_not() -> None:
     plan, load = Plan(16, until=10.0, seed=3), Load(1.0, callers=8, cores=1)
-    freshest, spread = (SpreadWorld(plan, load, mode).play() for mode in ("freshest", "spread"))
+    freshest, spread = (LoadBalancingWorld(plan, load, mode).play() for mode in ("freshest", "spread"))
     assert freshest.handed["full"] > 5 * max(1, spread.handed["full"])
     assert freshest.figures()["most_over_mean"] > 1.2 * spread.figures()["most_over_mean"]
 
 
 def test_a_black_hole_draws_little() -> None:
     plan, load = Plan(12, "at 5 failing 0,6 1.0 for 20", until=14.0, seed=4), Load(0.8, callers=6)
-    chance, spread = (SpreadWorld(plan, load, mode).play() for mode in ("random", "spread"))
+    chance, spread = (LoadBalancingWorld(plan, load, mode).play() for mode in ("random", "spread"))
     assert spread.handed["error"] < 0.5 * chance.handed["error"]
 
 
 def test_one_that_leaves_gives_its_ops_away_and_loses_none() -> None:
     plan, load = Plan(6, "at 6 leave 0,1", until=12.0, seed=5), Load(0.5, callers=3, listed=2, heeding=0.0)
-    world = SpreadWorld(plan, load).play()
+    world = LoadBalancingWorld(plan, load).play()
     assert world.counts["broken"] == 0 and world.handed["ok"] > 0
 
 
 def test_a_cut_between_giver_and_taker_fails_what_may_not_run_twice() -> None:
     plan = Plan(8, "at 5 cut 0-3 from 4-7 for 3", until=12.0, seed=6)
-    world = SpreadWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
+    world = LoadBalancingWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
     assert world.handed["interrupted"] + world.handed["unreachable"] > 0
     assert not [number for number in world.once if world.ran[number] > 1]
 
 
 def test_without_hand_over_nothing_passes_but_fleet_state() -> None:
-    world = SpreadWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
+    world = LoadBalancingWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
     assert not world.handed and not any(node.spread.giver.counts["offers_given"] for node in world.nodes)
 
 
@@ -236,14 +236,14 @@
     )
 
     async def play() -> tuple[dict, list[Counter[str]], dict]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
-            await rig.go()
-            await rig.until(8.7)
-            counts = [Counter(await node.counters()) for node in rig.nodes]
-            views = await rig.views()
-            return await rig.finish(), counts, views
+        async with FleetHarness(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
+            await harness.go()
+            await harness.until(8.7)
+            counts = [Counter(await node.counters()) for node in harness.nodes]
+            views = await harness.views()
+            return await harness.finish(), counts, views
 
     told, counts, views = asyncio.run(asyncio.wait_for(play(), 60.0))
     assert views["n2"]["spread"]["places"] >= 2 and len(views["n2"]["carried"]) == 5
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,8 +21,8 @@
 from mulleinhatch.instance.traces.summary import summary
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.replication.state import ControlState, EntryKind
-from mulleinhatch.simulation.fault_search.campaign import as_text, replayed
-from mulleinhatch.simulation.fault_search.histories import drawn
+from mulleinhatch.simulation.fault_search.campaign import format_history, parse_history
+from mulleinhatch.simulation.fault_search.histories import draw_history
 from mulleinhatch.simulation.fault_search.play import play
 from mulleinhatch.storage.append_log import NAME
 from mulleinhatch.storage.records import MAGIC, RecordKind, decode, encode
@@ -261,18 +261,18 @@
 
 def test_search_history() -> None:
     text = (DATA / "search_history.txt").read_text()
-    history = replayed(text)
-    assert (history.seed, history.instances, history.upkeep) == (139, 5, False)
+    history = parse_history(text)
+    assert (history.seed, history.instances, history.is_maintenance_requested) == (139, 5, False)
     assert history.kinds == ("black hole", "leaves", "some die for good")
     assert history.lines == ("at 10.63 failing 2 1.0 for 3.12", "at 11.04 leave 4-4", "at 15.04 start 4-4", "at 11.33 kill 2")
     load = history.load
     assert (load.load, load.callers, load.listed, load.mixed, load.one) == (0.3, 8, 2, True, 0.33)
     assert (load.uneven, load.heeding, load.list_delay, load.speeds) == (3.0, 0.5, 0.5, (1.0, 0.5))
-    assert as_text(history) == text
-    assert drawn(139) == history
+    assert format_history(history) == text
+    assert draw_history(139) == history
 
 
 def test_search_history_is_played_as_it_was() -> None:
-    found = play(replayed((DATA / "search_history.txt").read_text()))
-    assert (found.what, len(found.states), found.handed, found.outings) == ("", 12, 33, 0)
+    found = play(parse_history((DATA / "search_history.txt").read_text()))
+    assert (found.what, len(found.states), found.handed, found.maintenance_windows) == ("", 12, 33, 0)
     assert (found.before, found.after, found.recovered, round(found.worst, 6)) == (1.0, 1.0, 0.0, 0.615385)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -20,7 +20,7 @@
 from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking.http_grammar import BadRequestError
-from mulleinhatch.simulation.instance_world import Weather, World
+from mulleinhatch.simulation.instance_world import Scenario, World
 from mulleinhatch.testing import fault_script as faults
 from standins import SocketPlay
 
@@ -115,7 +115,7 @@
     assert 0.8 * 5.0 * 60.0 <= heard <= 5.0 * 60.0 + 6.0
 
 
-SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # it can do 20 a second
+SMALL = Scenario(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # it can do 20 a second
 WEATHERS = [
     SMALL,
     *(
@@ -134,11 +134,11 @@
 ]
 
 
-@pytest.mark.parametrize("weather", WEATHERS, ids=lambda weather: f"{weather.kind}-{weather.rate:g}-{weather.heeding}")
-def test_in_virtual_time(weather: Weather) -> None:
+@pytest.mark.parametrize("scenario", WEATHERS, ids=lambda scenario: f"{scenario.kind}-{scenario.rate:g}-{scenario.heeding}")
+def test_in_virtual_time(scenario: Scenario) -> None:
     """What must hold at every step is checked by the player; at the end all is calm, and no effect was had twice."""
-    last = weather.load_until + weather.patience
-    world = World(weather._replace(until=last + SETTLED), seed=5).play()
+    last = scenario.load_until + scenario.patience
+    world = World(scenario._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
     world.reducer.reduce(last + SETTLED, Happening.CHECKED, 0)  # an idle instance judges when it next hears anything
     assert world.reducer.storms.watch.stage is Stage.CALM, world.stages
@@ -148,7 +148,7 @@
 def test_virtual_seeds_permute_the_weather() -> None:
     draw = random.Random(9)
     for seed in range(12):
-        weather = Weather(
+        scenario = Scenario(
             rate=draw.uniform(8.0, 24.0),
             cores=1,
             heeding=draw.choice((0.0, 0.3, 0.8, 1.0)),
@@ -160,8 +160,8 @@
             until=30.0,
             reconnects=draw.choice((0.0, 0.3)),
         )
-        world = World(weather, seed).play()
-        assert not world.ran_twice(), (seed, weather)
+        world = World(scenario, seed).play()
+        assert not world.ran_twice(), (seed, scenario)
 
 
 def test_the_same_seed_is_the_same_history() -> None:
@@ -171,9 +171,9 @@
 
 def test_service_is_back_within_seconds_and_not_without_the_books() -> None:
     """The outage of the design note on half the cores: 8 s, load 0.92, patience 30 s, nobody heeds."""
-    weather = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
-    assert World(weather, 1).play().share_in_time(14.0, 21.0) > 0.9
-    assert World(weather, 1, storms=None).play().share_in_time(14.0, 21.0) < 0.6
+    scenario = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
+    assert World(scenario, 1).play().share_in_time(14.0, 21.0) > 0.9
+    assert World(scenario, 1, storms=None).play().share_in_time(14.0, 21.0) < 0.6
 
 
 def test_the_door_believes_nothing_that_a_full_reading_does_not() -> None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -28,10 +28,10 @@
 from mulleinhatch.instance.traces.summary import summary
 from mulleinhatch.instance.traces.writer import Keeper, TraceBounds
 from mulleinhatch.simulation.instance_world import KINDS as OP_KINDS
-from mulleinhatch.simulation.instance_world import Weather, World
+from mulleinhatch.simulation.instance_world import Scenario, World
 from standins import SocketPlay
 
-SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 5.0), load_until=9.0, patience=4.5, until=20.0, heeding=0.5)
+SMALL = Scenario(rate=18.0, cores=1, outage=(3.0, 5.0), load_until=9.0, patience=4.5, until=20.0, heeding=0.5)
 VALUES = {
     "op": some.integers(0, 2**40),
     "whole": some.integers(0, 2**50),
@@ -70,7 +70,7 @@
     assert struct.pack("<d", In(bytes(out.data)).number()) == struct.pack("<d", value)
 
 
-def traced(weather: Weather, seed: int) -> tuple[World, bytes]:
+def traced(scenario: Scenario, seed: int) -> tuple[World, bytes]:
     """A virtual history and the trace of the instance's last life."""
     lives: list[tuple[Recorder, list[tuple[list[Record], int]]]] = []
 
@@ -79,7 +79,7 @@
         lives.append((Recorder(hatch, now, cold, since, lambda *batch: batches.append(batch)), batches))
         return lives[-1][0]
 
-    world = World(weather, seed, record=record).play()
+    world = World(scenario, seed, record=record).play()
     recorder, batches = lives[-1]
     recorder.flush()
     file = io.BytesIO()
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -14,12 +14,12 @@
 from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
 from mulleinhatch.instance.maintenance.table import LONGEST_WHY, MOST_OUT, PermitRefusedError, Table
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.simulation.gossip_world import weather
-from mulleinhatch.simulation.maintenance_world import Machines
-from mulleinhatch.simulation.permit_model_checker import Model, explore, wander
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.simulation.gossip_world import draw_fault_script
+from mulleinhatch.simulation.maintenance_world import MaintenanceWorld
+from mulleinhatch.simulation.permit_model_checker import Model, explore, explore_random_walks
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
-from mulleinhatch.testing.maintenance_windows import Outings
+from mulleinhatch.testing.maintenance_windows import MaintenanceWindows
 
 
 class NoPromise(Voter):
@@ -134,14 +134,14 @@
     ids=["plain", "lost disks", "new voters", "two of three", "both", "released"],
 )
 def test_no_long_history_takes_too_many_out(model: Model) -> None:
-    agreed, history = wander(model, 1, 120, 120)
+    agreed, history = explore_random_walks(model, 1, 120, 120)
     assert not history and agreed > 50, history
 
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_each_guard_taken_out_is_found(guard: str) -> None:
     """Some from a history a few steps before the place where that guard is all that holds."""
-    _, history = wander(GUARDS[guard], 2, 4000, 100, BEFORE.get(guard, ()))
+    _, history = explore_random_walks(GUARDS[guard], 2, 4000, 100, BEFORE.get(guard, ()))
     assert history, f"without the guard of {guard} nothing was found"
 
 
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("before, model", [(LATE_RELEASE, Model(3, releases=True))])
 def test_from_the_same_histories_nothing_is_found_with_the_guard(before: tuple, model: Model) -> None:
-    agreed, history = wander(model, 2, 300, 100, before)
+    agreed, history = explore_random_walks(model, 2, 300, 100, before)
     assert agreed and not history
 
 
@@ -266,7 +266,7 @@
 # One fleet in virtual time, real cores.
 
 
-def agreed(machines: Machines, change: Callable[[Table], Table]) -> None:
+def agreed(machines: MaintenanceWorld, change: Callable[[Table], Table]) -> None:
     """A person's change by n0, again while others ask at the same time."""
     for _ in range(20):
         if machines.cores["n0"].round is None:
@@ -290,7 +290,7 @@
     ids=["calm", "cuts and loss", "a voter cut", "stalls and a crash", "loss", "all voters crash"],
 )
 def test_all_go_one_at_a_time_whatever_happens(script: str, within: float) -> None:
-    machines = Machines(6, script)
+    machines = MaintenanceWorld(6, script)
     machines.to_go = {f"n{place}" for place in range(6)}
     machines.play(within)
     assert machines.most_out == 1 and set(machines.been) == machines.to_go, machines.been
@@ -298,7 +298,7 @@
 
 
 def test_the_part_without_a_majority_sends_nobody() -> None:
-    machines = Machines(6, "at 5 cut 0,3 from 1,2,4,5 for 15")
+    machines = MaintenanceWorld(6, "at 5 cut 0,3 from 1,2,4,5 for 15")
     machines.play(5.5)
     machines.to_go = {"n0", "n3"}
     machines.play(19.0)
@@ -313,17 +313,17 @@
     for seed in range(3):
         draw = random.Random(seed)
         count = draw.choice((4, 5, 7))
-        script = weather(draw, count, 6.0, 6.0)
+        script = draw_fault_script(draw, count, 6.0, 6.0)
         if not disks:  # a voter that crashes while another is out would be one too many: promised with disks alone
             script = "\n".join(line for line in script.splitlines() if " kill " not in line) + "\nat 9 kill 3 for 1"
-        machines = Machines(count, script, seed=seed, disks=disks, most=2, voters=3)
+        machines = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
         machines.to_go = {f"n{place}" for place in range(count)}
         machines.play(60.0)
         assert set(machines.been) == machines.to_go, (script, machines.been)
 
 
 def test_a_voter_whose_disk_was_set_back_is_found_out_and_abstains_until_it_learned() -> None:
-    machines = Machines(5, "at 12 kill 1 for 1")
+    machines = MaintenanceWorld(5, "at 12 kill 1 for 1")
     machines.to_go = {"n3"}
     machines.play(11.9)
     old = Kept(Ballot(1, "n9.1"), writes=1)
@@ -338,7 +338,7 @@
 
 def test_a_permit_that_was_agreed_without_its_asker_hearing_of_it_is_taken_up() -> None:
     """Seen with 30 processes: its round was beaten, the one that beat it took its table over, and it waited for ever."""
-    machines = Machines(4)
+    machines = MaintenanceWorld(4)
     machines.play(8.0)
     agreed(machines, lambda table: table.go("n3", "z", "kernel"))
     machines.to_go = {"n3"}
@@ -348,7 +348,7 @@
 
 
 def test_a_holder_that_never_returns_keeps_its_place_until_a_person_takes_it() -> None:
-    machines = Machines(4, works=1000.0)
+    machines = MaintenanceWorld(4, works=1000.0)
     machines.to_go = {"n2", "n3"}
     machines.play(30.0)
     assert machines.most_out == 1 and len(machines.been) == 1
@@ -366,7 +366,7 @@
 
 
 def test_a_frozen_fleet_sends_nobody_and_a_cancelled_request_is_gone() -> None:
-    machines = Machines(4)
+    machines = MaintenanceWorld(4)
     machines.play(8.0)
     agreed(machines, lambda table: table.freeze("the first are ill"))
     machines.to_go = {"n2", "n3"}
@@ -381,7 +381,7 @@
 
 def test_one_person_asks_many_by_one_and_an_instance_that_stays_unfit_freezes_the_rest() -> None:
     """Words to the others are lost on the way, and told again; the first that comes back ill stops those that wait."""
-    machines = Machines(6, "at 8 lossy all 0.5 for 4")
+    machines = MaintenanceWorld(6, "at 8 lossy all 0.5 for 4")
     machines.permits = machines.permits._replace(freeze_after=3.0)
     machines.unfit = {"n4"}
     machines.play(8.0)
@@ -424,20 +424,20 @@
     )
     case = FleetCase(6, "at 2 cut 0 from 1-5 for 3\nat 6 stall 3 for 2", upkeep=lines, cores=2)
 
-    async def play() -> tuple[Outings, float | None, list[dict]]:
-        async with FleetRig(case, tmp_path) as rig:
-            names = {node.name for node in rig.nodes}
-            assert await rig.wait_for(lambda views: whole(views, names), 15.0) is not None
+    async def play() -> tuple[MaintenanceWindows, float | None, list[dict]]:
+        async with FleetHarness(case, tmp_path) as harness:
+            names = {node.name for node in harness.nodes}
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
             await asyncio.sleep(5.0)  # voters that start for the first time abstain for so long
-            await rig.go()
-            outings = Outings(rig, 0.5, zones)
-            outings.start()
-            told = await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=1.0) for node in rig.nodes))
-            done = await outings.all_done(set(zones), 60.0)
-            await outings.stop()
-            return outings, done, list(told)
-
-    outings, done, told = asyncio.run(asyncio.wait_for(play(), 110.0))
+            await harness.go()
+            maintenance_windows = MaintenanceWindows(harness, 0.5, zones)
+            maintenance_windows.start()
+            told = await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=1.0) for node in harness.nodes))
+            done = await maintenance_windows.all_done(set(zones), 60.0)
+            await maintenance_windows.stop()
+            return maintenance_windows, done, list(told)
+
+    maintenance_windows, done, told = asyncio.run(asyncio.wait_for(play(), 110.0))
     assert not any("error" in one for one in told), told
-    assert done is not None, (outings.done, outings.seen)
-    assert outings.most <= 2 and max(outings.zone_most.values()) <= 1, outings.seen
+    assert done is not None, (maintenance_windows.done, maintenance_windows.seen)
+    assert maintenance_windows.most <= 2 and max(maintenance_windows.zone_most.values()) <= 1, maintenance_windows.seen
--- a/tests/test_warm_up_load.py
+++ b/tests/test_warm_up_load.py
@@ -7,7 +7,7 @@
 from mulleinhatch.admission.interface import Effect
 from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
 from mulleinhatch.simulation.gossip_world import Plan
-from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld
+from mulleinhatch.simulation.load_balancing_world import Load, LoadBalancingWorld
 
 WINDOWS_S = (1.5, 5.0)  # over which the settings limit what peers send
 
@@ -24,7 +24,7 @@
         [f"at 6 kill {place} for 1" for place in range(senders, senders + warming)]
         + [f"at {4 + place} kill {place} for 4" for place in range(joining)]
     )
-    world = SpreadWorld(
+    world = LoadBalancingWorld(
         Plan(senders + warming, script, until=until, seed=2),
         Load(load, callers=max(4, senders), busy_callers=senders, cold_speed=0.25, cold_for=12.0),
         "spread",
