--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -51,7 +51,7 @@
         script,
         run_for=length,
         seed=seed,
-        upkeep=lines,
+        maintenance=lines,
         cores=2,
         work_ms=20.0,
         tries=6,
@@ -75,7 +75,7 @@
         begun, done = harness.now(), None
         if how == "permits":
             await asyncio.gather(
-                *(node.upkeep(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
+                *(node.request_maintenance(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
             )
             done = await maintenance_windows.all_done(set(zones), within)
         elif how == "by list":
--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -17,7 +17,7 @@
 
 NAMES = ("a", "b", "c")
 ASKS = ((1, 0), (2, 0), (0, 1))  # who may ask whom
-MOST_WORDS = 3  # on their way at a time
+MAX_MESSAGES = 3  # on their way at a time
 WINDOW, LEASE = 2, 3  # ticks
 
 
@@ -37,8 +37,8 @@
 
     def __init__(self, model: Model) -> None:
         self.parts: list[Part | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
-        self.lives = [1, 1, 1]
-        self.words: list[tuple[int, int, int, Any]] = []  # from, its life, to, what
+        self.incarnations = [1, 1, 1]
+        self.messages: list[tuple[int, int, int, Any]] = []  # from, its life, to, what
         self.tick = 0
         self.most = [[0, 0, 0] for _ in range(WINDOW)]  # by tick of the window, the newest last
 
@@ -48,13 +48,13 @@
 
 def actions(state: State) -> Iterator[tuple]:
     yield ("tick",)
-    for index in range(len(state.words)):
+    for index in range(len(state.messages)):
         yield "deliver", index
         yield "repeat", index
         yield "lose", index
     for place, part in enumerate(state.parts):
         yield ("crash" if part else "restart"), place
-    if len(state.words) < MOST_WORDS:
+    if len(state.messages) < MAX_MESSAGES:
         for taker, giver in ASKS:
             if state.parts[taker]:
                 for want in (0, 2):
@@ -62,39 +62,39 @@
 
 
 def act(model: Model, state: State, action: tuple) -> None:
-    what, *told = action
+    what, *arguments = action
     if what == "tick":
         state.tick += 1
         state.most = [*state.most[1:], [0, 0, 0]]
     elif what == "lose":
-        del state.words[told[0]]
+        del state.messages[arguments[0]]
     elif what == "crash":
-        state.parts[told[0]] = None
+        state.parts[arguments[0]] = None
     elif what == "restart":
-        place = told[0]
-        state.lives[place] += 1
+        place = arguments[0]
+        state.incarnations[place] += 1
         state.parts[place] = model.part(model.bounds, NAMES[place], state.local(model, place))
     elif what == "ask":
-        taker, giver, want = told
+        taker, giver, want = arguments
         ask = state.parts[taker].ask(state.local(model, taker), NAMES[giver], want)
-        state.words.append((taker, state.lives[taker], giver, ask))
+        state.messages.append((taker, state.incarnations[taker], giver, ask))
     else:
-        word = state.words[told[0]]
+        message = state.messages[arguments[0]]
         if what == "deliver":
-            del state.words[told[0]]
-        _deliver(model, state, *word)
+            del state.messages[arguments[0]]
+        _deliver(model, state, *message)
 
 
-def _deliver(model: Model, state: State, sender: int, life: int, to: int, word: Ask | Give) -> None:
+def _deliver(model: Model, state: State, sender: int, incarnation: int, to: int, message: Ask | Give) -> None:
     part, now = state.parts[to], state.local(model, to)
     if part is None:
         return
-    if isinstance(word, Ask):
-        give = part.asked(now, (NAMES[sender], life), word, spare=part.own(now), needed=model.needed)
-        if give and len(state.words) < MOST_WORDS:
-            state.words.append((to, state.lives[to], sender, (life, give)))
-    elif word[0] == state.lives[to]:  # an answer to an earlier life of the asker finds nobody
-        part.given(now, NAMES[sender], word[1])
+    if isinstance(message, Ask):
+        give = part.asked(now, (NAMES[sender], incarnation), message, spare=part.own(now), needed=model.needed)
+        if give and len(state.messages) < MAX_MESSAGES:
+            state.messages.append((to, state.incarnations[to], sender, (incarnation, give)))
+    elif message[0] == state.incarnations[to]:  # an answer to an earlier life of the asker finds nobody
+        part.given(now, NAMES[sender], message[1])
 
 
 def broken(model: Model, state: State) -> str:
@@ -130,13 +130,13 @@
     """Long histories by chance, for what lies deeper than all of them can be looked at."""
     draw = random.Random(seed)
     for _ in range(walks):
-        state, way = State(model), []
+        state, history = State(model), []
         for _ in range(steps):
             action = draw.choice([*actions(state), ("tick",)])
             act(model, state, action)
-            way.append(action)
+            history.append(action)
             if what := broken(model, state):
-                return exploring.describe_violation(what, way)
+                return exploring.describe_violation(what, history)
     return ""
 
 
--- a/mulleinhatch/simulation/fault_search/campaign.py
+++ b/mulleinhatch/simulation/fault_search/campaign.py
@@ -127,24 +127,24 @@
     >>> history = draw_history(5); parse_history(format_history(history)) == history
     True
     """
-    told = {
+    head = {
         "seed": history.seed,
         "instances": history.instances,
         "kinds": history.kinds,
         "load": history.load._asdict(),
         "upkeep": history.is_maintenance_requested,
     }
-    return f"# {json.dumps(told)}\n{history.script}\n"
+    return f"# {json.dumps(head)}\n{history.script}\n"
 
 
 def parse_history(text: str) -> History:
-    head, _, script = text.partition("\n")
-    told = json.loads(head.removeprefix("#"))
+    first_line, _, script = text.partition("\n")
+    head = json.loads(first_line.removeprefix("#"))
     from mulleinhatch.simulation.load_balancing_world import Load
 
-    load = Load(**{**told["load"], "speeds": tuple(told["load"]["speeds"])})
+    load = Load(**{**head["load"], "speeds": tuple(head["load"]["speeds"])})
     lines = tuple(line for line in script.splitlines() if line.strip())
-    return History(told["seed"], told["instances"], tuple(told["kinds"]), lines, load, told["upkeep"])
+    return History(head["seed"], head["instances"], tuple(head["kinds"]), lines, load, head["upkeep"])
 
 
 def report(done: Campaign, path: Path, before: dict[str, Any] | None = None) -> dict[str, Any]:
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -28,7 +28,7 @@
 DEFECTS: dict[str, list[tuple[Any, str, Any]]] = {
     "an offer counts half": [(Giver, "outstanding", _offer_twice)],
     "a broken link proves that nothing ran": [(Reducer, "_hand_ended", _reruns_reducer)],
-    "a voter promises nothing": [(Voter, "_may", lambda voter, ballot: True)],
+    "a voter promises nothing": [(Voter, "_may", lambda voter, proposal_number: True)],
     "one voter is a majority": [(Round, "_is_majority", lambda done, count: count >= 1)],
     "the bound is not looked at": [
         (
@@ -39,11 +39,11 @@
             ),
         )
     ],
-    "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
-    "suspicion is never refuted": [(Members, "_of_us", lambda members, now, rumour: None)],
+    "permits are not given back": [(Table, "back", lambda table, name, fencing_token: table)],
+    "suspicion is never refuted": [(Members, "_of_us", lambda members, now, member_update: None)],
     "the gone are never asked again": [(Members, "heard_lately", lambda members, now, name: False)],
     "an op at a peer is never given up": [(Expiry, "give_up_next", lambda expiry: None)],
-    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda hatch, now, grace: None)],
+    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda controller, now, grace: None)],
 }
 
 
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -17,9 +17,9 @@
 AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
 RECOVERS_WITHIN = 12.0  # seconds after it until service is back: who was ill asks for trade again after 3 to 10 s
 BACK = 0.9  # of the service before the faults: under it, with no cause left, it is down by itself
-UPKEEP_WITHIN = 60.0  # seconds after the last fault until all that were asked have been out
+MAINTENANCE_WITHIN_S = 60.0  # seconds after the last fault until all that were asked have been out
 LOOK = 0.25  # seconds between looks at states
-MOST_OWED = 400  # ops that one instance may owe answers at a time
+MAX_OWED = 400  # ops that one instance may owe answers at a time
 
 
 class SearchOutcome(NamedTuple):
@@ -37,7 +37,7 @@
     def __init__(self, history: History) -> None:
         script = history.script
         self.end = max(FIRST + 1.0, faults.end_of(faults.read(script, history.instances)))
-        last = self.end + RECOVERS_WITHIN + 6.0 + (UPKEEP_WITHIN if history.is_maintenance_requested else 0.0)
+        last = self.end + RECOVERS_WITHIN + 6.0 + (MAINTENANCE_WITHIN_S if history.is_maintenance_requested else 0.0)
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
         self.ready(most=2, voters=3, disks=True, works=1.0)
         self.history = history
@@ -52,26 +52,26 @@
         """In order, as the program leaves: told to the reducer, held ops handed over or answered, then it ends."""
         self._take(node, Happening.LEAVE, GRACE)
         self._send(node, node.core.leave(node.clock(self.now)))
-        self.at(self.now + GRACE, self._works_on, node, node.lives)
+        self.at(self.now + GRACE, self._works_on, node, node.incarnations)
 
-    def _works_on(self, node: Node, life: int) -> None:
-        if node.lives == life and node.core:
+    def _works_on(self, node: Node, incarnation: int) -> None:
+        if node.incarnations == incarnation and node.core:
             for ref, owed in node.reducer.owed.items():
                 if owed.place is not None and not node.stalled:
                     raise InvariantBrokenError(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
-            self._gone(node, life)
+            self._gone(node, incarnation)
             self.at(self.now + self.works, self.start, node)
 
-    def _answered(self, op: object, place: int, what: str, result: object, heeds: bool) -> None:
-        over = op.over
-        super()._answered(op, place, what, result, heeds)
-        if what == "ack" and not over and self.now - op.born <= TARGET:
-            self.by_second.setdefault(int(op.born), [0.0, 0.0])[1] += op.kind[2]
+    def _answered(self, request: object, place: int, what: str, result: object, heeds: bool) -> None:
+        over = request.over
+        super()._answered(request, place, what, result, heeds)
+        if what == "ack" and not over and self.now - request.born <= TARGET:
+            self.by_second.setdefault(int(request.born), [0.0, 0.0])[1] += request.kind[2]
 
-    def _try(self, op: object) -> None:
-        if op.tries == 0:
-            self.by_second.setdefault(int(op.born), [0.0, 0.0])[0] += op.kind[2]
-        super()._try(op)
+    def _try(self, request: object) -> None:
+        if request.tries == 0:
+            self.by_second.setdefault(int(request.born), [0.0, 0.0])[0] += request.kind[2]
+        super()._try(request)
 
     def _see(self) -> None:
         self.at(self.now + LOOK, self._see)
@@ -94,7 +94,7 @@
                     bool(node.core.out),
                 )
             )
-            if len(node.reducer.owed) > MOST_OWED:
+            if len(node.reducer.owed) > MAX_OWED:
                 raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {len(node.reducer.owed)} ops")
             late = (
                 [
@@ -138,15 +138,15 @@
         if after < BACK * before * (1.0 - 2.0 * dead) and not going:
             raise InvariantBrokenError(f"service is {after:.2f} long after the last fault, {before:.2f} before")
         if going:
-            lives = {node.name for node in world.nodes if not _dies_for_good(history, node.place)}
-            gone = len(world.nodes) - len(lives)
+            survivors = {node.name for node in world.nodes if not _dies_for_good(history, node.place)}
+            gone = len(world.nodes) - len(survivors)
             voters = set(world.permits.voters)
-            if voters - lives:
-                lives -= voters  # with one dead for good the others stay: a majority of the voters must
-            while world.now < world.end + UPKEEP_WITHIN and not lives <= world.been.keys():
+            if voters - survivors:
+                survivors -= voters  # with one dead for good the others stay: a majority of the voters must
+            while world.now < world.end + MAINTENANCE_WITHIN_S and not survivors <= world.been.keys():
                 world.play(world.now + 1.0)
-            if not lives <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
-                raise InvariantBrokenError(f"{sorted(lives - world.been.keys())} were asked and never went out")
+            if not survivors <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
+                raise InvariantBrokenError(f"{sorted(survivors - world.been.keys())} were asked and never went out")
     except InvariantBrokenError as error:
         what = str(error)
     worst = min((sums[1] / sums[0] for second, sums in world.by_second.items() if sums[0] and second >= FIRST - 2), default=1.0)
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -32,7 +32,7 @@
     instances: int = 8
     script: str = ""
     until: float = 15.0
-    beat: float = 0.1
+    heartbeat_s: float = 0.1
     budgets: tuple[tuple[str, int, float], ...] = (("quota", 400, 1.0),)  # name, total, window
     demand: Callable[[int, float], float] = lambda place, now: 1.0
     clocks: tuple[float, ...] = ()  # rates, by place; else within 1%
@@ -49,7 +49,7 @@
         rates = world.plan.clocks
         self.rate = rates[place % len(rates)] if rates else world.draw.uniform(0.99, 1.01)
         self.offset = world.draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
-        self.life, self.lives = 0, 0
+        self.incarnations = 0
         self.core: Fleet | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
@@ -68,7 +68,7 @@
         self.bounds = FleetBounds(
             "virtual",
             seeds=("10.0.0.1:0", "10.0.0.1:1", f"10.0.0.1:{plan.instances // 2}"),
-            beat=plan.beat,
+            beat=plan.heartbeat_s,
             budgets=self.budgets,
         )
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -82,19 +82,19 @@
         self.nodes = [Node(self, place) for place in range(plan.instances)]
         self.links = [fault for fault in self.faults if fault.what in ("cut", "deaf")]
         for node in self.nodes:
-            self.at(self.draw.uniform(0.0, plan.beat), self.start, node)
+            self.at(self.draw.uniform(0.0, plan.heartbeat_s), self.start, node)
         for fault in self.faults:
             self.at(fault.at, self._fault, fault)
 
-    def at(self, when: float, act: Callable[..., None], *told: Any) -> None:
+    def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
         self.turn += 1
-        heapq.heappush(self.events, (when, self.turn, act, told))
+        heapq.heappush(self.events, (when, self.turn, act, arguments))
 
     def play(self, until: float | None = None) -> GossipWorld:
         until = self.plan.until if until is None else until
         while self.events and self.events[0][0] <= until:
-            self.now, _, act, told = heapq.heappop(self.events)
-            act(*told)
+            self.now, _, act, arguments = heapq.heappop(self.events)
+            act(*arguments)
         self.now = until
         return self
 
@@ -103,20 +103,20 @@
     def start(self, node: Node) -> None:
         if node.core:
             return
-        node.lives += 1
+        node.incarnations += 1
         node.stalled = False
         node.waiting.clear()
         local = node.clock(self.now)
         # A life's number comes from a clock that may have been set back since the last one.
-        life = int(1000.0 * (self.now + 7200.0 + (node.offset if node.lives > 1 else 0.0)))
-        node.core = Fleet(self.bounds, node.name, node.address, life, self.draw.getrandbits(48), local)
+        incarnation = int(1000.0 * (self.now + 7200.0 + (node.offset if node.incarnations > 1 else 0.0)))
+        node.core = Fleet(self.bounds, node.name, node.address, incarnation, self.draw.getrandbits(48), local)
         if not self.plan.leases:
             for part in node.core.parts:
-                part.plan = lambda *told: []
+                part.plan = lambda *arguments: []
         node.meters = [Meter(budget.window) for budget in self.budgets]
-        self.at(self.now, self._beat, node, node.lives)
+        self.at(self.now, self._send_heartbeat, node, node.incarnations)
         for place in range(len(self.budgets)):
-            self.at(self.now + self.draw.uniform(0.0, 0.1), self._use, node, node.lives, place)
+            self.at(self.now + self.draw.uniform(0.0, 0.1), self._use, node, node.incarnations, place)
 
     def _fault(self, fault: faults.Fault) -> None:
         for place in fault.places:
@@ -127,28 +127,28 @@
                 self.start(node)
             elif fault.what == "leave" and node.core:
                 self._send(node, node.core.leave(node.clock(self.now)))
-                self.at(self.now + GRACE, self._gone, node, node.lives)
+                self.at(self.now + GRACE, self._gone, node, node.incarnations)
             elif fault.what == "stall":
                 node.stalled = True
             elif fault.what == "go" and node.core:
                 node.stalled = False
-                self._beat(node, node.lives, again=False)  # its timer is overdue, its socket full
+                self._send_heartbeat(node, node.incarnations, again=False)  # its timer is overdue, its socket full
                 waiting = list(node.waiting)
                 node.waiting.clear()
                 for data in waiting:
                     self._heard(node, data)
 
-    def _gone(self, node: Node, life: int) -> None:
-        if node.lives == life:
+    def _gone(self, node: Node, incarnation: int) -> None:
+        if node.incarnations == incarnation:
             node.core = None
 
     # Beats, datagrams, uses.
 
-    def _beat(self, node: Node, life: int, again: bool = True) -> None:
-        if node.core is None or node.lives != life:
+    def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
+        if node.core is None or node.incarnations != incarnation:
             return
         if again:
-            self.at(self.now + self.plan.beat * self.draw.uniform(0.95, 1.1), self._beat, node, life)
+            self.at(self.now + self.plan.heartbeat_s * self.draw.uniform(0.95, 1.1), self._send_heartbeat, node, incarnation)
         if node.stalled:
             return
         gone = node.core.members.counts["declared_gone"]
@@ -160,8 +160,8 @@
         window = self.budgets[0].window if self.budgets else 1.0
         return Local(demands=tuple(meter.demand(node.clock(self.now)) if window else 0.0 for meter in node.meters))
 
-    def _send(self, node: Node, errands: list[tuple[str, bytes]]) -> None:
-        for address, data in errands:
+    def _send(self, node: Node, datagrams: list[tuple[str, bytes]]) -> None:
+        for address, data in datagrams:
             to = int(address.rpartition(":")[2])
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(data)
@@ -193,14 +193,14 @@
     def _heard(self, node: Node, data: bytes) -> None:
         self._send(node, node.core.datagram(node.clock(self.now), data))
 
-    def _use(self, node: Node, life: int, budget: int) -> None:
+    def _use(self, node: Node, incarnation: int, budget: int) -> None:
         """Asks for units at the rate of its demand, one at a time."""
-        if node.core is None or node.lives != life:
+        if node.core is None or node.incarnations != incarnation:
             return
         bounds = self.budgets[budget]
         even = bounds.total / self.plan.instances / bounds.window
         rate = max(0.01, even * self.plan.demand(node.place, self.now))
-        self.at(self.now + self.draw.expovariate(rate), self._use, node, life, budget)
+        self.at(self.now + self.draw.expovariate(rate), self._use, node, incarnation, budget)
         if node.stalled:
             return
         self.wanted[node.place] += 1
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -47,7 +47,7 @@
     lost_acks: float = 0.0  # chance that a connection is reset as an ack arrives: its caller may try again
 
 
-class Op:
+class Request:
     """A client's op through all its tries."""
 
     def __init__(self, number: int, born: float, draw: random.Random, scenario: Scenario) -> None:
@@ -69,10 +69,10 @@
 
 class World:
     def __init__(
-        self, scenario: Scenario, seed: int, storms: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
+        self, scenario: Scenario, seed: int, storm_bounds: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
     ) -> None:
         self.record = record
-        self.scenario, self.draw, self.storms = scenario, random.Random(seed), storms
+        self.scenario, self.draw, self.storm_bounds = scenario, random.Random(seed), storm_bounds
         self.now, self.turn = 0.0, 0
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.first: Counter[int] = Counter()
@@ -80,7 +80,7 @@
         self.counts: Counter[str] = Counter()
         self.stages: list[tuple[float, str]] = []
         self.slots: list[tuple[float, float]] = []  # when each slot lies, and the rate that it was given at
-        self.life, self.up, self.alive, self.frozen = 0, False, False, False
+        self.incarnation, self.up, self.alive, self.frozen = 0, False, False, False
         self.number = self.places = 0
         self.effect: dict[int, bool] = {}  # by number of the op: whether it may not run again
         self.number_of: dict[str, int] = {}  # by id of the try: the number of its op
@@ -89,14 +89,14 @@
         self.at(scenario.outage[0], self._fall)
         self.at(scenario.outage[1], self._rise)
 
-    def at(self, when: float, act: Callable[..., None], *told: Any) -> None:
+    def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
         self.turn += 1
-        heapq.heappush(self.events, (max(when, self.now), self.turn, act, told))
+        heapq.heappush(self.events, (max(when, self.now), self.turn, act, arguments))
 
     def play(self) -> World:
         while self.events and self.events[0][0] <= self.scenario.until:
-            self.now, _, act, told = heapq.heappop(self.events)
-            act(*told)
+            self.now, _, act, arguments = heapq.heappop(self.events)
+            act(*arguments)
             self._check()
         return self
 
@@ -115,12 +115,12 @@
             "hold_off_allowed": True,
             "max_hold_off": 10.0,
         }
-        self.life, self.up, self.alive = self.life + 1, True, True
+        self.incarnation, self.up, self.alive = self.incarnation + 1, True, True
         self.deployment = deployment
-        self.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], self.life, self.storms, self.record)
+        self.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], self.incarnation, self.storm_bounds, self.record)
         self.running: dict[str, float] = {}
         self.ran: Counter[int] = Counter()
-        self.waiting: dict[int, tuple[Op, str, float]] = {}  # by place: op, id, due time
+        self.waiting: dict[int, tuple[Request, str, float]] = {}  # by place: op, id, due time
         self.idle: list[int] = []  # connections with nothing open, the last used last
         self.notices = 0
         self.shed = False
@@ -130,49 +130,49 @@
         self.take(Happening.INTERPRETER_UP, False, 100.0)
 
     def _spy(self, calendar: Any) -> None:
-        book = calendar.book
+        assign_slot = calendar.book
 
         def spied(now: float, least: float, draw: float) -> float:
             booked, rate = calendar.booked, calendar.rate
-            seconds = book(now, least, draw)
+            seconds = assign_slot(now, least, draw)
             if calendar.booked > booked and seconds > least:
                 self.slots.append((now + seconds, rate))
             return seconds
 
         calendar.book = spied
 
-    def take(self, happening: Happening, *told: Any) -> None:
-        for errand, *fields in self.reducer.reduce(self.now, happening, *told):
-            self._do(errand, fields)
+    def take(self, event: Happening, *arguments: Any) -> None:
+        for effect, *fields in self.reducer.reduce(self.now, event, *arguments):
+            self._do(effect, fields)
 
-    def _do(self, errand: Errand, fields: list[Any]) -> None:
-        if errand is Errand.RUN:
+    def _do(self, effect: Errand, fields: list[Any]) -> None:
+        if effect is Errand.RUN:
             ref = fields[0]
             number = self.number_of[ref]
             self.ran[number] += 1
             self.running[ref] = self.scenario.work * self.draw.uniform(0.7, 1.3)
             if not self.frozen:
-                self.at(self.now + self.running[ref], self._ended, self.life, ref)
-        elif errand is Errand.GAUGES:
-            self.at(self.now, self._gauges, self.life, fields[0])
-        elif errand is Errand.ALARM:
-            self.at(self.now + fields[0], self._alarm, self.life, fields[1])
-        elif errand is Errand.TURN_BACK:
+                self.at(self.now + self.running[ref], self._ended, self.incarnation, ref)
+        elif effect is Errand.GAUGES:
+            self.at(self.now, self._gauges, self.incarnation, fields[0])
+        elif effect is Errand.ALARM:
+            self.at(self.now + fields[0], self._alarm, self.incarnation, fields[1])
+        elif effect is Errand.TURN_BACK:
             self.shed = fields[0]
-        elif errand in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
-            self._answered(errand, *fields)
+        elif effect in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
+            self._answered(effect, *fields)
 
-    def _ended(self, life: int, ref: str) -> None:
-        if life == self.life and self.alive and not self.frozen and self.running.pop(ref, None) is not None:
+    def _ended(self, incarnation: int, ref: str) -> None:
+        if incarnation == self.incarnation and self.alive and not self.frozen and self.running.pop(ref, None) is not None:
             self.notices += 1
             self.take(Happening.RUN_ENDED, self.notices, ref, Ending.OK, b"done " + ref.encode())
 
-    def _gauges(self, life: int, mark: int) -> None:
-        if life == self.life and self.alive and not self.frozen:
+    def _gauges(self, incarnation: int, mark: int) -> None:
+        if incarnation == self.incarnation and self.alive and not self.frozen:
             self.take(Happening.GAUGES, mark, [])
 
-    def _alarm(self, life: int, token: int) -> None:
-        if life == self.life and self.alive:
+    def _alarm(self, incarnation: int, token: int) -> None:
+        if incarnation == self.incarnation and self.alive:
             self.take(Happening.ALARM, token)
 
     def _fall(self) -> None:
@@ -184,8 +184,8 @@
             return
         self.alive = False
         lost, self.waiting = self.waiting, {}
-        for op, _, _ in lost.values():
-            self._again(op, PAUSE)
+        for request, _, _ in lost.values():
+            self._again(request, PAUSE)
 
     def _rise(self) -> None:
         if self.scenario.kind == "kill":
@@ -194,7 +194,7 @@
         if self.frozen:
             self.frozen = False
             for ref, left in self.running.items():
-                self.at(self.now + left, self._ended, self.life, ref)
+                self.at(self.now + left, self._ended, self.incarnation, ref)
 
     # The callers.
 
@@ -202,98 +202,100 @@
         if self.now >= self.scenario.load_until:
             return
         self.number += 1
-        op = Op(self.number, self.now, self.draw, self.scenario)
-        self.effect[op.number] = op.kind[1] is not Effect.RETRYABLE
+        request = Request(self.number, self.now, self.draw, self.scenario)
+        self.effect[request.number] = request.kind[1] is not Effect.RETRYABLE
         self.first[int(self.now)] += 1
-        self._try(op)
+        self._try(request)
         self.at(self.now + self.draw.expovariate(self.scenario.rate), self._born)
 
-    def _try(self, op: Op) -> None:
-        if op.over:
+    def _try(self, request: Request) -> None:
+        if request.over:
             return
-        if self.now - op.born > self.scenario.patience:
-            op.over = True
+        if self.now - request.born > self.scenario.patience:
+            request.over = True
             return
-        op.tries += 1
+        request.tries += 1
         if not self.up:
-            self._again(op, PAUSE)
+            self._again(request, PAUSE)
             return
         self.counts["tries"] += 1
-        again, ref = op.tries > 1 and op.marks, f"{self.draw.getrandbits(64):016x}"
-        wait = min(4.5, op.born + self.scenario.patience - self.now)
+        again, ref = request.tries > 1 and request.marks, f"{self.draw.getrandbits(64):016x}"
+        wait = min(4.5, request.born + self.scenario.patience - self.now)
         if wait <= 0.05:
-            op.over = True
+            request.over = True
             return
-        back_at = 0.0 if self.draw.random() < self.scenario.reconnects else op.back_at
-        told, figures = (op.kind[0], "", op.caller), op.figures
-        self.number_of[ref] = op.number
-        key = f"k{op.number}" if op.kind[1] is Effect.KEYED else ""
+        back_at = 0.0 if self.draw.random() < self.scenario.reconnects else request.back_at
+        arguments, figures = (request.kind[0], "", request.caller), request.figures
+        self.number_of[ref] = request.number
+        key = f"k{request.number}" if request.kind[1] is Effect.KEYED else ""
         if self.shed:
             soon = self.now < back_at - 0.02
             seconds = self.reducer.turned_back(
                 self.now,
                 ref,
-                *told,
+                *arguments,
                 again,
                 key,
-                op.body,
-                place=self._place(op),
+                request.body,
+                place=self._place(request),
                 punctual=back_at > 0.0 and not soon,
                 stubborn=soon,
                 figures=lambda: figures,
             )
             if seconds is not None:
                 self.counts["turned back"] += 1
-                if op.kind[1] is not Effect.RETRYABLE and self.ran[op.number]:
-                    raise InvariantBrokenError(f"at {self.now:.3f} an op that ran was nacked: {op.number}")
-                self._nacked(op, seconds)
+                if request.kind[1] is not Effect.RETRYABLE and self.ran[request.number]:
+                    raise InvariantBrokenError(f"at {self.now:.3f} an op that ran was nacked: {request.number}")
+                self._rejected(request, seconds)
                 return
-        place = self._place(op)
+        place = self._place(request)
         self.idle.pop()
-        self.waiting[place] = (op, ref, self.now + wait)
+        self.waiting[place] = (request, ref, self.now + wait)
         rank, cost, kb = figures
-        self.take(Happening.OP_READ, place, ref, *told[:2], 0.0, wait, op.caller, cost, kb, again, key, op.body, rank)
+        self.take(
+            Happening.OP_READ, place, ref, *arguments[:2], 0.0, wait, request.caller, cost, kb, again, key, request.body, rank
+        )
 
-    def _place(self, op: Op) -> int:
+    def _place(self, request: Request) -> int:
         """The connection for its next try: one that is free, as a stub keeps them, or a new one."""
         if not self.idle:
             self.places += 1
             self.idle.append(self.places)
         return self.idle[-1]
 
-    def _answered(self, errand: Errand, place: int, *told: Any) -> None:
+    def _answered(self, effect: Errand, place: int, *arguments: Any) -> None:
         if place not in self.waiting:
             raise InvariantBrokenError(f"at {self.now:.3f} a second answer, or one to nobody")
-        op, ref, due = self.waiting.pop(place)
+        request, ref, due = self.waiting.pop(place)
         if self.now > due + ANSWER_SLACK:
             raise InvariantBrokenError(f"at {self.now:.3f} an answer came {self.now - due:.2f} s late")
-        self.counts[errand.value] += 1
+        self.counts[effect.value] += 1
         self.idle.append(place)
-        if errand is Errand.ACK:
+        if effect is Errand.ACK:
             if self.draw.random() < self.scenario.lost_acks:
                 self.counts["acks lost"] += 1
                 self.idle.pop()
-                self._again(op, PAUSE)
+                self._again(request, PAUSE)
                 return
-            if not op.over and self.now - op.born <= 1.8:
-                self.in_time[int(op.born)] += 1
-            op.over = True
-        elif errand is Errand.NACK:
-            if op.kind[1] is not Effect.RETRYABLE and ref in self.running:
+            if not request.over and self.now - request.born <= 1.8:
+                self.in_time[int(request.born)] += 1
+            request.over = True
+        elif effect is Errand.NACK:
+            if request.kind[1] is not Effect.RETRYABLE and ref in self.running:
                 raise InvariantBrokenError(f"at {self.now:.3f} an op that runs was nacked")
-            self._nacked(op, told[0])
-        elif op.kind[1] is Effect.NON_RETRYABLE:
-            op.over = True
-            self.counts["failed unrun"] += not self.ran[op.number]
+            self._rejected(request, arguments[0])
+        elif request.kind[1] is Effect.NON_RETRYABLE:
+            request.over = True
+            self.counts["failed unrun"] += not self.ran[request.number]
         else:
-            self._again(op, PAUSE)
+            self._again(request, PAUSE)
 
-    def _nacked(self, op: Op, seconds: float) -> None:
-        op.back_at = self.now + seconds
-        self._again(op, max(PAUSE, seconds) if op.heeds else PAUSE)
+    def _rejected(self, request: Request, seconds: float) -> None:
+        request.back_at = self.now + seconds
+        self._again(request, max(PAUSE, seconds) if request.heeds else PAUSE)
 
-    def _again(self, op: Op, pause: float) -> None:
-        self.at(self.now + pause, self._try, op)
+    def _again(self, request: Request, pause: float) -> None:
+        self.at(self.now + pause, self._try, request)
 
     # What must hold.
 
@@ -302,15 +304,17 @@
             if self.up and self.now > due + ANSWER_SLACK:
                 raise InvariantBrokenError(f"at {self.now:.3f} place {place} waits past its time")
             break  # the oldest place that waits tells of the others: waits differ by the patience at most
-        desk = self.reducer.storms
-        if desk is None:
+        retry_admission = self.reducer.storms
+        if retry_admission is None:
             return
-        for bucket in (desk.budget.punctual, desk.budget.others):
+        for bucket in (retry_admission.budget.punctual, retry_admission.budget.others):
             if not 0.0 <= bucket.tokens <= bucket.most + 1e-9:
                 raise InvariantBrokenError(f"at {self.now:.3f} a budget of {bucket.tokens}")
-        if len(desk.callers) > desk.bounds.callers_kept or len(desk.tries.outstanding) > 2 * desk.bounds.repeats_kept:
+        bounds = retry_admission.bounds
+        has_too_many_callers = len(retry_admission.callers) > bounds.callers_kept
+        if has_too_many_callers or len(retry_admission.tries.outstanding) > 2 * bounds.repeats_kept:
             raise InvariantBrokenError(f"at {self.now:.3f} the books outgrew their bound")
-        stage = desk.watch.stage.value
+        stage = retry_admission.watch.stage.value
         if not self.stages or self.stages[-1][1] != stage:
             self.stages.append((self.now, stage))
 
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -59,7 +59,7 @@
     busy_callers: int = 0  # so many instances alone are known to callers; 0: all
 
 
-class Op:
+class Request:
     __slots__ = ("number", "kind", "born", "caller", "work", "tries", "over", "rank", "away")
 
     def __init__(self, number: int, kind: tuple, born: float, caller: int, work: float, rank: float) -> None:
@@ -76,13 +76,13 @@
         self.spread: Spread | None = None
         self.reducer: Reducer | None = None
         self.cores: Cores | None = None
-        self.waiting_ops: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
+        self.pending_requests: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
         self.works: dict[str, tuple[float, bool, float]] = {}  # runs: work left to do, whether they fail, when they began
         self.ends = 0
         self.places = self.notices = 0
         self.nudged = False
         self.level = 0.0  # what callers were told last
-        self.cold_since = -math.inf
+        self.warming_up_since = -math.inf
         self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while it is stalled
 
 
@@ -99,7 +99,7 @@
         self.nodes = [Service(self, place) for place in range(plan.instances)]
         self.events.clear()
         for node in self.nodes:
-            self.at(draw.uniform(0.0, plan.beat), self.start, node)
+            self.at(draw.uniform(0.0, plan.heartbeat_s), self.start, node)
         for fault in self.faults:
             self.at(fault.at, self._fault, fault)
         speeds = load.speeds or (1.0,)
@@ -125,7 +125,7 @@
         self.known_up = [True] * plan.instances
         self.turns = [0] * load.callers
         self.hold_off: dict[tuple[int, int], float] = {}
-        self.ops = 0
+        self.requests = 0
         self.asked = self.in_time = 0.0
         self.latencies: list[float] = []
         self.idle_needed = 0.0
@@ -134,8 +134,8 @@
         self.ran: Counter[int] = Counter()
         self.once: set[int] = set()  # numbers of non-retryable ops
         self.handed = Counter[str]()
-        self.handed_cold: dict[tuple[int, int], list[float]] = {}  # by place and life: seconds since its start
-        self.nacked_at = -1.0
+        self.handed_while_warming_up: dict[tuple[int, int], list[float]] = {}  # by place and life: seconds since its start
+        self.rejected_at = -1.0
         self.busy: list[list[float]] = []  # each half second, the share of each instance's cores in use
         self.wishes: list[list[float]] = []
         self.at(SETTLED - 2.0, self._born)
@@ -151,7 +151,7 @@
         node.spread = None
         if self.mode != "alone":
             bounds = self.spread_bounds._replace(at=f"10.0.0.1:{node.place}")
-            node.spread = Spread(bounds, node.core, self.draw.getrandbits(40), now, returns=node.lives > 1)
+            node.spread = Spread(bounds, node.core, self.draw.getrandbits(40), now, returns=node.incarnations > 1)
             node.core.ops_at = bounds.at
             if self.mode in ("random", "freshest"):
                 self._compared(node)
@@ -171,26 +171,26 @@
             "cold_speed": load.cold_speed,
         }
         node.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], node.place + 1)
-        node.cores, node.works, node.waiting_ops, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
+        node.cores, node.works, node.pending_requests, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
         node.notices, node.level = 0, 0.0
         if node.spread:
             node.reducer.hands = self.spread_bounds.hand_over
             node.reducer.on_run, node.reducer.on_op = node.spread.ran, node.spread.came
         self._take(node, Happening.LINK_OPENED)
-        cold = node.lives > 1 and load.cold_for > 0.0
-        node.cold_since = self.now if cold else -math.inf
-        self._take(node, Happening.INTERPRETER_UP, cold, 0.0 if cold else 100.0)
-        self.at(self.now + load.list_delay, self._listed, node, node.lives, True)
+        is_warming_up = node.incarnations > 1 and load.cold_for > 0.0
+        node.warming_up_since = self.now if is_warming_up else -math.inf
+        self._take(node, Happening.INTERPRETER_UP, is_warming_up, 0.0 if is_warming_up else 100.0)
+        self.at(self.now + load.list_delay, self._listed, node, node.incarnations, True)
 
-    def _listed(self, node: Service, life: int, up: bool) -> None:
-        if not up and node.core and node.lives > life:
+    def _listed(self, node: Service, incarnation: int, up: bool) -> None:
+        if not up and node.core and node.incarnations > incarnation:
             return
         self.known_up[node.place] = up
 
     def _compared(self, node: Service) -> None:
         """What others do without offers, for the same module and rules."""
         spread = node.spread
-        spread.giver.give = lambda *told, **more: []
+        spread.giver.give = lambda *arguments, **more: []
 
         def choices() -> list[tuple[float, str]]:
             now = node.clock(self.now)
@@ -222,35 +222,35 @@
                 self._died(node)
             elif fault.what == "go" and node.core:
                 later, node.later = node.later, []
-                for act, told in later:
-                    act(*told)
+                for act, arguments in later:
+                    act(*arguments)
             elif fault.what == "leave" and core:
-                self.at(self.now + self.load.list_delay, self._listed, node, node.lives, False)
+                self.at(self.now + self.load.list_delay, self._listed, node, node.incarnations, False)
 
-    def _gone(self, node: Node, life: int) -> None:
-        if node.lives == life and node.core:
-            super()._gone(node, life)
+    def _gone(self, node: Node, incarnation: int) -> None:
+        if node.incarnations == incarnation and node.core:
+            super()._gone(node, incarnation)
             self._died(node)
 
     def _died(self, node: Service) -> None:
-        waiting, node.waiting_ops, node.works = node.waiting_ops, {}, {}
-        self.at(self.now + self.load.list_delay, self._listed, node, node.lives, False)
+        waiting, node.pending_requests, node.works = node.pending_requests, {}, {}
+        self.at(self.now + self.load.list_delay, self._listed, node, node.incarnations, False)
         for answered in waiting.values():
             answered("broken", b"")
 
-    def _beat(self, node: Node, life: int, again: bool = True) -> None:
-        if node.core is None or node.lives != life:
+    def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
+        if node.core is None or node.incarnations != incarnation:
             return
         if node.spread and not node.stalled:
             now = node.clock(self.now)
             self._send(node, node.spread.beat(now, self._here(node)))
             self._check_offers(node, now)
             self._offers(node)
-            told = (node.core.free(now), node.core.judged_ill(), math.inf, node.spread.wish)
-            if told != getattr(node, "told", None):
-                node.told = told
-                self._take(node, Happening.OTHERS, *told)
-        super()._beat(node, life, again)
+            conditions = (node.core.free(now), node.core.judged_ill(), math.inf, node.spread.wish)
+            if conditions != getattr(node, "last_conditions", None):
+                node.last_conditions = conditions
+                self._take(node, Happening.OTHERS, *conditions)
+        super()._send_heartbeat(node, incarnation, again)
 
     def local(self, node: Node) -> Any:
         """What it says of itself in its reports."""
@@ -298,26 +298,26 @@
 
     # What a reducer asks for.
 
-    def _take(self, node: Service, happening: Happening, *told: Any) -> None:
+    def _take(self, node: Service, event: Happening, *arguments: Any) -> None:
         if node.core is None:
             return
         if node.stalled:
-            node.later.append((self._take, (node, happening, *told)))
+            node.later.append((self._take, (node, event, *arguments)))
             return
-        for errand, *fields in node.reducer.reduce(node.clock(self.now), happening, *told):
-            self._do(node, errand, fields)
+        for effect, *fields in node.reducer.reduce(node.clock(self.now), event, *arguments):
+            self._do(node, effect, fields)
         if (
             node.spread
             and self.spread_bounds.hand_over
             and not node.nudged
-            and happening in (Happening.OP_READ, Happening.RUN_ENDED)
+            and event in (Happening.OP_READ, Happening.RUN_ENDED)
         ):
             node.nudged = True
-            self.at(self.now + NUDGE, self._nudged, node, node.lives)
+            self.at(self.now + NUDGE, self._nudged, node, node.incarnations)
 
-    def _nudged(self, node: Service, life: int) -> None:
+    def _nudged(self, node: Service, incarnation: int) -> None:
         node.nudged = False
-        if node.lives == life and node.core and not node.stalled:
+        if node.incarnations == incarnation and node.core and not node.stalled:
             self._send(node, node.spread.nudge(node.clock(self.now), self._here(node)))
             self._check_offers(node, node.clock(self.now))
             self._offers(node)
@@ -326,31 +326,31 @@
         reducer, now = node.reducer, node.clock(self.now)
         return Here(reducer.room(now), reducer.handable(), int(reducer.hatch.limit), reducer.stop_at is not None)
 
-    def _do(self, node: Service, errand: Errand, fields: list[Any]) -> None:
-        if errand is Errand.RUN:
+    def _do(self, node: Service, effect: Errand, fields: list[Any]) -> None:
+        if effect is Errand.RUN:
             self._run(node, fields[0], fields[2])
-        elif errand is Errand.GAUGES:
+        elif effect is Errand.GAUGES:
             use = min(1.0, len(node.works) / self.load.cores)
-            self.at(self.now, self._for_life, node, node.lives, Happening.GAUGES, fields[0], [use])
-        elif errand is Errand.ALARM:
-            self.at(self.now + fields[0], self._for_life, node, node.lives, Happening.ALARM, fields[1])
-        elif errand is Errand.HAND:
+            self.at(self.now, self._for_incarnation, node, node.incarnations, Happening.GAUGES, fields[0], [use])
+        elif effect is Errand.ALARM:
+            self.at(self.now + fields[0], self._for_incarnation, node, node.incarnations, Happening.ALARM, fields[1])
+        elif effect is Errand.HAND:
             self._hand(node, *fields)
-        elif errand in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
-            answered = node.waiting_ops.pop(fields[0], None)
+        elif effect in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
+            answered = node.pending_requests.pop(fields[0], None)
             if answered is None:
                 raise InvariantBrokenError(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
             node.level = fields[-1] or 0.0
             self.at(
                 self.now + self.draw.uniform(*LINK),
                 answered,
-                errand.value,
-                fields[1] if errand is Errand.ACK else fields[1:3] if errand is Errand.NACK else b"",
+                effect.value,
+                fields[1] if effect is Errand.ACK else fields[1:3] if effect is Errand.NACK else b"",
             )
 
-    def _for_life(self, node: Service, life: int, happening: Happening, *told: Any) -> None:
-        if node.lives == life:
-            self._take(node, happening, *told)
+    def _for_incarnation(self, node: Service, incarnation: int, event: Happening, *arguments: Any) -> None:
+        if node.incarnations == incarnation:
+            self._take(node, event, *arguments)
 
     def _run(self, node: Service, ref: str, body: bytes) -> None:
         number, work = body.split()
@@ -362,7 +362,7 @@
         slow = (
             max(1.0, faults.amount(self.faults, "slow", self.now, node.place))
             / self.speeds[node.place]
-            / self.warmth(self.now - node.cold_since)
+            / self.warmth(self.now - node.warming_up_since)
         )
         bad = self.draw.random() < faults.amount(self.faults, "failing", self.now, node.place)
         node.works[ref] = (float(work), bad, self.now)
@@ -378,7 +378,7 @@
         """Of ops that peers sent to cold instances: the most in any `window` beyond N + 2 root of N + 2, N being what the ramp
         allows then; and how many came in all."""
         worst, count = -math.inf, 0
-        for times in self.handed_cold.values():
+        for times in self.handed_while_warming_up.values():
             count += len(times)
             for first, at in enumerate(times):
                 came = sum(at <= other < at + window for other in times[first:])
@@ -390,10 +390,10 @@
         node.ends += 1
         left = node.cores.next_end(self.now)
         if left is not None:
-            self.at(self.now + max(0.0, left), self._ended, node, node.lives, node.ends)
+            self.at(self.now + max(0.0, left), self._ended, node, node.incarnations, node.ends)
 
-    def _ended(self, node: Service, life: int, number: int) -> None:
-        if node.lives != life or node.core is None or node.ends != number:
+    def _ended(self, node: Service, incarnation: int, number: int) -> None:
+        if node.incarnations != incarnation or node.core is None or node.ends != number:
             return
         for ref in node.cores.ended(self.now + 1e-9):
             _, bad, _ = node.works.pop(ref, (0.0, False, 0.0))
@@ -407,7 +407,7 @@
         self,
         node: Service,
         ref: str,
-        op_type: str,
+        request_type: str,
         tenant: str,
         body: bytes,
         age: float,
@@ -420,9 +420,9 @@
         key: str,
     ) -> None:
         offer = node.spread.take(node.clock(self.now))
-        life = node.lives
+        incarnation = node.incarnations
         if offer is None:
-            self.at(self.now, self._for_life, node, life, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
+            self.at(self.now, self._for_incarnation, node, incarnation, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
             return
         peer = self.nodes[int(offer.at.rpartition(":")[2])]
         self.handed["to " + ("offers" if offer.number else "guesses")] += 1
@@ -433,7 +433,7 @@
                 return
             ended.append(ending)
             self.handed[ending.name.lower()] += 1
-            if node.lives == life and node.core:
+            if node.incarnations == incarnation and node.core:
                 node.spread.ended(
                     node.clock(self.now),
                     offer,
@@ -455,12 +455,12 @@
             self._arrives_handed,
             node,
             peer,
-            peer.lives,
+            peer.incarnations,
             offer,
             over,
             (
                 ref,
-                op_type,
+                request_type,
                 tenant,
                 age,
                 max(0.01, left - 0.08) if left else 0.0,
@@ -476,13 +476,15 @@
         )
 
     def _arrives_handed(
-        self, node: Service, peer: Service, life: int, offer: Offered, over: Callable[..., None], told: tuple
+        self, node: Service, peer: Service, incarnation: int, offer: Offered, over: Callable[..., None], arguments: tuple
     ) -> None:
-        if peer.core is None or peer.lives != life:
+        if peer.core is None or peer.incarnations != incarnation:
             over(Ending.INTERRUPTED)
             return
-        if self.now - peer.cold_since < self.load.cold_for:
-            self.handed_cold.setdefault((peer.place, peer.lives), []).append(self.now - peer.cold_since)
+        if self.now - peer.warming_up_since < self.load.cold_for:
+            self.handed_while_warming_up.setdefault((peer.place, peer.incarnations), []).append(
+                self.now - peer.warming_up_since
+            )
         if peer.spread:
             peer.spread.giver.came(peer.clock(self.now), offer.number)
 
@@ -494,14 +496,14 @@
                     result if what == "ack" else b"",
                 )
 
-        self._read(peer, answered, told)
+        self._read(peer, answered, arguments)
 
-    def _read(self, node: Service, answered: Callable[..., None], told: tuple) -> None:
+    def _read(self, node: Service, answered: Callable[..., None], arguments: tuple) -> None:
         if self.now >= SETTLED:
             self.arrivals[node.place, int(self.now)] += 1
         node.places += 1
-        node.waiting_ops[node.places] = answered
-        self._take(node, Happening.OP_READ, node.places, *told)
+        node.pending_requests[node.places] = answered
+        self._take(node, Happening.OP_READ, node.places, *arguments)
 
     # Callers.
 
@@ -510,115 +512,115 @@
         if self.now >= self.plan.until - TARGET - 0.5:
             return
         self.at(self.now + draw.expovariate(load.load * self.capacity), self._born)
-        self.ops += 1
+        self.requests += 1
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
         caller = draw.choices(range(load.callers), self.weights)[0]
-        op = Op(self.ops, kind, self.now, caller, load.work * draw.uniform(0.4, 1.6), draw.random())
+        request = Request(self.requests, kind, self.now, caller, load.work * draw.uniform(0.4, 1.6), draw.random())
         if kind[1] is not Effect.RETRYABLE:
-            self.once.add(op.number)
+            self.once.add(request.number)
         if self.now >= SETTLED:
             self.asked += kind[2]
-        self._try(op)
+        self._try(request)
 
-    def _try(self, op: Op) -> None:
+    def _try(self, request: Request) -> None:
         load = self.load
-        wait = TIMEOUT - (self.now - op.born)
-        if op.over or op.tries >= MOST_TRIES or wait < 0.1:
-            op.over = True
+        wait = TIMEOUT - (self.now - request.born)
+        if request.over or request.tries >= MOST_TRIES or wait < 0.1:
+            request.over = True
             return
-        op.tries += 1
-        heeds = (op.number * 7919 % 1000) / 1000.0 < load.heeding
-        listed = [place for place in self.lists[op.caller] if self.known_up[place]] or self.lists[op.caller]
-        self.turns[op.caller] += 1
-        start = self.turns[op.caller]
+        request.tries += 1
+        heeds = (request.number * 7919 % 1000) / 1000.0 < load.heeding
+        listed = [place for place in self.lists[request.caller] if self.known_up[place]] or self.lists[request.caller]
+        self.turns[request.caller] += 1
+        start = self.turns[request.caller]
         ordered = [listed[(start + turn) % len(listed)] for turn in range(len(listed))]
-        fresh = [place for place in ordered if place not in op.away] or ordered
+        fresh = [place for place in ordered if place not in request.away] or ordered
         chosen = fresh[0]
         if heeds:
-            able = [place for place in fresh if self.hold_off.get((op.caller, place), 0.0) <= self.now]
-            chosen = next((place for place in able if op.rank >= self.nodes[place].level), able[0] if able else chosen)
+            able = [place for place in fresh if self.hold_off.get((request.caller, place), 0.0) <= self.now]
+            chosen = next((place for place in able if request.rank >= self.nodes[place].level), able[0] if able else chosen)
         node = self.nodes[chosen]
         if node.core is None:
-            self._broken(op, chosen, refused=True)
+            self._broken(request, chosen, refused=True)
             return
         ref = f"{self.draw.getrandbits(60):016x}"
-        life = node.lives
+        incarnation = node.incarnations
 
         def answered(what: str, result: Any) -> None:
-            self._answered(op, chosen, what, result, heeds)
+            self._answered(request, chosen, what, result, heeds)
 
-        self.at(self.now + wait + 0.2, self._too_late, op)
+        self.at(self.now + wait + 0.2, self._too_late, request)
         self.at(
             self.now + self.draw.uniform(*LINK),
             self._reads,
             node,
-            life,
+            incarnation,
             answered,
             (
                 ref,
-                op.kind[0],
+                request.kind[0],
                 "",
                 0.0,
                 wait,
-                op.caller,
-                op.work,
+                request.caller,
+                request.work,
                 1.0,
-                op.tries > 1 and load.marked,
+                request.tries > 1 and load.marked,
                 "",
-                b"%d %.6f" % (op.number, op.work),
-                op.rank,
+                b"%d %.6f" % (request.number, request.work),
+                request.rank,
             ),
         )
 
-    def _reads(self, node: Service, life: int, answered: Callable[..., None], told: tuple) -> None:
-        if node.core is None or node.lives != life:
+    def _reads(self, node: Service, incarnation: int, answered: Callable[..., None], arguments: tuple) -> None:
+        if node.core is None or node.incarnations != incarnation:
             answered("broken", b"")
         else:
-            self._read(node, answered, told)
+            self._read(node, answered, arguments)
 
-    def _too_late(self, op: Op) -> None:
-        op.over = op.over or self.now - op.born >= TIMEOUT
+    def _too_late(self, request: Request) -> None:
+        request.over = request.over or self.now - request.born >= TIMEOUT
 
-    def _answered(self, op: Op, place: int, what: str, result: Any, heeds: bool) -> None:
+    def _answered(self, request: Request, place: int, what: str, result: Any, heeds: bool) -> None:
         if what == "ack":
-            if not op.over and op.born >= SETTLED:
-                self.latencies.append(self.now - op.born)
-                if self.now - op.born <= TARGET:
-                    self.in_time += op.kind[2]
-            op.over = True
+            if not request.over and request.born >= SETTLED:
+                self.latencies.append(self.now - request.born)
+                if self.now - request.born <= TARGET:
+                    self.in_time += request.kind[2]
+            request.over = True
         elif what == "nack":
-            self.nacked_at = self.now
+            self.rejected_at = self.now
             self.counts["nacked"] += 1
-            op.away.add(place)
+            request.away.add(place)
             seconds, not_elsewhere = result
             if heeds and seconds:
-                self.hold_off[op.caller, place] = self.now + seconds
+                self.hold_off[request.caller, place] = self.now + seconds
             if not (heeds and not_elsewhere):
-                self.at(self.now + PAUSE, self._try, op)
+                self.at(self.now + PAUSE, self._try, request)
         elif what == "broken":
-            self._broken(op, place, refused=False)
+            self._broken(request, place, refused=False)
         else:
             self.counts["failed"] += 1
-            if op.kind[1] is Effect.RETRYABLE:
-                self.at(self.now + PAUSE, self._try, op)
+            if request.kind[1] is Effect.RETRYABLE:
+                self.at(self.now + PAUSE, self._try, request)
 
-    def _broken(self, op: Op, place: int, refused: bool) -> None:
+    def _broken(self, request: Request, place: int, refused: bool) -> None:
         self.counts["refused" if refused else "broken"] += 1
-        op.away.add(place)
-        if refused or op.kind[1] is Effect.RETRYABLE:
-            self.at(self.now + PAUSE, self._try, op)
+        request.away.add(place)
+        if refused or request.kind[1] is Effect.RETRYABLE:
+            self.at(self.now + PAUSE, self._try, request)
 
     # What is seen from outside.
 
     def _look(self) -> None:
         self.at(self.now + LOOK, self._look)
         up = [node for node in self.nodes if node.core and not node.stalled]
-        held = {node.place: len(node.reducer.owed) - node.reducer.unended - node.reducer.away for node in up}
-        needing = sum(count > 0 for count in held.values()) > 0 or self.now - self.nacked_at < LOOK
+        pending = {node.place: len(node.reducer.owed) - node.reducer.unended - node.reducer.away for node in up}
+        needing = sum(count > 0 for count in pending.values()) > 0 or self.now - self.rejected_at < LOOK
         if needing:
             idle = sum(
                 not node.works
-                and not held[node.place]
+                and not pending[node.place]
                 and node.reducer.stop_at is None
                 and faults.amount(self.faults, "failing", self.now, node.place) < 0.5
                 for node in up
@@ -655,28 +657,28 @@
     speeds = load.speeds or (1.0,)
     slots = [speeds[place % len(speeds)] for place in range(plan.instances) for _ in range(load.cores)]
     capacity = sum(slots) / load.work
-    now, ops = SETTLED - 2.0, []
+    now, requests = SETTLED - 2.0, []
     while now < plan.until - TARGET - 0.5:
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
-        ops.append((now, kind[2], load.work * draw.uniform(0.4, 1.6)))
+        requests.append((now, kind[2], load.work * draw.uniform(0.4, 1.6)))
         now += draw.expovariate(load.load * capacity)
     free = [(0.0, -speed) for speed in slots]
     heapq.heapify(free)
     asked = in_time = 0.0
-    latencies, line, at = [], [], deque(ops)
+    latencies, line, at = [], [], deque(requests)
     while at or line:
         moment, speed = heapq.heappop(free)
         if not line and at:
             moment = max(moment, at[0][0])
         while at and at[0][0] <= moment:
-            born, worth, work = at.popleft()
-            asked += worth if born >= SETTLED else 0.0
-            heapq.heappush(line, (-worth, born, work))
+            born, value, work = at.popleft()
+            asked += value if born >= SETTLED else 0.0
+            heapq.heappush(line, (-value, born, work))
         if line:
-            worth, born, work = heapq.heappop(line)
+            value, born, work = heapq.heappop(line)
             took = moment + work / -speed - born
             if took <= TARGET:
-                in_time += -worth if born >= SETTLED else 0.0
+                in_time += -value if born >= SETTLED else 0.0
                 latencies.append(took)
                 moment += work / -speed
         heapq.heappush(free, (moment, speed))
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -41,20 +41,20 @@
         self.cores[node.name] = Upkeep(
             self.permits,
             node.core,
-            node.lives * 100 + node.place,
+            node.incarnations * 100 + node.place,
             node.clock(self.now),
             self.disks[node.name] if self.has_disks else None,
             keep if self.has_disks else None,
         )
 
-    def _beat(self, node: Node, life: int, again: bool = True) -> None:
-        if node.core and node.lives == life and not node.stalled:
+    def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
+        if node.core and node.incarnations == incarnation and not node.stalled:
             core = self.cores[node.name]
             if node.name in self.to_go and not self.been[node.name] and core.state is State.SERVING:
                 core.ask(Request(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.beat(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._look_at(node)
-        super()._beat(node, life, again)
+        super()._send_heartbeat(node, incarnation, again)
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.core:
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -43,12 +43,12 @@
 
 
 class Back(Go):
-    def __init__(self, name: str, fence: int) -> None:
+    def __init__(self, name: str, fencing_token: int) -> None:
         super().__init__(name)
-        self.fence = fence
+        self.fencing_token = fencing_token
 
     def __call__(self, table: Table) -> Table:
-        return table.back(self.name, self.fence)
+        return table.back(self.name, self.fencing_token)
 
 
 class Elect(Go):
@@ -63,9 +63,9 @@
 
 class Asker:
     def __init__(self, name: str, known: Table) -> None:
-        self.name, self.known, self.life, self.number = name, known, 0, 0
+        self.name, self.known, self.incarnation, self.number = name, known, 0, 0
         self.round: Round | None = None
-        self.fence = 0  # of the permit by which it is out
+        self.fencing_token = 0  # of the permit by which it is out
         self.down = False  # crashed
         self.is_out = False  # really
 
@@ -134,30 +134,31 @@
 
 
 def act(model: Model, state: State, action: tuple) -> None:
-    what, *told = action
+    what, *arguments = action
     if what in ("step", "lost", "copy"):
-        place, name = told
+        place, name = arguments
         asker = state.askers[place]
         ask = next(ask for voter, ask in asker.round.asks() if voter == name)
         if what == "copy":
-            state.copies.append((place, asker.life, name, ask))
+            state.copies.append((place, asker.incarnation, name, ask))
             return
         answer = state.voters[name].asked(ask)
         if what == "step":
             _heard(asker, answer)
     elif what == "deliver":
-        place, life, name, ask = state.copies.pop(told[0])
+        place, incarnation, name, ask = state.copies.pop(arguments[0])
         answer, asker = state.voters[name].asked(ask), state.askers[place]
-        if asker.life == life and not asker.down and asker.round is not None:
+        if asker.incarnation == incarnation and not asker.down and asker.round is not None:
             _heard(asker, answer)
     elif what == "wipe":
-        state.wiped[told[0]] = [(place, asker.life) for place, asker in enumerate(state.askers) if asker.round]
-        state.voters[told[0]] = model.voter(told[0], Kept(), abstains=True)
+        state.wiped[arguments[0]] = [(place, asker.incarnation) for place, asker in enumerate(state.askers) if asker.round]
+        state.voters[arguments[0]] = model.voter(arguments[0], Kept(), abstains=True)
     elif what == "learn":
-        name = told[0]
+        name = arguments[0]
         # As many others as a majority of the voters that the latest of them names; rounds of before the loss are over.
         under_way = model.waits and any(
-            state.askers[place].life == life and state.askers[place].round for place, life in state.wiped[name]
+            state.askers[place].incarnation == incarnation and state.askers[place].round
+            for place, incarnation in state.wiped[name]
         )
         others = [voter.kept for voter in state.voters.values() if voter.name != name and not voter.abstains]
         if (
@@ -167,7 +168,7 @@
         ):
             del state.wiped[name]
     else:
-        _asker_does(model, state, what, *told)
+        _asker_does(model, state, what, *arguments)
 
 
 def _asker_does(model: Model, state: State, what: str, place: int, *more: Any) -> None:
@@ -176,23 +177,31 @@
         asker.down, asker.round = True, None
     elif what == "restart":
         # It serves again, whatever it was out for; what it knows is the operator's file.
-        asker.down, asker.is_out, asker.fence, asker.life = False, False, 0, asker.life + 1
+        asker.down, asker.is_out, asker.fencing_token, asker.incarnation = False, False, 0, asker.incarnation + 1
         asker.known = State(model).askers[place].known
     elif what == "stop":
         asker.round = None
     else:
         asker.number += 1
-        asker.life += 1
+        asker.incarnation += 1
         if what == "release":
             name = state.askers[more[0]].name
             change = Back(name, state.voters[more[1]].kept.table.permit(name).fence)
         else:
-            change = Go(asker.name) if what == "want" else Back(asker.name, asker.fence) if what == "return" else Elect(more[0])
-        asker.round = model.round(f"{asker.name}.{asker.life}", asker.number, asker.known, change)
+            change = _change_of(asker, what, more)
+        asker.round = model.round(f"{asker.name}.{asker.incarnation}", asker.number, asker.known, change)
         if what == "return":
             asker.is_out = False  # it serves from here on; the permit follows
 
 
+def _change_of(asker: Asker, what: str, more: tuple[Any, ...]) -> Go:
+    if what == "want":
+        return Go(asker.name)
+    if what == "return":
+        return Back(asker.name, asker.fencing_token)
+    return Elect(more[0])
+
+
 def _heard(asker: Asker, answer: object) -> None:
     asker.round.heard(answer)
     if not asker.round.ended:
@@ -205,9 +214,9 @@
         asker.known = done.table
         permit = done.table.permit(asker.name)
         if isinstance(done.change, Back):
-            asker.fence = 0
+            asker.fencing_token = 0
         elif permit:
-            asker.is_out, asker.fence = True, permit.fence
+            asker.is_out, asker.fencing_token = True, permit.fence
 
 
 def broken(model: Model, state: State) -> str:
@@ -252,7 +261,7 @@
     """Long histories by chance after those steps: how many permits were agreed in them, and the first over the bound."""
     draw, agreed = random.Random(seed), 0
     for _ in range(walks):
-        state, way = State(model), list(before)
+        state, history = State(model), list(before)
         for action in before:
             act(model, state, action)
         for _ in range(steps):
@@ -261,7 +270,7 @@
             were_out = sum(asker.is_out for asker in state.askers)
             act(model, state, action)
             agreed += sum(asker.is_out for asker in state.askers) > were_out
-            way.append(action)
+            history.append(action)
             if what := broken(model, state):
-                return agreed, exploring.describe_violation(what, way)
+                return agreed, exploring.describe_violation(what, history)
     return agreed, ""
--- a/mulleinhatch/simulation/scale_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -43,17 +43,17 @@
     return most / window
 
 
-def traffic_of(told: dict[int, tuple[Any, Any, Any, Any]]) -> Traffic:
+def traffic_of(traffic: dict[int, tuple[Any, Any, Any, Any]]) -> Traffic:
     """Of `World.traffic`."""
-    both = [[sent + heard for sent, heard in zip(books[0], books[1])] for books in told.values()]
+    both = [[sent + heard for sent, heard in zip(series[0], series[1])] for series in traffic.values()]
     seconds, members = len(both[0]), len(both)
     mean = [sum(column) / members for column in zip(*both)]
-    sums = [sum(sum(books[kind]) for books in told.values()) / members / seconds for kind in range(4)]
+    sums = [sum(sum(series[kind]) for series in traffic.values()) / members / seconds for kind in range(4)]
     return Traffic(
         sum(mean) / seconds,
-        max(any_window(book) for book in both),
+        max(any_window(instance_seconds) for instance_seconds in both),
         any_window(mean),
-        float(max(max(book) for book in both)),
+        float(max(max(instance_seconds) for instance_seconds in both)),
         max(mean),
         *sums,
     )
@@ -120,8 +120,8 @@
 def history(plan: Plan, seed: int, calm: float = 20.0, length: float = 20.0, within: float = 30.0) -> History:
     """One history by chance: joins, meets weather drawn at `calm` for those that speak then, and is watched until it is one.
 
-    >>> told = history(Plan(members=9), 3, calm=3.0, length=5.0)
-    >>> told.one_again is not None, told.over, told.script == history(Plan(members=9), 3, calm=3.0, length=5.0).script
+    >>> traffic = history(Plan(members=9), 3, calm=3.0, length=5.0)
+    >>> traffic.one_again is not None, traffic.over, traffic.script == history(Plan(members=9), 3, calm=3.0, length=5.0).script
     (True, 0, True)
     """
     with World(plan._replace(seed=seed), processes=False) as world:
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -24,9 +24,9 @@
 HEADERS = 28  # bytes of UDP and IP round a datagram
 RACK = 40  # instances
 PORT = 7300  # of an address's first holder; who replaces it has the next
-OPS = 275.0  # a second that each says it takes: figures of a usual length make reports of a usual length
+REQUESTS_PER_S = 275.0  # a second that each says it takes: figures of a usual length make reports of a usual length
 TENANTS = 250_000
-FLAT_BEAT, LEVELS_BEAT = 0.1, 0.25
+FLAT_HEARTBEAT_S, LEVELS_HEARTBEAT_S = 0.1, 0.25
 KINDS = re.compile(r"\b(zone|region|rack)(\d+)\b")
 
 
@@ -38,14 +38,14 @@
     zones: int = 3  # of each region
     levels: bool = False  # zone, region and group are told; else one flat fleet
     group_size: int = 25  # with levels: members in a group, about
-    beat: float = 0.0  # 0: the mechanism's own
+    heartbeat_s: float = 0.0  # 0: the mechanism's own
     script: str = ""
     seed: int = 1
     start_within: float = 0.1  # all start in this time
     introduced: bool = False  # flat: each knows all from the start, by letters that are no part of the count
     busy: bool = True  # figures as long as those of an instance that takes 275 ops a second; else zeros
     spread: bool = False
-    upkeep: int = 0  # voters; 0: no upkeep
+    maintenance_voters: int = 0  # 0: no maintenance windows
     budgets: tuple[tuple[str, int, float], ...] = ()  # name, total, window
     demand: float = 1.0  # units asked for over the even part
     watched: int = 1  # in each zone, members whose sums are looked at each quarter of a second
@@ -126,19 +126,21 @@
         plan = self.plan
         seats = self.seats() if plan.budgets else ()
         budgets = tuple(BudgetBounds(name, total, seats, window) for name, total, window in plan.budgets)
-        usual = FleetBounds("hollow", beat=plan.beat or (LEVELS_BEAT if plan.levels else FLAT_BEAT), budgets=budgets)
+        usual = FleetBounds(
+            "hollow", beat=plan.heartbeat_s or (LEVELS_HEARTBEAT_S if plan.levels else FLAT_HEARTBEAT_S), budgets=budgets
+        )
         if not plan.levels:
             seeds = tuple(self.address(place, 0) for place in (0, 1, plan.members // 2))
             return [usual._replace(seeds=seeds)] * len(self.firsts)
-        told = []
+        bounds_by_zone = []
         for zone, first in enumerate(self.firsts):
             size = plan.members // len(self.firsts)
             seeds = tuple(self.address(first + place, 0) for place in sorted({0, 1, size // 2}))
             beyond = tuple(self.address(other + turn, 0) for turn in (0, 1) for other in self.firsts if other != first)
-            told.append(
+            bounds_by_zone.append(
                 usual._replace(seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups, beyond=beyond)
             )
-        return told
+        return bounds_by_zone
 
     def watched(self) -> list[int]:
         """Places whose sums are looked at: not the first of a zone, which are seeds."""
@@ -151,8 +153,8 @@
 
     def __init__(self, plan: Plan, draw: random.Random) -> None:
         self.busy = plan.busy
-        self.rate = OPS * draw.uniform(0.7, 1.3)
-        self.loudest = (
+        self.rate = REQUESTS_PER_S * draw.uniform(0.7, 1.3)
+        self.heavy_hitters = (
             [(f"tenant-{draw.randrange(TENANTS)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2)) for turn in range(4)]
             if plan.busy
             else []
@@ -161,17 +163,17 @@
     def local(self, age: float, demands: tuple[float, ...]) -> Local:
         if not self.busy:
             return Local(demands=demands)
-        ops = self.rate * age
+        requests = self.rate * age
         figures = [
-            int(ops),
-            int(0.01 * ops),
-            int(0.98 * ops),
-            int(0.015 * ops),
+            int(requests),
+            int(0.01 * requests),
+            int(0.98 * requests),
+            int(0.015 * requests),
             12,
             40,
             300,
             1,
-            int(0.001 * ops),
+            int(0.001 * requests),
             8,
             48,
             100,
@@ -179,7 +181,7 @@
             100,
             850,
         ]
-        return Local(figures, demands, self.loudest)
+        return Local(figures, demands, self.heavy_hitters)
 
 
 # Weather.
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -58,24 +58,24 @@
             first = min((event[0] for events in out.values() for event in events), default=math.inf)
             return marshal.dumps((shard.next(), first, {to: marshal.dumps(events) for to, events in out.items()}))
         name, args = pickle.loads(data[1:])
-        told = resident() - self.base if name == "memory" else getattr(shard, name)(*args)
-        return pickle.dumps((told, shard.next()))
+        answers = resident() - self.base if name == "memory" else getattr(shard, name)(*args)
+        return pickle.dumps((answers, shard.next()))
 
 
 class Inline:
     """A player in this process, with a pipe's face."""
 
     def __init__(self, player: Player) -> None:
-        self.player, self.told = player, player.ready()
+        self.player, self.answer = player, player.ready()
 
     def send_bytes(self, data: bytes) -> None:
-        self.told = self.player.answer(data)
+        self.answer = self.player.answer(data)
 
     def recv_bytes(self) -> bytes:
-        return self.told
+        return self.answer
 
     def close(self) -> None:
-        self.told = b""
+        self.answer = b""
 
 
 def work(plan: Plan, owner: list[int], index: int, pipe: Connection, ends: list[Connection]) -> None:
@@ -180,9 +180,9 @@
             pipe.send_bytes(b"w" + marshal.dumps((border, batches)))
         self.first = math.inf
         for index in range(len(self.pipes)):
-            self.nexts[index], first, told = self._answer(index)
+            self.nexts[index], first, answers = self._answer(index)
             self.first = min(self.first, first)
-            for to, batch in told.items():
+            for to, batch in answers.items():
                 self.batches[to].append(batch)
 
     def ask(self, name: str, *args: Any) -> list[Any]:
@@ -200,10 +200,10 @@
 
     def _joined(self, name: str, *args: Any) -> dict[int, Any]:
         """Answers by place, put together in the places' order."""
-        told: dict[int, Any] = {}
+        answers: dict[int, Any] = {}
         for answer in self.ask(name, *args):
-            told |= answer
-        return dict(sorted(told.items()))
+            answers |= answer
+        return dict(sorted(answers.items()))
 
     # What is seen of it.
 
@@ -226,14 +226,14 @@
 
     def listed(self, what: str) -> list[Any]:
         """`gone` or `looks` of all, by time."""
-        return sorted(one for answer in self.ask("told", what) for one in answer)
+        return sorted(one for answer in self.ask("attribute", what) for one in answer)
 
     def counts(self) -> Counter[str]:
-        return sum(self.ask("told", "counts"), Counter())
+        return sum(self.ask("attribute", "counts"), Counter())
 
     def holding(self, places: list[int], but: frozenset[int] = frozenset()) -> dict[int, tuple[int, int]]:
-        told = self.ask("holding", places, but)
-        return {place: (sum(one[place][0] for one in told), sum(one[place][1] for one in told)) for place in places}
+        answers = self.ask("holding", places, but)
+        return {place: (sum(one[place][0] for one in answers), sum(one[place][1] for one in answers)) for place in places}
 
     def frozen(self) -> int:
         return sum(answer[2] for answer in self.ask("views"))
@@ -258,8 +258,8 @@
 
     def used(self) -> list[list[float]]:
         """By budget: when units were used, in order."""
-        told = self.ask("told", "used")
-        return [sorted(at for one in told for at in one[budget]) for budget in range(len(self.plan.budgets))]
+        answers = self.ask("attribute", "used")
+        return [sorted(at for one in answers for at in one[budget]) for budget in range(len(self.plan.budgets))]
 
     def memory(self) -> float:
         """Bytes of all processes beyond what they held before the instances, for each instance."""
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -25,7 +25,7 @@
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 from mulleinhatch.instance.load_balancing.core import Here, Spread
-from mulleinhatch.instance.maintenance.core import Bounds as UpkeepBounds
+from mulleinhatch.instance.maintenance.core import Bounds as MaintenanceBounds
 from mulleinhatch.instance.maintenance.core import Upkeep
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
@@ -35,7 +35,7 @@
 QUEUE = 200  # datagrams that a stopped process's socket holds
 WATCH_EVERY = 0.25  # seconds between looks at the watched members' sums
 MOST_KEPT = 200_000  # changes and wrong declarations that are kept one by one
-BEAT, USE = -1, -2  # what an event is that is no datagram
+HEARTBEAT, USE = -1, -2  # what an event is that is no datagram
 Event = tuple[float, int, int, int, Any]  # when, sender (-1: the script), sequence, to whom, datagram or what else
 
 
@@ -67,14 +67,14 @@
         "place",
         "core",
         "spread",
-        "upkeep",
+        "maintenance",
         "stalled",
         "waiting",
-        "chance",
+        "random_source",
         "rate",
         "offset",
         "sequence",
-        "lives",
+        "incarnations",
         "says",
         "meters",
         "born",
@@ -89,14 +89,14 @@
 
     def __init__(self, plan: Plan, place: int) -> None:
         draw = random.Random(plan.seed * 1_000_003 + place)
-        self.place, self.chance = place, draw
+        self.place, self.random_source = place, draw
         self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.core: Fleet | None = None
         self.spread: Spread | None = None
-        self.upkeep: Upkeep | None = None
+        self.maintenance: Upkeep | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
-        self.sequence = self.lives = self.cpu = self.calls = self.digest = 0
+        self.sequence = self.incarnations = self.cpu = self.calls = self.digest = 0
         self.says, self.meters, self.born = Says(plan, draw), [], 0.0
         self.sent, self.heard, self.sent_count, self.heard_count = (array("I") for _ in range(4))
 
@@ -116,7 +116,7 @@
         self.turn = 0
         members = plan.members
         # What the script says of all places, the same in each shard.
-        self.up, self.life = bytearray(members), [0] * members
+        self.up, self.incarnation = bytearray(members), [0] * members
         self.generation = [0] * members
         self.whom = {self.ground.address(place, 0): place for place in range(members)}
         self.active: list[faults.Fault] = []
@@ -173,9 +173,9 @@
                         node.waiting.append(what)
                     else:
                         self._heard(node, what)
-            elif what[1] == node.lives and node.core is not None:
-                if what[0] == BEAT:
-                    self._beat(node)
+            elif what[1] == node.incarnations and node.core is not None:
+                if what[0] == HEARTBEAT:
+                    self._send_heartbeat(node)
                 else:
                     self._use(node, what[2])
         self.now = until
@@ -186,8 +186,8 @@
         for node in self.nodes:
             if node and len(node.sent) < seconds:
                 more = bytes(4 * (seconds - len(node.sent)))
-                for book in (node.sent, node.heard, node.sent_count, node.heard_count):
-                    book.frombytes(more)
+                for series in (node.sent, node.heard, node.sent_count, node.heard_count):
+                    series.frombytes(more)
 
     # The script.
 
@@ -196,17 +196,17 @@
             if self.up[place]:
                 continue
             self.up[place] = 1
-            self.life[place] = self.life_from(self.now)
+            self.incarnation[place] = self.incarnation_from(self.now)
             if node := self.nodes[place]:
                 self._begin(node)
 
     @staticmethod
-    def life_from(start: float) -> int:
+    def incarnation_from(start: float) -> int:
         return int(1000.0 * (start + 7200.0))
 
     def _begin(self, node: SimulatedInstance) -> None:
         place, plan = node.place, self.plan
-        node.lives += 1
+        node.incarnations += 1
         node.stalled = False
         node.waiting.clear()
         node.born = self.now
@@ -217,36 +217,42 @@
             bounds,
             self.ground.name(place, generation),
             self.ground.address(place, generation),
-            self.life[place],
-            node.chance.getrandbits(48),
+            self.incarnation[place],
+            node.random_source.getrandbits(48),
             now,
         )
-        node.spread = node.upkeep = None
+        node.spread = node.maintenance = None
         if plan.spread:
             at = node.core.members.address
-            node.spread = Spread(SpreadBounds(at=at), node.core, node.chance.getrandbits(40), now, returns=node.lives > 1)
+            node.spread = Spread(
+                SpreadBounds(at=at), node.core, node.random_source.getrandbits(40), now, returns=node.incarnations > 1
+            )
             node.core.ops_at = at
-        if plan.upkeep:
-            voters = tuple(self.ground.name(voter, 0) for voter in range(plan.upkeep))
-            node.upkeep = Upkeep(UpkeepBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now)
+        if plan.maintenance_voters:
+            voters = tuple(self.ground.name(voter, 0) for voter in range(plan.maintenance_voters))
+            node.maintenance = Upkeep(MaintenanceBounds(voters, 1, 1, "z"), node.core, node.incarnations * 10_000 + place, now)
         node.meters = [Meter(budget.window) for budget in bounds.budgets]
-        if plan.introduced and node.lives == 1:
+        if plan.introduced and node.incarnations == 1:
             self._introduce(node, now)
-        self._later(node, 0.0, (BEAT, node.lives))
+        self._later(node, 0.0, (HEARTBEAT, node.incarnations))
         for budget in range(len(plan.budgets)):
-            self._later(node, node.chance.uniform(0.0, 0.1), (USE, node.lives, budget))
+            self._later(node, node.random_source.uniform(0.0, 0.1), (USE, node.incarnations, budget))
 
     def _introduce(self, node: SimulatedInstance, now: float) -> None:
         """Letters that name all others, as a member that knows them would write, and none of it news to be told on."""
         ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
-            told = [
-                words.Rumour(ground.name(place, 0), ground.address(place, 0), self.life_from(self.starts[place]), 0, ALIVE)
+            updates = [
+                words.Rumour(
+                    ground.name(place, 0), ground.address(place, 0), self.incarnation_from(self.starts[place]), 0, ALIVE
+                )
                 for place in some
             ]
-            letter = words.Letter(words.VERSION, "hollow", told[0].name, told[0].address, told[0].life, 0, "word", rumours=told)
-            node.core.datagram(now, words.encode(letter))
+            message = words.Letter(
+                words.VERSION, "hollow", updates[0].name, updates[0].address, updates[0].life, 0, "word", rumours=updates
+            )
+            node.core.datagram(now, words.encode(message))
         node.core.members.news.clear()
         node.core.members.changes.clear()
 
@@ -256,7 +262,7 @@
             for place in fault.places:
                 self.up[place] = 0
                 if node := self.nodes[place]:
-                    node.core = node.spread = node.upkeep = None
+                    node.core = node.spread = node.maintenance = None
         elif what == "start":
             self._start(fault.places)
         elif what == "renew":
@@ -285,7 +291,7 @@
 
     def _go_on(self, node: SimulatedInstance) -> None:
         """Its timer is overdue, its socket full."""
-        self._beat(node, again=False)
+        self._send_heartbeat(node, again=False)
         waiting = list(node.waiting)
         node.waiting.clear()
         for data in waiting:
@@ -333,9 +339,9 @@
         node.sequence += 1
         heapq.heappush(self.events, (self.now + after, node.place, node.sequence, node.place, what))
 
-    def _beat(self, node: SimulatedInstance, again: bool = True) -> None:
+    def _send_heartbeat(self, node: SimulatedInstance, again: bool = True) -> None:
         if again:
-            self._later(node, node.core.bounds.beat * node.chance.uniform(0.95, 1.1), (BEAT, node.lives))
+            self._later(node, node.core.bounds.beat * node.random_source.uniform(0.95, 1.1), (HEARTBEAT, node.incarnations))
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
@@ -345,8 +351,8 @@
         if node.spread:
             datagrams += node.spread.beat(now, Here(8, 0, 48))
             local = local._replace(figures=local.figures[:11] + node.spread.figures(now), opinions=node.spread.opinions(now))
-        if node.upkeep:
-            datagrams += node.upkeep.beat(now, self.now + node.offset, True)
+        if node.maintenance:
+            datagrams += node.maintenance.beat(now, self.now + node.offset, True)
         datagrams += node.core.beat(now, local)
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
@@ -359,8 +365,8 @@
         datagrams = node.core.datagram(self.now * node.rate + node.offset, data)
         if node.spread:
             datagrams += node.spread.said()
-        if node.upkeep:
-            datagrams += node.upkeep.said()
+        if node.maintenance:
+            datagrams += node.maintenance.said()
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
         if datagrams:
@@ -369,7 +375,7 @@
             self._changes(node)
 
     def _send(self, node: SimulatedInstance, datagrams: list[tuple[str, bytes]]) -> None:
-        place, second, owner, chance = node.place, int(self.now), self.owner, node.chance.random
+        place, second, owner, random_source = node.place, int(self.now), self.owner, node.random_source.random
         for address, data in datagrams:
             if len(data) > words.MOST_BYTES:
                 raise InvariantBrokenError(f"at {self.now:.3f} a datagram of {len(data)} bytes")
@@ -383,11 +389,11 @@
             times = 1
             if self.amounts:
                 lossy, repeated, swapped, delayed = (self._amount(what, place, to) for what in faults.LINKS[2:])
-                low, high = low + delayed, high + delayed + (0.3 if chance() < swapped else 0.0)
-                times = (1 + (chance() < repeated)) * (chance() >= lossy)
+                low, high = low + delayed, high + delayed + (0.3 if random_source() < swapped else 0.0)
+                times = (1 + (random_source() < repeated)) * (random_source() >= lossy)
             for _ in range(times):
                 node.sequence += 1
-                event = (self.now + low + (high - low) * chance(), place, node.sequence, to, data)
+                event = (self.now + low + (high - low) * random_source(), place, node.sequence, to, data)
                 if owner[to] == self.index:
                     heapq.heappush(self.events, event)
                 else:
@@ -409,7 +415,7 @@
             subject = self.ground.place_named(change.name)
             same = change.name.rpartition("/")[2] == self.ground.name(subject, self.generation[subject])
             known = node.core.members.view.get(change.name)
-            wrong = bool(self.up[subject] and same and known and known.life == self.life[subject])
+            wrong = bool(self.up[subject] and same and known and known.life == self.incarnation[subject])
             self.counts["wrong" if wrong else "right"] += 1
             if len(self.gone) < MOST_KEPT:
                 self.gone.append(Gone(self.now, node.place, subject, change.why, wrong))
@@ -421,7 +427,7 @@
         """Asks for units at the rate of its demand, one at a time."""
         _, total, window = self.plan.budgets[budget]
         rate = max(0.01, total / self.plan.members / (window or 1.0) * self.plan.demand)
-        self._later(node, node.chance.expovariate(rate), (USE, node.lives, budget))
+        self._later(node, node.random_source.expovariate(rate), (USE, node.incarnations, budget))
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
@@ -478,7 +484,7 @@
     def holding(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
         """By place: in how many views of those that run, `but` these, it is there, and in how many gone."""
         names = {place: self.ground.name(place, self.generation[place]) for place in places}
-        held = {place: [0, 0] for place in places}
+        counts = {place: [0, 0] for place in places}
         for node in self.nodes:
             if node is None or node.core is None or node.stalled or node.place in but:
                 continue
@@ -486,8 +492,8 @@
             prefix = next((name.rpartition("/")[0] + "/" for name in view if "/" in name), "")
             for place, name in names.items():
                 if (member := view.get(prefix + name)) and place != node.place:
-                    held[place][member.state >= GONE] += 1
-        return {place: (there, gone) for place, (there, gone) in held.items()}
+                    counts[place][member.state >= GONE] += 1
+        return {place: (there, gone) for place, (there, gone) in counts.items()}
 
     def speakers(self) -> list[int]:
         """Places that speak for their group just now, if levels can tell."""
@@ -501,8 +507,12 @@
         """Bytes of state by kind, each object counted once, in these instances that run."""
         return [state_of(node) for place in places if (node := self.nodes[place]) and node.core]
 
-    def told(self, what: str) -> Any:
-        return getattr(self, what)
+    def attribute(self, name: str) -> Any:
+        return getattr(self, name)
+
+
+def _without_fleet(core: Any) -> dict[str, Any]:
+    return {key: value for key, value in core.__dict__.items() if key != "fleet"}
 
 
 KINDS_OF_STATE: tuple[tuple[str, Callable[[SimulatedInstance], Any]], ...] = (
@@ -519,15 +529,18 @@
     ("verdicts", lambda node: node.core.verdicts.__dict__),
     ("budgets", lambda node: [part.__dict__ for part in node.core.parts]),
     ("levels", lambda node: getattr(node.core, "levels", None)),
-    ("spread", lambda node: node.spread and {key: value for key, value in node.spread.__dict__.items() if key != "fleet"}),
-    ("upkeep", lambda node: node.upkeep and {key: value for key, value in node.upkeep.__dict__.items() if key != "fleet"}),
+    ("spread", lambda node: node.spread and _without_fleet(node.spread)),
+    (
+        "upkeep",
+        lambda node: node.maintenance and _without_fleet(node.maintenance),
+    ),
 )
 
 
 def state_of(node: SimulatedInstance) -> dict[str, float]:
     # What is settings, or the instance itself, is no state of this kind.
     seen = {id(node), id(node.core), id(node.core.members), id(node.core.bounds), id(node.core.known), id(node.core.verdicts)}
-    return {kind: float(deep_size(told(node), seen)) for kind, told in KINDS_OF_STATE}
+    return {kind: float(deep_size(select(node), seen)) for kind, select in KINDS_OF_STATE}
 
 
 def deep_size(thing: Any, seen: set[int]) -> int:
--- a/mulleinhatch/testing/datagram_relay.py
+++ b/mulleinhatch/testing/datagram_relay.py
@@ -18,21 +18,21 @@
 
 from mulleinhatch.testing import fault_script as faults
 
-LATE_BEAT = 0.05
+LATENESS_CHECK_S = 0.05
 
 
 class Relay:
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.here, self.there = told["here"], told["there"]
+    def __init__(self, settings: dict[str, Any]) -> None:
+        self.here, self.there = settings["here"], settings["there"]
         self.place_of = {port: place for place, port in enumerate(self.there)}
-        self.faults = faults.read(told["script"], len(self.here))
+        self.faults = faults.read(settings["script"], len(self.here))
         self.links = [fault for fault in self.faults if fault.what in ("cut", "deaf")]
         self.noise = [fault for fault in self.faults if fault.what in faults.LINKS and fault not in self.links]
         self.off = [fault for fault in self.faults if fault.what == "directory"]
-        self.start_at = told["start_at"]
-        self.draw = random.Random(told.get("seed", 1))
+        self.start_at = settings["start_at"]
+        self.draw = random.Random(settings.get("seed", 1))
         self.sockets: list[socket.socket] = []
-        self.directory = told.get("directory")  # the port here and its own
+        self.directory = settings.get("directory")  # the port here and its own
         self.counts = {"passed": 0, "dropped": 0, "strangers": 0, "bytes": 0, "to_directory": 0}
         self.by_sender = [[0, 0] for _ in self.here]  # datagrams and bytes
         self.late = 0.0
@@ -114,8 +114,8 @@
 
     async def watch_itself(self) -> None:
         while True:
-            due = time.monotonic() + LATE_BEAT
-            await asyncio.sleep(LATE_BEAT)
+            due = time.monotonic() + LATENESS_CHECK_S
+            await asyncio.sleep(LATENESS_CHECK_S)
             self.late = max(self.late, time.monotonic() - due)
 
 
--- a/mulleinhatch/testing/duplicate_runs.py
+++ b/mulleinhatch/testing/duplicate_runs.py
@@ -91,12 +91,12 @@
     )
 
 
-def second_runs_of_fleet(told: Mapping[str, Any]) -> SecondRuns:
+def second_runs_of_fleet(report: Mapping[str, Any]) -> SecondRuns:
     """By what `FleetHarness.finish` tells."""
     runs = [
         Run(request, at, place, incarnation, ref)
-        for place, host in enumerate(told["ran"])
+        for place, host in enumerate(report["ran"])
         for at, incarnation, ref, request in host["once"]
     ]
-    broken = {ref: BrokenTry(*seen) for client in told["stubs"] for ref, seen in client["broken_once"].items()}
-    return find_second_runs(runs, broken, [Death(*death) for death in told["deaths"]])
+    broken = {ref: BrokenTry(*seen) for client in report["stubs"] for ref, seen in client["broken_once"].items()}
+    return find_second_runs(runs, broken, [Death(*death) for death in report["deaths"]])
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -59,7 +59,7 @@
     second_copy: float = 0.0  # seconds after which a safe op is sent once more beside; 0: never
 
 
-class Op(NamedTuple):
+class Request(NamedTuple):
     """What an op is through all its tries; `state` holds what changes: tries, whether it is over, its place."""
 
     number: int
@@ -82,7 +82,7 @@
         self.load, self.place = load, place
         self.transport: asyncio.Transport | None = None
         self.data = b""
-        self.op: Op | None = None
+        self.request: Request | None = None
         self.ref, self.sent_at = "", 0.0  # of the try that is on it
         self.sent = 0
         self.timer: asyncio.TimerHandle | None = None
@@ -91,45 +91,45 @@
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def send(self, op: Op, ref: str, request: bytes, wait: float) -> None:
-        self.op, self.ref, self.sent_at = op, ref, time.time()
+    def send(self, request: Request, ref: str, data: bytes, wait: float) -> None:
+        self.request, self.ref, self.sent_at = request, ref, time.time()
         self.sent += 1
-        self.transport.write(request)
+        self.transport.write(data)
         self.timer = asyncio.get_running_loop().call_later(wait, self.overdue)
 
     def overdue(self) -> None:
-        op, self.op = self.op, None
+        request, self.request = self.request, None
         self.transport.abort()
-        self.load.unanswered(op)
+        self.load.unanswered(request)
 
     def data_received(self, data: bytes) -> None:
         self.data = self.data + data if self.data else data
         found = ANSWER.match(self.data)
-        if not found or self.op is None:
+        if not found or self.request is None:
             return
         fields = {field[1].lower(): field[2] for field in FIELD.finditer(found[2])}
         length = int(fields.get(b"content-length", b"0"))
         if len(self.data) < found.end() + length:
             return
         body, self.data = self.data[found.end() : found.end() + length], b""
-        op, self.op = self.op, None
+        request, self.request = self.request, None
         self.timer.cancel()
         if fields.get(b"connection") == b"close":
             self.transport.close()
         else:
             self.load.idle[self.place].append(self)
-        self.load.answered(op, self.place, int(found[1]), body, float(fields.get(b"retry-after-ms", 0)) / 1000.0)
+        self.load.answered(request, self.place, int(found[1]), body, float(fields.get(b"retry-after-ms", 0)) / 1000.0)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.load.open[self.place] -= 1
         if self in self.load.idle[self.place]:
             self.load.idle[self.place].remove(self)
-        if self.op is not None:
-            op, self.op = self.op, None
+        if self.request is not None:
+            request, self.request = self.request, None
             self.timer.cancel()
-            if op.kind.repeats == "unsafe":
+            if request.kind.repeats == "unsafe":
                 self.load.broken_once[self.ref] = (self.place, self.sent_at, time.time())
-            self.load.broken(op)
+            self.load.broken(request)
 
 
 class Load:
@@ -189,7 +189,7 @@
         draw, habits = self.draw, self.habits
         kind = draw.choices(habits.kinds, [kind.share for kind in habits.kinds])[0]
         self.numbers += 1
-        op = Op(
+        request = Request(
             self.numbers,
             kind,
             habits.first_caller + draw.randrange(habits.callers),
@@ -202,9 +202,9 @@
         self.first[bucket] = self.first.get(bucket, 0) + 1
         self.by_kind[kind.name][0] += 1
         self.waiting += 1
-        self.next_try(op)
+        self.next_try(request)
         if habits.second_copy and kind.repeats == "safe":
-            asyncio.get_running_loop().call_later(habits.second_copy, self.copy, op)
+            asyncio.get_running_loop().call_later(habits.second_copy, self.copy, request)
 
     def looks(self, kind: RequestKind) -> tuple[float, list[Any], bytes, float, bool]:
         """An op that looks like others tells its interpreter the usual work, and not who it is."""
@@ -213,61 +213,63 @@
         body = f"{habits.work_ms:.1f} alike {'x' * 180}" if alike else f"{work:.1f} {habits.seed}-{self.numbers} of a caller"
         return (work, [0, False, draw.randrange(len(self.open))], body.encode(), draw.random(), draw.random() < habits.steady)
 
-    def copy(self, op: Op) -> None:
-        if not op.state[1]:
+    def copy(self, request: Request) -> None:
+        if not request.state[1]:
             self.counts["second_copies"] += 1
-            self.next_try(op)
+            self.next_try(request)
 
-    def next_try(self, op: Op) -> None:
+    def next_try(self, request: Request) -> None:
         now = time.time()
-        if op.state[1]:
+        if request.state[1]:
             return
-        if now - op.born > self.habits.patience or op.state[0] >= self.habits.most_tries:
-            self.over(op, "gave_up")
+        if now - request.born > self.habits.patience or request.state[0] >= self.habits.most_tries:
+            self.over(request, "gave_up")
             return
-        op.state[0] += 1
+        request.state[0] += 1
         self.counts["tries"] += 1
         bucket = int((now - self.habits.start_at) / BUCKET)
         self.tries[bucket] = self.tries.get(bucket, 0) + 1
-        place = self.listed[op.state[2] % len(self.listed)]
+        place = self.listed[request.state[2] % len(self.listed)]
         if self.idle[place]:
-            self.send(self.idle[place].pop(), op, now)
+            self.send(self.idle[place].pop(), request, now)
         elif self.open[place] < self.habits.connections:
             self.open[place] += 1
-            task = asyncio.ensure_future(self.connect(op, place))
+            task = asyncio.ensure_future(self.connect(request, place))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         else:
-            self.refused(op)
+            self.refused(request)
 
-    async def connect(self, op: Op, place: int) -> None:
+    async def connect(self, request: Request, place: int) -> None:
         try:
             _, wire = await asyncio.wait_for(
                 asyncio.get_running_loop().create_connection(lambda: Wire(self, place), *self.habits.instances[place]), 1.0
             )
         except (TimeoutError, OSError):
             self.open[place] -= 1
-            self.refused(op)
+            self.refused(request)
             return
-        self.send(wire, op, time.time())
+        self.send(wire, request, time.time())
 
-    def send(self, wire: Wire, op: Op, now: float) -> None:
+    def send(self, wire: Wire, request: Request, now: float) -> None:
         habits = self.habits
-        wait = max(0.05, min(habits.try_wait, op.born + habits.patience - now))
-        again = "X-Retry: 1\r\n" if op.state[0] > 1 and op.marks else ""
-        key = f"Idempotency-Key: {habits.seed}-{op.number}\r\n" if op.kind.repeats == "keyed" else ""
+        wait = max(0.05, min(habits.try_wait, request.born + habits.patience - now))
+        again = "X-Retry: 1\r\n" if request.state[0] > 1 and request.marks else ""
+        key = f"Idempotency-Key: {habits.seed}-{request.number}\r\n" if request.kind.repeats == "keyed" else ""
         draw = self.draw_try
-        rank, cost = (op.rank, op.work) if op.steady else (draw.random(), habits.work_ms * draw.uniform(0.7, 1.3))
-        ref, body = f"{draw.getrandbits(64):016x}", op.body
-        if op.kind.repeats == "unsafe":
-            self.refs[ref] = op.number
+        rank, cost = (
+            (request.rank, request.work) if request.steady else (draw.random(), habits.work_ms * draw.uniform(0.7, 1.3))
+        )
+        ref, body = f"{draw.getrandbits(64):016x}", request.body
+        if request.kind.repeats == "unsafe":
+            self.refs[ref] = request.number
         wire.send(
-            op,
+            request,
             ref,
             (
-                f"POST /svc/{op.kind.name} HTTP/1.1\r\nHost: origin.svc\r\n"
+                f"POST /svc/{request.kind.name} HTTP/1.1\r\nHost: origin.svc\r\n"
                 f"X-Request-Id: {ref}\r\nX-Request-Start: {now * 1000:.0f}\r\n"
-                f"X-Caller: {op.caller}\r\nX-Timeout-Ms: {1000.0 * wait:.0f}\r\n"
+                f"X-Caller: {request.caller}\r\nX-Timeout-Ms: {1000.0 * wait:.0f}\r\n"
                 f"X-Cost-Ms: {cost:.2f}\r\nX-Memory-Kb: 20.0\r\nX-Rank: {rank:.4f}\r\n{again}{key}"
                 f"{f'X-Tenant: {habits.tenant}' + chr(13) + chr(10) if habits.tenant else ''}"
                 f"Content-Length: {len(body)}\r\n\r\n"
@@ -278,48 +280,48 @@
 
     # What becomes of a try.
 
-    def answered(self, op: Op, place: int, status: int, body: bytes, told: float) -> None:
+    def answered(self, request: Request, place: int, status: int, body: bytes, hold_off_s: float) -> None:
         if status == 200:
-            self.over(op, "acked" if body == b"done " + op.body else "wrong")
+            self.over(request, "acked" if body == b"done " + request.body else "wrong")
         elif status in (429, 503):
             self.counts["nacked"] += 1
-            if told:
-                self.waits.record_value(max(1, min(60_000, int(1000.0 * told))))
-            op.state[2] += 1
-            self.again(op, max(self.habits.pause, told) if op.heeds else self.habits.pause)
+            if hold_off_s:
+                self.waits.record_value(max(1, min(60_000, int(1000.0 * hold_off_s))))
+            request.state[2] += 1
+            self.again(request, max(self.habits.pause, hold_off_s) if request.heeds else self.habits.pause)
         else:
             self.counts["failed"] += 1
-            self.again(op, self.habits.pause) if op.kind.repeats != "unsafe" else self.over(op, "gave_up")
+            self.again(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
 
-    def unanswered(self, op: Op) -> None:
+    def unanswered(self, request: Request) -> None:
         self.counts["unanswered"] += 1
-        self.again(op, self.habits.pause) if op.kind.repeats != "unsafe" else self.over(op, "gave_up")
+        self.again(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
 
-    def broken(self, op: Op) -> None:
+    def broken(self, request: Request) -> None:
         self.counts["broken"] += 1
-        op.state[2] += 1
-        self.again(op, self.habits.pause)
+        request.state[2] += 1
+        self.again(request, self.habits.pause)
 
-    def refused(self, op: Op) -> None:
+    def refused(self, request: Request) -> None:
         self.counts["refused"] += 1
-        op.state[2] += 1
-        self.again(op, self.habits.pause)
+        request.state[2] += 1
+        self.again(request, self.habits.pause)
 
-    def again(self, op: Op, pause: float) -> None:
-        asyncio.get_running_loop().call_later(pause, self.next_try, op)
+    def again(self, request: Request, pause: float) -> None:
+        asyncio.get_running_loop().call_later(pause, self.next_try, request)
 
-    def over(self, op: Op, how: str) -> None:
-        if op.state[1]:
+    def over(self, request: Request, how: str) -> None:
+        if request.state[1]:
             return
-        op.state[1] = True
+        request.state[1] = True
         self.waiting -= 1
         self.counts[how] += 1
-        took, kind = time.time() - op.born, self.by_kind[op.kind.name]
+        took, kind = time.time() - request.born, self.by_kind[request.kind.name]
         if how == "acked":
             kind[1] += 1
             self.latency.record_value(max(1, min(120_000, int(1000.0 * took))))
             if took <= self.target:
-                bucket = int((op.born - self.habits.start_at) / BUCKET)
+                bucket = int((request.born - self.habits.start_at) / BUCKET)
                 self.in_time[bucket] = self.in_time.get(bucket, 0) + 1
                 kind[2] += 1
 
--- a/mulleinhatch/testing/fake_directory.py
+++ b/mulleinhatch/testing/fake_directory.py
@@ -32,12 +32,12 @@
         self.counts = {"reports": 0, "broken": 0}
 
     def report(self, now: float, datagram: bytes) -> None:
-        words = datagram.decode("latin-1").split(" ")
-        if len(words) != 3 or words[0] != "PULSE" or words[2] not in ("open", "closed"):
+        fields = datagram.decode("latin-1").split(" ")
+        if len(fields) != 3 or fields[0] != "PULSE" or fields[2] not in ("open", "closed"):
             self.counts["broken"] += 1
             return
         self.counts["reports"] += 1
-        self.heard.append((now, words[1], words[2] == "open"))
+        self.heard.append((now, fields[1], fields[2] == "open"))
 
     def names(self, now: float) -> list[str]:
         known = now - self.behind
--- a/mulleinhatch/testing/fake_interpreter.py
+++ b/mulleinhatch/testing/fake_interpreter.py
@@ -81,7 +81,7 @@
         self.draw = random.Random(1)
         self.starts: list[tuple[float, str]] = []  # when each run began, on the system's clock, and its op type
         self.keep_starts = False
-        self.life = 1  # one more with each reset
+        self.incarnation = 1  # one more with each reset
         self.once: list[tuple[float, int, str, str]] = []  # of runs that may not be had twice: when, life, id of the try, op
 
     def reset(self) -> None:
@@ -91,7 +91,7 @@
         if self.timer:
             self.timer.cancel()
         self.born, self.writer, self.timer, self.wanted = time.monotonic(), None, None, None
-        self.life += 1
+        self.incarnation += 1
         self.cores, self.bodies, self.notices, self.first_kept = Cores(self.cores.cores, self.speed), {}, [], 1
         self.busy_then = deque([(self.born, 0.0)])
 
@@ -111,35 +111,35 @@
             pass
         writer.close()
 
-    def command(self, told: dict[str, Any]) -> None:
+    def command(self, message: dict[str, Any]) -> None:
         now = time.monotonic()
-        if told["t"] == "CONNECT":
+        if message["t"] == "CONNECT":
             self.say(
                 json.dumps(
                     {"t": "BANNER", "status": "new" if self.warming else "old", "time_ms": 1000.0 * (now - self.born)}
                 ).encode()
             )
-            for notice in self.notices[max(0, told["no"] + 1 - self.first_kept) :]:
+            for notice in self.notices[max(0, message["no"] + 1 - self.first_kept) :]:
                 self.say(notice)
-        elif told["t"] == "TOP":
+        elif message["t"] == "TOP":
             self.say(
                 json.dumps(
-                    {"t": "TOPS", "mark": told["mark"], "v": [self.core_use(now), len(self.cores.running), 0.1, 1]}
+                    {"t": "TOPS", "mark": message["mark"], "v": [self.core_use(now), len(self.cores.running), 0.1, 1]}
                 ).encode()
             )
-        elif told["t"] == "APPLY" and told["rid"] not in self.bodies:
-            body = b64decode(told["b64"])
+        elif message["t"] == "APPLY" and message["rid"] not in self.bodies:
+            body = b64decode(message["b64"])
             work, who, *_ = body.split(b" ")
             if who == b"alike":
-                self.alike.append(told["rid"])  # who it is the stubs know by its id
+                self.alike.append(message["rid"])  # who it is the stubs know by its id
             else:
-                self.ran[f"{told['route']} {who.decode()}"] += 1
-            self.bodies[told["rid"]] = body, now
+                self.ran[f"{message['route']} {who.decode()}"] += 1
+            self.bodies[message["rid"]] = body, now
             if self.keep_starts:
-                self.starts.append((time.time(), told["route"]))
-                if told["route"] == "signoff":
-                    self.once.append((time.time(), self.life, told["rid"], f"signoff {who.decode()}"))
-            self.cores.start(now, told["rid"], float(work) / 1000.0)
+                self.starts.append((time.time(), message["route"]))
+                if message["route"] == "signoff":
+                    self.once.append((time.time(), self.incarnation, message["rid"], f"signoff {who.decode()}"))
+            self.cores.start(now, message["rid"], float(work) / 1000.0)
             self.look()
 
     def core_use(self, now: float) -> float:
@@ -230,9 +230,9 @@
             return
         *lines, heard = (heard + data).split(b"\n")
         for line in lines:
-            told(*line.decode().split())
+            apply_command(*line.decode().split())
 
-    def told(word: str, place: str, *amount: str) -> None:
+    def apply_command(word: str, place: str, *amount: str) -> None:
         host = hosts[int(place)]
         if word == "reset":
             host.reset()
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -104,44 +104,44 @@
     """
     faults: list[Fault] = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.partition("#")[0].split()
-        if words:
+        fields = line.partition("#")[0].split()
+        if fields:
             try:
-                faults += of(words, instances)
+                faults += of(fields, instances)
             except (ValueError, IndexError, KeyError):
-                raise FaultScriptError(f"line {number}: {' '.join(words)!r} is no fault") from None
+                raise FaultScriptError(f"line {number}: {' '.join(fields)!r} is no fault") from None
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def of(words: list[str], instances: int) -> list[Fault]:
-    if words[0] != "at" or len(words) < 4:
+def of(fields: list[str], instances: int) -> list[Fault]:
+    if fields[0] != "at" or len(fields) < 4:
         raise ValueError
-    at, what = float(words[1]), words[2]
+    at, what = float(fields[1]), fields[2]
     if what in ("silent", "garble"):
-        count, places, told = int(words[3]), (int(words[5]),), dict(zip(words[6::2], words[7::2]))
-        return [Fault(at, what, places, count), Fault(at + float(told["for"]), "quiet", places)]
-    if what == "directory" and words[3] == "off":
-        return [Fault(at, "directory", (), until=at + float(_after(words, "for")))]
-    places = numbers(words[3], instances)
+        count, places, options = int(fields[3]), (int(fields[5]),), dict(zip(fields[6::2], fields[7::2]))
+        return [Fault(at, what, places, count), Fault(at + float(options["for"]), "quiet", places)]
+    if what == "directory" and fields[3] == "off":
+        return [Fault(at, "directory", (), until=at + float(_after(fields, "for")))]
+    places = numbers(fields[3], instances)
     if what in LINKS + WORK:
-        until, named = at + float(_after(words, "for")), {"cut": "from", "deaf": "to", "slow": "by"}.get(what)
+        until, named = at + float(_after(fields, "for")), {"cut": "from", "deaf": "to", "slow": "by"}.get(what)
         if what in ("cut", "deaf"):
-            return [Fault(at, what, places, others=numbers(_after(words, named), instances), until=until)]
-        told_amount = float(_after(words, named) if named else words[4])
-        if told_amount < 0.0 or what in ("lossy", "repeated", "swapped", "failing") and told_amount > 1.0:
+            return [Fault(at, what, places, others=numbers(_after(fields, named), instances), until=until)]
+        amount = float(_after(fields, named) if named else fields[4])
+        if amount < 0.0 or what in ("lossy", "repeated", "swapped", "failing") and amount > 1.0:
             raise ValueError
-        return [Fault(at, what, places, amount=told_amount, until=until)]
+        return [Fault(at, what, places, amount=amount, until=until)]
     if what == "stall":
-        return [Fault(at, what, places), Fault(at + float(_after(words, "for")), "go", places)]
-    told = {word: float(number) for word, number in zip(words[4::2], words[5::2])}
+        return [Fault(at, what, places), Fault(at + float(_after(fields, "for")), "go", places)]
+    options = {word: float(number) for word, number in zip(fields[4::2], fields[5::2])}
     if what == "replace":
-        return [Fault(at, "kill", places), Fault(at + told["for"], "renew", places)]
+        return [Fault(at, "kill", places), Fault(at + options["for"], "renew", places)]
     if what in ("kill", "freeze"):
         back = "start" if what == "kill" else "thaw"
-        return [Fault(at, what, places)] + ([Fault(at + told["for"], back, places)] if "for" in told else [])
+        return [Fault(at, what, places)] + ([Fault(at + options["for"], back, places)] if "for" in options else [])
     if what == "flap":
-        every, moments = told["every"], []
-        while at <= told["until"]:
+        every, moments = options["every"], []
+        while at <= options["until"]:
             moments += [Fault(at, "kill", places), Fault(at + every, "start", places)]
             at += 2.0 * every
         return moments
@@ -150,5 +150,5 @@
     raise ValueError
 
 
-def _after(words: list[str], word: str) -> str:
-    return words[words.index(word) + 1]
+def _after(fields: list[str], word: str) -> str:
+    return fields[fields.index(word) + 1]
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -38,7 +38,7 @@
     window: float = 1.0
     leases: bool = True
     loads: tuple[tuple[str, float], ...] = ()
-    beat: float = 0.1
+    heartbeat_s: float = 0.1
     work_ms: float = 2.0
     cores: int = 4
     seed: int = 1
@@ -47,7 +47,7 @@
     fleet: bool = True  # False: the same processes with no fleet, for what it costs
     lease: float = 5.0
     spread: str = ""  # lines of a `spread` node; "-" for an empty one; none: load is not spread
-    upkeep: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
+    maintenance: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
     signoffs: float = 0.0  # share of the ops that may not run twice
     tries: int = 1  # of an op
     heeding: float = 0.0
@@ -88,7 +88,7 @@
 
     async def start(self) -> None:
         harness, case = self.harness, self.harness.case
-        told = {
+        settings_json = {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
             "vm": f"127.0.0.1:{harness.links[self.place]}",
@@ -99,7 +99,7 @@
             "settings": settings(case),
         }
         config, operator = harness.folder / f"{self.name}.json", harness.folder / f"{self.name}.kdl"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(settings_json))
         names = " ".join(f'"n{place}"' for place in range(case.instances))
         seeds = " ".join(f'"127.0.0.1:{harness.here[place]}"' for place in harness.seeds)
         budget = (
@@ -109,7 +109,7 @@
         )
         operator.write_text(
             f'fleet {{\n name "rig"\n listen "127.0.0.1:{self.udp}"\n status "127.0.0.1:{self.port}"\n'
-            f' advertise "127.0.0.1:{harness.here[self.place]}"\n seeds {seeds}\n beat {case.beat}\n'
+            f' advertise "127.0.0.1:{harness.here[self.place]}"\n seeds {seeds}\n beat {case.heartbeat_s}\n'
             f" seats {names}\n {budget}\n}}\n"
             if case.fleet
             else ""
@@ -117,9 +117,9 @@
         if case.spread:
             with open(operator, "a") as more:
                 more.write(f'spread {{\n at "127.0.0.1:{self.port}"\n {case.spread.strip("-")}\n}}\n')
-        if case.upkeep:
+        if case.maintenance:
             with open(operator, "a") as more:
-                lines = case.upkeep.format(
+                lines = case.maintenance.format(
                     folder=harness.folder / f"votes-{self.name}", control=f"127.0.0.1:{harness.controls[self.place]}"
                 )
                 more.write(f"upkeep {{\n{lines}\n}}\n")
@@ -151,12 +151,12 @@
         finally:
             writer.close()
 
-    async def upkeep(self, **told: Any) -> dict[str, Any]:
+    async def request_maintenance(self, **command: Any) -> dict[str, Any]:
         """A person's word to it; what it says, with `error` where it refuses or is not there."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.harness.controls[self.place])
             try:
-                writer.write(json.dumps(told).encode() + b"\n")
+                writer.write(json.dumps(command).encode() + b"\n")
                 return json.loads(await asyncio.wait_for(reader.readline(), 12.0))
             finally:
                 writer.close()
@@ -174,10 +174,10 @@
 
     async def counters(self) -> dict[str, int]:
         try:
-            words = (await self.ask("/status/counters")).decode()
+            body = (await self.ask("/status/counters")).decode()
         except (OSError, TimeoutError):
             return {}
-        return {name: int(count) for name, _, count in (line.partition("=") for line in words.splitlines())}
+        return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
     async def end(self) -> None:
         if self.up:
@@ -227,35 +227,35 @@
     async def __aenter__(self) -> FleetHarness:
         try:
             links = ",".join(map(str, self.links)) + ("," if len(self.links) == 1 else "")
-            self.host = await self._stand_in("fake_interpreter", links, str(self.case.cores), "1.0", "0.0")
+            self.host = await self._start_fake("fake_interpreter", links, str(self.case.cores), "1.0", "0.0")
             await self.host.stdout.readline()
             if self.case.directory:
-                self.directory = await self._stand_in("fake_directory", str(self.reports[1]), str(self.lists), "1.0")
+                self.directory = await self._start_fake("fake_directory", str(self.reports[1]), str(self.lists), "1.0")
                 await self.directory.stdout.readline()
             for first in range(0, len(self.nodes), STARTS_AT_A_TIME):
                 await asyncio.gather(*(node.start() for node in self.nodes[first : first + STARTS_AT_A_TIME]))
                 await asyncio.gather(*(self._is_up(node) for node in self.nodes[first : first + STARTS_AT_A_TIME]))
-            self.relay = await self._stand_in("datagram_relay")
+            self.relay = await self._start_fake("datagram_relay")
             self.start_at = time.time() + 1.0
-            await self._tell_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
+            await self._configure_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
             return self
         except BaseException:
             await self.__aexit__()
             raise
 
-    async def _stand_in(self, name: str, *told: str) -> asyncio.subprocess.Process:
+    async def _start_fake(self, name: str, *arguments: str) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             f"mulleinhatch.testing.{name}",
-            *told,
+            *arguments,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             limit=1 << 26,
         )
 
-    async def _tell_relay(self, start_at: float) -> None:
-        told = {
+    async def _configure_relay(self, start_at: float) -> None:
+        settings_json = {
             "here": self.here,
             "there": [node.udp for node in self.nodes],
             "script": self.case.script,
@@ -263,7 +263,7 @@
             "seed": self.case.seed,
             "directory": self.reports if self.case.directory else None,
         }
-        self.relay.stdin.write(json.dumps(told).encode() + b"\n")
+        self.relay.stdin.write(json.dumps(settings_json).encode() + b"\n")
         await self.relay.stdin.drain()
         await self.relay.stdout.readline()
 
@@ -278,9 +278,9 @@
         """Starts the script and the stubs; a new relay takes the place of the calm one."""
         self.relay.terminate()
         await self.relay.communicate()
-        self.relay = await self._stand_in("datagram_relay")
+        self.relay = await self._start_fake("datagram_relay")
         self.start_at = time.time() + 0.5
-        await self._tell_relay(self.start_at)
+        await self._configure_relay(self.start_at)
         case = self.case
         for number, (places, rate) in enumerate(case.loads):
             chosen = faults.numbers(places, self.case.instances)
@@ -304,7 +304,7 @@
                 "names": [self.nodes[place].name for place in chosen],
                 "directory": self.lists if self.case.directory else 0,
             }
-            load = await self._stand_in("fake_callers")
+            load = await self._start_fake("fake_callers")
             load.stdin.write(json.dumps(habits).encode() + b"\n")
             await load.stdin.drain()
             self.loads.append(load)
@@ -352,8 +352,8 @@
     async def views(self) -> dict[str, dict[str, Any]]:
         """By name, what each that answers knows of the fleet; of a large one every so many, or the look itself is a load."""
         nodes = self.nodes[:: max(1, self.case.instances // LOOKED_AT)]
-        told = await asyncio.gather(*(node.fleet() for node in nodes))
-        return {node.name: view for node, view in zip(nodes, told) if view}
+        answers = await asyncio.gather(*(node.fleet() for node in nodes))
+        return {node.name: view for node, view in zip(nodes, answers) if view}
 
     async def wait_for(self, what: Callable[[dict[str, dict[str, Any]]], bool], within: float) -> float | None:
         """Seconds until that held of all views, or None."""
@@ -371,23 +371,23 @@
 
     def usage(self) -> list[tuple[float, int] | None]:
         """CPU seconds and bytes of memory, by place."""
-        told: list[tuple[float, int] | None] = []
+        usage: list[tuple[float, int] | None] = []
         for node in self.nodes:
             try:
                 times = node.watched.cpu_times()
-                told.append((times.user + times.system, node.watched.memory_info().rss))
+                usage.append((times.user + times.system, node.watched.memory_info().rss))
             except (psutil.Error, AttributeError):
-                told.append(None)
-        return told
+                usage.append(None)
+        return usage
 
     async def finish(self) -> dict[str, Any]:
         """Waits for script and stubs; what the stand-ins have to report."""
         if self.scripted:
             await self.scripted
-        stubs = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
-        for stub, (places, _) in zip(stubs, self.case.loads):
+        clients = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
+        for client, (places, _) in zip(clients, self.case.loads):
             known = faults.numbers(places, self.case.instances)  # a stub numbers those it knows
-            stub["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in stub["broken_once"].items()}
+            client["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in client["broken_once"].items()}
         self.host.terminate()
         ran = json.loads((await self.host.communicate())[0])
         self.relay.terminate()
@@ -395,8 +395,8 @@
         if self.directory:
             self.directory.terminate()
             relayed["directory"] = json.loads((await self.directory.communicate())[0])
-        late = max([self.late, relayed["late"], *(stub["late"]["99"] for stub in stubs)])
-        return {"stubs": stubs, "ran": ran, "relay": relayed, "late": late, "deaths": self.deaths}
+        late = max([self.late, relayed["late"], *(client["late"]["99"] for client in clients)])
+        return {"stubs": clients, "ran": ran, "relay": relayed, "late": late, "deaths": self.deaths}
 
     async def __aexit__(self, *error: object) -> None:
         if self.scripted:
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -64,10 +64,10 @@
 def settings(case: Case) -> dict[str, Any]:
     """What the instances are told of the deployment."""
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
-    worth = {"read": 1.0, "update": 2.0, "signoff": 5.0, "stamp": 5.0}
+    value = {"read": 1.0, "update": 2.0, "signoff": 5.0, "stamp": 5.0}
     return {
         "classes": [
-            {"name": kind["name"], "effect": kind["repeats"], "worth": worth[kind["name"]], **timing} for kind in KINDS
+            {"name": kind["name"], "effect": kind["repeats"], "worth": value[kind["name"]], **timing} for kind in KINDS
         ],
         "family_info": {
             "cores": case.cores,
@@ -100,22 +100,22 @@
         self.instance: asyncio.subprocess.Process | None = None
         self.interpreter: asyncio.subprocess.Process | None = None
         self.watched: psutil.Process | None = None
-        self.life = 0
-        self.lost_lives: list[dict[str, Any]] = []
+        self.incarnation = 0
+        self.lost_reports: list[dict[str, Any]] = []
 
     async def start(self) -> None:
-        case, self.life = self.case, self.life + 1
-        told = {
+        case, self.incarnation = self.case, self.incarnation + 1
+        config_json = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
             "vm": f"127.0.0.1:{self.link}",
-            "seed": f"{case.seed * 1000 + self.number * 10 + self.life:x}",
+            "seed": f"{case.seed * 1000 + self.number * 10 + self.incarnation:x}",
             "stop_ms": 3000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": settings(case),
         }
         config, operator = self.folder / f"n{self.number}.json", self.folder / "operator.kdl"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(config_json))
         operator.write_text(case.operator)
         self.interpreter = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -156,7 +156,7 @@
     async def kill(self) -> None:
         """Outright; the interpreter first tells what it ran, which a kill would take with it."""
         self.instance.kill()
-        self.lost_lives.append(await self.stop())
+        self.lost_reports.append(await self.stop())
         self.watched = None
 
     async def ask(self, path: str) -> str:
@@ -200,7 +200,7 @@
             done = await asyncio.wait_for(asyncio.gather(*reports), self.case.run_for + 20.0)
             sampling.cancel()
             counters = [await place.counters() for place in self.places]
-            ran = [[*place.lost_lives, await place.stop()] for place in self.places]
+            ran = [[*place.lost_reports, await place.stop()] for place in self.places]
             return {
                 "stubs": [json.loads(out) for out, _ in done],
                 "counters": counters,
@@ -353,16 +353,16 @@
     return asyncio.run(all_of_them())
 
 
-def outcome(case: Case, told: dict[str, Any]) -> dict[str, Any]:
+def outcome(case: Case, report: dict[str, Any]) -> dict[str, Any]:
     """The figures that a run is judged by; shares from 0 to 1, times in seconds from the end of the outage."""
-    bucket = told["stubs"][0]["bucket"]
+    bucket = report["stubs"][0]["bucket"]
     first: dict[int, int] = {}
     good: dict[int, int] = {}
-    for stub in told["stubs"]:
+    for client in report["stubs"]:
         for name, into in (("first", first), ("in_time", good)):
-            for key, count in stub[name].items():
+            for key, count in client[name].items():
                 into[int(key)] = into.get(int(key), 0) + count
-    end, per = told["end"], round(1.0 / bucket)
+    end, per = report["end"], round(1.0 / bucket)
     start, stop = round(end * per), round(case.run_for * per)
     after, served = sum(first.get(b, 0) for b in range(start, stop)), sum(good.get(b, 0) for b in range(start, stop))
     back, late = None, 0
@@ -375,38 +375,38 @@
     before = range(0, round(min(outages, default=case.run_for) * per) - 2 * per)
     calm = sum(first.get(b, 0) for b in before)
     twice: dict[str, int] = {}
-    for life in (life for lives in told["ran"] for life in lives):
-        for name, count in life.get("twice", {}).items():
+    for incarnation in (last for reports in report["ran"] for last in reports):
+        for name, count in incarnation.get("twice", {}).items():
             twice[name] = twice.get(name, 0) + count
-        late = max(late, life.get("late_most", 0.0))
+        late = max(late, incarnation.get("late_most", 0.0))
         # Ops that look alike are counted by the ids of their tries, in each life: who they are the stubs alone know.
         owners = [
             (number, refs[ref])
-            for ref in life.get("alike", ())
-            for number, refs in enumerate(stub["refs"] for stub in told["stubs"])
+            for ref in incarnation.get("alike", ())
+            for number, refs in enumerate(client["refs"] for client in report["stubs"])
             if ref in refs
         ]
         twice["signoff"] = twice.get("signoff", 0) + len(owners) - len(set(owners))
-    counts = {name: sum(stub["counts"][name] for stub in told["stubs"]) for name in told["stubs"][0]["counts"]}
+    counts = {name: sum(client["counts"][name] for client in report["stubs"]) for name in report["stubs"][0]["counts"]}
     tries = {}
-    for stub in told["stubs"]:
-        for key, count in stub["tries"].items():
+    for client in report["stubs"]:
+        for key, count in client["tries"].items():
             tries[int(key)] = tries.get(int(key), 0) + count
     return {
         "in_time": served / max(1, after),
         "calm": sum(good.get(b, 0) for b in before) / max(1, calm),
         "back_after": back,
-        "core": core_use(told["samples"], end + 10.0),
-        "core_all": core_use(told["samples"], 0.0),
-        "memory_mb": max(max(sample[2]) for sample in told["samples"]) / 1e6,
+        "core": core_use(report["samples"], end + 10.0),
+        "core_all": core_use(report["samples"], 0.0),
+        "memory_mb": max(max(sample[2]) for sample in report["samples"]) / 1e6,
         "lost": counts["unanswered"],
         "wrong": counts["wrong"],
         "twice": twice.get("signoff", 0) + twice.get("stamp", 0),
         "most_tries": max(tries.values()) / bucket,
-        "told": max((stub["told"] for stub in told["stubs"]), key=lambda told: told["50"]),
-        "late": max([late, told["rig_late"], *(stub["late"]["99"] for stub in told["stubs"])]),
+        "told": max((client["told"] for client in report["stubs"]), key=lambda hold_off: hold_off["50"]),
+        "late": max([late, report["rig_late"], *(client["late"]["99"] for client in report["stubs"])]),
         "counts": counts,
-        "counters": told["counters"],
+        "counters": report["counters"],
         "series": {"first": first, "good": good, "tries": tries},
     }
 
--- a/mulleinhatch/testing/load_generator.py
+++ b/mulleinhatch/testing/load_generator.py
@@ -55,7 +55,7 @@
     keep: bool = False  # report each answer, [when due, latency], and the driver's lateness by slices
 
 
-def checked(told: bytes) -> Habits:
+def checked(line: bytes) -> Habits:
     """
     >>> checked(b'{"port": 1, "rate": 0, "run_for": 1}')
     Traceback (most recent call last):
@@ -64,7 +64,7 @@
     Traceback (most recent call last):
     ValueError: wire: 'carrier pigeon' is neither http nor link
     """
-    habits = msgspec.json.decode(told, type=Habits)
+    habits = msgspec.json.decode(line, type=Habits)
     for key in ("rate", "run_for", "connections", "classes", "callers"):
         if not getattr(habits, key) > 0:
             raise ValueError(f"{key}: {getattr(habits, key)!r} is not above zero")
@@ -269,17 +269,17 @@
         }
 
 
-def calm_latencies(told: dict[str, Any], most: float) -> list[float]:
+def calm_latencies(report: dict[str, Any], most: float) -> list[float]:
     """Seconds, of the requests due in slices in which, and in the one before, the driver itself was late by `most` at most. Its
     lateness tells of the machine, and owes nothing to who answers, so that this leaves out no wait of the server's.
 
     >>> calm_latencies({"kept": [[0.05, 1.0], [0.15, 2.0], [0.25, 3.0], [0.35, 4.0]], "late_in": {"2": 0.1}}, 0.01)
     [1.0, 2.0]
     """
-    late = {int(place): seconds for place, seconds in told["late_in"].items()}
+    late = {int(place): seconds for place, seconds in report["late_in"].items()}
     return [
         latency
-        for due, latency in told["kept"]
+        for due, latency in report["kept"]
         if max(late.get(int(due / SLICE), 0.0), late.get(int(due / SLICE) - 1, 0.0)) <= most
     ]
 
--- a/mulleinhatch/testing/single_instance.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -32,7 +32,7 @@
     if tenants < 0 or classes < 1 or worths < 1:
         raise ValueError(f"{tenants} tenants, {classes} classes of {worths} worths: sizes below what there can be")
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
-    told: dict[str, Any] = {
+    settings_json: dict[str, Any] = {
         "classes": [
             {"name": f"c{place}", "effect": "safe", "worth": 1.0 + place % worths, **timing} for place in range(classes)
         ],
@@ -52,10 +52,10 @@
     }
     if tenants:
         fraction = min(1.0, 4.0 / tenants)
-        told["tenants"] = [
+        settings_json["tenants"] = [
             {"name": f"t{place:07d}", "fraction": fraction, "quota_per_s": 3600 * quota} for place in range(tenants)
         ]
-    return told
+    return settings_json
 
 
 def cpu_seconds(process: psutil.Process) -> float:
@@ -72,12 +72,12 @@
 
 
 class SingleInstance:
-    def __init__(self, folder: Path, told: dict[str, Any], sockets: int = 1024, operator: str = "") -> None:
+    def __init__(self, folder: Path, settings_json: dict[str, Any], sockets: int = 1024, operator: str = "") -> None:
         self.folder, self.port, self.link = folder, free_port(), free_port()
         self.config, self.log = folder / "config.json", folder / "instance.log"
         self.sockets = sockets
-        self.first_tenant = told["tenants"][0]["name"] if told.get("tenants") else ""
-        self.write(told)
+        self.first_tenant = settings_json["tenants"][0]["name"] if settings_json.get("tenants") else ""
+        self.write(settings_json)
         self.json_bytes = self.config.stat().st_size
         self.interpreter = self._interpreter(self.link)
         environ = {name: text for name, text in os.environ.items() if not name.startswith("NODE_")}
@@ -105,19 +105,19 @@
     def __exit__(self, *_: object) -> None:
         self.stop()
 
-    def write(self, told: dict[str, Any]) -> None:
+    def write(self, settings_json: dict[str, Any]) -> None:
         """The file of the next start or reload, whole or not at all."""
-        whole = {
+        config_json = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "vm": f"127.0.0.1:{self.link}",
             "seed": "5",
             "stop_ms": 100,
             "limits": {"sockets": self.sockets},
-            "settings": told,
+            "settings": settings_json,
         }
         new = self.config.with_suffix(".new")
-        new.write_text(json.dumps(whole))
+        new.write_text(json.dumps(config_json))
         new.replace(self.config)
 
     @staticmethod
@@ -161,19 +161,19 @@
     def _request(self) -> str:
         ref, tenant = f"{random.getrandbits(64):016x}", f"X-Tenant: {self.first_tenant}\r\n" if self.first_tenant else ""
         body = f"0.10 {ref}"
-        return self._said(
+        return self._exchange(
             f"POST /svc/c0 HTTP/1.1\r\nHost: x\r\nX-Request-Id: {ref}\r\nX-Request-Start: "
             f"{1000.0 * time.time():.0f}\r\nX-Memory-Kb: 1.0\r\nX-Timeout-Ms: 4000\r\nConnection: close\r\n"
             f"{tenant}Content-Length: {len(body)}\r\n\r\n{body}"
         )
 
     def ask(self, path: str) -> str:
-        return self._said(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        return self._exchange(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 
-    def _said(self, words: str) -> str:
+    def _exchange(self, request: str) -> str:
         with socket.create_connection(("127.0.0.1", self.port), 5.0) as sock:
             sock.settimeout(30.0)
-            sock.sendall(words.encode())
+            sock.sendall(request.encode())
             pieces = []
             while piece := sock.recv(65536):
                 pieces.append(piece)
@@ -240,6 +240,6 @@
     cpu, at = single_instance.cpu(), time.monotonic()
     time.sleep(0.8 * run_for)
     memory = single_instance.memory()
-    told = driving.done()
+    report = driving.done()
     cpu, took = single_instance.cpu() - cpu, time.monotonic() - at
-    return {**told, "cpu_ms": 1000.0 * cpu / max(1, told["answered"]), "core": cpu / took, "memory": memory, "took": took}
+    return {**report, "cpu_ms": 1000.0 * cpu / max(1, report["answered"]), "core": cpu / took, "memory": memory, "took": took}
--- a/tests/test_standins.py
+++ b/tests/test_fake_interpreter.py
@@ -56,7 +56,7 @@
         return host
 
     host = asyncio.run(play())
-    assert [ref for _, _, ref, _ in host.once] == ["r1"] and host.life == (1 if replaced else 2)
+    assert [ref for _, _, ref, _ in host.once] == ["r1"] and host.incarnation == (1 if replaced else 2)
 
 
 def test_the_host_of_interpreters_hears_all_lines_of_one_write() -> None:
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -23,7 +23,7 @@
     worlds = {share: World(scenario._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
     served = {share: world.share_in_time(*span) for share, world in worlds.items()}
     assert max(served.values()) - min(served.values()) <= 0.03, served
-    assert min(served.values()) >= World(scenario, 2, storms=None).play().share_in_time(*span) - 0.02, served
+    assert min(served.values()) >= World(scenario, 2, storm_bounds=None).play().share_in_time(*span) - 0.02, served
     for share, world in worlds.items():
         assert not world.ran_twice()
         signoffs = sum(world.effect.values())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -47,8 +47,8 @@
     assert once[0] != played(1, seed=2)[0]
 
 
-def test_spread_upkeep_and_budgets_play_along_with_one_history() -> None:
-    more = {"spread": True, "upkeep": 3, "budgets": (("quota", 180, 1.0),)}
+def test_load_balancing_maintenance_and_budgets_keep_one_history() -> None:
+    more = {"spread": True, "maintenance_voters": 3, "budgets": (("quota", 180, 1.0),)}
     assert played(1, until=2.0, **more) == played(2, until=2.0, **more)
 
 
@@ -76,20 +76,20 @@
     monkeypatch.setattr(Shard, "_heard", hears)
     with World(Plan(members=9), processes=False) as world:
         world.play(3.0)
-        told = world.traffic(0, 4)
-    assert sum(sum(books[0]) for books in told.values()) == sum(seen) + HEADERS * len(seen) > 0
-    assert sum(sum(books[1]) for books in told.values()) == sum(received) + HEADERS * len(received) > 0
-    assert sum(sum(books[2]) for books in told.values()) == len(seen)
-    assert sum(sum(books[3]) for books in told.values()) == len(received)
+        report = world.traffic(0, 4)
+    assert sum(sum(series[0]) for series in report.values()) == sum(seen) + HEADERS * len(seen) > 0
+    assert sum(sum(series[1]) for series in report.values()) == sum(received) + HEADERS * len(received) > 0
+    assert sum(sum(series[2]) for series in report.values()) == len(seen)
+    assert sum(sum(series[3]) for series in report.values()) == len(received)
 
 
 def test_what_is_lost_or_cut_is_sent_and_not_received() -> None:
     with World(Plan(members=9, script="at 2 cut 0-3 from 4-8 for 2"), processes=False) as world:
         world.play(5.0)
-        told = world.traffic(0, 5)
-    sent, heard = (sum(sum(books[kind][2:4]) for books in told.values()) for kind in (2, 3))
+        report = world.traffic(0, 5)
+    sent, heard = (sum(sum(series[kind][2:4]) for series in report.values()) for kind in (2, 3))
     assert heard < 0.8 * sent
-    sent, heard = (sum(sum(books[kind][1:2]) for books in told.values()) for kind in (2, 3))
+    sent, heard = (sum(sum(series[kind][1:2]) for series in report.values()) for kind in (2, 3))
     assert 0.98 * sent < heard <= 1.02 * sent
 
 
@@ -149,8 +149,8 @@
 def test_sums_that_count_the_dead_or_miss_the_living_are_found() -> None:
     looks = [
         Look(at, place, members, 0, 0.0, 9)
-        for place, told in ((1, (10, 10, 9, 9)), (2, (10, 9, 9, 9)))
-        for at, members in zip((1.0, 1.5, 2.0, 2.5), told)
+        for place, report in ((1, (10, 10, 9, 9)), (2, (10, 9, 9, 9)))
+        for at, members in zip((1.0, 1.5, 2.0, 2.5), report)
     ]
     assert in_sums(looks, {1, 2}, 0.5, 3.0) == 1.5 and in_sums(looks, {2}, 0.5, 3.0) == 1.0
     assert in_sums(looks, {1, 3}, 0.5, 3.0) is None and in_sums(looks, {1}, 0.5, 1.8) is None
@@ -167,12 +167,12 @@
 def test_traffic_of_the_worst_and_the_mean_instance() -> None:
     calm, loud = array("I", [100] * 20), array("I", [100] * 10 + [1000] + [100] * 9)
     none = array("I", [0] * 20)
-    told = traffic_of({0: (calm, none, none, none), 1: (loud, none, none, none)})
-    assert (told.worst, told.second, told.mean_second, told.sent) == (190.0, 1000.0, 550.0, told.mean)
+    report = traffic_of({0: (calm, none, none, none), 1: (loud, none, none, none)})
+    assert (report.worst, report.second, report.mean_second, report.sent) == (190.0, 1000.0, 550.0, report.mean)
     assert any_window([1.0] * 30) == 1.0
 
 
-def test_a_fit_recovers_a_known_line_and_log_and_tells_what_is_off() -> None:
+def test_fit_recovers_a_known_line_and_log_and_reports_the_residual() -> None:
     sizes = (25, 100, 400, 1000)
     line = fits.fit([(size, 30.0 + 0.25 * size) for size in sizes])
     assert (line.form, line.residual) == ("linear", 0.0) and math.isclose(line.at(3600), 930.0)
@@ -185,11 +185,11 @@
         fits.fit([])
 
 
-def test_a_record_tells_points_fit_and_check(tmp_path: Path) -> None:
+def test_record_holds_points_fit_and_check(tmp_path: Path) -> None:
     cost = fits.cost("bytes/s", [(25, 100.0), (100, 400.0), (400, 1600.0)], (1000, 4100.0))
     fits.written(tmp_path / "new" / "one.json", {"costs": {"instance.control.bytes": cost}})
-    told = json.loads((tmp_path / "new" / "one.json").read_text())["costs"]["instance.control.bytes"]
-    assert (told["form"], told["constant"], told["slope"], told["checked"]) == ("linear", 0.0, 4.0, [1000, 4100.0])
+    report = json.loads((tmp_path / "new" / "one.json").read_text())["costs"]["instance.control.bytes"]
+    assert (report["form"], report["constant"], report["slope"], report["checked"]) == ("linear", 0.0, 4.0, [1000, 4100.0])
 
 
 def test_places_of_kinds_and_scripts() -> None:
@@ -213,12 +213,12 @@
     ("plan", "says"),
     [(Plan(members=1), "1 members"), (Plan(members=9, script="at 1 kill zone9"), "zone9"), (Plan(group_size=1), "group")],
 )
-def test_a_plan_that_does_not_fit_is_told(plan: Plan, says: str) -> None:
+def test_plan_that_does_not_fit_is_rejected(plan: Plan, says: str) -> None:
     with pytest.raises(InvalidPlanError, match=says):
         World(plan, 1)
 
 
-def test_bad_scripts_and_process_counts_are_told() -> None:
+def test_bad_scripts_and_process_counts_are_rejected() -> None:
     with pytest.raises(faults.FaultScriptError, match="line 1"):
         World(Plan(members=9, script="at 1 kill 9"), 1)
     with pytest.raises(InvalidPlanError, match="99 processes"):
@@ -248,8 +248,8 @@
 def test_a_script_of_ones_own_is_played(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "f").write_text("at 2 kill 3 for 1\n")
     assert scale.main(["--flat", "--members", "12", "--faults", str(tmp_path / "f"), "--for", "7"]) == 0
-    told = json.loads(capsys.readouterr().out.splitlines()[-1])
-    assert told["holds"] and told["events"]["faults"]["wrong"] == 0 and told["events"]["faults"]["one"]
+    report = json.loads(capsys.readouterr().out.splitlines()[-1])
+    assert report["holds"] and report["events"]["faults"]["wrong"] == 0 and report["events"]["faults"]["one"]
     (tmp_path / "f").write_text("at 2 kill zone77\n")
     with pytest.raises(SystemExit, match="zone77"):
         scale.main(["--flat", "--members", "12", "--faults", str(tmp_path / "f")])
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -34,10 +34,10 @@
     def converse(sock: socket.socket) -> None:
         with sock:
             while data := sock.recv(65536):
-                if (words := answer(data)) is None:
+                if (reply := answer(data)) is None:
                     return
-                if words:
-                    sock.sendall(words)
+                if reply:
+                    sock.sendall(reply)
 
     def accept() -> None:
         while True:
@@ -74,11 +74,11 @@
         return GOOD
 
     with server(answer) as port:
-        told = played(port, connections=2)
-    assert told["lost"] == 0 and told["answered"] == told["sent"] > 50
-    assert told["latency_ms"]["p100"] >= 350.0
-    assert sum(latency >= 0.1 for _, latency in told["kept"]) >= 25  # of 40 due in the standstill
-    assert told["waited"] >= 25
+        report = played(port, connections=2)
+    assert report["lost"] == 0 and report["answered"] == report["sent"] > 50
+    assert report["latency_ms"]["p100"] >= 350.0
+    assert sum(latency >= 0.1 for _, latency in report["kept"]) >= 25  # of 40 due in the standstill
+    assert report["waited"] >= 25
 
 
 def test_a_latency_counts_from_when_the_request_was_due() -> None:
@@ -93,8 +93,8 @@
 
 def test_what_has_no_answer_is_lost() -> None:
     with server(lambda data: b"") as port:
-        told = played(port, run_for=0.2, drain=0.1, connections=50)
-    assert told["lost"] == told["sent"] > 10 and told["answered"] == 0
+        report = played(port, run_for=0.2, drain=0.1, connections=50)
+    assert report["lost"] == report["sent"] > 10 and report["answered"] == 0
 
 
 def test_what_ends_with_its_connection_is_lost() -> None:
@@ -105,9 +105,9 @@
         return None if len(came) % 5 == 0 else GOOD
 
     with server(answer) as port:
-        told = played(port)
-    assert told["broken"] == told["lost"] == len(came) // 5 > 5
-    assert told["answered"] + told["lost"] == told["sent"] == len(came)
+        report = played(port)
+    assert report["broken"] == report["lost"] == len(came) // 5 > 5
+    assert report["answered"] + report["lost"] == report["sent"] == len(came)
 
 
 def test_an_answer_in_pieces_is_one_answer_and_a_rejection_is_no_good_one() -> None:
@@ -117,9 +117,9 @@
         return rejected if b"X-Retry" in data else GOOD
 
     with server(answer) as port:
-        told = played(port, repeats=0.5)
-    assert told["lost"] == 0 and told["statuses"]["429"] + told["statuses"]["200"] == told["sent"]
-    assert told["statuses"]["429"] > 10
+        report = played(port, repeats=0.5)
+    assert report["lost"] == 0 and report["statuses"]["429"] + report["statuses"]["200"] == report["sent"]
+    assert report["statuses"]["429"] > 10
 
 
 def test_on_the_link_runs_without_a_notice_are_lost() -> None:
@@ -130,8 +130,8 @@
         )
 
     with server(answer) as port:
-        told = played(port, wire="link", drain=0.1)
-    assert 10 < told["lost"] < told["sent"] - 10 and told["lost"] + told["answered"] == told["sent"]
+        report = played(port, wire="link", drain=0.1)
+    assert 10 < report["lost"] < report["sent"] - 10 and report["lost"] + report["answered"] == report["sent"]
 
 
 @pytest.mark.parametrize("tenants,classes", [(0, 1), (3, 2), (2000, 1), (5, 3000)])
@@ -162,9 +162,9 @@
     with SingleInstance(tmp_path, settings(50)) as single_instance:
         good = driven(single_instance, 100, 0.8, tenants=50)
         unknown = driven(single_instance, 20, 0.3, tenants=50, tenant="x%07d", connections=50)
-        told = settings(50)
-        told["tenants"][0]["quota_per_s"] = 1.0
-        single_instance.write(told)
+        report = settings(50)
+        report["tenants"][0]["quota_per_s"] = 1.0
+        single_instance.write(report)
         single_instance.reload()
         until = time.monotonic() + 5.0
         while not single_instance.counters().get("reloads") and time.monotonic() < until:
@@ -183,17 +183,17 @@
 
 
 def test_an_instance_that_does_not_start_says_why(tmp_path: Path) -> None:
-    told = settings(2)
-    told["tenants"][1]["name"] = told["tenants"][0]["name"]
+    report = settings(2)
+    report["tenants"][1]["name"] = report["tenants"][0]["name"]
     with pytest.raises(RuntimeError, match="ended with 2.*a name comes twice"):
-        SingleInstance(tmp_path, told)
+        SingleInstance(tmp_path, report)
 
 
 @pytest.mark.parametrize(
-    "words,named", [(["--only", "everything"], "added, connections, callers"), (["--seed", "x"], "no whole number")]
+    "arguments,named", [(["--only", "everything"], "added, connections, callers"), (["--seed", "x"], "no whole number")]
 )
-def test_bad_arguments_are_named(capsys: pytest.CaptureFixture[str], words: list[str], named: str) -> None:
-    assert scale_instance.main(words) == 2
+def test_bad_arguments_are_named(capsys: pytest.CaptureFixture[str], arguments: list[str], named: str) -> None:
+    assert scale_instance.main(arguments) == 2
     assert named in capsys.readouterr().err
 
 
@@ -243,10 +243,10 @@
         book.cost(f"settings.{part}_memory", "MB", part, points)
         book.notes.append(f"{part}: calm")
         scale_instance.record(path, book, "python -m benchmarks.scale_instance", [part])
-    told = json.loads(path.read_text())
-    assert sorted(told["costs"]) == ["instance.settings.routes_memory", "instance.settings.tenants_memory"]
-    assert len(told["notes"]) == 2 and told["mechanism"] == "instance" and told["benchmark"] == "scale_instance"
-    assert set(told["costs"]["instance.settings.routes_memory"]) == {
+    report = json.loads(path.read_text())
+    assert sorted(report["costs"]) == ["instance.settings.routes_memory", "instance.settings.tenants_memory"]
+    assert len(report["notes"]) == 2 and report["mechanism"] == "instance" and report["benchmark"] == "scale_instance"
+    assert set(report["costs"]["instance.settings.routes_memory"]) == {
         "unit",
         "size",
         "points",
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -53,8 +53,8 @@
 
 
 def test_a_planted_defect_is_taken_out_again() -> None:
-    usual = [getattr(place, what) for told in defects.DEFECTS.values() for place, what, _ in told]
+    usual = [getattr(place, what) for patches in defects.DEFECTS.values() for place, what, _ in patches]
     for name in defects.DEFECTS:
         with pytest.raises(KeyError), defects.planted(name):
             raise KeyError
-    assert usual == [getattr(place, what) for told in defects.DEFECTS.values() for place, what, _ in told]
+    assert usual == [getattr(place, what) for patches in defects.DEFECTS.values() for place, what, _ in patches]
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -173,7 +173,7 @@
     """The outage of the design note on half the cores: 8 s, load 0.92, patience 30 s, nobody heeds."""
     scenario = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
     assert World(scenario, 1).play().share_in_time(14.0, 21.0) > 0.9
-    assert World(scenario, 1, storms=None).play().share_in_time(14.0, 21.0) < 0.6
+    assert World(scenario, 1, storm_bounds=None).play().share_in_time(14.0, 21.0) < 0.6
 
 
 def test_the_door_believes_nothing_that_a_full_reading_does_not() -> None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -83,7 +83,7 @@
     recorder, batches = lives[-1]
     recorder.flush()
     file = io.BytesIO()
-    facts = Facts("n1", seed=world.life, deployment=told_out(world.deployment), op_types=[kind[0] for kind in OP_KINDS])
+    facts = Facts("n1", seed=world.incarnation, deployment=told_out(world.deployment), op_types=[kind[0] for kind in OP_KINDS])
     writer = Writer(file, facts)
     for records, newest in batches:
         for start in range(0, len(records), 500):
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -422,7 +422,7 @@
         'voters "n0" "n1" "n2"\n most 2\n zone-most 1\n folder "{folder}"\n control "{control}"\n'
         ' zones {{\n x "n0" "n2" "n4"\n y "n1" "n3" "n5"\n }}'
     )
-    case = FleetCase(6, "at 2 cut 0 from 1-5 for 3\nat 6 stall 3 for 2", upkeep=lines, cores=2)
+    case = FleetCase(6, "at 2 cut 0 from 1-5 for 3\nat 6 stall 3 for 2", maintenance=lines, cores=2)
 
     async def play() -> tuple[MaintenanceWindows, float | None, list[dict]]:
         async with FleetHarness(case, tmp_path) as harness:
@@ -432,7 +432,9 @@
             await harness.go()
             maintenance_windows = MaintenanceWindows(harness, 0.5, zones)
             maintenance_windows.start()
-            told = await asyncio.gather(*(node.upkeep(do="ask", kind="kernel", seconds=1.0) for node in harness.nodes))
+            told = await asyncio.gather(
+                *(node.request_maintenance(do="ask", kind="kernel", seconds=1.0) for node in harness.nodes)
+            )
             done = await maintenance_windows.all_done(set(zones), 60.0)
             await maintenance_windows.stop()
             return maintenance_windows, done, list(told)
