--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -1,8 +1,8 @@
-"""A model checker for the parts of a budget: three members, every order of what can happen, to a stated depth.
+"""A model checker for the shares of a budget: three members, every order of events to a stated depth.
 
-It drives `Part` as it is and watches from outside: what the three may use together in any window, those that died in it
-too, must stay within the total. Time goes in ticks; clocks may run apart. A state is what the parts and the words on their
-way are, not how they came about, so each is looked at once.
+It drives `Part` unchanged and checks from outside that the units which all members could use in any window, including members
+that crashed in it, stay within the total. Time advances in ticks and clocks may drift. A state is identified by its content
+(shares and messages in flight), so each is visited once.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 
 
 class Model(NamedTuple):
+    """The share implementation, clock drift and clock rates to explore."""
+
     part: type[Part] = Part
     drift: float = 0.25
     rates: tuple[float, float, float] = (1.1, 0.9, 1.0)  # of the members' clocks
@@ -29,11 +31,12 @@
 
     @property
     def bounds(self) -> BudgetBounds:
+        """Return the budget that the members share."""
         return BudgetBounds("m", 6, NAMES, WINDOW, LEASE, self.drift)
 
 
 class State:
-    """Parts by place (None: crashed), lives, words on their way, the tick, and the most that each could use in this window."""
+    """Shares by member (None: crashed), incarnations, messages in flight, the tick, usable units by tick of the window."""
 
     def __init__(self, model: Model) -> None:
         self.parts: list[Part | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
@@ -43,10 +46,12 @@
         self.most = [[0, 0, 0] for _ in range(WINDOW)]  # by tick of the window, the newest last
 
     def local(self, model: Model, place: int) -> float:
+        """Return the member's local time in ticks."""
         return self.tick * model.rates[place]
 
 
 def actions(state: State) -> Iterator[tuple]:
+    """Yield the actions that are possible in `state`."""
     yield ("tick",)
     for index in range(len(state.messages)):
         yield "deliver", index
@@ -62,6 +67,7 @@
 
 
 def act(model: Model, state: State, action: tuple) -> None:
+    """Apply `action` to `state`."""
     what, *arguments = action
     if what == "tick":
         state.tick += 1
@@ -98,7 +104,7 @@
 
 
 def broken(model: Model, state: State) -> str:
-    """What does not hold in this state; it takes down what each may use."""
+    """Return the violated invariant, or an empty text; record what each member may use in this tick."""
     for place, part in enumerate(state.parts):
         usable = part.usable(state.local(model, place)) if part else 0
         if usable < 0:
@@ -109,8 +115,11 @@
 
 
 def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
-    """All that can happen in `depth` steps after those `before`: how many states, and the first history that breaks the
-    total, empty if none does."""
+    """Explore every order of events to `depth` steps after `before`.
+
+    Returns:
+        The number of states, and the first history that exceeds the total (empty if none does).
+    """
     start = State(model)
     for action in before:
         act(model, start, action)
@@ -127,7 +136,7 @@
 
 
 def explore_random_walks(model: Model, seed: int, walks: int, steps: int) -> str:
-    """Long histories by chance, for what lies deeper than all of them can be looked at."""
+    """Play long random histories, for states deeper than an exhaustive search reaches; return the first violation."""
     draw = random.Random(seed)
     for _ in range(walks):
         state, history = State(model), []
--- a/mulleinhatch/simulation/fault_search/campaign.py
+++ b/mulleinhatch/simulation/fault_search/campaign.py
@@ -1,4 +1,4 @@
-"""A campaign: histories drawn, played side by side, weighted towards kinds that met new states; what failed is made short."""
+"""A search campaign: random histories played in parallel, weighted towards fault kinds that reached new states, and shrunk."""
 
 from __future__ import annotations
 
@@ -20,6 +20,8 @@
 
 
 class Finding(NamedTuple):
+    """A history that violates an invariant, and its shrunk form."""
+
     history: History
     what: str
     short: History  # the shortest that still fails so
@@ -27,6 +29,8 @@
 
 
 class Campaign(NamedTuple):
+    """The counts and findings of one campaign."""
+
     histories: int
     seconds: float
     states: int
@@ -45,7 +49,12 @@
 
 
 def shrink_history(history: History, what: str, defect: str = "", most: int = 60) -> tuple[History, int]:
-    """Lines and then the rest that is not needed taken away, as long as it fails in the same way (delta debugging)."""
+    """Remove lines and load options that the failure does not need (delta debugging).
+
+    Returns:
+        The shortest history found that still fails in the same way, and the number of histories played.
+    Source: Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002, section 3.
+    """
     kind, tries = violation_kind(what), 0
 
     def fails(other: History) -> bool:
@@ -83,6 +92,17 @@
     processes: int | None = None,
     report_line: Callable[[str], None] = lambda line: None,
 ) -> Campaign:
+    """Play histories for `within` seconds, or until `most` were played.
+
+    Args:
+        seeds: The seeds to play, in order.
+        within: Seconds of real time.
+        defect: Name of the defect to plant; empty for none.
+        stop_at_first: Stop at the first finding and do not shrink it.
+        most: Histories at most.
+        processes: Worker processes; all cores by default.
+        report_line: Called with one line for each new kind of violation.
+    """
     begun, states, growth = time.monotonic(), set[tuple](), list[int]()
     weights, novel, kinds = dict.fromkeys(KINDS, 1.0), Counter[str](), Counter[str]()
     findings: list[Finding] = []
@@ -122,7 +142,7 @@
 
 
 def format_history(history: History) -> str:
-    """A file that `parse_history` reads: what is not the fault script stands in its first line.
+    """Return the text that `parse_history` reads: a JSON header line, then the fault script.
 
     >>> history = draw_history(5); parse_history(format_history(history)) == history
     True
@@ -138,6 +158,7 @@
 
 
 def parse_history(text: str) -> History:
+    """Parse the text that `format_history` wrote."""
     first_line, _, script = text.partition("\n")
     head = json.loads(first_line.removeprefix("#"))
     from mulleinhatch.simulation.load_balancing_world import Load
@@ -148,7 +169,7 @@
 
 
 def report(done: Campaign, path: Path, before: dict[str, Any] | None = None) -> dict[str, Any]:
-    """One page of HTML with its plots in it; the figures are returned, and go beside it as JSON."""
+    """Write one HTML page with its plots, and the same figures as JSON beside it; return the figures."""
     import base64
     import io
 
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -1,4 +1,4 @@
-"""Defects planted one at a time, to see whether the search finds them: each takes one thing out of the program."""
+"""Defects that can be planted one at a time, to check that the search finds them; each removes one safeguard."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
-    """Within it the program has that defect; an empty name plants none."""
+    """Plant a defect for the duration of the `with` block; an empty name plants none."""
     before = [(place, what, getattr(place, what)) for place, what, _ in DEFECTS.get(name, ())]
     for place, what, instead in DEFECTS.get(name, ()):
         setattr(place, what, instead)
--- a/mulleinhatch/simulation/fault_search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -1,7 +1,7 @@
-"""Histories by chance: faults in kinds that go together, load by habit, changes; a seed gives one to the last figure.
+"""Random histories: fault kinds that occur together, load, maintenance; one seed gives the same history to the last figure.
 
-What is near fails together; slow is as likely as dead; links fail one way or in part; what went comes back, sometimes again and
-again. A kind is drawn the more often the more new states it led to.
+Neighbours fail together; slow is as likely as dead; links fail in one direction or in part; what failed comes back, sometimes
+repeatedly. A fault kind is drawn more often the more new states it led to.
 """
 
 from __future__ import annotations
@@ -31,6 +31,8 @@
 
 
 class History(NamedTuple):
+    """One history: faults, load, and whether all machines request maintenance."""
+
     seed: int
     instances: int
     kinds: tuple[str, ...]
@@ -40,10 +42,12 @@
 
     @property
     def script(self) -> str:
+        """Return the fault script as text."""
         return "\n".join(self.lines)
 
 
 def draw_history(seed: int, weights: dict[str, float] | None = None) -> History:
+    """Draw the history of a seed; `weights` make some fault kinds more likely."""
     draw = random.Random(seed)
     instances = draw.choice((5, 6, 8, 12))
     weight = [(weights or {}).get(kind, 1.0) for kind in KINDS]
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -1,4 +1,4 @@
-"""One history played: reducers, modules, fleet, spread and upkeep cores together, checked from outside; the states it met."""
+"""Play one history: reducers, gossip, load-balancing and maintenance cores together, with invariants checked from outside."""
 
 from __future__ import annotations
 
@@ -23,6 +23,8 @@
 
 
 class SearchOutcome(NamedTuple):
+    """The first violation of a history, the states it reached, and its service figures."""
+
     what: str  # empty: all held
     states: frozenset[tuple]
     before: float  # share in time before the faults
@@ -34,6 +36,8 @@
 
 
 class SearchWorld(MaintenanceMixin, LoadBalancingWorld):
+    """A fleet with load, hand-over and maintenance, which samples the states it reaches."""
+
     def __init__(self, history: History) -> None:
         script = history.script
         self.end = max(FIRST + 1.0, faults.end_of(faults.read(script, history.instances)))
@@ -49,7 +53,7 @@
         self.at(FIRST - 2.0, self._see)
 
     def goes_out(self, node: Node) -> None:
-        """In order, as the program leaves: told to the reducer, held ops handed over or answered, then it ends."""
+        """Leave in the program's order: notify the reducer, hand over or answer queued requests, then stop."""
         self._take(node, Happening.LEAVE, GRACE)
         self._send(node, node.core.leave(node.clock(self.now)))
         self.at(self.now + GRACE, self._works_on, node, node.incarnations)
@@ -109,12 +113,14 @@
                 raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
 
     def share(self, since: float, until: float) -> float:
+        """Return the share of requested value that was served in time between two seconds."""
         seconds = [self.by_second.get(second, (0.0, 0.0)) for second in range(int(since), int(until))]
         asked = sum(sums[0] for sums in seconds)
         return sum(sums[1] for sums in seconds) / asked if asked else 1.0
 
 
 def play(history: History) -> SearchOutcome:
+    """Play a history to its end, or to the first violation."""
     world = SearchWorld(history)
     what, recovered = "", math.inf
     try:
@@ -172,5 +178,5 @@
 
 
 def violation_kind(what: str) -> str:
-    """What went wrong without its figures and names: shrinking must keep that."""
+    """Return the violation's text without figures and names, which shrinking must preserve."""
     return " ".join(word for word in what.split() if word.isalpha())
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: the real cores of up to hundreds of instances, their datagrams as bytes, faults by script.
+"""A fleet in virtual time: the real gossip cores of up to hundreds of instances, their datagrams as bytes, faults by script.
 
-One seed, one history. What must hold is checked from outside at each step: no more of a budget used in any window than its
-total, whoever used it, no negative part, and nobody declared gone by the smaller part of a cut fleet.
+One seed gives one history. Invariants are checked from outside at each step: the units of a budget used in any window stay
+within its total, no share is negative, and a minority partition declares nobody gone.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Node:
-    """One instance: its core, its clock, its meters; what waits in its socket while it is stopped."""
+    """One instance: its core, clock and meters, and the datagrams queued in its socket while it is stalled."""
 
     def __init__(self, world: GossipWorld, place: int) -> None:
         self.place, self.name, self.address = place, f"n{place}", f"10.0.0.1:{place}"
@@ -56,10 +56,13 @@
         self.meters: list[Meter] = []
 
     def clock(self, now: float) -> float:
+        """Return the node's local time for a time of the world."""
         return now * self.rate + self.offset
 
 
 class GossipWorld:
+    """The event queue, links, faults and invariant checks of one simulated fleet."""
+
     def __init__(self, plan: Plan) -> None:
         self.plan, self.draw, self.now, self.turn = plan, random.Random(plan.seed), 0.0, 0
         self.faults = faults.read(plan.script, plan.instances)
@@ -87,10 +90,12 @@
             self.at(fault.at, self._fault, fault)
 
     def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
+        """Schedule `act(*arguments)` at a time of the world."""
         self.turn += 1
         heapq.heappush(self.events, (when, self.turn, act, arguments))
 
     def play(self, until: float | None = None) -> GossipWorld:
+        """Run all events up to `until` (the plan's end by default)."""
         until = self.plan.until if until is None else until
         while self.events and self.events[0][0] <= until:
             self.now, _, act, arguments = heapq.heappop(self.events)
@@ -101,6 +106,7 @@
     # Processes.
 
     def start(self, node: Node) -> None:
+        """Start a new incarnation of the node; do nothing if it runs."""
         if node.core:
             return
         node.incarnations += 1
@@ -157,6 +163,7 @@
             self._declared(node)
 
     def local(self, node: Node) -> Local:
+        """Return the local figures that the node reports."""
         window = self.budgets[0].window if self.budgets else 1.0
         return Local(demands=tuple(meter.demand(node.clock(self.now)) if window else 0.0 for meter in node.meters))
 
@@ -194,7 +201,7 @@
         self._send(node, node.core.datagram(node.clock(self.now), data))
 
     def _use(self, node: Node, incarnation: int, budget: int) -> None:
-        """Asks for units at the rate of its demand, one at a time."""
+        """Request units one at a time, at the rate of the node's demand."""
         if node.core is None or node.incarnations != incarnation:
             return
         bounds = self.budgets[budget]
@@ -226,7 +233,7 @@
     # What must hold of members.
 
     def _hears(self, node: Node) -> int:
-        """How many others it can hear and be heard by just now."""
+        """Count the nodes that this one can exchange datagrams with in both directions."""
         return sum(
             other is not node
             and other.core is not None
@@ -237,7 +244,7 @@
         )
 
     def _in_hearing(self, node: Node) -> int:
-        """How many others it can hear just now, whether they hear it or not: by that it judges itself."""
+        """Count the nodes that this one can receive from, whether or not they receive from it: its own partition check."""
         return sum(
             other is not node
             and other.core is not None
@@ -259,7 +266,7 @@
         node.core.members.changes.clear()
 
     def _settled(self) -> bool:
-        """No cut, stall or crash began or ended a moment ago."""
+        """Return whether no fault began or ended within the last `CUT_OFF` seconds."""
         moments = [moment for fault in self.faults for moment in (fault.at, fault.until)]
         return all(not 0.0 <= self.now - moment < CUT_OFF for moment in moments)
 
@@ -267,7 +274,7 @@
         return sum(node.core is not None for node in self.nodes)
 
     def views_agree(self) -> bool:
-        """Whether all that run see all that run as there, and nobody else."""
+        """Return whether every running node sees exactly the running nodes as alive."""
         living = {node.name for node in self.nodes if node.core}
         for node in self.nodes:
             if node.core:
@@ -278,7 +285,7 @@
         return True
 
     def known_gone(self, name: str) -> float:
-        """The share of the others that see it as gone."""
+        """Return the share of the other nodes that see this one as gone."""
         others = [
             node.core.members.view.get(name) for node in self.nodes if node.core and not node.stalled and node.name != name
         ]
@@ -286,7 +293,7 @@
 
 
 def draw_fault_script(draw: random.Random, instances: int, start: float, length: float) -> str:
-    """A fault script by chance: a few faults that overlap, all over by `start + length`."""
+    """Draw a fault script: a few overlapping faults, all over by `start + length`."""
     lines = []
     for _ in range(draw.randint(1, 4)):
         at = start + draw.uniform(0.0, 0.5 * length)
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -1,8 +1,7 @@
-"""Callers, connections and an interpreter in virtual time round a real `Reducer`: one seed, one history.
+"""Clients, connections and an interpreter in virtual time around a real `Reducer`: one seed gives one history.
 
-No socket and no clock: an hour passes in seconds and the same seed gives the same history to the last answer. What must
-hold is checked at each step, whatever the player is told to let happen; `InvariantBrokenError` names the first
-thing that did not.
+There is no socket and no real clock, so an hour passes in seconds and the same seed gives the same history to the last answer.
+Invariants are checked at each step; `InvariantBrokenError` names the first one violated.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 
 
 class InvariantBrokenError(AssertionError):
-    """A rule or a bound did not hold; the text says when."""
+    """An invariant did not hold; the text says when and which."""
 
 
 class Scenario(NamedTuple):
-    """What the player lets happen; times are seconds, rates ops a second."""
+    """Load, client behaviour and outage of one history; times in seconds, rates in requests a second."""
 
     rate: float = 70.0
     heeding: float = 0.0
@@ -48,7 +47,7 @@
 
 
 class Request:
-    """A client's op through all its tries."""
+    """A client's request through all its attempts."""
 
     def __init__(self, number: int, born: float, draw: random.Random, scenario: Scenario) -> None:
         self.number, self.born = number, born
@@ -62,12 +61,14 @@
 
     @property
     def figures(self) -> tuple[float, float, float]:
-        """Rank, cost in seconds, memory in KB, as a try of it tells them."""
+        """Rank, cost in seconds and memory in KB, as an attempt reports them."""
         rank, cost = self.drawn if self.steady else (self.draw.random(), self.scenario.work * self.draw.uniform(0.8, 1.2))
         return rank, cost, 1.0
 
 
 class World:
+    """One service instance with its clients and interpreter, on one event queue."""
+
     def __init__(
         self, scenario: Scenario, seed: int, storm_bounds: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
     ) -> None:
@@ -90,10 +91,12 @@
         self.at(scenario.outage[1], self._rise)
 
     def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
+        """Schedule `act(*arguments)` at a virtual time, now at the earliest."""
         self.turn += 1
         heapq.heappush(self.events, (max(when, self.now), self.turn, act, arguments))
 
     def play(self) -> World:
+        """Run all events up to the end of the scenario, checking the invariants after each."""
         while self.events and self.events[0][0] <= self.scenario.until:
             self.now, _, act, arguments = heapq.heappop(self.events)
             act(*arguments)
@@ -142,6 +145,7 @@
         calendar.book = spied
 
     def take(self, event: Happening, *arguments: Any) -> None:
+        """Feed an event to the reducer and carry out its effects."""
         for effect, *fields in self.reducer.reduce(self.now, event, *arguments):
             self._do(effect, fields)
 
@@ -257,7 +261,7 @@
         )
 
     def _place(self, request: Request) -> int:
-        """The connection for its next try: one that is free, as a stub keeps them, or a new one."""
+        """Return an idle connection for the next attempt, as clients keep them, or a new one."""
         if not self.idle:
             self.places += 1
             self.idle.append(self.places)
@@ -319,10 +323,10 @@
             self.stages.append((self.now, stage))
 
     def ran_twice(self) -> list[int]:
-        """Ops with an effect that ran more than once in the present life of the instance."""
+        """Return the non-retryable requests that ran more than once in the instance's present incarnation."""
         return [number for number, count in self.ran.items() if count > 1 and self.effect[number]]
 
     def share_in_time(self, since: float, until: float) -> float:
-        """Of the first tries of those seconds, the share acked within the target."""
+        """Return the share of first attempts in those seconds that was served within the target."""
         seconds = range(int(since), int(until))
         return sum(self.in_time[second] for second in seconds) / max(1, sum(self.first[second] for second in seconds))
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -1,9 +1,9 @@
-"""Load over a fleet in virtual time: real reducers, modules, fleet and spread cores; callers that know a few instances each.
+"""Load on a fleet in virtual time: real reducers, gossip and load-balancing cores; clients that know a few instances each.
 
-One seed, one history. Checked at each step: one answer an op and place, no non-retryable op run twice anywhere, offers never
-above room. `mode` says what the instances do: `alone` (today's text), `advice`, `spread`, and to compare `random` and
-`freshest` (hand-over to anybody, or to whom the last report shows the most room). `common_queue` is the
-limit: one line for all servers.
+One seed gives one history. Checked at each step: one answer for each request and connection, no non-retryable request runs
+twice anywhere, and offers never exceed the free capacity. `mode` selects what the instances do: `alone` (no load balancing),
+`advice`, `spread` (the mechanism), and for comparison `random` and `freshest` (hand-over to any peer, or to the peer whose last
+report shows the most free capacity). `common_queue` gives the upper bound: one queue for all servers.
 """
 
 from __future__ import annotations
@@ -40,7 +40,10 @@
 
 
 class Load(NamedTuple):
-    """Callers and their ops. `load` is asked work over all that the instances can do."""
+    """Clients and their requests; `load` is the requested work over the fleet's capacity.
+
+    Histories store these fields by name, so the names stay.
+    """
 
     load: float = 0.9
     cores: int = 2
@@ -60,6 +63,8 @@
 
 
 class Request:
+    """A client's request through all its attempts; slotted, as a history holds many thousands."""
+
     __slots__ = ("number", "kind", "born", "caller", "work", "tries", "over", "rank", "away")
 
     def __init__(self, number: int, kind: tuple, born: float, caller: int, work: float, rank: float) -> None:
@@ -87,6 +92,8 @@
 
 
 class LoadBalancingWorld(GossipWorld):
+    """A gossip world whose instances serve requests and hand them over to peers."""
+
     def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: SpreadBounds = USUAL) -> None:
         assert mode in MODES
         self.load, self.mode, self.spread_bounds = (
@@ -144,6 +151,7 @@
     # Instances.
 
     def start(self, node: Node) -> None:
+        """Start a new incarnation with its reducer, interpreter and load-balancing core."""
         if node.core:
             return
         super().start(node)
@@ -188,7 +196,7 @@
         self.known_up[node.place] = up
 
     def _compared(self, node: Service) -> None:
-        """What others do without offers, for the same module and rules."""
+        """Replace offers by the peer selection of the compared modes; module and rules stay the same."""
         spread = node.spread
         spread.giver.give = lambda *arguments, **more: []
 
@@ -253,7 +261,7 @@
         super()._send_heartbeat(node, incarnation, again)
 
     def local(self, node: Node) -> Any:
-        """What it says of itself in its reports."""
+        """Return the figures and opinions that the instance reports."""
         now, reducer = node.clock(self.now), node.reducer
         counts = reducer.counts
         figures = [
@@ -370,13 +378,17 @@
         self._next_end(node)
 
     def warmth(self, since: float) -> float:
-        """The share of its speed that an instance has so many seconds after its cold start."""
+        """Return the share of its speed that an instance has so many seconds after a cold start."""
         load = self.load
         return 1.0 if since >= load.cold_for else load.cold_speed + (1.0 - load.cold_speed) * since / load.cold_for
 
     def over_ramp(self, window: float) -> tuple[float, int]:
-        """Of ops that peers sent to cold instances: the most in any `window` beyond N + 2 root of N + 2, N being what the ramp
-        allows then; and how many came in all."""
+        """Measure how far hand-overs to warming-up instances exceeded the ramp.
+
+        Returns:
+            The most requests in any `window` seconds beyond N + 2 sqrt(N) + 2, N being what the ramp allows then; and
+            the number of requests handed over to such instances in all.
+        """
         worst, count = -math.inf, 0
         for times in self.handed_while_warming_up.values():
             count += len(times)
@@ -631,7 +643,7 @@
             self.wishes.append([node.spread.wish if node.spread else node.level for node in self.nodes])
 
     def figures(self) -> dict[str, float]:
-        """Of all that was asked for after `SETTLED`."""
+        """Return the measured figures of all requests since `SETTLED`."""
         latencies = sorted(self.latencies) or [math.inf]
         seconds = sorted({second for _, second in self.arrivals})[:-1]
         mean = sum(self.arrivals[place, second] for place in range(self.plan.instances) for second in seconds) / max(
@@ -651,8 +663,10 @@
 
 
 def common_queue(plan: Plan, load: Load) -> dict[str, float]:
-    """All servers behind one line, by importance and then by arrival, each op given up when it can't be in time: no fleet of
-    instances can do better at the same ops."""
+    """Return the figures of one queue for all servers, the upper bound for any fleet of instances.
+
+    Requests are served by importance, then by arrival, and dropped when they can no longer finish within the target.
+    """
     draw = random.Random(plan.seed + 77)
     speeds = load.speeds or (1.0,)
     slots = [speeds[place % len(speeds)] for place in range(plan.instances) for _ in range(load.cores)]
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -1,7 +1,7 @@
-"""Upkeep in virtual time, on any world of fleet cores: real upkeep cores, disks and clocks that are the player's.
+"""Maintenance in virtual time, on any world of gossip cores: real maintenance cores, simulated disks and clocks.
 
-Who gets a permit goes out and starts anew when its work is done; more out by permit than the bound
-raises `InvariantBrokenError`.
+A machine that gets a permit goes out of service and restarts when its work is done. `InvariantBrokenError` is raised when more
+machines are out by permit than the bound allows.
 """
 
 from __future__ import annotations
@@ -17,9 +17,17 @@
 
 
 class MaintenanceMixin:
-    """Beside a `GossipWorld` in the list of bases, before it."""
+    """Adds maintenance cores to a `GossipWorld`; it must precede the world in the list of bases."""
 
     def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
+        """Set up disks, permits and counters.
+
+        Args:
+            most: Machines that may be out at a time.
+            voters: Number of voters.
+            disks: Whether voters persist their state.
+            works: Seconds that the work on a machine takes.
+        """
         self.disks: dict[str, Kept | None] = {node.name: None for node in self.nodes}
         self.has_disks, self.works, self.most_out, self.most = disks, works, 0, most
         self.permits = Bounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
@@ -30,6 +38,7 @@
         self.unfit: set[str] = set()
 
     def start(self, node: Node) -> None:
+        """Start the node with a maintenance core that has what its disk kept."""
         if node.core:
             return
         super().start(node)
@@ -74,11 +83,14 @@
             self.goes_out(node)
 
     def goes_out(self, node: Node) -> None:
+        """Stop the node and restart it when its work is done."""
         node.core = None
         self.at(self.now + self.works, self.start, node)
 
 
 class MaintenanceWorld(MaintenanceMixin, GossipWorld):
+    """A gossip world whose machines request maintenance windows."""
+
     def __init__(
         self,
         count: int,
@@ -94,4 +106,5 @@
 
 
 def request_maintenance_of_all(world: Any) -> None:
+    """Let every machine request a maintenance window at its next heartbeat."""
     world.to_go = {node.name for node in world.nodes}
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -1,9 +1,9 @@
-"""A model checker for upkeep's permits: voters and askers, every order of what can happen to a stated depth, and long walks.
+"""A model checker for maintenance permits: voters and requesters, every order of events to a stated depth, and random walks.
 
-It drives `Voter`, `Round` and `Table` as they are and watches from outside: how many machines are really out. A word is
-delivered with its answer, delivered with the answer lost, or copied and delivered any time later; who asks may stop, crash and
-start anew; a voter may lose its disk; the voters may change; a person may release a machine that serves. A state is what all
-of them are, not how it came about, so each is looked at once.
+It drives `Voter`, `Round` and `Table` unchanged and counts from outside the machines that are really out of service. A message
+is delivered with its answer, delivered with the answer lost, or copied and delivered at any later time. Requesters may stop,
+crash and restart; voters may lose their disks; the electorate may change; an operator may release a machine in service. A state
+is identified by its content, so each is visited once.
 """
 
 from __future__ import annotations
@@ -20,6 +20,8 @@
 
 
 class Model(NamedTuple):
+    """The number of voters and requesters, the failures allowed, and the implementation to explore."""
+
     voters: int = 5
     askers: int = 2
     most: int = 1
@@ -33,35 +35,42 @@
 
 
 class Go:
-    """A change that can be kept in a file of states."""
+    """A picklable table change: take a permit."""
 
     def __init__(self, name: str) -> None:
         self.name = name
 
     def __call__(self, table: Table) -> Table:
+        """Return the table with a permit for this machine, if one is free."""
         return table.go(self.name, "z", "work")
 
 
 class Back(Go):
+    """A picklable table change: return the permit with this fencing token."""
+
     def __init__(self, name: str, fencing_token: int) -> None:
         super().__init__(name)
         self.fencing_token = fencing_token
 
     def __call__(self, table: Table) -> Table:
+        """Return the table without the permit."""
         return table.back(self.name, self.fencing_token)
 
 
 class Elect(Go):
-    """The operator's: one more, or one less; of the last `voters` of all."""
+    """A picklable table change of the operator: replace the electorate."""
 
     def __init__(self, voters: tuple[str, ...]) -> None:
         self.voters = voters
 
     def __call__(self, table: Table) -> Table:
+        """Return the table with the new electorate."""
         return table.electorate(self.voters)
 
 
 class Asker:
+    """A machine that requests permits, or the operator."""
+
     def __init__(self, name: str, known: Table) -> None:
         self.name, self.known, self.incarnation, self.number = name, known, 0, 0
         self.round: Round | None = None
@@ -71,6 +80,8 @@
 
 
 class State:
+    """Voters, requesters, copied messages, and voters without a disk."""
+
     def __init__(self, model: Model) -> None:
         names = tuple("abcdefghi"[: model.voters])
         first = model.table(voters=names, most=model.most, zone_most=model.most)
@@ -84,6 +95,7 @@
 
 
 def actions(model: Model, state: State) -> Iterator[tuple]:
+    """Yield the actions that are possible in `state`."""
     for place, asker in enumerate(state.askers):
         if asker.down:
             yield "restart", place
@@ -134,6 +146,7 @@
 
 
 def act(model: Model, state: State, action: tuple) -> None:
+    """Apply `action` to `state`."""
     what, *arguments = action
     if what in ("step", "lost", "copy"):
         place, name = arguments
@@ -220,12 +233,17 @@
 
 
 def broken(model: Model, state: State) -> str:
+    """Return the violated bound on machines out of service, or an empty text."""
     out = [asker.name for asker in state.askers if asker.is_out]
     return f"{' and '.join(out)} are out, {model.most} may be" if len(out) > model.most else ""
 
 
 def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
-    """All that can happen in `depth` steps after those `before`: how many states, and the first history over the bound."""
+    """Explore every order of events to `depth` steps after `before`.
+
+    Returns:
+        The number of states, and the first history that exceeds the bound (empty if none does).
+    """
     start = State(model)
     for action in before:
         act(model, start, action)
@@ -258,7 +276,7 @@
 
 
 def explore_random_walks(model: Model, seed: int, walks: int, steps: int, before: tuple[tuple, ...] = ()) -> tuple[int, str]:
-    """Long histories by chance after those steps: how many permits were agreed in them, and the first over the bound."""
+    """Play long random histories after `before`; return the permits agreed and the first violation."""
     draw, agreed = random.Random(seed), 0
     for _ in range(walks):
         state, history = State(model), list(before)
--- a/mulleinhatch/simulation/scale_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -1,4 +1,4 @@
-"""What is found of a world of hollow instances from outside, by what was counted and by which places ran in truth."""
+"""Figures of a sharded world as seen from outside: traffic, detection times, sums, and budgets that were exceeded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Traffic(NamedTuple):
-    """Bytes a second, sent and received, with headers."""
+    """Bytes a second, sent and received, including headers."""
 
     mean: float  # of all instances over the whole time
     worst: float  # the most of one instance in the mean of any 10 s
@@ -30,7 +30,7 @@
 
 
 def any_window(seconds: list[float], window: int = WINDOW) -> float:
-    """The most of a window's mean; of all there is where that is shorter.
+    """Return the largest mean of any window; the mean of all seconds where there are fewer.
 
     >>> any_window([0, 10, 20, 0, 0], 2), any_window([1, 3], 10)
     (15.0, 2.0)
@@ -44,7 +44,7 @@
 
 
 def traffic_of(traffic: dict[int, tuple[Any, Any, Any, Any]]) -> Traffic:
-    """Of `World.traffic`."""
+    """Summarise what `World.traffic` returned."""
     both = [[sent + heard for sent, heard in zip(series[0], series[1])] for series in traffic.values()]
     seconds, members = len(both[0]), len(both)
     mean = [sum(column) / members for column in zip(*both)]
@@ -60,8 +60,17 @@
 
 
 def known_after(gone: Iterable[Gone], holders: dict[int, int], died: float, share: float) -> float | None:
-    """Seconds from the death until `share` of those that held it say so, of the slowest of the dead; none if they never did.
-    `holders`: by dead place, how many others held it before."""
+    """Return the seconds from the death until `share` of the holders know it, for the slowest of the dead.
+
+    Args:
+        gone: The declarations that were observed.
+        holders: By dead place, the number of others that had it in their view.
+        died: When they died.
+        share: The share of the holders that must know.
+
+    Returns:
+        Seconds, or None if that share never knew.
+    """
     times: dict[int, dict[int, float]] = defaultdict(dict)
     for one in gone:
         if one.at >= died and not one.wrong and one.subject in holders:
@@ -77,8 +86,11 @@
 
 
 def in_sums(looks: Iterable[Look], places: set[int], since: float, until: float, least: float = 0.0) -> float | None:
-    """Seconds from `since` until the sums of all these places count nobody who doesn't run, and `least` of those who do, for
-    good (up to `until`); none if that never came."""
+    """Return the seconds from `since` until the sums of all these places stay right up to `until`.
+
+    A sum is right if it counts no instance that does not run, and at least the `least` share of those that do. None if it never
+    became right.
+    """
     wrong_at: dict[int, float] = {}
     last: dict[int, float] = {}
     for look in looks:
@@ -94,7 +106,7 @@
 
 
 def most_used(times: list[float], window: float) -> int:
-    """The most units used in any window; `times` in order."""
+    """Return the most units used in any window; `times` must be in order."""
     first = most = 0
     for place, at in enumerate(times):
         while times[first] <= at - window * CLOCKS:
@@ -104,13 +116,15 @@
 
 
 def over_budgets(used: list[list[float]], budgets: Iterable[tuple[str, int, float]]) -> int:
-    """Units beyond a total in any window, of the budget that was worst."""
+    """Return the units beyond the total in any window, for the budget exceeded most."""
     return max(
         (max(0, most_used(times, window) - total) for times, (_, total, window) in zip(used, budgets) if window), default=0
     )
 
 
 class History(NamedTuple):
+    """The result of one random history."""
+
     script: str  # with the seed it plays the same again
     one_again: float | None  # seconds after its end until views are one and sums right, in steps of half a second
     wrong: list[Gone]  # living ones declared gone, those stalled or cut off for long too
@@ -118,7 +132,7 @@
 
 
 def history(plan: Plan, seed: int, calm: float = 20.0, length: float = 20.0, within: float = 30.0) -> History:
-    """One history by chance: joins, meets weather drawn at `calm` for those that speak then, and is watched until it is one.
+    """Play one random history: start, draw faults at `calm`, and watch until the views agree again.
 
     >>> traffic = history(Plan(members=9), 3, calm=3.0, length=5.0)
     >>> traffic.one_again is not None, traffic.over, traffic.script == history(Plan(members=9), 3, calm=3.0, length=5.0).script
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -1,10 +1,11 @@
-"""Simulated instances: where they stand, what they are told at start, what they say of themselves, which weather they meet.
+"""Simulated instances at scale: topology, start-up configuration, reported figures, and the faults they meet.
 
-A hollow instance is the real cores (fleet; spread and upkeep as configured) with their real datagrams as bytes, without callers
-and interpreter. `hollow_world.py` plays many of them in virtual time, `hollow_shards.py` in several processes.
+A simulated instance is the real cores (gossip; load balancing and maintenance as configured) with their real datagrams as
+bytes, without clients and interpreter. `scale_world.py` plays many of them in virtual time, `scale_shards.py` in several
+processes.
 
-Places are numbered so that a zone, a region and a rack is a range each. Scripts are those of `faults.py`, in which a list of
-places may also name `zone3`, `region0`, `rack17`, and in which these are understood besides:
+Places are numbered so that a zone, a region and a rack are a range each. Scripts are those of `testing/fault_script.py`, in
+which a list of places may also name `zone3`, `region0`, `rack17`, and which understand in addition:
 
     at 4 replace 3,9 for 2                # they end; after 2 s others start in their places, by new names and addresses
 """
@@ -31,7 +32,7 @@
 
 
 class Plan(NamedTuple):
-    """What is played. Times are seconds of virtual time."""
+    """What is played; times are seconds of virtual time."""
 
     members: int = 225
     regions: int = 3
@@ -52,15 +53,16 @@
 
 
 class InvalidPlanError(ValueError):
-    """The text says what does not fit."""
+    """The plan is inconsistent; the text says how."""
 
 
 def knows_levels() -> bool:
+    """Return whether this version of the gossip package has zones."""
     return "zone" in FleetBounds._fields
 
 
 class Ground:
-    """Geometry, names and addresses: the same in each process, from the plan alone.
+    """Topology, names and addresses, derived from the plan alone and so the same in each process.
 
     >>> ground = Ground(Plan(members=90))
     >>> ground.zone[35], ground.region[35], ground.places_of("zone3"), ground.translated("at 1 kill zone3,5")
@@ -85,14 +87,17 @@
 
     @staticmethod
     def name(place: int, generation: int) -> str:
+        """Return the name of the `generation`-th instance at a place."""
         return f"n{place}x{generation}" if generation else f"n{place}"
 
     @staticmethod
     def address(place: int, generation: int) -> str:
+        """Return the address of the `generation`-th instance at a place."""
         return f"10.{place >> 16}.{place >> 8 & 255}.{place & 255}:{PORT + generation}"
 
     @staticmethod
     def place_named(name: str) -> int:
+        """Return the place of an instance's name."""
         return int(name.rpartition("/")[2][1:].partition("x")[0])
 
     def places_of(self, kind: str) -> tuple[int, int]:
@@ -106,23 +111,32 @@
         return where.index(int(number)), len(where) - 1 - where[::-1].index(int(number))
 
     def translated(self, script: str) -> str:
+        """Replace zones, regions and racks in a script by ranges of places."""
         return KINDS.sub(lambda found: "{}-{}".format(*self.places_of(found[0])), script)
 
     def faults(self, script: str) -> list[faults.Fault]:
-        """Errors: `faults.FaultScriptError` names the line, `InvalidPlanError` the place kind."""
+        """Parse a script.
+
+        Raises:
+            FaultScriptError: A line is no fault.
+            InvalidPlanError: A zone, region or rack does not exist.
+        """
         return faults.read(self.translated(script), self.plan.members)
 
     def link(self, sender: int, to: int) -> tuple[float, float]:
+        """Return the shortest and the longest delay between two places, in seconds."""
         return LINKS[0 if self.zone[sender] == self.zone[to] else 1 if self.region[sender] == self.region[to] else 2]
 
     def path(self, place: int) -> str:
+        """Return the name of a place with its region and zone."""
         return f"r{self.region[place]}/z{self.zone[place]}/n{place}"
 
     def seats(self) -> tuple[str, ...]:
+        """Return the names of all places, as budgets list them."""
         return tuple(self.path(place) if self.plan.levels else f"n{place}" for place in range(self.plan.members))
 
     def bounds(self) -> list[FleetBounds]:
-        """By zone."""
+        """Return the gossip settings, by zone."""
         plan = self.plan
         seats = self.seats() if plan.budgets else ()
         budgets = tuple(BudgetBounds(name, total, seats, window) for name, total, window in plan.budgets)
@@ -143,13 +157,13 @@
         return bounds_by_zone
 
     def watched(self) -> list[int]:
-        """Places whose sums are looked at: not the first of a zone, which are seeds."""
+        """Return the places whose sums are sampled; seeds (the first of a zone) are left out."""
         size = self.plan.members // len(self.firsts)
         return sorted({first + min(size - 1, size // 3 + turn) for first in self.firsts for turn in range(self.plan.watched)})
 
 
 class Says:
-    """What one hollow instance says of itself, as one that takes ops at the target's rate would: counters that grow."""
+    """The figures that a simulated instance reports, as one that serves requests at the target's rate would."""
 
     def __init__(self, plan: Plan, draw: random.Random) -> None:
         self.busy = plan.busy
@@ -161,6 +175,7 @@
         )
 
     def local(self, age: float, demands: tuple[float, ...]) -> Local:
+        """Return the figures `age` seconds after the start."""
         if not self.busy:
             return Local(demands=demands)
         requests = self.rate * age
@@ -190,7 +205,7 @@
 def churn(
     draw: random.Random, members: int, a_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
 ) -> str:
-    """Restarts and replacements at a rate, by chance over the time; nobody twice. `away` is the mean time out, in seconds."""
+    """Draw restarts and replacements at a daily rate, each place once at most; `away` is the mean time out in seconds."""
     count = round(a_day * length / 86_400.0)
     chosen = draw.sample(range(members), min(members, count))
     return "\n".join(
@@ -201,6 +216,7 @@
 
 
 def restart_all(draw: random.Random, members: int, start: float, length: float, away: float = 1.0) -> str:
+    """Return a script that restarts every place once within `length` seconds."""
     return "\n".join(f"at {start + draw.uniform(0.0, length):.3f} kill {place} for {away:g}" for place in range(members))
 
 
@@ -219,9 +235,18 @@
 
 
 def draw_fault_script(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
-    """A script by chance for levels: speakers that die, stall or are cut from their zone alone, one-way cuts and cuts between
-    regions, loss. `speakers` are those that speak for their groups when it is drawn (`World.speakers`); any others will do.
-    All is over by `start + length`."""
+    """Draw a fault script for a hierarchical fleet, all over by `start + length`.
+
+    Group speakers die, stall or are cut from their zone, links fail in one direction, regions are separated, datagrams
+    are lost.
+
+    Args:
+        draw: Source of random numbers.
+        ground: The topology.
+        speakers: The places that speak for their groups now (`World.speakers`); any others will do.
+        start: When faults may begin.
+        length: Seconds until all are over.
+    """
     members, lines = ground.plan.members, []
     speakers = speakers or sorted(draw.sample(range(members), min(members, 9)))
     for _ in range(draw.randint(2, 5)):
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -1,7 +1,8 @@
-"""A world of hollow instances played by several processes, in windows of virtual time; the history is that of one process.
+"""A world of simulated instances played by several processes, in windows of virtual time; its history is that of one process.
 
-Conservative: no datagram takes less than `LOOKAHEAD`, so each process may play so far beyond the earliest event of all
-without hearing of the others. What crosses is handed over at the border, and ordered by (time, sender, sequence).
+The synchronisation is conservative: no datagram takes less than `LOOKAHEAD`, so each process may run that far beyond the
+earliest event of all without hearing from the others. Datagrams that cross a border are handed over at its end and ordered by
+(time, sender, sequence).
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 
 
 def resident() -> int:
-    """Bytes of this process in memory."""
+    """Return this process's resident memory in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * PAGE
 
 
 def owners(ground: Ground, shards: int) -> list[int]:
-    """Ranges of places: most of a zone's words stay within one process."""
+    """Return the shard of each place, in ranges: most traffic of a zone stays in one process."""
     return [place * shards // ground.plan.members for place in range(ground.plan.members)]
 
 
 class Player:
-    """One shard behind words as bytes: a window to be played, or a question."""
+    """One shard behind byte messages: a window to play, or a query."""
 
     def __init__(self, plan: Plan, owner: list[int], index: int) -> None:
         self.base = resident()
@@ -63,7 +64,7 @@
 
 
 class Inline:
-    """A player in this process, with a pipe's face."""
+    """A player in this process with the interface of a pipe."""
 
     def __init__(self, player: Player) -> None:
         self.player, self.answer = player, player.ready()
@@ -79,7 +80,7 @@
 
 
 def work(plan: Plan, owner: list[int], index: int, pipe: Connection, ends: list[Connection]) -> None:
-    """A process: plays windows and answers questions until its pipe closes. What breaks here is told to the other end."""
+    """Run a shard's process: play windows and answer queries until the pipe closes; send a traceback on any error."""
     for end in ends:
         end.close()  # inherited: while one is open here, none is seen to close
     # The cores make no cycles that matter here; walks over all instances' objects would count as each one's CPU.
@@ -96,11 +97,12 @@
 
 
 class ShardStoppedError(RuntimeError):
-    """A process of the world broke off; the text is its traceback."""
+    """A process of the world failed; the text is its traceback."""
 
 
 class World:
-    """
+    """A sharded world; a context manager that ends its processes.
+
     >>> with World(Plan(members=9, seed=3), processes=False) as world:
     ...     world.play(3.0).one()
     True
@@ -143,6 +145,7 @@
         self.close()
 
     def close(self) -> None:
+        """End the processes."""
         for pipe in self.pipes if self.processes else ():
             # Said, not shown by closing alone: another world's processes may hold this end too.
             with contextlib.suppress(OSError):
@@ -165,7 +168,7 @@
         return marshal.loads(data)
 
     def play(self, until: float) -> World:
-        """On to that time; what happens at it is not played yet."""
+        """Run all events before `until`."""
         self.ask("prepare", until)
         ahead = LOOKAHEAD if len(self.pipes) > 1 else math.inf
         while self.now < until:
@@ -186,7 +189,7 @@
                 self.batches[to].append(batch)
 
     def ask(self, name: str, *args: Any) -> list[Any]:
-        """A method of each shard, by name; their answers in order."""
+        """Call a method of every shard and return the answers in order."""
         for pipe in self.pipes:
             pipe.send_bytes(b"a" + pickle.dumps((name, args)))
         answers = []
@@ -199,7 +202,7 @@
         return answers
 
     def _joined(self, name: str, *args: Any) -> dict[int, Any]:
-        """Answers by place, put together in the places' order."""
+        """Merge the shards' answers, which are by place, in the order of places."""
         answers: dict[int, Any] = {}
         for answer in self.ask(name, *args):
             answers |= answer
@@ -208,40 +211,50 @@
     # What is seen of it.
 
     def script(self, text: str) -> None:
-        """More faults, at times from now on."""
+        """Add faults, at times from now on."""
         self.ground.faults(text)
         self.ask("script", text)
 
     def traffic(self, first: float, last: float) -> dict[int, Any]:
+        """Return bytes and datagrams by place and second."""
         return self._joined("traffic", int(first), int(last))
 
     def cpu(self) -> dict[int, tuple[int, int]]:
+        """Return CPU nanoseconds and calls by place."""
         return self._joined("cpu")
 
     def digest(self) -> dict[int, int]:
+        """Return a checksum of all datagrams sent, by place."""
         return self._joined("digest")
 
     def speakers(self) -> list[int]:
+        """Return the places that speak for their groups now."""
         return sorted(place for found in self.ask("speakers") for place in found)
 
     def listed(self, what: str) -> list[Any]:
-        """`gone` or `looks` of all, by time."""
+        """Return `gone` or `looks` of all shards, by time."""
         return sorted(one for answer in self.ask("attribute", what) for one in answer)
 
     def counts(self) -> Counter[str]:
+        """Return the counters, summed over shards."""
         return sum(self.ask("attribute", "counts"), Counter())
 
     def holding(self, places: list[int], but: frozenset[int] = frozenset()) -> dict[int, tuple[int, int]]:
+        """Return by place how many views have it present, and how many gone."""
         answers = self.ask("holding", places, but)
         return {place: (sum(one[place][0] for one in answers), sum(one[place][1] for one in answers)) for place in places}
 
     def frozen(self) -> int:
+        """Return how many views are frozen."""
         return sum(answer[2] for answer in self.ask("views"))
 
     def one(self) -> bool:
-        """Whether views are one: all that run are in groups whose members see just each other, as many groups as there are
-        to be (one, flat), and nobody is suspected. Each holds itself, so a view that is held by as many as are in it is held
-        by just those."""
+        """Return whether the views agree.
+
+        All running instances must be in groups whose members see exactly each other, as many groups as planned, with
+        nobody suspected.
+        Each view contains its owner, so a view held by as many instances as it has members is held by exactly those.
+        """
         alike: Counter[tuple[int, int]] = Counter()
         unfit = running = 0
         for views, wrong, _, count in self.ask("views"):
@@ -257,12 +270,12 @@
         )
 
     def used(self) -> list[list[float]]:
-        """By budget: when units were used, in order."""
+        """Return by budget the times at which units were used, in order."""
         answers = self.ask("attribute", "used")
         return [sorted(at for one in answers for at in one[budget]) for budget in range(len(self.plan.budgets))]
 
     def memory(self) -> float:
-        """Bytes of all processes beyond what they held before the instances, for each instance."""
+        """Return the bytes that an instance adds to all processes."""
         return sum(self.ask("memory")) / self.plan.members
 
 
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -1,7 +1,7 @@
-"""Many hollow instances in virtual time: one shard of a world, which one process plays; `hollow_shards.py` joins several.
+"""Many simulated instances in virtual time: one shard of a world, which one process plays; `scale_shards.py` joins several.
 
-One seed, one history, however many shards: chance is each instance's own, and what happens at one time goes by (time, sender,
-sequence). What is said of the instances is seen from outside: which places run is known by the script, not by asking them.
+One seed gives one history, however many shards: random numbers are each instance's own, and simultaneous events are ordered by
+(time, sender, sequence). Figures are taken from outside: which places run is known from the script, not from the instances.
 Bytes and datagrams are counted by instance and second, with 28 bytes of headers each; CPU is the thread's time in the cores.
 """
 
@@ -50,7 +50,7 @@
 
 
 class Look(NamedTuple):
-    """A watched member's sum of the whole fleet."""
+    """A sample of one watched member's sum of the whole fleet."""
 
     at: float
     place: int
@@ -61,7 +61,7 @@
 
 
 class SimulatedInstance:
-    """One instance: its cores, its clock, its chance, its books."""
+    """One instance: its cores, clock, random source and counts; slotted, as a world holds thousands."""
 
     __slots__ = (
         "place",
@@ -102,7 +102,7 @@
 
 
 class Shard:
-    """The instances at `own` places of the plan; the rest is known by its script alone."""
+    """The instances at the shard's own places; the others are known from the script alone."""
 
     def __init__(self, plan: Plan, owner: list[int] | None = None, index: int = 0) -> None:
         self.plan, self.ground, self.now, self.index = plan, Ground(plan), 0.0, index
@@ -137,26 +137,28 @@
     # Time.
 
     def _at(self, when: float, what: tuple[str, Any]) -> None:
-        """Of the script: before what instances do at the same time."""
+        """Schedule a step of the script, before what instances do at the same time."""
         self.turn += 1
         heapq.heappush(self.events, (when, -1, self.turn, -1, what))
 
     def script(self, text: str) -> None:
-        """Faults from now on; what lies before is refused."""
+        """Add faults from now on; reject those in the past."""
         for fault in self.ground.faults(text):
             if fault.at < self.now:
                 raise faults.FaultScriptError(f"at {fault.at:g} is over: it is {self.now:g}")
             self._at(fault.at, ("fault", fault))
 
     def next(self) -> float:
+        """Return the time of the next event."""
         return self.events[0][0] if self.events else math.inf
 
     def take(self, events: list[Event]) -> None:
+        """Add events from other shards."""
         for event in events:
             heapq.heappush(self.events, event)
 
     def run(self, until: float) -> None:
-        """All that happens before `until`."""
+        """Run all events before `until`."""
         events, nodes, pop = self.events, self.nodes, heapq.heappop
         while events and events[0][0] < until:
             self.now, sender, _, to, what = pop(events)
@@ -181,7 +183,7 @@
         self.now = until
 
     def prepare(self, until: float) -> None:
-        """Room in the books up to a time."""
+        """Extend the counts by second up to a time."""
         seconds = int(until) + 2
         for node in self.nodes:
             if node and len(node.sent) < seconds:
@@ -202,6 +204,7 @@
 
     @staticmethod
     def incarnation_from(start: float) -> int:
+        """Return the incarnation number of an instance that starts then."""
         return int(1000.0 * (start + 7200.0))
 
     def _begin(self, node: SimulatedInstance) -> None:
@@ -239,7 +242,7 @@
             self._later(node, node.random_source.uniform(0.0, 0.1), (USE, node.incarnations, budget))
 
     def _introduce(self, node: SimulatedInstance, now: float) -> None:
-        """Letters that name all others, as a member that knows them would write, and none of it news to be told on."""
+        """Deliver messages that name all others, as a member that knows them would send; none of it is gossiped on."""
         ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
@@ -290,7 +293,7 @@
             raise faults.FaultScriptError(f"{what} is nothing that a hollow instance meets")
 
     def _go_on(self, node: SimulatedInstance) -> None:
-        """Its timer is overdue, its socket full."""
+        """Resume after a stall: the timer is overdue and the socket full."""
         self._send_heartbeat(node, again=False)
         waiting = list(node.waiting)
         node.waiting.clear()
@@ -424,7 +427,7 @@
         return node.core.part(now, budget)
 
     def _use(self, node: SimulatedInstance, budget: int) -> None:
-        """Asks for units at the rate of its demand, one at a time."""
+        """Request units one at a time, at the rate of the instance's demand."""
         _, total, window = self.plan.budgets[budget]
         rate = max(0.01, total / self.plan.members / (window or 1.0) * self.plan.demand)
         self._later(node, node.random_source.expovariate(rate), (USE, node.incarnations, budget))
@@ -453,15 +456,17 @@
         }
 
     def mark(self) -> None:
+        """Reset the CPU counts."""
         for node in self.nodes:
             if node:
                 node.cpu = node.calls = 0
 
     def cpu(self) -> dict[int, tuple[int, int]]:
-        """By place: nanoseconds in the cores and calls since the mark."""
+        """Return by place the nanoseconds in the cores and the calls since `mark`."""
         return {node.place: (node.cpu, node.calls) for node in self.nodes if node}
 
     def digest(self) -> dict[int, int]:
+        """Return a checksum of all datagrams sent, by place."""
         return {node.place: node.digest for node in self.nodes if node}
 
     def views(self) -> tuple[Counter[tuple[int, int]], int, int, int]:
@@ -508,6 +513,7 @@
         return [state_of(node) for place in places if (node := self.nodes[place]) and node.core]
 
     def attribute(self, name: str) -> Any:
+        """Return an attribute of this shard, for queries from another process."""
         return getattr(self, name)
 
 
@@ -538,13 +544,14 @@
 
 
 def state_of(node: SimulatedInstance) -> dict[str, float]:
+    """Return bytes of state by kind of one instance."""
     # What is settings, or the instance itself, is no state of this kind.
     seen = {id(node), id(node.core), id(node.core.members), id(node.core.bounds), id(node.core.known), id(node.core.verdicts)}
     return {kind: float(deep_size(select(node), seen)) for kind, select in KINDS_OF_STATE}
 
 
 def deep_size(thing: Any, seen: set[int]) -> int:
-    """Bytes of it and all that it holds, but for what was seen, code and types.
+    """Return the bytes of an object and all it refers to, without what was seen, code and types.
 
     >>> deep_size(["abc"], set()) == sys.getsizeof(["abc"]) + sys.getsizeof("abc")
     True
--- a/mulleinhatch/simulation/state_exploration.py
+++ b/mulleinhatch/simulation/state_exploration.py
@@ -1,4 +1,4 @@
-"""Every order of what can happen to a state, each state looked at once: what both model checkers share."""
+"""Breadth-first exploration of all event orders, visiting each state once; shared by both model checkers."""
 
 from __future__ import annotations
 
@@ -17,8 +17,20 @@
     before: tuple[tuple, ...],
     most_states: int,
 ) -> tuple[int, str]:
-    """All that can happen in `depth` steps to `start`, which stands after `before`: how many states, and the first history
-    in which something does not hold, empty where there is none."""
+    """Explore every order of actions to `depth` steps from a start state.
+
+    Args:
+        start: The initial state; it must be picklable.
+        actions: Returns the actions that are possible in a state.
+        act: Applies an action to a state in place.
+        broken: Returns the violated invariant, or an empty text.
+        depth: Number of steps after `before`.
+        before: The actions that led to `start`; they precede each reported history.
+        most_states: Stop after so many distinct states.
+
+    Returns:
+        The number of states visited, and the first history that violates an invariant (empty if there is none).
+    """
     seen: set[bytes] = set()
     queue = deque([(pickle.dumps(start), before)])
     while queue and len(seen) < most_states:
@@ -38,7 +50,8 @@
 
 
 def describe_violation(what: str, way: Iterable[tuple]) -> str:
-    """
+    """Format a violated invariant with the actions that led to it.
+
     >>> describe_violation("two are out", [("want", 0), ("step", 0, "a")])
     'two are out: want 0 | step 0 a'
     """
--- a/mulleinhatch/simulation/virtual_time.py
+++ b/mulleinhatch/simulation/virtual_time.py
@@ -1,5 +1,6 @@
-"""An asyncio loop whose clock jumps to the next timer: hours of waiting take no time, and the same seed gives the same
-history. Tasks may belong to a `Process`, which can be frozen while time goes on, and killed in the middle of anything.
+"""An asyncio event loop in virtual time: the clock jumps to the next timer and one seed gives one history.
+
+Tasks may belong to a `Process`, which can be frozen while time passes, or killed between any two steps.
 """
 
 from __future__ import annotations
@@ -12,7 +13,10 @@
 
 
 class Process:
-    """What runs together: a killed one runs no further step, a frozen one none until it is thawed."""
+    """A group of tasks that fail together.
+
+    A dead process runs no further step; a frozen one runs none until it is thawed.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -24,7 +28,7 @@
 
 
 class _NothingToPoll(selectors.SelectSelector):
-    """No sockets: waiting for them moves the loop's clock."""
+    """A selector without sockets: waiting advances the loop's clock instead."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,7 +42,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Seconds from 0; nothing but timers moves it."""
+    """An event loop whose time is in seconds from 0 and advances only to the next timer."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -47,16 +51,17 @@
         super().__init__(selector)
 
     def time(self) -> float:
+        """Return the virtual time in seconds."""
         return self.now
 
     def start(self, work: Coroutine[Any, Any, Any], process: Process | None = None) -> asyncio.Task[Any]:
-        """A task of a process; of none where it is left out."""
+        """Create a task that belongs to `process`, or to no process."""
         context = contextvars.copy_context()
         context.run(PROCESS.set, process)
         return self.create_task(work, context=context)
 
     def thaw(self, process: Process) -> None:
-        """A frozen process goes on: what should have happened meanwhile happens now, in its order."""
+        """Resume a frozen process: callbacks that became due meanwhile run now, in their order."""
         process.frozen = False
         parked, process.parked = process.parked, []
         for handles, callback, args, context in parked:
@@ -68,11 +73,13 @@
             callback(*args)
 
     def call_soon(self, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None) -> asyncio.Handle:
+        """Schedule a callback that runs only while its process is alive and not frozen."""
         return self._gate(super().call_soon, callback, args, context)
 
     def call_at(
         self, when: float, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
+        """Schedule a timer that fires only while its process is alive and not frozen."""
         at = super().call_at
         return self._gate(lambda gated, context: at(when, gated, context=context), callback, args, context)
 
