--- a/mulleinhatch/testing/datagram_relay.py
+++ b/mulleinhatch/testing/datagram_relay.py
@@ -1,8 +1,8 @@
-"""A relay for the datagrams of a fleet, with what is cut, lost, repeated, swapped or late by script.
+"""A relay for the datagrams of a fleet that drops, repeats, reorders and delays them by script.
 
 Runs as `python -m mulleinhatch.testing.datagram_relay`, with one JSON line on standard input: for each instance the port
-on which the others reach it here and its own, the directory's two ports if there is one, the script, and when its zero is.
-On SIGTERM it prints what passed, and how late it was itself.
+at which the others reach it here and its own, the directory's two ports if there is one, the script, and its start time.
+On SIGTERM it prints what passed, and how late the relay itself was.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 
 
 class Relay:
+    """Forwards datagrams between instances, applying the faults that are active."""
+
     def __init__(self, settings: dict[str, Any]) -> None:
         self.here, self.there = settings["here"], settings["there"]
         self.place_of = {port: place for place, port in enumerate(self.there)}
@@ -38,6 +40,7 @@
         self.late = 0.0
 
     def open(self) -> None:
+        """Bind a socket for each instance and for the directory."""
         loop = asyncio.get_running_loop()
         for place, port in enumerate(self.here):
             self.sockets.append(self._socket(port))
@@ -55,6 +58,7 @@
         return sock
 
     def readable(self, to: int) -> None:
+        """Forward the datagrams queued for an instance."""
         for _ in range(32):
             try:
                 data, (_, port) = self.sockets[to].recvfrom(2048)
@@ -69,7 +73,7 @@
             self.passes(time.time() - self.start_at, sender, to, data)
 
     def report(self) -> None:
-        """Of an instance to the directory; who sends it nobody needs to know."""
+        """Forward reports of instances to the directory, unless it is off; their senders do not matter."""
         for _ in range(32):
             try:
                 data = self.reports.recv(2048)
@@ -83,6 +87,7 @@
             self.reports.sendto(data, ("127.0.0.1", self.directory[1]))
 
     def passes(self, now: float, sender: int, to: int, data: bytes) -> None:
+        """Apply the active faults to a datagram and forward what is left of it."""
         if not faults.passes(self.links, now, sender, to):
             self.counts["dropped"] += 1
             return
@@ -105,6 +110,7 @@
                 self.send(to, data)
 
     def send(self, to: int, data: bytes) -> None:
+        """Forward a datagram to its instance."""
         self.counts["passed"] += 1
         self.counts["bytes"] += len(data)
         try:
@@ -113,6 +119,7 @@
             self.counts["dropped"] += 1
 
     async def watch_itself(self) -> None:
+        """Measure how late the relay's own timers are."""
         while True:
             due = time.monotonic() + LATENESS_CHECK_S
             await asyncio.sleep(LATENESS_CHECK_S)
@@ -120,6 +127,7 @@
 
 
 async def main() -> None:
+    """Relay datagrams until SIGTERM, then print the counts."""
     relay, stop = Relay(json.loads(sys.stdin.readline())), asyncio.Event()
     relay.open()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
--- a/mulleinhatch/testing/duplicate_runs.py
+++ b/mulleinhatch/testing/duplicate_runs.py
@@ -1,9 +1,9 @@
-"""Which second runs of an op that may not run twice are an instance's fault, and which its caller asked for.
+"""Classifies second runs of non-retryable requests: an instance's fault, or a retry that its client sent.
 
-An instance answers for its own life alone: an op that ran in it is not run in it again, and while the instance lives its caller
-has one final answer and no reason to ask elsewhere. When it dies, its connections break, and callers may repeat what they had
-sent there: the next instance can't know what the dead one ran. Nothing else explains a second run. All is told by those who
-saw it from outside: interpreters, caller stubs, the rig. Times are seconds on the system's clock, of one machine.
+An instance answers for its own incarnation alone: a request that ran in it is not run in it again, and while the instance lives
+its client has one final answer and no reason to ask elsewhere. When it dies, its connections break, and clients may retry what
+they had sent there: the next instance can't know what the dead one ran. Nothing else explains a second run. All inputs are
+observed from outside: by interpreters, clients and the harness. Times are seconds on one machine's system clock.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Run(NamedTuple):
-    """As an interpreter saw it begin."""
+    """A run, as an interpreter saw it begin."""
 
     request: str  # who it is, by its body
     at: float
@@ -23,7 +23,7 @@
 
 
 class BrokenTry(NamedTuple):
-    """A try whose connection ended before its answer, as a stub saw it."""
+    """An attempt whose connection ended before its answer, as a client saw it."""
 
     place: int  # where the stub sent it
     sent_at: float
@@ -31,7 +31,7 @@
 
 
 class Death(NamedTuple):
-    """A process that the rig killed: the signal was not sent before the one, and it was gone by the other."""
+    """A process that the harness killed: signalled no earlier than `begun_at`, gone by `gone_at`."""
 
     place: int
     begun_at: float
@@ -39,13 +39,22 @@
 
 
 class SecondRuns(NamedTuple):
+    """The second runs that were found, by who caused them."""
+
     faults: list[str]  # of instances, in words
     repeats: list[str]  # ops that their callers sent again after a death, and that ran again by it
 
 
 def find_second_runs(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
-    """`broken` by the id of the try. Each run is held against all runs of its op before: it is its caller's repeat only where
-    each of those tries had lost its connection to a death by then, and none ran in the same life.
+    """Compare each run with all earlier runs of its request.
+
+    A later run counts as the client's retry only if each earlier attempt had lost its connection to a death by then, and none
+    ran in the same incarnation.
+
+    Args:
+        runs: All runs of non-retryable requests.
+        broken: Attempts that lost their connection, by id.
+        deaths: The processes that were killed.
 
     >>> first, second = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.2, 1, 1, "r2")
     >>> find_second_runs([first, second], {"r1": BrokenTry(0, 4.9, 5.1)}, [Death(0, 5.05, 5.1)])
@@ -72,7 +81,7 @@
 
 
 def _fault(first: Run, later: Run, broken: BrokenTry | None, deaths: list[Death]) -> str:
-    """Why the later of two runs is an instance's fault; empty if its caller may have asked for it."""
+    """Return why the later of two runs is an instance's fault; empty if its client may have retried."""
     if first.ref == later.ref:
         return "one try"
     if (first.place, first.incarnation) == (later.place, later.incarnation):
@@ -83,8 +92,11 @@
 
 
 def _by_a_death(broken: BrokenTry, deaths: list[Death]) -> bool:
-    """It was sent before that process was gone, and its connection ended after the kill had begun. An instance that lives, or
-    leaves, and ends a connection that it owes an answer on is no excuse."""
+    """Return whether a death explains the broken attempt.
+
+    It was sent before the process was gone, and its connection ended after the kill had begun. An instance that lives, or
+    leaves, and closes a connection on which it owes an answer has no excuse.
+    """
     return any(
         death.place == broken.place and broken.sent_at <= death.gone_at and death.begun_at <= broken.broken_at
         for death in deaths
@@ -92,7 +104,7 @@
 
 
 def second_runs_of_fleet(report: Mapping[str, Any]) -> SecondRuns:
-    """By what `FleetHarness.finish` tells."""
+    """Classify the second runs in the report of `FleetHarness.finish`."""
     runs = [
         Run(request, at, place, incarnation, ref)
         for place, host in enumerate(report["ran"])
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -1,8 +1,8 @@
-"""Stand-in caller stubs: open load with habits, in a process of its own.
+"""Fake clients: open-loop load with configurable behaviour, in a process of its own.
 
-Runs as `python -m mulleinhatch.testing.fake_callers`, with its habits as one JSON line on standard input; at the end of its
-time, or on SIGTERM, it prints one JSON line. Ops come by a Poisson process whatever becomes of the earlier ones; an op
-is tried until it is acked, failed for good, or its client's patience is over.
+Runs as `python -m mulleinhatch.testing.fake_callers`, with its settings (`Habits`) as one JSON line on standard input; at the
+end of its time, or on SIGTERM, it prints one JSON line. Requests arrive by a Poisson process whatever happens to earlier ones;
+each is tried until it is served, fails finally, or its client's patience is over.
 """
 
 from __future__ import annotations
@@ -27,13 +27,15 @@
 
 
 class RequestKind(msgspec.Struct, frozen=True):
+    """A kind of request, its share of the load, and when clients may retry it."""
+
     name: str
     share: float
     repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a nack or a broken link
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the stubs of one process do; times are seconds, rates ops a second, shares from 0 to 1."""
+    """The behaviour of one process's clients; times are seconds, rates requests a second, shares from 0 to 1."""
 
     instances: list[tuple[str, int]]
     kinds: list[RequestKind]
@@ -60,7 +62,7 @@
 
 
 class Request(NamedTuple):
-    """What an op is through all its tries; `state` holds what changes: tries, whether it is over, its place."""
+    """A request through all its attempts; `state` holds what changes: attempts, whether it is over, its place."""
 
     number: int
     kind: RequestKind
@@ -76,7 +78,7 @@
 
 
 class Wire(asyncio.Protocol):
-    """One kept connection with one try at a time."""
+    """One kept connection with one attempt at a time."""
 
     def __init__(self, load: Load, place: int) -> None:
         self.load, self.place = load, place
@@ -88,21 +90,25 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Keep the transport and send without delay."""
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, request: Request, ref: str, data: bytes, wait: float) -> None:
+        """Send an attempt and start its timer."""
         self.request, self.ref, self.sent_at = request, ref, time.time()
         self.sent += 1
         self.transport.write(data)
         self.timer = asyncio.get_running_loop().call_later(wait, self.overdue)
 
     def overdue(self) -> None:
+        """Abort the connection of an attempt that was not answered in time."""
         request, self.request = self.request, None
         self.transport.abort()
         self.load.unanswered(request)
 
     def data_received(self, data: bytes) -> None:
+        """Parse the answer and pass it on, once it is complete."""
         self.data = self.data + data if self.data else data
         found = ANSWER.match(self.data)
         if not found or self.request is None:
@@ -121,6 +127,7 @@
         self.load.answered(request, self.place, int(found[1]), body, float(fields.get(b"retry-after-ms", 0)) / 1000.0)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Report the attempt whose answer had not arrived."""
         self.load.open[self.place] -= 1
         if self in self.load.idle[self.place]:
             self.load.idle[self.place].remove(self)
@@ -133,6 +140,8 @@
 
 
 class Load:
+    """The requests, connections and counts of one process."""
+
     def __init__(self, habits: Habits) -> None:
         # What comes is the same whatever becomes of it: the tries, as many as they are, draw from another source.
         self.habits, self.draw, self.draw_try = habits, random.Random(habits.seed), random.Random(-habits.seed)
@@ -158,7 +167,7 @@
         self.broken_once: dict[str, tuple[int, float, float]] = {}
 
     async def follow_lists(self) -> None:
-        """A list a while, the last one kept where none comes."""
+        """Poll the directory; keep the last list while none arrives."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.habits.directory)
@@ -172,6 +181,7 @@
                 await asyncio.sleep(LIST_EVERY)
 
     async def play(self) -> None:
+        """Start requests at the configured rate until the time is over."""
         habits, loop = self.habits, asyncio.get_running_loop()
         if habits.directory:
             self.tasks.add(asyncio.ensure_future(self.follow_lists()))
@@ -186,6 +196,7 @@
         self.over_at = loop.time()
 
     def born(self, at: float) -> None:
+        """Start a new request that was due at `at`."""
         draw, habits = self.draw, self.habits
         kind = draw.choices(habits.kinds, [kind.share for kind in habits.kinds])[0]
         self.numbers += 1
@@ -207,18 +218,20 @@
             asyncio.get_running_loop().call_later(habits.second_copy, self.copy, request)
 
     def looks(self, kind: RequestKind) -> tuple[float, list[Any], bytes, float, bool]:
-        """An op that looks like others tells its interpreter the usual work, and not who it is."""
+        """Draw work, body and rank; the bodies of requests that look alike carry the usual work and no identity."""
         draw, habits = self.draw, self.habits
         work, alike = habits.work_ms * draw.uniform(0.7, 1.3), draw.random() < habits.alike
         body = f"{habits.work_ms:.1f} alike {'x' * 180}" if alike else f"{work:.1f} {habits.seed}-{self.numbers} of a caller"
         return (work, [0, False, draw.randrange(len(self.open))], body.encode(), draw.random(), draw.random() < habits.steady)
 
     def copy(self, request: Request) -> None:
+        """Send a second copy of a request that is still open."""
         if not request.state[1]:
             self.counts["second_copies"] += 1
             self.next_try(request)
 
     def next_try(self, request: Request) -> None:
+        """Send the next attempt, unless the request is over."""
         now = time.time()
         if request.state[1]:
             return
@@ -241,6 +254,7 @@
             self.refused(request)
 
     async def connect(self, request: Request, place: int) -> None:
+        """Open a connection and send the attempt on it."""
         try:
             _, wire = await asyncio.wait_for(
                 asyncio.get_running_loop().create_connection(lambda: Wire(self, place), *self.habits.instances[place]), 1.0
@@ -252,6 +266,7 @@
         self.send(wire, request, time.time())
 
     def send(self, wire: Wire, request: Request, now: float) -> None:
+        """Send an attempt on an open connection."""
         habits = self.habits
         wait = max(0.05, min(habits.try_wait, request.born + habits.patience - now))
         again = "X-Retry: 1\r\n" if request.state[0] > 1 and request.marks else ""
@@ -281,6 +296,7 @@
     # What becomes of a try.
 
     def answered(self, request: Request, place: int, status: int, body: bytes, hold_off_s: float) -> None:
+        """Handle an answer by its status."""
         if status == 200:
             self.over(request, "acked" if body == b"done " + request.body else "wrong")
         elif status in (429, 503):
@@ -294,23 +310,28 @@
             self.again(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
 
     def unanswered(self, request: Request) -> None:
+        """Handle an attempt that was not answered in time."""
         self.counts["unanswered"] += 1
         self.again(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
 
     def broken(self, request: Request) -> None:
+        """Handle a connection loss after the request may have executed."""
         self.counts["broken"] += 1
         request.state[2] += 1
         self.again(request, self.habits.pause)
 
     def refused(self, request: Request) -> None:
+        """Handle an attempt that could not be sent."""
         self.counts["refused"] += 1
         request.state[2] += 1
         self.again(request, self.habits.pause)
 
     def again(self, request: Request, pause: float) -> None:
+        """Schedule the next attempt."""
         asyncio.get_running_loop().call_later(pause, self.next_try, request)
 
     def over(self, request: Request, how: str) -> None:
+        """Close a request and count its outcome."""
         if request.state[1]:
             return
         request.state[1] = True
@@ -326,6 +347,8 @@
                 kind[2] += 1
 
     def report(self) -> dict[str, Any]:
+        """Return all counts and quantiles, as JSON."""
+
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {str(q): histogram.get_value_at_percentile(q) / 1000.0 for q in (50, 95, 99, 100)}
 
@@ -346,6 +369,7 @@
 
 
 async def main() -> None:
+    """Run the load to its end, or until SIGTERM, and print the report."""
     load = Load(msgspec.json.decode(sys.stdin.buffer.readline(), type=Habits))
     task = asyncio.ensure_future(load.play())
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/mulleinhatch/testing/fake_directory.py
+++ b/mulleinhatch/testing/fake_directory.py
@@ -1,8 +1,8 @@
-"""A stand-in directory: reports come by UDP, lists are asked for over TCP, a while behind as those of the platform are.
+"""A fake directory: reports arrive by UDP, lists are served over TCP with the delay of a real one.
 
 Runs as `python -m mulleinhatch.testing.fake_directory UDP-PORT TCP-PORT BEHIND`. An instance is listed while it reports, and
-3 s on; one that reports `closed` is listed as taking no work. Each line that comes over TCP is answered by one JSON list of the
-names that take work, as it was BEHIND seconds ago. On SIGTERM it prints what it heard.
+for 3 s after; one that reports `closed` is listed as taking no work. Each line received over TCP is answered by one JSON list
+of the names that take work, as it was BEHIND seconds ago. On SIGTERM it prints its counts.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 
 class Listing:
-    """
+    """The instances as lists of `behind` seconds ago show them.
+
     >>> listing = Listing(behind=1.0)
     >>> listing.report(0.0, b"PULSE n1 open"); listing.report(0.5, b"PULSE n2 closed"); listing.report(0.5, b"?")
     >>> listing.names(0.9), listing.names(1.0), listing.names(3.9), listing.names(4.1), listing.counts
@@ -32,6 +33,7 @@
         self.counts = {"reports": 0, "broken": 0}
 
     def report(self, now: float, datagram: bytes) -> None:
+        """Record a report; count one that does not parse."""
         fields = datagram.decode("latin-1").split(" ")
         if len(fields) != 3 or fields[0] != "PULSE" or fields[2] not in ("open", "closed"):
             self.counts["broken"] += 1
@@ -40,6 +42,7 @@
         self.heard.append((now, fields[1], fields[2] == "open"))
 
     def names(self, now: float) -> list[str]:
+        """Return the names that take work."""
         known = now - self.behind
         while self.heard and self.heard[0][0] <= known:
             at, name, is_open = self.heard.popleft()
@@ -48,14 +51,18 @@
 
 
 class Reports(asyncio.DatagramProtocol):
+    """The UDP side of the directory."""
+
     def __init__(self, listing: Listing) -> None:
         self.listing = listing
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
+        """Record a report."""
         self.listing.report(time.monotonic(), data)
 
 
 async def main(udp: int, tcp: int, behind: float) -> None:
+    """Serve until SIGTERM, then print the counts."""
     listing, stop, loop = Listing(behind), asyncio.Event(), asyncio.get_running_loop()
 
     async def asked(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/mulleinhatch/testing/fake_interpreter.py
+++ b/mulleinhatch/testing/fake_interpreter.py
@@ -1,9 +1,10 @@
-"""A stand-in interpreter: cores that all running ops share, notices by number, and a count of what ran twice.
+"""A fake interpreter: cores shared by all running requests, numbered notices, and a count of what ran twice.
 
 Runs as `python -m mulleinhatch.testing.fake_interpreter PORT CORES SPEED WARMING`; on SIGTERM it prints one JSON line. With
-several ports, by commas, it is as many interpreters, hears `reset PLACE`, `slow PLACE TIMES`, `failing PLACE SHARE` and `begun
-PLACE`, which asks for the number of runs begun there, on standard input, and prints a list. A
-body says what an op takes and who it is, as `50.0 OP ...`: work in milliseconds on one core, then a name of the op.
+several ports, separated by commas, it hosts as many interpreters, reads `reset PLACE`, `slow PLACE TIMES`,
+`failing PLACE SHARE` and `begun PLACE` (which asks for the number of runs begun there) from standard input, and
+prints a list. A body holds the work
+and the identity of a request, as `50.0 OP ...`: milliseconds on one core, then a name.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class Cores:
-    """Processor sharing: each of n ops gets on at min(1, cores/n) of the speed; one timer for the next to end.
+    """Processor sharing: each of n requests runs at min(1, cores/n) of the speed; one timer for the next to end.
 
     >>> cores = Cores(2, lambda now: 1.0)
     >>> cores.start(0.0, "a", 1.0); cores.start(0.0, "b", 2.0); cores.start(0.0, "c", 2.0)
@@ -48,10 +49,12 @@
         self.at = max(self.at, now)
 
     def start(self, now: float, ref: str, work: float) -> None:
+        """Start a run of so many core seconds."""
         self._pass_time(now)
         heapq.heappush(self.running, (self.progress + work, ref))
 
     def ended(self, now: float) -> list[str]:
+        """Return the runs that have ended by `now`."""
         self._pass_time(now)
         done = []
         while self.running and self.running[0][0] <= self.progress + 1e-9:
@@ -59,10 +62,13 @@
         return done
 
     def next_end(self, now: float) -> float | None:
+        """Return the seconds until the next run ends, or None if none runs."""
         return (self.running[0][0] - self.progress) / self._rate(now) if self.running else None
 
 
 class Interpreter:
+    """One fake interpreter: its runs, notices and link."""
+
     def __init__(self, cores: int, speed: float, warming: float) -> None:
         self.born = time.monotonic()
         self.warming, self.cold_speed = warming, speed
@@ -85,7 +91,7 @@
         self.once: list[tuple[float, int, str, str]] = []  # of runs that may not be had twice: when, life, id of the try, op
 
     def reset(self) -> None:
-        """Gone with its instance and started anew: runs, notices and link; what it ran stays known to us."""
+        """Restart together with the instance: runs, notices and link are lost; the record of what ran is kept."""
         if self.writer:
             self.writer.close()
         if self.timer:
@@ -96,10 +102,12 @@
         self.busy_then = deque([(self.born, 0.0)])
 
     def speed(self, now: float) -> float:
+        """Return the present speed, which rises while the interpreter warms up."""
         warmed = min(1.0, (now - self.born) / self.warming) if self.warming else 1.0
         return (self.cold_speed + (1.0 - self.cold_speed) * warmed) / self.slowed
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read commands from a link until it closes or a new one replaces it."""
         if self.writer:
             self.writer.close()
         self.writer = writer
@@ -112,6 +120,7 @@
         writer.close()
 
     def command(self, message: dict[str, Any]) -> None:
+        """Carry out one command of the interpreter protocol."""
         now = time.monotonic()
         if message["t"] == "CONNECT":
             self.say(
@@ -143,7 +152,7 @@
             self.look()
 
     def core_use(self, now: float) -> float:
-        """The share of the cores that was busy in the last half second."""
+        """Return the share of the cores that was busy in the last half second."""
         self.look()
         self.busy_then.append((now, self.cores.busy))
         while len(self.busy_then) > 2 and self.busy_then[1][0] <= now - GAUGE_SPAN:
@@ -152,6 +161,7 @@
         return min(1.0, (self.cores.busy - busy) / (max(0.01, now - then) * self.cores.cores))
 
     def look(self) -> None:
+        """End the runs that are due, notify the instance and set the timer for the next."""
         now = time.monotonic()
         if self.wanted is not None:
             if now - self.wanted < STOOD_STILL:
@@ -183,14 +193,17 @@
         self.timer = asyncio.get_running_loop().call_later(left, self.look) if left is not None else None
 
     def thawed(self) -> None:
+        """Discard the lateness caused by a stop of the process."""
         self.wanted = None
         self.late_most = self.late_before
 
     def say(self, line: bytes) -> None:
+        """Write a line to the link, if one is open."""
         if self.writer and not self.writer.is_closing():
             self.writer.write(line + b"\n")
 
     def report(self) -> dict[str, Any]:
+        """Return what ran, what ran twice, and the lateness of the timers."""
         twice = Counter(name.split(" ")[0] for name, count in self.ran.items() if count > 1)
         return {
             "ran": sum(self.ran.values()) + len(self.alike),
@@ -201,6 +214,7 @@
 
 
 async def main(port: int, cores: int, speed: float, warming: float) -> None:
+    """Run one interpreter until SIGTERM, then print its report."""
     interpreter = Interpreter(cores, speed, warming)
     server = await asyncio.start_server(interpreter.serve, "127.0.0.1", port, limit=1 << 20)
     stop = asyncio.Event()
@@ -213,6 +227,7 @@
 
 
 async def several(ports: list[int], cores: int, speed: float, warming: float) -> None:
+    """Run several interpreters in one process, with commands on standard input."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     hosts = [Interpreter(cores, speed, warming) for _ in ports]
     for host, port in zip(hosts, ports):
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -31,10 +31,12 @@
 
 
 class FaultScriptError(ValueError):
-    """The text names the line."""
+    """A line of the script is no fault; the text names it."""
 
 
 class Fault(NamedTuple):
+    """One fault, or its end, at a time."""
+
     at: float  # seconds from the first op
     what: str  # kill, start, freeze, thaw, leave, look, silent, garble, quiet
     places: tuple[int, ...]
@@ -49,13 +51,14 @@
 
 
 def end_of(faults: list[Fault]) -> float:
-    """When the last outage ends: until then no service can be asked for."""
+    """Return when the last outage ends; until then no service can be expected."""
     ends = [fault.at for fault in faults if fault.what in ("start", "thaw", "go")]
     return max([*ends, *(fault.until for fault in faults if fault.until < math.inf)], default=0.0)
 
 
 def numbers(text: str, instances: int) -> tuple[int, ...]:
-    """
+    """Parse a list of places.
+
     >>> numbers("0-2,9", 10), numbers("all", 3)
     ((0, 1, 2, 9), (0, 1, 2))
     """
@@ -71,7 +74,7 @@
 
 
 def passes(faults: list[Fault], now: float, sender: int, to: int) -> bool:
-    """Whether a datagram between two instances gets through what is cut at that time."""
+    """Return whether a datagram between two instances passes the cuts active then."""
     for fault in faults:
         if fault.what in ("cut", "deaf") and fault.at <= now < fault.until:
             if to in fault.places and sender in fault.others:
@@ -82,7 +85,7 @@
 
 
 def amount(faults: list[Fault], what: str, now: float, place: int) -> float:
-    """The largest of such faults that hold there then."""
+    """Return the largest amount of that kind of fault active at a place then."""
     return max(
         (fault.amount for fault in faults if fault.what == what and fault.at <= now < fault.until and place in fault.places),
         default=0.0,
@@ -90,7 +93,7 @@
 
 
 def read(text: str, instances: int = 1000) -> list[Fault]:
-    """All that happens, in order of time.
+    """Parse a script; return all faults in order of time.
 
     >>> for fault in read("at 4 flap 0 every 3 until 10  # twice"):
     ...     print(*fault[:3])
@@ -114,6 +117,11 @@
 
 
 def of(fields: list[str], instances: int) -> list[Fault]:
+    """Parse one line.
+
+    Raises:
+        ValueError: It is no fault.
+    """
     if fields[0] != "at" or len(fields) < 4:
         raise ValueError
     at, what = float(fields[1]), fields[2]
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes: instances, one host of interpreters, stubs, and a relay that all words between them pass through.
+"""A fleet of real processes: instances, one host of interpreters, clients, and a relay for all datagrams between instances.
 
-Faults come by script (`faults.py`). What is said of the fleet is looked at from outside: what each instance tells over HTTP,
-what the interpreters ran and when, what the operating system says of the processes. Each is ended by its id.
+Faults follow a script (`fault_script.py`). The fleet is observed from outside: each instance's status over HTTP, the
+interpreters' record of runs, the operating system's view of the processes. Each process is ended by its id.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class FleetCase(NamedTuple):
-    """Times are seconds, rates ops a second; a stub process for each of `loads`: places, rate."""
+    """One run. Times are seconds, rates requests a second; there is a client process for each of `loads`: places, rate."""
 
     instances: int
     script: str = ""
@@ -54,6 +54,7 @@
 
 
 def settings(case: FleetCase) -> dict[str, Any]:
+    """Return the deployment settings of the instances."""
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
     return {
         "classes": [
@@ -79,6 +80,8 @@
 
 
 class Node:
+    """One instance as a process."""
+
     def __init__(self, harness: FleetHarness, place: int) -> None:
         self.harness, self.place, self.name = harness, place, f"n{place}"
         self.port, self.udp = harness.ports[place], harness.udp[place]
@@ -87,6 +90,7 @@
         self.stalled = False
 
     async def start(self) -> None:
+        """Write the instance's files and start its process."""
         harness, case = self.harness, self.harness.case
         settings_json = {
             "name": self.name,
@@ -141,9 +145,11 @@
 
     @property
     def up(self) -> bool:
+        """Return whether the process runs."""
         return self.process is not None and self.process.returncode is None
 
     async def ask(self, path: str) -> bytes:
+        """Return the body of an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
@@ -152,7 +158,7 @@
             writer.close()
 
     async def request_maintenance(self, **command: Any) -> dict[str, Any]:
-        """A person's word to it; what it says, with `error` where it refuses or is not there."""
+        """Send an operator's command; return the answer, with `error` if it is rejected or unreachable."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.harness.controls[self.place])
             try:
@@ -164,7 +170,7 @@
             return {"error": str(error) or type(error).__name__}
 
     async def fleet(self) -> dict[str, Any] | None:
-        """What it knows of the fleet; None if it is down or does not answer."""
+        """Return the instance's view of the fleet; None if it is down or does not answer."""
         if not self.up or self.stalled:
             return None
         try:
@@ -173,6 +179,7 @@
             return None
 
     async def counters(self) -> dict[str, int]:
+        """Return the counters; empty if the instance does not answer."""
         try:
             body = (await self.ask("/status/counters")).decode()
         except (OSError, TimeoutError):
@@ -180,6 +187,7 @@
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
     async def end(self) -> None:
+        """Kill the process and wait for it."""
         if self.up:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -187,8 +195,11 @@
 
 
 def free_ports(count: int, kind: int) -> list[int]:
-    """Below what the system gives to connections: of hundreds that it names one by one, some come twice, or are taken
-    by a connection before their process listens there."""
+    """Return free ports below the system's ephemeral range.
+
+    Of hundreds of ports that the system assigns one by one, some come twice, or are taken by a connection before their process
+    listens there.
+    """
     found: list[int] = []
     port = 12_000 + (os.getpid() * 997 + int(time.time() * 1000)) % 16_000
     while len(found) < count:
@@ -275,7 +286,7 @@
             await asyncio.sleep(0.1)
 
     async def go(self) -> None:
-        """Starts the script and the stubs; a new relay takes the place of the calm one."""
+        """Start the script and the clients; a new relay replaces the calm one."""
         self.relay.terminate()
         await self.relay.communicate()
         self.relay = await self._start_fake("datagram_relay")
@@ -311,9 +322,11 @@
         self.scripted = asyncio.ensure_future(self._script())
 
     def now(self) -> float:
+        """Return the time of the script's clock."""
         return time.time() - self.start_at
 
     async def until(self, moment: float) -> None:
+        """Sleep until a time of the script's clock."""
         await asyncio.sleep(max(0.0, moment - self.now()))
 
     async def _script(self) -> None:
@@ -341,7 +354,7 @@
             self.host.stdin.write(f"{fault.what} {node.place} {amount}\n".encode())
 
     async def kill(self, node: Node) -> None:
-        """Outright, and its interpreter with it."""
+        """Kill the instance, and its interpreter with it."""
         begun_at = time.time()
         await node.end()
         self.deaths.append((node.place, begun_at, time.time()))
@@ -350,13 +363,13 @@
     # Looks from outside.
 
     async def views(self) -> dict[str, dict[str, Any]]:
-        """By name, what each that answers knows of the fleet; of a large one every so many, or the look itself is a load."""
+        """Return by name each instance's view; of a large fleet a sample, as polling all of it would be a load."""
         nodes = self.nodes[:: max(1, self.case.instances // LOOKED_AT)]
         answers = await asyncio.gather(*(node.fleet() for node in nodes))
         return {node.name: view for node, view in zip(nodes, answers) if view}
 
     async def wait_for(self, what: Callable[[dict[str, dict[str, Any]]], bool], within: float) -> float | None:
-        """Seconds until that held of all views, or None."""
+        """Return the seconds until the condition held for all views, or None."""
         begun = time.monotonic()
         while time.monotonic() - begun < within:
             if what(await self.views()):
@@ -365,12 +378,12 @@
         return None
 
     async def begun(self, place: int) -> int:
-        """Runs that the interpreter there was seen to begin, in all its lives."""
+        """Return the number of runs that the interpreter there began, in all its incarnations."""
         self.host.stdin.write(f"begun {place}\n".encode())
         return int(await self.host.stdout.readline())
 
     def usage(self) -> list[tuple[float, int] | None]:
-        """CPU seconds and bytes of memory, by place."""
+        """Return CPU seconds and bytes of memory, by place."""
         usage: list[tuple[float, int] | None] = []
         for node in self.nodes:
             try:
@@ -381,7 +394,7 @@
         return usage
 
     async def finish(self) -> dict[str, Any]:
-        """Waits for script and stubs; what the stand-ins have to report."""
+        """Wait for script and clients; return the reports of all fakes."""
         if self.scripted:
             await self.scripted
         clients = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
@@ -409,7 +422,7 @@
 
 
 def views_agree(views: dict[str, dict[str, Any]], names: set[str]) -> bool:
-    """Whether these see each other as there, and nobody else."""
+    """Return whether these instances see exactly each other as alive."""
     return len(views) >= min(len(names), LOOKED_AT - 1) and all(
         {row["name"] for row in view["members"] if row["state"] in ("alive", "self")} == names
         and not any(row["state"] == "suspect" for row in view["members"])
@@ -419,7 +432,7 @@
 
 
 def most_in_window(starts: list[float], window: float) -> int:
-    """The most of these moments that lie in any such stretch of time.
+    """Return the most of these moments that lie in any window of that length.
 
     >>> most_in_window([0.0, 0.5, 0.9, 1.0, 1.2], 1.0)
     4
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -1,7 +1,7 @@
-"""The rig: real instances, stand-in interpreters and caller stubs in processes of their own, and faults by script.
+"""A harness of real instances, fake interpreters and fake clients in processes of their own, with faults by script.
 
-Everything is on loopback and bounded in time. What measures is measured, too: the processes' CPU and memory each
-quarter of a second, and how late stubs, interpreters and the rig itself were.
+Everything is on loopback and bounded in time. The measuring processes are measured too: CPU and memory each quarter of a
+second, and the lateness of clients, interpreters and the harness itself.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Case(NamedTuple):
-    """One run; times are seconds from the first op, rates ops a second."""
+    """One run; times are seconds from the first request, rates requests a second."""
 
     script: str
     run_for: float
@@ -62,7 +62,7 @@
 
 
 def settings(case: Case) -> dict[str, Any]:
-    """What the instances are told of the deployment."""
+    """Return the deployment settings of the instances."""
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
     value = {"read": 1.0, "update": 2.0, "signoff": 5.0, "stamp": 5.0}
     return {
@@ -87,12 +87,13 @@
 
 
 def free_port() -> int:
+    """Return a TCP port that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         return free.getsockname()[1]
 
 
 class Place:
-    """An instance and its interpreter, at the same addresses in all their lives."""
+    """An instance and its interpreter, at the same addresses in all their incarnations."""
 
     def __init__(self, case: Case, number: int, folder: Path) -> None:
         self.case, self.number, self.folder = case, number, folder
@@ -104,6 +105,7 @@
         self.lost_reports: list[dict[str, Any]] = []
 
     async def start(self) -> None:
+        """Write the files and start interpreter and instance."""
         case, self.incarnation = self.case, self.incarnation + 1
         config_json = {
             "name": f"n{self.number}",
@@ -142,7 +144,7 @@
         self.watched = psutil.Process(self.instance.pid)
 
     async def stop(self) -> dict[str, Any]:
-        """What its last interpreter has to report."""
+        """Stop both; return the report of the last interpreter."""
         if self.instance and self.instance.returncode is None:
             self.instance.kill()
             await self.instance.wait()
@@ -154,12 +156,13 @@
         return {}
 
     async def kill(self) -> None:
-        """Outright; the interpreter first tells what it ran, which a kill would take with it."""
+        """Kill the instance; the interpreter first reports its runs, which a kill would lose."""
         self.instance.kill()
         self.lost_reports.append(await self.stop())
         self.watched = None
 
     async def ask(self, path: str) -> str:
+        """Return the whole answer to an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
@@ -168,6 +171,7 @@
             writer.close()
 
     async def counters(self) -> dict[str, int]:
+        """Return the counters; empty if the instance does not answer."""
         try:
             _, _, body = (await self.ask("/status/counters")).partition("\r\n\r\n")
         except (TimeoutError, OSError):
@@ -176,6 +180,8 @@
 
 
 class InstanceHarness:
+    """Runs one case."""
+
     def __init__(self, case: Case, folder: Path, on_sample: Callable[[InstanceHarness], None] | None = None) -> None:
         self.case, self.folder, self.on_sample = case, folder, on_sample
         self.faults = faults.read(case.script)
@@ -187,6 +193,7 @@
         self.start_at = math.inf
 
     async def play(self) -> dict[str, Any]:
+        """Run the case and return the reports of all processes."""
         loads: list[asyncio.subprocess.Process] = []
         try:
             for place in self.places:
@@ -221,7 +228,7 @@
                     await place.stop()
 
     async def _up(self) -> None:
-        """Until all instances answer a health check and have found their interpreters."""
+        """Wait until all instances answer a health check and are connected to their interpreters."""
         until = time.monotonic() + UP_WITHIN
         for place in self.places:
             while not (await place.counters()).get("link_opened"):
@@ -286,7 +293,7 @@
 
     @staticmethod
     async def _noise(place: Place, what: str) -> None:
-        """A connection that is of no use to anybody, opened again whenever it is closed."""
+        """Open a useless connection, again whenever it is closed."""
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", place.port)
@@ -317,7 +324,7 @@
 
 
 def core_use(samples: list[tuple[float, list[float | None], list[int]]], since: float) -> float:
-    """The largest part of a core that one instance used in any `WINDOW` from `since` on.
+    """Return the largest share of a core that one instance used in any `WINDOW` from `since` on.
 
     >>> core_use([(t / 4, [t / 8], [0]) for t in range(20)], 1.0)
     0.5
@@ -332,14 +339,14 @@
 
 
 def played(case: Case, keep: Path | None = None, on_sample: Callable[[InstanceHarness], None] | None = None) -> dict[str, Any]:
-    """One run from start to end; `keep` is a folder for the instances' logs."""
+    """Run one case; `keep` is a folder for the instances' logs."""
     with tempfile.TemporaryDirectory() as folder:
         harness = InstanceHarness(case, keep or Path(folder), on_sample)
         return asyncio.run(harness.play())
 
 
 def played_beside(cases: list[Case], on_sample: Callable[[InstanceHarness], None] | None = None) -> list[dict[str, Any]]:
-    """Several runs at one time, for a comparison under the same conditions: each takes four processes or more."""
+    """Run several cases at once, for a comparison under the same conditions; each takes four processes or more."""
 
     async def all_of_them() -> list[dict[str, Any]]:
         with tempfile.TemporaryDirectory() as folder:
@@ -354,7 +361,7 @@
 
 
 def outcome(case: Case, report: dict[str, Any]) -> dict[str, Any]:
-    """The figures that a run is judged by; shares from 0 to 1, times in seconds from the end of the outage."""
+    """Return the figures that a run is judged by; shares from 0 to 1, times in seconds from the end of the outage."""
     bucket = report["stubs"][0]["bucket"]
     first: dict[int, int] = {}
     good: dict[int, int] = {}
@@ -412,5 +419,5 @@
 
 
 def keep_environment() -> None:
-    """The processes of a rig find the project where it was started from."""
+    """Let child processes import the project from where this one was started."""
     os.environ.setdefault("PYTHONPATH", str(Path(__file__).parents[2]))
--- a/mulleinhatch/testing/load_generator.py
+++ b/mulleinhatch/testing/load_generator.py
@@ -1,10 +1,13 @@
-"""A lean driver of open load: requests leave when they are due, whatever became of those before, and a latency counts from the
-moment the request was due, so that a server that stands still shows in each request that it kept waiting.
+"""A lean open-loop load generator that is free of coordinated omission.
 
-Runs as `python -m mulleinhatch.testing.load_generator`, its habits as one JSON line on standard input; it prints `up`, and at
-the end of its time one JSON line. It speaks HTTP/1.1 to a service instance, or the interpreter's link to an interpreter:
-the same requests, for what the instance adds. One thread over epoll; the wait for the next request is a `select` on the epoll's
-descriptor, which takes microseconds where epoll rounds up to a millisecond. Times are seconds of the monotonic clock.
+Requests leave when they are due, whatever happened to earlier ones, and a latency counts from the moment the request was due,
+so a server that stands still shows in each request that it kept waiting.
+
+Runs as `python -m mulleinhatch.testing.load_generator`, with its settings (`Habits`) as one JSON line on standard input; it
+prints `up`, and at the end of its time one JSON line. It speaks HTTP/1.1 to a service instance, or the interpreter protocol to
+an interpreter: the same requests, to measure what the instance adds. One thread over epoll; the wait for the next request is a
+`select` on the epoll's descriptor, which takes microseconds where epoll rounds up to a millisecond. Times are seconds of the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -32,7 +35,7 @@
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a driver does; rates are requests a second, times seconds."""
+    """The settings of a generator; rates are requests a second, times seconds."""
 
     port: int  # on loopback
     rate: float
@@ -56,7 +59,8 @@
 
 
 def checked(line: bytes) -> Habits:
-    """
+    """Parse and validate the settings.
+
     >>> checked(b'{"port": 1, "rate": 0, "run_for": 1}')
     Traceback (most recent call last):
     ValueError: rate: 0.0 is not above zero
@@ -74,7 +78,7 @@
 
 
 class Wire:
-    """One kept connection; `due` is when the request on its way was to leave, 0.0 with none."""
+    """One kept connection; `due` is when its request in flight was to leave, 0.0 with none."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port), 2.0)
@@ -84,6 +88,8 @@
 
 
 class Driver:
+    """The connections, requests and counts of one run."""
+
     def __init__(self, habits: Habits) -> None:
         self.habits, self.draw = habits, random.Random(habits.seed)
         self.epoll = select.epoll()
@@ -100,7 +106,7 @@
         self.rest: list[socket.socket] = []
 
     def settle(self) -> None:
-        """The connections that will idle, each heard once: one that never asked is not kept."""
+        """Open the idle connections and send one request on each: a connection that never sent one is not kept."""
         for _ in range(self.habits.idle):
             sock = socket.create_connection(("127.0.0.1", self.habits.port), 5.0)
             sock.sendall(CHECK)
@@ -140,6 +146,7 @@
         ).encode() + body
 
     def play(self) -> None:
+        """Send requests at the configured rate, then wait for the last answers."""
         habits = self.habits
         begin = due = time.monotonic() + 0.05
         self.count_from, until, number = begin + habits.skip, begin + habits.run_for, 0
@@ -157,6 +164,7 @@
             self._hear(last)
 
     def outstanding(self) -> int:
+        """Return the number of requests in flight."""
         return len(self.refs) if self.habits.wire == "link" else sum(wire.due > 0.0 for wire in self.wires.values())
 
     def _send(self, due: float, number: int) -> None:
@@ -190,7 +198,7 @@
             self._lose(wire)
 
     def _lose(self, wire: Wire) -> None:
-        """The connection ended; what was on its way is lost."""
+        """Close a connection; its request in flight is lost."""
         if self.wires.pop(wire.sock.fileno(), None) is None:
             return
         self.broken += len(self.refs) if self.habits.wire == "link" else wire.due > 0.0
@@ -249,7 +257,7 @@
                 self.kept.append((due, now - due))
 
     def report(self) -> dict[str, Any]:
-        """Latencies in milliseconds; lost is what had no answer, whether its connection ended or its time."""
+        """Return all figures; latencies in milliseconds. A request is lost if it had no answer, for whatever reason."""
 
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"p{q:g}": histogram.get_value_at_percentile(q) / 1000.0 for q in QUANTILES}
@@ -270,8 +278,10 @@
 
 
 def calm_latencies(report: dict[str, Any], most: float) -> list[float]:
-    """Seconds, of the requests due in slices in which, and in the one before, the driver itself was late by `most` at most. Its
-    lateness tells of the machine, and owes nothing to who answers, so that this leaves out no wait of the server's.
+    """Return the latencies in seconds of requests due while the generator itself was on time.
+
+    A request counts if in its slice of time, and in the one before, the generator was late by `most` at most. That lateness
+    depends on the machine and not on the server, so no wait caused by the server is left out.
 
     >>> calm_latencies({"kept": [[0.05, 1.0], [0.15, 2.0], [0.25, 3.0], [0.35, 4.0]], "late_in": {"2": 0.1}}, 0.01)
     [1.0, 2.0]
@@ -285,6 +295,7 @@
 
 
 def main() -> None:
+    """Run the generator and print its report."""
     try:
         habits = checked(sys.stdin.buffer.readline())
     except (ValueError, msgspec.MsgspecError) as error:
--- a/mulleinhatch/testing/maintenance_windows.py
+++ b/mulleinhatch/testing/maintenance_windows.py
@@ -1,6 +1,6 @@
-"""Whoever does the work on machines: sees a process end, works for a while, starts it anew; and counts from outside who is out.
+"""Performs the work on machines: waits for a process to end, works for a while, restarts it; counts who is out from outside.
 
-It knows nothing of permits: a machine is out while its process does not run. By list, without agreement, it takes them itself.
+It does not use permits: a machine is out while its process does not run. `roll_by_list` takes machines out without agreement.
 """
 
 from __future__ import annotations
@@ -16,12 +16,16 @@
 
 
 class Seen(NamedTuple):
+    """A machine was seen to go out of service, or to return."""
+
     at: float  # of the script's clock
     place: int
     out: bool
 
 
 class MaintenanceWindows:
+    """Observes a fleet harness and restarts the machines that went out."""
+
     def __init__(self, harness: FleetHarness, works: float, zone_of: dict[int, str]) -> None:
         self.harness, self.works, self.zone_of = harness, works, zone_of
         self.seen: list[Seen] = []
@@ -34,6 +38,7 @@
         self.late = 0.0
 
     def start(self) -> None:
+        """Start observing."""
         self.watching = asyncio.ensure_future(self._watch())
 
     async def _watch(self) -> None:
@@ -62,7 +67,7 @@
         self.done[place] = self.harness.now()
 
     async def all_done(self, places: set[int], within: float) -> float | None:
-        """Seconds of the script's clock when the last of them was back, or None."""
+        """Return when the last of the machines was back, on the script's clock, or None."""
         until = time.monotonic() + within
         while time.monotonic() < until:
             if places <= self.done.keys():
@@ -71,7 +76,7 @@
         return None
 
     async def roll_by_list(self, places: list[int], at_a_time: int, starts: float) -> None:
-        """Without agreement: the first so many leave, and whenever one is back for `starts` seconds the next."""
+        """Without agreement: the first `at_a_time` leave, and the next whenever one is back for `starts` seconds."""
         waiting, leaving = list(places), set[int]()
         while waiting or leaving:
             leaving = {place for place in leaving if place not in self.done or self.harness.now() - self.done[place] < starts}
@@ -83,6 +88,7 @@
             await asyncio.sleep(0.1)
 
     async def stop(self) -> None:
+        """Stop observing."""
         for task in (self.watching, *self.tasks):
             if task:
                 task.cancel()
--- a/mulleinhatch/testing/single_instance.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -1,7 +1,7 @@
-"""One service instance and its stand-in interpreter as real processes, with settings of any size, and what they cost.
+"""One service instance and its fake interpreter as real processes, with settings of any size, and their cost.
 
-CPU seconds are user and system time of all threads, to the nanosecond where the system tells it; memory is what belongs to
-the process alone (USS), in bytes. Who makes a `SingleInstance` ends it by `stop`, or uses it in a `with`.
+CPU seconds are user and system time of all threads, in nanoseconds where the system provides it; memory is what belongs to the
+process alone (USS), in bytes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def settings(tenants: int = 0, classes: int = 1, worths: int = WORTHS, quota: float = 20.0) -> dict[str, Any]:
-    """Settings of that size. Each tenant has a fraction, four times its even part, and a quota in requests a second."""
+    """Return settings of that size; each tenant has a fraction (four times its even share) and a quota in requests a second."""
     if tenants < 0 or classes < 1 or worths < 1:
         raise ValueError(f"{tenants} tenants, {classes} classes of {worths} worths: sizes below what there can be")
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
@@ -59,7 +59,7 @@
 
 
 def cpu_seconds(process: psutil.Process) -> float:
-    """Of all its threads; by the scheduler's own count where there is one, else in ticks of 10 ms."""
+    """Return the CPU time of all threads, from the scheduler's count where there is one, else in ticks of 10 ms."""
     try:
         tasks = Path(f"/proc/{process.pid}/task")
         found = sum(int((task / "schedstat").read_text().split()[0]) for task in tasks.iterdir())
@@ -72,6 +72,8 @@
 
 
 class SingleInstance:
+    """The two processes; `stop` or a `with` block ends them."""
+
     def __init__(self, folder: Path, settings_json: dict[str, Any], sockets: int = 1024, operator: str = "") -> None:
         self.folder, self.port, self.link = folder, free_port(), free_port()
         self.config, self.log = folder / "config.json", folder / "instance.log"
@@ -106,7 +108,7 @@
         self.stop()
 
     def write(self, settings_json: dict[str, Any]) -> None:
-        """The file of the next start or reload, whole or not at all."""
+        """Write the file of the next start or reload atomically."""
         config_json = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -137,8 +139,10 @@
         raise TimeoutError(f"no interpreter at {port}")
 
     def _until_live(self, began: float) -> None:
-        """Until a health check is answered with 200, then until a request is: the decisions are made only once the interpreter
-        greets, and with large settings that takes a while. How long both took, and their CPU; memory then."""
+        """Wait until a health check succeeds, then until a request does; record time, CPU and memory.
+
+        Decisions are only possible once the interpreter has greeted, which takes a while with large settings.
+        """
         self._until("live", began, lambda: self.ask("/status/live"))
         self.ready_s, self.ready_cpu_s = time.monotonic() - began, self.cpu()
         self._until("serving", began, self._request)
@@ -168,6 +172,7 @@
         )
 
     def ask(self, path: str) -> str:
+        """Return the whole answer to an HTTP GET."""
         return self._exchange(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 
     def _exchange(self, request: str) -> str:
@@ -180,31 +185,37 @@
         return b"".join(pieces).decode()
 
     def counters(self) -> dict[str, int]:
+        """Return the counters."""
         body = self.ask("/status/counters").partition("\r\n\r\n")[2]
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
     def cpu(self) -> float:
+        """Return the CPU seconds used so far."""
         return cpu_seconds(self.watched)
 
     def memory(self) -> int:
+        """Return the unique memory in bytes."""
         return self.watched.memory_full_info().uss
 
     def peak(self) -> int:
-        """The most that was resident since the start or the last `forget_peak`, shared libraries in, bytes."""
+        """Return the peak resident memory in bytes since the start or `forget_peak`, including shared libraries."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return 1024 * int(status.partition("VmHWM:")[2].split()[0])
 
     def forget_peak(self) -> None:
+        """Reset the peak."""
         Path(f"/proc/{self.process.pid}/clear_refs").write_text("5")
 
     def left(self) -> str:
-        """What the log of the last reload names as left until a restart."""
+        """Return the settings that the last reload logged as deferred to a restart."""
         return self.log.read_text().rpartition("left_until_restart=")[2].split(maxsplit=1)[0] if self.log.exists() else ""
 
     def reload(self) -> None:
+        """Let the instance read its file again."""
         self.process.send_signal(signal.SIGHUP)
 
     def stop(self) -> None:
+        """Kill both processes."""
         for process in (self.process, self.interpreter):
             if process.poll() is None:
                 process.kill()
@@ -212,7 +223,7 @@
 
 
 class Driving:
-    """A driver at work; `up` waits until it begins, `done` for its report."""
+    """A running load generator; it has begun when the constructor returns."""
 
     def __init__(self, port: int, rate: float, run_for: float, **habits: Any) -> None:
         self.run_for = run_for
@@ -226,6 +237,7 @@
             raise RuntimeError(f"the driver ended with {self.process.returncode}")
 
     def done(self) -> dict[str, Any]:
+        """Wait for the report."""
         try:
             out = self.process.communicate(timeout=self.run_for + 30.0)[0]
         except subprocess.TimeoutExpired:
@@ -235,7 +247,7 @@
 
 
 def driven(single_instance: SingleInstance, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
-    """One run of a driver against the instance: its report, with the instance's CPU and, towards its end, memory."""
+    """Run a generator against the instance; return its report, with the instance's CPU and, towards its end, memory."""
     driving = Driving(single_instance.port, rate, run_for, **habits)
     cpu, at = single_instance.cpu(), time.monotonic()
     time.sleep(0.8 * run_for)
