--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections import Counter, deque
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
 from mulleinhatch.instance.gossip.budgets import Meter
@@ -18,6 +17,7 @@
 from mulleinhatch.instance.gossip.counters import FRESH
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
+from mulleinhatch.simulation.virtual_time import EventQueue
 from mulleinhatch.testing import fault_script as faults
 
 LINK = (0.0003, 0.002)  # seconds that a datagram takes
@@ -60,11 +60,12 @@
         return now * self.rate + self.offset
 
 
-class GossipWorld:
+class GossipWorld(EventQueue):
     """The event queue, links, faults and invariant checks of one simulated fleet."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.draw, self.now, self.turn = plan, random.Random(plan.seed), 0.0, 0
+        super().__init__()
+        self.plan, self.draw = plan, random.Random(plan.seed)
         self.faults = faults.read(plan.script, plan.instances)
         names = tuple(f"n{place}" for place in range(plan.instances))
         self.budgets = tuple(BudgetBounds(name, total, names, window) for name, total, window in plan.budgets)
@@ -74,7 +75,6 @@
             beat=plan.heartbeat_s,
             budgets=self.budgets,
         )
-        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.used: list[deque[float]] = [deque() for _ in self.budgets]
         self.most_used = [0] * len(self.budgets)
         self.took: Counter[int] = Counter()  # by place: units used
@@ -89,17 +89,11 @@
         for fault in self.faults:
             self.at(fault.at, self._fault, fault)
 
-    def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
-        """Schedule `act(*arguments)` at a time of the world."""
-        self.turn += 1
-        heapq.heappush(self.events, (when, self.turn, act, arguments))
-
     def play(self, until: float | None = None) -> GossipWorld:
         """Run all events up to `until` (the plan's end by default)."""
         until = self.plan.until if until is None else until
-        while self.events and self.events[0][0] <= until:
-            self.now, _, act, arguments = heapq.heappop(self.events)
-            act(*arguments)
+        for _ in self.run_until(until):
+            pass
         self.now = until
         return self
 
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections import Counter
 from collections.abc import Callable
@@ -15,6 +14,7 @@
 from mulleinhatch.admission.interface import Deployment, Effect, Ending
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
+from mulleinhatch.simulation.virtual_time import EventQueue
 
 USUAL = StormBounds()
 PAUSE = 0.05  # seconds before the next try of a caller that heeds nothing
@@ -66,16 +66,15 @@
         return rank, cost, 1.0
 
 
-class World:
+class World(EventQueue):
     """One service instance with its clients and interpreter, on one event queue."""
 
     def __init__(
         self, scenario: Scenario, seed: int, storm_bounds: StormBounds | None = USUAL, record: Callable[..., Any] | None = None
     ) -> None:
+        super().__init__()
         self.record = record
         self.scenario, self.draw, self.storm_bounds = scenario, random.Random(seed), storm_bounds
-        self.now, self.turn = 0.0, 0
-        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.first: Counter[int] = Counter()
         self.in_time: Counter[int] = Counter()
         self.counts: Counter[str] = Counter()
@@ -92,14 +91,11 @@
 
     def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
         """Schedule `act(*arguments)` at a virtual time, now at the earliest."""
-        self.turn += 1
-        heapq.heappush(self.events, (max(when, self.now), self.turn, act, arguments))
+        super().at(max(when, self.now), act, *arguments)
 
     def play(self) -> World:
         """Run all events up to the end of the scenario, checking the invariants after each."""
-        while self.events and self.events[0][0] <= self.scenario.until:
-            self.now, _, act, arguments = heapq.heappop(self.events)
-            act(*arguments)
+        for _ in self.run_until(self.scenario.until):
             self._check()
         return self
 
--- a/mulleinhatch/simulation/virtual_time.py
+++ b/mulleinhatch/simulation/virtual_time.py
@@ -7,11 +7,33 @@
 
 import asyncio
 import contextvars
+import heapq
 import selectors
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable, Coroutine, Iterator
 from typing import Any
 
 
+class EventQueue:
+    """The clock and the event queue of a simulated world: events run by time, simultaneous ones in the order scheduled."""
+
+    def __init__(self) -> None:
+        self.now = 0.0
+        self.turn = 0
+        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+
+    def at(self, when: float, act: Callable[..., None], *arguments: Any) -> None:
+        """Schedule `act(*arguments)` at a virtual time in seconds."""
+        self.turn += 1
+        heapq.heappush(self.events, (when, self.turn, act, arguments))
+
+    def run_until(self, until: float) -> Iterator[None]:
+        """Run the events up to `until` one by one; yield after each, so that the caller can check invariants."""
+        while self.events and self.events[0][0] <= until:
+            self.now, _, act, arguments = heapq.heappop(self.events)
+            act(*arguments)
+            yield
+
+
 class Process:
     """A group of tasks that fail together.
 
--- a/mulleinhatch/testing/fake_interpreter.py
+++ b/mulleinhatch/testing/fake_interpreter.py
@@ -3,8 +3,7 @@
 Runs as `python -m mulleinhatch.testing.fake_interpreter PORT CORES SPEED WARMING`; on SIGTERM it prints one JSON line. With
 several ports, separated by commas, it hosts as many interpreters, reads `reset PLACE`, `slow PLACE TIMES`,
 `failing PLACE SHARE` and `begun PLACE` (which asks for the number of runs begun there) from standard input, and
-prints a list. A body holds the work
-and the identity of a request, as `50.0 OP ...`: milliseconds on one core, then a name.
+prints a list. A body holds the work and the identity of a request, as `50.0 OP ...`: milliseconds on one core, then a name.
 """
 
 from __future__ import annotations
