--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -41,7 +41,7 @@
     def __init__(self, model: Model) -> None:
         self.parts: list[Part | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
         self.incarnations = [1, 1, 1]
-        self.messages: list[tuple[int, int, int, Any]] = []  # from, its life, to, what
+        self.messages: list[tuple[int, int, int, Any]] = []  # from, its incarnation, to, what
         self.tick = 0
         self.most = [[0, 0, 0] for _ in range(WINDOW)]  # by tick of the window, the newest last
 
@@ -99,7 +99,7 @@
         give = part.asked(now, (NAMES[sender], incarnation), message, spare=part.own(now), needed=model.needed)
         if give and len(state.messages) < MAX_MESSAGES:
             state.messages.append((to, state.incarnations[to], sender, (incarnation, give)))
-    elif message[0] == state.incarnations[to]:  # an answer to an earlier life of the asker finds nobody
+    elif message[0] == state.incarnations[to]:  # an answer to an earlier incarnation of the asker finds nobody
         part.given(now, NAMES[sender], message[1])
 
 
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -19,7 +19,7 @@
 BACK = 0.9  # of the service before the faults: under it, with no cause left, it is down by itself
 MAINTENANCE_WITHIN_S = 60.0  # seconds after the last fault until all that were asked have been out
 LOOK = 0.25  # seconds between looks at states
-MAX_OWED = 400  # ops that one instance may owe answers at a time
+MAX_OWED = 400  # requests that one instance may owe answers at a time
 
 
 class SearchOutcome(NamedTuple):
@@ -45,7 +45,7 @@
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
         self.ready(most=2, voters=3, disks=True, works=1.0)
         self.history = history
-        self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which an op was born
+        self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which a request was born
         self.states: set[tuple] = set()
         self.answered_late = 0
         if history.is_maintenance_requested:
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -107,7 +107,7 @@
         node.stalled = False
         node.waiting.clear()
         local = node.clock(self.now)
-        # A life's number comes from a clock that may have been set back since the last one.
+        # An incarnation's number comes from a clock that may have been set back since the last one.
         incarnation = int(1000.0 * (self.now + 7200.0 + (node.offset if node.incarnations > 1 else 0.0)))
         node.core = Fleet(self.bounds, node.name, node.address, incarnation, self.draw.getrandbits(48), local)
         if not self.plan.leases:
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -41,9 +41,9 @@
     work: float = 0.05
     callers: int = 8
     reconnects: float = 0.0  # chance that a caller uses a new connection for a try
-    alike: float = 0.0  # share of the ops whose bodies are all the same
-    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of an op
-    lost_acks: float = 0.0  # chance that a connection is reset as an ack arrives: its caller may try again
+    alike: float = 0.0  # share of the requests whose bodies are all the same
+    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of a request
+    lost_acks: float = 0.0  # chance that a connection is reset as an answer arrives: its caller may try again
 
 
 class Request:
@@ -82,8 +82,8 @@
         self.slots: list[tuple[float, float]] = []  # when each slot lies, and the rate that it was given at
         self.incarnation, self.up, self.alive, self.frozen = 0, False, False, False
         self.number = self.places = 0
-        self.effect: dict[int, bool] = {}  # by number of the op: whether it may not run again
-        self.number_of: dict[str, int] = {}  # by id of the try: the number of its op
+        self.effect: dict[int, bool] = {}  # by number of the request: whether it may not run again
+        self.number_of: dict[str, int] = {}  # by id of the try: the number of its request
         self._start()
         self.at(0.0, self._born)
         self.at(scenario.outage[0], self._fall)
@@ -119,7 +119,7 @@
         self.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], self.incarnation, self.storm_bounds, self.record)
         self.running: dict[str, float] = {}
         self.ran: Counter[int] = Counter()
-        self.waiting: dict[int, tuple[Request, str, float]] = {}  # by place: op, id, due time
+        self.waiting: dict[int, tuple[Request, str, float]] = {}  # by place: request, id, due time
         self.idle: list[int] = []  # connections with nothing open, the last used last
         self.notices = 0
         self.shed = False
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -50,8 +50,8 @@
     work: float = 0.3  # seconds of a core, mean; runs scatter
     callers: int = 12
     listed: int = 5  # instances that a caller knows
-    mixed: bool = False  # lists drawn by chance; else neighbours, so that busy callers know the same few
-    one: float = 0.0  # of all ops by one caller
+    mixed: bool = False  # lists drawn at random; else neighbours, so that busy callers know the same few
+    one: float = 0.0  # of all requests by one caller
     uneven: float = 1.0  # how unevenly callers ask: 0 all alike, 1 the busiest three times the idlest
     heeding: float = 0.8
     list_delay: float = 1.0  # seconds until callers learn who is gone or new
@@ -111,7 +111,7 @@
             self.at(fault.at, self._fault, fault)
         speeds = load.speeds or (1.0,)
         self.speeds = [speeds[place % len(speeds)] for place in range(plan.instances)]
-        self.capacity = sum(self.speeds) * load.cores / load.work  # ops a second
+        self.capacity = sum(self.speeds) * load.cores / load.work  # requests a second
         # Each caller knows `listed` next to each other: busy callers' instances are the busy ones.
         step = plan.instances / load.callers
         self.lists = [
@@ -139,9 +139,10 @@
         self.idle_then: list[tuple[float, list[int]]] = []
         self.arrivals: Counter[tuple[int, int]] = Counter()
         self.ran: Counter[int] = Counter()
-        self.once: set[int] = set()  # numbers of non-retryable ops
+        self.once: set[int] = set()  # numbers of non-retryable requests
         self.handed = Counter[str]()
-        self.handed_while_warming_up: dict[tuple[int, int], list[float]] = {}  # by place and life: seconds since its start
+        # By place and incarnation: seconds from its start to each hand-over.
+        self.handed_while_warming_up: dict[tuple[int, int], list[float]] = {}
         self.rejected_at = -1.0
         self.busy: list[list[float]] = []  # each half second, the share of each instance's cores in use
         self.wishes: list[list[float]] = []
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -90,7 +90,7 @@
         self.askers = [Asker(f"n{place}", first) for place in range(model.askers)]
         if model.elects or model.releases:
             self.askers.append(Asker("operator", first))
-        self.copies: list[tuple[int, int, str, Ask]] = []  # asker, its life, voter, ask
+        self.copies: list[tuple[int, int, str, Ask]] = []  # asker, its incarnation, voter, ask
         self.wiped: dict[str, list[tuple[int, int]]] = {}  # voters without a disk, and the rounds of that time
 
 
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -44,7 +44,7 @@
     seed: int = 1
     start_within: float = 0.1  # all start in this time
     introduced: bool = False  # flat: each knows all from the start, by letters that are no part of the count
-    busy: bool = True  # figures as long as those of an instance that takes 275 ops a second; else zeros
+    busy: bool = True  # figures as long as those of an instance that takes 275 requests a second; else zeros
     spread: bool = False
     maintenance_voters: int = 0  # 0: no maintenance windows
     budgets: tuple[tuple[str, int, float], ...] = ()  # name, total, window
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -46,7 +46,7 @@
     observer: int
     subject: int
     why: str
-    wrong: bool  # this life of it ran just then
+    wrong: bool  # this incarnation of it ran just then
 
 
 class Look(NamedTuple):
--- a/mulleinhatch/testing/duplicate_runs.py
+++ b/mulleinhatch/testing/duplicate_runs.py
@@ -25,7 +25,7 @@
 class BrokenTry(NamedTuple):
     """An attempt whose connection ended before its answer, as a client saw it."""
 
-    place: int  # where the stub sent it
+    place: int  # where the client sent it
     sent_at: float
     broken_at: float
 
@@ -42,7 +42,7 @@
     """The second runs that were found, by who caused them."""
 
     faults: list[str]  # of instances, in words
-    repeats: list[str]  # ops that their callers sent again after a death, and that ran again by it
+    repeats: list[str]  # requests that their callers sent again after a death, and that ran again by it
 
 
 def find_second_runs(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -31,7 +31,7 @@
 
     name: str
     share: float
-    repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a nack or a broken link
+    repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a rejection or a broken link
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -46,19 +46,19 @@
     first_caller: int = 0
     callers: int = 4
     patience: float = 4.5  # of a client, over all its tries
-    try_wait: float = 4.5  # of a stub for one try
+    try_wait: float = 4.5  # of a client for one try
     pause: float = 0.05  # before the next try
     heeding: float = 0.0  # clients that stay away as long as they are told
     marked: float = 1.0  # clients whose further tries are marked
     work_ms: float = 50.0
     most_tries: int = 1_000_000
     connections: int = 900  # an instance
-    alike: float = 0.0  # ops whose bodies are all the same
-    steady: float = 1.0  # clients whose rank and cost stay over the tries of an op
+    alike: float = 0.0  # requests whose bodies are all the same
+    steady: float = 1.0  # clients whose rank and cost stay over the tries of a request
     tenant: str = ""
     names: list[str] = []  # of the instances, as the directory has them
     directory: int = 0  # its TCP port on loopback; 0: all instances are known, and always
-    second_copy: float = 0.0  # seconds after which a safe op is sent once more beside; 0: never
+    second_copy: float = 0.0  # seconds after which a safe request is sent once more beside; 0: never
 
 
 class Request(NamedTuple):
@@ -148,21 +148,21 @@
         self.idle: list[list[Wire]] = [[] for _ in habits.instances]
         self.open = [0] * len(habits.instances)
         self.numbers = 0
-        self.first: dict[int, int] = {}  # bucket of birth: ops
-        self.in_time: dict[int, int] = {}  # and those acked within the target
+        self.first: dict[int, int] = {}  # bucket of birth: requests
+        self.in_time: dict[int, int] = {}  # and those served within the target
         self.tries: dict[int, int] = {}
         self.by_kind: dict[str, list[int]] = {kind.name: [0, 0, 0, 0] for kind in habits.kinds}
         self.counts = dict.fromkeys(
             ("acked", "nacked", "failed", "unanswered", "broken", "refused", "gave_up", "wrong", "second_copies", "tries"), 0
         )
         self.late = HdrHistogram(1, 60_000, 3)  # milliseconds that our own timers were late
-        self.waits = HdrHistogram(1, 60_000, 3)  # milliseconds that nacks told
-        self.latency = HdrHistogram(1, 120_000, 3)  # of acked ops, from their first try
+        self.waits = HdrHistogram(1, 60_000, 3)  # milliseconds that rejections asked for
+        self.latency = HdrHistogram(1, 120_000, 3)  # of served requests, from their first try
         self.target = 1.8
         self.tasks: set[asyncio.Task[Any]] = set()
         self.waiting = 0
         self.listed = list(range(len(habits.instances)))  # places that the last list named
-        self.refs: dict[str, int] = {}  # by id of a try that may not run twice: its op
+        self.refs: dict[str, int] = {}  # by id of a try that may not run twice: its request
         # And those whose connections broke before an answer: index in `instances`, when it was sent, and when that was seen.
         self.broken_once: dict[str, tuple[int, float, float]] = {}
 
@@ -375,7 +375,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         await task
-        await asyncio.sleep(load.target + 0.2)  # the last ops have their time, too
+        await asyncio.sleep(load.target + 0.2)  # the last requests have their time, too
     except asyncio.CancelledError:
         pass
     print(json.dumps(load.report()), flush=True)
--- a/mulleinhatch/testing/fake_interpreter.py
+++ b/mulleinhatch/testing/fake_interpreter.py
@@ -84,10 +84,11 @@
         self.wanted: float | None = None
         self.slowed, self.failing = 1.0, 0.0  # by script: times as slow, share of the runs that fail
         self.draw = random.Random(1)
-        self.starts: list[tuple[float, str]] = []  # when each run began, on the system's clock, and its op type
+        self.starts: list[tuple[float, str]] = []  # when each run began, on the system's clock, and its request type
         self.keep_starts = False
         self.incarnation = 1  # one more with each reset
-        self.once: list[tuple[float, int, str, str]] = []  # of runs that may not be had twice: when, life, id of the try, op
+        # Runs of non-retryable requests: when, incarnation, id of the attempt, request.
+        self.once: list[tuple[float, int, str, str]] = []
 
     def reset(self) -> None:
         """Restart together with the instance: runs, notices and link are lost; the record of what ran is kept."""
@@ -139,7 +140,7 @@
             body = b64decode(message["b64"])
             work, who, *_ = body.split(b" ")
             if who == b"alike":
-                self.alike.append(message["rid"])  # who it is the stubs know by its id
+                self.alike.append(message["rid"])  # the clients identify it by its id
             else:
                 self.ran[f"{message['route']} {who.decode()}"] += 1
             self.bodies[message["rid"]] = body, now
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -1,6 +1,6 @@
 """Fault scripts: small text files that say what goes wrong when.
 
-    # seconds from the first op
+    # seconds from the first request
     at 4 kill 0 for 8                # the instance and its interpreter, both start anew after
     at 4 kill 0,1 for 8
     at 4 freeze 0 for 6              # the interpreter stands still
@@ -18,7 +18,7 @@
     at 4 lossy all 0.3 for 10             # share of datagrams lost; also: repeated, swapped (reordered)
     at 4 delayed all 0.5 for 10           # seconds
     at 4 stall 3,7 for 2                  # the process is stopped, then goes on
-    at 4 replace 3,7 for 2                # killed; others start in their places, by new names (hollow instances alone)
+    at 4 replace 3,7 for 2                # killed; others start in their places, by new names (simulated instances alone)
     at 4 slow 3 by 8 for 10               # its interpreter's work takes 8 times as long
     at 4 failing 3 0.5 for 10             # that share of its runs fails
     at 4 directory off for 10
@@ -37,7 +37,7 @@
 class Fault(NamedTuple):
     """One fault, or its end, at a time."""
 
-    at: float  # seconds from the first op
+    at: float  # seconds from the first request
     what: str  # kill, start, freeze, thaw, leave, look, silent, garble, quiet
     places: tuple[int, ...]
     count: int = 0
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -43,13 +43,13 @@
     cores: int = 4
     seed: int = 1
     seeds: int = 3
-    directory: bool = False  # stubs know the instances that it lists, a second late; else all of them
+    directory: bool = False  # clients know the instances that it lists, a second late; else all of them
     fleet: bool = True  # False: the same processes with no fleet, for what it costs
     lease: float = 5.0
     spread: str = ""  # lines of a `spread` node; "-" for an empty one; none: load is not spread
     maintenance: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
-    signoffs: float = 0.0  # share of the ops that may not run twice
-    tries: int = 1  # of an op
+    signoffs: float = 0.0  # share of the requests that may not run twice
+    tries: int = 1  # of a request
     heeding: float = 0.0
 
 
@@ -399,7 +399,7 @@
             await self.scripted
         clients = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
         for client, (places, _) in zip(clients, self.case.loads):
-            known = faults.numbers(places, self.case.instances)  # a stub numbers those it knows
+            known = faults.numbers(places, self.case.instances)  # a client numbers those it knows
             client["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in client["broken_once"].items()}
         self.host.terminate()
         ran = json.loads((await self.host.communicate())[0])
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -26,7 +26,7 @@
 
 SAMPLE = 0.25  # seconds between two looks at the processes
 WINDOW = 2.0  # seconds over which a core counts as busy
-LEAD = 1.5  # seconds from the start of the stubs to their first op
+LEAD = 1.5  # seconds from the start of the clients to their first request
 UP_WITHIN = 15.0
 GARBLE = b"\x00\x17garbled \xff line\r\nContent-Length: -7\r\n\r\n"
 
@@ -40,12 +40,12 @@
     patience: float = 30.0
     heeding: float = 0.0
     marked: float = 1.0
-    alike: float = 0.0  # share of the ops whose bodies are all the same
-    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of an op
+    alike: float = 0.0  # share of the requests whose bodies are all the same
+    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of a request
     instances: int = 1
     cores: int = 4
     work_ms: float = 50.0
-    loads: int = 2  # stub processes
+    loads: int = 2  # client processes
     cold_speed: float = 1.0  # of a fresh interpreter
     warming: float = 0.0  # seconds until it is warm
     seed: int = 1
@@ -386,7 +386,7 @@
         for name, count in incarnation.get("twice", {}).items():
             twice[name] = twice.get(name, 0) + count
         late = max(late, incarnation.get("late_most", 0.0))
-        # Ops that look alike are counted by the ids of their tries, in each life: who they are the stubs alone know.
+        # Requests that look alike are counted by the ids of their attempts: only the clients know their identity.
         owners = [
             (number, refs[ref])
             for ref in incarnation.get("alike", ())
