--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -47,7 +47,6 @@
         self.history = history
         self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which a request was born
         self.states: set[tuple] = set()
-        self.answered_late = 0
         if history.is_maintenance_requested:
             self.at(FIRST, request_maintenance_of_all, self)
         self.at(FIRST - 2.0, self._see)
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -136,7 +136,6 @@
         self.asked = self.in_time = 0.0
         self.latencies: list[float] = []
         self.idle_needed = 0.0
-        self.idle_then: list[tuple[float, list[int]]] = []
         self.arrivals: Counter[tuple[int, int]] = Counter()
         self.ran: Counter[int] = Counter()
         self.once: set[int] = set()  # numbers of non-retryable requests
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -182,7 +182,7 @@
 
     async def play(self) -> None:
         """Start requests at the configured rate until the time is over."""
-        habits, loop = self.habits, asyncio.get_running_loop()
+        habits = self.habits
         if habits.directory:
             self.tasks.add(asyncio.ensure_future(self.follow_lists()))
         at = habits.start_at
@@ -193,7 +193,6 @@
                 await asyncio.sleep(wait)
             self.late.record_value(max(1, min(60_000, int(1000.0 * (time.time() - at)))))
             self.born(at)
-        self.over_at = loop.time()
 
     def born(self, at: float) -> None:
         """Start a new request that was due at `at`."""
