--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -54,8 +54,8 @@
 from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
 from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
-from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
-from mulleinhatch.simulation.maintenance_world import Machines
+from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
+from mulleinhatch.simulation.maintenance_world import MaintenanceWorld
 
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
@@ -143,7 +143,7 @@
             self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
         bytes_a_second, datagrams = [], []
         for count in (1, 4, 8, 16):
-            world = FleetWorld(
+            world = GossipWorld(
                 Plan(25, until=15.0, budgets=tuple((f"b{place}", 100, 1.0) for place in range(count)), seed=self.seed)
             )
             before = Counter(world.play(5.0).counts)
@@ -176,7 +176,7 @@
         """Measure the traffic of fleet state among few members, where it exceeds the bound of the target."""
         points = []
         for count in (2, 4, 8, 16) if self.quick else (2, 4, 8, 16, 32, 64):
-            world = FleetWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
+            world = GossipWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
             before = Counter(world.play(5.0).counts)
             world.play(10.0 if self.quick else 20.0)
             sent, data_bytes = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
@@ -441,7 +441,7 @@
     ]
 
 
-class WaitingMachines(Machines):
+class WaitingMachines(MaintenanceWorld):
     """Machines that all wait for a permit, one at a time; counts the messages of one voter and their bytes with headers."""
 
     def __init__(self, count: int, seed: int) -> None:
--- a/benchmarks/scale_instance_load.py
+++ b/benchmarks/scale_instance_load.py
@@ -9,7 +9,7 @@
 from benchmarks.scale_instance_measurements import CALM_RATE, REGION_LOST_RATE, WARM_UP_S, ZONE_LOST_RATE, Measurements
 from mulleinhatch.testing.instance_harness import free_port
 from mulleinhatch.testing.load_generator import calm_latencies
-from mulleinhatch.testing.single_instance import Driving, Lone, driven, settings
+from mulleinhatch.testing.single_instance import Driving, SingleInstance, driven, settings
 
 MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # milliseconds at p99; share of a core
 MAX_DRIVER_LATE_S, MIN_CALM_ANSWERS = (
@@ -24,7 +24,7 @@
 
 
 def paired_latencies(
-    measurements: Measurements, instance: Lone, interpreter_port: int, rate: float, count: int, seconds: float
+    measurements: Measurements, instance: SingleInstance, interpreter_port: int, rate: float, count: int, seconds: float
 ) -> dict[str, float]:
     """Compare latency to the interpreter alone and through the instance, in alternating runs.
 
@@ -75,8 +75,8 @@
 def added(measurements: Measurements, folder: Path) -> None:
     """Measure the added latency at the rates of the target, and the highest rate that one instance carries."""
     count, seconds = (2, 2.0) if measurements.quick else (4, 4.0)
-    with Lone(folder, settings(1000)) as instance:
-        other = Lone._interpreter(port := free_port())
+    with SingleInstance(folder, settings(1000)) as instance:
+        other = SingleInstance._interpreter(port := free_port())
         try:
             measurements.drive(instance, CALM_RATE, WARM_UP_S, tenants=1000, callers=1000)
             rows = [
@@ -143,7 +143,7 @@
 def connections(measurements: Measurements, folder: Path) -> None:
     """Measure the memory and CPU of idle connections."""
     sizes, rows = ((50, 200, 500, 1000) if measurements.quick else (50, 200, 500, 1000, 2000)), []
-    with Lone(folder, settings(1000), sockets=8192) as instance:
+    with SingleInstance(folder, settings(1000), sockets=8192) as instance:
         measurements.drive(instance, CALM_RATE, WARM_UP_S, tenants=1000)
         for size in sizes:
             report = measurements.drive(
@@ -173,7 +173,7 @@
     """
     sizes = (10, 300, 1000, 3000) if measurements.quick else (10, 1000, 5000, 20_000, 48_000)
     warm, rate, rows, answered = 1600 if measurements.quick else 20_000, 800, [], 0
-    with Lone(folder, settings()) as instance:
+    with SingleInstance(folder, settings()) as instance:
         measurements.drive(instance, rate, warm / rate, callers=10, repeats=0.2)
         for size in sizes:
             report = measurements.drive(
@@ -189,7 +189,9 @@
         "request.callers_cpu", "ms of CPU a request", "callers", [(row["callers"], row["cpu_ms"]) for row in rows]
     )
     if not measurements.quick:
-        with Lone(folder, settings()) as instance:  # as many requests, ten callers: what is by requests, and not by callers
+        with SingleInstance(
+            folder, settings()
+        ) as instance:  # as many requests, ten callers: what is by requests, and not by callers
             measurements.drive(instance, rate, (warm + answered) / rate, callers=10, repeats=0.2, connections=256)
             measurements.events["as many requests of ten callers"] = {
                 "requests": warm + answered,
--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -6,7 +6,7 @@
 
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
-from mulleinhatch.testing.single_instance import Lone, driven
+from mulleinhatch.testing.single_instance import SingleInstance, driven
 
 CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests a second
 WARM_UP_S = 2.0  # at the calm rate, after which caches and pools no longer grow
@@ -31,7 +31,7 @@
         self.late: list[float] = []
         self.lost = self.broken = 0
 
-    def drive(self, instance: Lone, rate: float, run_for: float, **load_options: Any) -> dict[str, Any]:
+    def drive(self, instance: SingleInstance, rate: float, run_for: float, **load_options: Any) -> dict[str, Any]:
         """Load an instance and return the load generator's report.
 
         Args:
--- a/benchmarks/scale_instance_settings.py
+++ b/benchmarks/scale_instance_settings.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from benchmarks.scale_instance_measurements import CALM_RATE, WARM_UP_S, Measurements
-from mulleinhatch.testing.single_instance import Driving, Lone, settings
+from mulleinhatch.testing.single_instance import Driving, SingleInstance, settings
 
 CHANGES_A_DAY = 5700
 
@@ -21,7 +21,7 @@
     Returns:
         Time and CPU until ready and serving, memory, and CPU of requests.
     """
-    with Lone(folder, instance_settings) as instance:
+    with SingleInstance(folder, instance_settings) as instance:
         row = {
             "json_mb": instance.json_bytes / 1e6,
             "ready_s": instance.ready_s,
@@ -97,7 +97,7 @@
     settings_costs(measurements, "classes", rows)
     each = []
     for size in (1000, 2000) if measurements.quick else (1000, 5000, 10_000, 20_000):
-        with Lone(folder, settings(0, size, worths=size)) as instance:
+        with SingleInstance(folder, settings(0, size, worths=size)) as instance:
             each.append(
                 {"classes": size, "serving_s": round(instance.serving_s, 3), "serving_cpu_s": round(instance.serving_cpu_s, 3)}
             )
@@ -110,7 +110,7 @@
 def measure_reload(measurements: Measurements, folder: Path, size: int, times: int) -> dict[str, float]:
     """Reload settings with one tenant's quota changed, under an even load on connections that were opened before."""
     instance_settings, rate = settings(size), 40.0
-    with Lone(folder, instance_settings, sockets=4096) as instance:
+    with SingleInstance(folder, instance_settings, sockets=4096) as instance:
         measurements.drive(instance, CALM_RATE, 0.5 * WARM_UP_S, tenants=size)
         guess = 0.5 + 2.0 * instance.ready_cpu_s
         driving = Driving(
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -50,7 +50,7 @@
         f"growth {without_defect.growth}"
     )
     for finding in without_defect.findings:
-        console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.as_text(finding.short)}")
+        console.print(f"seed {finding.history.seed}: {finding.what}\n{campaign.format_history(finding.short)}")
     missed = [f"found: {name}" for name, seconds in found.items() if seconds is None]
     missed += [f"nothing without a defect: {finding.what}" for finding in without_defect.findings]
     print(
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -38,9 +38,9 @@
 
 from mulleinhatch.instance.load_balancing.estimates import SCATTER, DecayingWindow, estimate_population, shrink_towards_mean
 from mulleinhatch.simulation.gossip_world import Plan
-from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, SpreadWorld, common_queue
+from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, LoadBalancingWorld, common_queue
 from mulleinhatch.testing import duplicate_runs as second_runs
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 COUNTED = ("in_time", "idle_needed", "most_over_mean", "p50", "p99", "nacked", "handed", "refused by peers")
@@ -86,7 +86,7 @@
     plan = Plan(count, script, until=SETTLED + length + 2.5, seed=seed)
     if mode == "one line":
         return name, mode, common_queue(plan, load), None
-    world = SpreadWorld(plan, load, mode).play()
+    world = LoadBalancingWorld(plan, load, mode).play()
     return name, mode, world.figures(), world.busy if plotted else None
 
 
@@ -205,9 +205,9 @@
             spread=spread,
         )
         (folder / name).mkdir()
-        async with FleetRig(case, folder / name) as harness:
+        async with FleetHarness(case, folder / name) as harness:
             names = {node.name for node in harness.nodes}
-            await harness.wait_for(lambda views, names=names: whole(views, names), 30.0)
+            await harness.wait_for(lambda views, names=names: views_agree(views, names), 30.0)
             await harness.go()
             await harness.until(1.0)
             before = harness.usage()
@@ -219,7 +219,7 @@
         value_of = {"read": 1.0, "signoff": 5.0}
         asked = sum(value_of[kind] * sums[0] for client in results["stubs"] for kind, sums in client["by_kind"].items())
         in_time = sum(value_of[kind] * sums[2] for client in results["stubs"] for kind, sums in client["by_kind"].items())
-        second_runs_found = second_runs.of_fleet(results)
+        second_runs_found = second_runs.second_runs_of_fleet(results)
         for fault in second_runs_found.faults:
             print(f"{name}: {fault}", file=sys.stderr)
         requests = sum(sum(client["first"].values()) for client in results["stubs"])
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -28,9 +28,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
-from mulleinhatch.testing.maintenance_windows import Outings
+from mulleinhatch.testing.maintenance_windows import MaintenanceWindows
 
 WORKS, STOPS = 1.0, 1.0  # seconds of the work, and from the permit to the stop
 STARTS = 4.3  # seconds from a process's start until it was found fit and its permit is back
@@ -51,7 +51,7 @@
         script,
         run_for=length,
         seed=seed,
-        upkeep=lines,
+        maintenance=lines,
         cores=2,
         work_ms=20.0,
         tries=6,
@@ -64,18 +64,18 @@
 async def roll(fleet_case: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
     folder.mkdir()
     zones = {place: ZONES[place % len(ZONES)] for place in range(fleet_case.instances)}
-    async with FleetRig(fleet_case, folder) as harness:
+    async with FleetHarness(fleet_case, folder) as harness:
         names = {node.name for node in harness.nodes}
-        await harness.wait_for(lambda views: whole(views, names), 30.0)
+        await harness.wait_for(lambda views: views_agree(views, names), 30.0)
         await asyncio.sleep(5.0)
         await harness.go()
         await harness.until(1.0)
-        windows = Outings(harness, WORKS, zones)
+        windows = MaintenanceWindows(harness, WORKS, zones)
         windows.start()
         begun, done = harness.now(), None
         if how == "permits":
             await asyncio.gather(
-                *(node.upkeep(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
+                *(node.request_maintenance(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
             )
             done = await windows.all_done(set(zones), within)
         elif how == "by list":
--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -1,8 +1,8 @@
-"""A model checker for the parts of a budget: three members, every order of what can happen, to a stated depth.
+"""A model checker for the shares of a budget: three members, every order of events to a stated depth.
 
-It drives `LeasedQuota` as it is and watches from outside: what the three may use together in any window, those that died in it
-too, must stay within the total. Time goes in ticks; clocks may run apart. A state is what the parts and the words on their
-way are, not how they came about, so each is looked at once.
+It drives `LeasedQuota` unchanged and checks from outside that the units which all members could use in any window, including
+members that crashed in it, stay within the total. Time advances in ticks and clocks may drift. A state is identified by its
+content (shares and messages in flight), so each is visited once.
 """
 
 from __future__ import annotations
@@ -17,11 +17,13 @@
 
 NAMES = ("a", "b", "c")
 ASKS = ((1, 0), (2, 0), (0, 1))  # who may ask whom
-MOST_WORDS = 3  # on their way at a time
+MAX_MESSAGES = 3  # on their way at a time
 WINDOW, LEASE = 2, 3  # ticks
 
 
 class Model(NamedTuple):
+    """The share implementation, clock drift and clock rates to explore."""
+
     part: type[LeasedQuota] = LeasedQuota
     drift: float = 0.25
     rates: tuple[float, float, float] = (1.1, 0.9, 1.0)  # of the members' clocks
@@ -29,32 +31,35 @@
 
     @property
     def bounds(self) -> BudgetBounds:
+        """Return the budget that the members share."""
         return BudgetBounds("m", 6, NAMES, WINDOW, LEASE, self.drift)
 
 
 class State:
-    """Parts by place (None: crashed), lives, words on their way, the tick, and the most that each could use in this window."""
+    """Shares by member (None: crashed), incarnations, messages in flight, the tick, usable units by tick of the window."""
 
     def __init__(self, model: Model) -> None:
         self.parts: list[LeasedQuota | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
-        self.lives = [1, 1, 1]
-        self.words: list[tuple[int, int, int, Any]] = []  # from, its life, to, what
+        self.incarnations = [1, 1, 1]
+        self.messages: list[tuple[int, int, int, Any]] = []  # from, its incarnation, to, what
         self.tick = 0
         self.most = [[0, 0, 0] for _ in range(WINDOW)]  # by tick of the window, the newest last
 
     def local(self, model: Model, place: int) -> float:
+        """Return the member's local time in ticks."""
         return self.tick * model.rates[place]
 
 
 def actions(state: State) -> Iterator[tuple]:
+    """Yield the actions that are possible in `state`."""
     yield ("tick",)
-    for index in range(len(state.words)):
+    for index in range(len(state.messages)):
         yield "deliver", index
         yield "repeat", index
         yield "lose", index
     for place, part in enumerate(state.parts):
         yield ("crash" if part else "restart"), place
-    if len(state.words) < MOST_WORDS:
+    if len(state.messages) < MAX_MESSAGES:
         for taker, giver in ASKS:
             if state.parts[taker]:
                 for want in (0, 2):
@@ -62,43 +67,44 @@
 
 
 def act(model: Model, state: State, action: tuple) -> None:
-    what, *told = action
+    """Apply `action` to `state`."""
+    what, *arguments = action
     if what == "tick":
         state.tick += 1
         state.most = [*state.most[1:], [0, 0, 0]]
     elif what == "lose":
-        del state.words[told[0]]
+        del state.messages[arguments[0]]
     elif what == "crash":
-        state.parts[told[0]] = None
+        state.parts[arguments[0]] = None
     elif what == "restart":
-        place = told[0]
-        state.lives[place] += 1
+        place = arguments[0]
+        state.incarnations[place] += 1
         state.parts[place] = model.part(model.bounds, NAMES[place], state.local(model, place))
     elif what == "ask":
-        taker, giver, want = told
+        taker, giver, want = arguments
         ask = state.parts[taker].create_request(state.local(model, taker), NAMES[giver], want)
-        state.words.append((taker, state.lives[taker], giver, ask))
+        state.messages.append((taker, state.incarnations[taker], giver, ask))
     else:
-        word = state.words[told[0]]
+        message = state.messages[arguments[0]]
         if what == "deliver":
-            del state.words[told[0]]
-        _deliver(model, state, *word)
+            del state.messages[arguments[0]]
+        _deliver(model, state, *message)
 
 
-def _deliver(model: Model, state: State, sender: int, life: int, to: int, word: LeaseRequest | LeaseGrant) -> None:
+def _deliver(model: Model, state: State, sender: int, incarnation: int, to: int, message: LeaseRequest | LeaseGrant) -> None:
     part, now = state.parts[to], state.local(model, to)
     if part is None:
         return
-    if isinstance(word, LeaseRequest):
-        give = part.handle_request(now, (NAMES[sender], life), word, spare=part.own_units(now), reclaim=model.needed)
-        if give and len(state.words) < MOST_WORDS:
-            state.words.append((to, state.lives[to], sender, (life, give)))
-    elif word[0] == state.lives[to]:  # an answer to an earlier life of the asker finds nobody
-        part.handle_grant(now, NAMES[sender], word[1])
+    if isinstance(message, LeaseRequest):
+        give = part.handle_request(now, (NAMES[sender], incarnation), message, spare=part.own_units(now), reclaim=model.needed)
+        if give and len(state.messages) < MAX_MESSAGES:
+            state.messages.append((to, state.incarnations[to], sender, (incarnation, give)))
+    elif message[0] == state.incarnations[to]:  # an answer to an earlier incarnation of the asker finds nobody
+        part.handle_grant(now, NAMES[sender], message[1])
 
 
 def broken(model: Model, state: State) -> str:
-    """What does not hold in this state; it takes down what each may use."""
+    """Return the violated invariant, or an empty text; record what each member may use in this tick."""
     for place, part in enumerate(state.parts):
         usable = part.usable(state.local(model, place)) if part else 0
         if usable < 0:
@@ -109,8 +115,11 @@
 
 
 def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
-    """All that can happen in `depth` steps after those `before`: how many states, and the first history that breaks the
-    total, empty if none does."""
+    """Explore every order of events to `depth` steps after `before`.
+
+    Returns:
+        The number of states, and the first history that exceeds the total (empty if none does).
+    """
     start = State(model)
     for action in before:
         act(model, start, action)
@@ -126,21 +135,21 @@
     )
 
 
-def wander(model: Model, seed: int, walks: int, steps: int) -> str:
-    """Long histories by chance, for what lies deeper than all of them can be looked at."""
+def explore_random_walks(model: Model, seed: int, walks: int, steps: int) -> str:
+    """Play long random histories, for states deeper than an exhaustive search reaches; return the first violation."""
     draw = random.Random(seed)
     for _ in range(walks):
-        state, way = State(model), []
+        state, history = State(model), []
         for _ in range(steps):
             action = draw.choice([*actions(state), ("tick",)])
             act(model, state, action)
-            way.append(action)
+            history.append(action)
             if what := broken(model, state):
-                return exploring.told(what, way)
+                return exploring.describe_violation(what, history)
     return ""
 
 
-LENT = (
+LOAN_IN_PROGRESS = (
     ("ask", 1, 0, 2),
     ("deliver", 0),
     ("lose", 0),
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -1,4 +1,4 @@
-"""Defects planted one at a time, to see whether the search finds them: each takes one thing out of the program."""
+"""Defects that can be planted one at a time, to check that the search finds them; each removes one safeguard."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
             ),
         )
     ],
-    "permits are not given back": [(PermitTable, "release", lambda table, name, fence: table)],
-    "suspicion is never refuted": [(Membership, "_apply_update_about_self", lambda members, now, rumour: None)],
+    "permits are not given back": [(PermitTable, "release", lambda table, name, fencing_token: table)],
+    "suspicion is never refuted": [(Membership, "_apply_update_about_self", lambda members, now, member_update: None)],
     "the gone are never asked again": [(Membership, "heard_lately", lambda members, now, name: False)],
     "an op at a peer is never given up": [(Expiry, "give_up_next", lambda expiry: None)],
-    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda hatch, now, grace: None)],
+    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda controller, now, grace: None)],
 }
 
 
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
-    """Within it the program has that defect; an empty name plants none."""
+    """Plant a defect for the duration of the `with` block; an empty name plants none."""
     before = [(place, what, getattr(place, what)) for place, what, _ in DEFECTS.get(name, ())]
     for place, what, instead in DEFECTS.get(name, ()):
         setattr(place, what, instead)
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -1,4 +1,4 @@
-"""One history played: reducers, modules, fleet, spread and upkeep cores together, checked from outside; the states it met."""
+"""Play one history: reducers, gossip, load-balancing and maintenance cores together, with invariants checked from outside."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 from mulleinhatch.simulation.fault_search.histories import FIRST, History
 from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
-from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, SpreadWorld
-from mulleinhatch.simulation.maintenance_world import WithUpkeep, asked_all
+from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, LoadBalancingWorld
+from mulleinhatch.simulation.maintenance_world import MaintenanceMixin, request_maintenance_of_all
 from mulleinhatch.testing import fault_script as faults
 
 AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
 RECOVERS_WITHIN = 12.0  # seconds after it until service is back: who was ill asks for trade again after 3 to 10 s
 BACK = 0.9  # of the service before the faults: under it, with no cause left, it is down by itself
-UPKEEP_WITHIN = 60.0  # seconds after the last fault until all that were asked have been out
+MAINTENANCE_WITHIN_S = 60.0  # seconds after the last fault until all that were asked have been out
 LOOK = 0.25  # seconds between looks at states
-MOST_OWED = 400  # ops that one instance may owe answers at a time
+MAX_OWED = 400  # requests that one instance may owe answers at a time
 
 
-class Found(NamedTuple):
+class SearchOutcome(NamedTuple):
+    """The first violation of a history, the states it reached, and its service figures."""
+
     what: str  # empty: all held
     states: frozenset[tuple]
     before: float  # share in time before the faults
@@ -30,48 +32,49 @@
     after: float  # once recovered
     recovered: float  # seconds after the last fault
     handed: int
-    outings: int
+    maintenance_windows: int
+
 
+class SearchWorld(MaintenanceMixin, LoadBalancingWorld):
+    """A fleet with load, hand-over and maintenance, which samples the states it reaches."""
 
-class Whole(WithUpkeep, SpreadWorld):
     def __init__(self, history: History) -> None:
         script = history.script
         self.end = max(FIRST + 1.0, faults.end_of(faults.read(script, history.instances)))
-        last = self.end + RECOVERS_WITHIN + 6.0 + (UPKEEP_WITHIN if history.upkeep else 0.0)
+        last = self.end + RECOVERS_WITHIN + 6.0 + (MAINTENANCE_WITHIN_S if history.is_maintenance_requested else 0.0)
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
         self.ready(most=2, voters=3, disks=True, works=1.0)
         self.history = history
-        self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which an op was born
+        self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which a request was born
         self.states: set[tuple] = set()
-        self.answered_late = 0
-        if history.upkeep:
-            self.at(FIRST, asked_all, self)
+        if history.is_maintenance_requested:
+            self.at(FIRST, request_maintenance_of_all, self)
         self.at(FIRST - 2.0, self._see)
 
     def goes_out(self, node: Node) -> None:
-        """In order, as the program leaves: told to the reducer, held ops handed over or answered, then it ends."""
+        """Leave in the program's order: notify the reducer, hand over or answer queued requests, then stop."""
         self._take(node, Happening.LEAVE, GRACE)
         self._send(node, node.core.leave(node.clock(self.now)))
-        self.at(self.now + GRACE, self._works_on, node, node.lives)
+        self.at(self.now + GRACE, self._works_on, node, node.incarnations)
 
-    def _works_on(self, node: Node, life: int) -> None:
-        if node.lives == life and node.core:
+    def _works_on(self, node: Node, incarnation: int) -> None:
+        if node.incarnations == incarnation and node.core:
             for ref, owed in node.reducer.owed.items():
                 if owed.place is not None and not node.stalled:
                     raise InvariantBrokenError(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
-            self._gone(node, life)
+            self._gone(node, incarnation)
             self.at(self.now + self.works, self.start, node)
 
-    def _answered(self, op: object, place: int, what: str, result: object, heeds: bool) -> None:
-        over = op.over
-        super()._answered(op, place, what, result, heeds)
-        if what == "ack" and not over and self.now - op.born <= TARGET:
-            self.by_second.setdefault(int(op.born), [0.0, 0.0])[1] += op.kind[2]
+    def _answered(self, request: object, place: int, what: str, result: object, heeds: bool) -> None:
+        over = request.over
+        super()._answered(request, place, what, result, heeds)
+        if what == "ack" and not over and self.now - request.born <= TARGET:
+            self.by_second.setdefault(int(request.born), [0.0, 0.0])[1] += request.kind[2]
 
-    def _try(self, op: object) -> None:
-        if op.tries == 0:
-            self.by_second.setdefault(int(op.born), [0.0, 0.0])[0] += op.kind[2]
-        super()._try(op)
+    def _try(self, request: object) -> None:
+        if request.tries == 0:
+            self.by_second.setdefault(int(request.born), [0.0, 0.0])[0] += request.kind[2]
+        super()._try(request)
 
     def _see(self) -> None:
         self.at(self.now + LOOK, self._see)
@@ -94,7 +97,7 @@
                     bool(node.core.ejected),
                 )
             )
-            if len(node.reducer.owed) > MOST_OWED:
+            if len(node.reducer.owed) > MAX_OWED:
                 raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {len(node.reducer.owed)} ops")
             late = (
                 [
@@ -109,18 +112,20 @@
                 raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
 
     def share(self, since: float, until: float) -> float:
+        """Return the share of requested value that was served in time between two seconds."""
         seconds = [self.by_second.get(second, (0.0, 0.0)) for second in range(int(since), int(until))]
         asked = sum(sums[0] for sums in seconds)
         return sum(sums[1] for sums in seconds) / asked if asked else 1.0
 
 
-def play(history: History) -> Found:
-    world = Whole(history)
+def play(history: History) -> SearchOutcome:
+    """Play a history to its end, or to the first violation."""
+    world = SearchWorld(history)
     what, recovered = "", math.inf
     try:
         world.play(world.end + AGREE_WITHIN)
         agreed = [world.play(world.end + AGREE_WITHIN + 0.25 * look).views_agree() for look in range(12)]
-        going = bool(history.upkeep)  # while some go and come back views are never one for long
+        going = bool(history.is_maintenance_requested)  # while some go and come back views are never one for long
         if not any(agreed) and not going:
             raise InvariantBrokenError(f"views are not one {AGREE_WITHIN + 3.0:.0f} s after the last fault")
         world.play(world.end + RECOVERS_WITHIN + 6.0)
@@ -138,19 +143,19 @@
         if after < BACK * before * (1.0 - 2.0 * dead) and not going:
             raise InvariantBrokenError(f"service is {after:.2f} long after the last fault, {before:.2f} before")
         if going:
-            lives = {node.name for node in world.nodes if not _dies_for_good(history, node.place)}
-            gone = len(world.nodes) - len(lives)
+            survivors = {node.name for node in world.nodes if not _dies_for_good(history, node.place)}
+            gone = len(world.nodes) - len(survivors)
             voters = set(world.permits.voters)
-            if voters - lives:
-                lives -= voters  # with one dead for good the others stay: a majority of the voters must
-            while world.now < world.end + UPKEEP_WITHIN and not lives <= world.been.keys():
+            if voters - survivors:
+                survivors -= voters  # with one dead for good the others stay: a majority of the voters must
+            while world.now < world.end + MAINTENANCE_WITHIN_S and not survivors <= world.been.keys():
                 world.play(world.now + 1.0)
-            if not lives <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
-                raise InvariantBrokenError(f"{sorted(lives - world.been.keys())} were asked and never went out")
+            if not survivors <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
+                raise InvariantBrokenError(f"{sorted(survivors - world.been.keys())} were asked and never went out")
     except InvariantBrokenError as error:
         what = str(error)
     worst = min((sums[1] / sums[0] for second, sums in world.by_second.items() if sums[0] and second >= FIRST - 2), default=1.0)
-    return Found(
+    return SearchOutcome(
         what,
         frozenset(world.states),
         world.share(FIRST - 4.0, FIRST),
@@ -171,6 +176,6 @@
     return last.get(place) in ("kill", "leave")
 
 
-def kind_of(what: str) -> str:
-    """What went wrong without its figures and names: shrinking must keep that."""
+def violation_kind(what: str) -> str:
+    """Return the violation's text without figures and names, which shrinking must preserve."""
     return " ".join(word for word in what.split() if word.isalpha())
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -1,16 +1,15 @@
-"""A fleet in virtual time: the real cores of up to hundreds of instances, their datagrams as bytes, faults by script.
+"""A fleet in virtual time: the real gossip cores of up to hundreds of instances, their datagrams as bytes, faults by script.
 
-One seed, one history. What must hold is checked from outside at each step: no more of a budget used in any window than its
-total, whoever used it, no negative part, and nobody declared gone by the smaller part of a cut fleet.
+One seed gives one history. Invariants are checked from outside at each step: the units of a budget used in any window stay
+within its total, no share is negative, and a minority partition declares nobody gone.
 """
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections import Counter, deque
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds, FleetBounds
 from mulleinhatch.instance.gossip.budgets import QuotaMeter
@@ -18,6 +17,7 @@
 from mulleinhatch.instance.gossip.counters import FRESH_FOR_S
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
+from mulleinhatch.simulation.virtual_time import EventQueue
 from mulleinhatch.testing import fault_script as faults
 
 LINK = (0.0003, 0.002)  # seconds that a datagram takes
@@ -32,7 +32,7 @@
     instances: int = 8
     script: str = ""
     until: float = 15.0
-    beat: float = 0.1
+    heartbeat_s: float = 0.1
     budgets: tuple[tuple[str, int, float], ...] = (("quota", 400, 1.0),)  # name, total, window
     demand: Callable[[int, float], float] = lambda place, now: 1.0
     clocks: tuple[float, ...] = ()  # rates, by place; else within 1%
@@ -42,36 +42,39 @@
 
 
 class Node:
-    """One instance: its core, its clock, its meters; what waits in its socket while it is stopped."""
+    """One instance: its core, clock and meters, and the datagrams queued in its socket while it is stalled."""
 
-    def __init__(self, world: FleetWorld, place: int) -> None:
+    def __init__(self, world: GossipWorld, place: int) -> None:
         self.place, self.name, self.address = place, f"n{place}", f"10.0.0.1:{place}"
         rates = world.plan.clocks
         self.rate = rates[place % len(rates)] if rates else world.draw.uniform(0.99, 1.01)
         self.offset = world.draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
-        self.life, self.lives = 0, 0
+        self.incarnations = 0
         self.core: GossipNode | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
         self.meters: list[QuotaMeter] = []
 
     def clock(self, now: float) -> float:
+        """Return the node's local time for a time of the world."""
         return now * self.rate + self.offset
 
 
-class FleetWorld:
+class GossipWorld(EventQueue):
+    """The event queue, links, faults and invariant checks of one simulated fleet."""
+
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.draw, self.now, self.turn = plan, random.Random(plan.seed), 0.0, 0
+        super().__init__()
+        self.plan, self.draw = plan, random.Random(plan.seed)
         self.faults = faults.read(plan.script, plan.instances)
         names = tuple(f"n{place}" for place in range(plan.instances))
         self.budgets = tuple(BudgetBounds(name, total, names, window) for name, total, window in plan.budgets)
         self.bounds = FleetBounds(
             "virtual",
             seeds=("10.0.0.1:0", "10.0.0.1:1", f"10.0.0.1:{plan.instances // 2}"),
-            heartbeat_s=plan.beat,
+            heartbeat_s=plan.heartbeat_s,
             budgets=self.budgets,
         )
-        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.used: list[deque[float]] = [deque() for _ in self.budgets]
         self.most_used = [0] * len(self.budgets)
         self.took: Counter[int] = Counter()  # by place: units used
@@ -82,41 +85,38 @@
         self.nodes = [Node(self, place) for place in range(plan.instances)]
         self.links = [fault for fault in self.faults if fault.what in ("cut", "deaf")]
         for node in self.nodes:
-            self.at(self.draw.uniform(0.0, plan.beat), self.start, node)
+            self.at(self.draw.uniform(0.0, plan.heartbeat_s), self.start, node)
         for fault in self.faults:
             self.at(fault.at, self._fault, fault)
 
-    def at(self, when: float, act: Callable[..., None], *told: Any) -> None:
-        self.turn += 1
-        heapq.heappush(self.events, (when, self.turn, act, told))
-
-    def play(self, until: float | None = None) -> FleetWorld:
+    def play(self, until: float | None = None) -> GossipWorld:
+        """Run all events up to `until` (the plan's end by default)."""
         until = self.plan.until if until is None else until
-        while self.events and self.events[0][0] <= until:
-            self.now, _, act, told = heapq.heappop(self.events)
-            act(*told)
+        for _ in self.run_until(until):
+            pass
         self.now = until
         return self
 
     # Processes.
 
     def start(self, node: Node) -> None:
+        """Start a new incarnation of the node; do nothing if it runs."""
         if node.core:
             return
-        node.lives += 1
+        node.incarnations += 1
         node.stalled = False
         node.waiting.clear()
         local = node.clock(self.now)
-        # A life's number comes from a clock that may have been set back since the last one.
-        life = int(1000.0 * (self.now + 7200.0 + (node.offset if node.lives > 1 else 0.0)))
-        node.core = GossipNode(self.bounds, node.name, node.address, life, self.draw.getrandbits(48), local)
+        # An incarnation's number comes from a clock that may have been set back since the last one.
+        incarnation = int(1000.0 * (self.now + 7200.0 + (node.offset if node.incarnations > 1 else 0.0)))
+        node.core = GossipNode(self.bounds, node.name, node.address, incarnation, self.draw.getrandbits(48), local)
         if not self.plan.leases:
             for part in node.core.quotas:
-                part.plan_requests = lambda *told: []
+                part.plan_requests = lambda *arguments: []
         node.meters = [QuotaMeter(budget.window) for budget in self.budgets]
-        self.at(self.now, self._beat, node, node.lives)
+        self.at(self.now, self._send_heartbeat, node, node.incarnations)
         for place in range(len(self.budgets)):
-            self.at(self.now + self.draw.uniform(0.0, 0.1), self._use, node, node.lives, place)
+            self.at(self.now + self.draw.uniform(0.0, 0.1), self._use, node, node.incarnations, place)
 
     def _fault(self, fault: faults.Fault) -> None:
         for place in fault.places:
@@ -127,28 +127,28 @@
                 self.start(node)
             elif fault.what == "leave" and node.core:
                 self._send(node, node.core.leave(node.clock(self.now)))
-                self.at(self.now + GRACE, self._gone, node, node.lives)
+                self.at(self.now + GRACE, self._gone, node, node.incarnations)
             elif fault.what == "stall":
                 node.stalled = True
             elif fault.what == "go" and node.core:
                 node.stalled = False
-                self._beat(node, node.lives, again=False)  # its timer is overdue, its socket full
+                self._send_heartbeat(node, node.incarnations, again=False)  # its timer is overdue, its socket full
                 waiting = list(node.waiting)
                 node.waiting.clear()
                 for data in waiting:
                     self._heard(node, data)
 
-    def _gone(self, node: Node, life: int) -> None:
-        if node.lives == life:
+    def _gone(self, node: Node, incarnation: int) -> None:
+        if node.incarnations == incarnation:
             node.core = None
 
     # Beats, datagrams, uses.
 
-    def _beat(self, node: Node, life: int, again: bool = True) -> None:
-        if node.core is None or node.lives != life:
+    def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
+        if node.core is None or node.incarnations != incarnation:
             return
         if again:
-            self.at(self.now + self.plan.beat * self.draw.uniform(0.95, 1.1), self._beat, node, life)
+            self.at(self.now + self.plan.heartbeat_s * self.draw.uniform(0.95, 1.1), self._send_heartbeat, node, incarnation)
         if node.stalled:
             return
         gone = node.core.members.counts["declared_gone"]
@@ -157,11 +157,12 @@
             self._declared(node)
 
     def local(self, node: Node) -> LocalState:
+        """Return the local figures that the node reports."""
         window = self.budgets[0].window if self.budgets else 1.0
         return LocalState(demands=tuple(meter.demand(node.clock(self.now)) if window else 0.0 for meter in node.meters))
 
-    def _send(self, node: Node, errands: list[tuple[str, bytes]]) -> None:
-        for address, data in errands:
+    def _send(self, node: Node, datagrams: list[tuple[str, bytes]]) -> None:
+        for address, data in datagrams:
             to = int(address.rpartition(":")[2])
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(data)
@@ -193,14 +194,14 @@
     def _heard(self, node: Node, data: bytes) -> None:
         self._send(node, node.core.handle_datagram(node.clock(self.now), data))
 
-    def _use(self, node: Node, life: int, budget: int) -> None:
-        """Asks for units at the rate of its demand, one at a time."""
-        if node.core is None or node.lives != life:
+    def _use(self, node: Node, incarnation: int, budget: int) -> None:
+        """Request units one at a time, at the rate of the node's demand."""
+        if node.core is None or node.incarnations != incarnation:
             return
         bounds = self.budgets[budget]
         even = bounds.total / self.plan.instances / bounds.window
         rate = max(0.01, even * self.plan.demand(node.place, self.now))
-        self.at(self.now + self.draw.expovariate(rate), self._use, node, life, budget)
+        self.at(self.now + self.draw.expovariate(rate), self._use, node, incarnation, budget)
         if node.stalled:
             return
         self.wanted[node.place] += 1
@@ -226,7 +227,7 @@
     # What must hold of members.
 
     def _hears(self, node: Node) -> int:
-        """How many others it can hear and be heard by just now."""
+        """Count the nodes that this one can exchange datagrams with in both directions."""
         return sum(
             other is not node
             and other.core is not None
@@ -237,7 +238,7 @@
         )
 
     def _in_hearing(self, node: Node) -> int:
-        """How many others it can hear just now, whether they hear it or not: by that it judges itself."""
+        """Count the nodes that this one can receive from, whether or not they receive from it: its own partition check."""
         return sum(
             other is not node
             and other.core is not None
@@ -259,7 +260,7 @@
         node.core.members.changes.clear()
 
     def _settled(self) -> bool:
-        """No cut, stall or crash began or ended a moment ago."""
+        """Return whether no fault began or ended within the last `CUT_OFF` seconds."""
         moments = [moment for fault in self.faults for moment in (fault.at, fault.until)]
         return all(not 0.0 <= self.now - moment < CUT_OFF for moment in moments)
 
@@ -267,7 +268,7 @@
         return sum(node.core is not None for node in self.nodes)
 
     def views_agree(self) -> bool:
-        """Whether all that run see all that run as there, and nobody else."""
+        """Return whether every running node sees exactly the running nodes as alive."""
         living = {node.name for node in self.nodes if node.core}
         for node in self.nodes:
             if node.core:
@@ -278,15 +279,15 @@
         return True
 
     def known_gone(self, name: str) -> float:
-        """The share of the others that see it as gone."""
+        """Return the share of the other nodes that see this one as gone."""
         others = [
             node.core.members.view.get(name) for node in self.nodes if node.core and not node.stalled and node.name != name
         ]
         return sum(member is not None and member.state >= GONE for member in others) / max(1, len(others))
 
 
-def weather(draw: random.Random, instances: int, start: float, length: float) -> str:
-    """A fault script by chance: a few faults that overlap, all over by `start + length`."""
+def draw_fault_script(draw: random.Random, instances: int, start: float, length: float) -> str:
+    """Draw a fault script: a few overlapping faults, all over by `start + length`."""
     lines = []
     for _ in range(draw.randint(1, 4)):
         at = start + draw.uniform(0.0, 0.5 * length)
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -1,7 +1,7 @@
-"""Upkeep in virtual time, on any world of fleet cores: real upkeep cores, disks and clocks that are the player's.
+"""Maintenance in virtual time, on any world of gossip cores: real maintenance cores, simulated disks and clocks.
 
-Who gets a permit goes out and starts anew when its work is done; more out by permit than the bound
-raises `InvariantBrokenError`.
+A machine that gets a permit goes out of service and restarts when its work is done. `InvariantBrokenError` is raised when more
+machines are out by permit than the bound allows.
 """
 
 from __future__ import annotations
@@ -12,14 +12,22 @@
 from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, MaintenanceState
 from mulleinhatch.instance.maintenance.paxos_register import VoterState
 from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
-from mulleinhatch.simulation.gossip_world import FleetWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import GossipWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 
 
-class WithUpkeep:
-    """Beside a `FleetWorld` in the list of bases, before it."""
+class MaintenanceMixin:
+    """Adds maintenance cores to a `GossipWorld`; it must precede the world in the list of bases."""
 
     def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
+        """Set up disks, permits and counters.
+
+        Args:
+            most: Machines that may be out at a time.
+            voters: Number of voters.
+            disks: Whether voters persist their state.
+            works: Seconds that the work on a machine takes.
+        """
         self.disks: dict[str, VoterState | None] = {node.name: None for node in self.nodes}
         self.has_disks, self.works, self.most_out, self.most = disks, works, 0, most
         self.permits = MaintenanceBounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
@@ -30,6 +38,7 @@
         self.unfit: set[str] = set()
 
     def start(self, node: Node) -> None:
+        """Start the node with a maintenance core that has what its disk kept."""
         if node.core:
             return
         super().start(node)
@@ -41,20 +50,20 @@
         self.cores[node.name] = MaintenanceCoordinator(
             self.permits,
             node.core,
-            node.lives * 100 + node.place,
+            node.incarnations * 100 + node.place,
             node.clock(self.now),
             self.disks[node.name] if self.has_disks else None,
             keep if self.has_disks else None,
         )
 
-    def _beat(self, node: Node, life: int, again: bool = True) -> None:
-        if node.core and node.lives == life and not node.stalled:
+    def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
+        if node.core and node.incarnations == incarnation and not node.stalled:
             core = self.cores[node.name]
             if node.name in self.to_go and not self.been[node.name] and core.state is MaintenanceState.SERVING:
                 core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._look_at(node)
-        super()._beat(node, life, again)
+        super()._send_heartbeat(node, incarnation, again)
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.core:
@@ -74,11 +83,14 @@
             self.goes_out(node)
 
     def goes_out(self, node: Node) -> None:
+        """Stop the node and restart it when its work is done."""
         node.core = None
         self.at(self.now + self.works, self.start, node)
 
 
-class Machines(WithUpkeep, FleetWorld):
+class MaintenanceWorld(MaintenanceMixin, GossipWorld):
+    """A gossip world whose machines request maintenance windows."""
+
     def __init__(
         self,
         count: int,
@@ -93,5 +105,6 @@
         self.ready(most, voters, disks, works)
 
 
-def asked_all(world: Any) -> None:
+def request_maintenance_of_all(world: Any) -> None:
+    """Let every machine request a maintenance window at its next heartbeat."""
     world.to_go = {node.name for node in world.nodes}
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -1,10 +1,9 @@
-"""A model checker for upkeep's permits: voters and askers, every order of what can happen to a stated depth, and long walks.
+"""A model checker for maintenance permits: voters and requesters, every order of events to a stated depth, and random walks.
 
-It drives `Voter`, `ProposalRound` and `PermitTable` as they are and watches from outside: how many machines are really out. A
-word is delivered with its answer, delivered with the answer lost, or copied and delivered any time later; who asks may stop,
-crash and
-start anew; a voter may lose its disk; the voters may change; a person may release a machine that serves. A state is what all
-of them are, not how it came about, so each is looked at once.
+It drives `Voter`, `ProposalRound` and `PermitTable` unchanged and counts from outside the machines that are really out of
+service. A message is delivered with its answer, delivered with the answer lost, or copied and delivered at any later time.
+Requesters may stop, crash and restart; voters may lose their disks; the electorate may change; an operator may release a
+machine in service. A state is identified by its content, so each is visited once.
 """
 
 from __future__ import annotations
@@ -21,6 +20,8 @@
 
 
 class Model(NamedTuple):
+    """The number of voters and requesters, the failures allowed, and the implementation to explore."""
+
     voters: int = 5
     askers: int = 2
     most: int = 1
@@ -34,44 +35,53 @@
 
 
 class Go:
-    """A change that can be kept in a file of states."""
+    """A picklable table change: take a permit."""
 
     def __init__(self, name: str) -> None:
         self.name = name
 
     def __call__(self, table: PermitTable) -> PermitTable:
+        """Return the table with a permit for this machine, if one is free."""
         return table.grant(self.name, "z", "work")
 
 
 class Back(Go):
-    def __init__(self, name: str, fence: int) -> None:
+    """A picklable table change: return the permit with this fencing token."""
+
+    def __init__(self, name: str, fencing_token: int) -> None:
         super().__init__(name)
-        self.fence = fence
+        self.fencing_token = fencing_token
 
     def __call__(self, table: PermitTable) -> PermitTable:
-        return table.release(self.name, self.fence)
+        """Return the table without the permit."""
+        return table.release(self.name, self.fencing_token)
 
 
 class Elect(Go):
-    """The operator's: one more, or one less; of the last `voters` of all."""
+    """A picklable table change of the operator: replace the electorate."""
 
     def __init__(self, voters: tuple[str, ...]) -> None:
         self.voters = voters
 
     def __call__(self, table: PermitTable) -> PermitTable:
+        """Return the table with the new electorate."""
         return table.electorate(self.voters)
 
 
 class Asker:
+    """A machine that requests permits, or the operator."""
+
     def __init__(self, name: str, known: PermitTable) -> None:
-        self.name, self.known, self.life, self.number = name, known, 0, 0
+        self.name, self.known, self.incarnation, self.number = name, known, 0, 0
         self.round: ProposalRound | None = None
-        self.fence = 0  # of the permit by which it is out
+        self.fencing_token = 0  # of the permit by which it is out
         self.down = False  # crashed
         self.is_out = False  # really
 
 
 class State:
+    """Voters, requesters, copied messages, and voters without a disk."""
+
     def __init__(self, model: Model) -> None:
         names = tuple("abcdefghi"[: model.voters])
         first = model.table(voters=names, most=model.most, zone_most=model.most)
@@ -80,11 +90,12 @@
         self.askers = [Asker(f"n{place}", first) for place in range(model.askers)]
         if model.elects or model.releases:
             self.askers.append(Asker("operator", first))
-        self.copies: list[tuple[int, int, str, RegisterRequest]] = []  # asker, its life, voter, ask
+        self.copies: list[tuple[int, int, str, RegisterRequest]] = []  # asker, its incarnation, voter, ask
         self.wiped: dict[str, list[tuple[int, int]]] = {}  # voters without a disk, and the rounds of that time
 
 
 def actions(model: Model, state: State) -> Iterator[tuple]:
+    """Yield the actions that are possible in `state`."""
     for place, asker in enumerate(state.askers):
         if asker.down:
             yield "restart", place
@@ -135,30 +146,32 @@
 
 
 def act(model: Model, state: State, action: tuple) -> None:
-    what, *told = action
+    """Apply `action` to `state`."""
+    what, *arguments = action
     if what in ("step", "lost", "copy"):
-        place, name = told
+        place, name = arguments
         asker = state.askers[place]
         ask = next(ask for voter, ask in asker.round.pending_requests() if voter == name)
         if what == "copy":
-            state.copies.append((place, asker.life, name, ask))
+            state.copies.append((place, asker.incarnation, name, ask))
             return
         answer = state.voters[name].handle_request(ask)
         if what == "step":
             _heard(asker, answer)
     elif what == "deliver":
-        place, life, name, ask = state.copies.pop(told[0])
+        place, incarnation, name, ask = state.copies.pop(arguments[0])
         answer, asker = state.voters[name].handle_request(ask), state.askers[place]
-        if asker.life == life and not asker.down and asker.round is not None:
+        if asker.incarnation == incarnation and not asker.down and asker.round is not None:
             _heard(asker, answer)
     elif what == "wipe":
-        state.wiped[told[0]] = [(place, asker.life) for place, asker in enumerate(state.askers) if asker.round]
-        state.voters[told[0]] = model.voter(told[0], VoterState(), is_abstaining=True)
+        state.wiped[arguments[0]] = [(place, asker.incarnation) for place, asker in enumerate(state.askers) if asker.round]
+        state.voters[arguments[0]] = model.voter(arguments[0], VoterState(), is_abstaining=True)
     elif what == "learn":
-        name = told[0]
+        name = arguments[0]
         # As many others as a majority of the voters that the latest of them names; rounds of before the loss are over.
         under_way = model.waits and any(
-            state.askers[place].life == life and state.askers[place].round for place, life in state.wiped[name]
+            state.askers[place].incarnation == incarnation and state.askers[place].round
+            for place, incarnation in state.wiped[name]
         )
         others = [voter.voter_state for voter in state.voters.values() if voter.name != name and not voter.is_abstaining]
         if (
@@ -168,7 +181,7 @@
         ):
             del state.wiped[name]
     else:
-        _asker_does(model, state, what, *told)
+        _asker_does(model, state, what, *arguments)
 
 
 def _asker_does(model: Model, state: State, what: str, place: int, *more: Any) -> None:
@@ -177,23 +190,31 @@
         asker.down, asker.round = True, None
     elif what == "restart":
         # It serves again, whatever it was out for; what it knows is the operator's file.
-        asker.down, asker.is_out, asker.fence, asker.life = False, False, 0, asker.life + 1
+        asker.down, asker.is_out, asker.fencing_token, asker.incarnation = False, False, 0, asker.incarnation + 1
         asker.known = State(model).askers[place].known
     elif what == "stop":
         asker.round = None
     else:
         asker.number += 1
-        asker.life += 1
+        asker.incarnation += 1
         if what == "release":
             name = state.askers[more[0]].name
             change = Back(name, state.voters[more[1]].voter_state.table.permit(name).fence)
         else:
-            change = Go(asker.name) if what == "want" else Back(asker.name, asker.fence) if what == "return" else Elect(more[0])
-        asker.round = model.round(f"{asker.name}.{asker.life}", asker.number, asker.known, change)
+            change = _change_of(asker, what, more)
+        asker.round = model.round(f"{asker.name}.{asker.incarnation}", asker.number, asker.known, change)
         if what == "return":
             asker.is_out = False  # it serves from here on; the permit follows
 
 
+def _change_of(asker: Asker, what: str, more: tuple[Any, ...]) -> Go:
+    if what == "want":
+        return Go(asker.name)
+    if what == "return":
+        return Back(asker.name, asker.fencing_token)
+    return Elect(more[0])
+
+
 def _heard(asker: Asker, answer: object) -> None:
     asker.round.handle_response(answer)
     if not asker.round.outcome:
@@ -206,18 +227,23 @@
         asker.known = done.table
         permit = done.table.permit(asker.name)
         if isinstance(done.change, Back):
-            asker.fence = 0
+            asker.fencing_token = 0
         elif permit:
-            asker.is_out, asker.fence = True, permit.fence
+            asker.is_out, asker.fencing_token = True, permit.fence
 
 
 def broken(model: Model, state: State) -> str:
+    """Return the violated bound on machines out of service, or an empty text."""
     out = [asker.name for asker in state.askers if asker.is_out]
     return f"{' and '.join(out)} are out, {model.most} may be" if len(out) > model.most else ""
 
 
 def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
-    """All that can happen in `depth` steps after those `before`: how many states, and the first history over the bound."""
+    """Explore every order of events to `depth` steps after `before`.
+
+    Returns:
+        The number of states, and the first history that exceeds the bound (empty if none does).
+    """
     start = State(model)
     for action in before:
         act(model, start, action)
@@ -249,11 +275,11 @@
 }
 
 
-def wander(model: Model, seed: int, walks: int, steps: int, before: tuple[tuple, ...] = ()) -> tuple[int, str]:
-    """Long histories by chance after those steps: how many permits were agreed in them, and the first over the bound."""
+def explore_random_walks(model: Model, seed: int, walks: int, steps: int, before: tuple[tuple, ...] = ()) -> tuple[int, str]:
+    """Play long random histories after `before`; return the permits agreed and the first violation."""
     draw, agreed = random.Random(seed), 0
     for _ in range(walks):
-        state, way = State(model), list(before)
+        state, history = State(model), list(before)
         for action in before:
             act(model, state, action)
         for _ in range(steps):
@@ -262,7 +288,7 @@
             were_out = sum(asker.is_out for asker in state.askers)
             act(model, state, action)
             agreed += sum(asker.is_out for asker in state.askers) > were_out
-            way.append(action)
+            history.append(action)
             if what := broken(model, state):
-                return agreed, exploring.told(what, way)
+                return agreed, exploring.describe_violation(what, history)
     return agreed, ""
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -1,7 +1,7 @@
-"""Many hollow instances in virtual time: one shard of a world, which one process plays; `hollow_shards.py` joins several.
+"""Many simulated instances in virtual time: one shard of a world, which one process plays; `scale_shards.py` joins several.
 
-One seed, one history, however many shards: chance is each instance's own, and what happens at one time goes by (time, sender,
-sequence). What is said of the instances is seen from outside: which places run is known by the script, not by asking them.
+One seed gives one history, however many shards: random numbers are each instance's own, and simultaneous events are ordered by
+(time, sender, sequence). Figures are taken from outside: which places run is known from the script, not from the instances.
 Bytes and datagrams are counted by instance and second, with 28 bytes of headers each; CPU is the thread's time in the cores.
 """
 
@@ -34,7 +34,7 @@
 QUEUE = 200  # datagrams that a stopped process's socket holds
 WATCH_EVERY = 0.25  # seconds between looks at the watched members' sums
 MOST_KEPT = 200_000  # changes and wrong declarations that are kept one by one
-BEAT, USE = -1, -2  # what an event is that is no datagram
+HEARTBEAT, USE = -1, -2  # what an event is that is no datagram
 Event = tuple[float, int, int, int, Any]  # when, sender (-1: the script), sequence, to whom, datagram or what else
 
 
@@ -45,11 +45,11 @@
     observer: int
     subject: int
     why: str
-    wrong: bool  # this life of it ran just then
+    wrong: bool  # this incarnation of it ran just then
 
 
 class Look(NamedTuple):
-    """A watched member's sum of the whole fleet."""
+    """A sample of one watched member's sum of the whole fleet."""
 
     at: float
     place: int
@@ -59,21 +59,21 @@
     living: int  # in truth
 
 
-class Hollow:
-    """One instance: its cores, its clock, its chance, its books."""
+class SimulatedInstance:
+    """One instance: its cores, clock, random source and counts; slotted, as a world holds thousands."""
 
     __slots__ = (
         "place",
         "core",
         "spread",
-        "upkeep",
+        "maintenance",
         "stalled",
         "waiting",
-        "chance",
+        "random_source",
         "rate",
         "offset",
         "sequence",
-        "lives",
+        "incarnations",
         "says",
         "meters",
         "born",
@@ -88,34 +88,34 @@
 
     def __init__(self, plan: Plan, place: int) -> None:
         draw = random.Random(plan.seed * 1_000_003 + place)
-        self.place, self.chance = place, draw
+        self.place, self.random_source = place, draw
         self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
         self.core: GossipNode | None = None
         self.spread: LoadBalancer | None = None
-        self.upkeep: MaintenanceCoordinator | None = None
+        self.maintenance: MaintenanceCoordinator | None = None
         self.stalled = False
         self.waiting: deque[bytes] = deque(maxlen=QUEUE)
-        self.sequence = self.lives = self.cpu = self.calls = self.digest = 0
+        self.sequence = self.incarnations = self.cpu = self.calls = self.digest = 0
         self.says, self.meters, self.born = Says(plan, draw), [], 0.0
         self.sent, self.heard, self.sent_count, self.heard_count = (array("I") for _ in range(4))
 
 
 class Shard:
-    """The instances at `own` places of the plan; the rest is known by its script alone."""
+    """The instances at the shard's own places; the others are known from the script alone."""
 
     def __init__(self, plan: Plan, owner: list[int] | None = None, index: int = 0) -> None:
         self.plan, self.ground, self.now, self.index = plan, Ground(plan), 0.0, index
         self.owner = owner or [0] * plan.members
         self.bounds = self.ground.bounds()
-        self.nodes: list[Hollow | None] = [
-            Hollow(plan, place) if who == index else None for place, who in enumerate(self.owner)
+        self.nodes: list[SimulatedInstance | None] = [
+            SimulatedInstance(plan, place) if who == index else None for place, who in enumerate(self.owner)
         ]
         self.events: list[Event] = []
         self.out: dict[int, list[Event]] = {}
         self.turn = 0
         members = plan.members
         # What the script says of all places, the same in each shard.
-        self.up, self.life = bytearray(members), [0] * members
+        self.up, self.incarnation = bytearray(members), [0] * members
         self.generation = [0] * members
         self.whom = {self.ground.address(place, 0): place for place in range(members)}
         self.active: list[faults.Fault] = []
@@ -136,26 +136,28 @@
     # Time.
 
     def _at(self, when: float, what: tuple[str, Any]) -> None:
-        """Of the script: before what instances do at the same time."""
+        """Schedule a step of the script, before what instances do at the same time."""
         self.turn += 1
         heapq.heappush(self.events, (when, -1, self.turn, -1, what))
 
     def script(self, text: str) -> None:
-        """Faults from now on; what lies before is refused."""
+        """Add faults from now on; reject those in the past."""
         for fault in self.ground.faults(text):
             if fault.at < self.now:
                 raise faults.FaultScriptError(f"at {fault.at:g} is over: it is {self.now:g}")
             self._at(fault.at, ("fault", fault))
 
     def next(self) -> float:
+        """Return the time of the next event."""
         return self.events[0][0] if self.events else math.inf
 
     def take(self, events: list[Event]) -> None:
+        """Add events from other shards."""
         for event in events:
             heapq.heappush(self.events, event)
 
     def run(self, until: float) -> None:
-        """All that happens before `until`."""
+        """Run all events before `until`."""
         events, nodes, pop = self.events, self.nodes, heapq.heappop
         while events and events[0][0] < until:
             self.now, sender, _, to, what = pop(events)
@@ -172,21 +174,21 @@
                         node.waiting.append(what)
                     else:
                         self._heard(node, what)
-            elif what[1] == node.lives and node.core is not None:
-                if what[0] == BEAT:
-                    self._beat(node)
+            elif what[1] == node.incarnations and node.core is not None:
+                if what[0] == HEARTBEAT:
+                    self._send_heartbeat(node)
                 else:
                     self._use(node, what[2])
         self.now = until
 
     def prepare(self, until: float) -> None:
-        """Room in the books up to a time."""
+        """Extend the counts by second up to a time."""
         seconds = int(until) + 2
         for node in self.nodes:
             if node and len(node.sent) < seconds:
                 more = bytes(4 * (seconds - len(node.sent)))
-                for book in (node.sent, node.heard, node.sent_count, node.heard_count):
-                    book.frombytes(more)
+                for series in (node.sent, node.heard, node.sent_count, node.heard_count):
+                    series.frombytes(more)
 
     # The script.
 
@@ -195,17 +197,18 @@
             if self.up[place]:
                 continue
             self.up[place] = 1
-            self.life[place] = self.life_from(self.now)
+            self.incarnation[place] = self.incarnation_from(self.now)
             if node := self.nodes[place]:
                 self._begin(node)
 
     @staticmethod
-    def life_from(start: float) -> int:
+    def incarnation_from(start: float) -> int:
+        """Return the incarnation number of an instance that starts then."""
         return int(1000.0 * (start + 7200.0))
 
-    def _begin(self, node: Hollow) -> None:
+    def _begin(self, node: SimulatedInstance) -> None:
         place, plan = node.place, self.plan
-        node.lives += 1
+        node.incarnations += 1
         node.stalled = False
         node.waiting.clear()
         node.born = self.now
@@ -216,44 +219,51 @@
             bounds,
             self.ground.name(place, generation),
             self.ground.address(place, generation),
-            self.life[place],
-            node.chance.getrandbits(48),
+            self.incarnation[place],
+            node.random_source.getrandbits(48),
             now,
         )
-        node.spread = node.upkeep = None
+        node.spread = node.maintenance = None
         if plan.spread:
             at = node.core.members.address
             node.spread = LoadBalancer(
-                LoadBalancingBounds(at=at), node.core, node.chance.getrandbits(40), now, returns=node.lives > 1
+                LoadBalancingBounds(at=at), node.core, node.random_source.getrandbits(40), now, returns=node.incarnations > 1
             )
             node.core.handover_address = at
-        if plan.upkeep:
-            voters = tuple(self.ground.name(voter, 0) for voter in range(plan.upkeep))
-            node.upkeep = MaintenanceCoordinator(
-                MaintenanceBounds(voters, 1, 1, "z"), node.core, node.lives * 10_000 + place, now
+        if plan.maintenance_voters:
+            voters = tuple(self.ground.name(voter, 0) for voter in range(plan.maintenance_voters))
+            node.maintenance = MaintenanceCoordinator(
+                MaintenanceBounds(voters, 1, 1, "z"), node.core, node.incarnations * 10_000 + place, now
             )
         node.meters = [QuotaMeter(budget.window) for budget in bounds.budgets]
-        if plan.introduced and node.lives == 1:
+        if plan.introduced and node.incarnations == 1:
             self._introduce(node, now)
-        self._later(node, 0.0, (BEAT, node.lives))
+        self._later(node, 0.0, (HEARTBEAT, node.incarnations))
         for budget in range(len(plan.budgets)):
-            self._later(node, node.chance.uniform(0.0, 0.1), (USE, node.lives, budget))
+            self._later(node, node.random_source.uniform(0.0, 0.1), (USE, node.incarnations, budget))
 
-    def _introduce(self, node: Hollow, now: float) -> None:
-        """Letters that name all others, as a member that knows them would write, and none of it news to be told on."""
+    def _introduce(self, node: SimulatedInstance, now: float) -> None:
+        """Deliver messages that name all others, as a member that knows them would send; none of it is gossiped on."""
         ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
-            told = [
+            updates = [
                 words.MemberUpdate(
-                    ground.name(place, 0), ground.address(place, 0), self.life_from(self.starts[place]), 0, ALIVE
+                    ground.name(place, 0), ground.address(place, 0), self.incarnation_from(self.starts[place]), 0, ALIVE
                 )
                 for place in some
             ]
-            letter = words.GossipMessage(
-                words.VERSION, "hollow", told[0].name, told[0].address, told[0].process_epoch, 0, "word", member_updates=told
+            message = words.GossipMessage(
+                words.VERSION,
+                "hollow",
+                updates[0].name,
+                updates[0].address,
+                updates[0].process_epoch,
+                0,
+                "word",
+                member_updates=updates,
             )
-            node.core.handle_datagram(now, words.encode(letter))
+            node.core.handle_datagram(now, words.encode(message))
         node.core.members.updates.unsent.clear()
         node.core.members.changes.clear()
 
@@ -263,7 +273,7 @@
             for place in fault.places:
                 self.up[place] = 0
                 if node := self.nodes[place]:
-                    node.core = node.spread = node.upkeep = None
+                    node.core = node.spread = node.maintenance = None
         elif what == "start":
             self._start(fault.places)
         elif what == "renew":
@@ -290,9 +300,9 @@
         else:
             raise faults.FaultScriptError(f"{what} is nothing that a hollow instance meets")
 
-    def _go_on(self, node: Hollow) -> None:
-        """Its timer is overdue, its socket full."""
-        self._beat(node, again=False)
+    def _go_on(self, node: SimulatedInstance) -> None:
+        """Resume after a stall: the timer is overdue and the socket full."""
+        self._send_heartbeat(node, again=False)
         waiting = list(node.waiting)
         node.waiting.clear()
         for data in waiting:
@@ -325,7 +335,7 @@
             if node.core and not node.stalled:
                 self.looks.append(Look(self.now, place, *self._sum(node), living))
 
-    def _sum(self, node: Hollow) -> tuple[int, int, float]:
+    def _sum(self, node: SimulatedInstance) -> tuple[int, int, float]:
         """Members alive in its sum of the fleet, silent ones, the oldest age; flat, what its own view holds."""
         now = self.now * node.rate + node.offset
         if self.plan.levels:
@@ -336,13 +346,15 @@
 
     # Instances.
 
-    def _later(self, node: Hollow, after: float, what: tuple) -> None:
+    def _later(self, node: SimulatedInstance, after: float, what: tuple) -> None:
         node.sequence += 1
         heapq.heappush(self.events, (self.now + after, node.place, node.sequence, node.place, what))
 
-    def _beat(self, node: Hollow, again: bool = True) -> None:
+    def _send_heartbeat(self, node: SimulatedInstance, again: bool = True) -> None:
         if again:
-            self._later(node, node.core.bounds.heartbeat_s * node.chance.uniform(0.95, 1.1), (BEAT, node.lives))
+            self._later(
+                node, node.core.bounds.heartbeat_s * node.random_source.uniform(0.95, 1.1), (HEARTBEAT, node.incarnations)
+            )
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
@@ -352,8 +364,8 @@
         if node.spread:
             datagrams += node.spread.heartbeat(now, InstanceLoad(8, 0, 48))
             local = local._replace(figures=local.figures[:11] + node.spread.figures(now), opinions=node.spread.opinions(now))
-        if node.upkeep:
-            datagrams += node.upkeep.tick(now, self.now + node.offset, True)
+        if node.maintenance:
+            datagrams += node.maintenance.tick(now, self.now + node.offset, True)
         datagrams += node.core.heartbeat(now, local)
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
@@ -361,13 +373,13 @@
         if node.core.members.changes:
             self._changes(node)
 
-    def _heard(self, node: Hollow, data: bytes) -> None:
+    def _heard(self, node: SimulatedInstance, data: bytes) -> None:
         begun = time.thread_time_ns()
         datagrams = node.core.handle_datagram(self.now * node.rate + node.offset, data)
         if node.spread:
             datagrams += node.spread.take_messages()
-        if node.upkeep:
-            datagrams += node.upkeep.take_outgoing()
+        if node.maintenance:
+            datagrams += node.maintenance.take_outgoing()
         node.cpu += time.thread_time_ns() - begun
         node.calls += 1
         if datagrams:
@@ -375,8 +387,8 @@
         if node.core.members.changes:
             self._changes(node)
 
-    def _send(self, node: Hollow, datagrams: list[tuple[str, bytes]]) -> None:
-        place, second, owner, chance = node.place, int(self.now), self.owner, node.chance.random
+    def _send(self, node: SimulatedInstance, datagrams: list[tuple[str, bytes]]) -> None:
+        place, second, owner, random_source = node.place, int(self.now), self.owner, node.random_source.random
         for address, data in datagrams:
             if len(data) > words.MAX_DATAGRAM_BYTES:
                 raise InvariantBrokenError(f"at {self.now:.3f} a datagram of {len(data)} bytes")
@@ -390,11 +402,11 @@
             times = 1
             if self.amounts:
                 lossy, repeated, swapped, delayed = (self._amount(what, place, to) for what in faults.LINKS[2:])
-                low, high = low + delayed, high + delayed + (0.3 if chance() < swapped else 0.0)
-                times = (1 + (chance() < repeated)) * (chance() >= lossy)
+                low, high = low + delayed, high + delayed + (0.3 if random_source() < swapped else 0.0)
+                times = (1 + (random_source() < repeated)) * (random_source() >= lossy)
             for _ in range(times):
                 node.sequence += 1
-                event = (self.now + low + (high - low) * chance(), place, node.sequence, to, data)
+                event = (self.now + low + (high - low) * random_source(), place, node.sequence, to, data)
                 if owner[to] == self.index:
                     heapq.heappush(self.events, event)
                 else:
@@ -407,7 +419,7 @@
         amounts = self.amounts.get(what)
         return max(amounts[sender], amounts[to]) if amounts else 0.0
 
-    def _changes(self, node: Hollow) -> None:
+    def _changes(self, node: SimulatedInstance) -> None:
         changes, node.core.members.changes = node.core.members.changes, []
         for change in changes:
             self.counts[change.state] += 1
@@ -416,19 +428,19 @@
             subject = self.ground.place_named(change.name)
             same = change.name.rpartition("/")[2] == self.ground.name(subject, self.generation[subject])
             known = node.core.members.view.get(change.name)
-            wrong = bool(self.up[subject] and same and known and known.process_epoch == self.life[subject])
+            wrong = bool(self.up[subject] and same and known and known.process_epoch == self.incarnation[subject])
             self.counts["wrong" if wrong else "right"] += 1
             if len(self.gone) < MOST_KEPT:
                 self.gone.append(Gone(self.now, node.place, subject, change.why, wrong))
 
-    def _part(self, node: Hollow, now: float, budget: int) -> int:
+    def _part(self, node: SimulatedInstance, now: float, budget: int) -> int:
         return node.core.usable_quota(now, budget)
 
-    def _use(self, node: Hollow, budget: int) -> None:
-        """Asks for units at the rate of its demand, one at a time."""
+    def _use(self, node: SimulatedInstance, budget: int) -> None:
+        """Request units one at a time, at the rate of the instance's demand."""
         _, total, window = self.plan.budgets[budget]
         rate = max(0.01, total / self.plan.members / (window or 1.0) * self.plan.demand)
-        self._later(node, node.chance.expovariate(rate), (USE, node.lives, budget))
+        self._later(node, node.random_source.expovariate(rate), (USE, node.incarnations, budget))
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
@@ -454,15 +466,17 @@
         }
 
     def mark(self) -> None:
+        """Reset the CPU counts."""
         for node in self.nodes:
             if node:
                 node.cpu = node.calls = 0
 
     def cpu(self) -> dict[int, tuple[int, int]]:
-        """By place: nanoseconds in the cores and calls since the mark."""
+        """Return by place the nanoseconds in the cores and the calls since `mark`."""
         return {node.place: (node.cpu, node.calls) for node in self.nodes if node}
 
     def digest(self) -> dict[int, int]:
+        """Return a checksum of all datagrams sent, by place."""
         return {node.place: node.digest for node in self.nodes if node}
 
     def views(self) -> tuple[Counter[tuple[int, int]], int, int, int]:
@@ -485,7 +499,7 @@
     def holding(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
         """By place: in how many views of those that run, `but` these, it is there, and in how many gone."""
         names = {place: self.ground.name(place, self.generation[place]) for place in places}
-        held = {place: [0, 0] for place in places}
+        counts = {place: [0, 0] for place in places}
         for node in self.nodes:
             if node is None or node.core is None or node.stalled or node.place in but:
                 continue
@@ -493,8 +507,8 @@
             prefix = next((name.rpartition("/")[0] + "/" for name in view if "/" in name), "")
             for place, name in names.items():
                 if (member := view.get(prefix + name)) and place != node.place:
-                    held[place][member.state >= GONE] += 1
-        return {place: (there, gone) for place, (there, gone) in held.items()}
+                    counts[place][member.state >= GONE] += 1
+        return {place: (there, gone) for place, (there, gone) in counts.items()}
 
     def speakers(self) -> list[int]:
         """Places that speak for their group just now, if levels can tell."""
@@ -508,11 +522,16 @@
         """Bytes of state by kind, each object counted once, in these instances that run."""
         return [state_of(node) for place in places if (node := self.nodes[place]) and node.core]
 
-    def told(self, what: str) -> Any:
-        return getattr(self, what)
+    def attribute(self, name: str) -> Any:
+        """Return an attribute of this shard, for queries from another process."""
+        return getattr(self, name)
+
+
+def _without_fleet(core: Any) -> dict[str, Any]:
+    return {key: value for key, value in core.__dict__.items() if key != "fleet"}
 
 
-KINDS_OF_STATE: tuple[tuple[str, Callable[[Hollow], Any]], ...] = (
+KINDS_OF_STATE: tuple[tuple[str, Callable[[SimulatedInstance], Any]], ...] = (
     ("members", lambda node: node.core.members.view),
     (
         "membership",
@@ -528,12 +547,16 @@
     ("verdicts", lambda node: node.core.outlier_detector.__dict__),
     ("budgets", lambda node: [part.__dict__ for part in node.core.quotas]),
     ("levels", lambda node: getattr(node.core, "aggregation_tree", None)),
-    ("spread", lambda node: node.spread and {key: value for key, value in node.spread.__dict__.items() if key != "fleet"}),
-    ("upkeep", lambda node: node.upkeep and {key: value for key, value in node.upkeep.__dict__.items() if key != "fleet"}),
+    ("spread", lambda node: node.spread and _without_fleet(node.spread)),
+    (
+        "upkeep",
+        lambda node: node.maintenance and _without_fleet(node.maintenance),
+    ),
 )
 
 
-def state_of(node: Hollow) -> dict[str, float]:
+def state_of(node: SimulatedInstance) -> dict[str, float]:
+    """Return bytes of state by kind of one instance."""
     # What is settings, or the instance itself, is no state of this kind.
     seen = {
         id(node),
@@ -543,11 +566,11 @@
         id(node.core.fleet_counters),
         id(node.core.outlier_detector),
     }
-    return {kind: float(deep_size(told(node), seen)) for kind, told in KINDS_OF_STATE}
+    return {kind: float(deep_size(select(node), seen)) for kind, select in KINDS_OF_STATE}
 
 
 def deep_size(thing: Any, seen: set[int]) -> int:
-    """Bytes of it and all that it holds, but for what was seen, code and types.
+    """Return the bytes of an object and all it refers to, without what was seen, code and types.
 
     >>> deep_size(["abc"], set()) == sys.getsizeof(["abc"]) + sys.getsizeof("abc")
     True
@@ -575,4 +598,4 @@
     return size
 
 
-__all__ = ["LOOKAHEAD", "Gone", "Hollow", "Look", "Shard", "deep_size", "state_of"]
+__all__ = ["LOOKAHEAD", "Gone", "SimulatedInstance", "Look", "Shard", "deep_size", "state_of"]
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -1,6 +1,6 @@
 """Fault scripts: small text files that say what goes wrong when.
 
-    # seconds from the first op
+    # seconds from the first request
     at 4 kill 0 for 8                # the instance and its interpreter, both start anew after
     at 4 kill 0,1 for 8
     at 4 freeze 0 for 6              # the interpreter stands still
@@ -18,7 +18,7 @@
     at 4 lossy all 0.3 for 10             # share of datagrams lost; also: repeated, swapped (reordered)
     at 4 delayed all 0.5 for 10           # seconds
     at 4 stall 3,7 for 2                  # the process is stopped, then goes on
-    at 4 replace 3,7 for 2                # killed; others start in their places, by new names (hollow instances alone)
+    at 4 replace 3,7 for 2                # killed; others start in their places, by new names (simulated instances alone)
     at 4 slow 3 by 8 for 10               # its interpreter's work takes 8 times as long
     at 4 failing 3 0.5 for 10             # that share of its runs fails
     at 4 directory off for 10
@@ -31,11 +31,13 @@
 
 
 class FaultScriptError(ValueError):
-    """The text names the line."""
+    """A line of the script is no fault; the text names it."""
 
 
 class Fault(NamedTuple):
-    at: float  # seconds from the first op
+    """One fault, or its end, at a time."""
+
+    at: float  # seconds from the first request
     what: str  # kill, start, freeze, thaw, leave, look, silent, garble, quiet
     places: tuple[int, ...]
     count: int = 0
@@ -49,13 +51,14 @@
 
 
 def end_of(faults: list[Fault]) -> float:
-    """When the last outage ends: until then no service can be asked for."""
+    """Return when the last outage ends; until then no service can be expected."""
     ends = [fault.at for fault in faults if fault.what in ("start", "thaw", "go")]
     return max([*ends, *(fault.until for fault in faults if fault.until < math.inf)], default=0.0)
 
 
 def numbers(text: str, instances: int) -> tuple[int, ...]:
-    """
+    """Parse a list of places.
+
     >>> numbers("0-2,9", 10), numbers("all", 3)
     ((0, 1, 2, 9), (0, 1, 2))
     """
@@ -71,7 +74,7 @@
 
 
 def passes(faults: list[Fault], now: float, sender: int, to: int) -> bool:
-    """Whether a datagram between two instances gets through what is cut at that time."""
+    """Return whether a datagram between two instances passes the cuts active then."""
     for fault in faults:
         if fault.what in ("cut", "deaf") and fault.at <= now < fault.until:
             if to in fault.places and sender in fault.others:
@@ -82,7 +85,7 @@
 
 
 def amount(faults: list[Fault], what: str, now: float, place: int) -> float:
-    """The largest of such faults that hold there then."""
+    """Return the largest amount of that kind of fault active at a place then."""
     return max(
         (fault.amount for fault in faults if fault.what == what and fault.at <= now < fault.until and place in fault.places),
         default=0.0,
@@ -90,7 +93,7 @@
 
 
 def read(text: str, instances: int = 1000) -> list[Fault]:
-    """All that happens, in order of time.
+    """Parse a script; return all faults in order of time.
 
     >>> for fault in read("at 4 flap 0 every 3 until 10  # twice"):
     ...     print(*fault[:3])
@@ -104,44 +107,49 @@
     """
     faults: list[Fault] = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.partition("#")[0].split()
-        if words:
+        fields = line.partition("#")[0].split()
+        if fields:
             try:
-                faults += of(words, instances)
+                faults += of(fields, instances)
             except (ValueError, IndexError, KeyError):
-                raise FaultScriptError(f"line {number}: {' '.join(words)!r} is no fault") from None
+                raise FaultScriptError(f"line {number}: {' '.join(fields)!r} is no fault") from None
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def of(words: list[str], instances: int) -> list[Fault]:
-    if words[0] != "at" or len(words) < 4:
+def of(fields: list[str], instances: int) -> list[Fault]:
+    """Parse one line.
+
+    Raises:
+        ValueError: It is no fault.
+    """
+    if fields[0] != "at" or len(fields) < 4:
         raise ValueError
-    at, what = float(words[1]), words[2]
+    at, what = float(fields[1]), fields[2]
     if what in ("silent", "garble"):
-        count, places, told = int(words[3]), (int(words[5]),), dict(zip(words[6::2], words[7::2]))
-        return [Fault(at, what, places, count), Fault(at + float(told["for"]), "quiet", places)]
-    if what == "directory" and words[3] == "off":
-        return [Fault(at, "directory", (), until=at + float(_after(words, "for")))]
-    places = numbers(words[3], instances)
+        count, places, options = int(fields[3]), (int(fields[5]),), dict(zip(fields[6::2], fields[7::2]))
+        return [Fault(at, what, places, count), Fault(at + float(options["for"]), "quiet", places)]
+    if what == "directory" and fields[3] == "off":
+        return [Fault(at, "directory", (), until=at + float(_after(fields, "for")))]
+    places = numbers(fields[3], instances)
     if what in LINKS + WORK:
-        until, named = at + float(_after(words, "for")), {"cut": "from", "deaf": "to", "slow": "by"}.get(what)
+        until, named = at + float(_after(fields, "for")), {"cut": "from", "deaf": "to", "slow": "by"}.get(what)
         if what in ("cut", "deaf"):
-            return [Fault(at, what, places, others=numbers(_after(words, named), instances), until=until)]
-        told_amount = float(_after(words, named) if named else words[4])
-        if told_amount < 0.0 or what in ("lossy", "repeated", "swapped", "failing") and told_amount > 1.0:
+            return [Fault(at, what, places, others=numbers(_after(fields, named), instances), until=until)]
+        amount = float(_after(fields, named) if named else fields[4])
+        if amount < 0.0 or what in ("lossy", "repeated", "swapped", "failing") and amount > 1.0:
             raise ValueError
-        return [Fault(at, what, places, amount=told_amount, until=until)]
+        return [Fault(at, what, places, amount=amount, until=until)]
     if what == "stall":
-        return [Fault(at, what, places), Fault(at + float(_after(words, "for")), "go", places)]
-    told = {word: float(number) for word, number in zip(words[4::2], words[5::2])}
+        return [Fault(at, what, places), Fault(at + float(_after(fields, "for")), "go", places)]
+    options = {word: float(number) for word, number in zip(fields[4::2], fields[5::2])}
     if what == "replace":
-        return [Fault(at, "kill", places), Fault(at + told["for"], "renew", places)]
+        return [Fault(at, "kill", places), Fault(at + options["for"], "renew", places)]
     if what in ("kill", "freeze"):
         back = "start" if what == "kill" else "thaw"
-        return [Fault(at, what, places)] + ([Fault(at + told["for"], back, places)] if "for" in told else [])
+        return [Fault(at, what, places)] + ([Fault(at + options["for"], back, places)] if "for" in options else [])
     if what == "flap":
-        every, moments = told["every"], []
-        while at <= told["until"]:
+        every, moments = options["every"], []
+        while at <= options["until"]:
             moments += [Fault(at, "kill", places), Fault(at + every, "start", places)]
             at += 2.0 * every
         return moments
@@ -150,5 +158,5 @@
     raise ValueError
 
 
-def _after(words: list[str], word: str) -> str:
-    return words[words.index(word) + 1]
+def _after(fields: list[str], word: str) -> str:
+    return fields[fields.index(word) + 1]
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes: instances, one host of interpreters, stubs, and a relay that all words between them pass through.
+"""A fleet of real processes: instances, one host of interpreters, clients, and a relay for all datagrams between instances.
 
-Faults come by script (`faults.py`). What is said of the fleet is looked at from outside: what each instance tells over HTTP,
-what the interpreters ran and when, what the operating system says of the processes. Each is ended by its id.
+Faults follow a script (`fault_script.py`). The fleet is observed from outside: each instance's status over HTTP, the
+interpreters' record of runs, the operating system's view of the processes. Each process is ended by its id.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class FleetCase(NamedTuple):
-    """Times are seconds, rates ops a second; a stub process for each of `loads`: places, rate."""
+    """One run. Times are seconds, rates requests a second; there is a client process for each of `loads`: places, rate."""
 
     instances: int
     script: str = ""
@@ -38,22 +38,23 @@
     window: float = 1.0
     leases: bool = True
     loads: tuple[tuple[str, float], ...] = ()
-    beat: float = 0.1
+    heartbeat_s: float = 0.1
     work_ms: float = 2.0
     cores: int = 4
     seed: int = 1
     seeds: int = 3
-    directory: bool = False  # stubs know the instances that it lists, a second late; else all of them
+    directory: bool = False  # clients know the instances that it lists, a second late; else all of them
     fleet: bool = True  # False: the same processes with no fleet, for what it costs
     lease: float = 5.0
     spread: str = ""  # lines of a `spread` node; "-" for an empty one; none: load is not spread
-    upkeep: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
-    signoffs: float = 0.0  # share of the ops that may not run twice
-    tries: int = 1  # of an op
+    maintenance: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
+    signoffs: float = 0.0  # share of the requests that may not run twice
+    tries: int = 1  # of a request
     heeding: float = 0.0
 
 
 def settings(case: FleetCase) -> dict[str, Any]:
+    """Return the deployment settings of the instances."""
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
     return {
         "classes": [
@@ -79,29 +80,32 @@
 
 
 class Node:
-    def __init__(self, rig: FleetRig, place: int) -> None:
-        self.rig, self.place, self.name = rig, place, f"n{place}"
-        self.port, self.udp = rig.ports[place], rig.udp[place]
+    """One instance as a process."""
+
+    def __init__(self, harness: FleetHarness, place: int) -> None:
+        self.harness, self.place, self.name = harness, place, f"n{place}"
+        self.port, self.udp = harness.ports[place], harness.udp[place]
         self.process: asyncio.subprocess.Process | None = None
         self.watched: psutil.Process | None = None
         self.stalled = False
 
     async def start(self) -> None:
-        rig, case = self.rig, self.rig.case
-        told = {
+        """Write the instance's files and start its process."""
+        harness, case = self.harness, self.harness.case
+        settings_json = {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
-            "vm": f"127.0.0.1:{rig.links[self.place]}",
-            **({"lookup": f"127.0.0.1:{rig.reports[0]}"} if case.directory else {}),
+            "vm": f"127.0.0.1:{harness.links[self.place]}",
+            **({"lookup": f"127.0.0.1:{harness.reports[0]}"} if case.directory else {}),
             "seed": f"{case.seed * 10_000 + self.place:x}",
             "stop_ms": 1000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": settings(case),
         }
-        config, operator = rig.folder / f"{self.name}.json", rig.folder / f"{self.name}.kdl"
-        config.write_text(json.dumps(told))
+        config, operator = harness.folder / f"{self.name}.json", harness.folder / f"{self.name}.kdl"
+        config.write_text(json.dumps(settings_json))
         names = " ".join(f'"n{place}"' for place in range(case.instances))
-        seeds = " ".join(f'"127.0.0.1:{rig.here[place]}"' for place in rig.seeds)
+        seeds = " ".join(f'"127.0.0.1:{harness.here[place]}"' for place in harness.seeds)
         budget = (
             f'budgets {{\n t {{\n tenant "t"\n total {case.total}\n window {case.window}\n lease {case.lease}\n }}\n }}'
             if case.total
@@ -109,7 +113,7 @@
         )
         operator.write_text(
             f'fleet {{\n name "rig"\n listen "127.0.0.1:{self.udp}"\n status "127.0.0.1:{self.port}"\n'
-            f' advertise "127.0.0.1:{rig.here[self.place]}"\n seeds {seeds}\n beat {case.beat}\n'
+            f' advertise "127.0.0.1:{harness.here[self.place]}"\n seeds {seeds}\n beat {case.heartbeat_s}\n'
             f" seats {names}\n {budget}\n}}\n"
             if case.fleet
             else ""
@@ -117,13 +121,13 @@
         if case.spread:
             with open(operator, "a") as more:
                 more.write(f'spread {{\n at "127.0.0.1:{self.port}"\n {case.spread.strip("-")}\n}}\n')
-        if case.upkeep:
+        if case.maintenance:
             with open(operator, "a") as more:
-                lines = case.upkeep.format(
-                    folder=rig.folder / f"votes-{self.name}", control=f"127.0.0.1:{rig.controls[self.place]}"
+                lines = case.maintenance.format(
+                    folder=harness.folder / f"votes-{self.name}", control=f"127.0.0.1:{harness.controls[self.place]}"
                 )
                 more.write(f"upkeep {{\n{lines}\n}}\n")
-        with open(rig.folder / f"{self.name}.log", "a") as log:
+        with open(harness.folder / f"{self.name}.log", "a") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
@@ -141,9 +145,11 @@
 
     @property
     def up(self) -> bool:
+        """Return whether the process runs."""
         return self.process is not None and self.process.returncode is None
 
     async def ask(self, path: str) -> bytes:
+        """Return the body of an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
@@ -151,12 +157,12 @@
         finally:
             writer.close()
 
-    async def upkeep(self, **told: Any) -> dict[str, Any]:
-        """A person's word to it; what it says, with `error` where it refuses or is not there."""
+    async def request_maintenance(self, **command: Any) -> dict[str, Any]:
+        """Send an operator's command; return the answer, with `error` if it is rejected or unreachable."""
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.rig.controls[self.place])
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.harness.controls[self.place])
             try:
-                writer.write(json.dumps(told).encode() + b"\n")
+                writer.write(json.dumps(command).encode() + b"\n")
                 return json.loads(await asyncio.wait_for(reader.readline(), 12.0))
             finally:
                 writer.close()
@@ -164,7 +170,7 @@
             return {"error": str(error) or type(error).__name__}
 
     async def fleet(self) -> dict[str, Any] | None:
-        """What it knows of the fleet; None if it is down or does not answer."""
+        """Return the instance's view of the fleet; None if it is down or does not answer."""
         if not self.up or self.stalled:
             return None
         try:
@@ -173,13 +179,15 @@
             return None
 
     async def counters(self) -> dict[str, int]:
+        """Return the counters; empty if the instance does not answer."""
         try:
-            words = (await self.ask("/status/counters")).decode()
+            body = (await self.ask("/status/counters")).decode()
         except (OSError, TimeoutError):
             return {}
-        return {name: int(count) for name, _, count in (line.partition("=") for line in words.splitlines())}
+        return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
     async def end(self) -> None:
+        """Kill the process and wait for it."""
         if self.up:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -187,8 +195,11 @@
 
 
 def free_ports(count: int, kind: int) -> list[int]:
-    """Below what the system gives to connections: of hundreds that it names one by one, some come twice, or are taken
-    by a connection before their process listens there."""
+    """Return free ports below the system's ephemeral range.
+
+    Of hundreds of ports that the system assigns one by one, some come twice, or are taken by a connection before their process
+    listens there.
+    """
     found: list[int] = []
     port = 12_000 + (os.getpid() * 997 + int(time.time() * 1000)) % 16_000
     while len(found) < count:
@@ -199,8 +210,11 @@
     return found
 
 
-class FleetRig:
-    """`async with FleetRig(case, folder) as rig`: all are up and in view of each other; the script's zero is `start_at`."""
+class FleetHarness:
+    """Runs a fleet: `async with FleetHarness(case, folder) as harness`. On entry all instances are up and see each other.
+
+    `start_at` is the zero of the fault script's clock.
+    """
 
     def __init__(self, case: FleetCase, folder: Path) -> None:
         self.case, self.folder = case, folder
@@ -221,38 +235,38 @@
         self.loads: list[asyncio.subprocess.Process] = []
         self.scripted: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> FleetRig:
+    async def __aenter__(self) -> FleetHarness:
         try:
             links = ",".join(map(str, self.links)) + ("," if len(self.links) == 1 else "")
-            self.host = await self._stand_in("fake_interpreter", links, str(self.case.cores), "1.0", "0.0")
+            self.host = await self._start_fake("fake_interpreter", links, str(self.case.cores), "1.0", "0.0")
             await self.host.stdout.readline()
             if self.case.directory:
-                self.directory = await self._stand_in("fake_directory", str(self.reports[1]), str(self.lists), "1.0")
+                self.directory = await self._start_fake("fake_directory", str(self.reports[1]), str(self.lists), "1.0")
                 await self.directory.stdout.readline()
             for first in range(0, len(self.nodes), STARTS_AT_A_TIME):
                 await asyncio.gather(*(node.start() for node in self.nodes[first : first + STARTS_AT_A_TIME]))
                 await asyncio.gather(*(self._is_up(node) for node in self.nodes[first : first + STARTS_AT_A_TIME]))
-            self.relay = await self._stand_in("datagram_relay")
+            self.relay = await self._start_fake("datagram_relay")
             self.start_at = time.time() + 1.0
-            await self._tell_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
+            await self._configure_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
             return self
         except BaseException:
             await self.__aexit__()
             raise
 
-    async def _stand_in(self, name: str, *told: str) -> asyncio.subprocess.Process:
+    async def _start_fake(self, name: str, *arguments: str) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             f"mulleinhatch.testing.{name}",
-            *told,
+            *arguments,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             limit=1 << 26,
         )
 
-    async def _tell_relay(self, start_at: float) -> None:
-        told = {
+    async def _configure_relay(self, start_at: float) -> None:
+        settings_json = {
             "here": self.here,
             "there": [node.udp for node in self.nodes],
             "script": self.case.script,
@@ -260,7 +274,7 @@
             "seed": self.case.seed,
             "directory": self.reports if self.case.directory else None,
         }
-        self.relay.stdin.write(json.dumps(told).encode() + b"\n")
+        self.relay.stdin.write(json.dumps(settings_json).encode() + b"\n")
         await self.relay.stdin.drain()
         await self.relay.stdout.readline()
 
@@ -272,12 +286,12 @@
             await asyncio.sleep(0.1)
 
     async def go(self) -> None:
-        """Starts the script and the stubs; a new relay takes the place of the calm one."""
+        """Start the script and the clients; a new relay replaces the calm one."""
         self.relay.terminate()
         await self.relay.communicate()
-        self.relay = await self._stand_in("datagram_relay")
+        self.relay = await self._start_fake("datagram_relay")
         self.start_at = time.time() + 0.5
-        await self._tell_relay(self.start_at)
+        await self._configure_relay(self.start_at)
         case = self.case
         for number, (places, rate) in enumerate(case.loads):
             chosen = faults.numbers(places, self.case.instances)
@@ -301,16 +315,18 @@
                 "names": [self.nodes[place].name for place in chosen],
                 "directory": self.lists if self.case.directory else 0,
             }
-            load = await self._stand_in("fake_callers")
+            load = await self._start_fake("fake_callers")
             load.stdin.write(json.dumps(habits).encode() + b"\n")
             await load.stdin.drain()
             self.loads.append(load)
         self.scripted = asyncio.ensure_future(self._script())
 
     def now(self) -> float:
+        """Return the time of the script's clock."""
         return time.time() - self.start_at
 
     async def until(self, moment: float) -> None:
+        """Sleep until a time of the script's clock."""
         await asyncio.sleep(max(0.0, moment - self.now()))
 
     async def _script(self) -> None:
@@ -338,7 +354,7 @@
             self.host.stdin.write(f"{fault.what} {node.place} {amount}\n".encode())
 
     async def kill(self, node: Node) -> None:
-        """Outright, and its interpreter with it."""
+        """Kill the instance, and its interpreter with it."""
         begun_at = time.time()
         await node.end()
         self.deaths.append((node.place, begun_at, time.time()))
@@ -347,13 +363,13 @@
     # Looks from outside.
 
     async def views(self) -> dict[str, dict[str, Any]]:
-        """By name, what each that answers knows of the fleet; of a large one every so many, or the look itself is a load."""
+        """Return by name each instance's view; of a large fleet a sample, as polling all of it would be a load."""
         nodes = self.nodes[:: max(1, self.case.instances // LOOKED_AT)]
-        told = await asyncio.gather(*(node.fleet() for node in nodes))
-        return {node.name: view for node, view in zip(nodes, told) if view}
+        answers = await asyncio.gather(*(node.fleet() for node in nodes))
+        return {node.name: view for node, view in zip(nodes, answers) if view}
 
     async def wait_for(self, what: Callable[[dict[str, dict[str, Any]]], bool], within: float) -> float | None:
-        """Seconds until that held of all views, or None."""
+        """Return the seconds until the condition held for all views, or None."""
         begun = time.monotonic()
         while time.monotonic() - begun < within:
             if what(await self.views()):
@@ -362,29 +378,29 @@
         return None
 
     async def begun(self, place: int) -> int:
-        """Runs that the interpreter there was seen to begin, in all its lives."""
+        """Return the number of runs that the interpreter there began, in all its incarnations."""
         self.host.stdin.write(f"begun {place}\n".encode())
         return int(await self.host.stdout.readline())
 
     def usage(self) -> list[tuple[float, int] | None]:
-        """CPU seconds and bytes of memory, by place."""
-        told: list[tuple[float, int] | None] = []
+        """Return CPU seconds and bytes of memory, by place."""
+        usage: list[tuple[float, int] | None] = []
         for node in self.nodes:
             try:
                 times = node.watched.cpu_times()
-                told.append((times.user + times.system, node.watched.memory_info().rss))
+                usage.append((times.user + times.system, node.watched.memory_info().rss))
             except (psutil.Error, AttributeError):
-                told.append(None)
-        return told
+                usage.append(None)
+        return usage
 
     async def finish(self) -> dict[str, Any]:
-        """Waits for script and stubs; what the stand-ins have to report."""
+        """Wait for script and clients; return the reports of all fakes."""
         if self.scripted:
             await self.scripted
-        stubs = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
-        for stub, (places, _) in zip(stubs, self.case.loads):
-            known = faults.numbers(places, self.case.instances)  # a stub numbers those it knows
-            stub["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in stub["broken_once"].items()}
+        clients = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
+        for client, (places, _) in zip(clients, self.case.loads):
+            known = faults.numbers(places, self.case.instances)  # a client numbers those it knows
+            client["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in client["broken_once"].items()}
         self.host.terminate()
         ran = json.loads((await self.host.communicate())[0])
         self.relay.terminate()
@@ -392,8 +408,8 @@
         if self.directory:
             self.directory.terminate()
             relayed["directory"] = json.loads((await self.directory.communicate())[0])
-        late = max([self.late, relayed["late"], *(stub["late"]["99"] for stub in stubs)])
-        return {"stubs": stubs, "ran": ran, "relay": relayed, "late": late, "deaths": self.deaths}
+        late = max([self.late, relayed["late"], *(client["late"]["99"] for client in clients)])
+        return {"stubs": clients, "ran": ran, "relay": relayed, "late": late, "deaths": self.deaths}
 
     async def __aexit__(self, *error: object) -> None:
         if self.scripted:
@@ -405,8 +421,8 @@
         await asyncio.gather(*(node.end() for node in self.nodes))
 
 
-def whole(views: dict[str, dict[str, Any]], names: set[str]) -> bool:
-    """Whether these see each other as there, and nobody else."""
+def views_agree(views: dict[str, dict[str, Any]], names: set[str]) -> bool:
+    """Return whether these instances see exactly each other as alive."""
     return len(views) >= min(len(names), LOOKED_AT - 1) and all(
         {row["name"] for row in view["members"] if row["state"] in ("alive", "self")} == names
         and not any(row["state"] == "suspect" for row in view["members"])
@@ -416,7 +432,7 @@
 
 
 def most_in_window(starts: list[float], window: float) -> int:
-    """The most of these moments that lie in any such stretch of time.
+    """Return the most of these moments that lie in any window of that length.
 
     >>> most_in_window([0.0, 0.5, 0.9, 1.0, 1.2], 1.0)
     4
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -17,9 +17,9 @@
 from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STABLE_COSTS_RETRIES
-from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
-from mulleinhatch.testing.fake_callers import Habits, Load, OpKind
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, find_second_runs, second_runs_of_fleet
+from mulleinhatch.testing.fake_callers import Habits, Load, RequestKind
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 FIRST, LATER = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.5, 1, 1, "r2")
@@ -27,15 +27,15 @@
 
 
 def test_a_second_run_after_a_kill_is_attributed_to_the_caller() -> None:
-    assert judged([LATER, FIRST], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
+    assert find_second_runs([LATER, FIRST], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
 def test_a_second_run_by_the_restarted_instance_is_attributed_to_the_caller() -> None:
-    assert judged([FIRST, LATER._replace(place=0, life=2)], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
+    assert find_second_runs([FIRST, LATER._replace(place=0, incarnation=2)], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
 def test_single_runs_are_not_reported() -> None:
-    assert judged([FIRST, LATER._replace(op="b")], {}, []) == SecondRuns([], [])
+    assert find_second_runs([FIRST, LATER._replace(request="b")], {}, []) == SecondRuns([], [])
 
 
 @pytest.mark.parametrize(
@@ -59,14 +59,14 @@
 def test_any_other_second_run_is_a_fault_of_an_instance(
     later: Run, broken: BrokenTry | None, deaths: list[Death], why: str
 ) -> None:
-    faults, repeats = judged([FIRST, later], {"r1": broken} if broken else {}, deaths)
+    faults, repeats = find_second_runs([FIRST, later], {"r1": broken} if broken else {}, deaths)
     assert len(faults) == 1 and faults[0].endswith(why) and not repeats
 
 
 def test_each_of_three_runs_is_compared_with_all_before() -> None:
     """The second run is the caller's. The third is not: the first attempt had ended by a death, the second had not."""
     third = Run("a", 6.0, 2, 1, "r3")
-    faults, repeats = judged([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
+    faults, repeats = find_second_runs([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
     assert faults == ["a ran at 1 as r2, and at 2 as r3: the first try had not ended by a death"] and not repeats
 
 
@@ -96,7 +96,7 @@
     load = Load(
         Habits(
             [server.sockets[0].getsockname()[:2]],
-            [OpKind("signoff", 1.0, "unsafe")],
+            [RequestKind("signoff", 1.0, "unsafe")],
             time.time(),
             1.0,
             1.0,
@@ -106,7 +106,7 @@
         )
     )
     finished = asyncio.Event()
-    original_over, load.over = load.over, lambda op, outcome: (original_over(op, outcome), finished.set())
+    original_over, load.over = load.over, lambda request, outcome: (original_over(request, outcome), finished.set())
     load.born(time.time())
     await asyncio.wait_for(asyncio.gather(served.wait(), finished.wait()), 10.0)
     server.close()
@@ -144,9 +144,9 @@
     case = FleetCase(2, run_for=3.0, cores=8, work_ms=200.0, loads=(("all", 15.0),), signoffs=1.0, tries=4)
 
     async def scenario() -> dict:
-        async with FleetRig(case, tmp_path) as harness:
+        async with FleetHarness(case, tmp_path) as harness:
             names = {node.name for node in harness.nodes}
-            assert await harness.wait_for(lambda views: whole(views, names), 15.0) is not None
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
             harness.host.stdin.write(b"slow 0 50\n")
             await harness.go()
             while not await harness.begun(0):
@@ -155,14 +155,14 @@
             return await harness.finish()
 
     report = asyncio.run(asyncio.wait_for(scenario(), 60.0))
-    second = of_fleet(report)
+    second = second_runs_of_fleet(report)
     assert second.repeats and not second.faults, second
     ran = Counter[str]()
     for host in report["ran"]:
         ran.update(host["signoffs"])
-    assert {op for op, times in ran.items() if times > 1} == set(second.repeats)
+    assert {request for request, times in ran.items() if times > 1} == set(second.repeats)
     # Without the record of the death, each of these second runs is a fault.
-    assert len(of_fleet({**report, "deaths": []}).faults) >= len(second.repeats)
+    assert len(second_runs_of_fleet({**report, "deaths": []}).faults) >= len(second.repeats)
 
 
 # Hand-over: a peer must recognize a retry of a request that was handed over to it.
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -23,10 +23,10 @@
 from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
 from mulleinhatch.instance.protocol import http_peers, http_requests
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.simulation.gossip_world import Plan, weather
-from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld, common_queue
+from mulleinhatch.simulation.gossip_world import Plan, draw_fault_script
+from mulleinhatch.simulation.load_balancing_world import Load, LoadBalancingWorld, common_queue
 from mulleinhatch.testing import fault_script as faults
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, whole
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 
@@ -174,7 +174,7 @@
 def test_random_histories(seed: int) -> None:
     draw = random.Random(seed)
     instances = draw.choice((3, 5, 8, 12))
-    script = weather(draw, instances, 5.0, 4.0)
+    script = draw_fault_script(draw, instances, 5.0, 4.0)
     load = Load(
         draw.choice((0.5, 0.9, 1.2)),
         callers=draw.choice((2, 6)),
@@ -183,7 +183,7 @@
         mixed=draw.random() < 0.5,
     )
     until = max(12.0, faults.end_of(faults.read(script, instances)) + 3.0)
-    world = SpreadWorld(Plan(instances, script, until=until, seed=seed), load).play()
+    world = LoadBalancingWorld(Plan(instances, script, until=until, seed=seed), load).play()
     assert world.in_time > 0.0
     owed = [ref for node in world.nodes if node.core for ref, request in node.reducer.owed.items() if request.place is not None]
     assert not owed, "requests that nobody answered"
@@ -191,39 +191,39 @@
 
 def test_load_balancing_comes_close_to_one_common_queue() -> None:
     plan, load = Plan(12, until=13.0, seed=2), Load(0.85, callers=4, uneven=3.0, listed=3)
-    alone, spread = (SpreadWorld(plan, load, mode).play().figures() for mode in ("alone", "spread"))
+    alone, spread = (LoadBalancingWorld(plan, load, mode).play().figures() for mode in ("alone", "spread"))
     assert spread["in_time"] >= 0.97 * common_queue(plan, load)["in_time"] > alone["in_time"] + 0.02
     assert spread["idle_needed"] < 0.5 * alone["idle_needed"] and spread["most_over_mean"] < 3.0
 
 
 def test_choosing_the_freshest_report_herds_and_offers_do_not() -> None:
     plan, load = Plan(16, until=10.0, seed=3), Load(1.0, callers=8, cores=1)
-    freshest, spread = (SpreadWorld(plan, load, mode).play() for mode in ("freshest", "spread"))
+    freshest, spread = (LoadBalancingWorld(plan, load, mode).play() for mode in ("freshest", "spread"))
     assert freshest.handed["full"] > 5 * max(1, spread.handed["full"])
     assert freshest.figures()["most_over_mean"] > 1.2 * spread.figures()["most_over_mean"]
 
 
 def test_failing_instance_attracts_few_requests() -> None:
     plan, load = Plan(12, "at 5 failing 0,6 1.0 for 20", until=14.0, seed=4), Load(0.8, callers=6)
-    random_mode, spread = (SpreadWorld(plan, load, mode).play() for mode in ("random", "spread"))
+    random_mode, spread = (LoadBalancingWorld(plan, load, mode).play() for mode in ("random", "spread"))
     assert spread.handed["error"] < 0.5 * random_mode.handed["error"]
 
 
 def test_leaving_instance_hands_over_its_requests_and_loses_none() -> None:
     plan, load = Plan(6, "at 6 leave 0,1", until=12.0, seed=5), Load(0.5, callers=3, listed=2, heeding=0.0)
-    world = SpreadWorld(plan, load).play()
+    world = LoadBalancingWorld(plan, load).play()
     assert world.counts["broken"] == 0 and world.handed["ok"] > 0
 
 
 def test_partition_during_handover_fails_what_must_not_run_twice() -> None:
     plan = Plan(8, "at 5 cut 0-3 from 4-7 for 3", until=12.0, seed=6)
-    world = SpreadWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
+    world = LoadBalancingWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
     assert world.handed["interrupted"] + world.handed["unreachable"] > 0
     assert not [number for number in world.once if world.ran[number] > 1]
 
 
 def test_without_handover_no_request_is_passed() -> None:
-    world = SpreadWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
+    world = LoadBalancingWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
     assert not world.handed and not any(node.spread.offer_issuer.counts["offers_given"] for node in world.nodes)
 
 
@@ -246,9 +246,9 @@
     )
 
     async def play() -> tuple[dict, list[Counter[str]], dict]:
-        async with FleetRig(case, tmp_path) as harness:
+        async with FleetHarness(case, tmp_path) as harness:
             names = {node.name for node in harness.nodes}
-            assert await harness.wait_for(lambda views: whole(views, names), 15.0) is not None
+            assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
             await harness.go()
             await harness.until(8.7)
             counts = [Counter(await node.counters()) for node in harness.nodes]
