--- a/mulleinhatch/data_plane/request_state.py
+++ b/mulleinhatch/data_plane/request_state.py
@@ -75,8 +75,10 @@
 def classify_response(status: int, fields: Mapping[bytes, bytes], idempotent: bool) -> ResponseVerdict:
     """Classify a backend's response by its head.
 
-    >>> classify_response(503, {b"not-executed": b"1"}, False).name, classify_response(503, {}, False).name
-    ('NOT_EXECUTED', 'UNUSABLE')
+    >>> classify_response(503, {b"not-executed": b"1"}, False)
+    <ResponseVerdict.NOT_EXECUTED: 'the backend did not execute the request'>
+    >>> classify_response(503, {}, False)
+    <ResponseVerdict.UNUSABLE: 'not a response that may be forwarded; the request may have been executed'>
     >>> classify_response(200, {}, True).name, classify_response(200, {b"server-signature": b"s"}, True).name
     ('UNUSABLE', 'FORWARDABLE')
 
