--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -46,10 +46,11 @@
 from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
 from mulleinhatch.instance.gossip.messages import GossipMessage, MemberUpdate, Report
 from mulleinhatch.instance.maintenance import messages as maintenance_messages
-from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, ReceivedRequest
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator
 from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, VoterState
 from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
 from mulleinhatch.instance.maintenance.table import MAX_PERMITS, Permit, PermitTable
+from mulleinhatch.instance.maintenance.voter_role import ReceivedRequest
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
 from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -14,11 +14,8 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.gossip import messages as gossip_messages
-from mulleinhatch.instance.gossip.core import GossipNode
-from mulleinhatch.instance.gossip.messages import GossipMessage
 from mulleinhatch.instance.maintenance import messages
 from mulleinhatch.instance.maintenance.messages import (
-    InvalidMessageError,
     MaintenanceRequestAck,
     MaintenanceRequestMessage,
     PositionQuery,
@@ -28,9 +25,11 @@
     VoterStateQuery,
     VoterStateReply,
 )
+from mulleinhatch.instance.maintenance.messenger import MaintenanceFleet, MaintenanceMessenger
 from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, Voter, VoterState
-from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, has_spare_capacity, order
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, has_spare_capacity
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
+from mulleinhatch.instance.maintenance.voter_role import ABSTENTION_S, ReceivedRequest, VoterRole
 from mulleinhatch.random_source import RandomSource
 
 QUERY_INTERVAL_S, DISTANT_QUERY_INTERVAL_S = (
@@ -40,11 +39,8 @@
 DISTANT_POSITION = 10  # requests ahead of ours from which the longer interval applies
 RESEND_INTERVAL_S = 0.25  # seconds until requests are sent again to voters that have not responded
 ROUND_TIMEOUT_S = 3.0  # seconds until a round is abandoned; must be shorter than ABSTENTION_S
-ABSTENTION_S = 4.0  # seconds that a voter without state waits: ROUND_TIMEOUT_S and clock drift
 BACKOFF_RANGE_S = (0.2, 1.0)  # seconds, drawn uniformly, until the round after a beaten one
 REPLY_LIFETIME_S = 3.0  # seconds for which a position reply is valid
-REQUEST_LIFETIME_S = 6.0  # seconds for which a voter keeps a request that is not repeated
-MAX_REQUESTS = 1000
 REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which unresponsive instances are asked
 LOAD_MARGIN = 0.1  # fraction of the load that the others must be able to carry in addition
 
@@ -80,13 +76,6 @@
     freeze_after: float = 0.0
 
 
-class ReceivedRequest(NamedTuple):
-    """A request that a voter received, and when (monotonic seconds)."""
-
-    request: MaintenanceRequest
-    position: float
-
-
 class MaintenanceCoordinator:
     """Requests permits for one instance and acts as a voter if the instance is one.
 
@@ -102,7 +91,7 @@
     def __init__(
         self,
         bounds: MaintenanceBounds,
-        fleet: GossipNode,
+        fleet: MaintenanceFleet,
         seed: int,
         now: float,
         voter_state: VoterState | None = None,
@@ -110,19 +99,15 @@
     ) -> None:
         self.bounds, self.fleet, self.name = bounds, fleet, fleet.name
         self._draw = RandomSource(seed).fraction
-        self.first = PermitTable(tuple(sorted(bounds.voters)), bounds.most, bounds.zone_most)
-        self.known = self.first
-        self.voter = (
-            Voter(self.name, voter_state or VoterState(), is_abstaining=voter_state is None)
+        self.counts: Counter[str] = Counter()
+        self.messenger = MaintenanceMessenger(fleet, self.counts, self._on_message)
+        self.known = PermitTable(tuple(sorted(bounds.voters)), bounds.most, bounds.zone_most)
+        self.voter_role = (
+            VoterRole(self.messenger, self.known, now, voter_state, persist, self._report_change)
             if self.name in bounds.voters
             else None
         )
-        self.persist = persist
         self.started_at = now
-        self.voter_replies: dict[str, VoterStateReply] = {}  # by voter, while abstaining
-        self.writes: dict[str, int] = {}  # highest write count known, by voter
-        self.writes_known_by_voters = 0  # highest write count of ours that others know
-        self.requests: dict[str, ReceivedRequest] = {}  # received as a voter, by instance
         self.request: MaintenanceRequest | None = None
         self.state = MaintenanceState.SERVING
         self.fencing_token = 0
@@ -135,17 +120,31 @@
         ] = {}  # instances to ask for an operator, and until when
         self.requests_sent_at = now
         self.back_at, self.has_frozen = math.inf, False  # returned and not healthy since; whether we froze the permits
-        self.outgoing: list[tuple[str, bytes]] = []
-        self.counts: Counter[str] = Counter()
         self.changes: list[tuple[str, str]] = []  # state and reason; the host logs each
         self.wall = 0.0
-        self.last_now = now
-        fleet.subscribe(self._on_gossip_message)
+        self.messenger.last_now = now
+
+    @property
+    def voter(self) -> Voter | None:
+        """The voter of the permit register; None if this instance is no voter."""
+        return self.voter_role and self.voter_role.voter
+
+    @property
+    def requests(self) -> dict[str, ReceivedRequest]:
+        """Requests received as a voter, by instance."""
+        return self.voter_role.requests if self.voter_role else {}
+
+    @property
+    def _is_abstaining(self) -> bool:
+        return self.voter_role is not None and self.voter_role.is_abstaining
 
     def _set_state(self, state: MaintenanceState, why: str) -> None:
         if state is not self.state:
             self.state = state
-            self.changes.append((state.value, why))
+            self._report_change(state.value, why)
+
+    def _report_change(self, state: str, why: str) -> None:
+        self.changes.append((state, why))
 
     # Requests by operators and by the instance itself.
 
@@ -166,7 +165,7 @@
     def cancel(self) -> None:
         """Withdraw the request if no permit was granted yet; an instance that is out returns by itself."""
         if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING):
-            self._send_to_voters(PositionQuery(cancelled=True))
+            self.messenger.send_to_all(self.known.voters, PositionQuery(cancelled=True))
             self.request, self.round = None, None
             self._set_state(MaintenanceState.SERVING, "cancelled")
 
@@ -194,19 +193,16 @@
         Args:
             now: Monotonic seconds.
             wall: Unix time in seconds.
-            fit: Whether the instance passes its own health checks and is warm.
+            is_fit: Whether the instance passes its own health checks and is warm.
         """
-        self.wall, self.last_now = wall, now
-        if self.voter and self.voter.is_abstaining:
-            self._learn_from_voters(now)
+        self.wall, self.messenger.last_now = wall, now
+        if self.voter_role and self.voter_role.is_abstaining:
+            if now - self.asked_at >= QUERY_INTERVAL_S:
+                self.voter_role.query_other_voters()
+            self.voter_role.learn_from_voters(now)
         if self.round:
             self._continue_round(now)
-        elif (
-            self.state is MaintenanceState.CHECKING
-            and is_fit
-            and not (self.voter and self.voter.is_abstaining)
-            and now >= self.next_round
-        ):
+        elif self.state is MaintenanceState.CHECKING and is_fit and not self._is_abstaining and now >= self.next_round:
             self._set_state(MaintenanceState.RETURNING, "fit")
             self._release_permit(now)
         elif self.state is MaintenanceState.RETURNING and now >= self.next_round:
@@ -229,13 +225,11 @@
             self.request or self.state is not MaintenanceState.SERVING or now - self.started_at < 2.0 * ABSTENTION_S
         ):
             self.asked_at = now
-            self._send_to_voters(
-                PositionQuery(self.request if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING) else None)
-            )
-        for name in [name for name, known in self.requests.items() if now - known.position > REQUEST_LIFETIME_S]:
-            del self.requests[name]
-        outgoing, self.outgoing = self.outgoing, []
-        return outgoing
+            is_waiting = self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING)
+            self.messenger.send_to_all(self.known.voters, PositionQuery(self.request if is_waiting else None))
+        if self.voter_role:
+            self.voter_role.drop_expired_requests(now)
+        return self.messenger.take_outgoing()
 
     def _release_permit(self, now: float) -> None:
         fence = self.fencing_token
@@ -249,14 +243,13 @@
         for name, (request, until) in list(self.requested_of_others.items()):
             if now > until:
                 del self.requested_of_others[name]
-                self.changes.append(("asking", f"{name} does not answer"))
+                self._report_change("asking", f"{name} does not answer")
             else:
-                self._send(name, MaintenanceRequestMessage(request))
+                self.messenger.send(name, MaintenanceRequestMessage(request))
 
     def take_outgoing(self) -> list[tuple[str, bytes]]:
         """Return and clear the datagrams that received messages gave rise to."""
-        outgoing, self.outgoing = self.outgoing, []
-        return outgoing
+        return self.messenger.take_outgoing()
 
     # As an instance that requests a permit.
 
@@ -306,7 +299,7 @@
     def _send_round_requests(self, now: float) -> None:
         self.sent_at = now
         for voter, ask in self.round.pending_requests():
-            self._send(voter, RegisterRequestMessage(ask, self.rounds))
+            self.messenger.send(voter, RegisterRequestMessage(ask, self.rounds))
 
     def _continue_round(self, now: float) -> None:
         if now - self.round_at >= ROUND_TIMEOUT_S:
@@ -322,7 +315,8 @@
 
     def _on_register_response(self, now: float, response: RegisterResponseMessage) -> None:
         current_round = self.round
-        self.writes[response.answer.voter] = max(response.answer.writes, self.writes.get(response.answer.voter, 0))
+        if self.voter_role:
+            self.voter_role.record_write_count(response.answer.voter, response.answer.writes)
         if current_round is None or response.number != self.rounds:
             return
         was_preparing = current_round.table is None
@@ -351,157 +345,41 @@
 
     # Messages.
 
-    def _send(self, name: str, message: messages.MaintenanceMessage) -> None:
-        if name == self.name:
-            self._on_message(self.last_now, name, message)
-            return
-        try:
-            self.outgoing += self.fleet.message_to(self.last_now, name, extension=messages.encode(message))
-        except InvalidMessageError as error:
-            self.counts[f"words_{error}".replace(" ", "_")] += 1
-
-    def _send_to_voters(self, message: messages.MaintenanceMessage) -> None:
-        for voter in self.known.voters:
-            self._send(voter, message)
-
-    def _on_gossip_message(self, now: float, gossip_message: GossipMessage) -> None:
-        if gossip_message.extension:
-            self.last_now = now
-            try:
-                self._on_message(now, gossip_message.sender, messages.decode(gossip_message.extension))
-            except InvalidMessageError:
-                self.counts["words_unfit"] += 1
-
     def _on_message(self, now: float, sender: str, message: messages.MaintenanceMessage) -> None:
-        self.last_now = now
+        self.messenger.last_now = now
         if isinstance(message, PositionReply):
             self._on_position_reply(now, sender, message)
         elif isinstance(message, RegisterResponseMessage):
             self._on_register_response(now, message)
         elif isinstance(message, VoterStateReply):
-            self.voter_replies[sender] = message
+            if self.voter_role:
+                self.voter_role.state_replies[sender] = message
         elif isinstance(message, MaintenanceRequestMessage):
             if self.request is None or message.request.asked > self.request.asked:
                 self.ask(message.request._replace(name=self.name, zone=self.bounds.zone))
-            self._send(sender, MaintenanceRequestAck(message.request.asked))
+            self.messenger.send(sender, MaintenanceRequestAck(message.request.asked))
         elif isinstance(message, MaintenanceRequestAck):
             if sender in self.requested_of_others and self.requested_of_others[sender][0].asked == message.asked:
                 del self.requested_of_others[sender]
-        elif self.voter is None:
+        elif self.voter_role is None:
             self.counts["words_to_no_voter"] += 1
         elif isinstance(message, PositionQuery):
-            self._on_position_query(now, sender, message)
+            self.voter_role.on_position_query(now, self.wall, sender, message)
         elif isinstance(message, VoterStateQuery):
-            self._send(sender, VoterStateReply(self.voter.voter_state, self.voter.is_abstaining))
+            self.voter_role.on_state_query(sender)
         elif isinstance(message, RegisterRequestMessage):
-            before = self.voter.voter_state
-            answer = self.voter.handle_request(message.ask)
-            if answer is None:
-                self.counts["asks_abstained"] += 1
-                return
-            if self.voter.voter_state != before and not self._persist_voter_state(before):
-                return
-            self._send(sender, RegisterResponseMessage(answer, message.number))
-
-    def _persist_voter_state(self, before: VoterState) -> bool:
-        """Persist the voter's state before it is sent; return whether that succeeded.
-
-        On a disk error the promise is withdrawn and nothing is sent.
-        """
-        try:
-            if self.persist:
-                self.persist(self.voter.voter_state)
-        except OSError as error:
-            self.voter.voter_state = before
-            self.counts["keeps_failed"] += 1
-            self.changes.append(("voter", f"disk: {error}"))
-            return False
-        return True
+            self.voter_role.on_register_request(sender, message)
 
     def _on_position_reply(self, now: float, sender: str, reply: PositionReply) -> None:
         self.replies[sender] = reply, now
-        self.writes[sender] = max(reply.writes, self.writes.get(sender, 0))
-        self.number, self.writes_known_by_voters = (
-            max(self.number, reply.number),
-            max(self.writes_known_by_voters, reply.your_writes),
-        )
-        if self.voter and not self.voter.is_abstaining and reply.your_writes > self.voter.voter_state.writes:
-            # Others know of more writes than our disk holds: it was restored, and later promises are lost.
-            self.counts["disk_set_back"] += 1
-            self.changes.append(
-                ("voter", f"our disk was set back: {self.voter.voter_state.writes} of {reply.your_writes} writes")
-            )
-            self.voter.is_abstaining, self.started_at, self.voter_replies = True, now, {}
+        self.number = max(self.number, reply.number)
+        if self.voter_role:
+            self.voter_role.record_write_count(sender, reply.writes)
+            if self.voter_role.detect_restored_disk(now, reply.your_writes):
+                self.started_at = now
         if reply.fencing_token and self.state is MaintenanceState.SERVING:
             self.fencing_token = max(self.fencing_token, reply.fencing_token)
             self.back_at = now
             self._set_state(MaintenanceState.CHECKING, f"we hold permit {reply.fencing_token}")
         elif reply.fencing_token > self.fencing_token and self.state in (MaintenanceState.CHECKING, MaintenanceState.RETURNING):
             self.fencing_token = reply.fencing_token
-
-    # As a voter.
-
-    def _on_position_query(self, now: float, sender: str, query: PositionQuery) -> None:
-        if query.cancelled:
-            self.requests.pop(sender, None)
-        elif query.request and (sender in self.requests or len(self.requests) < MAX_REQUESTS):
-            self.requests[sender] = ReceivedRequest(query.request._replace(name=sender), now)
-        else:
-            self.requests.pop(sender, None)
-        table = self.voter.voter_state.table or self.first
-        zones = Counter(permit.zone for permit in table.out)
-        places = order(
-            [known.request for known in self.requests.values()], [permit.name for permit in table.out], dict(zones), self.wall
-        )
-        allowed = [place for place in places if place.is_allowed]
-        position, why = next(
-            ((position, place.reasons) for position, place in enumerate(allowed) if place.request.name == sender), (-1, ())
-        )
-        if position < 0:
-            why = next((place.reasons for place in places if place.request.name == sender), ())
-        permit = table.permit(sender)
-        available_permits = 0 if table.frozen or self.voter.is_abstaining else max(0, table.most - len(table.out))
-        if available_permits and position >= 0 and zones[allowed[position].request.zone] >= table.zone_most:
-            available_permits = 0
-        self._send(
-            sender,
-            PositionReply(
-                permit.fence if permit else 0,
-                position,
-                len(allowed),
-                available_permits,
-                ", ".join(why)[:120],
-                table.version if self.voter.voter_state.table else 0,
-                self.writes.get(sender, 0),
-                self.voter.voter_state.writes,
-                table.frozen,
-                self.voter.voter_state.promised.number,
-            ),
-        )
-
-    def _learn_from_voters(self, now: float) -> None:
-        """Restore a voter that lost its state from a majority of the others, once no earlier round can be in progress.
-
-        A group that starts for the first time has nothing to restore: all other voters report that they have no table.
-        """
-        others = [voter for voter in self.first.voters if voter != self.name]
-        if now - self.asked_at >= QUERY_INTERVAL_S:
-            for voter in others:
-                self._send(voter, VoterStateQuery())
-        if now - self.started_at < ABSTENTION_S:
-            return
-        voter_states = [reply.voter_state for reply in self.voter_replies.values() if not reply.empty]
-        if all(voter in self.voter_replies and self.voter_replies[voter].voter_state.table is None for voter in others):
-            promised = max(
-                [reply.voter_state.promised for reply in self.voter_replies.values()], default=self.voter.voter_state.promised
-            )
-            voter_state = self.voter.voter_state
-            self.voter.voter_state = voter_state._replace(
-                promised=max(promised, voter_state.promised), writes=max(voter_state.writes, self.writes_known_by_voters) + 1
-            )
-            self.voter.is_abstaining = False
-            self.changes.append(("voter", "begins: no voter keeps a table"))
-        elif self.voter.learn(voter_states, len(self.first.voters), self.writes_known_by_voters):
-            self.changes.append(("voter", f"learned what {len(voter_states)} others keep"))
-        if not self.voter.is_abstaining and not self._persist_voter_state(VoterState()):
-            self.voter.is_abstaining = True
