--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -27,19 +27,16 @@
 )
 from mulleinhatch.instance.maintenance.messenger import MaintenanceFleet, MaintenanceMessenger
 from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, Voter, VoterState
+from mulleinhatch.instance.maintenance.permit_rounds import PermitRounds, TableChange
 from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, has_spare_capacity
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.instance.maintenance.voter_role import ABSTENTION_S, ReceivedRequest, VoterRole
-from mulleinhatch.random_source import RandomSource
 
 QUERY_INTERVAL_S, DISTANT_QUERY_INTERVAL_S = (
     0.5,
     2.0,
 )  # seconds between position queries; the longer one applies to distant positions
 DISTANT_POSITION = 10  # requests ahead of ours from which the longer interval applies
-RESEND_INTERVAL_S = 0.25  # seconds until requests are sent again to voters that have not responded
-ROUND_TIMEOUT_S = 3.0  # seconds until a round is abandoned; must be shorter than ABSTENTION_S
-BACKOFF_RANGE_S = (0.2, 1.0)  # seconds, drawn uniformly, until the round after a beaten one
 REPLY_LIFETIME_S = 3.0  # seconds for which a position reply is valid
 REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which unresponsive instances are asked
 LOAD_MARGIN = 0.1  # fraction of the load that the others must be able to carry in addition
@@ -98,23 +95,21 @@
         persist: Callable[[VoterState], None] | None = None,
     ) -> None:
         self.bounds, self.fleet, self.name = bounds, fleet, fleet.name
-        self._draw = RandomSource(seed).fraction
         self.counts: Counter[str] = Counter()
         self.messenger = MaintenanceMessenger(fleet, self.counts, self._on_message)
-        self.known = PermitTable(tuple(sorted(bounds.voters)), bounds.most, bounds.zone_most)
+        initial_table = PermitTable(tuple(sorted(bounds.voters)), bounds.most, bounds.zone_most)
         self.voter_role = (
-            VoterRole(self.messenger, self.known, now, voter_state, persist, self._report_change)
+            VoterRole(self.messenger, initial_table, now, voter_state, persist, self._report_change)
             if self.name in bounds.voters
             else None
         )
+        self.rounds = PermitRounds(self.messenger, initial_table, seed, now, self._on_round_abandoned)
         self.started_at = now
         self.request: MaintenanceRequest | None = None
         self.state = MaintenanceState.SERVING
         self.fencing_token = 0
         self.replies: dict[str, tuple[PositionReply, float]] = {}
-        self.round: ProposalRound | None = None
-        self.round_at = self.sent_at = self.asked_at = -1e9
-        self.rounds, self.number, self.next_round = 0, 0, now
+        self.asked_at = -1e9
         self.requested_of_others: dict[
             str, tuple[MaintenanceRequest, float]
         ] = {}  # instances to ask for an operator, and until when
@@ -124,6 +119,16 @@
         self.wall = 0.0
         self.messenger.last_now = now
 
+    @property
+    def known(self) -> PermitTable:
+        """Latest table that this instance knows of."""
+        return self.rounds.known
+
+    @property
+    def round(self) -> ProposalRound | None:
+        """Round in progress here, if any."""
+        return self.rounds.current
+
     @property
     def voter(self) -> Voter | None:
         """The voter of the permit register; None if this instance is no voter."""
@@ -166,18 +171,21 @@
         """Withdraw the request if no permit was granted yet; an instance that is out returns by itself."""
         if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING):
             self.messenger.send_to_all(self.known.voters, PositionQuery(cancelled=True))
-            self.request, self.round = None, None
+            self.request = None
+            self.rounds.cancel()
             self._set_state(MaintenanceState.SERVING, "cancelled")
 
-    def change(self, now: float, change: Callable[[PermitTable], PermitTable]) -> ProposalRound:
+    def change(self, now: float, change: TableChange) -> ProposalRound | None:
         """Start a round for an operator's change (freeze, bounds, voters, release); its outcome is in the returned round.
 
+        None if the own vote alone completed it.
+
         Raises:
             PermitRefusedError: Another round is in progress here.
         """
         if self.round:
             raise PermitRefusedError("a round is under way here: again in a moment")
-        return self._begin_round(now, change)
+        return self.rounds.begin(now, change)
 
     def current_replies(self, now: float) -> dict[str, PositionReply]:
         """Return the voters' position replies that are recent enough, by voter."""
@@ -201,23 +209,25 @@
                 self.voter_role.query_other_voters()
             self.voter_role.learn_from_voters(now)
         if self.round:
-            self._continue_round(now)
-        elif self.state is MaintenanceState.CHECKING and is_fit and not self._is_abstaining and now >= self.next_round:
+            self.rounds.resume(now)
+        elif now < self.rounds.next_allowed_at:
+            pass  # the time after a beaten round is not over
+        elif self.state is MaintenanceState.CHECKING and is_fit and not self._is_abstaining:
             self._set_state(MaintenanceState.RETURNING, "fit")
             self._release_permit(now)
-        elif self.state is MaintenanceState.RETURNING and now >= self.next_round:
+        elif self.state is MaintenanceState.RETURNING:
             self._release_permit(now)
-        elif self.state is MaintenanceState.WAITING and now >= self.next_round and self._is_turn(now):
+        elif self.state is MaintenanceState.WAITING and self._is_turn(now):
             self._set_state(MaintenanceState.ASKING, "its turn")
-            self._begin_round(now, self._request_permit)
+            self.rounds.begin(now, self._request_permit)
         elif (
             self.state is MaintenanceState.CHECKING
             and self.bounds.freeze_after
             and not self.has_frozen
-            and (now - self.back_at > self.bounds.freeze_after and now >= self.next_round)
+            and now - self.back_at > self.bounds.freeze_after
         ):
             # The cause, such as a bad release, may affect the next instances, too.
-            self._begin_round(now, self._freeze)
+            self.rounds.begin(now, self._freeze)
         if self.requested_of_others and now - self.requests_sent_at >= QUERY_INTERVAL_S:
             self._send_maintenance_requests(now)
         places = self._queue_position(now)
@@ -233,7 +243,7 @@
 
     def _release_permit(self, now: float) -> None:
         fence = self.fencing_token
-        self._begin_round(now, lambda table: table.release(self.name, fence))
+        self.rounds.begin(now, lambda table: table.release(self.name, fence))
 
     def _freeze(self, table: PermitTable) -> PermitTable:
         return table if table.frozen else table.freeze(f"{self.name} came back and is not fit")
@@ -285,60 +295,22 @@
         request = self.request
         return table.grant(self.name, self.bounds.zone, request.kind if request else "", gone)
 
-    def _begin_round(self, now: float, change: Callable[[PermitTable], PermitTable]) -> ProposalRound:
-        self.rounds += 1
-        self.number += 1
-        self.counts["rounds"] += 1
-        self.round = ProposalRound(
-            f"{self.name}.{self.fleet.members.process_epoch}.{self.rounds}"[-60:], self.number, self.known, change
-        )
-        self.round_at = now
-        self._send_round_requests(now)
-        return self.round
-
-    def _send_round_requests(self, now: float) -> None:
-        self.sent_at = now
-        for voter, ask in self.round.pending_requests():
-            self.messenger.send(voter, RegisterRequestMessage(ask, self.rounds))
-
-    def _continue_round(self, now: float) -> None:
-        if now - self.round_at >= ROUND_TIMEOUT_S:
-            self.counts["rounds_given_up"] += 1
-            self._abandon_round(now, "no majority answers")
-        elif now - self.sent_at >= RESEND_INTERVAL_S:
-            self._send_round_requests(now)
-
-    def _abandon_round(self, now: float, why: str) -> None:
-        self.round, self.next_round = None, now + BACKOFF_RANGE_S[0] + (BACKOFF_RANGE_S[1] - BACKOFF_RANGE_S[0]) * self._draw()
+    def _on_round_abandoned(self, why: str) -> None:
         if self.state is MaintenanceState.ASKING:
             self._set_state(MaintenanceState.WAITING, why)
 
     def _on_register_response(self, now: float, response: RegisterResponseMessage) -> None:
-        current_round = self.round
         if self.voter_role:
             self.voter_role.record_write_count(response.answer.voter, response.answer.writes)
-        if current_round is None or response.number != self.rounds:
-            return
-        was_preparing = current_round.table is None
-        current_round.handle_response(response.answer)
-        if not current_round.outcome:
-            if was_preparing and current_round.table is not None:
-                self._send_round_requests(now)
-            return
-        self.counts[f"rounds_{current_round.outcome}"] += 1
-        self.number = max(self.number, current_round.highest)
-        if current_round.outcome in ("moved", "refused"):
-            self.known = current_round.known
-        if current_round.outcome != "agreed":
-            self._abandon_round(now, current_round.why)
+        table = self.rounds.handle_response(now, response)
+        if table is None:
             return
-        self.known, self.round = current_round.table, None
-        permit = current_round.table.permit(self.name)
+        permit = table.permit(self.name)
         if self.state is MaintenanceState.ASKING and permit:
             self.fencing_token = permit.fence
             self._set_state(MaintenanceState.GOING, f"permit {permit.fence}")
         elif self.state is MaintenanceState.CHECKING:
-            self.has_frozen = bool(current_round.table.frozen)
+            self.has_frozen = bool(table.frozen)
         elif self.state is MaintenanceState.RETURNING and not permit:
             self.fencing_token, self.request, self.back_at, self.has_frozen = 0, None, math.inf, False
             self._set_state(MaintenanceState.SERVING, "permit given back")
@@ -372,7 +344,7 @@
 
     def _on_position_reply(self, now: float, sender: str, reply: PositionReply) -> None:
         self.replies[sender] = reply, now
-        self.number = max(self.number, reply.number)
+        self.rounds.record_number(reply.number)
         if self.voter_role:
             self.voter_role.record_write_count(sender, reply.writes)
             if self.voter_role.detect_restored_disk(now, reply.your_writes):
--- a/mulleinhatch/instance/maintenance/messenger.py
+++ b/mulleinhatch/instance/maintenance/messenger.py
@@ -46,6 +46,11 @@
         self.outgoing: list[Datagram] = []
         fleet.subscribe(self._on_gossip_message)
 
+    @property
+    def process_epoch(self) -> int:
+        """Number that grows with each restart of this instance's process."""
+        return self.fleet.members.process_epoch
+
     def send(self, name: str, message: MaintenanceMessage) -> None:
         """Send a message to an instance."""
         if name == self.name:
