--- a/mulleinhatch/instance/retry_storms/duplicate_detection.py
+++ b/mulleinhatch/instance/retry_storms/duplicate_detection.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable, Hashable
 from typing import NamedTuple
 
+from mulleinhatch.instance.retry_storms.expiring_items import ExpiringItems
 from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, fingerprint
 
 REJECTED_LIFETIME_S = 10.0  # seconds for which a rejected request is recognised, at most twice that
@@ -47,7 +48,7 @@
     return coarse + struct.pack("<3d", rank, work, kb)
 
 
-class ExpiringCounter:
+class ExpiringCounter(ExpiringItems[Counter[Hashable]]):
     """Counts items added during the last one to two spans and not removed, in two generations.
 
     Args:
@@ -60,20 +61,13 @@
     """
 
     def __init__(self, span: float, capacity: int) -> None:
-        self.span, self.capacity, self.rotated_at = span, capacity, 0.0
-        self.current: Counter[Hashable] = Counter()
-        self.previous: Counter[Hashable] = Counter()
-
-    def _rotate(self, now: float) -> None:
-        if now - self.rotated_at >= self.span:
-            self.previous = self.current if now - self.rotated_at < 2.0 * self.span else Counter()
-            self.current, self.rotated_at = Counter(), now
+        super().__init__(Counter, span, capacity)
 
     def add(self, now: float, item: Hashable) -> None:
         """Count an item at the time `now`."""
         self._rotate(now)
         if len(self.current) >= self.capacity and item not in self.current:
-            self.previous, self.current, self.rotated_at = self.current, Counter(), now
+            self._begin_generation(now)
         self.current[item] += 1
 
     def remove_one(self, now: float, item: Hashable) -> bool:
@@ -88,14 +82,6 @@
                 return True
         return False
 
-    def contains(self, now: float, item: Hashable) -> bool:
-        """Return whether the item has a count."""
-        self._rotate(now)
-        return item in self.current or item in self.previous
-
-    def __len__(self) -> int:
-        return len(self.current) + len(self.previous)
-
 
 class DuplicateDetector:
     """Decides whether an attempt without a retry mark repeats a rejected request.
--- a/mulleinhatch/instance/retry_storms/request_log.py
+++ b/mulleinhatch/instance/retry_storms/request_log.py
@@ -10,6 +10,8 @@
 from hashlib import blake2b
 from heapq import heapify, heappop, heappush, nlargest
 
+from mulleinhatch.instance.retry_storms.expiring_items import ExpiringItems
+
 
 class HeavyCallers:
     """Counts of the most frequent callers; any caller above 1/capacity of the total is among them.
@@ -95,7 +97,7 @@
     return blake2b(f"{caller} {request_type} {tenant} {key} ".encode() + body, digest_size=16).digest()
 
 
-class ExpiringSet:
+class ExpiringSet(ExpiringItems[dict[Hashable, None]]):
     """Items seen during the last one to two spans, in two generations.
 
     Args:
@@ -110,26 +112,11 @@
     """
 
     def __init__(self, span: float, capacity: int) -> None:
-        self.span, self.capacity, self.rotated_at = span, capacity, 0.0
-        self.current: dict[Hashable, None] = {}
-        self.previous: dict[Hashable, None] = {}
-
-    def _rotate(self, now: float) -> None:
-        if now - self.rotated_at >= self.span:
-            self.previous = self.current if now - self.rotated_at < 2.0 * self.span else {}
-            self.current, self.rotated_at = {}, now
+        super().__init__(dict, span, capacity)
 
     def add(self, now: float, item: Hashable) -> None:
         """Add an item at the time `now`."""
         self._rotate(now)
         if len(self.current) >= self.capacity and item not in self.current:
-            self.previous, self.current, self.rotated_at = self.current, {}, now
+            self._begin_generation(now)
         self.current[item] = None
-
-    def contains(self, now: float, item: Hashable) -> bool:
-        """Return whether the item was added recently."""
-        self._rotate(now)
-        return item in self.current or item in self.previous
-
-    def __len__(self) -> int:
-        return len(self.current) + len(self.previous)
