--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -11,12 +11,13 @@
 from collections import Counter
 from typing import NamedTuple
 
-from mulleinhatch.instance.gossip.core import GossipNode, interpreter_of
+from mulleinhatch.instance.gossip.core import interpreter_of
 from mulleinhatch.instance.gossip.counters import MemberFigures
 from mulleinhatch.instance.gossip.messages import GossipMessage, Offer
 from mulleinhatch.instance.gossip.outgoing import Datagram
 from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
 from mulleinhatch.instance.load_balancing.estimates import Estimate
+from mulleinhatch.instance.load_balancing.fleet import LoadBalancingFleet
 from mulleinhatch.instance.load_balancing.load_statistics import LoadStatistics
 from mulleinhatch.instance.load_balancing.offers import NEEDS_VALID_FOR_S, OfferIssuer, OfferReceiver, ReceivedOffer
 from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
@@ -50,7 +51,7 @@
         returns: whether the instance was just started and warms up.
     """
 
-    def __init__(self, bounds: LoadBalancingBounds, fleet: GossipNode, seed: int, now: float, returns: bool) -> None:
+    def __init__(self, bounds: LoadBalancingBounds, fleet: LoadBalancingFleet, seed: int, now: float, returns: bool) -> None:
         self.bounds, self.fleet = bounds, fleet
         self.offer_issuer = OfferIssuer(bounds.offer_for, bounds.most_offers, seed)
         self.offer_receiver = OfferReceiver(seed + RECEIVER_SEED_OFFSET)
@@ -234,7 +235,7 @@
         return candidates
 
     def record_handover(self, now: float, offer: ReceivedOffer, is_bad: bool, is_unreachable: bool) -> None:
-        """Record what became of a request at a peer."""
+        """Record the outcome of a request that was handed over to a peer."""
         self.offer_receiver.record_outcome(now, offer.issuer, is_bad, is_unreachable)
 
     # Reports.
