--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -28,6 +28,7 @@
 from mulleinhatch.instance.maintenance.messenger import MaintenanceFleet, MaintenanceMessenger
 from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, Voter, VoterState
 from mulleinhatch.instance.maintenance.permit_rounds import PermitRounds, TableChange
+from mulleinhatch.instance.maintenance.position_replies import PositionReplies
 from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, has_spare_capacity
 from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.instance.maintenance.voter_role import ABSTENTION_S, ReceivedRequest, VoterRole
@@ -37,7 +38,6 @@
     2.0,
 )  # seconds between position queries; the longer one applies to distant positions
 DISTANT_POSITION = 10  # requests ahead of ours from which the longer interval applies
-REPLY_LIFETIME_S = 3.0  # seconds for which a position reply is valid
 REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which unresponsive instances are asked
 LOAD_MARGIN = 0.1  # fraction of the load that the others must be able to carry in addition
 
@@ -108,7 +108,7 @@
         self.request: MaintenanceRequest | None = None
         self.state = MaintenanceState.SERVING
         self.fencing_token = 0
-        self.replies: dict[str, tuple[PositionReply, float]] = {}
+        self.replies = PositionReplies()
         self.asked_at = -1e9
         self.requested_of_others: dict[
             str, tuple[MaintenanceRequest, float]
@@ -189,7 +189,7 @@
 
     def current_replies(self, now: float) -> dict[str, PositionReply]:
         """Return the voters' position replies that are recent enough, by voter."""
-        return {name: reply for name, (reply, position) in self.replies.items() if now - position <= REPLY_LIFETIME_S}
+        return self.replies.current(now)
 
     # Periodic work.
 
@@ -230,7 +230,7 @@
             self.rounds.begin(now, self._freeze)
         if self.requested_of_others and now - self.requests_sent_at >= QUERY_INTERVAL_S:
             self._send_maintenance_requests(now)
-        places = self._queue_position(now)
+        places = self.replies.queue_position(now)
         if now - self.asked_at >= (DISTANT_QUERY_INTERVAL_S if places > DISTANT_POSITION else QUERY_INTERVAL_S) and (
             self.request or self.state is not MaintenanceState.SERVING or now - self.started_at < 2.0 * ABSTENTION_S
         ):
@@ -242,8 +242,8 @@
         return self.messenger.take_outgoing()
 
     def _release_permit(self, now: float) -> None:
-        fence = self.fencing_token
-        self.rounds.begin(now, lambda table: table.release(self.name, fence))
+        fencing_token = self.fencing_token
+        self.rounds.begin(now, lambda table: table.release(self.name, fencing_token))
 
     def _freeze(self, table: PermitTable) -> PermitTable:
         return table if table.frozen else table.freeze(f"{self.name} came back and is not fit")
@@ -263,23 +263,15 @@
 
     # As an instance that requests a permit.
 
-    def _current_replies(self, now: float) -> list[PositionReply]:
-        return [reply for reply, position in self.replies.values() if now - position <= REPLY_LIFETIME_S]
-
-    def _queue_position(self, now: float) -> int:
-        """Return the position reported by the voter that puts this instance furthest back, -1 if none did."""
-        return max((reply.place for reply in self._current_replies(now)), default=-1)
-
     def _is_turn(self, now: float) -> bool:
         """Return whether a majority of the voters reports this instance's turn; an error costs a round, never the bound.
 
         A voter may list a permit that this instance does not know of: its round was reported as beaten after others had
         completed it. No other instance can use that permit, so it is claimed.
         """
-        if any(reply.fencing_token for reply in self._current_replies(now)):
+        if self.replies.has_unclaimed_permit(now):
             return True
-        turns = [0 <= reply.place < reply.may_go for reply in self._current_replies(now)]
-        return 2 * sum(turns) > len(self.known.voters) and self._can_others_carry_load(now)
+        return self.replies.has_majority(now, len(self.known.voters)) and self._can_others_carry_load(now)
 
     def _can_others_carry_load(self, now: float) -> bool:
         """Return whether the other instances can carry this one's load, by the pessimistic estimates."""
@@ -343,7 +335,7 @@
             self.voter_role.on_register_request(sender, message)
 
     def _on_position_reply(self, now: float, sender: str, reply: PositionReply) -> None:
-        self.replies[sender] = reply, now
+        self.replies.record(now, sender, reply)
         self.rounds.record_number(reply.number)
         if self.voter_role:
             self.voter_role.record_write_count(sender, reply.writes)
--- a/mulleinhatch/instance/maintenance/voter_role.py
+++ b/mulleinhatch/instance/maintenance/voter_role.py
@@ -86,8 +86,8 @@
         self.messenger.send(sender, self._position_reply(sender, table, occupied, places))
 
     def _record_request(self, now: float, sender: str, query: PositionQuery) -> None:
-        has_room = sender in self.requests or len(self.requests) < MAX_REQUESTS
-        if query.request and not query.cancelled and has_room:
+        is_accepted = sender in self.requests or len(self.requests) < MAX_REQUESTS
+        if query.request and not query.cancelled and is_accepted:
             self.requests[sender] = ReceivedRequest(query.request._replace(name=sender), now)
         else:
             self.requests.pop(sender, None)
