--- a/mulleinhatch/control_plane/api/backend_heartbeats.py
+++ b/mulleinhatch/control_plane/api/backend_heartbeats.py
@@ -80,7 +80,7 @@
     def request_heartbeat(self) -> None:
         """Send a heartbeat to the peers as soon as possible."""
 
-    async def confirm_leadership(self) -> bool:
+    async def wait_for_majority_contact(self) -> bool:
         """Return whether a majority of voters confirms this node's view."""
 
     async def record_departure(self, backend_id: str) -> bool:
@@ -123,4 +123,4 @@
             node.request_heartbeat()
         if backend.draining and not await node.record_departure(backend.id):
             return no_majority_response()
-        return empty_response() if await node.confirm_leadership() else no_majority_response()
+        return empty_response() if await node.wait_for_majority_contact() else no_majority_response()
--- a/mulleinhatch/control_plane/backend_departures.py
+++ b/mulleinhatch/control_plane/backend_departures.py
@@ -52,7 +52,7 @@
             `accepted` once every replica of the chain has persisted them and the view was confirmed after the call began.
         """
         log, epoch = self._log, self._log.replica.view.epoch
-        if not self._gate.can_accept_writes() or not await self._contact.confirm_leadership():
+        if not self._gate.can_accept_writes() or not await self._contact.wait_for_majority_contact():
             return LeaveResponse(accepted=False)
         if self._are_recorded(request.backends):
             return LeaveResponse(accepted=await self._view_changer.confirm_view())
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -83,7 +83,7 @@
         Returns:
             `ResultKind.OK` once every replica of the chain has persisted the change.
         """
-        if not self._gate.can_accept_writes() or not await self._contact.confirm_leadership():
+        if not self._gate.can_accept_writes() or not await self._contact.wait_for_majority_contact():
             chain = self._log.replica.view.chain
             return self._redirect(chain[0] if chain else None)
         started_at = self._clock()
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -23,7 +23,7 @@
 POLLER_EXPIRY_S = 12.0  # a data plane that has not polled for so long is not counted any more
 MAX_PATCHES = 32  # a data plane further behind gets the complete configuration
 MIN_INTERVAL_PER_DATA_PLANE_S = 0.002  # between two answers to one data plane, for each data plane in the system
-LEADERSHIP_CHECK_S = 0.25  # between two checks that a majority still confirms the view
+CONTACT_CHECK_S = 0.25  # between two checks that a majority still confirms the view
 NEVER_S = -1e9
 
 
@@ -45,7 +45,7 @@
     def has_majority_contact(self) -> bool:
         """Return whether a majority of voters confirmed the view recently."""
 
-    async def confirm_leadership(self) -> bool:
+    async def wait_for_majority_contact(self) -> bool:
         """Return whether a majority of voters confirms the view, waiting for it for a short time."""
 
 
@@ -100,7 +100,7 @@
         end = self._clock() + min(MAX_WAIT_S, request.wait_ms / 1000.0)
         epoch = self._node.view.epoch
         while (
-            await self._node.confirm_leadership()
+            await self._node.wait_for_majority_contact()
             and not self._is_response_due(request, poller)
             and epoch == self._node.view.epoch
         ):
@@ -110,7 +110,7 @@
             if self._has_update(request):
                 until_due_s = poller.answered_at + self._min_interval_s() - self._clock()
                 remaining_s = min(remaining_s, max(0.001, until_due_s))
-            await self._wait_for_change(min(remaining_s, LEADERSHIP_CHECK_S))
+            await self._wait_for_change(min(remaining_s, CONTACT_CHECK_S))
         poller.polled_at = poller.answered_at = self._clock()
         return self._build_response(request)
 
--- a/mulleinhatch/control_plane/majority_contact.py
+++ b/mulleinhatch/control_plane/majority_contact.py
@@ -41,7 +41,7 @@
         is_confirmed = is_current and self._peers.has_confirmed_majority(self._replica.view, self._pauses.clock())
         return is_confirmed and not self._pauses.has_paused()
 
-    async def confirm_leadership(self) -> bool:
+    async def wait_for_majority_contact(self) -> bool:
         """Return whether this node has majority contact, or gains it in the time that a new view needs to be confirmed."""
         return self._replica.position >= 0 and await self._progress.wait_for(self.has_majority_contact, CONFIRM_TIMEOUT_S)
 
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -234,9 +234,9 @@
         """Return whether this node may answer in the system's name; see `MajorityContact`."""
         return self.contact.has_majority_contact()
 
-    async def confirm_leadership(self) -> bool:
+    async def wait_for_majority_contact(self) -> bool:
         """Return whether this node has majority contact, or gains it in the time that a new view needs to be confirmed."""
-        return await self.contact.confirm_leadership()
+        return await self.contact.wait_for_majority_contact()
 
     # Heartbeats.
 
