--- a/mulleinhatch/data_plane/request_context.py
+++ b/mulleinhatch/data_plane/request_context.py
@@ -35,7 +35,7 @@
     """One client request: what was asked for, where the response goes, and how far its execution is known.
 
     Args:
-        session: Where the response goes.
+        response_writer: Where the response goes.
         head: The client's request head.
         body: The complete request body.
         route: Matching route.
@@ -52,14 +52,16 @@
         "name",
         "prompt",
         "request_id",
+        "response_writer",
         "route",
         "service",
-        "session",
         "state",
     )
 
-    def __init__(self, session: ResponseWriter, head: Head, body: bytes, route: Route, service: str, deadline: float) -> None:
-        self.session, self.head, self.body = session, head, body
+    def __init__(
+        self, response_writer: ResponseWriter, head: Head, body: bytes, route: Route, service: str, deadline: float
+    ) -> None:
+        self.response_writer, self.head, self.body = response_writer, head, body
         self.route, self.service, self.deadline = route, service, deadline
         self.prompt = read_prompt(head)
         self.request_id = head.first.get(b"request-id", b"")
--- a/mulleinhatch/data_plane/request_headers.py
+++ b/mulleinhatch/data_plane/request_headers.py
@@ -19,14 +19,14 @@
         adapter: Adapter of the model, empty for the base model.
         tokens: Prompt length from `Token-Usage`.
         prefix: Identifier of the last prompt section shared with other requests; it implies all sections before it.
-        session: Identifier of the last section, which belongs to this request or its session only.
+        account: Identifier of the last prompt section; the account that the queue's cap counts.
     """
 
     model: str
     adapter: str
     tokens: int
     prefix: str
-    session: str
+    account: str
 
 
 def read_prompt(head: Head) -> Prompt:
@@ -35,7 +35,7 @@
     >>> from mulleinhatch.networking.http_streaming import parse_request_head
     >>> lines = b"POST / HTTP/1.1", b"Model: m/a1", b"Token-Usage: 30,4", b"Prompt-Prefix: a:1,b:2", b"", b""
     >>> read_prompt(parse_request_head(b"\\r\\n".join(lines)))
-    Prompt(model='m', adapter='a1', tokens=30, prefix='a', session='b')
+    Prompt(model='m', adapter='a1', tokens=30, prefix='a', account='b')
     """
     model, _, adapter = head.first.get(b"model", b"").decode("latin-1").partition("/")
     tokens = head.first.get(b"token-usage", b"").split(b",")[0].strip()
@@ -44,9 +44,9 @@
         for section in head.first.get(b"prompt-prefix", b"").split(b",")
         if section.strip()
     ]
-    session = sections[-1] if sections else ""
-    prefix = sections[-2] if len(sections) > 1 else session
-    return Prompt(model, adapter, int(tokens) if tokens.isdigit() else 0, prefix, session)
+    account = sections[-1] if sections else ""
+    prefix = sections[-2] if len(sections) > 1 else account
+    return Prompt(model, adapter, int(tokens) if tokens.isdigit() else 0, prefix, account)
 
 
 def backend_fields(
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -79,13 +79,13 @@
         self._services, self.context = services, context
         route = context.route
         self.pending = PendingRequest(
-            self,
-            context.name,
-            route.priority,
-            route.target_latency_s,
-            context.prompt.session,
-            services.loop.time(),
-            context.deadline,
+            handle=self,
+            name=context.name,
+            priority=route.priority,
+            target_s=route.target_latency_s,
+            account=context.prompt.account,
+            arrived_at=services.loop.time(),
+            deadline=context.deadline,
         )
         self._attempt: Attempt | None = None
         self.rejected_by: set[str] = set()  # ids of backends that did not serve it; avoided while others are available
@@ -168,7 +168,7 @@
         """Finish the request after its complete response was forwarded."""
         self._release_attempt(is_completed=True)
         self._finish()
-        self.context.session.finish()
+        self.context.response_writer.finish()
         self._services.request_log.served()
 
     def _release_attempt(self, is_completed: bool = False, was_overloaded: bool = False) -> None:
@@ -215,7 +215,7 @@
             self._respond_rejection(why, retry_after_s)
         elif next_step is NextStep.ABORT:
             self._finish()
-            self.context.session.abort()
+            self.context.response_writer.abort()
         else:
             self._respond_failure(504 if next_step is NextStep.TIME_OUT else 502, why)
 
@@ -231,12 +231,12 @@
         self._finish()
         LOG.debug("request answered as not executed", extra={"request_id": self.context.request_id_text, "reason": why})
         self._services.request_log.not_served(self, why, retry_after_s)
-        self.context.session.respond_error(503, f"not run: {why}", retry_after_s)
+        self.context.response_writer.respond_error(503, f"not run: {why}", retry_after_s)
 
     def _respond_failure(self, status: int, why: str) -> None:
         self._finish()
         LOG.debug("request answered as failed", extra={"request_id": self.context.request_id_text, "reason": why})
-        self.context.session.respond_error(status, why)
+        self.context.response_writer.respond_error(status, why)
 
     def _finish(self) -> None:
         self.is_finished = True
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -58,7 +58,7 @@
 
 
 class ResponseRelay:
-    """Reads one response and writes it to the client's session.
+    """Reads one response and writes it to the client's connection.
 
     Args:
         context: The request's facts.
@@ -76,14 +76,14 @@
         "_has_first_byte",
         "_head",
         "_loop",
-        "_session",
+        "_response_writer",
         "_stall_timer",
         "_verdict",
     )
 
     def __init__(self, context: RequestContext, attempt: RelayedAttempt, loop: asyncio.AbstractEventLoop) -> None:
         self._context, self._attempt, self._loop = context, attempt, loop
-        self._session, self._event_filter = context.session, context.event_filter
+        self._response_writer, self._event_filter = context.response_writer, context.event_filter
         self._head: Head | None = None
         self._verdict: ResponseVerdict | None = None
         self._buffer: list[bytes] | None = None  # chunks of a plain response whose head is not forwarded yet
@@ -126,9 +126,9 @@
             self.restart_stall_timer()
             events = self._event_filter.feed(data)
             if events:
-                self._session.write_body(events)
+                self._response_writer.write_body(events)
         else:
-            self._session.write_body(data)
+            self._response_writer.write_body(data)
 
     def on_end(self) -> None:
         """Finish the attempt after a complete response."""
@@ -164,7 +164,7 @@
     def _forward_head(self, length: int | None) -> None:
         self._context.state.is_response_started = True
         # A resumable stream may be continued by another backend: its length is not this response's.
-        self._session.write_head(self._head, None if self._event_filter is not None else length)
+        self._response_writer.write_head(self._head, None if self._event_filter is not None else length)
 
     def _append_to_buffer(self, data: bytes) -> None:
         self._buffer.append(data)
@@ -177,13 +177,13 @@
         self._forward_head(length)
         for data in buffer:
             if data:
-                self._session.write_body(data)
+                self._response_writer.write_body(data)
 
     def _forward_rest(self) -> None:
         if self._buffer is not None:
             self._forward_buffer(self._buffered_bytes)
         elif self._event_filter is not None and self._event_filter.partial_event:
-            self._session.write_body(self._event_filter.partial_event)
+            self._response_writer.write_body(self._event_filter.partial_event)
 
     def _must_discard(self, head: Head) -> bool:
         """Return whether a complete error response is treated as a failed attempt instead of being forwarded."""
