--- a/mulleinhatch/admission/mechanism.py
+++ b/mulleinhatch/admission/mechanism.py
@@ -14,10 +14,10 @@
 BASE_SPAN = 20.0
 
 
-def bases(ranks: Iterable[float]) -> dict[float, float]:
+def base_priorities(ranks: Iterable[float]) -> dict[float, float]:
     """Return the base priority of each distinct rank, spread evenly from 0 for the highest.
 
-    >>> bases([1.0, 3.0, 2.0, 3.0])
+    >>> base_priorities([1.0, 3.0, 2.0, 3.0])
     {3.0: 0.0, 2.0: 10.0, 1.0: 20.0}
     """
     distinct = sorted(set(ranks), reverse=True)
--- a/mulleinhatch/admission/request.py
+++ b/mulleinhatch/admission/request.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from mulleinhatch.admission.interface import Effect, Ref, RequestType
-from mulleinhatch.admission.mechanism import bases
+from mulleinhatch.admission.mechanism import base_priorities
 
 
 class Stage(Enum):
@@ -63,7 +63,7 @@
 
 def build_request_classes(request_types: list[RequestType]) -> list[RequestClass]:
     """Spread base priorities evenly over the distinct importances, the highest at 0."""
-    base_of = bases(request_type.get("importance", 1.0) for request_type in request_types)
+    base_of = base_priorities(request_type.get("importance", 1.0) for request_type in request_types)
     return [RequestClass(request_type, base_of[request_type.get("importance", 1.0)]) for request_type in request_types]
 
 
--- a/mulleinhatch/data_plane/admission_queue.py
+++ b/mulleinhatch/data_plane/admission_queue.py
@@ -15,10 +15,10 @@
 from enum import Enum
 from typing import Any
 
-from mulleinhatch.admission.mechanism import account_cap, ageing_rate, bases, class_bound, effective_priority
+from mulleinhatch.admission.mechanism import account_cap, ageing_rate, base_priorities, class_bound, effective_priority
 from mulleinhatch.data_plane.registry_snapshot import ModelName
 
-MIN_SATURATED_S = 0.5  # at the running limit with requests waiting, before the measured mu is used
+MIN_SATURATED_S = 0.5  # at the running limit with requests waiting, before the measured service rate is used
 SERVICE_RATE_WINDOW_S = 10.0  # of saturated time, after which older completions count half
 ACCOUNT_SHARE_BY_CLASS = (0.25, 0.10, 0.04)  # of the running limit for one account, from the highest class to the lowest
 MIN_RUNNING_LIMIT = 2
@@ -89,7 +89,7 @@
         saturated_since: Since when the limit is reached while requests wait; infinite where it is not.
         saturated_s: Time spent like that, within the window.
         completed_while_saturated: Completions in that time.
-        mu: Service rate in requests a second, 0 until it is measured.
+        service_rate: In requests a second, 0 until it is measured.
         updated_at: When the saturated time was last brought up to date.
     """
 
@@ -101,11 +101,11 @@
     saturated_since: float = math.inf
     saturated_s: float = 0.0
     completed_while_saturated: int = 0
-    mu: float = 0.0
+    service_rate: float = 0.0
     updated_at: float = 0.0
 
     def update_service_rate(self, now: float) -> None:
-        """Add the time since the last update if the queue was saturated; mu is measured only then."""
+        """Add the time since the last update if the queue was saturated; its service rate is measured only then."""
         if self.running >= int(self.limit) and self.waiting:
             if self.saturated_since < math.inf:
                 self.saturated_s += now - self.updated_at
@@ -116,7 +116,7 @@
         if self.saturated_s > SERVICE_RATE_WINDOW_S:
             self.saturated_s, self.completed_while_saturated = self.saturated_s / 2, self.completed_while_saturated // 2
         if self.saturated_s >= MIN_SATURATED_S and self.completed_while_saturated:
-            self.mu = self.completed_while_saturated / self.saturated_s
+            self.service_rate = self.completed_while_saturated / self.saturated_s
 
     def waiting_count(self, priority: int) -> int:
         """Return how many requests of a class wait."""
@@ -144,7 +144,7 @@
             classes: Priority (0 is the highest) and latency target in seconds of each.
         """
         known = list(classes) or [(0, 1.0)]
-        base_by_rank = bases(-priority for priority, _ in known)
+        base_by_rank = base_priorities(-priority for priority, _ in known)
         self._base_priorities = {int(-rank): base for rank, base in base_by_rank.items()}
         lowest = max(priority for priority, _ in known)
         self._ageing_rate = ageing_rate(max(target_s for priority, target_s in known if priority == lowest))
@@ -168,11 +168,11 @@
         ready_in_s = self._ready_in_s(pending.name)
         if not pending.name.model and now + ready_in_s + RESPONSE_MARGIN_S >= pending.deadline:
             return Rejection(RejectionReason.NO_BACKEND_IN_TIME, ready_in_s)
-        if queue.mu and ready_in_s <= 0.0:
+        if queue.service_rate and ready_in_s <= 0.0:
             longest_wait_s = max(0.0, min(pending.target_s, pending.deadline - now))
             waiting_count = queue.waiting_count(pending.priority)
-            if waiting_count >= class_bound(queue.mu, longest_wait_s, max(MIN_RUNNING_LIMIT, queue.limit)):
-                return Rejection(RejectionReason.CLASS_BOUND, min(longest_wait_s, waiting_count / queue.mu))
+            if waiting_count >= class_bound(queue.service_rate, longest_wait_s, max(MIN_RUNNING_LIMIT, queue.limit)):
+                return Rejection(RejectionReason.CLASS_BOUND, min(longest_wait_s, waiting_count / queue.service_rate))
         queue.waiting.append(pending)
         return None
 
@@ -279,5 +279,5 @@
     def prune(self) -> None:
         """Drop queues that hold neither requests nor a measured service rate."""
         for name, queue in list(self.by_model.items()):
-            if not queue.waiting and not queue.running and not queue.mu:
+            if not queue.waiting and not queue.running and not queue.service_rate:
                 del self.by_model[name]
--- a/mulleinhatch/data_plane/attempt.py
+++ b/mulleinhatch/data_plane/attempt.py
@@ -36,7 +36,7 @@
     def on_unreachable(self, attempt: Attempt) -> None:
         """No byte of the request reached the backend."""
 
-    def on_connection_lost(self, attempt: Attempt) -> None:
+    def on_failed(self, attempt: Attempt) -> None:
         """The attempt failed after the request may have executed."""
 
     def on_completed(self) -> None:
@@ -206,9 +206,9 @@
             health.record_overload(backend, context.name, now)
         self._observer.on_rejected_by_backend(self, was_overloaded=head.status != MISDIRECTED)
 
-    def report_connection_lost(self) -> None:
+    def report_failed(self) -> None:
         """Report that the attempt failed after the request may have executed."""
-        self._observer.on_connection_lost(self)
+        self._observer.on_failed(self)
 
     def report_completed(self) -> None:
         """Report that the complete response was forwarded."""
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -155,7 +155,7 @@
         self.rejected_by.add(attempt.backend.id)
         self._follow(self.context.state.unreachable(len(self.rejected_by)), "no stub could be reached")
 
-    def on_connection_lost(self, attempt: Attempt) -> None:
+    def on_failed(self, attempt: Attempt) -> None:
         """Handle a connection loss after the request may have executed."""
         self._release_attempt()
         self.rejected_by.add(attempt.backend.id)
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -50,7 +50,7 @@
     def report_rejection(self, head: Head) -> None:
         """Report that the backend did not execute the request."""
 
-    def report_connection_lost(self) -> None:
+    def report_failed(self) -> None:
         """Report a failure after the request may have executed."""
 
     def report_completed(self) -> None:
@@ -142,7 +142,7 @@
             return
         attempt.record_success()
         if self._must_discard(head):
-            attempt.report_connection_lost()
+            attempt.report_failed()
             return
         self._forward_rest()
         attempt.report_completed()
@@ -157,7 +157,7 @@
         if self._verdict is ResponseVerdict.NOT_EXECUTED:
             attempt.report_rejection(self._head)
         else:
-            attempt.report_connection_lost()
+            attempt.report_failed()
 
     # Forwarding.
 
--- a/mulleinhatch/data_plane/status.py
+++ b/mulleinhatch/data_plane/status.py
@@ -52,5 +52,5 @@
         "held": len(queue.waiting),
         "running": queue.running,
         "limit": round(queue.limit, 1),
-        "mu": round(queue.mu, 2),
+        "mu": round(queue.service_rate, 2),
     }
--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -77,7 +77,7 @@
             self.queue.by_model[NAME].limit = 2.0
             running += self.queue.start_next(now)
         group = self.queue.by_model[NAME]
-        self.assertAlmostEqual(group.mu, 10.0, delta=1.5)
+        self.assertAlmostEqual(group.service_rate, 10.0, delta=1.5)
         refused = [self.queue.enqueue(pending(f"late{number}", arrived=now, due=now + 50), now) for number in range(12)]
         self.assertIsNone(refused[0])
         self.assertIs(refused[-1].reason, RejectionReason.CLASS_BOUND)
