--- a/mulleinhatch/control_plane/backend_handoff.py
+++ b/mulleinhatch/control_plane/backend_handoff.py
@@ -23,7 +23,7 @@
         """Send a backend's record to every peer with its next heartbeat."""
         self._changed_at[backend_id] = self._clock()
         for peer in self._peers.by_identity.values():
-            peer.owed_backends.add(backend_id)
+            peer.unacknowledged_backends.add(backend_id)
 
     def records(self, backend_ids: set[str], now: float) -> list[Backend]:
         """Return the records of backends as a heartbeat carries them."""
@@ -34,9 +34,9 @@
         for backend in backends:
             self._registry.merge(backend, now)
 
-    def owe_all(self, peer: Peer) -> None:
+    def resend_all(self, peer: Peer) -> None:
         """Send all records to a peer, which knows none."""
-        peer.owed_backends.update(self._registry.entries)
+        peer.unacknowledged_backends.update(self._registry.entries)
 
     def acknowledge(self, peer: Peer, sent_ids: set[str], sent_at: float) -> None:
         """Record that a peer received the records of a heartbeat that was sent at `sent_at`.
@@ -44,7 +44,7 @@
         A record that changed after the heartbeat was sent and before its response came is still owed.
         """
         changed = {backend_id for backend_id in sent_ids if self._changed_at.get(backend_id, 0.0) >= sent_at}
-        peer.owed_backends -= sent_ids - changed
+        peer.unacknowledged_backends -= sent_ids - changed
 
     def expire(self, now: float) -> None:
         """Expire silent backends, and forget those that the registry has removed."""
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -53,7 +53,7 @@
     text: bytes = b""
 
 
-REGROUPING = ConfigurationResult(ResultKind.RETRY, "the core is regrouping; send it again in a moment")
+VIEW_CHANGING = ConfigurationResult(ResultKind.RETRY, "the core is regrouping; send it again in a moment")
 REJECTION_KINDS = {ChangeOutcome.INVALID: ResultKind.INVALID, ChangeOutcome.CONFLICT: ResultKind.CONFLICT}
 
 
@@ -115,7 +115,7 @@
         async with log.lock:
             # A view change may have brought the pending change of another head while the lock was awaited.
             if log.has_pending_change() or not await log.propose(int(change.kind), change.body, change.digest, epoch):
-                return REGROUPING
+                return VIEW_CHANGING
         if await log.progress.wait_for(lambda: change.digest in log.state.digests, remaining_s() + 0.5 * CHANGE_TIMEOUT_S):
             LOG.info("a configuration change is committed", extra={"version": log.state.document.version})
             return ConfigurationResult(ResultKind.OK)
@@ -128,7 +128,7 @@
         if rejection.outcome is ChangeOutcome.HISTORY_COMPACTED:
             return ConfigurationResult(ResultKind.RETRY, rejection.message)
         if not await self._view_changer.confirm_view():
-            return REGROUPING
+            return VIEW_CHANGING
         return ConfigurationResult(REJECTION_KINDS[rejection.outcome], rejection.message)
 
     async def read(self) -> ConfigurationResult:
@@ -142,13 +142,13 @@
         except OSError:
             is_confirmed = False
         if not is_confirmed or not replica.is_tail:
-            return REGROUPING
+            return VIEW_CHANGING
         return ConfigurationResult(ResultKind.OK, text=self._log.state.document.to_json())
 
     def _redirect(self, member: Member | None) -> ConfigurationResult:
         """Refer an operator to the member that serves the request, if it is another one and in reach."""
         if member is None or member.identity == self._peers.own.identity:
-            return REGROUPING
+            return VIEW_CHANGING
         if not self._peers.is_alive(member.identity, self._clock()):
-            return REGROUPING
+            return VIEW_CHANGING
         return ConfigurationResult(ResultKind.REDIRECT, "another machine answers this", control_address=member.control_address)
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -96,23 +96,23 @@
     async def _exchange(self, address: str) -> None:
         sent_at = self._clock()
         peer = self._peers.by_address(address)
-        owed = set(peer.owed_backends) if peer is not None else set()
-        heartbeat = self._build_heartbeat(peer, owed, sent_at)
+        backend_ids = set(peer.unacknowledged_backends) if peer is not None else set()
+        heartbeat = self._build_heartbeat(peer, backend_ids, sent_at)
         response = await self._client.call(address, "heartbeat", heartbeat, HeartbeatResponse)
         now = self._clock()
         responder = self._contact.record_response(response, now, sent_at)
         if responder is None:
             return
         if response.needs_all_backends:
-            self._handoff.owe_all(responder)
+            self._handoff.resend_all(responder)
         elif responder is peer:
-            self._handoff.acknowledge(responder, owed, sent_at)
+            self._handoff.acknowledge(responder, backend_ids, sent_at)
         for member in response.known_members:
             self._peers.add(member, now)
         await self._view_changer.learn_view(response.newest)
 
-    def _build_heartbeat(self, peer: Peer | None, owed: set[str], now: float) -> Heartbeat:
-        heartbeat = self._status.build_heartbeat(self._handoff.records(owed, now), now)
+    def _build_heartbeat(self, peer: Peer | None, backend_ids: set[str], now: float) -> Heartbeat:
+        heartbeat = self._status.build_heartbeat(self._handoff.records(backend_ids, now), now)
         if peer is not None and peer.epoch < self._status.view.epoch:
             heartbeat.newest = self._status.view
         return heartbeat
@@ -143,7 +143,7 @@
         response = HeartbeatResponse(
             sender=self._peers.own,
             epoch=view.epoch,
-            current=self._view_changer.is_undisturbed(view.epoch),
+            current=self._view_changer.confirms_epoch(view.epoch),
             needs_all_backends=not self._has_requested_backends and not is_known,
         )
         self._has_requested_backends = self._has_requested_backends or is_known
@@ -151,7 +151,7 @@
             response.newest = view
         if peer is not None and not is_known:
             response.known_members = [other.member for other in self._peers.by_identity.values()]
-            self._handoff.owe_all(peer)
+            self._handoff.resend_all(peer)
         if heartbeat.newest.epoch > view.epoch:
             self._tasks.start(self._view_changer.learn_view(heartbeat.newest))
         return response
--- a/mulleinhatch/control_plane/log_replication.py
+++ b/mulleinhatch/control_plane/log_replication.py
@@ -43,12 +43,12 @@
                 await progress.wait_for_progress(NO_SUCCESSOR_WAIT_S)
                 continue
             try:
-                await self._supply(successor, epoch)
+                await self._replicate_to(successor, epoch)
             except OSError:
                 self._client.forget(successor.internal_address)
                 await progress.wait_for_progress(RETRY_S)
 
-    async def _supply(self, successor: Member, epoch: int) -> None:
+    async def _replicate_to(self, successor: Member, epoch: int) -> None:
         """Send appends until the view changes.
 
         Raises:
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -26,7 +26,7 @@
     epoch: int = 0  # the newest epoch that it reported
     confirmed_epoch: int = 0  # the epoch whose view it confirmed as the newest that it knows,
     confirmed_at: float = NEVER  # in response to a heartbeat that was sent at this time
-    disturbed_epoch: int = 0  # the epoch after whose view it has accepted another one, or is writing a vote
+    unconfirmed_epoch: int = 0  # the epoch after whose view it has accepted another one, or is writing a vote
     committed: int = 0
     caught_up_epoch: int = 0
     last_index: int = 0
@@ -35,7 +35,7 @@
     data_planes: int = 0
     orders_idle_s: float = 0.0
     unresponsive_peers: frozenset[str] = frozenset()  # identities of members that do not answer it
-    owed_backends: set[str] = field(default_factory=set)  # backends whose records it has not acknowledged (hinted handoff)
+    unacknowledged_backends: set[str] = field(default_factory=set)  # their records are sent again (hinted handoff)
 
 
 class Peers:
@@ -90,7 +90,7 @@
         peer.answered_at, peer.member = now, response.sender
         peer.epoch = max(peer.epoch, response.epoch)
         sent_at = now if sent_at is None else sent_at
-        peer.disturbed_epoch = 0 if response.current else response.epoch
+        peer.unconfirmed_epoch = 0 if response.current else response.epoch
         if response.current and sent_at >= peer.confirmed_at:
             peer.confirmed_epoch, peer.confirmed_at = response.epoch, sent_at
         self._expire_former_identities(peer)
@@ -143,7 +143,7 @@
     def has_undecided_successor(self, view: View, now: float) -> bool:
         """Return whether a voter in reach has accepted a later view that nobody reports as decided."""
         return any(
-            self.by_identity[identity].disturbed_epoch == view.epoch
+            self.by_identity[identity].unconfirmed_epoch == view.epoch
             for identity in identities(view.voters)
             if identity in self.by_identity and self.is_alive(identity, now)
         )
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -134,7 +134,7 @@
             current = self._voter.confirms_epoch(request.epoch)
         return ConfirmResponse(voter=self._voter.identity, current=current, newest=self.view)
 
-    def is_undisturbed(self, epoch: int) -> bool:
+    def confirms_epoch(self, epoch: int) -> bool:
         """Return whether the view of `epoch` is the newest known here and no later one was accepted or is being written."""
         return not self._is_writing and self._voter.confirms_epoch(epoch)
 
--- a/mulleinhatch/control_plane/view_manager.py
+++ b/mulleinhatch/control_plane/view_manager.py
@@ -74,8 +74,8 @@
         health = self._peers.health(view, now, self._status.health())
         alive = [member.identity for member in view.chain if health[member.identity].is_alive]
         is_first_alive = bool(alive) and alive[0] == self._peers.own.identity
-        hands_over = self._status.is_leaving and self._replica.is_head
-        if not is_first_alive and not hands_over:
+        is_leaving_head = self._status.is_leaving and self._replica.is_head
+        if not is_first_alive and not is_leaving_head:
             return None
         if now - self._started_at < ALIVE_S + HEARTBEAT_S:
             return None  # peers that have not answered yet may be starting, as this node is
--- a/tests/system/test_node_parts.py
+++ b/tests/system/test_node_parts.py
@@ -113,21 +113,21 @@
 
     def test_a_record_is_owed_until_it_is_acknowledged(self):
         self.handoff.record_change("i-1")
-        self.assertEqual(self.peer.owed_backends, {"i-1"})
+        self.assertEqual(self.peer.unacknowledged_backends, {"i-1"})
         self.assertEqual([backend.id for backend in self.handoff.records({"i-1", "unknown"}, 0.0)], ["i-1"])
         self.handoff.acknowledge(self.peer, {"i-1"}, sent_at=0.1)
-        self.assertEqual(self.peer.owed_backends, set())
+        self.assertEqual(self.peer.unacknowledged_backends, set())
 
     def test_a_record_that_changes_before_the_response_is_owed_again(self):
         self.handoff.record_change("i-1")
         self.now = 0.2
         self.handoff.record_change("i-1")
         self.handoff.acknowledge(self.peer, {"i-1"}, sent_at=0.1)
-        self.assertEqual(self.peer.owed_backends, {"i-1"})
+        self.assertEqual(self.peer.unacknowledged_backends, {"i-1"})
 
     def test_a_new_peer_is_owed_all_records(self):
-        self.handoff.owe_all(self.peer)
-        self.assertEqual(self.peer.owed_backends, {"i-1"})
+        self.handoff.resend_all(self.peer)
+        self.assertEqual(self.peer.unacknowledged_backends, {"i-1"})
 
 
 class Writes(unittest.TestCase):
