--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -29,7 +29,7 @@
     """What a request needs of the scheduler that owns it; `request_scheduler.RequestScheduler` implements it."""
 
     def requeue(self, request: ClientRequest) -> None:
-        """Return a started request for which no backend was available to the queue."""
+        """Put a started request back into the queue because no backend was available."""
 
     def retry(self, request: ClientRequest) -> None:
         """Queue a request for another backend, with its age."""
@@ -79,13 +79,13 @@
         self._services, self.context = services, context
         route = context.route
         self.pending = PendingRequest(
-            self,
-            context.name,
-            route.priority,
-            route.target_latency_s,
-            context.prompt.session,
-            services.loop.time(),
-            context.deadline,
+            handle=self,
+            model_key=context.model_key,
+            priority=route.priority,
+            target_s=route.target_latency_s,
+            account=context.prompt.account,
+            arrived_at=services.loop.time(),
+            deadline=context.deadline,
         )
         self._attempt: Attempt | None = None
         self.rejected_by: set[str] = set()  # ids of backends that did not serve it; avoided while others are available
@@ -112,7 +112,7 @@
     def start(self) -> None:
         """Send the request to a backend, or return it to the queue if none is available."""
         services, context = self._services, self.context
-        backend = services.attempt_resources.selector.select(context.name, context.prompt.prefix, self.rejected_by)
+        backend = services.attempt_resources.selector.select(context.model_key, context.prompt.prefix, self.rejected_by)
         if backend is None:
             services.scheduler.requeue(self)
             return
@@ -155,8 +155,8 @@
         self.rejected_by.add(attempt.backend.id)
         self._follow(self.context.state.unreachable(len(self.rejected_by)), "no stub could be reached")
 
-    def on_connection_lost(self, attempt: Attempt) -> None:
-        """Handle a connection loss after the request may have executed."""
+    def on_failed(self, attempt: Attempt) -> None:
+        """Handle a failed attempt; the request may have executed."""
         self._release_attempt()
         self.rejected_by.add(attempt.backend.id)
         next_step = self.context.state.connection_lost()
@@ -168,7 +168,7 @@
         """Finish the request after its complete response was forwarded."""
         self._release_attempt(is_completed=True)
         self._finish()
-        self.context.session.finish()
+        self.context.response_writer.finish()
         self._services.request_log.served()
 
     def _release_attempt(self, is_completed: bool = False, was_overloaded: bool = False) -> None:
@@ -215,7 +215,7 @@
             self._respond_rejection(why, retry_after_s)
         elif next_step is NextStep.ABORT:
             self._finish()
-            self.context.session.abort()
+            self.context.response_writer.abort()
         else:
             self._respond_failure(504 if next_step is NextStep.TIME_OUT else 502, why)
 
@@ -231,12 +231,12 @@
         self._finish()
         LOG.debug("request answered as not executed", extra={"request_id": self.context.request_id_text, "reason": why})
         self._services.request_log.not_served(self, why, retry_after_s)
-        self.context.session.respond_error(503, f"not run: {why}", retry_after_s)
+        self.context.response_writer.respond_error(503, f"not run: {why}", retry_after_s)
 
     def _respond_failure(self, status: int, why: str) -> None:
         self._finish()
         LOG.debug("request answered as failed", extra={"request_id": self.context.request_id_text, "reason": why})
-        self.context.session.respond_error(status, why)
+        self.context.response_writer.respond_error(status, why)
 
     def _finish(self) -> None:
         self.is_finished = True
