--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -31,7 +31,7 @@
 from rich.table import Table
 
 from mulleinhatch.admission.interface import Ending, Verb
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.block import Builder
@@ -121,13 +121,13 @@
         StormBounds(),
         (lambda hatch, now, cold, since: Recorder(hatch, now, cold, since, hand_on)) if traced else None,
     )
-    reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
+    reducer.reduce(0.0, Event.INTERPRETER_READY, False, 100.0)
     start, now = time.process_time(), 0.0
     for op in range(ops):
         now += 0.0125
         ref = f"{op:016x}"
-        reducer.reduce(now, Happening.OP_READ, op, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
-        reducer.reduce(now + 0.012, Happening.RUN_ENDED, op + 1, ref, Ending.OK, b"")
+        reducer.reduce(now, Event.REQUEST_RECEIVED, op, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
+        reducer.reduce(now + 0.012, Event.RUN_ENDED, op + 1, ref, Ending.OK, b"")
     return (time.process_time() - start) / ops
 
 
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -15,68 +15,83 @@
 
 from mulleinhatch.admission import NOT_EXECUTED_ENDINGS, AdmissionController
 from mulleinhatch.admission.interface import Decision, Deployment, Effect, Ending, Verb
-from mulleinhatch.instance.request_state_machine.tables import Keys, Owed
+from mulleinhatch.instance.request_state_machine.tables import IdempotencyKeys, PendingRequest
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, finer, likeness
 from mulleinhatch.instance.retry_storms.request_log import Lately, fingerprint
 from mulleinhatch.instance.retry_storms.retry_admission import Desk
 from mulleinhatch.invariants import must_hold
 
-READINGS_LAST = 1.0  # seconds: gauges that stopped coming tell nothing of the cores now
-RUN_GAP = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
-PARKED_MOST = 1.0  # seconds that a retry waits for a word on its twin: a run and the next request of its caller
-PARKED_MARGIN = 0.5  # and no longer than leaves the module time to decide on it
-NOTICES_KEPT = 4000  # by the interpreter: a number further on than that is no next one
-LINGER = 10.0  # seconds after its arrival in which a try may be read, where the op type names no time
-ENDED_SPAN, ENDED_ROOM = 10.0, 8192  # seconds for which the id of an op that ran is known, and at most so many in each
-RUN_COUNTS = {ending: "run_" + ending.name.lower() for ending in Ending}
+GAUGES_VALID_S = 1.0  # seconds: gauges that stopped coming tell nothing of the cores now
+RUN_GAP_S = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
+MAX_PARKED_S = 1.0  # seconds that a retry waits for a word on its twin: a run and the next request of its caller
+PARKED_MARGIN_S = 0.5  # and no longer than leaves the module time to decide on it
+MAX_NOTICE_GAP = 4000  # by the interpreter: a number further on than that is no next one
+DEFAULT_REQUEST_TIMEOUT_S = 10.0  # seconds after its arrival in which a try may be read, where the op type names no time
+COMPLETED_IDS_SPAN_S, MAX_COMPLETED_IDS = (
+    10.0,
+    8192,
+)  # seconds for which the id of an op that ran is known, and at most so many in each
+RUN_END_COUNTERS = {ending: "run_" + ending.name.lower() for ending in Ending}
 
 
-class Happening(Enum):
-    INTERPRETER_UP = "interpreter up"  # is cold, seconds since
+class Event(Enum):
+    """What can happen to a service instance; the comments list the arguments that `Reducer.reduce` takes with each."""
+
+    INTERPRETER_READY = "interpreter ready"  # is it a cold start, seconds since it started
     LINK_OPENED = "link opened"
-    LINE_BROKEN = "line broken"
-    OP_READ = "op read"  # place, ref, op type, tenant, age, wait, caller, work, kb, again, key, body, rank, from a peer
-    RUN_ENDED = "run ended"  # number of the notice, ref, ending, result
-    RUN_UNKNOWN = "run unknown"  # ref
-    CALL_WANTED = "call wanted"  # number of the notice, ref, what it asks for
-    CALL_ENDED = "call ended"  # ref, ending, result
-    NOTICE_PASSED = "notice passed"  # number: of one that says nothing to us
-    RUN_SPOILT = "run spoilt"  # ref: it ended, and how can't be read
-    GAUGES = "gauges"  # mark, readings
-    ALARM = "alarm"  # token
-    CHECKED = "checked"  # place
-    CALLER_LOST = "caller lost"  # place
-    LEAVE = "leave"  # seconds until the stop
-    PART = "part"  # tenant, window, pieces of units and their ends: what the fleet leaves us of a total
-    CALLS = "calls"  # share
-    OTHERS = "others"  # their free share, whether they judge us ill, retries a second left to us, share wished away
-    OFFERS = "offers"  # how many ops peers have room for just now
-    HAND_ENDED = "hand ended"  # ref, ending, result: what became of an op at a peer
-
-    __hash__ = object.__hash__  # members are single: Enum's own hash is Python code, often run
-
-
-class Errand(Enum):
-    ACK = "ack"  # place, result, level
-    NACK = "nack"  # place, seconds to stay away, not elsewhere either, level
-    FAIL = "fail"  # place, level
-    REFUSE = "refuse"  # place, what makes it no op for us
-    HEALTH = "health"  # place, good, level: the answer to a check
-    ABANDON = "abandon"  # place: its answer goes elsewhere
-    LISTING = "listing"  # open: what the directory is to be told
-    TURN_BACK = "turn back"  # whether retries may be nacked before they are read in full
-    LEAVE = "leave"  # seconds until the stop
-    GREET = "greet"  # number of the last notice
-    RENEW = "renew"  # the link
-    RUN = "run"  # ref, op type, body
-    CALL = "call"  # ref, seconds, what it asks for
-    RESOLVE = "resolve"  # ref, result: the run goes on with what its call gave
-    SKIP = "skip"  # ref: the run goes on without its call
-    GAUGES = "gauges"  # mark
-    ALARM = "alarm"  # seconds, token
-    TRIM = "trim"  # seconds that an idle connection is kept
-    HAND = "hand"  # ref, op type, tenant, body, age, seconds left, caller, work, kb, again, rank, key
+    MALFORMED_LINE_RECEIVED = "malformed line received"
+    # connection id, request id, request type, tenant, age, remaining wait, client id, cost, memory, is retry, key, body, rank,
+    # whether a peer handed it over
+    REQUEST_RECEIVED = "request received"
+    RUN_ENDED = "run ended"  # notice number, request id, ending, result
+    RUN_REJECTED = "run rejected"  # request id
+    CALL_REQUESTED = "call requested"  # notice number, request id, payload
+    CALL_ENDED = "call ended"  # request id, ending, result
+    OTHER_NOTICE_RECEIVED = "other notice received"  # notice number
+    UNREADABLE_RUN_END_RECEIVED = "unreadable run end received"  # request id
+    GAUGES_RECEIVED = "gauges received"  # mark, readings
+    TIMER_EXPIRED = "timer expired"  # token
+    HEALTH_CHECK_RECEIVED = "health check received"  # connection id
+    CLIENT_DISCONNECTED = "client disconnected"  # connection id
+    SHUTDOWN_REQUESTED = "shutdown requested"  # seconds until the stop
+    TENANT_BUDGET_CHANGED = "tenant budget changed"  # tenant, window, pieces: units and when each ends
+    DEPENDENCY_SHARE_CHANGED = "dependency share changed"  # share
+    PEER_LOAD_CHANGED = "peer load changed"  # free share, judged unhealthy, retries per second, share to redirect
+    PEER_OFFERS_CHANGED = "peer offers changed"  # requests that peers have capacity for now
+    HANDOVER_ENDED = "handover ended"  # request id, ending, result
+
+    # Members are singletons. `Enum.__hash__` is Python code and the handler tables are looked up for every event.
+    __hash__ = object.__hash__
+
+
+class Action(Enum):
+    """What the runtime must do; the comments list the fields that follow the member in the tuple.
+
+    Not named `Effect`: that is the admission package's enum of whether a request may be executed twice.
+    The simulations read the values of the `SEND_...` members.
+    """
+
+    SEND_RESULT = "ack"  # connection id, result, advice level
+    SEND_REJECTION = "nack"  # connection id, hold-off in seconds, whether other instances reject as well, advice level
+    SEND_FAILURE = "fail"  # connection id, advice level
+    SEND_INVALID = "refuse"  # connection id, cause
+    SEND_HEALTH = "health"  # connection id, is healthy, advice level
+    ABANDON_CONNECTION = "abandon connection"  # connection id: the answer goes to another one
+    REPORT_AVAILABILITY = "report availability"  # whether the directory shall list this instance as open
+    SET_EARLY_REJECTION = "set early rejection"  # whether retries may be rejected before they are read in full
+    BEGIN_SHUTDOWN = "begin shutdown"  # seconds until the stop
+    GREET_INTERPRETER = "greet interpreter"  # number of the last notice
+    RECONNECT_LINK = "reconnect link"
+    START_RUN = "start run"  # request id, request type, body
+    START_CALL = "start call"  # request id, timeout in seconds, payload
+    RESUME_RUN = "resume run"  # request id, result of the call
+    SKIP_CALL = "skip call"  # request id: the run continues without its call
+    REQUEST_GAUGES = "request gauges"  # mark
+    SET_TIMER = "set timer"  # seconds, token
+    SET_IDLE_TIMEOUT = "set idle timeout"  # seconds that an idle connection is kept
+    # request id, request type, tenant, body, age, seconds left, client id, cost, memory, is retry, rank, key
+    HAND_OVER = "hand over"
 
     __hash__ = object.__hash__
 
@@ -84,20 +99,20 @@
 class Reducer:
     """
     >>> reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], seed=7)
-    >>> def happens(now, *told):
-    ...     return [(errand.value, *more) for errand, *more in reducer.reduce(now, *told)]
-    >>> happens(0.0, Happening.INTERPRETER_UP, False, 9.0)
-    [('listing', True), ('gauges', 1)]
-    >>> happens(0.0, Happening.OP_READ, 4, "r1", "read", "", 0.0, 2.0, 1, 0.1, 8.0, False, "", b"in")
-    [('run', 'r1', 'read', b'in'), ('gauges', 2), ('alarm', 0.1, 1)]
-    >>> happens(1.2, Happening.RUN_ENDED, 1, "r1", Ending.OK, b"out")
+    >>> def happens(now, *arguments):
+    ...     return [(action.value, *more) for action, *more in reducer.reduce(now, *arguments)]
+    >>> happens(0.0, Event.INTERPRETER_READY, False, 9.0)
+    [('report availability', True), ('request gauges', 1)]
+    >>> happens(0.0, Event.REQUEST_RECEIVED, 4, "r1", "read", "", 0.0, 2.0, 1, 0.1, 8.0, False, "", b"in")
+    [('start run', 'r1', 'read', b'in'), ('request gauges', 2), ('set timer', 0.1, 1)]
+    >>> happens(1.2, Event.RUN_ENDED, 1, "r1", Ending.OK, b"out")
     [('ack', 4, b'out', None)]
     """
 
     def __init__(
         self,
         deployment: Deployment,
-        op_types: Sequence[str],
+        request_types: Sequence[str],
         tenants: Sequence[str],
         seed: int,
         storms: StormBounds | None = None,
@@ -108,277 +123,307 @@
         self.deployment, self.seed = deployment, seed
         hold_off = deployment.get("max_hold_off", 0.0) if deployment.get("hold_off_allowed", False) else 0.0
         self.storms = storms and Desk(storms, hold_off, seed)
-        self.may_repeat = {
+        self.retryable_types = {
             name
-            for name, op_type in zip(op_types, deployment.get("op_types", []))
-            if op_type.get("effect", Effect.NON_RETRYABLE) is Effect.RETRYABLE
+            for name, request_type in zip(request_types, deployment.get("op_types", []))
+            if request_type.get("effect", Effect.NON_RETRYABLE) is Effect.RETRYABLE
         }
-        self.once = {
+        self.non_retryable_types = {
             name
-            for name, op_type in zip(op_types, deployment.get("op_types", []))
-            if op_type.get("effect", Effect.NON_RETRYABLE) is Effect.NON_RETRYABLE
+            for name, request_type in zip(request_types, deployment.get("op_types", []))
+            if request_type.get("effect", Effect.NON_RETRYABLE) is Effect.NON_RETRYABLE
         }
-        self.ended_at = self.idle_until = -math.inf  # when a run last ended; when one was asked for with none in hand
-        self.unended = 0  # runs asked for that have not ended
-        self.back = 0  # retries turned back that the module has not heard of
-        self.op_types = {name: place for place, name in enumerate(op_types)}
-        self.tenants = {name: place for place, name in enumerate(tenants)}
-        self.hatch: Any = None  # the module, or what stands before it
-        self.owed: dict[str, Owed] = {}
-        self.places: dict[int, str] = {}
+        self.last_run_end_at = self.idle_until = -math.inf  # when a run last ended; when one was asked for with none in hand
+        self.run_count = 0  # runs asked for that have not ended
+        self.early_rejections = 0  # retries turned back that the module has not heard of
+        self.request_types = {name: index for index, name in enumerate(request_types)}
+        self.tenants = {name: index for index, name in enumerate(tenants)}
+        self.controller: Any = None  # the module, or what stands before it
+        self.requests: dict[str, PendingRequest] = {}
+        self.request_by_connection: dict[int, str] = {}
         self.followers: dict[str, list[str]] = {}
         # By op type, of keyed ones: the window of a repeat, and how long after its arrival one may be read.
-        self.windows = {
-            name: (op_type.get("repeat_window", 0.0), op_type.get("op_timeout") or LINGER)
-            for name, op_type in zip(op_types, deployment.get("op_types", []))
-            if op_type.get("effect") is Effect.KEYED
+        self.duplicate_windows = {
+            name: (request_type.get("repeat_window", 0.0), request_type.get("op_timeout") or DEFAULT_REQUEST_TIMEOUT_S)
+            for name, request_type in zip(request_types, deployment.get("op_types", []))
+            if request_type.get("effect") is Effect.KEYED
         }
-        self.keys = Keys()
-        self.ended = Lately(ENDED_SPAN, ENDED_ROOM)  # ids of ops that may not run twice, and may have run
-        self.healthy, self.level = True, None
-        self.readings: Sequence[float] = ()
-        self.read_at = -math.inf
-        self.last_notice = self.marks = 0
-        self.renewed_at = -1  # the last notice when the link was made anew for a broken line
-        self.unconfirmed: dict[str, int] = {}  # runs asked for, each after so many gauge marks
-        self.going_on: dict[str, tuple[int, tuple]] = {}  # what runs were told at a call, each after so many marks
-        self.greeted = False  # a new link has said nothing with a number yet
-        self.resync: float = 0
-        self.heard_at = math.inf  # when the interpreter last said something about runs or gauges
+        self.keys = IdempotencyKeys()
+        self.completed_ids = Lately(
+            COMPLETED_IDS_SPAN_S, MAX_COMPLETED_IDS
+        )  # ids of ops that may not run twice, and may have run
+        self.healthy, self.advice_level = True, None
+        self.gauge_readings: Sequence[float] = ()
+        self.gauges_read_at = -math.inf
+        self.last_notice = self.last_gauge_mark = 0
+        self.reconnected_at_notice = -1  # the last notice when the link was made anew for a broken line
+        self.unconfirmed_runs: dict[str, int] = {}  # runs asked for, each after so many gauge marks
+        self.unconfirmed_resumes: dict[str, tuple[int, tuple]] = {}  # what runs were told at a call, each after so many marks
+        self.is_link_new = False  # a new link has said nothing with a number yet
+        self.resync_mark: float = 0
+        self.interpreter_message_at = math.inf  # when the interpreter last said something about runs or gauges
         self.stop_at: float | None = None
-        self.warm_at = -math.inf  # at the slowest warming
+        self.warmed_up_at = -math.inf  # at the slowest warming
         self.counts: Counter[str] = Counter()
-        self.parked: dict[str, tuple[float, float, Owed, Likeness, tuple]] = {}  # until, since, op, likeness, told
-        self.calls_share: float | None = None
-        self.on_run: Callable[[float, float, float, bool], None] | None = None  # told of runs: seconds, work, failed or not
-        self.on_op: Callable[[float, float], None] | None = None  # told of the work of each op of our own callers
-        self.on_tenant: Callable[[float, str], None] | None = None  # told of each op that is read, for its demand
+        self.parked_retries: dict[
+            str, tuple[float, float, PendingRequest, Likeness, tuple]
+        ] = {}  # until, since, op, likeness, told
+        self.dependency_share: float | None = None
+        self.on_run_ended: Callable[[float, float, float, bool], None] | None = (
+            None  # told of runs: seconds, work, failed or not
+        )
+        self.on_client_request: Callable[[float, float], None] | None = None  # told of the work of each op of our own callers
+        self.on_tenant_request: Callable[[float, str], None] | None = None  # told of each op that is read, for its demand
         # By tenant, and whether it is a rate or a cap: window, pieces.
-        self.parts: dict[tuple[str, bool], tuple[float, Sequence[tuple[float, float]]]] = {}
-        self.others: tuple[float, bool, float, float] | None = None
-        self.away = 0  # ops that peers have
-        self.hands = False  # whether ops may be handed to peers: then what a peer must be told is kept
-        self.errands: list[tuple] = []
-        self.handlers = {happening: getattr(self, "_" + happening.name.lower()) for happening in Happening}
-        self.verbs = {
-            verb: ("decided_" + verb.value.replace(" ", "_"), getattr(self, "_do_" + verb.name.lower(), self._do_other))
+        self.tenant_budgets: dict[tuple[str, bool], tuple[float, Sequence[tuple[float, float]]]] = {}
+        self.peer_load: tuple[float, bool, float, float] | None = None
+        self.handed_over_count = 0  # ops that peers have
+        self.keeps_handover_data = False  # whether ops may be handed to peers: then what a peer must be told is kept
+        self.actions: list[tuple] = []
+        self.event_handlers = {event: getattr(self, "_" + event.name.lower()) for event in Event}
+        self.decision_handlers = {
+            verb: ("decided_" + verb.value.replace(" ", "_"), getattr(self, "_do_" + verb.name.lower(), self._do_unsupported))
             for verb in Verb
         }
 
-    def reduce(self, now: float, happening: Happening, *told: object) -> list[tuple]:
-        """The errands stay in `errands` until the next happening, for a host that meets an error here."""
-        self.errands = []
-        self.handlers[happening](now, *told)
-        if self.storms and self.hatch:
-            self._watch(now)
-            if self.parked:
-                self._unpark(now)
-        while self.hatch and (decision := self.hatch.next_decision(now)):
-            name, act = self.verbs[decision.verb]
+    def reduce(self, now: float, event: Event, *arguments: object) -> list[tuple]:
+        """The errands stay in `actions` until the next happening, for a host that meets an error here."""
+        self.actions = []
+        self.event_handlers[event](now, *arguments)
+        if self.storms and self.controller:
+            self._update_storm_state(now)
+            if self.parked_retries:
+                self._resolve_parked_retries(now)
+        while self.controller and (decision := self.controller.next_decision(now)):
+            name, act = self.decision_handlers[decision.verb]
             self.counts[name] += 1
             act(now, decision)
-        return self.errands
+        return self.actions
 
     # What happens.
 
-    def _interpreter_up(self, now: float, cold: bool, since: float) -> None:
+    def _interpreter_ready(self, now: float, cold: bool, since: float) -> None:
         """The gauges that are asked for here come after all notices that were missed: only then is it known
         which runs asked for last never arrived. Asked before the interpreter is up, they never come."""
-        if self.hatch is None:
+        if self.controller is None:
             if self.record:
                 now, since = round(now, 6), round(since, 6)  # what is kept is what the module hears
-            self.hatch = AdmissionController({**self.deployment, "fresh_start": cold}, self.seed, now - since)
+            self.controller = AdmissionController({**self.deployment, "fresh_start": cold}, self.seed, now - since)
             if cold:
-                self.warm_at = now - since + self.deployment.get("cold_for", 0.0)
+                self.warmed_up_at = now - since + self.deployment.get("cold_for", 0.0)
             if self.record:
-                self.hatch = self.record(self.hatch, now, cold, since)
+                self.controller = self.record(self.controller, now, cold, since)
             if self.stop_at is not None:
-                self.hatch.begin_drain(now, self.stop_at - now)
-            for (tenant, _), part in list(self.parts.items()):
-                self._part(now, tenant, *part)
-            if self.others:
-                self._others(now, *self.others)
-            if self.calls_share is not None:
-                self._calls(now, self.calls_share)
-        elif now - since > self.heard_at:
+                self.controller.begin_drain(now, self.stop_at - now)
+            for (tenant, _), part in list(self.tenant_budgets.items()):
+                self._tenant_budget_changed(now, tenant, *part)
+            if self.peer_load:
+                self._peer_load_changed(now, *self.peer_load)
+            if self.dependency_share is not None:
+                self._dependency_share_changed(now, self.dependency_share)
+        elif now - since > self.interpreter_message_at:
             # It began after the last word of the one before: it is another interpreter.
             if self.last_notice:
                 # The greeting named a notice of the one before: this one keeps to itself what it says up to that number.
-                self.errands.append((Errand.RENEW,))
-            self.last_notice, self.renewed_at, self.heard_at = 0, -1, now
-            for owed in [owed for owed in self.owed.values() if owed.running]:
-                self._end_run(now, owed.ref, Ending.ERROR, b"")
-        self.errands.append((Errand.LISTING, self.healthy))
-        self._ask_gauges()
-        self.resync = self.marks
+                self.actions.append((Action.RECONNECT_LINK,))
+            self.last_notice, self.reconnected_at_notice, self.interpreter_message_at = 0, -1, now
+            for request in [request for request in self.requests.values() if request.running]:
+                self._end_run(now, request.request_id, Ending.ERROR, b"")
+        self.actions.append((Action.REPORT_AVAILABILITY, self.healthy))
+        self._request_gauges()
+        self.resync_mark = self.last_gauge_mark
 
     def _link_opened(self, now: float) -> None:
         if self.storms:
             self.storms.watch.outage(now)
-        self.greeted = True
-        self.errands.append((Errand.GREET, self.last_notice))
-        self.resync = math.inf
+        self.is_link_new = True
+        self.actions.append((Action.GREET_INTERPRETER, self.last_notice))
+        self.resync_mark = math.inf
 
-    def _line_broken(self, now: float) -> None:
+    def _malformed_line_received(self, now: float) -> None:
         """Where the next line begins is open, so the link is made anew, and what was missed comes again. What
         comes broken again is passed over, or nothing behind it would be read."""
-        if self.last_notice > self.renewed_at:
-            self.renewed_at = self.last_notice
-            self.errands.append((Errand.RENEW,))
+        if self.last_notice > self.reconnected_at_notice:
+            self.reconnected_at_notice = self.last_notice
+            self.actions.append((Action.RECONNECT_LINK,))
 
-    def _op_read(
+    def _request_received(
         self,
         now: float,
-        place: int,
-        ref: str,
-        op_type: str,
+        connection_id: int,
+        request_id: str,
+        request_type: str,
         tenant: str,
-        age: float,
-        wait: float,
-        caller: int,
-        work: float,
-        kb: float,
-        again: bool,
+        age_s: float,
+        remaining_wait_s: float,
+        client_id: int,
+        cost_s: float,
+        memory_kb: float,
+        is_retry: bool,
         key: str,
         body: bytes,
         rank: float = 0.0,
-        handed: bool = False,
+        is_handed_over: bool = False,
     ) -> None:
         self.counts["ops_read"] += 1
         if self.storms:
-            self.storms.runs.asks_again(place)
-        if op_type not in self.op_types:
-            self.errands.append((Errand.REFUSE, place, "op type"))
+            self.storms.runs.asks_again(connection_id)
+        if request_type not in self.request_types:
+            self.actions.append((Action.SEND_INVALID, connection_id, "op type"))
         elif self.tenants and tenant not in self.tenants:
-            self.errands.append((Errand.REFUSE, place, "tenant"))
-        elif ref in self.owed:
-            self._sent_again(place, ref, op_type, tenant, body)
-        elif self.hatch is None:
-            self.errands.append((Errand.NACK, place, 0.0, False, self.level))
-        elif self.ended.seen(now, ref):
-            self._came_again(place, ref, fingerprint(0, op_type, tenant, key, body))
-        elif self._key_in_use(now, now - age, op_type, tenant, key, body):
-            self.errands.append((Errand.REFUSE, place, "key in use"))
+            self.actions.append((Action.SEND_INVALID, connection_id, "tenant"))
+        elif request_id in self.requests:
+            self._move_to_new_connection(connection_id, request_id, request_type, tenant, body)
+        elif self.controller is None:
+            self.actions.append((Action.SEND_REJECTION, connection_id, 0.0, False, self.advice_level))
+        elif self.completed_ids.seen(now, request_id):
+            self._answer_completed_id(connection_id, request_id, fingerprint(0, request_type, tenant, key, body))
+        elif self._is_key_in_use(now, now - age_s, request_type, tenant, key, body):
+            self.actions.append((Action.SEND_INVALID, connection_id, "key in use"))
         else:
-            told = (op_type, tenant, age, wait, caller, work, kb, again, key, rank)
-            owed = self.owed[ref] = Owed(ref, place, op_type, tenant, key, body, now - age, now + (wait or math.inf))
-            self.places[place] = ref
-            if self.hands:
-                owed.told, owed.from_peer = (now - age, caller, work, kb, again, rank), handed
-                self.counts["ops_from_peers"] += handed
-            like = likeness(caller, op_type, tenant, key, body, rank, work, kb) if self.storms else None
+            arguments = (request_type, tenant, age_s, remaining_wait_s, client_id, cost_s, memory_kb, is_retry, key, rank)
+            request = self.requests[request_id] = PendingRequest(
+                request_id, connection_id, request_type, tenant, key, body, now - age_s, now + (remaining_wait_s or math.inf)
+            )
+            self.request_by_connection[connection_id] = request_id
+            if self.keeps_handover_data:
+                request.handover_data, request.is_from_peer = (
+                    (now - age_s, client_id, cost_s, memory_kb, is_retry, rank),
+                    is_handed_over,
+                )
+                self.counts["ops_from_peers"] += is_handed_over
+            like = likeness(client_id, request_type, tenant, key, body, rank, cost_s, memory_kb) if self.storms else None
             if (
                 like
-                and again
-                and op_type in self.once
+                and is_retry
+                and request_type in self.non_retryable_types
                 and self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now))
             ):
-                return self._park(now, owed, like, told)
-            self._take_in(now, owed, like, *told)
+                return self._park_retry(now, request, like, arguments)
+            self._admit(now, request, like, *arguments)
 
-    def _take_in(
+    def _admit(
         self,
         now: float,
-        owed: Owed,
+        request: PendingRequest,
         like: Likeness | None,
-        op_type: str,
+        request_type: str,
         tenant: str,
-        age: float,
-        wait: float,
-        caller: int,
-        work: float,
-        kb: float,
-        again: bool,
+        age_s: float,
+        remaining_wait_s: float,
+        client_id: int,
+        cost_s: float,
+        memory_kb: float,
+        is_retry: bool,
         key: str,
         rank: float,
     ) -> None:
-        if op_type in self.windows:
-            owed.repeats = self._standing(now, owed)
-        if self.on_tenant:
-            self.on_tenant(now, tenant)
-        if self.on_op and not owed.from_peer:
-            self.on_op(now, work)
+        if request_type in self.duplicate_windows:
+            request.duplicate_of = self._find_original(now, request)
+        if self.on_tenant_request:
+            self.on_tenant_request(now, tenant)
+        if self.on_client_request and not request.is_from_peer:
+            self.on_client_request(now, cost_s)
         if self.storms:
-            repeat, owed.looks = self.storms.tries.read(now, like, again, op_type in self.once)
-            self.storms.read(now, caller, repeat, age)
-            self.storms.counts["repeats_unmarked"] += repeat and not again
-            again = again or repeat and self.storms.on  # unmarked, it is one more of those that crowd
-        self.hatch.record_arrival(
-            now, owed.ref, self.op_types[op_type], age, wait, self.tenants.get(tenant, 0), owed.repeats, caller, work, kb, again
+            repeat, request.fingerprints = self.storms.tries.read(now, like, is_retry, request_type in self.non_retryable_types)
+            self.storms.read(now, client_id, repeat, age_s)
+            self.storms.counts["repeats_unmarked"] += repeat and not is_retry
+            is_retry = is_retry or repeat and self.storms.on  # unmarked, it is one more of those that crowd
+        self.controller.record_arrival(
+            now,
+            request.request_id,
+            self.request_types[request_type],
+            age_s,
+            remaining_wait_s,
+            self.tenants.get(tenant, 0),
+            request.duplicate_of,
+            client_id,
+            cost_s,
+            memory_kb,
+            is_retry,
         )
-        if owed.from_peer:
-            self.hatch.mark_received_from_peer(now, owed.ref)
+        if request.is_from_peer:
+            self.controller.mark_received_from_peer(now, request.request_id)
 
-    def _park(self, now: float, owed: Owed, like: Likeness, told: tuple) -> None:
+    def _park_retry(self, now: float, request: PendingRequest, like: Likeness, arguments: tuple) -> None:
         """A marked retry of a non-retryable op that may have run here. With the figures of that run it is its retry, and
         fails: nobody can tell it that the first had its effect, and a second one is what must not be. With others it
         waits a moment, until the answer of its twin is known to have been read: then it is another op for certain."""
-        until = min(now + PARKED_MOST, owed.due - PARKED_MARGIN)
+        until = min(now + MAX_PARKED_S, request.deadline - PARKED_MARGIN_S)
         if self.storms.runs.doubt(now, like, True) or until <= now:
-            return self._may_have_run(owed, like, now)
-        self.parked[owed.ref] = until, now, owed, like, told
-        self.errands.append((Errand.ALARM, until - now, 0))
-
-    def _unpark(self, now: float) -> None:
-        for ref, (until, since, owed, like, told) in list(self.parked.items()):
-            if owed.place is None:
-                del self.parked[ref]  # its caller is gone
+            return self._fail_possible_second_run(request, like, now)
+        self.parked_retries[request.request_id] = until, now, request, like, arguments
+        self.actions.append((Action.SET_TIMER, until - now, 0))
+
+    def _resolve_parked_retries(self, now: float) -> None:
+        for request_id, (until, since, request, like, arguments) in list(self.parked_retries.items()):
+            if request.connection_id is None:
+                del self.parked_retries[request_id]  # its caller is gone
             elif not self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now)):
-                del self.parked[ref]
+                del self.parked_retries[request_id]
                 self.storms.counts["retries_told_apart"] += 1
-                op_type, tenant, age, wait, *more = told
-                self._take_in(now, owed, like, op_type, tenant, age + now - since, wait and wait - (now - since), *more)
+                request_type, tenant, age_s, remaining_wait_s, *more = arguments
+                self._admit(
+                    now,
+                    request,
+                    like,
+                    request_type,
+                    tenant,
+                    age_s + now - since,
+                    remaining_wait_s and remaining_wait_s - (now - since),
+                    *more,
+                )
             elif now >= until:
-                del self.parked[ref]
-                self._may_have_run(owed, like, now)
+                del self.parked_retries[request_id]
+                self._fail_possible_second_run(request, like, now)
 
-    def _key_in_use(self, now: float, arrived: float, op_type: str, tenant: str, key: str, body: bytes) -> bool:
+    def _is_key_in_use(self, now: float, arrived_at: float, request_type: str, tenant: str, key: str, body: bytes) -> bool:
         """A keyed op that comes with the key of another one is nobody's repeat: answered from that one's result it would
         have what no run made for it, and run it might have an effect twice."""
-        place = op_type, tenant, key
-        if op_type not in self.windows or not self.keys.known(place):
+        scope = request_type, tenant, key
+        if request_type not in self.duplicate_windows or not self.keys.is_known(scope):
             return False
-        ref = self.keys.standing(place, arrived, now)
-        return bool(ref) and not self.keys.like(ref, fingerprint(0, op_type, tenant, key, body))
+        request_id = self.keys.find_original(scope, arrived_at, now)
+        return bool(request_id) and not self.keys.matches(request_id, fingerprint(0, request_type, tenant, key, body))
 
-    def _standing(self, now: float, owed: Owed) -> str:
+    def _find_original(self, now: float, request: PendingRequest) -> str:
         """The op that a keyed one repeats. One that has not run yet may be given up, and this one stand in its place: a
         later repeat must find it, so that one's time counts from here."""
-        if not owed.key or not (ref := self.keys.standing(owed.key_place, owed.arrived, now)):
+        if not request.key or not (request_id := self.keys.find_original(request.key_scope, request.arrived_at, now)):
             return ""
-        leader = self.owed.get(ref)
+        leader = self.requests.get(request_id)
         if leader and not leader.may_have_run:
-            self.keys.repeated(ref, owed.arrived + self.windows[owed.op_type][0])
-        return ref
+            self.keys.extend_window(request_id, request.arrived_at + self.duplicate_windows[request.request_type][0])
+        return request_id
 
-    def _came_again(self, place: int, ref: str, looks: bytes) -> None:
+    def _answer_completed_id(self, connection_id: int, request_id: str, fingerprints: bytes) -> None:
         """The id of an op that ran and was answered: its caller did not get the answer, and must not have it run again. A
         stranger that uses the id must not have its result."""
         self.counts["ops_sent_again"] += 1
-        result = self.keys.result(ref)
-        if result is None or not self.keys.like(ref, looks):
-            self.errands.append((Errand.FAIL, place, self.level))
+        result = self.keys.result(request_id)
+        if result is None or not self.keys.matches(request_id, fingerprints):
+            self.actions.append((Action.SEND_FAILURE, connection_id, self.advice_level))
         else:
-            self.errands.append((Errand.ACK, place, result, self.level))
+            self.actions.append((Action.SEND_RESULT, connection_id, result, self.advice_level))
 
-    def _may_have_run(self, owed: Owed, like: Likeness, now: float) -> None:
+    def _fail_possible_second_run(self, request: PendingRequest, like: Likeness, now: float) -> None:
         self.counts["repeats_of_run"] += 1
         self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(now, like.plain)  # perhaps a twin's
-        self._answer(now, owed, Errand.FAIL)
+        self._respond(now, request, Action.SEND_FAILURE)
 
-    def turned_back(
+    def reject_early(
         self,
         now: float,
-        ref: str,
-        op_type: str,
+        request_id: str,
+        request_type: str,
         tenant: str,
-        caller: int,
-        again: bool,
+        client_id: int,
+        is_retry: bool,
         key: str,
         body: bytes,
-        punctual: bool,
-        stubborn: bool,
-        place: int = -1,
+        is_punctual: bool,
+        is_too_early: bool,
+        connection_id: int = -1,
         figures: Callable[[], tuple[float, float, float]] = lambda: (0.0, 0.0, 0.0),
     ) -> float | None:
         """Asked for a try before it is read in full: seconds that its nack tells to stay away, or None where it
@@ -386,402 +431,441 @@
         that may have run here or is under way. It counts as read, and is no op: it never comes to the module. `figures`
         gives its rank, cost and memory, which few need: to read them costs."""
         desk = self.storms
-        if ref in self.owed or op_type not in self.op_types or key and self.keys.known((op_type, tenant, key)):
+        if (
+            request_id in self.requests
+            or request_type not in self.request_types
+            or key
+            and self.keys.is_known((request_type, tenant, key))
+        ):
             return None
-        plain, once = b"", op_type in self.once
-        if not again or once:  # else its likeness tells nothing new, and costs
-            plain = fingerprint(caller, op_type, tenant, key, body)
-            if not desk.tries.known(now, plain, lambda: finer(plain, *figures())) if not again else plain in desk.runs.by_plain:
+        plain, is_non_retryable = b"", request_type in self.non_retryable_types
+        if not is_retry or is_non_retryable:  # else its likeness tells nothing new, and costs
+            plain = fingerprint(client_id, request_type, tenant, key, body)
+            if (
+                not desk.tries.known(now, plain, lambda: finer(plain, *figures()))
+                if not is_retry
+                else plain in desk.runs.by_plain
+            ):
                 return None
-        if not desk.turned_back(now, caller, punctual):
+        if not desk.turned_back(now, client_id, is_punctual):
             return None
         if plain:
-            desk.tries.turned_back(now, plain, lambda: finer(plain, *figures()), again)
-        desk.runs.asks_again(place)
-        desk.read(now, caller, True, 0.0)
+            desk.tries.turned_back(now, plain, lambda: finer(plain, *figures()), is_retry)
+        desk.runs.asks_again(connection_id)
+        desk.read(now, client_id, True, 0.0)
         desk.turned += 1
-        desk.stubborn += stubborn
-        self.back += 1
-        return desk.come_back(now, 0.0, stubborn)
+        desk.stubborn += is_too_early
+        self.early_rejections += 1
+        return desk.come_back(now, 0.0, is_too_early)
 
     def warmth(self, now: float) -> float:
         """The share of its speed that it has at the slowest warming; 1 once it is warm."""
-        left = (self.warm_at - now) / self.deployment["cold_for"] if now < self.warm_at else 0.0
+        left = (self.warmed_up_at - now) / self.deployment["cold_for"] if now < self.warmed_up_at else 0.0
         return 1.0 - (1.0 - self.deployment.get("cold_speed", 1.0)) * min(1.0, left)
 
-    def room(self, now: float) -> int:
+    def free_capacity(self, now: float) -> int:
         """Ops that could start here at once; none where this instance should not be asked for more. While it is cold its places
         count for the share of its speed that it has: what all peers together send on our word is bounded by our word alone."""
-        if self.hatch is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.on:
+        if self.controller is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.on:
             return 0
-        return max(0, max(1, int(self.hatch.limit * self.warmth(now))) - len(self.owed) + self.away)
+        return max(0, max(1, int(self.controller.limit * self.warmth(now))) - len(self.requests) + self.handed_over_count)
 
-    def room_told(self, now: float) -> int:
+    def advertised_capacity(self, now: float) -> int:
         """As others hear of it, who may guess by it, each for itself: none while it is cold, when their sum would fell it."""
-        return 0 if now < self.warm_at else self.room(now)
+        return 0 if now < self.warmed_up_at else self.free_capacity(now)
 
-    def handable(self) -> int:
+    def transferable_count(self) -> int:
         """Ops held here that might go to a peer."""
         return sum(
-            not (owed.running or owed.handed or owed.from_peer or owed.place is None or owed.op_type in self.windows)
-            for owed in self.owed.values()
+            not (
+                request.running
+                or request.is_handed_over
+                or request.is_from_peer
+                or request.connection_id is None
+                or request.request_type in self.duplicate_windows
+            )
+            for request in self.requests.values()
         )
 
-    def connected(self) -> None:
+    def record_connection(self) -> None:
         """A caller's connection was accepted: counted alone, for hundreds come at once and nothing is decided by one."""
         self.storms.watch.count(connects=1)
 
-    def _watch(self, now: float) -> None:
+    def _update_storm_state(self, now: float) -> None:
         if self.storms.watch.due(now):
-            if self.back:
-                self.hatch.record_early_rejections(now, self.back)
-                self.back = 0
-            if self.storms.judge(now, self.hatch.capacity()):
-                self.hatch.set_retry_storm(now, *self.storms.told)
+            if self.early_rejections:
+                self.controller.record_early_rejections(now, self.early_rejections)
+                self.early_rejections = 0
+            if self.storms.judge(now, self.controller.capacity()):
+                self.controller.set_retry_storm(now, *self.storms.told)
 
-    def _sent_again(self, place: int, ref: str, *same: object) -> None:
+    def _move_to_new_connection(self, connection_id: int, request_id: str, *identity: object) -> None:
         """The same try on another connection, as it crossed the close of its first: it moves there. Anything
         else under the id of an open op is a stranger's, who must not get its answer nor end its wait."""
-        owed = self.owed[ref]
+        request = self.requests[request_id]
         self.counts["ops_sent_again"] += 1
-        if same != owed.same:
-            self.errands.append((Errand.REFUSE, place, "id in use"))
-        elif owed.place is None:
-            self.errands.append((Errand.FAIL, place, self.level))
+        if identity != request.identity:
+            self.actions.append((Action.SEND_INVALID, connection_id, "id in use"))
+        elif request.connection_id is None:
+            self.actions.append((Action.SEND_FAILURE, connection_id, self.advice_level))
         else:
-            self.places.pop(owed.place, None)
-            self.errands.append((Errand.ABANDON, owed.place))
-            owed.place, self.places[place] = place, ref
+            self.request_by_connection.pop(request.connection_id, None)
+            self.actions.append((Action.ABANDON_CONNECTION, request.connection_id))
+            request.connection_id, self.request_by_connection[connection_id] = connection_id, request_id
 
-    def _is_news(self, now: float, number: int, ref: str) -> bool:
+    def _accept_notice(self, now: float, number: int, request_id: str) -> bool:
         """Of a numbered notice. One whose number is no next one is believed only of a run in hand: taken at its word, no notice
         after it would be believed any more."""
         if number <= self.last_notice:
             self.counts["notices_repeated"] += 1
             return False
-        self.heard_at = now
-        if self.greeted and number > self.last_notice + 1:
-            self._notices_lost(now)
-        self.greeted = False
-        if number <= self.last_notice + NOTICES_KEPT:
+        self.interpreter_message_at = now
+        if self.is_link_new and number > self.last_notice + 1:
+            self._handle_lost_notices(now)
+        self.is_link_new = False
+        if number <= self.last_notice + MAX_NOTICE_GAP:
             self.last_notice = number
             return True
         self.counts["notices_strange"] += 1
-        return ref in self.owed
+        return request_id in self.requests
 
-    def _notice_passed(self, now: float, number: int) -> None:
-        self._is_news(now, number, "")
+    def _other_notice_received(self, now: float, number: int) -> None:
+        self._accept_notice(now, number, "")
 
-    def _notices_lost(self, now: float) -> None:
+    def _handle_lost_notices(self, now: float) -> None:
         """More came while there was no link than the interpreter keeps. Which runs ended nobody can tell: they may not run
         again, and those that nobody waits for any more, or will when their time is over, must not keep their places."""
         self.counts["notices_lost"] += 1
-        for owed in list(self.owed.values()):
-            owed.in_doubt = owed.running and owed.ref not in self.unconfirmed
-            if owed.in_doubt and owed.place is None:
-                self._end_run(now, owed.ref, Ending.ERROR, b"")
+        for request in list(self.requests.values()):
+            request.is_run_end_unknown = request.running and request.request_id not in self.unconfirmed_runs
+            if request.is_run_end_unknown and request.connection_id is None:
+                self._end_run(now, request.request_id, Ending.ERROR, b"")
 
-    def _run_ended(self, now: float, number: int, ref: str, ending: Ending, result: bytes) -> None:
-        if not self._is_news(now, number, ref):
+    def _run_ended(self, now: float, number: int, request_id: str, ending: Ending, result: bytes) -> None:
+        if not self._accept_notice(now, number, request_id):
             return
-        if self.storms and now - max(self.ended_at, self.idle_until) > RUN_GAP:
+        if self.storms and now - max(self.last_run_end_at, self.idle_until) > RUN_GAP_S:
             self.storms.watch.outage(now)
-        self.ended_at = now
-        self._end_run(now, ref, ending, result)
+        self.last_run_end_at = now
+        self._end_run(now, request_id, ending, result)
 
-    def _call_wanted(self, now: float, number: int, ref: str, query: bytes) -> None:
+    def _call_requested(self, now: float, number: int, request_id: str, call_payload: bytes) -> None:
         """A run waits for a call. So it is with the interpreter, and goes on from the call before."""
-        owed = self.owed.get(ref)
-        if not self._is_news(now, number, ref) or owed is None or not owed.running:
+        request = self.requests.get(request_id)
+        if not self._accept_notice(now, number, request_id) or request is None or not request.running:
             return
-        self.unconfirmed.pop(ref, None)
-        self.going_on.pop(ref, None)
+        self.unconfirmed_runs.pop(request_id, None)
+        self.unconfirmed_resumes.pop(request_id, None)
         self.counts["calls_wanted"] += 1
-        owed.query = query
-        self.hatch.record_call_request(now, ref)
+        request.call_payload = call_payload
+        self.controller.record_call_request(now, request_id)
 
-    def _call_ended(self, now: float, ref: str, ending: Ending, result: bytes) -> None:
-        owed = self.owed.get(ref)
-        if owed is None or not owed.running:
+    def _call_ended(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
+        request = self.requests.get(request_id)
+        if request is None or not request.running:
             return
-        self.hatch.record_call_end(now, ref, ending)
-        if ending is Ending.OK and owed.place is not None:
-            self._go_on(ref, (Errand.RESOLVE, ref, result))
+        self.controller.record_call_end(now, request_id, ending)
+        if ending is Ending.OK and request.connection_id is not None:
+            self._resume_run(request_id, (Action.RESUME_RUN, request_id, result))
 
-    def _go_on(self, ref: str, errand: tuple) -> None:
+    def _resume_run(self, request_id: str, action: tuple) -> None:
         """Kept until gauges confirm it, as a run is: lost with a link, the run would wait for ever."""
-        self.going_on[ref] = self.marks, errand
-        self.errands.append(errand)
+        self.unconfirmed_resumes[request_id] = self.last_gauge_mark, action
+        self.actions.append(action)
 
-    def _run_spoilt(self, now: float, ref: str) -> None:
+    def _unreadable_run_end_received(self, now: float, request_id: str) -> None:
         self.counts["runs_spoilt"] += 1
-        self._end_run(now, ref, Ending.ERROR, b"")
+        self._end_run(now, request_id, Ending.ERROR, b"")
 
-    def _run_unknown(self, now: float, ref: str) -> None:
+    def _run_rejected(self, now: float, request_id: str) -> None:
         """No op that came to the machine: its sender is refused, and nothing that ran is measured by it."""
         self.counts["runs_unknown"] += 1
-        if owed := self.owed.get(ref):
-            if owed.place is not None:
-                self.errands.append((Errand.REFUSE, owed.place, "op id"))
-                self._left(owed)
-            owed.may_have_run = False
-            self._end_run(now, ref, Ending.MOOT, b"")
-            self.keys.forget(ref)  # nothing ran for its key
-
-    def _end_run(self, now: float, ref: str, ending: Ending, result: bytes) -> None:
-        owed = self.owed.get(ref)
-        self.unconfirmed.pop(ref, None)
-        self.going_on.pop(ref, None)
-        if owed is None or not owed.running:
+        if request := self.requests.get(request_id):
+            if request.connection_id is not None:
+                self.actions.append((Action.SEND_INVALID, request.connection_id, "op id"))
+                self._detach_connection(request)
+            request.may_have_run = False
+            self._end_run(now, request_id, Ending.MOOT, b"")
+            self.keys.forget(request_id)  # nothing ran for its key
+
+    def _end_run(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
+        request = self.requests.get(request_id)
+        self.unconfirmed_runs.pop(request_id, None)
+        self.unconfirmed_resumes.pop(request_id, None)
+        if request is None or not request.running:
             self.counts["endings_unexpected"] += 1
             return
-        owed.running = False
-        self.unended -= 1
+        request.running = False
+        self.run_count -= 1
         if ending is Ending.MOOT and self.storms:
-            self.storms.runs.settled(ref)
-        if ending is Ending.STOPPED and owed.place is not None:
+            self.storms.runs.settled(request_id)
+        if ending is Ending.STOPPED and request.connection_id is not None:
             ending = Ending.ERROR  # nobody here stopped it, and the module would take it for paused
-        self.counts[RUN_COUNTS[ending]] += 1
-        if self.on_run and ending in (Ending.OK, Ending.ERROR):
-            self.on_run(now, now - owed.started, owed.told[2] if owed.told else 0.0, ending is Ending.ERROR)
-        self._conclude(now, owed, ending, result)
-        for follower in self.followers.pop(ref, ()):
-            if follower in self.owed:
-                self._answer_from(now, self.owed[follower])
-
-    def _gauges(self, now: float, mark: int, readings: Sequence[float]) -> None:
+        self.counts[RUN_END_COUNTERS[ending]] += 1
+        if self.on_run_ended and ending in (Ending.OK, Ending.ERROR):
+            self.on_run_ended(
+                now,
+                now - request.run_started_at,
+                request.handover_data[2] if request.handover_data else 0.0,
+                ending is Ending.ERROR,
+            )
+        self._record_run_end(now, request, ending, result)
+        for follower in self.followers.pop(request_id, ()):
+            if follower in self.requests:
+                self._answer_duplicate(now, self.requests[follower])
+
+    def _gauges_received(self, now: float, mark: int, gauge_readings: Sequence[float]) -> None:
         """A run that was asked for before gauges that have come is with the interpreter, unless a link was
         lost between: behind the mark set then, it never arrived."""
-        if mark > self.marks:
+        if mark > self.last_gauge_mark:
             self.counts["notices_strange"] += 1  # nobody asked for these: what it would confirm may be under way
             return
-        self.readings, self.read_at, self.heard_at = readings, now, now
-        before = [ref for ref, asked in self.unconfirmed.items() if asked < mark]
-        went_on = [ref for ref, (asked, _) in self.going_on.items() if asked < mark]
-        if mark < self.resync:
+        self.gauge_readings, self.gauges_read_at, self.interpreter_message_at = gauge_readings, now, now
+        before = [request_id for request_id, asked in self.unconfirmed_runs.items() if asked < mark]
+        went_on = [request_id for request_id, (asked, _) in self.unconfirmed_resumes.items() if asked < mark]
+        if mark < self.resync_mark:
             return
-        for ref in before:
-            del self.unconfirmed[ref]
-            if self.resync:
+        for request_id in before:
+            del self.unconfirmed_runs[request_id]
+            if self.resync_mark:
                 self.counts["runs_asked_again"] += 1
-                self._ask_run(self.owed[ref])
-        for ref in went_on:
-            _, errand = self.going_on.pop(ref)
-            if self.resync:
+                self._start_run(self.requests[request_id])
+        for request_id in went_on:
+            _, action = self.unconfirmed_resumes.pop(request_id)
+            if self.resync_mark:
                 self.counts["calls_told_again"] += 1
-                self._go_on(ref, errand)
-        self.resync = 0
+                self._resume_run(request_id, action)
+        self.resync_mark = 0
 
-    def _alarm(self, now: float, token: int) -> None:
-        if self.hatch and token:
-            fresh = now - self.read_at <= READINGS_LAST
-            self.hatch.handle_wakeup(now, token, self.readings if fresh else ())
+    def _timer_expired(self, now: float, token: int) -> None:
+        if self.controller and token:
+            fresh = now - self.gauges_read_at <= GAUGES_VALID_S
+            self.controller.handle_wakeup(now, token, self.gauge_readings if fresh else ())
 
-    def _checked(self, now: float, place: int) -> None:
+    def _health_check_received(self, now: float, connection_id: int) -> None:
         self.counts["checks"] += 1
         if self.storms:
-            self.storms.runs.asks_again(place)
-        self.errands.append((Errand.HEALTH, place, self.healthy, self.level))
+            self.storms.runs.asks_again(connection_id)
+        self.actions.append((Action.SEND_HEALTH, connection_id, self.healthy, self.advice_level))
 
-    def _caller_lost(self, now: float, place: int) -> None:
-        ref = self.places.get(place)
-        if ref is None:
+    def _client_disconnected(self, now: float, connection_id: int) -> None:
+        request_id = self.request_by_connection.get(connection_id)
+        if request_id is None:
             return
         self.counts["callers_lost"] += 1
-        owed = self.owed[ref]
-        self._left(owed)
-        self.hatch.record_abandonment(now, ref)
-        self._drop_if_done(now, owed)
+        request = self.requests[request_id]
+        self._detach_connection(request)
+        self.controller.record_abandonment(now, request_id)
+        self._remove_if_finished(now, request)
 
-    def _leave(self, now: float, grace: float) -> None:
+    def _shutdown_requested(self, now: float, grace: float) -> None:
         if self.stop_at is not None:
             return  # the first notice counts
         self.healthy, self.stop_at = False, now + grace
-        self.errands.append((Errand.LEAVE, grace))
-        if self.hatch:
-            self.hatch.begin_drain(now, grace)
+        self.actions.append((Action.BEGIN_SHUTDOWN, grace))
+        if self.controller:
+            self.controller.begin_drain(now, grace)
 
-    def _part(self, now: float, tenant: str, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+    def _tenant_budget_changed(self, now: float, tenant: str, window: float, pieces: Sequence[tuple[float, float]]) -> None:
         """Before the module is there it is kept for it: a tenant with a total must never run without its part."""
-        self.parts[tenant, window > 0.0] = window, pieces
-        if self.hatch and tenant in self.tenants:
-            self.hatch.set_tenant_budget(now, self.tenants[tenant], window, pieces)
+        self.tenant_budgets[tenant, window > 0.0] = window, pieces
+        if self.controller and tenant in self.tenants:
+            self.controller.set_tenant_budget(now, self.tenants[tenant], window, pieces)
 
-    def _calls(self, now: float, share: float) -> None:
-        self.calls_share = share
-        if self.hatch:
-            self.hatch.set_dependency_share(now, share)
+    def _dependency_share_changed(self, now: float, share: float) -> None:
+        self.dependency_share = share
+        if self.controller:
+            self.controller.set_dependency_share(now, share)
 
-    def _others(self, now: float, *told: Any) -> None:
-        self.others = told
-        if self.hatch:
-            self.hatch.update_peer_load(now, *told)
+    def _peer_load_changed(self, now: float, *arguments: Any) -> None:
+        self.peer_load = arguments
+        if self.controller:
+            self.controller.update_peer_load(now, *arguments)
 
-    def _offers(self, now: float, count: int) -> None:
-        if self.hatch:
-            self.hatch.set_peer_offers(now, count)
+    def _peer_offers_changed(self, now: float, count: int) -> None:
+        if self.controller:
+            self.controller.set_peer_offers(now, count)
 
-    def _hand_ended(self, now: float, ref: str, ending: Ending, result: bytes) -> None:
+    def _handover_ended(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
         """Its answer is the peer's. A nack, or a peer that was never reached, says that it did not run there; a link that
         broke says nothing, and what may not run twice fails. What its caller no longer waits for is only closed."""
-        owed = self.owed.get(ref)
-        if owed is None or not owed.handed:
+        request = self.requests.get(request_id)
+        if request is None or not request.is_handed_over:
             return
-        owed.handed = False
-        self.away -= 1
+        request.is_handed_over = False
+        self.handed_over_count -= 1
         self.counts["hand_" + ending.name.lower()] += 1
         unrun = ending in NOT_EXECUTED_ENDINGS
-        owed.may_have_run = owed.may_have_run and not unrun
+        request.may_have_run = request.may_have_run and not unrun
         if unrun and self.storms:
-            self.storms.runs.settled(ref)
-        if owed.place is None:
-            self._drop_if_done(now, owed)
+            self.storms.runs.settled(request_id)
+        if request.connection_id is None:
+            self._remove_if_finished(now, request)
             return
-        self.hatch.record_handover_end(now, ref, ending)
-        if not unrun and not (ending is Ending.INTERRUPTED and owed.op_type in self.may_repeat):
-            self._close_run(now, owed, ending, result)
+        self.controller.record_handover_end(now, request_id, ending)
+        if not unrun and not (ending is Ending.INTERRUPTED and request.request_type in self.retryable_types):
+            self._respond_to_run(now, request, ending, result)
 
     # What the module decides.
 
     def _do_hand_over(self, now: float, decision: Decision) -> None:
-        owed = self.owed.get(decision.ref)
-        must_hold(owed and owed.told and owed.place is not None and not owed.running, "only an op that is held is handed over")
-        if owed:
-            owed.handed = owed.may_have_run = True
-            self.away += 1
-            if self.storms and owed.op_type in self.once:
-                self.storms.runs.started(now, owed.ref, Likeness(*owed.looks), owed.due)
-            arrived, *figures = owed.told
-            left = owed.due - now if owed.due < math.inf else 0.0
-            self.errands.append(
-                (Errand.HAND, owed.ref, owed.op_type, owed.tenant, owed.body, now - arrived, left, *figures, owed.key)
+        request = self.requests.get(decision.ref)
+        must_hold(
+            request and request.handover_data and request.connection_id is not None and not request.running,
+            "only an op that is held is handed over",
+        )
+        if request:
+            request.is_handed_over = request.may_have_run = True
+            self.handed_over_count += 1
+            if self.storms and request.request_type in self.non_retryable_types:
+                self.storms.runs.started(now, request.request_id, Likeness(*request.fingerprints), request.deadline)
+            arrived_at, *figures = request.handover_data
+            left = request.deadline - now if request.deadline < math.inf else 0.0
+            self.actions.append(
+                (
+                    Action.HAND_OVER,
+                    request.request_id,
+                    request.request_type,
+                    request.tenant,
+                    request.body,
+                    now - arrived_at,
+                    left,
+                    *figures,
+                    request.key,
+                )
             )
 
     def _do_run(self, now: float, decision: Decision) -> None:
-        owed = self.owed.get(decision.ref)
-        must_hold(owed and not owed.running, "only an op that is held is run")
-        if owed:
-            if not self.unended:
+        request = self.requests.get(decision.ref)
+        must_hold(request and not request.running, "only an op that is held is run")
+        if request:
+            if not self.run_count:
                 self.idle_until = now
-            self.unended += 1
-            owed.running, owed.started, owed.may_have_run = True, now, True
-            if self.storms and owed.op_type in self.once:
-                self.storms.runs.started(now, owed.ref, Likeness(*owed.looks), owed.due)
-            self._ask_run(owed)
+            self.run_count += 1
+            request.running, request.run_started_at, request.may_have_run = True, now, True
+            if self.storms and request.request_type in self.non_retryable_types:
+                self.storms.runs.started(now, request.request_id, Likeness(*request.fingerprints), request.deadline)
+            self._start_run(request)
 
     def _do_call(self, now: float, decision: Decision) -> None:
-        if owed := self.owed.get(decision.ref):
-            self.errands.append((Errand.CALL, owed.ref, decision.seconds, owed.query))
+        if request := self.requests.get(decision.ref):
+            self.actions.append((Action.START_CALL, request.request_id, decision.seconds, request.call_payload))
 
     def _do_skip_call(self, now: float, decision: Decision) -> None:
-        self._go_on(decision.ref, (Errand.SKIP, decision.ref))
+        self._resume_run(decision.ref, (Action.SKIP_CALL, decision.ref))
 
     def _do_reject(self, now: float, decision: Decision) -> None:
-        owed = self.owed.get(decision.ref)
-        must_hold(owed and not owed.running and owed.place is not None, "only an op that never ran is nacked")
-        if owed:
+        request = self.requests.get(decision.ref)
+        must_hold(request and not request.running and request.connection_id is not None, "only an op that never ran is nacked")
+        if request:
             seconds = decision.seconds
             if self.storms:
-                self.storms.tries.nacked(now, owed.looks)
+                self.storms.tries.nacked(now, request.fingerprints)
                 if seconds > 0.0:
                     seconds = self.storms.come_back(now, seconds, False)
-            self._answer(now, owed, Errand.NACK, seconds, decision.flag)
+            self._respond(now, request, Action.SEND_REJECTION, seconds, decision.flag)
 
     def _do_fail(self, now: float, decision: Decision) -> None:
-        owed = self.owed.get(decision.ref)
-        must_hold(owed and owed.place is not None, "only an op that is owed an answer fails")
-        if owed:
-            self._answer(now, owed, Errand.FAIL)
-            if owed.in_doubt and owed.running:
-                self._end_run(now, owed.ref, Ending.ERROR, b"")
+        request = self.requests.get(decision.ref)
+        must_hold(request and request.connection_id is not None, "only an op that is owed an answer fails")
+        if request:
+            self._respond(now, request, Action.SEND_FAILURE)
+            if request.is_run_end_unknown and request.running:
+                self._end_run(now, request.request_id, Ending.ERROR, b"")
 
     def _do_keep(self, now: float, decision: Decision) -> None:
-        if (owed := self.owed.get(decision.ref)) and owed.key:
-            looks = fingerprint(0, owed.op_type, owed.tenant, owed.key, owed.body)
-            self.keys.keep(owed.key_place, owed.ref, looks, now + decision.seconds, self.windows[owed.op_type][1])
+        if (request := self.requests.get(decision.ref)) and request.key:
+            fingerprints = fingerprint(0, request.request_type, request.tenant, request.key, request.body)
+            self.keys.remember(
+                request.key_scope,
+                request.request_id,
+                fingerprints,
+                now + decision.seconds,
+                self.duplicate_windows[request.request_type][1],
+            )
 
     def _do_forget(self, now: float, decision: Decision) -> None:
         self.keys.forget(decision.ref)
 
     def _do_answer_from(self, now: float, decision: Decision) -> None:
-        if owed := self.owed.get(decision.ref):
-            self._answer_from(now, owed)
+        if request := self.requests.get(decision.ref):
+            self._answer_duplicate(now, request)
 
     def _do_health(self, now: float, decision: Decision) -> None:
         self.healthy = decision.flag
-        self.errands.append((Errand.LISTING, decision.flag))
+        self.actions.append((Action.REPORT_AVAILABILITY, decision.flag))
 
     def _do_advise(self, now: float, decision: Decision) -> None:
-        self.level = decision.level
+        self.advice_level = decision.level
 
     def _do_trim(self, now: float, decision: Decision) -> None:
-        self.errands.append((Errand.TRIM, decision.seconds))
+        self.actions.append((Action.SET_IDLE_TIMEOUT, decision.seconds))
 
     def _do_wake(self, now: float, decision: Decision) -> None:
         """The gauges are asked for ahead: waiting for them when the alarm goes off would delay answers."""
-        self._ask_gauges()
-        self.errands.append((Errand.ALARM, decision.seconds, decision.ref))
+        self._request_gauges()
+        self.actions.append((Action.SET_TIMER, decision.seconds, decision.ref))
 
     def _do_limit_retries(self, now: float, decision: Decision) -> None:
         self.storms.limit(now, decision.level)
-        self.errands.append((Errand.TURN_BACK, self.storms.sheds))
+        self.actions.append((Action.SET_EARLY_REJECTION, self.storms.sheds))
 
-    def _do_other(self, now: float, decision: Decision) -> None:
+    def _do_unsupported(self, now: float, decision: Decision) -> None:
         must_hold(False, f"the link has no word for {decision.verb.value}")
 
     # What both come to.
 
-    def _ask_run(self, owed: Owed) -> None:
-        self.unconfirmed[owed.ref] = self.marks
-        self.errands.append((Errand.RUN, owed.ref, owed.op_type, owed.body))
+    def _start_run(self, request: PendingRequest) -> None:
+        self.unconfirmed_runs[request.request_id] = self.last_gauge_mark
+        self.actions.append((Action.START_RUN, request.request_id, request.request_type, request.body))
 
-    def _ask_gauges(self) -> None:
-        self.marks += 1
-        self.errands.append((Errand.GAUGES, self.marks))
+    def _request_gauges(self) -> None:
+        self.last_gauge_mark += 1
+        self.actions.append((Action.REQUEST_GAUGES, self.last_gauge_mark))
 
-    def _answer_from(self, now: float, owed: Owed) -> None:
+    def _answer_duplicate(self, now: float, request: PendingRequest) -> None:
         """By the result of the op that it repeats, at once or when that has run. Where that one was given up unrun, another
         repeat of it may stand in its place."""
-        leaders = (owed.repeats, self.keys.standing(owed.key_place, owed.arrived, now))
+        leaders = (request.duplicate_of, self.keys.find_original(request.key_scope, request.arrived_at, now))
         for leader in leaders:
             if (result := self.keys.result(leader)) is not None:
-                return self._conclude(now, owed, Ending.OK, result)
+                return self._record_run_end(now, request, Ending.OK, result)
         for leader in leaders:
-            if leader in self.owed and self.owed[leader].running:
-                self.followers.setdefault(leader, []).append(owed.ref)
+            if leader in self.requests and self.requests[leader].running:
+                self.followers.setdefault(leader, []).append(request.request_id)
                 return
-        self._conclude(now, owed, Ending.ERROR, b"")
+        self._record_run_end(now, request, Ending.ERROR, b"")
 
-    def _conclude(self, now: float, owed: Owed, ending: Ending, result: bytes) -> None:
+    def _record_run_end(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
         """The end of a run, its own or that of the op it repeats, for the module, the keys and the caller."""
-        self.hatch.record_run_end(now, owed.ref, ending)
-        self._close_run(now, owed, ending, result)
+        self.controller.record_run_end(now, request.request_id, ending)
+        self._respond_to_run(now, request, ending, result)
 
-    def _close_run(self, now: float, owed: Owed, ending: Ending, result: bytes) -> None:
+    def _respond_to_run(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
         if ending is Ending.OK:
-            self.keys.store(owed.ref, result)
-            if self.storms and owed.place is not None:
-                self.storms.tries.acked(now, owed.looks)
-                self.storms.runs.acked(now, owed.ref, owed.place)
-            self._answer(now, owed, Errand.ACK, result)
+            self.keys.store_result(request.request_id, result)
+            if self.storms and request.connection_id is not None:
+                self.storms.tries.acked(now, request.fingerprints)
+                self.storms.runs.acked(now, request.request_id, request.connection_id)
+            self._respond(now, request, Action.SEND_RESULT, result)
         else:
-            self._answer(now, owed, Errand.FAIL)
+            self._respond(now, request, Action.SEND_FAILURE)
 
-    def _answer(self, now: float, owed: Owed, errand: Errand, *told: object) -> None:
-        if owed.place is not None:
-            self.errands.append((errand, owed.place, *told, self.level))
-            self._left(owed)
-        self._drop_if_done(now, owed)
+    def _respond(self, now: float, request: PendingRequest, action: Action, *arguments: object) -> None:
+        if request.connection_id is not None:
+            self.actions.append((action, request.connection_id, *arguments, self.advice_level))
+            self._detach_connection(request)
+        self._remove_if_finished(now, request)
 
-    def _left(self, owed: Owed) -> None:
+    def _detach_connection(self, request: PendingRequest) -> None:
         """Nobody waits for it any more."""
-        self.places.pop(owed.place, None)
-        owed.place = None
+        self.request_by_connection.pop(request.connection_id, None)
+        request.connection_id = None
         if self.storms:
-            self.storms.tries.closed(owed.looks)
+            self.storms.tries.closed(request.fingerprints)
 
-    def _drop_if_done(self, now: float, owed: Owed) -> None:
-        if owed.place is None and not owed.running and not owed.handed:
-            self.owed.pop(owed.ref, None)
-            if owed.may_have_run and owed.op_type not in self.may_repeat:
-                self.ended.add(now, owed.ref)
+    def _remove_if_finished(self, now: float, request: PendingRequest) -> None:
+        if request.connection_id is None and not request.running and not request.is_handed_over:
+            self.requests.pop(request.request_id, None)
+            if request.may_have_run and request.request_type not in self.retryable_types:
+                self.completed_ids.add(now, request.request_id)
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
-from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.request_state_machine.reducer import Event
 from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http_grammar
@@ -57,9 +57,9 @@
             handed = http_requests.HANDOVER_FIELD in fields and self.on_hand is not None
             if handed:
                 self.on_hand(fields[http_requests.HANDOVER_FIELD])
-            self.take(Happening.OP_READ, place, *told, body, rank, handed)
+            self.take(Event.REQUEST_RECEIVED, place, *told, body, rank, handed)
         elif path == http_requests.HEALTH_PATH:
-            self.take(Happening.CHECKED, place)
+            self.take(Event.HEALTH_CHECK_RECEIVED, place)
         elif path == http_requests.COUNTERS_PATH:
             self._write(place, 200, self.counters().encode())
         elif path == http_requests.FLEET_PATH and self.fleet:
@@ -83,7 +83,7 @@
 
     def lost(self, place: int) -> None:
         self.closing.discard(place)
-        self.take(Happening.CALLER_LOST, place)
+        self.take(Event.CLIENT_DISCONNECTED, place)
 
     def ack(self, place: int, result: bytes, level: float | None) -> None:
         self._write(place, 200, result, level=level)
@@ -102,9 +102,9 @@
         seconds = self.turned_back(
             now,
             *told,
-            punctual=back_at > 0.0 and not soon,
-            stubborn=soon,
-            place=place,
+            is_punctual=back_at > 0.0 and not soon,
+            is_too_early=soon,
+            connection_id=place,
             figures=partial(http_requests.parse_plain_figures, data),
         )
         if seconds is None:
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -12,7 +12,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import http_peers
-from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.request_state_machine.reducer import Event
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
 LOG = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
             LOG.exception("error inside", extra={"fields": {"at": "call"}})
         finally:
             self.count("calls_" + ending.name.lower())
-            self.take(Happening.CALL_ENDED, ref, ending, result if ending is Ending.OK else b"")
+            self.take(Event.CALL_ENDED, ref, ending, result if ending is Ending.OK else b"")
 
     def move(self, host: str, port: int) -> None:
         """Calls from now on go there; those under way end where they began."""
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD
 from mulleinhatch.instance.gossip.heavy_hitters import Loudest
 from mulleinhatch.instance.gossip.messages import LEVELS, MOST_BYTES, STATES
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
             from mulleinhatch.instance.runtime.maintenance import UpkeepSide
 
             self.upkeep = UpkeepSide(self.placement, self.core, self.reducer, self._send, self.leaves)
-        self.reducer.on_tenant = self._asked_for if self.reducer.tenants else None
+        self.reducer.on_tenant_request = self._asked_for if self.reducer.tenants else None
         LOG.info("fleet", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
         loop = asyncio.get_running_loop()
         loop.add_reader(self.socket.fileno(), self._readable)
@@ -114,9 +114,9 @@
             if counts is None:  # of what is in hand: what waits for it, too
                 demands.append(
                     float(
-                        sum(owed.tenant == budget.tenant for owed in self.reducer.owed.values())
+                        sum(owed.tenant == budget.tenant for owed in self.reducer.requests.values())
                         if budget.tenant
-                        else self.reducer.unended
+                        else self.reducer.run_count
                     )
                 )
                 continue
@@ -130,7 +130,7 @@
 
     def _local(self, now: float) -> Local:
         reducer = self.reducer
-        counts, hatch = reducer.counts, reducer.hatch
+        counts, hatch = reducer.counts, reducer.controller
         storms = reducer.storms
         repeats = storms.counts["repeats_read"] if storms else 0
         # What peers hand over is their demand: counted twice, the fleet looks as if it could spare nobody.
@@ -140,12 +140,12 @@
             repeats,
             counts["run_ok"],
             counts["decided_nack"],
-            max(0, len(reducer.owed) - reducer.unended - reducer.away),
-            max(0, reducer.unended),
+            max(0, len(reducer.requests) - reducer.run_count - reducer.handed_over_count),
+            max(0, reducer.run_count),
             round(min(1e9, hatch.capacity())) if hatch else 0,
             int(reducer.healthy and hatch is not None),
             counts["run_error"],
-            reducer.room_told(now),
+            reducer.advertised_capacity(now),
         ]
         opinions = self._of_our_interpreter(now)
         if self.spread:
@@ -227,12 +227,12 @@
                 share = float(part.usable(now, RUN_CLOSES))
                 if self.told_pieces.get(budget.name) != [(share, 0.0)]:
                     self.told_pieces[budget.name] = [(share, 0.0)]
-                    self.take(Happening.CALLS, share)
+                    self.take(Event.DEPENDENCY_SHARE_CHANGED, share)
                 continue
             pieces = part.pieces(now)
             if self.told_pieces.get(budget.name) != pieces:
                 self.told_pieces[budget.name] = pieces
-                self.take(Happening.PART, budget.tenant, budget.window, pieces)
+                self.take(Event.TENANT_BUDGET_CHANGED, budget.tenant, budget.window, pieces)
 
     def _tell_others(self, now: float) -> None:
         """How the others fare, when it changed by what is worth a word."""
@@ -246,7 +246,7 @@
             or abs(told[3] - before[3]) > 0.01
         ):
             self.told_others = told
-            self.take(Happening.OTHERS, *told)
+            self.take(Event.PEER_LOAD_CHANGED, *told)
 
     def told(self) -> bytes:
         """What the command line shows."""
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -13,7 +13,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import reports
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import Tasks
 from mulleinhatch.instance.runtime.caller_listener import HttpFront
@@ -63,8 +63,8 @@
         )
         self.front = front = HttpFront(connections_held(placement), self.take, self.count, self.counters)
         if placement.storms:
-            front.turned_back, front.level = self.reducer.turned_back, lambda: self.reducer.level
-            front.connections.on_connected = self.reducer.connected
+            front.turned_back, front.level = self.reducer.reject_early, lambda: self.reducer.advice_level
+            front.connections.on_connected = self.reducer.record_connection
         self.interpreter = interpreter = Interpreter(*placement.interpreter, self.take, self.count)
         self.datagrams = Datagrams()
         self.tasks = Tasks(self.count, placement.seed)
@@ -78,25 +78,25 @@
         # Callers close their own before: what outlives that was left by one that asks no more.
         self.idle_kept = placement.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
-        self.errands: dict[Errand, Callable[..., None]] = {
-            Errand.ACK: front.ack,
-            Errand.NACK: front.nack,
-            Errand.FAIL: front.fail,
-            Errand.REFUSE: front.refuse,
-            Errand.HEALTH: front.health,
-            Errand.ABANDON: front.abandon,
-            Errand.GREET: interpreter.greet,
-            Errand.RENEW: interpreter.renew,
-            Errand.RUN: interpreter.run,
-            Errand.GAUGES: interpreter.gauges,
-            Errand.CALL: self._call,
-            Errand.RESOLVE: interpreter.resolve,
-            Errand.SKIP: interpreter.skip,
-            Errand.ALARM: self._alarm,
-            Errand.LISTING: self._listing,
-            Errand.TRIM: self._trim,
-            Errand.LEAVE: self._leave,
-            Errand.TURN_BACK: front.turn_back,
+        self.errands: dict[Action, Callable[..., None]] = {
+            Action.SEND_RESULT: front.ack,
+            Action.SEND_REJECTION: front.nack,
+            Action.SEND_FAILURE: front.fail,
+            Action.SEND_INVALID: front.refuse,
+            Action.SEND_HEALTH: front.health,
+            Action.ABANDON_CONNECTION: front.abandon,
+            Action.GREET_INTERPRETER: interpreter.greet,
+            Action.RECONNECT_LINK: interpreter.renew,
+            Action.START_RUN: interpreter.run,
+            Action.REQUEST_GAUGES: interpreter.gauges,
+            Action.START_CALL: self._call,
+            Action.RESUME_RUN: interpreter.resolve,
+            Action.SKIP_CALL: interpreter.skip,
+            Action.SET_TIMER: self._alarm,
+            Action.REPORT_AVAILABILITY: self._listing,
+            Action.SET_IDLE_TIMEOUT: self._trim,
+            Action.BEGIN_SHUTDOWN: self._leave,
+            Action.SET_EARLY_REJECTION: front.turn_back,
         }
 
     def _recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
@@ -109,20 +109,20 @@
     def count(self, what: str) -> None:
         self.counts[what] += 1
 
-    def take(self, happening: Happening, *told: Any) -> None:
+    def take(self, event: Event, *told: Any) -> None:
         """The one way in: what happened goes to the reducer, and its errands are run. An op gone wrong must
         not take those of other callers with it, so what was asked for before an error is still done."""
         try:
-            self.reducer.reduce(time.monotonic(), happening, *told)
+            self.reducer.reduce(time.monotonic(), event, *told)
         except Exception:
-            self._error_inside(happening)
-        for errand, *fields in self.reducer.errands:
+            self._error_inside(event)
+        for action, *fields in self.reducer.actions:
             try:
-                self.errands[errand](*fields)
+                self.errands[action](*fields)
             except Exception:
-                self._error_inside(errand)
+                self._error_inside(action)
 
-    def _error_inside(self, where: Happening | Errand) -> None:
+    def _error_inside(self, where: Event | Action) -> None:
         self.count("errors_inside")
         LOG.exception("error inside", extra={"fields": {"at": where.value}})
 
@@ -135,13 +135,13 @@
     def _alarm_goes_off(self, token: int, due: float) -> None:
         late = 1000.0 * (time.monotonic() - due)
         self.counts["alarm_late_ms_most"] = max(self.counts["alarm_late_ms_most"], math.ceil(late))
-        self.take(Happening.ALARM, token)
+        self.take(Event.TIMER_EXPIRED, token)
 
     def _call(self, ref: str, seconds: float, query: bytes) -> None:
         if self.dependency:
             self.dependency.call(ref, seconds, query)
         else:  # nobody told of one, and the run must not wait for ever
-            asyncio.get_running_loop().call_soon(self.take, Happening.CALL_ENDED, ref, Ending.UNREACHABLE, b"")
+            asyncio.get_running_loop().call_soon(self.take, Event.CALL_ENDED, ref, Ending.UNREACHABLE, b"")
 
     def _listing(self, is_open: bool) -> None:
         self.listed_open = is_open
@@ -189,7 +189,7 @@
             if self.fleet.upkeep:
                 await self.fleet.upkeep.listen()
             if self.fleet.spread:
-                self.errands[Errand.HAND], self.front.on_hand = self.fleet.spread.hand, self.fleet.spread.came
+                self.errands[Action.HAND_OVER], self.front.on_hand = self.fleet.spread.hand, self.fleet.spread.came
         self.tasks.keep("link", self.interpreter.link.keep)
         self.tasks.every("reports", REPORT_EVERY, self._report)
         self.tasks.every("sweep", SWEEP_EVERY, self._sweep)
@@ -223,7 +223,7 @@
             self.dependency.sweep()
 
     def leave(self) -> None:
-        self.take(Happening.LEAVE, self.placement.stop_after)
+        self.take(Event.SHUTDOWN_REQUESTED, self.placement.stop_after)
 
     def reload(self) -> None:
         """The file is checked whole before anything is touched; a faulty one leaves the old in force."""
@@ -257,8 +257,8 @@
             **traces,
             **fleet,
             "connections_open": len(self.front.connections.open),
-            "ops_owed": len(self.reducer.owed),
-            "advice_percent": round(100.0 * (self.reducer.level or 0.0)),
+            "ops_owed": len(self.reducer.requests),
+            "advice_percent": round(100.0 * (self.reducer.advice_level or 0.0)),
             **{"broken_" + what.replace(" ", "_"): count for what, count in BROKEN.items()},
         }
 
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -7,7 +7,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import link
-from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.request_state_machine.reducer import Event
 from mulleinhatch.instance.transport.link import Link
 
 LOG = logging.getLogger(__name__)
@@ -19,14 +19,14 @@
         self.take, self.count = take, count
         self.complained: set[str] = set()
         self.spoilt: set[str] = set()  # runs whose end came spoilt once
-        self.link = Link(host, port, on_open=lambda: take(Happening.LINK_OPENED), on_line=self.line, count=count)
+        self.link = Link(host, port, on_open=lambda: take(Event.LINK_OPENED), on_line=self.line, count=count)
 
     def line(self, line: bytes) -> None:
         try:
             told = link.notice(line)
         except (ValueError, RecursionError):
             self._complain("lines_broken", {"line": line[:80]})
-            self.take(Happening.LINE_BROKEN)
+            self.take(Event.MALFORMED_LINE_RECEIVED)
             return
         try:
             self._notice(told)
@@ -42,12 +42,12 @@
             return
         if ref in self.spoilt:
             self.spoilt.discard(ref)
-            self.take(Happening.RUN_SPOILT, ref)
+            self.take(Event.UNREADABLE_RUN_END_RECEIVED, ref)
             return
         if len(self.spoilt) >= SPOILT_MOST:
             self.spoilt.clear()
         self.spoilt.add(ref)
-        self.take(Happening.LINE_BROKEN)
+        self.take(Event.MALFORMED_LINE_RECEIVED)
 
     def _complain(self, what: str, fields: dict) -> None:
         """Counted each time and logged once: a fault of the other side must not fill the log."""
@@ -61,29 +61,29 @@
         if what == "VALUE":
             ending = link.ENDINGS.get(status, Ending.ERROR)
             self.take(
-                Happening.RUN_ENDED,
+                Event.RUN_ENDED,
                 link.non_negative_int(told["no"]),
                 link.text(told["rid"]),
                 ending,
                 link.result(told, ending is Ending.OK),
             )
         elif what == "AWAIT":
-            self.take(Happening.CALL_WANTED, link.non_negative_int(told["no"]), link.text(told["rid"]), link.result(told, True))
+            self.take(Event.CALL_REQUESTED, link.non_negative_int(told["no"]), link.text(told["rid"]), link.result(told, True))
         elif what == "TOPS":
-            self.take(Happening.GAUGES, link.non_negative_int(told["mark"]), link.readings(told["v"]))
+            self.take(Event.GAUGES_RECEIVED, link.non_negative_int(told["mark"]), link.readings(told["v"]))
         elif what == "BANNER":
             since = link.non_negative_float(told["time_ms"]) / 1000.0
             LOG.info("interpreter up", extra={"fields": {"status": status, "ms": told["time_ms"]}})
-            self.take(Happening.INTERPRETER_UP, status == "new", since)
+            self.take(Event.INTERPRETER_READY, status == "new", since)
         elif what == "ERROR":
             self._complain("interpreter_errors", {"command": status, "ref": told.get("rid")})
             if status == "APPLY":
-                self.take(Happening.RUN_UNKNOWN, link.text(told["rid"]))
+                self.take(Event.RUN_REJECTED, link.text(told["rid"]))
         else:
             if what != "TRACE":
                 self._complain("notices_unknown", {"t": what})
             if "no" in told:
-                self.take(Happening.NOTICE_PASSED, link.non_negative_int(told["no"]))
+                self.take(Event.OTHER_NOTICE_RECEIVED, link.non_negative_int(told["no"]))
 
     def greet(self, last_notice: int) -> None:
         self.link.send(link.connect(last_notice))
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -14,7 +14,7 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.protocol import http_peers
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
@@ -44,9 +44,9 @@
         self.told_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         fleet.ops_at = bounds.at if bounds.hand_over else ""
-        reducer.hands = True
+        reducer.keeps_handover_data = True
         self.nudged = False
-        reducer.on_run, reducer.on_op = self._ran, self._came
+        reducer.on_run_ended, reducer.on_client_request = self._ran, self._came
 
     def _ran(self, *told: Any) -> None:
         self.core.ran(*told)
@@ -70,9 +70,9 @@
     def _here(self) -> Here:
         reducer = self.reducer
         return Here(
-            reducer.room(time.monotonic()),
-            reducer.handable(),
-            int(reducer.hatch.limit) if reducer.hatch else 1,
+            reducer.free_capacity(time.monotonic()),
+            reducer.transferable_count(),
+            int(reducer.controller.limit) if reducer.controller else 1,
             reducer.stop_at is not None,
             bool(reducer.storms and reducer.storms.on),
         )
@@ -85,16 +85,16 @@
 
     def heard(self, now: float) -> list[tuple[str, bytes]]:
         """After letters came: at once, for an offer is worth most to an op that waits now."""
-        self.core.here = self.core.here._replace(room=self.reducer.room(now))
+        self.core.here = self.core.here._replace(room=self.reducer.free_capacity(now))
         self.tell(now)
         return self.core.said()
 
     def tell(self, now: float) -> None:
         """The module counts down what it hands over, and so do we (`hand`)."""
-        count = self.core.offered(now) if self.reducer.owed else 0
+        count = self.core.offered(now) if self.reducer.requests else 0
         if count != self.told_count:
             self.told_count = count
-            self.take(Happening.OFFERS, count)
+            self.take(Event.PEER_OFFERS_CHANGED, count)
 
     def came(self, number: bytes) -> None:
         self.core.giver.came(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
@@ -107,7 +107,7 @@
         if offer is None:
             self.counts["hand_offers_over"] += 1
             # Not within the errands of the happening that decided it: it would be told in the middle of another.
-            asyncio.get_running_loop().call_soon(self.take, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
+            asyncio.get_running_loop().call_soon(self.take, Event.HANDOVER_ENDED, ref, Ending.UNREACHABLE, b"")
             return
         task = asyncio.ensure_future(self._hand(offer, ref, *told))
         self.tasks.add(task)
@@ -163,7 +163,7 @@
             self.core.ended(
                 now, offer, ending in (Ending.ERROR, Ending.INTERRUPTED), ending in (Ending.UNREACHABLE, Ending.INTERRUPTED)
             )
-            self.take(Happening.HAND_ENDED, ref, ending, result if ending is Ending.OK else b"")
+            self.take(Event.HANDOVER_ENDED, ref, ending, result if ending is Ending.OK else b"")
 
     def close(self) -> None:
         for task in self.tasks:
@@ -189,7 +189,7 @@
             },
             "offers_out": core.giver.outstanding(now),
             "offers_held": core.taker.count(now),
-            "away": self.reducer.away,
+            "away": self.reducer.handed_over_count,
             "held_back": core.held_back(),
         }
 
@@ -200,5 +200,5 @@
             **core.giver.counts,
             **core.taker.counts,
             **{f"spread_{name}": count for name, count in core.counts.items()},
-            "ops_at_peers": self.reducer.away,
+            "ops_at_peers": self.reducer.handed_over_count,
         }
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -60,7 +60,7 @@
             self.server = await asyncio.start_server(self._asked, host, int(port), limit=LONGEST_LINE)
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
-        good = self.reducer.healthy and self.reducer.hatch is not None
+        good = self.reducer.healthy and self.reducer.controller is not None
         self.fit_since = (self.fit_since if self.fit_since is not None else now) if good else None
         self._ask_when_ill(now, good)
         letters = self.core.beat(now, time.time(), good and now - self.fit_since >= FIT_AFTER)
@@ -70,7 +70,9 @@
     def _ask_when_ill(self, now: float, good: bool) -> None:
         """An instance that stays ill asks by itself, where the operator wants that."""
         after = self.placement.upkeep.ask_when_ill
-        self.ill_since = None if good or self.reducer.hatch is None else self.ill_since if self.ill_since is not None else now
+        self.ill_since = (
+            None if good or self.reducer.controller is None else self.ill_since if self.ill_since is not None else now
+        )
         if after and self.ill_since is not None and now - self.ill_since >= after and self.core.state is State.SERVING:
             self.core.ask(self._request("ill", self.placement.upkeep.ill_for, ill=True))
 
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -24,10 +24,10 @@
     _USUAL["hand ended"](reducer, now, ref, Ending.FULL if ending is Ending.INTERRUPTED else ending, result)
 
 
-_USUAL = {"hand ended": Reducer._hand_ended}
+_USUAL = {"hand ended": Reducer._handover_ended}
 DEFECTS: dict[str, list[tuple[Any, str, Any]]] = {
     "an offer counts half": [(Giver, "outstanding", _offer_twice)],
-    "a broken link proves that nothing ran": [(Reducer, "_hand_ended", _reruns_reducer)],
+    "a broken link proves that nothing ran": [(Reducer, "_handover_ended", _reruns_reducer)],
     "a voter promises nothing": [(Voter, "_may", lambda voter, ballot: True)],
     "one voter is a majority": [(Round, "_is_majority", lambda done, count: count >= 1)],
     "the bound is not looked at": [
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.request_state_machine.reducer import Event
 from mulleinhatch.simulation.fault_search.histories import FIRST, History
 from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
@@ -50,14 +50,14 @@
 
     def goes_out(self, node: Node) -> None:
         """In order, as the program leaves: told to the reducer, held ops handed over or answered, then it ends."""
-        self._take(node, Happening.LEAVE, GRACE)
+        self._take(node, Event.SHUTDOWN_REQUESTED, GRACE)
         self._send(node, node.core.leave(node.clock(self.now)))
         self.at(self.now + GRACE, self._works_on, node, node.lives)
 
     def _works_on(self, node: Node, life: int) -> None:
         if node.lives == life and node.core:
-            for ref, owed in node.reducer.owed.items():
-                if owed.place is not None and not node.stalled:
+            for ref, owed in node.reducer.requests.items():
+                if owed.connection_id is not None and not node.stalled:
                     raise InvariantBrokenError(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
             self._gone(node, life)
             self.at(self.now + self.works, self.start, node)
@@ -89,18 +89,18 @@
                     node.spread.held_back(),
                     self.cores[node.name].state.value,
                     node.reducer.healthy,
-                    bool(node.reducer.away),
+                    bool(node.reducer.handed_over_count),
                     node.reducer.stop_at is not None,
                     bool(node.core.out),
                 )
             )
-            if len(node.reducer.owed) > MOST_OWED:
-                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {len(node.reducer.owed)} ops")
+            if len(node.reducer.requests) > MOST_OWED:
+                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {len(node.reducer.requests)} ops")
             late = (
                 [
                     ref
-                    for ref, owed in node.reducer.owed.items()
-                    if owed.place is not None and owed.due < node.clock(self.now) - 0.3
+                    for ref, owed in node.reducer.requests.items()
+                    if owed.connection_id is not None and owed.deadline < node.clock(self.now) - 0.3
                 ]
                 if not node.stalled
                 else []
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Deployment, Effect, Ending
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 
 USUAL = StormBounds()
@@ -126,8 +126,8 @@
         self.shed = False
         if self.reducer.storms:
             self._spy(self.reducer.storms.calendar)
-        self.take(Happening.LINK_OPENED)
-        self.take(Happening.INTERPRETER_UP, False, 100.0)
+        self.take(Event.LINK_OPENED)
+        self.take(Event.INTERPRETER_READY, False, 100.0)
 
     def _spy(self, calendar: Any) -> None:
         book = calendar.book
@@ -141,39 +141,39 @@
 
         calendar.book = spied
 
-    def take(self, happening: Happening, *told: Any) -> None:
-        for errand, *fields in self.reducer.reduce(self.now, happening, *told):
-            self._do(errand, fields)
+    def take(self, event: Event, *told: Any) -> None:
+        for action, *fields in self.reducer.reduce(self.now, event, *told):
+            self._do(action, fields)
 
-    def _do(self, errand: Errand, fields: list[Any]) -> None:
-        if errand is Errand.RUN:
+    def _do(self, action: Action, fields: list[Any]) -> None:
+        if action is Action.START_RUN:
             ref = fields[0]
             number = self.number_of[ref]
             self.ran[number] += 1
             self.running[ref] = self.weather.work * self.draw.uniform(0.7, 1.3)
             if not self.frozen:
                 self.at(self.now + self.running[ref], self._ended, self.life, ref)
-        elif errand is Errand.GAUGES:
+        elif action is Action.REQUEST_GAUGES:
             self.at(self.now, self._gauges, self.life, fields[0])
-        elif errand is Errand.ALARM:
+        elif action is Action.SET_TIMER:
             self.at(self.now + fields[0], self._alarm, self.life, fields[1])
-        elif errand is Errand.TURN_BACK:
+        elif action is Action.SET_EARLY_REJECTION:
             self.shed = fields[0]
-        elif errand in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
-            self._answered(errand, *fields)
+        elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
+            self._answered(action, *fields)
 
     def _ended(self, life: int, ref: str) -> None:
         if life == self.life and self.alive and not self.frozen and self.running.pop(ref, None) is not None:
             self.notices += 1
-            self.take(Happening.RUN_ENDED, self.notices, ref, Ending.OK, b"done " + ref.encode())
+            self.take(Event.RUN_ENDED, self.notices, ref, Ending.OK, b"done " + ref.encode())
 
     def _gauges(self, life: int, mark: int) -> None:
         if life == self.life and self.alive and not self.frozen:
-            self.take(Happening.GAUGES, mark, [])
+            self.take(Event.GAUGES_RECEIVED, mark, [])
 
     def _alarm(self, life: int, token: int) -> None:
         if life == self.life and self.alive:
-            self.take(Happening.ALARM, token)
+            self.take(Event.TIMER_EXPIRED, token)
 
     def _fall(self) -> None:
         if self.weather.kind == "freeze":
@@ -230,16 +230,16 @@
         key = f"k{op.number}" if op.kind[1] is Effect.KEYED else ""
         if self.shed:
             soon = self.now < back_at - 0.02
-            seconds = self.reducer.turned_back(
+            seconds = self.reducer.reject_early(
                 self.now,
                 ref,
                 *told,
                 again,
                 key,
                 op.body,
-                place=self._place(op),
-                punctual=back_at > 0.0 and not soon,
-                stubborn=soon,
+                connection_id=self._place(op),
+                is_punctual=back_at > 0.0 and not soon,
+                is_too_early=soon,
                 figures=lambda: figures,
             )
             if seconds is not None:
@@ -252,7 +252,7 @@
         self.idle.pop()
         self.waiting[place] = (op, ref, self.now + wait)
         rank, cost, kb = figures
-        self.take(Happening.OP_READ, place, ref, *told[:2], 0.0, wait, op.caller, cost, kb, again, key, op.body, rank)
+        self.take(Event.REQUEST_RECEIVED, place, ref, *told[:2], 0.0, wait, op.caller, cost, kb, again, key, op.body, rank)
 
     def _place(self, op: Op) -> int:
         """The connection for its next try: one that is free, as a stub keeps them, or a new one."""
@@ -261,15 +261,15 @@
             self.idle.append(self.places)
         return self.idle[-1]
 
-    def _answered(self, errand: Errand, place: int, *told: Any) -> None:
+    def _answered(self, action: Action, place: int, *told: Any) -> None:
         if place not in self.waiting:
             raise InvariantBrokenError(f"at {self.now:.3f} a second answer, or one to nobody")
         op, ref, due = self.waiting.pop(place)
         if self.now > due + ANSWER_SLACK:
             raise InvariantBrokenError(f"at {self.now:.3f} an answer came {self.now - due:.2f} s late")
-        self.counts[errand.value] += 1
+        self.counts[action.value] += 1
         self.idle.append(place)
-        if errand is Errand.ACK:
+        if action is Action.SEND_RESULT:
             if self.draw.random() < self.weather.lost_acks:
                 self.counts["acks lost"] += 1
                 self.idle.pop()
@@ -278,7 +278,7 @@
             if not op.over and self.now - op.born <= 1.8:
                 self.in_time[int(op.born)] += 1
             op.over = True
-        elif errand is Errand.NACK:
+        elif action is Action.SEND_REJECTION:
             if op.kind[1] is not Effect.RETRYABLE and ref in self.running:
                 raise InvariantBrokenError(f"at {self.now:.3f} an op that runs was nacked")
             self._nacked(op, told[0])
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -20,7 +20,7 @@
 from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
 from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
@@ -174,12 +174,12 @@
         node.cores, node.works, node.waiting_ops, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
         node.notices, node.level = 0, 0.0
         if node.spread:
-            node.reducer.hands = self.spread_bounds.hand_over
-            node.reducer.on_run, node.reducer.on_op = node.spread.ran, node.spread.came
-        self._take(node, Happening.LINK_OPENED)
+            node.reducer.keeps_handover_data = self.spread_bounds.hand_over
+            node.reducer.on_run_ended, node.reducer.on_client_request = node.spread.ran, node.spread.came
+        self._take(node, Event.LINK_OPENED)
         cold = node.lives > 1 and load.cold_for > 0.0
         node.cold_since = self.now if cold else -math.inf
-        self._take(node, Happening.INTERPRETER_UP, cold, 0.0 if cold else 100.0)
+        self._take(node, Event.INTERPRETER_READY, cold, 0.0 if cold else 100.0)
         self.at(self.now + load.list_delay, self._listed, node, node.lives, True)
 
     def _listed(self, node: Service, life: int, up: bool) -> None:
@@ -215,7 +215,7 @@
         if fault.what == "leave":
             for node, core in before:
                 if core:
-                    self._take(node, Happening.LEAVE, GRACE)
+                    self._take(node, Event.SHUTDOWN_REQUESTED, GRACE)
         super()._fault(fault)
         for node, core in before:
             if fault.what == "kill" and core:
@@ -249,7 +249,7 @@
             told = (node.core.free(now), node.core.judged_ill(), math.inf, node.spread.wish)
             if told != getattr(node, "told", None):
                 node.told = told
-                self._take(node, Happening.OTHERS, *told)
+                self._take(node, Event.PEER_LOAD_CHANGED, *told)
         super()._beat(node, life, again)
 
     def local(self, node: Node) -> Any:
@@ -261,12 +261,12 @@
             0,
             counts["run_ok"],
             counts["decided_nack"],
-            len(reducer.owed) - reducer.unended - reducer.away,
-            reducer.unended,
-            round(reducer.hatch.capacity()),
+            len(reducer.requests) - reducer.run_count - reducer.handed_over_count,
+            reducer.run_count,
+            round(reducer.controller.capacity()),
             int(reducer.healthy),
             counts["run_error"],
-            reducer.room_told(now),
+            reducer.advertised_capacity(now),
         ]
         opinions = []
         if node.spread:
@@ -285,7 +285,7 @@
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.spread:
-            node.spread.here = node.spread.here._replace(room=node.reducer.room(node.clock(self.now)))
+            node.spread.here = node.spread.here._replace(room=node.reducer.free_capacity(node.clock(self.now)))
         super()._heard(node, data)
         if node.spread:
             self._send(node, node.spread.said())
@@ -293,24 +293,24 @@
             self._offers(node)
 
     def _offers(self, node: Service) -> None:
-        if node.reducer.owed and self.spread_bounds.hand_over:
-            self._take(node, Happening.OFFERS, node.spread.offered(node.clock(self.now)))
+        if node.reducer.requests and self.spread_bounds.hand_over:
+            self._take(node, Event.PEER_OFFERS_CHANGED, node.spread.offered(node.clock(self.now)))
 
     # What a reducer asks for.
 
-    def _take(self, node: Service, happening: Happening, *told: Any) -> None:
+    def _take(self, node: Service, event: Event, *told: Any) -> None:
         if node.core is None:
             return
         if node.stalled:
-            node.later.append((self._take, (node, happening, *told)))
+            node.later.append((self._take, (node, event, *told)))
             return
-        for errand, *fields in node.reducer.reduce(node.clock(self.now), happening, *told):
-            self._do(node, errand, fields)
+        for action, *fields in node.reducer.reduce(node.clock(self.now), event, *told):
+            self._do(node, action, fields)
         if (
             node.spread
             and self.spread_bounds.hand_over
             and not node.nudged
-            and happening in (Happening.OP_READ, Happening.RUN_ENDED)
+            and event in (Event.REQUEST_RECEIVED, Event.RUN_ENDED)
         ):
             node.nudged = True
             self.at(self.now + NUDGE, self._nudged, node, node.lives)
@@ -324,19 +324,21 @@
 
     def _here(self, node: Service) -> Here:
         reducer, now = node.reducer, node.clock(self.now)
-        return Here(reducer.room(now), reducer.handable(), int(reducer.hatch.limit), reducer.stop_at is not None)
+        return Here(
+            reducer.free_capacity(now), reducer.transferable_count(), int(reducer.controller.limit), reducer.stop_at is not None
+        )
 
-    def _do(self, node: Service, errand: Errand, fields: list[Any]) -> None:
-        if errand is Errand.RUN:
+    def _do(self, node: Service, action: Action, fields: list[Any]) -> None:
+        if action is Action.START_RUN:
             self._run(node, fields[0], fields[2])
-        elif errand is Errand.GAUGES:
+        elif action is Action.REQUEST_GAUGES:
             use = min(1.0, len(node.works) / self.load.cores)
-            self.at(self.now, self._for_life, node, node.lives, Happening.GAUGES, fields[0], [use])
-        elif errand is Errand.ALARM:
-            self.at(self.now + fields[0], self._for_life, node, node.lives, Happening.ALARM, fields[1])
-        elif errand is Errand.HAND:
+            self.at(self.now, self._for_life, node, node.lives, Event.GAUGES_RECEIVED, fields[0], [use])
+        elif action is Action.SET_TIMER:
+            self.at(self.now + fields[0], self._for_life, node, node.lives, Event.TIMER_EXPIRED, fields[1])
+        elif action is Action.HAND_OVER:
             self._hand(node, *fields)
-        elif errand in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
+        elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
             answered = node.waiting_ops.pop(fields[0], None)
             if answered is None:
                 raise InvariantBrokenError(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
@@ -344,13 +346,13 @@
             self.at(
                 self.now + self.draw.uniform(*LINK),
                 answered,
-                errand.value,
-                fields[1] if errand is Errand.ACK else fields[1:3] if errand is Errand.NACK else b"",
+                action.value,
+                fields[1] if action is Action.SEND_RESULT else fields[1:3] if action is Action.SEND_REJECTION else b"",
             )
 
-    def _for_life(self, node: Service, life: int, happening: Happening, *told: Any) -> None:
+    def _for_life(self, node: Service, life: int, event: Event, *told: Any) -> None:
         if node.lives == life:
-            self._take(node, happening, *told)
+            self._take(node, event, *told)
 
     def _run(self, node: Service, ref: str, body: bytes) -> None:
         number, work = body.split()
@@ -398,7 +400,7 @@
         for ref in node.cores.ended(self.now + 1e-9):
             _, bad, _ = node.works.pop(ref, (0.0, False, 0.0))
             node.notices += 1
-            self._take(node, Happening.RUN_ENDED, node.notices, ref, Ending.ERROR if bad else Ending.OK, ref.encode())
+            self._take(node, Event.RUN_ENDED, node.notices, ref, Ending.ERROR if bad else Ending.OK, ref.encode())
         self._next_end(node)
 
     # Hand-over.
@@ -422,7 +424,7 @@
         offer = node.spread.take(node.clock(self.now))
         life = node.lives
         if offer is None:
-            self.at(self.now, self._for_life, node, life, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
+            self.at(self.now, self._for_life, node, life, Event.HANDOVER_ENDED, ref, Ending.UNREACHABLE, b"")
             return
         peer = self.nodes[int(offer.at.rpartition(":")[2])]
         self.handed["to " + ("offers" if offer.number else "guesses")] += 1
@@ -440,7 +442,7 @@
                     ending in (Ending.ERROR, Ending.INTERRUPTED),
                     ending in (Ending.UNREACHABLE, Ending.INTERRUPTED),
                 )
-                self._take(node, Happening.HAND_ENDED, ref, ending, result)
+                self._take(node, Event.HANDOVER_ENDED, ref, ending, result)
 
         there = faults.passes(self.links, self.now, node.place, peer.place) and faults.passes(
             self.links, self.now, peer.place, node.place
@@ -501,7 +503,7 @@
             self.arrivals[node.place, int(self.now)] += 1
         node.places += 1
         node.waiting_ops[node.places] = answered
-        self._take(node, Happening.OP_READ, node.places, *told)
+        self._take(node, Event.REQUEST_RECEIVED, node.places, *told)
 
     # Callers.
 
@@ -613,7 +615,7 @@
     def _look(self) -> None:
         self.at(self.now + LOOK, self._look)
         up = [node for node in self.nodes if node.core and not node.stalled]
-        held = {node.place: len(node.reducer.owed) - node.reducer.unended - node.reducer.away for node in up}
+        held = {node.place: len(node.reducer.requests) - node.reducer.run_count - node.reducer.handed_over_count for node in up}
         needing = sum(count > 0 for count in held.values()) > 0 or self.now - self.nacked_at < LOOK
         if needing:
             idle = sum(
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -8,7 +8,7 @@
 
 from mulleinhatch.admission.interface import Effect, Ending
 from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_figures, parse_request
-from mulleinhatch.instance.request_state_machine.reducer import PARKED_MOST, Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import MAX_PARKED_S, Action, Event, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
 from mulleinhatch.simulation.instance_world import Weather, World
@@ -50,7 +50,7 @@
         )
         world = World(weather, seed).play()
         assert not world.ran_twice(), (seed, weather)
-        assert not world.reducer.parked and not world.reducer.storms.tries.open, seed
+        assert not world.reducer.parked_retries and not world.reducer.storms.tries.open, seed
 
 
 class Pair:
@@ -58,26 +58,28 @@
 
     def __init__(self) -> None:
         self.reducer = Reducer({"op_types": [{"effect": Effect.NON_RETRYABLE}], "cores": 1}, ["signoff"], [], 7, StormBounds())
-        self.happens(0.0, Happening.INTERPRETER_UP, False, 9.0)
+        self.happens(0.0, Event.INTERPRETER_READY, False, 9.0)
         self.said = self.reads(0.1, 1, "first", rank=0.25, again=False)
 
     def happens(self, now: float, *told: object) -> list[tuple]:
         return [
-            (errand, *more[:1])
-            for errand, *more in self.reducer.reduce(now, *told)
-            if errand in (Errand.RUN, Errand.ACK, Errand.FAIL, Errand.NACK)
+            (action, *more[:1])
+            for action, *more in self.reducer.reduce(now, *told)
+            if action in (Action.START_RUN, Action.SEND_RESULT, Action.SEND_FAILURE, Action.SEND_REJECTION)
         ]
 
     def reads(self, now: float, place: int, ref: str, rank: float, again: bool = True) -> list[tuple]:
-        return self.happens(now, Happening.OP_READ, place, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, again, "", b"", rank)
+        return self.happens(
+            now, Event.REQUEST_RECEIVED, place, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, again, "", b"", rank
+        )
 
 
 def test_a_twin_waits_until_the_other_answer_was_read() -> None:
     pair = Pair()
-    assert pair.said == [(Errand.RUN, "first")]
+    assert pair.said == [(Action.START_RUN, "first")]
     assert pair.reads(0.2, 2, "twin", rank=0.75) == []  # perhaps the first one's retry, with another rank
-    assert pair.happens(0.3, Happening.RUN_ENDED, 1, "first", Ending.OK, b"x") == [(Errand.ACK, 1)]
-    assert pair.happens(0.4, Happening.CHECKED, 1) == [(Errand.RUN, "twin")]  # it asks again: it has its answer
+    assert pair.happens(0.3, Event.RUN_ENDED, 1, "first", Ending.OK, b"x") == [(Action.SEND_RESULT, 1)]
+    assert pair.happens(0.4, Event.HEALTH_CHECK_RECEIVED, 1) == [(Action.START_RUN, "twin")]  # it asks again: it has its answer
     assert pair.reducer.storms.counts["retries_told_apart"] == 1
 
 
@@ -85,26 +87,26 @@
     """The rule first: where nothing tells them apart in time, it is not run, and not nacked either."""
     pair = Pair()
     pair.reads(0.2, 2, "twin", rank=0.75)
-    pair.happens(0.3, Happening.RUN_ENDED, 1, "first", Ending.OK, b"x")
-    assert pair.happens(0.2 + PARKED_MOST + 0.01, Happening.ALARM, 0) == [(Errand.FAIL, 2)]
-    assert pair.reducer.counts["repeats_of_run"] == 1 and not pair.reducer.owed
+    pair.happens(0.3, Event.RUN_ENDED, 1, "first", Ending.OK, b"x")
+    assert pair.happens(0.2 + MAX_PARKED_S + 0.01, Event.TIMER_EXPIRED, 0) == [(Action.SEND_FAILURE, 2)]
+    assert pair.reducer.counts["repeats_of_run"] == 1 and not pair.reducer.requests
 
 
 def test_the_retry_of_what_runs_fails_at_once() -> None:
-    assert Pair().reads(0.2, 2, "again", rank=0.25) == [(Errand.FAIL, 2)]
+    assert Pair().reads(0.2, 2, "again", rank=0.25) == [(Action.SEND_FAILURE, 2)]
 
 
 def test_a_parked_callers_loss_is_forgotten() -> None:
     pair = Pair()
     pair.reads(0.2, 2, "twin", rank=0.75)
-    pair.happens(0.25, Happening.CALLER_LOST, 2)
-    assert not pair.reducer.parked and "twin" not in pair.reducer.owed
+    pair.happens(0.25, Event.CLIENT_DISCONNECTED, 2)
+    assert not pair.reducer.parked_retries and "twin" not in pair.reducer.requests
 
 
 def test_what_never_started_leaves_no_doubt() -> None:
     pair = Pair()
-    pair.happens(0.15, Happening.RUN_ENDED, 1, "first", Ending.MOOT, b"")
-    assert pair.reads(0.2, 2, "again", rank=0.25) == [(Errand.RUN, "again")]
+    pair.happens(0.15, Event.RUN_ENDED, 1, "first", Ending.MOOT, b"")
+    assert pair.reads(0.2, 2, "again", rank=0.25) == [(Action.START_RUN, "again")]
 
 
 def test_an_answer_at_the_last_moment_may_have_found_nobody() -> None:
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -14,7 +14,7 @@
 
 from mulleinhatch.admission.interface import Decision, Effect, Verb
 from mulleinhatch.instance.protocol import http_peers, http_requests
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
 from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
@@ -196,9 +196,9 @@
             ).encode("latin-1")
         )
 
-    def reads(peer: Reducer, now: float, place: int, told: tuple, from_peer: bool) -> set[Errand]:
+    def reads(peer: Reducer, now: float, place: int, told: tuple, from_peer: bool) -> set[Action]:
         *most, read_rank = told
-        return {errand for errand, *_ in peer.reduce(now, Happening.OP_READ, place, *most, b"in", read_rank, from_peer)}
+        return {action for action, *_ in peer.reduce(now, Event.REQUEST_RECEIVED, place, *most, b"in", read_rank, from_peer)}
 
     giver, peer = (
         Reducer(
@@ -211,17 +211,17 @@
         for _ in range(2)
     )
     for one in (giver, peer):
-        one.hands = True
-        one.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
+        one.keeps_handover_data = True
+        one.reduce(0.0, Event.INTERPRETER_READY, False, 100.0)
     peer.storms.tries.steady = STEADY_ENOUGH
     reads(giver, 10.0, 1, sent("00000000000000aa"), False)
     _, ref, op_type, tenant, body, age, left, *figures = handed_over(giver, 10.0, "00000000000000aa")
     pieces = http_peers.write_handover_request(
         ref, op_type, tenant, body, 1000.0 * NOW, 1000.0 * left, *figures[:5], 17, "peer:1", *figures[5:]
     )
-    assert Errand.RUN in reads(peer, 10.0, 1, op_told(b"".join(pieces)), True)
-    peer.reduce(10.1, Happening.CALLER_LOST, 1)
-    assert reads(peer, 10.2, 2, sent("00000000000000bb", "X-Retry: 1\r\n"), False) == {Errand.FAIL}
+    assert Action.START_RUN in reads(peer, 10.0, 1, op_told(b"".join(pieces)), True)
+    peer.reduce(10.1, Event.CLIENT_DISCONNECTED, 1)
+    assert reads(peer, 10.2, 2, sent("00000000000000bb", "X-Retry: 1\r\n"), False) == {Action.SEND_FAILURE}
     assert peer.counts["repeats_of_run"] == 1
 
 
@@ -234,7 +234,7 @@
 
 def handed_over(giver: Reducer, now: float, ref: str) -> tuple:
     """The errand by which it goes to a peer, as if the module had said so."""
-    giver.errands = []
-    giver.owed[ref].running = False
-    giver._do_hand(now, Decision(Verb.HAND, ref))
-    return giver.errands[0]
+    giver.actions = []
+    giver.requests[ref].running = False
+    giver._do_hand_over(now, Decision(Verb.HAND_OVER, ref))
+    return giver.actions[0]
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -175,7 +175,9 @@
     until = max(12.0, faults.end_of(faults.read(script, instances)) + 3.0)
     world = SpreadWorld(Plan(instances, script, until=until, seed=seed), load).play()
     assert world.in_time > 0.0
-    owed = [ref for node in world.nodes if node.core for ref, op in node.reducer.owed.items() if op.place is not None]
+    owed = [
+        ref for node in world.nodes if node.core for ref, op in node.reducer.requests.items() if op.connection_id is not None
+    ]
     assert not owed, "ops that nobody answered"
 
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -11,7 +11,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_request, parse_request
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
 from mulleinhatch.instance.retry_storms.calendar import Calendar
@@ -140,7 +140,7 @@
     last = weather.load_until + weather.patience
     world = World(weather._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
-    world.reducer.reduce(last + SETTLED, Happening.CHECKED, 0)  # an idle instance judges when it next hears anything
+    world.reducer.reduce(last + SETTLED, Event.HEALTH_CHECK_RECEIVED, 0)  # an idle instance judges when it next hears anything
     assert world.reducer.storms.watch.stage is Stage.CALM, world.stages
     assert not world.waiting
 
@@ -299,13 +299,13 @@
 
     def outage_after(gap: float, in_hand: bool) -> bool:
         reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], 7, StormBounds())
-        reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
+        reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
         asked = 0.0 if in_hand else gap
         for number, at in ((1, 0.0), (2, asked)):
-            reducer.reduce(at, Happening.OP_READ, number, f"r{number}", "read", "", 0.0, 60.0, 1, 0.1, 8.0, False, "", b"")
+            reducer.reduce(at, Event.REQUEST_RECEIVED, number, f"r{number}", "read", "", 0.0, 60.0, 1, 0.1, 8.0, False, "", b"")
             if number == 1:
-                reducer.reduce(0.0, Happening.RUN_ENDED, 1, "r1", Ending.OK, b"")
-        reducer.reduce(gap, Happening.RUN_ENDED, 2, "r2", Ending.OK, b"")
+                reducer.reduce(0.0, Event.RUN_ENDED, 1, "r1", Ending.OK, b"")
+        reducer.reduce(gap, Event.RUN_ENDED, 2, "r2", Ending.OK, b"")
         return reducer.storms.watch.outage_at is not None
 
     assert outage_after(5.0, in_hand=True)
@@ -318,10 +318,10 @@
         reducer = Reducer(
             {"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7, StormBounds()
         )
-        reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
+        reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
         reducer.storms.limit(0.0, 0.001)
         told = [
-            reducer.turned_back(0.1, f"r{number}", "read", "", 4, True, "", b"", punctual=False, stubborn=number > 2)
+            reducer.reject_early(0.1, f"r{number}", "read", "", 4, True, "", b"", is_punctual=False, is_too_early=number > 2)
             for number in range(6)
         ]
         assert max(told) > 0.0 if allowed else set(told) == {0.0}
@@ -330,11 +330,11 @@
 def test_an_unmarked_repeat_is_known_for_as_long_as_it_keeps_coming() -> None:
     """Seen on loopback: 20 s after their first nack all unmarked repeats counted as first tries, and came in at once."""
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
-    reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
+    reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
     reducer.storms.limit(0.0, 0.001)
     told = ("read", "", 4, False, "", b"a body")
-    assert reducer.turned_back(0.0, "r0", *told, punctual=False, stubborn=False) is None
+    assert reducer.reject_early(0.0, "r0", *told, is_punctual=False, is_too_early=False) is None
     reducer.storms.tries.nacked(0.0, (likeness(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).plain,))
     for tenth in range(1, 600):
-        assert reducer.turned_back(0.1 * tenth, f"r{tenth}", *told, punctual=False, stubborn=False) is not None, tenth
-    assert reducer.turned_back(120.0, "last", *told, punctual=False, stubborn=False) is None
+        assert reducer.reject_early(0.1 * tenth, f"r{tenth}", *told, is_punctual=False, is_too_early=False) is not None, tenth
+    assert reducer.reject_early(120.0, "last", *told, is_punctual=False, is_too_early=False) is None
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -135,7 +135,7 @@
     sums = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
     live = {name: count for name, count in world.reducer.counts.items() if name.startswith(("decided_", "run_"))}
     assert live and {name: sums["counts"].get(name, 0) for name in live} == live
-    assert sums["counts"]["turned_back"] + world.reducer.back == world.reducer.storms.turned
+    assert sums["counts"]["turned_back"] + world.reducer.early_rejections == world.reducer.storms.turned
     causes = {name: count for name, count in sums["counts"].items() if name.startswith("decided_nack_")}
     assert causes and sum(causes.values()) == sums["counts"]["decided_nack"] and sums["counts"]["decided_run_order"]
     assert sum(sum(second.get("ops_read", 0) for second in sums["rates"]) for _ in "x") == sums["counts"]["ops_read"]
--- a/tests/test_warm_up_load.py
+++ b/tests/test_warm_up_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mulleinhatch.admission.interface import Effect
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
 from mulleinhatch.simulation.gossip_world import Plan
 from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld
 
@@ -37,7 +37,7 @@
 def test_free_capacity_follows_the_ramp_and_is_not_reported_while_warming_up() -> None:
     deployment = {"op_types": [{"effect": Effect.RETRYABLE}], "cores": 8, "cold_for": 10.0, "cold_speed": 0.25}
     reducer = Reducer(deployment, ["read"], [], 7)
-    reducer.reduce(0.0, Happening.LINK_OPENED)
-    reducer.reduce(0.0, Happening.INTERPRETER_UP, True, 0.0)
-    assert [reducer.room(at) for at in (0.0, 5.0, 10.0)] == [2, 5, 8]
-    assert [reducer.room_told(at) for at in (0.0, 9.9, 10.0)] == [0, 0, 8]
+    reducer.reduce(0.0, Event.LINK_OPENED)
+    reducer.reduce(0.0, Event.INTERPRETER_READY, True, 0.0)
+    assert [reducer.free_capacity(at) for at in (0.0, 5.0, 10.0)] == [2, 5, 8]
+    assert [reducer.advertised_capacity(at) for at in (0.0, 9.9, 10.0)] == [0, 0, 8]
