--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -31,7 +31,8 @@
 from rich.table import Table
 
 from mulleinhatch.admission.interface import Ending, Verb
-from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.block import Builder
--- /dev/null
+++ b/mulleinhatch/instance/request_state_machine/arrivals.py
@@ -0,0 +1,212 @@
+"""Arriving requests: validation, duplicates, retries that may already have executed."""
+
+from __future__ import annotations
+
+import math
+
+from mulleinhatch.instance.request_state_machine.events import Action
+from mulleinhatch.instance.request_state_machine.state import ReducerState
+from mulleinhatch.instance.request_state_machine.tables import PendingRequest
+from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, likeness
+from mulleinhatch.instance.retry_storms.request_log import fingerprint
+
+MAX_PARKED_S = 1.0  # seconds that a retry waits for a word on its twin: a run and the next request of its caller
+PARKED_MARGIN_S = 0.5  # and no longer than leaves the module time to decide on it
+
+
+class RequestArrivals(ReducerState):
+    """Admits arriving requests to the controller, or answers them at once."""
+
+    def _request_received(
+        self,
+        now: float,
+        connection_id: int,
+        request_id: str,
+        request_type: str,
+        tenant: str,
+        age_s: float,
+        remaining_wait_s: float,
+        client_id: int,
+        cost_s: float,
+        memory_kb: float,
+        is_retry: bool,
+        key: str,
+        body: bytes,
+        rank: float = 0.0,
+        is_handed_over: bool = False,
+    ) -> None:
+        self.counts["ops_read"] += 1
+        if self.storms:
+            self.storms.runs.asks_again(connection_id)
+        if request_type not in self.request_types:
+            self.actions.append((Action.SEND_INVALID, connection_id, "op type"))
+        elif self.tenants and tenant not in self.tenants:
+            self.actions.append((Action.SEND_INVALID, connection_id, "tenant"))
+        elif request_id in self.requests:
+            self._move_to_new_connection(connection_id, request_id, request_type, tenant, body)
+        elif self.controller is None:
+            self.actions.append((Action.SEND_REJECTION, connection_id, 0.0, False, self.advice_level))
+        elif self.completed_ids.seen(now, request_id):
+            self._answer_completed_id(connection_id, request_id, fingerprint(0, request_type, tenant, key, body))
+        elif self._is_key_in_use(now, now - age_s, request_type, tenant, key, body):
+            self.actions.append((Action.SEND_INVALID, connection_id, "key in use"))
+        else:
+            arguments = (request_type, tenant, age_s, remaining_wait_s, client_id, cost_s, memory_kb, is_retry, key, rank)
+            request = self.requests[request_id] = PendingRequest(
+                request_id, connection_id, request_type, tenant, key, body, now - age_s, now + (remaining_wait_s or math.inf)
+            )
+            self.request_by_connection[connection_id] = request_id
+            if self.keeps_handover_data:
+                request.handover_data, request.is_from_peer = (
+                    (now - age_s, client_id, cost_s, memory_kb, is_retry, rank),
+                    is_handed_over,
+                )
+                self.counts["ops_from_peers"] += is_handed_over
+            like = likeness(client_id, request_type, tenant, key, body, rank, cost_s, memory_kb) if self.storms else None
+            if (
+                like
+                and is_retry
+                and request_type in self.non_retryable_types
+                and self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now))
+            ):
+                return self._park_retry(now, request, like, arguments)
+            self._admit(now, request, like, *arguments)
+
+    def _health_check_received(self, now: float, connection_id: int) -> None:
+        self.counts["checks"] += 1
+        if self.storms:
+            self.storms.runs.asks_again(connection_id)
+        self.actions.append((Action.SEND_HEALTH, connection_id, self.healthy, self.advice_level))
+
+    def _client_disconnected(self, now: float, connection_id: int) -> None:
+        request_id = self.request_by_connection.get(connection_id)
+        if request_id is None:
+            return
+        self.counts["callers_lost"] += 1
+        request = self.requests[request_id]
+        self._detach_connection(request)
+        self.controller.record_abandonment(now, request_id)
+        self._remove_if_finished(now, request)
+
+    def _admit(
+        self,
+        now: float,
+        request: PendingRequest,
+        like: Likeness | None,
+        request_type: str,
+        tenant: str,
+        age_s: float,
+        remaining_wait_s: float,
+        client_id: int,
+        cost_s: float,
+        memory_kb: float,
+        is_retry: bool,
+        key: str,
+        rank: float,
+    ) -> None:
+        if request_type in self.duplicate_windows:
+            request.duplicate_of = self._find_original(now, request)
+        if self.on_tenant_request:
+            self.on_tenant_request(now, tenant)
+        if self.on_client_request and not request.is_from_peer:
+            self.on_client_request(now, cost_s)
+        if self.storms:
+            repeat, request.fingerprints = self.storms.tries.read(now, like, is_retry, request_type in self.non_retryable_types)
+            self.storms.read(now, client_id, repeat, age_s)
+            self.storms.counts["repeats_unmarked"] += repeat and not is_retry
+            is_retry = is_retry or repeat and self.storms.on  # unmarked, it is one more of those that crowd
+        self.controller.record_arrival(
+            now,
+            request.request_id,
+            self.request_types[request_type],
+            age_s,
+            remaining_wait_s,
+            self.tenants.get(tenant, 0),
+            request.duplicate_of,
+            client_id,
+            cost_s,
+            memory_kb,
+            is_retry,
+        )
+        if request.is_from_peer:
+            self.controller.mark_received_from_peer(now, request.request_id)
+
+    def _is_key_in_use(self, now: float, arrived_at: float, request_type: str, tenant: str, key: str, body: bytes) -> bool:
+        """A keyed op that comes with the key of another one is nobody's repeat: answered from that one's result it would
+        have what no run made for it, and run it might have an effect twice."""
+        scope = request_type, tenant, key
+        if request_type not in self.duplicate_windows or not self.keys.is_known(scope):
+            return False
+        request_id = self.keys.find_original(scope, arrived_at, now)
+        return bool(request_id) and not self.keys.matches(request_id, fingerprint(0, request_type, tenant, key, body))
+
+    def _find_original(self, now: float, request: PendingRequest) -> str:
+        """The op that a keyed one repeats. One that has not run yet may be given up, and this one stand in its place: a
+        later repeat must find it, so that one's time counts from here."""
+        if not request.key or not (request_id := self.keys.find_original(request.key_scope, request.arrived_at, now)):
+            return ""
+        leader = self.requests.get(request_id)
+        if leader and not leader.may_have_run:
+            self.keys.extend_window(request_id, request.arrived_at + self.duplicate_windows[request.request_type][0])
+        return request_id
+
+    def _answer_completed_id(self, connection_id: int, request_id: str, fingerprints: bytes) -> None:
+        """The id of an op that ran and was answered: its caller did not get the answer, and must not have it run again. A
+        stranger that uses the id must not have its result."""
+        self.counts["ops_sent_again"] += 1
+        result = self.keys.result(request_id)
+        if result is None or not self.keys.matches(request_id, fingerprints):
+            self.actions.append((Action.SEND_FAILURE, connection_id, self.advice_level))
+        else:
+            self.actions.append((Action.SEND_RESULT, connection_id, result, self.advice_level))
+
+    def _move_to_new_connection(self, connection_id: int, request_id: str, *identity: object) -> None:
+        """The same try on another connection, as it crossed the close of its first: it moves there. Anything
+        else under the id of an open op is a stranger's, who must not get its answer nor end its wait."""
+        request = self.requests[request_id]
+        self.counts["ops_sent_again"] += 1
+        if identity != request.identity:
+            self.actions.append((Action.SEND_INVALID, connection_id, "id in use"))
+        elif request.connection_id is None:
+            self.actions.append((Action.SEND_FAILURE, connection_id, self.advice_level))
+        else:
+            self.request_by_connection.pop(request.connection_id, None)
+            self.actions.append((Action.ABANDON_CONNECTION, request.connection_id))
+            request.connection_id, self.request_by_connection[connection_id] = connection_id, request_id
+
+    def _park_retry(self, now: float, request: PendingRequest, like: Likeness, arguments: tuple) -> None:
+        """A marked retry of a non-retryable op that may have run here. With the figures of that run it is its retry, and
+        fails: nobody can tell it that the first had its effect, and a second one is what must not be. With others it
+        waits a moment, until the answer of its twin is known to have been read: then it is another op for certain."""
+        until = min(now + MAX_PARKED_S, request.deadline - PARKED_MARGIN_S)
+        if self.storms.runs.doubt(now, like, True) or until <= now:
+            return self._fail_possible_second_run(request, like, now)
+        self.parked_retries[request.request_id] = until, now, request, like, arguments
+        self.actions.append((Action.SET_TIMER, until - now, 0))
+
+    def _resolve_parked_retries(self, now: float) -> None:
+        for request_id, (until, since, request, like, arguments) in list(self.parked_retries.items()):
+            if request.connection_id is None:
+                del self.parked_retries[request_id]  # its caller is gone
+            elif not self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now)):
+                del self.parked_retries[request_id]
+                self.storms.counts["retries_told_apart"] += 1
+                request_type, tenant, age_s, remaining_wait_s, *more = arguments
+                self._admit(
+                    now,
+                    request,
+                    like,
+                    request_type,
+                    tenant,
+                    age_s + now - since,
+                    remaining_wait_s and remaining_wait_s - (now - since),
+                    *more,
+                )
+            elif now >= until:
+                del self.parked_retries[request_id]
+                self._fail_possible_second_run(request, like, now)
+
+    def _fail_possible_second_run(self, request: PendingRequest, like: Likeness, now: float) -> None:
+        self.counts["repeats_of_run"] += 1
+        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(now, like.plain)  # perhaps a twin's
+        self._respond(now, request, Action.SEND_FAILURE)
--- /dev/null
+++ b/mulleinhatch/instance/request_state_machine/interpreter_session.py
@@ -0,0 +1,66 @@
+"""The link to the interpreter: numbered notices, lost notices, reconnects."""
+
+from __future__ import annotations
+
+import math
+
+from mulleinhatch.admission.interface import Ending
+from mulleinhatch.instance.request_state_machine.events import Action
+from mulleinhatch.instance.request_state_machine.runs import RunTracker
+
+RUN_GAP_S = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
+MAX_NOTICE_GAP = 4000  # by the interpreter: a number further on than that is no next one
+
+
+class InterpreterSession(RunTracker):
+    """Tracks which numbered notices of the interpreter were received."""
+
+    def _link_opened(self, now: float) -> None:
+        if self.storms:
+            self.storms.watch.outage(now)
+        self.is_link_new = True
+        self.actions.append((Action.GREET_INTERPRETER, self.last_notice))
+        self.resync_mark = math.inf
+
+    def _malformed_line_received(self, now: float) -> None:
+        """Where the next line begins is open, so the link is made anew, and what was missed comes again. What
+        comes broken again is passed over, or nothing behind it would be read."""
+        if self.last_notice > self.reconnected_at_notice:
+            self.reconnected_at_notice = self.last_notice
+            self.actions.append((Action.RECONNECT_LINK,))
+
+    def _other_notice_received(self, now: float, number: int) -> None:
+        self._accept_notice(now, number, "")
+
+    def _run_ended(self, now: float, number: int, request_id: str, ending: Ending, result: bytes) -> None:
+        if not self._accept_notice(now, number, request_id):
+            return
+        if self.storms and now - max(self.last_run_end_at, self.idle_until) > RUN_GAP_S:
+            self.storms.watch.outage(now)
+        self.last_run_end_at = now
+        self._end_run(now, request_id, ending, result)
+
+    def _accept_notice(self, now: float, number: int, request_id: str) -> bool:
+        """Of a numbered notice. One whose number is no next one is believed only of a run in hand: taken at its word, no notice
+        after it would be believed any more."""
+        if number <= self.last_notice:
+            self.counts["notices_repeated"] += 1
+            return False
+        self.interpreter_message_at = now
+        if self.is_link_new and number > self.last_notice + 1:
+            self._handle_lost_notices(now)
+        self.is_link_new = False
+        if number <= self.last_notice + MAX_NOTICE_GAP:
+            self.last_notice = number
+            return True
+        self.counts["notices_strange"] += 1
+        return request_id in self.requests
+
+    def _handle_lost_notices(self, now: float) -> None:
+        """More came while there was no link than the interpreter keeps. Which runs ended nobody can tell: they may not run
+        again, and those that nobody waits for any more, or will when their time is over, must not keep their places."""
+        self.counts["notices_lost"] += 1
+        for request in list(self.requests.values()):
+            request.is_run_end_unknown = request.running and request.request_id not in self.unconfirmed_runs
+            if request.is_run_end_unknown and request.connection_id is None:
+                self._end_run(now, request.request_id, Ending.ERROR, b"")
--- /dev/null
+++ b/mulleinhatch/instance/request_state_machine/peers.py
@@ -0,0 +1,109 @@
+"""Peers: handing requests over, capacity reported to them, budgets and load reported by them."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from typing import Any
+
+from mulleinhatch.admission import NOT_EXECUTED_ENDINGS
+from mulleinhatch.admission.interface import Decision, Ending
+from mulleinhatch.instance.request_state_machine.events import Action
+from mulleinhatch.instance.request_state_machine.runs import RunTracker
+from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness
+from mulleinhatch.invariants import must_hold
+
+
+class PeerHandover(RunTracker):
+    """Hands requests over to peers and reports capacity to them."""
+
+    def _tenant_budget_changed(self, now: float, tenant: str, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+        """Before the module is there it is kept for it: a tenant with a total must never run without its part."""
+        self.tenant_budgets[tenant, window > 0.0] = window, pieces
+        if self.controller and tenant in self.tenants:
+            self.controller.set_tenant_budget(now, self.tenants[tenant], window, pieces)
+
+    def _peer_load_changed(self, now: float, *arguments: Any) -> None:
+        self.peer_load = arguments
+        if self.controller:
+            self.controller.update_peer_load(now, *arguments)
+
+    def _peer_offers_changed(self, now: float, count: int) -> None:
+        if self.controller:
+            self.controller.set_peer_offers(now, count)
+
+    def _handover_ended(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
+        """Its answer is the peer's. A nack, or a peer that was never reached, says that it did not run there; a link that
+        broke says nothing, and what may not run twice fails. What its caller no longer waits for is only closed."""
+        request = self.requests.get(request_id)
+        if request is None or not request.is_handed_over:
+            return
+        request.is_handed_over = False
+        self.handed_over_count -= 1
+        self.counts["hand_" + ending.name.lower()] += 1
+        unrun = ending in NOT_EXECUTED_ENDINGS
+        request.may_have_run = request.may_have_run and not unrun
+        if unrun and self.storms:
+            self.storms.runs.settled(request_id)
+        if request.connection_id is None:
+            self._remove_if_finished(now, request)
+            return
+        self.controller.record_handover_end(now, request_id, ending)
+        if not unrun and not (ending is Ending.INTERRUPTED and request.request_type in self.retryable_types):
+            self._respond_to_run(now, request, ending, result)
+
+    def _do_hand_over(self, now: float, decision: Decision) -> None:
+        request = self.requests.get(decision.ref)
+        must_hold(
+            request and request.handover_data and request.connection_id is not None and not request.running,
+            "only an op that is held is handed over",
+        )
+        if request:
+            request.is_handed_over = request.may_have_run = True
+            self.handed_over_count += 1
+            if self.storms and request.request_type in self.non_retryable_types:
+                self.storms.runs.started(now, request.request_id, Likeness(*request.fingerprints), request.deadline)
+            arrived_at, *figures = request.handover_data
+            left = request.deadline - now if request.deadline < math.inf else 0.0
+            self.actions.append(
+                (
+                    Action.HAND_OVER,
+                    request.request_id,
+                    request.request_type,
+                    request.tenant,
+                    request.body,
+                    now - arrived_at,
+                    left,
+                    *figures,
+                    request.key,
+                )
+            )
+
+    def warmth(self, now: float) -> float:
+        """The share of its speed that it has at the slowest warming; 1 once it is warm."""
+        left = (self.warmed_up_at - now) / self.deployment["cold_for"] if now < self.warmed_up_at else 0.0
+        return 1.0 - (1.0 - self.deployment.get("cold_speed", 1.0)) * min(1.0, left)
+
+    def free_capacity(self, now: float) -> int:
+        """Ops that could start here at once; none where this instance should not be asked for more. While it is cold its places
+        count for the share of its speed that it has: what all peers together send on our word is bounded by our word alone."""
+        if self.controller is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.on:
+            return 0
+        return max(0, max(1, int(self.controller.limit * self.warmth(now))) - len(self.requests) + self.handed_over_count)
+
+    def advertised_capacity(self, now: float) -> int:
+        """As others hear of it, who may guess by it, each for itself: none while it is cold, when their sum would fell it."""
+        return 0 if now < self.warmed_up_at else self.free_capacity(now)
+
+    def transferable_count(self) -> int:
+        """Ops held here that might go to a peer."""
+        return sum(
+            not (
+                request.running
+                or request.is_handed_over
+                or request.is_from_peer
+                or request.connection_id is None
+                or request.request_type in self.duplicate_windows
+            )
+            for request in self.requests.values()
+        )
--- /dev/null
+++ b/mulleinhatch/instance/request_state_machine/runs.py
@@ -0,0 +1,169 @@
+"""Runs of requests: start, end, result, and the answers to their duplicates."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from mulleinhatch.admission.interface import Decision, Ending
+from mulleinhatch.instance.request_state_machine.events import Action
+from mulleinhatch.instance.request_state_machine.state import ReducerState
+from mulleinhatch.instance.request_state_machine.tables import PendingRequest
+from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness
+from mulleinhatch.instance.retry_storms.request_log import fingerprint
+from mulleinhatch.invariants import must_hold
+
+RUN_END_COUNTERS = {ending: "run_" + ending.name.lower() for ending in Ending}
+
+
+class RunTracker(ReducerState):
+    """Starts runs at the interpreter and answers clients when runs end."""
+
+    def _run_rejected(self, now: float, request_id: str) -> None:
+        """No op that came to the machine: its sender is refused, and nothing that ran is measured by it."""
+        self.counts["runs_unknown"] += 1
+        if request := self.requests.get(request_id):
+            if request.connection_id is not None:
+                self.actions.append((Action.SEND_INVALID, request.connection_id, "op id"))
+                self._detach_connection(request)
+            request.may_have_run = False
+            self._end_run(now, request_id, Ending.MOOT, b"")
+            self.keys.forget(request_id)  # nothing ran for its key
+
+    def _unreadable_run_end_received(self, now: float, request_id: str) -> None:
+        self.counts["runs_spoilt"] += 1
+        self._end_run(now, request_id, Ending.ERROR, b"")
+
+    def _gauges_received(self, now: float, mark: int, gauge_readings: Sequence[float]) -> None:
+        """A run that was asked for before gauges that have come is with the interpreter, unless a link was
+        lost between: behind the mark set then, it never arrived."""
+        if mark > self.last_gauge_mark:
+            self.counts["notices_strange"] += 1  # nobody asked for these: what it would confirm may be under way
+            return
+        self.gauge_readings, self.gauges_read_at, self.interpreter_message_at = gauge_readings, now, now
+        before = [request_id for request_id, asked in self.unconfirmed_runs.items() if asked < mark]
+        went_on = [request_id for request_id, (asked, _) in self.unconfirmed_resumes.items() if asked < mark]
+        if mark < self.resync_mark:
+            return
+        for request_id in before:
+            del self.unconfirmed_runs[request_id]
+            if self.resync_mark:
+                self.counts["runs_asked_again"] += 1
+                self._start_run(self.requests[request_id])
+        for request_id in went_on:
+            _, action = self.unconfirmed_resumes.pop(request_id)
+            if self.resync_mark:
+                self.counts["calls_told_again"] += 1
+                self._resume_run(request_id, action)
+        self.resync_mark = 0
+
+    def _do_run(self, now: float, decision: Decision) -> None:
+        request = self.requests.get(decision.ref)
+        must_hold(request and not request.running, "only an op that is held is run")
+        if request:
+            if not self.run_count:
+                self.idle_until = now
+            self.run_count += 1
+            request.running, request.run_started_at, request.may_have_run = True, now, True
+            if self.storms and request.request_type in self.non_retryable_types:
+                self.storms.runs.started(now, request.request_id, Likeness(*request.fingerprints), request.deadline)
+            self._start_run(request)
+
+    def _do_reject(self, now: float, decision: Decision) -> None:
+        request = self.requests.get(decision.ref)
+        must_hold(request and not request.running and request.connection_id is not None, "only an op that never ran is nacked")
+        if request:
+            seconds = decision.seconds
+            if self.storms:
+                self.storms.tries.nacked(now, request.fingerprints)
+                if seconds > 0.0:
+                    seconds = self.storms.come_back(now, seconds, False)
+            self._respond(now, request, Action.SEND_REJECTION, seconds, decision.flag)
+
+    def _do_fail(self, now: float, decision: Decision) -> None:
+        request = self.requests.get(decision.ref)
+        must_hold(request and request.connection_id is not None, "only an op that is owed an answer fails")
+        if request:
+            self._respond(now, request, Action.SEND_FAILURE)
+            if request.is_run_end_unknown and request.running:
+                self._end_run(now, request.request_id, Ending.ERROR, b"")
+
+    def _do_keep(self, now: float, decision: Decision) -> None:
+        if (request := self.requests.get(decision.ref)) and request.key:
+            fingerprints = fingerprint(0, request.request_type, request.tenant, request.key, request.body)
+            self.keys.remember(
+                request.key_scope,
+                request.request_id,
+                fingerprints,
+                now + decision.seconds,
+                self.duplicate_windows[request.request_type][1],
+            )
+
+    def _do_forget(self, now: float, decision: Decision) -> None:
+        self.keys.forget(decision.ref)
+
+    def _do_answer_from(self, now: float, decision: Decision) -> None:
+        if request := self.requests.get(decision.ref):
+            self._answer_duplicate(now, request)
+
+    def _start_run(self, request: PendingRequest) -> None:
+        self.unconfirmed_runs[request.request_id] = self.last_gauge_mark
+        self.actions.append((Action.START_RUN, request.request_id, request.request_type, request.body))
+
+    def _resume_run(self, request_id: str, action: tuple) -> None:
+        """Kept until gauges confirm it, as a run is: lost with a link, the run would wait for ever."""
+        self.unconfirmed_resumes[request_id] = self.last_gauge_mark, action
+        self.actions.append(action)
+
+    def _end_run(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
+        request = self.requests.get(request_id)
+        self.unconfirmed_runs.pop(request_id, None)
+        self.unconfirmed_resumes.pop(request_id, None)
+        if request is None or not request.running:
+            self.counts["endings_unexpected"] += 1
+            return
+        request.running = False
+        self.run_count -= 1
+        if ending is Ending.MOOT and self.storms:
+            self.storms.runs.settled(request_id)
+        if ending is Ending.STOPPED and request.connection_id is not None:
+            ending = Ending.ERROR  # nobody here stopped it, and the module would take it for paused
+        self.counts[RUN_END_COUNTERS[ending]] += 1
+        if self.on_run_ended and ending in (Ending.OK, Ending.ERROR):
+            self.on_run_ended(
+                now,
+                now - request.run_started_at,
+                request.handover_data[2] if request.handover_data else 0.0,
+                ending is Ending.ERROR,
+            )
+        self._record_run_end(now, request, ending, result)
+        for follower in self.followers.pop(request_id, ()):
+            if follower in self.requests:
+                self._answer_duplicate(now, self.requests[follower])
+
+    def _answer_duplicate(self, now: float, request: PendingRequest) -> None:
+        """By the result of the op that it repeats, at once or when that has run. Where that one was given up unrun, another
+        repeat of it may stand in its place."""
+        leaders = (request.duplicate_of, self.keys.find_original(request.key_scope, request.arrived_at, now))
+        for leader in leaders:
+            if (result := self.keys.result(leader)) is not None:
+                return self._record_run_end(now, request, Ending.OK, result)
+        for leader in leaders:
+            if leader in self.requests and self.requests[leader].running:
+                self.followers.setdefault(leader, []).append(request.request_id)
+                return
+        self._record_run_end(now, request, Ending.ERROR, b"")
+
+    def _record_run_end(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
+        """The end of a run, its own or that of the op it repeats, for the module, the keys and the caller."""
+        self.controller.record_run_end(now, request.request_id, ending)
+        self._respond_to_run(now, request, ending, result)
+
+    def _respond_to_run(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
+        if ending is Ending.OK:
+            self.keys.store_result(request.request_id, result)
+            if self.storms and request.connection_id is not None:
+                self.storms.tries.acked(now, request.fingerprints)
+                self.storms.runs.acked(now, request.request_id, request.connection_id)
+            self._respond(now, request, Action.SEND_RESULT, result)
+        else:
+            self._respond(now, request, Action.SEND_FAILURE)
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
-from mulleinhatch.instance.request_state_machine.reducer import Event
+from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http_grammar
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -12,7 +12,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import http_peers
-from mulleinhatch.instance.request_state_machine.reducer import Event
+from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
 LOG = logging.getLogger(__name__)
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -17,7 +17,8 @@
 from mulleinhatch.instance.gossip.counters import FIGURES, MOST_LOUD
 from mulleinhatch.instance.gossip.heavy_hitters import Loudest
 from mulleinhatch.instance.gossip.messages import LEVELS, MOST_BYTES, STATES
-from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 
 if TYPE_CHECKING:
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -13,7 +13,8 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import reports
-from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import Tasks
 from mulleinhatch.instance.runtime.caller_listener import HttpFront
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -7,7 +7,7 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import link
-from mulleinhatch.instance.request_state_machine.reducer import Event
+from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.transport.link import Link
 
 LOG = logging.getLogger(__name__)
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -14,7 +14,8 @@
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
 from mulleinhatch.instance.protocol import http_peers
-from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from mulleinhatch.instance.request_state_machine.reducer import Event
+from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.simulation.fault_search.histories import FIRST, History
 from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -14,7 +14,8 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Deployment, Effect, Ending
-from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 
 USUAL = StormBounds()
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -20,7 +20,8 @@
 from mulleinhatch.instance.load_balancing.bounds import SpreadBounds
 from mulleinhatch.instance.load_balancing.core import Here, Spread
 from mulleinhatch.instance.load_balancing.offers import Offered
-from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -8,7 +8,9 @@
 
 from mulleinhatch.admission.interface import Effect, Ending
 from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_figures, parse_request
-from mulleinhatch.instance.request_state_machine.reducer import MAX_PARKED_S, Action, Event, Reducer
+from mulleinhatch.instance.request_state_machine.arrivals import MAX_PARKED_S
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
 from mulleinhatch.simulation.instance_world import Weather, World
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -14,7 +14,8 @@
 
 from mulleinhatch.admission.interface import Decision, Effect, Verb
 from mulleinhatch.instance.protocol import http_peers, http_requests
-from mulleinhatch.instance.request_state_machine.reducer import Action, Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STEADY_ENOUGH
 from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, judged, of_fleet
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -11,7 +11,8 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_request, parse_request
-from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
 from mulleinhatch.instance.retry_storms.calendar import Calendar
--- a/tests/test_warm_up_load.py
+++ b/tests/test_warm_up_load.py
@@ -5,7 +5,8 @@
 import pytest
 
 from mulleinhatch.admission.interface import Effect
-from mulleinhatch.instance.request_state_machine.reducer import Event, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.simulation.gossip_world import Plan
 from mulleinhatch.simulation.load_balancing_world import Load, SpreadWorld
 
