--- a/mulleinhatch/instance/request_state_machine/__init__.py
+++ b/mulleinhatch/instance/request_state_machine/__init__.py
@@ -1,1 +1,1 @@
-"""The one reducer between what happens and what is to be done, with the tables of ops and keys. No I/O."""
+"""The state machine of a service instance: events in, actions out. No I/O."""
--- a/mulleinhatch/instance/request_state_machine/arrivals.py
+++ b/mulleinhatch/instance/request_state_machine/arrivals.py
@@ -10,8 +10,8 @@
 from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, likeness
 from mulleinhatch.instance.retry_storms.request_log import fingerprint
 
-MAX_PARKED_S = 1.0  # seconds that a retry waits for a word on its twin: a run and the next request of its caller
-PARKED_MARGIN_S = 0.5  # and no longer than leaves the module time to decide on it
+MAX_PARKED_S = 1.0  # how long a retry waits for proof that it is none: a run and the client's next request
+PARKED_MARGIN_S = 0.5  # before its deadline, so that the admission controller has time to decide
 
 
 class RequestArrivals(ReducerState):
@@ -35,6 +35,10 @@
         rank: float = 0.0,
         is_handed_over: bool = False,
     ) -> None:
+        """Validate a request and admit it, unless it can be answered at once.
+
+        The arguments are not one object: this is the most frequent event, and they come from the parser as they are.
+        """
         self.counts["ops_read"] += 1
         if self.storms:
             self.storms.runs.asks_again(connection_id)
@@ -73,12 +77,14 @@
             self._admit(now, request, like, *arguments)
 
     def _health_check_received(self, now: float, connection_id: int) -> None:
+        """Answer a health check."""
         self.counts["checks"] += 1
         if self.storms:
             self.storms.runs.asks_again(connection_id)
         self.actions.append((Action.SEND_HEALTH, connection_id, self.healthy, self.advice_level))
 
     def _client_disconnected(self, now: float, connection_id: int) -> None:
+        """Record that the client gave the request up."""
         request_id = self.request_by_connection.get(connection_id)
         if request_id is None:
             return
@@ -104,6 +110,7 @@
         key: str,
         rank: float,
     ) -> None:
+        """Pass the request to the admission controller, with what is known of its duplicates."""
         if request_type in self.duplicate_windows:
             request.duplicate_of = self._find_original(now, request)
         if self.on_tenant_request:
@@ -114,7 +121,7 @@
             repeat, request.fingerprints = self.storms.tries.read(now, like, is_retry, request_type in self.non_retryable_types)
             self.storms.read(now, client_id, repeat, age_s)
             self.storms.counts["repeats_unmarked"] += repeat and not is_retry
-            is_retry = is_retry or repeat and self.storms.on  # unmarked, it is one more of those that crowd
+            is_retry = is_retry or repeat and self.storms.on  # an unmarked retry adds to the storm as well
         self.controller.record_arrival(
             now,
             request.request_id,
@@ -132,8 +139,11 @@
             self.controller.mark_received_from_peer(now, request.request_id)
 
     def _is_key_in_use(self, now: float, arrived_at: float, request_type: str, tenant: str, key: str, body: bytes) -> bool:
-        """A keyed op that comes with the key of another one is nobody's repeat: answered from that one's result it would
-        have what no run made for it, and run it might have an effect twice."""
+        """Return whether the idempotency key belongs to another, different request.
+
+        Such a request is not a duplicate: answered from the other's result it would get a result that was not made for it,
+        and executed it might take effect twice.
+        """
         scope = request_type, tenant, key
         if request_type not in self.duplicate_windows or not self.keys.is_known(scope):
             return False
@@ -141,8 +151,11 @@
         return bool(request_id) and not self.keys.matches(request_id, fingerprint(0, request_type, tenant, key, body))
 
     def _find_original(self, now: float, request: PendingRequest) -> str:
-        """The op that a keyed one repeats. One that has not run yet may be given up, and this one stand in its place: a
-        later repeat must find it, so that one's time counts from here."""
+        """Return the id of the request that this one duplicates, or an empty string.
+
+        An original that has not run may still be given up, and this request may take its place. A later duplicate must find
+        it then, so the window is extended from this arrival.
+        """
         if not request.key or not (request_id := self.keys.find_original(request.key_scope, request.arrived_at, now)):
             return ""
         leader = self.requests.get(request_id)
@@ -151,8 +164,11 @@
         return request_id
 
     def _answer_completed_id(self, connection_id: int, request_id: str, fingerprints: bytes) -> None:
-        """The id of an op that ran and was answered: its caller did not get the answer, and must not have it run again. A
-        stranger that uses the id must not have its result."""
+        """Answer a request whose id was already executed and answered.
+
+        Its client did not receive the answer, and the request must not execute again. Another client that uses the id must
+        not get the result.
+        """
         self.counts["ops_sent_again"] += 1
         result = self.keys.result(request_id)
         if result is None or not self.keys.matches(request_id, fingerprints):
@@ -161,8 +177,10 @@
             self.actions.append((Action.SEND_RESULT, connection_id, result, self.advice_level))
 
     def _move_to_new_connection(self, connection_id: int, request_id: str, *identity: object) -> None:
-        """The same try on another connection, as it crossed the close of its first: it moves there. Anything
-        else under the id of an open op is a stranger's, who must not get its answer nor end its wait."""
+        """Continue an open request on another connection: it was sent again while its first connection closed.
+
+        A different request under the same id comes from another client, which must not get the answer nor end the wait for it.
+        """
         request = self.requests[request_id]
         self.counts["ops_sent_again"] += 1
         if identity != request.identity:
@@ -175,9 +193,12 @@
             request.connection_id, self.request_by_connection[connection_id] = connection_id, request_id
 
     def _park_retry(self, now: float, request: PendingRequest, like: Likeness, arguments: tuple) -> None:
-        """A marked retry of a non-retryable op that may have run here. With the figures of that run it is its retry, and
-        fails: nobody can tell it that the first had its effect, and a second one is what must not be. With others it
-        waits a moment, until the answer of its twin is known to have been read: then it is another op for certain."""
+        """Delay a marked retry of a non-retryable request that may already have executed here.
+
+        If its cost figures are those of that run, it is the retry of it and fails: it cannot be told that the first one took
+        effect, and must not take effect twice. Otherwise it waits until the client is known to have read the answer of the
+        first one: then it is a different request for certain.
+        """
         until = min(now + MAX_PARKED_S, request.deadline - PARKED_MARGIN_S)
         if self.storms.runs.doubt(now, like, True) or until <= now:
             return self._fail_possible_second_run(request, like, now)
@@ -185,9 +206,10 @@
         self.actions.append((Action.SET_TIMER, until - now, 0))
 
     def _resolve_parked_retries(self, now: float) -> None:
+        """Admit parked retries that are proven to be different requests, and fail those whose time is up."""
         for request_id, (until, since, request, like, arguments) in list(self.parked_retries.items()):
             if request.connection_id is None:
-                del self.parked_retries[request_id]  # its caller is gone
+                del self.parked_retries[request_id]  # the client disconnected
             elif not self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now)):
                 del self.parked_retries[request_id]
                 self.storms.counts["retries_told_apart"] += 1
@@ -207,6 +229,9 @@
                 self._fail_possible_second_run(request, like, now)
 
     def _fail_possible_second_run(self, request: PendingRequest, like: Likeness, now: float) -> None:
+        """Fail a retry that might execute a second time."""
         self.counts["repeats_of_run"] += 1
-        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(now, like.plain)  # perhaps a twin's
+        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(
+            now, like.plain
+        )  # perhaps of a different request that looks the same
         self._respond(now, request, Action.SEND_FAILURE)
--- a/mulleinhatch/instance/request_state_machine/dependency_calls.py
+++ b/mulleinhatch/instance/request_state_machine/dependency_calls.py
@@ -11,7 +11,7 @@
     """Starts, ends and skips the calls that runs wait for."""
 
     def _call_requested(self, now: float, number: int, request_id: str, call_payload: bytes) -> None:
-        """A run waits for a call. So it is with the interpreter, and goes on from the call before."""
+        """Record that a run waits for a call, which confirms the run and its resumption from the call before."""
         request = self.requests.get(request_id)
         if not self._accept_notice(now, number, request_id) or request is None or not request.running:
             return
@@ -22,6 +22,7 @@
         self.controller.record_call_request(now, request_id)
 
     def _call_ended(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
+        """Resume the run with the result of its call."""
         request = self.requests.get(request_id)
         if request is None or not request.running:
             return
--- a/mulleinhatch/instance/request_state_machine/interpreter_session.py
+++ b/mulleinhatch/instance/request_state_machine/interpreter_session.py
@@ -8,14 +8,15 @@
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.runs import RunTracker
 
-RUN_GAP_S = 1.0  # seconds in which no run ended, though some were asked for: the interpreter stood still
-MAX_NOTICE_GAP = 4000  # by the interpreter: a number further on than that is no next one
+RUN_GAP_S = 1.0  # no run ended for so long although some were active: the interpreter was stalled
+MAX_NOTICE_GAP = 4000  # notices that the interpreter stores: a number further ahead is not the next one
 
 
 class InterpreterSession(RunTracker):
-    """Tracks which numbered notices of the interpreter were received."""
+    """Tracks which numbered notices of the interpreter were received, and reconnects when some may be lost."""
 
     def _link_opened(self, now: float) -> None:
+        """Greet the interpreter with the last notice received, so that it sends those after it again."""
         if self.storms:
             self.storms.watch.outage(now)
         self.is_link_new = True
@@ -23,8 +24,10 @@
         self.resync_mark = math.inf
 
     def _malformed_line_received(self, now: float) -> None:
-        """Where the next line begins is open, so the link is made anew, and what was missed comes again. What
-        comes broken again is passed over, or nothing behind it would be read."""
+        """Reconnect the link: it is unknown where the next line begins, and missed notices are sent again.
+
+        A line that is malformed again after the reconnect is skipped, or nothing after it would ever be read.
+        """
         if self.last_notice > self.reconnected_at_notice:
             self.reconnected_at_notice = self.last_notice
             self.actions.append((Action.RECONNECT_LINK,))
@@ -41,8 +44,14 @@
         self._end_run(now, request_id, ending, result)
 
     def _accept_notice(self, now: float, number: int, request_id: str) -> bool:
-        """Of a numbered notice. One whose number is no next one is believed only of a run in hand: taken at its word, no notice
-        after it would be believed any more."""
+        """Decide whether a numbered notice is new.
+
+        A number far beyond the next one is accepted only for a known request: if it were taken for the last number, no later
+        notice would be accepted.
+
+        Returns:
+            Whether the notice must be handled.
+        """
         if number <= self.last_notice:
             self.counts["notices_repeated"] += 1
             return False
@@ -57,8 +66,11 @@
         return request_id in self.requests
 
     def _handle_lost_notices(self, now: float) -> None:
-        """More came while there was no link than the interpreter keeps. Which runs ended nobody can tell: they may not run
-        again, and those that nobody waits for any more, or will when their time is over, must not keep their places."""
+        """Handle a gap: more notices were sent while the link was down than the interpreter stores.
+
+        It is unknown which runs ended. They must not execute again, and those that no client waits for, now or after their
+        deadline, must not occupy capacity.
+        """
         self.counts["notices_lost"] += 1
         for request in list(self.requests.values()):
             request.is_run_end_unknown = request.running and request.request_id not in self.unconfirmed_runs
--- a/mulleinhatch/instance/request_state_machine/peers.py
+++ b/mulleinhatch/instance/request_state_machine/peers.py
@@ -18,7 +18,7 @@
     """Hands requests over to peers and reports capacity to them."""
 
     def _tenant_budget_changed(self, now: float, tenant: str, window: float, pieces: Sequence[tuple[float, float]]) -> None:
-        """Before the module is there it is kept for it: a tenant with a total must never run without its part."""
+        """Set the part of a tenant's budget. Kept until the controller exists: a tenant must never run without its limit."""
         self.tenant_budgets[tenant, window > 0.0] = window, pieces
         if self.controller and tenant in self.tenants:
             self.controller.set_tenant_budget(now, self.tenants[tenant], window, pieces)
@@ -33,8 +33,11 @@
             self.controller.set_peer_offers(now, count)
 
     def _handover_ended(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
-        """Its answer is the peer's. A nack, or a peer that was never reached, says that it did not run there; a link that
-        broke says nothing, and what may not run twice fails. What its caller no longer waits for is only closed."""
+        """Handle a peer's answer to a request that was handed over.
+
+        A rejection, or a peer that was never reached, proves that the request did not execute there. A broken connection
+        proves nothing: a request that must not execute twice fails. If no client waits any more, the request is only removed.
+        """
         request = self.requests.get(request_id)
         if request is None or not request.is_handed_over:
             return
@@ -53,6 +56,7 @@
             self._respond_to_run(now, request, ending, result)
 
     def _do_hand_over(self, now: float, decision: Decision) -> None:
+        """Hand a waiting request over to a peer."""
         request = self.requests.get(decision.ref)
         must_hold(
             request and request.handover_data and request.connection_id is not None and not request.running,
@@ -80,23 +84,29 @@
             )
 
     def warmth(self, now: float) -> float:
-        """The share of its speed that it has at the slowest warming; 1 once it is warm."""
+        """Return the share of full speed that the instance has by the slowest warm-up; 1 once it is warm."""
         left = (self.warmed_up_at - now) / self.deployment["cold_for"] if now < self.warmed_up_at else 0.0
         return 1.0 - (1.0 - self.deployment.get("cold_speed", 1.0)) * min(1.0, left)
 
     def free_capacity(self, now: float) -> int:
-        """Ops that could start here at once; none where this instance should not be asked for more. While it is cold its places
-        count for the share of its speed that it has: what all peers together send on our word is bounded by our word alone."""
+        """Return how many requests could start here at once; 0 if this instance should get no more.
+
+        During warm-up the concurrency limit counts by the share of full speed: what all peers together send is bounded by
+        this number alone.
+        """
         if self.controller is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.on:
             return 0
         return max(0, max(1, int(self.controller.limit * self.warmth(now))) - len(self.requests) + self.handed_over_count)
 
     def advertised_capacity(self, now: float) -> int:
-        """As others hear of it, who may guess by it, each for itself: none while it is cold, when their sum would fell it."""
+        """Return the free capacity as reported to peers that guess by it independently of each other.
+
+        0 during warm-up: the sum of their guesses would overload this instance.
+        """
         return 0 if now < self.warmed_up_at else self.free_capacity(now)
 
     def transferable_count(self) -> int:
-        """Ops held here that might go to a peer."""
+        """Return how many waiting requests could be handed over to a peer."""
         return sum(
             not (
                 request.running
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -1,8 +1,7 @@
-"""The one place where state changes: a happening goes in, what is to be done comes out.
+"""The request state machine: one event goes in, the actions to perform come out.
 
-`reduce` tells the happening to the module, pulls its decisions until there is none, and gives the errands
-that carry them out, in order. It reads no clock and touches no socket; places are the numbers of the
-connections that wait for an answer.
+No I/O and no clock: the caller passes the monotonic time in seconds with each event. Requests that wait for an answer are
+known by the number of their connection.
 """
 
 from __future__ import annotations
@@ -20,11 +19,26 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.invariants import must_hold
 
-GAUGES_VALID_S = 1.0  # seconds: gauges that stopped coming tell nothing of the cores now
+GAUGES_VALID_S = 1.0  # older gauges say nothing about the current load of the cores
 
 
 class Reducer(RequestArrivals, RetryStormControl, DependencyCalls, PeerHandover):
-    """
+    """The only place where the state of a service instance changes.
+
+    `reduce` passes an event to the admission controller, takes the controller's decisions until there are none, and returns
+    the actions that carry them out, in order. Actions are plain tuples of an `Action` and its fields: a few are made for
+    every request, and an object for each would cost processor time.
+
+    Args:
+        deployment: Facts about the machine and the request types.
+        request_types: Names of the request types, in the order of `deployment["op_types"]`.
+        tenants: Names of the tenants; empty if requests carry no tenant.
+        seed: Seed of the random draws.
+        storms: Bounds of the retry storm detection; None disables it.
+        record: Wraps the admission controller, to record its calls. Called with the controller, the time, whether the
+        interpreter
+            started cold, and when it started.
+
     >>> reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], seed=7)
     >>> def happens(now, *arguments):
     ...     return [(action.value, *more) for action, *more in reducer.reduce(now, *arguments)]
@@ -53,7 +67,17 @@
         }
 
     def reduce(self, now: float, event: Event, *arguments: object) -> list[tuple]:
-        """The errands stay in `actions` until the next happening, for a host that meets an error here."""
+        """Handle one event.
+
+        Args:
+            now: Monotonic time in seconds.
+            event: What happened.
+            arguments: As listed beside the members of `Event`.
+
+        Returns:
+            The actions to perform, in order. They also stay in `actions` until the next event, for a caller that catches an
+            exception from here and must still perform those made before it.
+        """
         self.actions = []
         self.event_handlers[event](now, *arguments)
         if self.storms and self.controller:
@@ -67,11 +91,17 @@
         return self.actions
 
     def _interpreter_ready(self, now: float, cold: bool, since: float) -> None:
-        """The gauges that are asked for here come after all notices that were missed: only then is it known
-        which runs asked for last never arrived. Asked before the interpreter is up, they never come."""
+        """Create the admission controller, or handle a reconnect or a restart of the interpreter.
+
+        The gauges requested here arrive after all missed notices. Only then is it known which of the last runs never reached
+        the interpreter. Requested before the interpreter is ready, they would never arrive.
+        """
         if self.controller is None:
             if self.record:
-                now, since = round(now, 6), round(since, 6)  # what is kept is what the module hears
+                now, since = (
+                    round(now, 6),
+                    round(since, 6),
+                )  # the recording keeps microseconds: a replay must see the same times
             self.controller = AdmissionController({**self.deployment, "fresh_start": cold}, self.seed, now - since)
             if cold:
                 self.warmed_up_at = now - since + self.deployment.get("cold_for", 0.0)
@@ -86,9 +116,9 @@
             if self.dependency_share is not None:
                 self._dependency_share_changed(now, self.dependency_share)
         elif now - since > self.interpreter_message_at:
-            # It began after the last word of the one before: it is another interpreter.
+            # It started after the last message of the previous one, so it is another process.
             if self.last_notice:
-                # The greeting named a notice of the one before: this one keeps to itself what it says up to that number.
+                # The greeting named a notice of the previous process: the new one would withhold its notices up to that number.
                 self.actions.append((Action.RECONNECT_LINK,))
             self.last_notice, self.reconnected_at_notice, self.interpreter_message_at = 0, -1, now
             for request in [request for request in self.requests.values() if request.running]:
@@ -98,11 +128,13 @@
         self.resync_mark = self.last_gauge_mark
 
     def _timer_expired(self, now: float, token: int) -> None:
+        """Wake the admission controller, with the gauges if they are recent."""
         if self.controller and token:
             fresh = now - self.gauges_read_at <= GAUGES_VALID_S
             self.controller.handle_wakeup(now, token, self.gauge_readings if fresh else ())
 
     def _shutdown_requested(self, now: float, grace: float) -> None:
+        """Start draining. Only the first request counts: it fixed the time of the stop."""
         if self.stop_at is not None:
             return  # the first notice counts
         self.healthy, self.stop_at = False, now + grace
@@ -121,9 +153,10 @@
         self.actions.append((Action.SET_IDLE_TIMEOUT, decision.seconds))
 
     def _do_wake(self, now: float, decision: Decision) -> None:
-        """The gauges are asked for ahead: waiting for them when the alarm goes off would delay answers."""
+        """Set the timer and request the gauges now: to wait for them when the timer expires would delay answers."""
         self._request_gauges()
         self.actions.append((Action.SET_TIMER, decision.seconds, decision.ref))
 
     def _do_unsupported(self, now: float, decision: Decision) -> None:
+        """Report a decision that no action exists for."""
         must_hold(False, f"the link has no word for {decision.verb.value}")
--- a/mulleinhatch/instance/request_state_machine/runs.py
+++ b/mulleinhatch/instance/request_state_machine/runs.py
@@ -19,7 +19,10 @@
     """Starts runs at the interpreter and answers clients when runs end."""
 
     def _run_rejected(self, now: float, request_id: str) -> None:
-        """No op that came to the machine: its sender is refused, and nothing that ran is measured by it."""
+        """Handle the interpreter's answer that it does not know the request id.
+
+        The id is not one that this machine received: the client is refused, and the run counts for no measurement.
+        """
         self.counts["runs_unknown"] += 1
         if request := self.requests.get(request_id):
             if request.connection_id is not None:
@@ -30,26 +33,30 @@
             self.keys.forget(request_id)  # nothing ran for its key
 
     def _unreadable_run_end_received(self, now: float, request_id: str) -> None:
+        """Fail a run whose end arrived twice in a form that cannot be read."""
         self.counts["runs_spoilt"] += 1
         self._end_run(now, request_id, Ending.ERROR, b"")
 
     def _gauges_received(self, now: float, mark: int, gauge_readings: Sequence[float]) -> None:
-        """A run that was asked for before gauges that have come is with the interpreter, unless a link was
-        lost between: behind the mark set then, it never arrived."""
+        """Confirm the runs that were started before these gauges were requested.
+
+        The interpreter answers in order. A run that was started before gauges that have arrived has reached it, unless the
+        link was lost in between: a run behind the mark of that time never arrived and is started again.
+        """
         if mark > self.last_gauge_mark:
-            self.counts["notices_strange"] += 1  # nobody asked for these: what it would confirm may be under way
+            self.counts["notices_strange"] += 1  # never requested: the runs that it would confirm may be in transit
             return
         self.gauge_readings, self.gauges_read_at, self.interpreter_message_at = gauge_readings, now, now
-        before = [request_id for request_id, asked in self.unconfirmed_runs.items() if asked < mark]
-        went_on = [request_id for request_id, (asked, _) in self.unconfirmed_resumes.items() if asked < mark]
+        confirmed_runs = [request_id for request_id, asked in self.unconfirmed_runs.items() if asked < mark]
+        confirmed_resumes = [request_id for request_id, (asked, _) in self.unconfirmed_resumes.items() if asked < mark]
         if mark < self.resync_mark:
             return
-        for request_id in before:
+        for request_id in confirmed_runs:
             del self.unconfirmed_runs[request_id]
             if self.resync_mark:
                 self.counts["runs_asked_again"] += 1
                 self._start_run(self.requests[request_id])
-        for request_id in went_on:
+        for request_id in confirmed_resumes:
             _, action = self.unconfirmed_resumes.pop(request_id)
             if self.resync_mark:
                 self.counts["calls_told_again"] += 1
@@ -57,6 +64,7 @@
         self.resync_mark = 0
 
     def _do_run(self, now: float, decision: Decision) -> None:
+        """Start the run of an admitted request."""
         request = self.requests.get(decision.ref)
         must_hold(request and not request.running, "only an op that is held is run")
         if request:
@@ -69,6 +77,7 @@
             self._start_run(request)
 
     def _do_reject(self, now: float, decision: Decision) -> None:
+        """Reject a request that never ran."""
         request = self.requests.get(decision.ref)
         must_hold(request and not request.running and request.connection_id is not None, "only an op that never ran is nacked")
         if request:
@@ -80,6 +89,7 @@
             self._respond(now, request, Action.SEND_REJECTION, seconds, decision.flag)
 
     def _do_fail(self, now: float, decision: Decision) -> None:
+        """Answer with a failure; a run whose end was lost is ended as well, or it would occupy its capacity for ever."""
         request = self.requests.get(decision.ref)
         must_hold(request and request.connection_id is not None, "only an op that is owed an answer fails")
         if request:
@@ -88,6 +98,7 @@
                 self._end_run(now, request.request_id, Ending.ERROR, b"")
 
     def _do_keep(self, now: float, decision: Decision) -> None:
+        """Remember the request by its idempotency key."""
         if (request := self.requests.get(decision.ref)) and request.key:
             fingerprints = fingerprint(0, request.request_type, request.tenant, request.key, request.body)
             self.keys.remember(
@@ -110,11 +121,12 @@
         self.actions.append((Action.START_RUN, request.request_id, request.request_type, request.body))
 
     def _resume_run(self, request_id: str, action: tuple) -> None:
-        """Kept until gauges confirm it, as a run is: lost with a link, the run would wait for ever."""
+        """Resume a run, and repeat that until gauges confirm it: if a lost link drops it, the run would wait for ever."""
         self.unconfirmed_resumes[request_id] = self.last_gauge_mark, action
         self.actions.append(action)
 
     def _end_run(self, now: float, request_id: str, ending: Ending, result: bytes) -> None:
+        """Record the end of a run and answer its client and the duplicates that wait for it."""
         request = self.requests.get(request_id)
         self.unconfirmed_runs.pop(request_id, None)
         self.unconfirmed_resumes.pop(request_id, None)
@@ -126,7 +138,7 @@
         if ending is Ending.MOOT and self.storms:
             self.storms.runs.settled(request_id)
         if ending is Ending.STOPPED and request.connection_id is not None:
-            ending = Ending.ERROR  # nobody here stopped it, and the module would take it for paused
+            ending = Ending.ERROR  # not stopped by us: the controller would take it for paused
         self.counts[RUN_END_COUNTERS[ending]] += 1
         if self.on_run_ended and ending in (Ending.OK, Ending.ERROR):
             self.on_run_ended(
@@ -141,24 +153,27 @@
                 self._answer_duplicate(now, self.requests[follower])
 
     def _answer_duplicate(self, now: float, request: PendingRequest) -> None:
-        """By the result of the op that it repeats, at once or when that has run. Where that one was given up unrun, another
-        repeat of it may stand in its place."""
-        leaders = (request.duplicate_of, self.keys.find_original(request.key_scope, request.arrived_at, now))
-        for leader in leaders:
-            if (result := self.keys.result(leader)) is not None:
+        """Answer from the result of the original request, at once or when its run ends.
+
+        If the original was given up before it ran, another duplicate may have taken its place.
+        """
+        originals = (request.duplicate_of, self.keys.find_original(request.key_scope, request.arrived_at, now))
+        for original in originals:
+            if (result := self.keys.result(original)) is not None:
                 return self._record_run_end(now, request, Ending.OK, result)
-        for leader in leaders:
-            if leader in self.requests and self.requests[leader].running:
-                self.followers.setdefault(leader, []).append(request.request_id)
+        for original in originals:
+            if original in self.requests and self.requests[original].running:
+                self.followers.setdefault(original, []).append(request.request_id)
                 return
         self._record_run_end(now, request, Ending.ERROR, b"")
 
     def _record_run_end(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
-        """The end of a run, its own or that of the op it repeats, for the module, the keys and the caller."""
+        """Report the end of a run, its own or its original's, to the admission controller and to the client."""
         self.controller.record_run_end(now, request.request_id, ending)
         self._respond_to_run(now, request, ending, result)
 
     def _respond_to_run(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
+        """Store the result under the key and answer the client."""
         if ending is Ending.OK:
             self.keys.store_result(request.request_id, result)
             if self.storms and request.connection_id is not None:
--- a/mulleinhatch/instance/request_state_machine/storm_control.py
+++ b/mulleinhatch/instance/request_state_machine/storm_control.py
@@ -15,7 +15,7 @@
     """Rejects retries before they are read in full while a retry storm lasts."""
 
     def record_connection(self) -> None:
-        """A caller's connection was accepted: counted alone, for hundreds come at once and nothing is decided by one."""
+        """Count an accepted connection. Not an event: hundreds come at once and none of them causes a decision."""
         self.storms.watch.count(connects=1)
 
     def reject_early(
@@ -33,10 +33,19 @@
         connection_id: int = -1,
         figures: Callable[[], tuple[float, float, float]] = lambda: (0.0, 0.0, 0.0),
     ) -> float | None:
-        """Asked for a try before it is read in full: seconds that its nack tells to stay away, or None where it
-        goes the ordinary way. Only a repeat is turned back, by the rate that the module named, and none of an op
-        that may have run here or is under way. It counts as read, and is no op: it never comes to the module. `figures`
-        gives its rank, cost and memory, which few need: to read them costs."""
+        """Decide about a request before it is read in full.
+
+        Only a retry is rejected, at the rate that the admission controller set, and none of a request that is open or may
+        have executed here. The rejection counts as read but never reaches the admission controller.
+
+        Args:
+            is_punctual: Whether the client came back when its last rejection said.
+            is_too_early: Whether it came back before that time.
+            figures: Returns rank, cost and memory. Few requests need them, and to parse them costs time.
+
+        Returns:
+            The seconds after which the client may retry, or None if the request takes the ordinary way.
+        """
         desk = self.storms
         if (
             request_id in self.requests
@@ -46,7 +55,7 @@
         ):
             return None
         plain, is_non_retryable = b"", request_type in self.non_retryable_types
-        if not is_retry or is_non_retryable:  # else its likeness tells nothing new, and costs
+        if not is_retry or is_non_retryable:  # otherwise the fingerprint tells nothing new and costs time
             plain = fingerprint(client_id, request_type, tenant, key, body)
             if (
                 not desk.tries.known(now, plain, lambda: finer(plain, *figures()))
@@ -66,6 +75,7 @@
         return desk.come_back(now, 0.0, is_too_early)
 
     def _update_storm_state(self, now: float) -> None:
+        """Report early rejections and changes of the storm state to the admission controller."""
         if self.storms.watch.due(now):
             if self.early_rejections:
                 self.controller.record_early_rejections(now, self.early_rejections)
@@ -74,5 +84,6 @@
                 self.controller.set_retry_storm(now, *self.storms.told)
 
     def _do_limit_retries(self, now: float, decision: Decision) -> None:
+        """Set the rate of retries to be read."""
         self.storms.limit(now, decision.level)
         self.actions.append((Action.SET_EARLY_REJECTION, self.storms.sheds))
--- a/mulleinhatch/instance/request_state_machine/tables.py
+++ b/mulleinhatch/instance/request_state_machine/tables.py
@@ -1,4 +1,4 @@
-"""Ops that are owed something, and what is remembered by key."""
+"""Requests that are not finished, and what is remembered by idempotency key."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PendingRequest:
-    """An op between its reading and the last that is expected of it: its answer, and the end of its run."""
+    """A request from its arrival until its answer was sent and its run ended."""
 
     __slots__ = (
         "request_id",
@@ -44,39 +44,43 @@
         self.request_id, self.request_type, self.tenant, self.key, self.body = request_id, request_type, tenant, key, body
         self.arrived_at, self.deadline = arrived_at, deadline
         self.may_have_run = False
-        self.is_run_end_unknown = False  # it may have ended, and the word on that is lost
-        self.call_payload = b""  # what its run asks for at a call
-        self.duplicate_of = ""  # the op that stands for its key
-        self.fingerprints: tuple[bytes, ...] = ()  # what the storm books know its tries by
-        self.connection_id: int | None = connection_id  # the connection that waits; None once answered or gone
+        self.is_run_end_unknown = False  # the notice of its end may be lost
+        self.call_payload = b""  # of the call that its run waits for
+        self.duplicate_of = ""  # id of the original request with the same key
+        self.fingerprints: tuple[bytes, ...] = ()  # by which the retry storm detection knows it
+        self.connection_id: int | None = connection_id  # None once answered or disconnected
         self.running = False
-        self.is_handed_over = self.is_from_peer = False  # a peer has it; it came from one
-        self.run_started_at = 0.0  # when its run was asked for
-        # What a peer must be told of it, where ops are handed over: when it arrived, and its figures.
+        self.is_handed_over = self.is_from_peer = False  # to a peer, from a peer
+        self.run_started_at = 0.0  # seconds, monotonic
+        # Arrival, client id, cost, memory, is retry, rank: only where requests may be handed over.
         self.handover_data: tuple = ()
 
     @property
     def identity(self) -> tuple[str, str, bytes]:
-        """What another request under its id must be to be the same try."""
+        """What a request with the same id must have in common to be the same one."""
         return self.request_type, self.tenant, self.body
 
     @property
     def key_scope(self) -> tuple[str, str, str]:
+        """The request type, tenant and idempotency key."""
         return self.request_type, self.tenant, self.key
 
 
 class KeyEntry(NamedTuple):
-    until: float  # who reached the machine before that is a repeat, however late it is read
-    expires_at: float  # when nobody of these can be read any more
-    scope: tuple[str, str, str]  # op type, tenant, key: a key of another of these is another key
-    fingerprint: bytes  # what a repeat has in common with it
+    """What is remembered of a keyed request."""
+
+    until: float  # end of the window: what arrived before is a duplicate, however late it is read
+    expires_at: float  # when no such duplicate can be read any more
+    scope: tuple[str, str, str]  # request type, tenant, key: keys are compared within one type and tenant
+    fingerprint: bytes  # of type, tenant, key and body
 
 
 class IdempotencyKeys:
-    """Which op stands for a key, and the result that its repeats are answered from.
+    """The original request of each idempotency key, and the result from which its duplicates are answered.
 
-    An op keeps its entry until all that came within its time were read: `linger` more. Of several for one key the newest
-    counts whose time has not run out when the repeat reached the machine; one that is forgotten leaves the older ones.
+    An entry is kept for `linger` seconds after its window, until all duplicates that arrived within the window were read. Of
+    several requests with one key, the newest counts whose window contains the arrival of the duplicate; if it is forgotten,
+    the older ones do.
 
     >>> keys, scope = IdempotencyKeys(), ("op", "tenant", "k")
     >>> keys.remember(scope, "r1", b"print", until=5.0, linger=2.0); keys.store_result("r1", b"x")
@@ -95,19 +99,20 @@
         self.expiries: list[tuple[float, str]] = []
 
     def remember(self, scope: tuple[str, str, str], request_id: str, fingerprint: bytes, until: float, linger: float) -> None:
-        """Or gives the entry of an op a later time."""
+        """Add a request, or extend the window of one that is known."""
         if request_id not in self.entries:
             self.request_ids_by_scope.setdefault(scope, []).append(request_id)
         self.entries[request_id] = KeyEntry(until, until + linger, scope, fingerprint)
         heapq.heappush(self.expiries, (until + linger, request_id))
 
     def extend_window(self, request_id: str, until: float) -> None:
-        """A repeat of an op that has not run yet may stand in its place, and its own time counts then."""
+        """Extend the window: a duplicate of a request that has not run may take its place, from its own arrival on."""
         entry = self.entries.get(request_id)
         if entry and until > entry.until:
             self.remember(entry.scope, request_id, entry.fingerprint, until, entry.expires_at - entry.until)
 
     def find_original(self, scope: tuple[str, str, str], arrived_at: float, now: float) -> str:
+        """Return the id of the newest request whose window contains the arrival, or an empty string."""
         while self.expiries and self.expiries[0][0] <= now:
             expires_at, request_id = heapq.heappop(self.expiries)
             if request_id in self.entries and self.entries[request_id].expires_at == expires_at:
@@ -122,20 +127,24 @@
         )
 
     def is_known(self, scope: tuple[str, str, str]) -> bool:
-        """Whether a try with this key may be a repeat of something here."""
+        """Return whether a request with this key may be a duplicate."""
         return scope in self.request_ids_by_scope
 
     def matches(self, request_id: str, fingerprint: bytes) -> bool:
+        """Return whether the fingerprint is that of the remembered request."""
         return self.entries[request_id].fingerprint == fingerprint
 
     def store_result(self, request_id: str, result: bytes) -> None:
+        """Store the result from which duplicates are answered."""
         if request_id in self.entries:
             self.results[request_id] = result
 
     def result(self, request_id: str) -> bytes | None:
+        """Return the stored result, or None."""
         return self.results.get(request_id)
 
     def forget(self, request_id: str) -> None:
+        """Remove a request and its result."""
         self.results.pop(request_id, None)
         if entry := self.entries.pop(request_id, None):
             request_ids = self.request_ids_by_scope[entry.scope]
