--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -70,7 +70,7 @@
 if sys.argv[1:2] == ["serve"]:  # what is imported below takes its time, in which a signal may come
     from mulleinhatch.instance.runtime import signals
 
-    signals.heard_early()
+    signals.remember_early_signals()
 
 from docopt import docopt  # noqa: E402
 
--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -14,7 +14,7 @@
 
 
 def run(told: dict[str, Any]) -> int:
-    signals.heard_early()
+    signals.remember_early_signals()
     start_logging(told["--log"])
 
     def placed() -> Placement:
--- a/mulleinhatch/instance/runtime/background_tasks.py
+++ b/mulleinhatch/instance/runtime/background_tasks.py
@@ -11,22 +11,23 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from mulleinhatch.instance.runtime.callbacks import CounterIncrement
 from mulleinhatch.random_source import Chance
 
 LOG = logging.getLogger(__name__)
-FIRST_PAUSE, LAST_PAUSE = 0.05, 2.0  # seconds before a task that failed runs again, doubled in between
-SOUND_FOR = 10.0  # seconds after which a task counts as sound again
+MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 2.0  # seconds before a task that failed runs again, doubled in between
+HEALTHY_AFTER_S = 10.0  # seconds after which a task counts as sound again
 
 
-class Tasks:
+class BackgroundTasks:
     """`keep` for what is to go on until the end, `every` for what is done again and again."""
 
-    def __init__(self, count: Callable[[str], None], seed: int) -> None:
+    def __init__(self, count: CounterIncrement, seed: int) -> None:
         self.count, self.draw = count, Chance(seed).below
         self.running: set[asyncio.Task[None]] = set()
 
     def keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        task = asyncio.ensure_future(self._kept(name, work))
+        task = asyncio.ensure_future(self._keep_running(name, work))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
@@ -38,28 +39,28 @@
                 try:
                     work()
                 except Exception:
-                    self._failed(name)
+                    self._record_failure(name)
                 await asyncio.sleep(seconds)
 
         self.keep(name, turns)
 
-    async def _kept(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        loop, pause = asyncio.get_running_loop(), FIRST_PAUSE
+    async def _keep_running(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+        loop, pause = asyncio.get_running_loop(), MIN_RESTART_PAUSE_S
         while True:
             since = loop.time()
             try:
                 await work()
                 return
             except Exception:
-                self._failed(name)
-            pause = FIRST_PAUSE if loop.time() - since > SOUND_FOR else min(LAST_PAUSE, 2.0 * pause)
+                self._record_failure(name)
+            pause = MIN_RESTART_PAUSE_S if loop.time() - since > HEALTHY_AFTER_S else min(MAX_RESTART_PAUSE_S, 2.0 * pause)
             await asyncio.sleep(pause * (0.5 + self.draw(1000) / 1000.0))
 
-    def _failed(self, name: str) -> None:
+    def _record_failure(self, name: str) -> None:
         self.count("errors_inside")
         LOG.exception("error inside", extra={"fields": {"at": name}})
 
-    def loop_failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def handle_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """For the loop's callbacks and timers, as its handler of exceptions."""
         self.count("errors_inside")
         LOG.error("error inside", exc_info=context.get("exception"), extra={"fields": {"at": context.get("message", "loop")}})
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -14,125 +14,152 @@
 from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
+from mulleinhatch.instance.runtime.callbacks import CounterIncrement, EarlyRejection, EventHandler
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http_grammar
 
 LOG = logging.getLogger(__name__)
-UNFIT = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
-
-
-class HttpFront:
-    def __init__(self, most: int, take: Callable[..., None], count: Callable[[str], None], counters: Callable[[], str]) -> None:
-        self.take, self.count, self.counters = take, count, counters
+STATUS_BY_CAUSE = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
+
+
+class ClientListener:
+    def __init__(
+        self,
+        max_connections: int,
+        handle_event: EventHandler,
+        count: CounterIncrement,
+        counters_text: Callable[[], str],
+        reject_early: EarlyRejection | None = None,
+        advice_level: Callable[[], float | None] = lambda: None,
+    ) -> None:
+        self.handle_event, self.count, self.counters_text = handle_event, count, counters_text
+        self.reject_early, self.advice_level = reject_early, advice_level
         self.connections = Connections(
-            most,
+            max_connections,
             http_requests.RequestReader,
             time.monotonic,
-            on_message=self.request,
-            on_broken=self.broken,
-            on_late=self.late,
-            on_lost=self.lost,
+            on_message=self.on_request,
+            on_broken=self.on_malformed_request,
+            on_late=self.on_slow_request,
+            on_lost=self.on_connection_lost,
             count=count,
         )
-        self.closing: set[int] = set()  # places whose caller asked that the connection be closed
-        self.leaving = False
-        self.turned_back: Callable[..., float | None] | None = None
-        self.level: Callable[[], float | None] = lambda: None
-        self.on_hand: Callable[[bytes], None] | None = None  # told of an op that came from a peer, by its offer
-        self.fleet: Callable[[], bytes] | None = None  # what is known of the others, as JSON
-
-    def request(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+        self.closing_connections: set[int] = set()  # places whose caller asked that the connection be closed
+        self.is_leaving = False
+        self.on_handover: Callable[[bytes], None] | None = None
+        self.fleet_status: Callable[[], bytes] | None = None
+
+    def serve_fleet_status(self, fleet_status: Callable[[], bytes]) -> None:
+        """Serve the status of the fleet, as the JSON that `fleet_status` returns."""
+        self.fleet_status = fleet_status
+
+    def accept_handovers(self, on_handover: Callable[[bytes], None]) -> None:
+        """Accept requests that peers hand over; `on_handover` is called with the number of the offer that each one uses."""
+        self.on_handover = on_handover
+
+    def on_request(self, connection_id: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         if fields.get(b"connection", b"").lower() == b"close":
-            self.closing.add(place)
+            self.closing_connections.add(connection_id)
         try:
-            self._route(place, method, path.partition(b"?")[0], fields, body)
+            self._route(connection_id, method, path.partition(b"?")[0], fields, body)
         except http_grammar.BadRequestError as error:
-            self._write(place, self._blame(place, error))
+            self._write(connection_id, self._record_bad_request(connection_id, error))
 
-    def _route(self, place: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def _route(self, connection_id: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         if path.startswith(http_requests.REQUEST_PATH):
             if method != b"POST":
                 raise http_grammar.BadRequestError("method", 405)
-            *told, rank = http_requests.parse_request(path, fields, time.time())
-            handed = http_requests.HANDOVER_FIELD in fields and self.on_hand is not None
-            if handed:
-                self.on_hand(fields[http_requests.HANDOVER_FIELD])
-            self.take(Event.REQUEST_RECEIVED, place, *told, body, rank, handed)
+            *arguments, rank = http_requests.parse_request(path, fields, time.time())
+            is_handed_over = http_requests.HANDOVER_FIELD in fields and self.on_handover is not None
+            if is_handed_over:
+                self.on_handover(fields[http_requests.HANDOVER_FIELD])
+            self.handle_event(Event.REQUEST_RECEIVED, connection_id, *arguments, body, rank, is_handed_over)
         elif path == http_requests.HEALTH_PATH:
-            self.take(Event.HEALTH_CHECK_RECEIVED, place)
+            self.handle_event(Event.HEALTH_CHECK_RECEIVED, connection_id)
         elif path == http_requests.COUNTERS_PATH:
-            self._write(place, 200, self.counters().encode())
-        elif path == http_requests.FLEET_PATH and self.fleet:
-            self._write(place, 200, self.fleet())
+            self._write(connection_id, 200, self.counters_text().encode())
+        elif path == http_requests.FLEET_PATH and self.fleet_status:
+            self._write(connection_id, 200, self.fleet_status())
         else:
             raise http_grammar.BadRequestError("path", 404)
 
-    def _blame(self, place: int, error: http_grammar.BadRequestError) -> int:
-        self.connections.blame(place)
+    def _record_bad_request(self, connection_id: int, error: http_grammar.BadRequestError) -> int:
+        self.connections.blame(connection_id)
         self.count("bad_" + error.cause.replace(" ", "_"))
         LOG.debug("bad request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
 
-    def broken(self, place: int, error: http_grammar.BadRequestError) -> None:
+    def on_malformed_request(self, connection_id: int, error: http_grammar.BadRequestError) -> None:
         """Where the next request would begin is not known: the connection ends with this answer."""
-        self.closing.add(place)
-        self._write(place, self._blame(place, error))
+        self.closing_connections.add(connection_id)
+        self._write(connection_id, self._record_bad_request(connection_id, error))
 
-    def late(self, place: int) -> None:
-        self.broken(place, http_grammar.BadRequestError("slow sender", 408))
+    def on_slow_request(self, connection_id: int) -> None:
+        self.on_malformed_request(connection_id, http_grammar.BadRequestError("slow sender", 408))
 
-    def lost(self, place: int) -> None:
-        self.closing.discard(place)
-        self.take(Event.CLIENT_DISCONNECTED, place)
+    def on_connection_lost(self, connection_id: int) -> None:
+        self.closing_connections.discard(connection_id)
+        self.handle_event(Event.CLIENT_DISCONNECTED, connection_id)
 
-    def ack(self, place: int, result: bytes, level: float | None) -> None:
-        self._write(place, 200, result, level=level)
+    def send_result(self, connection_id: int, result: bytes, level: float | None) -> None:
+        self._write(connection_id, 200, result, level=level)
 
-    def turn_back(self, shed: bool) -> None:
+    def set_early_rejection(self, is_enabled: bool) -> None:
         """Whether tries may be nacked before they are read in full."""
-        self.connections.turn_back = self._look if shed and self.turned_back else None
+        self.connections.turn_back = self._reject_unread_retry if is_enabled and self.reject_early else None
 
-    def _look(self, place: int, now: float, data: bytes, back_at: float) -> tuple[bytes, float] | None:
-        """The nack of a try that is turned back, and when its caller is told to come back. `back_at` is when the
+    def _reject_unread_retry(self, connection_id: int, now: float, data: bytes, retry_at: float) -> tuple[bytes, float] | None:
+        """The nack of a try that is turned back, and when its caller is told to come back. `retry_at` is when the
         connection's last answer told it to; who never heard of such a time is neither punctual nor stubborn."""
-        told = None if self.leaving else http_requests.parse_plain_request(data)
-        if told is None:
+        arguments = None if self.is_leaving else http_requests.parse_plain_request(data)
+        if arguments is None:
             return None
-        soon = now < back_at - PUNCTUAL
-        seconds = self.turned_back(
+        is_too_early = now < retry_at - PUNCTUAL
+        seconds = self.reject_early(
             now,
-            *told,
-            is_punctual=back_at > 0.0 and not soon,
-            is_too_early=soon,
-            connection_id=place,
+            *arguments,
+            is_punctual=retry_at > 0.0 and not is_too_early,
+            is_too_early=is_too_early,
+            connection_id=connection_id,
             figures=partial(http_requests.parse_plain_figures, data),
         )
         if seconds is None:
             return None
         self.count("answers_429")
-        return http_responses.write_retry_rejection(self.level(), seconds), now + seconds
-
-    def nack(self, place: int, hold_off: float, not_elsewhere: bool, level: float | None) -> None:
-        if hold_off > 0.0:
-            self.connections.told_back(place, time.monotonic() + hold_off)
-        self._write(place, 503 if self.leaving else 429, level=level, hold_off=hold_off, not_elsewhere=not_elsewhere)
+        return http_responses.write_retry_rejection(self.advice_level(), seconds), now + seconds
+
+    def send_rejection(
+        self, connection_id: int, retry_after_s: float, is_rejected_elsewhere: bool, level: float | None
+    ) -> None:
+        if retry_after_s > 0.0:
+            self.connections.told_back(connection_id, time.monotonic() + retry_after_s)
+        self._write(
+            connection_id,
+            503 if self.is_leaving else 429,
+            level=level,
+            hold_off=retry_after_s,
+            not_elsewhere=is_rejected_elsewhere,
+        )
 
-    def fail(self, place: int, level: float | None) -> None:
-        self._write(place, 500, level=level)
+    def send_failure(self, connection_id: int, level: float | None) -> None:
+        self._write(connection_id, 500, level=level)
 
-    def refuse(self, place: int, what: str) -> None:
+    def send_invalid(self, connection_id: int, cause: str) -> None:
         """A request in good form that this deployment, or what else is open here, has no place for."""
-        self._write(place, self._blame(place, http_grammar.BadRequestError(what, UNFIT.get(what, 404))))
+        self._write(
+            connection_id,
+            self._record_bad_request(connection_id, http_grammar.BadRequestError(cause, STATUS_BY_CAUSE.get(cause, 404))),
+        )
 
-    def health(self, place: int, good: bool, level: float | None) -> None:
-        self._write(place, 200 if good else 503, level=level)
+    def send_health(self, connection_id: int, is_healthy: bool, level: float | None) -> None:
+        self._write(connection_id, 200 if is_healthy else 503, level=level)
 
-    def abandon(self, place: int) -> None:
-        self.closing.discard(place)
-        self.connections.abandon(place)
+    def abandon_connection(self, connection_id: int) -> None:
+        self.closing_connections.discard(connection_id)
+        self.connections.abandon(connection_id)
 
-    def _write(self, place: int, status: int, body: bytes = b"", **fields: Any) -> None:
-        last = place in self.closing
-        self.closing.discard(place)
-        pieces = http_responses.write_response(status, body, close=last or self.leaving, **fields)
-        self.count(f"answers_{status}" if self.connections.answer(place, pieces, last) else "answers_unsent")
+    def _write(self, connection_id: int, status: int, body: bytes = b"", **fields: Any) -> None:
+        is_last = connection_id in self.closing_connections
+        self.closing_connections.discard(connection_id)
+        pieces = http_responses.write_response(status, body, close=is_last or self.is_leaving, **fields)
+        self.count(f"answers_{status}" if self.connections.answer(connection_id, pieces, is_last) else "answers_unsent")
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -16,41 +16,44 @@
 from mulleinhatch.instance.request_state_machine.events import Action, Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime import signals
-from mulleinhatch.instance.runtime.background_tasks import Tasks
-from mulleinhatch.instance.runtime.caller_listener import HttpFront
+from mulleinhatch.instance.runtime.background_tasks import BackgroundTasks
+from mulleinhatch.instance.runtime.caller_listener import ClientListener
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
-from mulleinhatch.instance.runtime.interpreter_link import Interpreter
+from mulleinhatch.instance.runtime.interpreter_link import InterpreterLink
 from mulleinhatch.instance.transport.datagrams import Datagrams
 from mulleinhatch.invariants import BROKEN
 
 if TYPE_CHECKING:
     from mulleinhatch.admission import AdmissionController
-    from mulleinhatch.instance.runtime.dependency_calls import Dependency
+    from mulleinhatch.instance.runtime.dependency_calls import DependencyClient
     from mulleinhatch.instance.runtime.gossip import FleetSide
     from mulleinhatch.instance.runtime.tracing import Tracing
     from mulleinhatch.instance.traces.recorder import Recorder
 
 LOG = logging.getLogger(__name__)
-DESCRIPTORS_KEPT = 16  # of the limit, for all that is no client connection
-LINKS_KEPT = 64  # and for calls of a dependency
-LISTEN_FOR = 15.0  # seconds: a predecessor killed a moment ago may still hold the address
-LISTEN_RETRY, LISTEN_RETRY_MOST = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
-SHUT_BEFORE, SHUT_EVERY = 0.12, 0.02  # seconds before the stop: later than the module's last answers; until all have heard it
-OUTLIVE_STOP = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
-REPORT_EVERY = reports.LISTED_FOR_S / 6
-SWEEP_EVERY = 0.25
-TAKEN_OVER = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
-
-
-def connections_held(placement: Placement) -> int:
+RESERVED_DESCRIPTORS = 16  # of the limit, for all that is no client connection
+RESERVED_DEPENDENCY_CONNECTIONS = 64  # and for calls of a dependency
+LISTEN_TIMEOUT_S = 15.0  # seconds: a predecessor killed a moment ago may still hold the address
+MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
+CLOSE_LISTENER_BEFORE_STOP_S, CLOSE_LISTENER_INTERVAL_S = (
+    0.12,
+    0.02,
+)  # seconds before the stop: later than the module's last answers; until all have heard it
+EXIT_AFTER_STOP_S = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
+REPORT_INTERVAL_S = reports.LISTED_FOR_S / 6
+SWEEP_INTERVAL_S = 0.25
+RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
+
+
+def max_connections(placement: Placement) -> int:
     descriptors = min(placement.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    kept = DESCRIPTORS_KEPT + (LINKS_KEPT if placement.dependency else 0)
-    return max(1, descriptors - min(kept, descriptors // 2))
+    reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if placement.dependency else 0)
+    return max(1, descriptors - min(reserved, descriptors // 2))
 
 
 class Instance:
-    def __init__(self, placement: Placement, placed_anew: Callable[[], Placement] | None = None) -> None:
-        self.placement, self.placed_anew = placement, placed_anew or (lambda: placement)
+    def __init__(self, placement: Placement, read_placement: Callable[[], Placement] | None = None) -> None:
+        self.placement, self.read_placement = placement, read_placement or (lambda: placement)
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
         self.fleet: FleetSide | None = None
@@ -60,140 +63,147 @@
             placement.tenants,
             placement.seed,
             placement.storms,
-            self._recorded if placement.traces else None,
+            self._record_decisions if placement.traces else None,
+        )
+        self.listener = listener = ClientListener(
+            max_connections(placement),
+            self.handle_event,
+            self.count,
+            self.counters_text,
+            self.reducer.reject_early if placement.storms else None,
+            lambda: self.reducer.advice_level,
         )
-        self.front = front = HttpFront(connections_held(placement), self.take, self.count, self.counters)
         if placement.storms:
-            front.turned_back, front.level = self.reducer.reject_early, lambda: self.reducer.advice_level
-            front.connections.on_connected = self.reducer.record_connection
-        self.interpreter = interpreter = Interpreter(*placement.interpreter, self.take, self.count)
+            listener.connections.on_connected = self.reducer.record_connection
+        self.interpreter = interpreter = InterpreterLink(*placement.interpreter, self.handle_event, self.count)
         self.datagrams = Datagrams()
-        self.tasks = Tasks(self.count, placement.seed)
-        self.dependency: Dependency | None = None
+        self.tasks = BackgroundTasks(self.count, placement.seed)
+        self.dependency: DependencyClient | None = None
         if placement.dependency:
-            from mulleinhatch.instance.runtime.dependency_calls import Dependency
+            from mulleinhatch.instance.runtime.dependency_calls import DependencyClient
 
-            self.dependency = Dependency(*placement.dependency, self.take, self.count)
+            self.dependency = DependencyClient(*placement.dependency, self.handle_event, self.count)
         self.port = 0
-        self.listed_open: bool | None = None  # not reported until the interpreter is up
+        self.is_listed_open: bool | None = None  # not reported until the interpreter is up
         # Callers close their own before: what outlives that was left by one that asks no more.
-        self.idle_kept = placement.deployment.get("longest_idle") or math.inf
+        self.idle_timeout_s = placement.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
-        self.errands: dict[Action, Callable[..., None]] = {
-            Action.SEND_RESULT: front.ack,
-            Action.SEND_REJECTION: front.nack,
-            Action.SEND_FAILURE: front.fail,
-            Action.SEND_INVALID: front.refuse,
-            Action.SEND_HEALTH: front.health,
-            Action.ABANDON_CONNECTION: front.abandon,
+        self.action_handlers: dict[Action, Callable[..., None]] = {
+            Action.SEND_RESULT: listener.send_result,
+            Action.SEND_REJECTION: listener.send_rejection,
+            Action.SEND_FAILURE: listener.send_failure,
+            Action.SEND_INVALID: listener.send_invalid,
+            Action.SEND_HEALTH: listener.send_health,
+            Action.ABANDON_CONNECTION: listener.abandon_connection,
             Action.GREET_INTERPRETER: interpreter.greet,
             Action.RECONNECT_LINK: interpreter.renew,
             Action.START_RUN: interpreter.run,
             Action.REQUEST_GAUGES: interpreter.gauges,
-            Action.START_CALL: self._call,
+            Action.START_CALL: self._start_call,
             Action.RESUME_RUN: interpreter.resolve,
             Action.SKIP_CALL: interpreter.skip,
-            Action.SET_TIMER: self._alarm,
-            Action.REPORT_AVAILABILITY: self._listing,
-            Action.SET_IDLE_TIMEOUT: self._trim,
-            Action.BEGIN_SHUTDOWN: self._leave,
-            Action.SET_EARLY_REJECTION: front.turn_back,
+            Action.SET_TIMER: self._set_timer,
+            Action.REPORT_AVAILABILITY: self._report_availability,
+            Action.SET_IDLE_TIMEOUT: self._set_idle_timeout,
+            Action.BEGIN_SHUTDOWN: self._begin_shutdown,
+            Action.SET_EARLY_REJECTION: listener.set_early_rejection,
         }
 
-    def _recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
+    def _record_decisions(self, controller: AdmissionController, now: float, is_cold_start: bool, since: float) -> Recorder:
         """What stands between reducer and module where traces are written; its libraries are loaded for it alone."""
         from mulleinhatch.instance.runtime.tracing import Tracing
 
         self.tracing = Tracing(self.placement)
-        return self.tracing.recorded(hatch, now, cold, since)
+        return self.tracing.record_decisions(controller, now, is_cold_start, since)
 
-    def count(self, what: str) -> None:
-        self.counts[what] += 1
+    def count(self, name: str) -> None:
+        self.counts[name] += 1
 
-    def take(self, event: Event, *told: Any) -> None:
+    def handle_event(self, event: Event, *arguments: Any) -> None:
         """The one way in: what happened goes to the reducer, and its errands are run. An op gone wrong must
         not take those of other callers with it, so what was asked for before an error is still done."""
         try:
-            self.reducer.reduce(time.monotonic(), event, *told)
+            self.reducer.reduce(time.monotonic(), event, *arguments)
         except Exception:
-            self._error_inside(event)
+            self._record_internal_error(event)
         for action, *fields in self.reducer.actions:
             try:
-                self.errands[action](*fields)
+                self.action_handlers[action](*fields)
             except Exception:
-                self._error_inside(action)
+                self._record_internal_error(action)
 
-    def _error_inside(self, where: Event | Action) -> None:
+    def _record_internal_error(self, source: Event | Action) -> None:
         self.count("errors_inside")
-        LOG.exception("error inside", extra={"fields": {"at": where.value}})
+        LOG.exception("error inside", extra={"fields": {"at": source.name.lower()}})
 
     # Errands that are neither the front's nor the interpreter's.
 
-    def _alarm(self, seconds: float, token: int) -> None:
+    def _set_timer(self, seconds: float, token: int) -> None:
         due = time.monotonic() + seconds
-        asyncio.get_running_loop().call_later(seconds, self._alarm_goes_off, token, due)
+        asyncio.get_running_loop().call_later(seconds, self._timer_expired, token, due)
 
-    def _alarm_goes_off(self, token: int, due: float) -> None:
-        late = 1000.0 * (time.monotonic() - due)
-        self.counts["alarm_late_ms_most"] = max(self.counts["alarm_late_ms_most"], math.ceil(late))
-        self.take(Event.TIMER_EXPIRED, token)
+    def _timer_expired(self, token: int, due: float) -> None:
+        late_ms = 1000.0 * (time.monotonic() - due)
+        self.counts["alarm_late_ms_most"] = max(self.counts["alarm_late_ms_most"], math.ceil(late_ms))
+        self.handle_event(Event.TIMER_EXPIRED, token)
 
-    def _call(self, ref: str, seconds: float, query: bytes) -> None:
+    def _start_call(self, request_id: str, seconds: float, payload: bytes) -> None:
         if self.dependency:
-            self.dependency.call(ref, seconds, query)
+            self.dependency.call(request_id, seconds, payload)
         else:  # nobody told of one, and the run must not wait for ever
-            asyncio.get_running_loop().call_soon(self.take, Event.CALL_ENDED, ref, Ending.UNREACHABLE, b"")
+            asyncio.get_running_loop().call_soon(self.handle_event, Event.CALL_ENDED, request_id, Ending.UNREACHABLE, b"")
 
-    def _listing(self, is_open: bool) -> None:
-        self.listed_open = is_open
-        self._report()
+    def _report_availability(self, is_open: bool) -> None:
+        self.is_listed_open = is_open
+        self._send_report()
 
-    def _trim(self, seconds: float) -> None:
-        self.idle_kept = seconds
+    def _set_idle_timeout(self, seconds: float) -> None:
+        self.idle_timeout_s = seconds
 
-    def _leave(self, seconds: float) -> None:
+    def _begin_shutdown(self, seconds: float) -> None:
         """It serves until shortly before the stop, then takes what lies in the backlog, listens no more, and ends what rests:
         a request that came in the moment of the stop would be lost, one that finds nobody is sent elsewhere."""
-        self.front.leaving = True
+        self.listener.is_leaving = True
         loop = asyncio.get_running_loop()
-        loop.call_later(max(0.0, seconds - SHUT_BEFORE), self._shut)
-        loop.call_later(seconds + OUTLIVE_STOP, self.stopped.set)
+        loop.call_later(max(0.0, seconds - CLOSE_LISTENER_BEFORE_STOP_S), self._close_listener)
+        loop.call_later(seconds + EXIT_AFTER_STOP_S, self.stopped.set)
         if self.fleet:
             self.fleet.leave()
         self.log_counters("leaving")
 
-    def _shut(self) -> None:
+    def _close_listener(self) -> None:
         if not self.stopped.is_set():
-            asyncio.get_running_loop().call_later(SHUT_EVERY, self._shut)
-            self.front.connections.shut()
+            asyncio.get_running_loop().call_later(CLOSE_LISTENER_INTERVAL_S, self._close_listener)
+            self.listener.connections.shut()
 
-    def _report(self) -> None:
+    def _send_report(self) -> None:
         directory = self.placement.directory
-        if directory and self.listed_open is not None:
-            sent = self.datagrams.send(directory, reports.report(self.placement.name, self.listed_open))
+        if directory and self.is_listed_open is not None:
+            sent = self.datagrams.send(directory, reports.report(self.placement.name, self.is_listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
     # Its life.
 
     async def serve(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.tasks.loop_failed)
-        signals.handled(loop, hangup=self.reload, end=self.leave, counters=lambda: self.log_counters("counters"))
+        loop.set_exception_handler(self.tasks.handle_loop_exception)
+        signals.handle_signals(loop, hangup=self.reload, end=self.leave, counters=lambda: self.log_counters("counters"))
         self.port = await self._listen()
         LOG.info("listening", extra={"fields": {"name": self.placement.name, "port": self.port}})
         if self.placement.fleet:
             from mulleinhatch.instance.runtime.gossip import FleetSide
 
-            self.fleet = FleetSide(self.placement, self.reducer, self.take, self.leave)
+            self.fleet = FleetSide(self.placement, self.reducer, self.handle_event, self.leave)
             self.fleet.listen()
-            self.front.fleet = self.fleet.told
+            self.listener.serve_fleet_status(self.fleet.told)
             if self.fleet.upkeep:
                 await self.fleet.upkeep.listen()
             if self.fleet.spread:
-                self.errands[Action.HAND_OVER], self.front.on_hand = self.fleet.spread.hand, self.fleet.spread.came
+                self.action_handlers[Action.HAND_OVER] = self.fleet.spread.hand
+                self.listener.accept_handovers(self.fleet.spread.came)
         self.tasks.keep("link", self.interpreter.link.keep)
-        self.tasks.every("reports", REPORT_EVERY, self._report)
-        self.tasks.every("sweep", SWEEP_EVERY, self._sweep)
+        self.tasks.every("reports", REPORT_INTERVAL_S, self._send_report)
+        self.tasks.every("sweep", SWEEP_INTERVAL_S, self._sweep)
         await self.stopped.wait()
         if self.fleet:
             self.fleet.close()
@@ -205,51 +215,53 @@
         self.log_counters("stopped")
 
     async def _listen(self) -> int:
-        until, pause = time.monotonic() + LISTEN_FOR, LISTEN_RETRY
+        until, pause = time.monotonic() + LISTEN_TIMEOUT_S, MIN_LISTEN_PAUSE_S
         while True:
             try:
-                return self.front.connections.listen(*self.placement.listen)
+                return self.listener.connections.listen(*self.placement.listen)
             except OSError as error:
                 if time.monotonic() >= until:
                     raise
                 LOG.info("can't listen yet", extra={"fields": {"error": error}})
             await asyncio.sleep(pause * (0.5 + self.tasks.draw(1000) / 1000.0))
-            pause = min(LISTEN_RETRY_MOST, 2.0 * pause)
+            pause = min(MAX_LISTEN_PAUSE_S, 2.0 * pause)
 
     def _sweep(self) -> None:
         if self.tracing:
-            self.tracing.beat(time.monotonic())
-        self.front.connections.sweep(self.idle_kept)
+            self.tracing.flush_if_due(time.monotonic())
+        self.listener.connections.sweep(self.idle_timeout_s)
         if self.dependency:
             self.dependency.sweep()
 
     def leave(self) -> None:
-        self.take(Event.SHUTDOWN_REQUESTED, self.placement.stop_after)
+        self.handle_event(Event.SHUTDOWN_REQUESTED, self.placement.stop_after)
 
     def reload(self) -> None:
         """The file is checked whole before anything is touched; a faulty one leaves the old in force."""
         try:
-            new = self.placed_anew()
+            new = self.read_placement()
         except InvalidSettingsError as error:
             self.count("reloads_refused")
             LOG.error("reload refused", extra={"fields": {"error": error}})
             return
-        left = [key for key in new._fields if key not in TAKEN_OVER and getattr(new, key) != getattr(self.placement, key)]
+        unchanged_until_restart = [
+            key for key in new._fields if key not in RELOADABLE_FIELDS and getattr(new, key) != getattr(self.placement, key)
+        ]
         self.count("reloads")
-        LOG.info("reloaded", extra={"fields": {"left_until_restart": ",".join(left)}})
-        self.placement = self.placement._replace(**{key: getattr(new, key) for key in TAKEN_OVER})
-        self.front.connections.most = connections_held(new)
+        LOG.info("reloaded", extra={"fields": {"left_until_restart": ",".join(unchanged_until_restart)}})
+        self.placement = self.placement._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
+        self.listener.connections.most = max_connections(new)
         self.interpreter.link.move(*new.interpreter)
         if self.dependency and new.dependency:
-            self.dependency.move(*new.dependency)
-        self._report()
+            self.dependency.set_address(*new.dependency)
+        self._send_report()
 
     def log_counters(self, event: str) -> None:
         LOG.info(event, extra={"fields": self.counted()})
 
     def counted(self) -> dict[str, int]:
         storms = self.reducer.storms.counted() if self.reducer.storms else {}
-        traces = self.tracing.keeper.counts if self.tracing else {}
+        traces = self.tracing.writer.counts if self.tracing else {}
         fleet = self.fleet.counted() if self.fleet else {}
         return {
             **self.counts,
@@ -257,11 +269,11 @@
             **storms,
             **traces,
             **fleet,
-            "connections_open": len(self.front.connections.open),
+            "connections_open": len(self.listener.connections.open),
             "ops_owed": len(self.reducer.requests),
             "advice_percent": round(100.0 * (self.reducer.advice_level or 0.0)),
-            **{"broken_" + what.replace(" ", "_"): count for what, count in BROKEN.items()},
+            **{"broken_" + name.replace(" ", "_"): count for name, count in BROKEN.items()},
         }
 
-    def counters(self) -> str:
+    def counters_text(self) -> str:
         return "".join(f"{name}={count}\n" for name, count in sorted(self.counted().items()))
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -3,87 +3,92 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import link
 from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.runtime.callbacks import CounterIncrement, EventHandler
 from mulleinhatch.instance.transport.link import Link
 
 LOG = logging.getLogger(__name__)
-SPOILT_MOST = 1000
+MAX_UNREADABLE_RUN_ENDS = 1000
 
 
-class Interpreter:
-    def __init__(self, host: str, port: int, take: Callable[..., None], count: Callable[[str], None]) -> None:
-        self.take, self.count = take, count
-        self.complained: set[str] = set()
-        self.spoilt: set[str] = set()  # runs whose end came spoilt once
-        self.link = Link(host, port, on_open=lambda: take(Event.LINK_OPENED), on_line=self.line, count=count)
+class InterpreterLink:
+    def __init__(self, host: str, port: int, handle_event: EventHandler, count: CounterIncrement) -> None:
+        self.handle_event, self.count = handle_event, count
+        self.logged_problems: set[str] = set()
+        self.unreadable_run_ends: set[str] = set()  # runs whose end came spoilt once
+        self.link = Link(host, port, on_open=lambda: handle_event(Event.LINK_OPENED), on_line=self.on_line, count=count)
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         try:
-            told = link.notice(line)
+            message = link.notice(line)
         except (ValueError, RecursionError):
-            self._complain("lines_broken", {"line": line[:80]})
-            self.take(Event.MALFORMED_LINE_RECEIVED)
+            self._count_problem("lines_broken", {"line": line[:80]})
+            self.handle_event(Event.MALFORMED_LINE_RECEIVED)
             return
         try:
-            self._notice(told)
+            self._notice(message)
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            self._complain("notices_broken", {"error": repr(error)})
-            self._spoilt(told)
+            self._count_problem("notices_broken", {"error": repr(error)})
+            self._handle_unreadable_run_end(message)
 
-    def _spoilt(self, told: dict) -> None:
+    def _handle_unreadable_run_end(self, message: dict) -> None:
         """It comes again, perhaps whole, when the link is made anew. An end that is spoilt again is an end still: its run
         fails, whose result nobody can know, and does not keep its place for good."""
-        ref = told.get("rid")
-        if told.get("t") != "VALUE" or not isinstance(ref, str):
+        request_id = message.get("rid")
+        if message.get("t") != "VALUE" or not isinstance(request_id, str):
             return
-        if ref in self.spoilt:
-            self.spoilt.discard(ref)
-            self.take(Event.UNREADABLE_RUN_END_RECEIVED, ref)
+        if request_id in self.unreadable_run_ends:
+            self.unreadable_run_ends.discard(request_id)
+            self.handle_event(Event.UNREADABLE_RUN_END_RECEIVED, request_id)
             return
-        if len(self.spoilt) >= SPOILT_MOST:
-            self.spoilt.clear()
-        self.spoilt.add(ref)
-        self.take(Event.MALFORMED_LINE_RECEIVED)
+        if len(self.unreadable_run_ends) >= MAX_UNREADABLE_RUN_ENDS:
+            self.unreadable_run_ends.clear()
+        self.unreadable_run_ends.add(request_id)
+        self.handle_event(Event.MALFORMED_LINE_RECEIVED)
 
-    def _complain(self, what: str, fields: dict) -> None:
+    def _count_problem(self, kind: str, fields: dict) -> None:
         """Counted each time and logged once: a fault of the other side must not fill the log."""
-        self.count(what)
-        if what not in self.complained:
-            self.complained.add(what)
-            LOG.warning(what.replace("_", " "), extra={"fields": fields})
-
-    def _notice(self, told: dict) -> None:
-        what, status = told.get("t"), told.get("status")
-        if what == "VALUE":
+        self.count(kind)
+        if kind not in self.logged_problems:
+            self.logged_problems.add(kind)
+            LOG.warning(kind.replace("_", " "), extra={"fields": fields})
+
+    def _notice(self, message: dict) -> None:
+        kind, status = message.get("t"), message.get("status")
+        if kind == "VALUE":
             ending = link.ENDINGS.get(status, Ending.ERROR)
-            self.take(
+            self.handle_event(
                 Event.RUN_ENDED,
-                link.non_negative_int(told["no"]),
-                link.text(told["rid"]),
+                link.non_negative_int(message["no"]),
+                link.text(message["rid"]),
                 ending,
-                link.result(told, ending is Ending.OK),
+                link.result(message, ending is Ending.OK),
             )
-        elif what == "AWAIT":
-            self.take(Event.CALL_REQUESTED, link.non_negative_int(told["no"]), link.text(told["rid"]), link.result(told, True))
-        elif what == "TOPS":
-            self.take(Event.GAUGES_RECEIVED, link.non_negative_int(told["mark"]), link.readings(told["v"]))
-        elif what == "BANNER":
-            since = link.non_negative_float(told["time_ms"]) / 1000.0
-            LOG.info("interpreter up", extra={"fields": {"status": status, "ms": told["time_ms"]}})
-            self.take(Event.INTERPRETER_READY, status == "new", since)
-        elif what == "ERROR":
-            self._complain("interpreter_errors", {"command": status, "ref": told.get("rid")})
+        elif kind == "AWAIT":
+            self.handle_event(
+                Event.CALL_REQUESTED,
+                link.non_negative_int(message["no"]),
+                link.text(message["rid"]),
+                link.result(message, True),
+            )
+        elif kind == "TOPS":
+            self.handle_event(Event.GAUGES_RECEIVED, link.non_negative_int(message["mark"]), link.readings(message["v"]))
+        elif kind == "BANNER":
+            since = link.non_negative_float(message["time_ms"]) / 1000.0
+            LOG.info("interpreter up", extra={"fields": {"status": status, "ms": message["time_ms"]}})
+            self.handle_event(Event.INTERPRETER_READY, status == "new", since)
+        elif kind == "ERROR":
+            self._count_problem("interpreter_errors", {"command": status, "ref": message.get("rid")})
             if status == "APPLY":
-                self.take(Event.RUN_REJECTED, link.text(told["rid"]))
+                self.handle_event(Event.RUN_REJECTED, link.text(message["rid"]))
         else:
-            if what != "TRACE":
-                self._complain("notices_unknown", {"t": what})
-            if "no" in told:
-                self.take(Event.OTHER_NOTICE_RECEIVED, link.non_negative_int(told["no"]))
+            if kind != "TRACE":
+                self._count_problem("notices_unknown", {"t": kind})
+            if "no" in message:
+                self.handle_event(Event.OTHER_NOTICE_RECEIVED, link.non_negative_int(message["no"]))
 
     def greet(self, last_notice: int) -> None:
         self.link.send(link.connect(last_notice))
@@ -91,14 +96,14 @@
     def renew(self) -> None:
         self.link.renew()
 
-    def run(self, ref: str, op_type: str, body: bytes) -> None:
-        self.link.send(link.apply(ref, op_type, body))
+    def run(self, request_id: str, op_type: str, body: bytes) -> None:
+        self.link.send(link.apply(request_id, op_type, body))
 
-    def resolve(self, ref: str, result: bytes) -> None:
-        self.link.send(link.resolve(ref, result))
+    def resolve(self, request_id: str, result: bytes) -> None:
+        self.link.send(link.resolve(request_id, result))
 
-    def skip(self, ref: str) -> None:
-        self.link.send(link.skip_call(ref))
+    def skip(self, request_id: str) -> None:
+        self.link.send(link.skip_call(request_id))
 
     def gauges(self, mark: int) -> None:
         self.link.send(link.request_gauges(mark))
--- a/mulleinhatch/instance/runtime/logs.py
+++ b/mulleinhatch/instance/runtime/logs.py
@@ -6,11 +6,11 @@
 import sys
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """
     >>> record = logging.LogRecord("x.y", logging.INFO, "", 0, "now %s", ("up",), None)
     >>> record.fields = {"port": 80}
-    >>> KeyValue().format(record).split(" ", 1)[1]
+    >>> KeyValueFormatter().format(record).split(" ", 1)[1]
     'level=info part=y event="now up" port=80'
     """
 
@@ -24,10 +24,10 @@
         }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={quote(value)}" for key, value in pairs.items())
 
 
-def quoted(value: object) -> str:
+def quote(value: object) -> str:
     text = str(value)
     if text and not any(char in text for char in ' "=\n'):
         return text
@@ -36,5 +36,5 @@
 
 def start_logging(level: str) -> None:
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/mulleinhatch/instance/runtime/signals.py
+++ b/mulleinhatch/instance/runtime/signals.py
@@ -11,28 +11,28 @@
 from types import FrameType
 from typing import Any
 
-KEPT = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-early: set[int] = set()
+EARLY_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+received_early: set[int] = set()
 
 
-def _keep(number: int, _: FrameType | None) -> None:
-    early.add(number)
+def _remember(number: int, _: FrameType | None) -> None:
+    received_early.add(number)
 
 
-def heard_early() -> None:
-    """Until `handled`. Called twice it keeps what came before."""
-    for number in KEPT:
-        signal.signal(number, _keep)
+def remember_early_signals() -> None:
+    """Until `handle_signals`. Called twice it keeps what came before."""
+    for number in EARLY_SIGNALS:
+        signal.signal(number, _remember)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
 
 
-def handled(loop: Any, hangup: Callable[[], None], end: Callable[[], None], counters: Callable[[], None]) -> None:
+def handle_signals(loop: Any, hangup: Callable[[], None], end: Callable[[], None], counters: Callable[[], None]) -> None:
     """By the running loop from here on; what came before is acted on at once."""
     handlers = {signal.SIGHUP: hangup, signal.SIGTERM: end, signal.SIGINT: end}
     for number, handler in handlers.items():
         loop.add_signal_handler(number, handler)
     loop.add_signal_handler(signal.SIGUSR1, counters)
-    came = [number for number in handlers if number in early]
-    early.clear()
-    for number in came:
+    received = [number for number in handlers if number in received_early]
+    received_early.clear()
+    for number in received:
         loop.call_soon(handlers[number])
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -7,8 +7,7 @@
 from hashlib import sha256
 from pathlib import Path
 
-from mulleinhatch import __version__
-from mulleinhatch import admission as decide
+from mulleinhatch import __version__, admission
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.traces.file import Facts
@@ -16,44 +15,44 @@
 from mulleinhatch.instance.traces.replay import told_out
 from mulleinhatch.instance.traces.writer import Keeper
 
-FLUSH_EVERY = 1.0  # seconds that a record waits for others, at most: what a kill costs
+FLUSH_INTERVAL_S = 1.0  # seconds that a record waits for others, at most: what a kill costs
 
 
 class Tracing:
     def __init__(self, placement: Placement) -> None:
         self.placement = placement
-        parts = sorted(Path(decide.__file__).parent.glob("*.py"))
-        self.policy = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
-        self.clock, self.wall = time.monotonic(), time.time()
-        self.keeper = Keeper(placement.traces, self._facts)
+        parts = sorted(Path(admission.__file__).parent.glob("*.py"))
+        self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
+        self.started_at, self.started_at_wall = time.monotonic(), time.time()
+        self.writer = Keeper(placement.traces, self._facts)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
     def _facts(self, number: int) -> Facts:
-        place = self.placement
+        placement = self.placement
         return Facts(
-            place.name,
-            place.seed,
-            self.clock,
-            self.wall,
+            placement.name,
+            placement.seed,
+            self.started_at,
+            self.started_at_wall,
             number,
-            told_out(place.deployment),
-            place.op_types,
-            place.tenants,
-            self.policy,
+            told_out(placement.deployment),
+            placement.op_types,
+            placement.tenants,
+            self.policy_digest,
             f"mulleinhatch {__version__}",
         )
 
-    def recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
-        self.recorder = Recorder(hatch, now, cold, since, self.keeper.batch)
+    def record_decisions(self, controller: AdmissionController, now: float, is_cold_start: bool, since: float) -> Recorder:
+        self.recorder = Recorder(controller, now, is_cold_start, since, self.writer.batch)
         return self.recorder
 
-    def beat(self, now: float) -> None:
-        if self.recorder and now - self.flushed_at >= FLUSH_EVERY:
+    def flush_if_due(self, now: float) -> None:
+        if self.recorder and now - self.flushed_at >= FLUSH_INTERVAL_S:
             self.flushed_at = now
             self.recorder.flush()
 
     def close(self) -> None:
         if self.recorder:
             self.recorder.flush()
-        self.keeper.close()
+        self.writer.close()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -302,7 +302,7 @@
     async def instance_hears_repeats(self, rate: str) -> None:
         """As in a storm: so many a second, and the door answers the others."""
         self.instance.reducer.storms.limit(time.monotonic(), float(rate))
-        self.instance.front.turn_back(True)
+        self.instance.listener.set_early_rejection(True)
 
     async def instance_lives(self) -> None:
         assert not self.serving.done()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from tornado.ioloop import IOLoop
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
-from mulleinhatch.instance.runtime.background_tasks import Tasks
+from mulleinhatch.instance.runtime.background_tasks import BackgroundTasks
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
 from mulleinhatch.instance.transport import connections as transport
 from mulleinhatch.instance.transport.connections import Connection, Connections
@@ -456,7 +456,7 @@
 def test_a_report_that_fails_costs_one_report() -> None:
     async def cross() -> None:
         counts: Counter[str] = Counter()
-        tasks, turns = Tasks(lambda what: counts.update([what]), 1), []
+        tasks, turns = BackgroundTasks(lambda what: counts.update([what]), 1), []
 
         def work() -> None:
             turns.append(1)
@@ -474,7 +474,7 @@
 def test_a_task_that_fails_runs_again_later_each_time() -> None:
     async def cross() -> None:
         counts: Counter[str] = Counter()
-        tasks, at = Tasks(lambda what: counts.update([what]), 1), []
+        tasks, at = BackgroundTasks(lambda what: counts.update([what]), 1), []
 
         async def work() -> None:
             at.append(time.monotonic())
@@ -500,7 +500,7 @@
             raise ValueError("an address that nobody foresaw")
 
         play.instance.datagrams.send = fails
-        play.instance.front.connections.sweep = fails
+        play.instance.listener.connections.sweep = fails
         await until(lambda: len(failed) >= 2)
         play.instance.datagrams.send = send
         while not play.directory.heard.empty():
@@ -532,10 +532,10 @@
         writer.close()
 
 
-def linked(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[Link, Tasks, Counter[str]]:
+def linked(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[Link, BackgroundTasks, Counter[str]]:
     counts: Counter[str] = Counter()
     link = Link("127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda what: counts.update([what]))
-    tasks = Tasks(lambda what: counts.update([what]), 1)
+    tasks = BackgroundTasks(lambda what: counts.update([what]), 1)
     tasks.keep("link", link.keep)
     return link, tasks, counts
 
