--- a/mulleinhatch/instance/runtime/background_tasks.py
+++ b/mulleinhatch/instance/runtime/background_tasks.py
@@ -1,7 +1,7 @@
-"""Background work that must not die unseen: what fails is logged, counted and started anew, with a pause that grows.
+"""Background tasks that must not end unnoticed: a failed one is logged, counted and restarted after a growing pause.
 
-An exception in a task that nobody awaits ends it for good and says so when it is collected, if at all: an instance whose
-report loop ended so is delisted, and never heard of again.
+An exception in a task that nobody awaits ends the task for good, and is reported only when the task is collected, if at all. An
+instance whose report loop ended that way would be removed from the directory and never listed again.
 """
 
 from __future__ import annotations
@@ -15,24 +15,30 @@
 from mulleinhatch.random_source import Chance
 
 LOG = logging.getLogger(__name__)
-MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 2.0  # seconds before a task that failed runs again, doubled in between
-HEALTHY_AFTER_S = 10.0  # seconds after which a task counts as sound again
+MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 2.0  # before a failed task is restarted; doubled each time
+HEALTHY_AFTER_S = 10.0  # a task that ran so long restarts after the shortest pause
 
 
 class BackgroundTasks:
-    """`keep` for what is to go on until the end, `every` for what is done again and again."""
+    """Runs tasks until they are cancelled: `keep` for one that runs until the end, `every` for one that is repeated.
+
+    Args:
+        count: Increments a counter.
+        seed: Of the jitter of pauses.
+    """
 
     def __init__(self, count: CounterIncrement, seed: int) -> None:
         self.count, self.draw = count, Chance(seed).below
         self.running: set[asyncio.Task[None]] = set()
 
     def keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+        """Run a task and restart it when it fails."""
         task = asyncio.ensure_future(self._keep_running(name, work))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
     def every(self, name: str, seconds: float, work: Callable[[], None]) -> None:
-        """One failing turn costs that turn alone."""
+        """Call a function every so many seconds; a failing call affects only itself."""
 
         async def turns() -> None:
             while True:
@@ -58,13 +64,16 @@
 
     def _record_failure(self, name: str) -> None:
         self.count("errors_inside")
-        LOG.exception("error inside", extra={"fields": {"at": name}})
+        LOG.exception("unexpected exception", extra={"fields": {"at": name}})
 
     def handle_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """For the loop's callbacks and timers, as its handler of exceptions."""
+        """Log and count an exception in a callback or timer; the exception handler of the event loop."""
         self.count("errors_inside")
-        LOG.error("error inside", exc_info=context.get("exception"), extra={"fields": {"at": context.get("message", "loop")}})
+        LOG.error(
+            "unexpected exception", exc_info=context.get("exception"), extra={"fields": {"at": context.get("message", "loop")}}
+        )
 
     def cancel(self) -> None:
+        """Cancel all tasks."""
         for task in self.running:
             task.cancel()
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -1,6 +1,6 @@
-"""The callers' side over HTTP: requests become happenings, errands become answers.
+"""The client side over HTTP: requests become events, actions become responses.
 
-Another protocol is another front with the same errands.
+Another protocol would be another listener with the same methods.
 """
 
 from __future__ import annotations
@@ -19,10 +19,21 @@
 from mulleinhatch.networking import http_grammar
 
 LOG = logging.getLogger(__name__)
-STATUS_BY_CAUSE = {"tenant": 400, "id in use": 409, "key in use": 422}  # the status of what is no op for us, 404 for all else
+STATUS_BY_CAUSE = {"tenant": 400, "id in use": 409, "key in use": 422}  # of requests that do not fit; all other causes: 404
 
 
 class ClientListener:
+    """Receives requests and health checks of clients, and writes the answers.
+
+    Args:
+        max_connections: How many connections may be open.
+        handle_event: Passes events to the reducer.
+        count: Increments a counter.
+        counters_text: Returns the counters as served under their path.
+        reject_early: Decides about retries before they are read in full; None without retry storm detection.
+        advice_level: Returns the advice level of rejections.
+    """
+
     def __init__(
         self,
         max_connections: int,
@@ -44,7 +55,7 @@
             on_lost=self.on_connection_lost,
             count=count,
         )
-        self.closing_connections: set[int] = set()  # places whose caller asked that the connection be closed
+        self.closing_connections: set[int] = set()  # by the wish of the client, after the answer
         self.is_leaving = False
         self.on_handover: Callable[[bytes], None] | None = None
         self.fleet_status: Callable[[], bytes] | None = None
@@ -58,6 +69,7 @@
         self.on_handover = on_handover
 
     def on_request(self, connection_id: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+        """Route a complete request."""
         if fields.get(b"connection", b"").lower() == b"close":
             self.closing_connections.add(connection_id)
         try:
@@ -84,33 +96,41 @@
             raise http_grammar.BadRequestError("path", 404)
 
     def _record_bad_request(self, connection_id: int, error: http_grammar.BadRequestError) -> int:
+        """Count a bad request and return the status of its answer."""
         self.connections.blame(connection_id)
         self.count("bad_" + error.cause.replace(" ", "_"))
-        LOG.debug("bad request", extra={"fields": {"cause": error.cause, "status": error.status}})
+        LOG.debug("rejected a malformed request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
 
     def on_malformed_request(self, connection_id: int, error: http_grammar.BadRequestError) -> None:
-        """Where the next request would begin is not known: the connection ends with this answer."""
+        """Answer and close the connection: it is unknown where its next request begins."""
         self.closing_connections.add(connection_id)
         self._write(connection_id, self._record_bad_request(connection_id, error))
 
     def on_slow_request(self, connection_id: int) -> None:
+        """Answer a request that arrives too slowly."""
         self.on_malformed_request(connection_id, http_grammar.BadRequestError("slow sender", 408))
 
     def on_connection_lost(self, connection_id: int) -> None:
+        """Record that the client disconnected."""
         self.closing_connections.discard(connection_id)
         self.handle_event(Event.CLIENT_DISCONNECTED, connection_id)
 
     def send_result(self, connection_id: int, result: bytes, level: float | None) -> None:
+        """Answer with the result of a run."""
         self._write(connection_id, 200, result, level=level)
 
     def set_early_rejection(self, is_enabled: bool) -> None:
-        """Whether tries may be nacked before they are read in full."""
+        """Set whether retries may be rejected before they are read in full."""
         self.connections.turn_back = self._reject_unread_retry if is_enabled and self.reject_early else None
 
     def _reject_unread_retry(self, connection_id: int, now: float, data: bytes, retry_at: float) -> tuple[bytes, float] | None:
-        """The nack of a try that is turned back, and when its caller is told to come back. `retry_at` is when the
-        connection's last answer told it to; who never heard of such a time is neither punctual nor stubborn."""
+        """Return the rejection of a retry and the time when its client may retry, or None to read the request.
+
+        Args:
+            retry_at: When the last answer on this connection told the client to retry; 0 if none did. Such a client is neither
+                punctual nor too early.
+        """
         arguments = None if self.is_leaving else http_requests.parse_plain_request(data)
         if arguments is None:
             return None
@@ -131,6 +151,7 @@
     def send_rejection(
         self, connection_id: int, retry_after_s: float, is_rejected_elsewhere: bool, level: float | None
     ) -> None:
+        """Reject a request that was not executed."""
         if retry_after_s > 0.0:
             self.connections.told_back(connection_id, time.monotonic() + retry_after_s)
         self._write(
@@ -142,19 +163,22 @@
         )
 
     def send_failure(self, connection_id: int, level: float | None) -> None:
+        """Answer that the request failed."""
         self._write(connection_id, 500, level=level)
 
     def send_invalid(self, connection_id: int, cause: str) -> None:
-        """A request in good form that this deployment, or what else is open here, has no place for."""
+        """Answer a well-formed request that does not fit the deployment or the other open requests."""
         self._write(
             connection_id,
             self._record_bad_request(connection_id, http_grammar.BadRequestError(cause, STATUS_BY_CAUSE.get(cause, 404))),
         )
 
     def send_health(self, connection_id: int, is_healthy: bool, level: float | None) -> None:
+        """Answer a health check."""
         self._write(connection_id, 200 if is_healthy else 503, level=level)
 
     def abandon_connection(self, connection_id: int) -> None:
+        """Close a connection whose request continues on another one."""
         self.closing_connections.discard(connection_id)
         self.connections.abandon(connection_id)
 
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -1,6 +1,7 @@
-"""The dependency's side: calls that runs wait for go out over HTTP, and how they end is told. Imported only where there is one.
+"""Calls of the dependency over HTTP, for the runs that wait for them. Imported only where a dependency is configured.
 
-The service instance makes the call and not the interpreter, so that the decisions say when, for how long, and whether at all.
+The service instance makes the calls, not the interpreter: the admission controller decides when, for how long, and whether
+at all.
 """
 
 from __future__ import annotations
@@ -16,22 +17,25 @@
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
 LOG = logging.getLogger(__name__)
-MAX_CONNECTIONS = 64  # connections at a time: of the descriptors that are no callers'
+MAX_CONNECTIONS = 64  # of the descriptors that are reserved beside client connections
 
 
 class DependencyClient:
+    """Calls the dependency and reports the end of each call as an event."""
+
     def __init__(self, host: str, port: int, handle_event: EventHandler, count: CounterIncrement) -> None:
         self.address, self.handle_event, self.count = f"{host}:{port}", handle_event, count
         self.peers = Peers(MAX_CONNECTIONS, http_peers.parse_dependency_response_head, time.monotonic)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def call(self, request_id: str, seconds: float, payload: bytes) -> None:
+        """Start a call."""
         task = asyncio.ensure_future(self._call(request_id, seconds, payload))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _call(self, request_id: str, seconds: float, payload: bytes) -> None:
-        """However it ends, the run that waits for it hears of it, once."""
+        """Make one call. However it ends, exactly one event reports it to the run that waits."""
         ending, result, deadline = Ending.INTERRUPTED, b"", time.monotonic() + seconds
         try:
             status, result = await self.peers.ask(
@@ -42,22 +46,24 @@
             ending = Ending.UNREACHABLE
         except ConnectionLostError as error:
             ending = Ending.TIMEOUT if time.monotonic() >= deadline else Ending.INTERRUPTED
-            LOG.debug("call broke off", extra={"fields": {"ref": request_id, "error": error}})
+            LOG.debug("connection to the dependency broke during a call", extra={"fields": {"ref": request_id, "error": error}})
         except Exception:
             self.count("errors_inside")
-            LOG.exception("error inside", extra={"fields": {"at": "call"}})
+            LOG.exception("unexpected exception", extra={"fields": {"at": "call"}})
         finally:
             self.count("calls_" + ending.name.lower())
             self.handle_event(Event.CALL_ENDED, request_id, ending, result if ending is Ending.OK else b"")
 
     def set_address(self, host: str, port: int) -> None:
-        """Calls from now on go there; those under way end where they began."""
+        """Use another address for new calls; those in progress end where they began."""
         self.address = f"{host}:{port}"
 
     def sweep(self) -> None:
+        """Close connections that are idle too long."""
         self.peers.sweep()
 
     def close(self) -> None:
+        """Cancel the calls in progress and close the connections."""
         for task in self.tasks:
             task.cancel()
         self.peers.close()
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -1,4 +1,4 @@
-"""One service instance: joins the layers and has what the reducer asks for carried out."""
+"""One service instance: creates its parts and performs the actions of the reducer."""
 
 from __future__ import annotations
 
@@ -31,27 +31,33 @@
     from mulleinhatch.instance.traces.recorder import Recorder
 
 LOG = logging.getLogger(__name__)
-RESERVED_DESCRIPTORS = 16  # of the limit, for all that is no client connection
-RESERVED_DEPENDENCY_CONNECTIONS = 64  # and for calls of a dependency
-LISTEN_TIMEOUT_S = 15.0  # seconds: a predecessor killed a moment ago may still hold the address
-MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # seconds between tries, doubled in between, drawn by half
-CLOSE_LISTENER_BEFORE_STOP_S, CLOSE_LISTENER_INTERVAL_S = (
-    0.12,
-    0.02,
-)  # seconds before the stop: later than the module's last answers; until all have heard it
-EXIT_AFTER_STOP_S = 0.5  # seconds: whoever stops us does it at the time told; to end first would lose ops
+RESERVED_DESCRIPTORS = 16  # descriptors that are not for client connections
+RESERVED_DEPENDENCY_CONNECTIONS = 64  # further ones, if there is a dependency
+LISTEN_TIMEOUT_S = 15.0  # a predecessor that was killed a moment ago may still have the address
+MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # between attempts: doubled each time, with random jitter
+CLOSE_LISTENER_BEFORE_STOP_S = 0.12  # later than the last answers of the admission controller
+CLOSE_LISTENER_INTERVAL_S = 0.02  # repeated until the stop, for connections that become idle
+EXIT_AFTER_STOP_S = 0.5  # the supervisor stops the process at the announced time: to exit before would lose requests
 REPORT_INTERVAL_S = reports.LISTED_FOR_S / 6
 SWEEP_INTERVAL_S = 0.25
-RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # by a reload, of the placement
+RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # fields that a reload changes
 
 
 def max_connections(placement: Placement) -> int:
+    """Return how many client connections the limit on descriptors allows."""
     descriptors = min(placement.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if placement.dependency else 0)
     return max(1, descriptors - min(reserved, descriptors // 2))
 
 
 class Instance:
+    """A service instance: client listener, interpreter link, reducer, and what the settings add to them.
+
+    Args:
+        placement: Its settings.
+        read_placement: Reads the settings again, for a reload.
+    """
+
     def __init__(self, placement: Placement, read_placement: Callable[[], Placement] | None = None) -> None:
         self.placement, self.read_placement = placement, read_placement or (lambda: placement)
         self.counts: Counter[str] = Counter()
@@ -84,8 +90,8 @@
 
             self.dependency = DependencyClient(*placement.dependency, self.handle_event, self.count)
         self.port = 0
-        self.is_listed_open: bool | None = None  # not reported until the interpreter is up
-        # Callers close their own before: what outlives that was left by one that asks no more.
+        self.is_listed_open: bool | None = None  # not reported until the interpreter is ready
+        # Clients close their idle connections earlier: one that is older belongs to a client that is gone.
         self.idle_timeout_s = placement.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
         self.action_handlers: dict[Action, Callable[..., None]] = {
@@ -110,18 +116,21 @@
         }
 
     def _record_decisions(self, controller: AdmissionController, now: float, is_cold_start: bool, since: float) -> Recorder:
-        """What stands between reducer and module where traces are written; its libraries are loaded for it alone."""
+        """Wrap the admission controller in a recorder. Its libraries are imported only where traces are written."""
         from mulleinhatch.instance.runtime.tracing import Tracing
 
         self.tracing = Tracing(self.placement)
         return self.tracing.record_decisions(controller, now, is_cold_start, since)
 
     def count(self, name: str) -> None:
+        """Increment a counter."""
         self.counts[name] += 1
 
     def handle_event(self, event: Event, *arguments: Any) -> None:
-        """The one way in: what happened goes to the reducer, and its errands are run. An op gone wrong must
-        not take those of other callers with it, so what was asked for before an error is still done."""
+        """Pass an event to the reducer and perform the actions.
+
+        An exception in one request must not affect those of other clients: the actions made before it are still performed.
+        """
         try:
             self.reducer.reduce(time.monotonic(), event, *arguments)
         except Exception:
@@ -134,9 +143,9 @@
 
     def _record_internal_error(self, source: Event | Action) -> None:
         self.count("errors_inside")
-        LOG.exception("error inside", extra={"fields": {"at": source.name.lower()}})
+        LOG.exception("unexpected exception", extra={"fields": {"at": source.name.lower()}})
 
-    # Errands that are neither the front's nor the interpreter's.
+    # Actions that neither the listener nor the interpreter link performs.
 
     def _set_timer(self, seconds: float, token: int) -> None:
         due = time.monotonic() + seconds
@@ -150,7 +159,7 @@
     def _start_call(self, request_id: str, seconds: float, payload: bytes) -> None:
         if self.dependency:
             self.dependency.call(request_id, seconds, payload)
-        else:  # nobody told of one, and the run must not wait for ever
+        else:  # no dependency is configured, and the run must not wait for ever
             asyncio.get_running_loop().call_soon(self.handle_event, Event.CALL_ENDED, request_id, Ending.UNREACHABLE, b"")
 
     def _report_availability(self, is_open: bool) -> None:
@@ -161,15 +170,17 @@
         self.idle_timeout_s = seconds
 
     def _begin_shutdown(self, seconds: float) -> None:
-        """It serves until shortly before the stop, then takes what lies in the backlog, listens no more, and ends what rests:
-        a request that came in the moment of the stop would be lost, one that finds nobody is sent elsewhere."""
+        """Serve until shortly before the stop, then accept what is in the backlog, stop listening and close idle connections.
+
+        A request that arrived at the moment of the stop would be lost; one that finds no listener is sent to another instance.
+        """
         self.listener.is_leaving = True
         loop = asyncio.get_running_loop()
         loop.call_later(max(0.0, seconds - CLOSE_LISTENER_BEFORE_STOP_S), self._close_listener)
         loop.call_later(seconds + EXIT_AFTER_STOP_S, self.stopped.set)
         if self.fleet:
             self.fleet.leave()
-        self.log_counters("leaving")
+        self.log_counters("draining before the stop")
 
     def _close_listener(self) -> None:
         if not self.stopped.is_set():
@@ -177,19 +188,21 @@
             self.listener.connections.shut()
 
     def _send_report(self) -> None:
+        """Report to the directory whether this instance is available."""
         directory = self.placement.directory
         if directory and self.is_listed_open is not None:
             sent = self.datagrams.send(directory, reports.report(self.placement.name, self.is_listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
-    # Its life.
+    # Life cycle.
 
     async def serve(self) -> None:
+        """Run until the stop."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self.tasks.handle_loop_exception)
         signals.handle_signals(loop, hangup=self.reload, end=self.leave, counters=lambda: self.log_counters("counters"))
         self.port = await self._listen()
-        LOG.info("listening", extra={"fields": {"name": self.placement.name, "port": self.port}})
+        LOG.info("listening for clients", extra={"fields": {"name": self.placement.name, "port": self.port}})
         if self.placement.fleet:
             from mulleinhatch.instance.runtime.gossip import FleetSide
 
@@ -215,6 +228,7 @@
         self.log_counters("stopped")
 
     async def _listen(self) -> int:
+        """Listen for clients; retry while another process still has the address."""
         until, pause = time.monotonic() + LISTEN_TIMEOUT_S, MIN_LISTEN_PAUSE_S
         while True:
             try:
@@ -222,7 +236,7 @@
             except OSError as error:
                 if time.monotonic() >= until:
                     raise
-                LOG.info("can't listen yet", extra={"fields": {"error": error}})
+                LOG.info("can't listen yet, retrying", extra={"fields": {"error": error}})
             await asyncio.sleep(pause * (0.5 + self.tasks.draw(1000) / 1000.0))
             pause = min(MAX_LISTEN_PAUSE_S, 2.0 * pause)
 
@@ -234,21 +248,22 @@
             self.dependency.sweep()
 
     def leave(self) -> None:
+        """Request the shutdown."""
         self.handle_event(Event.SHUTDOWN_REQUESTED, self.placement.stop_after)
 
     def reload(self) -> None:
-        """The file is checked whole before anything is touched; a faulty one leaves the old in force."""
+        """Read the settings again. They are checked completely first; faulty ones change nothing."""
         try:
             new = self.read_placement()
         except InvalidSettingsError as error:
             self.count("reloads_refused")
-            LOG.error("reload refused", extra={"fields": {"error": error}})
+            LOG.error("reload refused, the old settings stay in force", extra={"fields": {"error": error}})
             return
         unchanged_until_restart = [
             key for key in new._fields if key not in RELOADABLE_FIELDS and getattr(new, key) != getattr(self.placement, key)
         ]
         self.count("reloads")
-        LOG.info("reloaded", extra={"fields": {"left_until_restart": ",".join(unchanged_until_restart)}})
+        LOG.info("settings reloaded", extra={"fields": {"left_until_restart": ",".join(unchanged_until_restart)}})
         self.placement = self.placement._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
         self.listener.connections.most = max_connections(new)
         self.interpreter.link.move(*new.interpreter)
@@ -257,9 +272,11 @@
         self._send_report()
 
     def log_counters(self, event: str) -> None:
+        """Log all counters."""
         LOG.info(event, extra={"fields": self.counted()})
 
     def counted(self) -> dict[str, int]:
+        """Return all counters and gauges by name."""
         storms = self.reducer.storms.counted() if self.reducer.storms else {}
         traces = self.tracing.writer.counts if self.tracing else {}
         fleet = self.fleet.counted() if self.fleet else {}
@@ -276,4 +293,5 @@
         }
 
     def counters_text(self) -> str:
+        """Return all counters as lines of name=value."""
         return "".join(f"{name}={count}\n" for name, count in sorted(self.counted().items()))
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -1,4 +1,4 @@
-"""The interpreter's side: notices of the link become happenings, errands become commands."""
+"""The interpreter side: notices of the link become events, actions become commands."""
 
 from __future__ import annotations
 
@@ -11,17 +11,27 @@
 from mulleinhatch.instance.transport.link import Link
 
 LOG = logging.getLogger(__name__)
-MAX_UNREADABLE_RUN_ENDS = 1000
+MAX_UNREADABLE_RUN_ENDS = 1000  # request ids that are remembered
+# Log lines by counter.
+PROBLEMS = {
+    "lines_broken": "the interpreter sent a line that cannot be parsed",
+    "notices_broken": "the interpreter sent a notice that cannot be read",
+    "notices_unknown": "the interpreter sent a notice of unknown type",
+    "interpreter_errors": "the interpreter answered a command with an error",
+}
 
 
 class InterpreterLink:
+    """Parses the notices of the interpreter and sends commands to it."""
+
     def __init__(self, host: str, port: int, handle_event: EventHandler, count: CounterIncrement) -> None:
         self.handle_event, self.count = handle_event, count
         self.logged_problems: set[str] = set()
-        self.unreadable_run_ends: set[str] = set()  # runs whose end came spoilt once
+        self.unreadable_run_ends: set[str] = set()  # request ids whose end arrived unreadable once
         self.link = Link(host, port, on_open=lambda: handle_event(Event.LINK_OPENED), on_line=self.on_line, count=count)
 
     def on_line(self, line: bytes) -> None:
+        """Handle one line of the link."""
         try:
             message = link.notice(line)
         except (ValueError, RecursionError):
@@ -35,8 +45,11 @@
             self._handle_unreadable_run_end(message)
 
     def _handle_unreadable_run_end(self, message: dict) -> None:
-        """It comes again, perhaps whole, when the link is made anew. An end that is spoilt again is an end still: its run
-        fails, whose result nobody can know, and does not keep its place for good."""
+        """Handle a notice of a run's end that cannot be read.
+
+        It is sent again after a reconnect, perhaps readable. The second time the run has ended all the same: it fails, since
+        its result cannot be known, and must not occupy capacity for ever.
+        """
         request_id = message.get("rid")
         if message.get("t") != "VALUE" or not isinstance(request_id, str):
             return
@@ -50,11 +63,11 @@
         self.handle_event(Event.MALFORMED_LINE_RECEIVED)
 
     def _count_problem(self, kind: str, fields: dict) -> None:
-        """Counted each time and logged once: a fault of the other side must not fill the log."""
+        """Count each problem and log the first of a kind: a fault of the other side must not fill the log."""
         self.count(kind)
         if kind not in self.logged_problems:
             self.logged_problems.add(kind)
-            LOG.warning(kind.replace("_", " "), extra={"fields": fields})
+            LOG.warning(PROBLEMS[kind], extra={"fields": fields})
 
     def _notice(self, message: dict) -> None:
         kind, status = message.get("t"), message.get("status")
@@ -78,7 +91,7 @@
             self.handle_event(Event.GAUGES_RECEIVED, link.non_negative_int(message["mark"]), link.readings(message["v"]))
         elif kind == "BANNER":
             since = link.non_negative_float(message["time_ms"]) / 1000.0
-            LOG.info("interpreter up", extra={"fields": {"status": status, "ms": message["time_ms"]}})
+            LOG.info("interpreter is ready", extra={"fields": {"status": status, "ms": message["time_ms"]}})
             self.handle_event(Event.INTERPRETER_READY, status == "new", since)
         elif kind == "ERROR":
             self._count_problem("interpreter_errors", {"command": status, "ref": message.get("rid")})
@@ -91,19 +104,25 @@
                 self.handle_event(Event.OTHER_NOTICE_RECEIVED, link.non_negative_int(message["no"]))
 
     def greet(self, last_notice: int) -> None:
+        """Connect, naming the last notice received."""
         self.link.send(link.connect(last_notice))
 
     def renew(self) -> None:
+        """Reconnect the link."""
         self.link.renew()
 
     def run(self, request_id: str, op_type: str, body: bytes) -> None:
+        """Start a run."""
         self.link.send(link.apply(request_id, op_type, body))
 
     def resolve(self, request_id: str, result: bytes) -> None:
+        """Resume a run with the result of its call."""
         self.link.send(link.resolve(request_id, result))
 
     def skip(self, request_id: str) -> None:
+        """Resume a run without its call."""
         self.link.send(link.skip_call(request_id))
 
     def gauges(self, mark: int) -> None:
+        """Request the gauges."""
         self.link.send(link.request_gauges(mark))
--- a/mulleinhatch/instance/runtime/logs.py
+++ b/mulleinhatch/instance/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The log on standard error, one line an event, key=value."""
+"""The log on standard error: one line per event, key=value."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """
+    """Formats a record as key=value pairs.
+
     >>> record = logging.LogRecord("x.y", logging.INFO, "", 0, "now %s", ("up",), None)
     >>> record.fields = {"port": 80}
     >>> KeyValueFormatter().format(record).split(" ", 1)[1]
@@ -15,6 +16,7 @@
     """
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line of a record."""
         pairs = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -28,6 +30,7 @@
 
 
 def quote(value: object) -> str:
+    """Return the value, quoted where it contains spaces, quotes, equals signs or newlines."""
     text = str(value)
     if text and not any(char in text for char in ' "=\n'):
         return text
@@ -35,6 +38,7 @@
 
 
 def start_logging(level: str) -> None:
+    """Log to standard error from this level on."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/mulleinhatch/instance/runtime/signals.py
+++ b/mulleinhatch/instance/runtime/signals.py
@@ -1,7 +1,7 @@
-"""Signals, from the first moment of the process: one that comes while it starts is kept, and acted on once it can be.
+"""Signals, from the first moment of the process: one that arrives during the start is remembered and handled afterwards.
 
-SIGHUP and SIGUSR1 end a process that does not handle them, and a SIGHUP that is only ignored while the start takes its time
-would leave the addresses of before in force for good. Imports nothing that takes time: it is called before what does.
+SIGHUP and SIGUSR1 end a process that does not handle them, and a SIGHUP that is ignored during the start would leave old
+addresses in force for good. This module imports nothing that takes time: it is called before the slow imports.
 """
 
 from __future__ import annotations
@@ -20,14 +20,20 @@
 
 
 def remember_early_signals() -> None:
-    """Until `handle_signals`. Called twice it keeps what came before."""
+    """Remember signals until `handle_signals` is called. A second call forgets none."""
     for number in EARLY_SIGNALS:
         signal.signal(number, _remember)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
 
 
 def handle_signals(loop: Any, hangup: Callable[[], None], end: Callable[[], None], counters: Callable[[], None]) -> None:
-    """By the running loop from here on; what came before is acted on at once."""
+    """Handle signals in the running event loop, those that were remembered at once.
+
+    Args:
+        hangup: Called for SIGHUP.
+        end: Called for SIGTERM and SIGINT.
+        counters: Called for SIGUSR1.
+    """
     handlers = {signal.SIGHUP: hangup, signal.SIGTERM: end, signal.SIGINT: end}
     for number, handler in handlers.items():
         loop.add_signal_handler(number, handler)
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -1,4 +1,4 @@
-"""Traces of this instance: joins the recorder, which the reducer fills, with the keeper, which writes in its own thread."""
+"""Traces of this instance: connects the recorder, which the reducer fills, to the writer, which has its own thread."""
 
 from __future__ import annotations
 
@@ -15,10 +15,12 @@
 from mulleinhatch.instance.traces.replay import told_out
 from mulleinhatch.instance.traces.writer import Keeper
 
-FLUSH_INTERVAL_S = 1.0  # seconds that a record waits for others, at most: what a kill costs
+FLUSH_INTERVAL_S = 1.0  # the longest time that a record is only in memory: what a kill loses
 
 
 class Tracing:
+    """Records the calls and decisions of the admission controller into trace files."""
+
     def __init__(self, placement: Placement) -> None:
         self.placement = placement
         parts = sorted(Path(admission.__file__).parent.glob("*.py"))
@@ -44,15 +46,18 @@
         )
 
     def record_decisions(self, controller: AdmissionController, now: float, is_cold_start: bool, since: float) -> Recorder:
+        """Wrap the admission controller in a recorder."""
         self.recorder = Recorder(controller, now, is_cold_start, since, self.writer.batch)
         return self.recorder
 
     def flush_if_due(self, now: float) -> None:
+        """Pass what was recorded to the writer."""
         if self.recorder and now - self.flushed_at >= FLUSH_INTERVAL_S:
             self.flushed_at = now
             self.recorder.flush()
 
     def close(self) -> None:
+        """Write what is left and close the file."""
         if self.recorder:
             self.recorder.flush()
         self.writer.close()
