--- a/mulleinhatch/control_plane/placement/adapter_planner.py
+++ b/mulleinhatch/control_plane/placement/adapter_planner.py
@@ -8,7 +8,7 @@
 from mulleinhatch.control_plane.placement.order import Operation, Order
 from mulleinhatch.control_plane.placement.plan_draft import EVICTION_GAIN_FACTOR, PlanDraft
 from mulleinhatch.control_plane.placement.value import MIN_RATE_PER_S, PENDING_VALUE_PER_S
-from mulleinhatch.membership.rendezvous import weight
+from mulleinhatch.membership.rendezvous import rendezvous_weight
 
 ADAPTER_ORDER_S = 0.05  # expected time of loading or unloading an adapter
 
@@ -51,7 +51,7 @@
         # The rendezvous weight spreads adapters over equally loaded backends, the same way in each pass.
         target = min(
             with_capacity,
-            key=lambda backend: (used_adapters(backend), -weight(f"{model}/{adapter}", backend.address)),
+            key=lambda backend: (used_adapters(backend), -rendezvous_weight(f"{model}/{adapter}", backend.address)),
         )
         self._draft.append(
             Order(target.id, Operation.LOAD, model, adapter, expected_s=ADAPTER_ORDER_S, reason="adapter wanted")
--- a/mulleinhatch/control_plane/placement/backend_view.py
+++ b/mulleinhatch/control_plane/placement/backend_view.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from mulleinhatch.configuration.routes import Engine
+from mulleinhatch.configuration.routes import EngineSpec
 
 
 @dataclass
@@ -55,7 +55,7 @@
         return (hosted_adapters - self.unloading) | {pair for pair in self.loading if pair[1]}
 
 
-def model_mb(model: str, hosted: HostedModel, engine: Engine) -> float:
+def model_mb(model: str, hosted: HostedModel, engine: EngineSpec) -> float:
     """Return the memory of a model with its adapters.
 
     A model that the configuration does not name counts as the largest one that it names.
@@ -66,7 +66,7 @@
     return model_facts.weights_mb + len(hosted.adapters) * model_facts.adapter_size_mb
 
 
-def used_mb(backend: BackendView, engine: Engine) -> float:
+def used_mb(backend: BackendView, engine: EngineSpec) -> float:
     """Return the memory that a backend's models and adapters use, including those being loaded."""
     total = sum(model_mb(model, hosted, engine) for model, hosted in backend.models.items())
     for model, adapter in backend.loading:
--- a/mulleinhatch/control_plane/placement/demand.py
+++ b/mulleinhatch/control_plane/placement/demand.py
@@ -98,10 +98,10 @@
         for entry in entries:
             for key in _keys_of(entry):
                 total = self._totals.setdefault(key, AggregatedDemand())
-                total.pending += sign * entry.held
+                total.pending += sign * entry.pending_requests
                 total.running += sign * entry.running
                 total.rate += sign * entry.rate
-                total.value += sign * entry.worth_rate
+                total.value += sign * entry.value_rate
 
     def totals(self, service: str, now: float) -> dict[str, AggregatedDemand]:
         """Return the demand for each model of a service."""
@@ -129,7 +129,7 @@
 
 def _is_valid(entry: ModelDemand) -> bool:
     """Return whether an entry names a model and has finite, non-negative, plausible figures."""
-    figures = (entry.held, entry.running, entry.rate, entry.worth_rate)
+    figures = (entry.pending_requests, entry.running, entry.rate, entry.value_rate)
     return bool(entry.service and entry.model) and all(math.isfinite(figure) and 0 <= figure < MAX_FIGURE for figure in figures)
 
 
--- a/mulleinhatch/control_plane/placement/model_planner.py
+++ b/mulleinhatch/control_plane/placement/model_planner.py
@@ -4,11 +4,11 @@
 
 from typing import NamedTuple
 
-from mulleinhatch.configuration.routes import ModelFacts
+from mulleinhatch.configuration.routes import ModelSpec
 from mulleinhatch.control_plane.placement.backend_view import BackendView, model_mb, used_mb
 from mulleinhatch.control_plane.placement.order import Operation, Order
 from mulleinhatch.control_plane.placement.plan_draft import EVICTION_GAIN_FACTOR, PlanDraft
-from mulleinhatch.membership.rendezvous import weight
+from mulleinhatch.membership.rendezvous import rendezvous_weight
 
 MIN_RESIDENCE_S = 1.5  # a model is not evicted for so long after its load, so that the requests that waited for it are served
 DISK_LOAD_S = 1.0  # expected time of a load from the backend's own disk
@@ -66,7 +66,7 @@
         for model in missing:
             self._plan_replica(models[model])
 
-    def _plan_replica(self, facts: ModelFacts) -> None:
+    def _plan_replica(self, facts: ModelSpec) -> None:
         best: _Candidate | None = None
         for backend in self._draft.orderable_backends():
             candidate = self._candidate(backend, facts)
@@ -76,7 +76,7 @@
         if best is not None:
             self._append(best.backend, facts, best.evictions)
 
-    def _candidate(self, backend: BackendView, facts: ModelFacts) -> _Candidate | None:
+    def _candidate(self, backend: BackendView, facts: ModelSpec) -> _Candidate | None:
         """Return a backend as a candidate for a model's next replica, or None if it can't load the model now."""
         model = facts.name
         if backend.reserved_for or model in backend.models or (model, "") in backend.loading:
@@ -87,17 +87,17 @@
         if evictions is None:
             return None
         cost = self._cost(backend, facts, evictions)
-        return _Candidate(cost, -weight(model, backend.address) / 2**64, backend, evictions)
+        return _Candidate(cost, -rendezvous_weight(model, backend.address) / 2**64, backend, evictions)
 
     def _can_load(self, backend: BackendView, model: str) -> bool:
         """Return whether the backend's disk has the model or the weight store may be read."""
         return model in backend.disk_models or self._store_loads_available > 0
 
     @staticmethod
-    def _load_s(backend: BackendView, facts: ModelFacts) -> float:
+    def _load_s(backend: BackendView, facts: ModelSpec) -> float:
         return DISK_LOAD_S if facts.name in backend.disk_models else facts.load_s
 
-    def _cost(self, backend: BackendView, facts: ModelFacts, evictions: list[str]) -> float:
+    def _cost(self, backend: BackendView, facts: ModelSpec, evictions: list[str]) -> float:
         delay_s = self._load_s(backend, facts) + UNLOAD_COST_S * len(evictions)
         loss = sum(self._value.loss(model) for model in evictions)
         return delay_s + loss + ADAPTER_DISTURBANCE_S * self._adapter_rate(backend)
@@ -111,7 +111,7 @@
             if model in demand
         )
 
-    def _evictions_for(self, backend: BackendView, facts: ModelFacts) -> list[str] | None:
+    def _evictions_for(self, backend: BackendView, facts: ModelSpec) -> list[str] | None:
         """Return the models to unload so that a model fits, cheapest first.
 
         Returns:
@@ -144,7 +144,7 @@
         models = (model for model in backend.models if (model, "") not in backend.unloading)
         return sorted(models, key=lambda model: (loss(model), model))
 
-    def _append(self, backend: BackendView, facts: ModelFacts, evictions: list[str]) -> None:
+    def _append(self, backend: BackendView, facts: ModelSpec, evictions: list[str]) -> None:
         """Order the load, or the first unload that it needs."""
         load = self._load_order(backend, facts)
         if not evictions:
@@ -162,7 +162,7 @@
         )
         self._draft.append(unload)
 
-    def _load_order(self, backend: BackendView, facts: ModelFacts) -> Order:
+    def _load_order(self, backend: BackendView, facts: ModelSpec) -> Order:
         value = self._value
         return Order(
             backend.id,
--- a/mulleinhatch/control_plane/placement/order_dispatch.py
+++ b/mulleinhatch/control_plane/placement/order_dispatch.py
@@ -21,7 +21,7 @@
 from mulleinhatch.control_plane.placement.published_holdings import HoldingsPublisher
 from mulleinhatch.control_plane.placement.report_poller import POLL_BACKOFF_S, POLL_INTERVAL_S
 from mulleinhatch.messages.cluster import Backend
-from mulleinhatch.networking.http_client import CallError
+from mulleinhatch.networking.http_client import HttpCallError
 
 LOG = logging.getLogger(__name__)
 FOLLOW_UP_RETRY_DELAYS_S = (0.05, 0.05, 0.1)  # pause before each attempt to send a load right after the unload it needs
@@ -66,9 +66,9 @@
         self._tasks.start_task(self._send(backend, state, order))
 
     def _record(self, backend: Backend, order: Order) -> None:
-        fields = {"backend": backend.id, "operation": order.operation.value, "model": order.model, "adapter": order.adapter}
-        LOG.info("issued an order to a backend", extra=fields | {"reason": order.reason})
-        self.recent_orders.append(fields | {"why": order.reason})  # JSON key of `/status`
+        fields = {"operation": order.operation.value, "model": order.model, "adapter": order.adapter}
+        LOG.info("issued an order to a backend", extra={"backend": backend.id} | fields | {"reason": order.reason})
+        self.recent_orders.append({"stub": backend.id} | fields | {"why": order.reason})  # JSON keys of `/status`
 
     async def _send(self, backend: Backend, state: BackendState, order: Order) -> None:
         in_flight = state.in_flight
@@ -78,12 +78,12 @@
             return
         try:
             status = await self._client.send(backend, order, state.revision)
-        except CallError as error:
+        except HttpCallError as error:
             self._handle_lost_response(backend, in_flight, error)
             return
         self._handle_response(backend, state, in_flight, status)
 
-    def _handle_lost_response(self, backend: Backend, in_flight: OrderInFlight, error: CallError) -> None:
+    def _handle_lost_response(self, backend: Backend, in_flight: OrderInFlight, error: HttpCallError) -> None:
         """Keep an order without a response in flight, because the backend may have accepted it."""
         self._client.discard_connections(backend)
         in_flight.is_response_lost = True
@@ -142,7 +142,7 @@
         unload.is_follow_up_sending = True
         try:
             status = await self._client.send(backend, load, in_flight.revision)
-        except CallError as error:
+        except HttpCallError as error:
             self._replace_unload(backend, state, in_flight)
             self._handle_lost_response(backend, in_flight, error)
             return True
--- a/mulleinhatch/data_plane/control_plane_client.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -11,11 +11,11 @@
 from result import Err
 
 from mulleinhatch.configuration.document import EMPTY, Document, apply_patch
-from mulleinhatch.configuration.routes import RouteTable, build_table
+from mulleinhatch.configuration.routes import RouteTable, build_route_table
 from mulleinhatch.data_plane.control_plane_snapshot import ControlPlaneSnapshot
-from mulleinhatch.membership.rendezvous import ranked
+from mulleinhatch.membership.rendezvous import rank_by_weight
 from mulleinhatch.messages.cluster import DemandReport, DemandResponse, ModelDemand, PollRequest, PollResponse
-from mulleinhatch.networking.http_client import CallError, HttpClient
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 from mulleinhatch.process.settings import Settings
 
 LOG = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
             address = self._next_address()
             try:
                 await self._poll(address)
-            except CallError as error:
+            except HttpCallError as error:
                 LOG.debug("control plane did not answer; another one is asked", extra={"error": str(error)})
                 self._http.forget(address)
                 self._cooldown_until[address] = self._clock() + COOLDOWN_S
@@ -82,7 +82,7 @@
             addresses = self._seeds
         else:
             addresses = list(dict.fromkeys([*self._control_addresses, *self._seeds]))
-        order = ranked(self._settings.name, addresses)
+        order = rank_by_weight(self._settings.name, addresses)
         published = set(self._control_addresses)
 
         def preference(address: str) -> tuple[float, bool, int]:
@@ -101,12 +101,12 @@
             registry_source=self._registry_source,
             registry_cursor=self._registry_cursor,
             wait_ms=int(1000 * wait_s),
-            left_index=self._deregistrations_index,
+            departure_index=self._deregistrations_index,
         )
         timeout_s = max(FIRST_POLL_TIMEOUT_S, wait_s + POLL_RESPONSE_MARGIN_S)
         response = await self._http.request(address, "POST", "/internal/poll", bytes(request), timeout_s)
         if response.status != 200:
-            raise CallError(address, f"status {response.status}")
+            raise HttpCallError(address, f"status {response.status}")
         update = PollResponse().parse(response.body)
         if update.epoch < self._epoch:
             update.authoritative = False  # the machine has not learned of a newer view yet
@@ -124,10 +124,10 @@
         self._apply_control_addresses(update)
         backends = self.snapshot.backends
         # A machine that is partitioned gets no heartbeats of backends: that it does not list one proves nothing.
-        is_complete = update.whole_registry and update.authoritative
-        if update.backends or is_complete or backends.unconfirmed or update.left:
-            backends = backends.updated(update.backends, is_complete, self._clock(), update.left)
-        self._deregistrations_index = max(self._deregistrations_index, update.left_index)
+        is_complete = update.is_full_registry and update.authoritative
+        if update.backends or is_complete or backends.unconfirmed or update.departed_backends:
+            backends = backends.updated(update.backends, is_complete, self._clock(), update.departed_backends)
+        self._deregistrations_index = max(self._deregistrations_index, update.departure_index)
         self._registry_source, self._registry_cursor = update.registry_source, update.registry_cursor
         if update.authoritative:
             data_planes = max(1, update.data_planes)
@@ -159,7 +159,7 @@
             )
             self._document = Document(0, EMPTY.value)
             return
-        self._document, self._table = document, build_table(document)
+        self._document, self._table = document, build_route_table(document)
         LOG.info("configuration in force", extra={"version": document.version})
 
     def _may_use_unconfirmed(self) -> bool:
@@ -202,7 +202,7 @@
         report = DemandReport(node=self._settings.name, demand=demand, partial=is_partial)
         try:
             response = await self._http.request(self.leader, "POST", "/internal/demand", bytes(report), DEMAND_REPORT_TIMEOUT_S)
-            return response.status == 200 and DemandResponse().parse(response.body).taken
-        except CallError:
+            return response.status == 200 and DemandResponse().parse(response.body).accepted
+        except HttpCallError:
             self._http.forget(self.leader)
             return False
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -1,4 +1,4 @@
-"""What must hold, checked from outside: by what was answered, what disks hold, and what data planes would act by."""
+"""Check the invariants of the core from outside: by its answers, the content of disks, and the data planes' snapshots."""
 
 from __future__ import annotations
 
@@ -6,115 +6,125 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mulleinhatch.consensus.paxos import identities, majority
+from mulleinhatch.consensus.paxos import identities, majority_size
 from mulleinhatch.control_plane.peers import AUTHORITY_S
-from mulleinhatch.simulation.control_plane.clients import DataPlane, Sent
+from mulleinhatch.simulation.control_plane.clients import DataPlane, SubmittedChange
 from mulleinhatch.simulation.control_plane.machines import Machine
 
 CONTACT_S, CONFIGURATION_APPLY_S, DRAIN_S = 3.0, 2.0, 2.0
-LOOK_SLACK_S = 0.1
+CHECK_SLACK_S = 0.1
 
 
 @dataclass
 class History:
-    """What was seen, and what did not hold."""
+    """The events of one simulated history, and the invariants that were violated."""
 
     seed: int
     events: list[str] = field(default_factory=list)
-    sent: list[Sent] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    sent: list[SubmittedChange] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     acknowledged: int = 0
     reads: int = 0
     leaves: int = 0
     views: int = 0
-    in_touch: int = 0  # looks at data planes that were in touch
+    connected_checks: int = 0  # checks of data planes that were connected to a stable core
 
 
-class Watch:
-    """The checks of one history; each breach is told once a kind."""
+class InvariantChecker:
+    """Checks the invariants of one history, on each answer and periodically.
+
+    Attributes:
+        newest_acknowledged: The newest version that was acknowledged to an operator.
+        assumed_version: The newest version that a client has seen, which the next change builds on.
+    """
 
     def __init__(self, world: Any, history: History) -> None:
         self._world, self.history = world, history
-        self.newest_acknowledged = self.believed = 0
-        self._notes: dict[int, str] = {}  # by version: what was read or acknowledged under it
+        self.newest_acknowledged = self.assumed_version = 0
+        self._notes: dict[int, str] = {}  # by version: the note of the change that made it
         self._acknowledged: list[tuple[float, int]] = []
         self._left: dict[str, float] = {}
         self._epochs: dict[str, int] = {}  # by process
         self._tokens = 0
-        self._newest = ""  # digest of the newest change that was acknowledged
+        self._newest = ""  # the digest of the newest acknowledged change
 
-    def breaks(self, what: str) -> None:
-        self.history.broken.append(f"{self._world.loop.time():8.3f} {what}")
+    def record_violation(self, what: str) -> None:
+        """Add a violated invariant to the history."""
+        self.history.violations.append(f"{self._world.loop.time():8.3f} {what}")
 
-    # The operators' side.
+    # Answers to clients.
 
-    def sends(self, sent: Sent) -> None:
+    def record_submission(self, sent: SubmittedChange) -> None:
+        """Add a change to the history when its operator first sends it."""
         self.history.sent.append(sent)
 
-    def answered(self, sent: Sent, status: int) -> None:
-        """A clear answer to a change."""
+    def record_answer(self, sent: SubmittedChange, status: int) -> None:
+        """Check an answer that acknowledges or rejects a change."""
         if status >= 400 and 200 in sent.answers:
-            self.breaks(f"version {sent.version} ({sent.note}) was acknowledged and then refused with {status}")
+            self.record_violation(f"version {sent.version} ({sent.note}) was acknowledged and then rejected with {status}")
         sent.answers.append(status)
         if status != 200 or sent.answers.count(200) > 1:
             return
         sent.acknowledged_at = self._world.loop.time()
         self.history.acknowledged += 1
-        self._known(sent.version, sent.note)
+        self._check_version_unique(sent.version, sent.note)
         self._acknowledged.append((sent.acknowledged_at, sent.version))
         if sent.version > self.newest_acknowledged:
             self.newest_acknowledged, self._newest = sent.version, sent.digest
-        self.believed = max(self.believed, sent.version)
-        self._check_copies(sent)
+        self.assumed_version = max(self.assumed_version, sent.version)
+        self._check_replica_count(sent)
         self._world.on_acknowledgement()
 
-    def _known(self, version: int, note: str) -> None:
+    def _check_version_unique(self, version: int, note: str) -> None:
         if self._notes.setdefault(version, note) != note:
-            self.breaks(f"version {version} is {self._notes[version]} and {note}")
+            self.record_violation(f"version {version} is {self._notes[version]} and {note}")
 
-    def _check_copies(self, sent: Sent) -> None:
-        """An acknowledged change is on more disks than may be lost."""
-        copies = sum(machine.holds(sent.digest) for machine in self._world.machines)
-        if copies <= self._world.tolerated:
-            self.breaks(f"version {sent.version} was acknowledged with {copies} copies")
+    def _check_replica_count(self, sent: SubmittedChange) -> None:
+        """Check that an acknowledged change is on more disks than may be lost."""
+        replica_count = sum(machine.has_on_disk(sent.digest) for machine in self._world.machines)
+        if replica_count <= self._world.plan.tolerated:
+            self.record_violation(f"version {sent.version} was acknowledged on {replica_count} disks")
 
-    def was_read(self, value: dict[str, Any], acknowledged_before: int) -> None:
+    def record_read(self, value: dict[str, Any], acknowledged_before: int) -> None:
+        """Check that a read returned a version as new as those acknowledged before it began."""
         self.history.reads += 1
         version = value["version"]
         if version < acknowledged_before:
-            self.breaks(f"read version {version} after {acknowledged_before} was acknowledged")
+            self.record_violation(f"read version {version} after {acknowledged_before} was acknowledged")
         if version:
-            self._known(version, value["services"][0]["note"])
-        self.believed = max(self.believed, version)
+            self._check_version_unique(version, value["services"][0]["note"])
+        self.assumed_version = max(self.assumed_version, version)
 
-    def claimed(self, token: int) -> None:
-        """A claim of the orders was taken under a fencing token."""
+    def record_claim(self, token: int) -> None:
+        """Check that the fencing token of a leadership claim is greater than all before."""
         if token <= self._tokens:
-            self.breaks(f"fencing token {token} after {self._tokens}")
+            self.record_violation(f"fencing token {token} after {self._tokens}")
         self._tokens = max(self._tokens, token)
 
-    def leave_acknowledged(self, backend_id: str) -> None:
+    def record_leave(self, backend_id: str) -> None:
+        """Record that the departure of a backend was acknowledged."""
         self.history.leaves += 1
         self._left.setdefault(backend_id, self._world.loop.time())
 
-    # Looks at the machines, each tenth of a second.
+    # Periodic checks.
 
-    def look(self) -> None:
+    def check(self) -> None:
+        """Check all machines and connected data planes."""
         self._check_epochs()
         self._check_authority()
         if self._world.lost() == 0:
             self._check_next_loss()
         now = self._world.loop.time()
-        if not self._world.core_calm(now - CONTACT_S):
+        if not self._world.is_core_stable(now - CONTACT_S):
             return
         due = max((version for at, version in self._acknowledged if at <= now - CONFIGURATION_APPLY_S), default=0)
         for plane in self._world.planes:
-            if self._world.in_touch(plane, now - CONTACT_S):
+            if self._world.is_connected(plane, now - CONTACT_S):
                 self._check_plane(plane, due, now)
 
     def _check_authority(self) -> None:
-        """Whoever speaks in the system's name shows what was acknowledged up to a lease ago, whatever goes on."""
-        before = self._world.loop.time() - AUTHORITY_S - LOOK_SLACK_S
+        """Check that a machine with majority contact has all writes that were acknowledged `AUTHORITY_S` before."""
+        before = self._world.loop.time() - AUTHORITY_S - CHECK_SLACK_S
         due = max((version for at, version in self._acknowledged if at <= before), default=0)
         left = [backend_id for backend_id, at in self._left.items() if at <= before]
         for machine in self._world.machines:
@@ -122,18 +132,20 @@
                 continue
             state = machine.node.state
             if state.document.version < due:
-                self.breaks(f"machine {machine.number} tells version {state.document.version}, {due} is due")
-            missing = [backend_id for backend_id in left if backend_id not in state.left]
+                self.record_violation(f"machine {machine.number} has version {state.document.version}, {due} is due")
+            missing = [backend_id for backend_id in left if backend_id not in state.departed_backends]
             if missing:
-                self.breaks(f"machine {machine.number} has not heard that {missing[0]} left")
+                self.record_violation(f"machine {machine.number} does not know that {missing[0]} left")
 
     def _check_plane(self, plane: DataPlane, due: int, now: float) -> None:
-        self.history.in_touch += 1
+        self.history.connected_checks += 1
         if plane.snapshot.table.version < due:
-            self.breaks(f"data plane {plane.number} acts by version {plane.snapshot.table.version}, {due} is due")
+            self.record_violation(f"data plane {plane.number} has version {plane.snapshot.table.version}, {due} is due")
         for backend_id, at in self._left.items():
             if at <= now - DRAIN_S and plane.uses(backend_id):
-                self.breaks(f"data plane {plane.number} uses {backend_id}, whose leave was acknowledged at {at:.2f}")
+                self.record_violation(
+                    f"data plane {plane.number} uses {backend_id}, whose departure was acknowledged at {at:.2f}"
+                )
 
     def _check_epochs(self) -> None:
         for machine in self._world.machines:
@@ -141,25 +153,27 @@
                 continue
             key, epoch = machine.process.name, machine.node.view.epoch
             if epoch < self._epochs.get(key, 0):
-                self.breaks(f"{key} went back to view {epoch}")
+                self.record_violation(f"{key} went back to view {epoch}")
             self._epochs[key] = epoch
 
     def _check_next_loss(self) -> None:
-        """Nobody counts as lost: any loss that is allowed leaves a majority of the voters and a replica that holds all."""
+        """Check that each tolerated loss would leave a majority of the voters and a complete replica."""
         running: list[Machine] = [machine for machine in self._world.machines if machine.node is not None]
-        view = max((machine.node.view for machine in running), key=lambda one: one.epoch)
+        view = max((machine.node.view for machine in running), key=lambda view: view.epoch)
         voting = [machine for machine in running if machine.node.member.identity in identities(view.voters)]
-        whole = [machine for machine in running if self._holds_newest(machine)]
-        for lost in itertools.combinations(running, self._world.tolerated):
-            if sum(machine not in lost for machine in voting) < majority(view):
-                self.breaks(f"losing {[one.number for one in lost]} leaves no majority of view {view.epoch}")
+        complete = [machine for machine in running if self._has_newest_change(machine)]
+        for lost in itertools.combinations(running, self._world.plan.tolerated):
+            if sum(machine not in lost for machine in voting) < majority_size(view):
+                self.record_violation(f"losing {[machine.number for machine in lost]} leaves no majority of view {view.epoch}")
                 return
-            if all(machine in lost for machine in whole):
-                self.breaks(f"losing {[one.number for one in lost]} leaves no whole copy in view {view.epoch}")
+            if all(machine in lost for machine in complete):
+                self.record_violation(
+                    f"losing {[machine.number for machine in lost]} leaves no complete replica in view {view.epoch}"
+                )
                 return
 
-    def _holds_newest(self, machine: Machine) -> bool:
-        """Whether a machine holds the newest change that was acknowledged."""
+    def _has_newest_change(self, machine: Machine) -> bool:
+        """Return whether a machine has the newest acknowledged change."""
         if not self._newest:
             return True
         node = machine.node
@@ -168,7 +182,7 @@
     # The end.
 
     def check_end(self) -> None:
-        """What the core holds in the end: all that was acknowledged, nothing that was refused."""
+        """Check that the core has all acknowledged changes and no rejected one at the end."""
         running = [machine.node for machine in self._world.machines if machine.node is not None]
         newest = max(running, key=lambda node: (node.view.epoch, node.state.index))
         state = newest.state
@@ -177,8 +191,8 @@
         for sent in self.history.sent:
             if 200 in sent.answers:
                 if sent.digest not in state.digests:
-                    self.breaks(f"version {sent.version} was acknowledged and is lost")
+                    self.record_violation(f"version {sent.version} was acknowledged and is lost")
                 if by_base.setdefault(sent.base, sent.digest) != sent.digest:
-                    self.breaks(f"two changes on version {sent.base} were acknowledged")
+                    self.record_violation(f"two changes on version {sent.base} were acknowledged")
             if any(400 <= status < 500 for status in sent.answers) and sent.digest in state.digests:
-                self.breaks(f"version {sent.version} was refused and is in force")
+                self.record_violation(f"version {sent.version} was rejected and is in force")
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -1,4 +1,4 @@
-"""Core machines: what a disk holds and its troubles, and the process that runs on the machine, if any."""
+"""Simulated core machines: a disk with its faults, and the process that runs on the machine, if any."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from mulleinhatch.control_plane.api import ControlApi, InternalApi, internal_api
+from mulleinhatch.control_plane.api import ControlApi, InternalApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.node import CoreNode
 from mulleinhatch.control_plane.state_store import StateStore, replay
@@ -17,57 +17,89 @@
 from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 from mulleinhatch.storage.records import Record, RecordKind
 
+NO_ORDER_S = 1e5  # as reported by a process that has sent no order
 REFUSED = OSError(28, "the disk takes no more bytes")
 
 
-class VirtualJournal:
-    """Stands in for `storage.journal.AppendLog`: records last once their sync is over."""
+class VirtualAppendLog:
+    """Replaces `storage.append_log.AppendLog`: records are kept in the memory of the machine."""
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
-        self._nameless = False
+        self._is_unlinked = False
         self.size = 0
 
     def open(self) -> list[Record]:
+        """Return the records on the disk."""
         return list(self._machine.records)
 
     def append(self, records: list[Record]) -> None:
-        if self._nameless:
+        """Append records, unless a planted defect loses them."""
+        if self._is_unlinked:
             return
-        if self._machine.defect is Defect.FORGET_SYNC and self._machine.chance.random() < 0.3:
+        if self._machine.defect is Defect.LOSE_SYNCED_WRITE and self._machine.rng.random() < 0.3:
             return
         self._machine.records.extend(records)
 
     def rewrite(self, records: list[Record]) -> None:
+        """Replace all records; fail afterwards while folder syncs are refused."""
         self._machine.records[:] = records
         if self._machine.refuse_folder_sync:
-            self._nameless = self._machine.defect is Defect.LOST_DESCRIPTOR
+            self._is_unlinked = self._machine.defect is Defect.WRITE_TO_UNLINKED_FILE
             raise REFUSED
 
 
-class VirtualDisk(StateStore):
-    """The real disk's bookkeeping on a virtual journal, in virtual time."""
+class VirtualStateStore(StateStore):
+    """The real state store on a virtual append log; writes take virtual time."""
 
     def __init__(self, machine: Machine, clock: Callable[[], float]) -> None:
-        super().__init__("", clock, VirtualJournal(machine))  # type: ignore[arg-type]
+        super().__init__("", clock, VirtualAppendLog(machine))  # type: ignore[arg-type]
         self._machine = machine
         self._lock = asyncio.Lock()
 
-    async def _carry_out(self, work: Callable[[list[Record]], None], records: list[Record]) -> None:
+    async def _run_in_thread(self, operation: Callable[[list[Record]], None], records: list[Record]) -> None:
         machine = self._machine
         async with self._lock:
-            machine.under_way = (work, records)
-            await asyncio.sleep(machine.chance.uniform(*machine.sync_s) * machine.slower)
+            machine.pending_write = (operation, records)
+            await asyncio.sleep(machine.rng.uniform(*machine.sync_duration_s) * machine.slowdown)
             while machine.stalled:
                 await asyncio.sleep(0.05)
-            machine.under_way = None
+            machine.pending_write = None
             if machine.full:
                 raise REFUSED
-            work(records)
+            operation(records)
+
+
+class _DistributionObserver:
+    """The process around a simulated node (`NodeObserver`): it answers data planes, and places no models."""
+
+    def __init__(self) -> None:
+        self.distribution: Distribution | None = None  # none yet while the node reads its disk
+
+    def on_change(self) -> None:
+        """Answer polls."""
+        if self.distribution is not None:
+            self.distribution.notify_changed()
+
+    def on_backend_change(self, backend_id: str) -> None:
+        """Answer polls."""
+        self.on_change()
+
+    def on_store_load(self) -> None:
+        """Ignore loads from the weight store."""
+        pass
+
+    def count_data_planes(self) -> int:
+        """Return the number of data planes that poll this process."""
+        return self.distribution.count_local_data_planes()
+
+    def placement_idle_s(self) -> float:
+        """Return the idle time of a process that has never placed a model."""
+        return NO_ORDER_S
 
 
 def process_settings(world: Any, name: str, ip: str, control_address: str = "") -> Settings:
-    """What a process is told at its start; `control_address` of those that serve control."""
+    """Return the settings of a process; only control planes have a `control_address`."""
     return Settings(
         name=name,
         ip_address=ip,
@@ -78,7 +110,7 @@
         seeds=world.seeds(),
         first_start=world.first,
         counts_for_quorum=bool(control_address),
-        machines_tolerated=world.tolerated,
+        machines_tolerated=world.plan.tolerated,
         heartbeat_s=1.2,
         data_directory="",
         file_descriptors=100,
@@ -89,17 +121,22 @@
 
 
 class Machine:
-    """One core machine: address, disk, and the process that runs on it, if any."""
+    """One core machine: address, disk, and the process that runs on it, if any.
+
+    Attributes:
+        records: The content of the disk.
+        lost_until: Until when the machine counts as lost.
+    """
 
     def __init__(self, number: int, world: Any) -> None:
         self.number, self._world = number, world
         self.ip = f"10.0.0.{number + 1}"
-        self.chance: random.Random = world.chance
-        self.defect: Defect = world.defect
-        self.sync_s: tuple[float, float] = world.sync_s
+        self.rng: random.Random = world.rng
+        self.defect: Defect = world.plan.defect
+        self.sync_duration_s: tuple[float, float] = world.plan.sync_duration_s
         self.records: list[Record] = []
-        self.under_way: tuple[Any, list[Record]] | None = None
-        self.slower, self.stalled, self.full, self.refuse_folder_sync = 1.0, False, False, False
+        self.pending_write: tuple[Any, list[Record]] | None = None
+        self.slowdown, self.stalled, self.full, self.refuse_folder_sync = 1.0, False, False, False
         self.node: CoreNode | None = None
         self.process: Process | None = None
         self.control: ControlApi | None = None
@@ -107,61 +144,63 @@
         self.lost_until = 0.0
         self.started_at = 0.0
         self.starts = 0
-        self.claiming: Process | None = None  # the process that claims the orders just now
+        self.claiming: Process | None = None  # the process that is claiming the leadership
         self.removed = False
-        self.retiring = False  # a successor is there, and it will be asked to leave
+        self.retiring = False  # its successor has started, and it will be shut down
 
     @property
     def internal(self) -> str:
+        """The internal address."""
         return f"{self.ip}:7000"
 
     @property
     def control_address(self) -> str:
+        """The address of the control API."""
         return f"{self.ip}:80"
 
     def settings(self) -> Settings:
+        """Return the settings of the machine's control plane."""
         return process_settings(self._world, f"core-{self.number}", self.ip, self.control_address)
 
     def start(self) -> None:
+        """Start a control plane process on what the disk has."""
         loop: VirtualLoop = self._world.loop
         self.starts += 1
         self.started_at = loop.time()
         self.process = Process(f"core-{self.number}.{self.starts}")
-        node = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, lambda: None, self._disk())
+        observer = _DistributionObserver()
+        node = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, observer, self._disk())
         node.open()
-        distribution = Distribution(node, loop.time)
-        node._on_change = distribution.changed
-        node.on_backend_change = lambda backend_id: distribution.changed()
-        node.data_planes = distribution.data_planes
+        distribution = observer.distribution = Distribution(node, loop.time)
         self.control = ControlApi(node, loop.time, dict)
-        self.internal_api = internal_api(node)
-        self.internal_api.add("poll", cluster.PollRequest, distribution.poll)
+        self.internal_api = build_internal_api(node)
+        self.internal_api.register("poll", cluster.PollRequest, distribution.poll)
         self.node = node
         loop.start(node.run(), self.process)
 
-    def _disk(self) -> VirtualDisk:
+    def _disk(self) -> VirtualStateStore:
         if not self.records:
-            keeps = self.defect is Defect.VOTE_AFTER_WIPE and self.starts > 1
-            founds = self._world.first and self.control_address in self._world.seeds()
-            named = f"first-{self.control_address}" if keeps or founds else f"disk-{self.chance.getrandbits(64):x}"
-            self.records.append(Record(RecordKind.IDENTITY, named.encode()))
-        return VirtualDisk(self, self._world.loop.time)
+            keeps_identity = self.defect is Defect.KEEP_IDENTITY_AFTER_WIPE and self.starts > 1
+            bootstraps = self._world.first and self.control_address in self._world.seeds()
+            identity = f"first-{self.control_address}" if keeps_identity or bootstraps else f"disk-{self.rng.getrandbits(64):x}"
+            self.records.append(Record(RecordKind.IDENTITY, identity.encode()))
+        return VirtualStateStore(self, self._world.loop.time)
 
     def stop(self, wipe: bool = False) -> None:
-        """Kill or loss of power: of what was under way on the disk a part may last."""
+        """Kill the process or cut the power: part of a write in progress may be durable."""
         if self.process is None:
             return
         self.process.dead = True
-        if self.under_way is not None and not self.full and self.chance.random() < 0.5:
-            work, records = self.under_way
-            work(records[: self.chance.randint(0, len(records))] if work.__name__ == "append" else records)
-        self.under_way = None
+        if self.pending_write is not None and not self.full and self.rng.random() < 0.5:
+            operation, records = self.pending_write
+            operation(records[: self.rng.randint(0, len(records))] if operation.__name__ == "append" else records)
+        self.pending_write = None
         self.node = self.process = self.control = self.internal_api = None
         if wipe:
             self.records = []
 
-    def holds(self, digest: str) -> bool:
-        """Whether the disk holds a change, as an entry or in a snapshot."""
+    def has_on_disk(self, digest: str) -> bool:
+        """Return whether a change is on the disk, as an entry or in a snapshot."""
         restored = replay(self.records)
         if any(entry.digest == digest for entry in restored.entries):
             return True
--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -1,7 +1,7 @@
-"""Records in bytes: length, checksum, kind, body. Pure.
+"""The binary format of the control state file. Pure.
 
-A file is a header and records one after another. Reading stops at the first record that is torn or damaged: what follows it was
-never acknowledged, as each sync covers all that stands before.
+A file is a header and records in sequence: length, checksum, kind, body. Reading stops at the first record that is torn or
+damaged. Nothing after it was ever acknowledged, because each sync covers everything before it.
 """
 
 from __future__ import annotations
@@ -11,14 +11,16 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-FORMAT, VERSION = b"MHCTL\x00", b"\x01\n"
-MAGIC = FORMAT + VERSION
-RECORD = struct.Struct("<IIB")  # length of the body, checksum of kind and body, kind
-MOST_BODY = 64 << 20
+from mulleinhatch.errors import StorageError
+
+FORMAT_ID, FORMAT_VERSION = b"MHCTL\x00", b"\x01\n"
+MAGIC = FORMAT_ID + FORMAT_VERSION
+RECORD_HEADER = struct.Struct("<IIB")  # length of the body, checksum of kind and body, kind
+MAX_BODY_BYTES = 64 << 20
 
 
 class RecordKind(IntEnum):
-    """What the body of a record is."""
+    """What the body of a record is. The numbers are stored."""
 
     IDENTITY = 1  # UTF-8 text
     VOTER = 2  # messages.cluster.VoterState
@@ -26,61 +28,83 @@
     SNAPSHOT = 4  # messages.cluster.Snapshot: replaces all entries before it
     COMMIT = 5  # committed index, eight bytes little-endian
     BACKENDS = 7  # messages.cluster.Heartbeat with the backends that were present
-    LOG_COMPLETE = 6  # one byte: whether the log holds all that was committed before the view in force began
+    LOG_COMPLETE = 6  # one byte: whether the log holds every entry committed before the current view began
+
+
+class ForeignFileError(StorageError, ValueError):
+    """The file was not written by this software."""
+
+
+class UnsupportedVersionError(StorageError, ValueError):
+    """The file was written by a version of this software whose format this one cannot read."""
 
 
 @dataclass(frozen=True)
 class Record:
+    """One record: its kind (a RecordKind, or a number that a newer version added) and its body."""
+
     kind: int
     body: bytes
 
 
-def encode(record: Record) -> bytes:
-    """
-    >>> decode(MAGIC + encode(Record(1, b"abc"))).records
-    [Record(kind=1, body=b'abc')]
-    """
-    checksum = zlib.crc32(record.body, zlib.crc32(bytes([record.kind])))
-    return RECORD.pack(len(record.body), checksum, record.kind) + record.body
-
-
 @dataclass(frozen=True)
-class Contents:
-    """What a file holds: its whole records, and the size up to which they reach."""
+class LogContents:
+    """What a file contains: its complete records, and the size in bytes up to which they reach."""
 
     records: list[Record]
     valid_size: int
 
 
-class ForeignFileError(ValueError):
-    """The file begins with something else."""
-
+def encode_record(record: Record) -> bytes:
+    """Return the bytes of a record.
 
-class UnsupportedVersionError(ValueError):
-    """The file was written by a version of this program that this one can't read."""
+    >>> decode_log(MAGIC + encode_record(Record(1, b"abc"))).records
+    [Record(kind=1, body=b'abc')]
+    """
+    return RECORD_HEADER.pack(len(record.body), _checksum(record.kind, record.body), record.kind) + record.body
 
 
-def _torn(header: bytes) -> bool:
-    """Whether a header was never synced: what a loss of power left of it is missing or zero. Nothing behind it was, either."""
-    return len(header) < len(MAGIC) or all(byte in (0, own) for byte, own in zip(header, MAGIC))
+def decode_log(data: bytes) -> LogContents:
+    """Decode a file: every complete record before the first torn or damaged one.
 
+    A file whose header is torn contains nothing.
 
-def decode(data: bytes) -> Contents:
-    """Reads as many whole records as there are; a torn header holds nothing. NotOurFile, OtherVersion where the header is
-    another's."""
-    header = data[: len(MAGIC)]
-    if header != MAGIC:
-        if _torn(header):
-            return Contents([], 0)
-        if header.startswith(FORMAT):
-            raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
-        raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
-    records, at = [], len(MAGIC)
-    while at + RECORD.size <= len(data):
-        length, checksum, kind = RECORD.unpack_from(data, at)
-        body = data[at + RECORD.size : at + RECORD.size + length]
-        if length > MOST_BODY or len(body) < length or zlib.crc32(body, zlib.crc32(bytes([kind]))) != checksum:
+    Raises:
+        ForeignFileError: The header is that of another kind of file.
+        UnsupportedVersionError: The header is that of another version of the format.
+    """
+    if not data.startswith(MAGIC):
+        _check_header(data[: len(MAGIC)])
+        return LogContents([], 0)
+    records = []
+    offset = len(MAGIC)
+    while offset + RECORD_HEADER.size <= len(data):
+        length, checksum, kind = RECORD_HEADER.unpack_from(data, offset)
+        body_offset = offset + RECORD_HEADER.size
+        body = data[body_offset : body_offset + length]
+        if length > MAX_BODY_BYTES or len(body) < length or _checksum(kind, body) != checksum:
             break
         records.append(Record(kind, body))
-        at += RECORD.size + length
-    return Contents(records, at)
+        offset = body_offset + length
+    return LogContents(records, offset)
+
+
+def _checksum(kind: int, body: bytes) -> int:
+    return zlib.crc32(body, zlib.crc32(bytes([kind])))
+
+
+def _check_header(header: bytes) -> None:
+    """Raise the error that a header other than MAGIC calls for; return where it is torn."""
+    if _is_torn(header):
+        return
+    if header.startswith(FORMAT_ID):
+        raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
+    raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
+
+
+def _is_torn(header: bytes) -> bool:
+    """Return whether a header was never synced.
+
+    What a power loss left of it is missing or zero. Then nothing after it was synced either.
+    """
+    return len(header) < len(MAGIC) or all(byte in (0, expected) for byte, expected in zip(header, MAGIC))
--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -266,7 +266,7 @@
             tracker.record_request(NAME, 2.0, 0.1 * tick)
         [demand] = tracker.report([], 8.0)
         self.assertAlmostEqual(demand.rate, 10.0 * 0.63, delta=0.5)
-        self.assertAlmostEqual(demand.worth_rate, 2.0 * demand.rate, delta=0.1)
+        self.assertAlmostEqual(demand.value_rate, 2.0 * demand.rate, delta=0.1)
         self.assertEqual(tracker.report([], 80.0), [])
 
     def test_urgent_report_covers_the_named_models_only(self):
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -18,7 +18,7 @@
 from unittest import mock
 
 from mulleinhatch.configuration.document import Document
-from mulleinhatch.configuration.routes import build_table
+from mulleinhatch.configuration.routes import build_route_table
 from mulleinhatch.data_plane.control_plane_snapshot import ControlPlaneSnapshot
 from mulleinhatch.data_plane.registry_snapshot import RegisteredBackend, RegistrySnapshot
 from mulleinhatch.data_plane.request_headers import backend_fields
@@ -33,7 +33,7 @@
 )
 from mulleinhatch.data_plane.response_relay import ResponseRelay
 from mulleinhatch.data_plane.router import Router
-from mulleinhatch.networking.http_client import ClientConnection
+from mulleinhatch.networking.http_connection import ClientConnection
 from mulleinhatch.networking.http_streaming import Head, parse_request_head
 from mulleinhatch.process.settings import Bounds, Settings
 from mulleinhatch.simulation.virtual_time import VirtualLoop
@@ -175,7 +175,7 @@
         value = {"version": 1, "routes": routes, "services": [{"name": "s"}]}
         backends = [RegisteredBackend(f"i-{n}", "s", f"a:{n}", "z", 4, False, False, {}, {}, float("inf")) for n in (0, 1)]
         known = RegistrySnapshot({backend.id: backend for backend in backends}, {"s": tuple(backends)})
-        self.router.apply_snapshot(ControlPlaneSnapshot(build_table(Document(1, value)), known, 1, True))
+        self.router.apply_snapshot(ControlPlaneSnapshot(build_route_table(Document(1, value)), known, 1, True))
         self.requests = {}
 
     async def _open(self, address: str) -> ClientConnection:
--- a/tests/system/test_placement_leadership.py
+++ b/tests/system/test_placement_leadership.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from mulleinhatch.control_plane.placement.leadership import NEVER_ISSUED_S, PlacementLeadership
-from mulleinhatch.leadership.lease import FENCED_S, LeaseState
+from mulleinhatch.leadership.lease import FENCED_WAIT_S, LeaseState
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 from tests.system.placement_fakes import fake_node
 
@@ -54,7 +54,7 @@
             with self.subTest(change=list(change)):
                 former = {name: getattr(self.node, name) for name in change}
                 vars(self.node).update(change)
-                self.assertIs(self.make_leadership().observe(), LeaseState.OUTSIDE)
+                self.assertIs(self.make_leadership().observe(), LeaseState.FOLLOWER)
                 vars(self.node).update(former)
 
     async def test_pauses_while_it_lost_contact(self):
@@ -87,11 +87,11 @@
         self.follow()
         self.node.peers.is_alive = lambda *more: False
         self.assertGreaterEqual(self.seconds_until_claim(is_fenced=False), LEASE_S)
-        self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_S)
+        self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_WAIT_S)
 
     def test_restarted_leader_that_issued_nothing_counts_as_unreachable(self):
         self.follow(orders_idle_s=NEVER_ISSUED_S)
-        self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_S)
+        self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_WAIT_S)
         self.follow(orders_idle_s=NEVER_ISSUED_S, epoch=0)
         self.assertGreaterEqual(self.seconds_until_claim(is_fenced=True), LEASE_S)
 
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -1,7 +1,7 @@
-"""The two programs as processes on loopback, with stand-in backends: what operator and clients see, also when machines are
-killed.
+"""Run both programs as processes on loopback, with simulated backends, and observe them as operators and clients do.
 
-Nothing waits for a fixed time: each step goes on as soon as what it waits for is seen, and fails after a bound."""
+No step waits for a fixed time: it continues as soon as its condition holds and fails after a timeout.
+"""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from mulleinhatch.cli.system import demo
 from mulleinhatch.cli.system.demo import (
     MODELS,
-    Tally,
-    ask,
+    ClientTally,
     configuration,
-    control_ip,
-    front_ip,
+    control_plane_ip,
+    data_plane_ip,
     make_backends,
     put_configuration,
+    send_request,
     start_plane,
 )
-from mulleinhatch.networking.http_client import CallError, HttpClient, HttpResponse
+from mulleinhatch.networking.http_client import HttpCallError, HttpClient, HttpResponse
 
 CORES, FRONTS = 3, 2
-BOUND_S = 30.0
-LOOK_S = 0.05
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 
 class System:
-    """Planes by name and backends, as long as a test lasts."""
+    """The planes and backends of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.planes: dict[tuple[str, int], subprocess.Popen[bytes]] = {}
-        self.control = [f"{control_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
-        self.fronts = [f"{front_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
+        self.control = [f"{control_plane_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
+        self.fronts = [f"{data_plane_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
         self.backends = make_backends(3, self.control)
         self.caller = HttpClient()
 
@@ -51,7 +51,7 @@
             self.start_plane("data", number)
         for backend in self.backends:
             await backend.start()
-        await put_configuration(self.caller, self.control[0], BOUND_S)
+        await put_configuration(self.caller, self.control[0], TIMEOUT_S)
 
     def start_plane(self, kind: str, number: int) -> None:
         first = not (self.folder / f"{kind}-{number}.conf").exists()
@@ -69,7 +69,7 @@
             self.kill(kind, number)
 
     async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> HttpResponse | None:
-        """The first clear answer of any control plane, sent on as it says; None where there is none just now."""
+        """Return the first response below 500 of any control plane, redirects followed; None if there is none now."""
         fields = ((b"If-Match", b"%d" % base),) if base is not None else ()
         for start in self.control:
             answer = await self._follow(start, method, path, body, fields)
@@ -81,7 +81,7 @@
         for _ in range(3):
             try:
                 answer = await self.caller.request(address, method, path, body, 2.0, "application/json", fields)
-            except CallError:
+            except HttpCallError:
                 return None
             if answer.status != 307:
                 return answer
@@ -93,22 +93,22 @@
         return json.loads(answer.body)["version"] if answer is not None and answer.status == 200 else None
 
     async def change(self, base: int, version: int) -> int:
-        """Sends a change until the answer is clear; its status."""
+        """Send a change until the response is below 500; return its status."""
         body = json.dumps({**configuration(version), "note": version}).encode()
         answer = await until(lambda: self.call("PUT", "/configuration", body, base))
         return answer.status
 
 
-async def until(look: Callable[[], Awaitable], good: Callable[[object], bool] = lambda value: value is not None):
-    """The first good value that `look` gives; the test fails when none comes in time."""
+async def until(read_value: Callable[[], Awaitable], is_expected: Callable[[object], bool] = lambda value: value is not None):
+    """Return the first expected value of `read_value`; fail the test on timeout."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + BOUND_S
+    end = loop.time() + TIMEOUT_S
     while loop.time() < end:
-        value = await look()
-        if good(value):
+        value = await read_value()
+        if is_expected(value):
             return value
-        await asyncio.sleep(LOOK_S)
-    raise AssertionError("what was waited for did not come")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError("the expected value did not occur in time")
 
 
 class Planes(unittest.IsolatedAsyncioTestCase):
@@ -119,9 +119,9 @@
         self.addAsyncCleanup(self.system.stop)
         await self.system.start()
 
-    async def serve(self, model: str, front: int = 0) -> Tally:
-        tally = Tally()
-        await ask(self.system.fronts[front], model, tally)
+    async def serve(self, model: str, front: int = 0) -> ClientTally:
+        tally = ClientTally()
+        await send_request(self.system.fronts[front], model, tally)
         return tally
 
     async def served(self, model: str, front: int = 0) -> None:
@@ -150,7 +150,7 @@
         self.assertEqual(await until(system.version), 8)
         await self.served(MODELS[0])
 
-    async def test_a_stream_whose_backend_crashes_goes_on_elsewhere_and_is_whole(self):
+    async def test_a_stream_whose_backend_crashes_is_completed_by_another_backend(self):
         await self.served(MODELS[0])
         await self.served(MODELS[0], front=1)
         running = asyncio.ensure_future(self.serve(MODELS[2]))
@@ -162,7 +162,7 @@
     async def busy_backend(self):
         return next((backend for backend in self.system.backends if backend.running and backend.counters.runs), None)
 
-    async def test_a_data_plane_that_is_told_to_end_answers_what_it_took(self):
+    async def test_a_terminated_data_plane_completes_its_accepted_requests(self):
         await self.served(MODELS[0])
         running = [asyncio.ensure_future(self.serve(MODELS[0])) for _ in range(4)]
         await until(self.busy_backend)
