--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -78,9 +78,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    name = next(name for name in COMMANDS if told[name])
-    return import_module(f"mulleinhatch.cli.instance.{name}").run(told)
+    """Run the sub-command that the arguments name; return the exit status."""
+    arguments = docopt(__doc__, argv)
+    name = next(name for name in COMMANDS if arguments[name])
+    return import_module(f"mulleinhatch.cli.instance.{name}").run(arguments)
 
 
 if __name__ == "__main__":
--- a/mulleinhatch/cli/instance/check.py
+++ b/mulleinhatch/cli/instance/check.py
@@ -1,4 +1,4 @@
-"""Reads what `serve` would be told, the operator's file too, and names the faulty key."""
+"""`mulleinhatch check`: validate the settings that `serve` would use, and name the invalid key."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
-def run(told: dict[str, Any]) -> int:
-    start_logging(told["--log"])
+def run(arguments: dict[str, Any]) -> int:
+    """Validate the settings and print a summary."""
+    start_logging(arguments["--log"])
     try:
-        place = placement(os.environ, told["--config"], told["--operator"])
+        place = placement(os.environ, arguments["--config"], arguments["--operator"])
     except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
-    storms = "storm books kept" if place.storms else "no storm books"
-    print(f"{place.name}: {len(place.op_types)} op types, {len(place.tenants)} tenants, {storms}")
+    detection = "storm books kept" if place.storms else "no storm books"
+    print(f"{place.name}: {len(place.op_types)} op types, {len(place.tenants)} tenants, {detection}")
     return 0
--- a/mulleinhatch/cli/instance/counters.py
+++ b/mulleinhatch/cli/instance/counters.py
@@ -1,4 +1,4 @@
-"""Asks a running instance, at its listening address, for its counters."""
+"""`mulleinhatch counters`: print the counters of a running instance."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from mulleinhatch.instance.protocol.http_requests import COUNTERS_PATH
 
 
-def run(told: dict[str, Any]) -> int:
-    address = told["HOST:PORT"]
+def run(arguments: dict[str, Any]) -> int:
+    """Print the counters of the instance at an address."""
+    address = arguments["HOST:PORT"]
     try:
         with urllib.request.urlopen(f"http://{address}{COUNTERS_PATH.decode()}", timeout=5) as answer:
             sys.stdout.write(answer.read().decode())
--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -1,4 +1,4 @@
-"""A calm minute with an outage in it: a real instance, stand-in callers and interpreter, shown live."""
+"""`mulleinhatch demo`: a minute with an outage, played on a real instance with fake clients and a fake interpreter."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     raise SystemExit(2) from None
 
 OUTAGE = "at 20 kill 0 for 6"
-RATE, CAN = 64.0, 80.0  # ops a second asked for, and that the stand-in interpreter can do
-LOOK = 0.5  # seconds between two looks at the counters
+RATE, CAPACITY = 64.0, 80.0  # requests per second that are sent, and that the fake interpreter can execute
+REFRESH_INTERVAL_S = 0.5
 STAGES = ("calm", "rising", "storm", "recovering")
 BARS = " ▁▂▃▄▅▆▇█"
 
 
 class Picture:
-    """What the last looks at the counters say, as rates a second."""
+    """The rates per second between the last two readings of the counters."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds, self.at, self.counters = seconds, 0.0, {}
@@ -38,6 +38,7 @@
         self.rates: dict[str, float] = {}
 
     def look(self, at: float, counters: dict[str, int]) -> None:
+        """Take a reading of the counters."""
         span = max(0.05, at - self.at)
         self.rates = {
             name: max(0.0, counters.get(count, 0) - self.counters.get(count, 0)) / span
@@ -46,7 +47,8 @@
         self.acked.append(self.rates["acked"])
         self.at, self.counters = at, counters
 
-    def words(self) -> list[tuple[str, str]]:
+    def rows(self) -> list[tuple[str, str]]:
+        """Return the picture as names and values."""
         if not self.counters:
             return [("instance", "down"), ("stage", "-"), ("acked a second", "0")]
         rows = [
@@ -64,50 +66,53 @@
         ]
 
     def table(self) -> Table:
+        """Return the picture as a table."""
         table = Table(title=f"{self.at:.0f} of {self.seconds:.0f} s", width=74)
         table.add_column("", width=26)
         table.add_column("", width=40)
-        for name, text in self.words():
+        for name, text in self.rows():
             table.add_row(name, text)
-        most = max([CAN, *self.acked])
+        most = max([CAPACITY, *self.acked])
         table.add_row("acked", "".join(BARS[round(8 * acked / most)] for acked in list(self.acked)[-40:]))
         return table
 
 
-async def shown(rig: Rig, picture: Picture, console: Console) -> dict[str, Any]:
-    playing = asyncio.ensure_future(rig.play())
+async def play_live(harness: Rig, picture: Picture, console: Console) -> dict[str, Any]:
+    """Play the scenario and show the picture while it runs."""
+    playing = asyncio.ensure_future(harness.play())
     with Live(picture.table(), console=console, transient=True) if console.is_terminal else contextlib.nullcontext() as live:
-        told = 0.0
+        printed_until = 0.0
         while not playing.done():
-            await asyncio.wait([playing], timeout=LOOK)
-            into = time.time() - rig.start_at
+            await asyncio.wait([playing], timeout=REFRESH_INTERVAL_S)
+            into = time.time() - harness.start_at
             if 0.0 < into < picture.seconds:
-                picture.look(into, await rig.places[0].counters())
+                picture.look(into, await harness.places[0].counters())
                 if live:
                     live.update(picture.table())
-                elif into >= told:
-                    told = into + 5.0
-                    console.print(f"{into:4.0f} s  " + "  ".join(f"{name}: {text}" for name, text in picture.words()))
+                elif into >= printed_until:
+                    printed_until = into + 5.0
+                    console.print(f"{into:4.0f} s  " + "  ".join(f"{name}: {text}" for name, text in picture.rows()))
     return await playing
 
 
-def run(told: dict[str, Any]) -> int:
+def run(arguments: dict[str, Any]) -> int:
+    """Play the demo and print its outcome."""
     keep_environment()
     console = Console()
     try:
-        script = Path(told["--fault"]).read_text() if told["--fault"] else OUTAGE
+        script = Path(arguments["--fault"]).read_text() if arguments["--fault"] else OUTAGE
         ends = faults.end_of(faults.read(script))
-        seconds = float(told["--seconds"])
+        seconds = float(arguments["--seconds"])
     except (OSError, ValueError) as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     case = Case(script, seconds, RATE, patience=15.0, heeding=0.3, loads=1)
     console.print(
-        f"{RATE:.0f} ops a second of the {CAN:.0f} that can be done, callers that try again after 50 ms for 15 s, "
+        f"{RATE:.0f} ops a second of the {CAPACITY:.0f} that can be done, callers that try again after 50 ms for 15 s, "
         f"three of ten heed advice.\nWhat goes wrong: {'; '.join(script.splitlines())}"
     )
     with tempfile.TemporaryDirectory() as folder:
-        raw = asyncio.run(shown(Rig(case, Path(folder)), Picture(seconds), console))
+        raw = asyncio.run(play_live(Rig(case, Path(folder)), Picture(seconds), console))
     figures = outcome(case, raw)
     counts, back = figures["counts"], figures["back_after"]
     table = Table(title="What became of it")
--- a/mulleinhatch/cli/instance/fleet.py
+++ b/mulleinhatch/cli/instance/fleet.py
@@ -1,4 +1,4 @@
-"""What a running instance knows of its fleet: members, budgets, judgements, or all of it live."""
+"""`mulleinhatch fleet`: what a running instance knows of its fleet."""
 
 from __future__ import annotations
 
@@ -12,23 +12,26 @@
 from mulleinhatch.instance.protocol.http_requests import FLEET_PATH
 from mulleinhatch.instance.runtime import operator_file as operator
 
-LOOK = 0.5  # seconds between two looks
+REFRESH_INTERVAL_S = 0.5
 
 
 def ask(address: str) -> dict[str, Any]:
+    """Return the fleet status of an instance."""
     with urllib.request.urlopen(f"http://{address}{FLEET_PATH.decode()}", timeout=5) as answer:
         return json.loads(answer.read())
 
 
-def members(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def members(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of members."""
     rows = [("member", "state", "heard", "life", "address")]
-    for row in sorted(told["members"], key=lambda row: row["name"]):
+    for row in sorted(status["members"], key=lambda row: row["name"]):
         heard = "-" if row["state"] == "self" or row["heard"] > 1e5 else f"{row['heard']:.1f} s"
         rows.append((row["name"], row["state"], heard, f"{row['life']}.{row['incarnation']}", row["address"]))
     return rows
 
 
-def budgets(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def budgets(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of budgets."""
     return [
         ("budget", "total", "even", "may use", "lent", "borrowed", "demand"),
         *(
@@ -37,22 +40,24 @@
                 f"{row['total']} in {row['window']:g} s" if row["window"] else f"{row['total']} in hand",
                 *(f"{row[key]:g}" for key in ("home", "usable", "lent", "borrowed", "demand")),
             )
-            for row in told["budgets"]
+            for row in status["budgets"]
         ),
     ]
 
 
-def judgements(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def judgements(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of outlier verdicts."""
     return [
         ("subject", "verdict"),
-        *((subject, "out") for subject in told["out"]),
-        *((subject, f"ill for {voice} alone: look there") for voice, subject in told["alone"]),
-        *([("-", f"{told['held_back']} more are ill, and kept: too many at once")] if told["held_back"] else []),
+        *((subject, "out") for subject in status["out"]),
+        *((subject, f"ill for {voice} alone: look there") for voice, subject in status["alone"]),
+        *([("-", f"{status['held_back']} more are ill, and kept: too many at once")] if status["held_back"] else []),
     ]
 
 
 def text(rows: list[tuple[str, ...]]) -> str:
-    """
+    """Return a table as aligned text.
+
     >>> text([("a", "bb"), ("ccc", "d")])
     'a    bb\\nccc  d\\n'
     """
@@ -60,44 +65,47 @@
     return "".join("  ".join(word.ljust(width) for word, width in zip(row, widths)).rstrip() + "\n" for row in rows)
 
 
-def head(told: dict[str, Any]) -> str:
-    state = "FROZEN: most are silent to us, nobody is declared gone" if told["frozen"] else "as heard"
-    known = told["others_free"] >= 0.0
-    free = f"{told['others_free']:.0%} of the others' places free" if known else "how the others fare is not known"
+def head(status: dict[str, Any]) -> str:
+    """Return the summary line."""
+    state = "FROZEN: most are silent to us, nobody is declared gone" if status["frozen"] else "as heard"
+    known = status["others_free"] >= 0.0
+    free = f"{status['others_free']:.0%} of the others' places free" if known else "how the others fare is not known"
     return (
-        f"fleet {told['fleet']}, {state}; {free}{'; ANOTHER INSTANCE HAS OUR NAME' if told['doubled'] else ''}"
-        f"{'; THE OTHERS JUDGE US ILL' if told['judged_ill'] else ''}"
+        f"fleet {status['fleet']}, {state}; {free}{'; ANOTHER INSTANCE HAS OUR NAME' if status['doubled'] else ''}"
+        f"{'; THE OTHERS JUDGE US ILL' if status['judged_ill'] else ''}"
     )
 
 
-def loudest(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def heavy_hitters(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of the tenants with the most requests."""
     return [
         ("loudest tenant", "least a second", "most", "of", "silent"),
         *(
             (name, f"{least:.1f}", f"{most:.1f}", str(count), str(silent))
-            for name, least, most, count, silent, _ in told["loudest"]
+            for name, least, most, count, silent, _ in status["loudest"]
         ),
     ]
 
 
-def sums(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def sums(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of sums over the fleet."""
     return [
         ("over the fleet", "least", "most", "of", "silent"),
         *(
             (figure, f"{row['least']:.0f}", f"{row['most']:.0f}", str(row["members"]), str(row["silent"]))
-            for figure, row in told["sums"].items()
+            for figure, row in status["sums"].items()
         ),
     ]
 
 
-def levels(told: dict[str, Any]) -> list[tuple[str, ...]]:
-    """What is known beyond the group, and of the whole; one line where there are no levels."""
-    known = told["levels"]
+def levels(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of what is known beyond the group; one line if there are no levels."""
+    known = status["levels"]
     if not known:
         return [("all members are one group: no zone is set",)]
     figures = ("capacity", "first_tries", "acked", "nacked", "held", "running", "room")
     rows = [("level", "name", "members", "silent", "heard", *figures)]
-    names = {"group": known["group"], "zone": known["zone"], "region": known["region"], "fleet": told["fleet"]}
+    names = {"group": known["group"], "zone": known["zone"], "region": known["region"], "fleet": status["fleet"]}
     for level, total in known["totals"].items():
         rows.append(
             (
@@ -115,6 +123,7 @@
 
 
 def watch(address: str) -> None:
+    """Show all tables live."""
     try:
         from rich.console import Group
         from rich.live import Live
@@ -124,28 +133,30 @@
     with Live(refresh_per_second=4) as live:
         while True:
             try:
-                told = ask(address)
-                shown = [Text(head(told))] + [
-                    Text(text(rows)) for rows in (members(told), budgets(told), sums(told), loudest(told), judgements(told))
+                status = ask(address)
+                shown = [Text(head(status))] + [
+                    Text(text(rows))
+                    for rows in (members(status), budgets(status), sums(status), heavy_hitters(status), judgements(status))
                 ]
             except (OSError, ValueError) as error:
                 shown = [Text(f"{address}: {error}")]
             live.update(Group(*shown))
-            time.sleep(LOOK)
+            time.sleep(REFRESH_INTERVAL_S)
 
 
-def spread_shown(told: dict[str, Any], address: str, fleet: dict[str, Any]) -> int:
+def show_spread(arguments: dict[str, Any], address: str, fleet: dict[str, Any]) -> int:
+    """Print, show live or plot how load is spread."""
     from mulleinhatch.cli.instance import spread
 
     if not fleet.get("spread"):
         print(f"mulleinhatch: {address}: the instance there spreads no load", file=sys.stderr)
         return 1
     try:
-        if told["--live"]:
+        if arguments["--live"]:
             spread.live(lambda: ask(address), text)
-        if told["--plot"]:
-            looks = spread.plot(lambda: ask(address), float(told["--seconds"]), told["--plot"])
-            print(f"{told['--plot']}: {looks} looks")
+        if arguments["--plot"]:
+            looks = spread.plot(lambda: ask(address), float(arguments["--seconds"]), arguments["--plot"])
+            print(f"{arguments['--plot']}: {looks} looks")
             return 0
     except ImportError as error:
         print(f"mulleinhatch: {error.name} is not installed: pip install 'mulleinhatch[lab,plots]'", file=sys.stderr)
@@ -154,18 +165,19 @@
     return 0
 
 
-def run(told: dict[str, Any]) -> int:
-    address = told["--at"]
+def run(arguments: dict[str, Any]) -> int:
+    """Print one of the tables."""
+    address = arguments["--at"]
     try:
         if not address:
-            if not told["--operator"]:
+            if not arguments["--operator"]:
                 raise operator.OperatorFileError("--operator FILE or --at HOST:PORT is wanted")
-            address = operator.fleet_status(told["--operator"])
-        if told["watch"]:
+            address = operator.fleet_status(arguments["--operator"])
+        if arguments["watch"]:
             watch(address)
         fleet = ask(address)
-        if told["spread"]:
-            return spread_shown(told, address, fleet)
+        if arguments["spread"]:
+            return show_spread(arguments, address, fleet)
     except KeyboardInterrupt:
         return 0
     except urllib.error.HTTPError:
@@ -174,6 +186,8 @@
     except (operator.OperatorFileError, OSError, ValueError) as error:
         print(f"mulleinhatch: {address + ': ' if address else ''}{error}", file=sys.stderr)
         return 1
-    rows = members if told["members"] else budgets if told["budgets"] else levels if told["levels"] else judgements
+    rows = (
+        members if arguments["members"] else budgets if arguments["budgets"] else levels if arguments["levels"] else judgements
+    )
     sys.stdout.write(head(fleet) + "\n" + text(rows(fleet)))
     return 0
--- a/mulleinhatch/cli/instance/search.py
+++ b/mulleinhatch/cli/instance/search.py
@@ -1,4 +1,4 @@
-"""A search for failures of a whole fleet, in virtual time: a campaign, or one history again."""
+"""`mulleinhatch search`: search for failures of a fleet in virtual time, or replay one history."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from typing import Any
 
 
-def run(told: dict[str, Any]) -> int:
+def run(arguments: dict[str, Any]) -> int:
+    """Run a campaign and write its findings, or replay histories."""
     try:
         from mulleinhatch.simulation.fault_search import campaign, play
     except ImportError as error:
         print(f"mulleinhatch: {error.name} is not installed: pip install 'mulleinhatch[lab]'", file=sys.stderr)
         return 1
     try:
-        if told["replay"]:
-            return again(told, campaign, play)
-        done = campaign.campaign(itertools.count(int(told["--seed"] or 1)), float(told["--seconds"]), told=print)
+        if arguments["replay"]:
+            return replay(arguments, campaign, play)
+        done = campaign.campaign(itertools.count(int(arguments["--seed"] or 1)), float(arguments["--seconds"]), told=print)
         print(f"{done.histories} histories in {done.seconds:.0f} s, {done.states} states, {len(done.findings)} findings")
-        if told["--out"]:
-            path = Path(told["--out"])
+        if arguments["--out"]:
+            path = Path(arguments["--out"])
             before = path.with_suffix(".json")
             known = json.loads(before.read_text()) if before.exists() else None
             campaign.report(done, path, known)
@@ -37,9 +38,10 @@
     return 1 if done.findings else 0
 
 
-def again(told: dict[str, Any], campaign: Any, play: Any) -> int:
+def replay(arguments: dict[str, Any], campaign: Any, play: Any) -> int:
+    """Replay histories from files."""
     failed = 0
-    for name in told["FILE"]:
+    for name in arguments["FILE"]:
         found = play.play(campaign.replayed(Path(name).read_text()))
         failed += bool(found.what)
         print(
--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -1,4 +1,4 @@
-"""One service instance, in the foreground until SIGTERM and the end of its grace."""
+"""`mulleinhatch serve`: run a service instance in the foreground until SIGTERM and the end of its grace period."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
-def run(told: dict[str, Any]) -> int:
+def run(arguments: dict[str, Any]) -> int:
+    """Run an instance."""
     signals.remember_early_signals()
-    start_logging(told["--log"])
+    start_logging(arguments["--log"])
 
     def placed() -> Placement:
-        return placement(os.environ, told["--config"], told["--operator"])
+        return placement(os.environ, arguments["--config"], arguments["--operator"])
 
     try:
         place = placed()
--- a/mulleinhatch/cli/instance/spread.py
+++ b/mulleinhatch/cli/instance/spread.py
@@ -1,4 +1,4 @@
-"""Who carries what in a fleet: a table, live, and over time as a heat map (PNG)."""
+"""`mulleinhatch fleet spread`: which instance executes how much, as a table, live, or over time as a heat map (PNG)."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Any
 
-LOOK = 0.5  # seconds between two looks
+REFRESH_INTERVAL_S = 0.5
 COLUMNS = ("instance", "busy", "held", "room", "load", "pace", "acked", "nacked", "failed", "age")
 
 
-def carried(told: dict[str, Any]) -> list[dict[str, Any]]:
-    """The others by their reports and, first, the instance that is asked."""
-    here = next((row["name"] for row in told["members"] if row["state"] == "self"), "-")
-    own = told["spread"]
+def carried(status: dict[str, Any]) -> list[dict[str, Any]]:
+    """Return a row for the instance that is asked, then one for each other by its last report."""
+    here = next((row["name"] for row in status["members"] if row["state"] == "self"), "-")
+    own = status["spread"]
     ours = {
         "name": f"{here} (asked)",
         "age": 0.0,
@@ -24,19 +24,20 @@
         "pace": own["pace"]["value"] if own["pace"] else 0.0,
         "load": own["load"],
     }
-    return [ours, *told["carried"]]
+    return [ours, *status["carried"]]
 
 
 def busy(row: dict[str, Any]) -> float:
+    """Return the share of its capacity that an instance uses."""
     return min(1.0, max(0.0, row["running"]) / max(1.0, row["places"]))
 
 
-def rows(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def rows(status: dict[str, Any]) -> list[tuple[str, ...]]:
     """
     >>> row = {"name": "b", "age": 0.5, "held": 2, "running": 1, "room": 1, "places": 2, "pace": 1.0, "load": 0.5, "acked": 3.0}
     >>> own = {"held": 0, "room": 2, "places": 2, "pace": None, "load": 0.1}
-    >>> told = {"members": [{"name": "a", "state": "self"}], "spread": own, "carried": [row]}
-    >>> [row[:4] for row in rows(told)]
+    >>> status = {"members": [{"name": "a", "state": "self"}], "spread": own, "carried": [row]}
+    >>> [row[:4] for row in rows(status)]
     [('instance', 'busy', 'held', 'room'), ('a (asked)', '0%', '0', '2'), ('b', '50%', '2', '1')]
     """
 
@@ -58,13 +59,14 @@
                 of(row, "failed"),
                 f"{row['age']:.1f} s",
             )
-            for row in carried(told)
+            for row in carried(status)
         ),
     ]
 
 
-def head(told: dict[str, Any]) -> str:
-    own = told["spread"]
+def head(status: dict[str, Any]) -> str:
+    """Return the summary line."""
+    own = status["spread"]
     back = f"; nothing is handed over: {own['held_back']}" if own["held_back"] else ""
     return (
         f"{own['offers_out']} offers given, {own['offers_held']} held, {own['away']} ops at peers; fleet's load "
@@ -73,21 +75,22 @@
 
 
 def live(ask: Callable[[], dict[str, Any]], text: Callable[[list[tuple[str, ...]]], str]) -> None:
+    """Show the table live."""
     from rich.live import Live
     from rich.text import Text
 
     with Live(refresh_per_second=4) as shown:
         while True:
             try:
-                told = ask()
-                shown.update(Text(head(told) + "\n" + text(rows(told))))
+                status = ask()
+                shown.update(Text(head(status) + "\n" + text(rows(status))))
             except (OSError, ValueError) as error:
                 shown.update(Text(str(error)))
-            time.sleep(LOOK)
+            time.sleep(REFRESH_INTERVAL_S)
 
 
 def plot(ask: Callable[[], dict[str, Any]], seconds: float, path: str) -> int:
-    """Busy share by instance over time; how many looks it is made of."""
+    """Plot the busy share of each instance over time; return the number of readings."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -99,13 +102,17 @@
             looks.append((time.monotonic() - begun, {row["name"]: busy(row) for row in carried(ask())}))
         except (OSError, ValueError):
             looks.append((time.monotonic() - begun, {}))
-        time.sleep(LOOK)
+        time.sleep(REFRESH_INTERVAL_S)
     heat(looks, path, pyplot)
     return len(looks)
 
 
 def heat(looks: list[tuple[float, dict[str, float]]], path: str, pyplot: Any) -> None:
-    """`looks` are moments and the busy share of each instance that was known then; white where one was not."""
+    """Write the heat map.
+
+    Args:
+        looks: Times, and the busy share of each instance known then; white where one was not known.
+    """
     names = sorted({name for _, shares in looks for name in shares})
     figure, axes = pyplot.subplots(figsize=(10, max(2.5, 0.12 * len(names))))
     image = axes.imshow(
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -1,4 +1,4 @@
-"""Trace files: what is in them, a part of one, several as one, without names, sums, and a replay."""
+"""`mulleinhatch trace`: inspect, cut, merge, anonymise, summarise and replay trace files."""
 
 from __future__ import annotations
 
@@ -23,17 +23,25 @@
     raise SystemExit(2) from None
 
 
-def run(told: dict[str, Any]) -> int:
-    tools = {"info": info, "cut": cut_out, "merge": merged, "anonymise": anonymised, "summary": summed, "replay": replayed}
+def run(arguments: dict[str, Any]) -> int:
+    """Perform a sub-command."""
+    tools = {
+        "info": info,
+        "cut": cut_file,
+        "merge": merge_files,
+        "anonymise": anonymise,
+        "summary": print_summary,
+        "replay": replay_file,
+    }
     try:
-        return next(tool for name, tool in tools.items() if told[name])(told)
+        return next(tool for name, tool in tools.items() if arguments[name])(arguments)
     except (OSError, UnreadableTraceError, CorruptTraceError, IncompleteTraceError, ValueError) as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 1
 
 
 def missing(trace: Trace) -> str:
-    """What could not be read, in a line each."""
+    """Return one line for each part that cannot be read."""
     return "".join(
         f"  lost at byte {lost.place}: {lost.why}"
         + (f", {lost.records} records, {lost.last - lost.first:.3f} s" if lost.records else "")
@@ -42,9 +50,10 @@
     )
 
 
-def info(told: dict[str, Any]) -> int:
-    whole = True
-    for path in told["FILE"]:
+def info(arguments: dict[str, Any]) -> int:
+    """Print what files contain; 1 if something cannot be read."""
+    is_complete = True
+    for path in arguments["FILE"]:
         with open(path, "rb") as file:
             trace = Trace(file)
             records = sum(row.records for row in trace.rows)
@@ -57,11 +66,12 @@
                 f"{'indexed' if trace.indexed else 'no index: not ended, or cut'}"
             )
             print(missing(trace), end="")
-            whole &= not damaged and not trace.lost
-    return 0 if whole else 1
+            is_complete &= not damaged and not trace.lost
+    return 0 if is_complete else 1
 
 
 def place(names: list[str], name: str | None, what: str) -> int | None:
+    """Return the index of a name, or None if no name is asked for."""
     if name is None:
         return None
     if name not in names:
@@ -69,26 +79,27 @@
     return names.index(name)
 
 
-def cut_out(told: dict[str, Any]) -> int:
-    with open(told["FILE"][0], "rb") as source:
+def cut_file(arguments: dict[str, Any]) -> int:
+    """Write the wanted part of a trace to a new file."""
+    with open(arguments["FILE"][0], "rb") as source:
         trace = Trace(source)
         wanted = Wanted(
-            told["--since"] and float(told["--since"]),
-            told["--until"] and float(told["--until"]),
-            place(trace.facts.tenants, told["--tenant"], "tenant"),
-            place(trace.facts.op_types, told["--op-type"], "op type"),
-            told["--op"],
+            arguments["--since"] and float(arguments["--since"]),
+            arguments["--until"] and float(arguments["--until"]),
+            place(trace.facts.tenants, arguments["--tenant"], "tenant"),
+            place(trace.facts.op_types, arguments["--op-type"], "op type"),
+            arguments["--op"],
         )
-        with open(told["--out"], "xb") as file:
+        with open(arguments["--out"], "xb") as file:
             count = cut(trace, file, wanted)
-        print(f"{told['--out']}: {count} records")
+        print(f"{arguments['--out']}: {count} records")
         print(missing(trace), end="")
     return 0
 
 
-def told_offsets(texts: list[str]) -> dict[str, float]:
+def parse_offsets(texts: list[str]) -> dict[str, float]:
     """
-    >>> told_offsets(["n2=-0.25"])
+    >>> parse_offsets(["n2=-0.25"])
     {'n2': -0.25}
     """
     offsets = {}
@@ -100,12 +111,13 @@
     return offsets
 
 
-def merged(told: dict[str, Any]) -> int:
+def merge_files(arguments: dict[str, Any]) -> int:
+    """Write several traces as one."""
     with contextlib.ExitStack() as stack:
-        traces = [Trace(stack.enter_context(open(path, "rb"))) for path in told["FILE"]]
-        with open(told["--out"], "xb") as file:
-            count, notes = merge(traces, file, told_offsets(told["--offset"]))
-        print(f"{told['--out']}: {count} records")
+        traces = [Trace(stack.enter_context(open(path, "rb"))) for path in arguments["FILE"]]
+        with open(arguments["--out"], "xb") as file:
+            count, notes = merge(traces, file, parse_offsets(arguments["--offset"]))
+        print(f"{arguments['--out']}: {count} records")
         for note in notes:
             stepped = f", the clock stepped {note['clock_stepped']:+.3f} s" if note["clock_stepped"] else ""
             print(
@@ -116,29 +128,31 @@
     return 0
 
 
-def anonymised(told: dict[str, Any]) -> int:
-    aliases = Aliases(Path(told["--key"]).read_bytes())
-    with open(told["FILE"][0], "rb") as source:
+def anonymise(arguments: dict[str, Any]) -> int:
+    """Write a trace with aliases instead of names."""
+    aliases = Aliases(Path(arguments["--key"]).read_bytes())
+    with open(arguments["FILE"][0], "rb") as source:
         trace = Trace(source)
-        with open(told["--out"], "xb") as file:
+        with open(arguments["--out"], "xb") as file:
             count = write(anonymous(trace.records(), aliases), file, anonymous_facts(trace.facts, aliases), trace.major)
-        print(f"{told['--out']}: {count} records")
+        print(f"{arguments['--out']}: {count} records")
         print(missing(trace), end="")
     return 0
 
 
-def summed(told: dict[str, Any]) -> int:
-    with open(told["FILE"][0], "rb") as file:
+def print_summary(arguments: dict[str, Any]) -> int:
+    """Print sums and quantiles."""
+    with open(arguments["FILE"][0], "rb") as file:
         trace = Trace(file)
-        sums = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
+        totals = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
         lost = missing(trace)
-    if told["--json"]:
-        print(json.dumps({**sums, "lost": [list(one) for one in trace.lost]}))
+    if arguments["--json"]:
+        print(json.dumps({**totals, "lost": [list(gap) for gap in trace.lost]}))
         return 0
-    print(f"{sums['seconds']:.3f} s")
-    for name, count in sums["counts"].items():
+    print(f"{totals['seconds']:.3f} s")
+    for name, count in totals["counts"].items():
         print(f"{name}={count}")
-    for name, quantiles in (("held", sums["held_s"]), ("ran", sums["ran_s"]), ("hold-off", sums["hold_off_s"])):
+    for name, quantiles in (("held", totals["held_s"]), ("ran", totals["ran_s"]), ("hold-off", totals["hold_off_s"])):
         print(f"{name}: " + ", ".join(f"{at} {seconds:.3f} s" for at, seconds in quantiles.items()))
     print(lost, end="")
     return 0
@@ -190,9 +204,10 @@
     return module
 
 
-def replayed(told: dict[str, Any]) -> int:
-    against = told["--against"]
-    with open(told["FILE"][0], "rb") as file:
+def replay_file(arguments: dict[str, Any]) -> int:
+    """Replay a trace and print the differences."""
+    against = arguments["--against"]
+    with open(arguments["FILE"][0], "rb") as file:
         trace = Trace(file)
         if against:
             outcome = replay(trace.records(), trace.facts, other_text(against), to_the_end=True)
@@ -201,14 +216,15 @@
         differ = {0: "no step differs", 1: "one step differs"}.get(outcome.differences, f"{outcome.differences} steps differ")
         print(f"{outcome.decisions} decisions in {outcome.pulls} steps, {differ}")
         print(missing(trace), end="")
-    tell_difference(outcome)
+    print_difference(outcome)
     if against:
         for verb in sorted({*outcome.recorded, *outcome.replayed}):
             print(f"  {verb}: {outcome.recorded[verb]} recorded, {outcome.replayed[verb]} by {against}")
     return 0 if not outcome.differences or against else 1
 
 
-def tell_difference(outcome: Outcome) -> None:
+def print_difference(outcome: Outcome) -> None:
+    """Print the first difference."""
     if first := outcome.first:
         print(f"the first at {first.time:.6f} s, step {first.pull}:")
         print("  recorded: " + ("; ".join(map(str, first.recorded)) or "nothing"))
--- a/mulleinhatch/cli/instance/upkeep.py
+++ b/mulleinhatch/cli/instance/upkeep.py
@@ -1,4 +1,4 @@
-"""Machines out for work: ask, cancel, see the order and who is out, and what a person may change."""
+"""`mulleinhatch upkeep`: maintenance permits: ask, cancel, see the order and who is out, and what an operator may change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0, "": 1.0}
 
 
-def seconds(told: str) -> float:
+def seconds(text: str) -> float:
     """
     >>> seconds("20m"), seconds("90"), seconds("1.5h")
     (1200.0, 90.0, 5400.0)
@@ -23,18 +23,19 @@
     Traceback (most recent call last):
     ValueError: 'soon' is no time: 90, 20m or 1.5h
     """
-    found = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)([smh]?)", told)
+    found = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)([smh]?)", text)
     if not found:
-        raise ValueError(f"{told!r} is no time: 90, 20m or 1.5h")
+        raise ValueError(f"{text!r} is no time: 90, 20m or 1.5h")
     return float(found[1]) * UNITS[found[2]]
 
 
-def ask(address: str, **told: Any) -> dict[str, Any]:
+def ask(address: str, **request: Any) -> dict[str, Any]:
+    """Send a request to the control port of an instance and return its answer."""
     host, _, port = address.rpartition(":")
-    with socket.create_connection((host, int(port)), timeout=15) as wire:
-        wire.sendall(json.dumps(told).encode() + b"\n")
+    with socket.create_connection((host, int(port)), timeout=15) as connection:
+        connection.sendall(json.dumps(request).encode() + b"\n")
         data = b""
-        while chunk := wire.recv(65536):
+        while chunk := connection.recv(65536):
             data += chunk
     answer = json.loads(data)
     if "error" in answer:
@@ -42,90 +43,95 @@
     return answer
 
 
-def out(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def out(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of instances that hold a permit."""
     return [
         ("out", "zone", "permit", "why", "over the bound because"),
         *(
             (permit["name"], permit["zone"] or "-", str(permit["fence"]), permit["why"], permit["over"] or "-")
-            for permit in told["table"]["out"]
+            for permit in status["table"]["out"]
         ),
     ]
 
 
-def waiting(told: dict[str, Any]) -> list[tuple[str, ...]]:
+def waiting(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of instances that wait for a permit."""
+
     def at(row: dict[str, Any]) -> str:
         return "-" if row["at"] is None else "now" if row["at"] <= time.time() + 1.0 else f"in {row['at'] - time.time():.0f} s"
 
     return [
         ("place", "waits", "would go", "why"),
-        *((str(place) if row["may"] else "-", row["name"], at(row), row["why"]) for place, row in enumerate(told["order"])),
+        *((str(place) if row["may"] else "-", row["name"], at(row), row["why"]) for place, row in enumerate(status["order"])),
     ]
 
 
-def head(told: dict[str, Any]) -> str:
-    table = told["table"]
+def head(status: dict[str, Any]) -> str:
+    """Return the summary line."""
+    table = status["table"]
     frozen = f"; FROZEN: {table['frozen']}" if table["frozen"] else ""
     return (
         f"{len(table['out'])} of {table['most']} out, {table['zone_most']} a zone; voters {' '.join(table['voters'])} "
-        f"(epoch {table['epoch']}); {told['name']} is {told['state']}{frozen}\n"
+        f"(epoch {table['epoch']}); {status['name']} is {status['state']}{frozen}\n"
     )
 
 
-def stands(told: dict[str, Any], name: str) -> int:
-    """Where one stands, as the instance that is asked knows it: a voter knows all that wait."""
-    permit = next((permit for permit in told["table"]["out"] if permit["name"] == name), None)
-    place = next(((at, row) for at, row in enumerate(told["order"]) if row["name"] == name), None)
+def print_position(status: dict[str, Any], name: str) -> int:
+    """Print the position of an instance, as the one that is asked knows it: a voter knows all that wait."""
+    permit = next((permit for permit in status["table"]["out"] if permit["name"] == name), None)
+    place = next(((at, row) for at, row in enumerate(status["order"]) if row["name"] == name), None)
     if permit:
         print(f"{name} is out by permit {permit['fence']}: {permit['why']}")
     elif place:
-        print(f"{name} has place {place[0]} of {len(told['order'])}: {place[1]['why']}")
+        print(f"{name} has place {place[0]} of {len(status['order'])}: {place[1]['why']}")
     else:
-        known = "" if told["voter"] == "votes" else ", as far as is known here: ask a voter"
+        known = "" if status["voter"] == "votes" else ", as far as is known here: ask a voter"
         print(f"{name} neither is out nor waits{known}")
     return 0 if permit or place else 1
 
 
-def run(told: dict[str, Any]) -> int:
+def run(arguments: dict[str, Any]) -> int:
+    """Perform a sub-command."""
     try:
-        address = told["--control"] or (told["--operator"] and operator.read(told["--operator"]).upkeep.control)
+        address = arguments["--control"] or (arguments["--operator"] and operator.read(arguments["--operator"]).upkeep.control)
         if not address:
             raise ValueError("--control HOST:PORT, or --operator FILE with upkeep.control, is wanted")
-        if told["ask"]:
-            latest = time.time() + seconds(told["--by"]) if told["--by"] else 0.0
-            answer = ask(
+        if arguments["ask"]:
+            latest = time.time() + seconds(arguments["--by"]) if arguments["--by"] else 0.0
+            status = ask(
                 address,
                 do="ask",
-                kind=told["--reason"],
-                seconds=seconds(told["--for"]),
+                kind=arguments["--reason"],
+                seconds=seconds(arguments["--for"]),
                 latest=latest,
-                urgency=2 if told["--emergency"] else 0,
-                names=[told["NAME"]] if told["NAME"] else None,
-                zone=told["--zone"],
-                all=told["--all"],
+                urgency=2 if arguments["--emergency"] else 0,
+                names=[arguments["NAME"]] if arguments["NAME"] else None,
+                zone=arguments["--zone"],
+                all=arguments["--all"],
             )
-        elif told["cancel"]:
-            answer = ask(address, do="cancel")
-        elif told["freeze"]:
-            answer = ask(address, do="freeze", why=told["--reason"])
-        elif told["thaw"]:
-            answer = ask(address, do="freeze", why="")
-        elif told["release"]:
-            answer = ask(address, do="release", name=told["NAME"], why=told["--reason"])
-        elif told["over"]:
-            answer = ask(address, do="over", name=told["NAME"], why=told["--over-the-bound"])
-        elif told["voters"]:
-            answer = ask(address, do="voters", voters=told["VOTER"])
+        elif arguments["cancel"]:
+            status = ask(address, do="cancel")
+        elif arguments["freeze"]:
+            status = ask(address, do="freeze", why=arguments["--reason"])
+        elif arguments["thaw"]:
+            status = ask(address, do="freeze", why="")
+        elif arguments["release"]:
+            status = ask(address, do="release", name=arguments["NAME"], why=arguments["--reason"])
+        elif arguments["over"]:
+            status = ask(address, do="over", name=arguments["NAME"], why=arguments["--over-the-bound"])
+        elif arguments["voters"]:
+            status = ask(address, do="voters", voters=arguments["VOTER"])
         else:
-            answer = ask(address, do="show")
+            status = ask(address, do="show")
     except (operator.OperatorFileError, AttributeError, OSError, ValueError) as error:
         what = "no upkeep node in the operator's file" if isinstance(error, AttributeError) else error
         print(f"mulleinhatch: {what}", file=sys.stderr)
         return 1
-    if told["why"]:
-        return stands(answer, told["NAME"])
-    if told["history"]:
-        for at, state, why in answer["history"]:
+    if arguments["why"]:
+        return print_position(status, arguments["NAME"])
+    if arguments["history"]:
+        for at, state, why in status["history"]:
             print(f"{time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(at))}  {state:10} {why}")
         return 0
-    sys.stdout.write(head(answer) + text(out(answer)) + text(waiting(answer)))
+    sys.stdout.write(head(status) + text(out(status)) + text(waiting(status)))
     return 0
--- a/mulleinhatch/cli/instance/version.py
+++ b/mulleinhatch/cli/instance/version.py
@@ -1,4 +1,4 @@
-"""Prints the version."""
+"""`mulleinhatch version`: print the versions."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from mulleinhatch import __version__
 
 
-def run(told: dict[str, Any]) -> int:
+def run(arguments: dict[str, Any]) -> int:
+    """Print the versions of this program and of its HTTP library."""
     print(f"mulleinhatch {__version__}, tornado {metadata.version('tornado')}")
     return 0
