--- a/mulleinhatch/instance/runtime/background_tasks.py
+++ b/mulleinhatch/instance/runtime/background_tasks.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from mulleinhatch.instance.runtime.callbacks import CounterIncrement
-from mulleinhatch.random_source import Chance
+from mulleinhatch.random_source import RandomSource
 
 LOG = logging.getLogger(__name__)
 MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 2.0  # before a failed task is restarted; doubled each time
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, count: CounterIncrement, seed: int) -> None:
-        self.count, self.draw = count, Chance(seed).below
+        self.count, self.draw = count, RandomSource(seed).below
         self.running: set[asyncio.Task[None]] = set()
 
     def keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
