--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -53,7 +53,7 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
 from mulleinhatch.instance.retry_storms.retry_admission import Desk
-from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
+from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, GossipService
 from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
 from mulleinhatch.simulation.maintenance_world import Machines
 
@@ -281,8 +281,8 @@
             size, spent = [], []
             for count in sizes:
                 side = fleet_side(count, differ)
-                size.append((count, float(len(side.told()))))
-                spent.append((count, 1e3 * cpu(side.told, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS)))
+                size.append((count, float(len(side.status_json()))))
+                spent.append((count, 1e3 * cpu(side.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS)))
             if not differ:
                 self.add("tools.fleet_answer_bytes", "bytes", "members", size, "linear")
             self.add(f"tools.fleet_answer_cpu{name}", "ms an answer", "members", spent, form)
@@ -456,11 +456,11 @@
     return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(ballot, ballot, table, 16_000), False)))
 
 
-def fleet_side(count: int, differ: bool) -> FleetSide:
+def fleet_side(count: int, differ: bool) -> GossipService:
     """An instance's side that has heard of so many members with a report each: no socket is bound, nothing is sent."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
     place = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
-    side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
+    side = GossipService(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
     side.socket.close()
     now = time.monotonic()
     side.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -19,48 +19,52 @@
 from mulleinhatch.instance.gossip.messages import LEVELS, MAX_DATAGRAM_BYTES, STATES
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
+from mulleinhatch.instance.runtime.callbacks import EventHandler
 from mulleinhatch.instance.runtime.instance_settings import Placement
 
 if TYPE_CHECKING:
-    from mulleinhatch.instance.runtime.load_balancing import SpreadSide
+    from mulleinhatch.instance.runtime.load_balancing import LoadBalancingService
     from mulleinhatch.instance.runtime.maintenance import UpkeepSide
 
 LOG = logging.getLogger(__name__)
-A_TURN = 64  # datagrams read before others have their turn
-RECEIVE_ROOM = 1 << 18  # bytes of the socket's queue: what came while we stood still says who is there
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before others have their turn
+RECEIVE_BUFFER_BYTES = 1 << 18  # bytes of the socket's queue: what came while we stood still says who is there
 TENANTS_KEPT = 256  # with a count of their own
-RECENT, WORTH_A_WORD = 6.0, 0.1  # seconds over which runs tell of our interpreter; share that fails from which we speak
+RECENT_RUNS_S = 6.0  # runs count for the opinion of our interpreter with this time constant
+MIN_REPORTED_ERROR_SHARE = 0.1  # with fewer failed runs nothing is reported of it
 # Counters whose first count is worth a line: what came was dropped.
 DROPPED = ("unfit_", "members_refused", "names_elsewhere", "letters_without_levels", "upward_unfit", "sums_refused")
-RUN_CLOSES = 2.0  # seconds that a call may take, of a part that bounds what is in hand
+CALL_TIMEOUT_S = 2.0  # seconds that a call may take, of a part that bounds what is in hand
 
 
-class FleetSide:
-    def __init__(self, placement: Placement, reducer: Reducer, take: Callable[..., None], leaves: Callable[[], None]) -> None:
-        """`leaves` is called when the instance has a permit to go out for work."""
-        self.placement, self.reducer, self.take, self.leaves = placement, reducer, take, leaves
+class GossipService:
+    def __init__(
+        self, placement: Placement, reducer: Reducer, handle_event: EventHandler, request_shutdown: Callable[[], None]
+    ) -> None:
+        self.placement, self.reducer = placement, reducer
+        self.handle_event, self.request_shutdown = handle_event, request_shutdown
         self.bounds = placement.fleet
         self.counts: Counter[str] = Counter()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.core: GossipNode | None = None
-        self.spread: SpreadSide | None = None
+        self.spread: LoadBalancingService | None = None
         self.upkeep: UpkeepSide | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.told_pieces: dict[str, list[tuple[float, float]]] = {}
+        self.published_pieces: dict[str, list[tuple[float, float]]] = {}
         # What each tenant with a part was asked for: by window of its budget, now and before.
-        self.asked: dict[str, list[int]] = {
+        self.requested_counts: dict[str, list[int]] = {
             budget.tenant: [0, 0] for budget in self.bounds.budgets if budget.tenant and budget.window
         }
-        self.window_at: dict[str, float] = {}
+        self.window_started_at: dict[str, float] = {}
         self.loudest = HeavyHitters(TENANTS_KEPT)
-        self.ended, self.recent, self.recent_at = (0, 0), [0.0, 0.0], 0.0  # runs and errors: at the last look, and faded
-        self.hear_most, self.shut = math.inf, 0.0
-        self.dropped: set[str] = set()  # of these a line was written
-        self.told_others: tuple[float, bool, float, float] = (-1.0, False, math.inf, 0.0)
+        self.last_counts, self.recent, self.recent_at = (0, 0), [0.0, 0.0], 0.0  # runs and errors: at the last look, and faded
+        self.max_retry_rate, self.redirect_share = math.inf, 0.0
+        self.logged_drops: set[str] = set()  # of these a line was written
+        self.published_peer_load: tuple[float, bool, float, float] = (-1.0, False, math.inf, 0.0)
 
     def listen(self) -> None:
         self.socket.setblocking(False)
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_ROOM)
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.socket.bind(self.bounds.listen)
         host, port = self.socket.getsockname()
         address, now = self.bounds.advertise or f"{host}:{port}", time.monotonic()
@@ -68,19 +72,19 @@
         # back the others tell (`Membership._resolve_name_conflict`).
         self.core = GossipNode(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
         if self.placement.spread:
-            from mulleinhatch.instance.runtime.load_balancing import SpreadSide
+            from mulleinhatch.instance.runtime.load_balancing import LoadBalancingService
 
-            self.spread = SpreadSide(self.placement, self.core, self.reducer, self.take, self._send)
+            self.spread = LoadBalancingService(self.placement, self.core, self.reducer, self.handle_event, self._send)
         if self.placement.upkeep:
             from mulleinhatch.instance.runtime.maintenance import UpkeepSide
 
-            self.upkeep = UpkeepSide(self.placement, self.core, self.reducer, self._send, self.leaves)
-        self.reducer.on_tenant_request = self._asked_for if self.reducer.tenants else None
+            self.upkeep = UpkeepSide(self.placement, self.core, self.reducer, self._send, self.request_shutdown)
+        self.reducer.on_tenant_request = self._record_tenant_request if self.reducer.tenants else None
         LOG.info("fleet", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
         loop = asyncio.get_running_loop()
         loop.add_reader(self.socket.fileno(), self._readable)
-        self._tell_parts(now)
-        self._beat()
+        self._publish_budget_parts(now)
+        self._heartbeat()
 
     def close(self) -> None:
         if self.timer:
@@ -97,33 +101,37 @@
         if self.core and not self.core.members.left:
             now = time.monotonic()
             self._send(self.core.leave(now))
-            self._tell_parts(now)
+            self._publish_budget_parts(now)
 
-    def _asked_for(self, now: float, tenant: str) -> None:
+    def _record_tenant_request(self, now: float, tenant: str) -> None:
         self.loudest.add(now, tenant)
-        if counts := self.asked.get(tenant):
+        if counts := self.requested_counts.get(tenant):
             counts[0] += 1
 
     def _demands(self, now: float) -> tuple[float, ...]:
         """Units a window, by budget: of the whole windows and of the one that runs, by its part."""
         demands = []
         for budget in self.bounds.budgets:
-            counts = self.asked.get(budget.tenant) if budget.window else None
+            counts = self.requested_counts.get(budget.tenant) if budget.window else None
             if budget.retries:
                 demands.append(self.reducer.storms.watch.repeat_rate * budget.window if self.reducer.storms else 0.0)
                 continue
             if counts is None:  # of what is in hand: what waits for it, too
                 demands.append(
                     float(
-                        sum(owed.tenant == budget.tenant for owed in self.reducer.requests.values())
+                        sum(request.tenant == budget.tenant for request in self.reducer.requests.values())
                         if budget.tenant
                         else self.reducer.run_count
                     )
                 )
                 continue
-            since = self.window_at.setdefault(budget.tenant, now)
+            since = self.window_started_at.setdefault(budget.tenant, now)
             if now - since >= budget.window:
-                counts[1], counts[0], self.window_at[budget.tenant] = round(counts[0] * budget.window / (now - since)), 0, now
+                counts[1], counts[0], self.window_started_at[budget.tenant] = (
+                    round(counts[0] * budget.window / (now - since)),
+                    0,
+                    now,
+                )
                 since = now
             part = (now - since) / budget.window
             demands.append(counts[0] + (1.0 - part) * counts[1])
@@ -131,7 +139,7 @@
 
     def _local(self, now: float) -> LocalState:
         reducer = self.reducer
-        counts, hatch = reducer.counts, reducer.controller
+        counts, controller = reducer.counts, reducer.controller
         storms = reducer.storms
         repeats = storms.counts["repeats_read"] if storms else 0
         # What peers hand over is their demand: counted twice, the fleet looks as if it could spare nobody.
@@ -143,43 +151,43 @@
             counts["decided_nack"],
             max(0, len(reducer.requests) - reducer.run_count - reducer.handed_over_count),
             max(0, reducer.run_count),
-            round(min(1e9, hatch.capacity())) if hatch else 0,
-            int(reducer.healthy and hatch is not None),
+            round(min(1e9, controller.capacity())) if controller else 0,
+            int(reducer.healthy and controller is not None),
             counts["run_error"],
             reducer.advertised_capacity(now),
         ]
-        opinions = self._of_our_interpreter(now)
+        opinions = self._interpreter_opinions(now)
         if self.spread:
             figures += self.spread.core.figures(now)
             opinions += self.spread.core.opinions(now)
         assert len(figures) <= len(FIGURES)
-        loudest = [(loud.name[:40], round(loud.rate, 2)) for loud in self.loudest.top(now, MAX_HEAVY_HITTERS)]
+        loudest = [(hitter.name[:40], round(hitter.rate, 2)) for hitter in self.loudest.top(now, MAX_HEAVY_HITTERS)]
         return LocalState(figures, self._demands(now), loudest, opinions)
 
-    def _of_our_interpreter(self, now: float) -> list[tuple[str, int, int]]:
+    def _interpreter_opinions(self, now: float) -> list[tuple[str, int, int]]:
         """Of lately: what failed an hour ago says nothing. While it is well nobody needs our word on it."""
-        ended = (self.reducer.counts["run_ok"] + self.reducer.counts["run_error"], self.reducer.counts["run_error"])
-        left = math.exp(-(now - self.recent_at) / RECENT)
-        self.recent = [left * old + new - before for old, new, before in zip(self.recent, ended, self.ended)]
-        self.ended, self.recent_at = ended, now
+        current_counts = (self.reducer.counts["run_ok"] + self.reducer.counts["run_error"], self.reducer.counts["run_error"])
+        left = math.exp(-(now - self.recent_at) / RECENT_RUNS_S)
+        self.recent = [left * old + new - before for old, new, before in zip(self.recent, current_counts, self.last_counts)]
+        self.last_counts, self.recent_at = current_counts, now
         runs, errors = self.recent
-        if runs < 1.0 or errors < WORTH_A_WORD * runs:
+        if runs < 1.0 or errors < MIN_REPORTED_ERROR_SHARE * runs:
             return []
         return [(interpreter_of(self.placement.name), round(100 * errors / runs), round(runs))]
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         now = time.monotonic()
-        self.timer = asyncio.get_running_loop().call_later(self.core.bounds.heartbeat_s, self._beat)
+        self.timer = asyncio.get_running_loop().call_later(self.core.bounds.heartbeat_s, self._heartbeat)
         try:
             if self.spread:
                 self._send(self.spread.beat(now))
-                self.shut = self.spread.core.redirect_fraction
+                self.redirect_share = self.spread.core.redirect_fraction
             if self.upkeep:
                 self._send(self.upkeep.beat(now))
             self._send(self.core.heartbeat(now, self._local(now)))
-            self._tell_parts(now)
-            self._tell_others(now)
-            self._tell_dropped()
+            self._publish_budget_parts(now)
+            self._publish_peer_load(now)
+            self._log_dropped_messages()
             for change in self.core.take_changes():
                 LOG.info("fleet", extra={"fields": {"member": change.name, "state": change.state, "why": change.why}})
         except Exception:
@@ -187,18 +195,18 @@
             self.counts["fleet_errors_inside"] += 1
             LOG.exception("error inside", extra={"fields": {"at": "fleet beat"}})
 
-    def _tell_dropped(self) -> None:
+    def _log_dropped_messages(self) -> None:
         """Once for each cause: the counters tell how often."""
         for name, count in {
             **self.core.counts,
             **(self.core.aggregation_tree.counts if self.core.aggregation_tree else {}),
         }.items():
-            if count and name.startswith(DROPPED) and name not in self.dropped:
-                self.dropped.add(name)
+            if count and name.startswith(DROPPED) and name not in self.logged_drops:
+                self.logged_drops.add(name)
                 LOG.warning("fleet letter dropped", extra={"fields": {"why": name}})
 
     def _readable(self) -> None:
-        for _ in range(A_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # nothing more, or the word of a closed port
@@ -210,49 +218,49 @@
                     self._send(self.spread.heard(now))
                 if self.upkeep:
                     self._send(self.upkeep.heard())
-                self._tell_parts(now)
+                self._publish_budget_parts(now)
             except Exception:
                 self.counts["fleet_errors_inside"] += 1
                 LOG.exception("error inside", extra={"fields": {"at": "fleet datagram"}})
 
-    def _send(self, errands: list[tuple[str, bytes]]) -> None:
-        for address, data in errands:
+    def _send(self, datagrams: list[tuple[str, bytes]]) -> None:
+        for address, data in datagrams:
             host, _, port = address.rpartition(":")
             with contextlib.suppress(OSError, OverflowError):  # it may be down, or a name that nobody knows
                 self.socket.sendto(data, (host, int(port)))
 
-    def _tell_parts(self, now: float) -> None:
+    def _publish_budget_parts(self, now: float) -> None:
         """At once when a part changes: what was lent a moment ago must not be used."""
         for budget, part in zip(self.bounds.budgets, self.core.quotas):
             if budget.retries:
-                self.hear_most = part.usable(now) / budget.window
+                self.max_retry_rate = part.usable(now) / budget.window
                 continue
             if not budget.tenant:
-                share = float(part.usable(now, RUN_CLOSES))
-                if self.told_pieces.get(budget.name) != [(share, 0.0)]:
-                    self.told_pieces[budget.name] = [(share, 0.0)]
-                    self.take(Event.DEPENDENCY_SHARE_CHANGED, share)
+                share = float(part.usable(now, CALL_TIMEOUT_S))
+                if self.published_pieces.get(budget.name) != [(share, 0.0)]:
+                    self.published_pieces[budget.name] = [(share, 0.0)]
+                    self.handle_event(Event.DEPENDENCY_SHARE_CHANGED, share)
                 continue
             pieces = part.usable_pieces(now)
-            if self.told_pieces.get(budget.name) != pieces:
-                self.told_pieces[budget.name] = pieces
-                self.take(Event.TENANT_BUDGET_CHANGED, budget.tenant, budget.window, pieces)
+            if self.published_pieces.get(budget.name) != pieces:
+                self.published_pieces[budget.name] = pieces
+                self.handle_event(Event.TENANT_BUDGET_CHANGED, budget.tenant, budget.window, pieces)
 
-    def _tell_others(self, now: float) -> None:
+    def _publish_peer_load(self, now: float) -> None:
         """How the others fare, when it changed by what is worth a word."""
-        told = (self.core.free_fraction(now), self.core.is_judged_unhealthy(), self.hear_most, self.shut)
-        before = self.told_others
+        peer_load = (self.core.free_fraction(now), self.core.is_judged_unhealthy(), self.max_retry_rate, self.redirect_share)
+        before = self.published_peer_load
         if (
-            told[1] is not before[1]
-            or (told[0] < 0.0) is not (before[0] < 0.0)
-            or told[2] != before[2]
-            or abs(told[0] - before[0]) > 0.02
-            or abs(told[3] - before[3]) > 0.01
+            peer_load[1] is not before[1]
+            or (peer_load[0] < 0.0) is not (before[0] < 0.0)
+            or peer_load[2] != before[2]
+            or abs(peer_load[0] - before[0]) > 0.02
+            or abs(peer_load[3] - before[3]) > 0.01
         ):
-            self.told_others = told
-            self.take(Event.PEER_LOAD_CHANGED, *told)
+            self.published_peer_load = peer_load
+            self.handle_event(Event.PEER_LOAD_CHANGED, *peer_load)
 
-    def told(self) -> bytes:
+    def status_json(self) -> bytes:
         """What the command line shows."""
         core, now = self.core, time.monotonic()
         members = core.members
@@ -311,7 +319,7 @@
                 "alone": sorted(core.outlier_detector.single_accusers),
                 "held_back": core.outlier_detector.blocked_ejections,
                 "levels": self._levels(now),
-                "spread": self.spread and self.spread.told(now),
+                "spread": self.spread and self.spread.status(now),
                 "carried": self._carried(now),
             }
         ).encode()
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from mulleinhatch.admission import AdmissionController
     from mulleinhatch.instance.runtime.dependency_calls import DependencyClient
-    from mulleinhatch.instance.runtime.gossip import FleetSide
+    from mulleinhatch.instance.runtime.gossip import GossipService
     from mulleinhatch.instance.runtime.tracing import Tracing
     from mulleinhatch.instance.traces.recorder import Recorder
 
@@ -62,7 +62,7 @@
         self.placement, self.read_placement = placement, read_placement or (lambda: placement)
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
-        self.fleet: FleetSide | None = None
+        self.fleet: GossipService | None = None
         self.reducer = Reducer(
             placement.deployment,
             placement.op_types,
@@ -204,16 +204,16 @@
         self.port = await self._listen()
         LOG.info("listening for clients", extra={"fields": {"name": self.placement.name, "port": self.port}})
         if self.placement.fleet:
-            from mulleinhatch.instance.runtime.gossip import FleetSide
+            from mulleinhatch.instance.runtime.gossip import GossipService
 
-            self.fleet = FleetSide(self.placement, self.reducer, self.handle_event, self.leave)
+            self.fleet = GossipService(self.placement, self.reducer, self.handle_event, self.leave)
             self.fleet.listen()
-            self.listener.serve_fleet_status(self.fleet.told)
+            self.listener.serve_fleet_status(self.fleet.status_json)
             if self.fleet.upkeep:
                 await self.fleet.upkeep.listen()
             if self.fleet.spread:
-                self.action_handlers[Action.HAND_OVER] = self.fleet.spread.hand
-                self.listener.accept_handovers(self.fleet.spread.came)
+                self.action_handlers[Action.HAND_OVER] = self.fleet.spread.hand_over
+                self.listener.accept_handovers(self.fleet.spread.accept_handover)
         self.tasks.keep("link", self.interpreter.link.keep)
         self.tasks.every("reports", REPORT_INTERVAL_S, self._send_report)
         self.tasks.every("sweep", SWEEP_INTERVAL_S, self._sweep)
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -16,59 +16,60 @@
 from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
+from mulleinhatch.instance.runtime.callbacks import EventHandler
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
 LOG = logging.getLogger(__name__)
-ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
-NUDGE = 0.005  # seconds until others hear of what changed here
-AT_MOST = 30.0  # seconds for an op that tells no time
-UNRUN = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # by these it never ran there
+ANSWER_MARGIN_S = 0.08  # seconds that a peer's answer has to come back before ours is due
+LOAD_CHANGE_DELAY_S = 0.005  # seconds until others hear of what changed here
+MAX_HANDOVER_S = 30.0  # seconds for an op that tells no time
+NOT_EXECUTED_STATUSES = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # by these it never ran there
 
 
-class SpreadSide:
+class LoadBalancingService:
     def __init__(
         self,
         placement: Placement,
         fleet: GossipNode,
         reducer: Reducer,
-        take: Callable[..., None],
+        handle_event: EventHandler,
         send: Callable[[list[tuple[str, bytes]]], None],
     ) -> None:
         bounds = placement.spread
         if not bounds.at:
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
-        self.reducer, self.take, self.send = reducer, take, send
+        self.reducer, self.handle_event, self.send = reducer, handle_event, send
         self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
         self.peers = Peers(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
-        self.told_count = 0
+        self.published_offer_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         fleet.handover_address = bounds.at if bounds.hand_over else ""
         reducer.keeps_handover_data = True
-        self.nudged = False
-        reducer.on_run_ended, reducer.on_client_request = self._ran, self._came
+        self.is_load_change_scheduled = False
+        reducer.on_run_ended, reducer.on_client_request = self._record_run, self._record_request
 
-    def _ran(self, *told: Any) -> None:
-        self.core.record_run(*told)
-        self._nudge()
+    def _record_run(self, *arguments: Any) -> None:
+        self.core.record_run(*arguments)
+        self._schedule_load_change()
 
-    def _came(self, *told: Any) -> None:
-        self.core.record_arrival(*told)
-        self._nudge()
+    def _record_request(self, *arguments: Any) -> None:
+        self.core.record_arrival(*arguments)
+        self._schedule_load_change()
 
-    def _nudge(self) -> None:
+    def _schedule_load_change(self) -> None:
         """Once for all that happens in a moment, after it was decided on."""
-        if not self.nudged:
-            self.nudged = True
-            asyncio.get_running_loop().call_later(NUDGE, self._nudges)
+        if not self.is_load_change_scheduled:
+            self.is_load_change_scheduled = True
+            asyncio.get_running_loop().call_later(LOAD_CHANGE_DELAY_S, self._send_load_change)
 
-    def _nudges(self) -> None:
-        self.nudged, now = False, time.monotonic()
-        self.send(self.core.on_load_change(now, self._here()))
-        self.tell(now)
+    def _send_load_change(self) -> None:
+        self.is_load_change_scheduled, now = False, time.monotonic()
+        self.send(self.core.on_load_change(now, self._current_load()))
+        self.publish_offer_count(now)
 
-    def _here(self) -> InstanceLoad:
+    def _current_load(self) -> InstanceLoad:
         reducer = self.reducer
         return InstanceLoad(
             reducer.free_capacity(time.monotonic()),
@@ -79,45 +80,45 @@
         )
 
     def beat(self, now: float) -> list[tuple[str, bytes]]:
-        letters = self.core.heartbeat(now, self._here())
+        datagrams = self.core.heartbeat(now, self._current_load())
         self.peers.sweep()
-        self.tell(now)
-        return letters
+        self.publish_offer_count(now)
+        return datagrams
 
     def heard(self, now: float) -> list[tuple[str, bytes]]:
         """After letters came: at once, for an offer is worth most to an op that waits now."""
         self.core.load = self.core.load._replace(free_slots=self.reducer.free_capacity(now))
-        self.tell(now)
+        self.publish_offer_count(now)
         return self.core.take_messages()
 
-    def tell(self, now: float) -> None:
-        """The module counts down what it hands over, and so do we (`hand`)."""
+    def publish_offer_count(self, now: float) -> None:
+        """The module counts down what it hands over, and so do we (`hand_over`)."""
         count = self.core.count_offers(now) if self.reducer.requests else 0
-        if count != self.told_count:
-            self.told_count = count
-            self.take(Event.PEER_OFFERS_CHANGED, count)
+        if count != self.published_offer_count:
+            self.published_offer_count = count
+            self.handle_event(Event.PEER_OFFERS_CHANGED, count)
 
-    def came(self, number: bytes) -> None:
+    def accept_handover(self, number: bytes) -> None:
         self.core.offer_issuer.redeem(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
 
     # Handing over.
 
-    def hand(self, ref: str, *told: Any) -> None:
-        self.told_count -= 1
+    def hand_over(self, request_id: str, *arguments: Any) -> None:
+        self.published_offer_count -= 1
         offer = self.core.take_offer(time.monotonic())
         if offer is None:
             self.counts["hand_offers_over"] += 1
             # Not within the errands of the happening that decided it: it would be told in the middle of another.
-            asyncio.get_running_loop().call_soon(self.take, Event.HANDOVER_ENDED, ref, Ending.UNREACHABLE, b"")
+            asyncio.get_running_loop().call_soon(self.handle_event, Event.HANDOVER_ENDED, request_id, Ending.UNREACHABLE, b"")
             return
-        task = asyncio.ensure_future(self._hand(offer, ref, *told))
+        task = asyncio.ensure_future(self._send_handover(offer, request_id, *arguments))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _hand(
+    async def _send_handover(
         self,
         offer: ReceivedOffer,
-        ref: str,
+        request_id: str,
         op_type: str,
         tenant: str,
         body: bytes,
@@ -130,9 +131,9 @@
         rank: float,
         key: str,
     ) -> None:
-        wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
+        wait = max(0.01, left - ANSWER_MARGIN_S) if left else 0.0
         pieces = http_peers.write_handover_request(
-            ref,
+            request_id,
             op_type,
             tenant,
             body,
@@ -149,13 +150,13 @@
         )
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.ask(offer.address, pieces, wait or AT_MOST)
-            ending = Ending.OK if status == 200 else Ending.FULL if status in UNRUN else Ending.ERROR
+            status, result = await self.peers.ask(offer.address, pieces, wait or MAX_HANDOVER_S)
+            ending = Ending.OK if status == 200 else Ending.FULL if status in NOT_EXECUTED_STATUSES else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
             ending = Ending.UNREACHABLE
         except ConnectionLostError as error:
-            LOG.debug("hand-over broke off", extra={"fields": {"ref": ref, "peer": offer.issuer, "error": error}})
+            LOG.debug("hand-over broke off", extra={"fields": {"ref": request_id, "peer": offer.issuer, "error": error}})
         except Exception:
             self.counts["spread_errors_inside"] += 1
             LOG.exception("error inside", extra={"fields": {"at": "hand-over"}})
@@ -164,14 +165,14 @@
             self.core.record_handover(
                 now, offer, ending in (Ending.ERROR, Ending.INTERRUPTED), ending in (Ending.UNREACHABLE, Ending.INTERRUPTED)
             )
-            self.take(Event.HANDOVER_ENDED, ref, ending, result if ending is Ending.OK else b"")
+            self.handle_event(Event.HANDOVER_ENDED, request_id, ending, result if ending is Ending.OK else b"")
 
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
         self.peers.close()
 
-    def told(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         core = self.core
         pace = core.estimate(now)
         return {
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -407,7 +407,7 @@
 
 def test_an_answer_tells_all_members() -> None:
     for differ, tenants in ((False, 4), (True, 8)):
-        told = json.loads(parts.fleet_side(25, differ).told())
+        told = json.loads(parts.fleet_side(25, differ).status_json())
         assert len(told["members"]) == 25 and len(told["loudest"]) == tenants
 
 
