--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -282,7 +282,9 @@
             for count in sizes:
                 side = fleet_side(count, differ)
                 size.append((count, float(len(side.status_json()))))
-                spent.append((count, 1e3 * cpu(side.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS)))
+                spent.append(
+                    (count, 1e3 * cpu(side.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS))
+                )
             if not differ:
                 self.add("tools.fleet_answer_bytes", "bytes", "members", size, "linear")
             self.add(f"tools.fleet_answer_cpu{name}", "ms an answer", "members", spent, form)
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -1,4 +1,4 @@
-"""The fleet's I/O: one UDP socket, one timer, and the core's words carried out. Imported only where a fleet is told of."""
+"""Gossip I/O: one UDP socket, one timer, and the messages of the gossip core. Imported only where a fleet is configured."""
 
 from __future__ import annotations
 
@@ -27,17 +27,26 @@
     from mulleinhatch.instance.runtime.maintenance import UpkeepSide
 
 LOG = logging.getLogger(__name__)
-MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before others have their turn
-RECEIVE_BUFFER_BYTES = 1 << 18  # bytes of the socket's queue: what came while we stood still says who is there
-TENANTS_KEPT = 256  # with a count of their own
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before other work of the event loop
+RECEIVE_BUFFER_BYTES = 1 << 18  # what arrives while the process is stalled must not be lost: it proves who is alive
+TENANTS_KEPT = 256  # tenants with a counter of their own
 RECENT_RUNS_S = 6.0  # runs count for the opinion of our interpreter with this time constant
 MIN_REPORTED_ERROR_SHARE = 0.1  # with fewer failed runs nothing is reported of it
-# Counters whose first count is worth a line: what came was dropped.
+# Counters of dropped messages: the first of each is logged.
 DROPPED = ("unfit_", "members_refused", "names_elsewhere", "letters_without_levels", "upward_unfit", "sums_refused")
-CALL_TIMEOUT_S = 2.0  # seconds that a call may take, of a part that bounds what is in hand
+CALL_TIMEOUT_S = 2.0  # the longest call under a budget of concurrent calls
 
 
 class GossipService:
+    """Connects the gossip core to the socket, to the reducer and to what is built on gossip.
+
+    Args:
+        placement: Settings of the instance.
+        reducer: Read for the figures that are reported.
+        handle_event: Passes events to the reducer.
+        request_shutdown: Called when the instance was granted a maintenance permit.
+    """
+
     def __init__(
         self, placement: Placement, reducer: Reducer, handle_event: EventHandler, request_shutdown: Callable[[], None]
     ) -> None:
@@ -51,25 +60,30 @@
         self.upkeep: UpkeepSide | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.published_pieces: dict[str, list[tuple[float, float]]] = {}
-        # What each tenant with a part was asked for: by window of its budget, now and before.
+        # Requests per tenant with a budget: in the current window and in the one before.
         self.requested_counts: dict[str, list[int]] = {
             budget.tenant: [0, 0] for budget in self.bounds.budgets if budget.tenant and budget.window
         }
         self.window_started_at: dict[str, float] = {}
         self.loudest = HeavyHitters(TENANTS_KEPT)
-        self.last_counts, self.recent, self.recent_at = (0, 0), [0.0, 0.0], 0.0  # runs and errors: at the last look, and faded
+        self.last_counts, self.recent, self.recent_at = (
+            (0, 0),
+            [0.0, 0.0],
+            0.0,
+        )  # runs and errors: at the last heartbeat, and decayed
         self.max_retry_rate, self.redirect_share = math.inf, 0.0
-        self.logged_drops: set[str] = set()  # of these a line was written
+        self.logged_drops: set[str] = set()  # counters whose drops were logged
         self.published_peer_load: tuple[float, bool, float, float] = (-1.0, False, math.inf, 0.0)
 
     def listen(self) -> None:
+        """Open the socket and start the heartbeats."""
         self.socket.setblocking(False)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.socket.bind(self.bounds.listen)
         host, port = self.socket.getsockname()
         address, now = self.bounds.advertise or f"{host}:{port}", time.monotonic()
-        # A life's number must grow over restarts and has no disk to stand on: the wall clock, and where that was set
-        # back the others tell (`Membership._resolve_name_conflict`).
+        # The incarnation must grow over restarts, without a disk: it is the wall clock. If that was set back, the
+        # others report the higher number (`Membership._resolve_name_conflict`).
         self.core = GossipNode(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
         if self.placement.spread:
             from mulleinhatch.instance.runtime.load_balancing import LoadBalancingService
@@ -80,13 +94,14 @@
 
             self.upkeep = UpkeepSide(self.placement, self.core, self.reducer, self._send, self.request_shutdown)
         self.reducer.on_tenant_request = self._record_tenant_request if self.reducer.tenants else None
-        LOG.info("fleet", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
+        LOG.info("gossip started", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
         loop = asyncio.get_running_loop()
         loop.add_reader(self.socket.fileno(), self._readable)
         self._publish_budget_parts(now)
         self._heartbeat()
 
     def close(self) -> None:
+        """Close the socket and what is built on gossip."""
         if self.timer:
             self.timer.cancel()
         if self.spread:
@@ -97,7 +112,7 @@
         self.socket.close()
 
     def leave(self) -> None:
-        """The others hear it now; what is borrowed goes back, what we hold is run on our own part."""
+        """Announce the departure: borrowed budget is returned, and requests that still wait run on the own part."""
         if self.core and not self.core.members.left:
             now = time.monotonic()
             self._send(self.core.leave(now))
@@ -109,14 +124,14 @@
             counts[0] += 1
 
     def _demands(self, now: float) -> tuple[float, ...]:
-        """Units a window, by budget: of the whole windows and of the one that runs, by its part."""
+        """Return the demand for each budget in units per window, weighted over the current and the last window."""
         demands = []
         for budget in self.bounds.budgets:
             counts = self.requested_counts.get(budget.tenant) if budget.window else None
             if budget.retries:
                 demands.append(self.reducer.storms.watch.repeat_rate * budget.window if self.reducer.storms else 0.0)
                 continue
-            if counts is None:  # of what is in hand: what waits for it, too
+            if counts is None:  # a limit on concurrency: waiting requests count as well
                 demands.append(
                     float(
                         sum(request.tenant == budget.tenant for request in self.reducer.requests.values())
@@ -142,7 +157,7 @@
         counts, controller = reducer.counts, reducer.controller
         storms = reducer.storms
         repeats = storms.counts["repeats_read"] if storms else 0
-        # What peers hand over is their demand: counted twice, the fleet looks as if it could spare nobody.
+        # Requests that peers hand over are their demand: counted twice, the fleet would look overloaded.
         reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.turned if storms else 0)
         figures = [
             max(0, reads - repeats),
@@ -165,7 +180,7 @@
         return LocalState(figures, self._demands(now), loudest, opinions)
 
     def _interpreter_opinions(self, now: float) -> list[tuple[str, int, int]]:
-        """Of lately: what failed an hour ago says nothing. While it is well nobody needs our word on it."""
+        """Return the recent error rate of our interpreter; nothing while it is healthy."""
         current_counts = (self.reducer.counts["run_ok"] + self.reducer.counts["run_error"], self.reducer.counts["run_error"])
         left = math.exp(-(now - self.recent_at) / RECENT_RUNS_S)
         self.recent = [left * old + new - before for old, new, before in zip(self.recent, current_counts, self.last_counts)]
@@ -180,7 +195,7 @@
         self.timer = asyncio.get_running_loop().call_later(self.core.bounds.heartbeat_s, self._heartbeat)
         try:
             if self.spread:
-                self._send(self.spread.beat(now))
+                self._send(self.spread.heartbeat(now))
                 self.redirect_share = self.spread.core.redirect_fraction
             if self.upkeep:
                 self._send(self.upkeep.beat(now))
@@ -189,48 +204,51 @@
             self._publish_peer_load(now)
             self._log_dropped_messages()
             for change in self.core.take_changes():
-                LOG.info("fleet", extra={"fields": {"member": change.name, "state": change.state, "why": change.why}})
+                LOG.info(
+                    "fleet member changed state",
+                    extra={"fields": {"member": change.name, "state": change.state, "why": change.why}},
+                )
         except Exception:
-            # The fleet is help, not service: what goes wrong here must not take the instance with it.
+            # The instance works without gossip: an exception here must not end it.
             self.counts["fleet_errors_inside"] += 1
-            LOG.exception("error inside", extra={"fields": {"at": "fleet beat"}})
+            LOG.exception("unexpected exception", extra={"fields": {"at": "gossip heartbeat"}})
 
     def _log_dropped_messages(self) -> None:
-        """Once for each cause: the counters tell how often."""
+        """Log each cause once; the counters tell how often."""
         for name, count in {
             **self.core.counts,
             **(self.core.aggregation_tree.counts if self.core.aggregation_tree else {}),
         }.items():
             if count and name.startswith(DROPPED) and name not in self.logged_drops:
                 self.logged_drops.add(name)
-                LOG.warning("fleet letter dropped", extra={"fields": {"why": name}})
+                LOG.warning("dropped a gossip message", extra={"fields": {"why": name}})
 
     def _readable(self) -> None:
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more, or the word of a closed port
+            except OSError:  # nothing more to read, or an ICMP error for a closed port
                 return
             try:
                 now = time.monotonic()
                 self._send(self.core.handle_datagram(now, data))
                 if self.spread:
-                    self._send(self.spread.heard(now))
+                    self._send(self.spread.on_datagram(now))
                 if self.upkeep:
                     self._send(self.upkeep.heard())
                 self._publish_budget_parts(now)
             except Exception:
                 self.counts["fleet_errors_inside"] += 1
-                LOG.exception("error inside", extra={"fields": {"at": "fleet datagram"}})
+                LOG.exception("unexpected exception", extra={"fields": {"at": "gossip datagram"}})
 
     def _send(self, datagrams: list[tuple[str, bytes]]) -> None:
         for address, data in datagrams:
             host, _, port = address.rpartition(":")
-            with contextlib.suppress(OSError, OverflowError):  # it may be down, or a name that nobody knows
+            with contextlib.suppress(OSError, OverflowError):  # the peer may be down or its address invalid
                 self.socket.sendto(data, (host, int(port)))
 
     def _publish_budget_parts(self, now: float) -> None:
-        """At once when a part changes: what was lent a moment ago must not be used."""
+        """Report a changed part of a budget at once: units that were lent out must not be used."""
         for budget, part in zip(self.bounds.budgets, self.core.quotas):
             if budget.retries:
                 self.max_retry_rate = part.usable(now) / budget.window
@@ -247,7 +265,7 @@
                 self.handle_event(Event.TENANT_BUDGET_CHANGED, budget.tenant, budget.window, pieces)
 
     def _publish_peer_load(self, now: float) -> None:
-        """How the others fare, when it changed by what is worth a word."""
+        """Report the load of the peers when it changed noticeably."""
         peer_load = (self.core.free_fraction(now), self.core.is_judged_unhealthy(), self.max_retry_rate, self.redirect_share)
         before = self.published_peer_load
         if (
@@ -261,7 +279,7 @@
             self.handle_event(Event.PEER_LOAD_CHANGED, *peer_load)
 
     def status_json(self) -> bytes:
-        """What the command line shows."""
+        """Return what `mulleinhatch fleet` shows, as JSON."""
         core, now = self.core, time.monotonic()
         members = core.members
         rows = [
@@ -325,7 +343,7 @@
         ).encode()
 
     def _levels(self, now: float) -> dict[str, Any] | None:
-        """Where this member stands, whether it speaks for its group, and what is known of each level."""
+        """Return the position of this member in the aggregation tree and what is known of each level."""
         levels = self.core.aggregation_tree
         if not levels:
             return None
@@ -350,7 +368,7 @@
         }
 
     def _carried(self, now: float) -> list[dict[str, Any]]:
-        """Who carries what, of the others, by their last reports."""
+        """Return what each of the other members executes, by its last report."""
         if not self.spread:
             return []
         return [
@@ -368,6 +386,7 @@
         ]
 
     def counted(self) -> dict[str, int]:
+        """Return all counters and gauges by name."""
         if not self.core:
             return dict(self.counts)
         members = self.core.members
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -1,4 +1,4 @@
-"""The spread's I/O: ops go to peers over the callers' protocol, the core's words are carried. Imported only where it is on."""
+"""Load balancing I/O: hands requests over to peers by the client protocol. Imported only where load balancing is on."""
 
 from __future__ import annotations
 
@@ -21,13 +21,23 @@
 from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
 
 LOG = logging.getLogger(__name__)
-ANSWER_MARGIN_S = 0.08  # seconds that a peer's answer has to come back before ours is due
-LOAD_CHANGE_DELAY_S = 0.005  # seconds until others hear of what changed here
-MAX_HANDOVER_S = 30.0  # seconds for an op that tells no time
-NOT_EXECUTED_STATUSES = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # by these it never ran there
+ANSWER_MARGIN_S = 0.08  # time between the answer of a peer and our own deadline
+LOAD_CHANGE_DELAY_S = 0.005  # changes within this time are reported together
+MAX_HANDOVER_S = 30.0  # for a request without a deadline
+NOT_EXECUTED_STATUSES = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # the peer did not execute the request
 
 
 class LoadBalancingService:
+    """Connects the load balancing core to gossip, to the reducer and to the peers.
+
+    Args:
+        placement: Settings of the instance.
+        fleet: The gossip core that carries offers and reports.
+        reducer: Read for load and capacity.
+        handle_event: Passes events to the reducer.
+        send: Sends datagrams.
+    """
+
     def __init__(
         self,
         placement: Placement,
@@ -59,7 +69,7 @@
         self._schedule_load_change()
 
     def _schedule_load_change(self) -> None:
-        """Once for all that happens in a moment, after it was decided on."""
+        """Report a change of load shortly afterwards: once for all events of a moment, after their decisions."""
         if not self.is_load_change_scheduled:
             self.is_load_change_scheduled = True
             asyncio.get_running_loop().call_later(LOAD_CHANGE_DELAY_S, self._send_load_change)
@@ -79,36 +89,39 @@
             bool(reducer.storms and reducer.storms.on),
         )
 
-    def beat(self, now: float) -> list[tuple[str, bytes]]:
+    def heartbeat(self, now: float) -> list[tuple[str, bytes]]:
+        """Return the datagrams of a heartbeat."""
         datagrams = self.core.heartbeat(now, self._current_load())
         self.peers.sweep()
         self.publish_offer_count(now)
         return datagrams
 
-    def heard(self, now: float) -> list[tuple[str, bytes]]:
-        """After letters came: at once, for an offer is worth most to an op that waits now."""
+    def on_datagram(self, now: float) -> list[tuple[str, bytes]]:
+        """Handle what a datagram changed, at once: a waiting request gains most from a new offer. Return datagrams."""
         self.core.load = self.core.load._replace(free_slots=self.reducer.free_capacity(now))
         self.publish_offer_count(now)
         return self.core.take_messages()
 
     def publish_offer_count(self, now: float) -> None:
-        """The module counts down what it hands over, and so do we (`hand_over`)."""
+        """Report how many requests peers have capacity for; `hand_over` counts down, as the admission controller does."""
         count = self.core.count_offers(now) if self.reducer.requests else 0
         if count != self.published_offer_count:
             self.published_offer_count = count
             self.handle_event(Event.PEER_OFFERS_CHANGED, count)
 
     def accept_handover(self, number: bytes) -> None:
+        """Record that a peer used the offer of that number."""
         self.core.offer_issuer.redeem(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
 
-    # Handing over.
+    # Handover.
 
     def hand_over(self, request_id: str, *arguments: Any) -> None:
+        """Hand a request over to a peer that offered capacity."""
         self.published_offer_count -= 1
         offer = self.core.take_offer(time.monotonic())
         if offer is None:
             self.counts["hand_offers_over"] += 1
-            # Not within the errands of the happening that decided it: it would be told in the middle of another.
+            # Not at once: the actions of the event that decided this are still being performed.
             asyncio.get_running_loop().call_soon(self.handle_event, Event.HANDOVER_ENDED, request_id, Ending.UNREACHABLE, b"")
             return
         task = asyncio.ensure_future(self._send_handover(offer, request_id, *arguments))
@@ -156,10 +169,13 @@
         except ConnectFailedError:
             ending = Ending.UNREACHABLE
         except ConnectionLostError as error:
-            LOG.debug("hand-over broke off", extra={"fields": {"ref": request_id, "peer": offer.issuer, "error": error}})
+            LOG.debug(
+                "connection to a peer broke during a handover",
+                extra={"fields": {"ref": request_id, "peer": offer.issuer, "error": error}},
+            )
         except Exception:
             self.counts["spread_errors_inside"] += 1
-            LOG.exception("error inside", extra={"fields": {"at": "hand-over"}})
+            LOG.exception("unexpected exception", extra={"fields": {"at": "handover"}})
         finally:
             now = time.monotonic()
             self.core.record_handover(
@@ -168,11 +184,13 @@
             self.handle_event(Event.HANDOVER_ENDED, request_id, ending, result if ending is Ending.OK else b"")
 
     def close(self) -> None:
+        """Cancel the handovers in progress and close the connections."""
         for task in self.tasks:
             task.cancel()
         self.peers.close()
 
     def status(self, now: float) -> dict[str, Any]:
+        """Return the figures for the fleet status."""
         core = self.core
         pace = core.estimate(now)
         return {
@@ -196,6 +214,7 @@
         }
 
     def counted(self) -> dict[str, int]:
+        """Return all counters by name."""
         core = self.core
         return {
             **self.counts,
