--- a/tests/standins.py
+++ b/tests/standins.py
@@ -21,15 +21,15 @@
 SOON = 3.0
 
 
-def op_id(ref: str) -> str:
+def wire_request_id(ref: str) -> str:
     """
-    >>> op_id("r12"), op_id("0")
+    >>> wire_request_id("r12"), wire_request_id("0")
     ('0000000000000012', '0')
     """
     return ref[1:].rjust(16, "0") if ref.startswith("r") else ref
 
 
-def told_at_start() -> dict:
+def default_settings() -> dict:
     op_type = {"aim": 1000.0, "deadline": 2000.0, "late_worth": 0.0, "memory_span": 5000.0}
     return {
         "name": "n1",
@@ -144,7 +144,7 @@
 
 class SocketPlay:
     def __init__(self) -> None:
-        self.told_first = told_at_start()
+        self.settings = default_settings()
         self.more: dict = {}  # of the placement, what the JSON does not say
         self.interpreter = Interpreter()
         self.database = Database()
@@ -181,11 +181,11 @@
     def held(self, seconds: str) -> None:
         """Somebody else holds the address for so long."""
         holder = socket.create_server(("127.0.0.1", 0))
-        self.told_first["listen"] = "127.0.0.1:%d" % holder.getsockname()[1]
+        self.settings["listen"] = "127.0.0.1:%d" % holder.getsockname()[1]
         asyncio.get_running_loop().call_later(float(seconds), holder.close)
 
     def told(self, path: str, text: str) -> None:
-        place, (*way, last) = self.told_first, path.split(".")
+        place, (*way, last) = self.settings, path.split(".")
         for key in way:
             place = place[key]
         place[last] = json.loads(text)
@@ -193,10 +193,10 @@
     async def start(self) -> None:
         await self.interpreter_moves()
         await self.directory_moves()
-        if self.told_first.get("db"):
+        if self.settings.get("db"):
             server = await asyncio.start_server(self.database.serve, "127.0.0.1", 0)
-            self.told_first["db"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        self.instance = Instance(placed(self.told_first)._replace(**self.more), lambda: placed(self.told_first))
+            self.settings["db"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        self.instance = Instance(placed(self.settings)._replace(**self.more), lambda: placed(self.settings))
         self.serving = asyncio.ensure_future(self.instance.serve())
         await asyncio.sleep(0.01)
 
@@ -205,16 +205,16 @@
     async def interpreter_moves(self) -> None:
         """To another address, as the next one who reads the file is told."""
         server = await asyncio.start_server(self.interpreter.serve, "127.0.0.1", 0)
-        self.told_first["vm"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        self.settings["vm"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
 
     async def interpreter_vanishes(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as unused:
-            self.told_first["vm"] = "127.0.0.1:%d" % unused.getsockname()[1]
+            self.settings["vm"] = "127.0.0.1:%d" % unused.getsockname()[1]
 
     async def directory_moves(self) -> None:
         self.directory = Directory()
         datagrams, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self.directory, ("127.0.0.1", 0))
-        self.told_first["lookup"] = "127.0.0.1:%d" % datagrams.get_extra_info("sockname")[1]
+        self.settings["lookup"] = "127.0.0.1:%d" % datagrams.get_extra_info("sockname")[1]
 
     async def interpreter_up(self, status: str = "old", ms: str = "3600000") -> None:
         self.interpreter.up = {"t": "BANNER", "status": status, "time_ms": float(ms)}
@@ -226,17 +226,17 @@
 
     async def interpreter_hears(self, what: str, ref: str = "", body: str = "") -> None:
         told = await self.interpreter.heard.get()
-        assert told["t"] == what and (not ref or str(told.get("rid", told.get("no"))) == op_id(ref)), told
+        assert told["t"] == what and (not ref or str(told.get("rid", told.get("no"))) == wire_request_id(ref)), told
         assert not body or b64decode(told["b64"]).decode() == body, told
 
     async def interpreter_heard(self, nothing: str) -> None:
         assert self.interpreter.heard.empty(), self.interpreter.heard.get_nowait()
 
     async def interpreter_ends(self, ref: str, status: str, text: str = "") -> None:
-        self.interpreter.ended(op_id(ref), status, text)
+        self.interpreter.ended(wire_request_id(ref), status, text)
 
     async def interpreter_awaits(self, ref: str, query: str) -> None:
-        self.interpreter.awaits(op_id(ref), query)
+        self.interpreter.awaits(wire_request_id(ref), query)
 
     async def interpreter_forgets(self) -> None:
         """It is started anew: its notices are numbered from 1 again, and a CONNECT names the one it sends on from."""
@@ -245,14 +245,14 @@
     async def interpreter_notes(self, ref: str, status: str, text: str) -> None:
         """A notice that is kept, and comes with the next greeting alone."""
         writer, self.interpreter.writer = self.interpreter.writer, None
-        self.interpreter.ended(op_id(ref), status, text)
+        self.interpreter.ended(wire_request_id(ref), status, text)
         self.interpreter.writer = writer
 
     async def interpreter_nests(self, depth: str) -> None:
         self.interpreter.writer.write(int(depth) * b"[" + b"\n")
 
     async def interpreter_says(self, *words: str) -> None:
-        text = re.sub('"(r[0-9]+)"', lambda ref: f'"{op_id(ref[1])}"', " ".join(words))
+        text = re.sub('"(r[0-9]+)"', lambda ref: f'"{wire_request_id(ref[1])}"', " ".join(words))
         self.interpreter.writer.write(text.encode() + b"\n")
 
     async def interpreter_down(self) -> None:
@@ -273,7 +273,7 @@
 
     async def database_hears(self, ref: str, query: str) -> None:
         got, data, writer = await self.database.heard.get()
-        assert (got, data.decode()) == (op_id(ref), query), (got, data)
+        assert (got, data.decode()) == (wire_request_id(ref), query), (got, data)
         self.database.waiting[got] = writer
 
     async def database_heard(self, nothing: str) -> None:
@@ -281,15 +281,15 @@
 
     async def database_answers(self, ref: str, status: str, text: str = "", *more: str) -> None:
         fields = "".join(word.replace("=", ": ") + "\r\n" for word in more)
-        self.database.waiting.pop(op_id(ref)).write(
+        self.database.waiting.pop(wire_request_id(ref)).write(
             f"HTTP/1.1 {status} Some\r\n{fields}Content-Length: {len(text)}\r\n\r\n{text}".encode()
         )
 
     async def database_writes(self, ref: str, *words: str) -> None:
-        self.database.waiting.pop(op_id(ref)).write(" ".join(words).encode().decode("unicode_escape").encode())
+        self.database.waiting.pop(wire_request_id(ref)).write(" ".join(words).encode().decode("unicode_escape").encode())
 
     async def database_breaks(self, ref: str) -> None:
-        self.database.waiting.pop(op_id(ref)).close()
+        self.database.waiting.pop(wire_request_id(ref)).close()
 
     # The instance.
 
@@ -333,7 +333,7 @@
         told = dict(word.split("=", 1) for word in more if "=" in word)
         arrived = time.time() * 1000 - float(told.pop("ago", 0))
         fields = {
-            "X-Request-Id": op_id(ref),
+            "X-Request-Id": wire_request_id(ref),
             "X-Request-Start": f"{arrived:.0f}",
             "X-Caller": "1",
             "X-Timeout-Ms": "1500",
@@ -362,7 +362,7 @@
 
     async def caller_writes(self, who: str, *words: str) -> None:
         text = " ".join(words).replace("%now%", f"{time.time() * 1000:.0f}").replace("%junk%", 9000 * "x")
-        text = re.sub("(?i)(?<=x-request-id:)(r[0-9]+)", lambda ref: op_id(ref[1]), text)
+        text = re.sub("(?i)(?<=x-request-id:)(r[0-9]+)", lambda ref: wire_request_id(ref[1]), text)
         await self.write(who, text.encode().decode("unicode_escape").encode())
 
     async def write(self, who: str, data: bytes, last: bool = False) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,7 +34,7 @@
 from mulleinhatch.instance.transport.link import CONNECT_WAIT, Link
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http_grammar
-from standins import SocketPlay, told_at_start
+from standins import SocketPlay, default_settings
 
 ROOT = Path(__file__).parent.parent
 SOON = 3.0
@@ -667,7 +667,7 @@
     async def cross() -> None:
         old, new, path = Far(), Far(), tmp_path / "told.json"
         told = {
-            **told_at_start(),
+            **default_settings(),
             "vm": f"127.0.0.1:{await old.listen()}",
             "listen": f"127.0.0.1:{free_port()}",
             "stop_ms": 200,
@@ -697,7 +697,7 @@
 def test_a_notice_to_leave_while_the_address_is_held_is_heard(tmp_path: Path) -> None:
     async def cross() -> None:
         with socket.create_server(("127.0.0.1", 0)) as holder:
-            told = {**told_at_start(), "listen": "127.0.0.1:%d" % holder.getsockname()[1], "stop_ms": 100}
+            told = {**default_settings(), "listen": "127.0.0.1:%d" % holder.getsockname()[1], "stop_ms": 100}
 
             async def leave(process: asyncio.subprocess.Process) -> None:
                 while b"can't listen yet" not in await process.stderr.readline():
@@ -731,11 +731,11 @@
         play = SocketPlay()
         await play.line("interpreter", "up")
         before = play.instance.placement
-        play.told_first[key] = value
+        play.settings[key] = value
         play.instance.reload()
         assert play.instance.placement is before and play.instance.counts["reloads_refused"] == 1
         with pytest.raises(InvalidSettingsError, match=complaint):
-            placed(play.told_first)
+            placed(play.settings)
         play.instance.stopped.set()
         await play.serving
 
@@ -751,7 +751,7 @@
     ],
 )
 def test_settings_that_are_no_figures_end_the_start_with_their_key(path: str, value: object, complaint: str) -> None:
-    told = told_at_start()
+    told = default_settings()
     told["settings"][path] = value
     with pytest.raises(InvalidSettingsError, match=complaint):
         placed(told)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -24,7 +24,7 @@
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking.http_grammar import HEAD_END, BadRequestError
-from standins import Interpreter, SocketPlay, told_at_start
+from standins import Interpreter, SocketPlay, default_settings
 
 ROOT = Path(__file__).parent
 KINDS = {kind.value: kind for family in (Effect, Advice, StopMode) for kind in family}
@@ -34,15 +34,15 @@
     return KINDS.get(text) or json.loads(text)
 
 
-def facts(words: list[str]) -> dict[str, object]:
+def parse_facts(words: list[str]) -> dict[str, object]:
     """
-    >>> facts(["importance=5", "effect=keyed"])
+    >>> parse_facts(["importance=5", "effect=keyed"])
     {'importance': 5, 'effect': <Effect.KEYED: 'keyed'>}
     """
     return {name: value(text) for name, text in (word.split("=") for word in words)}
 
 
-def spoken(decision: Decision) -> str:
+def describe_decision(decision: Decision) -> str:
     told = {Verb.HEALTH: " good" if decision.flag else " bad", Verb.ADVISE: "", Verb.TRIM: f" {decision.seconds:.0f}"}
     if decision.verb is Verb.REJECT and decision.flag:
         return f"nack {decision.ref} for good"
@@ -52,7 +52,7 @@
 class Play:
     def __init__(self) -> None:
         self.deployment: dict = {"op_types": [], "tenants": [], "cores": 2}
-        self.hatch: AdmissionController | None = None
+        self.controller: AdmissionController | None = None
         self.now = 0.0
         self.said: list[str] = []
         self.counts: Counter[str] = Counter()
@@ -61,7 +61,7 @@
         word, *rest = text.split()
         if word in ("deployment", "type", "tenant"):
             target = {"type": "op_types", "tenant": "tenants"}.get(word)
-            self.deployment[target].append(facts(rest)) if target else self.deployment.update(facts(rest))
+            self.deployment[target].append(parse_facts(rest)) if target else self.deployment.update(parse_facts(rest))
         elif word == ">":
             assert self.said == [said.strip() for said in " ".join(rest).split(",") if said]
         elif word == "~":
@@ -73,14 +73,14 @@
 
     def happen(self, now: float, what: str, *rest: str) -> None:
         self.now = now
-        self.hatch = self.hatch or AdmissionController(self.deployment, 7, 0.0)
+        self.controller = self.controller or AdmissionController(self.deployment, 7, 0.0)
         for ref in self.refs(rest):
-            self.report(what, ref, facts([word for word in rest if "=" in word]))
+            self.report(what, ref, parse_facts([word for word in rest if "=" in word]))
         self.said = []
-        while decision := self.hatch.next_decision(now):
+        while decision := self.controller.next_decision(now):
             self.counts[decision.verb.value] += 1
             if decision.verb is not Verb.WAKE:
-                self.said.append(spoken(decision))
+                self.said.append(describe_decision(decision))
 
     @staticmethod
     def refs(words: tuple[str, ...]) -> list[int]:
@@ -89,9 +89,9 @@
         return list(range(int(first), int(last or first) + 1))
 
     def report(self, what: str, ref: int, more: dict) -> None:
-        hatch, get = self.hatch, more.get
+        controller, get = self.controller, more.get
         if what == "op":
-            hatch.record_arrival(
+            controller.record_arrival(
                 self.now,
                 ref,
                 get("type", 0),
@@ -105,20 +105,20 @@
                 bool(get("again", 0)),
             )
         elif what == "ended":
-            hatch.record_run_end(self.now, ref, get("ending", 1))
+            controller.record_run_end(self.now, ref, get("ending", 1))
         elif what == "wants-call":
-            hatch.record_call_request(self.now, ref)
+            controller.record_call_request(self.now, ref)
         elif what == "call-ended":
-            hatch.record_call_end(self.now, ref, get("ending", 1))
+            controller.record_call_end(self.now, ref, get("ending", 1))
         elif what == "gone":
-            hatch.record_abandonment(self.now, ref)
+            controller.record_abandonment(self.now, ref)
         elif what == "part":
-            hatch.set_tenant_budget(self.now, get("tenant", 0), get("window", 1.0), [(get("units"), get("until", 1e9))])
+            controller.set_tenant_budget(self.now, get("tenant", 0), get("window", 1.0), [(get("units"), get("until", 1e9))])
         elif what == "leave":
-            hatch.begin_drain(self.now, get("within", 5.0))
+            controller.begin_drain(self.now, get("within", 5.0))
         else:
             gauges = self.deployment.get("gauges", [])
-            hatch.handle_wakeup(self.now, hatch.wakeup_token, [get(name, 1.0) for name in gauges])
+            controller.handle_wakeup(self.now, controller.wakeup_token, [get(name, 1.0) for name in gauges])
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.txt")), ids=lambda path: path.stem)
@@ -277,15 +277,15 @@
 
 
 def test_from_start_to_stop(tmp_path: Path) -> None:
-    life = from_start_to_stop(told_at_start(), tmp_path / "told.json")
-    status, log = asyncio.run(asyncio.wait_for(life, 20))
+    run = from_start_to_stop(default_settings(), tmp_path / "told.json")
+    status, log = asyncio.run(asyncio.wait_for(run, 20))
     assert status == 0 and "Traceback" not in log, log
     assert "event=stopped" in log and "answers_200=1" in log.splitlines()[-1], log
 
 
 def test_an_address_in_use_ends_with_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as holder:
-        told = {**told_at_start(), "listen": "127.0.0.1:%d" % holder.getsockname()[1]}
+        told = {**default_settings(), "listen": "127.0.0.1:%d" % holder.getsockname()[1]}
         done = command(tmp_path, told, "serve", "--log", "error")
     assert done.returncode == 1 and done.stderr.count("\n") == 1 and "127.0.0.1" in done.stderr, done.stderr
 
@@ -301,7 +301,7 @@
     ],
 )
 def test_the_faulty_key_is_named(tmp_path: Path, path: str, value: object, complaint: str) -> None:
-    told = told_at_start()
+    told = default_settings()
     place, (*way, last) = told, path.split(".")
     for key in way:
         place = place[key]
