--- a/benchmarks/days/matrix.py
+++ b/benchmarks/days/matrix.py
@@ -1,6 +1,6 @@
-"""Every kind of trouble with every variant, twice in a day beside another trouble, at three moments.
+"""Days for every kind of fault with every variant: each twice in a day beside another fault, at three moments.
 
-`cells` reads the kinds from what the bench tells of a site, so that it holds whatever kinds the contracts in force bring.
+The kinds are read from what the bench lists for a site, so that new kinds are covered.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """One day of the matrix."""
+    """One day of the matrix: a kind of fault, its variant (empty for the plain one) and the moment."""
 
     kind: str
     how: str
@@ -31,11 +31,12 @@
 
     @property
     def name(self) -> str:
+        """The name of the day."""
         return "-".join(part.replace(" ", "_") for part in (self.kind, self.how or "plain", self.moment))
 
 
 def kinds_of(text: str) -> dict[str, list[str]]:
-    """Kinds with their variants, from the bench's list: lines of `kind: what it does; how: variants`.
+    """Parse the bench's list, lines of `kind: what it does; how: variants`, into kinds with their variants.
 
     >>> kinds_of("burst: x times the traffic\\nsrv_crash: share down; how: dark (silent), gone (for good)")
     {'burst': [''], 'srv_crash': ['', 'dark', 'gone']}
@@ -50,15 +51,16 @@
 
 
 def _variants(rest: str) -> list[str]:
-    _, how, told = rest.partition("how: ")
+    _, how, variants = rest.partition("how: ")
     if not how:
         return []
-    bare = re.sub(r"\([^()]*\)", "", told).split(";")[0].split("(")[0]
-    words = [word.strip() for part in bare.split(",") for word in part.split(" ")]
-    return list(dict.fromkeys(word for word in words if WORD.fullmatch(word) and word not in SKIPPED))
+    plain_text = re.sub(r"\([^()]*\)", "", variants).split(";")[0].split("(")[0]
+    candidates = [word.strip() for part in plain_text.split(",") for word in part.split(" ")]
+    return list(dict.fromkeys(word for word in candidates if WORD.fullmatch(word) and word not in SKIPPED))
 
 
 def cells(kinds: Mapping[str, list[str]]) -> Iterator[Cell]:
+    """Yield every combination of kind, variant and moment."""
     for kind, hows in kinds.items():
         for how in hows:
             for moment in MOMENTS:
@@ -74,20 +76,20 @@
 
 
 def day_of(cell: Cell, site: Mapping[str, Any], seed: int) -> dict[str, Any]:
-    """The day: the trouble twice, a storm of changes, and beside it a kill of a core machine or a burst."""
+    """Return the day: the fault twice, a burst of changes, and beside it a kill of a core machine or a burst of traffic."""
     length_s = float(site["length_s"])
     first, second = _times(cell.moment, length_s)
     plan: list[dict[str, Any]] = [
         {"at": round(0.3 * length_s, 2), "kind": "config_storm", "for_s": 8.0, "gap_s": 0.4, "how": "idle"}
     ]
-    beside = "burst" if cell.kind in CORE_KINDS or "core" in cell.kind or "disk" in cell.kind else "node_kill"
+    companion = "burst" if cell.kind in CORE_KINDS or "core" in cell.kind or "disk" in cell.kind else "node_kill"
     faults: list[dict[str, Any]] = []
-    if beside == "node_kill":
+    if companion == "node_kill":
         faults.append(
-            {"at": round(first + 1.0, 2), "kind": beside, "on": "core", "count": 1, "for_s": 2.0, "how": "leader race"}
+            {"at": round(first + 1.0, 2), "kind": companion, "on": "core", "count": 1, "for_s": 2.0, "how": "leader race"}
         )
     else:
-        faults.append({"at": round(first + 1.0, 2), "kind": beside, "x": 1.5, "for_s": 3.0})
+        faults.append({"at": round(first + 1.0, 2), "kind": companion, "x": 1.5, "for_s": 3.0})
     target = plan if cell.kind in PLANNED else faults
     for at in (first, second):
         entry: dict[str, Any] = {"at": round(at, 2), "kind": cell.kind}
@@ -107,7 +109,7 @@
 
 
 def shorter(day: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
-    """The day with one entry left out, for each entry."""
+    """Yield the day with one entry left out, for each entry."""
     for key in ("faults", "plan"):
         for place in range(len(day[key])):
             yield {**day, key: [entry for at, entry in enumerate(day[key]) if at != place]}
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,8 +37,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
-from mulleinhatch.testing.fleet_harness import FleetCase, FleetRig, most_in_window, whole
+from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
+from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, most_in_window, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 MAX_KNOWN_S, MAX_MERGED_S, MIN_USED, MIN_EVEN_USED = 3.0, 3.0, 0.9, 0.9
@@ -53,7 +53,7 @@
     return f"{first}-{last}" if last > first else str(first)
 
 
-async def time_until_declared_gone(harness: FleetRig, dead: str, within: float) -> float | None:
+async def time_until_declared_gone(harness: FleetHarness, dead: str, within: float) -> float | None:
     """Return the seconds until 0.99 of the others list a member as gone, or None after `within` seconds."""
     begun = time.monotonic()
     while time.monotonic() - begun < within:
@@ -70,9 +70,9 @@
     return sum(row["state"] == "gone" and row["name"] in names for view in views.values() for row in view["members"])
 
 
-async def wait_for_complete_views(harness: FleetRig, names: set[str], within: float) -> float | None:
+async def wait_for_complete_views(harness: FleetHarness, names: set[str], within: float) -> float | None:
     """Return the seconds until each node lists all members as alive, or None after `within` seconds."""
-    return await harness.wait_for(lambda views: whole(views, names), within)
+    return await harness.wait_for(lambda views: views_agree(views, names), within)
 
 
 async def run_members(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Checks]:
@@ -84,7 +84,7 @@
         + "\n".join(f"at {at:.1f} stall {stalled} for 2" for at in (1.0, 5.0, 9.0, 13.0) if at + 3.0 < length)
         + f"\nat {length + 1} kill 1"
     )
-    async with FleetRig(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
+    async with FleetHarness(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
         names = {node.name for node in harness.nodes}
         joined = await wait_for_complete_views(harness, names, 30.0)
         await harness.go()
@@ -119,7 +119,7 @@
     """Measure how a fleet in two halves freezes and merges."""
     half, length = count // 2, 12.0 if quick else 30.0
     script = f"at 0.5 cut {node_range(0, half - 1)} from {node_range(half, count - 1)} for {length}"
-    async with FleetRig(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
+    async with FleetHarness(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
         names = {node.name for node in harness.nodes}
         await wait_for_complete_views(harness, names, 30.0)
         await harness.go()
@@ -140,7 +140,7 @@
 
 async def measure_use(case: FleetCase, folder: Path, since: float, first: int) -> dict[str, Any]:
     """Return the runs in any window, and as a fraction of the total from `since` on; of the first half, of its even share."""
-    async with FleetRig(case, folder) as harness:
+    async with FleetHarness(case, folder) as harness:
         names = {node.name for node in harness.nodes}
         await wait_for_complete_views(harness, names, 30.0)
         await harness.go()
@@ -199,7 +199,7 @@
 
 async def measure_usage(count: int, seed: int, seconds: float, fleet: bool, folder: Path) -> dict[str, float]:
     """Return the median CPU and memory of an idle process, and the bytes per second that it sends."""
-    async with FleetRig(
+    async with FleetHarness(
         FleetCase(count, seed=seed, fleet=fleet, total=UNITS_PER_INSTANCE * count if fleet else 0), folder
     ) as harness:
         if fleet:
@@ -248,7 +248,7 @@
     """Compare leases with even shares, and with a total that each member counts by itself."""
     figures: dict[str, Any] = {}
     for name, how in (("leases", {}), ("even", {"leases": False}), ("gossip", {"leases": False, "gossip": True})):
-        world = FleetWorld(
+        world = GossipWorld(
             Plan(
                 12,
                 "at 24 cut 0-5 from 6-11 for 8",
--- a/benchmarks/pairs/playing.py
+++ b/benchmarks/pairs/playing.py
@@ -1,4 +1,4 @@
-"""Plays one day of one text with one seed, and keeps what came of it, so that a comparison that was broken off resumes."""
+"""Run one day of one text with one seed, and store outcomes so that an interrupted comparison can be resumed."""
 
 from __future__ import annotations
 
@@ -9,11 +9,20 @@
 import tomllib
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
+from typing import Any
 
 
 @dataclass(frozen=True)
 class Task:
-    """One play: which text (by digest), site, day and seed, as a small twin or in full size."""
+    """One run to make.
+
+    Attributes:
+        text: Digest of the source text.
+        site: Name of the site.
+        day: Name of the day.
+        seed: Seed of the run.
+        small: Whether the scaled-down form of the day is run.
+    """
 
     text: str
     site: str
@@ -24,10 +33,20 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What came of one play. `score` is the day's place between its two marks, 0 to 1; worths are shares of what is owed."""
+    """The outcome of one run.
+
+    Attributes:
+        score: Position of the value between the day's two marks, 0 to 1; 0 if a rule was violated.
+        value: Share of the achievable value.
+        served: Share of requests that were served.
+        refused: Share of requests that were rejected.
+        parts: Value by part.
+        prices: Deductions by kind.
+        broken: Names of violated rules.
+    """
 
     score: float
-    worth: float
+    value: float
     served: float
     refused: float
     parts: dict[str, float] = field(default_factory=dict)
@@ -36,56 +55,65 @@
 
 
 class PlayFailedError(RuntimeError):
-    """The bench gave no report; the message holds the end of what it printed."""
+    """The bench wrote no report; the message holds the end of its output."""
 
 
 @dataclass(frozen=True)
 class Marks:
-    """The worths between which a day's score lies."""
+    """The values at which a day's score is 0 and 1."""
 
     zero: float
     one: float
 
-    def score(self, worth: float) -> float:
-        """
+    def score(self, value: float) -> float:
+        """Return the score of a value.
+
         >>> Marks(0.5, 1.0).score(0.75)
         0.5
         """
-        return min(1.0, max(0.0, (worth - self.zero) / (self.one - self.zero)))
+        return min(1.0, max(0.0, (value - self.zero) / (self.one - self.zero)))
 
 
 def read_marks(site: Path) -> dict[str, Marks]:
-    """The marks of each standard day of a site file."""
+    """Return the marks of each standard day of a site file."""
     days = tomllib.loads(site.read_text())["day"]
     return {day["name"]: Marks(float(day["zero"]), float(day["one"])) for day in days}
 
 
-def read_outcome(told: dict, marks: Marks) -> Outcome:
-    """An outcome from the bench's report."""
-    worth = float(told.get("G") or 0.0)
-    broken = sorted(told.get("breaks") or {})
-    if told.get("fault"):
-        broken.append(f"fault: {told['fault']}")
+def read_outcome(report: dict, marks: Marks) -> Outcome:
+    """Return the outcome that a bench's report describes."""
+    value = float(report.get("G") or 0.0)
+    broken = sorted(report.get("breaks") or {})
+    if report.get("fault"):
+        broken.append(f"fault: {report['fault']}")
     return Outcome(
-        0.0 if broken else marks.score(worth),
-        worth,
-        float(told.get("served") or 0.0),
-        float(told.get("refused") or 0.0),
-        {name: float(value) for name, _, value in told.get("parts") or ()},
-        {name: float(price) for name, _, price in told.get("prices") or ()},
+        0.0 if broken else marks.score(value),
+        value,
+        float(report.get("served") or 0.0),
+        float(report.get("refused") or 0.0),
+        {name: float(value) for name, _, value in report.get("parts") or ()},
+        {name: float(price) for name, _, price in report.get("prices") or ()},
         tuple(broken),
     )
 
 
 def build(bench: Path, root: Path) -> None:
-    """Builds a text once, so that plays at the same time do not."""
+    """Build a text once, so that concurrent runs do not.
+
+    Raises:
+        PlayFailedError: If the build fails.
+    """
     run = subprocess.run([str(bench), "build"], cwd=root, capture_output=True, text=True)
     if run.returncode:
         raise PlayFailedError(f"{root.name}: not built: {(run.stdout + run.stderr)[-600:]}")
 
 
 def play(bench: Path, root: Path, site: Path, task: Task, why: str) -> Outcome:
-    """Plays one day; PlayFailed where the bench gives no report."""
+    """Run one day.
+
+    Raises:
+        PlayFailedError: If the bench writes no report.
+    """
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         command = [str(bench), "run", str(site), task.day, "--seed", str(task.seed), "--no-cpu", "--jobs", "1"]
@@ -97,24 +125,38 @@
         return read_outcome(json.loads(report.read_text()), read_marks(site)[task.day])
 
 
-class Book:
-    """Outcomes kept in a file of JSON lines; safe for several threads."""
+class OutcomeLog:
+    """Outcomes stored in a file of JSON lines; safe for several threads."""
 
     def __init__(self, file: Path) -> None:
         self._file, self._lock = file, threading.Lock()
-        self._known: dict[Task, Outcome] = {}
+        self._outcomes: dict[Task, Outcome] = {}
         if file.exists():
             for line in file.read_text().splitlines():
-                value = json.loads(line)
-                value["outcome"]["broken"] = tuple(value["outcome"]["broken"])
-                self._known[Task(**value["task"])] = Outcome(**value["outcome"])
+                entry = json.loads(line)
+                self._outcomes[Task(**entry["task"])] = _stored_outcome(entry["outcome"])
 
     def get(self, task: Task) -> Outcome | None:
+        """Return the stored outcome of a task, or None."""
         with self._lock:
-            return self._known.get(task)
+            return self._outcomes.get(task)
 
     def add(self, task: Task, outcome: Outcome) -> None:
+        """Store the outcome of a task and append it to the file."""
         with self._lock:
-            self._known[task] = outcome
+            self._outcomes[task] = outcome
             with self._file.open("a") as file:
-                file.write(json.dumps({"task": asdict(task), "outcome": asdict(outcome)}, sort_keys=True) + "\n")
+                file.write(json.dumps({"task": asdict(task), "outcome": _stored_fields(outcome)}, sort_keys=True) + "\n")
+
+
+def _stored_fields(outcome: Outcome) -> dict[str, Any]:
+    """Return an outcome as the log stores it: the value has the key `worth`, as in logs of older versions."""
+    fields = asdict(outcome)
+    fields["worth"] = fields.pop("value")
+    return fields
+
+
+def _stored_outcome(fields: dict[str, Any]) -> Outcome:
+    """Return the outcome of an entry of the log."""
+    remaining = {name: value for name, value in fields.items() if name not in ("worth", "broken")}
+    return Outcome(**remaining, value=fields["worth"], broken=tuple(fields["broken"]))
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,17 +1,17 @@
-"""What single parts cost by size, in pure code: budgets, storm books, sketches, permits, decisions, the operator's answer.
+"""Measure single parts by size, in pure code: budgets, retry admission, sketches, permits, decisions, the operator's view.
 
 Usage:
   parts [--quick] [--record] [--seed N] [--only PARTS]
 
 Options:
-  --quick       Fewer sizes and turns; what it finds is not recorded.
-  --record      Writes benchmarks/recorded/parts.json, from which docs/CAPACITY.md is made.
-  --seed N      Of names and draws [default: 1].
+  --quick       Fewer sizes and turns; the result is not recorded.
+  --record      Write benchmarks/recorded/parts.json, from which docs/CAPACITY.md is generated.
+  --seed N      Seed of names and draws [default: 1].
   --only PARTS  Some of budgets,few,storms,loudest,decisions,settings,voters,answers; the record keeps the others.
 
-Memory is what the structures hold (tracemalloc), time the process's own CPU, the median of several turns. Aims: what is said to
-be bounded is: the sketch of tenants, the storm books and an op's decision cost at their largest size at most twice what they
-cost at the size before. Two sizes of one run are compared, so a busy machine moves both.
+Memory is what the structures retain (tracemalloc); time is the process's own CPU, the median of several turns. Aim: bounded
+costs (the sketch of tenants, retry admission, the decision about a request) at their largest size are at most twice the cost at
+the size before. Two sizes of one run are compared, so that a busy machine affects both.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 import msgspec
 from docopt import docopt
 from rich.console import Console
-from rich.table import Table as Shown
+from rich.table import Table as ConsoleTable
 
 from benchmarks.records import RECORDED, commit, cost, keep, rounded
 from mulleinhatch.admission import AdmissionController
@@ -45,57 +45,65 @@
 from mulleinhatch.instance.gossip.counters import FIGURES
 from mulleinhatch.instance.gossip.heavy_hitters import HeavyHitters
 from mulleinhatch.instance.gossip.messages import GossipMessage, MemberUpdate, Report
-from mulleinhatch.instance.maintenance import messages as upkeep_words
-from mulleinhatch.instance.maintenance.core import Bounds, Known, Upkeep
-from mulleinhatch.instance.maintenance.paxos_register import Ballot, Kept
-from mulleinhatch.instance.maintenance.schedule import Request
-from mulleinhatch.instance.maintenance.table import MOST_OUT, Permit, Table
+from mulleinhatch.instance.maintenance import messages as maintenance_messages
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, ReceivedRequest
+from mulleinhatch.instance.maintenance.paxos_register import ProposalNumber, VoterState
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
+from mulleinhatch.instance.maintenance.table import MAX_PERMITS, Permit, PermitTable
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
-from mulleinhatch.instance.retry_storms.retry_admission import Desk
+from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
+from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
 from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, GossipService
-from mulleinhatch.simulation.gossip_world import FleetWorld, Plan
-from mulleinhatch.simulation.maintenance_world import Machines
+from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
+from mulleinhatch.simulation.maintenance_world import MaintenanceWorld
 
 HEADERS = 28  # bytes of UDP and IPv4 before each datagram
 PEAK, TENANTS, MEMBERS, CALLERS, CLASSES = 990_000, 250_000, 3_600, 48_000, 44_000  # of the target
 HEADROOM = 2.0  # of a tenant's total over its mean rate at the peak
-LETTERS = 4  # that a member sends, and hears, a beat: two probes and their answers
-BEATS = 10  # a second
+MESSAGES_PER_HEARTBEAT = 4  # that a member sends, and receives: two probes and their answers
+HEARTBEATS_A_S = 10
 TURNS, QUICK_TURNS = 7, 3
 Points = list[tuple[float, float]]
 
 
-def held(make: Callable[..., Any], *told: Any) -> float:
-    """Bytes that stay allocated by what `make` gives."""
+def retained_bytes(make: Callable[..., Any], *arguments: Any) -> float:
+    """Return the bytes that stay allocated by the result of `make`."""
     tracemalloc.start()
-    kept = make(*told)
+    retained = make(*arguments)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return float(size)
 
 
-def cpu(act: Callable[..., Any], times: int, turns: int, *told: Any) -> float:
-    """Seconds of CPU of one `act`, the median of some turns of so many."""
+def cpu_s(act: Callable[..., Any], times: int, turns: int, *arguments: Any) -> float:
+    """Return the CPU seconds of one call of `act`: the median of some turns of so many calls."""
     spent = []
     for _ in range(turns):
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(times):
-            act(*told)
-        spent.append((time.process_time() - begun) / times)
+            act(*arguments)
+        spent.append((time.process_time() - started_at) / times)
     return statistics.median(spent)
 
 
-class Parts:
+class PartCosts:
+    """Measures the parts and collects their costs by size.
+
+    Attributes:
+        costs: Costs by name, as a record stores them.
+        events: Figures that have no size.
+        bounded: Points of the costs that must not grow beyond their bound.
+    """
+
     def __init__(self, quick: bool, seed: int) -> None:
         self.quick, self.seed, self.turns = quick, seed, QUICK_TURNS if quick else TURNS
         self.costs: dict[str, dict[str, Any]] = {}
         self.events: dict[str, dict[str, float]] = {}
-        self.bounded: dict[str, Points] = {}  # by cost: what must not grow beyond its bound
+        self.bounded: dict[str, Points] = {}
 
     def sizes(self, *all_sizes: int) -> tuple[int, ...]:
-        """In a quick run without the largest."""
+        """Return the sizes to measure; a quick run leaves out the largest."""
         return all_sizes[:3] if self.quick else all_sizes
 
     def add(
@@ -108,22 +116,34 @@
         bounded: bool = False,
         checked: tuple[float, float] | None = None,
     ) -> None:
+        """Fit and store a cost.
+
+        Args:
+            name: Name of the cost in the record.
+            unit: Unit of the values.
+            size: What the points are over.
+            points: Pairs of size and value.
+            form: Form of the fit.
+            bounded: Whether the cost must not grow beyond its bound.
+            checked: A run at another size, which the fit is not made from.
+        """
         self.costs[name] = cost(unit, size, points, form, checked)
         if bounded:
             self.bounded[name] = points
 
     # Budgets.
 
-    def budgets(self) -> None:
+    def measure_budgets(self) -> None:
+        """Measure memory, CPU and traffic of budgets."""
         sizes = self.sizes(16, 100, 1_000, 10_000)
         last = None if self.quick else 40_000
-        memory = [(count, held(all_parts, count)) for count in (*sizes, *([last] if last else []))]
-        spent = [(count, BEATS * self._beat_of(count)) for count in (*sizes, *([last] if last else []))]
+        memory = [(count, retained_bytes(all_parts, count)) for count in (*sizes, *([last] if last else []))]
+        spent = [(count, HEARTBEATS_A_S * self._heartbeat_cpu_s(count)) for count in (*sizes, *([last] if last else []))]
         for name, unit, points in (("control.budgets_memory", "bytes", memory), ("control.budgets_cpu", "cores", spent)):
             self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
         bytes_a_second, datagrams = [], []
         for count in (1, 4, 8, 16):
-            world = FleetWorld(
+            world = GossipWorld(
                 Plan(25, until=15.0, budgets=tuple((f"b{place}", 100, 1.0) for place in range(count)), seed=self.seed)
             )
             before = Counter(world.play(5.0).counts)
@@ -134,41 +154,41 @@
             bytes_a_second.append((count, 2.0 * ((world.counts["bytes"] - before["bytes"]) / per + HEADERS * sent)))
         self.add("control.budgets_bytes", "bytes/s", "budgets", bytes_a_second, "constant")
         self.add("control.budgets_datagrams", "datagrams/s", "budgets", datagrams, "constant")
-        self.even_parts()
+        self._note_even_shares()
 
-    def _beat_of(self, count: int) -> float:
-        """What a beat asks of each part: use, a plan, a spare for each letter sent, the pieces on each one heard."""
+    def _heartbeat_cpu_s(self, count: int) -> float:
+        """Return the CPU seconds that a heartbeat takes for all budgets."""
         parts = all_parts(count)
         now = 100.0
 
-        def beat() -> None:
+        def heartbeat() -> None:
             for part in parts:
                 part.usable(now)
                 part.plan_requests(now, 0.5, [])
-                for _ in range(LETTERS):
+                for _ in range(MESSAGES_PER_HEARTBEAT):
                     part.spare_units(now, 0.5)
-                for _ in range(1 + LETTERS):
+                for _ in range(1 + MESSAGES_PER_HEARTBEAT):
                     part.usable_pieces(now)
 
-        return cpu(beat, max(1, 1_000 // count), self.turns)
+        return cpu_s(heartbeat, max(1, 1_000 // count), self.turns)
 
-    def few(self) -> None:
-        """Fleet state among few members: where its bytes pass the bound of the target."""
+    def measure_small_fleets(self) -> None:
+        """Measure the traffic of fleet state among few members, where it exceeds the bound of the target."""
         points = []
         for count in (2, 4, 8, 16) if self.quick else (2, 4, 8, 16, 32, 64):
-            world = FleetWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
+            world = GossipWorld(Plan(count, until=20.0, budgets=(), seed=self.seed))
             before = Counter(world.play(5.0).counts)
             world.play(10.0 if self.quick else 20.0)
-            sent, data = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
-            points.append((count, 2.0 * (data + HEADERS * sent) / count / (world.now - 5.0)))
-        # Two have one to probe a beat, and half of the letters.
+            sent, data_bytes = (world.counts[name] - before[name] for name in ("datagrams", "bytes"))
+            points.append((count, 2.0 * (data_bytes + HEADERS * sent) / count / (world.now - 5.0)))
+        # With two members there is one to probe in a heartbeat, so half of the messages.
         self.events["fleet state of two members"] = {"bytes a second, sent and received": rounded(points[0][1])}
         self.add("control.few_bytes", "bytes/s", "members", points[1:], "constant")
 
-    def even_parts(self) -> None:
-        """By a reckoned distribution of totals: rank and rate by Zipf's law of exponent 1 over the target's peak."""
-        whole = sum(1.0 / rank for rank in range(1, TENANTS + 1))
-        totals = sorted(max(1, int(HEADROOM * PEAK / whole / rank)) for rank in range(1, TENANTS + 1))
+    def _note_even_shares(self) -> None:
+        """Note the even shares of computed totals: rank and rate follow Zipf's law of exponent 1 over the target's peak."""
+        harmonic_sum = sum(1.0 / rank for rank in range(1, TENANTS + 1))
+        totals = sorted(max(1, int(HEADROOM * PEAK / harmonic_sum / rank)) for rank in range(1, TENANTS + 1))
         self.events["even parts (totals are reckoned)"] = {
             "median tenant's total, runs a second": totals[TENANTS // 2],
             "largest": totals[-1],
@@ -180,14 +200,15 @@
 
     # Storm books and sketches.
 
-    def storms(self) -> None:
-        # At whole generations of the books, where they hold the most that they ever do.
+    def measure_retry_admission(self) -> None:
+        """Measure memory and CPU of retry admission by the number of callers."""
+        # At full generations of the logs, where they hold the most.
         usual, callers = StormBounds(), self.sizes(16_384, 32_768, 49_152)
         self.add(
             "request.storms_memory",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual, count)) for count in callers],
+            [(count, retained_bytes(filled_retry_admission, usual, count)) for count in callers],
             "constant",
             bounded=True,
         )
@@ -196,24 +217,30 @@
             "request.storms_memory_unbounded",
             "bytes",
             "callers",
-            [(count, held(full_desk, usual._replace(callers_kept=count, repeats_kept=count), count)) for count in raised],
+            [
+                (count, retained_bytes(filled_retry_admission, usual._replace(callers_kept=count, repeats_kept=count), count))
+                for count in raised
+            ],
             "linear",
         )
         spent = []
         for count in callers:
-            spent.append((count, 1e6 * cpu(tries_of(full_desk(usual, count), count, self.seed), 5_000, self.turns)))
+            spent.append(
+                (count, 1e6 * cpu_s(first_tries(filled_retry_admission(usual, count), count, self.seed), 5_000, self.turns))
+            )
         self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
 
-    def loudest(self) -> None:
+    def measure_heavy_hitters(self) -> None:
+        """Measure memory and CPU of the sketch of the most active tenants."""
         memory, spent, adds = [], [], 20_000 if self.quick else 200_000
         for count in self.sizes(1_000, 10_000, 100_000, TENANTS):
             names = Names(count, self.seed)
-            memory.append((count, held(filled, names, adds)))
+            memory.append((count, retained_bytes(filled, names, adds)))
             spent.append(
                 (
                     count,
-                    1e6 * cpu(adding(filled(names, adds), names, adds), 20_000, self.turns)
-                    - 1e6 * cpu(names.next, 20_000, self.turns),
+                    1e6 * cpu_s(adding(filled(names, adds), names, adds), 20_000, self.turns)
+                    - 1e6 * cpu_s(names.next, 20_000, self.turns),
                 )
             )
         self.add("request.loudest_memory", "bytes", "tenants", memory, "constant", bounded=True)
@@ -221,36 +248,42 @@
 
     # Decisions.
 
-    def decisions(self) -> None:
+    def measure_decisions(self) -> None:
+        """Measure memory and CPU of admission decisions by the numbers of tenants and classes."""
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 25_000, TENANTS):
-            told = deployment(count, 10)
-            memory.append((count, held(AdmissionController, told, 1, 0.0)))
-            spent.append((count, 1e6 * cpu(cycle(AdmissionController(told, 1, 0.0), count, 10, self.seed), 500, self.turns)))
+            settings = deployment(count, 10)
+            memory.append((count, retained_bytes(AdmissionController, settings, 1, 0.0)))
+            spent.append(
+                (count, 1e6 * cpu_s(cycle(AdmissionController(settings, 1, 0.0), count, 10, self.seed), 500, self.turns))
+            )
         self.add("request.decide_memory", "bytes", "tenants", memory, "linear")
         self.add("request.decide_cpu", "us a request", "tenants", spent, "constant", bounded=True)
         memory, spent = [], []
         for count in self.sizes(10, 1_000, 10_000, CLASSES):
-            told = deployment(10, count)
-            memory.append((count, held(AdmissionController, told, 1, 0.0)))
-            spent.append((count, 1e6 * cpu(cycle(AdmissionController(told, 1, 0.0), 10, count, self.seed), 500, self.turns)))
+            settings = deployment(10, count)
+            memory.append((count, retained_bytes(AdmissionController, settings, 1, 0.0)))
+            spent.append(
+                (count, 1e6 * cpu_s(cycle(AdmissionController(settings, 1, 0.0), 10, count, self.seed), 500, self.turns))
+            )
         self.add("request.decide_classes_memory", "bytes", "classes", memory, "linear")
         self.add("request.decide_classes_cpu", "us a request", "classes", spent, "constant", bounded=True)
 
-    def settings(self) -> None:
-        """The file that carries configuration today, whole at each change."""
+    def measure_settings(self) -> None:
+        """Measure the size of the configuration file, which is sent as a whole at each change."""
         for name, size, sizes, rows in (
-            ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenants_told),
-            ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), classes_told),
+            ("control.settings_bytes", "tenants", self.sizes(1_000, 25_000, 100_000, TENANTS), tenant_settings),
+            ("control.settings_classes_bytes", "classes", self.sizes(1_000, 10_000, 20_000, CLASSES), class_settings),
         ):
             self.add(name, "bytes", size, [(count, float(len(json.dumps(rows(count))))) for count in sizes], "linear")
 
     # Voters.
 
-    def voters(self) -> None:
+    def measure_voters(self) -> None:
+        """Measure traffic and CPU of a voter that grants maintenance permits."""
         messages, sent = [], []
         for count in (18, 24, 30) if self.quick else (24, 40, 60, 80, 120):
-            world = Asking(count, self.seed)
+            world = WaitingMachines(count, self.seed)
             world.play(4.0)
             world.to_go = {node.name for node in world.nodes[3:]}
             world.play(8.0)
@@ -265,17 +298,21 @@
         for count in self.sizes(30, 100, 300, 990):
             core, query = asked_voter(count)
             turns = self.turns if count < 500 else QUICK_TURNS
-            spent.append((count, 1e6 * cpu(answered, max(2, 1_000 // count), turns, core, query)))
+            spent.append((count, 1e6 * cpu_s(answered, max(2, 1_000 // count), turns, core, query)))
         self.add("voter.query_cpu", "us a word", "members", spent, "square")
-        for name, letters in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
+        for name, name_length in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
-                name, "bytes", "permits", [(out, float(table_bytes(out, letters))) for out in (1, 3, 6, 9, MOST_OUT)], "linear"
+                name,
+                "bytes",
+                "permits",
+                [(out, float(table_bytes(out, name_length))) for out in (1, 3, 6, 9, MAX_PERMITS)],
+                "linear",
             )
 
     # The operator's tools.
 
-    def answers(self) -> None:
-        """Where all members name the same loudest tenants, and where each names others."""
+    def measure_operator_answers(self) -> None:
+        """Measure the operator's view, where all members report the same top tenants and where each reports others."""
         sizes = (25, 50, 100) if self.quick else (25, 100, 400, 1_000)
         for name, differ, form in (("", False, "linear"), ("_tenants_differ", True, "square")):
             size, spent = [], []
@@ -283,7 +320,7 @@
                 side = fleet_side(count, differ)
                 size.append((count, float(len(side.status_json()))))
                 spent.append(
-                    (count, 1e3 * cpu(side.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS))
+                    (count, 1e3 * cpu_s(side.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS))
                 )
             if not differ:
                 self.add("tools.fleet_answer_bytes", "bytes", "members", size, "linear")
@@ -291,7 +328,7 @@
 
 
 class Names:
-    """Tenants by Zipf's law of exponent 1, drawn before: the draw must not be what is timed."""
+    """Tenant names by Zipf's law of exponent 1, drawn in advance so that the draw is not measured."""
 
     def __init__(self, count: int, seed: int) -> None:
         draw = random.Random(seed)
@@ -300,11 +337,13 @@
         self.turn = 0
 
     def next(self) -> str:
+        """Return the next name."""
         self.turn = (self.turn + 1) % len(self.names)
         return self.names[self.turn]
 
 
 def filled(names: Names, adds: int) -> HeavyHitters:
+    """Return a sketch after a number of additions."""
     sketch = HeavyHitters(TENANTS_KEPT)
     for turn in range(adds):
         sketch.add(turn / 275.0, names.next())
@@ -312,6 +351,7 @@
 
 
 def adding(sketch: HeavyHitters, names: Names, since: int) -> Callable[[], None]:
+    """Return a function that adds the next name to a sketch."""
     clock = count_from(since)
     return lambda: sketch.add(next(clock) / 275.0, names.next())
 
@@ -320,33 +360,38 @@
 
 
 def all_parts(count: int) -> list[LeasedQuota]:
+    """Return the state of so many budgets."""
     return [LeasedQuota(BudgetBounds(f"b{place}", 2 * MEMBERS, SEATS, tenant=f"t{place}"), "n0", 0.0) for place in range(count)]
 
 
-def one_try(desk: Desk, caller: int, number: int) -> None:
-    """A first try that is nacked: likeness, books of callers and of tries, as the reducer keeps them."""
-    like = likeness(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
-    repeat, looks = desk.tries.read(1.0, like, again=False)
-    desk.read(1.0, caller, True, 0.0)
-    desk.tries.closed(looks)
-    desk.tries.nacked(1.0, looks)
+def record_first_try(retry_admission: RetryAdmission, caller: int, number: int) -> None:
+    """Process a first attempt that is rejected, as an instance does."""
+    like = request_fingerprint(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
+    repeat, looks = retry_admission.duplicates.classify(1.0, like, is_marked_retry=False)
+    retry_admission.record_request(1.0, caller, True, 0.0)
+    retry_admission.duplicates.record_closed(looks)
+    retry_admission.duplicates.record_rejected(1.0, looks)
 
 
-def full_desk(bounds: StormBounds, callers: int) -> Desk:
-    """One nacked op of each caller, and one run that may not run twice."""
-    desk = Desk(bounds, longest_hold_off=10.0, seed=7)
+def filled_retry_admission(bounds: StormBounds, callers: int) -> RetryAdmission:
+    """Return retry admission with a rejected request of each caller and a running request of each that must not run twice."""
+    retry_admission = RetryAdmission(bounds, longest_hold_off=10.0, seed=7)
     for caller in range(callers):
-        one_try(desk, caller, caller)
-        desk.runs.started(1.0, f"r{caller}", likeness(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0)
-    return desk
+        record_first_try(retry_admission, caller, caller)
+        retry_admission.executed.add(
+            1.0, f"r{caller}", request_fingerprint(caller, "read", "t1", "", b"%d" % caller, 0.5, 0.05, 1.0), 5.0
+        )
+    return retry_admission
 
 
-def tries_of(desk: Desk, callers: int, seed: int) -> Callable[[], None]:
+def first_tries(retry_admission: RetryAdmission, callers: int, seed: int) -> Callable[[], None]:
+    """Return a function that processes the first attempt of a random caller."""
     draw = random.Random(seed)
-    return lambda: one_try(desk, draw.randrange(callers), draw.randrange(10**9))
+    return lambda: record_first_try(retry_admission, draw.randrange(callers), draw.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
+    """Return a deployment with so many tenants and classes."""
     return {
         "op_types": [
             {"effect": Effect.RETRYABLE, "importance": float(place % 10), "target_latency": 1.0, "op_timeout": 2.0}
@@ -360,43 +405,46 @@
     }
 
 
-def cycle(hatch: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
-    """One request from its reading to its end, as a host drives it, at the target's rate of an instance."""
+def cycle(controller: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
+    """Return a function that takes one request from arrival to end, at the target's rate of an instance."""
     draw, clock = random.Random(seed), count_from(0)
 
     def one() -> None:
         turn = next(clock)
         now = turn / 275.0
-        hatch.record_arrival(
+        controller.record_arrival(
             now, turn + 1, draw.randrange(classes), 0.0, 1.0, draw.randrange(tenants), 0, turn % 100, 0.002, 1.0, False
         )
-        started = [decision.ref for decision in decisions(hatch, now) if decision.verb is Verb.RUN]
+        started = [decision.ref for decision in decisions(controller, now) if decision.verb is Verb.RUN]
         for ref in started:
-            hatch.record_run_end(now + 0.002, ref, Ending.OK)
-        for _ in decisions(hatch, now + 0.002):
+            controller.record_run_end(now + 0.002, ref, Ending.OK)
+        for _ in decisions(controller, now + 0.002):
             pass
 
     return one
 
 
-def decisions(hatch: AdmissionController, now: float) -> Iterator[Any]:
-    while decision := hatch.next_decision(now):
+def decisions(controller: AdmissionController, now: float) -> Iterator[Any]:
+    """Yield all decisions that are due."""
+    while decision := controller.next_decision(now):
         yield decision
 
 
-def tenants_told(count: int) -> list[dict[str, Any]]:
+def tenant_settings(count: int) -> list[dict[str, Any]]:
+    """Return the settings of so many tenants."""
     return [{"name": f"tenant-{place:06}", "fraction": 0.001, "quota_per_s": 10.0} for place in range(count)]
 
 
-def classes_told(count: int) -> list[dict[str, Any]]:
+def class_settings(count: int) -> list[dict[str, Any]]:
+    """Return the settings of so many classes."""
     return [
         {"name": f"route-{place:05}", "effect": "safe", "aim": 1000.0, "deadline": 2000.0, "worth": 1.0}
         for place in range(count)
     ]
 
 
-class Asking(Machines):
-    """All ask to go out and one at a time may: what words a voter hears and says, with headers."""
+class WaitingMachines(MaintenanceWorld):
+    """Machines that all wait for a permit, one at a time; counts the messages of one voter and their bytes with headers."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.heard: Counter[str] = Counter()
@@ -407,11 +455,11 @@
             self.heard["words"] += 1
             self.heard["bytes"] += HEADERS + len(data)
 
-    def _send(self, node: Any, errands: list[tuple[str, bytes]]) -> None:
+    def _send(self, node: Any, effects: list[tuple[str, bytes]]) -> None:
         if node.place == 1:
-            for _, data in errands:
+            for _, data in effects:
                 self._word(data)
-        super()._send(node, errands)
+        super()._send(node, effects)
 
     def _heard(self, node: Any, data: bytes) -> None:
         if node.place == 1:
@@ -419,50 +467,59 @@
         super()._heard(node, data)
 
 
-def asked_voter(count: int) -> tuple[Upkeep, bytes]:
-    """A voter that knows so many members, all of which wait, and one more query of the last."""
+def asked_voter(count: int) -> tuple[MaintenanceCoordinator, bytes]:
+    """Return a voter that knows so many waiting members, and another query of the last one."""
     fleet = GossipNode(FleetBounds("f"), "v0", "10.0.0.1:1", 1, 1, 0.0)
-    core = Upkeep(Bounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, Kept(writes=1), None)
-    requests = [Request(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
-    letters = [
+    core = MaintenanceCoordinator(MaintenanceBounds(("v0",), 3, 1, "z0"), fleet, 1, 0.0, VoterState(writes=1), None)
+    requests = [MaintenanceRequest(f"n{place}", f"z{place % 9}", "release", 30.0, float(place)) for place in range(count)]
+    gossip_messages = [
         GossipMessage(words.VERSION, "f", request.name, f"10.1.{place // 250}.{place % 250}:7300", 1, 0, "word")
         for place, request in enumerate(requests)
     ]
-    for letter, request in zip(letters, requests):
-        core.fleet.handle_message(1.0, letter)
-        core.requests[request.name] = Known(request, 1.0)
-    query = upkeep_words.encode(upkeep_words.Query(requests[-1]))
-    return core, words.encode(msgspec.structs.replace(letters[-1], extension=query))
+    for message, request in zip(gossip_messages, requests):
+        core.fleet.handle_message(1.0, message)
+        core.requests[request.name] = ReceivedRequest(request, 1.0)
+    query = maintenance_messages.encode(maintenance_messages.PositionQuery(requests[-1]))
+    return core, words.encode(msgspec.structs.replace(gossip_messages[-1], extension=query))
+
 
+def answered(core: MaintenanceCoordinator, query: bytes) -> None:
+    """Let a voter answer a query.
 
-def answered(core: Upkeep, query: bytes) -> None:
+    Raises:
+        ValueError: If there is no answer, so that nothing was measured.
+    """
     core.fleet.handle_datagram(1.0, query)
-    if not core.said():
+    if not core.take_outgoing():
         raise ValueError("the voter gave no answer: nothing was measured")
 
 
-def table_bytes(out: int, letters: int) -> int:
-    """The largest word that carries the table: what a voter tells one that lost its disk."""
-    table = Table(
-        tuple(f"v{place}".ljust(letters, "x") for place in range(7)),
-        MOST_OUT,
-        MOST_OUT,
+def table_bytes(out: int, name_length: int) -> int:
+    """Return the size of the largest message that carries the permit table: the reply to a voter that lost its disk."""
+    table = PermitTable(
+        tuple(f"v{place}".ljust(name_length, "x") for place in range(7)),
+        MAX_PERMITS,
+        MAX_PERMITS,
         8_000,
         0,
         tuple(
-            Permit(f"n{place}".ljust(letters, "x"), "r1z1", 8_000 - place, "release".ljust(letters, "x"))
+            Permit(f"n{place}".ljust(name_length, "x"), "r1z1", 8_000 - place, "release".ljust(name_length, "x"))
             for place in range(out)
         ),
     )
-    ballot = Ballot(8_000, "n1.1700000000000.12")
-    return len(upkeep_words._encoder.encode(upkeep_words.Told(Kept(ballot, ballot, table, 16_000), False)))
+    proposal = ProposalNumber(8_000, "n1.1700000000000.12")
+    return len(
+        maintenance_messages._encoder.encode(
+            maintenance_messages.VoterStateReply(VoterState(proposal, proposal, table, 16_000), False)
+        )
+    )
 
 
 def fleet_side(count: int, differ: bool) -> GossipService:
-    """An instance's side that has heard of so many members with a report each: no socket is bound, nothing is sent."""
+    """Return an instance's gossip with a report of so many members; it has no socket and sends nothing."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
     place = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
-    side = GossipService(place, SimpleNamespace(tenants=[]), lambda *told: None, lambda: None)
+    side = GossipService(place, SimpleNamespace(tenants=[]), lambda *arguments: None, lambda: None)
     side.socket.close()
     now = time.monotonic()
     side.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
@@ -495,19 +552,29 @@
     return side
 
 
-PARTS = ("budgets", "few", "storms", "loudest", "decisions", "settings", "voters", "answers")
+PARTS: dict[str, Callable[[PartCosts], None]] = {
+    "budgets": PartCosts.measure_budgets,
+    "few": PartCosts.measure_small_fleets,
+    "storms": PartCosts.measure_retry_admission,
+    "loudest": PartCosts.measure_heavy_hitters,
+    "decisions": PartCosts.measure_decisions,
+    "settings": PartCosts.measure_settings,
+    "voters": PartCosts.measure_voters,
+    "answers": PartCosts.measure_operator_answers,
+}
 
 
-def measured(parts: Parts, names: list[str]) -> Parts:
+def measured(parts: PartCosts, names: list[str]) -> PartCosts:
+    """Measure parts by name."""
     for name in names:
-        begun = time.monotonic()
-        getattr(parts, name)()
-        print(f"{name}: {time.monotonic() - begun:.1f} s", file=sys.stderr)
+        started_at = time.monotonic()
+        PARTS[name](parts)
+        print(f"{name}: {time.monotonic() - started_at:.1f} s", file=sys.stderr)
     return parts
 
 
-def record(parts: Parts, names: list[str], at: str, load: float) -> None:
-    """Each run leaves a note of its commit and of how busy the machine was."""
+def record(parts: PartCosts, names: list[str], at: str, load: float) -> None:
+    """Write the record, with a note of the commit and of how busy the machine was."""
     busy = (
         f"{at}, {','.join(names)}: load average {load:.1f} at start, {os.getloadavg()[0]:.1f} at the end, "
         f"on {os.cpu_count()} cores."
@@ -532,22 +599,25 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    told = docopt(__doc__, argv)
-    names = told["--only"].split(",") if told["--only"] else list(PARTS)
+    """Measure the chosen parts and print their costs; return 1 if a bounded cost grew."""
+    options = docopt(__doc__, argv)
+    names = options["--only"].split(",") if options["--only"] else list(PARTS)
     if wrong := [name for name in names if name not in PARTS]:
         print(f"parts: there is no part {wrong[0]!r}", file=sys.stderr)
         return 1
     load, at = os.getloadavg()[0], commit()
-    parts = measured(Parts(told["--quick"], int(told["--seed"])), names)
-    shown = Shown("cost", "unit", "by", "points", "fit", "residual")
-    for name, one in parts.costs.items():
-        points = ", ".join(f"{size:g}: {value:g}" for size, value in one["points"])
-        fit = f"{one['constant']:g}" + (f" + {one['slope']:g} x {one['form']}" if one["form"] != "constant" else "")
-        shown.add_row(name, one["unit"], one["size"], points, fit, f"{one['residual']:.3f}")
-    Console(width=200).print(shown)
+    parts = measured(PartCosts(options["--quick"], int(options["--seed"])), names)
+    table = ConsoleTable("cost", "unit", "by", "points", "fit", "residual")
+    for name, cost_record in parts.costs.items():
+        points = ", ".join(f"{size:g}: {value:g}" for size, value in cost_record["points"])
+        fit = f"{cost_record['constant']:g}" + (
+            f" + {cost_record['slope']:g} x {cost_record['form']}" if cost_record["form"] != "constant" else ""
+        )
+        table.add_row(name, cost_record["unit"], cost_record["size"], points, fit, f"{cost_record['residual']:.3f}")
+    Console(width=200).print(table)
     grown = {name: rounded(points[-1][1] / points[-2][1], 3) for name, points in parts.bounded.items()}
     holds = {name: ratio <= 2.0 for name, ratio in grown.items()}
-    if told["--record"] and not told["--quick"]:
+    if options["--record"] and not options["--quick"]:
         record(parts, names, at, load)
     print(json.dumps({"benchmark": "parts", "grown": grown, "events": parts.events, "holds": holds}))
     return 0 if all(holds.values()) else 1
--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -17,7 +17,7 @@
     from rich.table import Table
 
     from mulleinhatch.testing import fault_script as faults
-    from mulleinhatch.testing.instance_harness import Case, Rig, keep_environment, outcome
+    from mulleinhatch.testing.instance_harness import Case, InstanceHarness, keep_environment, outcome
 except ImportError as error:
     print(f"mulleinhatch: demo needs {error.name}: pip install 'mulleinhatch[lab]'", file=sys.stderr)
     raise SystemExit(2) from None
@@ -77,7 +77,7 @@
         return table
 
 
-async def play_live(harness: Rig, picture: Picture, console: Console) -> dict[str, Any]:
+async def play_live(harness: InstanceHarness, picture: Picture, console: Console) -> dict[str, Any]:
     """Play the scenario and show the picture while it runs."""
     playing = asyncio.ensure_future(harness.play())
     with Live(picture.table(), console=console, transient=True) if console.is_terminal else contextlib.nullcontext() as live:
@@ -112,7 +112,7 @@
         f"three of ten heed advice.\nWhat goes wrong: {'; '.join(script.splitlines())}"
     )
     with tempfile.TemporaryDirectory() as folder:
-        raw = asyncio.run(play_live(Rig(case, Path(folder)), Picture(seconds), console))
+        raw = asyncio.run(play_live(InstanceHarness(case, Path(folder)), Picture(seconds), console))
     figures = outcome(case, raw)
     counts, back = figures["counts"], figures["back_after"]
     table = Table(title="What became of it")
--- a/mulleinhatch/cli/instance/search.py
+++ b/mulleinhatch/cli/instance/search.py
@@ -20,7 +20,9 @@
     try:
         if arguments["replay"]:
             return replay(arguments, campaign, play)
-        done = campaign.campaign(itertools.count(int(arguments["--seed"] or 1)), float(arguments["--seconds"]), told=print)
+        done = campaign.campaign(
+            itertools.count(int(arguments["--seed"] or 1)), float(arguments["--seconds"]), report_line=print
+        )
         print(f"{done.histories} histories in {done.seconds:.0f} s, {done.states} states, {len(done.findings)} findings")
         if arguments["--out"]:
             path = Path(arguments["--out"])
@@ -30,7 +32,7 @@
             print(f"{path}")
         for number, finding in enumerate(done.findings):
             kept = Path(f"finding-{int(time.time())}-{number}.txt")
-            kept.write_text(campaign.as_text(finding.short))
+            kept.write_text(campaign.format_history(finding.short))
             print(f"{kept}: {finding.what}")
     except (OSError, ValueError, KeyError) as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
@@ -42,7 +44,7 @@
     """Replay histories from files."""
     failed = 0
     for name in arguments["FILE"]:
-        found = play.play(campaign.replayed(Path(name).read_text()))
+        found = play.play(campaign.parse_history(Path(name).read_text()))
         failed += bool(found.what)
         print(
             f"{name}: {found.what or 'all held'}; in time {found.before:.2f} before, {found.worst:.2f} in the worst second, "
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -13,7 +13,7 @@
 try:
     from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
     from mulleinhatch.instance.traces.codec import CorruptTraceError
-    from mulleinhatch.instance.traces.cutting import Wanted, cut, write
+    from mulleinhatch.instance.traces.cutting import RecordFilter, extract, write
     from mulleinhatch.instance.traces.file import Trace, UnreadableTraceError
     from mulleinhatch.instance.traces.merging import merge
     from mulleinhatch.instance.traces.replay import IncompleteTraceError, Outcome, replay
@@ -43,7 +43,7 @@
 def missing(trace: Trace) -> str:
     """Return one line for each part that cannot be read."""
     return "".join(
-        f"  lost at byte {lost.place}: {lost.why}"
+        f"  lost at byte {lost.offset}: {lost.why}"
         + (f", {lost.records} records, {lost.last - lost.first:.3f} s" if lost.records else "")
         + "\n"
         for lost in trace.lost
@@ -83,7 +83,7 @@
     """Write the wanted part of a trace to a new file."""
     with open(arguments["FILE"][0], "rb") as source:
         trace = Trace(source)
-        wanted = Wanted(
+        wanted = RecordFilter(
             arguments["--since"] and float(arguments["--since"]),
             arguments["--until"] and float(arguments["--until"]),
             place(trace.facts.tenants, arguments["--tenant"], "tenant"),
@@ -91,7 +91,7 @@
             arguments["--op"],
         )
         with open(arguments["--out"], "xb") as file:
-            count = cut(trace, file, wanted)
+            count = extract(trace, file, wanted)
         print(f"{arguments['--out']}: {count} records")
         print(missing(trace), end="")
     return 0
--- a/mulleinhatch/instance/request_state_machine/arrivals.py
+++ b/mulleinhatch/instance/request_state_machine/arrivals.py
@@ -7,7 +7,7 @@
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.state import ReducerState
 from mulleinhatch.instance.request_state_machine.tables import PendingRequest
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, likeness
+from mulleinhatch.instance.retry_storms.duplicate_detection import RequestFingerprint, request_fingerprint
 from mulleinhatch.instance.retry_storms.request_log import fingerprint
 
 MAX_PARKED_S = 1.0  # how long a retry waits for proof that it is none: a run and the client's next request
@@ -41,7 +41,7 @@
         """
         self.counts["ops_read"] += 1
         if self.storms:
-            self.storms.runs.asks_again(connection_id)
+            self.storms.executed.confirm_response_read(connection_id)
         if request_type not in self.request_types:
             self.actions.append((Action.SEND_INVALID, connection_id, "op type"))
         elif self.tenants and tenant not in self.tenants:
@@ -50,7 +50,7 @@
             self._move_to_new_connection(connection_id, request_id, request_type, tenant, body)
         elif self.controller is None:
             self.actions.append((Action.SEND_REJECTION, connection_id, 0.0, False, self.advice_level))
-        elif self.completed_ids.seen(now, request_id):
+        elif self.completed_ids.contains(now, request_id):
             self._answer_completed_id(connection_id, request_id, fingerprint(0, request_type, tenant, key, body))
         elif self._is_key_in_use(now, now - age_s, request_type, tenant, key, body):
             self.actions.append((Action.SEND_INVALID, connection_id, "key in use"))
@@ -66,12 +66,16 @@
                     is_handed_over,
                 )
                 self.counts["ops_from_peers"] += is_handed_over
-            like = likeness(client_id, request_type, tenant, key, body, rank, cost_s, memory_kb) if self.storms else None
+            like = (
+                request_fingerprint(client_id, request_type, tenant, key, body, rank, cost_s, memory_kb)
+                if self.storms
+                else None
+            )
             if (
                 like
                 and is_retry
                 and request_type in self.non_retryable_types
-                and self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now))
+                and self.storms.executed.may_have_executed(now, like, self.storms.duplicates.are_costs_stable(now))
             ):
                 return self._park_retry(now, request, like, arguments)
             self._admit(now, request, like, *arguments)
@@ -80,7 +84,7 @@
         """Answer a health check."""
         self.counts["checks"] += 1
         if self.storms:
-            self.storms.runs.asks_again(connection_id)
+            self.storms.executed.confirm_response_read(connection_id)
         self.actions.append((Action.SEND_HEALTH, connection_id, self.healthy, self.advice_level))
 
     def _client_disconnected(self, now: float, connection_id: int) -> None:
@@ -98,7 +102,7 @@
         self,
         now: float,
         request: PendingRequest,
-        like: Likeness | None,
+        like: RequestFingerprint | None,
         request_type: str,
         tenant: str,
         age_s: float,
@@ -118,10 +122,12 @@
         if self.on_client_request and not request.is_from_peer:
             self.on_client_request(now, cost_s)
         if self.storms:
-            repeat, request.fingerprints = self.storms.tries.read(now, like, is_retry, request_type in self.non_retryable_types)
-            self.storms.read(now, client_id, repeat, age_s)
+            repeat, request.fingerprints = self.storms.duplicates.classify(
+                now, like, is_retry, request_type in self.non_retryable_types
+            )
+            self.storms.record_request(now, client_id, repeat, age_s)
             self.storms.counts["repeats_unmarked"] += repeat and not is_retry
-            is_retry = is_retry or repeat and self.storms.on  # an unmarked retry adds to the storm as well
+            is_retry = is_retry or repeat and self.storms.is_active  # an unmarked retry adds to the storm as well
         self.controller.record_arrival(
             now,
             request.request_id,
@@ -192,7 +198,7 @@
             self.actions.append((Action.ABANDON_CONNECTION, request.connection_id))
             request.connection_id, self.request_by_connection[connection_id] = connection_id, request_id
 
-    def _park_retry(self, now: float, request: PendingRequest, like: Likeness, arguments: tuple) -> None:
+    def _park_retry(self, now: float, request: PendingRequest, like: RequestFingerprint, arguments: tuple) -> None:
         """Delay a marked retry of a non-retryable request that may already have executed here.
 
         If its cost figures are those of that run, it is the retry of it and fails: it cannot be told that the first one took
@@ -200,7 +206,7 @@
         first one: then it is a different request for certain.
         """
         until = min(now + MAX_PARKED_S, request.deadline - PARKED_MARGIN_S)
-        if self.storms.runs.doubt(now, like, True) or until <= now:
+        if self.storms.executed.may_have_executed(now, like, True) or until <= now:
             return self._fail_possible_second_run(request, like, now)
         self.parked_retries[request.request_id] = until, now, request, like, arguments
         self.actions.append((Action.SET_TIMER, until - now, 0))
@@ -210,7 +216,7 @@
         for request_id, (until, since, request, like, arguments) in list(self.parked_retries.items()):
             if request.connection_id is None:
                 del self.parked_retries[request_id]  # the client disconnected
-            elif not self.storms.runs.doubt(now, like, self.storms.tries.figures_stay(now)):
+            elif not self.storms.executed.may_have_executed(now, like, self.storms.duplicates.are_costs_stable(now)):
                 del self.parked_retries[request_id]
                 self.storms.counts["retries_told_apart"] += 1
                 request_type, tenant, age_s, remaining_wait_s, *more = arguments
@@ -228,10 +234,10 @@
                 del self.parked_retries[request_id]
                 self._fail_possible_second_run(request, like, now)
 
-    def _fail_possible_second_run(self, request: PendingRequest, like: Likeness, now: float) -> None:
+    def _fail_possible_second_run(self, request: PendingRequest, like: RequestFingerprint, now: float) -> None:
         """Fail a retry that might execute a second time."""
         self.counts["repeats_of_run"] += 1
-        self.storms.counts["repeats_of_run_alike"] += self.storms.tries.shared.seen(
-            now, like.plain
+        self.storms.counts["repeats_of_run_alike"] += self.storms.duplicates.shared.contains(
+            now, like.coarse
         )  # perhaps of a different request that looks the same
         self._respond(now, request, Action.SEND_FAILURE)
--- a/mulleinhatch/instance/request_state_machine/interpreter_session.py
+++ b/mulleinhatch/instance/request_state_machine/interpreter_session.py
@@ -18,7 +18,7 @@
     def _link_opened(self, now: float) -> None:
         """Greet the interpreter with the last notice received, so that it sends those after it again."""
         if self.storms:
-            self.storms.watch.outage(now)
+            self.storms.detector.record_outage(now)
         self.is_link_new = True
         self.actions.append((Action.GREET_INTERPRETER, self.last_notice))
         self.resync_mark = math.inf
@@ -39,7 +39,7 @@
         if not self._accept_notice(now, number, request_id):
             return
         if self.storms and now - max(self.last_run_end_at, self.idle_until) > RUN_GAP_S:
-            self.storms.watch.outage(now)
+            self.storms.detector.record_outage(now)
         self.last_run_end_at = now
         self._end_run(now, request_id, ending, result)
 
--- a/mulleinhatch/instance/request_state_machine/peers.py
+++ b/mulleinhatch/instance/request_state_machine/peers.py
@@ -10,8 +10,8 @@
 from mulleinhatch.admission.interface import Decision, Ending
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.runs import RunTracker
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness
-from mulleinhatch.invariants import must_hold
+from mulleinhatch.instance.retry_storms.duplicate_detection import RequestFingerprint
+from mulleinhatch.invariants import check
 
 
 class PeerHandover(RunTracker):
@@ -47,7 +47,7 @@
         unrun = ending in NOT_EXECUTED_ENDINGS
         request.may_have_run = request.may_have_run and not unrun
         if unrun and self.storms:
-            self.storms.runs.settled(request_id)
+            self.storms.executed.remove(request_id)
         if request.connection_id is None:
             self._remove_if_finished(now, request)
             return
@@ -58,7 +58,7 @@
     def _do_hand_over(self, now: float, decision: Decision) -> None:
         """Hand a waiting request over to a peer."""
         request = self.requests.get(decision.ref)
-        must_hold(
+        check(
             request and request.handover_data and request.connection_id is not None and not request.running,
             "only an op that is held is handed over",
         )
@@ -66,7 +66,7 @@
             request.is_handed_over = request.may_have_run = True
             self.handed_over_count += 1
             if self.storms and request.request_type in self.non_retryable_types:
-                self.storms.runs.started(now, request.request_id, Likeness(*request.fingerprints), request.deadline)
+                self.storms.executed.add(now, request.request_id, RequestFingerprint(*request.fingerprints), request.deadline)
             arrived_at, *figures = request.handover_data
             left = request.deadline - now if request.deadline < math.inf else 0.0
             self.actions.append(
@@ -94,7 +94,7 @@
         During warm-up the concurrency limit counts by the share of full speed: what all peers together send is bounded by
         this number alone.
         """
-        if self.controller is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.on:
+        if self.controller is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.is_active:
             return 0
         return max(0, max(1, int(self.controller.limit * self.warmth(now))) - len(self.requests) + self.handed_over_count)
 
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.request_state_machine.peers import PeerHandover
 from mulleinhatch.instance.request_state_machine.storm_control import RetryStormControl
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.invariants import must_hold
+from mulleinhatch.invariants import check
 
 GAUGES_VALID_S = 1.0  # older gauges say nothing about the current load of the cores
 
@@ -159,4 +159,4 @@
 
     def _do_unsupported(self, now: float, decision: Decision) -> None:
         """Report a decision that no action exists for."""
-        must_hold(False, f"the link has no word for {decision.verb.value}")
+        check(False, f"the link has no word for {decision.verb.value}")
--- a/mulleinhatch/instance/request_state_machine/runs.py
+++ b/mulleinhatch/instance/request_state_machine/runs.py
@@ -8,9 +8,9 @@
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.state import ReducerState
 from mulleinhatch.instance.request_state_machine.tables import PendingRequest
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness
+from mulleinhatch.instance.retry_storms.duplicate_detection import RequestFingerprint
 from mulleinhatch.instance.retry_storms.request_log import fingerprint
-from mulleinhatch.invariants import must_hold
+from mulleinhatch.invariants import check
 
 RUN_END_COUNTERS = {ending: "run_" + ending.name.lower() for ending in Ending}
 
@@ -66,32 +66,32 @@
     def _do_run(self, now: float, decision: Decision) -> None:
         """Start the run of an admitted request."""
         request = self.requests.get(decision.ref)
-        must_hold(request and not request.running, "only an op that is held is run")
+        check(request and not request.running, "only an op that is held is run")
         if request:
             if not self.run_count:
                 self.idle_until = now
             self.run_count += 1
             request.running, request.run_started_at, request.may_have_run = True, now, True
             if self.storms and request.request_type in self.non_retryable_types:
-                self.storms.runs.started(now, request.request_id, Likeness(*request.fingerprints), request.deadline)
+                self.storms.executed.add(now, request.request_id, RequestFingerprint(*request.fingerprints), request.deadline)
             self._start_run(request)
 
     def _do_reject(self, now: float, decision: Decision) -> None:
         """Reject a request that never ran."""
         request = self.requests.get(decision.ref)
-        must_hold(request and not request.running and request.connection_id is not None, "only an op that never ran is nacked")
+        check(request and not request.running and request.connection_id is not None, "only an op that never ran is nacked")
         if request:
             seconds = decision.seconds
             if self.storms:
-                self.storms.tries.nacked(now, request.fingerprints)
+                self.storms.duplicates.record_rejected(now, request.fingerprints)
                 if seconds > 0.0:
-                    seconds = self.storms.come_back(now, seconds, False)
+                    seconds = self.storms.retry_after(now, seconds, False)
             self._respond(now, request, Action.SEND_REJECTION, seconds, decision.flag)
 
     def _do_fail(self, now: float, decision: Decision) -> None:
         """Answer with a failure; a run whose end was lost is ended as well, or it would occupy its capacity for ever."""
         request = self.requests.get(decision.ref)
-        must_hold(request and request.connection_id is not None, "only an op that is owed an answer fails")
+        check(request and request.connection_id is not None, "only an op that is owed an answer fails")
         if request:
             self._respond(now, request, Action.SEND_FAILURE)
             if request.is_run_end_unknown and request.running:
@@ -136,7 +136,7 @@
         request.running = False
         self.run_count -= 1
         if ending is Ending.MOOT and self.storms:
-            self.storms.runs.settled(request_id)
+            self.storms.executed.remove(request_id)
         if ending is Ending.STOPPED and request.connection_id is not None:
             ending = Ending.ERROR  # not stopped by us: the controller would take it for paused
         self.counts[RUN_END_COUNTERS[ending]] += 1
@@ -177,8 +177,8 @@
         if ending is Ending.OK:
             self.keys.store_result(request.request_id, result)
             if self.storms and request.connection_id is not None:
-                self.storms.tries.acked(now, request.fingerprints)
-                self.storms.runs.acked(now, request.request_id, request.connection_id)
+                self.storms.duplicates.record_served(now, request.fingerprints)
+                self.storms.executed.record_response(now, request.request_id, request.connection_id)
             self._respond(now, request, Action.SEND_RESULT, result)
         else:
             self._respond(now, request, Action.SEND_FAILURE)
--- a/mulleinhatch/instance/request_state_machine/state.py
+++ b/mulleinhatch/instance/request_state_machine/state.py
@@ -12,9 +12,9 @@
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.tables import IdempotencyKeys, PendingRequest
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness
-from mulleinhatch.instance.retry_storms.request_log import Lately
-from mulleinhatch.instance.retry_storms.retry_admission import Desk
+from mulleinhatch.instance.retry_storms.duplicate_detection import RequestFingerprint
+from mulleinhatch.instance.retry_storms.request_log import ExpiringSet
+from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
 
 DEFAULT_REQUEST_TIMEOUT_S = 10.0  # how long after its arrival a request may be read, if its type sets no timeout
 COMPLETED_IDS_SPAN_S = 10.0  # how long the id of a request that was executed is remembered
@@ -40,7 +40,7 @@
         self.record = record
         self.deployment, self.seed = deployment, seed
         hold_off = deployment.get("max_hold_off", 0.0) if deployment.get("hold_off_allowed", False) else 0.0
-        self.storms = storms and Desk(storms, hold_off, seed)
+        self.storms = storms and RetryAdmission(storms, hold_off, seed)
         self.retryable_types = {
             name
             for name, request_type in zip(request_types, deployment.get("op_types", []))
@@ -68,7 +68,7 @@
         }
         self.keys = IdempotencyKeys()
         # Ids of requests that must not execute twice and may have executed.
-        self.completed_ids = Lately(COMPLETED_IDS_SPAN_S, MAX_COMPLETED_IDS)
+        self.completed_ids = ExpiringSet(COMPLETED_IDS_SPAN_S, MAX_COMPLETED_IDS)
         self.healthy, self.advice_level = True, None
         self.gauge_readings: Sequence[float] = ()
         self.gauges_read_at = -math.inf
@@ -83,7 +83,7 @@
         self.warmed_up_at = -math.inf  # by the slowest warm-up
         self.counts: Counter[str] = Counter()
         # By request id: until, since, request, fingerprint, arguments of `_admit`.
-        self.parked_retries: dict[str, tuple[float, float, PendingRequest, Likeness, tuple]] = {}
+        self.parked_retries: dict[str, tuple[float, float, PendingRequest, RequestFingerprint, tuple]] = {}
         self.dependency_share: float | None = None
         # Arguments: now, seconds, cost, whether it failed.
         self.on_run_ended: Callable[[float, float, float, bool], None] | None = None
@@ -109,7 +109,7 @@
         self.request_by_connection.pop(request.connection_id, None)
         request.connection_id = None
         if self.storms:
-            self.storms.tries.closed(request.fingerprints)
+            self.storms.duplicates.record_closed(request.fingerprints)
 
     def _remove_if_finished(self, now: float, request: PendingRequest) -> None:
         """Remove the request once it has neither a client, nor a run, nor a peer that executes it."""
--- a/mulleinhatch/instance/request_state_machine/storm_control.py
+++ b/mulleinhatch/instance/request_state_machine/storm_control.py
@@ -7,7 +7,7 @@
 from mulleinhatch.admission.interface import Decision
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.state import ReducerState
-from mulleinhatch.instance.retry_storms.duplicate_detection import finer
+from mulleinhatch.instance.retry_storms.duplicate_detection import detailed_fingerprint
 from mulleinhatch.instance.retry_storms.request_log import fingerprint
 
 
@@ -16,7 +16,7 @@
 
     def record_connection(self) -> None:
         """Count an accepted connection. Not an event: hundreds come at once and none of them causes a decision."""
-        self.storms.watch.count(connects=1)
+        self.storms.detector.count(connects=1)
 
     def reject_early(
         self,
@@ -46,7 +46,7 @@
         Returns:
             The seconds after which the client may retry, or None if the request takes the ordinary way.
         """
-        desk = self.storms
+        retry_admission = self.storms
         if (
             request_id in self.requests
             or request_type not in self.request_types
@@ -58,32 +58,34 @@
         if not is_retry or is_non_retryable:  # otherwise the fingerprint tells nothing new and costs time
             plain = fingerprint(client_id, request_type, tenant, key, body)
             if (
-                not desk.tries.known(now, plain, lambda: finer(plain, *figures()))
+                not retry_admission.duplicates.is_known_repeat(now, plain, lambda: detailed_fingerprint(plain, *figures()))
                 if not is_retry
-                else plain in desk.runs.by_plain
+                else plain in retry_admission.executed.by_coarse
             ):
                 return None
-        if not desk.turned_back(now, client_id, is_punctual):
+        if not retry_admission.should_reject(now, client_id, is_punctual):
             return None
         if plain:
-            desk.tries.turned_back(now, plain, lambda: finer(plain, *figures()), is_retry)
-        desk.runs.asks_again(connection_id)
-        desk.read(now, client_id, True, 0.0)
-        desk.turned += 1
-        desk.stubborn += is_too_early
+            retry_admission.duplicates.record_rejected_unread(
+                now, plain, lambda: detailed_fingerprint(plain, *figures()), is_retry
+            )
+        retry_admission.executed.confirm_response_read(connection_id)
+        retry_admission.record_request(now, client_id, True, 0.0)
+        retry_admission.rejected_retries += 1
+        retry_admission.rejected_early_retries += is_too_early
         self.early_rejections += 1
-        return desk.come_back(now, 0.0, is_too_early)
+        return retry_admission.retry_after(now, 0.0, is_too_early)
 
     def _update_storm_state(self, now: float) -> None:
         """Report early rejections and changes of the storm state to the admission controller."""
-        if self.storms.watch.due(now):
+        if self.storms.detector.is_due(now):
             if self.early_rejections:
                 self.controller.record_early_rejections(now, self.early_rejections)
                 self.early_rejections = 0
-            if self.storms.judge(now, self.controller.capacity()):
-                self.controller.set_retry_storm(now, *self.storms.told)
+            if self.storms.update(now, self.controller.capacity()):
+                self.controller.set_retry_storm(now, *self.storms.last_reported)
 
     def _do_limit_retries(self, now: float, decision: Decision) -> None:
         """Set the rate of retries to be read."""
-        self.storms.limit(now, decision.level)
-        self.actions.append((Action.SET_EARLY_REJECTION, self.storms.sheds))
+        self.storms.set_rate(now, decision.level)
+        self.actions.append((Action.SET_EARLY_REJECTION, self.storms.is_limiting))
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -13,7 +13,7 @@
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.request_state_machine.events import Event
-from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL
+from mulleinhatch.instance.retry_storms.retry_admission import PUNCTUAL_TOLERANCE_S
 from mulleinhatch.instance.runtime.callbacks import CounterIncrement, EarlyRejection, EventHandler
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.networking import http_grammar
@@ -49,15 +49,12 @@
             max_connections,
             http_requests.RequestReader,
             time.monotonic,
-            on_message=self.on_request,
-            on_broken=self.on_malformed_request,
-            on_late=self.on_slow_request,
-            on_lost=self.on_connection_lost,
-            count=count,
+            observer=self,
         )
         self.closing_connections: set[int] = set()  # by the wish of the client, after the answer
         self.is_leaving = False
         self.on_handover: Callable[[bytes], None] | None = None
+        self.on_connected: Callable[[], None] | None = None
         self.fleet_status: Callable[[], bytes] | None = None
 
     def serve_fleet_status(self, fleet_status: Callable[[], bytes]) -> None:
@@ -68,7 +65,12 @@
         """Accept requests that peers hand over; `on_handover` is called with the number of the offer that each one uses."""
         self.on_handover = on_handover
 
-    def on_request(self, connection_id: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def on_connection_accepted(self) -> None:
+        """Report an accepted connection, if anybody counts them."""
+        if self.on_connected:
+            self.on_connected()
+
+    def on_message(self, connection_id: int, method: bytes, path: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Route a complete request."""
         if fields.get(b"connection", b"").lower() == b"close":
             self.closing_connections.add(connection_id)
@@ -97,19 +99,19 @@
 
     def _record_bad_request(self, connection_id: int, error: http_grammar.BadRequestError) -> int:
         """Count a bad request and return the status of its answer."""
-        self.connections.blame(connection_id)
+        self.connections.record_bad_request(connection_id)
         self.count("bad_" + error.cause.replace(" ", "_"))
         LOG.debug("rejected a malformed request", extra={"fields": {"cause": error.cause, "status": error.status}})
         return error.status
 
-    def on_malformed_request(self, connection_id: int, error: http_grammar.BadRequestError) -> None:
+    def on_malformed_message(self, connection_id: int, error: http_grammar.BadRequestError) -> None:
         """Answer and close the connection: it is unknown where its next request begins."""
         self.closing_connections.add(connection_id)
         self._write(connection_id, self._record_bad_request(connection_id, error))
 
-    def on_slow_request(self, connection_id: int) -> None:
+    def on_slow_message(self, connection_id: int) -> None:
         """Answer a request that arrives too slowly."""
-        self.on_malformed_request(connection_id, http_grammar.BadRequestError("slow sender", 408))
+        self.on_malformed_message(connection_id, http_grammar.BadRequestError("slow sender", 408))
 
     def on_connection_lost(self, connection_id: int) -> None:
         """Record that the client disconnected."""
@@ -122,9 +124,9 @@
 
     def set_early_rejection(self, is_enabled: bool) -> None:
         """Set whether retries may be rejected before they are read in full."""
-        self.connections.turn_back = self._reject_unread_retry if is_enabled and self.reject_early else None
+        self.connections.set_early_answers(bool(is_enabled and self.reject_early))
 
-    def _reject_unread_retry(self, connection_id: int, now: float, data: bytes, retry_at: float) -> tuple[bytes, float] | None:
+    def answer_early(self, connection_id: int, now: float, data: bytes, retry_at: float) -> tuple[bytes, float] | None:
         """Return the rejection of a retry and the time when its client may retry, or None to read the request.
 
         Args:
@@ -134,7 +136,7 @@
         arguments = None if self.is_leaving else http_requests.parse_plain_request(data)
         if arguments is None:
             return None
-        is_too_early = now < retry_at - PUNCTUAL
+        is_too_early = now < retry_at - PUNCTUAL_TOLERANCE_S
         seconds = self.reject_early(
             now,
             *arguments,
@@ -153,7 +155,7 @@
     ) -> None:
         """Reject a request that was not executed."""
         if retry_after_s > 0.0:
-            self.connections.told_back(connection_id, time.monotonic() + retry_after_s)
+            self.connections.record_retry_time(connection_id, time.monotonic() + retry_after_s)
         self._write(
             connection_id,
             503 if self.is_leaving else 429,
@@ -186,4 +188,4 @@
         is_last = connection_id in self.closing_connections
         self.closing_connections.discard(connection_id)
         pieces = http_responses.write_response(status, body, close=is_last or self.is_leaving, **fields)
-        self.count(f"answers_{status}" if self.connections.answer(connection_id, pieces, is_last) else "answers_unsent")
+        self.count(f"answers_{status}" if self.connections.respond(connection_id, pieces, is_last) else "answers_unsent")
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -14,7 +14,7 @@
 from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.runtime.callbacks import CounterIncrement, EventHandler
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
+from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 MAX_CONNECTIONS = 64  # of the descriptors that are reserved beside client connections
@@ -25,7 +25,7 @@
 
     def __init__(self, host: str, port: int, handle_event: EventHandler, count: CounterIncrement) -> None:
         self.address, self.handle_event, self.count = f"{host}:{port}", handle_event, count
-        self.peers = Peers(MAX_CONNECTIONS, http_peers.parse_dependency_response_head, time.monotonic)
+        self.peers = PeerConnections(MAX_CONNECTIONS, http_peers.parse_dependency_response_head, time.monotonic)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def call(self, request_id: str, seconds: float, payload: bytes) -> None:
@@ -38,7 +38,7 @@
         """Make one call. However it ends, exactly one event reports it to the run that waits."""
         ending, result, deadline = Ending.INTERRUPTED, b"", time.monotonic() + seconds
         try:
-            status, result = await self.peers.ask(
+            status, result = await self.peers.request(
                 self.address, http_peers.write_dependency_call(request_id, payload, 1000.0 * seconds, self.address), seconds
             )
             ending = Ending(status)
@@ -60,7 +60,7 @@
 
     def sweep(self) -> None:
         """Close connections that are idle too long."""
-        self.peers.sweep()
+        self.peers.close_idle()
 
     def close(self) -> None:
         """Cancel the calls in progress and close the connections."""
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -129,7 +129,7 @@
         for budget in self.bounds.budgets:
             counts = self.requested_counts.get(budget.tenant) if budget.window else None
             if budget.retries:
-                demands.append(self.reducer.storms.watch.repeat_rate * budget.window if self.reducer.storms else 0.0)
+                demands.append(self.reducer.storms.detector.repeat_rate * budget.window if self.reducer.storms else 0.0)
                 continue
             if counts is None:  # a limit on concurrency: waiting requests count as well
                 demands.append(
@@ -158,7 +158,7 @@
         storms = reducer.storms
         repeats = storms.counts["repeats_read"] if storms else 0
         # Requests that peers hand over are their demand: counted twice, the fleet would look overloaded.
-        reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.turned if storms else 0)
+        reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.rejected_retries if storms else 0)
         figures = [
             max(0, reads - repeats),
             repeats,
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol import reports
+from mulleinhatch.instance.protocol import directory_reports
 from mulleinhatch.instance.request_state_machine.events import Action, Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime import signals
@@ -20,8 +20,8 @@
 from mulleinhatch.instance.runtime.caller_listener import ClientListener
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 from mulleinhatch.instance.runtime.interpreter_link import InterpreterLink
-from mulleinhatch.instance.transport.datagrams import Datagrams
-from mulleinhatch.invariants import BROKEN
+from mulleinhatch.instance.transport.datagrams import DatagramSender
+from mulleinhatch.invariants import VIOLATIONS
 
 if TYPE_CHECKING:
     from mulleinhatch.admission import AdmissionController
@@ -38,7 +38,7 @@
 CLOSE_LISTENER_BEFORE_STOP_S = 0.12  # later than the last answers of the admission controller
 CLOSE_LISTENER_INTERVAL_S = 0.02  # repeated until the stop, for connections that become idle
 EXIT_AFTER_STOP_S = 0.5  # the supervisor stops the process at the announced time: to exit before would lose requests
-REPORT_INTERVAL_S = reports.LISTED_FOR_S / 6
+REPORT_INTERVAL_S = directory_reports.ENTRY_LIFETIME_S / 6
 SWEEP_INTERVAL_S = 0.25
 RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # fields that a reload changes
 
@@ -80,9 +80,9 @@
             lambda: self.reducer.advice_level,
         )
         if placement.storms:
-            listener.connections.on_connected = self.reducer.record_connection
+            listener.on_connected = self.reducer.record_connection
         self.interpreter = interpreter = InterpreterLink(*placement.interpreter, self.handle_event, self.count)
-        self.datagrams = Datagrams()
+        self.datagrams = DatagramSender()
         self.tasks = BackgroundTasks(self.count, placement.seed)
         self.dependency: DependencyClient | None = None
         if placement.dependency:
@@ -185,13 +185,13 @@
     def _close_listener(self) -> None:
         if not self.stopped.is_set():
             asyncio.get_running_loop().call_later(CLOSE_LISTENER_INTERVAL_S, self._close_listener)
-            self.listener.connections.shut()
+            self.listener.connections.shut_down()
 
     def _send_report(self) -> None:
         """Report to the directory whether this instance is available."""
         directory = self.placement.directory
         if directory and self.is_listed_open is not None:
-            sent = self.datagrams.send(directory, reports.report(self.placement.name, self.is_listed_open))
+            sent = self.datagrams.send(directory, directory_reports.write_report(self.placement.name, self.is_listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
     # Life cycle.
@@ -214,7 +214,7 @@
             if self.fleet.spread:
                 self.action_handlers[Action.HAND_OVER] = self.fleet.spread.hand_over
                 self.listener.accept_handovers(self.fleet.spread.accept_handover)
-        self.tasks.keep("link", self.interpreter.link.keep)
+        self.tasks.keep("link", self.interpreter.link.run)
         self.tasks.every("reports", REPORT_INTERVAL_S, self._send_report)
         self.tasks.every("sweep", SWEEP_INTERVAL_S, self._sweep)
         await self.stopped.wait()
@@ -265,8 +265,8 @@
         self.count("reloads")
         LOG.info("settings reloaded", extra={"fields": {"left_until_restart": ",".join(unchanged_until_restart)}})
         self.placement = self.placement._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
-        self.listener.connections.most = max_connections(new)
-        self.interpreter.link.move(*new.interpreter)
+        self.listener.connections.max_connections = max_connections(new)
+        self.interpreter.link.change_address(*new.interpreter)
         if self.dependency and new.dependency:
             self.dependency.set_address(*new.dependency)
         self._send_report()
@@ -277,7 +277,7 @@
 
     def counted(self) -> dict[str, int]:
         """Return all counters and gauges by name."""
-        storms = self.reducer.storms.counted() if self.reducer.storms else {}
+        storms = self.reducer.storms.counters() if self.reducer.storms else {}
         traces = self.tracing.writer.counts if self.tracing else {}
         fleet = self.fleet.counted() if self.fleet else {}
         return {
@@ -289,7 +289,7 @@
             "connections_open": len(self.listener.connections.open),
             "ops_owed": len(self.reducer.requests),
             "advice_percent": round(100.0 * (self.reducer.advice_level or 0.0)),
-            **{"broken_" + name.replace(" ", "_"): count for name, count in BROKEN.items()},
+            **{"broken_" + name.replace(" ", "_"): count for name, count in VIOLATIONS.items()},
         }
 
     def counters_text(self) -> str:
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -5,10 +5,10 @@
 import logging
 
 from mulleinhatch.admission.interface import Ending
-from mulleinhatch.instance.protocol import link
+from mulleinhatch.instance.protocol import interpreter_messages
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.runtime.callbacks import CounterIncrement, EventHandler
-from mulleinhatch.instance.transport.link import Link
+from mulleinhatch.instance.transport.reconnecting_link import ReconnectingLink
 
 LOG = logging.getLogger(__name__)
 MAX_UNREADABLE_RUN_ENDS = 1000  # request ids that are remembered
@@ -28,12 +28,14 @@
         self.handle_event, self.count = handle_event, count
         self.logged_problems: set[str] = set()
         self.unreadable_run_ends: set[str] = set()  # request ids whose end arrived unreadable once
-        self.link = Link(host, port, on_open=lambda: handle_event(Event.LINK_OPENED), on_line=self.on_line, count=count)
+        self.link = ReconnectingLink(
+            host, port, on_open=lambda: handle_event(Event.LINK_OPENED), on_line=self.on_line, count=count
+        )
 
     def on_line(self, line: bytes) -> None:
         """Handle one line of the link."""
         try:
-            message = link.notice(line)
+            message = interpreter_messages.parse_notice(line)
         except (ValueError, RecursionError):
             self._count_problem("lines_broken", {"line": line[:80]})
             self.handle_event(Event.MALFORMED_LINE_RECEIVED)
@@ -72,57 +74,61 @@
     def _notice(self, message: dict) -> None:
         kind, status = message.get("t"), message.get("status")
         if kind == "VALUE":
-            ending = link.ENDINGS.get(status, Ending.ERROR)
+            ending = interpreter_messages.ENDINGS.get(status, Ending.ERROR)
             self.handle_event(
                 Event.RUN_ENDED,
-                link.non_negative_int(message["no"]),
-                link.text(message["rid"]),
+                interpreter_messages.parse_non_negative_int(message["no"]),
+                interpreter_messages.parse_text(message["rid"]),
                 ending,
-                link.result(message, ending is Ending.OK),
+                interpreter_messages.parse_result(message, ending is Ending.OK),
             )
         elif kind == "AWAIT":
             self.handle_event(
                 Event.CALL_REQUESTED,
-                link.non_negative_int(message["no"]),
-                link.text(message["rid"]),
-                link.result(message, True),
+                interpreter_messages.parse_non_negative_int(message["no"]),
+                interpreter_messages.parse_text(message["rid"]),
+                interpreter_messages.parse_result(message, True),
             )
         elif kind == "TOPS":
-            self.handle_event(Event.GAUGES_RECEIVED, link.non_negative_int(message["mark"]), link.readings(message["v"]))
+            self.handle_event(
+                Event.GAUGES_RECEIVED,
+                interpreter_messages.parse_non_negative_int(message["mark"]),
+                interpreter_messages.parse_gauges(message["v"]),
+            )
         elif kind == "BANNER":
-            since = link.non_negative_float(message["time_ms"]) / 1000.0
+            since = interpreter_messages.parse_non_negative_float(message["time_ms"]) / 1000.0
             LOG.info("interpreter is ready", extra={"fields": {"status": status, "ms": message["time_ms"]}})
             self.handle_event(Event.INTERPRETER_READY, status == "new", since)
         elif kind == "ERROR":
             self._count_problem("interpreter_errors", {"command": status, "ref": message.get("rid")})
             if status == "APPLY":
-                self.handle_event(Event.RUN_REJECTED, link.text(message["rid"]))
+                self.handle_event(Event.RUN_REJECTED, interpreter_messages.parse_text(message["rid"]))
         else:
             if kind != "TRACE":
                 self._count_problem("notices_unknown", {"t": kind})
             if "no" in message:
-                self.handle_event(Event.OTHER_NOTICE_RECEIVED, link.non_negative_int(message["no"]))
+                self.handle_event(Event.OTHER_NOTICE_RECEIVED, interpreter_messages.parse_non_negative_int(message["no"]))
 
     def greet(self, last_notice: int) -> None:
         """Connect, naming the last notice received."""
-        self.link.send(link.connect(last_notice))
+        self.link.send(interpreter_messages.write_connect(last_notice))
 
     def renew(self) -> None:
         """Reconnect the link."""
-        self.link.renew()
+        self.link.reconnect()
 
     def run(self, request_id: str, op_type: str, body: bytes) -> None:
         """Start a run."""
-        self.link.send(link.apply(request_id, op_type, body))
+        self.link.send(interpreter_messages.write_apply(request_id, op_type, body))
 
     def resolve(self, request_id: str, result: bytes) -> None:
         """Resume a run with the result of its call."""
-        self.link.send(link.resolve(request_id, result))
+        self.link.send(interpreter_messages.write_resolve(request_id, result))
 
     def skip(self, request_id: str) -> None:
         """Resume a run without its call."""
-        self.link.send(link.skip_call(request_id))
+        self.link.send(interpreter_messages.write_skip_call(request_id))
 
     def gauges(self, mark: int) -> None:
         """Request the gauges."""
-        self.link.send(link.request_gauges(mark))
+        self.link.send(interpreter_messages.write_gauges_request(mark))
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -14,11 +14,12 @@
 from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
 from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.protocol import http_peers
+from mulleinhatch.instance.protocol.http_requests import IncomingRequest
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.callbacks import EventHandler
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.transport.peers import ConnectFailedError, ConnectionLostError, Peers
+from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
 ANSWER_MARGIN_S = 0.08  # time between the answer of a peer and our own deadline
@@ -51,7 +52,7 @@
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.handle_event, self.send = reducer, handle_event, send
         self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
-        self.peers = Peers(bounds.links, http_peers.parse_response_head, time.monotonic)
+        self.peers = PeerConnections(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.published_offer_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -86,13 +87,13 @@
             reducer.transferable_count(),
             int(reducer.controller.limit) if reducer.controller else 1,
             reducer.stop_at is not None,
-            bool(reducer.storms and reducer.storms.on),
+            bool(reducer.storms and reducer.storms.is_active),
         )
 
     def heartbeat(self, now: float) -> list[tuple[str, bytes]]:
         """Return the datagrams of a heartbeat."""
         datagrams = self.core.heartbeat(now, self._current_load())
-        self.peers.sweep()
+        self.peers.close_idle()
         self.publish_offer_count(now)
         return datagrams
 
@@ -145,25 +146,11 @@
         key: str,
     ) -> None:
         wait = max(0.01, left - ANSWER_MARGIN_S) if left else 0.0
-        pieces = http_peers.write_handover_request(
-            request_id,
-            op_type,
-            tenant,
-            body,
-            1000.0 * (time.time() - age),
-            1000.0 * (age + wait) if wait else 0.0,
-            caller,
-            work,
-            kb,
-            again,
-            rank,
-            offer.number,
-            offer.address,
-            key,
-        )
+        request = IncomingRequest(request_id, op_type, tenant, age, wait, caller, work, kb, again, key, rank)
+        pieces = http_peers.write_handover_request(request, body, time.time(), offer.number, offer.address)
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.ask(offer.address, pieces, wait or MAX_HANDOVER_S)
+            status, result = await self.peers.request(offer.address, pieces, wait or MAX_HANDOVER_S)
             ending = Ending.OK if status == 200 else Ending.FULL if status in NOT_EXECUTED_STATUSES else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from mulleinhatch.instance.gossip.core import GossipNode
-from mulleinhatch.instance.maintenance.core import Bounds, State, Upkeep
-from mulleinhatch.instance.maintenance.schedule import Request, order, schedule
-from mulleinhatch.instance.maintenance.store import CorruptFileError, Store
-from mulleinhatch.instance.maintenance.table import PermitRefusedError, Table
+from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator, MaintenanceState
+from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, order, schedule
+from mulleinhatch.instance.maintenance.store import CorruptVoterFileError, Store
+from mulleinhatch.instance.maintenance.table import PermitRefusedError, PermitTable
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
 
@@ -38,16 +38,20 @@
     ) -> None:
         told = placement.upkeep
         self.placement, self.reducer, self.send, self.leave = placement, reducer, send, leave
-        self.store, kept = None, None
+        self.store, voter_state = None, None
         if placement.name in told.voters and told.folder:
             try:
                 self.store = Store(told.folder)
-                kept = self.store.read()
-            except (CorruptFileError, OSError) as error:
+                voter_state = self.store.read()
+            except (CorruptVoterFileError, OSError) as error:
                 raise InvalidSettingsError(f"upkeep.folder: {error}") from None
         zones = dict(told.zones)
-        bounds = Bounds(told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after)
-        self.core = Upkeep(bounds, fleet, placement.seed + 3, time.monotonic(), kept, self.store and self.store.keep)
+        bounds = MaintenanceBounds(
+            told.voters, told.most, told.zone_most, zones.get(placement.name, ""), told.zones, told.freeze_after
+        )
+        self.core = MaintenanceCoordinator(
+            bounds, fleet, placement.seed + 3, time.monotonic(), voter_state, self.store and self.store.persist
+        )
         self.fit_since: float | None = None
         self.left = False
         self.server: asyncio.AbstractServer | None = None
@@ -63,7 +67,7 @@
         good = self.reducer.healthy and self.reducer.controller is not None
         self.fit_since = (self.fit_since if self.fit_since is not None else now) if good else None
         self._ask_when_ill(now, good)
-        letters = self.core.beat(now, time.time(), good and now - self.fit_since >= FIT_AFTER)
+        letters = self.core.tick(now, time.time(), good and now - self.fit_since >= FIT_AFTER)
         self._tell()
         return letters
 
@@ -73,12 +77,17 @@
         self.ill_since = (
             None if good or self.reducer.controller is None else self.ill_since if self.ill_since is not None else now
         )
-        if after and self.ill_since is not None and now - self.ill_since >= after and self.core.state is State.SERVING:
-            self.core.ask(self._request("ill", self.placement.upkeep.ill_for, ill=True))
+        if (
+            after
+            and self.ill_since is not None
+            and now - self.ill_since >= after
+            and self.core.state is MaintenanceState.SERVING
+        ):
+            self.core.ask(self._request("ill", self.placement.upkeep.ill_for, is_unhealthy=True))
 
-    def _request(self, kind: str, seconds: float, **more: Any) -> Request:
+    def _request(self, kind: str, seconds: float, **more: Any) -> MaintenanceRequest:
         zone = dict(self.placement.upkeep.zones).get(self.placement.name, "")
-        return Request(self.placement.name, zone, kind[:40], seconds, time.time(), **more)
+        return MaintenanceRequest(self.placement.name, zone, kind[:40], seconds, time.time(), **more)
 
     def _remember(self, state: str, why: str) -> None:
         """In the folder, too, where there is one: a process that went out for work has forgotten why."""
@@ -107,7 +116,7 @@
 
     def heard(self) -> list[tuple[str, bytes]]:
         self._tell()
-        return self.core.said()
+        return self.core.take_outgoing()
 
     def _tell(self) -> None:
         """One line a change, and leaving when the permit is there."""
@@ -115,7 +124,7 @@
         for state, why in changes:
             self._remember(state, why)
             LOG.info("upkeep", extra={"fields": {"state": state, "why": why}})
-        if self.core.state is State.GOING and not self.left:
+        if self.core.state is MaintenanceState.GOING and not self.left:
             self.left = True
             # Not within a datagram or beat of the fleet: leaving tells the fleet, too.
             asyncio.get_running_loop().call_soon(self.leave)
@@ -149,7 +158,9 @@
                 latest=float(told.get("latest", 0.0)),
                 urgency=int(told.get("urgency", 0)),
             )
-            core.ask_others(time.monotonic(), self._several(one, told.get("names"), told.get("zone"), bool(told.get("all"))))
+            core.request_for_others(
+                time.monotonic(), self._several(one, told.get("names"), told.get("zone"), bool(told.get("all")))
+            )
         elif what == "cancel":
             core.cancel()
         elif what == "freeze":
@@ -168,12 +179,14 @@
                 raise PermitRefusedError("a reason is wanted to go over the bound")
             LOG.warning("over the bound by hand", extra={"fields": {"name": name, "why": why}})
             zone = dict(self.placement.upkeep.zones).get(name, "")
-            await self._agreed(lambda table: table.go(name, zone, "by hand", over=why))
+            await self._agreed(lambda table: table.grant(name, zone, "by hand", over=why))
         elif what != "show":
             raise PermitRefusedError(f"no such word: {what}")
         return self.told()
 
-    def _several(self, one: Request, names: list[str] | None, zone: str | None, everybody: bool) -> list[Request]:
+    def _several(
+        self, one: MaintenanceRequest, names: list[str] | None, zone: str | None, everybody: bool
+    ) -> list[MaintenanceRequest]:
         """This instance, or those named, of a zone, or all that are there."""
         zones = dict(self.placement.upkeep.zones)
         there = [self.placement.name, *self.core.fleet.members.alive()]
@@ -190,26 +203,26 @@
         return [one._replace(name=name, zone=zones.get(name, "")) for name in chosen]
 
     @staticmethod
-    def _released(table: Table, name: str) -> Table:
+    def _released(table: PermitTable, name: str) -> PermitTable:
         permit = table.permit(name)
         if permit is None:
             raise PermitRefusedError(f"{name} holds no permit")
-        return table.back(name, permit.fence)
+        return table.release(name, permit.fence)
 
-    async def _agreed(self, change: Callable[[Table], Table]) -> None:
+    async def _agreed(self, change: Callable[[PermitTable], PermitTable]) -> None:
         """Round after round until it is agreed or refused: others may be asking, too."""
         until, done = time.monotonic() + ANSWER_WITHIN, None
-        while time.monotonic() < until and (done is None or done.ended in ("beaten", "moved", "")):
+        while time.monotonic() < until and (done is None or done.outcome in ("beaten", "moved", "")):
             if self.core.round is None:
                 done = self.core.change(time.monotonic(), change)
-                self.send(self.core.said())
+                self.send(self.core.take_outgoing())
             await asyncio.sleep(0.02)
-        if done is None or done.ended != "agreed":
+        if done is None or done.outcome != "agreed":
             raise PermitRefusedError(done.why if done and done.why else "no majority of the voters answers")
 
     def told(self) -> dict[str, Any]:
         core, now = self.core, time.monotonic()
-        table = core.voter.kept.table or core.known if core.voter and not core.voter.abstains else core.known
+        table = core.voter.voter_state.table or core.known if core.voter and not core.voter.is_abstaining else core.known
         wall = time.time()
         zones = Counter(permit.zone for permit in table.out)
         places = order(
@@ -220,13 +233,13 @@
         return {
             "name": core.name,
             "state": core.state.value,
-            "fence": core.fence,
-            "voter": None if core.voter is None else "abstains" if core.voter.abstains else "votes",
+            "fence": core.fencing_token,
+            "voter": None if core.voter is None else "abstains" if core.voter.is_abstaining else "votes",
             "table": table._asdict() | {"out": [permit._asdict() for permit in table.out]},
             "order": [
                 {
                     "name": place.request.name,
-                    "may": place.may,
+                    "may": place.is_allowed,
                     "why": ", ".join(place.reasons),
                     "at": going.get(place.request.name),
                 }
@@ -234,13 +247,13 @@
             ],
             "places": {
                 name: {"place": reply.place, "of": reply.waiting, "may_go": reply.may_go, "why": reply.why}
-                for name, reply in core.told_by_voters(now).items()
+                for name, reply in core.current_replies(now).items()
             },
             "history": self._remembered(),
         }
 
     def counted(self) -> dict[str, int]:
         return {f"upkeep_{name}": count for name, count in self.core.counts.items()} | {
-            "upkeep_state": list(State).index(self.core.state),
+            "upkeep_state": list(MaintenanceState).index(self.core.state),
             "upkeep_out": len(self.core.known.out),
         }
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -10,10 +10,10 @@
 from mulleinhatch import __version__, admission
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.instance.runtime.instance_settings import Placement
-from mulleinhatch.instance.traces.file import Facts
+from mulleinhatch.instance.traces.file import TraceMetadata
 from mulleinhatch.instance.traces.recorder import Recorder
-from mulleinhatch.instance.traces.replay import told_out
-from mulleinhatch.instance.traces.writer import Keeper
+from mulleinhatch.instance.traces.replay import deployment_to_dict
+from mulleinhatch.instance.traces.writer import TraceFileManager
 
 FLUSH_INTERVAL_S = 1.0  # the longest time that a record is only in memory: what a kill loses
 
@@ -26,19 +26,19 @@
         parts = sorted(Path(admission.__file__).parent.glob("*.py"))
         self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
         self.started_at, self.started_at_wall = time.monotonic(), time.time()
-        self.writer = Keeper(placement.traces, self._facts)
+        self.writer = TraceFileManager(placement.traces, self._facts)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
-    def _facts(self, number: int) -> Facts:
+    def _facts(self, number: int) -> TraceMetadata:
         placement = self.placement
-        return Facts(
+        return TraceMetadata(
             placement.name,
             placement.seed,
             self.started_at,
             self.started_at_wall,
             number,
-            told_out(placement.deployment),
+            deployment_to_dict(placement.deployment),
             placement.op_types,
             placement.tenants,
             self.policy_digest,
@@ -47,7 +47,7 @@
 
     def record_decisions(self, controller: AdmissionController, now: float, is_cold_start: bool, since: float) -> Recorder:
         """Wrap the admission controller in a recorder."""
-        self.recorder = Recorder(controller, now, is_cold_start, since, self.writer.batch)
+        self.recorder = Recorder(controller, now, is_cold_start, since, self.writer.enqueue)
         return self.recorder
 
     def flush_if_due(self, now: float) -> None:
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -1,7 +1,7 @@
-"""Between the reducer and the module: passes everything on, and keeps what was told and decided as records.
+"""Records the inputs and decisions of an admission controller.
 
-It has the face that the reducer uses of a `AdmissionController`. Times and what is measured on the way in are rounded to a
-microsecond before the module hears them, so that a file holds exactly what it heard.
+The recorder is placed between the request state machine and the controller and has the controller's methods. Times and measured
+values are rounded to microseconds before the controller gets them, so that a file holds exactly its inputs.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from mulleinhatch.admission.interface import Decision, Ref, Verb
 from mulleinhatch.instance.traces import kinds
 
-BATCH = 4096  # records that are handed on together
-VERBS = {verb: place for place, verb in enumerate(Verb)}  # new verbs go to the end: files hold these numbers
-BY_PLACE = dict(enumerate(Verb))
+BATCH_RECORDS = 4096  # records in a batch
+VERB_CODES = {verb: code for code, verb in enumerate(Verb)}  # codes in the files: new verbs are appended
+VERB_BY_CODE = dict(enumerate(Verb))
 
 
 def _micro(seconds: float) -> float:
@@ -23,36 +23,51 @@
 
 
 class Recorder:
-    """`hand_on` gets each full batch, with the number of the newest op before it; `flush` hands on what there is."""
+    """Forwards each call to an admission controller and records it.
+
+    Args:
+        controller: The admission controller.
+        now: Time of the start in seconds.
+        is_cold_start: Whether the process just started.
+        since: Seconds since the start.
+        on_batch: Called with each batch of records and the highest request number before it.
+    """
 
     def __init__(
-        self, hatch: AdmissionController, now: float, cold: bool, since: float, hand_on: Callable[[list[tuple], int], None]
+        self,
+        controller: AdmissionController,
+        now: float,
+        is_fresh_start: bool,
+        since: float,
+        on_batch: Callable[[list[tuple], int], None],
     ) -> None:
-        self.hatch, self.hand_on = hatch, hand_on
+        self.controller, self.on_batch = controller, on_batch
         self.batch: list[tuple] = []
         self.numbers: dict[Ref, int] = {}
         self.newest = self.newest_before = 0
-        self.heard, self.rounded = math.nan, 0.0
-        self._add(kinds.START, round(now, 6), int(cold), since)
+        self.raw_time, self.rounded_time = math.nan, 0.0
+        self._add(kinds.START, round(now, 6), int(is_fresh_start), since)
 
     def _add(self, kind: kinds.Kind, now: float, *values: object) -> None:
-        self.batch.append((kind, now, values))  # a `Record` but in name: that costs more than all else here
+        self.batch.append(
+            (kind, now, values)
+        )  # a plain tuple in the layout of `Record`: creating a NamedTuple would dominate the cost
 
     def _time(self, now: float) -> float:
-        """To the microsecond; one happening asks for the same time again and again."""
-        if now != self.heard:
-            self.heard, self.rounded = now, round(now * 1e6) / 1e6
-        return self.rounded
+        """Round to microseconds; cached, as one event passes the same time repeatedly."""
+        if now != self.raw_time:
+            self.raw_time, self.rounded_time = now, round(now * 1e6) / 1e6
+        return self.rounded_time
 
     def flush(self) -> None:
-        """Also the moment to forget the numbers of ops that the module forgot."""
+        """Pass on the pending records, and remove the numbers of requests that the controller has forgotten."""
         if self.batch:
-            self.hand_on(self.batch, self.newest_before)
+            self.on_batch(self.batch, self.newest_before)
             self.batch, self.newest_before = [], self.newest
-            hatch = self.hatch
-            self.numbers = {ref: number for ref, number in self.numbers.items() if hatch.remembers(ref)}
+            controller = self.controller
+            self.numbers = {ref: number for ref, number in self.numbers.items() if controller.remembers(ref)}
 
-    # What the reducer tells the module.
+    # Inputs from the request state machine.
 
     def record_arrival(
         self,
@@ -65,9 +80,10 @@
         repeat_of: Ref,
         caller: int,
         work: float,
-        held_kb: float,
+        memory_kb: float,
         further_try: bool,
     ) -> None:
+        """Record the input and forward it to `AdmissionController.op_read`."""
         now, age, wait, work = self._time(now), _micro(age), _micro(wait), _micro(work)
         self.newest = self.numbers[ref] = self.newest + 1
         self._add(
@@ -82,103 +98,120 @@
             self.numbers.get(repeat_of, 0),
             caller,
             work,
-            held_kb,
+            memory_kb,
             int(further_try),
         )
-        self.hatch.record_arrival(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, held_kb, further_try)
+        self.controller.record_arrival(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, memory_kb, further_try)
 
     def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
+        """Record the input and forward it to `AdmissionController.run_ended`."""
         now = self._time(now)
         self._add(kinds.RUN_ENDED, now, self.numbers.get(ref, 0), int(ending))
-        self.hatch.record_run_end(now, ref, ending)
+        self.controller.record_run_end(now, ref, ending)
 
     def record_call_request(self, now: float, ref: Ref) -> None:
+        """Record the input and forward it to `AdmissionController.call_wanted`."""
         now = self._time(now)
         self._add(kinds.CALL_WANTED, now, self.numbers.get(ref, 0))
-        self.hatch.record_call_request(now, ref)
+        self.controller.record_call_request(now, ref)
 
     def record_call_end(self, now: float, ref: Ref, ending: int) -> None:
+        """Record the input and forward it to `AdmissionController.call_ended`."""
         now = self._time(now)
         self._add(kinds.CALL_ENDED, now, self.numbers.get(ref, 0), int(ending))
-        self.hatch.record_call_end(now, ref, ending)
+        self.controller.record_call_end(now, ref, ending)
 
     def record_abandonment(self, now: float, ref: Ref) -> None:
+        """Record the input and forward it to `AdmissionController.op_abandoned`."""
         now = self._time(now)
         self._add(kinds.ABANDONED, now, self.numbers.get(ref, 0))
-        self.hatch.record_abandonment(now, ref)
+        self.controller.record_abandonment(now, ref)
 
     def begin_drain(self, now: float, grace: float) -> None:
+        """Record the input and forward it to `AdmissionController.leave_notice`."""
         now, grace = self._time(now), round(grace, 6)
         self._add(kinds.LEAVE, now, grace)
-        self.hatch.begin_drain(now, grace)
+        self.controller.begin_drain(now, grace)
 
     def handle_wakeup(self, now: float, token: int, readings: Sequence[float]) -> None:
+        """Record the input and forward it to `AdmissionController.woken`."""
         now = self._time(now)
         self._add(kinds.WOKEN, now, token, tuple(readings))
-        self.hatch.handle_wakeup(now, token, readings)
+        self.controller.handle_wakeup(now, token, readings)
 
     def set_retry_storm(self, now: float, on: bool, first_tries: float) -> None:
+        """Record the input and forward it to `AdmissionController.storm_told`."""
         now = self._time(now)
         self._add(kinds.STORM, now, int(on), first_tries)
-        self.hatch.set_retry_storm(now, on, first_tries)
+        self.controller.set_retry_storm(now, on, first_tries)
 
     def record_early_rejections(self, now: float, count: int) -> None:
+        """Record the input and forward it to `AdmissionController.turned_back`."""
         now = self._time(now)
         self._add(kinds.TURNED_BACK, now, count)
-        self.hatch.record_early_rejections(now, count)
+        self.controller.record_early_rejections(now, count)
 
     def set_tenant_budget(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+        """Record the input and forward it to `AdmissionController.part_told`."""
         now = self._time(now)
         self._add(kinds.PART, now, tenant, window, tuple(figure for piece in pieces for figure in piece))
-        self.hatch.set_tenant_budget(now, tenant, window, pieces)
+        self.controller.set_tenant_budget(now, tenant, window, pieces)
 
     def set_dependency_share(self, now: float, share: float) -> None:
+        """Record the input and forward it to `AdmissionController.calls_told`."""
         now = self._time(now)
         self._add(kinds.CALLS, now, share)
-        self.hatch.set_dependency_share(now, share)
+        self.controller.set_dependency_share(now, share)
 
     def update_peer_load(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
+        """Record the input and forward it to `AdmissionController.others_told`."""
         now = self._time(now)
         self._add(kinds.OTHERS, now, room, int(ill), hear_most, shut)
-        self.hatch.update_peer_load(now, room, ill, hear_most, shut)
+        self.controller.update_peer_load(now, room, ill, hear_most, shut)
 
     def set_peer_offers(self, now: float, count: int) -> None:
+        """Record the input and forward it to `AdmissionController.offers_told`."""
         now = self._time(now)
         self._add(kinds.OFFERS, now, count)
-        self.hatch.set_peer_offers(now, count)
+        self.controller.set_peer_offers(now, count)
 
     def mark_received_from_peer(self, now: float, ref: Ref) -> None:
+        """Record the input and forward it to `AdmissionController.came_handed`."""
         now = self._time(now)
         self._add(kinds.HANDED, now, self.numbers.get(ref, 0))
-        self.hatch.mark_received_from_peer(now, ref)
+        self.controller.mark_received_from_peer(now, ref)
 
     def record_handover_end(self, now: float, ref: Ref, ending: int) -> None:
+        """Record the input and forward it to `AdmissionController.hand_ended`."""
         now = self._time(now)
         self._add(kinds.HAND_ENDED, now, self.numbers.get(ref, 0), int(ending))
-        self.hatch.record_handover_end(now, ref, ending)
+        self.controller.record_handover_end(now, ref, ending)
 
     @property
     def limit(self) -> int:
-        return self.hatch.limit
+        """The controller's concurrency limit."""
+        return self.controller.limit
 
     def capacity(self) -> float:
-        return self.hatch.capacity()
+        """Return the controller's measured capacity in requests per second."""
+        return self.controller.capacity()
 
-    # What it decides.
+    # Decisions.
 
     def next_decision(self, now: float) -> Decision | None:
+        """Return the controller's next decision, or None if there is none; both are recorded."""
         now = self._time(now)
-        decision = self.hatch.next_decision(now)
+        decision = self.controller.next_decision(now)
         if decision is None:
             self._add(kinds.PULLED, now)
-            if len(self.batch) >= BATCH:
+            if len(self.batch) >= BATCH_RECORDS:
                 self.flush()
             return None
         wake = decision.verb is Verb.WAKE
         self._add(
             kinds.DECIDED_FOR,
             now,
-            VERBS[decision.verb],
+            VERB_CODES[decision.verb],
             0 if wake else self.numbers.get(decision.ref, 0),
             decision.seconds,
             int(decision.flag),
@@ -188,5 +221,5 @@
         return decision
 
     def note(self, now: float, what: str, detail: str = "") -> None:
-        """For people: no part of what the module heard."""
+        """Record a note for operators; it is no input of the controller."""
         self._add(kinds.NOTE, self._time(now), what, detail)
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -1,4 +1,4 @@
-"""Defects planted one at a time, to see whether the search finds them: each takes one thing out of the program."""
+"""Defects that can be planted one at a time, to check that the search finds them; each removes one safeguard."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.gossip.members import Membership
 from mulleinhatch.instance.load_balancing.offers import OfferIssuer
-from mulleinhatch.instance.maintenance.paxos_register import Round, Voter
-from mulleinhatch.instance.maintenance.table import Table
+from mulleinhatch.instance.maintenance.paxos_register import ProposalRound, Voter
+from mulleinhatch.instance.maintenance.table import PermitTable
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 
 
@@ -28,26 +28,26 @@
 DEFECTS: dict[str, list[tuple[Any, str, Any]]] = {
     "an offer counts half": [(OfferIssuer, "outstanding", _offer_twice)],
     "a broken link proves that nothing ran": [(Reducer, "_handover_ended", _reruns_reducer)],
-    "a voter promises nothing": [(Voter, "_may", lambda voter, ballot: True)],
-    "one voter is a majority": [(Round, "_is_majority", lambda done, count: count >= 1)],
+    "a voter promises nothing": [(Voter, "_may_promise", lambda voter, proposal: True)],
+    "one voter is a majority": [(ProposalRound, "_is_majority", lambda done, count: count >= 1)],
     "the bound is not looked at": [
         (
-            Table,
-            "go",
+            PermitTable,
+            "grant",
             lambda table, name, zone, *more: (
-                table if table.permit(name) else table._with(out=(*table.out, _permit(table, name, zone)))
+                table if table.permit(name) else table._next_version(out=(*table.out, _permit(table, name, zone)))
             ),
         )
     ],
-    "permits are not given back": [(Table, "back", lambda table, name, fence: table)],
-    "suspicion is never refuted": [(Membership, "_apply_update_about_self", lambda members, now, rumour: None)],
+    "permits are not given back": [(PermitTable, "release", lambda table, name, fencing_token: table)],
+    "suspicion is never refuted": [(Membership, "_apply_update_about_self", lambda members, now, member_update: None)],
     "the gone are never asked again": [(Membership, "heard_lately", lambda members, now, name: False)],
     "an op at a peer is never given up": [(Expiry, "give_up_next", lambda expiry: None)],
-    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda hatch, now, grace: None)],
+    "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda controller, now, grace: None)],
 }
 
 
-def _permit(table: Table, name: str, zone: str) -> Any:
+def _permit(table: PermitTable, name: str, zone: str) -> Any:
     from mulleinhatch.instance.maintenance.table import Permit
 
     return Permit(name, zone, table.version + 1, "")
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
-    """Within it the program has that defect; an empty name plants none."""
+    """Plant a defect for the duration of the `with` block; an empty name plants none."""
     before = [(place, what, getattr(place, what)) for place, what, _ in DEFECTS.get(name, ())]
     for place, what, instead in DEFECTS.get(name, ()):
         setattr(place, what, instead)
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -1,9 +1,9 @@
-"""Load over a fleet in virtual time: real reducers, modules, fleet and spread cores; callers that know a few instances each.
+"""Load on a fleet in virtual time: real reducers, gossip and load-balancing cores; clients that know a few instances each.
 
-One seed, one history. Checked at each step: one answer an op and place, no non-retryable op run twice anywhere, offers never
-above room. `mode` says what the instances do: `alone` (today's text), `advice`, `spread`, and to compare `random` and
-`freshest` (hand-over to anybody, or to whom the last report shows the most room). `common_queue` is the
-limit: one line for all servers.
+One seed gives one history. Checked at each step: one answer for each request and connection, no non-retryable request runs
+twice anywhere, and offers never exceed the free capacity. `mode` selects what the instances do: `alone` (no load balancing),
+`advice`, `spread` (the mechanism), and for comparison `random` and `freshest` (hand-over to any peer, or to the peer whose last
+report shows the most free capacity). `common_queue` gives the upper bound: one queue for all servers.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.request_state_machine.events import Action, Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
-from mulleinhatch.simulation.gossip_world import GRACE, LINK, FleetWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import GRACE, LINK, GossipWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fake_interpreter import Cores
@@ -41,15 +41,18 @@
 
 
 class Load(NamedTuple):
-    """Callers and their ops. `load` is asked work over all that the instances can do."""
+    """Clients and their requests; `load` is the requested work over the fleet's capacity.
+
+    Histories store these fields by name, so the names stay.
+    """
 
     load: float = 0.9
     cores: int = 2
     work: float = 0.3  # seconds of a core, mean; runs scatter
     callers: int = 12
     listed: int = 5  # instances that a caller knows
-    mixed: bool = False  # lists drawn by chance; else neighbours, so that busy callers know the same few
-    one: float = 0.0  # of all ops by one caller
+    mixed: bool = False  # lists drawn at random; else neighbours, so that busy callers know the same few
+    one: float = 0.0  # of all requests by one caller
     uneven: float = 1.0  # how unevenly callers ask: 0 all alike, 1 the busiest three times the idlest
     heeding: float = 0.8
     list_delay: float = 1.0  # seconds until callers learn who is gone or new
@@ -60,7 +63,9 @@
     busy_callers: int = 0  # so many instances alone are known to callers; 0: all
 
 
-class Op:
+class Request:
+    """A client's request through all its attempts; slotted, as a history holds many thousands."""
+
     __slots__ = ("number", "kind", "born", "caller", "work", "tries", "over", "rank", "away")
 
     def __init__(self, number: int, kind: tuple, born: float, caller: int, work: float, rank: float) -> None:
@@ -72,22 +77,24 @@
 class Service(Node):
     """An instance with its reducer and its interpreter."""
 
-    def __init__(self, world: SpreadWorld, place: int) -> None:
+    def __init__(self, world: LoadBalancingWorld, place: int) -> None:
         super().__init__(world, place)
         self.spread: LoadBalancer | None = None
         self.reducer: Reducer | None = None
         self.cores: Cores | None = None
-        self.waiting_ops: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
+        self.pending_requests: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
         self.works: dict[str, tuple[float, bool, float]] = {}  # runs: work left to do, whether they fail, when they began
         self.ends = 0
         self.places = self.notices = 0
         self.nudged = False
         self.level = 0.0  # what callers were told last
-        self.cold_since = -math.inf
+        self.warming_up_since = -math.inf
         self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while it is stalled
 
 
-class SpreadWorld(FleetWorld):
+class LoadBalancingWorld(GossipWorld):
+    """A gossip world whose instances serve requests and hand them over to peers."""
+
     def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: LoadBalancingBounds = USUAL) -> None:
         assert mode in MODES
         self.load, self.mode, self.spread_bounds = (
@@ -100,12 +107,12 @@
         self.nodes = [Service(self, place) for place in range(plan.instances)]
         self.events.clear()
         for node in self.nodes:
-            self.at(draw.uniform(0.0, plan.beat), self.start, node)
+            self.at(draw.uniform(0.0, plan.heartbeat_s), self.start, node)
         for fault in self.faults:
             self.at(fault.at, self._fault, fault)
         speeds = load.speeds or (1.0,)
         self.speeds = [speeds[place % len(speeds)] for place in range(plan.instances)]
-        self.capacity = sum(self.speeds) * load.cores / load.work  # ops a second
+        self.capacity = sum(self.speeds) * load.cores / load.work  # requests a second
         # Each caller knows `listed` next to each other: busy callers' instances are the busy ones.
         step = plan.instances / load.callers
         self.lists = [
@@ -126,17 +133,17 @@
         self.known_up = [True] * plan.instances
         self.turns = [0] * load.callers
         self.hold_off: dict[tuple[int, int], float] = {}
-        self.ops = 0
+        self.requests = 0
         self.asked = self.in_time = 0.0
         self.latencies: list[float] = []
         self.idle_needed = 0.0
-        self.idle_then: list[tuple[float, list[int]]] = []
         self.arrivals: Counter[tuple[int, int]] = Counter()
         self.ran: Counter[int] = Counter()
-        self.once: set[int] = set()  # numbers of non-retryable ops
+        self.once: set[int] = set()  # numbers of non-retryable requests
         self.handed = Counter[str]()
-        self.handed_cold: dict[tuple[int, int], list[float]] = {}  # by place and life: seconds since its start
-        self.nacked_at = -1.0
+        # By place and incarnation: seconds from its start to each hand-over.
+        self.handed_while_warming_up: dict[tuple[int, int], list[float]] = {}
+        self.rejected_at = -1.0
         self.busy: list[list[float]] = []  # each half second, the share of each instance's cores in use
         self.wishes: list[list[float]] = []
         self.at(SETTLED - 2.0, self._born)
@@ -145,6 +152,7 @@
     # Instances.
 
     def start(self, node: Node) -> None:
+        """Start a new incarnation with its reducer, interpreter and load-balancing core."""
         if node.core:
             return
         super().start(node)
@@ -152,7 +160,7 @@
         node.spread = None
         if self.mode != "alone":
             bounds = self.spread_bounds._replace(at=f"10.0.0.1:{node.place}")
-            node.spread = LoadBalancer(bounds, node.core, self.draw.getrandbits(40), now, returns=node.lives > 1)
+            node.spread = LoadBalancer(bounds, node.core, self.draw.getrandbits(40), now, returns=node.incarnations > 1)
             node.core.handover_address = bounds.at
             if self.mode in ("random", "freshest"):
                 self._compared(node)
@@ -172,26 +180,26 @@
             "cold_speed": load.cold_speed,
         }
         node.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], node.place + 1)
-        node.cores, node.works, node.waiting_ops, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
+        node.cores, node.works, node.pending_requests, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
         node.notices, node.level = 0, 0.0
         if node.spread:
             node.reducer.keeps_handover_data = self.spread_bounds.hand_over
             node.reducer.on_run_ended, node.reducer.on_client_request = node.spread.record_run, node.spread.record_arrival
         self._take(node, Event.LINK_OPENED)
-        cold = node.lives > 1 and load.cold_for > 0.0
-        node.cold_since = self.now if cold else -math.inf
-        self._take(node, Event.INTERPRETER_READY, cold, 0.0 if cold else 100.0)
-        self.at(self.now + load.list_delay, self._listed, node, node.lives, True)
+        is_warming_up = node.incarnations > 1 and load.cold_for > 0.0
+        node.warming_up_since = self.now if is_warming_up else -math.inf
+        self._take(node, Event.INTERPRETER_READY, is_warming_up, 0.0 if is_warming_up else 100.0)
+        self.at(self.now + load.list_delay, self._listed, node, node.incarnations, True)
 
-    def _listed(self, node: Service, life: int, up: bool) -> None:
-        if not up and node.core and node.lives > life:
+    def _listed(self, node: Service, incarnation: int, up: bool) -> None:
+        if not up and node.core and node.incarnations > incarnation:
             return
         self.known_up[node.place] = up
 
     def _compared(self, node: Service) -> None:
-        """What others do without offers, for the same module and rules."""
+        """Replace offers by the peer selection of the compared modes; module and rules stay the same."""
         spread = node.spread
-        spread.offer_issuer.issue = lambda *told, **more: []
+        spread.offer_issuer.issue = lambda *arguments, **more: []
 
         def choices() -> list[tuple[float, str]]:
             now = node.clock(self.now)
@@ -223,38 +231,43 @@
                 self._died(node)
             elif fault.what == "go" and node.core:
                 later, node.later = node.later, []
-                for act, told in later:
-                    act(*told)
+                for act, arguments in later:
+                    act(*arguments)
             elif fault.what == "leave" and core:
-                self.at(self.now + self.load.list_delay, self._listed, node, node.lives, False)
+                self.at(self.now + self.load.list_delay, self._listed, node, node.incarnations, False)
 
-    def _gone(self, node: Node, life: int) -> None:
-        if node.lives == life and node.core:
-            super()._gone(node, life)
+    def _gone(self, node: Node, incarnation: int) -> None:
+        if node.incarnations == incarnation and node.core:
+            super()._gone(node, incarnation)
             self._died(node)
 
     def _died(self, node: Service) -> None:
-        waiting, node.waiting_ops, node.works = node.waiting_ops, {}, {}
-        self.at(self.now + self.load.list_delay, self._listed, node, node.lives, False)
+        waiting, node.pending_requests, node.works = node.pending_requests, {}, {}
+        self.at(self.now + self.load.list_delay, self._listed, node, node.incarnations, False)
         for answered in waiting.values():
             answered("broken", b"")
 
-    def _beat(self, node: Node, life: int, again: bool = True) -> None:
-        if node.core is None or node.lives != life:
+    def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
+        if node.core is None or node.incarnations != incarnation:
             return
         if node.spread and not node.stalled:
             now = node.clock(self.now)
             self._send(node, node.spread.heartbeat(now, self._here(node)))
             self._check_offers(node, now)
             self._offers(node)
-            told = (node.core.free_fraction(now), node.core.is_judged_unhealthy(), math.inf, node.spread.redirect_fraction)
-            if told != getattr(node, "told", None):
-                node.told = told
-                self._take(node, Event.PEER_LOAD_CHANGED, *told)
-        super()._beat(node, life, again)
+            conditions = (
+                node.core.free_fraction(now),
+                node.core.is_judged_unhealthy(),
+                math.inf,
+                node.spread.redirect_fraction,
+            )
+            if conditions != getattr(node, "last_conditions", None):
+                node.last_conditions = conditions
+                self._take(node, Event.PEER_LOAD_CHANGED, *conditions)
+        super()._send_heartbeat(node, incarnation, again)
 
     def local(self, node: Node) -> Any:
-        """What it says of itself in its reports."""
+        """Return the figures and opinions that the instance reports."""
         now, reducer = node.clock(self.now), node.reducer
         counts = reducer.counts
         figures = [
@@ -299,13 +312,13 @@
 
     # What a reducer asks for.
 
-    def _take(self, node: Service, event: Event, *told: Any) -> None:
+    def _take(self, node: Service, event: Event, *arguments: Any) -> None:
         if node.core is None:
             return
         if node.stalled:
-            node.later.append((self._take, (node, event, *told)))
+            node.later.append((self._take, (node, event, *arguments)))
             return
-        for action, *fields in node.reducer.reduce(node.clock(self.now), event, *told):
+        for action, *fields in node.reducer.reduce(node.clock(self.now), event, *arguments):
             self._do(node, action, fields)
         if (
             node.spread
@@ -314,11 +327,11 @@
             and event in (Event.REQUEST_RECEIVED, Event.RUN_ENDED)
         ):
             node.nudged = True
-            self.at(self.now + NUDGE, self._nudged, node, node.lives)
+            self.at(self.now + NUDGE, self._nudged, node, node.incarnations)
 
-    def _nudged(self, node: Service, life: int) -> None:
+    def _nudged(self, node: Service, incarnation: int) -> None:
         node.nudged = False
-        if node.lives == life and node.core and not node.stalled:
+        if node.incarnations == incarnation and node.core and not node.stalled:
             self._send(node, node.spread.on_load_change(node.clock(self.now), self._here(node)))
             self._check_offers(node, node.clock(self.now))
             self._offers(node)
@@ -334,13 +347,13 @@
             self._run(node, fields[0], fields[2])
         elif action is Action.REQUEST_GAUGES:
             use = min(1.0, len(node.works) / self.load.cores)
-            self.at(self.now, self._for_life, node, node.lives, Event.GAUGES_RECEIVED, fields[0], [use])
+            self.at(self.now, self._for_incarnation, node, node.incarnations, Event.GAUGES_RECEIVED, fields[0], [use])
         elif action is Action.SET_TIMER:
-            self.at(self.now + fields[0], self._for_life, node, node.lives, Event.TIMER_EXPIRED, fields[1])
+            self.at(self.now + fields[0], self._for_incarnation, node, node.incarnations, Event.TIMER_EXPIRED, fields[1])
         elif action is Action.HAND_OVER:
             self._hand(node, *fields)
         elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
-            answered = node.waiting_ops.pop(fields[0], None)
+            answered = node.pending_requests.pop(fields[0], None)
             if answered is None:
                 raise InvariantBrokenError(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
             node.level = fields[-1] or 0.0
@@ -351,9 +364,9 @@
                 fields[1] if action is Action.SEND_RESULT else fields[1:3] if action is Action.SEND_REJECTION else b"",
             )
 
-    def _for_life(self, node: Service, life: int, event: Event, *told: Any) -> None:
-        if node.lives == life:
-            self._take(node, event, *told)
+    def _for_incarnation(self, node: Service, incarnation: int, event: Event, *arguments: Any) -> None:
+        if node.incarnations == incarnation:
+            self._take(node, event, *arguments)
 
     def _run(self, node: Service, ref: str, body: bytes) -> None:
         number, work = body.split()
@@ -365,7 +378,7 @@
         slow = (
             max(1.0, faults.amount(self.faults, "slow", self.now, node.place))
             / self.speeds[node.place]
-            / self.warmth(self.now - node.cold_since)
+            / self.warmth(self.now - node.warming_up_since)
         )
         bad = self.draw.random() < faults.amount(self.faults, "failing", self.now, node.place)
         node.works[ref] = (float(work), bad, self.now)
@@ -373,15 +386,19 @@
         self._next_end(node)
 
     def warmth(self, since: float) -> float:
-        """The share of its speed that an instance has so many seconds after its cold start."""
+        """Return the share of its speed that an instance has so many seconds after a cold start."""
         load = self.load
         return 1.0 if since >= load.cold_for else load.cold_speed + (1.0 - load.cold_speed) * since / load.cold_for
 
     def over_ramp(self, window: float) -> tuple[float, int]:
-        """Of ops that peers sent to cold instances: the most in any `window` beyond N + 2 root of N + 2, N being what the ramp
-        allows then; and how many came in all."""
+        """Measure how far hand-overs to warming-up instances exceeded the ramp.
+
+        Returns:
+            The most requests in any `window` seconds beyond N + 2 sqrt(N) + 2, N being what the ramp allows then; and
+            the number of requests handed over to such instances in all.
+        """
         worst, count = -math.inf, 0
-        for times in self.handed_cold.values():
+        for times in self.handed_while_warming_up.values():
             count += len(times)
             for first, at in enumerate(times):
                 came = sum(at <= other < at + window for other in times[first:])
@@ -393,10 +410,10 @@
         node.ends += 1
         left = node.cores.next_end(self.now)
         if left is not None:
-            self.at(self.now + max(0.0, left), self._ended, node, node.lives, node.ends)
+            self.at(self.now + max(0.0, left), self._ended, node, node.incarnations, node.ends)
 
-    def _ended(self, node: Service, life: int, number: int) -> None:
-        if node.lives != life or node.core is None or node.ends != number:
+    def _ended(self, node: Service, incarnation: int, number: int) -> None:
+        if node.incarnations != incarnation or node.core is None or node.ends != number:
             return
         for ref in node.cores.ended(self.now + 1e-9):
             _, bad, _ = node.works.pop(ref, (0.0, False, 0.0))
@@ -410,7 +427,7 @@
         self,
         node: Service,
         ref: str,
-        op_type: str,
+        request_type: str,
         tenant: str,
         body: bytes,
         age: float,
@@ -423,9 +440,9 @@
         key: str,
     ) -> None:
         offer = node.spread.take_offer(node.clock(self.now))
-        life = node.lives
+        incarnation = node.incarnations
         if offer is None:
-            self.at(self.now, self._for_life, node, life, Event.HANDOVER_ENDED, ref, Ending.UNREACHABLE, b"")
+            self.at(self.now, self._for_incarnation, node, incarnation, Event.HANDOVER_ENDED, ref, Ending.UNREACHABLE, b"")
             return
         peer = self.nodes[int(offer.address.rpartition(":")[2])]
         self.handed["to " + ("offers" if offer.number else "guesses")] += 1
@@ -436,7 +453,7 @@
                 return
             ended.append(ending)
             self.handed[ending.name.lower()] += 1
-            if node.lives == life and node.core:
+            if node.incarnations == incarnation and node.core:
                 node.spread.record_handover(
                     node.clock(self.now),
                     offer,
@@ -458,12 +475,12 @@
             self._arrives_handed,
             node,
             peer,
-            peer.lives,
+            peer.incarnations,
             offer,
             over,
             (
                 ref,
-                op_type,
+                request_type,
                 tenant,
                 age,
                 max(0.01, left - 0.08) if left else 0.0,
@@ -479,13 +496,15 @@
         )
 
     def _arrives_handed(
-        self, node: Service, peer: Service, life: int, offer: ReceivedOffer, over: Callable[..., None], told: tuple
+        self, node: Service, peer: Service, incarnation: int, offer: ReceivedOffer, over: Callable[..., None], arguments: tuple
     ) -> None:
-        if peer.core is None or peer.lives != life:
+        if peer.core is None or peer.incarnations != incarnation:
             over(Ending.INTERRUPTED)
             return
-        if self.now - peer.cold_since < self.load.cold_for:
-            self.handed_cold.setdefault((peer.place, peer.lives), []).append(self.now - peer.cold_since)
+        if self.now - peer.warming_up_since < self.load.cold_for:
+            self.handed_while_warming_up.setdefault((peer.place, peer.incarnations), []).append(
+                self.now - peer.warming_up_since
+            )
         if peer.spread:
             peer.spread.offer_issuer.redeem(peer.clock(self.now), offer.number)
 
@@ -497,14 +516,14 @@
                     result if what == "ack" else b"",
                 )
 
-        self._read(peer, answered, told)
+        self._read(peer, answered, arguments)
 
-    def _read(self, node: Service, answered: Callable[..., None], told: tuple) -> None:
+    def _read(self, node: Service, answered: Callable[..., None], arguments: tuple) -> None:
         if self.now >= SETTLED:
             self.arrivals[node.place, int(self.now)] += 1
         node.places += 1
-        node.waiting_ops[node.places] = answered
-        self._take(node, Event.REQUEST_RECEIVED, node.places, *told)
+        node.pending_requests[node.places] = answered
+        self._take(node, Event.REQUEST_RECEIVED, node.places, *arguments)
 
     # Callers.
 
@@ -513,115 +532,117 @@
         if self.now >= self.plan.until - TARGET - 0.5:
             return
         self.at(self.now + draw.expovariate(load.load * self.capacity), self._born)
-        self.ops += 1
+        self.requests += 1
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
         caller = draw.choices(range(load.callers), self.weights)[0]
-        op = Op(self.ops, kind, self.now, caller, load.work * draw.uniform(0.4, 1.6), draw.random())
+        request = Request(self.requests, kind, self.now, caller, load.work * draw.uniform(0.4, 1.6), draw.random())
         if kind[1] is not Effect.RETRYABLE:
-            self.once.add(op.number)
+            self.once.add(request.number)
         if self.now >= SETTLED:
             self.asked += kind[2]
-        self._try(op)
+        self._try(request)
 
-    def _try(self, op: Op) -> None:
+    def _try(self, request: Request) -> None:
         load = self.load
-        wait = TIMEOUT - (self.now - op.born)
-        if op.over or op.tries >= MOST_TRIES or wait < 0.1:
-            op.over = True
+        wait = TIMEOUT - (self.now - request.born)
+        if request.over or request.tries >= MOST_TRIES or wait < 0.1:
+            request.over = True
             return
-        op.tries += 1
-        heeds = (op.number * 7919 % 1000) / 1000.0 < load.heeding
-        listed = [place for place in self.lists[op.caller] if self.known_up[place]] or self.lists[op.caller]
-        self.turns[op.caller] += 1
-        start = self.turns[op.caller]
+        request.tries += 1
+        heeds = (request.number * 7919 % 1000) / 1000.0 < load.heeding
+        listed = [place for place in self.lists[request.caller] if self.known_up[place]] or self.lists[request.caller]
+        self.turns[request.caller] += 1
+        start = self.turns[request.caller]
         ordered = [listed[(start + turn) % len(listed)] for turn in range(len(listed))]
-        fresh = [place for place in ordered if place not in op.away] or ordered
+        fresh = [place for place in ordered if place not in request.away] or ordered
         chosen = fresh[0]
         if heeds:
-            able = [place for place in fresh if self.hold_off.get((op.caller, place), 0.0) <= self.now]
-            chosen = next((place for place in able if op.rank >= self.nodes[place].level), able[0] if able else chosen)
+            able = [place for place in fresh if self.hold_off.get((request.caller, place), 0.0) <= self.now]
+            chosen = next((place for place in able if request.rank >= self.nodes[place].level), able[0] if able else chosen)
         node = self.nodes[chosen]
         if node.core is None:
-            self._broken(op, chosen, refused=True)
+            self._broken(request, chosen, refused=True)
             return
         ref = f"{self.draw.getrandbits(60):016x}"
-        life = node.lives
+        incarnation = node.incarnations
 
         def answered(what: str, result: Any) -> None:
-            self._answered(op, chosen, what, result, heeds)
+            self._answered(request, chosen, what, result, heeds)
 
-        self.at(self.now + wait + 0.2, self._too_late, op)
+        self.at(self.now + wait + 0.2, self._too_late, request)
         self.at(
             self.now + self.draw.uniform(*LINK),
             self._reads,
             node,
-            life,
+            incarnation,
             answered,
             (
                 ref,
-                op.kind[0],
+                request.kind[0],
                 "",
                 0.0,
                 wait,
-                op.caller,
-                op.work,
+                request.caller,
+                request.work,
                 1.0,
-                op.tries > 1 and load.marked,
+                request.tries > 1 and load.marked,
                 "",
-                b"%d %.6f" % (op.number, op.work),
-                op.rank,
+                b"%d %.6f" % (request.number, request.work),
+                request.rank,
             ),
         )
 
-    def _reads(self, node: Service, life: int, answered: Callable[..., None], told: tuple) -> None:
-        if node.core is None or node.lives != life:
+    def _reads(self, node: Service, incarnation: int, answered: Callable[..., None], arguments: tuple) -> None:
+        if node.core is None or node.incarnations != incarnation:
             answered("broken", b"")
         else:
-            self._read(node, answered, told)
+            self._read(node, answered, arguments)
 
-    def _too_late(self, op: Op) -> None:
-        op.over = op.over or self.now - op.born >= TIMEOUT
+    def _too_late(self, request: Request) -> None:
+        request.over = request.over or self.now - request.born >= TIMEOUT
 
-    def _answered(self, op: Op, place: int, what: str, result: Any, heeds: bool) -> None:
+    def _answered(self, request: Request, place: int, what: str, result: Any, heeds: bool) -> None:
         if what == "ack":
-            if not op.over and op.born >= SETTLED:
-                self.latencies.append(self.now - op.born)
-                if self.now - op.born <= TARGET:
-                    self.in_time += op.kind[2]
-            op.over = True
+            if not request.over and request.born >= SETTLED:
+                self.latencies.append(self.now - request.born)
+                if self.now - request.born <= TARGET:
+                    self.in_time += request.kind[2]
+            request.over = True
         elif what == "nack":
-            self.nacked_at = self.now
+            self.rejected_at = self.now
             self.counts["nacked"] += 1
-            op.away.add(place)
+            request.away.add(place)
             seconds, not_elsewhere = result
             if heeds and seconds:
-                self.hold_off[op.caller, place] = self.now + seconds
+                self.hold_off[request.caller, place] = self.now + seconds
             if not (heeds and not_elsewhere):
-                self.at(self.now + PAUSE, self._try, op)
+                self.at(self.now + PAUSE, self._try, request)
         elif what == "broken":
-            self._broken(op, place, refused=False)
+            self._broken(request, place, refused=False)
         else:
             self.counts["failed"] += 1
-            if op.kind[1] is Effect.RETRYABLE:
-                self.at(self.now + PAUSE, self._try, op)
+            if request.kind[1] is Effect.RETRYABLE:
+                self.at(self.now + PAUSE, self._try, request)
 
-    def _broken(self, op: Op, place: int, refused: bool) -> None:
+    def _broken(self, request: Request, place: int, refused: bool) -> None:
         self.counts["refused" if refused else "broken"] += 1
-        op.away.add(place)
-        if refused or op.kind[1] is Effect.RETRYABLE:
-            self.at(self.now + PAUSE, self._try, op)
+        request.away.add(place)
+        if refused or request.kind[1] is Effect.RETRYABLE:
+            self.at(self.now + PAUSE, self._try, request)
 
     # What is seen from outside.
 
     def _look(self) -> None:
         self.at(self.now + LOOK, self._look)
         up = [node for node in self.nodes if node.core and not node.stalled]
-        held = {node.place: len(node.reducer.requests) - node.reducer.run_count - node.reducer.handed_over_count for node in up}
-        needing = sum(count > 0 for count in held.values()) > 0 or self.now - self.nacked_at < LOOK
+        pending = {
+            node.place: len(node.reducer.requests) - node.reducer.run_count - node.reducer.handed_over_count for node in up
+        }
+        needing = sum(count > 0 for count in pending.values()) > 0 or self.now - self.rejected_at < LOOK
         if needing:
             idle = sum(
                 not node.works
-                and not held[node.place]
+                and not pending[node.place]
                 and node.reducer.stop_at is None
                 and faults.amount(self.faults, "failing", self.now, node.place) < 0.5
                 for node in up
@@ -632,7 +653,7 @@
             self.wishes.append([node.spread.redirect_fraction if node.spread else node.level for node in self.nodes])
 
     def figures(self) -> dict[str, float]:
-        """Of all that was asked for after `SETTLED`."""
+        """Return the measured figures of all requests since `SETTLED`."""
         latencies = sorted(self.latencies) or [math.inf]
         seconds = sorted({second for _, second in self.arrivals})[:-1]
         mean = sum(self.arrivals[place, second] for place in range(self.plan.instances) for second in seconds) / max(
@@ -652,34 +673,36 @@
 
 
 def common_queue(plan: Plan, load: Load) -> dict[str, float]:
-    """All servers behind one line, by importance and then by arrival, each op given up when it can't be in time: no fleet of
-    instances can do better at the same ops."""
+    """Return the figures of one queue for all servers, the upper bound for any fleet of instances.
+
+    Requests are served by importance, then by arrival, and dropped when they can no longer finish within the target.
+    """
     draw = random.Random(plan.seed + 77)
     speeds = load.speeds or (1.0,)
     slots = [speeds[place % len(speeds)] for place in range(plan.instances) for _ in range(load.cores)]
     capacity = sum(slots) / load.work
-    now, ops = SETTLED - 2.0, []
+    now, requests = SETTLED - 2.0, []
     while now < plan.until - TARGET - 0.5:
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
-        ops.append((now, kind[2], load.work * draw.uniform(0.4, 1.6)))
+        requests.append((now, kind[2], load.work * draw.uniform(0.4, 1.6)))
         now += draw.expovariate(load.load * capacity)
     free = [(0.0, -speed) for speed in slots]
     heapq.heapify(free)
     asked = in_time = 0.0
-    latencies, line, at = [], [], deque(ops)
+    latencies, line, at = [], [], deque(requests)
     while at or line:
         moment, speed = heapq.heappop(free)
         if not line and at:
             moment = max(moment, at[0][0])
         while at and at[0][0] <= moment:
-            born, worth, work = at.popleft()
-            asked += worth if born >= SETTLED else 0.0
-            heapq.heappush(line, (-worth, born, work))
+            born, value, work = at.popleft()
+            asked += value if born >= SETTLED else 0.0
+            heapq.heappush(line, (-value, born, work))
         if line:
-            worth, born, work = heapq.heappop(line)
+            value, born, work = heapq.heappop(line)
             took = moment + work / -speed - born
             if took <= TARGET:
-                in_time += -worth if born >= SETTLED else 0.0
+                in_time += -value if born >= SETTLED else 0.0
                 latencies.append(took)
                 moment += work / -speed
         heapq.heappush(free, (moment, speed))
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -1,10 +1,11 @@
-"""Hollow instances: where they stand, what they are told at start, what they say of themselves, which weather they meet.
+"""Simulated instances at scale: topology, start-up configuration, reported figures, and the faults they meet.
 
-A hollow instance is the real cores (fleet; spread and upkeep as configured) with their real datagrams as bytes, without callers
-and interpreter. `hollow_world.py` plays many of them in virtual time, `hollow_shards.py` in several processes.
+A simulated instance is the real cores (gossip; load balancing and maintenance as configured) with their real datagrams as
+bytes, without clients and interpreter. `scale_world.py` plays many of them in virtual time, `scale_shards.py` in several
+processes.
 
-Places are numbered so that a zone, a region and a rack is a range each. Scripts are those of `faults.py`, in which a list of
-places may also name `zone3`, `region0`, `rack17`, and in which these are understood besides:
+Places are numbered so that a zone, a region and a rack are a range each. Scripts are those of `testing/fault_script.py`, in
+which a list of places may also name `zone3`, `region0`, `rack17`, and which understand in addition:
 
     at 4 replace 3,9 for 2                # they end; after 2 s others start in their places, by new names and addresses
 """
@@ -24,43 +25,44 @@
 HEADERS = 28  # bytes of UDP and IP round a datagram
 RACK = 40  # instances
 PORT = 7300  # of an address's first holder; who replaces it has the next
-OPS = 275.0  # a second that each says it takes: figures of a usual length make reports of a usual length
+REQUESTS_PER_S = 275.0  # a second that each says it takes: figures of a usual length make reports of a usual length
 TENANTS = 250_000
-FLAT_BEAT, LEVELS_BEAT = 0.1, 0.25
+FLAT_HEARTBEAT_S, LEVELS_HEARTBEAT_S = 0.1, 0.25
 KINDS = re.compile(r"\b(zone|region|rack)(\d+)\b")
 
 
 class Plan(NamedTuple):
-    """What is played. Times are seconds of virtual time."""
+    """What is played; times are seconds of virtual time."""
 
     members: int = 225
     regions: int = 3
     zones: int = 3  # of each region
     levels: bool = False  # zone, region and group are told; else one flat fleet
     group_size: int = 25  # with levels: members in a group, about
-    beat: float = 0.0  # 0: the mechanism's own
+    heartbeat_s: float = 0.0  # 0: the mechanism's own
     script: str = ""
     seed: int = 1
     start_within: float = 0.1  # all start in this time
     introduced: bool = False  # flat: each knows all from the start, by letters that are no part of the count
-    busy: bool = True  # figures as long as those of an instance that takes 275 ops a second; else zeros
+    busy: bool = True  # figures as long as those of an instance that takes 275 requests a second; else zeros
     spread: bool = False
-    upkeep: int = 0  # voters; 0: no upkeep
+    maintenance_voters: int = 0  # 0: no maintenance windows
     budgets: tuple[tuple[str, int, float], ...] = ()  # name, total, window
     demand: float = 1.0  # units asked for over the even part
     watched: int = 1  # in each zone, members whose sums are looked at each quarter of a second
 
 
 class InvalidPlanError(ValueError):
-    """The text says what does not fit."""
+    """The plan is inconsistent; the text says how."""
 
 
 def knows_levels() -> bool:
+    """Return whether this version of the gossip package has zones."""
     return "zone" in FleetBounds._fields
 
 
 class Ground:
-    """Geometry, names and addresses: the same in each process, from the plan alone.
+    """Topology, names and addresses, derived from the plan alone and so the same in each process.
 
     >>> ground = Ground(Plan(members=90))
     >>> ground.zone[35], ground.region[35], ground.places_of("zone3"), ground.translated("at 1 kill zone3,5")
@@ -85,14 +87,17 @@
 
     @staticmethod
     def name(place: int, generation: int) -> str:
+        """Return the name of the `generation`-th instance at a place."""
         return f"n{place}x{generation}" if generation else f"n{place}"
 
     @staticmethod
     def address(place: int, generation: int) -> str:
+        """Return the address of the `generation`-th instance at a place."""
         return f"10.{place >> 16}.{place >> 8 & 255}.{place & 255}:{PORT + generation}"
 
     @staticmethod
     def place_named(name: str) -> int:
+        """Return the place of an instance's name."""
         return int(name.rpartition("/")[2][1:].partition("x")[0])
 
     def places_of(self, kind: str) -> tuple[int, int]:
@@ -106,72 +111,84 @@
         return where.index(int(number)), len(where) - 1 - where[::-1].index(int(number))
 
     def translated(self, script: str) -> str:
+        """Replace zones, regions and racks in a script by ranges of places."""
         return KINDS.sub(lambda found: "{}-{}".format(*self.places_of(found[0])), script)
 
     def faults(self, script: str) -> list[faults.Fault]:
-        """Errors: `faults.FaultScriptError` names the line, `InvalidPlanError` the place kind."""
+        """Parse a script.
+
+        Raises:
+            FaultScriptError: A line is no fault.
+            InvalidPlanError: A zone, region or rack does not exist.
+        """
         return faults.read(self.translated(script), self.plan.members)
 
     def link(self, sender: int, to: int) -> tuple[float, float]:
+        """Return the shortest and the longest delay between two places, in seconds."""
         return LINKS[0 if self.zone[sender] == self.zone[to] else 1 if self.region[sender] == self.region[to] else 2]
 
     def path(self, place: int) -> str:
+        """Return the name of a place with its region and zone."""
         return f"r{self.region[place]}/z{self.zone[place]}/n{place}"
 
     def seats(self) -> tuple[str, ...]:
+        """Return the names of all places, as budgets list them."""
         return tuple(self.path(place) if self.plan.levels else f"n{place}" for place in range(self.plan.members))
 
     def bounds(self) -> list[FleetBounds]:
-        """By zone."""
+        """Return the gossip settings, by zone."""
         plan = self.plan
         seats = self.seats() if plan.budgets else ()
         budgets = tuple(BudgetBounds(name, total, seats, window) for name, total, window in plan.budgets)
-        usual = FleetBounds("hollow", heartbeat_s=plan.beat or (LEVELS_BEAT if plan.levels else FLAT_BEAT), budgets=budgets)
+        usual = FleetBounds(
+            "hollow", heartbeat_s=plan.heartbeat_s or (LEVELS_HEARTBEAT_S if plan.levels else FLAT_HEARTBEAT_S), budgets=budgets
+        )
         if not plan.levels:
             seeds = tuple(self.address(place, 0) for place in (0, 1, plan.members // 2))
             return [usual._replace(seeds=seeds)] * len(self.firsts)
-        told = []
+        bounds_by_zone = []
         for zone, first in enumerate(self.firsts):
             size = plan.members // len(self.firsts)
             seeds = tuple(self.address(first + place, 0) for place in sorted({0, 1, size // 2}))
             beyond = tuple(self.address(other + turn, 0) for turn in (0, 1) for other in self.firsts if other != first)
-            told.append(
+            bounds_by_zone.append(
                 usual._replace(seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups, beyond=beyond)
             )
-        return told
+        return bounds_by_zone
 
     def watched(self) -> list[int]:
-        """Places whose sums are looked at: not the first of a zone, which are seeds."""
+        """Return the places whose sums are sampled; seeds (the first of a zone) are left out."""
         size = self.plan.members // len(self.firsts)
         return sorted({first + min(size - 1, size // 3 + turn) for first in self.firsts for turn in range(self.plan.watched)})
 
 
 class Says:
-    """What one hollow instance says of itself, as one that takes ops at the target's rate would: counters that grow."""
+    """The figures that a simulated instance reports, as one that serves requests at the target's rate would."""
 
     def __init__(self, plan: Plan, draw: random.Random) -> None:
         self.busy = plan.busy
-        self.rate = OPS * draw.uniform(0.7, 1.3)
-        self.loudest = (
+        self.rate = REQUESTS_PER_S * draw.uniform(0.7, 1.3)
+        self.heavy_hitters = (
             [(f"tenant-{draw.randrange(TENANTS)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2)) for turn in range(4)]
             if plan.busy
             else []
         )
 
     def local(self, age: float, demands: tuple[float, ...]) -> LocalState:
+        """Return the figures `age` seconds after the start."""
         if not self.busy:
             return LocalState(demands=demands)
-        ops = self.rate * age
+        requests = self.rate * age
         figures = [
-            int(ops),
-            int(0.01 * ops),
-            int(0.98 * ops),
-            int(0.015 * ops),
+            int(requests),
+            int(0.01 * requests),
+            int(0.98 * requests),
+            int(0.015 * requests),
             12,
             40,
             300,
             1,
-            int(0.001 * ops),
+            int(0.001 * requests),
             8,
             48,
             100,
@@ -179,7 +196,7 @@
             100,
             850,
         ]
-        return LocalState(figures, demands, self.loudest)
+        return LocalState(figures, demands, self.heavy_hitters)
 
 
 # Weather.
@@ -188,7 +205,7 @@
 def churn(
     draw: random.Random, members: int, a_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
 ) -> str:
-    """Restarts and replacements at a rate, by chance over the time; nobody twice. `away` is the mean time out, in seconds."""
+    """Draw restarts and replacements at a daily rate, each place once at most; `away` is the mean time out in seconds."""
     count = round(a_day * length / 86_400.0)
     chosen = draw.sample(range(members), min(members, count))
     return "\n".join(
@@ -199,6 +216,7 @@
 
 
 def restart_all(draw: random.Random, members: int, start: float, length: float, away: float = 1.0) -> str:
+    """Return a script that restarts every place once within `length` seconds."""
     return "\n".join(f"at {start + draw.uniform(0.0, length):.3f} kill {place} for {away:g}" for place in range(members))
 
 
@@ -216,10 +234,19 @@
     return ",".join(f"{first}-{last}" if last > first else f"{first}" for first, last in runs)
 
 
-def weather(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
-    """A script by chance for levels: speakers that die, stall or are cut from their zone alone, one-way cuts and cuts between
-    regions, loss. `speakers` are those that speak for their groups when it is drawn (`World.speakers`); any others will do.
-    All is over by `start + length`."""
+def draw_fault_script(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
+    """Draw a fault script for a hierarchical fleet, all over by `start + length`.
+
+    Group speakers die, stall or are cut from their zone, links fail in one direction, regions are separated, datagrams
+    are lost.
+
+    Args:
+        draw: Source of random numbers.
+        ground: The topology.
+        speakers: The places that speak for their groups now (`World.speakers`); any others will do.
+        start: When faults may begin.
+        length: Seconds until all are over.
+    """
     members, lines = ground.plan.members, []
     speakers = speakers or sorted(draw.sample(range(members), min(members, 9)))
     for _ in range(draw.randint(2, 5)):
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -13,7 +13,7 @@
 
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.admission.interface import Decision, Verb
-from mulleinhatch.instance.deployment_settings import deployment, pairs_of_lines
+from mulleinhatch.instance.deployment_settings import parse_deployment, split_profile_lines
 
 BATCH_HEADER = struct.Struct(">IdI")  # bytes of the body, time, number of the batch
 REPLY_HEADER = struct.Struct(">III")  # records, their bytes, number of the batch
@@ -163,7 +163,7 @@
 def create_controller(settings: bytes, seed: int, now: float, offset: int) -> AdmissionController:
     """Make the controller of an instance from the `name=value` lines that the simulator sends at its start."""
     try:
-        parsed = deployment(pairs_of_lines(settings.decode()))
+        parsed = parse_deployment(split_profile_lines(settings.decode()))
     except ValueError as error:
         raise MalformedFrameError(f"unreadable opening pairs at byte {offset}: {error}") from None
     return AdmissionController(parsed, seed, now)
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -1,8 +1,8 @@
-"""Stand-in caller stubs: open load with habits, in a process of its own.
+"""Fake clients: open-loop load with configurable behaviour, in a process of its own.
 
-Runs as `python -m mulleinhatch.testing.fake_callers`, with its habits as one JSON line on standard input; at the end of its
-time, or on SIGTERM, it prints one JSON line. Ops come by a Poisson process whatever becomes of the earlier ones; an op
-is tried until it is acked, failed for good, or its client's patience is over.
+Runs as `python -m mulleinhatch.testing.fake_callers`, with its settings (`Habits`) as one JSON line on standard input; at the
+end of its time, or on SIGTERM, it prints one JSON line. Requests arrive by a Poisson process whatever happens to earlier ones;
+each is tried until it is served, fails finally, or its client's patience is over.
 """
 
 from __future__ import annotations
@@ -26,17 +26,19 @@
 LIST_EVERY = 0.5  # seconds between two lists of the directory
 
 
-class OpKind(msgspec.Struct, frozen=True):
+class RequestKind(msgspec.Struct, frozen=True):
+    """A kind of request, its share of the load, and when clients may retry it."""
+
     name: str
     share: float
-    repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a nack or a broken link
+    repeats: str = "safe"  # safe: after any failure; keyed: with its key; unsafe: after a rejection or a broken link
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the stubs of one process do; times are seconds, rates ops a second, shares from 0 to 1."""
+    """The behaviour of one process's clients; times are seconds, rates requests a second, shares from 0 to 1."""
 
     instances: list[tuple[str, int]]
-    kinds: list[OpKind]
+    kinds: list[RequestKind]
     start_at: float  # on the system's clock
     run_for: float
     rate: float
@@ -44,26 +46,26 @@
     first_caller: int = 0
     callers: int = 4
     patience: float = 4.5  # of a client, over all its tries
-    try_wait: float = 4.5  # of a stub for one try
+    try_wait: float = 4.5  # of a client for one try
     pause: float = 0.05  # before the next try
     heeding: float = 0.0  # clients that stay away as long as they are told
     marked: float = 1.0  # clients whose further tries are marked
     work_ms: float = 50.0
     most_tries: int = 1_000_000
     connections: int = 900  # an instance
-    alike: float = 0.0  # ops whose bodies are all the same
-    steady: float = 1.0  # clients whose rank and cost stay over the tries of an op
+    alike: float = 0.0  # requests whose bodies are all the same
+    steady: float = 1.0  # clients whose rank and cost stay over the tries of a request
     tenant: str = ""
     names: list[str] = []  # of the instances, as the directory has them
     directory: int = 0  # its TCP port on loopback; 0: all instances are known, and always
-    second_copy: float = 0.0  # seconds after which a safe op is sent once more beside; 0: never
+    second_copy: float = 0.0  # seconds after which a safe request is sent once more beside; 0: never
 
 
-class Op(NamedTuple):
-    """What an op is through all its tries; `state` holds what changes: tries, whether it is over, its place."""
+class Request(NamedTuple):
+    """A request through all its attempts; `state` holds what changes: attempts, whether it is over, its place."""
 
     number: int
-    kind: OpKind
+    kind: RequestKind
     caller: int
     born: float
     heeds: bool
@@ -76,89 +78,96 @@
 
 
 class Wire(asyncio.Protocol):
-    """One kept connection with one try at a time."""
+    """One kept connection with one attempt at a time."""
 
     def __init__(self, load: Load, place: int) -> None:
         self.load, self.place = load, place
         self.transport: asyncio.Transport | None = None
         self.data = b""
-        self.op: Op | None = None
+        self.request: Request | None = None
         self.ref, self.sent_at = "", 0.0  # of the try that is on it
         self.sent = 0
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Keep the transport and send without delay."""
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def send(self, op: Op, ref: str, request: bytes, wait: float) -> None:
-        self.op, self.ref, self.sent_at = op, ref, time.time()
+    def send(self, request: Request, ref: str, data: bytes, wait: float) -> None:
+        """Send an attempt and start its timer."""
+        self.request, self.ref, self.sent_at = request, ref, time.time()
         self.sent += 1
-        self.transport.write(request)
+        self.transport.write(data)
         self.timer = asyncio.get_running_loop().call_later(wait, self.overdue)
 
     def overdue(self) -> None:
-        op, self.op = self.op, None
+        """Abort the connection of an attempt that was not answered in time."""
+        request, self.request = self.request, None
         self.transport.abort()
-        self.load.unanswered(op)
+        self.load.unanswered(request)
 
     def data_received(self, data: bytes) -> None:
+        """Parse the answer and pass it on, once it is complete."""
         self.data = self.data + data if self.data else data
         found = ANSWER.match(self.data)
-        if not found or self.op is None:
+        if not found or self.request is None:
             return
         fields = {field[1].lower(): field[2] for field in FIELD.finditer(found[2])}
         length = int(fields.get(b"content-length", b"0"))
         if len(self.data) < found.end() + length:
             return
         body, self.data = self.data[found.end() : found.end() + length], b""
-        op, self.op = self.op, None
+        request, self.request = self.request, None
         self.timer.cancel()
         if fields.get(b"connection") == b"close":
             self.transport.close()
         else:
             self.load.idle[self.place].append(self)
-        self.load.answered(op, self.place, int(found[1]), body, float(fields.get(b"retry-after-ms", 0)) / 1000.0)
+        self.load.answered(request, self.place, int(found[1]), body, float(fields.get(b"retry-after-ms", 0)) / 1000.0)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Report the attempt whose answer had not arrived."""
         self.load.open[self.place] -= 1
         if self in self.load.idle[self.place]:
             self.load.idle[self.place].remove(self)
-        if self.op is not None:
-            op, self.op = self.op, None
+        if self.request is not None:
+            request, self.request = self.request, None
             self.timer.cancel()
-            if op.kind.repeats == "unsafe":
+            if request.kind.repeats == "unsafe":
                 self.load.broken_once[self.ref] = (self.place, self.sent_at, time.time())
-            self.load.broken(op)
+            self.load.broken(request)
 
 
 class Load:
+    """The requests, connections and counts of one process."""
+
     def __init__(self, habits: Habits) -> None:
         # What comes is the same whatever becomes of it: the tries, as many as they are, draw from another source.
         self.habits, self.draw, self.draw_try = habits, random.Random(habits.seed), random.Random(-habits.seed)
         self.idle: list[list[Wire]] = [[] for _ in habits.instances]
         self.open = [0] * len(habits.instances)
         self.numbers = 0
-        self.first: dict[int, int] = {}  # bucket of birth: ops
-        self.in_time: dict[int, int] = {}  # and those acked within the target
+        self.first: dict[int, int] = {}  # bucket of birth: requests
+        self.in_time: dict[int, int] = {}  # and those served within the target
         self.tries: dict[int, int] = {}
         self.by_kind: dict[str, list[int]] = {kind.name: [0, 0, 0, 0] for kind in habits.kinds}
         self.counts = dict.fromkeys(
             ("acked", "nacked", "failed", "unanswered", "broken", "refused", "gave_up", "wrong", "second_copies", "tries"), 0
         )
         self.late = HdrHistogram(1, 60_000, 3)  # milliseconds that our own timers were late
-        self.waits = HdrHistogram(1, 60_000, 3)  # milliseconds that nacks told
-        self.latency = HdrHistogram(1, 120_000, 3)  # of acked ops, from their first try
+        self.waits = HdrHistogram(1, 60_000, 3)  # milliseconds that rejections asked for
+        self.latency = HdrHistogram(1, 120_000, 3)  # of served requests, from their first try
         self.target = 1.8
         self.tasks: set[asyncio.Task[Any]] = set()
         self.waiting = 0
         self.listed = list(range(len(habits.instances)))  # places that the last list named
-        self.refs: dict[str, int] = {}  # by id of a try that may not run twice: its op
+        self.refs: dict[str, int] = {}  # by id of a try that may not run twice: its request
         # And those whose connections broke before an answer: index in `instances`, when it was sent, and when that was seen.
         self.broken_once: dict[str, tuple[int, float, float]] = {}
 
     async def follow_lists(self) -> None:
-        """A list a while, the last one kept where none comes."""
+        """Poll the directory; keep the last list while none arrives."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.habits.directory)
@@ -172,7 +181,8 @@
                 await asyncio.sleep(LIST_EVERY)
 
     async def play(self) -> None:
-        habits, loop = self.habits, asyncio.get_running_loop()
+        """Start requests at the configured rate until the time is over."""
+        habits = self.habits
         if habits.directory:
             self.tasks.add(asyncio.ensure_future(self.follow_lists()))
         at = habits.start_at
@@ -183,13 +193,13 @@
                 await asyncio.sleep(wait)
             self.late.record_value(max(1, min(60_000, int(1000.0 * (time.time() - at)))))
             self.born(at)
-        self.over_at = loop.time()
 
     def born(self, at: float) -> None:
+        """Start a new request that was due at `at`."""
         draw, habits = self.draw, self.habits
         kind = draw.choices(habits.kinds, [kind.share for kind in habits.kinds])[0]
         self.numbers += 1
-        op = Op(
+        request = Request(
             self.numbers,
             kind,
             habits.first_caller + draw.randrange(habits.callers),
@@ -202,72 +212,78 @@
         self.first[bucket] = self.first.get(bucket, 0) + 1
         self.by_kind[kind.name][0] += 1
         self.waiting += 1
-        self.next_try(op)
+        self.next_try(request)
         if habits.second_copy and kind.repeats == "safe":
-            asyncio.get_running_loop().call_later(habits.second_copy, self.copy, op)
+            asyncio.get_running_loop().call_later(habits.second_copy, self.copy, request)
 
-    def looks(self, kind: OpKind) -> tuple[float, list[Any], bytes, float, bool]:
-        """An op that looks like others tells its interpreter the usual work, and not who it is."""
+    def looks(self, kind: RequestKind) -> tuple[float, list[Any], bytes, float, bool]:
+        """Draw work, body and rank; the bodies of requests that look alike carry the usual work and no identity."""
         draw, habits = self.draw, self.habits
         work, alike = habits.work_ms * draw.uniform(0.7, 1.3), draw.random() < habits.alike
         body = f"{habits.work_ms:.1f} alike {'x' * 180}" if alike else f"{work:.1f} {habits.seed}-{self.numbers} of a caller"
         return (work, [0, False, draw.randrange(len(self.open))], body.encode(), draw.random(), draw.random() < habits.steady)
 
-    def copy(self, op: Op) -> None:
-        if not op.state[1]:
+    def copy(self, request: Request) -> None:
+        """Send a second copy of a request that is still open."""
+        if not request.state[1]:
             self.counts["second_copies"] += 1
-            self.next_try(op)
+            self.next_try(request)
 
-    def next_try(self, op: Op) -> None:
+    def next_try(self, request: Request) -> None:
+        """Send the next attempt, unless the request is over."""
         now = time.time()
-        if op.state[1]:
+        if request.state[1]:
             return
-        if now - op.born > self.habits.patience or op.state[0] >= self.habits.most_tries:
-            self.over(op, "gave_up")
+        if now - request.born > self.habits.patience or request.state[0] >= self.habits.most_tries:
+            self.over(request, "gave_up")
             return
-        op.state[0] += 1
+        request.state[0] += 1
         self.counts["tries"] += 1
         bucket = int((now - self.habits.start_at) / BUCKET)
         self.tries[bucket] = self.tries.get(bucket, 0) + 1
-        place = self.listed[op.state[2] % len(self.listed)]
+        place = self.listed[request.state[2] % len(self.listed)]
         if self.idle[place]:
-            self.send(self.idle[place].pop(), op, now)
+            self.send(self.idle[place].pop(), request, now)
         elif self.open[place] < self.habits.connections:
             self.open[place] += 1
-            task = asyncio.ensure_future(self.connect(op, place))
+            task = asyncio.ensure_future(self.connect(request, place))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         else:
-            self.refused(op)
+            self.refused(request)
 
-    async def connect(self, op: Op, place: int) -> None:
+    async def connect(self, request: Request, place: int) -> None:
+        """Open a connection and send the attempt on it."""
         try:
             _, wire = await asyncio.wait_for(
                 asyncio.get_running_loop().create_connection(lambda: Wire(self, place), *self.habits.instances[place]), 1.0
             )
         except (TimeoutError, OSError):
             self.open[place] -= 1
-            self.refused(op)
+            self.refused(request)
             return
-        self.send(wire, op, time.time())
+        self.send(wire, request, time.time())
 
-    def send(self, wire: Wire, op: Op, now: float) -> None:
+    def send(self, wire: Wire, request: Request, now: float) -> None:
+        """Send an attempt on an open connection."""
         habits = self.habits
-        wait = max(0.05, min(habits.try_wait, op.born + habits.patience - now))
-        again = "X-Retry: 1\r\n" if op.state[0] > 1 and op.marks else ""
-        key = f"Idempotency-Key: {habits.seed}-{op.number}\r\n" if op.kind.repeats == "keyed" else ""
+        wait = max(0.05, min(habits.try_wait, request.born + habits.patience - now))
+        again = "X-Retry: 1\r\n" if request.state[0] > 1 and request.marks else ""
+        key = f"Idempotency-Key: {habits.seed}-{request.number}\r\n" if request.kind.repeats == "keyed" else ""
         draw = self.draw_try
-        rank, cost = (op.rank, op.work) if op.steady else (draw.random(), habits.work_ms * draw.uniform(0.7, 1.3))
-        ref, body = f"{draw.getrandbits(64):016x}", op.body
-        if op.kind.repeats == "unsafe":
-            self.refs[ref] = op.number
+        rank, cost = (
+            (request.rank, request.work) if request.steady else (draw.random(), habits.work_ms * draw.uniform(0.7, 1.3))
+        )
+        ref, body = f"{draw.getrandbits(64):016x}", request.body
+        if request.kind.repeats == "unsafe":
+            self.refs[ref] = request.number
         wire.send(
-            op,
+            request,
             ref,
             (
-                f"POST /svc/{op.kind.name} HTTP/1.1\r\nHost: origin.svc\r\n"
+                f"POST /svc/{request.kind.name} HTTP/1.1\r\nHost: origin.svc\r\n"
                 f"X-Request-Id: {ref}\r\nX-Request-Start: {now * 1000:.0f}\r\n"
-                f"X-Caller: {op.caller}\r\nX-Timeout-Ms: {1000.0 * wait:.0f}\r\n"
+                f"X-Caller: {request.caller}\r\nX-Timeout-Ms: {1000.0 * wait:.0f}\r\n"
                 f"X-Cost-Ms: {cost:.2f}\r\nX-Memory-Kb: 20.0\r\nX-Rank: {rank:.4f}\r\n{again}{key}"
                 f"{f'X-Tenant: {habits.tenant}' + chr(13) + chr(10) if habits.tenant else ''}"
                 f"Content-Length: {len(body)}\r\n\r\n"
@@ -278,52 +294,60 @@
 
     # What becomes of a try.
 
-    def answered(self, op: Op, place: int, status: int, body: bytes, told: float) -> None:
+    def answered(self, request: Request, place: int, status: int, body: bytes, hold_off_s: float) -> None:
+        """Handle an answer by its status."""
         if status == 200:
-            self.over(op, "acked" if body == b"done " + op.body else "wrong")
+            self.over(request, "acked" if body == b"done " + request.body else "wrong")
         elif status in (429, 503):
             self.counts["nacked"] += 1
-            if told:
-                self.waits.record_value(max(1, min(60_000, int(1000.0 * told))))
-            op.state[2] += 1
-            self.again(op, max(self.habits.pause, told) if op.heeds else self.habits.pause)
+            if hold_off_s:
+                self.waits.record_value(max(1, min(60_000, int(1000.0 * hold_off_s))))
+            request.state[2] += 1
+            self.again(request, max(self.habits.pause, hold_off_s) if request.heeds else self.habits.pause)
         else:
             self.counts["failed"] += 1
-            self.again(op, self.habits.pause) if op.kind.repeats != "unsafe" else self.over(op, "gave_up")
+            self.again(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
 
-    def unanswered(self, op: Op) -> None:
+    def unanswered(self, request: Request) -> None:
+        """Handle an attempt that was not answered in time."""
         self.counts["unanswered"] += 1
-        self.again(op, self.habits.pause) if op.kind.repeats != "unsafe" else self.over(op, "gave_up")
+        self.again(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
 
-    def broken(self, op: Op) -> None:
+    def broken(self, request: Request) -> None:
+        """Handle a connection loss after the request may have executed."""
         self.counts["broken"] += 1
-        op.state[2] += 1
-        self.again(op, self.habits.pause)
+        request.state[2] += 1
+        self.again(request, self.habits.pause)
 
-    def refused(self, op: Op) -> None:
+    def refused(self, request: Request) -> None:
+        """Handle an attempt that could not be sent."""
         self.counts["refused"] += 1
-        op.state[2] += 1
-        self.again(op, self.habits.pause)
+        request.state[2] += 1
+        self.again(request, self.habits.pause)
 
-    def again(self, op: Op, pause: float) -> None:
-        asyncio.get_running_loop().call_later(pause, self.next_try, op)
+    def again(self, request: Request, pause: float) -> None:
+        """Schedule the next attempt."""
+        asyncio.get_running_loop().call_later(pause, self.next_try, request)
 
-    def over(self, op: Op, how: str) -> None:
-        if op.state[1]:
+    def over(self, request: Request, how: str) -> None:
+        """Close a request and count its outcome."""
+        if request.state[1]:
             return
-        op.state[1] = True
+        request.state[1] = True
         self.waiting -= 1
         self.counts[how] += 1
-        took, kind = time.time() - op.born, self.by_kind[op.kind.name]
+        took, kind = time.time() - request.born, self.by_kind[request.kind.name]
         if how == "acked":
             kind[1] += 1
             self.latency.record_value(max(1, min(120_000, int(1000.0 * took))))
             if took <= self.target:
-                bucket = int((op.born - self.habits.start_at) / BUCKET)
+                bucket = int((request.born - self.habits.start_at) / BUCKET)
                 self.in_time[bucket] = self.in_time.get(bucket, 0) + 1
                 kind[2] += 1
 
     def report(self) -> dict[str, Any]:
+        """Return all counts and quantiles, as JSON."""
+
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {str(q): histogram.get_value_at_percentile(q) / 1000.0 for q in (50, 95, 99, 100)}
 
@@ -344,12 +368,13 @@
 
 
 async def main() -> None:
+    """Run the load to its end, or until SIGTERM, and print the report."""
     load = Load(msgspec.json.decode(sys.stdin.buffer.readline(), type=Habits))
     task = asyncio.ensure_future(load.play())
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         await task
-        await asyncio.sleep(load.target + 0.2)  # the last ops have their time, too
+        await asyncio.sleep(load.target + 0.2)  # the last requests have their time, too
     except asyncio.CancelledError:
         pass
     print(json.dumps(load.report()), flush=True)
