--- a/mulleinhatch/testing/fake_interpreter.py
+++ b/mulleinhatch/testing/fake_interpreter.py
@@ -1,9 +1,9 @@
-"""A stand-in interpreter: cores that all running ops share, notices by number, and a count of what ran twice.
+"""A fake interpreter: cores shared by all running requests, numbered notices, and a count of what ran twice.
 
 Runs as `python -m mulleinhatch.testing.fake_interpreter PORT CORES SPEED WARMING`; on SIGTERM it prints one JSON line. With
-several ports, by commas, it is as many interpreters, hears `reset PLACE`, `slow PLACE TIMES`, `failing PLACE SHARE` and `begun
-PLACE`, which asks for the number of runs begun there, on standard input, and prints a list. A
-body says what an op takes and who it is, as `50.0 OP ...`: work in milliseconds on one core, then a name of the op.
+several ports, separated by commas, it hosts as many interpreters, reads `reset PLACE`, `slow PLACE TIMES`,
+`failing PLACE SHARE` and `begun PLACE` (which asks for the number of runs begun there) from standard input, and
+prints a list. A body holds the work and the identity of a request, as `50.0 OP ...`: milliseconds on one core, then a name.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Cores:
-    """Processor sharing: each of n ops gets on at min(1, cores/n) of the speed; one timer for the next to end.
+    """Processor sharing: each of n requests runs at min(1, cores/n) of the speed; one timer for the next to end.
 
     >>> cores = Cores(2, lambda now: 1.0)
     >>> cores.start(0.0, "a", 1.0); cores.start(0.0, "b", 2.0); cores.start(0.0, "c", 2.0)
@@ -48,10 +48,12 @@
         self.at = max(self.at, now)
 
     def start(self, now: float, ref: str, work: float) -> None:
+        """Start a run of so many core seconds."""
         self._pass_time(now)
         heapq.heappush(self.running, (self.progress + work, ref))
 
     def ended(self, now: float) -> list[str]:
+        """Return the runs that have ended by `now`."""
         self._pass_time(now)
         done = []
         while self.running and self.running[0][0] <= self.progress + 1e-9:
@@ -59,10 +61,13 @@
         return done
 
     def next_end(self, now: float) -> float | None:
+        """Return the seconds until the next run ends, or None if none runs."""
         return (self.running[0][0] - self.progress) / self._rate(now) if self.running else None
 
 
 class Interpreter:
+    """One fake interpreter: its runs, notices and link."""
+
     def __init__(self, cores: int, speed: float, warming: float) -> None:
         self.born = time.monotonic()
         self.warming, self.cold_speed = warming, speed
@@ -79,27 +84,30 @@
         self.wanted: float | None = None
         self.slowed, self.failing = 1.0, 0.0  # by script: times as slow, share of the runs that fail
         self.draw = random.Random(1)
-        self.starts: list[tuple[float, str]] = []  # when each run began, on the system's clock, and its op type
+        self.starts: list[tuple[float, str]] = []  # when each run began, on the system's clock, and its request type
         self.keep_starts = False
-        self.life = 1  # one more with each reset
-        self.once: list[tuple[float, int, str, str]] = []  # of runs that may not be had twice: when, life, id of the try, op
+        self.incarnation = 1  # one more with each reset
+        # Runs of non-retryable requests: when, incarnation, id of the attempt, request.
+        self.once: list[tuple[float, int, str, str]] = []
 
     def reset(self) -> None:
-        """Gone with its instance and started anew: runs, notices and link; what it ran stays known to us."""
+        """Restart together with the instance: runs, notices and link are lost; the record of what ran is kept."""
         if self.writer:
             self.writer.close()
         if self.timer:
             self.timer.cancel()
         self.born, self.writer, self.timer, self.wanted = time.monotonic(), None, None, None
-        self.life += 1
+        self.incarnation += 1
         self.cores, self.bodies, self.notices, self.first_kept = Cores(self.cores.cores, self.speed), {}, [], 1
         self.busy_then = deque([(self.born, 0.0)])
 
     def speed(self, now: float) -> float:
+        """Return the present speed, which rises while the interpreter warms up."""
         warmed = min(1.0, (now - self.born) / self.warming) if self.warming else 1.0
         return (self.cold_speed + (1.0 - self.cold_speed) * warmed) / self.slowed
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read commands from a link until it closes or a new one replaces it."""
         if self.writer:
             self.writer.close()
         self.writer = writer
@@ -111,39 +119,40 @@
             pass
         writer.close()
 
-    def command(self, told: dict[str, Any]) -> None:
+    def command(self, message: dict[str, Any]) -> None:
+        """Carry out one command of the interpreter protocol."""
         now = time.monotonic()
-        if told["t"] == "CONNECT":
+        if message["t"] == "CONNECT":
             self.say(
                 json.dumps(
                     {"t": "BANNER", "status": "new" if self.warming else "old", "time_ms": 1000.0 * (now - self.born)}
                 ).encode()
             )
-            for notice in self.notices[max(0, told["no"] + 1 - self.first_kept) :]:
+            for notice in self.notices[max(0, message["no"] + 1 - self.first_kept) :]:
                 self.say(notice)
-        elif told["t"] == "TOP":
+        elif message["t"] == "TOP":
             self.say(
                 json.dumps(
-                    {"t": "TOPS", "mark": told["mark"], "v": [self.core_use(now), len(self.cores.running), 0.1, 1]}
+                    {"t": "TOPS", "mark": message["mark"], "v": [self.core_use(now), len(self.cores.running), 0.1, 1]}
                 ).encode()
             )
-        elif told["t"] == "APPLY" and told["rid"] not in self.bodies:
-            body = b64decode(told["b64"])
+        elif message["t"] == "APPLY" and message["rid"] not in self.bodies:
+            body = b64decode(message["b64"])
             work, who, *_ = body.split(b" ")
             if who == b"alike":
-                self.alike.append(told["rid"])  # who it is the stubs know by its id
+                self.alike.append(message["rid"])  # the clients identify it by its id
             else:
-                self.ran[f"{told['route']} {who.decode()}"] += 1
-            self.bodies[told["rid"]] = body, now
+                self.ran[f"{message['route']} {who.decode()}"] += 1
+            self.bodies[message["rid"]] = body, now
             if self.keep_starts:
-                self.starts.append((time.time(), told["route"]))
-                if told["route"] == "signoff":
-                    self.once.append((time.time(), self.life, told["rid"], f"signoff {who.decode()}"))
-            self.cores.start(now, told["rid"], float(work) / 1000.0)
+                self.starts.append((time.time(), message["route"]))
+                if message["route"] == "signoff":
+                    self.once.append((time.time(), self.incarnation, message["rid"], f"signoff {who.decode()}"))
+            self.cores.start(now, message["rid"], float(work) / 1000.0)
             self.look()
 
     def core_use(self, now: float) -> float:
-        """The share of the cores that was busy in the last half second."""
+        """Return the share of the cores that was busy in the last half second."""
         self.look()
         self.busy_then.append((now, self.cores.busy))
         while len(self.busy_then) > 2 and self.busy_then[1][0] <= now - GAUGE_SPAN:
@@ -152,6 +161,7 @@
         return min(1.0, (self.cores.busy - busy) / (max(0.01, now - then) * self.cores.cores))
 
     def look(self) -> None:
+        """End the runs that are due, notify the instance and set the timer for the next."""
         now = time.monotonic()
         if self.wanted is not None:
             if now - self.wanted < STOOD_STILL:
@@ -183,14 +193,17 @@
         self.timer = asyncio.get_running_loop().call_later(left, self.look) if left is not None else None
 
     def thawed(self) -> None:
+        """Discard the lateness caused by a stop of the process."""
         self.wanted = None
         self.late_most = self.late_before
 
     def say(self, line: bytes) -> None:
+        """Write a line to the link, if one is open."""
         if self.writer and not self.writer.is_closing():
             self.writer.write(line + b"\n")
 
     def report(self) -> dict[str, Any]:
+        """Return what ran, what ran twice, and the lateness of the timers."""
         twice = Counter(name.split(" ")[0] for name, count in self.ran.items() if count > 1)
         return {
             "ran": sum(self.ran.values()) + len(self.alike),
@@ -201,6 +214,7 @@
 
 
 async def main(port: int, cores: int, speed: float, warming: float) -> None:
+    """Run one interpreter until SIGTERM, then print its report."""
     interpreter = Interpreter(cores, speed, warming)
     server = await asyncio.start_server(interpreter.serve, "127.0.0.1", port, limit=1 << 20)
     stop = asyncio.Event()
@@ -213,6 +227,7 @@
 
 
 async def several(ports: list[int], cores: int, speed: float, warming: float) -> None:
+    """Run several interpreters in one process, with commands on standard input."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     hosts = [Interpreter(cores, speed, warming) for _ in ports]
     for host, port in zip(hosts, ports):
@@ -230,9 +245,9 @@
             return
         *lines, heard = (heard + data).split(b"\n")
         for line in lines:
-            told(*line.decode().split())
+            apply_command(*line.decode().split())
 
-    def told(word: str, place: str, *amount: str) -> None:
+    def apply_command(word: str, place: str, *amount: str) -> None:
         host = hosts[int(place)]
         if word == "reset":
             host.reset()
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -1,7 +1,7 @@
-"""The rig: real instances, stand-in interpreters and caller stubs in processes of their own, and faults by script.
+"""A harness of real instances, fake interpreters and fake clients in processes of their own, with faults by script.
 
-Everything is on loopback and bounded in time. What measures is measured, too: the processes' CPU and memory each
-quarter of a second, and how late stubs, interpreters and the rig itself were.
+Everything is on loopback and bounded in time. The measuring processes are measured too: CPU and memory each quarter of a
+second, and the lateness of clients, interpreters and the harness itself.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 SAMPLE = 0.25  # seconds between two looks at the processes
 WINDOW = 2.0  # seconds over which a core counts as busy
-LEAD = 1.5  # seconds from the start of the stubs to their first op
+LEAD = 1.5  # seconds from the start of the clients to their first request
 UP_WITHIN = 15.0
 GARBLE = b"\x00\x17garbled \xff line\r\nContent-Length: -7\r\n\r\n"
 
 
 class Case(NamedTuple):
-    """One run; times are seconds from the first op, rates ops a second."""
+    """One run; times are seconds from the first request, rates requests a second."""
 
     script: str
     run_for: float
@@ -40,12 +40,12 @@
     patience: float = 30.0
     heeding: float = 0.0
     marked: float = 1.0
-    alike: float = 0.0  # share of the ops whose bodies are all the same
-    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of an op
+    alike: float = 0.0  # share of the requests whose bodies are all the same
+    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of a request
     instances: int = 1
     cores: int = 4
     work_ms: float = 50.0
-    loads: int = 2  # stub processes
+    loads: int = 2  # client processes
     cold_speed: float = 1.0  # of a fresh interpreter
     warming: float = 0.0  # seconds until it is warm
     seed: int = 1
@@ -62,12 +62,12 @@
 
 
 def settings(case: Case) -> dict[str, Any]:
-    """What the instances are told of the deployment."""
+    """Return the deployment settings of the instances."""
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
-    worth = {"read": 1.0, "update": 2.0, "signoff": 5.0, "stamp": 5.0}
+    value = {"read": 1.0, "update": 2.0, "signoff": 5.0, "stamp": 5.0}
     return {
         "classes": [
-            {"name": kind["name"], "effect": kind["repeats"], "worth": worth[kind["name"]], **timing} for kind in KINDS
+            {"name": kind["name"], "effect": kind["repeats"], "worth": value[kind["name"]], **timing} for kind in KINDS
         ],
         "family_info": {
             "cores": case.cores,
@@ -87,12 +87,13 @@
 
 
 def free_port() -> int:
+    """Return a TCP port that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         return free.getsockname()[1]
 
 
 class Place:
-    """An instance and its interpreter, at the same addresses in all their lives."""
+    """An instance and its interpreter, at the same addresses in all their incarnations."""
 
     def __init__(self, case: Case, number: int, folder: Path) -> None:
         self.case, self.number, self.folder = case, number, folder
@@ -100,22 +101,23 @@
         self.instance: asyncio.subprocess.Process | None = None
         self.interpreter: asyncio.subprocess.Process | None = None
         self.watched: psutil.Process | None = None
-        self.life = 0
-        self.lost_lives: list[dict[str, Any]] = []
+        self.incarnation = 0
+        self.lost_reports: list[dict[str, Any]] = []
 
     async def start(self) -> None:
-        case, self.life = self.case, self.life + 1
-        told = {
+        """Write the files and start interpreter and instance."""
+        case, self.incarnation = self.case, self.incarnation + 1
+        config_json = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.port}",
             "vm": f"127.0.0.1:{self.link}",
-            "seed": f"{case.seed * 1000 + self.number * 10 + self.life:x}",
+            "seed": f"{case.seed * 1000 + self.number * 10 + self.incarnation:x}",
             "stop_ms": 3000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": settings(case),
         }
         config, operator = self.folder / f"n{self.number}.json", self.folder / "operator.kdl"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(config_json))
         operator.write_text(case.operator)
         self.interpreter = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -142,7 +144,7 @@
         self.watched = psutil.Process(self.instance.pid)
 
     async def stop(self) -> dict[str, Any]:
-        """What its last interpreter has to report."""
+        """Stop both; return the report of the last interpreter."""
         if self.instance and self.instance.returncode is None:
             self.instance.kill()
             await self.instance.wait()
@@ -154,12 +156,13 @@
         return {}
 
     async def kill(self) -> None:
-        """Outright; the interpreter first tells what it ran, which a kill would take with it."""
+        """Kill the instance; the interpreter first reports its runs, which a kill would lose."""
         self.instance.kill()
-        self.lost_lives.append(await self.stop())
+        self.lost_reports.append(await self.stop())
         self.watched = None
 
     async def ask(self, path: str) -> str:
+        """Return the whole answer to an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
@@ -168,6 +171,7 @@
             writer.close()
 
     async def counters(self) -> dict[str, int]:
+        """Return the counters; empty if the instance does not answer."""
         try:
             _, _, body = (await self.ask("/status/counters")).partition("\r\n\r\n")
         except (TimeoutError, OSError):
@@ -175,8 +179,10 @@
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
 
-class Rig:
-    def __init__(self, case: Case, folder: Path, on_sample: Callable[[Rig], None] | None = None) -> None:
+class InstanceHarness:
+    """Runs one case."""
+
+    def __init__(self, case: Case, folder: Path, on_sample: Callable[[InstanceHarness], None] | None = None) -> None:
         self.case, self.folder, self.on_sample = case, folder, on_sample
         self.faults = faults.read(case.script)
         self.places = [Place(case, number, folder) for number in range(case.instances)]
@@ -187,6 +193,7 @@
         self.start_at = math.inf
 
     async def play(self) -> dict[str, Any]:
+        """Run the case and return the reports of all processes."""
         loads: list[asyncio.subprocess.Process] = []
         try:
             for place in self.places:
@@ -200,7 +207,7 @@
             done = await asyncio.wait_for(asyncio.gather(*reports), self.case.run_for + 20.0)
             sampling.cancel()
             counters = [await place.counters() for place in self.places]
-            ran = [[*place.lost_lives, await place.stop()] for place in self.places]
+            ran = [[*place.lost_reports, await place.stop()] for place in self.places]
             return {
                 "stubs": [json.loads(out) for out, _ in done],
                 "counters": counters,
@@ -221,7 +228,7 @@
                     await place.stop()
 
     async def _up(self) -> None:
-        """Until all instances answer a health check and have found their interpreters."""
+        """Wait until all instances answer a health check and are connected to their interpreters."""
         until = time.monotonic() + UP_WITHIN
         for place in self.places:
             while not (await place.counters()).get("link_opened"):
@@ -286,7 +293,7 @@
 
     @staticmethod
     async def _noise(place: Place, what: str) -> None:
-        """A connection that is of no use to anybody, opened again whenever it is closed."""
+        """Open a useless connection, again whenever it is closed."""
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", place.port)
@@ -317,7 +324,7 @@
 
 
 def core_use(samples: list[tuple[float, list[float | None], list[int]]], since: float) -> float:
-    """The largest part of a core that one instance used in any `WINDOW` from `since` on.
+    """Return the largest share of a core that one instance used in any `WINDOW` from `since` on.
 
     >>> core_use([(t / 4, [t / 8], [0]) for t in range(20)], 1.0)
     0.5
@@ -331,38 +338,38 @@
     return most
 
 
-def played(case: Case, keep: Path | None = None, on_sample: Callable[[Rig], None] | None = None) -> dict[str, Any]:
-    """One run from start to end; `keep` is a folder for the instances' logs."""
+def played(case: Case, keep: Path | None = None, on_sample: Callable[[InstanceHarness], None] | None = None) -> dict[str, Any]:
+    """Run one case; `keep` is a folder for the instances' logs."""
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(case, keep or Path(folder), on_sample)
-        return asyncio.run(rig.play())
+        harness = InstanceHarness(case, keep or Path(folder), on_sample)
+        return asyncio.run(harness.play())
 
 
-def played_beside(cases: list[Case], on_sample: Callable[[Rig], None] | None = None) -> list[dict[str, Any]]:
-    """Several runs at one time, for a comparison under the same conditions: each takes four processes or more."""
+def played_beside(cases: list[Case], on_sample: Callable[[InstanceHarness], None] | None = None) -> list[dict[str, Any]]:
+    """Run several cases at once, for a comparison under the same conditions; each takes four processes or more."""
 
     async def all_of_them() -> list[dict[str, Any]]:
         with tempfile.TemporaryDirectory() as folder:
-            rigs = []
+            harnesses = []
             for number, case in enumerate(cases):
                 place = Path(folder) / str(number)
                 place.mkdir()
-                rigs.append(Rig(case, place, on_sample))
-            return list(await asyncio.gather(*(rig.play() for rig in rigs)))
+                harnesses.append(InstanceHarness(case, place, on_sample))
+            return list(await asyncio.gather(*(harness.play() for harness in harnesses)))
 
     return asyncio.run(all_of_them())
 
 
-def outcome(case: Case, told: dict[str, Any]) -> dict[str, Any]:
-    """The figures that a run is judged by; shares from 0 to 1, times in seconds from the end of the outage."""
-    bucket = told["stubs"][0]["bucket"]
+def outcome(case: Case, report: dict[str, Any]) -> dict[str, Any]:
+    """Return the figures that a run is judged by; shares from 0 to 1, times in seconds from the end of the outage."""
+    bucket = report["stubs"][0]["bucket"]
     first: dict[int, int] = {}
     good: dict[int, int] = {}
-    for stub in told["stubs"]:
+    for client in report["stubs"]:
         for name, into in (("first", first), ("in_time", good)):
-            for key, count in stub[name].items():
+            for key, count in client[name].items():
                 into[int(key)] = into.get(int(key), 0) + count
-    end, per = told["end"], round(1.0 / bucket)
+    end, per = report["end"], round(1.0 / bucket)
     start, stop = round(end * per), round(case.run_for * per)
     after, served = sum(first.get(b, 0) for b in range(start, stop)), sum(good.get(b, 0) for b in range(start, stop))
     back, late = None, 0
@@ -375,42 +382,42 @@
     before = range(0, round(min(outages, default=case.run_for) * per) - 2 * per)
     calm = sum(first.get(b, 0) for b in before)
     twice: dict[str, int] = {}
-    for life in (life for lives in told["ran"] for life in lives):
-        for name, count in life.get("twice", {}).items():
+    for incarnation in (last for reports in report["ran"] for last in reports):
+        for name, count in incarnation.get("twice", {}).items():
             twice[name] = twice.get(name, 0) + count
-        late = max(late, life.get("late_most", 0.0))
-        # Ops that look alike are counted by the ids of their tries, in each life: who they are the stubs alone know.
+        late = max(late, incarnation.get("late_most", 0.0))
+        # Requests that look alike are counted by the ids of their attempts: only the clients know their identity.
         owners = [
             (number, refs[ref])
-            for ref in life.get("alike", ())
-            for number, refs in enumerate(stub["refs"] for stub in told["stubs"])
+            for ref in incarnation.get("alike", ())
+            for number, refs in enumerate(client["refs"] for client in report["stubs"])
             if ref in refs
         ]
         twice["signoff"] = twice.get("signoff", 0) + len(owners) - len(set(owners))
-    counts = {name: sum(stub["counts"][name] for stub in told["stubs"]) for name in told["stubs"][0]["counts"]}
+    counts = {name: sum(client["counts"][name] for client in report["stubs"]) for name in report["stubs"][0]["counts"]}
     tries = {}
-    for stub in told["stubs"]:
-        for key, count in stub["tries"].items():
+    for client in report["stubs"]:
+        for key, count in client["tries"].items():
             tries[int(key)] = tries.get(int(key), 0) + count
     return {
         "in_time": served / max(1, after),
         "calm": sum(good.get(b, 0) for b in before) / max(1, calm),
         "back_after": back,
-        "core": core_use(told["samples"], end + 10.0),
-        "core_all": core_use(told["samples"], 0.0),
-        "memory_mb": max(max(sample[2]) for sample in told["samples"]) / 1e6,
+        "core": core_use(report["samples"], end + 10.0),
+        "core_all": core_use(report["samples"], 0.0),
+        "memory_mb": max(max(sample[2]) for sample in report["samples"]) / 1e6,
         "lost": counts["unanswered"],
         "wrong": counts["wrong"],
         "twice": twice.get("signoff", 0) + twice.get("stamp", 0),
         "most_tries": max(tries.values()) / bucket,
-        "told": max((stub["told"] for stub in told["stubs"]), key=lambda told: told["50"]),
-        "late": max([late, told["rig_late"], *(stub["late"]["99"] for stub in told["stubs"])]),
+        "told": max((client["told"] for client in report["stubs"]), key=lambda hold_off: hold_off["50"]),
+        "late": max([late, report["rig_late"], *(client["late"]["99"] for client in report["stubs"])]),
         "counts": counts,
-        "counters": told["counters"],
+        "counters": report["counters"],
         "series": {"first": first, "good": good, "tries": tries},
     }
 
 
 def keep_environment() -> None:
-    """The processes of a rig find the project where it was started from."""
+    """Let child processes import the project from where this one was started."""
     os.environ.setdefault("PYTHONPATH", str(Path(__file__).parents[2]))
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -6,12 +6,12 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
 from mulleinhatch.instance.gossip.budgets import BorrowedQuota, LeasedQuota, LeaseGrant, LeaseRequest, Loan, QuotaMeter
-from mulleinhatch.simulation.budget_model_checker import LENT, Model, explore, wander
+from mulleinhatch.simulation.budget_model_checker import LOAN_IN_PROGRESS, Model, explore, explore_random_walks
 
 TICK3 = (("tick",),) * 3
 # Each history ends a few steps before the point where a single guard prevents a violation.
 # A grant under way while all is returned; a loan, with an earlier request under way; a grant that takes five ticks.
-LATE_GRANT = (*LENT, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
+LATE_GRANT = (*LOAN_IN_PROGRESS, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
 OLD_REQUEST = (
     ("ask", 1, 0, 0),
     ("ask", 1, 0, 2),
@@ -22,7 +22,7 @@
     ("deliver", 1),
     ("deliver", 1),
 )
-SLOW_GRANT = (*LENT[:-1], *TICK3, ("tick",), ("tick",))
+SLOW_GRANT = (*LOAN_IN_PROGRESS[:-1], *TICK3, ("tick",), ("tick",))
 DRIFTING = {"rates": (1.5, 0.6, 1.0)}
 
 
@@ -57,7 +57,9 @@
 
 
 @pytest.mark.parametrize(
-    "before", [(), LENT, LATE_GRANT, OLD_REQUEST, SLOW_GRANT], ids=["new", "lent", "late give", "old ask", "slow give"]
+    "before",
+    [(), LOAN_IN_PROGRESS, LATE_GRANT, OLD_REQUEST, SLOW_GRANT],
+    ids=["new", "lent", "late give", "old ask", "slow give"],
 )
 def test_no_order_of_four_steps_exceeds_a_total(before: tuple) -> None:
     states, history = explore(Model(), 4, before)
@@ -72,9 +74,9 @@
         (AcceptsAnyAnswer, LATE_GRANT, {}),
         (AcceptsAnyRequest, OLD_REQUEST, {}),
         (LeaseFromArrival, SLOW_GRANT, {}),
-        (OwnsAtOnce, LENT, {}),
-        (ReusesAtOnce, LENT, {}),
-        (LeasedQuota, LENT, {**DRIFTING, "drift": 0.0}),
+        (OwnsAtOnce, LOAN_IN_PROGRESS, {}),
+        (ReusesAtOnce, LOAN_IN_PROGRESS, {}),
+        (LeasedQuota, LOAN_IN_PROGRESS, {**DRIFTING, "drift": 0.0}),
     ],
     ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"],
 )
@@ -88,7 +90,7 @@
     "model", [Model(), Model(needed=1), Model(**DRIFTING, drift=1.5)], ids=["plain", "takes back", "clocks apart"]
 )
 def test_long_random_histories(model: Model) -> None:
-    assert wander(model, seed=3, walks=1200, steps=40) == ""
+    assert explore_random_walks(model, seed=3, walks=1200, steps=40) == ""
 
 
 def test_restarted_owner_waits_until_its_former_loans_expired() -> None:
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -12,20 +12,25 @@
 from mulleinhatch.instance.request_state_machine.events import Action, Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
-from mulleinhatch.instance.retry_storms.duplicate_detection import Likeness, Runs, Tally, Tries
-from mulleinhatch.simulation.instance_world import Weather, World
+from mulleinhatch.instance.retry_storms.duplicate_detection import (
+    DuplicateDetector,
+    ExecutedRequests,
+    ExpiringCounter,
+    RequestFingerprint,
+)
+from mulleinhatch.simulation.instance_world import Scenario, World
 
-AFTER_KILL = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
-OVERLOAD = Weather(rate=44.0, cores=2, patience=4.5, outage=(1e3, 1e3), load_until=20.0, until=22.0, heeding=0.5)
+AFTER_KILL = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=24.0, until=26.0)
+OVERLOAD = Scenario(rate=44.0, cores=2, patience=4.5, outage=(1e3, 1e3), load_until=20.0, until=22.0, heeding=0.5)
 
 
-@pytest.mark.parametrize("weather, span", [(AFTER_KILL, (13.0, 23.0)), (OVERLOAD, (2.0, 19.0))], ids=["kill", "overload"])
-def test_service_is_the_same_whatever_share_looks_alike(weather: Weather, span: tuple[float, float]) -> None:
+@pytest.mark.parametrize("scenario, span", [(AFTER_KILL, (13.0, 23.0)), (OVERLOAD, (2.0, 19.0))], ids=["kill", "overload"])
+def test_service_is_the_same_whatever_share_looks_alike(scenario: Scenario, span: tuple[float, float]) -> None:
     """Seen on loopback: with bodies all the same first tries went behind as repeats, 0.43 in time instead of 0.95."""
-    worlds = {share: World(weather._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
+    worlds = {share: World(scenario._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
     served = {share: world.share_in_time(*span) for share, world in worlds.items()}
     assert max(served.values()) - min(served.values()) <= 0.03, served
-    assert min(served.values()) >= World(weather, 2, storms=None).play().share_in_time(*span) - 0.02, served
+    assert min(served.values()) >= World(scenario, 2, storm_bounds=None).play().share_in_time(*span) - 0.02, served
     for share, world in worlds.items():
         assert not world.ran_twice()
         signoffs = sum(world.effect.values())
@@ -36,7 +41,7 @@
     """Acks lost on the way, figures that stay or are drawn anew, any share alike; marked retries, as the protocol has them."""
     draw = random.Random(4)
     for seed in range(12):
-        weather = Weather(
+        scenario = Scenario(
             rate=draw.uniform(8.0, 24.0),
             cores=1,
             heeding=draw.choice((0.0, 0.5)),
@@ -50,9 +55,9 @@
             lost_acks=0.05,
             reconnects=draw.choice((0.0, 0.3)),
         )
-        world = World(weather, seed).play()
-        assert not world.ran_twice(), (seed, weather)
-        assert not world.reducer.parked_retries and not world.reducer.storms.tries.open, seed
+        world = World(scenario, seed).play()
+        assert not world.ran_twice(), (seed, scenario)
+        assert not world.reducer.parked_retries and not world.reducer.storms.duplicates.open, seed
 
 
 class Pair:
@@ -63,10 +68,10 @@
         self.happens(0.0, Event.INTERPRETER_READY, False, 9.0)
         self.said = self.reads(0.1, 1, "first", rank=0.25, again=False)
 
-    def happens(self, now: float, *told: object) -> list[tuple]:
+    def happens(self, now: float, *fields_read: object) -> list[tuple]:
         return [
             (action, *more[:1])
-            for action, *more in self.reducer.reduce(now, *told)
+            for action, *more in self.reducer.reduce(now, *fields_read)
             if action in (Action.START_RUN, Action.SEND_RESULT, Action.SEND_FAILURE, Action.SEND_REJECTION)
         ]
 
@@ -76,7 +81,7 @@
         )
 
 
-def test_a_twin_waits_until_the_other_answer_was_read() -> None:
+def test_duplicate_waits_until_the_other_response_was_read() -> None:
     pair = Pair()
     assert pair.said == [(Action.START_RUN, "first")]
     assert pair.reads(0.2, 2, "twin", rank=0.75) == []  # perhaps the first one's retry, with another rank
@@ -85,7 +90,7 @@
     assert pair.reducer.storms.counts["retries_told_apart"] == 1
 
 
-def test_a_twin_whose_other_answer_may_be_lost_fails() -> None:
+def test_duplicate_fails_if_the_other_response_may_be_lost() -> None:
     """The rule first: where nothing tells them apart in time, it is not run, and not nacked either."""
     pair = Pair()
     pair.reads(0.2, 2, "twin", rank=0.75)
@@ -112,30 +117,36 @@
 
 
 def test_an_answer_at_the_last_moment_may_have_found_nobody() -> None:
-    runs, one = Runs(10), Likeness(b"p", b"p1")
-    runs.started(0.0, "r", one, due=1.0)
-    runs.acked(0.9, "r", place=4)
-    runs.asks_again(4)
-    assert runs.doubt(1.0, one, False)
+    executed, fingerprints = ExecutedRequests(10), RequestFingerprint(b"p", b"p1")
+    executed.add(0.0, "r", fingerprints, due=1.0)
+    executed.record_response(0.9, "r", connection=4)
+    executed.confirm_response_read(4)
+    assert executed.may_have_executed(1.0, fingerprints, False)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_books_stay_in_bounds_and_in_step(seed: int) -> None:
+def test_request_tables_stay_bounded_and_consistent(seed: int) -> None:
     """Ten thousand ops in a few seconds: no generation outgrows its room, and no doubt outlives its run."""
-    draw, runs, tally, tries, now = random.Random(seed), Runs(50), Tally(5.0, 50), Tries(50), 0.0
+    draw, executed, counter, detector, now = (
+        random.Random(seed),
+        ExecutedRequests(50),
+        ExpiringCounter(5.0, 50),
+        DuplicateDetector(50),
+        0.0,
+    )
     for number in range(10_000):
         now += draw.expovariate(100.0)
-        like = Likeness(b"p%d" % draw.randrange(200), b"f%d" % number)
-        runs.started(now, f"r{number}", like, now + 4.0)
+        fingerprints = RequestFingerprint(b"p%d" % draw.randrange(200), b"f%d" % number)
+        executed.add(now, f"r{number}", fingerprints, now + 4.0)
         if draw.random() < 0.5:
-            runs.acked(now, f"r{number}", number)
-            runs.asks_again(number)
-        tally.add(now, like.plain)
-        _, looks = tries.read(now, like, draw.random() < 0.3, True)
-        (tries.nacked if draw.random() < 0.5 else tries.acked)(now, looks)
-        tries.closed(looks)
-        assert len(runs) <= 100 and len(tally) <= 100 and len(tries.outstanding) <= 100 and not tries.open
-        assert sum(map(len, runs.by_plain.values())) == len(runs) and len(runs.answers) <= 100
+            executed.record_response(now, f"r{number}", number)
+            executed.confirm_response_read(number)
+        counter.add(now, fingerprints.coarse)
+        _, keys = detector.classify(now, fingerprints, draw.random() < 0.3, True)
+        (detector.record_rejected if draw.random() < 0.5 else detector.record_served)(now, keys)
+        detector.record_closed(keys)
+        assert len(executed) <= 100 and len(counter) <= 100 and len(detector.outstanding) <= 100 and not detector.open
+        assert sum(map(len, executed.by_coarse.values())) == len(executed) and len(executed.answers) <= 100
 
 
 def test_figures_at_the_door_are_those_of_a_full_reading() -> None:
@@ -152,7 +163,7 @@
         draw.shuffle(head)
         data = b"POST /svc/read HTTP/1.1\r\n" + b"\r\n".join(head) + b"\r\nContent-Length: 16\r\n\r\n\r\nX-Rank: 0.99\r\n"
         reader = RequestReader()
-        reader.room()[: len(data)] = data
+        reader.free_space()[: len(data)] = data
         reader.filled(len(data))
-        *told, rank = parse_request(b"/svc/read", reader.message()[2], 1.0)
-        assert parse_plain_figures(data) == (rank, told[6], told[7])
+        *fields_read, rank = parse_request(b"/svc/read", reader.message()[2], 1.0)
+        assert parse_plain_figures(data) == (rank, fields_read[6], fields_read[7])
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -15,13 +15,13 @@
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
-from mulleinhatch.instance.retry_storms.calendar import Calendar
-from mulleinhatch.instance.retry_storms.duplicate_detection import likeness
-from mulleinhatch.instance.retry_storms.request_log import HeavyCallers, Lately
-from mulleinhatch.instance.retry_storms.storm_detector import BEAT, Stage, Watch
+from mulleinhatch.instance.retry_storms.calendar import ReconnectCalendar
+from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
+from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, HeavyCallers
+from mulleinhatch.instance.retry_storms.storm_detector import UPDATE_INTERVAL_S, Stage, StormDetector
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.networking.http_grammar import BadRequestError
-from mulleinhatch.simulation.instance_world import Weather, World
+from mulleinhatch.simulation.instance_world import Scenario, World
 from mulleinhatch.testing import fault_script as faults
 from standins import SocketPlay
 
@@ -33,25 +33,25 @@
     """Plays a scenario: `0-2 reads 250 repeats 240 capacity 80` is that at each beat of the time."""
 
     def __init__(self) -> None:
-        self.watch = Watch(StormBounds())
+        self.detector = StormDetector(StormBounds())
 
     def line(self, text: str) -> None:
         word, *rest = text.split()
         if word == ">":
-            assert self.watch.stage.value == rest[0], self.watch.stage
+            assert self.detector.stage.value == rest[0], self.detector.stage
         elif word == "all":
-            assert self.watch.entered[Stage.STORM] == int(rest[1]), self.watch.entered
+            assert self.detector.entered[Stage.STORM] == int(rest[1]), self.detector.entered
         elif rest == ["outage"]:
-            self.watch.outage(float(word))
+            self.detector.record_outage(float(word))
         else:
-            told = dict(zip(rest[::2], map(int, rest[1::2])))
+            fields_read = dict(zip(rest[::2], map(int, rest[1::2])))
             first, _, last = word.partition("-")
             now = float(first)
             while now < float(last or first) + 1e-9:
-                now += BEAT
-                self.watch.count(told["reads"], told["repeats"], told.get("connects", 0))
-                self.watch.judge(now, told["capacity"])
-                if now + BEAT > float(last or first) + 1e-9:
+                now += UPDATE_INTERVAL_S
+                self.detector.count(fields_read["reads"], fields_read["repeats"], fields_read.get("connects", 0))
+                self.detector.update(now, fields_read["capacity"])
+                if now + UPDATE_INTERVAL_S > float(last or first) + 1e-9:
                     break
 
 
@@ -76,27 +76,27 @@
         plain[caller] += 1
     assert len(sketch) <= 32 and sketch.total == 5000 and len(sketch.order) <= 32
     for caller, count in plain.items():
-        assert sketch.surely(caller) <= count
+        assert sketch.at_least(caller) <= count
         assert count <= 5000 / 32 or sketch.at_most(caller) >= count, caller
 
 
-def test_what_was_seen_lately_stays_in_bounds() -> None:
+def test_recently_seen_stays_in_bounds() -> None:
     """Ten thousand fingerprints in a second must not push the memory up, whatever the span."""
-    lately = Lately(span=10.0, room=100)
+    recent = ExpiringSet(span=10.0, capacity=100)
     for number in range(10_000):
-        lately.add(number / 10_000, number)
-        assert len(lately) <= 200 and lately.seen(number / 10_000, number)
+        recent.add(number / 10_000, number)
+        assert len(recent) <= 200 and recent.contains(number / 10_000, number)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_more_slots_than_can_be_served(seed: int) -> None:
     """In no stretch of time lie more slots than the highest rate in force while they were given makes room for."""
-    draw, calendar, slots, now = random.Random(seed), Calendar(20.0), [], 0.0
+    draw, calendar, slots, now = random.Random(seed), ReconnectCalendar(20.0), [], 0.0
     for _ in range(400):
         now += draw.expovariate(40.0)
         calendar.rate = draw.choice((3.0, 5.0, 8.0))
         booked = calendar.booked
-        seconds = calendar.book(now, 0.0, draw.random())
+        seconds = calendar.reserve_slot(now, 0.0, draw.random())
         if calendar.booked > booked:
             slots.append(now + seconds)
     slots.sort()
@@ -108,15 +108,15 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_budget_gives_what_its_rate_allows(seed: int) -> None:
     draw, budget, now, heard = random.Random(seed), RetryBudget(0.9), 0.0, 0
-    budget.limit(0.0, 5.0)
+    budget.set_rate(0.0, 5.0)
     while now < 60.0:
         now += draw.expovariate(200.0)
-        heard += budget.hears(now, draw.random() < 0.02)
+        heard += budget.should_accept(now, draw.random() < 0.02)
         assert min(budget.punctual.tokens, budget.others.tokens) >= 0.0
     assert 0.8 * 5.0 * 60.0 <= heard <= 5.0 * 60.0 + 6.0
 
 
-SMALL = Weather(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # it can do 20 a second
+SMALL = Scenario(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # it can do 20 a second
 WEATHERS = [
     SMALL,
     *(
@@ -135,21 +135,21 @@
 ]
 
 
-@pytest.mark.parametrize("weather", WEATHERS, ids=lambda weather: f"{weather.kind}-{weather.rate:g}-{weather.heeding}")
-def test_in_virtual_time(weather: Weather) -> None:
+@pytest.mark.parametrize("scenario", WEATHERS, ids=lambda scenario: f"{scenario.kind}-{scenario.rate:g}-{scenario.heeding}")
+def test_in_virtual_time(scenario: Scenario) -> None:
     """What must hold at every step is checked by the player; at the end all is calm, and no effect was had twice."""
-    last = weather.load_until + weather.patience
-    world = World(weather._replace(until=last + SETTLED), seed=5).play()
+    last = scenario.load_until + scenario.patience
+    world = World(scenario._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
     world.reducer.reduce(last + SETTLED, Event.HEALTH_CHECK_RECEIVED, 0)  # an idle instance judges when it next hears anything
-    assert world.reducer.storms.watch.stage is Stage.CALM, world.stages
+    assert world.reducer.storms.detector.stage is Stage.CALM, world.stages
     assert not world.waiting
 
 
 def test_virtual_seeds_permute_the_weather() -> None:
     draw = random.Random(9)
     for seed in range(12):
-        weather = Weather(
+        scenario = Scenario(
             rate=draw.uniform(8.0, 24.0),
             cores=1,
             heeding=draw.choice((0.0, 0.3, 0.8, 1.0)),
@@ -161,8 +161,8 @@
             until=30.0,
             reconnects=draw.choice((0.0, 0.3)),
         )
-        world = World(weather, seed).play()
-        assert not world.ran_twice(), (seed, weather)
+        world = World(scenario, seed).play()
+        assert not world.ran_twice(), (seed, scenario)
 
 
 def test_the_same_seed_is_the_same_history() -> None:
@@ -170,11 +170,11 @@
     assert one.counts == other.counts and one.stages == other.stages and one.in_time == other.in_time
 
 
-def test_service_is_back_within_seconds_and_not_without_the_books() -> None:
+def test_service_is_back_within_seconds_only_with_retry_admission() -> None:
     """The outage of the design note on half the cores: 8 s, load 0.92, patience 30 s, nobody heeds."""
-    weather = Weather(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
-    assert World(weather, 1).play().share_in_time(14.0, 21.0) > 0.9
-    assert World(weather, 1, storms=None).play().share_in_time(14.0, 21.0) < 0.6
+    scenario = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
+    assert World(scenario, 1).play().share_in_time(14.0, 21.0) > 0.9
+    assert World(scenario, 1, storm_bounds=None).play().share_in_time(14.0, 21.0) < 0.6
 
 
 def test_the_door_believes_nothing_that_a_full_reading_does_not() -> None:
@@ -212,15 +212,19 @@
             continue
         believed += 1
         reader = RequestReader()
-        reader.room()[: len(data)] = data
+        reader.free_space()[: len(data)] = data
         reader.filled(len(data))
         try:
             _, path, fields, body = reader.message()
-            told = parse_request(path, fields, 1.0)
+            fields_read = parse_request(path, fields, 1.0)
         except BadRequestError:
             continue  # a refusal there, a refusal here
         assert not reader.started() and body == looked[6], data
-        assert (told[0], told[1], told[2], told[8], told[9]) == (*looked[:3], looked[4], looked[5]), data
+        assert (fields_read[0], fields_read[1], fields_read[2], fields_read[8], fields_read[9]) == (
+            *looked[:3],
+            looked[4],
+            looked[5],
+        ), data
     assert believed > 500
 
 
@@ -307,35 +311,37 @@
             if number == 1:
                 reducer.reduce(0.0, Event.RUN_ENDED, 1, "r1", Ending.OK, b"")
         reducer.reduce(gap, Event.RUN_ENDED, 2, "r2", Ending.OK, b"")
-        return reducer.storms.watch.outage_at is not None
+        return reducer.storms.detector.outage_at is not None
 
     assert outage_after(5.0, in_hand=True)
     assert not outage_after(0.2, in_hand=True) and not outage_after(5.0, in_hand=False)
 
 
-def test_no_time_is_told_where_the_settings_allow_none() -> None:
+def test_no_retry_time_is_given_where_the_settings_allow_none() -> None:
     """A longest hold-off may be told beside the word that none is allowed; the door must heed that as the module does."""
     for allowed in (False, True):
         reducer = Reducer(
             {"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7, StormBounds()
         )
         reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
-        reducer.storms.limit(0.0, 0.001)
-        told = [
+        reducer.storms.set_rate(0.0, 0.001)
+        fields_read = [
             reducer.reject_early(0.1, f"r{number}", "read", "", 4, True, "", b"", is_punctual=False, is_too_early=number > 2)
             for number in range(6)
         ]
-        assert max(told) > 0.0 if allowed else set(told) == {0.0}
+        assert max(fields_read) > 0.0 if allowed else set(fields_read) == {0.0}
 
 
 def test_an_unmarked_repeat_is_known_for_as_long_as_it_keeps_coming() -> None:
     """Seen on loopback: 20 s after their first nack all unmarked repeats counted as first tries, and came in at once."""
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
     reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
-    reducer.storms.limit(0.0, 0.001)
-    told = ("read", "", 4, False, "", b"a body")
-    assert reducer.reject_early(0.0, "r0", *told, is_punctual=False, is_too_early=False) is None
-    reducer.storms.tries.nacked(0.0, (likeness(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).plain,))
+    reducer.storms.set_rate(0.0, 0.001)
+    fields_read = ("read", "", 4, False, "", b"a body")
+    assert reducer.reject_early(0.0, "r0", *fields_read, is_punctual=False, is_too_early=False) is None
+    reducer.storms.duplicates.record_rejected(0.0, (request_fingerprint(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).coarse,))
     for tenth in range(1, 600):
-        assert reducer.reject_early(0.1 * tenth, f"r{tenth}", *told, is_punctual=False, is_too_early=False) is not None, tenth
-    assert reducer.reject_early(120.0, "last", *told, is_punctual=False, is_too_early=False) is None
+        assert (
+            reducer.reject_early(0.1 * tenth, f"r{tenth}", *fields_read, is_punctual=False, is_too_early=False) is not None
+        ), tenth
+    assert reducer.reject_early(120.0, "last", *fields_read, is_punctual=False, is_too_early=False) is None
