--- a/mulleinhatch/data_plane/retry_budget.py
+++ b/mulleinhatch/data_plane/retry_budget.py
@@ -1,8 +1,8 @@
-"""This instance's part of each service's retry budget. Pure.
+"""This data plane's part of each service's retry budget. Pure.
 
-The rule counts all instances together over a sliding window: retries stay within `ratio` x the requests + `slack`. Each
-instance spends at most its part of the slack and the ratio of its own requests, so that the sum stays within the rule whatever
-the others do.
+The rule counts all data planes together over a sliding window: retries stay within `ratio` x the requests + `slack`. Each
+data plane spends at most its part of the slack and the ratio of its own requests, so that the sum stays within the rule
+whatever the others do.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections import deque
 
 RATIO_FRACTION = 0.8  # of the ratio: the rule's window slides, and counts requests elsewhere than here
-SLACK_FRACTION = 0.6  # of the slack, divided by the instances
+SLACK_FRACTION = 0.6  # of the slack, divided by the data planes
 
 
 class RetryBudget:
@@ -21,8 +21,8 @@
     ([True, True, True, False], True)
 
     Args:
-        ratio: Retries a request that the rule allows to all instances.
-        slack: Further retries a window that the rule allows to all instances together.
+        ratio: Retries a request that the rule allows to all data planes.
+        slack: Further retries a window that the rule allows to all data planes together.
         window_s: Length of the sliding window.
     """
 
@@ -35,18 +35,18 @@
         """Count a request that is sent to a backend for the first time."""
         self._requests.setdefault(service, deque()).append(now)
 
-    def try_spend(self, service: str, now: float, instances: int) -> bool:
+    def try_spend(self, service: str, now: float, data_plane_count: int) -> bool:
         """Count one more retry if the budget allows it.
 
         Args:
             service: Service that the request is for.
             now: Loop time.
-            instances: Number of instances that share the budget.
+            data_plane_count: Number of data planes that share the budget.
 
         Returns:
             Whether the retry may be sent.
         """
-        allowed = self._slack / max(1, instances) + self._ratio * self._count_recent(self._requests, service, now)
+        allowed = self._slack / max(1, data_plane_count) + self._ratio * self._count_recent(self._requests, service, now)
         if self._count_recent(self._retries, service, now) + 1 > allowed:
             return False
         self._retries.setdefault(service, deque()).append(now)
