--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -54,7 +54,7 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
 from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
-from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, FleetSide
+from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, GossipService
 from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
 from mulleinhatch.simulation.maintenance_world import MaintenanceWorld
 
@@ -319,8 +319,10 @@
             size, spent = [], []
             for count in sizes:
                 side = fleet_side(count, differ)
-                size.append((count, float(len(side.told()))))
-                spent.append((count, 1e3 * cpu_s(side.told, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS)))
+                size.append((count, float(len(side.status_json()))))
+                spent.append(
+                    (count, 1e3 * cpu_s(side.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS))
+                )
             if not differ:
                 self.add("tools.fleet_answer_bytes", "bytes", "members", size, "linear")
             self.add(f"tools.fleet_answer_cpu{name}", "ms an answer", "members", spent, form)
@@ -514,11 +516,11 @@
     )
 
 
-def fleet_side(count: int, differ: bool) -> FleetSide:
+def fleet_side(count: int, differ: bool) -> GossipService:
     """Return an instance's gossip with a report of so many members; it has no socket and sends nothing."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
     place = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
-    side = FleetSide(place, SimpleNamespace(tenants=[]), lambda *arguments: None, lambda: None)
+    side = GossipService(place, SimpleNamespace(tenants=[]), lambda *arguments: None, lambda: None)
     side.socket.close()
     now = time.monotonic()
     side.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -31,7 +31,8 @@
 from rich.table import Table
 
 from mulleinhatch.admission.interface import Ending, Verb
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.traces import kinds
 from mulleinhatch.instance.traces.block import BlockBuilder
@@ -125,13 +126,13 @@
         if traced
         else None,
     )
-    reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
+    reducer.reduce(0.0, Event.INTERPRETER_READY, False, 100.0)
     start, now = time.process_time(), 0.0
     for request in range(requests):
         now += 0.0125
         ref = f"{request:016x}"
-        reducer.reduce(now, Happening.OP_READ, request, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
-        reducer.reduce(now + 0.012, Happening.RUN_ENDED, request + 1, ref, Ending.OK, b"")
+        reducer.reduce(now, Event.REQUEST_RECEIVED, request, ref, "read", "", 0.0021, 1.8, 2, 0.05, 20.0, False, "", b"body")
+        reducer.reduce(now + 0.012, Event.RUN_ENDED, request + 1, ref, Ending.OK, b"")
     return (time.process_time() - start) / requests
 
 
--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -70,7 +70,7 @@
 if sys.argv[1:2] == ["serve"]:  # what is imported below takes its time, in which a signal may come
     from mulleinhatch.instance.runtime import signals
 
-    signals.heard_early()
+    signals.remember_early_signals()
 
 from docopt import docopt  # noqa: E402
 
@@ -79,9 +79,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run the sub-command that the arguments name; return the exit status."""
-    told = docopt(__doc__, argv)
-    name = next(name for name in COMMANDS if told[name])
-    return import_module(f"mulleinhatch.cli.instance.{name}").run(told)
+    arguments = docopt(__doc__, argv)
+    name = next(name for name in COMMANDS if arguments[name])
+    return import_module(f"mulleinhatch.cli.instance.{name}").run(arguments)
 
 
 if __name__ == "__main__":
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -1,113 +1,134 @@
-"""The interpreter's side: notices of the link become happenings, errands become commands."""
+"""The interpreter side: notices of the link become events, actions become commands."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol import interpreter_messages
-from mulleinhatch.instance.request_state_machine.reducer import Happening
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.runtime.callbacks import CounterIncrement, EventHandler
 from mulleinhatch.instance.transport.reconnecting_link import ReconnectingLink
 
 LOG = logging.getLogger(__name__)
-SPOILT_MOST = 1000
-
-
-class Interpreter:
-    def __init__(self, host: str, port: int, take: Callable[..., None], count: Callable[[str], None]) -> None:
-        self.take, self.count = take, count
-        self.complained: set[str] = set()
-        self.spoilt: set[str] = set()  # runs whose end came spoilt once
-        self.link = ReconnectingLink(host, port, on_open=lambda: take(Happening.LINK_OPENED), on_line=self.line, count=count)
-
-    def line(self, line: bytes) -> None:
+MAX_UNREADABLE_RUN_ENDS = 1000  # request ids that are remembered
+# Log lines by counter.
+PROBLEMS = {
+    "lines_broken": "the interpreter sent a line that cannot be parsed",
+    "notices_broken": "the interpreter sent a notice that cannot be read",
+    "notices_unknown": "the interpreter sent a notice of unknown type",
+    "interpreter_errors": "the interpreter answered a command with an error",
+}
+
+
+class InterpreterLink:
+    """Parses the notices of the interpreter and sends commands to it."""
+
+    def __init__(self, host: str, port: int, handle_event: EventHandler, count: CounterIncrement) -> None:
+        self.handle_event, self.count = handle_event, count
+        self.logged_problems: set[str] = set()
+        self.unreadable_run_ends: set[str] = set()  # request ids whose end arrived unreadable once
+        self.link = ReconnectingLink(
+            host, port, on_open=lambda: handle_event(Event.LINK_OPENED), on_line=self.on_line, count=count
+        )
+
+    def on_line(self, line: bytes) -> None:
+        """Handle one line of the link."""
         try:
-            told = interpreter_messages.parse_notice(line)
+            message = interpreter_messages.parse_notice(line)
         except (ValueError, RecursionError):
-            self._complain("lines_broken", {"line": line[:80]})
-            self.take(Happening.LINE_BROKEN)
+            self._count_problem("lines_broken", {"line": line[:80]})
+            self.handle_event(Event.MALFORMED_LINE_RECEIVED)
             return
         try:
-            self._notice(told)
+            self._notice(message)
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            self._complain("notices_broken", {"error": repr(error)})
-            self._spoilt(told)
-
-    def _spoilt(self, told: dict) -> None:
-        """It comes again, perhaps whole, when the link is made anew. An end that is spoilt again is an end still: its run
-        fails, whose result nobody can know, and does not keep its place for good."""
-        ref = told.get("rid")
-        if told.get("t") != "VALUE" or not isinstance(ref, str):
+            self._count_problem("notices_broken", {"error": repr(error)})
+            self._handle_unreadable_run_end(message)
+
+    def _handle_unreadable_run_end(self, message: dict) -> None:
+        """Handle a notice of a run's end that cannot be read.
+
+        It is sent again after a reconnect, perhaps readable. The second time the run has ended all the same: it fails, since
+        its result cannot be known, and must not occupy capacity for ever.
+        """
+        request_id = message.get("rid")
+        if message.get("t") != "VALUE" or not isinstance(request_id, str):
             return
-        if ref in self.spoilt:
-            self.spoilt.discard(ref)
-            self.take(Happening.RUN_SPOILT, ref)
+        if request_id in self.unreadable_run_ends:
+            self.unreadable_run_ends.discard(request_id)
+            self.handle_event(Event.UNREADABLE_RUN_END_RECEIVED, request_id)
             return
-        if len(self.spoilt) >= SPOILT_MOST:
-            self.spoilt.clear()
-        self.spoilt.add(ref)
-        self.take(Happening.LINE_BROKEN)
-
-    def _complain(self, what: str, fields: dict) -> None:
-        """Counted each time and logged once: a fault of the other side must not fill the log."""
-        self.count(what)
-        if what not in self.complained:
-            self.complained.add(what)
-            LOG.warning(what.replace("_", " "), extra={"fields": fields})
-
-    def _notice(self, told: dict) -> None:
-        what, status = told.get("t"), told.get("status")
-        if what == "VALUE":
+        if len(self.unreadable_run_ends) >= MAX_UNREADABLE_RUN_ENDS:
+            self.unreadable_run_ends.clear()
+        self.unreadable_run_ends.add(request_id)
+        self.handle_event(Event.MALFORMED_LINE_RECEIVED)
+
+    def _count_problem(self, kind: str, fields: dict) -> None:
+        """Count each problem and log the first of a kind: a fault of the other side must not fill the log."""
+        self.count(kind)
+        if kind not in self.logged_problems:
+            self.logged_problems.add(kind)
+            LOG.warning(PROBLEMS[kind], extra={"fields": fields})
+
+    def _notice(self, message: dict) -> None:
+        kind, status = message.get("t"), message.get("status")
+        if kind == "VALUE":
             ending = interpreter_messages.ENDINGS.get(status, Ending.ERROR)
-            self.take(
-                Happening.RUN_ENDED,
-                interpreter_messages.parse_non_negative_int(told["no"]),
-                interpreter_messages.parse_text(told["rid"]),
+            self.handle_event(
+                Event.RUN_ENDED,
+                interpreter_messages.parse_non_negative_int(message["no"]),
+                interpreter_messages.parse_text(message["rid"]),
                 ending,
-                interpreter_messages.parse_result(told, ending is Ending.OK),
+                interpreter_messages.parse_result(message, ending is Ending.OK),
             )
-        elif what == "AWAIT":
-            self.take(
-                Happening.CALL_WANTED,
-                interpreter_messages.parse_non_negative_int(told["no"]),
-                interpreter_messages.parse_text(told["rid"]),
-                interpreter_messages.parse_result(told, True),
+        elif kind == "AWAIT":
+            self.handle_event(
+                Event.CALL_REQUESTED,
+                interpreter_messages.parse_non_negative_int(message["no"]),
+                interpreter_messages.parse_text(message["rid"]),
+                interpreter_messages.parse_result(message, True),
             )
-        elif what == "TOPS":
-            self.take(
-                Happening.GAUGES,
-                interpreter_messages.parse_non_negative_int(told["mark"]),
-                interpreter_messages.parse_gauges(told["v"]),
+        elif kind == "TOPS":
+            self.handle_event(
+                Event.GAUGES_RECEIVED,
+                interpreter_messages.parse_non_negative_int(message["mark"]),
+                interpreter_messages.parse_gauges(message["v"]),
             )
-        elif what == "BANNER":
-            since = interpreter_messages.parse_non_negative_float(told["time_ms"]) / 1000.0
-            LOG.info("interpreter up", extra={"fields": {"status": status, "ms": told["time_ms"]}})
-            self.take(Happening.INTERPRETER_UP, status == "new", since)
-        elif what == "ERROR":
-            self._complain("interpreter_errors", {"command": status, "ref": told.get("rid")})
+        elif kind == "BANNER":
+            since = interpreter_messages.parse_non_negative_float(message["time_ms"]) / 1000.0
+            LOG.info("interpreter is ready", extra={"fields": {"status": status, "ms": message["time_ms"]}})
+            self.handle_event(Event.INTERPRETER_READY, status == "new", since)
+        elif kind == "ERROR":
+            self._count_problem("interpreter_errors", {"command": status, "ref": message.get("rid")})
             if status == "APPLY":
-                self.take(Happening.RUN_UNKNOWN, interpreter_messages.parse_text(told["rid"]))
+                self.handle_event(Event.RUN_REJECTED, interpreter_messages.parse_text(message["rid"]))
         else:
-            if what != "TRACE":
-                self._complain("notices_unknown", {"t": what})
-            if "no" in told:
-                self.take(Happening.NOTICE_PASSED, interpreter_messages.parse_non_negative_int(told["no"]))
+            if kind != "TRACE":
+                self._count_problem("notices_unknown", {"t": kind})
+            if "no" in message:
+                self.handle_event(Event.OTHER_NOTICE_RECEIVED, interpreter_messages.parse_non_negative_int(message["no"]))
 
     def greet(self, last_notice: int) -> None:
+        """Connect, naming the last notice received."""
         self.link.send(interpreter_messages.write_connect(last_notice))
 
     def renew(self) -> None:
+        """Reconnect the link."""
         self.link.reconnect()
 
-    def run(self, ref: str, op_type: str, body: bytes) -> None:
-        self.link.send(interpreter_messages.write_apply(ref, op_type, body))
+    def run(self, request_id: str, op_type: str, body: bytes) -> None:
+        """Start a run."""
+        self.link.send(interpreter_messages.write_apply(request_id, op_type, body))
 
-    def resolve(self, ref: str, result: bytes) -> None:
-        self.link.send(interpreter_messages.write_resolve(ref, result))
+    def resolve(self, request_id: str, result: bytes) -> None:
+        """Resume a run with the result of its call."""
+        self.link.send(interpreter_messages.write_resolve(request_id, result))
 
-    def skip(self, ref: str) -> None:
-        self.link.send(interpreter_messages.write_skip_call(ref))
+    def skip(self, request_id: str) -> None:
+        """Resume a run without its call."""
+        self.link.send(interpreter_messages.write_skip_call(request_id))
 
     def gauges(self, mark: int) -> None:
+        """Request the gauges."""
         self.link.send(interpreter_messages.write_gauges_request(mark))
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -1,4 +1,4 @@
-"""The spread's I/O: ops go to peers over the callers' protocol, the core's words are carried. Imported only where it is on."""
+"""Load balancing I/O: hands requests over to peers by the client protocol. Imported only where load balancing is on."""
 
 from __future__ import annotations
 
@@ -15,109 +15,124 @@
 from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.protocol import http_peers
 from mulleinhatch.instance.protocol.http_requests import IncomingRequest
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
+from mulleinhatch.instance.runtime.callbacks import EventHandler
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
-ANSWER_ROOM = 0.08  # seconds that a peer's answer has to come back before ours is due
-NUDGE = 0.005  # seconds until others hear of what changed here
-AT_MOST = 30.0  # seconds for an op that tells no time
-UNRUN = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # by these it never ran there
+ANSWER_MARGIN_S = 0.08  # time between the answer of a peer and our own deadline
+LOAD_CHANGE_DELAY_S = 0.005  # changes within this time are reported together
+MAX_HANDOVER_S = 30.0  # for a request without a deadline
+NOT_EXECUTED_STATUSES = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # the peer did not execute the request
 
 
-class SpreadSide:
+class LoadBalancingService:
+    """Connects the load balancing core to gossip, to the reducer and to the peers.
+
+    Args:
+        placement: Settings of the instance.
+        fleet: The gossip core that carries offers and reports.
+        reducer: Read for load and capacity.
+        handle_event: Passes events to the reducer.
+        send: Sends datagrams.
+    """
+
     def __init__(
         self,
         placement: Placement,
         fleet: GossipNode,
         reducer: Reducer,
-        take: Callable[..., None],
+        handle_event: EventHandler,
         send: Callable[[list[tuple[str, bytes]]], None],
     ) -> None:
         bounds = placement.spread
         if not bounds.at:
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
-        self.reducer, self.take, self.send = reducer, take, send
+        self.reducer, self.handle_event, self.send = reducer, handle_event, send
         self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
         self.peers = PeerConnections(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
-        self.told_count = 0
+        self.published_offer_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         fleet.handover_address = bounds.at if bounds.hand_over else ""
-        reducer.hands = True
-        self.nudged = False
-        reducer.on_run, reducer.on_op = self._ran, self._came
-
-    def _ran(self, *told: Any) -> None:
-        self.core.record_run(*told)
-        self._nudge()
-
-    def _came(self, *told: Any) -> None:
-        self.core.record_arrival(*told)
-        self._nudge()
-
-    def _nudge(self) -> None:
-        """Once for all that happens in a moment, after it was decided on."""
-        if not self.nudged:
-            self.nudged = True
-            asyncio.get_running_loop().call_later(NUDGE, self._nudges)
-
-    def _nudges(self) -> None:
-        self.nudged, now = False, time.monotonic()
-        self.send(self.core.on_load_change(now, self._here()))
-        self.tell(now)
-
-    def _here(self) -> InstanceLoad:
+        reducer.keeps_handover_data = True
+        self.is_load_change_scheduled = False
+        reducer.on_run_ended, reducer.on_client_request = self._record_run, self._record_request
+
+    def _record_run(self, *arguments: Any) -> None:
+        self.core.record_run(*arguments)
+        self._schedule_load_change()
+
+    def _record_request(self, *arguments: Any) -> None:
+        self.core.record_arrival(*arguments)
+        self._schedule_load_change()
+
+    def _schedule_load_change(self) -> None:
+        """Report a change of load shortly afterwards: once for all events of a moment, after their decisions."""
+        if not self.is_load_change_scheduled:
+            self.is_load_change_scheduled = True
+            asyncio.get_running_loop().call_later(LOAD_CHANGE_DELAY_S, self._send_load_change)
+
+    def _send_load_change(self) -> None:
+        self.is_load_change_scheduled, now = False, time.monotonic()
+        self.send(self.core.on_load_change(now, self._current_load()))
+        self.publish_offer_count(now)
+
+    def _current_load(self) -> InstanceLoad:
         reducer = self.reducer
         return InstanceLoad(
-            reducer.room(time.monotonic()),
-            reducer.handable(),
-            int(reducer.hatch.limit) if reducer.hatch else 1,
+            reducer.free_capacity(time.monotonic()),
+            reducer.transferable_count(),
+            int(reducer.controller.limit) if reducer.controller else 1,
             reducer.stop_at is not None,
             bool(reducer.storms and reducer.storms.is_active),
         )
 
-    def beat(self, now: float) -> list[tuple[str, bytes]]:
-        letters = self.core.heartbeat(now, self._here())
+    def heartbeat(self, now: float) -> list[tuple[str, bytes]]:
+        """Return the datagrams of a heartbeat."""
+        datagrams = self.core.heartbeat(now, self._current_load())
         self.peers.close_idle()
-        self.tell(now)
-        return letters
+        self.publish_offer_count(now)
+        return datagrams
 
-    def heard(self, now: float) -> list[tuple[str, bytes]]:
-        """After letters came: at once, for an offer is worth most to an op that waits now."""
-        self.core.load = self.core.load._replace(free_slots=self.reducer.room(now))
-        self.tell(now)
+    def on_datagram(self, now: float) -> list[tuple[str, bytes]]:
+        """Handle what a datagram changed, at once: a waiting request gains most from a new offer. Return datagrams."""
+        self.core.load = self.core.load._replace(free_slots=self.reducer.free_capacity(now))
+        self.publish_offer_count(now)
         return self.core.take_messages()
 
-    def tell(self, now: float) -> None:
-        """The module counts down what it hands over, and so do we (`hand`)."""
-        count = self.core.count_offers(now) if self.reducer.owed else 0
-        if count != self.told_count:
-            self.told_count = count
-            self.take(Happening.OFFERS, count)
+    def publish_offer_count(self, now: float) -> None:
+        """Report how many requests peers have capacity for; `hand_over` counts down, as the admission controller does."""
+        count = self.core.count_offers(now) if self.reducer.requests else 0
+        if count != self.published_offer_count:
+            self.published_offer_count = count
+            self.handle_event(Event.PEER_OFFERS_CHANGED, count)
 
-    def came(self, number: bytes) -> None:
+    def accept_handover(self, number: bytes) -> None:
+        """Record that a peer used the offer of that number."""
         self.core.offer_issuer.redeem(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
 
-    # Handing over.
+    # Handover.
 
-    def hand(self, ref: str, *told: Any) -> None:
-        self.told_count -= 1
+    def hand_over(self, request_id: str, *arguments: Any) -> None:
+        """Hand a request over to a peer that offered capacity."""
+        self.published_offer_count -= 1
         offer = self.core.take_offer(time.monotonic())
         if offer is None:
             self.counts["hand_offers_over"] += 1
-            # Not within the errands of the happening that decided it: it would be told in the middle of another.
-            asyncio.get_running_loop().call_soon(self.take, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
+            # Not at once: the actions of the event that decided this are still being performed.
+            asyncio.get_running_loop().call_soon(self.handle_event, Event.HANDOVER_ENDED, request_id, Ending.UNREACHABLE, b"")
             return
-        task = asyncio.ensure_future(self._hand(offer, ref, *told))
+        task = asyncio.ensure_future(self._send_handover(offer, request_id, *arguments))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _hand(
+    async def _send_handover(
         self,
         offer: ReceivedOffer,
-        ref: str,
+        request_id: str,
         op_type: str,
         tenant: str,
         body: bytes,
@@ -130,34 +145,39 @@
         rank: float,
         key: str,
     ) -> None:
-        wait = max(0.01, left - ANSWER_ROOM) if left else 0.0
-        request = IncomingRequest(ref, op_type, tenant, age, wait, caller, work, kb, again, key, rank)
+        wait = max(0.01, left - ANSWER_MARGIN_S) if left else 0.0
+        request = IncomingRequest(request_id, op_type, tenant, age, wait, caller, work, kb, again, key, rank)
         pieces = http_peers.write_handover_request(request, body, time.time(), offer.number, offer.address)
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.request(offer.address, pieces, wait or AT_MOST)
-            ending = Ending.OK if status == 200 else Ending.FULL if status in UNRUN else Ending.ERROR
+            status, result = await self.peers.request(offer.address, pieces, wait or MAX_HANDOVER_S)
+            ending = Ending.OK if status == 200 else Ending.FULL if status in NOT_EXECUTED_STATUSES else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
             ending = Ending.UNREACHABLE
         except ConnectionLostError as error:
-            LOG.debug("hand-over broke off", extra={"fields": {"ref": ref, "peer": offer.issuer, "error": error}})
+            LOG.debug(
+                "connection to a peer broke during a handover",
+                extra={"fields": {"ref": request_id, "peer": offer.issuer, "error": error}},
+            )
         except Exception:
             self.counts["spread_errors_inside"] += 1
-            LOG.exception("error inside", extra={"fields": {"at": "hand-over"}})
+            LOG.exception("unexpected exception", extra={"fields": {"at": "handover"}})
         finally:
             now = time.monotonic()
             self.core.record_handover(
                 now, offer, ending in (Ending.ERROR, Ending.INTERRUPTED), ending in (Ending.UNREACHABLE, Ending.INTERRUPTED)
             )
-            self.take(Happening.HAND_ENDED, ref, ending, result if ending is Ending.OK else b"")
+            self.handle_event(Event.HANDOVER_ENDED, request_id, ending, result if ending is Ending.OK else b"")
 
     def close(self) -> None:
+        """Cancel the handovers in progress and close the connections."""
         for task in self.tasks:
             task.cancel()
         self.peers.close()
 
-    def told(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
+        """Return the figures for the fleet status."""
         core = self.core
         pace = core.estimate(now)
         return {
@@ -176,16 +196,17 @@
             },
             "offers_out": core.offer_issuer.outstanding(now),
             "offers_held": core.offer_receiver.count(now),
-            "away": self.reducer.away,
+            "away": self.reducer.handed_over_count,
             "held_back": core.suspension_reason(),
         }
 
     def counted(self) -> dict[str, int]:
+        """Return all counters by name."""
         core = self.core
         return {
             **self.counts,
             **core.offer_issuer.counts,
             **core.offer_receiver.counts,
             **{f"spread_{name}": count for name, count in core.counts.items()},
-            "ops_at_peers": self.reducer.away,
+            "ops_at_peers": self.reducer.handed_over_count,
         }
--- a/mulleinhatch/instance/runtime/logs.py
+++ b/mulleinhatch/instance/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The log on standard error, one line an event, key=value."""
+"""The log on standard error: one line per event, key=value."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 import sys
 
 
-class KeyValue(logging.Formatter):
-    """
+class KeyValueFormatter(logging.Formatter):
+    """Formats a record as key=value pairs.
+
     >>> record = logging.LogRecord("x.y", logging.INFO, "", 0, "now %s", ("up",), None)
     >>> record.fields = {"port": 80}
-    >>> KeyValue().format(record).split(" ", 1)[1]
+    >>> KeyValueFormatter().format(record).split(" ", 1)[1]
     'level=info part=y event="now up" port=80'
     """
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line of a record."""
         pairs = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -24,10 +26,11 @@
         }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={quote(value)}" for key, value in pairs.items())
 
 
-def quoted(value: object) -> str:
+def quote(value: object) -> str:
+    """Return the value, quoted where it contains spaces, quotes, equals signs or newlines."""
     text = str(value)
     if text and not any(char in text for char in ' "=\n'):
         return text
@@ -35,6 +38,7 @@
 
 
 def start_logging(level: str) -> None:
+    """Log to standard error from this level on."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -1,4 +1,4 @@
-"""Traces of this instance: joins the recorder, which the reducer fills, with the keeper, which writes in its own thread."""
+"""Traces of this instance: connects the recorder, which the reducer fills, to the writer, which has its own thread."""
 
 from __future__ import annotations
 
@@ -7,8 +7,7 @@
 from hashlib import sha256
 from pathlib import Path
 
-from mulleinhatch import __version__
-from mulleinhatch import admission as decide
+from mulleinhatch import __version__, admission
 from mulleinhatch.admission import AdmissionController
 from mulleinhatch.instance.runtime.instance_settings import Placement
 from mulleinhatch.instance.traces.file import TraceMetadata
@@ -16,44 +15,49 @@
 from mulleinhatch.instance.traces.replay import deployment_to_dict
 from mulleinhatch.instance.traces.writer import TraceFileManager
 
-FLUSH_EVERY = 1.0  # seconds that a record waits for others, at most: what a kill costs
+FLUSH_INTERVAL_S = 1.0  # the longest time that a record is only in memory: what a kill loses
 
 
 class Tracing:
+    """Records the calls and decisions of the admission controller into trace files."""
+
     def __init__(self, placement: Placement) -> None:
         self.placement = placement
-        parts = sorted(Path(decide.__file__).parent.glob("*.py"))
-        self.policy = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
-        self.clock, self.wall = time.monotonic(), time.time()
-        self.file_manager = TraceFileManager(placement.traces, self._facts)
+        parts = sorted(Path(admission.__file__).parent.glob("*.py"))
+        self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
+        self.started_at, self.started_at_wall = time.monotonic(), time.time()
+        self.writer = TraceFileManager(placement.traces, self._facts)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
     def _facts(self, number: int) -> TraceMetadata:
-        place = self.placement
+        placement = self.placement
         return TraceMetadata(
-            place.name,
-            place.seed,
-            self.clock,
-            self.wall,
+            placement.name,
+            placement.seed,
+            self.started_at,
+            self.started_at_wall,
             number,
-            deployment_to_dict(place.deployment),
-            place.op_types,
-            place.tenants,
-            self.policy,
+            deployment_to_dict(placement.deployment),
+            placement.op_types,
+            placement.tenants,
+            self.policy_digest,
             f"mulleinhatch {__version__}",
         )
 
-    def recorded(self, hatch: AdmissionController, now: float, cold: bool, since: float) -> Recorder:
-        self.recorder = Recorder(hatch, now, cold, since, self.file_manager.enqueue)
+    def record_decisions(self, controller: AdmissionController, now: float, is_cold_start: bool, since: float) -> Recorder:
+        """Wrap the admission controller in a recorder."""
+        self.recorder = Recorder(controller, now, is_cold_start, since, self.writer.enqueue)
         return self.recorder
 
-    def beat(self, now: float) -> None:
-        if self.recorder and now - self.flushed_at >= FLUSH_EVERY:
+    def flush_if_due(self, now: float) -> None:
+        """Pass what was recorded to the writer."""
+        if self.recorder and now - self.flushed_at >= FLUSH_INTERVAL_S:
             self.flushed_at = now
             self.recorder.flush()
 
     def close(self) -> None:
+        """Write what is left and close the file."""
         if self.recorder:
             self.recorder.flush()
-        self.file_manager.close()
+        self.writer.close()
--- a/mulleinhatch/simulation/instance_world.py
+++ b/mulleinhatch/simulation/instance_world.py
@@ -12,7 +12,8 @@
 from typing import Any, NamedTuple
 
 from mulleinhatch.admission.interface import Deployment, Effect, Ending
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.simulation.virtual_time import EventQueue
 
@@ -125,8 +126,8 @@
         self.shed = False
         if self.reducer.storms:
             self._spy(self.reducer.storms.calendar)
-        self.take(Happening.LINK_OPENED)
-        self.take(Happening.INTERPRETER_UP, False, 100.0)
+        self.take(Event.LINK_OPENED)
+        self.take(Event.INTERPRETER_READY, False, 100.0)
 
     def _spy(self, calendar: Any) -> None:
         reserve_slot = calendar.reserve_slot
@@ -140,40 +141,40 @@
 
         calendar.reserve_slot = spied
 
-    def take(self, event: Happening, *arguments: Any) -> None:
+    def take(self, event: Event, *arguments: Any) -> None:
         """Feed an event to the reducer and carry out its effects."""
-        for effect, *fields in self.reducer.reduce(self.now, event, *arguments):
-            self._do(effect, fields)
+        for action, *fields in self.reducer.reduce(self.now, event, *arguments):
+            self._do(action, fields)
 
-    def _do(self, effect: Errand, fields: list[Any]) -> None:
-        if effect is Errand.RUN:
+    def _do(self, action: Action, fields: list[Any]) -> None:
+        if action is Action.START_RUN:
             ref = fields[0]
             number = self.number_of[ref]
             self.ran[number] += 1
             self.running[ref] = self.scenario.work * self.draw.uniform(0.7, 1.3)
             if not self.frozen:
                 self.at(self.now + self.running[ref], self._ended, self.incarnation, ref)
-        elif effect is Errand.GAUGES:
+        elif action is Action.REQUEST_GAUGES:
             self.at(self.now, self._gauges, self.incarnation, fields[0])
-        elif effect is Errand.ALARM:
+        elif action is Action.SET_TIMER:
             self.at(self.now + fields[0], self._alarm, self.incarnation, fields[1])
-        elif effect is Errand.TURN_BACK:
+        elif action is Action.SET_EARLY_REJECTION:
             self.shed = fields[0]
-        elif effect in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
-            self._answered(effect, *fields)
+        elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
+            self._answered(action, *fields)
 
     def _ended(self, incarnation: int, ref: str) -> None:
         if incarnation == self.incarnation and self.alive and not self.frozen and self.running.pop(ref, None) is not None:
             self.notices += 1
-            self.take(Happening.RUN_ENDED, self.notices, ref, Ending.OK, b"done " + ref.encode())
+            self.take(Event.RUN_ENDED, self.notices, ref, Ending.OK, b"done " + ref.encode())
 
     def _gauges(self, incarnation: int, mark: int) -> None:
         if incarnation == self.incarnation and self.alive and not self.frozen:
-            self.take(Happening.GAUGES, mark, [])
+            self.take(Event.GAUGES_RECEIVED, mark, [])
 
     def _alarm(self, incarnation: int, token: int) -> None:
         if incarnation == self.incarnation and self.alive:
-            self.take(Happening.ALARM, token)
+            self.take(Event.TIMER_EXPIRED, token)
 
     def _fall(self) -> None:
         if self.scenario.kind == "freeze":
@@ -230,16 +231,16 @@
         key = f"k{request.number}" if request.kind[1] is Effect.KEYED else ""
         if self.shed:
             soon = self.now < back_at - 0.02
-            seconds = self.reducer.turned_back(
+            seconds = self.reducer.reject_early(
                 self.now,
                 ref,
                 *arguments,
                 again,
                 key,
                 request.body,
-                place=self._place(request),
-                punctual=back_at > 0.0 and not soon,
-                stubborn=soon,
+                connection_id=self._place(request),
+                is_punctual=back_at > 0.0 and not soon,
+                is_too_early=soon,
                 figures=lambda: figures,
             )
             if seconds is not None:
@@ -253,7 +254,19 @@
         self.waiting[place] = (request, ref, self.now + wait)
         rank, cost, kb = figures
         self.take(
-            Happening.OP_READ, place, ref, *arguments[:2], 0.0, wait, request.caller, cost, kb, again, key, request.body, rank
+            Event.REQUEST_RECEIVED,
+            place,
+            ref,
+            *arguments[:2],
+            0.0,
+            wait,
+            request.caller,
+            cost,
+            kb,
+            again,
+            key,
+            request.body,
+            rank,
         )
 
     def _place(self, request: Request) -> int:
@@ -263,15 +276,15 @@
             self.idle.append(self.places)
         return self.idle[-1]
 
-    def _answered(self, effect: Errand, place: int, *arguments: Any) -> None:
+    def _answered(self, action: Action, place: int, *arguments: Any) -> None:
         if place not in self.waiting:
             raise InvariantBrokenError(f"at {self.now:.3f} a second answer, or one to nobody")
         request, ref, due = self.waiting.pop(place)
         if self.now > due + ANSWER_SLACK:
             raise InvariantBrokenError(f"at {self.now:.3f} an answer came {self.now - due:.2f} s late")
-        self.counts[effect.value] += 1
+        self.counts[action.value] += 1
         self.idle.append(place)
-        if effect is Errand.ACK:
+        if action is Action.SEND_RESULT:
             if self.draw.random() < self.scenario.lost_acks:
                 self.counts["acks lost"] += 1
                 self.idle.pop()
@@ -280,7 +293,7 @@
             if not request.over and self.now - request.born <= 1.8:
                 self.in_time[int(request.born)] += 1
             request.over = True
-        elif effect is Errand.NACK:
+        elif action is Action.SEND_REJECTION:
             if request.kind[1] is not Effect.RETRYABLE and ref in self.running:
                 raise InvariantBrokenError(f"at {self.now:.3f} an op that runs was nacked")
             self._rejected(request, arguments[0])
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -20,7 +20,8 @@
 from mulleinhatch.instance.load_balancing.bounds import LoadBalancingBounds
 from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
 from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.simulation.gossip_world import GRACE, LINK, GossipWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
@@ -182,12 +183,12 @@
         node.cores, node.works, node.pending_requests, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
         node.notices, node.level = 0, 0.0
         if node.spread:
-            node.reducer.hands = self.spread_bounds.hand_over
-            node.reducer.on_run, node.reducer.on_op = node.spread.record_run, node.spread.record_arrival
-        self._take(node, Happening.LINK_OPENED)
+            node.reducer.keeps_handover_data = self.spread_bounds.hand_over
+            node.reducer.on_run_ended, node.reducer.on_client_request = node.spread.record_run, node.spread.record_arrival
+        self._take(node, Event.LINK_OPENED)
         is_warming_up = node.incarnations > 1 and load.cold_for > 0.0
         node.warming_up_since = self.now if is_warming_up else -math.inf
-        self._take(node, Happening.INTERPRETER_UP, is_warming_up, 0.0 if is_warming_up else 100.0)
+        self._take(node, Event.INTERPRETER_READY, is_warming_up, 0.0 if is_warming_up else 100.0)
         self.at(self.now + load.list_delay, self._listed, node, node.incarnations, True)
 
     def _listed(self, node: Service, incarnation: int, up: bool) -> None:
@@ -223,7 +224,7 @@
         if fault.what == "leave":
             for node, core in before:
                 if core:
-                    self._take(node, Happening.LEAVE, GRACE)
+                    self._take(node, Event.SHUTDOWN_REQUESTED, GRACE)
         super()._fault(fault)
         for node, core in before:
             if fault.what == "kill" and core:
@@ -262,7 +263,7 @@
             )
             if conditions != getattr(node, "last_conditions", None):
                 node.last_conditions = conditions
-                self._take(node, Happening.OTHERS, *conditions)
+                self._take(node, Event.PEER_LOAD_CHANGED, *conditions)
         super()._send_heartbeat(node, incarnation, again)
 
     def local(self, node: Node) -> Any:
@@ -274,12 +275,12 @@
             0,
             counts["run_ok"],
             counts["decided_nack"],
-            len(reducer.owed) - reducer.unended - reducer.away,
-            reducer.unended,
-            round(reducer.hatch.capacity()),
+            len(reducer.requests) - reducer.run_count - reducer.handed_over_count,
+            reducer.run_count,
+            round(reducer.controller.capacity()),
             int(reducer.healthy),
             counts["run_error"],
-            reducer.room_told(now),
+            reducer.advertised_capacity(now),
         ]
         opinions = []
         if node.spread:
@@ -298,7 +299,7 @@
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.spread:
-            node.spread.load = node.spread.load._replace(free_slots=node.reducer.room(node.clock(self.now)))
+            node.spread.load = node.spread.load._replace(free_slots=node.reducer.free_capacity(node.clock(self.now)))
         super()._heard(node, data)
         if node.spread:
             self._send(node, node.spread.take_messages())
@@ -306,24 +307,24 @@
             self._offers(node)
 
     def _offers(self, node: Service) -> None:
-        if node.reducer.owed and self.spread_bounds.hand_over:
-            self._take(node, Happening.OFFERS, node.spread.count_offers(node.clock(self.now)))
+        if node.reducer.requests and self.spread_bounds.hand_over:
+            self._take(node, Event.PEER_OFFERS_CHANGED, node.spread.count_offers(node.clock(self.now)))
 
     # What a reducer asks for.
 
-    def _take(self, node: Service, event: Happening, *arguments: Any) -> None:
+    def _take(self, node: Service, event: Event, *arguments: Any) -> None:
         if node.core is None:
             return
         if node.stalled:
             node.later.append((self._take, (node, event, *arguments)))
             return
-        for effect, *fields in node.reducer.reduce(node.clock(self.now), event, *arguments):
-            self._do(node, effect, fields)
+        for action, *fields in node.reducer.reduce(node.clock(self.now), event, *arguments):
+            self._do(node, action, fields)
         if (
             node.spread
             and self.spread_bounds.hand_over
             and not node.nudged
-            and event in (Happening.OP_READ, Happening.RUN_ENDED)
+            and event in (Event.REQUEST_RECEIVED, Event.RUN_ENDED)
         ):
             node.nudged = True
             self.at(self.now + NUDGE, self._nudged, node, node.incarnations)
@@ -337,19 +338,21 @@
 
     def _here(self, node: Service) -> InstanceLoad:
         reducer, now = node.reducer, node.clock(self.now)
-        return InstanceLoad(reducer.room(now), reducer.handable(), int(reducer.hatch.limit), reducer.stop_at is not None)
+        return InstanceLoad(
+            reducer.free_capacity(now), reducer.transferable_count(), int(reducer.controller.limit), reducer.stop_at is not None
+        )
 
-    def _do(self, node: Service, effect: Errand, fields: list[Any]) -> None:
-        if effect is Errand.RUN:
+    def _do(self, node: Service, action: Action, fields: list[Any]) -> None:
+        if action is Action.START_RUN:
             self._run(node, fields[0], fields[2])
-        elif effect is Errand.GAUGES:
+        elif action is Action.REQUEST_GAUGES:
             use = min(1.0, len(node.works) / self.load.cores)
-            self.at(self.now, self._for_incarnation, node, node.incarnations, Happening.GAUGES, fields[0], [use])
-        elif effect is Errand.ALARM:
-            self.at(self.now + fields[0], self._for_incarnation, node, node.incarnations, Happening.ALARM, fields[1])
-        elif effect is Errand.HAND:
+            self.at(self.now, self._for_incarnation, node, node.incarnations, Event.GAUGES_RECEIVED, fields[0], [use])
+        elif action is Action.SET_TIMER:
+            self.at(self.now + fields[0], self._for_incarnation, node, node.incarnations, Event.TIMER_EXPIRED, fields[1])
+        elif action is Action.HAND_OVER:
             self._hand(node, *fields)
-        elif effect in (Errand.ACK, Errand.NACK, Errand.FAIL, Errand.REFUSE):
+        elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
             answered = node.pending_requests.pop(fields[0], None)
             if answered is None:
                 raise InvariantBrokenError(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
@@ -357,11 +360,11 @@
             self.at(
                 self.now + self.draw.uniform(*LINK),
                 answered,
-                effect.value,
-                fields[1] if effect is Errand.ACK else fields[1:3] if effect is Errand.NACK else b"",
+                action.value,
+                fields[1] if action is Action.SEND_RESULT else fields[1:3] if action is Action.SEND_REJECTION else b"",
             )
 
-    def _for_incarnation(self, node: Service, incarnation: int, event: Happening, *arguments: Any) -> None:
+    def _for_incarnation(self, node: Service, incarnation: int, event: Event, *arguments: Any) -> None:
         if node.incarnations == incarnation:
             self._take(node, event, *arguments)
 
@@ -415,7 +418,7 @@
         for ref in node.cores.ended(self.now + 1e-9):
             _, bad, _ = node.works.pop(ref, (0.0, False, 0.0))
             node.notices += 1
-            self._take(node, Happening.RUN_ENDED, node.notices, ref, Ending.ERROR if bad else Ending.OK, ref.encode())
+            self._take(node, Event.RUN_ENDED, node.notices, ref, Ending.ERROR if bad else Ending.OK, ref.encode())
         self._next_end(node)
 
     # Hand-over.
@@ -439,7 +442,7 @@
         offer = node.spread.take_offer(node.clock(self.now))
         incarnation = node.incarnations
         if offer is None:
-            self.at(self.now, self._for_incarnation, node, incarnation, Happening.HAND_ENDED, ref, Ending.UNREACHABLE, b"")
+            self.at(self.now, self._for_incarnation, node, incarnation, Event.HANDOVER_ENDED, ref, Ending.UNREACHABLE, b"")
             return
         peer = self.nodes[int(offer.address.rpartition(":")[2])]
         self.handed["to " + ("offers" if offer.number else "guesses")] += 1
@@ -457,7 +460,7 @@
                     ending in (Ending.ERROR, Ending.INTERRUPTED),
                     ending in (Ending.UNREACHABLE, Ending.INTERRUPTED),
                 )
-                self._take(node, Happening.HAND_ENDED, ref, ending, result)
+                self._take(node, Event.HANDOVER_ENDED, ref, ending, result)
 
         there = faults.passes(self.links, self.now, node.place, peer.place) and faults.passes(
             self.links, self.now, peer.place, node.place
@@ -520,7 +523,7 @@
             self.arrivals[node.place, int(self.now)] += 1
         node.places += 1
         node.pending_requests[node.places] = answered
-        self._take(node, Happening.OP_READ, node.places, *arguments)
+        self._take(node, Event.REQUEST_RECEIVED, node.places, *arguments)
 
     # Callers.
 
@@ -632,7 +635,9 @@
     def _look(self) -> None:
         self.at(self.now + LOOK, self._look)
         up = [node for node in self.nodes if node.core and not node.stalled]
-        pending = {node.place: len(node.reducer.owed) - node.reducer.unended - node.reducer.away for node in up}
+        pending = {
+            node.place: len(node.reducer.requests) - node.reducer.run_count - node.reducer.handed_over_count for node in up
+        }
         needing = sum(count > 0 for count in pending.values()) > 0 or self.now - self.rejected_at < LOOK
         if needing:
             idle = sum(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -409,7 +409,7 @@
 
 def test_an_answer_lists_all_members() -> None:
     for differ, tenants in ((False, 4), (True, 8)):
-        answer = json.loads(parts.fleet_side(25, differ).told())
+        answer = json.loads(parts.fleet_side(25, differ).status_json())
         assert len(answer["members"]) == 25 and len(answer["loudest"]) == tenants
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from tornado.ioloop import IOLoop
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
-from mulleinhatch.instance.runtime.background_tasks import Tasks
+from mulleinhatch.instance.runtime.background_tasks import BackgroundTasks
 from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
 from mulleinhatch.instance.transport import limits
 from mulleinhatch.instance.transport.connection import Connection
@@ -36,7 +36,7 @@
 from mulleinhatch.instance.transport.reconnecting_link import CONNECT_TIMEOUT_S, ReconnectingLink
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http_grammar
-from standins import SocketPlay, told_at_start
+from standins import SocketPlay, default_settings
 
 ROOT = Path(__file__).parent.parent
 TIMEOUT_S = 3.0
@@ -462,7 +462,7 @@
 def test_a_report_that_fails_costs_one_report() -> None:
     async def scenario() -> None:
         counts: Counter[str] = Counter()
-        tasks, turns = Tasks(lambda counter: counts.update([counter]), 1), []
+        tasks, turns = BackgroundTasks(lambda counter: counts.update([counter]), 1), []
 
         def fail() -> None:
             turns.append(1)
@@ -480,7 +480,7 @@
 def test_a_task_that_fails_runs_again_later_each_time() -> None:
     async def scenario() -> None:
         counts: Counter[str] = Counter()
-        tasks, started_at = Tasks(lambda counter: counts.update([counter]), 1), []
+        tasks, started_at = BackgroundTasks(lambda counter: counts.update([counter]), 1), []
 
         async def fail() -> None:
             started_at.append(time.monotonic())
@@ -506,7 +506,7 @@
             raise ValueError("an unexpected address")
 
         instance_harness.instance.datagrams.send = fails
-        instance_harness.instance.front.connections.sweep = fails
+        instance_harness.instance.listener.connections.sweep = fails
         await until(lambda: len(failed) >= 2)
         instance_harness.instance.datagrams.send = send
         while not instance_harness.directory.heard.empty():
@@ -538,12 +538,14 @@
         writer.close()
 
 
-def connect_link(port: int, on_line: Callable[[bytes], None] = lambda _: None) -> tuple[ReconnectingLink, Tasks, Counter[str]]:
+def connect_link(
+    port: int, on_line: Callable[[bytes], None] = lambda _: None
+) -> tuple[ReconnectingLink, BackgroundTasks, Counter[str]]:
     counts: Counter[str] = Counter()
     link = ReconnectingLink(
         "127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda counter: counts.update([counter])
     )
-    tasks = Tasks(lambda counter: counts.update([counter]), 1)
+    tasks = BackgroundTasks(lambda counter: counts.update([counter]), 1)
     tasks.keep("link", link.run)
     return link, tasks, counts
 
@@ -677,7 +679,7 @@
     async def scenario() -> None:
         old, new, path = FakeServer(), FakeServer(), tmp_path / "told.json"
         node_config = {
-            **told_at_start(),
+            **default_settings(),
             "vm": f"127.0.0.1:{await old.listen()}",
             "listen": f"127.0.0.1:{free_port()}",
             "stop_ms": 200,
@@ -707,7 +709,7 @@
 def test_a_stop_signal_while_the_address_is_in_use_is_handled(tmp_path: Path) -> None:
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as occupant:
-            node_config = {**told_at_start(), "listen": "127.0.0.1:%d" % occupant.getsockname()[1], "stop_ms": 100}
+            node_config = {**default_settings(), "listen": "127.0.0.1:%d" % occupant.getsockname()[1], "stop_ms": 100}
 
             async def stop(process: asyncio.subprocess.Process) -> None:
                 while b"can't listen yet" not in await process.stderr.readline():
@@ -741,11 +743,11 @@
         instance_harness = SocketPlay()
         await instance_harness.line("interpreter", "up")
         before = instance_harness.instance.placement
-        instance_harness.told_first[key] = value
+        instance_harness.settings[key] = value
         instance_harness.instance.reload()
         assert instance_harness.instance.placement is before and instance_harness.instance.counts["reloads_refused"] == 1
         with pytest.raises(InvalidSettingsError, match=complaint):
-            placed(instance_harness.told_first)
+            placed(instance_harness.settings)
         instance_harness.instance.stopped.set()
         await instance_harness.serving
 
@@ -761,7 +763,7 @@
     ],
 )
 def test_settings_that_are_no_numbers_end_the_start_and_name_the_key(path: str, value: object, complaint: str) -> None:
-    node_config = told_at_start()
+    node_config = default_settings()
     node_config["settings"][path] = value
     with pytest.raises(InvalidSettingsError, match=complaint):
         placed(node_config)
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -14,7 +14,8 @@
 
 from mulleinhatch.admission.interface import Decision, Effect, Verb
 from mulleinhatch.instance.protocol import http_peers, http_requests
-from mulleinhatch.instance.request_state_machine.reducer import Errand, Happening, Reducer
+from mulleinhatch.instance.request_state_machine.events import Action, Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STABLE_COSTS_RETRIES
 from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, find_second_runs, second_runs_of_fleet
@@ -209,9 +210,9 @@
             ).encode("latin-1")
         )
 
-    def receive(peer: Reducer, now: float, place: int, request: tuple, from_peer: bool) -> set[Errand]:
+    def receive(peer: Reducer, now: float, place: int, request: tuple, from_peer: bool) -> set[Action]:
         *fields, read_rank = request
-        return {effect for effect, *_ in peer.reduce(now, Happening.OP_READ, place, *fields, b"in", read_rank, from_peer)}
+        return {action for action, *_ in peer.reduce(now, Event.REQUEST_RECEIVED, place, *fields, b"in", read_rank, from_peer)}
 
     origin, peer = (
         Reducer(
@@ -224,8 +225,8 @@
         for _ in range(2)
     )
     for reducer in (origin, peer):
-        reducer.hands = True
-        reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 100.0)
+        reducer.keeps_handover_data = True
+        reducer.reduce(0.0, Event.INTERPRETER_READY, False, 100.0)
     peer.storms.duplicates.stable_retries = STABLE_COSTS_RETRIES
     receive(origin, 10.0, 1, incoming("00000000000000aa"), False)
     _, ref, request_type, tenant, body, age, left, caller, work, memory, again, read_rank, read_key = handed_over(
@@ -236,9 +237,9 @@
         ref, request_type, tenant, age, left, caller, work, memory, again, read_key, read_rank
     )
     chunks = http_peers.write_handover_request(handed, body, NOW, 17, "peer:1")
-    assert Errand.RUN in receive(peer, 10.0, 1, parse_head(b"".join(chunks)), True)
-    peer.reduce(10.1, Happening.CALLER_LOST, 1)
-    assert receive(peer, 10.2, 2, incoming("00000000000000bb", "X-Retry: 1\r\n"), False) == {Errand.FAIL}
+    assert Action.START_RUN in receive(peer, 10.0, 1, parse_head(b"".join(chunks)), True)
+    peer.reduce(10.1, Event.CLIENT_DISCONNECTED, 1)
+    assert receive(peer, 10.2, 2, incoming("00000000000000bb", "X-Retry: 1\r\n"), False) == {Action.SEND_FAILURE}
     assert peer.counts["repeats_of_run"] == 1
 
 
@@ -251,7 +252,7 @@
 
 def handed_over(origin: Reducer, now: float, ref: str) -> tuple:
     """Return the effect that hands the request over to a peer, as if the controller had decided so."""
-    origin.errands = []
-    origin.owed[ref].running = False
+    origin.actions = []
+    origin.requests[ref].running = False
     origin._do_hand_over(now, Decision(Verb.HAND_OVER, ref))
-    return origin.errands[0]
+    return origin.actions[0]
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -185,7 +185,9 @@
     until = max(12.0, faults.end_of(faults.read(script, instances)) + 3.0)
     world = LoadBalancingWorld(Plan(instances, script, until=until, seed=seed), load).play()
     assert world.in_time > 0.0
-    owed = [ref for node in world.nodes if node.core for ref, request in node.reducer.owed.items() if request.place is not None]
+    owed = [
+        ref for node in world.nodes if node.core for ref, request in node.reducer.requests.items() if request.place is not None
+    ]
     assert not owed, "requests that nobody answered"
 
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -11,7 +11,8 @@
 
 from mulleinhatch.admission.interface import Ending
 from mulleinhatch.instance.protocol.http_requests import RequestReader, parse_plain_request, parse_request
-from mulleinhatch.instance.request_state_machine.reducer import Happening, Reducer
+from mulleinhatch.instance.request_state_machine.events import Event
+from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.budget import RetryBudget
 from mulleinhatch.instance.retry_storms.calendar import ReconnectCalendar
@@ -140,7 +141,7 @@
     last = scenario.load_until + scenario.patience
     world = World(scenario._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
-    world.reducer.reduce(last + SETTLED, Happening.CHECKED, 0)  # an idle instance judges when it next hears anything
+    world.reducer.reduce(last + SETTLED, Event.HEALTH_CHECK_RECEIVED, 0)  # an idle instance judges when it next hears anything
     assert world.reducer.storms.detector.stage is Stage.CALM, world.stages
     assert not world.waiting
 
@@ -303,13 +304,13 @@
 
     def outage_after(gap: float, in_hand: bool) -> bool:
         reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], 7, StormBounds())
-        reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
+        reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
         asked = 0.0 if in_hand else gap
         for number, at in ((1, 0.0), (2, asked)):
-            reducer.reduce(at, Happening.OP_READ, number, f"r{number}", "read", "", 0.0, 60.0, 1, 0.1, 8.0, False, "", b"")
+            reducer.reduce(at, Event.REQUEST_RECEIVED, number, f"r{number}", "read", "", 0.0, 60.0, 1, 0.1, 8.0, False, "", b"")
             if number == 1:
-                reducer.reduce(0.0, Happening.RUN_ENDED, 1, "r1", Ending.OK, b"")
-        reducer.reduce(gap, Happening.RUN_ENDED, 2, "r2", Ending.OK, b"")
+                reducer.reduce(0.0, Event.RUN_ENDED, 1, "r1", Ending.OK, b"")
+        reducer.reduce(gap, Event.RUN_ENDED, 2, "r2", Ending.OK, b"")
         return reducer.storms.detector.outage_at is not None
 
     assert outage_after(5.0, in_hand=True)
@@ -322,10 +323,10 @@
         reducer = Reducer(
             {"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7, StormBounds()
         )
-        reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
+        reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
         reducer.storms.set_rate(0.0, 0.001)
         fields_read = [
-            reducer.turned_back(0.1, f"r{number}", "read", "", 4, True, "", b"", punctual=False, stubborn=number > 2)
+            reducer.reject_early(0.1, f"r{number}", "read", "", 4, True, "", b"", is_punctual=False, is_too_early=number > 2)
             for number in range(6)
         ]
         assert max(fields_read) > 0.0 if allowed else set(fields_read) == {0.0}
@@ -334,11 +335,13 @@
 def test_an_unmarked_repeat_is_known_for_as_long_as_it_keeps_coming() -> None:
     """Seen on loopback: 20 s after their first nack all unmarked repeats counted as first tries, and came in at once."""
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
-    reducer.reduce(0.0, Happening.INTERPRETER_UP, False, 9.0)
+    reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
     reducer.storms.set_rate(0.0, 0.001)
     fields_read = ("read", "", 4, False, "", b"a body")
-    assert reducer.turned_back(0.0, "r0", *fields_read, punctual=False, stubborn=False) is None
+    assert reducer.reject_early(0.0, "r0", *fields_read, is_punctual=False, is_too_early=False) is None
     reducer.storms.duplicates.record_rejected(0.0, (request_fingerprint(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).coarse,))
     for tenth in range(1, 600):
-        assert reducer.turned_back(0.1 * tenth, f"r{tenth}", *fields_read, punctual=False, stubborn=False) is not None, tenth
-    assert reducer.turned_back(120.0, "last", *fields_read, punctual=False, stubborn=False) is None
+        assert (
+            reducer.reject_early(0.1 * tenth, f"r{tenth}", *fields_read, is_punctual=False, is_too_early=False) is not None
+        ), tenth
+    assert reducer.reject_early(120.0, "last", *fields_read, is_punctual=False, is_too_early=False) is None
