--- a/mulleinhatch/data_plane/admission_queue.py
+++ b/mulleinhatch/data_plane/admission_queue.py
@@ -1,7 +1,7 @@
-"""Which requests wait, in what order they start, and which are rejected. Pure.
+"""Decides which requests wait, in which order they start, and which are rejected. Pure.
 
-Each model (with its adapter) of a service, or each service without models, has its own queue. Its running limit is this
-data plane's part of the slots of the backends that hold the model; the service rate mu is measured by its own completions.
+Each model (with its adapter) of a service, or each service without models, has its own queue. Its running limit is
+this data plane's share of the slots of the backends that hold the model; the service rate mu is measured from its completions.
 
 Source: Multigrid, "Priority Queues: Free Users Wait, Paying Users Do Not"; see `docs/design.md` and `admission/mechanism.py`.
 """
@@ -18,30 +18,30 @@
 from mulleinhatch.admission.mechanism import account_cap, ageing_rate, base_priorities, class_bound, effective_priority
 from mulleinhatch.data_plane.registry_snapshot import ModelKey
 
-MIN_SATURATED_S = 0.5  # at the running limit with requests waiting, before the measured service rate is used
-SERVICE_RATE_WINDOW_S = 10.0  # of saturated time, after which older completions count half
-ACCOUNT_SHARE_BY_CLASS = (0.25, 0.10, 0.04)  # of the running limit for one account, from the highest class to the lowest
+MIN_SATURATED_S = 0.5  # Saturated time (at the running limit, with requests waiting) needed for a service rate.
+SERVICE_RATE_WINDOW_S = 10.0  # Saturated time after which the weight of older completions is halved.
+ACCOUNT_SHARE_BY_CLASS = (0.25, 0.10, 0.04)  # Cap of one account as a fraction of the running limit, highest class first.
 MIN_RUNNING_LIMIT = 2
-LIMIT_DECREASE_FACTOR = 0.8  # when a backend rejects a request as overloaded (multiplicative decrease)
-LIMIT_INCREASE = 1.0  # for each completion while requests wait (additive increase)
-RESPONSE_MARGIN_S = 0.05  # before the deadline, so that a rejection still reaches the client
-MIN_WAIT_FRACTION = 0.2  # of the latency target: a request is not given up before, a model may be placed meanwhile
+LIMIT_DECREASE_FACTOR = 0.8  # Multiplicative decrease when a backend rejects a request as overloaded.
+LIMIT_INCREASE = 1.0  # Additive increase for each completion while requests wait.
+RESPONSE_MARGIN_S = 0.05  # Reject this long before the deadline, so that the response still reaches the client.
+MIN_WAIT_FRACTION = 0.2  # Fraction of the latency target before which no request expires: a model may be placed meanwhile.
 MIN_EXPIRED_RETRY_AFTER_S = 0.1
-DEFAULT_SERVICE_S = 0.3  # expected service time
+DEFAULT_SERVICE_S = 0.3  # Expected service time of a request.
 
 
 @dataclass
 class PendingRequest:
-    """A request as the queue sees it. Times are loop times in seconds.
+    """A request in the queue. Times are loop times in seconds.
 
     Attributes:
         handle: The owner's object for the request.
-        model_key: Model that is asked for.
+        model_key: Requested model.
         priority: Class, 0 is the highest.
         target_s: Latency target of its route.
-        account: Whom the request counts against, empty where unknown.
-        arrived_at: When it arrived; kept when it is queued again.
-        deadline: When it is given up.
+        account: Account whose cap applies, empty if unknown.
+        arrived_at: Arrival time; unchanged when the request is queued again.
+        deadline: When it expires.
         is_started: Whether it has left the queue.
     """
 
@@ -56,11 +56,11 @@
 
 
 class RejectionReason(Enum):
-    """Why a request was not accepted, or was given up before it ran. The values are part of responses and logs."""
+    """Why a request was rejected, on arrival or while it waited. The values are part of responses and logs."""
 
-    CLASS_BOUND = "class bound"  # more requests of its class wait than can start in time
-    NO_BACKEND_IN_TIME = "no stub in time"  # no backend will hold the model before the deadline
-    DEADLINE = "due"
+    CLASS_BOUND = "class bound"  # More requests of its class wait than can start in time.
+    NO_BACKEND_IN_TIME = "no stub in time"  # No backend will have the model before the deadline.
+    DEADLINE = "due"  # It can no longer be served before its deadline.
 
 
 @dataclass(frozen=True)
@@ -69,7 +69,7 @@
 
     Attributes:
         reason: Why it was rejected.
-        retry_after_s: When the client should come back.
+        retry_after_s: Seconds after which the client should retry.
     """
 
     reason: RejectionReason
@@ -82,15 +82,15 @@
 
     Attributes:
         model_key: The model.
-        limit: Running limit; grows and shrinks by what the backends answer (AIMD), bounded by their slots.
-        waiting: Requests that wait, in order of arrival in the queue.
+        limit: Running limit; adapted to the backends' responses (AIMD) and bounded by their slots.
+        waiting: Waiting requests, in the order in which they were queued.
         running: Number of requests that were started and have not finished.
-        running_by_account: The same for each account.
-        saturated_since: Since when the limit is reached while requests wait; infinite where it is not.
-        saturated_s: Time spent like that, within the window.
-        completed_while_saturated: Completions in that time.
-        service_rate: In requests a second, 0 until it is measured.
-        updated_at: When the saturated time was last brought up to date.
+        running_by_account: Number of running requests of each account.
+        saturated_since: Time since which the queue has been saturated (limit reached, requests waiting); infinite if it is not.
+        saturated_s: Saturated time within the window, in seconds.
+        completed_while_saturated: Completions during the saturated time.
+        service_rate: Requests per second, 0 until it is measured.
+        updated_at: When the saturated time was last updated.
     """
 
     model_key: ModelKey
@@ -105,7 +105,7 @@
     updated_at: float = 0.0
 
     def update_service_rate(self, now: float) -> None:
-        """Add the time since the last update if the queue was saturated; its service rate is measured only then."""
+        """Add the time since the last update if the queue was saturated; only then is its service rate measured."""
         if self.running >= int(self.limit) and self.waiting:
             if self.saturated_since < math.inf:
                 self.saturated_s += now - self.updated_at
@@ -119,7 +119,7 @@
             self.service_rate = self.completed_while_saturated / self.saturated_s
 
     def waiting_count(self, priority: int) -> int:
-        """Return how many requests of a class wait."""
+        """Return the number of waiting requests of a class."""
         return sum(pending.priority == priority for pending in self.waiting)
 
 
@@ -127,8 +127,8 @@
     """The queues of all models of one data plane.
 
     Args:
-        available_slots: Returns this data plane's part of the slots of the backends that hold a model and are available.
-        ready_in_s: Returns the seconds until a backend can serve a model, 0 where one can now.
+        available_slots: Returns this data plane's share of the slots of the available backends that hold a model.
+        ready_in_s: Returns the seconds until a backend can serve a model, 0 if one can now.
     """
 
     def __init__(self, available_slots: Callable[[ModelKey], float], ready_in_s: Callable[[ModelKey], float]) -> None:
@@ -139,18 +139,18 @@
         self._ageing_rate = 1.0
 
     def configure(self, classes: Iterable[tuple[int, float]], class_of: Callable[[PendingRequest], int] | None = None) -> None:
-        """Use the priority classes of a new configuration.
+        """Apply the priority classes of a new configuration.
 
         Args:
-            classes: Priority (0 is the highest) and latency target in seconds of each.
-            class_of: Returns the new class of a request that waits; each keeps its own without it.
+            classes: Priority (0 is the highest) and latency target in seconds of each class.
+            class_of: Returns the new class of a waiting request; without it, waiting requests keep their classes.
         """
-        known = list(classes) or [(0, 1.0)]
-        base_by_rank = base_priorities(-priority for priority, _ in known)
+        targets = list(classes) or [(0, 1.0)]
+        base_by_rank = base_priorities(-priority for priority, _ in targets)
         self._base_priorities = {int(-rank): base for rank, base in base_by_rank.items()}
         self._account_shares = _account_shares(self._base_priorities)
-        lowest = max(priority for priority, _ in known)
-        self._ageing_rate = ageing_rate(max(target_s for priority, target_s in known if priority == lowest))
+        lowest = max(priority for priority, _ in targets)
+        self._ageing_rate = ageing_rate(max(target_s for priority, target_s in targets if priority == lowest))
         if class_of is not None:
             for queue in self.by_model.values():
                 for pending in queue.waiting:
@@ -162,13 +162,13 @@
             queue = self.by_model[model_key] = ModelQueue(model_key)
         return queue
 
-    # Entering.
+    # Queueing.
 
     def enqueue(self, pending: PendingRequest, now: float) -> Rejection | None:
         """Add a request to its queue.
 
         Returns:
-            None, or why the request is not accepted.
+            None if the request was queued, else its rejection.
         """
         queue = self._queue(pending.model_key)
         queue.update_service_rate(now)
@@ -192,14 +192,14 @@
         queue.waiting.append(pending)
 
     def restore(self, pending: PendingRequest) -> None:
-        """Put a request that was accepted, and whose slot was freed, back into its queue; it keeps its arrival time."""
+        """Put an accepted request whose slot was freed back into its queue; it keeps its arrival time."""
         pending.is_started = False
         self._queue(pending.model_key).waiting.append(pending)
 
     # Starting.
 
     def start_next(self, now: float) -> list[PendingRequest]:
-        """Take the requests that start now from their queues, in order; each counts as running from here on."""
+        """Remove the requests that start now from their queues, in order; they count as running from now on."""
         started: list[PendingRequest] = []
         for queue in self.by_model.values():
             if queue.waiting:
@@ -213,7 +213,7 @@
             return
         queue.limit = max(MIN_RUNNING_LIMIT, min(queue.limit, slots) if queue.running else slots)
         while queue.waiting and queue.running < int(queue.limit):
-            pending = self._pick(queue, now)
+            pending = self._pick_next(queue, now)
             queue.waiting.remove(pending)
             pending.is_started = True
             queue.running += 1
@@ -221,8 +221,8 @@
             started.append(pending)
         queue.update_service_rate(now)
 
-    def _pick(self, queue: ModelQueue, now: float) -> PendingRequest:
-        """Pick the lowest effective priority whose account is under its cap, or the lowest of all if none is."""
+    def _pick_next(self, queue: ModelQueue, now: float) -> PendingRequest:
+        """Return the request of lowest effective priority with its account under the cap; without one, the lowest of all."""
         ordered = sorted(queue.waiting, key=lambda pending: (self._effective_priority(pending, now), pending.arrived_at))
         for pending in ordered:
             cap = account_cap(queue.limit, self._account_share(pending.priority))
@@ -237,7 +237,7 @@
         return effective_priority(base, now - pending.arrived_at, self._ageing_rate)
 
     def _account_share(self, priority: int) -> float:
-        """Return the part of the running limit that one account of a class may use; of an unknown class that of the lowest."""
+        """Return the fraction of the running limit for one account of a class; an unknown class counts as the lowest."""
         share = self._account_shares.get(priority)
         return min(self._account_shares.values()) if share is None else share
 
@@ -266,13 +266,13 @@
             queue.limit += LIMIT_INCREASE
 
     def remove(self, pending: PendingRequest) -> None:
-        """Remove a request whose client is gone, if it still waits."""
+        """Remove a request from its queue if it still waits."""
         queue = self.by_model.get(pending.model_key)
         if queue is not None and pending in queue.waiting:
             queue.waiting.remove(pending)
 
     def remove_expired(self, now: float) -> list[tuple[PendingRequest, Rejection]]:
-        """Remove the waiting requests that can't be served before their deadline any more."""
+        """Remove and return the waiting requests that can no longer be served before their deadline."""
         expired = []
         for queue in self.by_model.values():
             if not queue.waiting:
@@ -287,14 +287,14 @@
         return expired
 
     def prune(self) -> None:
-        """Drop queues that hold neither requests nor a measured service rate."""
+        """Drop queues that have neither requests nor a measured service rate."""
         for model_key, queue in list(self.by_model.items()):
             if not queue.waiting and not queue.running and not queue.service_rate:
                 del self.by_model[model_key]
 
 
 def _account_shares(classes: Collection[int]) -> dict[int, float]:
-    """Return for each class the part of the running limit that one account may use.
+    """Return the fraction of the running limit that one account may use, for each class.
 
     >>> _account_shares([0, 1, 2, 3])
     {0: 0.25, 1: 0.25, 2: 0.1, 3: 0.04}
--- a/mulleinhatch/data_plane/attempt.py
+++ b/mulleinhatch/data_plane/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one backend: connect, send, and report the outcome to the request."""
+"""One attempt to send a request to one backend: connects, sends, and reports the outcome to the request."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from mulleinhatch.networking.http_streaming import Head, write_request
 
 LOG = logging.getLogger(__name__)
-MISDIRECTED = 421  # RFC 9110, section 15.5.20: the server can't answer for what was addressed
+MISDIRECTED = 421  # RFC 9110, section 15.5.20: the server can't respond for the requested target
 
 
 class AttemptObserver(Protocol):
-    """Who is notified of an attempt's progress; `request_lifecycle.ClientRequest` implements it."""
+    """Notified of an attempt's progress; `request_lifecycle.ClientRequest` implements it."""
 
     def may_send(self) -> bool:
-        """Return whether the request may be written now: its tenant's quota allows it. Called right before the write."""
+        """Return whether the tenant's quota allows the request to be written now. Called right before the write."""
 
     def on_permit_expired(self) -> None:
-        """The request was not written, as `may_send` did not allow it."""
+        """The request was not written because `may_send` returned False."""
 
     def on_sent(self) -> None:
         """The request is about to be written to a connection."""
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResources:
-    """The data plane's objects that each attempt uses."""
+    """Components of the data plane that are shared by all attempts."""
 
     loop: asyncio.AbstractEventLoop
     pool: ConnectionPool
@@ -60,13 +60,13 @@
 
 
 class Attempt:
-    """One sending of a request to one backend. Its `ResponseRelay` reads the response and reports how it ended.
+    """One attempt to send a request to one backend. Its `ResponseRelay` reads the response and reports how it ended.
 
     Args:
-        context: The request's facts.
-        backend: Backend that the request goes to.
-        resources: Shared objects of the data plane.
-        observer: Who is notified of the outcome: exactly once, unless the attempt is abandoned.
+        context: Data of the request.
+        backend: Backend that the request is sent to.
+        resources: Shared components of the data plane.
+        observer: Notified of the outcome, exactly once unless the attempt is abandoned.
     """
 
     __slots__ = (
@@ -91,13 +91,13 @@
         self._connection: ClientConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
         self.is_finished = False
-        self._is_counted = False  # as running at the backend
+        self._is_counted = False  # Whether it counts as running at the backend.
         self._sent_at = 0.0
 
     # Sending.
 
     def start(self) -> None:
-        """Send the request on an idle connection, or open one first."""
+        """Send the request on an idle connection, or on a new one."""
         self.context.state.begin_attempt()
         connection = self._resources.pool.acquire(self.backend.id)
         if connection is not None:
@@ -127,7 +127,7 @@
 
     def _send(self, connection: ClientConnection) -> None:
         if not self._observer.may_send():
-            # Race: the permit expired while the request waited, or the process stood still; no byte leaves.
+            # Race: the permit expired while the request waited or the process was suspended. Nothing is sent.
             self.is_finished = True
             self._resources.pool.put_back(self.backend.id, connection)
             self._observer.on_permit_expired()
@@ -159,13 +159,13 @@
             self._connection.pause(is_paused)
 
     def abandon(self) -> None:
-        """Stop the attempt without notifying the observer: nobody waits for the response."""
+        """Stop the attempt without notifying the observer, as the response is no longer needed."""
         self.finish()
         if self._connect_task is not None:
             self._connect_task.cancel()
         self.close_connection()
 
-    # Called by the relay, in the order of a response's life.
+    # Called by the relay, in the order of a response's lifecycle.
 
     def record_first_byte(self) -> None:
         """Measure the time to the first byte of the response's body."""
@@ -180,7 +180,7 @@
         return context.state.may_run_again and self._resources.selector.has_alternative(context.model_key, self.backend)
 
     def close_connection(self) -> None:
-        """Close the connection, if there is one; its loss is not reported."""
+        """Close the connection, if there is one, without reporting its loss."""
         if self._connection is not None:
             self._connection.close()
 
@@ -198,15 +198,15 @@
         self._relay.cancel_stall_timer()
 
     def record_success(self) -> None:
-        """Count a complete response as proof that the backend is healthy."""
+        """Mark the backend as healthy after a complete response."""
         self._resources.health.record_success(self.backend.id)
 
     def record_failure(self) -> None:
-        """Count a failure of the backend, which is avoided for a while."""
+        """Count a failure of the backend, which starts its cooldown."""
         self._resources.health.record_failure(self.backend.id, self._resources.loop.time())
 
     def report_rejection(self, head: Head) -> None:
-        """Report that the backend did not execute the request, by its response head."""
+        """Report that the backend did not execute the request, according to its response head."""
         backend, context, health = self.backend, self.context, self._resources.health
         LOG.info(
             "backend rejected a request without executing it",
--- a/mulleinhatch/data_plane/backend_selection.py
+++ b/mulleinhatch/data_plane/backend_selection.py
@@ -1,7 +1,7 @@
-"""Which backend a started request goes to.
+"""Selects the backend for a started request.
 
-Among the backends that hold the model, the one that hosts the prompt's shared prefix is preferred while it is not expected to
-respond much later than the others; else the backend that is expected to respond first.
+Among the backends that hold the model, the one that hosts the prompt's shared prefix is preferred unless it is expected to
+respond much later than the others; otherwise, the backend with the lowest expected latency is chosen.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from mulleinhatch.data_plane.registry_snapshot import ModelKey, RegisteredBackend, RegistrySnapshot
 from mulleinhatch.membership.rendezvous import rendezvous_weight
 
-COST_PER_RUNNING_REQUEST_S = 0.1  # what one more request of ours at a backend costs those after it
-NEW_CONNECTION_COST_S = 0.03  # opening a connection, with what it costs the backend
-OTHER_ZONE_COST_S = 0.01  # crossing zones, with what the bytes cost
-PREFIX_AFFINITY_S = 0.2  # a backend with the prefix may be expected to respond so much later than the best
-SLOT_OVERCOMMIT = 1.5  # of an even part of the backends' slots: clients are not spread evenly over data planes
+COST_PER_RUNNING_REQUEST_S = 0.1  # Delay of later requests by each of our requests running at a backend.
+NEW_CONNECTION_COST_S = 0.03  # Opening a connection, including the backend's cost.
+OTHER_ZONE_COST_S = 0.01  # Crossing zones, including the cost of the traffic.
+PREFIX_AFFINITY_S = 0.2  # Extra expected latency accepted at the backend that hosts the prefix.
+SLOT_OVERCOMMIT = 1.5  # Multiple of an even share of the slots: clients are not spread evenly over data planes.
 
 
 def choose_backend(
@@ -35,32 +35,32 @@
     """Choose the backend for a request.
 
     Args:
-        candidates: Backends that hold the model and may be used.
-        health: Load and latency of each.
+        candidates: Usable backends that hold the model.
+        health: Load and latency of each backend.
         prefix: Identifier of the prompt's shared prefix, empty for none.
         zone: Zone of this data plane.
-        model_key: Model that is asked for.
-        idle: Backends with an idle connection; None where that does not matter.
+        model_key: Requested model.
+        idle: Backends with an idle connection; None to ignore the cost of connect_cost.
         now: Loop time.
-        extra_cost_s: Returns what speaks against a backend besides, in seconds.
+        extra_cost_s: Returns additional costs of a backend, in seconds.
 
     Returns:
-        The backend, None where there is no candidate.
+        The backend, or None if there is no candidate.
     """
     if not candidates:
         return None
 
     def expected_s(backend: RegisteredBackend) -> float:
-        connecting = NEW_CONNECTION_COST_S if idle is not None and backend.id not in idle else 0.0
-        crossing = OTHER_ZONE_COST_S if backend.zone != zone else 0.0
-        queueing = COST_PER_RUNNING_REQUEST_S * health.of(backend.id).running
-        return health.expected_latency_s(backend.id, now) + queueing + connecting + crossing + extra_cost_s(backend)
+        connect_cost = NEW_CONNECTION_COST_S if idle is not None and backend.id not in idle else 0.0
+        zone_cost = OTHER_ZONE_COST_S if backend.zone != zone else 0.0
+        queue_cost = COST_PER_RUNNING_REQUEST_S * health.of(backend.id).running
+        return health.expected_latency_s(backend.id, now) + queue_cost + connect_cost + zone_cost + extra_cost_s(backend)
 
     if prefix and len(candidates) > 1:
         key = f"{model_key.model}/{model_key.adapter}/{prefix}"
-        home = max(candidates, key=lambda backend: rendezvous_weight(key, backend.id))  # rendezvous hashing
-        if expected_s(home) <= min(expected_s(backend) for backend in candidates) + PREFIX_AFFINITY_S:
-            return home
+        preferred = max(candidates, key=lambda backend: rendezvous_weight(key, backend.id))  # rendezvous hashing
+        if expected_s(preferred) <= min(expected_s(backend) for backend in candidates) + PREFIX_AFFINITY_S:
+            return preferred
 
     def cost(backend: RegisteredBackend) -> tuple[float, bool, bool, float]:
         load = expected_s(backend) if model_key.model else health.of(backend.id).running / backend.slots
@@ -70,14 +70,14 @@
 
 
 class BackendSelector:
-    """Selects backends by the registry snapshot in force and this data plane's own measurements.
+    """Selects backends from the current registry snapshot and this data plane's own measurements.
 
     Args:
         clock: Loop time in seconds.
         health: Load, latency and failures of each backend.
-        pool: Tells which backends have an idle connection.
+        pool: Knows which backends have an idle connection.
         zone: Zone of this data plane.
-        versions: Tells which backends have older weights than others.
+        versions: Knows which backends have older weights than others.
     """
 
     def __init__(
@@ -94,21 +94,21 @@
         self._data_plane_count = 1
 
     def update(self, registry: RegistrySnapshot, data_plane_count: int) -> None:
-        """Use a new snapshot of the registry."""
+        """Switch to a new snapshot of the registry."""
         self._registry, self._data_plane_count = registry, data_plane_count
         self._health.keep_only(registry.by_id)
         self._versions.update(registry.by_id.values(), self._clock())
 
     def registered(self, service: str) -> Sequence[RegisteredBackend]:
-        """Return all backends of a service, usable or not."""
+        """Return all registered backends of a service, usable or not."""
         return self._registry.by_service.get(service, ())
 
     def available(self, model_key: ModelKey, now: float) -> list[RegisteredBackend]:
-        """Return the backends that hold a model and may be used now."""
+        """Return the backends that hold a model and can be used now."""
         return self._health.serving(self._registry.by_service.get(model_key.service, ()), model_key, now)
 
     def available_slots(self, model_key: ModelKey) -> float:
-        """Return this data plane's part of the slots of the backends that hold a model."""
+        """Return this data plane's share of the slots of the available backends that hold a model."""
         slots = sum(backend.slots for backend in self.available(model_key, self._clock()))
         return SLOT_OVERCOMMIT * slots / self._data_plane_count if slots else 0.0
 
@@ -116,12 +116,12 @@
         """Select the backend for a request.
 
         Args:
-            model_key: Model that is asked for.
+            model_key: Requested model.
             prefix: Identifier of the prompt's shared prefix.
-            rejected_by: Backends that did not serve the request already; used again only where there is no other.
+            rejected_by: Backends that have already failed to serve the request; used again only if there is no other.
 
         Returns:
-            The backend, None where none is available.
+            The backend, or None if none is available.
         """
         now = self._clock()
         available = self.available(model_key, now)
--- a/mulleinhatch/data_plane/client_timeouts.py
+++ b/mulleinhatch/data_plane/client_timeouts.py
@@ -1,27 +1,27 @@
-"""How long clients wait for a response: the deadline of a request, and whether it is probably a retry. Pure."""
+"""Client timeouts: determines the deadline of a request and whether it is probably a retry. Pure."""
 
 from __future__ import annotations
 
 from mulleinhatch.configuration.routes import Route
 from mulleinhatch.networking.http_streaming import Head
 
-FIRST_ATTEMPT_TIMEOUT_FRACTION = 0.85  # of the route's usual timeout: a request with less time left was sent before
-EARLY_FRACTION = 0.25  # of the latency target: a rejection that arrives within it counts as early for clients
-EARLY_ANSWER_FRACTION = 0.15  # of the latency target: a rejection sent by then arrives early
-# A client gives a stream up after the longest of these without an event.
+FIRST_ATTEMPT_TIMEOUT_FRACTION = 0.85  # A request with a smaller fraction of its route's usual timeout left is a retry.
+EARLY_FRACTION = 0.25  # Clients count a rejection within this fraction of the latency target as early.
+EARLY_ANSWER_FRACTION = 0.15  # A rejection sent within this fraction of the latency target arrives early.
+# A client abandons a stream after the longest of these times without an event.
 STREAM_ABANDON_MIN_S = 2.0
-STREAM_ABANDON_TARGETS = 4.0  # times the route's latency target
-STREAM_ABANDON_GAPS = 8.0  # times the route's usual gap between events
+STREAM_ABANDON_TARGETS = 4.0  # Multiple of the route's latency target.
+STREAM_ABANDON_GAPS = 8.0  # Multiple of the route's usual gap between events.
 
 
 class ClientTimeouts:
-    """Observes the timeouts that the clients of each route send."""
+    """Tracks the timeouts that the clients of each route send."""
 
     def __init__(self) -> None:
-        self._longest_s: dict[str, float] = {}  # by route: the longest timeout that a client sent
+        self._longest_s: dict[str, float] = {}  # The longest timeout that a client sent, by route.
 
     def deadline(self, route: Route, head: Head, now: float) -> float:
-        """Return the time at which the client or the route gives a request up, and learn the client's timeout."""
+        """Return the loop time at which the timeout of the client or the route expires, and record the client's timeout."""
         header = head.first.get(b"request-deadline", b"")
         timeout_s = float(header) / 1000.0 if header.isdigit() else route.timeout_s
         self._longest_s[route.name] = max(self._longest_s.get(route.name, 0.0), timeout_s)
@@ -30,7 +30,7 @@
     def is_probable_retry(self, route: Route, remaining_s: float) -> bool:
         """Return whether a request had less time left at its arrival than others of its route.
 
-        A client that retries a rejected request keeps its deadline, so that the retry has less time left.
+        A client that retries a rejected request keeps the original deadline, so the retry has less time left.
         """
         usual_timeout_s = min(route.timeout_s, self._longest_s.get(route.name, 0.0))
         return remaining_s < FIRST_ATTEMPT_TIMEOUT_FRACTION * usual_timeout_s
--- a/mulleinhatch/data_plane/connection_pool.py
+++ b/mulleinhatch/data_plane/connection_pool.py
@@ -1,6 +1,7 @@
-"""Idle connections to backends, kept for the next request.
+"""Pool of idle connections to backends.
 
-A new connection costs both sides; an old one may have been dropped by the backend or by something in between.
+Reusing a connection saves both sides the cost of a new one, but one that has been idle for long may have been dropped by the
+backend or by the network.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from mulleinhatch.networking.http_streaming import Head
 
 CONNECT_TIMEOUT_S = 0.7
-DEFAULT_IDLE_TIMEOUT_S = 6.0  # where the backend's `Keep-Alive` names no timeout
-IDLE_TIMEOUT_MARGIN_S = 0.7  # before the backend's timeout: our next request must arrive first
+DEFAULT_IDLE_TIMEOUT_S = 6.0  # If the backend's `Keep-Alive` has no timeout.
+IDLE_TIMEOUT_MARGIN_S = 0.7  # Close this long before the backend's timeout, so that no request arrives after it.
 
 
 def keep_alive_timeout_s(head: Head) -> float | None:
-    """Return the timeout of a response's `Keep-Alive` field in seconds, None where there is none."""
+    """Return the timeout of a response's `Keep-Alive` field in seconds, None if there is none."""
     for parameter in head.first.get(b"keep-alive", b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
@@ -26,17 +27,17 @@
 
 
 class ConnectionPool:
-    """Idle connections by backend id. The newest is used first, so that few are kept."""
+    """Idle connections by backend id. The newest is used first, so that surplus ones expire."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[ClientConnection]] = defaultdict(list)
 
     def has_idle(self, backend_id: str) -> bool:
-        """Return whether a request to the backend needs no new connection."""
+        """Return whether the backend has a usable idle connection."""
         return any(connection.usable for connection in self._idle.get(backend_id, ()))
 
     def acquire(self, backend_id: str) -> ClientConnection | None:
-        """Take an idle connection out of the pool, None where there is none."""
+        """Take an idle connection out of the pool; None if there is none."""
         return take_usable(self._idle.get(backend_id, []))
 
     async def open(self, address: str) -> ClientConnection:
@@ -50,19 +51,19 @@
         return connection
 
     def release(self, backend_id: str, connection: ClientConnection, head: Head | None) -> None:
-        """Return a connection after a complete response, whose `head` may name the backend's idle timeout."""
+        """Return a connection after a complete response, whose `head` may contain the backend's idle timeout."""
         if not connection.usable:
             return
         timeout_s = keep_alive_timeout_s(head) if head is not None else None
-        keep_s = DEFAULT_IDLE_TIMEOUT_S if timeout_s is None else timeout_s - IDLE_TIMEOUT_MARGIN_S
-        if keep_s <= 0:
+        idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S if timeout_s is None else timeout_s - IDLE_TIMEOUT_MARGIN_S
+        if idle_timeout_s <= 0:
             connection.close()
             return
-        connection.idle_until = asyncio.get_running_loop().time() + keep_s
+        connection.idle_until = asyncio.get_running_loop().time() + idle_timeout_s
         self._idle[backend_id].append(connection)
 
     def put_back(self, backend_id: str, connection: ClientConnection) -> None:
-        """Return a connection on which nothing was sent; one that was idle before stays so no longer than before."""
+        """Return a connection on which nothing was sent; if it came from the pool, its expiry does not change."""
         if not connection.usable:
             return
         if not connection.idle_until:
@@ -70,14 +71,14 @@
         self._idle[backend_id].append(connection)
 
     def on_idle_loss(self, connection: ClientConnection) -> None:
-        """Forget an idle connection that the backend closed."""
+        """Remove an idle connection that the backend closed."""
         for idle in self._idle.values():
             if connection in idle:
                 idle.remove(connection)
                 return
 
     def sweep(self, registered: set[str]) -> None:
-        """Close idle connections that are too old, or whose backend is not among the `registered` ids."""
+        """Close idle connections that have expired, or whose backend is not among the `registered` ids."""
         now = asyncio.get_running_loop().time()
         for backend_id, idle in list(self._idle.items()):
             kept = []
--- a/mulleinhatch/data_plane/demand_reporter.py
+++ b/mulleinhatch/data_plane/demand_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the demand for models to the placement leader: each second, and at once for a model that no backend can serve."""
+"""Reports the demand for models to the placement leader: every second, and immediately if no backend can serve a model."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from mulleinhatch.data_plane.registry_snapshot import ModelKey
 from mulleinhatch.messages.cluster import ModelDemand
 
-REPORT_INTERVAL_S = 1.0  # between two complete reports
-URGENT_REPORT_DELAY_S = 0.01  # so that requests for several missing models that arrive together share a report
+REPORT_INTERVAL_S = 1.0  # Between complete reports.
+URGENT_REPORT_DELAY_S = 0.01  # Batches several missing models that are requested at about the same time.
 
 
 class DemandReporter:
-    """Sends complete reports at intervals, and partial ones of missing models in between.
+    """Sends complete reports at regular intervals, and partial reports of missing models in between.
 
     Args:
         loop: Clock.
         demand: The demand for each model.
         queues: Waiting and running requests of each model.
-        send: Sends a report (`is_partial` for one of missing models only); returns whether it was accepted.
+        send: Sends a report, given its demands and whether it is partial; returns whether it was accepted.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         self._has_new_leader = False
 
     def on_new_leader(self) -> None:
-        """Send a complete report soon: a new placement leader knows nothing of the demand yet."""
+        """Schedule a complete report, as a new placement leader does not know the demand yet."""
         self._has_new_leader = True
         self._wake.set()
 
     def report_missing(self, model_key: ModelKey) -> None:
-        """Report soon that a model is asked for and no backend can serve it."""
+        """Schedule a partial report of a requested model that no backend can serve."""
         self._missing_models.add(model_key)
         self._wake.set()
 
@@ -63,11 +63,11 @@
             await self._report(is_complete)
 
     async def _report(self, is_complete: bool) -> None:
-        names, self._missing_models = self._missing_models, set()
+        missing_models, self._missing_models = self._missing_models, set()
         now = self._loop.time()
         if is_complete:
             demands = self._demand.report(self._queues.values(), now)
         else:
-            demands = self._demand.urgent_report(names, self._queues, now)
+            demands = self._demand.urgent_report(missing_models, self._queues, now)
         if demands:
             await self._send(demands, not is_complete)
--- a/mulleinhatch/data_plane/demand_tracker.py
+++ b/mulleinhatch/data_plane/demand_tracker.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for at this data plane: decayed rates and waiting requests. Pure."""
+"""Tracks the demand for each model at this data plane: decayed rates and waiting requests. Pure."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from mulleinhatch.messages.cluster import ModelDemand
 from mulleinhatch.messages.parsing import MAX_COUNT
 
-RATE_DECAY_S = 8.0  # time constant of the exponential decay
-MIN_REPORTED_RATE_PER_S = 0.01  # below this a model is neither reported nor tracked
-MAX_REPORTED_MODELS = 32  # in one report
-LOWEST_PRIORITY = 9  # reported where no request waits
+RATE_DECAY_S = 8.0  # Time constant of the exponential decay.
+MIN_REPORTED_RATE_PER_S = 0.01  # A model with a lower rate and no waiting requests is neither reported nor tracked.
+MAX_REPORTED_MODELS = 32  # Per report.
+LOWEST_PRIORITY = 9  # Reported if no request waits.
 
 
 @dataclass
 class _Rate:
-    """Requests and their value a second, decayed exponentially."""
+    """Requests per second and their value per second, decayed exponentially."""
 
     requests: float = 0.0
     value: float = 0.0
@@ -42,11 +42,11 @@
         self._rates: dict[ModelKey, _Rate] = {}
 
     def record_request(self, model_key: ModelKey, value: float, now: float) -> None:
-        """Count a request that arrived, also one that is going to be rejected.
+        """Count an arriving request, including one that will be rejected.
 
         Args:
-            model_key: Model that is asked for.
-            value: Value of a response in time, by the request's class.
+            model_key: Requested model.
+            value: Value of a timely response, by the request's class.
             now: Loop time.
         """
         rate = self._rates.get(model_key)
@@ -57,7 +57,7 @@
     def urgent_report(
         self, model_keys: Iterable[ModelKey], queues: Mapping[ModelKey, ModelQueue], now: float
     ) -> list[ModelDemand]:
-        """Return the demand for some models that no backend can serve, to be reported at once."""
+        """Return the demand for models that no backend can serve, to be reported immediately."""
         demands = []
         for model_key in model_keys:
             rate = self._rates.get(model_key)
--- a/mulleinhatch/data_plane/event_stream.py
+++ b/mulleinhatch/data_plane/event_stream.py
@@ -1,4 +1,4 @@
-"""Complete events of a `text/event-stream` response, for streams that may be resumed at another backend. Pure.
+"""Filters the complete events of a `text/event-stream` response, for resumable streams. Pure.
 
 Source: WHATWG HTML, section 9.2 (server-sent events): events end with an empty line; `id` sets the last event id.
 """
@@ -12,7 +12,7 @@
 
 
 class EventStreamFilter:
-    """Passes complete events only, each once: an event whose id is not above the last one is left out.
+    """Passes complete events only, each once: an event whose id is not greater than the last one is dropped.
 
     >>> stream = EventStreamFilter()
     >>> stream.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda"), stream.last_event_id
@@ -21,18 +21,18 @@
     b'id: 2\\ndata: b\\n\\n'
 
     Attributes:
-        last_event_id: Id of the last event that was passed; a resumed stream continues behind it.
-        partial_event: Bytes of the next event, whose end has not arrived.
+        last_event_id: Id of the last event that was passed; a resumed stream continues after it.
+        partial_event: Bytes of an incomplete event.
     """
 
-    __slots__ = ("last_event_id", "partial_event")  # one object a resumable stream; `feed` runs for each event
+    __slots__ = ("last_event_id", "partial_event")  # One object per resumable stream; `feed` runs for every event.
 
     def __init__(self, last_event_id: bytes = b"") -> None:
         self.last_event_id = last_event_id
         self.partial_event = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the new events that are complete with these bytes."""
+        """Add bytes and return the new events that they complete."""
         self.partial_event += data
         events, start = [], 0
         for terminator in EVENT_TERMINATOR.finditer(self.partial_event):
@@ -54,5 +54,5 @@
         return True
 
     def discard_partial_event(self) -> None:
-        """Drop the bytes of the next event after the connection was lost; the resumed stream sends it anew."""
+        """Drop the incomplete event after a connection loss; the resumed stream sends it again."""
         self.partial_event = b""
--- a/mulleinhatch/data_plane/listener.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -1,4 +1,4 @@
-"""Client connections: complete requests are read one at a time, responses are written as they arrive."""
+"""Client connections: reads complete requests one at a time and writes responses as they arrive."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 LOG = logging.getLogger(__name__)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-TCP_USER_TIMEOUT_MS = 4000  # a client that acknowledges nothing for so long is gone
+TCP_USER_TIMEOUT_MS = 4000  # A client that acknowledges no data for this long is considered disconnected.
 LISTEN_BACKLOG = 512
 MIN_RETRY_AFTER_S = 0.01
 UNAUTHORIZED = 401
-CLOSING_STATUSES = (400, 408, 413, 431)  # after these it is not known where the next request begins
+CLOSING_STATUSES = (400, 408, 413, 431)  # After these, the start of the next request is unknown.
 
 
 class RequestHandle(Protocol):
-    """The request that a session has started; `request_lifecycle.ClientRequest` implements it."""
+    """A request started by a session; `request_lifecycle.ClientRequest` implements it."""
 
     def cancel(self) -> None:
-        """Stop the request: the client disconnected."""
+        """Stop the request because the client disconnected."""
 
     def on_writable(self, is_writable: bool) -> None:
-        """Pause or resume the response, as the client reads it."""
+        """Resume or pause the response, depending on whether the client reads it."""
 
 
 class ClientSession(asyncio.Protocol):
-    """One connection of a client.
+    """One client connection.
 
     Args:
-        listener: Gives the limits in force and starts requests.
+        listener: Provides the current limits and starts requests.
     """
 
     def __init__(self, listener: Listener) -> None:
@@ -46,7 +46,7 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._request: RequestHandle | None = None
-        self._is_responding = False  # a complete request was read and is not answered yet
+        self._is_responding = False  # A complete request was read and is not answered yet.
         self._is_closing = False
         self._is_chunked = False
         self._timer: asyncio.TimerHandle | None = None
@@ -56,7 +56,7 @@
     # The connection (asyncio.Protocol).
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to read the first request."""
+        """Start reading the first request."""
         self.transport = transport  # type: ignore[assignment]
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -73,16 +73,16 @@
             request.cancel()
 
     def eof_received(self) -> bool:
-        """Close the connection when the client half-closes it: a client that waits for a response keeps both sides open."""
+        """Close the connection if the client half-closes it; a client that awaits a response keeps both directions open."""
         return False
 
     def pause_writing(self) -> None:
-        """Stop reading from the backend while the client does not read."""
+        """Pause reading from the backend while the client does not read."""
         if self._request is not None:
             self._request.on_writable(False)
 
     def resume_writing(self) -> None:
-        """Read from the backend again."""
+        """Resume reading from the backend."""
         if self._request is not None:
             self._request.on_writable(True)
 
@@ -107,10 +107,10 @@
             self.transport.close()
 
     def _on_read_timeout(self) -> None:
-        self.respond_error(408, "the request did not come whole in time")
+        self.respond_error(408, "the request was not received completely in time")
 
     def data_received(self, data: bytes) -> None:
-        """Read a request; one that a client pipelines waits until the response before it is written."""
+        """Read a request; a pipelined request waits until the preceding response is written."""
         was_started = self._reader.started()
         self._reader.feed(data)
         if self._is_responding or self._is_closing:
@@ -148,7 +148,7 @@
             self._start_request()
 
     def _check_head(self, head: Head, limits: Limits) -> None:
-        """Reject a head that no response is possible for, and ask for the body where the client waits for that."""
+        """Reject an invalid head, and send `100 Continue` if the client waits for it."""
         if head.length is not None and head.length > limits.max_body_bytes:
             raise BadRequestError("body too long", 413)
         if head.minor and not head.first.get(b"host"):
@@ -178,12 +178,12 @@
         return self._is_closing or self._listener.is_shutting_down or self._head is None or not self._head.keep_alive
 
     def respond_error(self, status: int, message: str, retry_after_s: float | None = None) -> None:
-        """Answer the request with an error of the data plane's own.
+        """Respond with an error generated by the data plane.
 
         Args:
             status: HTTP status.
-            message: Plain text of the body.
-            retry_after_s: Seconds for `Retry-After`, None for none.
+            message: Plain text body.
+            retry_after_s: Seconds for `Retry-After`; None to omit the field.
         """
         if not self.is_open:
             return
@@ -193,7 +193,7 @@
         if request_id:
             fields.append((b"Request-Id", request_id))
         if status == UNAUTHORIZED:
-            fields.append((b"WWW-Authenticate", b"Bearer"))  # RFC 9110, section 15.5.2: the answer must name the scheme
+            fields.append((b"WWW-Authenticate", b"Bearer"))  # RFC 9110, section 15.5.2: the response must name the scheme
         if retry_after_s is not None:
             fields.append((b"Retry-After", b"%.2f" % max(MIN_RETRY_AFTER_S, retry_after_s)))
         is_last = self._is_last_response() or status in CLOSING_STATUSES
@@ -206,8 +206,8 @@
         """Forward a backend's response head.
 
         Args:
-            head: The head; fields that concern the backend's connection are left out.
-            length: Bytes of the body, None where they are not known: it is then sent in chunks, or ends with the connection.
+            head: The head; hop-by-hop fields are removed.
+            length: Bytes of the body; None if unknown, in which case the body is chunked or ends with the connection.
         """
         lines = [b"HTTP/1.1 %d %b\r\n" % (head.status, reason(head.status))]
         for name, text in head.fields:
@@ -236,7 +236,7 @@
         self._end_response(self._is_last_response())
 
     def abort(self) -> None:
-        """Reset the connection, so that the client does not take a truncated response for a complete one."""
+        """Reset the connection, so that the client does not mistake a truncated response for a complete one."""
         self._request = None
         if self.transport is not None:
             self.transport.abort()
@@ -262,7 +262,7 @@
             self._read()
 
     def close_if_idle(self) -> None:
-        """Close the connection at shutdown unless a request is being read or answered; then its response closes it."""
+        """Close the connection at shutdown; one that is reading or answering a request closes after its response."""
         if not self._is_responding and not self._reader.started():
             self.transport.close()
 
@@ -271,8 +271,8 @@
     """Accepts client connections.
 
     Args:
-        limits: Returns the limits of the configuration in force.
-        begin: Starts a complete request: session, head, body; returns None where it was answered at once.
+        limits: Returns the limits of the current configuration.
+        begin: Starts a request, given its session, head and complete body; returns None if it was answered immediately.
     """
 
     def __init__(
@@ -295,5 +295,5 @@
             self._server.close()
 
     def is_busy(self) -> bool:
-        """Return whether a request is not answered yet."""
+        """Return whether any request is not answered yet."""
         return any(session.is_responding for session in self.sessions)
--- a/mulleinhatch/data_plane/model_readiness.py
+++ b/mulleinhatch/data_plane/model_readiness.py
@@ -1,4 +1,4 @@
-"""When a backend will be able to serve a model, as far as this data plane knows."""
+"""Estimates when a backend will be able to serve a model, from the data plane's knowledge."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from mulleinhatch.data_plane.backend_selection import BackendSelector
 from mulleinhatch.data_plane.registry_snapshot import ModelKey, RegisteredBackend
 
-DEFAULT_RETRY_AFTER_S = 0.3  # where nothing better is known
-DEFAULT_MODEL_LOAD_S = 1.0  # where the configuration does not give a model's loading time
-PLACEMENT_LATENCY_S = 0.4  # from the demand report to the placement order, and from the load's end to our notice of it
+DEFAULT_RETRY_AFTER_S = 0.3  # If there is no better estimate.
+DEFAULT_MODEL_LOAD_S = 1.0  # If the configuration does not specify a model's load time.
+PLACEMENT_LATENCY_S = 0.4  # From demand report to placement order, plus from the end of the load to its arrival in a snapshot.
 ADAPTER_LOAD_S = 0.3
-MIN_EXPECTED_LOAD_S = 0.05  # a load that should be over by now is expected at any moment
+MIN_EXPECTED_LOAD_S = 0.05  # Estimate for an overdue load.
 
 
 class ModelReadiness:
@@ -21,8 +21,8 @@
 
     Args:
         clock: Loop time in seconds.
-        selector: Tells which backends are registered and available.
-        health: Cooldowns of the backends.
+        selector: Knows which backends are registered and available.
+        health: Knows the cooldowns of the backends.
     """
 
     def __init__(self, clock: Callable[[], float], selector: BackendSelector, health: BackendHealthTracker) -> None:
@@ -30,11 +30,11 @@
         self._services: Mapping[str, Service] = {}
 
     def update(self, services: Mapping[str, Service]) -> None:
-        """Use the services of a new configuration."""
+        """Switch to the services of a new configuration."""
         self._services = services
 
     def ready_in_s(self, model_key: ModelKey) -> float:
-        """Return the estimated seconds until a backend can serve a model, 0 where one can now."""
+        """Return the estimated seconds until a backend can serve a model, 0 if one can now."""
         now = self._clock()
         if self._selector.available(model_key, now):
             return 0.0
@@ -58,7 +58,7 @@
         return min(max(MIN_EXPECTED_LOAD_S, remaining_s) for remaining_s in seconds)
 
     def retry_after_s(self, model_key: ModelKey) -> float:
-        """Return the seconds after which a rejected client should come back."""
+        """Return the seconds after which a rejected client should retry."""
         return max(DEFAULT_RETRY_AFTER_S, self.ready_in_s(model_key))
 
     def _is_cooling_down(self, backend: RegisteredBackend, model_key: ModelKey) -> bool:
@@ -66,7 +66,7 @@
         return backend.has_model(model_key) and not backend.draining and not backend.silent and not is_misplaced
 
     def _unplaced_load_s(self, model_key: ModelKey) -> float:
-        """Return the seconds until a model that no backend holds or loads is ordered and loaded."""
+        """Return the estimated seconds until a model that no backend holds or loads is placed and loaded."""
         if not model_key.model:
             return DEFAULT_RETRY_AFTER_S
         service = self._services.get(model_key.service)
@@ -76,5 +76,5 @@
             model_key.model in backend.models for backend in self._selector.registered(model_key.service)
         ):
             return ADAPTER_LOAD_S
-        facts = service.engine.models.get(model_key.model)
-        return (facts.load_s if facts is not None else DEFAULT_MODEL_LOAD_S) + PLACEMENT_LATENCY_S
+        model_settings = service.engine.models.get(model_key.model)
+        return (model_settings.load_s if model_settings is not None else DEFAULT_MODEL_LOAD_S) + PLACEMENT_LATENCY_S
--- a/mulleinhatch/data_plane/priority_classes.py
+++ b/mulleinhatch/data_plane/priority_classes.py
@@ -1,16 +1,16 @@
-"""The priority classes of one configuration: in what order its requests start. Pure.
+"""The priority classes of a configuration, which determine the order in which requests start. Pure.
 
-Without tenants a request's class is its route's priority. With tenants classes are ordered by the pair of the tenant's and the
-route's priority, so a tenant's priority comes first and routes are told apart among tenants of the same priority:
+Without tenants, the class of a request is its route's priority. With tenants, classes are ordered by the pair of tenant
+priority and route priority: the tenant's priority comes first, the route's priority decides between equal tenants:
 
-| priority of the tenant | of the route | class |
+| tenant priority | route priority | class |
 | --- | --- | --- |
 | 0, or none, or no tenant on a public route | 0 | 0 |
 | 0 | 2 | 1 |
 | 1 | 0 | 2 |
 | 1 | 2 | 3 |
 
-The table is built once for each configuration; a request costs two lookups.
+The table is built once per configuration; each request takes two lookups.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from mulleinhatch.data_plane.request_headers import MAX_PRIORITY
 from mulleinhatch.tenants.tenant import Tenant
 
-DEFAULT_TENANT_PRIORITY = 0  # of a tenant without a priority, and of requests without a tenant
-MAX_CLASSES = 256  # of the queue; of more pairs neighbours share a class, so that a configuration can't make the queue slow
+DEFAULT_TENANT_PRIORITY = 0  # For tenants without a priority and for requests without a tenant.
+MAX_CLASSES = 256  # Bounds the queue's cost whatever the configuration; if there are more pairs, adjacent ones share a class.
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,8 +32,8 @@
     """The class of one request.
 
     Attributes:
-        rank: Its class in the admission queue, 0 is the highest.
-        field_value: What backends are sent in `Priority`, 0 to `MAX_PRIORITY`.
+        rank: Class in the admission queue, 0 is the highest.
+        field_value: Value of the `Priority` field sent to backends, 0 to `MAX_PRIORITY`.
     """
 
     rank: int
@@ -45,9 +45,9 @@
     """The priority classes of one configuration.
 
     Attributes:
-        tenant_priorities: The distinct priorities of its tenants in ascending order, empty where it has no tenants.
-        route_priorities: Those of its routes.
-        target_s_by_route_priority: The longest latency target in seconds of the routes of each priority.
+        tenant_priorities: Distinct priorities of the tenants in ascending order, empty without tenants.
+        route_priorities: Distinct priorities of the routes in ascending order.
+        target_s_by_route_priority: Longest latency target of the routes of each priority, in seconds.
     """
 
     tenant_priorities: tuple[int, ...] = ()
@@ -57,11 +57,11 @@
     def class_of(self, route: Route, tenant: Tenant | None) -> PriorityClass:
         """Return the class of a request.
 
-        A route or tenant of an older configuration gets the class of the next lower priority that this one knows.
+        A priority of an older configuration that this one lacks counts as the next lower priority that it has.
 
         Args:
-            route: The route that it matches.
-            tenant: Whose key it carries, None where there is none.
+            route: Matching route.
+            tenant: Tenant whose key the request carries, None if there is none.
         """
         if not self.tenant_priorities:
             return PriorityClass(route.priority, min(MAX_PRIORITY, route.priority))
@@ -69,17 +69,17 @@
             _position(self.tenant_priorities, _priority(tenant)), _position(self.route_priorities, route.priority)
         )
         count = len(self.tenant_priorities) * len(self.route_priorities)
-        return PriorityClass(_squeeze(rank, count, MAX_CLASSES), _squeeze(rank, count, MAX_PRIORITY + 1))
+        return PriorityClass(_scale_rank(rank, count, MAX_CLASSES), _scale_rank(rank, count, MAX_PRIORITY + 1))
 
     def classes(self) -> list[tuple[int, float]]:
-        """Return the rank and the longest latency target in seconds of each class, for the admission queue."""
+        """Return the rank and the longest latency target (in seconds) of each class, for the admission queue."""
         if not self.tenant_priorities:
             return list(zip(self.route_priorities, self.target_s_by_route_priority, strict=True))
         count = len(self.tenant_priorities) * len(self.route_priorities)
         target_s_by_rank: dict[int, float] = {}
         for tenant_position in range(len(self.tenant_priorities)):
             for position, target_s in enumerate(self.target_s_by_route_priority):
-                rank = _squeeze(self._rank(tenant_position, position), count, MAX_CLASSES)
+                rank = _scale_rank(self._rank(tenant_position, position), count, MAX_CLASSES)
                 target_s_by_rank[rank] = max(target_s, target_s_by_rank.get(rank, 0.0))
         return list(target_s_by_rank.items())
 
@@ -116,10 +116,10 @@
     return min(bisect_left(priorities, priority), max(0, len(priorities) - 1))
 
 
-def _squeeze(rank: int, count: int, places: int) -> int:
-    """Return a rank of `count` as one of `places` at most, in the same order.
+def _scale_rank(rank: int, count: int, max_ranks: int) -> int:
+    """Scale a rank out of `count` to one out of at most `max_ranks`, preserving the order.
 
-    >>> [_squeeze(rank, 4, 10) for rank in range(4)], [_squeeze(rank, 20, 10) for rank in (0, 1, 2, 19)]
+    >>> [_scale_rank(rank, 4, 10) for rank in range(4)], [_scale_rank(rank, 20, 10) for rank in (0, 1, 2, 19)]
     ([0, 1, 2, 3], [0, 0, 1, 9])
     """
-    return rank if count <= places else rank * places // count
+    return rank if count <= max_ranks else rank * max_ranks // count
--- a/mulleinhatch/data_plane/process.py
+++ b/mulleinhatch/data_plane/process.py
@@ -1,4 +1,4 @@
-"""The data plane's process: wires its parts, reports demand, serves the status page, and shuts down on SIGTERM."""
+"""The data plane process: wires its components, runs its background tasks, serves the status page, shuts down on SIGTERM."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from mulleinhatch.process.supervision import supervise
 
 LOG = logging.getLogger(__name__)
-MIN_DRAIN_S = 2.6  # from SIGTERM: the load balancer in front sends connections until its health check failed twice
-GRACE_MARGIN_S = 0.6  # before the grace period ends, all connections are closed
+MIN_DRAIN_S = 2.6  # From SIGTERM; the load balancer sends new connections until its health check has failed twice.
+GRACE_MARGIN_S = 0.6  # All connections are closed this long before the grace period ends.
 DRAIN_POLL_S = 0.1
-LAST_WRITE_S = 0.05  # for the last response to leave
+FINAL_FLUSH_S = 0.05  # Time for the last response to be sent.
 
 
 class DataPlane:
@@ -38,7 +38,7 @@
         # Circular: the client notifies the reporter of a new leader, and the reporter sends through the client; the lambdas
         # resolve `_demand_reporter` at call time.
         http = HttpClient()
-        self._router = Router(settings, self._loop, lambda name: self._demand_reporter.report_missing(name), http)
+        self._router = Router(settings, self._loop, lambda model_key: self._demand_reporter.report_missing(model_key), http)
         self._listener = Listener(lambda: self._router.snapshot.table.limits, self._router.begin)
         self._control_plane = ControlPlaneClient(
             settings,
@@ -55,13 +55,13 @@
         self._stopped = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until SIGTERM, and then until all accepted requests are answered."""
+        """Serve until SIGTERM, then until all accepted requests are answered."""
         status_server = HttpServer(self._loop)
-        status_server.listen(self._settings.listen["ready"], self._answer_operator)
+        status_server.listen(self._settings.listen["ready"], self._handle_operator_request)
         await self._listener.listen(self._settings.listen["front"])
         self._loop.add_signal_handler(signal.SIGTERM, self._begin_shutdown)
         self._loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read at start-up only"))
-        gc.freeze()  # what was loaded at start-up is never collected: keeps it out of each collection
+        gc.freeze()  # Objects created at start-up are never garbage; excluding them makes collections cheaper.
         LOG.info("data plane started")
         jobs = {
             "control link": self._control_plane.run,
@@ -73,7 +73,7 @@
         await asyncio.wait([*tasks, stopped], return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
             if task.done():
-                task.result()  # raises what ended the job
+                task.result()  # Raises the exception that ended the task.
 
     async def _sweep_forever(self) -> None:
         while True:
@@ -87,7 +87,7 @@
         """Whether the load balancer should send connections here."""
         return bool(self._router.snapshot.table.version) and not self._is_shutting_down
 
-    async def _answer_operator(self, request: HttpServerRequest) -> HttpServerResponse:
+    async def _handle_operator_request(self, request: HttpServerRequest) -> HttpServerResponse:
         if request.path == "/ready":
             return HttpServerResponse.of_json(200 if self.is_ready else 503, {"ready": self.is_ready})
         if request.path == "/status":
@@ -108,7 +108,7 @@
         self._shutdown_task = asyncio.ensure_future(self._shut_down())
 
     async def _shut_down(self) -> None:
-        """Answer what was accepted; each response is the last of its connection."""
+        """Answer the accepted requests; every connection is closed after its response."""
         began_at = self._loop.time()
         ends_at = began_at + self._settings.bounds.grace_s - GRACE_MARGIN_S
         self._router.begin_shutdown(ends_at)
@@ -119,5 +119,5 @@
                 break
             await asyncio.sleep(DRAIN_POLL_S)
         self._listener.close()
-        await asyncio.sleep(LAST_WRITE_S)
+        await asyncio.sleep(FINAL_FLUSH_S)
         self._stopped.set()
--- a/mulleinhatch/data_plane/registry_snapshot.py
+++ b/mulleinhatch/data_plane/registry_snapshot.py
@@ -1,4 +1,4 @@
-"""The registered backends and the models that they hold: immutable snapshots, replaced as a unit. Pure."""
+"""Immutable snapshots of the registered backends and the models that they hold. Pure."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from mulleinhatch.messages.cluster import Backend
 
-MAX_DEREGISTERED_IDS = 2048  # remembered, so that a control plane that lags does not bring a deregistered backend back
-UNCONFIRMED_GRACE_S = 6.0  # a backend that a new control plane does not list is kept so long
+MAX_DEREGISTERED_IDS = 2048  # Ids remembered so that a lagging control plane does not restore a deregistered backend.
+UNCONFIRMED_GRACE_S = 6.0  # How long a backend that a new control plane does not list is kept.
 
 
 @dataclass(frozen=True)
@@ -22,19 +22,19 @@
 
 @dataclass(frozen=True)
 class RegisteredBackend:
-    """One backend as the registry describes it. Times are loop times in seconds.
+    """One backend as described by the registry. Times are loop times in seconds.
 
     Attributes:
         id: Identifier of the process; a restarted backend has a new one.
-        service: Service that it serves.
+        service: Service that it belongs to.
         address: Host and port.
         zone: Failure domain.
-        slots: Requests that it executes at a time.
+        slots: Number of requests that it executes concurrently.
         draining: Whether it accepts no new requests.
         silent: Whether it has stopped sending heartbeats.
-        models: Adapters of each model that it holds.
-        loads: When each model and adapter that is being loaded is expected.
-        ends_at: When it is going to be taken away, infinite where it did not say.
+        models: Adapters that it holds, by model.
+        loads: Expected end of each load in progress, by model and adapter.
+        ends_at: When it is going to be removed, infinite if unknown.
         unloads: Models and adapters that are being unloaded.
         versions: Version of the weights of each model that it holds.
     """
@@ -65,7 +65,7 @@
 
 
 def backend_from_message(message: Backend, now: float) -> RegisteredBackend:
-    """Convert a backend of the control plane's message, turning remaining times into loop times."""
+    """Convert a backend of a control plane's message; remaining times become loop times."""
     return RegisteredBackend(
         id=message.id,
         service=message.service,
@@ -84,13 +84,13 @@
 
 @dataclass(frozen=True)
 class RegistrySnapshot:
-    """All registered backends.
+    """A snapshot of all registered backends.
 
     Attributes:
         by_id: Backends by identifier.
         by_service: Backends of each service, ordered by identifier.
-        unconfirmed: Since when (loop time) a complete list from a new control plane has lacked a backend, by identifier.
-        deregistered: Identifiers of backends that drain or were deregistered, the latest last (a set in order).
+        unconfirmed: Loop time since which a backend has been missing from a new control plane's complete list, by identifier.
+        deregistered: Identifiers of draining or deregistered backends, latest last (an ordered set).
     """
 
     by_id: Mapping[str, RegisteredBackend] = field(default_factory=dict)
@@ -103,12 +103,12 @@
     ) -> RegistrySnapshot:
         """Return the registry after an update from a control plane.
 
-        A complete list from a new control plane that lacks a backend is no proof that the backend is gone: that control plane
-        may just have started. The backend is removed when it stays unlisted for `UNCONFIRMED_GRACE_S`.
+        A backend that a new control plane's complete list lacks is not necessarily gone: that control plane may just have
+        started. The backend is removed after it has been unlisted for `UNCONFIRMED_GRACE_S`.
 
         Args:
             backends: Backends that changed, or all of them.
-            is_complete: Whether `backends` are all of them.
+            is_complete: Whether `backends` is the complete list.
             now: Loop time.
             deregistered: Identifiers of backends that were marked draining or deregistered.
         """
@@ -135,7 +135,7 @@
 
 
 def _mark_draining(by_id: dict[str, RegisteredBackend], deregistered: Iterable[str]) -> None:
-    """Mark deregistered backends as draining, also where a control plane that lags lists them as ready."""
+    """Mark deregistered backends as draining even if a lagging control plane lists them as ready."""
     for backend_id in deregistered:
         if backend_id in by_id and not by_id[backend_id].draining:
             by_id[backend_id] = replace(by_id[backend_id], draining=True)
--- a/mulleinhatch/data_plane/request_headers.py
+++ b/mulleinhatch/data_plane/request_headers.py
@@ -1,4 +1,4 @@
-"""Header fields of a request: reading the prompt's description, and building the fields sent to a backend. Pure."""
+"""Request header fields: parses the prompt description and builds the fields sent to a backend. Pure."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from mulleinhatch.tenants.tenant import QuotaUnit, Tenant
 
 UNFORWARDED_HEADERS = HOP_BY_HOP | {b"content-length", b"request-deadline", b"expect-instance", b"priority", b"expect"}
-TENANT_HEADERS = {b"authorization", b"tenant"}  # replaced by the tenant's name where tenants are configured
-MAX_TOKENS = 10_000_000  # of one number of `Token-Usage`; a larger one counts as much, far more than any model reads
+TENANT_HEADERS = {b"authorization", b"tenant"}  # Replaced by the tenant's name if tenants are configured.
+MAX_TOKENS = 10_000_000  # Cap on each number of `Token-Usage`; far more than any model reads.
 MAX_TOKENS_DIGITS = 8
-MAX_PRIORITY = 9  # the lowest class that the `Priority` field can express
+MAX_PRIORITY = 9  # The lowest class that the `Priority` field can express.
 
 
 @dataclass(frozen=True)
 class Prompt:
-    """What a request's header fields say about its prompt.
+    """The prompt as described by the request's header fields.
 
     Attributes:
-        model: Model from `Model`, empty where the service has none.
+        model: Model from `Model`, empty if the service has none.
         adapter: Adapter of the model, empty for the base model.
         tokens: Prompt length from `Token-Usage`.
         prefix: Identifier of the last prompt section shared with other requests; it implies all sections before it.
-        account: Identifier of the last prompt section; the account that the queue's cap counts.
+        account: Identifier of the last prompt section; the account that the queue's cap applies to.
     """
 
     model: str
@@ -37,7 +37,7 @@
 
 
 def read_prompt(head: Head) -> Prompt:
-    """Read the prompt's description from the request's header fields.
+    """Parse the prompt description from the request's header fields.
 
     >>> from mulleinhatch.networking.http_streaming import parse_request_head
     >>> lines = b"POST / HTTP/1.1", b"Model: m/a1", b"Token-Usage: 30,4", b"Prompt-Prefix: a:1,b:2", b"", b""
@@ -57,18 +57,18 @@
 
 
 class TokenUsageError(Enum):
-    """Why `Token-Usage` says nothing about a request's tokens."""
+    """Why `Token-Usage` could not be parsed."""
 
     MALFORMED = "not two whole numbers, 0 or more, with a comma between them"
 
 
 @dataclass(frozen=True)
 class TokenUsage:
-    """How many tokens a request reads and writes.
+    """The number of tokens that a request reads and writes.
 
     Attributes:
-        prompt_tokens: Tokens in.
-        output_tokens: Tokens out.
+        prompt_tokens: Input tokens.
+        output_tokens: Output tokens.
     """
 
     prompt_tokens: int
@@ -76,12 +76,12 @@
 
     @property
     def total(self) -> int:
-        """Tokens in and out together."""
+        """Sum of input and output tokens."""
         return self.prompt_tokens + self.output_tokens
 
 
 def read_token_usage(head: Head) -> Result[TokenUsage | None, TokenUsageError]:
-    """Read the two numbers of `Token-Usage`; None where the field is missing. Numbers above `MAX_TOKENS` are read as that."""
+    """Parse the two numbers of `Token-Usage`, each capped at `MAX_TOKENS`; None if the field is missing."""
     text = head.first.get(b"token-usage")
     if text is None:
         return Ok(None)
@@ -92,7 +92,7 @@
 
 
 def _read_tokens(text: bytes) -> int | None:
-    """Return a whole number of tokens, `MAX_TOKENS` at most; None where the text is none."""
+    """Parse a token count, capped at `MAX_TOKENS`; None if the text is not a whole number."""
     if not text.isdigit():
         return None
     digits = text.lstrip(b"0") or b"0"
@@ -100,9 +100,9 @@
 
 
 def quota_tokens(head: Head, tenant: Tenant) -> int:
-    """Return what a request costs its tenant's quota, in the tenant's unit.
+    """Return the cost of a request in the unit of its tenant's quota.
 
-    A request whose `Token-Usage` can't be read costs as much as one without it, which its client could send as well.
+    A malformed `Token-Usage` costs as much as a missing one, since the client could also leave the field out.
 
     Args:
         head: The request's head.
@@ -130,11 +130,11 @@
     Args:
         head: The client's request head.
         remaining_s: Seconds until the request's deadline.
-        backend_id: Backend that the request is meant for; another one at the same address must answer 421.
+        backend_id: Backend that the request is meant for; a different backend at the same address must answer 421.
         priority: Value of `Priority`, 0 is the highest.
-        last_event_id: Last event forwarded to the client, empty where no stream is resumed.
-        asks_for_keys: Whether tenants are configured: then neither the key nor a tenant that the client names is passed on.
-        tenant: Whose key the request carries; its name is sent in `Tenant`.
+        last_event_id: Last event forwarded to the client, empty if no stream is resumed.
+        asks_for_keys: Whether tenants are configured; if so, the client's `Authorization` and `Tenant` are not forwarded.
+        tenant: Tenant whose key the request carries; its name is sent in `Tenant`.
     """
     unforwarded = UNFORWARDED_HEADERS | TENANT_HEADERS if asks_for_keys else UNFORWARDED_HEADERS
     fields = [
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -1,11 +1,11 @@
-"""One client request from its arrival to the end of its response.
+"""The lifecycle of one client request, from its arrival to the end of its response.
 
 A request waits in the admission queue, is sent to a backend by an `Attempt`, and ends with exactly one response to the client.
-`request_state` decides what follows each event; this module carries the decision out.
+`request_state` decides the next step after each event; this module performs it.
 
-A request of a tenant with a limit needs a permit of the quota before it enters the queue, when it starts, and at the very
-write; one that expired is asked for again without holding a slot. A permit is used up by a sending after which the request
-may have run; a backend's word that it did not run leaves the permit in force.
+A request of a tenant with a limit needs a valid quota permit when it enters the queue, when it starts, and when it is
+written. If the permit has expired, the request gives up its slot and acquires a new one. A permit is consumed by a send after
+which the request may have executed; if the backend reports that it did not execute the request, the permit stays valid.
 """
 
 from __future__ import annotations
@@ -33,76 +33,76 @@
 from mulleinhatch.tenants.tenant import Tenant
 
 LOG = logging.getLogger(__name__)
-DEADLINE_GRACE_S = 0.05  # after the deadline: a response that is just arriving is still forwarded
-MIN_SEND_TIME_S = 0.02  # with less time left a request is not sent again
+DEADLINE_GRACE_S = 0.05  # Added to the deadline, so that a response that is just arriving is still forwarded.
+MIN_SEND_TIME_S = 0.02  # A request with less time left is not retried.
 
 
 class Scheduler(Protocol):
-    """What a request needs of the scheduler that owns it; `request_scheduler.RequestScheduler` implements it."""
+    """The scheduler as seen by a request; `request_scheduler.RequestScheduler` implements it."""
 
     def requeue(self, request: ClientRequest) -> None:
         """Put a started request back into the queue because no backend was available."""
 
     def retry(self, request: ClientRequest) -> None:
-        """Queue a request for another backend, with its age."""
+        """Queue a request for another backend; it keeps its arrival time."""
 
     def track(self, request: ClientRequest) -> None:
-        """Own a request that is not queued yet."""
+        """Register a request that is not queued yet."""
 
     def resume(self, request: ClientRequest) -> None:
-        """Queue a request again that gave its slot back unsent."""
+        """Queue a request again that released its slot without being sent."""
 
     def attempt_finished(self, request: ClientRequest, is_completed: bool, was_overloaded: bool) -> None:
-        """Free the request's slot and measure the service rate."""
+        """Free the request's slot and update the service rate."""
 
     def remove(self, request: ClientRequest) -> None:
         """Forget a finished request."""
 
     def retry_after_s(self, request: ClientRequest) -> float:
-        """Estimate when the client should come back."""
+        """Estimate the seconds after which the client should retry."""
 
     def has_backend(self, request: ClientRequest) -> bool:
         """Return whether a backend can take the request now."""
 
 
 class PermitSource(Protocol):
-    """Permits of the tenants' quotas; `quota_client.QuotaClient` implements it."""
+    """Grants permits from the tenants' quotas; `quota_client.QuotaClient` implements it."""
 
     def acquire(
         self, tenant: str, tokens: int, patience: Patience, on_outcome: Callable[[Outcome], None]
     ) -> Outcome | PermitWait:
-        """Return a permit or a refusal, or the wait for one of them."""
+        """Return a permit or a rejection, or a pending wait for one of them."""
 
     def redeem(self, permit: Permit) -> bool:
-        """Use a permit for a request that is about to be written; return whether it may be."""
+        """Spend a permit on a request that is about to be written; return whether the request may be written."""
 
     def reinstate(self, permit: Permit) -> None:
-        """Hold a permit again whose request a backend surely did not execute."""
+        """Restore a spent permit after a backend reported that it did not execute the request."""
 
     def refund(self, permit: Permit) -> None:
-        """Take back the permit of a request that ended; without effect if the request may have run."""
+        """Return the permit of a finished request to the quota; does nothing if the request may have executed."""
 
     def try_defer(self, tenant: Tenant, tokens: int, data_planes: int) -> bool:
-        """Return whether a request may be queued before it has tokens; `end_deferral` follows."""
+        """Return whether a request may be queued without a permit; if so, the caller must call `end_deferral` later."""
 
     def end_deferral(self, tenant: Tenant, tokens: int) -> None:
-        """Forget a queued request that asks for its tokens now, or ended."""
+        """Drop the deferral of a request that acquires its permit now, or has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestServices:
-    """The data plane's objects that each client request uses."""
+    """Components of the data plane that are shared by all client requests."""
 
     loop: asyncio.AbstractEventLoop
     scheduler: Scheduler
     attempt_resources: AttemptResources
     retry_budget: RetryBudget
     request_log: RequestLog
-    data_plane_count: Callable[[], int]  # that share the retry budget
+    data_plane_count: Callable[[], int]  # Number of data planes that share the retry budget.
     permits: PermitSource
-    # Judges a request again by the configuration then in force; returns why it may no longer run.
+    # Checks a request's access against the current configuration; returns why it may no longer run, or None.
     recheck_access: Callable[[RequestContext], AccessDenied | None] = lambda context: None
-    # Tells by its route and the seconds left at its arrival whether a request was probably refused before.
+    # Returns whether a request is probably a retry, given its route and the seconds left at its arrival.
     is_probable_retry: Callable[[Route, float], bool] = lambda route, remaining_s: False
 
 
@@ -110,8 +110,8 @@
     """One client request. Observes its attempts as an `AttemptObserver` and is cancelled by its `ClientSession`.
 
     Args:
-        services: Shared objects of the data plane.
-        context: The request's facts.
+        services: Shared components of the data plane.
+        context: Data of the request.
     """
 
     __slots__ = (
@@ -144,15 +144,15 @@
         self._attempt: Attempt | None = None
         self._permit: Permit | None = None
         self._permit_wait: PermitWait | None = None
-        self._deferred_for: tuple[Tenant, int] | None = None  # while it is queued before it has a permit: for how many tokens
-        self.was_queued = False  # before it had a permit, or for longer than its permit lived
-        self.rejected_by: set[str] = set()  # ids of backends that did not serve it; avoided while others are available
+        self._deferred_for: tuple[Tenant, int] | None = None  # Tokens, while queued without a permit.
+        self.was_queued = False  # Whether it was queued before it had a permit, or until its permit expired.
+        self.rejected_by: set[str] = set()  # Ids of backends that did not serve it; avoided while others are available.
         self.is_finished = False
-        self.wait_reason = WaitReason.NONE  # why no backend could take it when it arrived
+        self.wait_reason = WaitReason.NONE  # Why no backend could take it when it arrived.
         self._deadline_timer = services.loop.call_at(context.deadline + DEADLINE_GRACE_S, self._on_deadline)
 
     def answer_before(self, shutdown_at: float) -> None:
-        """Answer the request by `shutdown_at` (loop time) unless it is at a backend by then."""
+        """Answer the request at `shutdown_at` (loop time) unless an attempt is in progress by then."""
         if shutdown_at < self.context.deadline and self._attempt is None and not self.is_finished:
             self._deadline_timer.cancel()
             self._deadline_timer = self._services.loop.call_at(shutdown_at, self._on_shutdown)
@@ -161,16 +161,16 @@
         if self.is_finished:
             return
         if self._attempt is None:
-            self._follow(self.context.state.no_backend(), "this instance ends")
+            self._perform_step(self.context.state.no_backend(), "this instance ends")
         else:
             self._deadline_timer = self._services.loop.call_at(self.context.deadline + DEADLINE_GRACE_S, self._on_deadline)
 
     # The tenant's quota.
 
     def enter(self, admit: Callable[[ClientRequest], None]) -> None:
-        """Get a permit of the tenant's quota, if it has a limit, and then call `admit`; beyond the limit, answer with 429.
+        """Acquire a quota permit if the tenant has a limit, then call `admit`; answer with 429 if the quota is exhausted.
 
-        A request that no backend can take yet is admitted first, within a bound, and gets its permit when it starts.
+        If no backend can take the request yet, it is admitted first, up to a bound, and acquires its permit when it starts.
         """
         if not self.is_metered:
             admit(self)
@@ -195,7 +195,7 @@
 
     @property
     def is_metered(self) -> bool:
-        """Whether it needs a permit: its tenant has a limit, and it costs something. A new configuration may change that."""
+        """Whether the request needs a permit: it has a limited tenant and a cost above 0. New configurations may change it."""
         tenant = self.context.tenant
         return tenant is not None and tenant.limit is not None and self.context.quota_tokens > 0
 
@@ -206,12 +206,12 @@
         return permit.is_usable(self._services.loop.time())
 
     def _with_permit(self, proceed: Callable[[ClientRequest], None]) -> None:
-        """Call `proceed` at once with a usable permit, else when there is one; until then the request holds no slot."""
+        """Call `proceed` as soon as the request has a usable permit; while it waits for one, it holds no slot."""
         self._end_deferral()
         if not self.is_metered or self._has_usable_permit():
             proceed(self)
             return
-        self._give_permit_back()
+        self._refund_permit()
         context = self.context
         outcome = self._services.permits.acquire(
             context.tenant.name,
@@ -225,7 +225,7 @@
             self._on_permit(outcome, proceed)
 
     def _patience(self) -> Patience:
-        """Return how long it may wait for a permit."""
+        """Return how long the request may wait for a permit."""
         context, arrived_at = self.context, self.pending.arrived_at
         return Patience(
             arrived_at,
@@ -239,12 +239,12 @@
     def _on_permit(self, outcome: Outcome, proceed: Callable[[ClientRequest], None]) -> None:
         self._permit_wait = None
         if isinstance(outcome, Err):
-            self._follow(self.context.state.no_permit(), "over the quota", outcome.err_value.retry_after_s)
+            self._perform_step(self.context.state.no_permit(), "over the quota", outcome.err_value.retry_after_s)
         else:
             self._permit = outcome.ok_value
             proceed(self)
 
-    def _give_permit_back(self) -> None:
+    def _refund_permit(self) -> None:
         if self._permit is not None:
             self._services.permits.refund(self._permit)
             self._permit = None
@@ -268,17 +268,17 @@
             return
         if context.state.sends and not self._spend_retry():
             self._release_attempt()
-            self._follow(context.state.no_backend(), "no budget for another stub")
+            self._perform_step(context.state.no_backend(), "no budget for another stub")
             return
         self._attempt = Attempt(context, backend, services.attempt_resources, self)
         self._attempt.start()
 
     def _deny(self, denied: AccessDenied) -> None:
-        """End a started request that may no longer run: its key or route was taken away since it was judged."""
+        """End a started request that may no longer run because its key or route has been removed from the configuration."""
         self._release_attempt()
         next_step = self.context.state.no_backend()
         if next_step is not NextStep.REJECT:
-            self._follow(next_step, denied.message)
+            self._perform_step(next_step, denied.message)
             return
         self._finish()
         self._services.request_log.denied(denied)
@@ -289,25 +289,25 @@
         return services.retry_budget.try_spend(self.context.service, services.loop.time(), services.data_plane_count())
 
     def reject(self, rejection: Rejection) -> None:
-        """Answer a request that the queue did not accept, or gave up before it ran."""
-        self._follow(self.context.state.no_backend(), rejection.reason.value, rejection.retry_after_s)
+        """Answer a request that the queue did not accept, or removed before it was started."""
+        self._perform_step(self.context.state.no_backend(), rejection.reason.value, rejection.retry_after_s)
 
     # Called by the attempt.
 
     def may_send(self) -> bool:
-        """Use the permit for the write that follows; return whether it may follow."""
+        """Spend the permit on the write that follows; return whether the request may be written."""
         if not self.is_metered:
             return True
         return self._has_usable_permit() and self._services.permits.redeem(self._permit)
 
     def on_permit_expired(self) -> None:
-        """Ask for a new permit: no byte of the request was written."""
+        """Acquire a new permit; no byte of the request was written."""
         self.context.state.unsent()
         self._release_attempt()
         self._with_permit(self._services.scheduler.resume)
 
     def on_sent(self) -> None:
-        """Count the first sending as a request of the retry budget's rule."""
+        """Count the first send as a request in the retry budget."""
         if self.context.state.sends == 1:
             self._services.retry_budget.record_request(self.context.service, self._services.loop.time())
 
@@ -323,23 +323,23 @@
             self._services.permits.reinstate(self._permit)
         self._release_attempt(was_overloaded=was_overloaded)
         self.rejected_by.add(attempt.backend.id)
-        self._follow(self.context.state.not_executed(), "no stub could take it")
+        self._perform_step(self.context.state.not_executed(), "no stub could take it")
 
     def on_unreachable(self, attempt: Attempt) -> None:
         """Handle a failed connect: no byte of the request reached the backend."""
         self._release_attempt()
         self.rejected_by.add(attempt.backend.id)
-        self._follow(self.context.state.unreachable(len(self.rejected_by)), "no stub could be reached")
+        self._perform_step(self.context.state.unreachable(len(self.rejected_by)), "no stub could be reached")
 
     def on_failed(self, attempt: Attempt) -> None:
         """Handle a failed attempt; the request may have executed."""
         self._release_attempt()
-        self._permit = None  # used up: the request may have run
+        self._permit = None  # Consumed, because the request may have executed.
         self.rejected_by.add(attempt.backend.id)
         next_step = self.context.state.connection_lost()
         if next_step is NextStep.RETRY and self.context.event_filter is not None:
             self.context.event_filter.discard_partial_event()
-        self._follow(next_step, "the stub broke off; whether it ran is not known")
+        self._perform_step(next_step, "the stub broke off; whether it ran is not known")
 
     def on_completed(self) -> None:
         """Finish the request after its complete response was forwarded."""
@@ -355,7 +355,7 @@
     # Called by the client's session.
 
     def cancel(self) -> None:
-        """Stop the request because its client disconnected: its backend is freed at once."""
+        """Stop the request because its client disconnected, and free its backend immediately."""
         if not self.is_finished:
             self._abandon_attempt()
             self._finish()
@@ -365,26 +365,26 @@
         if self._attempt is not None:
             self._attempt.pause(not is_writable)
 
-    # Ends.
+    # Completion.
 
     def _on_deadline(self) -> None:
         if self.is_finished:
             return
         self._abandon_attempt()
-        self._follow(self.context.state.deadline_exceeded(), "the time is over")
+        self._perform_step(self.context.state.deadline_exceeded(), "the time is over")
 
     def _abandon_attempt(self) -> None:
         if self._attempt is not None:
             self._attempt.abandon()
             self._release_attempt()
 
-    def _follow(self, next_step: NextStep, why: str, retry_after_s: float | None = None) -> None:
-        """Carry out a decision of the request's state machine.
+    def _perform_step(self, next_step: NextStep, why: str, retry_after_s: float | None = None) -> None:
+        """Perform the next step that the request's state machine decided on.
 
         Args:
-            next_step: The decision.
-            why: Reason, part of the client's error message.
-            retry_after_s: Seconds for `Retry-After` of a rejection; estimated where None.
+            next_step: The step.
+            why: Reason, included in the client's error message.
+            retry_after_s: Seconds for `Retry-After` of a rejection; estimated if None.
         """
         if next_step is NextStep.RETRY:
             self._retry()
@@ -435,4 +435,4 @@
         if self._permit_wait is not None:
             self._permit_wait.cancel()
             self._permit_wait = None
-        self._give_permit_back()
+        self._refund_permit()
--- a/mulleinhatch/data_plane/request_log.py
+++ b/mulleinhatch/data_plane/request_log.py
@@ -1,4 +1,4 @@
-"""What operators learn about single requests: counters, log lines, and the latest rejections."""
+"""Records the outcomes of requests for operators: counters, log lines, and the latest rejections."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from mulleinhatch.data_plane.wait_reason import WaitReason
 
 LOG = logging.getLogger(__name__)
-MAX_RECENT_REJECTIONS = 100  # rejections that the command `why` can explain
+MAX_RECENT_REJECTIONS = 100  # Rejections that the command `why` can explain.
 
 
 class LoggedRequest(Protocol):
-    """What is logged of a request; `request_lifecycle.ClientRequest` implements it."""
+    """The logged data of a request; `request_lifecycle.ClientRequest` implements it."""
 
     context: RequestContext
     pending: PendingRequest
@@ -30,7 +30,7 @@
 
     Args:
         clock: Loop time in seconds.
-        timeouts: Tells which requests are probable retries.
+        timeouts: Detects probable retries.
     """
 
     def __init__(self, clock: Callable[[], float], timeouts: ClientTimeouts) -> None:
@@ -39,19 +39,19 @@
         self.recent_rejections: deque[dict[str, str | float]] = deque(maxlen=MAX_RECENT_REJECTIONS)
 
     def served(self) -> None:
-        """Count a request whose complete response was forwarded."""
+        """Count a request whose response was forwarded completely."""
         self.counters["served"] += 1
 
     def failed(self) -> None:
-        """Count a request that was answered with 502 or 504: it may have executed, or its deadline passed."""
+        """Count a request that was answered with 502 or 504, because it may have executed or its deadline passed."""
         self.counters["failed"] += 1
 
     def over_quota(self) -> None:
-        """Count a request that was answered with 429: its tenant's quota had no tokens for it."""
+        """Count a request that was answered with 429, because its tenant's quota was exhausted."""
         self.counters["over_quota"] += 1
 
     def denied(self, denied: AccessDenied) -> None:
-        """Count a request that may not run: without a known key, or while this data plane may lack the newest configuration."""
+        """Count a request that was denied: it had no known key, or this data plane may lack the newest configuration."""
         if denied.status == UNAUTHORIZED:
             self.counters["unauthorized"] += 1
         elif denied.status == UNAVAILABLE:
@@ -63,13 +63,13 @@
         Args:
             request: The request.
             waited_s: From the request's arrival to the first byte of the response's body.
-            backend_latency_s: The part of it after the request was sent to the backend that responds.
+            backend_latency_s: From sending the request to the responding backend to that first byte.
         """
         times = {"waited_s": round(waited_s, 3), "backend_latency_s": round(backend_latency_s, 3)}
         LOG.info("response started after the latency target", extra=self._describe(request) | times)
 
     def not_served(self, request: LoggedRequest, why: str, retry_after_s: float) -> None:
-        """Count, log and keep the rejection of a request that was not executed."""
+        """Count, log and store the rejection of a request that was not executed."""
         self.counters["refused"] += 1
         context = request.context
         model_key = context.model_key
--- a/mulleinhatch/data_plane/request_scheduler.py
+++ b/mulleinhatch/data_plane/request_scheduler.py
@@ -1,4 +1,4 @@
-"""Starts requests in the admission queue's order and answers those that can't be served in time."""
+"""Starts requests in the order of the admission queue and rejects those that can't be served in time."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from mulleinhatch.data_plane.request_log import RequestLog
 from mulleinhatch.data_plane.wait_reason import WaitReason, wait_reason_of
 
-SHUTDOWN_RESPONSE_MARGIN_S = 0.4  # before the process ends, so that the response still reaches the client
-SHUTDOWN_ACCEPT_S = 2.8  # after SIGTERM: a request accepted later might not be completed when the process ends
+SHUTDOWN_RESPONSE_MARGIN_S = 0.4  # Respond this long before the process exits, so that the response reaches the client.
+SHUTDOWN_ACCEPT_S = 2.8  # A request accepted later than this after SIGTERM might not complete before the process exits.
 RETRY_AFTER_MARGIN_S = 0.08
 
 
 class RequestScheduler:
-    """Owns all unfinished requests and decides when each starts.
+    """Tracks all unfinished requests and decides when each one starts.
 
     Args:
         loop: Clock and timers.
-        queue: Order and bounds of the waiting requests.
-        selector: Tells which backends are available.
-        readiness: Tells when a model can be served.
-        timeouts: Tells which requests are probable retries.
+        queue: Orders and bounds the waiting requests.
+        selector: Knows which backends are available.
+        readiness: Estimates when a model can be served.
+        timeouts: Detects probable retries.
         request_log: Counts rejections.
-        on_missing_model: Called with a model that is asked for and that no backend can serve.
+        on_missing_model: Called with a requested model that no backend can serve.
     """
 
     def __init__(
@@ -53,22 +53,22 @@
         self._timeouts, self._request_log, self._on_missing_model = timeouts, request_log, on_missing_model
         self._requests: set[ClientRequest] = set()
         self._is_starting = False
-        self._answer_before = math.inf  # loop time by which the shutdown wants waiting requests answered
+        self._answer_before = math.inf  # Loop time by which waiting requests must be answered at shutdown.
         self._accepts_until = math.inf
 
     def accepts_requests(self) -> bool:
-        """Return whether a request that arrives now can be completed before the process ends."""
+        """Return whether a request that arrives now can be completed before the process exits."""
         return self._loop.time() <= self._accepts_until
 
-    # A request's arrival.
+    # Arrival.
 
     def track(self, request: ClientRequest) -> None:
-        """Own a request from here on: the shutdown answers it in time."""
+        """Track a request, so that it is answered in time at shutdown."""
         self._requests.add(request)
         self._limit_wait(request)
 
     def admit(self, request: ClientRequest) -> None:
-        """Queue a client's request; it may be started or rejected at once."""
+        """Queue a client's request; it may be started or rejected immediately."""
         now, model_key, pending = self._loop.time(), request.context.model_key, request.pending
         self.track(request)
         if request.context.route.is_streaming:
@@ -92,7 +92,8 @@
         """Reject a request whose model can't be ready within its latency target.
 
         Runs shortly after the arrival, when the placement leader has published whether it loads the model. An early rejection
-        that names the time of readiness is worth more than a late response. A probable retry is kept if it can be served.
+        with an estimate of the model's readiness is worth more than a late response. A probable retry stays queued if it can
+        still be served before its deadline.
         """
         now, pending, context = self._loop.time(), request.pending, request.context
         if request.is_finished or pending.is_started or context.state.sends:
@@ -111,9 +112,9 @@
     # Starting.
 
     def start_ready(self) -> None:
-        """Start all requests whose turn it is."""
+        """Start the requests that the queue releases now."""
         if self._is_starting:
-            return  # a started request that ends at once asks for the next one: the loop below is not entered twice
+            return  # Not reentrant: a started request that ends immediately calls this method again.
         self._is_starting = True
         try:
             for pending in self._queue.start_next(self._loop.time()):
@@ -122,7 +123,7 @@
             self._is_starting = False
 
     def sweep(self) -> None:
-        """Answer waiting requests that can't be served in time any more, and start those whose turn it is."""
+        """Reject waiting requests that can no longer be served in time, and start those that the queue releases now."""
         for pending, rejection in self._queue.remove_expired(self._loop.time()):
             self._reject(pending.handle, rejection)
         self.start_ready()
@@ -134,7 +135,7 @@
         self._queue.requeue(request.pending, self._loop.time())
 
     def retry(self, request: ClientRequest) -> None:
-        """Queue a request that a backend did not serve for another backend, with its age."""
+        """Queue a request that a backend did not serve for another backend; it keeps its arrival time."""
         rejection = self._queue.enqueue(request.pending, self._loop.time())
         if rejection is not None:
             request.reject(rejection)
@@ -142,7 +143,7 @@
             self.start_ready()
 
     def resume(self, request: ClientRequest) -> None:
-        """Queue a request that was accepted before and gave its slot back unsent; it keeps its age."""
+        """Queue an accepted request again that released its slot without being sent; it keeps its arrival time."""
         self._queue.restore(request.pending)
         self.start_ready()
 
@@ -157,7 +158,7 @@
         self._requests.discard(request)
 
     def retry_after_s(self, request: ClientRequest) -> float:
-        """Estimate when the client should come back."""
+        """Estimate the seconds after which the client should retry."""
         return self._readiness.retry_after_s(request.context.model_key)
 
     def has_backend(self, request: ClientRequest) -> bool:
@@ -167,10 +168,10 @@
     # Shutdown.
 
     def begin_shutdown(self, ends_at: float) -> None:
-        """Reject what can't be started at once, so that clients retry elsewhere before the process ends.
+        """Reject the requests that can't be started in time, so that clients retry elsewhere before the process exits.
 
         Args:
-            ends_at: Loop time at which the process ends.
+            ends_at: Loop time at which the process exits.
         """
         self._answer_before = ends_at - SHUTDOWN_RESPONSE_MARGIN_S
         self._accepts_until = self._loop.time() + SHUTDOWN_ACCEPT_S
--- a/mulleinhatch/data_plane/request_state.py
+++ b/mulleinhatch/data_plane/request_state.py
@@ -1,16 +1,16 @@
-"""What is known about the execution of one client request, and what follows from each event. Pure.
+"""The state machine of one client request: how far it may have executed, and the next step after each event. Pure.
 
 | event | retried at another backend |
 | --- | --- |
-| a backend says that it did not execute the request | until it was sent to `MAX_SENDS` backends |
+| a backend reports that it did not execute the request | until it was sent to `MAX_SENDS` backends |
 | no byte reached the backend | until 2 x `MAX_SENDS` backends were tried |
-| connection lost, or bytes that are no response | if idempotent, and resumable once a response started: within `max_attempts` |
+| connection lost, or malformed response | up to `max_attempts` if idempotent; once a response started, only if resumable |
 | deadline exceeded, no backend, or no permit of the tenant's quota | never |
 
-`FINAL_STEPS` says what follows an event after which the request is not retried.
+`FINAL_STEPS` lists the next step after an event if the request is not retried.
 
-A request counts as executed from the moment at which its first byte may leave, and stops counting only when the backend
-that it was sent to says that it did not execute it. Statuses that promise "not executed" (408, 421, 429, 503) are sent
+A request counts as executed from the moment its first byte may have been sent, and stops counting only when the backend
+that it was sent to reports that it did not execute it. Statuses that promise "not executed" (408, 421, 429, 503) are sent
 only while nothing counts as executed.
 """
 
@@ -20,12 +20,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_SENDS = 4  # backends that may reject one request unexecuted
-NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # a client may repeat a request after one of these
+MAX_SENDS = 4  # Backends that a request is sent to while each rejects it without executing it.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # A client may safely retry any request after one of these.
 
 
 class Progress(Enum):
-    """How far a request's execution may be."""
+    """How far the execution of a request may have got."""
 
     NOT_EXECUTED = "sent to no backend, or rejected by each"
     MAYBE_EXECUTED = "sent to a backend whose response is not known"
@@ -33,7 +33,7 @@
 
 
 class Event(Enum):
-    """What ends an attempt or a wait."""
+    """Events that end an attempt or a wait."""
 
     NO_BACKEND = "no backend takes the request, or no retry is allowed"
     CONNECTION_LOST = "the connection was lost, or carried bytes that are no response"
@@ -42,7 +42,7 @@
 
 
 class NextStep(Enum):
-    """What happens to a request."""
+    """The next step for a request."""
 
     RETRY = "send it to another backend"
     REJECT = "503 with Retry-After: it was not executed and will not be"
@@ -52,7 +52,7 @@
     ABORT = "reset the client's connection, so that the response does not look complete"
 
 
-# What follows an event after which no other backend may be tried.
+# The next step after an event if no other backend may be tried.
 FINAL_STEPS: Mapping[tuple[Progress, Event], NextStep] = {
     (Progress.NOT_EXECUTED, Event.NO_BACKEND): NextStep.REJECT,
     (Progress.NOT_EXECUTED, Event.CONNECTION_LOST): NextStep.FAIL,
@@ -70,7 +70,7 @@
 
 
 class ResponseVerdict(Enum):
-    """What the head of a backend's response says."""
+    """How a backend's response is handled, judging by its head."""
 
     NOT_EXECUTED = "the backend did not execute the request"
     UNUSABLE = "not a response that may be forwarded; the request may have been executed"
@@ -98,21 +98,21 @@
     if 200 <= status < 300 and (b"server-signature" not in fields or is_encoded):
         return ResponseVerdict.UNUSABLE
     if status in NOT_EXECUTED_STATUSES and not idempotent:
-        # Forwarded, it would tell the client that the request was not executed, which the backend did not say.
+        # Forwarding it would tell the client that the request was not executed, but the backend did not state that.
         return ResponseVerdict.UNUSABLE
     return ResponseVerdict.FORWARDABLE
 
 
 @dataclass(slots=True)
 class RequestState:
-    """Counts the attempts of one request and decides by them what follows.
+    """Counts the attempts of one request and decides on its next step.
 
     Attributes:
         idempotent: Whether the request may be executed more than once.
         resumable: Whether its stream may be continued at another backend.
-        max_attempts: Backends that may execute it.
-        sends: Backends that it was sent to.
-        executions: Those of them that may have executed it.
+        max_attempts: Maximum number of backends that may execute it.
+        sends: Number of backends that it was sent to.
+        executions: Number of backends that may have executed it.
         is_response_started: Whether the head of a response was forwarded to the client.
     """
 
@@ -125,43 +125,43 @@
 
     @property
     def progress(self) -> Progress:
-        """How far the execution may be."""
+        """How far the execution may have got."""
         if self.is_response_started:
             return Progress.RESPONSE_STARTED
         return Progress.MAYBE_EXECUTED if self.executions else Progress.NOT_EXECUTED
 
     @property
     def may_run_again(self) -> bool:
-        """Whether a further backend may execute the request, although this one may have."""
+        """Whether another backend may execute the request although the current one may have executed it."""
         is_repeatable = self.idempotent and (not self.is_response_started or self.resumable)
         return is_repeatable and self.executions < self.max_attempts
 
     def begin_attempt(self) -> None:
-        """Count a sending; from here on the request counts as executed by that backend."""
+        """Count a send; from now on the request counts as executed by that backend."""
         self.sends += 1
         self.executions += 1
 
     def unsent(self) -> None:
-        """Take back a sending of which no byte was written."""
+        """Revert a send of which no byte was written."""
         self.sends -= 1
         self.executions -= 1
 
     def unreachable(self, backends_tried: int) -> NextStep:
-        """Handle a backend that no byte reached, one of `backends_tried` so far."""
+        """Handle a backend that no byte reached; `backends_tried` counts the backends tried so far, including it."""
         self.unsent()
         return NextStep.RETRY if backends_tried <= 2 * MAX_SENDS else self.no_backend()
 
     def not_executed(self) -> NextStep:
-        """Handle a backend's statement that it did not execute the request."""
+        """Handle a backend's report that it did not execute the request."""
         self.executions -= 1
         return NextStep.RETRY if self.sends < MAX_SENDS else self.no_backend()
 
     def connection_lost(self) -> NextStep:
-        """Handle a connection loss after which it is not known whether the backend executed the request."""
+        """Handle a connection loss after which it is unknown whether the backend executed the request."""
         return NextStep.RETRY if self.may_run_again else FINAL_STEPS[self.progress, Event.CONNECTION_LOST]
 
     def no_backend(self) -> NextStep:
-        """Handle that no backend takes the request."""
+        """Handle that no backend accepts the request."""
         return FINAL_STEPS[self.progress, Event.NO_BACKEND]
 
     def no_permit(self) -> NextStep:
@@ -169,5 +169,5 @@
         return FINAL_STEPS[self.progress, Event.NO_PERMIT]
 
     def deadline_exceeded(self) -> NextStep:
-        """Handle the end of the request's time."""
+        """Handle the expiry of the request's deadline."""
         return FINAL_STEPS[self.progress, Event.DEADLINE_EXCEEDED]
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -1,8 +1,8 @@
 """Forwards a backend's response to the client as it arrives.
 
-A relay is the `AnswerSink` of one attempt's connection, so that a chunk of the body goes from the connection to the client's
-session with no object in between. Three modes, by route: a plain response is buffered until it is complete or too long; a
-stream is forwarded byte for byte; a resumable stream is forwarded in complete events, each once.
+A relay is the `AnswerSink` of one attempt's connection, so that a body chunk passes from the connection to the client's
+session without intermediate objects. The route determines the mode: a plain response is buffered until it is complete or too
+long; a stream is forwarded byte for byte; a resumable stream is forwarded in complete events, each exactly once.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from mulleinhatch.networking.http_connection import Loss
 from mulleinhatch.networking.http_streaming import Head
 
-STREAM_STALL_TIMEOUT_S = 2.0  # a resumable stream without an event for so long is resumed at another backend
-STALL_TIMEOUT_GAPS = 4.0  # ... or, where longer, for so many of the route's usual gaps between events
-STALL_TIMEOUT_TARGETS = 0.75  # ... or, before the head, for this fraction of the route's latency target
-MAX_BUFFERED_BODY_BYTES = 1 << 18  # a longer plain response is no longer buffered: its head is forwarded
+# A resumable stream without an event for the longest of these times is resumed at another backend.
+STREAM_STALL_TIMEOUT_S = 2.0
+STALL_TIMEOUT_GAPS = 4.0  # Multiple of the route's usual gap between events.
+STALL_TIMEOUT_TARGETS = 0.75  # Fraction of the route's latency target; applies before the response head only.
+MAX_BUFFERED_BODY_BYTES = 1 << 18  # Longer plain responses are forwarded without further buffering.
 
 
 class RelayedAttempt(Protocol):
-    """What a relay needs of its attempt; `attempt.Attempt` implements it."""
+    """The attempt as seen by its relay; `attempt.Attempt` implements it."""
 
     is_finished: bool
 
@@ -51,7 +52,7 @@
         """Report that the backend did not execute the request."""
 
     def report_failed(self) -> None:
-        """The attempt failed; the request may have executed."""
+        """Report that the attempt failed; the request may have executed."""
 
     def report_completed(self) -> None:
         """Report a complete response."""
@@ -61,12 +62,12 @@
     """Reads one response and writes it to the client's connection.
 
     Args:
-        context: The request's facts.
+        context: Data of the request.
         attempt: Attempt that the response belongs to.
         loop: Clock and timers.
     """
 
-    # One object an attempt; `on_body` runs for each event of a stream, slots keep its lookups cheap.
+    # One object per attempt; `on_body` runs for every event of a stream, and slots keep its lookups cheap.
     __slots__ = (
         "_attempt",
         "_buffer",
@@ -86,7 +87,7 @@
         self._response_writer, self._event_filter = context.response_writer, context.event_filter
         self._head: Head | None = None
         self._verdict: ResponseVerdict | None = None
-        self._buffer: list[bytes] | None = None  # chunks of a plain response whose head is not forwarded yet
+        self._buffer: list[bytes] | None = None  # Chunks of a plain response whose head is not forwarded yet.
         self._buffered_bytes = 0
         self._has_first_byte = False
         self._stall_timer: asyncio.TimerHandle | None = None
@@ -94,12 +95,12 @@
     # Called by the connection.
 
     def expects(self, head: Head) -> bool:
-        """Return whether a response head belongs to the request, not to an earlier one on the connection."""
+        """Return whether a response head belongs to this request, not to an earlier one on the connection."""
         request_id = self._context.request_id
         return not request_id or head.first.get(b"request-id") == request_id
 
     def on_head(self, head: Head) -> None:
-        """Decide by the response head what is done with the body."""
+        """Decide from the response head how the body is handled."""
         route, state = self._context.route, self._context.state
         self._head = head
         self._verdict = classify_response(head.status, head.first, route.is_idempotent)
@@ -148,7 +149,7 @@
         attempt.report_completed()
 
     def on_loss(self, loss: Loss) -> None:
-        """Finish the attempt after its connection was lost, or carried bytes that are no response."""
+        """Finish the attempt after its connection was lost or received bytes that are not a valid response."""
         attempt = self._attempt
         if attempt.is_finished:
             return
@@ -163,7 +164,7 @@
 
     def _forward_head(self, length: int | None) -> None:
         self._context.state.is_response_started = True
-        # A resumable stream may be continued by another backend: its length is not this response's.
+        # Another backend may continue a resumable stream, so its total length is unknown.
         self._response_writer.write_head(self._head, None if self._event_filter is not None else length)
 
     def _append_to_buffer(self, data: bytes) -> None:
@@ -192,13 +193,13 @@
         """
         is_response_started = self._context.state.is_response_started
         if head.status >= 300 and is_response_started and self._event_filter is not None:
-            return True  # an error in place of the rest of a stream
+            return True  # An error response instead of the rest of the stream.
         return head.status >= 500 and not is_response_started and self._attempt.has_alternative()
 
     # Stalled streams.
 
     def restart_stall_timer(self) -> None:
-        """Wait for the next event of a resumable stream; without one, the stream is resumed at another backend."""
+        """Start the timer for the next event of a resumable stream; on expiry, the stream is resumed at another backend."""
         if self._stall_timer is not None:
             self._stall_timer.cancel()
         route = self._context.route
@@ -208,14 +209,14 @@
         self._stall_timer = self._loop.call_later(timeout_s, self._on_stall)
 
     def cancel_stall_timer(self) -> None:
-        """Stop waiting for the next event."""
+        """Cancel the timer for the next event."""
         if self._stall_timer is not None:
             self._stall_timer.cancel()
 
     def _on_stall(self) -> None:
         attempt = self._attempt
         if not attempt.is_finished and attempt.has_alternative():
-            # Counted here and again by `on_loss`: a stall counts as two failures and so doubles the cooldown.
+            # `on_loss` records a second failure, so a stall doubles the cooldown.
             attempt.record_failure()
             attempt.close_connection()
             self.on_loss(Loss.BROKEN)
--- a/mulleinhatch/data_plane/retry_budget.py
+++ b/mulleinhatch/data_plane/retry_budget.py
@@ -1,16 +1,16 @@
-"""This data plane's part of each service's retry budget. Pure.
+"""This data plane's share of each service's retry budget. Pure.
 
-The rule counts all data planes together over a sliding window: retries stay within `ratio` x the requests + `slack`. Each
-data plane spends at most its part of the slack and the ratio of its own requests, so that the sum stays within the rule
-whatever the others do.
+The budget applies to all data planes together over a sliding window: retries may not exceed `ratio` x requests + `slack`. Each
+data plane spends at most its share of the slack plus the ratio of its own requests, so that the total stays within the budget
+without coordination.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RATIO_FRACTION = 0.8  # of the ratio: the rule's window slides, and counts requests elsewhere than here
-SLACK_FRACTION = 0.6  # of the slack, divided by the data planes
+RATIO_FRACTION = 0.8  # Used fraction of the ratio: the window slides, and the requests are counted at another place.
+SLACK_FRACTION = 0.6  # Used fraction of the slack, divided among the data planes.
 
 
 class RetryBudget:
@@ -21,22 +21,22 @@
     ([True, True, True, False], True)
 
     Args:
-        ratio: Retries a request that the rule allows to all data planes.
-        slack: Further retries a window that the rule allows to all data planes together.
+        ratio: Retries allowed per request, for all data planes together.
+        slack: Additional retries allowed per window, for all data planes together.
         window_s: Length of the sliding window.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self._ratio, self._slack, self._window_s = ratio * RATIO_FRACTION, slack * SLACK_FRACTION, window_s
-        self._requests: dict[str, deque[float]] = {}  # times, by service
+        self._requests: dict[str, deque[float]] = {}  # Times by service.
         self._retries: dict[str, deque[float]] = {}
 
     def record_request(self, service: str, now: float) -> None:
-        """Count a request that is sent to a backend for the first time."""
+        """Count the first send of a request to a backend."""
         self._requests.setdefault(service, deque()).append(now)
 
     def try_spend(self, service: str, now: float, data_plane_count: int) -> bool:
-        """Count one more retry if the budget allows it.
+        """Count a retry if the budget allows it.
 
         Args:
             service: Service that the request is for.
--- a/mulleinhatch/data_plane/router.py
+++ b/mulleinhatch/data_plane/router.py
@@ -1,6 +1,6 @@
-"""Routes client requests by the configuration in force, and wires the parts that carry them out.
+"""Routes client requests by the current configuration and wires the components that serve them.
 
-The way of a request: `listener` reads it, `Router.begin` finds its route and service, `quota_client` gives it a permit where
+The path of a request: `listener` reads it, `Router.begin` finds its route and service, `quota_client` grants it a permit if
 its tenant has a limit, `request_scheduler` queues it (`admission_queue`), `request_lifecycle` sends it to the backend that
 `backend_selection` picks (`attempt`), and `response_relay` forwards the response.
 """
@@ -40,7 +40,7 @@
 SWEEP_INTERVAL_S = 0.1
 POOL_SWEEP_INTERVAL_S = 1.0
 MAX_REQUEST_VALUE = (
-    3.0  # of a request on a route of the highest class, against 1 for the lowest: the configuration gives ranks only
+    3.0  # Reported value of a request of the highest class; the lowest counts 1. The configuration has only ranks, no values.
 )
 
 
@@ -50,8 +50,8 @@
     Args:
         settings: Settings of this data plane.
         loop: Clock and timers.
-        on_missing_model: Called with a model that is asked for and that no backend can serve.
-        http: Client for calls to control planes; one of its own where None.
+        on_missing_model: Called with a requested model that no backend can serve.
+        http: Client for calls to control planes; a new one is created if None.
     """
 
     def __init__(
@@ -99,12 +99,12 @@
         """Start a client's request.
 
         Args:
-            session: Where the response goes.
+            session: Connection that the response is written to.
             head: The request's head.
             body: The complete request body.
 
         Returns:
-            The request, None where it was answered at once.
+            The request, or None if it was answered immediately.
         """
         table = self.snapshot.table
         if not table.version:
@@ -131,10 +131,10 @@
         return decide_access(table, head, self.snapshot.is_current(self._clock(), self._configuration_apply_s))
 
     def _recheck_access(self, context: RequestContext) -> AccessDenied | None:
-        """Judge a request again at the moment at which it is sent, where the configuration has changed since.
+        """Check a request's access again right before it is sent, if the configuration has changed since its arrival.
 
         Returns:
-            Why it may no longer run, or None.
+            Why the request may no longer run, or None.
         """
         table = self.snapshot.table
         if table is context.table:
@@ -142,7 +142,7 @@
         access = self._decide_access(table, context.head)
         if isinstance(access, Err):
             return access.err_value
-        # It stays with its route and service: a configuration binds requests that are sent after it.
+        # The route and service stay as chosen; the access rules of a configuration apply to every request sent after it.
         context.bind(table, access.ok_value.tenant, self._priority_classes)
         return None
 
@@ -161,7 +161,7 @@
             self.demand.record_request(context.model_key, value, self._clock())
 
     def _apply_classes(self, table: RouteTable) -> None:
-        """Use the priority classes of a new configuration, also for requests that wait."""
+        """Apply the priority classes of a new configuration, also to waiting requests."""
         self._priority_classes = classes = build_priority_classes(table)
 
         def rank(pending: PendingRequest) -> int:
@@ -174,7 +174,7 @@
     # Called by the process.
 
     def apply_snapshot(self, snapshot: ControlPlaneSnapshot) -> None:
-        """Use a new snapshot of configuration and registry."""
+        """Switch to a new snapshot of the configuration and the registry."""
         if snapshot.table is not self.snapshot.table:
             routes = [route for host in snapshot.table.hosts.values() for route in host]
             self._apply_classes(snapshot.table)
@@ -187,7 +187,7 @@
         self._scheduler.start_ready()
 
     def sweep(self) -> None:
-        """Reject and start waiting requests; each second also drop old connections and state. Runs each `SWEEP_INTERVAL_S`."""
+        """Reject or start waiting requests; once a second, drop stale connections and state. Runs every `SWEEP_INTERVAL_S`."""
         now = self._clock()
         self._scheduler.sweep()
         if now - self._pool_swept_at > POOL_SWEEP_INTERVAL_S:
@@ -197,10 +197,10 @@
             self.health.prune(now)
 
     def begin_shutdown(self, ends_at: float) -> None:
-        """Reject what can't be completed before the process ends.
+        """Reject the requests that can't be completed before the process exits.
 
         Args:
-            ends_at: Loop time at which the process ends.
+            ends_at: Loop time at which the process exits.
         """
         self._scheduler.begin_shutdown(ends_at)
         self.sweep()
--- a/mulleinhatch/data_plane/status.py
+++ b/mulleinhatch/data_plane/status.py
@@ -1,4 +1,4 @@
-"""The status page of a data plane; its keys are part of the operators' interface."""
+"""The status page of a data plane. Its keys are part of the operators' interface."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     Args:
         data_plane_name: Name of this data plane.
         is_ready: Whether it accepts connections.
-        leader: Address of the placement leader, empty where unknown.
-        router: Gives the snapshot in force, counters, queues and backends.
+        leader: Address of the placement leader, empty if unknown.
+        router: Provides the current snapshot, counters, queues and backends.
     """
     snapshot = router.snapshot
     return {
--- a/mulleinhatch/data_plane/traffic_split.py
+++ b/mulleinhatch/data_plane/traffic_split.py
@@ -1,8 +1,8 @@
-"""Which service of a route's `traffic_split` gets the next request: smooth weighted round robin. Pure.
+"""Selects the service of a route's `traffic_split` for each request, by smooth weighted round robin. Pure.
 
-Each service gains its weight with each request; the one that has gained most is chosen and pays the total of all weights. After
-any number of requests each has had its share to within a request or two, where random draws would scatter by the square root
-of the number.
+Each request adds every service's weight to its current weight; the service with the largest current weight is chosen, and the
+sum of all weights is subtracted from its current weight. After any number of requests, each service has received its share to
+within one or two requests; with random draws, the deviation would grow with the square root of the number of requests.
 """
 
 from __future__ import annotations
@@ -14,37 +14,38 @@
 
 
 class WeightedRoundRobin:
-    """The order of one data plane, for each route.
+    """The sequence of services of each route, on one data plane.
 
     Args:
-        seed: Name of the data plane. It determines where the order begins, so that the data planes do not all begin alike.
+        seed: Name of the data plane. It determines the start of each sequence, so that data planes do not start with the same
+            service.
     """
 
     def __init__(self, seed: str) -> None:
         self._seed = seed
-        self._gains: dict[str, tuple[ServiceWeights, list[float]]] = {}  # by route: its weights and each service's gain
+        self._current_weights: dict[str, tuple[ServiceWeights, list[float]]] = {}  # Weights and current weights by route.
 
     def next(self, route: str, weights: ServiceWeights) -> str:
-        """Return the service for the next request of a route; the order begins anew when the route's weights change."""
-        known = self._gains.get(route)
+        """Return the service for the next request of a route; the sequence restarts when the route's weights change."""
+        known = self._current_weights.get(route)
         if known is None or known[0] != weights:
-            known = self._gains[route] = weights, self._initial_gains(route, weights)
-        gains = known[1]
+            known = self._current_weights[route] = weights, self._initial_weights(route, weights)
+        current_weights = known[1]
         for index, (_, weight) in enumerate(weights):
-            gains[index] += weight
-        chosen = max(range(len(weights)), key=lambda index: (gains[index], weights[index][1]))
-        gains[chosen] -= sum(weight for _, weight in weights)
+            current_weights[index] += weight
+        chosen = max(range(len(weights)), key=lambda index: (current_weights[index], weights[index][1]))
+        current_weights[chosen] -= sum(weight for _, weight in weights)
         return weights[chosen][0]
 
-    def _initial_gains(self, route: str, weights: ServiceWeights) -> list[float]:
-        """Return gains whose sum is zero, as somewhere in the middle of an order."""
+    def _initial_weights(self, route: str, weights: ServiceWeights) -> list[float]:
+        """Return initial current weights with a sum of zero, as they occur in the middle of a sequence."""
         total = sum(weight for _, weight in weights)
         draws = [crc32(f"{self._seed}/{route}/{service}".encode()) / 2**32 for service, _ in weights]
         mean = sum(draws) / len(draws)
         return [(draw - mean) * total if weight else 0.0 for draw, (_, weight) in zip(draws, weights)]
 
     def keep_only(self, routes: Iterable[str]) -> None:
-        """Forget routes that are no longer configured."""
+        """Drop routes that are no longer configured."""
         kept = set(routes)
-        for route in [route for route in self._gains if route not in kept]:
-            del self._gains[route]
+        for route in [route for route in self._current_weights if route not in kept]:
+            del self._current_weights[route]
--- a/mulleinhatch/data_plane/wait_reason.py
+++ b/mulleinhatch/data_plane/wait_reason.py
@@ -1,4 +1,4 @@
-"""Why a request had to wait for a backend when it arrived: part of log lines about late and rejected requests. Pure."""
+"""Why a request had to wait for a backend on arrival; logged for late and rejected requests. Pure."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class WaitReason(Enum):
-    """What kept a request from a backend at its arrival. The values are part of log lines."""
+    """Why a request could not be sent to a backend on arrival. The values are part of log lines."""
 
-    NONE = "a backend was available"  # if it was late, then by the backend's time
+    NONE = "a backend was available"  # A late response is due to the backend's latency.
     LIMIT = "waited at the running limit"
     LOADING = "the model is being loaded"
     LOADING_ADAPTER = "the adapter is being loaded"
@@ -25,9 +25,9 @@
     """Determine why a request has to wait.
 
     Args:
-        model_key: Model that is asked for.
+        model_key: Requested model.
         backends: Registered backends of the service.
-        is_available: Whether a backend that holds the model may be used now.
+        is_available: Whether a backend that holds the model can be used now.
     """
     if is_available:
         return WaitReason.NONE
--- a/tests/system/test_model_versions.py
+++ b/tests/system/test_model_versions.py
@@ -9,7 +9,7 @@
 from mulleinhatch.control_plane.placement.published_holdings import current_holdings
 from mulleinhatch.data_plane.backend_health import BackendHealthTracker
 from mulleinhatch.data_plane.backend_selection import BackendSelector
-from mulleinhatch.data_plane.model_versions import NOTICE_S, OLD_WEIGHTS_COST_S, ModelVersions
+from mulleinhatch.data_plane.model_versions import OLD_WEIGHTS_COST_S, ROLLOUT_GRACE_S, ModelVersions
 from mulleinhatch.data_plane.registry_snapshot import ModelKey, RegistrySnapshot
 from mulleinhatch.messages.cluster import Backend, LoadedModel
 
@@ -53,7 +53,7 @@
         self.register(backend("a", 1), backend("b", 1))
         self.register(backend("b", 2))
         self.assertEqual(self.selected(), {"a", "b"})
-        self.now += NOTICE_S
+        self.now += ROLLOUT_GRACE_S
         self.assertEqual(self.selected(), {"b"})
         self.health.record_latency("b", 5.0 * OLD_WEIGHTS_COST_S, self.now)
         self.assertEqual(self.selected(), {"a"})
--- a/tests/system/test_traffic_split.py
+++ b/tests/system/test_traffic_split.py
@@ -45,7 +45,7 @@
             order.next("r", services((1.0, 1.0)))
         self.assertEqual({order.next("r", services((0.0, 1.0))) for _ in range(5)}, {"s1"})
         order.keep_only(())
-        self.assertEqual(order._gains, {})
+        self.assertEqual(order._current_weights, {})
 
     def test_routes_are_independent(self):
         order = WeightedRoundRobin("front-1")
