--- a/tests/system/test_listener.py
+++ b/tests/system/test_listener.py
@@ -1,4 +1,4 @@
-"""Client connections, byte by byte, on a transport in memory."""
+"""Client connections on an in-memory transport."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 class Socket:
     def setsockopt(self, *_: object) -> None:
-        """Options mean nothing in memory."""
+        """Ignore socket options."""
 
 
 class Transport(asyncio.Transport):
@@ -43,7 +43,7 @@
 
 
 class RunningRequest:
-    """A request that the test answers itself."""
+    """A request that the test responds to."""
 
     def __init__(self, session: ClientSession, head: Head, body: bytes) -> None:
         self.session, self.head, self.body = session, head, body
@@ -53,10 +53,10 @@
         self.cancelled = True
 
     def on_writable(self, writable: bool) -> None:
-        """Nothing is paused here."""
+        """Ignore flow control."""
 
 
-class Sessions(unittest.IsolatedAsyncioTestCase):
+class ClientSessions(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.requests: list[RunningRequest] = []
         self.listener = Listener(lambda: Limits(max_header_bytes=400, max_body_bytes=50), self.begin)
@@ -96,12 +96,12 @@
         self.assertFalse(transport.closed)
 
     async def test_answers_malformed_and_oversized_requests_once_and_closes(self):
-        faults = {
+        bad_requests = {
             400: b"NONSENSE\r\n\r\n",
             413: REQUEST.replace(b"Content-Length: 4", b"Content-Length: 51"),
             431: b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * 500,
         }
-        for status, data in faults.items():
+        for status, data in bad_requests.items():
             session, transport = self.connect()
             session.data_received(data)
             self.assertTrue(transport.out.startswith(b"HTTP/1.1 %d " % status), transport.out)
--- a/tests/system/test_model_versions.py
+++ b/tests/system/test_model_versions.py
@@ -1,4 +1,4 @@
-"""Weights of an older version: when a backend that holds them is still used, and that versions reach the data planes."""
+"""Model versions: when backends with older weights are still used, and how versions reach the data planes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class NoIdleConnections:
-    """A pool without connections."""
+    """A pool without idle connections."""
 
     def has_idle(self, backend_id: str) -> bool:
         return False
@@ -44,12 +44,12 @@
     def selected(self) -> set[str]:
         return {self.selector.select(MODEL, "", ()).id for _ in range(60)}
 
-    def test_equal_versions_are_used_alike(self):
+    def test_backends_with_equal_versions_are_all_used(self):
         self.register(backend("a", 1), backend("b", 1))
         self.now += 2 * BOUND_S
         self.assertEqual(self.selected(), {"a", "b"})
 
-    def test_older_weights_give_way_with_time(self):
+    def test_older_weights_are_used_less_as_the_newest_version_ages(self):
         self.register(backend("a", 1), backend("b", 1))
         self.register(backend("b", 2))
         self.assertEqual(self.selected(), {"a", "b"})
@@ -61,7 +61,7 @@
         self.health.record_latency("b", 5.0 * OLD_WEIGHTS_COST_S, self.now)
         self.assertEqual(self.selected(), {"b"})
 
-    def test_older_weights_serve_where_no_other_backend_can(self):
+    def test_older_weights_are_used_if_no_other_backend_is_available(self):
         self.register(backend("a", 1), backend("b", 2))
         self.now += BOUND_S
         self.assertEqual(self.selected(), {"b"})
@@ -69,19 +69,19 @@
         self.selector.update(self.registry, 1)
         self.assertEqual(self.selected(), {"a"})
 
-    def test_a_version_that_is_not_known_is_not_an_older_one(self):
+    def test_an_unknown_version_does_not_count_as_older(self):
         self.register(backend("a", 0), backend("b", 2))
         self.now += 2 * BOUND_S
         self.assertEqual(self.selected(), {"a", "b"})
 
 
 class ReportedVersions(unittest.TestCase):
-    def test_the_leader_publishes_the_version_that_the_backend_reports(self):
+    def test_the_leader_publishes_the_reported_version(self):
         state = BackendState()
         state.apply_report(parse_report(b'{"models":[{"name":"m","version":3,"adapters":["a1"]}],"sequence":4}'), 1.0)
         self.assertEqual([model.version for model in current_holdings(state, 2.0).models], [3])
 
-    def test_numbers_that_no_message_can_carry_are_no_report(self):
+    def test_a_report_with_an_unencodable_number_is_rejected(self):
         for report in (b'{"sequence":-1}', b'{"sequence":1e400}', b'{"models":[{"name":"m","version":36893488147419103232}]}'):
             with self.subTest(report), self.assertRaises(ValueError):
                 parse_report(report)
--- a/tests/system/test_request_log.py
+++ b/tests/system/test_request_log.py
@@ -1,4 +1,4 @@
-"""Log lines about late and rejected requests: what they contain, and that `benchmarks.lost_value` reads them back."""
+"""Log lines about late and rejected requests: their fields, and that `benchmarks.lost_value` can parse them."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     return Route("r", "h", "/", "safe", timeout_s, 0.5, 1, 2, False, 0.0, (("s", 1.0),))
 
 
-def logged(record: logging.LogRecord) -> str:
-    """A log line as the bench prints it."""
+def formatted(record: logging.LogRecord) -> str:
+    """Format a log record as the benchmark prints it."""
     fields = {key: value for key, value in record.__dict__.items() if key not in STANDARD_ATTRIBUTES}
     return f"  3.25 front-1 {json.dumps({'message': record.getMessage(), **fields})}"
 
 
-class RequestLogs(unittest.TestCase):
+class RequestLogLines(unittest.TestCase):
     def setUp(self):
         self.timeouts = ClientTimeouts()
         self.log = RequestLog(lambda: 10.0, self.timeouts)
@@ -43,9 +43,9 @@
     def lines(self, act) -> list[str]:
         with self.assertLogs("mulleinhatch.data_plane.request_log") as captured:
             act()
-        return [logged(record) for record in captured.records]
+        return [formatted(record) for record in captured.records]
 
-    def test_late_response_is_read_back(self):
+    def test_late_response_can_be_parsed(self):
         lines = self.lines(lambda: self.log.late(self.request(), 2.0, 0.5))
         [(at, record)] = read_lines(lines)
         self.assertEqual(at, 3.25)
@@ -56,21 +56,21 @@
         [slow] = lost_requests(read_lines(self.lines(lambda: self.log.late(self.request(), 2.0, 1.5))))
         self.assertEqual(slow.cause, "slow at the stub")
 
-    def test_rejection_is_read_back_and_kept_for_the_status_page(self):
+    def test_rejection_can_be_parsed_and_is_stored_for_the_status_page(self):
         lines = self.lines(lambda: self.log.not_served(self.request(), "due", 0.25))
         [lost] = lost_requests(read_lines(lines))
         self.assertEqual((lost.late, lost.cause, lost.is_probable_retry), (False, WaitReason.LOADING.value, False))
         expected = {"request_id": "7", "route": "r", "model": "m/a1", "why": "due", "held_s": 1.0, "retry_after_s": 0.25}
         self.assertEqual(list(self.log.recent_rejections), [expected])
 
-    def test_the_counter_of_rejections_agrees_with_the_list(self):
+    def test_the_rejection_counter_matches_the_list_of_rejections(self):
         self.lines(lambda: [self.log.not_served(self.request(), why, 0.25) for why in ("due", "no stub could be reached")])
         self.log.failed()
         self.log.over_quota()
         self.log.denied(AccessDenied(401, "no key"))
         for _ in range(2):
             self.log.denied(AccessDenied(503, "not current", 0.3))
-        self.log.denied(AccessDenied(404, "no route"))  # anybody can ask for one
+        self.log.denied(AccessDenied(404, "no route"))  # Not counted: anyone can request an unknown path.
         self.assertEqual(
             self.log.counters,
             {
@@ -90,7 +90,7 @@
 
 
 class Timeouts(unittest.TestCase):
-    def test_deadline_is_the_clients_within_the_routes(self):
+    def test_deadline_is_the_clients_capped_by_the_routes(self):
         timeouts = ClientTimeouts()
         heads = [
             HEAD,
--- a/tests/system/test_wait_reason.py
+++ b/tests/system/test_wait_reason.py
@@ -7,7 +7,7 @@
 from mulleinhatch.data_plane.wait_reason import WaitReason, wait_reason_of
 
 BACKEND_WITH_MODEL = RegisteredBackend("a", "s", "a:1", "z", 4, False, False, {"m": frozenset({"a1"})}, {}, float("inf"))
-NAME, ADAPTER = ModelKey("s", "m"), ModelKey("s", "m", "a2")
+MODEL, ADAPTER = ModelKey("s", "m"), ModelKey("s", "m", "a2")
 
 
 class WaitReasons(unittest.TestCase):
@@ -15,19 +15,19 @@
         loading = replace(BACKEND_WITH_MODEL, models={}, loads={("m", ""): 3.0})
         loading_adapter = replace(BACKEND_WITH_MODEL, loads={("m", "a2"): 3.0})
         cases = [
-            (NAME, [BACKEND_WITH_MODEL], True, WaitReason.NONE),
-            (NAME, [BACKEND_WITH_MODEL], False, WaitReason.COOLING_DOWN),
-            (NAME, [], False, WaitReason.NO_BACKEND),
-            (NAME, [replace(BACKEND_WITH_MODEL, draining=True)], False, WaitReason.NO_BACKEND),
-            (NAME, [replace(BACKEND_WITH_MODEL, models={})], False, WaitReason.NOT_PLACED),
-            (NAME, [loading], False, WaitReason.LOADING),
+            (MODEL, [BACKEND_WITH_MODEL], True, WaitReason.NONE),
+            (MODEL, [BACKEND_WITH_MODEL], False, WaitReason.COOLING_DOWN),
+            (MODEL, [], False, WaitReason.NO_BACKEND),
+            (MODEL, [replace(BACKEND_WITH_MODEL, draining=True)], False, WaitReason.NO_BACKEND),
+            (MODEL, [replace(BACKEND_WITH_MODEL, models={})], False, WaitReason.NOT_PLACED),
+            (MODEL, [loading], False, WaitReason.LOADING),
             (ADAPTER, [BACKEND_WITH_MODEL], False, WaitReason.ADAPTER_NOT_PLACED),
             (ADAPTER, [loading_adapter], False, WaitReason.LOADING_ADAPTER),
             (ADAPTER, [loading], False, WaitReason.LOADING),
         ]
-        for name, backends, usable, expected in cases:
+        for model_key, backends, usable, expected in cases:
             with self.subTest(expected=expected):
-                self.assertIs(wait_reason_of(name, backends, usable), expected)
+                self.assertIs(wait_reason_of(model_key, backends, usable), expected)
 
 
 if __name__ == "__main__":
