--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -1,8 +1,8 @@
-"""Model check of requests and attempts: no response reaches the wrong client, no unsafe request is executed twice.
+"""Model checking of requests and attempts: no response reaches the wrong client, no unsafe request is executed twice.
 
-The real connections, requests and router run on transports in memory, against backends that record what they executed for whom.
-Two requests share two backends and their pooled connections; every sequence of events up to a depth is played, longer ones are
-drawn at random. What the clients received is compared with what was executed.
+The real connections, requests and router run on in-memory transports, against backends that record what they execute.
+Two requests share two backends and their pooled connections. Every event sequence up to a depth is run, longer ones are drawn
+at random. The responses that the clients received are compared with the executions.
 """
 
 from __future__ import annotations
@@ -45,22 +45,22 @@
     "resumable": {"kind": "streaming", "max_attempts": 2, "resumable": True},
 }
 EVENTS = (
-    "answer",  # complete, with the request's id
-    "answer and close",  # in one read
-    "answer twice",  # a surplus one behind it
+    "answer",  # A complete response with the request's id.
+    "answer and close",  # A complete response and a close, in one read.
+    "answer twice",  # A complete response, followed by a surplus one.
     "answer without id",
-    "late answer",  # of the request before it on this connection, then its own
-    "unlike",  # bytes that are no HTTP response
+    "late answer",  # The response of the other request, then its own.
+    "garbage",  # Bytes that are not an HTTP response.
     "not executed",
-    "busy",  # 503 that does not say "not executed"
-    "other stub",  # 421
-    "half",  # the head and the first bytes of the body
+    "busy",  # A 503 without `Not-Executed`.
+    "misdirected",  # A 421.
+    "half",  # The head and a part of the body.
     "half and reset",
-    "unframed",  # no length, ended by a close
+    "unframed",  # A response without a length, ended by a close.
     "unframed and reset",
     "close",
     "reset",
-    "unasked",  # an answer on an idle connection
+    "unsolicited answer",  # A response on an idle connection.
     "time over",
     "client gone",
 )
@@ -69,34 +69,34 @@
 
 class Socket:
     def setsockopt(self, *_: object) -> None:
-        """Options mean nothing in memory."""
+        """Ignore socket options."""
 
 
 class BackendTransport(asyncio.Transport):
-    """The backend's end of one connection: it executes each complete request and records it."""
+    """The backend's end of one connection: executes and records each complete request."""
 
     def __init__(self, world: World, backend: str) -> None:
         super().__init__({"socket": Socket()})
         self.world, self.backend = world, backend
         self.connection: ClientConnection | None = None
-        self.waiting = ""  # the request that is not answered yet
-        self.before = ""  # the one before it
-        self.rest = b""  # of an answer of which the first part is sent
+        self.waiting = ""  # Id of the request that is not answered yet.
+        self.previous = ""  # Id of the request before it.
+        self.remainder = b""  # Unsent bytes of a partially sent response.
         self.closed = False
         self._received = b""
 
     def write(self, data: bytes) -> None:
         self._received += data
-        head, separator, rest = self._received.partition(b"\r\n\r\n")
+        head, separator, remainder = self._received.partition(b"\r\n\r\n")
         if not separator or self.closed:
             return
         parsed = parse_request_head(head + b"\r\n\r\n")
         length = int(parsed.first.get(b"content-length", b"0"))
-        if len(rest) < length:
+        if len(remainder) < length:
             return
-        self._received = rest[length:]
+        self._received = remainder[length:]
         name = parsed.first[b"request-id"].decode()
-        self.before, self.waiting = self.waiting or self.before, name
+        self.previous, self.waiting = self.waiting or self.previous, name
         self.world.arrivals.append((name, self.backend))
         self.world.deadlines.setdefault(name, []).append(int(parsed.first[b"request-deadline"]))
 
@@ -123,7 +123,7 @@
 
 @dataclass
 class Client:
-    """Records what a client received; a `ResponseWriter` to the request."""
+    """A `ResponseWriter` that records what a client receives."""
 
     name: str
     status: int = 0
@@ -152,13 +152,13 @@
 
 
 class World:
-    """Two requests, two backends, and the events between them."""
+    """Two requests, two backends, and the events that can occur between them."""
 
     def __init__(self, kinds: tuple[str, str]) -> None:
         self.loop = asyncio.get_running_loop()
         self.arrivals: list[tuple[str, str]] = []
-        self.deadlines: dict[str, list[int]] = {}  # `Request-Deadline` of each sending, in ms
-        self.unexecuted: Counter[str] = Counter()  # by request: sendings that a backend said it did not execute
+        self.deadlines: dict[str, list[int]] = {}  # `Request-Deadline` of each send in ms, by request.
+        self.unexecuted: Counter[str] = Counter()  # By request: sends that a backend reported as not executed.
         self.transports: list[BackendTransport] = []
         self.kinds = dict(zip("ab", kinds))
         self.clients = {name: Client(name) for name in "ab"}
@@ -166,16 +166,16 @@
         settings = Settings(
             "d", "10.0.0.9", "z", "r", {}, "10.0.0.9:1", (), False, False, 1, 1.0, "", 100, 100.0, {}, Bounds()
         )  # fmt: skip
-        self.router = Router(settings, self.loop, lambda name: None)
+        self.router = Router(settings, self.loop, lambda model_key: None)
         self.router.pool.open = self._open  # type: ignore[method-assign]
         routes = [
-            {"name": kind, "host": "h", "path_prefix": f"/{kind}/", "timeout_ms": 5000, "service": "s", **facts}
-            for kind, facts in ROUTES.items()
+            {"name": kind, "host": "h", "path_prefix": f"/{kind}/", "timeout_ms": 5000, "service": "s", **options}
+            for kind, options in ROUTES.items()
         ]
         value = {"version": 1, "routes": routes, "services": [{"name": "s"}]}
         backends = [RegisteredBackend(f"i-{n}", "s", f"a:{n}", "z", 4, False, False, {}, {}, float("inf")) for n in (0, 1)]
-        known = RegistrySnapshot({backend.id: backend for backend in backends}, {"s": tuple(backends)})
-        self.router.apply_snapshot(ControlPlaneSnapshot(build_route_table(Document(1, value)), known, 1, True))
+        registry = RegistrySnapshot({backend.id: backend for backend in backends}, {"s": tuple(backends)})
+        self.router.apply_snapshot(ControlPlaneSnapshot(build_route_table(Document(1, value)), registry, 1, True))
         self.requests = {}
 
     async def _open(self, address: str) -> ClientConnection:
@@ -200,11 +200,11 @@
 
     # Events.
 
-    def _answer(self, name: str, status: int = 200, more: str = "", body: bytes | None = None, length: bool = True) -> bytes:
+    def _answer(self, name: str, status: int = 200, field: str = "", body: bytes | None = None, length: bool = True) -> bytes:
         body = self.body_of(name) if body is None else body
         lines = [f"HTTP/1.1 {status} X", f"Request-Id: {name}", "Server-Signature: s"]
         lines += [f"Content-Length: {len(body)}"] if length else []
-        lines += [more] if more else []
+        lines += [field] if field else []
         return "\r\n".join((*lines, "", "")).encode() + body
 
     def body_of(self, name: str) -> bytes:
@@ -213,7 +213,7 @@
         return f"the body of {name}".encode()
 
     async def event(self, event: str, index: int) -> None:
-        """Play one event on the request or connection with that index; nothing where it is impossible."""
+        """Apply an event to the request or connection with the given index; ignored if impossible in the current state."""
         if event in ("time over", "client gone"):
             self._client_event(event, "ab"[index])
         elif index < len(self.transports) and not self.transports[index].closed:
@@ -232,39 +232,39 @@
 
     def _backend_event(self, event: str, transport: BackendTransport) -> None:
         connection, name = transport.connection, transport.waiting
-        if event == "unasked":
+        if event == "unsolicited answer":
             if not name:
-                connection.data_received(self._answer(transport.before or "b"))
+                connection.data_received(self._answer(transport.previous or "b"))
             return
         if not name:
             if event in ("close", "reset"):
-                self._lose(transport, event == "reset")
+                self._disconnect(transport, event == "reset")
             return
-        if transport.rest:
-            self._continue(event, transport, name)
+        if transport.remainder:
+            self._send_remainder(event, transport, name)
             return
-        transport.waiting, transport.before = "", name
-        self._play(event, transport, name)
+        transport.waiting, transport.previous = "", name
+        self._send_response(event, transport, name)
 
-    def _continue(self, event: str, transport: BackendTransport, name: str) -> None:
-        """Send the rest of a response that was begun; other bytes could not be distinguished from it."""
+    def _send_remainder(self, event: str, transport: BackendTransport, name: str) -> None:
+        """Send the remainder of a partial response; the data plane could not tell other bytes from it."""
         if event in ("answer", "answer and close", "answer twice"):
-            rest, transport.rest = transport.rest, b""
-            transport.waiting, transport.before = "", name
-            transport.connection.data_received(rest + (self._answer(name) if event == "answer twice" else b""))
+            remainder, transport.remainder = transport.remainder, b""
+            transport.waiting, transport.previous = "", name
+            transport.connection.data_received(remainder + (self._answer(name) if event == "answer twice" else b""))
             if event == "answer and close":
-                self._lose(transport, False)
+                self._disconnect(transport, False)
         elif event in ("close", "reset"):
-            self._lose(transport, event == "reset")
+            self._disconnect(transport, event == "reset")
 
-    def _play(self, event: str, transport: BackendTransport, name: str) -> None:
+    def _send_response(self, event: str, transport: BackendTransport, name: str) -> None:
         connection = transport.connection
         response = self._answer(name)
         if event == "answer":
             connection.data_received(response)
         elif event == "answer and close":
             connection.data_received(response)
-            self._lose(transport, False)
+            self._disconnect(transport, False)
         elif event == "answer twice":
             connection.data_received(response + response)
         elif event == "answer without id":
@@ -273,28 +273,28 @@
         elif event == "late answer":
             other = "a" if name == "b" else "b"
             connection.data_received(self._answer(other, body=self.body_of(other)) + response)
-        elif event == "unlike":
+        elif event == "garbage":
             connection.data_received(b"\x00\x01garbage\r\n\r\n")
-        elif event in ("not executed", "other stub"):
+        elif event in ("not executed", "misdirected"):
             self.unexecuted[name] += 1
-            status, more = (503, "Not-Executed: 1") if event == "not executed" else (421, "")
-            connection.data_received(self._answer(name, status, more, b""))
+            status, field = (503, "Not-Executed: 1") if event == "not executed" else (421, "")
+            connection.data_received(self._answer(name, status, field, b""))
         elif event == "busy":
             connection.data_received(self._answer(name, 503, "", b"busy"))
         elif event in ("half", "half and reset"):
             connection.data_received(response[:-4])
             if event == "half":
-                transport.waiting, transport.rest = name, response[-4:]
+                transport.waiting, transport.remainder = name, response[-4:]
             else:
-                self._lose(transport, True)
+                self._disconnect(transport, True)
         elif event in ("unframed", "unframed and reset"):
             unframed = self._answer(name, length=False)
             connection.data_received(unframed if event == "unframed" else unframed[:-4])
-            self._lose(transport, event != "unframed")
+            self._disconnect(transport, event != "unframed")
         else:
-            self._lose(transport, event == "reset")
+            self._disconnect(transport, event == "reset")
 
-    def _lose(self, transport: BackendTransport, reset: bool) -> None:
+    def _disconnect(self, transport: BackendTransport, reset: bool) -> None:
         if not transport.closed:
             transport.closed = True
             transport.connection.connection_lost(ConnectionResetError() if reset else None)
@@ -331,18 +331,18 @@
         violations = list(world.violations())
         if violations:
             return violations
-    for request in list(world.requests.values()):  # in the end every deadline passes
+    for request in list(world.requests.values()):  # Finally, every deadline passes.
         if request is not None and not request.is_finished:
             request._on_deadline()
     await world.run_callbacks()
     return list(world.violations())
 
 
-def play(histories: Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]) -> tuple[int, list[str]]:
-    """Return how many histories were played, and the first that violates an invariant."""
+def run_histories(histories: Iterator[tuple[tuple[str, str], tuple[tuple[str, int], ...]]]) -> tuple[int, list[str]]:
+    """Return the number of histories that were run, and the violations of the first one that violates an invariant."""
     loop = VirtualLoop()
 
-    async def play_all() -> tuple[int, list[str]]:
+    async def run_all() -> tuple[int, list[str]]:
         count = 0
         for kinds, events in histories:
             count += 1
@@ -351,7 +351,7 @@
         return count, []
 
     try:
-        return loop.run_until_complete(play_all())
+        return loop.run_until_complete(run_all())
     finally:
         loop.close()
 
@@ -372,13 +372,17 @@
 
 class RequestHistories(unittest.TestCase):
     def test_no_violation_in_all_short_and_many_random_histories(self):
-        """Four pairs of kinds, 36 events: 5,184 histories of two events, 4,000 of three to nine."""
-        count, violations = play(all_histories(2))
+        """Four pairs of kinds and 36 events: 5,184 histories of two events, 4,000 of three to nine."""
+        count, violations = run_histories(all_histories(2))
         self.assertEqual((count, violations), (len(KINDS) * len(PAIRS) ** 2, []))
-        self.assertEqual(play(random_histories(4000, 7)), (4000, []))
+        self.assertEqual(run_histories(random_histories(4000, 7)), (4000, []))
 
     def finds_violation(self) -> bool:
-        return bool(play(all_histories(1))[1] or play(all_histories(2))[1] or play(random_histories(3000, 8))[1])
+        return bool(
+            run_histories(all_histories(1))[1]
+            or run_histories(all_histories(2))[1]
+            or run_histories(random_histories(3000, 8))[1]
+        )
 
     def assert_defect_found(self, *patches: object) -> None:
         with contextlib.ExitStack() as stack:
@@ -395,47 +399,47 @@
         )
 
     def test_finds_a_connection_with_surplus_bytes_reused(self):
-        def keep(connection: ClientConnection) -> None:
+        def reset_reader(connection: ClientConnection) -> None:
             connection._reader = type(connection._reader)(answers=True, max_head_bytes=65536)
 
         self.assert_defect_found(
-            mock.patch.object(ClientConnection, "_end_idle", keep),
+            mock.patch.object(ClientConnection, "_end_idle", reset_reader),
             mock.patch.object(ResponseRelay, "expects", lambda self, head: True),
         )
 
     def test_finds_a_503_after_an_execution(self):
         self.assert_defect_found(mock.patch.object(RequestState, "deadline_exceeded", lambda state: NextStep.REJECT))
 
-    def test_finds_a_busy_backend_trusted_not_to_have_executed(self):
-        def believe(status: int, fields: object, idempotent: bool) -> ResponseVerdict:
+    def test_finds_a_plain_503_taken_as_not_executed(self):
+        def trust_any_503(status: int, fields: object, idempotent: bool) -> ResponseVerdict:
             return ResponseVerdict.NOT_EXECUTED if status == 503 else classify_response(status, fields, idempotent)
 
-        self.assert_defect_found(mock.patch("mulleinhatch.data_plane.response_relay.classify_response", believe))
+        self.assert_defect_found(mock.patch("mulleinhatch.data_plane.response_relay.classify_response", trust_any_503))
 
     def test_finds_a_truncated_response_ended_as_complete(self):
         self.assert_defect_found(mock.patch.object(Client, "abort", Client.finish))
 
 
 def scripted(script, kinds: tuple[str, str] = ("safe", "unsafe")) -> World:
-    """Run a script in a world with a clock of its own."""
+    """Run a script in a world with a virtual clock."""
     loop = VirtualLoop()
 
-    async def play() -> World:
+    async def run_script() -> World:
         world = World(kinds)
         await script(world)
         return world
 
     try:
-        return loop.run_until_complete(play())
+        return loop.run_until_complete(run_script())
     finally:
         loop.close()
 
 
-class RulesOfTheWire(unittest.TestCase):
-    """Single rules of the wire; the first word of a docstring names the rule."""
+class WireRules(unittest.TestCase):
+    """Individual rules of the wire protocol; the first word of each docstring is the name of the rule."""
 
     def test_forwarded_deadline_never_exceeds_the_remaining_time(self):
-        """BUDGET: a retry 1.2 s later keeps the first one's deadline."""
+        """BUDGET: a retry 1.2 s later keeps the deadline of the first attempt."""
 
         async def script(world: World) -> None:
             await world.begin("a")
@@ -461,7 +465,7 @@
         scripted(script)
 
     def test_a_request_is_answered_at_its_routes_timeout(self):
-        """CONFIG: within half a second of `timeout_ms`; 504 as it may have executed, an abort where its stream has begun."""
+        """CONFIG: within 0.5 s of `timeout_ms`; 504 because it may have executed, an abort if its stream has started."""
 
         async def script(world: World) -> None:
             await world.begin("a")
@@ -480,7 +484,7 @@
         self.assertEqual((sent[b"Model"], sent[b"Token-Usage"], sent[b"Prompt-Prefix"]), (b"m/a1", b"30,4", b"a:1, b:2"))
         self.assertEqual((sent[b"Request-Id"], sent[b"Expect-Instance"]), (b"7", b"i-1"))
 
-    def test_without_a_configuration_the_answer_is_503_and_not_404(self):
+    def test_without_a_configuration_the_response_is_503_instead_of_404(self):
         """DENIED."""
 
         async def script(world: World) -> None:
@@ -491,7 +495,7 @@
         scripted(script)
 
     def test_requests_that_arrive_late_in_the_shutdown_are_rejected(self):
-        """LOST, seen in a trial of a scale day: accepted 4.6 s after SIGTERM, cut off when the grace period ended 3 s later."""
+        """LOST: a trial accepted a request 4.6 s after SIGTERM and cut it off 3 s later, when the grace period ended."""
 
         async def script(world: World) -> None:
             world.router.begin_shutdown(world.loop.time() + 7.4)
@@ -507,17 +511,17 @@
         """DRAIN."""
 
         async def script(world: World) -> None:
-            real = world.router.pool.open
+            original_open = world.router.pool.open
 
-            async def slow(address: str) -> ClientConnection:
-                connection = await real(address)
+            async def open_and_drain(address: str) -> ClientConnection:
+                connection = await original_open(address)
                 snapshot = world.router.snapshot
                 if len(world.transports) == 1:
-                    left = snapshot.backends.updated((), False, 0.0, [world.transports[0].backend])
-                    world.router.apply_snapshot(ControlPlaneSnapshot(snapshot.table, left, 1, True))
+                    drained = snapshot.backends.updated((), False, 0.0, [world.transports[0].backend])
+                    world.router.apply_snapshot(ControlPlaneSnapshot(snapshot.table, drained, 1, True))
                 return connection
 
-            world.router.pool.open = slow  # type: ignore[method-assign]
+            world.router.pool.open = open_and_drain  # type: ignore[method-assign]
             await world.begin("a")
             await world.run_callbacks()
             self.assertEqual([backend for _, backend in world.arrivals], [world.transports[1].backend])
@@ -526,11 +530,11 @@
         scripted(script)
 
 
-class States(unittest.TestCase):
-    """Each transition of the state machine."""
+class RequestStates(unittest.TestCase):
+    """The transitions of the state machine."""
 
-    def state(self, idempotent: bool = False, resumable: bool = False, **more: int) -> RequestState:
-        return RequestState(idempotent, resumable, 2, **more)
+    def state(self, idempotent: bool = False, resumable: bool = False, **counts: int) -> RequestState:
+        return RequestState(idempotent, resumable, 2, **counts)
 
     def test_the_table_has_a_final_step_for_each_progress_and_event(self):
         self.assertEqual(set(FINAL_STEPS), set(itertools.product(Progress, Event)))
--- a/tests/system/test_exchange_sockets.py
+++ b/tests/system/test_exchange_sockets.py
@@ -1,7 +1,7 @@
-"""The orders of events of an exchange on real sockets: each step waits for the one before it, none for a fixed time.
+"""Request exchanges on real sockets, in defined event orders: each step waits for the previous one, never for a fixed time.
 
-A data plane's listener and router run in the test's loop. Two backends on loopback do what a script says with each request that
-they have read whole; the client is a plain socket.
+A data plane's listener and router run in the test's loop. Two backends on loopback handle each complete request as scripted;
+the client is a plain socket.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that the other side sees a reset."""
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -49,14 +49,15 @@
 
 @dataclass
 class Backend:
-    """Reads requests whole and answers each as the script says; what it did last is repeated.
+    """Reads complete requests and handles each as scripted; the last action is repeated.
 
     Attributes:
-        script: Names of the `_NAME` methods, one for each request.
-        requests: Requests that it read whole, by id.
-        last_event_ids: `Last-Event-Id` of each request, empty where there is none.
-        on_arrival: Called when a request was read whole.
-        left: Set when the other side closed a connection while a request was at work.
+        script: Names of the `_NAME` methods, one per request.
+        requests: Ids of the complete requests that it read.
+        last_event_ids: `Last-Event-Id` of each request, empty if missing.
+        on_arrival: Called when a complete request was read.
+        arrived: Set when the first complete request was read.
+        peer_closed: Set when the peer closed a connection while a request was being executed.
     """
 
     script: list[str]
@@ -64,7 +65,7 @@
     last_event_ids: list[bytes] = field(default_factory=list)
     on_arrival: Callable[[], None] = lambda: None
     arrived: asyncio.Event = field(default_factory=asyncio.Event)
-    left: asyncio.Event = field(default_factory=asyncio.Event)
+    peer_closed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -83,71 +84,73 @@
         finally:
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        writer.write(head(200, name, b"Content-Length: %d" % len(BODY)) + BODY)
+    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        writer.write(head(200, request_id, b"Content-Length: %d" % len(BODY)) + BODY)
 
-    async def _answer_and_surplus(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        await self._answer(reader, writer, name)
-        await self._answer(reader, writer, b"another")
+    async def _respond_with_surplus(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes
+    ) -> None:
+        await self._respond(reader, writer, request_id)
+        await self._respond(reader, writer, b"another")
 
-    async def _not_executed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        writer.write(head(503, name, b"Not-Executed: 1", b"Content-Length: 0"))
+    async def _not_executed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        writer.write(head(503, request_id, b"Not-Executed: 1", b"Content-Length: 0"))
 
-    async def _misdirected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        writer.write(head(421, name, b"Content-Length: 0"))
+    async def _misdirected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        writer.write(head(421, request_id, b"Content-Length: 0"))
 
-    async def _failure(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        writer.write(head(500, name, b"Content-Length: 4") + b"fail")
+    async def _failure(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        writer.write(head(500, request_id, b"Content-Length: 4") + b"fail")
 
-    async def _close(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
+    async def _close(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
         writer.close()
 
-    async def _reset(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
+    async def _reset(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
         reset(writer)
 
-    async def _garbage(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
+    async def _garbage(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
         writer.write(b"\x00\x01 no answer\r\n\r\n")
 
-    async def _other_id(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        await self._answer(reader, writer, b"another")
+    async def _other_id(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        await self._respond(reader, writer, b"another")
         writer.close()
 
-    async def _half(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        writer.write(head(200, name, b"Content-Length: %d" % len(BODY)) + BODY[:3])
+    async def _partial_body(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        writer.write(head(200, request_id, b"Content-Length: %d" % len(BODY)) + BODY[:3])
         await writer.drain()
         writer.close()
 
-    async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        self._write_events(writer, name, EVENTS[int(self.last_event_ids[-1] or b"0") :])
+    async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        self._write_events(writer, request_id, EVENTS[int(self.last_event_ids[-1] or b"0") :])
         writer.write(b"0\r\n\r\n")
 
-    async def _stream_cut(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        self._write_events(writer, name, [*EVENTS[:1], EVENTS[1][:5]])
+    async def _truncated_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        self._write_events(writer, request_id, [*EVENTS[:1], EVENTS[1][:5]])
         await writer.drain()
         writer.close()
 
-    def _write_events(self, writer: asyncio.StreamWriter, name: bytes, events: list[bytes]) -> None:
-        writer.write(head(200, name, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked"))
+    def _write_events(self, writer: asyncio.StreamWriter, request_id: bytes, events: list[bytes]) -> None:
+        writer.write(head(200, request_id, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked"))
         for event in events:
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
 
-    async def _work(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: bytes) -> None:
-        """Work until the other side leaves."""
+    async def _execute(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_id: bytes) -> None:
+        """Execute the request until the peer closes the connection."""
         await reader.read(1)
-        self.left.set()
+        self.peer_closed.set()
 
 
 @dataclass
-class Answer:
-    """What the client got; `complete` tells whether the answer came to its end."""
+class Response:
+    """The response that the client received; `complete` is False if it was truncated."""
 
     status: int
     body: bytes
     complete: bool
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
-    """Read one answer, whole or up to where it breaks off; status 0 where none came."""
+async def read_response(reader: asyncio.StreamReader) -> Response:
+    """Read one response, complete or truncated; the status is 0 if there is none."""
     body = b""
     status = 0
     try:
@@ -160,9 +163,9 @@
             await reader.readuntil(b"\r\n")
         else:
             body = await reader.readexactly(int(fields[b"content-length"]))
-        return Answer(status, body, True)
+        return Response(status, body, True)
     except (asyncio.IncompleteReadError, ConnectionError) as error:
-        return Answer(status, body + getattr(error, "partial", b"") if status else b"", False)
+        return Response(status, body + getattr(error, "partial", b"") if status else b"", False)
 
 
 class ExchangesOnSockets(unittest.IsolatedAsyncioTestCase):
@@ -187,8 +190,8 @@
             for number, server in enumerate(servers)
         )
         routes = [
-            {"name": name, "host": "h", "path_prefix": f"/{name}/", "timeout_ms": 5000, "service": "s", **facts}
-            for name, facts in ROUTES.items()
+            {"name": name, "host": "h", "path_prefix": f"/{name}/", "timeout_ms": 5000, "service": "s", **options}
+            for name, options in ROUTES.items()
         ]
         table = build_route_table(Document(1, {"version": 1, "routes": routes, "services": [{"name": "s"}]}))
         registry = RegistrySnapshot({backend.id: backend for backend in registered}, {"s": registered})
@@ -205,108 +208,108 @@
             for server in servers:
                 server.close()
 
-    async def ask(self, front: tuple[str, int], route: str, name: bytes = b"r1") -> Answer:
+    async def send_request(self, front: tuple[str, int], route: str, request_id: bytes = b"r1") -> Response:
         reader, writer = await asyncio.open_connection(*front)
         writer.write(
-            b"POST /%b/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %b\r\nContent-Length: 2\r\n\r\nhi" % (route.encode(), name)
+            b"POST /%b/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %b\r\nContent-Length: 2\r\n\r\nhi" % (route.encode(), request_id)
         )
-        answer = await read_answer(reader)
+        response = await read_response(reader)
         writer.close()
-        return answer
+        return response
 
-    async def exchange(self, route: str, action: str) -> tuple[Answer, list[Backend]]:
-        """One request to a backend that does something first; the other one answers."""
-        second = "stream" if route in ("stream", "resumable") else "answer"
+    async def exchange(self, route: str, action: str) -> tuple[Response, list[Backend]]:
+        """Send a request to two backends: the first one that receives it performs `action`, the other one responds."""
+        second = "stream" if route in ("stream", "resumable") else "respond"
         backends = [Backend([action, second]), Backend([action, second])]
         for backend, other in zip(backends, reversed(backends)):
             backend.on_arrival = lambda other=other: other.script.remove(action) if action in other.script else None
         async with self.data_plane(*backends) as front:
-            return await self.ask(front, route), backends
+            return await self.send_request(front, route), backends
 
-    def runs(self, backends: list[Backend]) -> int:
+    def request_count(self, backends: list[Backend]) -> int:
         return sum(len(backend.requests) for backend in backends)
 
-    async def test_an_answer_passes_unchanged(self):
+    async def test_a_response_is_forwarded_unchanged(self):
         for route in ("safe", "unsafe"):
-            answer, backends = await self.exchange(route, "answer")
-            self.assertEqual((answer, self.runs(backends)), (Answer(200, BODY, True), 1), route)
+            response, backends = await self.exchange(route, "respond")
+            self.assertEqual((response, self.request_count(backends)), (Response(200, BODY, True), 1), route)
         for route in ("stream", "resumable"):
-            answer, backends = await self.exchange(route, "stream")
-            self.assertEqual((answer, self.runs(backends)), (Answer(200, b"".join(EVENTS), True), 1), route)
+            response, backends = await self.exchange(route, "stream")
+            self.assertEqual((response, self.request_count(backends)), (Response(200, b"".join(EVENTS), True), 1), route)
 
-    async def test_a_request_that_did_not_run_goes_to_the_other_backend(self):
+    async def test_a_request_that_was_not_executed_is_retried_at_the_other_backend(self):
         for route, action in itertools.product(("safe", "unsafe"), ("not_executed", "misdirected")):
-            answer, backends = await self.exchange(route, action)
-            self.assertEqual((answer, self.runs(backends)), (Answer(200, BODY, True), 2), (route, action))
+            response, backends = await self.exchange(route, action)
+            self.assertEqual((response, self.request_count(backends)), (Response(200, BODY, True), 2), (route, action))
 
-    async def test_a_request_that_may_have_run_is_repeated_only_where_it_may_be(self):
+    async def test_a_request_that_may_have_executed_is_retried_only_if_idempotent(self):
         for action in ("close", "reset", "garbage", "other_id"):
-            answer, backends = await self.exchange("safe", action)
-            self.assertEqual((answer, self.runs(backends)), (Answer(200, BODY, True), 2), action)
-            answer, backends = await self.exchange("unsafe", action)
-            self.assertEqual((answer.status, answer.complete, self.runs(backends)), (502, True, 1), action)
-
-    async def test_a_failure_of_the_backend_passes_unchanged_where_the_request_may_run_once_only(self):
-        answer, backends = await self.exchange("unsafe", "failure")
-        self.assertEqual((answer, self.runs(backends)), (Answer(500, b"fail", True), 1))
-        answer, backends = await self.exchange("safe", "failure")
-        self.assertEqual((answer, self.runs(backends)), (Answer(200, BODY, True), 2))
-
-    async def test_a_body_that_breaks_off_never_looks_complete(self):
-        answer, backends = await self.exchange("unsafe", "half")
-        self.assertEqual((answer.status, self.runs(backends)), (502, 1))
-        answer, backends = await self.exchange("safe", "half")
-        self.assertEqual((answer, self.runs(backends)), (Answer(200, BODY, True), 2))
-
-    async def test_a_stream_goes_on_at_its_last_event_only_where_it_may(self):
-        answer, backends = await self.exchange("resumable", "stream_cut")
-        self.assertEqual((answer, self.runs(backends)), (Answer(200, b"".join(EVENTS), True), 2))
+            response, backends = await self.exchange("safe", action)
+            self.assertEqual((response, self.request_count(backends)), (Response(200, BODY, True), 2), action)
+            response, backends = await self.exchange("unsafe", action)
+            self.assertEqual((response.status, response.complete, self.request_count(backends)), (502, True, 1), action)
+
+    async def test_an_error_response_is_forwarded_unchanged_unless_the_request_is_idempotent(self):
+        response, backends = await self.exchange("unsafe", "failure")
+        self.assertEqual((response, self.request_count(backends)), (Response(500, b"fail", True), 1))
+        response, backends = await self.exchange("safe", "failure")
+        self.assertEqual((response, self.request_count(backends)), (Response(200, BODY, True), 2))
+
+    async def test_a_truncated_body_never_looks_complete(self):
+        response, backends = await self.exchange("unsafe", "partial_body")
+        self.assertEqual((response.status, self.request_count(backends)), (502, 1))
+        response, backends = await self.exchange("safe", "partial_body")
+        self.assertEqual((response, self.request_count(backends)), (Response(200, BODY, True), 2))
+
+    async def test_a_stream_is_resumed_after_its_last_event_only_if_resumable(self):
+        response, backends = await self.exchange("resumable", "truncated_stream")
+        self.assertEqual((response, self.request_count(backends)), (Response(200, b"".join(EVENTS), True), 2))
         self.assertEqual(sorted(sum((backend.last_event_ids for backend in backends), [])), [b"", b"1"])
-        answer, backends = await self.exchange("stream", "stream_cut")
-        self.assertFalse(answer.complete)
-        self.assertTrue(answer.body.startswith(EVENTS[0]))
-        self.assertEqual(self.runs(backends), 1)
+        response, backends = await self.exchange("stream", "truncated_stream")
+        self.assertFalse(response.complete)
+        self.assertTrue(response.body.startswith(EVENTS[0]))
+        self.assertEqual(self.request_count(backends), 1)
 
-    async def test_a_surplus_answer_reaches_nobody(self):
-        backend = Backend(["answer_and_surplus", "answer"])
+    async def test_a_surplus_response_reaches_no_client(self):
+        backend = Backend(["respond_with_surplus", "respond"])
         async with self.data_plane(backend) as front:
-            first = await self.ask(front, "safe", b"r1")
-            second = await self.ask(front, "safe", b"r2")
-        self.assertEqual((first, second), (Answer(200, BODY, True), Answer(200, BODY, True)))
+            first = await self.send_request(front, "safe", b"r1")
+            second = await self.send_request(front, "safe", b"r2")
+        self.assertEqual((first, second), (Response(200, BODY, True), Response(200, BODY, True)))
         self.assertEqual(backend.requests, [b"r1", b"r2"])
 
-    async def test_a_client_that_leaves_frees_its_backend(self):
+    async def test_a_client_that_disconnects_frees_its_backend(self):
         for route in ROUTES:
-            backend = Backend(["work"])
+            backend = Backend(["execute"])
             async with self.data_plane(backend) as front:
                 _, writer = await asyncio.open_connection(*front)
                 request = b"POST /%b/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nContent-Length: 0\r\n\r\n" % route.encode()
                 writer.write(request)
                 await backend.arrived.wait()
                 writer.close()
-                await backend.left.wait()
+                await backend.peer_closed.wait()
             self.assertEqual(len(backend.requests), 1, route)
 
-    async def test_a_client_that_leaves_before_its_request_is_whole_reaches_no_backend(self):
-        backend = Backend(["answer"])
+    async def test_an_incomplete_request_reaches_no_backend(self):
+        backend = Backend(["respond"])
         async with self.data_plane(backend) as front:
             _, writer = await asyncio.open_connection(*front)
             writer.write(b"POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: cut\r\nContent-Length: 9\r\n\r\nhal")
             await writer.drain()
             reset(writer)
-            answer = await self.ask(front, "safe", b"next")
-        self.assertEqual((answer.status, backend.requests), (200, [b"next"]))
+            response = await self.send_request(front, "safe", b"next")
+        self.assertEqual((response.status, backend.requests), (200, [b"next"]))
 
-    async def test_requests_in_a_row_on_one_connection_get_their_own_answers(self):
-        backend = Backend(["answer", "failure", "not_executed", "answer"])
+    async def test_sequential_requests_on_one_connection_get_their_own_responses(self):
+        backend = Backend(["respond", "failure", "not_executed", "respond"])
         async with self.data_plane(backend) as front:
             reader, writer = await asyncio.open_connection(*front)
             statuses = []
             for number in range(3):
                 writer.write(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r%d\r\nContent-Length: 0\r\n\r\n" % number)
-                statuses.append((await read_answer(reader)).status)
+                statuses.append((await read_response(reader)).status)
             writer.close()
-        self.assertEqual(statuses, [200, 500, 503])  # the only backend said that it did not run the last one
+        self.assertEqual(statuses, [200, 500, 503])  # The only backend reported that it did not execute the last one.
         self.assertEqual(backend.requests[:3], [b"r0", b"r1", b"r2"])
 
 
