--- a/mulleinhatch/data_plane/model_readiness.py
+++ b/mulleinhatch/data_plane/model_readiness.py
@@ -1,4 +1,4 @@
-"""Estimates when a backend will be able to serve a model, from the data plane's knowledge."""
+"""Estimates when a backend will be able to serve a model, from the registry and this data plane's measurements."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/data_plane/process.py
+++ b/mulleinhatch/data_plane/process.py
@@ -61,7 +61,7 @@
         await self._listener.listen(self._settings.listen["front"])
         self._loop.add_signal_handler(signal.SIGTERM, self._begin_shutdown)
         self._loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read at start-up only"))
-        gc.freeze()  # Objects created at start-up are never garbage; excluding them makes collections cheaper.
+        gc.freeze()  # Start-up objects are never freed; excluding them makes each collection cheaper.
         LOG.info("data plane started")
         jobs = {
             "control link": self._control_plane.run,
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -144,7 +144,7 @@
         self._attempt: Attempt | None = None
         self._permit: Permit | None = None
         self._permit_wait: PermitWait | None = None
-        self._deferred_for: tuple[Tenant, int] | None = None  # Tokens, while queued without a permit.
+        self._deferred_for: tuple[Tenant, int] | None = None  # Tenant and tokens, while it is queued without a permit.
         self.was_queued = False  # Whether it was queued before it had a permit, or until its permit expired.
         self.rejected_by: set[str] = set()  # Ids of backends that did not serve it; avoided while others are available.
         self.is_finished = False
@@ -167,7 +167,7 @@
 
     # The tenant's quota.
 
-    def enter(self, admit: Callable[[ClientRequest], None]) -> None:
+    def submit(self, admit: Callable[[ClientRequest], None]) -> None:
         """Acquire a quota permit if the tenant has a limit, then call `admit`; answer with 429 if the quota is exhausted.
 
         If no backend can take the request yet, it is admitted first, up to a bound, and acquires its permit when it starts.
@@ -339,7 +339,7 @@
         next_step = self.context.state.connection_lost()
         if next_step is NextStep.RETRY and self.context.event_filter is not None:
             self.context.event_filter.discard_partial_event()
-        self._perform_step(next_step, "the stub broke off; whether it ran is not known")
+        self._perform_step(next_step, "the stub did not complete its response; the request may have run")
 
     def on_completed(self) -> None:
         """Finish the request after its complete response was forwarded."""
@@ -383,7 +383,7 @@
 
         Args:
             next_step: The step.
-            why: Reason, included in the client's error message.
+            why: Reason, included in the client's error message and in `reason` of log lines.
             retry_after_s: Seconds for `Retry-After` of a rejection; estimated if None.
         """
         if next_step is NextStep.RETRY:
--- a/mulleinhatch/data_plane/router.py
+++ b/mulleinhatch/data_plane/router.py
@@ -124,7 +124,7 @@
         service, classes = self._choose_service(route), self._priority_classes
         context = RequestContext(session, head, body, route, service, deadline, table, tenant, classes)
         request = ClientRequest(self._services, context)
-        request.enter(self._admit)
+        request.submit(self._admit)
         return None if request.is_finished else request
 
     def _decide_access(self, table: RouteTable, head: Head) -> Result[Access, AccessDenied]:
