--- a/mulleinhatch/admission/__init__.py
+++ b/mulleinhatch/admission/__init__.py
@@ -1,6 +1,6 @@
 """Admission control: the shared mechanism, and the controller of one service instance. Pure: no I/O, clock or randomness.
 
-The hosts of `AdmissionController` are the service instance and the simulator adapter; the data plane uses `mechanism.py`.
+`AdmissionController` runs inside the service instance and the simulator adapter; the data plane uses `mechanism.py` only.
 """
 
 from mulleinhatch.admission.constants import NOT_EXECUTED_ENDINGS
--- a/mulleinhatch/admission/ageing_order.py
+++ b/mulleinhatch/admission/ageing_order.py
@@ -1,4 +1,4 @@
-"""The order of queued requests: priorities that age."""
+"""The order in which queued requests start: priorities that improve with waiting time."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.admission.retry_limit import RetryStorm
 
-# Points by which a retry starts later in a storm, half of the span of bases: first tries would become retries behind it.
+# Points added to a retry during a retry storm, half of BASE_SPAN: first tries queued behind retries would become retries too.
 STORM_RETRY_PENALTY = 10.0
 
 
 class AgeingOrder:
     """Scores requests by the mechanism's `effective_priority`.
 
-    Source: "Priority Queues: Free Users Wait, Paying Users Do Not", the ageing order; departures are in `docs/design.md`.
+    Source: "Priority Queues: Free Users Wait, Paying Users Do Not", the ageing order; deviations are in `docs/design.md`.
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         self._ageing_rate = ageing_rate(max((each.target_latency_s for each in request_classes), default=BASE_SPAN))
 
     def priority(self, request: Request) -> float:
-        """Return a request's points: the lowest starts first."""
+        """Return a request's score in points; the lowest score starts first."""
         now = self._table.now
         if request.latency_deadline < now + (self._dependency.wait_s() if request.stage in CALL_STAGES else 0.0):
-            return math.inf  # only its value when late is left: it must not delay what can still be in time
+            return math.inf  # only its late value is left: must not delay requests that can be in time
         penalty = STORM_RETRY_PENALTY if request.is_retry and self._storm.is_active else 0.0
         base = request.request_class.base_priority + request.quota_penalty + penalty
         return effective_priority(base, now - request.arrived_at, self._ageing_rate)
--- a/mulleinhatch/admission/backpressure.py
+++ b/mulleinhatch/admission/backpressure.py
@@ -1,4 +1,4 @@
-"""How much load callers are asked to send elsewhere, and when a rejected caller should come back."""
+"""Backpressure: the fraction of load that callers should divert, and the delay before a rejected caller retries."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.admission.throughput import ThroughputMeter
 
-# Part of the shortest target latency that a new request may wait before load is diverted.
-CALM_WAIT_FRACTION = 0.18
+# Wait of a new request, as a fraction of the shortest target latency, above which load is diverted.
+TOLERATED_WAIT_FRACTION = 0.18
 
-# Change of the diverted fraction a second, for a wait of one target latency over that mark: callers hear late, and a faster
-# one made all instances divert and attract load together.
+# Change of the diverted fraction per second, for a wait of one target latency above that threshold. Callers react with a
+# delay; a higher gain made all instances divert and attract load at the same time.
 BACKPRESSURE_GAIN_PER_S = 0.3
 
 # Smallest change of the diverted fraction that is reported.
 REPORTED_STEP = 0.02
 
-# Weight of one request in the mean time that requests wait unread, and seconds in which that mean decays without any.
+# Weight of one request in the moving average of the unread wait, and seconds in which that average decays without requests.
 UNREAD_WEIGHT = 0.1
 UNREAD_DECAY_S = 2.0
 
-# An instance that warms up begins with this part of what it lacks in speed diverted.
+# Initial diverted fraction of an instance that warms up, as a fraction of the speed that it lacks.
 WARM_UP_DIVERSION = 0.5
 
-# Shortest time after which a rejected caller should come back.
+# Shortest retry delay given to a rejected caller.
 MIN_HOLD_OFF_S = 0.05
 
-# Requests at once that callers together are allowed for each core, where the host reports an allowance.
+# Concurrent requests per core allowed to all callers together, where the host reports an allowance.
 ALLOWED_PER_CORE = 4
 
 
 class Backpressure:
-    """Follows the time that a new request would wait, unread and queued.
+    """Adjusts the diverted fraction by the time that a new request would wait, unread and queued.
 
     Attributes:
         diverted_fraction: Fraction of the load that should go elsewhere, by this instance's own measurement.
-        peer_diversion: The same by the fleet's.
+        peer_diversion: The same, by the fleet's measurement.
     """
 
     def __init__(
@@ -68,28 +68,29 @@
         self._reported = 0.0
 
     def record_unread_wait(self, request: Request, wait_s: float) -> None:
-        """Count the time that a request waited before it was read, up to its time-out: no sender's figure weighs more."""
+        """Add the time that a request waited before it was read, capped at its timeout because the sender reports it."""
         self._unread_wait_s += UNREAD_WEIGHT * (min(wait_s, request.request_class.timeout_s) - self._unread_wait_s)
 
     def update(self, elapsed_s: float) -> None:
-        """Move the diverted fraction by the current wait."""
+        """Adjust the diverted fraction by the current wait."""
         self._unread_wait_s *= max(0.0, 1.0 - elapsed_s / UNREAD_DECAY_S)
         wait = (self._unread_wait_s + self._throughput.queued_wait_s()) / self._shortest_target_s
-        change = BACKPRESSURE_GAIN_PER_S * elapsed_s * (wait - CALM_WAIT_FRACTION)
+        change = BACKPRESSURE_GAIN_PER_S * elapsed_s * (wait - TOLERATED_WAIT_FRACTION)
         self.diverted_fraction = min(1.0, max(0.0, self.diverted_fraction + change))
 
     def hold_off_s(self) -> float:
-        """Return after how many seconds a rejected caller should come back."""
+        """Return the seconds after which a rejected caller should retry."""
         if self._table.now >= self._drain.started_at:
             return self._max_hold_off_s
-        wait = self._unread_wait_s + self._throughput.queued_wait_s() - CALM_WAIT_FRACTION * self._shortest_target_s
+        wait = self._unread_wait_s + self._throughput.queued_wait_s() - TOLERATED_WAIT_FRACTION * self._shortest_target_s
         return min(self._max_hold_off_s, max(MIN_HOLD_OFF_S, wait))
 
     def next_report(self) -> Decision | None:
-        """Report the free value in the host's form if it changed."""
+        """Report the backpressure level, in the form that the host expects, if it changed."""
         if self._advice is None:
             return None
-        # A caller that gets a floor of 1 asks no other instance either: while draining, rejections send callers on.
+        # A caller that receives a floor of 1 tries no other instance either, so a draining instance does not report it: its
+        # rejections send callers to other instances.
         is_floor_open = self._advice is Advice.FLOOR and self._table.now >= self._health.unhealthy_until
         is_open = is_floor_open or self._health.is_healthy()
         diverted = max(self.diverted_fraction, self.peer_diversion) if is_open else 1.0
--- a/mulleinhatch/admission/constants.py
+++ b/mulleinhatch/admission/constants.py
@@ -2,14 +2,14 @@
 
 from mulleinhatch.admission.interface import Ending
 
-# Queued requests are scored again, and load is measured again, this often while there is work: short against the shortest run.
+# Seconds between recalculations of queue scores and load measurements while there is work: short against the shortest run.
 RECALCULATION_INTERVAL_S = 0.1
 
 # An answer leaves this long before its deadline, plus two ticks of the host's timer: a timer may fire late.
 ANSWER_MARGIN_S = 0.03
 
-# All answers leave this long before the process is stopped: later ones may not reach their callers.
+# Seconds before the stop of the process by which all answers must be sent: later ones may not reach their callers.
 STOP_MARGIN_S = 0.15
 
-# Endings which prove that the request or the call was never executed, so that it may be tried again.
+# Endings that prove that the request or call was never executed, so it may be retried.
 NOT_EXECUTED_ENDINGS = (Ending.FULL, Ending.UNREACHABLE, Ending.MOOT)
--- a/mulleinhatch/admission/controller.py
+++ b/mulleinhatch/admission/controller.py
@@ -1,8 +1,8 @@
-"""The admission controller of one instance: which requests run, are rejected, fail, call the dependency or go to a peer.
+"""The admission controller of one instance decides which requests run, are rejected, fail, call the dependency or go to a peer.
 
 A host makes an `AdmissionController` for each instance from its settings, reports what happens (`record_arrival`,
 `record_run_end`, `begin_drain`, `handle_wakeup` and so on, which take no decision) and then pulls `next_decision` until it
-returns None. The types that pass are in `interface.py`; the mechanism and its departures are described in `docs/design.md`.
+returns None. The exchanged types are in `interface.py`; the mechanism and its deviations are described in `docs/design.md`.
 Times are seconds on the host's clock.
 """
 
@@ -36,16 +36,16 @@
 from mulleinhatch.admission.traffic import TrafficMeter
 from mulleinhatch.admission.wakeups import Wakeups
 
-# Load is measured again at the first event after half the sweep interval, so that each sweep finds fresh figures.
+# Load is measured again at the first event after half the sweep interval, so that each sweep uses fresh measurements.
 MEASURING_INTERVAL_S = RECALCULATION_INTERVAL_S / 2
 
 
 class AdmissionController:
-    """Wires the parts of the mechanism, passes events to them and asks them for decisions in a fixed order.
+    """Wires the components, passes events to them and asks them for decisions in a fixed order.
 
     Args:
-        deployment: Settings of the instance; what a missing key means is decided by the part that reads it.
-        seed: Of the only random numbers, in `HealthMonitor`.
+        deployment: Settings of the instance; the component that reads a key defines its default.
+        seed: Seed of the only random numbers, in `HealthMonitor`.
         now: When the instance started.
     """
 
@@ -54,7 +54,7 @@
         self._gauges = deployment.get("gauges", [])
         self._measured_at = now
         target_s = min((each.target_latency_s for each in classes), default=math.inf)
-        # What is known.
+        # State and measurements.
         self._table = table = RequestTable(deployment, now)
         self._drain = drain = Drain(deployment)
         self._traffic = traffic = TrafficMeter(table)
@@ -62,7 +62,7 @@
         self._throughput = throughput = ThroughputMeter(table, limit)
         self._dependency = dependency = DependencyLimit(deployment, table, throughput, limit.cores)
         self._storm = RetryStorm()
-        # What follows from it.
+        # Limits and reports derived from them.
         order = AgeingOrder(table, dependency, self._storm, classes)
         bounds = ClassBounds(table, limit, throughput, dependency, order)
         self._tenants = tenants = TenantLimits(deployment, table, limit, throughput, bounds)
@@ -70,7 +70,7 @@
         self._backpressure = backpressure = Backpressure(deployment, table, limit, throughput, health, drain, target_s)
         self._retry_limit = RetryLimit(self._storm, throughput)
         self._connections = IdleConnections(deployment, limit.cores)
-        # What decides on requests.
+        # Decisions on requests.
         self._duplicates = duplicates = Duplicates(deployment, table)
         self._handover = handover = Handover(table, limit, throughput, bounds, order, drain, target_s)
         rejections = Rejections(table, handover, backpressure, traffic)
@@ -82,7 +82,7 @@
         self._steps = (
             duplicates.forget_unused_key,
             placement.place_next,
-            expiry.give_up_next,
+            expiry.drop_next,
             scheduler.stop_next,
             calls.start_next,
             duplicates.answer_follower,
@@ -95,7 +95,7 @@
             self._wakeups.arm,
         )
 
-    # Events, which the host reports. They take no decision.
+    # Events reported by the host. They take no decision.
 
     def record_arrival(
         self,
@@ -111,20 +111,20 @@
         memory_kb: float,
         is_retry: bool,
     ) -> None:
-        """Take a request in.
+        """Add an arriving request.
 
-        The many parameters are for speed: an object would be built for each request only to be read once.
+        Plain parameters are faster than an object, which would be built for each request only to be read once.
 
         Args:
-            now: When it was read.
+            now: Time at which it was read.
             ref: Its id.
             type_number: Number of its type.
             age_s: Seconds since it arrived at the machine.
-            wait_s: Seconds that its caller still waits; 0 if the caller does not say.
+            wait_s: Seconds that its caller still waits; 0 if unknown.
             tenant: Number of its tenant.
             repeat_of: Id of the request that it repeats; empty or 0 if none.
             caller: Number of its caller.
-            work: Hint of its work; 0 without one.
+            work: Hint of its work, in seconds of run time; 0 without one.
             memory_kb: Memory that it takes while it is queued.
             is_retry: Whether it is marked as a retry.
         """
@@ -132,20 +132,20 @@
         request_class = self._classes[type_number]
         timeout_s = request_class.timeout_s
         if work > 0.0:
-            # Up to the time-out only: one absurd hint must not spoil the mean.
+            # Capped at the timeout: one absurd hint must not distort the mean.
             self._throughput.record_hint(now, min(work, timeout_s))
         account = self._tenants.account_of(tenant, caller)
         request = Request(ref, request_class, account, work or self._throughput.mean_work(), memory_kb)
         request.arrived_at, request.stage_since = now - age_s, now
         request.is_retry, request.has_work_hint = is_retry, work > 0.0
         request.deadline = now + wait_s if wait_s > 0.0 else max(now, request.arrived_at + timeout_s)
-        # A retry's caller has waited before, at most by what its patience lacks of the time-out.
+        # The caller of a retry has already waited: at most the part of the timeout that its remaining wait does not cover.
         waited_before = timeout_s - wait_s - age_s if is_retry and wait_s > 0.0 else 0.0
         loses_value_at = request.arrived_at + request_class.target_latency_s - max(0.0, waited_before)
         request.latency_deadline = min(request.deadline, loses_value_at)
         if repeat_of:
             request.leader = leader = self._table.by_ref.get(repeat_of)
-            # If the first try ran, or is not known any more, the request must not be rejected: that would deny the run.
+            # If the first try ran, or is no longer known, the request must not be rejected: that would deny the run.
             request.may_have_run = leader is None or leader.may_have_run
         self._table.add(request)
         self._expiry.watch(request)
@@ -154,7 +154,7 @@
         self._backpressure.record_unread_wait(request, age_s)
 
     def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Close a request whose run ended, or pause one that was stopped though its caller waits."""
+        """Close a request whose run ended, or pause one whose run was stopped although its caller still waits."""
         self._advance_time(now)
         request = self._table.by_ref.get(ref)
         if request is None:
@@ -169,44 +169,44 @@
             self._health.record_run(now, ending == Ending.ERROR)
 
     def record_call_request(self, now: float, ref: Ref) -> None:
-        """Note that a run needs a call to the dependency."""
+        """Record that a run needs a call to the dependency."""
         self._advance_time(now)
         if request := self._table.by_ref.get(ref):
             request.call_ending = None
             self._table.move(request, Stage.AWAITING_CALL)
 
     def record_call_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Measure a call that ended; after a success its run goes on."""
+        """Measure a call that ended; a successful call resumes its run."""
         self._advance_time(now)
         if ending in (Ending.TIMEOUT, Ending.INTERRUPTED):
-            self._dependency.record_given_up_call(now)
+            self._dependency.record_abandoned_call(now)
         if request := self._table.by_ref.get(ref):
             self._dependency.record_call_time(ending, now - request.stage_since)
             request.call_ending = ending
             self._table.move(request, Stage.RUNNING if ending == Ending.OK else Stage.AWAITING_CALL)
 
     def record_abandonment(self, now: float, ref: Ref) -> None:
-        """Note that a request's caller has gone."""
+        """Record that the caller of a request disconnected."""
         self._advance_time(now)
         if request := self._table.by_ref.get(ref):
             self._table.release(request)
 
     def record_early_rejections(self, now: float, count: int) -> None:
-        """Count retries that the host rejected unread, by the last limit on retries."""
+        """Count retries that the host rejected unread under the current retry limit."""
         self._advance_time(now)
         self._traffic.record_early_rejections(now, count)
 
     def mark_received_from_peer(self, now: float, ref: Ref) -> None:
-        """Mark a request that a peer handed over, so that it does not move again."""
+        """Mark a request that a peer handed over, so that it is not handed over again."""
         self._table.by_ref[ref].was_handed_over = True
 
     def record_handover_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Note how a request at a peer ended."""
+        """Record how a request at a peer ended."""
         self._advance_time(now)
         self._handover.record_end(ref, ending)
 
     def begin_drain(self, now: float, grace_s: float) -> None:
-        """Answer everything before the process is stopped, `grace_s` seconds from now."""
+        """Begin to drain: all requests are answered before the process is stopped, `grace_s` seconds from now."""
         self._advance_time(now)
         self._drain.start(now, grace_s)
         self._expiry.next_sweep_at = now
@@ -214,22 +214,22 @@
             self._drain.shorten_deadline(request)
 
     def handle_wakeup(self, now: float, token: int, readings: Sequence[float]) -> None:
-        """Adjust limits by the gauges; the deadline sweep follows with the next decision."""
+        """Adjust limits by the gauges; the next decision runs the deadline sweep."""
         self._advance_time(now)
         gauges = dict(zip(self._gauges, readings))
         self._wakeups.fired(token)
         self._connections.adjust(gauges.get("links", 0.0), self._traffic.has_few_rejections(now))
         self._limit.adjust(now, gauges.get("core_use", 1.0), self._storm.is_active)
 
-    # What the fleet and the host's detectors found.
+    # Findings of the fleet and of the host's detectors.
 
     def set_retry_storm(self, now: float, is_active: bool, first_tries_per_s: float) -> None:
-        """Set whether retries exceed what can be served, and the first tries a second."""
+        """Set whether a retry storm is active, and the rate of first tries."""
         self._advance_time(now)
         self._storm.is_active, self._storm.first_tries_per_s = is_active, first_tries_per_s
 
     def set_tenant_budget(self, now: float, tenant: int, window_s: float, pieces: BudgetPieces) -> None:
-        """Set this instance's part of a tenant's total; see `TenantLimits.set_budget`."""
+        """Set this instance's share of a tenant's fleet-wide budget; see `TenantLimits.set_budget`."""
         self._advance_time(now)
         self._tenants.set_budget(tenant, window_s, pieces)
 
@@ -241,14 +241,14 @@
     def update_peer_load(
         self, now: float, free_fraction: float, is_outlier: bool, retry_allowance: float, diverted: float
     ) -> None:
-        """Set what the peers' reports say.
+        """Set what the peers report.
 
         Args:
             now: The time.
-            free_fraction: Free fraction of what they can serve; below 0 where it is not known.
+            free_fraction: Free fraction of the peers' capacity; below 0 where it is unknown.
             is_outlier: Whether they judge this instance unhealthy.
-            retry_allowance: Retries a second that are left to this instance.
-            diverted: Fraction of this instance's load that fits elsewhere.
+            retry_allowance: Retries per second that the fleet allows this instance.
+            diverted: Fraction of this instance's load that peers have capacity for.
         """
         self._advance_time(now)
         self._traffic.peer_free_fraction = free_fraction
@@ -257,14 +257,14 @@
         self._backpressure.peer_diversion = diverted
 
     def set_peer_offers(self, now: float, count: int) -> None:
-        """Set for how many requests peers offer capacity just now."""
+        """Set for how many requests peers currently offer capacity."""
         self._advance_time(now)
         self._handover.offers = count
 
-    # What the host asks.
+    # Queries of the host.
 
     def next_decision(self, now: float) -> Decision | None:
-        """Return the next decision, or None when all of this moment are taken."""
+        """Return the next decision, or None once all decisions for this time were taken."""
         self._advance_time(now)
         for step in self._steps:
             if decision := step():
@@ -283,7 +283,7 @@
         return self._wakeups.token
 
     def capacity(self) -> float:
-        """Return the requests a second that can be served."""
+        """Return the requests per second that can be served."""
         return self._throughput.capacity()
 
     def is_open(self, ref: Ref) -> bool:
--- a/mulleinhatch/admission/dependency_calls.py
+++ b/mulleinhatch/admission/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Runs that wait for a call to the dependency: call, go on without, or give up."""
+"""Runs that wait for a call to the dependency: start the call, skip it, or drop the request."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from mulleinhatch.admission.request import Request, Stage
 from mulleinhatch.admission.request_table import RequestTable
 
-# A call starts only if its time-out leaves this many call times, unless the request has less left itself.
+# A call starts only if its timeout is at least this multiple of the mean call time, or all the time that the request has left.
 MIN_CALL_TIMES = 2.0
 
 
 class DependencyCalls:
-    """Decides on the requests that await a call, in ageing order."""
+    """Decides on requests that wait for a call, in ageing order."""
 
     def __init__(self, table: RequestTable, dependency: DependencyLimit, order: AgeingOrder, rejections: Rejections) -> None:
         self._table = table
@@ -25,7 +25,7 @@
         self._awaiting = table.by_stage[Stage.AWAITING_CALL]
 
     def start_next(self) -> Decision | None:
-        """Decide on the first request for which something can be done."""
+        """Return a decision on the first request that allows one."""
         waiting = [request for request in self._awaiting.values() if not request.is_answered]
         if not waiting:
             return None
@@ -43,9 +43,9 @@
         left_s = ends_by - table.now
         timeout_s = min(left_s, longest_call_s)
         fits = is_free and timeout_s >= min(left_s, MIN_CALL_TIMES * self._dependency.call_time_s)
-        may_not_repeat = call_ending is not None and not (request_class.is_retryable or call_ending in NOT_EXECUTED_ENDINGS)
-        if may_not_repeat or (not is_degradable and is_overloaded and left_s <= 0.0):
-            return self._rejections.give_up(request, "call")
+        may_not_retry = call_ending is not None and not (request_class.is_retryable or call_ending in NOT_EXECUTED_ENDINGS)
+        if may_not_retry or (not is_degradable and is_overloaded and left_s <= 0.0):
+            return self._rejections.drop(request, "call")
         if is_degradable and (call_ending is not None or is_overloaded or not fits or left_s <= 0.0):
             table.move(request, Stage.RUNNING)
             return Decision(Verb.SKIP_CALL, request.ref)
--- a/mulleinhatch/admission/drain.py
+++ b/mulleinhatch/admission/drain.py
@@ -1,4 +1,4 @@
-"""The notice that the instance will be stopped, and what it means for requests."""
+"""Draining before the process is stopped: effects on deadlines and arrivals."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Drain:
-    """When the instance began to drain, and when its process is stopped; both infinite until a notice comes."""
+    """Times at which draining began and at which the process is stopped; both infinite until a stop is announced."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._arrival_grace_s = deployment.get("drain_grace", 0.0)
@@ -21,9 +21,9 @@
         self.started_at, self.stop_at = now, now + grace_s
 
     def shorten_deadline(self, request: Request) -> None:
-        """Move a request's deadline before the stop."""
+        """Cap a request's deadline before the stop."""
         request.deadline = min(request.deadline, self.stop_at - STOP_MARGIN_S)
 
     def refuses(self, request: Request, margin_s: float) -> bool:
-        """Return whether a request arrived after the time in which callers may still send."""
+        """Return whether a request arrived after the grace period in which callers may still send."""
         return request.arrived_at > self.started_at + self._arrival_grace_s - margin_s
--- a/mulleinhatch/admission/duplicates.py
+++ b/mulleinhatch/admission/duplicates.py
@@ -1,4 +1,4 @@
-"""Repeats of a request: idempotency keys that are remembered, and followers that get their leader's answer."""
+"""Duplicates of a request: remembered idempotency keys, and followers that get their leader's answer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Duplicates:
-    """Remembers keyed requests for their repeat window, and answers what repeats a request that ran."""
+    """Remembers keyed requests for their repeat window, and answers duplicates of requests that ran."""
 
     def __init__(self, deployment: Deployment, table: RequestTable) -> None:
         self._table = table
@@ -24,7 +24,7 @@
         return ref in self._expires_at
 
     def key_memory_kb(self, request: Request) -> float:
-        """Return the memory that a request's key will take."""
+        """Return the memory that a request's key takes."""
         return self._key_kb if request.request_class.is_keyed else 0.0
 
     def keep_key(self, request: Request) -> Decision:
@@ -37,14 +37,14 @@
         return Decision(Verb.KEEP, request.ref, left_s)
 
     def expire_keys(self, now: float) -> None:
-        """Forget the keys whose repeat window ended."""
+        """Forget keys whose repeat window has ended."""
         while self._expirations and self._expirations[0][0] <= now:
             end, ref = heapq.heappop(self._expirations)
             if self._expires_at.get(ref) == end:
                 self._forget(ref)
 
     def forget_unused_key(self) -> Decision | None:
-        """Forget the key of a request that ended without a run: its repeat is a first try."""
+        """Forget the key of a request that ended without a run: its duplicate counts as a first try."""
         if not self._table.unused_keys:
             return None
         ref = self._table.unused_keys.pop()
@@ -52,7 +52,7 @@
         return Decision(Verb.FORGET, ref)
 
     def answer_follower(self) -> Decision | None:
-        """Answer a request whose leader has started to run from the leader's result."""
+        """Answer a follower from its leader's result once the leader has started to run."""
         for request in self._following.values():
             if request.leader.may_have_run:
                 request.may_have_run = True
@@ -60,7 +60,7 @@
         return None
 
     def share_answer(self, request: Request) -> Decision:
-        """Answer a request from the result of the one that it repeats."""
+        """Answer a request from the result of the request that it duplicates."""
         self._table.move(request, Stage.SHARING_ANSWER)
         return Decision(Verb.ANSWER_FROM, request.ref)
 
--- a/mulleinhatch/admission/expiry.py
+++ b/mulleinhatch/admission/expiry.py
@@ -1,4 +1,4 @@
-"""Requests that are given up: their deadline is near, or they can't end in time any more."""
+"""Requests that are dropped: their deadline is near, or they can no longer finish in time."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Expiry:
-    """Sweeps all requests for their deadlines and, at the same time, all queued ones for the bound.
+    """Sweeps all requests for near deadlines and, in the same pass, queued requests for the class bound.
 
     Attributes:
-        next_sweep_at: When the next sweep is due.
+        next_sweep_at: Time at which the next sweep is due.
     """
 
     def __init__(self, table: RequestTable, order: AgeingOrder, bounds: ClassBounds, rejections: Rejections) -> None:
@@ -30,20 +30,20 @@
         self.next_sweep_at = table.now
 
     def watch(self, request: Request) -> None:
-        """Sweep in time for a request's deadline."""
+        """Schedule a sweep in time for a request's deadline."""
         self.next_sweep_at = min(self.next_sweep_at, request.deadline - self._table.answer_margin_s)
 
-    def give_up_next(self) -> Decision | None:
-        """Give up one of the requests that the last sweep found."""
+    def drop_next(self) -> Decision | None:
+        """Drop one of the requests that the last sweep found."""
         table = self._table
         if table.now >= self.next_sweep_at:
             self._sweep()
         while self._expired:
             request = self._expired.pop()
-            # A decision on one request may have ended another, as a follower of it.
+            # A decision on one request may also have ended another one that follows it.
             if request.ref in table.by_ref and not request.is_answered:
                 is_due = request.deadline <= table.now + table.answer_margin_s
-                return self._rejections.give_up(request, "due" if is_due else "bound")
+                return self._rejections.drop(request, "due" if is_due else "bound")
         return None
 
     def _sweep(self) -> None:
--- a/mulleinhatch/admission/handover.py
+++ b/mulleinhatch/admission/handover.py
@@ -1,4 +1,4 @@
-"""Queued requests that go to a peer which offered capacity."""
+"""Handover of queued requests to peers that offered capacity."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.admission.throughput import ThroughputMeter
 
-# Part of the shortest target latency that the queue must take before a request is handed over: the hop costs time, too.
+# Queueing time, as a fraction of the shortest target latency, above which requests are handed over: the hop costs time, too.
 HANDOVER_WAIT_FRACTION = 0.03
 
 
 class Handover:
-    """Hands over whose turn is next, so that the fleet keeps one common queue; at most once for each request.
+    """Hands over the request that would start next, so that the fleet shares one queue; each request moves at most once.
 
     Attributes:
-        offers: Requests for which peers offer capacity just now.
+        offers: Number of requests for which peers currently offer capacity.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.offers = 0
 
     def may_hand_over(self, request: Request) -> bool:
-        """Return whether a peer may run a request: it never ran, is not keyed, is not from a peer, and still has time."""
+        """Return whether a peer may run a request: it never ran, is not keyed, was never handed over, and still has time."""
         is_movable = (
             request.stage is Stage.QUEUED
             and request.leader is None
@@ -53,7 +53,7 @@
         return is_movable and self.offers > 0 and self._bounds.wait_allowed_s(request, request.deadline) > 0.0
 
     def hand_over(self, request: Request, cause: str) -> Decision:
-        """Give a request to a peer; until that answers, it may have run there."""
+        """Hand a request over to a peer; it may have run there until the peer answers."""
         self._table.unplaced.pop(request.ref, None)
         self.offers -= 1
         request.was_handed_over = request.may_have_run = True
@@ -61,7 +61,7 @@
         return Decision(Verb.HAND_OVER, request.ref, cause=cause)
 
     def next_request(self) -> Decision | None:
-        """Hand over the request whose turn is next if the queue here is worth it."""
+        """Hand over the request that would start next if the local queue is long enough."""
         if self.offers <= 0:
             return None
         movable = [request for request in self._queued.values() if self.may_hand_over(request)]
@@ -75,7 +75,7 @@
     def record_end(self, ref: Ref, ending: int) -> None:
         """Close a request that ended at a peer, or queue it again.
 
-        After a lost connection it may have run there: only a retryable request is queued again then.
+        After a lost connection it may have run there, so only a retryable request is queued again.
         """
         request = self._table.by_stage[Stage.AT_PEER].get(ref)
         if request is None:
--- a/mulleinhatch/admission/health.py
+++ b/mulleinhatch/admission/health.py
@@ -1,4 +1,4 @@
-"""Whether callers should send requests here at all."""
+"""Health of the instance: whether callers should send requests to it."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from mulleinhatch.admission.traffic import TrafficMeter
 from mulleinhatch.sliding_window import SlidingWindow
 
-# Mean run time over the shortest target latency, from which the instance is too slow.
+# Ratio of the mean run time to the shortest target latency above which the instance counts as slow.
 SLOW_RUN_FACTOR = 1.2
 
-# Fraction of the recent runs that fail, from which the instance is unhealthy: failing is quick and attracts callers.
+# Fraction of failed recent runs above which the instance is unhealthy: fast failures look like low load and attract callers.
 FAILING_RUN_FRACTION = 0.5
 
-# Seconds of bad health, doubled before each spell that follows; each spell is spread by a quarter either way.
+# Seconds of an unhealthy period, doubled for each consecutive period; each period has a jitter of plus or minus a quarter.
 MIN_UNHEALTHY_S = 4.0
 MAX_UNHEALTHY_S = 32.0
-SPELL_GROWTH = 2.0
-MIN_SPELL_FACTOR, SPELL_FACTOR_RANGE = 0.75, 0.5
+UNHEALTHY_PERIOD_GROWTH = 2.0
+MIN_JITTER_FACTOR, JITTER_FACTOR_RANGE = 0.75, 0.5
 
-# Knuth's MMIX generator: a decision must follow from seed and history alone.
+# Knuth's MMIX generator: decisions must be reproducible from the seed and the event history.
 RANDOM_MULTIPLIER, RANDOM_INCREMENT, RANDOM_MODULUS = 6364136223846793005, 1442695040888963407, 2**64
 
 
 class HealthMonitor:
-    """Judges the instance slow, stuck or failing, whatever the cause except a warm-up, and tries again later each time.
+    """Detects that the instance is slow, stuck or failing, except for a warm-up, with an exponential backoff between attempts.
 
     Attributes:
-        unhealthy_until: End of the current spell, or of the last one.
+        unhealthy_until: End of the current unhealthy period, or of the last one.
         is_outlier: Whether the fleet judges this instance unhealthy.
     """
 
@@ -54,7 +54,7 @@
         self._runs = SlidingWindow()
         self._errors = SlidingWindow()
         self.unhealthy_until = table.now
-        self._spell_s = MIN_UNHEALTHY_S
+        self._unhealthy_period_s = MIN_UNHEALTHY_S
         self._is_reported_healthy = True
         self.is_outlier = False
 
@@ -64,9 +64,9 @@
         self._runs.add(now, 1.0)
 
     def update(self) -> None:
-        """Judge the instance again.
+        """Evaluate the health again.
 
-        A slow instance stays healthy while the fleet is full: its callers would find nothing better.
+        A slow instance stays healthy while the fleet is full: callers would find no better instance.
         """
         now = self._table.now
         run_time = self._throughput.pace * self._throughput.mean_work() * self._limit.speed()
@@ -74,13 +74,15 @@
         is_failing = self._errors.total(now) > max(self._limit.cores, FAILING_RUN_FRACTION * self._runs.total(now))
         if is_slow or is_failing or self.is_outlier:
             if now >= self.unhealthy_until:
-                self._spell_s = min(MAX_UNHEALTHY_S, SPELL_GROWTH * self._spell_s)
-            self.unhealthy_until = now + self._spell_s * (MIN_SPELL_FACTOR + SPELL_FACTOR_RANGE * self._random_fraction())
+                self._unhealthy_period_s = min(MAX_UNHEALTHY_S, UNHEALTHY_PERIOD_GROWTH * self._unhealthy_period_s)
+            self.unhealthy_until = now + self._unhealthy_period_s * (
+                MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * self._random_fraction()
+            )
         elif self._throughput.pace and now >= self.unhealthy_until:
-            self._spell_s = MIN_UNHEALTHY_S
+            self._unhealthy_period_s = MIN_UNHEALTHY_S
 
     def is_healthy(self) -> bool:
-        """Return whether callers should send requests here: not while unhealthy, nor while draining."""
+        """Return whether callers should send requests here: neither unhealthy nor draining."""
         now = self._table.now
         return now < self._drain.started_at and now >= self.unhealthy_until
 
@@ -93,6 +95,6 @@
         return Decision(Verb.HEALTH, flag=is_healthy)
 
     def _random_fraction(self) -> float:
-        """Draw a number below 1: instances that got unhealthy together must not ask for requests again together."""
+        """Draw a number below 1: instances that became unhealthy together must not become healthy again together."""
         self._random_state = (self._random_state * RANDOM_MULTIPLIER + RANDOM_INCREMENT) % RANDOM_MODULUS
         return (self._random_state >> 33) / 2**31
--- a/mulleinhatch/admission/mechanism.py
+++ b/mulleinhatch/admission/mechanism.py
@@ -1,8 +1,8 @@
 """The mechanism of the design: ageing priorities, the class bound, the account cap.
 
-Pure functions, which the instances' admission controller and the system's data plane share.
+Pure functions, shared by the instances' admission controller and the data plane.
 
-Source: Multigrid, "Priority Queues: Free Users Wait, Paying Users Do Not"; departures are described in `docs/design.md`.
+Source: Multigrid, "Priority Queues: Free Users Wait, Paying Users Do Not"; deviations are described in `docs/design.md`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Iterable
 
-# Points from the base priority of the most important class, 0, to that of the least; lower starts sooner. Source: the note.
+# Points between the base priority of the most important class, 0, and that of the least; lower starts sooner. From the source.
 BASE_SPAN = 20.0
 
 
@@ -26,7 +26,7 @@
 
 
 def ageing_rate(guarantee: float) -> float:
-    """Return the seconds of waiting that count one point, by the longest that the lowest class waits behind others."""
+    """Return the seconds of waiting worth one point, by the longest time that the lowest class may wait behind others."""
     return guarantee / BASE_SPAN
 
 
@@ -45,7 +45,7 @@
     Args:
         mu: Service rate, in work or requests a second.
         longest_wait: Seconds that may pass before the start.
-        floor: What may be queued in any case, in the unit of `mu`.
+        floor: Amount that may always be queued, in work or requests as in `mu`.
     """
     return max(floor, mu * longest_wait)
 
--- a/mulleinhatch/admission/placement.py
+++ b/mulleinhatch/admission/placement.py
@@ -1,4 +1,4 @@
-"""The first decision on a request: a repeat, rejected, or queued."""
+"""The first decision on a request: whether it is answered as a duplicate, rejected, or queued."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Placement:
-    """Places requests in the order of their arrival."""
+    """Takes the first decision on requests, in the order of their arrival."""
 
     def __init__(
         self,
@@ -32,13 +32,13 @@
         self._rejections = rejections
 
     def place_next(self) -> Decision | None:
-        """Place requests until one needs a decision."""
+        """Process new requests until one leads to a decision."""
         table, drain = self._table, self._drain
         while table.unplaced:
             request = next(iter(table.unplaced.values()))
             drain.shorten_deadline(request)
             if drain.refuses(request, table.answer_margin_s):
-                return self._rejections.give_up(request, "drain")
+                return self._rejections.drop(request, "drain")
             del table.unplaced[request.ref]
             if request.may_have_run:
                 return self._duplicates.share_answer(request)
@@ -46,7 +46,7 @@
                 table.move(request, Stage.FOLLOWING)
                 continue
             if cause := self._cause_to_reject(request):
-                return self._rejections.give_up(request, cause)
+                return self._rejections.drop(request, cause)
             if request.request_class.is_keyed:
                 return self._duplicates.keep_key(request)
         return None
--- a/mulleinhatch/admission/rejections.py
+++ b/mulleinhatch/admission/rejections.py
@@ -1,4 +1,4 @@
-"""The final answer to a request that the instance gives up."""
+"""The final answer to a request that the instance drops."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.admission.traffic import TrafficMeter
 
-# Causes with which a request may still be worth running at a peer.
+# Causes for which a request may still be worth running at a peer.
 HANDOVER_CAUSES = ("bound", "memory", "drain")
 
 
 class Rejections:
-    """Hands over, rejects or fails a request: a rejection states that no try of it ever ran."""
+    """Hands over, rejects or fails a request; a rejection states that no attempt of it ever ran."""
 
     def __init__(self, table: RequestTable, handover: Handover, backpressure: Backpressure, traffic: TrafficMeter) -> None:
         self._table = table
@@ -22,12 +22,12 @@
         self._backpressure = backpressure
         self._traffic = traffic
 
-    def give_up(self, request: Request, cause: str) -> Decision:
-        """Give up a request.
+    def drop(self, request: Request, cause: str) -> Decision:
+        """Drop a request: hand it over to a peer, reject it or fail it.
 
         Args:
-            request: The request, which is then closed here unless it still fills a slot.
-            cause: For operators: what made it hopeless, as in `Decision.cause`.
+            request: The request; it is then closed here unless it still occupies a slot or went to a peer.
+            cause: Reason shown to operators, as in `Decision.cause`.
         """
         if cause in HANDOVER_CAUSES and self._handover.may_hand_over(request):
             return self._handover.hand_over(request, cause)
--- a/mulleinhatch/admission/request.py
+++ b/mulleinhatch/admission/request.py
@@ -1,4 +1,4 @@
-"""A request inside the admission controller, its class, and the stages that it passes."""
+"""A request inside the admission controller, its class, and its stages."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """Where a request is between its arrival and its end."""
 
     QUEUED = "queued"
-    FOLLOWING = "following"  # it repeats a request that is still queued here
-    SHARING_ANSWER = "sharing answer"  # it gets the answer of the request that it repeats
+    FOLLOWING = "following"  # duplicates a request that is still queued here
+    SHARING_ANSWER = "sharing answer"  # gets the answer of the request that it duplicates
     RUNNING = "running"
     PAUSED = "paused"
     AWAITING_CALL = "awaiting call"  # its run needs a call to the dependency
@@ -34,7 +34,7 @@
 
     Args:
         request_type: The type's settings.
-        base_priority: Points from which its requests age; lower starts sooner.
+        base_priority: Initial score of its requests in points, before ageing; lower starts sooner.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
 
 
 def build_request_classes(request_types: list[RequestType]) -> list[RequestClass]:
-    """Spread base priorities evenly over the distinct importances, the highest at 0."""
+    """Build the classes; base priorities are spread evenly over the distinct importances, the highest at 0."""
     base_of = base_priorities(request_type.get("importance", 1.0) for request_type in request_types)
     return [RequestClass(request_type, base_of[request_type.get("importance", 1.0)]) for request_type in request_types]
 
@@ -74,11 +74,11 @@
         ref: The host's id of it.
         request_class: Its class.
         tenant: Number of its tenant, or of its caller where there are no tenants.
-        work: Its expected work, by its hint or by the mean of hints.
+        work: Its expected work, by its hint or by the mean of all hints.
         memory_kb: Memory that it takes while it is queued.
     """
 
-    # Slots, because thousands may be queued and each decision reads several of them.
+    # Slots save memory and time: thousands may be queued, and each decision reads several attributes.
     __slots__ = (
         "arrived_at",
         "call_ending",
@@ -112,19 +112,19 @@
         self.memory_kb = memory_kb
         self.stage = Stage.QUEUED
         # All times are seconds on the host's clock.
-        self.arrived_at = 0.0  # at the machine, so time spent unread counts as waiting
-        self.deadline = 0.0  # when its caller stops waiting
-        self.latency_deadline = 0.0  # when its answer loses its full value
+        self.arrived_at = 0.0  # arrival at the machine, so time spent unread counts as waiting
+        self.deadline = 0.0  # time at which its caller stops waiting
+        self.latency_deadline = 0.0  # time after which its answer loses value
         self.stage_since = 0.0
-        self.call_until = 0.0  # when its call in progress times out
-        self.run_time = 0.0  # seconds in a slot up to its last change of stage
-        self.quota_penalty = 0.0  # points by which it starts later, for its tenant's traffic over quota
+        self.call_until = 0.0  # time at which its call in progress times out
+        self.run_time = 0.0  # seconds in a slot before the last change of stage
+        self.quota_penalty = 0.0  # points added because its tenant's traffic exceeds the quota
         self.is_retry = False
         self.has_work_hint = False
-        self.may_have_run = False  # from here on it must not be rejected
-        self.is_answered = False  # nobody waits for it, but it still fills a slot
+        self.may_have_run = False  # once true, the request must not be rejected
+        self.is_answered = False  # nobody waits for it, but it still occupies a slot
         self.is_key_kept = False
         self.should_stop = False
-        self.was_handed_over = False  # to a peer or by one: a request moves once at most
-        self.leader: Request | None = None  # the request that it repeats
+        self.was_handed_over = False  # to a peer or by one; a request moves at most once
+        self.leader: Request | None = None  # the request that it duplicates
         self.call_ending: int | None = None
--- a/mulleinhatch/admission/retry_limit.py
+++ b/mulleinhatch/admission/retry_limit.py
@@ -1,4 +1,4 @@
-"""How many retries a second are read in a retry storm."""
+"""Rate limit of retries that are read during a retry storm."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from mulleinhatch.admission.interface import Decision, Verb
 from mulleinhatch.admission.throughput import ThroughputMeter
 
-# In a storm, first tries and retries together may take this fraction of what can be served, and retries never get less than
-# the second: reading a request costs the same whatever is decided, and reading alone would fill the core.
+# During a storm, first tries and retries together may use the first fraction of the capacity, and retries always get at least
+# the second. Reading a request costs the same whatever is decided, and reading all retries would saturate the core.
 STORM_CAPACITY_FRACTION = 0.95
 MIN_RETRY_FRACTION = 0.02
 
-# Change of the limit, as a fraction, that is worth a report.
+# Smallest relative change of the limit that is reported.
 REPORTED_STEP = 0.1
 
 
 @dataclass
 class RetryStorm:
-    """What the host's storm detector last said."""
+    """Last report of the host's storm detector."""
 
     is_active: bool = False
     first_tries_per_s: float = 0.0
 
 
 class RetryLimit:
-    """Limits the retries that the host reads; the host rejects the rest unread.
+    """Limits the rate of retries that the host reads; the host rejects the rest unread.
 
     Attributes:
-        allowance_per_s: Retries a second that the fleet leaves to this instance.
+        allowance_per_s: Retries per second that the fleet allows this instance.
     """
 
     def __init__(self, storm: RetryStorm, throughput: ThroughputMeter) -> None:
@@ -39,7 +39,7 @@
         self._reported_per_s = math.inf
 
     def next_report(self) -> Decision | None:
-        """Report the limit if it changed; infinite means none."""
+        """Report the limit if it changed; infinite means no limit."""
         limit = math.inf
         if self._storm.is_active:
             capacity = self._throughput.capacity()
--- a/mulleinhatch/admission/scheduler.py
+++ b/mulleinhatch/admission/scheduler.py
@@ -12,7 +12,7 @@
 
 
 class Scheduler:
-    """Starts requests in ageing order, within the running limit, the tenants' limits, the dependency's, and memory."""
+    """Starts requests in ageing order, within the limits on concurrency, tenants, dependency calls and memory."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._some_must_call = any(each.must_call for each in request_classes)
 
     def stop_next(self) -> Decision | None:
-        """Stop a run whose answer nobody waits for, where the host can."""
+        """Stop a run whose answer nobody waits for, if the host supports it."""
         if not self._can_stop:
             return None
         for request in self._running.values():
@@ -46,7 +46,7 @@
         return None
 
     def start_next(self) -> Decision | None:
-        """Start the request whose turn is next; a tenant over its cap is passed over while another waits."""
+        """Start the next request in ageing order; a tenant over its cap is skipped while another one waits."""
         waiting = [*self._queued.values(), *self._paused.values()]
         if not waiting or self._limit.is_reached():
             return None
@@ -65,7 +65,7 @@
         return Decision(Verb.RUN, request.ref, cause="order" if len(under_cap) in (0, len(waiting)) else "cap")
 
     def _startable(self, waiting: list[Request]) -> list[Request]:
-        """Leave out what would run in vain before a saturated dependency, or over its tenant's budget."""
+        """Filter out requests that would wait for a saturated dependency or exceed their tenant's budget."""
         if self._some_must_call and self._dependency.is_saturated():
             waiting = [request for request in waiting if not request.request_class.must_call]
         if self._tenants.has_budgets:
--- a/mulleinhatch/admission/tenant_limits.py
+++ b/mulleinhatch/admission/tenant_limits.py
@@ -1,4 +1,4 @@
-"""What one tenant may take: the mechanism's cap on its runs, its quota, and its budgets over the fleet."""
+"""Limits of one tenant: the mechanism's cap on concurrent runs, the quota, and fleet-wide budgets."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from mulleinhatch.admission.throughput import ThroughputMeter
 from mulleinhatch.sliding_window import BUCKET_COUNT, BUCKET_S, SlidingWindow
 
-# A tenant's part of the running limit over its fraction of the service: traffic is never even.
+# Ratio of a tenant's share of the running limit to its fraction of the service: traffic is never even.
 TENANT_SHARE_FACTOR = 2.0
 
-# Points by which a request starts later when all its tenant's traffic is over its quota: the whole span of bases.
+# Points added to a request when all its tenant's traffic is over quota: the whole BASE_SPAN.
 OVER_QUOTA_PENALTY = 20.0
 
-BudgetPieces = Sequence[tuple[float, float]]  # units, and until when they are this instance's
+BudgetPieces = Sequence[tuple[float, float]]  # units, and the time until which this instance holds them
 
 
 class TenantLimits:
@@ -51,13 +51,13 @@
         self._concurrency_budgets: dict[int, tuple[float, BudgetPieces]] = {}
 
     def account_of(self, tenant: int, caller: int) -> int:
-        """Return whose limits a request counts against: its tenant's, or its caller's where there are no tenants."""
+        """Return the account that a request counts against: its tenant, or its caller where there are no tenants."""
         return tenant if self._shares else caller
 
     def quota_penalty(self, request: Request) -> float:
-        """Count a request on arrival, and return the points by which it starts later.
+        """Count an arriving request, and return its quota penalty in points.
 
-        Only first tries count against the quota: a client that retries must not push its own requests back further.
+        Only first tries count against the quota: a retrying client must not delay its own requests further.
         """
         tenant = request.tenant
         if tenant >= len(self._quotas_per_s):
@@ -75,25 +75,25 @@
         return self._table.running_by_tenant[tenant] < account_cap(self._limit.current, share)
 
     def set_budget(self, tenant: int, window_s: float, pieces: BudgetPieces) -> None:
-        """Set this instance's part of a tenant's total over the fleet.
+        """Set this instance's share of a tenant's fleet-wide budget.
 
         Args:
-            tenant: Its number.
-            window_s: Seconds in which the units may start; 0 where they are requests in progress.
-            pieces: Units, and until when they are this instance's.
+            tenant: Number of the tenant.
+            window_s: Window of a rate budget in seconds; 0 for a budget of requests in progress.
+            pieces: Units, each with the time until which this instance holds them.
         """
         (self._rate_budgets if window_s else self._concurrency_budgets)[tenant] = window_s, pieces
 
     @property
     def has_budgets(self) -> bool:
-        """Return whether any tenant has a total over the fleet."""
+        """Return whether any tenant has a fleet-wide budget."""
         return bool(self._rate_budgets or self._concurrency_budgets)
 
     def has_budget_left(self, tenant: int) -> bool:
-        """Return whether another run of a tenant fits its budgets."""
+        """Return whether the tenant's budgets allow another run."""
         now = self._table.now
         if tenant in self._concurrency_budgets:
-            # What was borrowed must last longer than a run does.
+            # Only units that this instance holds for longer than a run takes count.
             run_ends_at = now + 2.0 * self._throughput.pace * self._throughput.mean_work()
             cap = sum(units for units, until in self._concurrency_budgets[tenant][1] if run_ends_at < until)
             if self._table.running_by_tenant[tenant] >= cap:
@@ -107,12 +107,12 @@
         return len(recent) + 1 <= self._budget_rate(tenant) * window_s
 
     def record_start(self, request: Request) -> None:
-        """Count a run that starts against its tenant's rate budget."""
+        """Count a starting run against its tenant's rate budget."""
         if request.tenant in self._rate_budgets:
             self._recent_runs.setdefault(request.tenant, []).append(self._table.now)
 
     def exceeds_budget(self, request: Request) -> bool:
-        """Return whether more requests are queued than the tenant's rate budget starts in the time that this one has."""
+        """Return whether the tenant's queue is longer than its rate budget can start in the time left to this request."""
         if not self._rate_budgets:
             return False
         rate = self._budget_rate(request.tenant)
@@ -128,7 +128,7 @@
         )
 
     def _budget_rate(self, tenant: int) -> float:
-        """Return the runs a second of a tenant's rate budget; infinite without one."""
+        """Return a tenant's rate budget in runs per second; infinite without one."""
         if tenant not in self._rate_budgets:
             return math.inf
         window_s, pieces = self._rate_budgets[tenant]
--- a/mulleinhatch/admission/throughput.py
+++ b/mulleinhatch/admission/throughput.py
@@ -1,4 +1,4 @@
-"""How fast the instance works: slot time for a unit of work, and work completed a second at the running limit."""
+"""Speed of the instance: slot time per unit of work, and work completed per second at the running limit."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.sliding_window import BUCKET_S, SlidingWindow
 
-# Seconds at the running limit before the service rate is believed; four times as much where nothing ended in them.
+# Seconds at the running limit before the service rate is used, and the factor on them if no run ended in that time.
 MIN_FULL_TIME_S = 0.5
 MIN_FULL_TIME_FACTOR_WITHOUT_ENDS = 4
 
-# Work a second that is assumed where nothing ended at all: above 0, so that the bound is defined.
+# Work assumed as done where no run ended: above 0, so that the service rate is known and the bound defined.
 MIN_WORK_DONE = 0.001
 
 
@@ -19,8 +19,8 @@
     """Measures pace and service rate over the last 2.5 seconds.
 
     Attributes:
-        pace: Seconds in a slot for each unit of work; 0 while unknown.
-        service_rate: Work a second while the running limit is reached and requests are queued (the mechanism's mu); 0 while
+        pace: Slot seconds per unit of work; 0 while unknown.
+        service_rate: Work per second while the running limit is reached and requests are queued (the mechanism's mu); 0 while
             unknown.
     """
 
@@ -39,12 +39,12 @@
         self._hinted_work = SlidingWindow(1.0)
 
     def record_hint(self, now: float, work: float) -> None:
-        """Count the work that a request's hint names."""
+        """Count the work given by a request's hint."""
         self._hint_count.add(now, 1.0)
         self._hinted_work.add(now, work)
 
     def record_elapsed(self, now: float, elapsed_s: float) -> None:
-        """Count time that passed at the running limit."""
+        """Count time spent at the running limit."""
         self._full_time.add(now, elapsed_s if now >= self._limit.full_since else 0.0)
 
     def record_run(self, now: float, request: Request, run_time_s: float) -> None:
@@ -64,7 +64,7 @@
         return work / self.service_rate if self.service_rate else 0.0
 
     def capacity(self) -> float:
-        """Return the requests a second that can be served: by the slots at the current pace, else as when last full."""
+        """Return the requests per second that can be served, by the current pace, else by the last service rate."""
         slots = self._limit.current
         return (slots / self.pace if self.pace else self.service_rate or slots) / self.mean_work()
 
@@ -77,9 +77,9 @@
             self.service_rate = max(work_done, MIN_WORK_DONE) / full_time
 
     def _measure_pace(self) -> float:
-        """Divide slot time by work, where a run in progress counts as far as it should have come, at most all its work.
+        """Divide slot time by work; a run in progress counts with the work expected so far, at most all its work.
 
-        Otherwise a long request on few cores would look like a slow machine, and a stuck machine like a sound one.
+        Otherwise a long request on few cores would look like a slow machine, and a stuck machine like a healthy one.
         """
         now, table = self._table.now, self._table
         running = [(table.run_time(request), request.work) for request in self._running.values()]
--- a/mulleinhatch/admission/traffic.py
+++ b/mulleinhatch/admission/traffic.py
@@ -1,25 +1,25 @@
-"""What arrived lately and how much of it was rejected; whether the whole fleet is full."""
+"""Recent arrivals, retries and rejections, and whether the whole fleet is full."""
 
 from __future__ import annotations
 
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.sliding_window import SlidingWindow
 
-# Fraction of retries among arrivals from which the whole fleet counts as full: callers come back because others reject, too.
+# Fraction of retries among arrivals above which the fleet counts as full: callers retry here because other instances reject.
 FLEET_FULL_RETRY_FRACTION = 0.25
 
-# Free fraction of what the peers can serve under which the fleet counts as full, where the host tells it.
+# Free fraction of the peers' capacity below which the fleet counts as full, where the host reports it.
 FLEET_FULL_FREE_FRACTION = 0.05
 
-# Fraction of rejections among arrivals above which a full connection table turns callers away at less cost than rejections.
+# Fraction of rejections among arrivals above which refusing connections at a full table is cheaper than rejecting requests.
 LOW_REJECTION_FRACTION = 0.1
 
 
 class TrafficMeter:
-    """Counts arrivals, retries and rejections of the last 2.5 seconds.
+    """Counts arrivals, retries and rejections over the last 2.5 seconds.
 
     Attributes:
-        peer_free_fraction: Free fraction of what the peers can serve; below 0 where it is not known.
+        peer_free_fraction: Free fraction of the peers' capacity; below 0 where it is unknown.
     """
 
     def __init__(self, table: RequestTable) -> None:
@@ -39,7 +39,7 @@
         self._rejections.add(self._table.now, 1.0)
 
     def record_early_rejections(self, now: float, count: int) -> None:
-        """Count retries that the host rejected before the controller heard of them."""
+        """Count retries that the host rejected without passing them to the controller."""
         for window in (self._arrivals, self._retries, self._rejections):
             window.add(now, float(count))
 
--- a/mulleinhatch/admission/wakeups.py
+++ b/mulleinhatch/admission/wakeups.py
@@ -1,4 +1,4 @@
-"""The one timer that the controller asks its host for."""
+"""The single timer that the controller requests from its host."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from mulleinhatch.admission.interface import Decision, Verb
 from mulleinhatch.admission.request_table import RequestTable
 
-# Shortest time to a wake-up: a timer at the present moment would fire without end.
+# Shortest delay of a wake-up: a timer without delay would fire in an endless loop.
 MIN_DELAY_S = 0.001
 
 
 class Wakeups:
-    """Asks for a wake-up at the next sweep, while there are requests or load is diverted.
+    """Requests a wake-up at the next sweep while there are requests or load is diverted.
 
     Attributes:
-        token: Number of the newest timer; older ones that fire are outdated.
+        token: Token of the newest timer; older timers that fire are ignored.
     """
 
     def __init__(self, table: RequestTable, expiry: Expiry, backpressure: Backpressure) -> None:
@@ -28,12 +28,12 @@
         self.token = 0
 
     def fired(self, token: int) -> None:
-        """Note that a timer went off."""
+        """Record that a timer fired."""
         if token == self.token:
             self._armed_for = math.inf
 
     def arm(self) -> Decision | None:
-        """Ask for a timer if none is set for a time as early."""
+        """Request a timer unless one is set for the same time or earlier."""
         if not (self._table.by_ref or self._backpressure.diverted_fraction > 0.0):
             return None
         wake_at = max(self._expiry.next_sweep_at, self._table.now + MIN_DELAY_S)
