--- a/mulleinhatch/instance/transport/__init__.py
+++ b/mulleinhatch/instance/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets of the service instance: bytes in, bytes out, without knowledge of their meaning. Imports no other layer."""
+"""Sockets of the service instance: transports bytes without interpreting them. Imports no other layer."""
--- a/mulleinhatch/instance/transport/connection.py
+++ b/mulleinhatch/instance/transport/connection.py
@@ -9,7 +9,7 @@
 from mulleinhatch.instance.transport.limits import FIRST_MESSAGE_TIMEOUT_S, MAX_BAD_REQUESTS
 from mulleinhatch.instance.transport.stream import GatheringStream
 
-# Eviction ranks: connections of a lower rank are closed first. Plain integers, because a rank is computed on each request.
+# Eviction ranks: connections of a lower rank are closed first. Integers instead of an enum, as a rank is computed per request.
 RANK_CLOSING, RANK_SILENT, RANK_SINGLE_USE, RANK_REUSED, RANK_RESPONSE_PENDING = range(5)
 
 
@@ -41,16 +41,16 @@
         stream: The socket with its buffers.
         reader: Parser of the peer's messages.
         idle_since: Time of the last response, or of the accept.
-        deadline: Time until which the peer must take its next step; infinite while it owes none.
-        is_response_pending: A message was received and not answered yet.
-        is_closing: The last response was written, or our side is closed; later messages are not processed.
+        deadline: Time by which the peer must take its next step; infinite while none is expected.
+        is_response_pending: A message was received and has not been answered yet.
+        is_closing: The last response was written, or the local side is closed; later messages are not processed.
         has_sent_message: A message was received.
         has_sent_several: More than one message was received.
         bad_request_count: How many messages were rejected as malformed or invalid.
-        write_closed_at: Time at which our side was closed; infinite before.
-        response_written: Set while no response is awaited.
-        rank_members: Connections of its eviction rank, itself among them.
-        retry_at: Time at which the last response asked the caller to retry; 0 if none did.
+        write_closed_at: Time at which the local side was closed; infinite before.
+        response_written: Set while no response is pending.
+        rank_members: All connections of its eviction rank, including itself.
+        retry_at: Time at which the last response asked the caller to retry; 0 if it did not.
     """
 
     def __init__(self, number: int, stream: GatheringStream, reader: MessageReader, now: float) -> None:
@@ -70,11 +70,11 @@
         self.retry_at = 0.0
 
     def is_idle(self) -> bool:
-        """Return whether it waits for its peer and nothing was read for it, not even in this turn of the loop."""
+        """Return whether it waits for its peer and nothing was read for it, not even in this event loop iteration."""
         return not self.is_response_pending and not self.is_closing and not self.reader.started() and self.stream.reading()
 
     def eviction_rank(self) -> int:
-        """Return its eviction rank: a connection that is used again and again is worth most to its caller."""
+        """Return its eviction rank; a reused connection is the most valuable one to its caller."""
         if self.is_response_pending:
             return RANK_RESPONSE_PENDING
         if self.is_closing:
@@ -86,7 +86,7 @@
     def is_evictable(self) -> bool:
         """Return whether closing it loses no request.
 
-        The unread part of a first message was never processed, and a sender of many bad requests has sent another bad one.
+        A partial first message was never processed, and a sender of many bad requests has probably sent another one.
         """
         has_begun = self.has_sent_message and self.reader.started() or self.stream.has_unread()
         return self.stream.reading() and not has_begun or self.bad_request_count >= MAX_BAD_REQUESTS
--- a/mulleinhatch/instance/transport/connections.py
+++ b/mulleinhatch/instance/transport/connections.py
@@ -1,12 +1,12 @@
-"""The accepted connections: one coroutine each, one request at a time.
+"""The accepted connections: one coroutine per connection, one request at a time.
 
-Each resource that a peer can occupy is bounded: how long it may be silent, send slowly or leave a response unread; how much is
-read for it in one turn of the event loop; and which connections are closed when descriptors run out (`limits`).
+Each resource that a peer can occupy is bounded (`limits`): how long it may be silent, send slowly or leave a response unread,
+and how much is read from it in one event loop iteration. When descriptors run out, the least valuable connections are closed.
 
-A connection on which no response is due is closed in one way only (`_half_close`): our side is shut, and what the peer still
-sends is read to its end and discarded. If it were checked for unread bytes and then closed, a request could arrive between the
-two; the close would then send a reset, which may also destroy the response before it. `docs/design/crossings.md` lists these
-races.
+A connection on which no response is due is closed in one way only (`_half_close`): the local side is shut down, and what the
+peer still sends is read to its end and discarded. If it were checked for unread bytes and then closed, a request could arrive
+between the two steps; the close would then send a reset, which may also destroy the preceding response.
+`docs/design/crossings.md` lists these races.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from mulleinhatch.instance.transport.connection import Connection, MessageReader
 from mulleinhatch.instance.transport.eviction import EvictionRanks
-from mulleinhatch.instance.transport.limits import FREE_SHARE, IN_FLIGHT_S, LINGER_TIMEOUT_S
+from mulleinhatch.instance.transport.limits import IN_FLIGHT_S, LINGER_TIMEOUT_S, RESERVED_FRACTION_DIVISOR
 from mulleinhatch.instance.transport.lingering_close import linger
 from mulleinhatch.instance.transport.listener import ConnectionListener
 from mulleinhatch.instance.transport.message_exchange import MessageExchange
@@ -39,7 +39,7 @@
 
     Args:
         max_connections: Limit of open connections; may be changed at any time.
-        make_reader: Makes the parser of a connection.
+        make_reader: Creates the parser of a connection.
         clock: Monotonic time in seconds.
         observer: Receives the events of the connections.
     """
@@ -62,18 +62,18 @@
         self.listener = ConnectionListener(self, clock)
         self.accepted_count = 0
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.is_shutting_down = False  # each response is then the last one of its connection
+        self.is_shutting_down = False  # if true, each response is the last one of its connection
 
     def listen(self, host: str, port: int) -> int:
         """Start listening and return the bound port."""
         return self.listener.open(host, port)
 
     def set_early_answers(self, is_enabled: bool) -> None:
-        """Choose whether arriving bytes are first offered to `ConnectionObserver.answer_early`."""
+        """Set whether arriving bytes are first passed to `ConnectionObserver.answer_early`."""
         self.messages.is_answering_early = is_enabled
 
     def add(self, sock: socket.socket) -> None:
-        """Take over an accepted socket and start its coroutine."""
+        """Add an accepted socket and start its coroutine."""
         sock.setblocking(False)
         self.accepted_count += 1
         self.count("connections_accepted")
@@ -85,18 +85,18 @@
         task = asyncio.ensure_future(self._serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        if self.max_connections - self.max_connections // FREE_SHARE < len(self.open) <= self.max_connections:
+        if self.max_connections - self.max_connections // RESERVED_FRACTION_DIVISOR < len(self.open) <= self.max_connections:
             self._evict_one()
 
     def has_capacity(self) -> bool:
-        """Return whether one more connection may be accepted, after freeing a descriptor if needed and possible."""
+        """Return whether another connection may be accepted, after freeing a descriptor if necessary and possible."""
         return len(self.open) <= self.max_connections or self.free_descriptor()
 
     def free_descriptor(self) -> bool:
-        """Drop the connection that was half-closed first, if no request can still be under way on it.
+        """Drop the connection that was half-closed first, if no request can still be in transit on it.
 
         Returns:
-            Whether one was dropped. If not, another connection is half-closed, to be dropped by a later call.
+            Whether one was dropped. If not, another connection is half-closed, and a later call drops it.
         """
         closing = self.ranks.first_closing()
         if closing and self.clock() >= closing.write_closed_at + IN_FLIGHT_S:
@@ -106,15 +106,15 @@
         return False
 
     def _evict_one(self) -> None:
-        """Half-close the connection whose loss costs its caller least, but none with unread bytes: they may be a request."""
-        if self.ranks.closing_count() > self.max_connections // FREE_SHARE:
+        """Half-close the connection that is least valuable to its caller, but none with unread bytes: they may be a request."""
+        if self.ranks.closing_count() > self.max_connections // RESERVED_FRACTION_DIVISOR:
             return  # enough connections are closing already
         if connection := self.ranks.find_evictable():
             self._half_close(connection, "connections_evicted")
 
     async def _serve(self, connection: Connection) -> None:
         try:
-            # Messages that arrive after our side was closed are not processed: their responses could not be written.
+            # Messages that arrive after the local side was closed are not processed: no response could be written.
             while not connection.is_closing and connection.number in self.open:
                 await self.messages.step(connection)
             await linger(connection, self.clock(), self.open)
@@ -129,7 +129,7 @@
     def _drop(self, connection: Connection) -> None:
         connection.stream.read_interceptor = None
         connection.stream.close()
-        # A reset's traceback references the stream: a cycle that stays in memory until a full garbage collection.
+        # The traceback of a reset references the stream: a reference cycle that lives until a full garbage collection.
         connection.stream.error = None
         connection.response_written.set()
         self.ranks.remove(connection)
@@ -145,7 +145,7 @@
             is_last: Whether the connection is closed after it.
 
         Returns:
-            Whether it was written; false if the connection is gone.
+            Whether it was written; false if the connection is closed.
         """
         connection = self.open.get(number)
         if connection is None:
@@ -169,21 +169,21 @@
             connection.retry_at = at
 
     def record_bad_request(self, number: int) -> None:
-        """Record a bad request of a connection: each one delays the next read, which limits a flood of them."""
+        """Record a bad request of a connection; each one delays the next read, which limits the rate of bad requests."""
         if connection := self.open.get(number):
             connection.bad_request_count += 1
 
     def abandon(self, number: int) -> None:
-        """Half-close a connection whose response goes to another one."""
+        """Half-close a connection whose response is sent on another one."""
         if connection := self.open.get(number):
             connection.is_response_pending = False
             self._half_close(connection, "connections_abandoned")
             connection.response_written.set()
 
     def sweep(self, max_idle_s: float) -> None:
-        """Close connections whose deadline has passed or that are idle, and detect callers that reset.
+        """Close connections that are idle or past their deadline, and detect resets by callers.
 
-        A connection on which a response is due is not watched by the event loop, so its reset is only found here.
+        The event loop does not watch a connection on which a response is due, so its reset is only detected here.
 
         Args:
             max_idle_s: How long a connection may be idle.
@@ -205,12 +205,12 @@
             self._drop(connection)
         elif not connection.reader.started():
             self._close_idle(connection, "connections_silent")
-        elif connection.stream.reading() and not connection.stream.has_unread():  # otherwise it is we who are late
+        elif connection.stream.reading() and not connection.stream.has_unread():  # otherwise this process is late, not the peer
             self._reject_partial(connection)
 
     def _reject_partial(self, connection: Connection) -> None:
-        """Answer an incomplete request before the close, because the rest of it may arrive at this moment."""
-        connection.is_response_pending = True  # its rank changes with the response
+        """Answer an incomplete request before the close, because the rest of it may be arriving."""
+        connection.is_response_pending = True  # its rank is updated with the response
         self.observer.on_slow_message(connection.number)
         connection.stream.shut_down_writing()
 
@@ -219,7 +219,7 @@
             self._half_close(connection, cause)
 
     def _half_close(self, connection: Connection, cause: str) -> None:
-        """Close our side, counted as `cause`; the coroutine reads and discards what still arrives."""
+        """Close the local side, counted as `cause`; the coroutine reads and discards further input."""
         self.count(cause)
         connection.is_closing, connection.write_closed_at = True, self.clock()
         connection.deadline = connection.write_closed_at + LINGER_TIMEOUT_S
@@ -227,7 +227,7 @@
         connection.stream.shut_down_writing()
 
     def shut_down(self) -> None:
-        """Stop accepting and close all idle connections; called repeatedly before the process stops.
+        """Stop accepting and close all idle connections; called repeatedly until the process stops.
 
         Connections in the backlog are accepted first. Busy connections are closed by their next response or a later call.
         """
@@ -240,7 +240,7 @@
                 or not connection.stream.reading()
                 or connection.stream.has_unread()
             ):
-                continue  # its response is still to come and will be its last one
+                continue  # its response is still pending and will be its last one
             if connection.reader.started():
                 self._reject_partial(connection)
             else:
--- a/mulleinhatch/instance/transport/datagrams.py
+++ b/mulleinhatch/instance/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Sending datagrams without delivery guarantee."""
+"""Unreliable sending of datagrams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         """Send a datagram.
 
         Returns:
-            Whether it was sent completely; false also if an earlier one found no receiver, which the system reports here.
+            Whether it was sent completely; also false if the system reports here that an earlier one had no receiver.
         """
         try:
             return self.socket.sendto(datagram, address) == len(datagram)
--- a/mulleinhatch/instance/transport/eviction.py
+++ b/mulleinhatch/instance/transport/eviction.py
@@ -1,4 +1,4 @@
-"""Order in which connections are closed to free descriptors."""
+"""The order in which connections are closed to free descriptors."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class EvictionRanks:
-    """The open connections by eviction rank, within a rank the least recently used first.
+    """The open connections by eviction rank, least recently used first within a rank.
 
-    Kept up to date on each request, so that a new connection at the limit needs no scan of all.
+    Updated on each request, so that accepting a connection at the limit needs no scan of all connections.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         connection.rank_members[connection.number] = connection
 
     def remove(self, connection: Connection) -> None:
-        """Forget a connection that is dropped."""
+        """Remove a dropped connection."""
         connection.rank_members.pop(connection.number, None)
 
     def closing_count(self) -> int:
@@ -36,7 +36,7 @@
         return next(iter(self._ranks[RANK_CLOSING].values()), None)
 
     def find_evictable(self) -> Connection | None:
-        """Return the open connection whose close costs its caller least, or None if each may carry a request."""
+        """Return the open connection that is least valuable to its caller, or None if each may carry a request."""
         for members in self._ranks[RANK_SILENT:RANK_RESPONSE_PENDING]:
             for connection in islice(members.values(), MAX_EVICTION_CHECKS):
                 if connection.is_evictable():
--- a/mulleinhatch/instance/transport/lingering_close.py
+++ b/mulleinhatch/instance/transport/lingering_close.py
@@ -1,4 +1,4 @@
-"""Closing a connection without a reset: our side is shut, the peer's side is read to its end."""
+"""Closing a connection without a reset: the local side is shut down, and the peer's side is read to its end."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/instance/transport/listener.py
+++ b/mulleinhatch/instance/transport/listener.py
@@ -1,4 +1,4 @@
-"""The listening sockets: accepting, pausing without descriptors, shedding when overloaded."""
+"""The listening sockets: accept connections, pause without free descriptors, shed connections under overload."""
 
 from __future__ import annotations
 
@@ -11,31 +11,36 @@
 from tornado import netutil
 from tornado.ioloop import IOLoop
 
-BACKLOG = 256  # a connection that is not accepted yet may already hold a request, whose deadline runs
+BACKLOG = 256  # a connection in the backlog may already carry a request whose deadline approaches
 ACCEPT_RETRY_S = 0.06  # pause of a listener that cannot accept; longer than `limits.IN_FLIGHT_S`
-MAX_ACCEPTS_PER_TURN = 16  # so that a flood of new connections does not keep the loop from the open ones
-MAX_ACCEPT_DELAY_S, MAX_SHEDS_PER_TURN = 0.2, 256  # after so long an overload, new connections are closed at once
-HARMLESS_ACCEPT_ERRNOS = (errno.EAGAIN, errno.ECONNABORTED, errno.EINTR, errno.EPROTO)  # none is pending, or the peer left
+MAX_ACCEPTS_PER_TURN = 16  # so that a flood of new connections does not block the event loop for the open ones
+MAX_ACCEPT_DELAY_S, MAX_SHEDS_PER_TURN = 0.2, 256  # if the backlog is not empty for this long, new connections are closed
+HARMLESS_ACCEPT_ERRNOS = (
+    errno.EAGAIN,
+    errno.ECONNABORTED,
+    errno.EINTR,
+    errno.EPROTO,
+)  # none is pending, or the peer has closed it
 
 
 class AcceptedConnections(Protocol):
-    """What a listener needs of the owner of the connections that it accepts."""
+    """The interface that a listener requires of the owner of the accepted connections."""
 
     def has_capacity(self) -> bool:
-        """Return whether one more connection may be accepted, after freeing a descriptor if needed and possible."""
+        """Return whether another connection may be accepted, after freeing a descriptor if necessary and possible."""
 
     def free_descriptor(self) -> bool:
         """Return whether a connection was dropped to free its descriptor."""
 
     def add(self, sock: socket.socket) -> None:
-        """Take over an accepted socket."""
+        """Add an accepted socket."""
 
     def count(self, counter: str) -> None:
         """Increment a counter."""
 
 
 class ConnectionListener:
-    """Accepts connections for their owner; pauses while there is no descriptor for them.
+    """Accepts connections for their owner; pauses while no descriptor is free.
 
     Args:
         owner: Owner of the accepted connections.
@@ -46,7 +51,7 @@
         self.owner = owner
         self.clock = clock
         self.sockets: list[socket.socket] = []
-        self.backlogged_since = math.inf  # since then more connections were pending than were accepted
+        self.backlogged_since = math.inf  # time since which the backlog was never emptied
 
     def open(self, host: str, port: int) -> int:
         """Start listening and return the bound port."""
@@ -73,7 +78,7 @@
         is_overloaded = now - self.backlogged_since > MAX_ACCEPT_DELAY_S
         for _ in range(MAX_SHEDS_PER_TURN if is_overloaded else MAX_ACCEPTS_PER_TURN):
             if not self.owner.has_capacity():
-                self._pause(listener)  # accepted and closed it would fail; in the backlog it may be served in time
+                self._pause(listener)  # closed after accept it would fail; in the backlog it may still be served in time
                 return
             try:
                 sock = listener.accept()[0]
@@ -84,14 +89,14 @@
                 self.backlogged_since = math.inf
                 return
             if is_overloaded:
-                # Closed before any of its requests ran, the caller knows that it failed, and the others get responses.
+                # The caller sees that no request of it ran, and the other callers get their responses.
                 self.owner.count("connections_shed")
                 sock.close()
             else:
                 self.owner.add(sock)
 
     def _pause(self, listener: socket.socket) -> None:
-        """Stop watching for a while: an event loop whose listener stays readable would do nothing else."""
+        """Stop watching the listener for a while: as it stays readable, the event loop would spin on it."""
         self.owner.count("accepts_paused")
         self.backlogged_since = math.inf
         IOLoop.current().remove_handler(listener)
--- a/mulleinhatch/instance/transport/message_exchange.py
+++ b/mulleinhatch/instance/transport/message_exchange.py
@@ -1,4 +1,4 @@
-"""Reading one message of a connection, handing it over, and waiting for its response."""
+"""Reading one message of a connection, passing it to the observer, and waiting for its response."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MessageExchange:
-    """The steps of a connection's coroutine.
+    """The processing steps of a connection's coroutine.
 
     Args:
         observer: Receives the messages.
@@ -53,8 +53,8 @@
             was_started = reader.started()
             free = reader.free_space()
             if not free:
-                # A read into nothing completes at once, without suspending: this coroutine would block the event loop.
-                raise BufferError("no room for the rest of a message")
+                # A read into an empty buffer completes without suspending: this coroutine would block the event loop.
+                raise BufferError("no buffer space for the rest of a message")
             reader.filled(await stream.read_into(free, partial=True))
             if not was_started:
                 connection.deadline = self.clock() + MESSAGE_TIMEOUT_S
@@ -69,19 +69,19 @@
         self.observer.on_message(connection.number, *message)
         await connection.response_written.wait()
         if stream.writing():
-            # A peer that does not read its responses gets no further ones: they would pile up in memory.
+            # A peer that does not read its responses gets no further ones, which would accumulate in memory.
             connection.deadline = self.clock() + MESSAGE_TIMEOUT_S
             await stream.write(b"")
         if connection.bad_request_count:
             await asyncio.sleep(BAD_REQUEST_PAUSE_S * min(connection.bad_request_count, MAX_BAD_REQUESTS))
         elif reader.started():
-            await asyncio.sleep(0)  # a peer that pipelines takes turns with the others
+            await asyncio.sleep(0)  # lets other connections run before the next pipelined message
         connection.deadline = self.clock() + MESSAGE_TIMEOUT_S if reader.started() else math.inf
 
     def answer_early(self, connection: Connection) -> bool:
         """Return whether what has arrived was answered without waking the connection's coroutine.
 
-        During a retry storm this rejects a retry at a small part of the cost of parsing it completely.
+        During a retry storm this rejects a retry at a fraction of the cost of parsing it completely.
         """
         if (
             not self.is_answering_early
--- a/mulleinhatch/instance/transport/observer.py
+++ b/mulleinhatch/instance/transport/observer.py
@@ -1,4 +1,4 @@
-"""What the owner of the listener's connections implements."""
+"""The interface that the owner of the listener's connections implements."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         """Handle a complete message, as the connection's reader returned it. A response is due: `Connections.respond`."""
 
     def on_malformed_message(self, number: int, error: ValueError) -> None:
-        """Handle bytes that are no message. A response is due, and it must be the last one."""
+        """Handle malformed bytes. A response is due, and it must be the last one."""
 
     def on_slow_message(self, number: int) -> None:
         """Handle a message that was not complete in time. A response is due, and it must be the last one."""
@@ -24,13 +24,13 @@
         """Handle a connection that ended while a response was due."""
 
     def answer_early(self, number: int, now: float, data: bytes, retry_at: float) -> tuple[bytes, float] | None:
-        """Answer unparsed bytes at once, if early answers are enabled and the bytes are enough to reject the request.
+        """Answer unparsed bytes at once, if early answers are enabled and the bytes suffice to reject the request.
 
         Args:
             number: The connection.
             now: Current time.
             data: Bytes that have arrived; they may be part of a message.
-            retry_at: When the connection's last response asked its caller to retry; 0 if none did.
+            retry_at: Time at which the connection's last response asked its caller to retry; 0 if it did not.
 
         Returns:
             The response and the time at which it asks the caller to retry, or None to process the message as usual.
--- a/mulleinhatch/instance/transport/peer_connections.py
+++ b/mulleinhatch/instance/transport/peer_connections.py
@@ -1,4 +1,4 @@
-"""Client connections to peers, reused, with one request at a time on each."""
+"""Reused client connections to peers, with one request at a time on each."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from mulleinhatch.instance.transport.stream import GatheringStream
 
-CONNECT_TIMEOUT_S = 0.5  # a peer that is gone may not answer at all, and the request has little time
+CONNECT_TIMEOUT_S = 0.5  # a dead peer may not respond at all, and the request has little time left
 MAX_HEAD_BYTES = 8192
-MAX_IDLE_S = 5.0  # an idle connection is closed after it
-MAX_INTERIM_RESPONSES = 8  # status 1xx, before the final response
+MAX_IDLE_S = 5.0  # after which an idle connection is closed
+MAX_INTERIM_RESPONSES = 8  # responses with status 1xx before the final response
 
 
 class ConnectFailedError(OSError):
-    """No byte of the request was sent: no peer can have run it."""
+    """No byte of the request was sent, so no peer can have executed it."""
 
 
 class ConnectionLostError(OSError):
@@ -26,7 +26,7 @@
 
 
 class ParsedHead(Protocol):
-    """What the head of a response says about the bytes that follow."""
+    """The fields of a response head that determine how the following bytes are read."""
 
     @property
     def status(self) -> int:
@@ -46,7 +46,7 @@
 
     Args:
         max_per_peer: Limit of open connections to one peer.
-        parse_head: Parses the head of a response; raises ValueError if it is none.
+        parse_head: Parses the head of a response; raises ValueError if it is malformed.
         clock: Monotonic time in seconds.
     """
 
@@ -83,7 +83,7 @@
             )
             if stream.has_buffered_input():
                 # Its length is wrong, or the response belongs to an earlier request.
-                raise ConnectionLostError("more came than one answer")
+                raise ConnectionLostError("unexpected bytes after the response")
             is_reusable = not head.closes_connection
             return head.status, body
         except (TimeoutError, OSError, StreamClosedError, UnsatisfiableReadError, ValueError) as error:
@@ -92,20 +92,20 @@
             self._release(address, stream, is_reusable)
 
     async def _read_head(self, stream: GatheringStream, deadline: float) -> ParsedHead:
-        """Return the head of the final response; interim responses before it carry no result."""
+        """Return the head of the final response; preceding interim responses carry no result."""
         for _ in range(MAX_INTERIM_RESPONSES):
             head = await asyncio.wait_for(stream.read_until(b"\r\n\r\n", max_bytes=MAX_HEAD_BYTES), deadline - self.clock())
             parsed = self.parse_head(head)
             if not 100 <= parsed.status < 200:
                 return parsed
-        raise ConnectionLostError("one interim answer after another")
+        raise ConnectionLostError("too many interim responses")
 
     async def _acquire(self, address: str, timeout_s: float) -> GatheringStream:
-        """Return an idle connection that the peer has not closed meanwhile, else a new one."""
+        """Return an idle connection that the peer has not closed, else a new one."""
         idle = self.idle.get(address, [])
         while idle:
             since, stream = idle.pop()
-            # Input without a request is the peer's close or a protocol error: a request written there would be lost.
+            # Input without a request is the peer's close or a protocol error; a request written there would be lost.
             if (
                 not stream.closed()
                 and not stream.has_buffered_input()
@@ -115,7 +115,7 @@
                 return stream
             self._close(address, stream)
         if self.open.get(address, 0) >= self.max_per_peer:
-            raise ConnectFailedError("as many connections as are kept to a peer are in use")
+            raise ConnectFailedError("connection limit of the peer reached")
         self.open[address] = self.open.get(address, 0) + 1
         stream = GatheringStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         host, _, port = address.rpartition(":")
@@ -130,7 +130,7 @@
 
     @staticmethod
     def _has_input_or_end(stream: GatheringStream) -> bool:
-        """Return whether the peer has sent something, closed or reset."""
+        """Return whether the peer has sent bytes, closed or reset the connection."""
         try:
             stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -153,7 +153,7 @@
             self.idle.pop(address, None)
 
     def close_idle(self) -> None:
-        """Close the connections that were idle for too long."""
+        """Close connections that were idle for too long."""
         for address, idle in list(self.idle.items()):
             old = [stream for since, stream in idle if self.clock() - since >= MAX_IDLE_S or stream.closed()]
             self.idle[address] = [(since, stream) for since, stream in idle if stream not in old]
@@ -161,7 +161,7 @@
                 self._close(address, stream)
 
     def close(self) -> None:
-        """Close all idle connections; the others are closed by the end of their requests."""
+        """Close all idle connections; the others are closed when their requests end."""
         for idle in list(self.idle.values()):
             for _, stream in idle:
                 stream.close()
--- a/mulleinhatch/instance/transport/reconnecting_link.py
+++ b/mulleinhatch/instance/transport/reconnecting_link.py
@@ -1,4 +1,4 @@
-"""A line-based client connection that is reconnected whenever it ends."""
+"""A line-based client connection that reconnects whenever it ends."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 LOG = logging.getLogger(__name__)
 MIN_RETRY_S, MAX_RETRY_S = 0.02, 0.5  # pause between attempts to connect; doubled each time, with jitter of one half
-CONNECT_TIMEOUT_S = 1.0  # for one attempt: a host that is gone may not answer at all
-MAX_LINE_BYTES = 1 << 20  # far beyond any valid line, so that a damaged one is read and skipped and does not end the link
+CONNECT_TIMEOUT_S = 1.0  # for one attempt: a dead host may not respond at all
+MAX_LINE_BYTES = 1 << 20  # far above any valid line, so that a malformed line is read and skipped instead of ending the link
 
 
 class ReconnectingLink:
-    """A connection that always leads to the address set last.
+    """A connection to the most recently set address.
 
-    A change of the address ends the attempt or pause that concerns the old one. An established connection serves until its
+    A change of the address ends the attempt or pause for the old one. An established connection stays in use until its
     successor at the new address is established.
 
     Args:
@@ -57,12 +57,12 @@
                 self.successor = None
 
     async def _connect(self) -> tuple[tuple[str, int], GatheringStream]:
-        """Return a connected stream and its address, which was the current one when the connection was established."""
+        """Return a connected stream and its address, which was current when the connection was established."""
         while True:
             address, stream = self.address, None
             self.address_changed.clear()
             try:
-                # Creating the socket fails without a free descriptor: that must lead to a pause as well.
+                # Creating the socket fails without a free descriptor, which must also lead to a pause.
                 stream = self.pending_stream = GatheringStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
                 await asyncio.wait_for(stream.connect(address), CONNECT_TIMEOUT_S)
                 if address == self.address:
@@ -103,7 +103,7 @@
                 await self._wait_before_retry()
 
     def change_address(self, host: str, port: int) -> None:
-        """Set the address; the old connection serves until the new one is established."""
+        """Set the address; the old connection stays in use until the new one is established."""
         if (host, port) == self.address:
             return
         self.address, self.retry_s = (host, port), MIN_RETRY_S
--- a/mulleinhatch/instance/transport/stream.py
+++ b/mulleinhatch/instance/transport/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's IOStream with gathered writes, which ignores its peer while a response is due."""
+"""Tornado's IOStream with gathered writes, which stops reading while a response is due."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-READ_CHUNK_BYTES = 8192  # read at once where no buffer is given; small, because each read allocates and clears a new one
+READ_CHUNK_BYTES = 8192  # size of a read without a given buffer; small, because each read allocates and clears a new one
 TCP_CLOSE_STATE = 7  # first byte of TCP_INFO for a socket that its peer has reset (Linux, `tcp_states.h`)
 
 
@@ -19,7 +19,7 @@
     """A stream with gathered writes, a pause of reading, and an interceptor of arriving bytes.
 
     Attributes:
-        read_interceptor: Called when bytes arrive and nothing else happens; returns whether it consumed them.
+        read_interceptor: Called when the only event is that bytes arrived; returns whether it consumed them.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -31,7 +31,7 @@
     def pause_reading(self) -> None:
         """Read nothing until the next `read_into`.
 
-        IOStream takes a close of the peer's side for a lost connection; a half-closed peer must still get its response.
+        IOStream treats a close of the peer's side as a lost connection; a half-closed peer must still get its response.
         """
         self.is_reading_paused = self.has_paused_reading = True
 
@@ -43,7 +43,7 @@
     def _try_inline_read(self) -> None:
         """Skip IOStream's read before it waits, except on a new connection.
 
-        Later requests are sent after a response, so that read would find nothing: a system call and an exception per request.
+        Later requests follow a response, so that read would find no bytes and cost a system call and an exception per request.
         """
         if self.has_paused_reading and not self.closed() and self._find_read_pos() is None:
             self._add_io_state(IOLoop.READ)
@@ -70,7 +70,7 @@
         return struct.unpack("B", self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1))[0] == TCP_CLOSE_STATE
 
     def has_unread(self) -> bool:
-        """Return whether bytes have arrived that were not read yet: a close would lose them and send a reset.
+        """Return whether bytes have arrived that have not been read: a close would lose them and send a reset.
 
         False on a closed stream, whose coroutine may not have run since.
         """
@@ -86,7 +86,7 @@
         return self._read_buffer_size > 0
 
     def shut_down_writing(self) -> None:
-        """Close our side after all pending writes, so that no response is truncated; reading stays possible."""
+        """Close the local side after all pending writes, so that no response is truncated; reading stays possible."""
         if self.closed():
             return
         if self.writing():
@@ -110,7 +110,7 @@
     def write_gathered(self, chunks: Sequence[bytes]) -> None:
         """Write the chunks in one system call without joining them.
 
-        Only what the socket does not accept is copied to IOStream's buffer, or everything while older bytes wait there.
+        Only bytes that the socket does not accept are copied to IOStream's buffer, or all bytes while older ones wait there.
 
         Raises:
             StreamClosedError: The connection has ended.
