--- a/control_plane.py
+++ b/control_plane.py
@@ -1,4 +1,4 @@
-"""Start a control plane: `python3 control_plane.py`. The variable MULLEINHATCH_NODE_FILE names its settings file."""
+"""Start a control plane: `python3 control_plane.py`. MULLEINHATCH_NODE_FILE in the environment names its settings file."""
 
 import sys
 from pathlib import Path
--- a/data_plane.py
+++ b/data_plane.py
@@ -1,4 +1,4 @@
-"""Start a data plane: `python3 data_plane.py`. The variable MULLEINHATCH_NODE_FILE names its settings file."""
+"""Start a data plane: `python3 data_plane.py`. MULLEINHATCH_NODE_FILE in the environment names its settings file."""
 
 import sys
 from pathlib import Path
--- a/mulleinhatch/__main__.py
+++ b/mulleinhatch/__main__.py
@@ -1,4 +1,4 @@
-"""mulleinhatch: one service instance that decides which ops it takes, runs and turns away.
+"""mulleinhatch: one service instance that decides which requests it admits, runs and rejects.
 
 Usage:
   mulleinhatch serve [--config FILE] [--operator FILE] [--log LEVEL]
@@ -27,39 +27,39 @@
   mulleinhatch (-h | --help)
 
 Options:
-  --config FILE    What the instance is told at start, as JSON; else the file that NODE_CONFIG names.
-  --operator FILE  The operator's own file, as KDL; without one the usual bounds hold.
-  --at HOST:PORT   Where the instance's callers connect; else `status` of the fleet in the operator's file.
-  --fault FILE     What goes wrong in the demo, as a fault script; else a kill for 6 s.
-  --seconds N      How long the demo or a search lasts, or a plot looks [default: 60].
+  --config FILE    Settings of the instance, as JSON; else the file that NODE_CONFIG names.
+  --operator FILE  The operator's file, as KDL; without one the defaults apply.
+  --at HOST:PORT   Address on which the instance serves clients; else `status` of the fleet in the operator's file.
+  --fault FILE     Fault script of the demo; else the instance is killed for 6 s.
+  --seconds N      Duration of the demo or a search, or time span of a plot [default: 60].
   --seed N         The first seed of a search; else 1.
-  --live           The table live.
-  --control HOST:PORT  Where the instance listens for upkeep; else `control` in the operator's file.
-  --zone Z         All of that zone.
-  --all            All that are there.
-  --for TIME       How long it will be out: 90, 20m or 1.5h.
-  --by TIME        To be done within that time.
-  --reason TEXT    Why, for people and for the log.
-  --emergency      Before all others, within the bound.
-  --over-the-bound TEXT  The reason to take one more out than the bound allows.
-  --plot FILE      A heat map of who was busy when, as PNG.
-  --out FILE       Where a trace that is made goes; a new file.
-  --offset NODE=S  Seconds to be added to a node's system clock.
-  --key FILE       The key of the aliases, 16 bytes or more; the same one gives the same aliases.
-  --since S        From that second of the instance's clock on, as trace info tells it.
-  --until S        Up to that second.
-  --tenant NAME    Of the ops, those of this tenant.
-  --op-type NAME   Of the ops, those of this type.
-  --op ID          One op, all that became of it.
-  --json           The sums as JSON, by second too.
-  --against TEXT   Another text of the module, a Python file: what it would have decided.
-  --log LEVEL      The least that is logged: debug, info, warning or error [default: info].
-  -h --help        This text.
+  --live           Refresh the table continuously.
+  --control HOST:PORT  Address on which the instance serves upkeep; else `control` in the operator's file.
+  --zone Z         All instances of that zone.
+  --all            All known instances.
+  --for TIME       Expected duration of the outage: 90, 20m or 1.5h.
+  --by TIME        Time within which it must be done.
+  --reason TEXT    Reason, shown to people and written to the log.
+  --emergency      Ahead of all other requests, within the bound.
+  --over-the-bound TEXT  Reason for taking one more instance out than the bound allows.
+  --plot FILE      Heat map of the load of each instance over time, as PNG.
+  --out FILE       New file to write the result to.
+  --offset NODE=S  Seconds to add to a node's system clock.
+  --key FILE       Key of the aliases, 16 bytes or more; the same key gives the same aliases.
+  --since S        First second on the instance's clock, as shown by trace info.
+  --until S        Last second on the instance's clock.
+  --tenant NAME    Only requests of this tenant.
+  --op-type NAME   Only requests of this type.
+  --op ID          Only this request, with all its records.
+  --json           The totals as JSON, also per second.
+  --against TEXT   Python file of another version of the module, to compare its decisions.
+  --log LEVEL      Lowest level that is logged: debug, info, warning or error [default: info].
+  -h --help        Show this text.
 
-serve keeps to the foreground until SIGTERM and the end of its grace; SIGUSR1 logs the counters,
-SIGHUP has the file read again: vm, lookup, stop_ms and limits.sockets are taken over.
-check reads what serve would be told and names the faulty key. counters asks a running instance for its own.
-demo starts an instance with stand-ins round it, on loopback, and shows how it comes through an outage.
+serve runs in the foreground until SIGTERM and the end of the grace period; SIGUSR1 logs the counters,
+SIGHUP reloads the file: vm, lookup, stop_ms and limits.sockets take effect.
+check validates the settings of serve and names a faulty key. counters prints the counters of a running instance.
+demo starts an instance with simulated peers on loopback and shows how it handles an outage.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 import sys
 from importlib import import_module
 
-if sys.argv[1:2] == ["serve"]:  # what is imported below takes its time, in which a signal may come
+if sys.argv[1:2] == ["serve"]:  # the imports below take time, during which a signal may arrive
     from mulleinhatch.instance.runtime import signals
 
     signals.remember_early_signals()
--- a/mulleinhatch/console.py
+++ b/mulleinhatch/console.py
@@ -1,4 +1,4 @@
-"""Start the system's command line by the name that operators know: `python -m mulleinhatch.console COMMAND`."""
+"""Entry point of the system's command line for operators: `python -m mulleinhatch.console COMMAND`."""
 
 from mulleinhatch.cli.system.__main__ import main
 
--- a/mulleinhatch/instance/deployment_settings.py
+++ b/mulleinhatch/instance/deployment_settings.py
@@ -1,7 +1,7 @@
 """Parsing of the deployment settings of a service instance into `admission.interface.Deployment`.
 
-A settings table maps each settings key to a field of the deployment and the function that converts its text. A key that is
-missing in the settings is left out of the result; a key that is in no table is ignored.
+A settings table maps each settings key to a field of the deployment and the function that converts its text. Keys missing in
+the settings are omitted from the result; keys that are in no table are ignored.
 """
 
 from __future__ import annotations
@@ -116,7 +116,7 @@
 
 
 def format_setting(value: Any) -> str:
-    """Return the text of a JSON value, as it would stand in a profile line."""
+    """Return the text of a JSON value, as written in a profile line."""
     return str(value).lower() if isinstance(value, bool) else "" if value is None else str(value)
 
 
--- a/mulleinhatch/instance/protocol/directory_reports.py
+++ b/mulleinhatch/instance/protocol/directory_reports.py
@@ -1,4 +1,4 @@
-"""Reports to the directory: one datagram each."""
+"""Reports to the directory, one datagram each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def write_report(name: str, is_open: bool) -> bytes:
-    """Return the datagram that says whether an instance takes work.
+    """Return the datagram that reports whether an instance accepts requests.
 
     >>> write_report("n3", True)
     b'PULSE n3 open'
--- a/mulleinhatch/instance/protocol/http_peers.py
+++ b/mulleinhatch/instance/protocol/http_peers.py
@@ -1,4 +1,4 @@
-"""HTTP between an instance and its peers, and to its dependency: requests to send, heads of the responses."""
+"""HTTP from an instance to its peers and its dependency: serialized requests, parsed response heads."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from mulleinhatch.instance.protocol.http_requests import MIN_MEMORY_KB, NUMBER, IncomingRequest
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, BadRequestError
 
-DECIMAL_PLACES = 15  # the most digits after the point that `parse_decimal` reads
-MAX_RANK = 1.0 - 1e-15  # the highest that can be written with these places
+DECIMAL_PLACES = 15  # maximum number of digits after the point that `parse_decimal` accepts
+MAX_RANK = 1.0 - 1e-15  # highest rank that can be written with this precision
 NEIGHBOUR_FLOATS = 4  # floats tried on either side of a converted value
 MAX_RESULT_BYTES = 65536  # longest response body of a peer
 STATUS_LINE = re.compile(rb"HTTP/1\.1 ([0-9]{3}) [^\r\n]*\r\n")
@@ -19,7 +19,7 @@
 
 
 class ResponseHead(NamedTuple):
-    """What counts of a response's head."""
+    """The evaluated fields of a response head."""
 
     status: int
     body_length: int
@@ -47,7 +47,7 @@
 def write_handover_request(request: IncomingRequest, body: bytes, now: float, offer: int, host: str) -> list[bytes]:
     """Serialize the request that hands a client's request over to a peer, in the clients' own protocol.
 
-    Key and numbers are written so that the peer parses the client's exact values: by them it recognizes a retry of the client.
+    Key and numbers are written so that the peer parses the client's exact values, by which it recognizes a retry of the client.
 
     Args:
         request: The client's request; `remaining_wait_s` is the time that the peer may take, 0 for no limit.
@@ -78,8 +78,7 @@
     """Parse the head of a peer's response. An interim response (1xx) has no body.
 
     Raises:
-        BadRequestError: It is no response head, or it leaves open which bytes are its body (a second response could hide
-        there).
+        BadRequestError: It is no response head, or the length of its body is ambiguous (a second response could hide there).
 
     >>> parse_response_head(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
     ResponseHead(status=103, body_length=0, closes_connection=False)
@@ -110,7 +109,7 @@
 
 
 def write_dependency_call(ref: str, query: bytes, wait_ms: float, host: str) -> list[bytes]:
-    """Serialize a call of the dependency: the query unchanged, with the time that is left for it."""
+    """Serialize a call of the dependency: the unchanged query, with the time that remains for it."""
     return [
         b"POST %b HTTP/1.1\r\nHost: %b\r\nRequest-Ref: %b\r\nStatement-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n"
         % (CALL_PATH, host.encode(), ref.encode("latin-1"), max(1, int(wait_ms)), len(query)),
--- a/mulleinhatch/instance/protocol/http_requests.py
+++ b/mulleinhatch/instance/protocol/http_requests.py
@@ -1,6 +1,6 @@
-"""HTTP requests of clients: parsed in the buffer that the socket filled, completely or by one pass over their plain form.
+"""HTTP requests of clients: parsed in the receive buffer, either completely or, in the common form, by one regular expression.
 
-Strict wherever two readings of the same bytes are possible, because a second request could be hidden there. Source: RFC 9112.
+Strict wherever the same bytes could be interpreted in two ways, because a second request could hide there. Source: RFC 9112.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 REQUEST_ID = re.compile(rb"[0-9A-Fa-f]{16}")
 MAX_DURATION_S = 3600.0  # longest age, timeout or cost that is accepted
 MIN_MEMORY_KB, MAX_MEMORY_KB = 1e-9, 2000.0  # memory that a request may reserve
-CLOCK_SLACK_S = 1.0  # how far a client's clock may be ahead of ours
+CLOCK_SLACK_S = 1.0  # how far a client's clock may be ahead of the local clock
 SINGLE_FIELDS = (b"content-length", b"transfer-encoding", b"connection", b"host", b"idempotency-key")
-HANDOVER_FIELD = b"x-hand"  # set by a peer that hands a request over: number of the capacity offer, 0 for none
+HANDOVER_FIELD = b"x-hand"  # set by a peer that hands a request over; number of the capacity offer, 0 if none
 REQUEST_PATH, HEALTH_PATH, COUNTERS_PATH, FLEET_PATH = b"/svc/", b"/status/live", b"/status/counters", b"/status/fleet"
 
 
 class IncomingRequest(NamedTuple):
-    """One request of a client, as the reducer takes it. A tuple, because one is made for every request.
+    """One request of a client, with the arguments of the reducer. A tuple, because one is created for every request.
 
     Attributes:
         request_id: 16 hexadecimal digits, chosen by the client.
@@ -37,7 +37,7 @@
         cost_s: Estimated run time in seconds; 0 if unknown.
         memory_kb: Memory that the run needs.
         is_retry: Whether the client marked it as a retry.
-        key: Idempotency key, or the object that it works on.
+        key: Idempotency key, or the object that the request works on.
         rank: Rank within its importance, from 0 to below 1.
     """
 
@@ -55,7 +55,7 @@
 
 
 class PlainRequest(NamedTuple):
-    """What `parse_plain_request` reads of a request without parsing it completely."""
+    """The fields that `parse_plain_request` reads without parsing a request completely."""
 
     request_id: str
     request_type: str
@@ -91,11 +91,11 @@
         self.view = memoryview(self.buffer)
 
     def free_space(self) -> memoryview:
-        """Return the free part of the buffer; it is grown or shrunk first where that is due."""
+        """Return the free part of the buffer, after growing or shrinking the buffer if necessary."""
         if self.end == len(self.buffer):
-            begun = self.buffer
+            old_buffer = self.buffer
             self._allocate(MAX_HEAD_BYTES + MAX_BODY_BYTES)
-            self.buffer[: self.end] = begun
+            self.buffer[: self.end] = old_buffer
         elif not self.end and len(self.buffer) > INITIAL_BUFFER_BYTES:
             self._allocate(INITIAL_BUFFER_BYTES)
         return self.view[self.end :]
@@ -115,16 +115,16 @@
             Method, path, header fields by lower-case name, and body.
 
         Raises:
-            BadRequestError: The bytes are no request; where the next one begins is unknown.
+            BadRequestError: The bytes are no valid request; the start of the next one is unknown.
         """
         while self.end >= len(LINE_END) and self.view[: len(LINE_END)] == LINE_END:
             self._shift(len(LINE_END))  # RFC 9112, 2.2: some senders add an empty line after a body
         head_end = self.buffer.find(HEAD_END, max(0, self.searched - len(HEAD_END)), self.end)
         if head_end < 0:
-            return self._no_head_yet()
+            return self._check_incomplete_head()
         if head_end + len(HEAD_END) > MAX_HEAD_BYTES:
-            # The buffer holds the longest head and body together. A longer head that arrived in one read would leave no room
-            # for the rest of its body, and the reader would wait for bytes that it cannot take.
+            # The buffer fits the longest head plus the longest body. A longer head that arrived in one read would leave no
+            # space for the rest of its body, and the reader would wait for bytes that it cannot store.
             raise BadRequestError("head too long", 431)
         line_end = self.buffer.find(LINE_END, 0, head_end + len(LINE_END))
         request_line = bytes(self.view[:line_end]).split(b" ")
@@ -142,15 +142,15 @@
         self._shift(body_end)
         return request_line[0], request_line[1], fields, body
 
-    def _no_head_yet(self) -> None:
+    def _check_incomplete_head(self) -> None:
         if BARE_LINE_FEED.search(self.buffer, max(0, self.searched - 1), self.end):
-            raise BadRequestError("line end")  # a sender that ends lines so would wait for an answer for ever
+            raise BadRequestError("line end")  # a sender that ends lines this way would wait for a response forever
         if self.end > MAX_HEAD_BYTES:
             raise BadRequestError("head too long", 431)
         self.searched = self.end
 
     def _fields(self, start: int, end: int) -> dict[bytes, bytes]:
-        """Parse the header lines; a field that is evaluated must not be repeated."""
+        """Parse the header lines; evaluated fields must not be repeated."""
         if not HEAD_LINES.fullmatch(self.buffer, start, end):
             raise BadRequestError("header line")
         fields: dict[bytes, bytes] = {}
@@ -165,7 +165,7 @@
     @staticmethod
     def _length(fields: dict[bytes, bytes]) -> int:
         if b"transfer-encoding" in fields:
-            # With a length beside it a second request may hide in the body (RFC 9112, 11.2).
+            # Together with a content length, a second request may hide in the body (RFC 9112, 11.2).
             raise BadRequestError("transfer coding", 400 if b"content-length" in fields else 411)
         length = fields.get(b"content-length", b"0")
         if not length.isdigit():
@@ -175,31 +175,29 @@
         return int(length)
 
     def _shift(self, taken: int) -> None:
-        """Drop the bytes of the request and move the rest to the front of the buffer."""
+        """Remove the bytes of the request and move the rest to the front of the buffer."""
         rest = self.end - taken
         if rest:
             self.buffer[:rest] = self.buffer[taken : self.end]
         self.end, self.searched = rest, 0
 
 
-PLAIN_REQUEST = (
-    re.compile(  # one pass of the regular expression engine; fields that only the full parser may judge do not match
-        rb"(?i)POST /svc/([^ ?/\r\n]+) HTTP/1\.1\r\n(?:X-(?:Request-Id: ([0-9a-f]{16})|Caller: ([0-9]{1,9})|Retry: (1)|"
-        rb"Tenant: ([^\r\n]*)|Object: ([^\r\n]*)|(?!Request-Id|Caller|Retry|Tenant|Object)[a-z-]+:[^\r\n]*)\r\n|"
-        rb"Content-Length: ([0-9]{1,4})\r\n|Idempotency-Key: ([^\r\n]*)\r\n|"
-        rb"(?!X-|Content-Length|Idempotency-Key|Transfer-|Connection|Expect|Upgrade)[a-z0-9-]+:[^\r\n]*\r\n)*\r\n"
-    )
+PLAIN_REQUEST = re.compile(  # matched in one pass; fields that only the full parser may evaluate do not match
+    rb"(?i)POST /svc/([^ ?/\r\n]+) HTTP/1\.1\r\n(?:X-(?:Request-Id: ([0-9a-f]{16})|Caller: ([0-9]{1,9})|Retry: (1)|"
+    rb"Tenant: ([^\r\n]*)|Object: ([^\r\n]*)|(?!Request-Id|Caller|Retry|Tenant|Object)[a-z-]+:[^\r\n]*)\r\n|"
+    rb"Content-Length: ([0-9]{1,4})\r\n|Idempotency-Key: ([^\r\n]*)\r\n|"
+    rb"(?!X-|Content-Length|Idempotency-Key|Transfer-|Connection|Expect|Upgrade)[a-z0-9-]+:[^\r\n]*\r\n)*\r\n"
 )
 
 
 def parse_plain_request(data: bytes) -> PlainRequest | None:
-    """Parse a request that is complete, alone and in the plain form that clients write, without the full parser.
+    """Parse a complete, single request in the common form, without the full parser.
 
-    Nothing is accepted that could hide a second request: exactly one length, no transfer coding, no bare line feed, no byte too
-    many.
+    Nothing is accepted that could hide a second request: exactly one length, no transfer coding, no bare line feed, no excess
+    bytes.
 
     Returns:
-        The request, or None if the full parser must judge it.
+        The request, or None if the full parser must process it.
 
     >>> parse_plain_request(b"POST /svc/a HTTP/1.1\\r\\nX-Request-Id: 00000000000000aB\\r\\nX-Caller: 4\\r\\nX-Retry: 1\\r\\n"
     ...            b"Content-Length: 2\\r\\n\\r\\nhi")
@@ -228,7 +226,7 @@
 
 
 def parse_plain_figures(data: bytes) -> tuple[float, float, float]:
-    """Return rank, cost in seconds and memory in KB of a plain request, equal to what the full parser reads.
+    """Return rank, cost in seconds and memory in KB of a plain request, with the values that the full parser reads.
 
     >>> parse_plain_figures(b"POST /svc/a HTTP/1.1\\r\\nX-Cost-Ms: 50.00\\r\\nX-Rank: 0.25\\r\\n\\r\\nhi")
     (0.25, 0.05, 0.0)
@@ -256,7 +254,7 @@
         unit: Factor that converts the number to the unit of the result.
 
     Raises:
-        BadRequestError: The field is missing, no decimal number, or out of range.
+        BadRequestError: The field is missing, not a decimal number, or out of range.
 
     >>> parse_decimal({b"x-rank": b"0.5"}, b"x-rank", below=1.0), parse_decimal({}, b"x-rank")
     (0.5, 0.0)
--- a/mulleinhatch/instance/protocol/interpreter_messages.py
+++ b/mulleinhatch/instance/protocol/interpreter_messages.py
@@ -1,6 +1,6 @@
 """Lines of the link to the interpreter: commands out, notices in. Each line is one JSON object.
 
-The words in capitals are the link's own; the pages of the protocol give them.
+The message types in capitals are defined by the interpreter's protocol.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 
 
 def write_resolve(ref: str, result: bytes) -> list[bytes]:
-    """Return the command that hands a run the result of its dependency call."""
+    """Return the command that passes the result of a dependency call to its run."""
     return [f'{{"t":"RESOLVE","rid":{json.dumps(ref)},"status":"good","b64":"'.encode(), b64encode(result), b'"}\n']
 
 
 def write_skip_call(ref: str) -> list[bytes]:
-    """Return the command that lets a run go on without its dependency call."""
+    """Return the command that continues a run without its dependency call."""
     return [f'{{"t":"STUB","rid":{json.dumps(ref)}}}\n'.encode()]
 
 
 def write_gauges_request(number: int) -> list[bytes]:
-    """Return the command that asks for the gauges; the notice that answers carries the same number."""
+    """Return the command that requests the gauges; the notice with the response carries the same number."""
     return [b'{"t":"TOP","mark":"%d"}\n' % number]
 
 
@@ -55,17 +55,17 @@
     return fields
 
 
-def parse_result(fields: dict, wanted: bool) -> bytes:
+def parse_result(fields: dict, is_required: bool) -> bytes:
     """Return the result that a notice carries; empty if there is none.
 
     Raises:
-        ValueError: A result is wanted and missing, or it is not base64 to the last character: decoded as far as possible, a
-            damaged result would be served.
+        ValueError: A required result is missing, or it is not valid base64 throughout: a lenient decoder would serve a
+            damaged result.
 
     >>> parse_result({"b64": "aGk="}, True), parse_result({}, False)
     (b'hi', b'')
     """
-    encoded = fields["b64"] if wanted else fields.get("b64") or ""
+    encoded = fields["b64"] if is_required else fields.get("b64") or ""
     return b64decode(parse_text(encoded), validate=True)
 
 
@@ -73,7 +73,7 @@
     """Return a value that must be text.
 
     Raises:
-        ValueError: It is none.
+        ValueError: It is not text.
     """
     if not isinstance(value, str):
         raise ValueError("no text")
@@ -81,7 +81,7 @@
 
 
 def parse_non_negative_int(value: object) -> int:
-    """Return a whole number that the link sends as a number or as its digits.
+    """Return a whole number that is sent as a number or as a string of digits.
 
     Raises:
         ValueError: It is no whole number, or below zero.
@@ -100,7 +100,7 @@
     """Return a finite number of 0 or more.
 
     Raises:
-        ValueError: It is none.
+        ValueError: It is not such a number.
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < float("inf"):
         raise ValueError("no figure")
--- a/mulleinhatch/instance/request_state_machine/arrivals.py
+++ b/mulleinhatch/instance/request_state_machine/arrivals.py
@@ -10,8 +10,11 @@
 from mulleinhatch.instance.retry_storms.duplicate_detection import RequestFingerprint, request_fingerprint
 from mulleinhatch.instance.retry_storms.request_log import fingerprint
 
-MAX_PARKED_S = 1.0  # how long a retry waits for proof that it is none: a run and the client's next request
-PARKED_MARGIN_S = 0.5  # before its deadline, so that the admission controller has time to decide
+# Longest time that a retry is parked until it is proven to be a different request: a run plus the client's next request.
+MAX_PARKED_S = 1.0
+
+# Seconds before its deadline at which a request is no longer parked, so that the admission controller has time to decide.
+PARKED_MARGIN_S = 0.5
 
 
 class RequestArrivals(ReducerState):
@@ -37,7 +40,7 @@
     ) -> None:
         """Validate a request and admit it, unless it can be answered at once.
 
-        The arguments are not one object: this is the most frequent event, and they come from the parser as they are.
+        The arguments are not grouped into an object: this is the most frequent event, and the parser returns them this way.
         """
         self.counts["ops_read"] += 1
         if self.storms:
@@ -66,19 +69,19 @@
                     is_handed_over,
                 )
                 self.counts["ops_from_peers"] += is_handed_over
-            like = (
+            fingerprints = (
                 request_fingerprint(client_id, request_type, tenant, key, body, rank, cost_s, memory_kb)
                 if self.storms
                 else None
             )
             if (
-                like
+                fingerprints
                 and is_retry
                 and request_type in self.non_retryable_types
-                and self.storms.executed.may_have_executed(now, like, self.storms.duplicates.are_costs_stable(now))
+                and self.storms.executed.may_have_executed(now, fingerprints, self.storms.duplicates.are_costs_stable(now))
             ):
-                return self._park_retry(now, request, like, arguments)
-            self._admit(now, request, like, *arguments)
+                return self._park_retry(now, request, fingerprints, arguments)
+            self._admit(now, request, fingerprints, *arguments)
 
     def _health_check_received(self, now: float, connection_id: int) -> None:
         """Answer a health check."""
@@ -88,7 +91,7 @@
         self.actions.append((Action.SEND_HEALTH, connection_id, self.healthy, self.advice_level))
 
     def _client_disconnected(self, now: float, connection_id: int) -> None:
-        """Record that the client gave the request up."""
+        """Handle the disconnect of a client while its request was pending."""
         request_id = self.request_by_connection.get(connection_id)
         if request_id is None:
             return
@@ -102,7 +105,7 @@
         self,
         now: float,
         request: PendingRequest,
-        like: RequestFingerprint | None,
+        fingerprints: RequestFingerprint | None,
         request_type: str,
         tenant: str,
         age_s: float,
@@ -123,7 +126,7 @@
             self.on_client_request(now, cost_s)
         if self.storms:
             repeat, request.fingerprints = self.storms.duplicates.classify(
-                now, like, is_retry, request_type in self.non_retryable_types
+                now, fingerprints, is_retry, request_type in self.non_retryable_types
             )
             self.storms.record_request(now, client_id, repeat, age_s)
             self.storms.counts["repeats_unmarked"] += repeat and not is_retry
@@ -147,8 +150,8 @@
     def _is_key_in_use(self, now: float, arrived_at: float, request_type: str, tenant: str, key: str, body: bytes) -> bool:
         """Return whether the idempotency key belongs to another, different request.
 
-        Such a request is not a duplicate: answered from the other's result it would get a result that was not made for it,
-        and executed it might take effect twice.
+        Such a request is not a duplicate: answered from the other request's result, it would get a wrong result; executed, it
+        might take effect twice.
         """
         scope = request_type, tenant, key
         if request_type not in self.duplicate_windows or not self.keys.is_known(scope):
@@ -159,8 +162,8 @@
     def _find_original(self, now: float, request: PendingRequest) -> str:
         """Return the id of the request that this one duplicates, or an empty string.
 
-        An original that has not run may still be given up, and this request may take its place. A later duplicate must find
-        it then, so the window is extended from this arrival.
+        An original that has not run may still be dropped, and this request may replace it. Later duplicates must still
+        find the entry of the original, so its window is extended from this arrival.
         """
         if not request.key or not (request_id := self.keys.find_original(request.key_scope, request.arrived_at, now)):
             return ""
@@ -198,32 +201,32 @@
             self.actions.append((Action.ABANDON_CONNECTION, request.connection_id))
             request.connection_id, self.request_by_connection[connection_id] = connection_id, request_id
 
-    def _park_retry(self, now: float, request: PendingRequest, like: RequestFingerprint, arguments: tuple) -> None:
+    def _park_retry(self, now: float, request: PendingRequest, fingerprints: RequestFingerprint, arguments: tuple) -> None:
         """Delay a marked retry of a non-retryable request that may already have executed here.
 
-        If its cost figures are those of that run, it is the retry of it and fails: it cannot be told that the first one took
-        effect, and must not take effect twice. Otherwise it waits until the client is known to have read the answer of the
-        first one: then it is a different request for certain.
+        If its cost figures equal those of that run, it is a retry of it and fails: whether the first attempt took effect cannot
+        be determined, and it must not take effect twice. Otherwise it waits until the client has provably read the response
+        to the first one, which proves that it is a different request.
         """
         until = min(now + MAX_PARKED_S, request.deadline - PARKED_MARGIN_S)
-        if self.storms.executed.may_have_executed(now, like, True) or until <= now:
-            return self._fail_possible_second_run(request, like, now)
-        self.parked_retries[request.request_id] = until, now, request, like, arguments
+        if self.storms.executed.may_have_executed(now, fingerprints, True) or until <= now:
+            return self._fail_possible_second_run(request, fingerprints, now)
+        self.parked_retries[request.request_id] = until, now, request, fingerprints, arguments
         self.actions.append((Action.SET_TIMER, until - now, 0))
 
     def _resolve_parked_retries(self, now: float) -> None:
-        """Admit parked retries that are proven to be different requests, and fail those whose time is up."""
-        for request_id, (until, since, request, like, arguments) in list(self.parked_retries.items()):
+        """Admit parked retries that are proven to be different requests, and fail those whose parking time is over."""
+        for request_id, (until, since, request, fingerprints, arguments) in list(self.parked_retries.items()):
             if request.connection_id is None:
                 del self.parked_retries[request_id]  # the client disconnected
-            elif not self.storms.executed.may_have_executed(now, like, self.storms.duplicates.are_costs_stable(now)):
+            elif not self.storms.executed.may_have_executed(now, fingerprints, self.storms.duplicates.are_costs_stable(now)):
                 del self.parked_retries[request_id]
                 self.storms.counts["retries_told_apart"] += 1
                 request_type, tenant, age_s, remaining_wait_s, *more = arguments
                 self._admit(
                     now,
                     request,
-                    like,
+                    fingerprints,
                     request_type,
                     tenant,
                     age_s + now - since,
@@ -232,12 +235,12 @@
                 )
             elif now >= until:
                 del self.parked_retries[request_id]
-                self._fail_possible_second_run(request, like, now)
+                self._fail_possible_second_run(request, fingerprints, now)
 
-    def _fail_possible_second_run(self, request: PendingRequest, like: RequestFingerprint, now: float) -> None:
+    def _fail_possible_second_run(self, request: PendingRequest, fingerprints: RequestFingerprint, now: float) -> None:
         """Fail a retry that might execute a second time."""
         self.counts["repeats_of_run"] += 1
         self.storms.counts["repeats_of_run_alike"] += self.storms.duplicates.shared.contains(
-            now, like.coarse
-        )  # perhaps of a different request that looks the same
+            now, fingerprints.coarse
+        )  # possibly of a different request that looks the same
         self._respond(now, request, Action.SEND_FAILURE)
--- a/mulleinhatch/instance/request_state_machine/dependency_calls.py
+++ b/mulleinhatch/instance/request_state_machine/dependency_calls.py
@@ -11,7 +11,7 @@
     """Starts, ends and skips the calls that runs wait for."""
 
     def _call_requested(self, now: float, number: int, request_id: str, call_payload: bytes) -> None:
-        """Record that a run waits for a call, which confirms the run and its resumption from the call before."""
+        """Record that a run waits for a call, which confirms its start, or its resumption after the previous call."""
         request = self.requests.get(request_id)
         if not self._accept_notice(now, number, request_id) or request is None or not request.running:
             return
--- a/mulleinhatch/instance/request_state_machine/events.py
+++ b/mulleinhatch/instance/request_state_machine/events.py
@@ -8,11 +8,11 @@
 class Event(Enum):
     """What can happen to a service instance; the comments list the arguments that `Reducer.reduce` takes with each."""
 
-    INTERPRETER_READY = "interpreter ready"  # is it a cold start, seconds since it started
+    INTERPRETER_READY = "interpreter ready"  # is a cold start, seconds since it started
     LINK_OPENED = "link opened"
     MALFORMED_LINE_RECEIVED = "malformed line received"
     # connection id, request id, request type, tenant, age, remaining wait, client id, cost, memory, is retry, key, body, rank,
-    # whether a peer handed it over
+    # is handed over by a peer
     REQUEST_RECEIVED = "request received"
     RUN_ENDED = "run ended"  # notice number, request id, ending, result
     RUN_REJECTED = "run rejected"  # request id
@@ -25,10 +25,10 @@
     HEALTH_CHECK_RECEIVED = "health check received"  # connection id
     CLIENT_DISCONNECTED = "client disconnected"  # connection id
     SHUTDOWN_REQUESTED = "shutdown requested"  # seconds until the stop
-    TENANT_BUDGET_CHANGED = "tenant budget changed"  # tenant, window, pieces: units and when each ends
+    TENANT_BUDGET_CHANGED = "tenant budget changed"  # tenant, window, pieces: units and the end of each
     DEPENDENCY_SHARE_CHANGED = "dependency share changed"  # share
-    PEER_LOAD_CHANGED = "peer load changed"  # free share, judged unhealthy, retries per second, share to redirect
-    PEER_OFFERS_CHANGED = "peer offers changed"  # requests that peers have capacity for now
+    PEER_LOAD_CHANGED = "peer load changed"  # free fraction, is unhealthy, retries per second, fraction to divert
+    PEER_OFFERS_CHANGED = "peer offers changed"  # number of requests that peers currently offer capacity for
     HANDOVER_ENDED = "handover ended"  # request id, ending, result
 
     # Members are singletons. `Enum.__hash__` is Python code and the handler tables are looked up for every event.
@@ -47,8 +47,8 @@
     SEND_FAILURE = "fail"  # connection id, advice level
     SEND_INVALID = "refuse"  # connection id, cause
     SEND_HEALTH = "health"  # connection id, is healthy, advice level
-    ABANDON_CONNECTION = "abandon connection"  # connection id: the answer goes to another one
-    REPORT_AVAILABILITY = "report availability"  # whether the directory shall list this instance as open
+    ABANDON_CONNECTION = "abandon connection"  # connection id: the response is sent on another connection
+    REPORT_AVAILABILITY = "report availability"  # whether the directory lists this instance as open
     SET_EARLY_REJECTION = "set early rejection"  # whether retries may be rejected before they are read in full
     BEGIN_SHUTDOWN = "begin shutdown"  # seconds until the stop
     GREET_INTERPRETER = "greet interpreter"  # number of the last notice
@@ -59,7 +59,7 @@
     SKIP_CALL = "skip call"  # request id: the run continues without its call
     REQUEST_GAUGES = "request gauges"  # mark
     SET_TIMER = "set timer"  # seconds, token
-    SET_IDLE_TIMEOUT = "set idle timeout"  # seconds that an idle connection is kept
+    SET_IDLE_TIMEOUT = "set idle timeout"  # seconds after which an idle connection is closed
     # request id, request type, tenant, body, age, seconds left, client id, cost, memory, is retry, rank, key
     HAND_OVER = "hand over"
 
--- a/mulleinhatch/instance/request_state_machine/interpreter_session.py
+++ b/mulleinhatch/instance/request_state_machine/interpreter_session.py
@@ -8,8 +8,8 @@
 from mulleinhatch.instance.request_state_machine.events import Action
 from mulleinhatch.instance.request_state_machine.runs import RunTracker
 
-RUN_GAP_S = 1.0  # no run ended for so long although some were active: the interpreter was stalled
-MAX_NOTICE_GAP = 4000  # notices that the interpreter stores: a number further ahead is not the next one
+RUN_GAP_S = 1.0  # time without a run end, although runs were active, that counts as an outage of the interpreter
+MAX_NOTICE_GAP = 4000  # notices that the interpreter stores; a number further ahead cannot be the next one
 
 
 class InterpreterSession(RunTracker):
@@ -24,9 +24,9 @@
         self.resync_mark = math.inf
 
     def _malformed_line_received(self, now: float) -> None:
-        """Reconnect the link: it is unknown where the next line begins, and missed notices are sent again.
+        """Reconnect the link: the start of the next line is unknown, and the interpreter resends missed notices.
 
-        A line that is malformed again after the reconnect is skipped, or nothing after it would ever be read.
+        A line that is still malformed after the reconnect is skipped; otherwise nothing after it would ever be read.
         """
         if self.last_notice > self.reconnected_at_notice:
             self.reconnected_at_notice = self.last_notice
@@ -66,10 +66,10 @@
         return request_id in self.requests
 
     def _handle_lost_notices(self, now: float) -> None:
-        """Handle a gap: more notices were sent while the link was down than the interpreter stores.
+        """Handle a gap: while the link was down, the interpreter sent more notices than it stores.
 
         It is unknown which runs ended. They must not execute again, and those that no client waits for, now or after their
-        deadline, must not occupy capacity.
+        deadline, must not occupy slots.
         """
         self.counts["notices_lost"] += 1
         for request in list(self.requests.values()):
--- a/mulleinhatch/instance/request_state_machine/peers.py
+++ b/mulleinhatch/instance/request_state_machine/peers.py
@@ -18,7 +18,7 @@
     """Hands requests over to peers and reports capacity to them."""
 
     def _tenant_budget_changed(self, now: float, tenant: str, window: float, pieces: Sequence[tuple[float, float]]) -> None:
-        """Set the part of a tenant's budget. Kept until the controller exists: a tenant must never run without its limit."""
+        """Set this instance's share of a tenant's budget; stored until the controller exists, so that it always applies."""
         self.tenant_budgets[tenant, window > 0.0] = window, pieces
         if self.controller and tenant in self.tenants:
             self.controller.set_tenant_budget(now, self.tenants[tenant], window, pieces)
@@ -36,7 +36,7 @@
         """Handle a peer's answer to a request that was handed over.
 
         A rejection, or a peer that was never reached, proves that the request did not execute there. A broken connection
-        proves nothing: a request that must not execute twice fails. If no client waits any more, the request is only removed.
+        proves nothing, so a request that must not execute twice fails. If no client waits any more, the request is removed.
         """
         request = self.requests.get(request_id)
         if request is None or not request.is_handed_over:
@@ -44,15 +44,15 @@
         request.is_handed_over = False
         self.handed_over_count -= 1
         self.counts["hand_" + ending.name.lower()] += 1
-        unrun = ending in NOT_EXECUTED_ENDINGS
-        request.may_have_run = request.may_have_run and not unrun
-        if unrun and self.storms:
+        not_executed = ending in NOT_EXECUTED_ENDINGS
+        request.may_have_run = request.may_have_run and not not_executed
+        if not_executed and self.storms:
             self.storms.executed.remove(request_id)
         if request.connection_id is None:
             self._remove_if_finished(now, request)
             return
         self.controller.record_handover_end(now, request_id, ending)
-        if not unrun and not (ending is Ending.INTERRUPTED and request.request_type in self.retryable_types):
+        if not not_executed and not (ending is Ending.INTERRUPTED and request.request_type in self.retryable_types):
             self._respond_to_run(now, request, ending, result)
 
     def _do_hand_over(self, now: float, decision: Decision) -> None:
@@ -68,7 +68,7 @@
             if self.storms and request.request_type in self.non_retryable_types:
                 self.storms.executed.add(now, request.request_id, RequestFingerprint(*request.fingerprints), request.deadline)
             arrived_at, *figures = request.handover_data
-            left = request.deadline - now if request.deadline < math.inf else 0.0
+            remaining_s = request.deadline - now if request.deadline < math.inf else 0.0
             self.actions.append(
                 (
                     Action.HAND_OVER,
@@ -77,31 +77,33 @@
                     request.tenant,
                     request.body,
                     now - arrived_at,
-                    left,
+                    remaining_s,
                     *figures,
                     request.key,
                 )
             )
 
-    def warmth(self, now: float) -> float:
-        """Return the share of full speed that the instance has by the slowest warm-up; 1 once it is warm."""
-        left = (self.warmed_up_at - now) / self.deployment["cold_for"] if now < self.warmed_up_at else 0.0
-        return 1.0 - (1.0 - self.deployment.get("cold_speed", 1.0)) * min(1.0, left)
+    def speed_fraction(self, now: float) -> float:
+        """Return the current fraction of full speed, assuming the slowest warm-up; 1 once the instance is warm."""
+        remaining_fraction = (self.warmed_up_at - now) / self.deployment["cold_for"] if now < self.warmed_up_at else 0.0
+        return 1.0 - (1.0 - self.deployment.get("cold_speed", 1.0)) * min(1.0, remaining_fraction)
 
     def free_capacity(self, now: float) -> int:
-        """Return how many requests could start here at once; 0 if this instance should get no more.
+        """Return how many requests could start here at once; 0 if this instance should receive none.
 
-        During warm-up the concurrency limit counts by the share of full speed: what all peers together send is bounded by
-        this number alone.
+        During warm-up the concurrency limit is scaled by the current speed, because this number is the only bound on what all
+        peers together send.
         """
         if self.controller is None or not self.healthy or self.stop_at is not None or self.storms and self.storms.is_active:
             return 0
-        return max(0, max(1, int(self.controller.limit * self.warmth(now))) - len(self.requests) + self.handed_over_count)
+        return max(
+            0, max(1, int(self.controller.limit * self.speed_fraction(now))) - len(self.requests) + self.handed_over_count
+        )
 
     def advertised_capacity(self, now: float) -> int:
-        """Return the free capacity as reported to peers that guess by it independently of each other.
+        """Return the free capacity as reported to peers, each of which estimates its share of it independently.
 
-        0 during warm-up: the sum of their guesses would overload this instance.
+        0 during warm-up: the sum of their estimates would overload this instance.
         """
         return 0 if now < self.warmed_up_at else self.free_capacity(now)
 
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -1,7 +1,7 @@
 """The request state machine: one event goes in, the actions to perform come out.
 
 No I/O and no clock: the caller passes the monotonic time in seconds with each event. Requests that wait for an answer are
-known by the number of their connection.
+identified by the number of their connection.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.invariants import check
 
-GAUGES_VALID_S = 1.0  # older gauges say nothing about the current load of the cores
+GAUGES_VALID_S = 1.0  # older gauges do not reflect the current load of the cores
 
 
 class Reducer(RequestArrivals, RetryStormControl, DependencyCalls, PeerHandover):
     """The only place where the state of a service instance changes.
 
     `reduce` passes an event to the admission controller, takes the controller's decisions until there are none, and returns
-    the actions that carry them out, in order. Actions are plain tuples of an `Action` and its fields: a few are made for
-    every request, and an object for each would cost processor time.
+    the actions that carry them out, in order. Actions are plain tuples of an `Action` and its fields: every request causes
+    several, and creating an object for each would cost processor time.
 
     Args:
         deployment: Facts about the machine and the request types.
@@ -36,8 +36,7 @@
         seed: Seed of the random draws.
         storms: Bounds of the retry storm detection; None disables it.
         record: Wraps the admission controller, to record its calls. Called with the controller, the time, whether the
-        interpreter
-            started cold, and when it started.
+            interpreter started cold, and when it started.
 
     >>> reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], seed=7)
     >>> def happens(now, *arguments):
@@ -75,8 +74,8 @@
             arguments: As listed beside the members of `Event`.
 
         Returns:
-            The actions to perform, in order. They also stay in `actions` until the next event, for a caller that catches an
-            exception from here and must still perform those made before it.
+            The actions to perform, in order. They also stay in `actions` until the next event, so that a caller that catches
+            an exception from here can still perform the actions that preceded it.
         """
         self.actions = []
         self.event_handlers[event](now, *arguments)
@@ -85,16 +84,16 @@
             if self.parked_retries:
                 self._resolve_parked_retries(now)
         while self.controller and (decision := self.controller.next_decision(now)):
-            name, act = self.decision_handlers[decision.verb]
+            name, handle_decision = self.decision_handlers[decision.verb]
             self.counts[name] += 1
-            act(now, decision)
+            handle_decision(now, decision)
         return self.actions
 
     def _interpreter_ready(self, now: float, cold: bool, since: float) -> None:
         """Create the admission controller, or handle a reconnect or a restart of the interpreter.
 
-        The gauges requested here arrive after all missed notices. Only then is it known which of the last runs never reached
-        the interpreter. Requested before the interpreter is ready, they would never arrive.
+        The gauges requested here arrive after all missed notices; only then is it known which of the last runs never reached
+        the interpreter. Gauges requested before the interpreter is ready would never arrive.
         """
         if self.controller is None:
             if self.record:
@@ -109,16 +108,16 @@
                 self.controller = self.record(self.controller, now, cold, since)
             if self.stop_at is not None:
                 self.controller.begin_drain(now, self.stop_at - now)
-            for (tenant, _), part in list(self.tenant_budgets.items()):
-                self._tenant_budget_changed(now, tenant, *part)
+            for (tenant, _), budget in list(self.tenant_budgets.items()):
+                self._tenant_budget_changed(now, tenant, *budget)
             if self.peer_load:
                 self._peer_load_changed(now, *self.peer_load)
             if self.dependency_share is not None:
                 self._dependency_share_changed(now, self.dependency_share)
         elif now - since > self.interpreter_message_at:
-            # It started after the last message of the previous one, so it is another process.
+            # The interpreter started after its last message was received, so it is a new process.
             if self.last_notice:
-                # The greeting named a notice of the previous process: the new one would withhold its notices up to that number.
+                # The greeting named a notice of the previous process; the new one would skip its notices up to that number.
                 self.actions.append((Action.RECONNECT_LINK,))
             self.last_notice, self.reconnected_at_notice, self.interpreter_message_at = 0, -1, now
             for request in [request for request in self.requests.values() if request.running]:
@@ -134,9 +133,9 @@
             self.controller.handle_wakeup(now, token, self.gauge_readings if fresh else ())
 
     def _shutdown_requested(self, now: float, grace: float) -> None:
-        """Start draining. Only the first request counts: it fixed the time of the stop."""
+        """Start draining. Only the first shutdown request counts, because it sets the time of the stop."""
         if self.stop_at is not None:
-            return  # the first notice counts
+            return  # already draining
         self.healthy, self.stop_at = False, now + grace
         self.actions.append((Action.BEGIN_SHUTDOWN, grace))
         if self.controller:
@@ -153,10 +152,10 @@
         self.actions.append((Action.SET_IDLE_TIMEOUT, decision.seconds))
 
     def _do_wake(self, now: float, decision: Decision) -> None:
-        """Set the timer and request the gauges now: to wait for them when the timer expires would delay answers."""
+        """Set the timer and request the gauges now: waiting for them when the timer expires would delay answers."""
         self._request_gauges()
         self.actions.append((Action.SET_TIMER, decision.seconds, decision.ref))
 
     def _do_unsupported(self, now: float, decision: Decision) -> None:
-        """Report a decision that no action exists for."""
+        """Report a decision that has no corresponding action."""
         check(False, f"the link has no word for {decision.verb.value}")
--- a/mulleinhatch/instance/request_state_machine/runs.py
+++ b/mulleinhatch/instance/request_state_machine/runs.py
@@ -21,7 +21,7 @@
     def _run_rejected(self, now: float, request_id: str) -> None:
         """Handle the interpreter's answer that it does not know the request id.
 
-        The id is not one that this machine received: the client is refused, and the run counts for no measurement.
+        No request with this id was received by this machine: the client gets an error, and no measurement counts the run.
         """
         self.counts["runs_unknown"] += 1
         if request := self.requests.get(request_id):
@@ -33,18 +33,18 @@
             self.keys.forget(request_id)  # nothing ran for its key
 
     def _unreadable_run_end_received(self, now: float, request_id: str) -> None:
-        """Fail a run whose end arrived twice in a form that cannot be read."""
+        """Fail a run whose end notice arrived twice in a malformed form."""
         self.counts["runs_spoilt"] += 1
         self._end_run(now, request_id, Ending.ERROR, b"")
 
     def _gauges_received(self, now: float, mark: int, gauge_readings: Sequence[float]) -> None:
         """Confirm the runs that were started before these gauges were requested.
 
-        The interpreter answers in order. A run that was started before gauges that have arrived has reached it, unless the
-        link was lost in between: a run behind the mark of that time never arrived and is started again.
+        The interpreter answers in order, so a run that was started before the gauges were requested has reached it, unless the
+        link was lost in between: a run still unconfirmed when the first gauges after a reconnect arrive is started again.
         """
         if mark > self.last_gauge_mark:
-            self.counts["notices_strange"] += 1  # never requested: the runs that it would confirm may be in transit
+            self.counts["notices_strange"] += 1  # never requested: the runs that they would confirm may still be in transit
             return
         self.gauge_readings, self.gauges_read_at, self.interpreter_message_at = gauge_readings, now, now
         confirmed_runs = [request_id for request_id, asked in self.unconfirmed_runs.items() if asked < mark]
@@ -89,7 +89,7 @@
             self._respond(now, request, Action.SEND_REJECTION, seconds, decision.flag)
 
     def _do_fail(self, now: float, decision: Decision) -> None:
-        """Answer with a failure; a run whose end was lost is ended as well, or it would occupy its capacity for ever."""
+        """Answer with a failure; a run whose end notice was lost is ended as well, or it would occupy its slot forever."""
         request = self.requests.get(decision.ref)
         check(request and request.connection_id is not None, "only an op that is owed an answer fails")
         if request:
@@ -121,7 +121,7 @@
         self.actions.append((Action.START_RUN, request.request_id, request.request_type, request.body))
 
     def _resume_run(self, request_id: str, action: tuple) -> None:
-        """Resume a run, and repeat that until gauges confirm it: if a lost link drops it, the run would wait for ever."""
+        """Resume a run; the action is repeated until gauges confirm it, because a run whose resumption is lost never ends."""
         self.unconfirmed_resumes[request_id] = self.last_gauge_mark, action
         self.actions.append(action)
 
@@ -138,7 +138,7 @@
         if ending is Ending.MOOT and self.storms:
             self.storms.executed.remove(request_id)
         if ending is Ending.STOPPED and request.connection_id is not None:
-            ending = Ending.ERROR  # not stopped by us: the controller would take it for paused
+            ending = Ending.ERROR  # not stopped by this instance; the controller would treat it as paused
         self.counts[RUN_END_COUNTERS[ending]] += 1
         if self.on_run_ended and ending in (Ending.OK, Ending.ERROR):
             self.on_run_ended(
@@ -155,7 +155,7 @@
     def _answer_duplicate(self, now: float, request: PendingRequest) -> None:
         """Answer from the result of the original request, at once or when its run ends.
 
-        If the original was given up before it ran, another duplicate may have taken its place.
+        If the original was dropped before it ran, another duplicate may have replaced it.
         """
         originals = (request.duplicate_of, self.keys.find_original(request.key_scope, request.arrived_at, now))
         for original in originals:
@@ -168,7 +168,7 @@
         self._record_run_end(now, request, Ending.ERROR, b"")
 
     def _record_run_end(self, now: float, request: PendingRequest, ending: Ending, result: bytes) -> None:
-        """Report the end of a run, its own or its original's, to the admission controller and to the client."""
+        """Report the end of a request's own run, or of its original's run, to the admission controller and the client."""
         self.controller.record_run_end(now, request.request_id, ending)
         self._respond_to_run(now, request, ending, result)
 
--- a/mulleinhatch/instance/request_state_machine/state.py
+++ b/mulleinhatch/instance/request_state_machine/state.py
@@ -1,4 +1,4 @@
-"""State that all parts of the reducer share, and how a client is answered."""
+"""State shared by all components of the reducer, and the answers to clients."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class ReducerState:
-    """What is known of the open requests, of the interpreter and of the peers.
+    """State of the open requests, the interpreter and the peers.
 
-    The parts of the reducer derive from this class. Each handles the events and decisions of one concern, none has state of
-    its own, and all append what must be done to `actions`. A part calls only its own methods and those of its bases.
+    The components of the reducer derive from this class. Each handles the events and decisions of one concern, has no state of
+    its own, and appends actions to `actions`. A component calls only its own methods and those of its base classes.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
             for name, request_type in zip(request_types, deployment.get("op_types", []))
             if request_type.get("effect", Effect.NON_RETRYABLE) is Effect.NON_RETRYABLE
         }
-        self.last_run_end_at = self.idle_until = -math.inf  # when a run started while none was active
+        self.last_run_end_at = self.idle_until = -math.inf  # idle_until: start of the last run while none was active
         self.run_count = 0  # runs started and not ended
-        self.early_rejections = 0  # not reported to the admission controller yet
+        self.early_rejections = 0  # not yet reported to the admission controller
         self.request_types = {name: index for index, name in enumerate(request_types)}
         self.tenants = {name: index for index, name in enumerate(tenants)}
         self.controller: Any = None  # an `AdmissionController`, or the recorder that wraps it
         self.requests: dict[str, PendingRequest] = {}
         self.request_by_connection: dict[int, str] = {}
         self.followers: dict[str, list[str]] = {}
-        # By keyed request type, in seconds: how long a duplicate may arrive, and how long after its arrival it may be read.
+        # By keyed request type, in seconds: the window in which duplicates may arrive, and the time from arrival until read.
         self.duplicate_windows = {
             name: (request_type.get("repeat_window", 0.0), request_type.get("op_timeout") or DEFAULT_REQUEST_TIMEOUT_S)
             for name, request_type in zip(request_types, deployment.get("op_types", []))
@@ -73,14 +73,14 @@
         self.gauge_readings: Sequence[float] = ()
         self.gauges_read_at = -math.inf
         self.last_notice = self.last_gauge_mark = 0
-        self.reconnected_at_notice = -1  # the last notice when a malformed line caused a reconnect
+        self.reconnected_at_notice = -1  # last notice at the time when a malformed line caused a reconnect
         self.unconfirmed_runs: dict[str, int] = {}  # by request id: the last gauge mark before the run was started
         self.unconfirmed_resumes: dict[str, tuple[int, tuple]] = {}  # the last gauge mark, and the action to repeat
-        self.is_link_new = False  # no numbered notice arrived on this link yet
+        self.is_link_new = False  # no numbered notice has arrived on this connection yet
         self.resync_mark: float = 0
-        self.interpreter_message_at = math.inf  # the last message about runs or gauges
+        self.interpreter_message_at = math.inf  # time of the last message about runs or gauges
         self.stop_at: float | None = None
-        self.warmed_up_at = -math.inf  # by the slowest warm-up
+        self.warmed_up_at = -math.inf  # end of the slowest possible warm-up
         self.counts: Counter[str] = Counter()
         # By request id: until, since, request, fingerprint, arguments of `_admit`.
         self.parked_retries: dict[str, tuple[float, float, PendingRequest, RequestFingerprint, tuple]] = {}
@@ -93,7 +93,7 @@
         # By tenant, and whether the budget is a rate (else a limit on concurrency): window, pieces.
         self.tenant_budgets: dict[tuple[str, bool], tuple[float, Sequence[tuple[float, float]]]] = {}
         self.peer_load: tuple[float, bool, float, float] | None = None
-        self.handed_over_count = 0  # requests that peers execute for us
+        self.handed_over_count = 0  # requests that peers execute for this instance
         self.keeps_handover_data = False  # whether requests may be handed over to peers
         self.actions: list[tuple] = []
 
@@ -105,7 +105,7 @@
         self._remove_if_finished(now, request)
 
     def _detach_connection(self, request: PendingRequest) -> None:
-        """Record that no client waits for the request any more."""
+        """Record that the client no longer waits for the request."""
         self.request_by_connection.pop(request.connection_id, None)
         request.connection_id = None
         if self.storms:
@@ -119,6 +119,6 @@
                 self.completed_ids.add(now, request.request_id)
 
     def _request_gauges(self) -> None:
-        """Request the gauges, marked by a number that orders them after the runs started before."""
+        """Request the gauges, with a mark that orders them after all runs started so far."""
         self.last_gauge_mark += 1
         self.actions.append((Action.REQUEST_GAUGES, self.last_gauge_mark))
--- a/mulleinhatch/instance/request_state_machine/storm_control.py
+++ b/mulleinhatch/instance/request_state_machine/storm_control.py
@@ -1,4 +1,4 @@
-"""Retry storms: early rejection of retries and the reports to the admission controller."""
+"""Retry storms: early rejection of retries, and reports to the admission controller."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Rejects retries before they are read in full while a retry storm lasts."""
 
     def record_connection(self) -> None:
-        """Count an accepted connection. Not an event: hundreds come at once and none of them causes a decision."""
+        """Count an accepted connection. Not an event: hundreds arrive at once, and none of them causes a decision."""
         self.storms.detector.count(connects=1)
 
     def reject_early(
@@ -39,12 +39,12 @@
         have executed here. The rejection counts as read but never reaches the admission controller.
 
         Args:
-            is_punctual: Whether the client came back when its last rejection said.
-            is_too_early: Whether it came back before that time.
-            figures: Returns rank, cost and memory. Few requests need them, and to parse them costs time.
+            is_punctual: Whether the client retried at the time given by its last rejection.
+            is_too_early: Whether it retried before that time.
+            figures: Returns rank, cost and memory. Called lazily, because few requests need them and parsing costs time.
 
         Returns:
-            The seconds after which the client may retry, or None if the request takes the ordinary way.
+            The seconds after which the client may retry, or None if the request is processed normally.
         """
         retry_admission = self.storms
         if (
@@ -54,20 +54,20 @@
             and self.keys.is_known((request_type, tenant, key))
         ):
             return None
-        plain, is_non_retryable = b"", request_type in self.non_retryable_types
-        if not is_retry or is_non_retryable:  # otherwise the fingerprint tells nothing new and costs time
-            plain = fingerprint(client_id, request_type, tenant, key, body)
+        coarse, is_non_retryable = b"", request_type in self.non_retryable_types
+        if not is_retry or is_non_retryable:  # otherwise the fingerprint is not needed, and computing it costs time
+            coarse = fingerprint(client_id, request_type, tenant, key, body)
             if (
-                not retry_admission.duplicates.is_known_repeat(now, plain, lambda: detailed_fingerprint(plain, *figures()))
+                not retry_admission.duplicates.is_known_repeat(now, coarse, lambda: detailed_fingerprint(coarse, *figures()))
                 if not is_retry
-                else plain in retry_admission.executed.by_coarse
+                else coarse in retry_admission.executed.by_coarse
             ):
                 return None
         if not retry_admission.should_reject(now, client_id, is_punctual):
             return None
-        if plain:
+        if coarse:
             retry_admission.duplicates.record_rejected_unread(
-                now, plain, lambda: detailed_fingerprint(plain, *figures()), is_retry
+                now, coarse, lambda: detailed_fingerprint(coarse, *figures()), is_retry
             )
         retry_admission.executed.confirm_response_read(connection_id)
         retry_admission.record_request(now, client_id, True, 0.0)
@@ -86,6 +86,6 @@
                 self.controller.set_retry_storm(now, *self.storms.last_reported)
 
     def _do_limit_retries(self, now: float, decision: Decision) -> None:
-        """Set the rate of retries to be read."""
+        """Set the rate limit of retries that are read."""
         self.storms.set_rate(now, decision.level)
         self.actions.append((Action.SET_EARLY_REJECTION, self.storms.is_limiting))
--- a/mulleinhatch/instance/request_state_machine/tables.py
+++ b/mulleinhatch/instance/request_state_machine/tables.py
@@ -1,4 +1,4 @@
-"""Requests that are not finished, and what is remembered by idempotency key."""
+"""Pending requests, and the entries and results stored by idempotency key."""
 
 from __future__ import annotations
 
@@ -44,20 +44,20 @@
         self.request_id, self.request_type, self.tenant, self.key, self.body = request_id, request_type, tenant, key, body
         self.arrived_at, self.deadline = arrived_at, deadline
         self.may_have_run = False
-        self.is_run_end_unknown = False  # the notice of its end may be lost
+        self.is_run_end_unknown = False  # the notice of its end may have been lost
         self.call_payload = b""  # of the call that its run waits for
         self.duplicate_of = ""  # id of the original request with the same key
-        self.fingerprints: tuple[bytes, ...] = ()  # by which the retry storm detection knows it
+        self.fingerprints: tuple[bytes, ...] = ()  # identify the request in the retry storm detection
         self.connection_id: int | None = connection_id  # None once answered or disconnected
         self.running = False
-        self.is_handed_over = self.is_from_peer = False  # to a peer, from a peer
+        self.is_handed_over = self.is_from_peer = False  # handed over to a peer, received from a peer
         self.run_started_at = 0.0  # seconds, monotonic
         # Arrival, client id, cost, memory, is retry, rank: only where requests may be handed over.
         self.handover_data: tuple = ()
 
     @property
     def identity(self) -> tuple[str, str, bytes]:
-        """What a request with the same id must have in common to be the same one."""
+        """The fields that must be equal for a request with the same id to be the same request."""
         return self.request_type, self.tenant, self.body
 
     @property
@@ -67,20 +67,20 @@
 
 
 class KeyEntry(NamedTuple):
-    """What is remembered of a keyed request."""
+    """Entry of a keyed request."""
 
-    until: float  # end of the window: what arrived before is a duplicate, however late it is read
-    expires_at: float  # when no such duplicate can be read any more
+    until: float  # end of the window: a request that arrived before is a duplicate, however late it is read
+    expires_at: float  # time after which no such duplicate can be read any more
     scope: tuple[str, str, str]  # request type, tenant, key: keys are compared within one type and tenant
     fingerprint: bytes  # of type, tenant, key and body
 
 
 class IdempotencyKeys:
-    """The original request of each idempotency key, and the result from which its duplicates are answered.
+    """The original request of each idempotency key, and the result with which its duplicates are answered.
 
-    An entry is kept for `linger` seconds after its window, until all duplicates that arrived within the window were read. Of
-    several requests with one key, the newest counts whose window contains the arrival of the duplicate; if it is forgotten,
-    the older ones do.
+    An entry stays for `linger` seconds after its window, until all duplicates that arrived within the window were read. Of
+    several requests with one key, the original is the newest one whose window contains the arrival of the duplicate; once
+    that is forgotten, the next older one.
 
     >>> keys, scope = IdempotencyKeys(), ("op", "tenant", "k")
     >>> keys.remember(scope, "r1", b"print", until=5.0, linger=2.0); keys.store_result("r1", b"x")
@@ -106,7 +106,7 @@
         heapq.heappush(self.expiries, (until + linger, request_id))
 
     def extend_window(self, request_id: str, until: float) -> None:
-        """Extend the window: a duplicate of a request that has not run may take its place, from its own arrival on."""
+        """Extend the window: a duplicate may replace a request that has not run, with a window from its own arrival on."""
         entry = self.entries.get(request_id)
         if entry and until > entry.until:
             self.remember(entry.scope, request_id, entry.fingerprint, until, entry.expires_at - entry.until)
@@ -135,7 +135,7 @@
         return self.entries[request_id].fingerprint == fingerprint
 
     def store_result(self, request_id: str, result: bytes) -> None:
-        """Store the result from which duplicates are answered."""
+        """Store the result with which duplicates are answered."""
         if request_id in self.entries:
             self.results[request_id] = result
 
--- a/mulleinhatch/simulator_adapter/__init__.py
+++ b/mulleinhatch/simulator_adapter/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire and the admission controller.
+"""Adapter between the simulator's wire protocol and the admission controller.
 
-Started by `python -m mulleinhatch.benchlink`. It knows the frames of the wire and takes no decision.
+Started by `python -m mulleinhatch.benchlink`. It encodes and decodes frames and takes no decision.
 """
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -1,6 +1,6 @@
-"""Hosts many instances for the simulator: frames on standard input and output, one `AdmissionController` an instance.
+"""Hosts many instances for the simulator: frames on standard input and output, one `AdmissionController` per instance.
 
-Each batch of events is answered by one reply with the decisions on them. Numbers are big-endian, times are milliseconds.
+Each batch of events is answered by one reply with the resulting decisions. Numbers are big-endian, times are milliseconds.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from mulleinhatch.admission.interface import Decision, Verb
 from mulleinhatch.instance.deployment_settings import parse_deployment, split_profile_lines
 
-BATCH_HEADER = struct.Struct(">IdI")  # bytes of the body, time, number of the batch
-REPLY_HEADER = struct.Struct(">III")  # records, their bytes, number of the batch
+BATCH_HEADER = struct.Struct(">IdI")  # body bytes, time, number of the batch
+REPLY_HEADER = struct.Struct(">III")  # number of records, bytes of records, number of the batch
 U8, U16, U32, U64, F32, F64 = (struct.Struct(">" + mark) for mark in "BHIQfd")
 REF_AND_TIME = struct.Struct(">Qd")
 REQUEST = struct.Struct(">QddHfQBHQBdf")
@@ -38,10 +38,10 @@
     ABANDONED = 7
     TIMER_FIRED = 8
     KILLED = 9
-    TARGET_INSTANCE = 10  # the records that follow are that instance's
+    TARGET_INSTANCE = 10  # the following records belong to that instance
 
 
-SOURCE_INSTANCE = b"\x50"  # the decisions that follow are that instance's
+SOURCE_INSTANCE = b"\x50"  # the following decisions belong to that instance
 MODULE_ERROR = b"\x4f"
 
 # The record of each decision. Verbs without one need peers or a retry-storm detector, which a simulated host never reports.
@@ -65,7 +65,7 @@
 
 
 class MalformedFrameError(Exception):
-    """The input broke the form of the wire; the text says what and at which byte of the input."""
+    """The input violates the wire format; the message names the violation and its byte offset in the input."""
 
 
 class FrameReader:
@@ -81,7 +81,7 @@
 
     @property
     def input_offset(self) -> int:
-        """The offset in the whole input of what is read next."""
+        """The offset of the next read in the whole input."""
         return self._start + self._offset
 
     def is_at_end(self) -> bool:
@@ -106,7 +106,7 @@
         return number
 
     def read_bytes(self, count: int) -> bytes:
-        """Read some raw bytes."""
+        """Read `count` raw bytes."""
         (content,) = self.read(struct.Struct(f"{count}s"))
         return content
 
@@ -115,7 +115,7 @@
     """Holds the controllers of all simulated instances, passes events to them and encodes their decisions.
 
     Attributes:
-        current: Number of the instance that was served last, which an error is reported for.
+        current: Number of the instance that was handled last, which errors are reported for.
     """
 
     def __init__(self) -> None:
@@ -123,7 +123,7 @@
         self.current = 0
 
     def answer(self, reader: FrameReader, now: float) -> tuple[int, bytes]:
-        """Pass on the events of a batch, and return the count and the bytes of the reply's records."""
+        """Handle the events of a batch, and return the count and the bytes of the reply's records."""
         touched: dict[int, None] = {}  # instances in the order of their first event
         instance: int | None = None
         while not reader.is_at_end():
@@ -161,7 +161,7 @@
 
 
 def create_controller(settings: bytes, seed: int, now: float, offset: int) -> AdmissionController:
-    """Make the controller of an instance from the `name=value` lines that the simulator sends at its start."""
+    """Create the controller of an instance from the `name=value` lines that the simulator sends at its start."""
     try:
         parsed = parse_deployment(split_profile_lines(settings.decode()))
     except ValueError as error:
@@ -219,7 +219,7 @@
     """Answer batches until the input ends.
 
     Raises:
-        MalformedFrameError: The input broke the form of the wire.
+        MalformedFrameError: The input violates the wire format.
     """
     host, offset = InstanceHost(), 0
     while header := source.read(BATCH_HEADER.size):
@@ -234,7 +234,7 @@
             count, records = host.answer(FrameReader(body, body_offset), clock_ms / MS_PER_S)
         except MalformedFrameError:
             raise
-        except Exception as error:  # whatever a controller raises, the simulator gets it as a record
+        except Exception as error:  # any exception of a controller is reported to the simulator as a record
             count, records = 2, encode_error(host.current, error)
         sink.write(REPLY_HEADER.pack(count, len(records), number) + records)
         sink.flush()
--- a/mulleinhatch/sliding_window.py
+++ b/mulleinhatch/sliding_window.py
@@ -1,20 +1,20 @@
-"""Sums over the recent past, in fixed buckets of time that are used again."""
+"""Sums over a sliding time window, in a ring of fixed-width buckets."""
 
 from __future__ import annotations
 
-# The default window of 2.5 s: long against a run, short against a slowdown.
+# Default window of 2.5 s: long compared with a run, short compared with a slowdown.
 BUCKET_S, BUCKET_COUNT = 0.25, 10
 
 
 class SlidingWindow:
-    """The sum of what was added within the last `width_s` x `count` seconds, the current bucket included.
+    """The sum of amounts added within the last `width_s` x `count` seconds, including the current bucket.
 
     >>> window = SlidingWindow(width_s=1.0, count=2)
     >>> window.add(0.5, 3.0); window.add(1.5, 4.0); window.total(1.9), window.total(2.1), window.total(9.0)
     (7.0, 4.0, 0.0)
 
     Args:
-        width_s: Seconds of a bucket.
+        width_s: Width of a bucket in seconds.
         count: Number of buckets.
     """
 
@@ -24,17 +24,17 @@
         self._newest = 0  # number of the newest bucket since time 0
 
     def add(self, now: float, amount: float) -> None:
-        """Add an amount at a time that is not before any earlier one."""
+        """Add an amount; `now` must not decrease between calls."""
         self._advance(now)
         self._buckets[self._newest % len(self._buckets)] += amount
 
     def total(self, now: float) -> float:
-        """Return the sum at a time."""
+        """Return the sum at time `now`."""
         self._advance(now)
         return sum(self._buckets)
 
     def _advance(self, now: float) -> None:
-        """Empty the buckets whose time is over."""
+        """Clear the buckets that have left the window."""
         newest = int(now / self._width_s)
         if newest > self._newest:
             for stale in range(max(self._newest + 1, newest - len(self._buckets) + 1), newest + 1):
