--- a/tests/standins.py
+++ b/tests/standins.py
@@ -142,7 +142,7 @@
         self.writer.transport.abort()
 
 
-class SocketPlay:
+class SocketScenario:
     def __init__(self) -> None:
         self.settings = default_settings()
         self.more: dict = {}  # of the placement, what the JSON does not say
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,7 +36,7 @@
 from mulleinhatch.instance.transport.reconnecting_link import CONNECT_TIMEOUT_S, ReconnectingLink
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking import http_grammar
-from standins import SocketPlay, default_settings
+from standins import SocketScenario, default_settings
 
 ROOT = Path(__file__).parent.parent
 TIMEOUT_S = 3.0
@@ -496,7 +496,7 @@
 
 def test_an_instance_whose_report_and_sweep_fail_goes_on_reporting() -> None:
     async def scenario() -> None:
-        instance_harness = SocketPlay()
+        instance_harness = SocketScenario()
         await instance_harness.line("interpreter", "up")
         await instance_harness.line("directory", "hears", "PULSE", "n1", "open")
         send, failed = instance_harness.instance.datagrams.send, []
@@ -740,7 +740,7 @@
 )
 def test_a_faulty_reload_keeps_the_old_settings_and_names_the_key(key: str, value: object, complaint: str) -> None:
     async def scenario() -> None:
-        instance_harness = SocketPlay()
+        instance_harness = SocketScenario()
         await instance_harness.line("interpreter", "up")
         before = instance_harness.instance.placement
         instance_harness.settings[key] = value
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -25,7 +25,7 @@
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking.http_grammar import HEAD_END, BadRequestError
-from standins import Interpreter, SocketPlay, default_settings
+from standins import Interpreter, SocketScenario, default_settings
 
 ROOT = Path(__file__).parent
 KINDS = {kind.value: kind for family in (Effect, Advice, StopMode) for kind in family}
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("scenarios/sockets/*.txt")), ids=lambda path: path.stem)
 def test_on_sockets(path: Path) -> None:
-    asyncio.run(SocketPlay().play(path))
+    asyncio.run(SocketScenario().play(path))
 
 
 def test_a_stream_closed_a_moment_ago_has_nothing_unread() -> None:
@@ -267,7 +267,7 @@
         sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", path, cwd=ROOT.parent, stderr=asyncio.subprocess.PIPE
     )
     assert (await interpreter.heard.get())["t"] == "CONNECT"
-    play = SocketPlay()
+    play = SocketScenario()
     play.instance = argparse.Namespace(port=port)
     await play.caller_sends("a", "r1", "sign")
     interpreter.ended((await interpreter.heard.get())["rid"], "good", "out")
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -26,7 +26,7 @@
 from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.simulation.instance_world import Scenario, World
 from mulleinhatch.testing import fault_script as faults
-from standins import SocketPlay
+from standins import SocketScenario
 
 ROOT = Path(__file__).parent
 SETTLED = 12.0  # seconds after the last input in which every history must be calm again
@@ -296,7 +296,7 @@
             writer.close()
 
     async def burst() -> ConnectBurst:
-        play = SocketPlay()
+        play = SocketScenario()
         await play.start()
         await play.interpreter_up()
         try:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -29,7 +29,7 @@
 from mulleinhatch.instance.traces.writer import TraceBounds, TraceFileManager
 from mulleinhatch.simulation.instance_world import KINDS as OP_KINDS
 from mulleinhatch.simulation.instance_world import Scenario, World
-from standins import SocketPlay
+from standins import SocketScenario
 
 SMALL = Scenario(rate=18.0, cores=1, outage=(3.0, 5.0), load_until=9.0, patience=4.5, until=20.0, heeding=0.5)
 VALUES = {
@@ -309,7 +309,7 @@
     """From the start to the stop of a real instance: its file has what its counters have, and replays to the last."""
 
     async def run_instance() -> dict[str, int]:
-        play = SocketPlay()
+        play = SocketScenario()
         play.more = {"traces": TraceBounds(str(tmp_path))}
         await play.start()
         try:
