--- a/tests/standins.py
+++ b/tests/standins.py
@@ -145,7 +145,7 @@
 class SocketScenario:
     def __init__(self) -> None:
         self.settings = default_settings()
-        self.more: dict = {}  # of the placement, what the JSON does not say
+        self.placement_overrides: dict = {}  # of the placement, what the JSON does not say
         self.interpreter = Interpreter()
         self.database = Database()
         self.callers: dict[str, Caller] = {}
@@ -196,7 +196,7 @@
         if self.settings.get("db"):
             server = await asyncio.start_server(self.database.serve, "127.0.0.1", 0)
             self.settings["db"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        self.instance = Instance(placed(self.settings)._replace(**self.more), lambda: placed(self.settings))
+        self.instance = Instance(placed(self.settings)._replace(**self.placement_overrides), lambda: placed(self.settings))
         self.serving = asyncio.ensure_future(self.instance.serve())
         await asyncio.sleep(0.01)
 
