--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share: those that start processes run one at a time, also beside another run; known failures."""
+"""Shared hooks: tests that start processes run one at a time, also across concurrent test runs; known failures are marked."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from known_red import FILE_NAME, judge, print_known_failures, read_known_failures
+from known_red import FILE_NAME, adjust_outcome, print_known_failures, read_known_failures
 
 LOCK_PATH = Path(tempfile.gettempdir()) / "mulleinhatch-process-tests.lock"
 KNOWN_FAILURES = read_known_failures(Path(__file__).resolve().parent.parent / FILE_NAME)
@@ -17,7 +17,7 @@
 
 @pytest.fixture(autouse=True)
 def one_process_test_at_a_time(request: pytest.FixtureRequest) -> Iterator[None]:
-    """Hold a lock of the machine during a test that is marked `processes`: such tests keep times and use fixed addresses."""
+    """Hold a machine-wide lock during a test marked `processes`: such tests measure times and use fixed addresses."""
     if request.node.get_closest_marker("processes") is None:
         yield
         return
@@ -28,10 +28,10 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Judge the outcome of a test that is known to fail."""
+    """Adjust the outcome of a test that is known to fail."""
     report = yield
     if item.nodeid in KNOWN_FAILURES:
-        judge(report, KNOWN_FAILURES[item.nodeid])
+        adjust_outcome(report, KNOWN_FAILURES[item.nodeid])
     return report
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Tests that are known to fail because of a fault that is not fixed yet, listed in KNOWN-RED.txt at the root.
+"""Tests that are known to fail because of an unfixed fault, listed in KNOWN-RED.txt at the root.
 
-Each line is `NODE ID | command and seed | what was seen | issue`; empty lines and lines that begin with # are left out. A
+Each line is `NODE ID | command and seed | what was seen | issue`; empty lines and lines that begin with # are ignored. A
 listed test may fail; it is printed with its reason. A listed test that passes fails the run until its line is removed.
 """
 
@@ -23,9 +23,9 @@
 
     Attributes:
         node_id: Its pytest node id.
-        command: How to see the failure, with the seed.
-        seen: What was seen.
-        issue: The open issue.
+        command: Command that reproduces the failure, with the seed.
+        seen: The observed failure.
+        issue: Number of the open issue.
     """
 
     node_id: str
@@ -43,7 +43,7 @@
     """Read the list, by node id; an absent file is an empty list.
 
     Raises:
-        ValueError: A line has not four fields, or a test is listed twice.
+        ValueError: A line does not have four fields, or a test is listed twice.
     """
     failures: dict[str, KnownFailure] = {}
     lines = path.read_text().splitlines() if path.exists() else []
@@ -54,13 +54,13 @@
         if len(fields) != FIELD_COUNT or not all(fields):
             raise ValueError(f"{path.name}: write NODE ID | command and seed | what was seen | issue, not {line!r}")
         if fields[0] in failures:
-            raise ValueError(f"{path.name}: {fields[0]} stands twice")
+            raise ValueError(f"{path.name}: {fields[0]} is listed twice")
         failures[fields[0]] = KnownFailure(*fields)
     return failures
 
 
-def judge(report: pytest.TestReport, failure: KnownFailure) -> None:
-    """Turn the failure of a listed test into an expected one, and its passing into a failure."""
+def adjust_outcome(report: pytest.TestReport, failure: KnownFailure) -> None:
+    """Turn the failure of a listed test into an expected failure, and its success into a failure."""
     if report.when != "call":
         return
     if report.outcome == "failed":
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what a service instance talks to, and the player of the socket scenarios.
+"""Fakes of the services that an instance communicates with, and the runner of the socket scenarios.
 
-A line is somebody, then what is done or must be seen: `a` to `z` are callers, one connection each. `told`
-lines change what the instance is told at start. Whoever hears waits for it, briefly.
+Each line of a scenario names an actor, then an action or an expectation. `a` to `z` are callers with one connection each.
+`told` lines change the settings of the instance before its start. Expectations wait up to `STEP_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from mulleinhatch.instance.runtime.instance import Instance
 from mulleinhatch.instance.runtime.instance_settings import placed
 
-SOON = 3.0
+STEP_TIMEOUT_S = 3.0
 
 
 def wire_request_id(ref: str) -> str:
@@ -53,66 +53,66 @@
     }
 
 
-class Interpreter:
-    """Keeps its notices, hands them out again after a CONNECT, and answers every TOP unless it is deaf."""
+class FakeInterpreter:
+    """Stores its notices, sends them again after a CONNECT, and answers every TOP unless told not to."""
 
     def __init__(self) -> None:
-        self.heard: asyncio.Queue[dict] = asyncio.Queue()
+        self.received: asyncio.Queue[dict] = asyncio.Queue()
         self.notices: list[dict] = []
-        self.up: dict | None = None
+        self.banner: dict | None = None
         self.writer: asyncio.StreamWriter | None = None
-        self.read_no, self.deaf, self.gauges = 0, False, [0.5, 1.0]
+        self.last_notice_received, self.ignores_gauge_requests, self.gauges = 0, False, [0.5, 1.0]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writer = writer
         while line := await reader.readline():
-            told = json.loads(line)
-            if told["t"] == "TOP":
-                self.deaf or self.say({"t": "TOPS", "mark": told["mark"], "v": self.gauges})
+            message = json.loads(line)
+            if message["t"] == "TOP":
+                self.ignores_gauge_requests or self.send({"t": "TOPS", "mark": message["mark"], "v": self.gauges})
                 continue
-            self.heard.put_nowait(told)
-            if told["t"] == "CONNECT":
-                self.read_no = told["no"]
+            self.received.put_nowait(message)
+            if message["t"] == "CONNECT":
+                self.last_notice_received = message["no"]
                 self.greet()
         writer.close()
 
     def greet(self) -> None:
-        if self.up and self.writer:
-            for message in (self.up, *self.notices[self.read_no :]):
-                self.say(message)
+        if self.banner and self.writer:
+            for message in (self.banner, *self.notices[self.last_notice_received :]):
+                self.send(message)
 
-    def say(self, message: dict) -> None:
+    def send(self, message: dict) -> None:
         if self.writer:
             self.writer.write(json.dumps(message).encode() + b"\n")
 
-    def ended(self, ref: str, status: str, text: str) -> None:
-        self._notice({"t": "VALUE", "rid": ref, "status": status, "time_ms": 5.0, "b64": b64encode(text.encode()).decode()})
+    def end_run(self, ref: str, status: str, text: str) -> None:
+        self._notify({"t": "VALUE", "rid": ref, "status": status, "time_ms": 5.0, "b64": b64encode(text.encode()).decode()})
 
-    def awaits(self, ref: str, query: str) -> None:
-        self._notice({"t": "AWAIT", "rid": ref, "b64": b64encode(query.encode()).decode()})
+    def request_call(self, ref: str, query: str) -> None:
+        self._notify({"t": "AWAIT", "rid": ref, "b64": b64encode(query.encode()).decode()})
 
-    def _notice(self, told: dict) -> None:
-        self.notices.append({**told, "no": len(self.notices) + 1})
-        self.say(self.notices[-1])
+    def _notify(self, message: dict) -> None:
+        self.notices.append({**message, "no": len(self.notices) + 1})
+        self.send(self.notices[-1])
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         self.writer.close()
         self.writer = None
 
 
-class Directory(asyncio.DatagramProtocol):
+class FakeDirectory(asyncio.DatagramProtocol):
     def __init__(self) -> None:
-        self.heard: asyncio.Queue[str] = asyncio.Queue()
+        self.received: asyncio.Queue[str] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        self.heard.put_nowait(data.decode())
+        self.received.put_nowait(data.decode())
 
 
-class Database:
-    """The dependency that runs call: one call at a time on a connection, answered when the scenario says so."""
+class FakeDependency:
+    """The dependency that runs call: one call at a time on a connection, answered by a step of the scenario."""
 
     def __init__(self) -> None:
-        self.heard: asyncio.Queue[tuple[str, bytes, asyncio.StreamWriter]] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[str, bytes, asyncio.StreamWriter]] = asyncio.Queue()
         self.waiting: dict[str, asyncio.StreamWriter] = {}
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -122,12 +122,12 @@
                 fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if line)
                 query = await reader.readexactly(int(fields["Content-Length"]))
                 assert head.startswith("POST /v1/exec HTTP/1.1") and int(fields["Statement-Timeout-Ms"]) > 0
-                self.heard.put_nowait((fields["Request-Ref"], query, writer))
+                self.received.put_nowait((fields["Request-Ref"], query, writer))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
-class Caller:
+class FakeCaller:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
@@ -145,27 +145,27 @@
 class SocketScenario:
     def __init__(self) -> None:
         self.settings = default_settings()
-        self.placement_overrides: dict = {}  # of the placement, what the JSON does not say
-        self.interpreter = Interpreter()
-        self.database = Database()
-        self.callers: dict[str, Caller] = {}
+        self.placement_overrides: dict = {}  # fields of the placement that are not in the JSON
+        self.interpreter = FakeInterpreter()
+        self.database = FakeDependency()
+        self.callers: dict[str, FakeCaller] = {}
         self.instance: Instance | None = None
 
-    async def play(self, path: Path) -> None:
+    async def run_file(self, path: Path) -> None:
         try:
             for number, text in enumerate(path.read_text().splitlines(), 1):
                 if text.strip() and not text.startswith("#"):
                     try:
-                        await asyncio.wait_for(self.line(*text.split()), SOON)
+                        await asyncio.wait_for(self.run_step(*text.split()), STEP_TIMEOUT_S)
                     except (TimeoutError, AssertionError, OSError, EOFError) as error:
                         raise AssertionError(f"{path.name}:{number}: {text}\n{error!r}") from error
         finally:
             if self.instance:
                 self.instance.stopped.set()
-                await asyncio.wait_for(self.serving, SOON)
-        assert not self.instance.counts["errors_inside"], "an error inside, see the log"
+                await asyncio.wait_for(self.serving, STEP_TIMEOUT_S)
+        assert not self.instance.counts["errors_inside"], "unexpected errors in the instance, see the log"
 
-    async def line(self, who: str, *words: str) -> None:
+    async def run_step(self, who: str, *words: str) -> None:
         if who in ("told", "held"):
             getattr(self, who)(*words)
             return
@@ -179,16 +179,16 @@
             await getattr(self, f"caller_{words[0]}")(who, *words[1:])
 
     def held(self, seconds: str) -> None:
-        """Somebody else holds the address for so long."""
+        """Occupy the listen address for some seconds."""
         holder = socket.create_server(("127.0.0.1", 0))
         self.settings["listen"] = "127.0.0.1:%d" % holder.getsockname()[1]
         asyncio.get_running_loop().call_later(float(seconds), holder.close)
 
     def told(self, path: str, text: str) -> None:
-        place, (*way, last) = self.settings, path.split(".")
-        for key in way:
-            place = place[key]
-        place[last] = json.loads(text)
+        parent, (*parent_keys, last) = self.settings, path.split(".")
+        for key in parent_keys:
+            parent = parent[key]
+        parent[last] = json.loads(text)
 
     async def start(self) -> None:
         await self.interpreter_moves()
@@ -200,10 +200,10 @@
         self.serving = asyncio.ensure_future(self.instance.serve())
         await asyncio.sleep(0.01)
 
-    # The interpreter and the directory.
+    # The interpreter, the directory and the dependency.
 
     async def interpreter_moves(self) -> None:
-        """To another address, as the next one who reads the file is told."""
+        """Move to another address, which the instance reads at its next reload."""
         server = await asyncio.start_server(self.interpreter.serve, "127.0.0.1", 0)
         self.settings["vm"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
 
@@ -212,40 +212,40 @@
             self.settings["vm"] = "127.0.0.1:%d" % unused.getsockname()[1]
 
     async def directory_moves(self) -> None:
-        self.directory = Directory()
+        self.directory = FakeDirectory()
         datagrams, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self.directory, ("127.0.0.1", 0))
         self.settings["lookup"] = "127.0.0.1:%d" % datagrams.get_extra_info("sockname")[1]
 
     async def interpreter_up(self, status: str = "old", ms: str = "3600000") -> None:
-        self.interpreter.up = {"t": "BANNER", "status": status, "time_ms": float(ms)}
-        if not self.interpreter.heard.empty():
+        self.interpreter.banner = {"t": "BANNER", "status": status, "time_ms": float(ms)}
+        if not self.interpreter.received.empty():
             self.interpreter.greet()
 
     async def interpreter_greets(self) -> None:
         self.interpreter.greet()
 
     async def interpreter_hears(self, what: str, ref: str = "", body: str = "") -> None:
-        told = await self.interpreter.heard.get()
-        assert told["t"] == what and (not ref or str(told.get("rid", told.get("no"))) == wire_request_id(ref)), told
-        assert not body or b64decode(told["b64"]).decode() == body, told
+        message = await self.interpreter.received.get()
+        assert message["t"] == what and (not ref or str(message.get("rid", message.get("no"))) == wire_request_id(ref)), message
+        assert not body or b64decode(message["b64"]).decode() == body, message
 
     async def interpreter_heard(self, nothing: str) -> None:
-        assert self.interpreter.heard.empty(), self.interpreter.heard.get_nowait()
+        assert self.interpreter.received.empty(), self.interpreter.received.get_nowait()
 
     async def interpreter_ends(self, ref: str, status: str, text: str = "") -> None:
-        self.interpreter.ended(wire_request_id(ref), status, text)
+        self.interpreter.end_run(wire_request_id(ref), status, text)
 
     async def interpreter_awaits(self, ref: str, query: str) -> None:
-        self.interpreter.awaits(wire_request_id(ref), query)
+        self.interpreter.request_call(wire_request_id(ref), query)
 
     async def interpreter_forgets(self) -> None:
-        """It is started anew: its notices are numbered from 1 again, and a CONNECT names the one it sends on from."""
+        """Lose all notices, as after a restart: numbers start from 1 again, and CONNECT names the last one received."""
         self.interpreter.notices = []
 
     async def interpreter_notes(self, ref: str, status: str, text: str) -> None:
-        """A notice that is kept, and comes with the next greeting alone."""
+        """Store a notice that is sent only with the next greeting."""
         writer, self.interpreter.writer = self.interpreter.writer, None
-        self.interpreter.ended(wire_request_id(ref), status, text)
+        self.interpreter.end_run(wire_request_id(ref), status, text)
         self.interpreter.writer = writer
 
     async def interpreter_nests(self, depth: str) -> None:
@@ -256,28 +256,28 @@
         self.interpreter.writer.write(text.encode() + b"\n")
 
     async def interpreter_down(self) -> None:
-        self.interpreter.up = None
+        self.interpreter.banner = None
 
     async def interpreter_drops(self) -> None:
-        self.interpreter.drop()
+        self.interpreter.disconnect()
 
     async def interpreter_deaf(self, deaf: str) -> None:
-        self.interpreter.deaf = deaf == "yes"
+        self.interpreter.ignores_gauge_requests = deaf == "yes"
 
     async def interpreter_gauges(self, *readings: str) -> None:
         self.interpreter.gauges = [float(reading) for reading in readings]
 
     async def directory_hears(self, *words: str) -> None:
-        while await self.directory.heard.get() != " ".join(words):
+        while await self.directory.received.get() != " ".join(words):
             pass
 
     async def database_hears(self, ref: str, query: str) -> None:
-        got, data, writer = await self.database.heard.get()
+        got, data, writer = await self.database.received.get()
         assert (got, data.decode()) == (wire_request_id(ref), query), (got, data)
         self.database.waiting[got] = writer
 
     async def database_heard(self, nothing: str) -> None:
-        assert self.database.heard.empty(), self.database.heard.get_nowait()
+        assert self.database.received.empty(), self.database.received.get_nowait()
 
     async def database_answers(self, ref: str, status: str, text: str = "", *more: str) -> None:
         fields = "".join(word.replace("=", ": ") + "\r\n" for word in more)
@@ -300,7 +300,7 @@
         self.instance.reload()
 
     async def instance_hears_repeats(self, rate: str) -> None:
-        """As in a storm: so many a second, and the door answers the others."""
+        """Limit retries to a rate per second, as in a retry storm; the listener rejects the others early."""
         self.instance.reducer.storms.set_rate(time.monotonic(), float(rate))
         self.instance.listener.set_early_rejection(True)
 
@@ -324,14 +324,16 @@
                 await self.caller_hears(who, "200")
 
     async def caller_opens(self, who: str) -> None:
-        self.callers[who] = Caller(*await asyncio.open_connection("127.0.0.1", self.instance.port))
+        self.callers[who] = FakeCaller(*await asyncio.open_connection("127.0.0.1", self.instance.port))
 
     async def caller_sends(self, who: str, ref: str, op_type: str, *more: str) -> None:
-        """An op with the body `in-REF`, or `body=...`; `more` are further fields, or others in place of the usual
-        ones, and perhaps `and-ends`: the end of the caller's side in the same moment. `ago=MS`: it came so long ago, and
-        is read only now."""
-        told = dict(word.split("=", 1) for word in more if "=" in word)
-        arrived = time.time() * 1000 - float(told.pop("ago", 0))
+        """Send a request with the body `in-REF`, or `body=...`.
+
+        `more` adds or replaces header fields. `and-ends` closes the caller's side at once. `ago=MS` is the age of the request
+        in milliseconds.
+        """
+        extra_fields = dict(word.split("=", 1) for word in more if "=" in word)
+        arrived = time.time() * 1000 - float(extra_fields.pop("ago", 0))
         fields = {
             "X-Request-Id": wire_request_id(ref),
             "X-Request-Start": f"{arrived:.0f}",
@@ -339,7 +341,7 @@
             "X-Timeout-Ms": "1500",
             "X-Cost-Ms": "20",
             "X-Memory-Kb": "10",
-            **told,
+            **extra_fields,
         }
         body = fields.pop("body", f"in-{ref}").encode()
         head = "".join(f"{name}: {text}\r\n" for name, text in fields.items())
@@ -350,7 +352,7 @@
         )
 
     async def caller_floods(self, who: str, count: str) -> None:
-        """A body far too long, all of it sent before the answer is read."""
+        """Send a body that is far too long, all of it before reading the response."""
         head = f"POST /svc/read HTTP/1.1\r\nContent-Length: {int(count) + 1}\r\n\r\n"
         await self.write(who, head.encode() + bytes(int(count)))
 
@@ -384,7 +386,7 @@
             await self.caller_opens(who)
         except ConnectionRefusedError:
             return
-        raise AssertionError("it was let in")
+        raise AssertionError("the connection was accepted")
 
     async def caller_half_closes(self, who: str) -> None:
         self.callers[who].writer.write_eof()
@@ -393,9 +395,9 @@
         self.callers[who].reset()
 
     async def caller_is_closed(self, who: str) -> None:
-        """By an end, never by a reset; then it closes its side."""
+        """Expect an orderly close, not a reset; then close the caller's side."""
         try:
             assert await self.callers[who].reader.read() == b""
         except ConnectionResetError:
-            raise AssertionError("it was reset") from None
+            raise AssertionError("the connection was reset") from None
         self.callers[who].writer.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("end", [close_idle, close_silent, evict, shut_down])
 def test_a_request_read_in_this_turn_of_the_loop_is_answered(end: Callable[[ListenerHarness], None]) -> None:
-    """Its bytes were read from the socket, and its coroutine has not run yet: no check of either finds it."""
+    """Its bytes were read from the socket, but its coroutine has not run yet, so a check of the socket misses it."""
 
     async def scenario() -> None:
         harness = ListenerHarness()
@@ -306,7 +306,7 @@
 
 
 def test_a_new_caller_is_served_in_time_when_idle_callers_hold_all_connections() -> None:
-    """They never close, not even after our side has: their descriptors are freed when no request can be under way."""
+    """They never close, not even after the server has: their descriptors are freed once no request can be in transit."""
 
     async def scenario() -> None:
         harness = ListenerHarness(max_connections=20)
@@ -408,7 +408,7 @@
     ],
 )
 def test_a_long_head_that_arrives_at_once_leaves_the_others_served(head: int) -> None:
-    """It has arrived completely before the first read: that read finds its end and that it is too long."""
+    """The head has arrived completely before the first read, which finds its end and that it is too long."""
 
     async def scenario() -> None:
         harness = ListenerHarness()
@@ -462,15 +462,15 @@
 def test_a_report_that_fails_costs_one_report() -> None:
     async def scenario() -> None:
         counts: Counter[str] = Counter()
-        tasks, turns = BackgroundTasks(lambda counter: counts.update([counter]), 1), []
+        tasks, calls = BackgroundTasks(lambda counter: counts.update([counter]), 1), []
 
         def fail() -> None:
-            turns.append(1)
-            if len(turns) < 3:
+            calls.append(1)
+            if len(calls) < 3:
                 raise RuntimeError("an unexpected error")
 
         tasks.every("reports", 0.001, fail)
-        await until(lambda: len(turns) >= 5)
+        await until(lambda: len(calls) >= 5)
         tasks.cancel()
         assert counts["errors_inside"] == 2
 
@@ -497,8 +497,8 @@
 def test_an_instance_whose_report_and_sweep_fail_goes_on_reporting() -> None:
     async def scenario() -> None:
         instance_harness = SocketScenario()
-        await instance_harness.line("interpreter", "up")
-        await instance_harness.line("directory", "hears", "PULSE", "n1", "open")
+        await instance_harness.run_step("interpreter", "up")
+        await instance_harness.run_step("directory", "hears", "PULSE", "n1", "open")
         send, failed = instance_harness.instance.datagrams.send, []
 
         def fails(*_: object) -> bool:
@@ -509,9 +509,9 @@
         instance_harness.instance.listener.connections.sweep = fails
         await until(lambda: len(failed) >= 2)
         instance_harness.instance.datagrams.send = send
-        while not instance_harness.directory.heard.empty():
-            instance_harness.directory.heard.get_nowait()
-        await asyncio.wait_for(instance_harness.directory.heard.get(), TIMEOUT_S)
+        while not instance_harness.directory.received.empty():
+            instance_harness.directory.received.get_nowait()
+        await asyncio.wait_for(instance_harness.directory.received.get(), TIMEOUT_S)
         assert instance_harness.instance.counts["errors_inside"]
         instance_harness.instance.stopped.set()
         await instance_harness.serving
@@ -677,7 +677,7 @@
     """They arrive at every moment of the start, the last one before it listens; the last address in the file is used."""
 
     async def scenario() -> None:
-        old, new, path = FakeServer(), FakeServer(), tmp_path / "told.json"
+        old, new, path = FakeServer(), FakeServer(), tmp_path / "settings.json"
         node_config = {
             **default_settings(),
             "vm": f"127.0.0.1:{await old.listen()}",
@@ -720,7 +720,7 @@
                 await asyncio.sleep(0.05)
                 occupant.close()
 
-            status, log = await run_process(node_config, tmp_path / "told.json", then=stop)
+            status, log = await run_process(node_config, tmp_path / "settings.json", then=stop)
         assert status == 0 and "Traceback" not in log and "event=stopped" in log, log
 
     run_with_timeout(scenario())
@@ -741,7 +741,7 @@
 def test_a_faulty_reload_keeps_the_old_settings_and_names_the_key(key: str, value: object, complaint: str) -> None:
     async def scenario() -> None:
         instance_harness = SocketScenario()
-        await instance_harness.line("interpreter", "up")
+        await instance_harness.run_step("interpreter", "up")
         before = instance_harness.instance.placement
         instance_harness.settings[key] = value
         instance_harness.instance.reload()
@@ -769,7 +769,7 @@
         placed(node_config)
 
 
-def test_callers_that_reset_after_our_close_leave_no_garbage() -> None:
+def test_callers_that_reset_after_a_half_close_leave_no_garbage() -> None:
     """A stream's error references its traceback, which references the stream: a cycle until a full garbage collection."""
 
     async def scenario() -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("text", ["tests/test_sample.py::test_sample\n", LINE + LINE, "a | | b | 69\n"])
-def test_a_line_that_does_not_say_everything_is_an_error(tmp_path, text):
+def test_an_incomplete_or_repeated_line_is_an_error(tmp_path, text):
     path = tmp_path / FILE_NAME
     path.write_text(text)
     with pytest.raises(ValueError, match=FILE_NAME):
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -1,4 +1,4 @@
-"""Ops that look the same: what proves a repeat, what tells twins apart, and which error is possible where."""
+"""Requests that look the same: which evidence proves a retry, and which a different request."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("scenario, span", [(AFTER_KILL, (13.0, 23.0)), (OVERLOAD, (2.0, 19.0))], ids=["kill", "overload"])
-def test_service_is_the_same_whatever_share_looks_alike(scenario: Scenario, span: tuple[float, float]) -> None:
-    """Seen on loopback: with bodies all the same first tries went behind as repeats, 0.43 in time instead of 0.95."""
+def test_service_does_not_depend_on_the_share_of_lookalikes(scenario: Scenario, span: tuple[float, float]) -> None:
+    """Guards against treating first tries as retries: with identical bodies, 0.43 were in time on loopback instead of 0.95."""
     worlds = {share: World(scenario._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
     served = {share: world.share_in_time(*span) for share, world in worlds.items()}
     assert max(served.values()) - min(served.values()) <= 0.03, served
@@ -37,8 +37,8 @@
         assert world.counts["failed unrun"] <= 0.03 * signoffs, (share, world.counts, signoffs)
 
 
-def test_histories_with_lookalikes_have_no_second_effect() -> None:
-    """Acks lost on the way, figures that stay or are drawn anew, any share alike; marked retries, as the protocol has them."""
+def test_lookalikes_never_run_twice_in_random_histories() -> None:
+    """With lost responses, cost figures that stay or change per attempt, any share of lookalikes, and marked retries."""
     draw = random.Random(4)
     for seed in range(12):
         scenario = Scenario(
@@ -60,63 +60,64 @@
         assert not world.reducer.parked_retries and not world.reducer.storms.duplicates.open, seed
 
 
-class Pair:
-    """A sign-off that runs for one client while its twin, nacked before, is tried again for another."""
+class LookalikePair:
+    """A sign-off that runs for one client while another client retries a lookalike that was rejected before."""
 
     def __init__(self) -> None:
         self.reducer = Reducer({"op_types": [{"effect": Effect.NON_RETRYABLE}], "cores": 1}, ["signoff"], [], 7, StormBounds())
-        self.happens(0.0, Event.INTERPRETER_READY, False, 9.0)
-        self.said = self.reads(0.1, 1, "first", rank=0.25, again=False)
+        self.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
+        self.first_actions = self.receive(0.1, 1, "first", rank=0.25, is_retry=False)
 
-    def happens(self, now: float, *fields_read: object) -> list[tuple]:
+    def reduce(self, now: float, *event: object) -> list[tuple]:
         return [
             (action, *more[:1])
-            for action, *more in self.reducer.reduce(now, *fields_read)
+            for action, *more in self.reducer.reduce(now, *event)
             if action in (Action.START_RUN, Action.SEND_RESULT, Action.SEND_FAILURE, Action.SEND_REJECTION)
         ]
 
-    def reads(self, now: float, place: int, ref: str, rank: float, again: bool = True) -> list[tuple]:
-        return self.happens(
-            now, Event.REQUEST_RECEIVED, place, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, again, "", b"", rank
+    def receive(self, now: float, connection_id: int, ref: str, rank: float, is_retry: bool = True) -> list[tuple]:
+        return self.reduce(
+            now, Event.REQUEST_RECEIVED, connection_id, ref, "signoff", "", 0.0, 4.0, 3, 0.05, 8.0, is_retry, "", b"", rank
         )
 
 
 def test_duplicate_waits_until_the_other_response_was_read() -> None:
-    pair = Pair()
-    assert pair.said == [(Action.START_RUN, "first")]
-    assert pair.reads(0.2, 2, "twin", rank=0.75) == []  # perhaps the first one's retry, with another rank
-    assert pair.happens(0.3, Event.RUN_ENDED, 1, "first", Ending.OK, b"x") == [(Action.SEND_RESULT, 1)]
-    assert pair.happens(0.4, Event.HEALTH_CHECK_RECEIVED, 1) == [(Action.START_RUN, "twin")]  # it asks again: it has its answer
+    pair = LookalikePair()
+    assert pair.first_actions == [(Action.START_RUN, "first")]
+    assert pair.receive(0.2, 2, "twin", rank=0.75) == []  # possibly a retry of the first one, with another rank
+    assert pair.reduce(0.3, Event.RUN_ENDED, 1, "first", Ending.OK, b"x") == [(Action.SEND_RESULT, 1)]
+    # A new request on its connection proves that the client read the response.
+    assert pair.reduce(0.4, Event.HEALTH_CHECK_RECEIVED, 1) == [(Action.START_RUN, "twin")]
     assert pair.reducer.storms.counts["retries_told_apart"] == 1
 
 
 def test_duplicate_fails_if_the_other_response_may_be_lost() -> None:
-    """The rule first: where nothing tells them apart in time, it is not run, and not nacked either."""
-    pair = Pair()
-    pair.reads(0.2, 2, "twin", rank=0.75)
-    pair.happens(0.3, Event.RUN_ENDED, 1, "first", Ending.OK, b"x")
-    assert pair.happens(0.2 + MAX_PARKED_S + 0.01, Event.TIMER_EXPIRED, 0) == [(Action.SEND_FAILURE, 2)]
+    """Without proof in time that it is a different request, it is neither run nor rejected."""
+    pair = LookalikePair()
+    pair.receive(0.2, 2, "twin", rank=0.75)
+    pair.reduce(0.3, Event.RUN_ENDED, 1, "first", Ending.OK, b"x")
+    assert pair.reduce(0.2 + MAX_PARKED_S + 0.01, Event.TIMER_EXPIRED, 0) == [(Action.SEND_FAILURE, 2)]
     assert pair.reducer.counts["repeats_of_run"] == 1 and not pair.reducer.requests
 
 
-def test_the_retry_of_what_runs_fails_at_once() -> None:
-    assert Pair().reads(0.2, 2, "again", rank=0.25) == [(Action.SEND_FAILURE, 2)]
+def test_a_retry_of_a_running_request_fails_at_once() -> None:
+    assert LookalikePair().receive(0.2, 2, "again", rank=0.25) == [(Action.SEND_FAILURE, 2)]
 
 
-def test_a_parked_callers_loss_is_forgotten() -> None:
-    pair = Pair()
-    pair.reads(0.2, 2, "twin", rank=0.75)
-    pair.happens(0.25, Event.CLIENT_DISCONNECTED, 2)
+def test_a_parked_retry_is_removed_when_its_client_disconnects() -> None:
+    pair = LookalikePair()
+    pair.receive(0.2, 2, "twin", rank=0.75)
+    pair.reduce(0.25, Event.CLIENT_DISCONNECTED, 2)
     assert not pair.reducer.parked_retries and "twin" not in pair.reducer.requests
 
 
-def test_what_never_started_leaves_no_doubt() -> None:
-    pair = Pair()
-    pair.happens(0.15, Event.RUN_ENDED, 1, "first", Ending.MOOT, b"")
-    assert pair.reads(0.2, 2, "again", rank=0.25) == [(Action.START_RUN, "again")]
+def test_a_retry_of_a_request_that_never_started_runs() -> None:
+    pair = LookalikePair()
+    pair.reduce(0.15, Event.RUN_ENDED, 1, "first", Ending.MOOT, b"")
+    assert pair.receive(0.2, 2, "again", rank=0.25) == [(Action.START_RUN, "again")]
 
 
-def test_an_answer_at_the_last_moment_may_have_found_nobody() -> None:
+def test_a_response_just_before_the_deadline_may_not_have_been_read() -> None:
     executed, fingerprints = ExecutedRequests(10), RequestFingerprint(b"p", b"p1")
     executed.add(0.0, "r", fingerprints, due=1.0)
     executed.record_response(0.9, "r", connection=4)
@@ -126,7 +127,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_request_tables_stay_bounded_and_consistent(seed: int) -> None:
-    """Ten thousand ops in a few seconds: no generation outgrows its room, and no doubt outlives its run."""
+    """Ten thousand requests at 100 per second: no table exceeds its bound, and no entry outlives its run."""
     draw, executed, counter, detector, now = (
         random.Random(seed),
         ExecutedRequests(50),
@@ -149,7 +150,7 @@
         assert sum(map(len, executed.by_coarse.values())) == len(executed) and len(executed.answers) <= 100
 
 
-def test_figures_at_the_door_are_those_of_a_full_reading() -> None:
+def test_early_parsed_figures_equal_those_of_the_full_parser() -> None:
     draw = random.Random(3)
     for _ in range(300):
         head = [
--- a/tests/test_other_admission_text.py
+++ b/tests/test_other_admission_text.py
@@ -1,4 +1,4 @@
-"""Replay of a trace against another text of the admission package."""
+"""Replay of a trace against another version of the admission package."""
 
 from __future__ import annotations
 
@@ -23,33 +23,33 @@
     return Path(shutil.copytree(PACKAGE, tmp_path / "admission", ignore=shutil.ignore_patterns("__pycache__")))
 
 
-def replayed_against(controller: Path) -> Outcome:
+def replay_against(controller: Path) -> Outcome:
     with TRACE.open("rb") as file:
         trace = Trace(file)
         return replay(trace.records(), trace.facts, other_text(str(controller)), to_the_end=True)
 
 
-def test_an_equal_text_decides_the_same(other: Path) -> None:
-    outcome = replayed_against(other / "controller.py")
+def test_an_identical_version_takes_the_same_decisions(other: Path) -> None:
+    outcome = replay_against(other / "controller.py")
     assert (outcome.pulls, outcome.decisions, outcome.differences) == (304, 203, 0)
 
 
-def test_a_part_of_the_other_text_is_used_and_the_installed_one_stays(other: Path) -> None:
+def test_a_changed_module_is_used_and_the_installed_package_stays(other: Path) -> None:
     installed = dict(sys.modules)
     bounds = other / "class_bounds.py"
     bounds.write_text(bounds.read_text() + "\n\nClassBounds.exceeds = lambda *_: True\n")
-    outcome = replayed_against(other / "controller.py")
+    outcome = replay_against(other / "controller.py")
     assert outcome.differences > 0 and outcome.replayed["run"] == 0 < outcome.recorded["run"]
     assert {name: sys.modules[name] for name in installed} == installed
-    assert replayed_against(PACKAGE / "controller.py").differences == 0
+    assert replay_against(PACKAGE / "controller.py").differences == 0
 
 
-def test_a_text_of_one_file_is_used(tmp_path: Path) -> None:
+def test_a_version_in_a_single_file_is_used(tmp_path: Path) -> None:
     text = tmp_path / "silent.py"
     text.write_text(
         "class AdmissionController:\n"
         "    def __init__(self, *_): pass\n"
         "    def __getattr__(self, name): return lambda *_: None\n"
     )
-    outcome = replayed_against(text)
+    outcome = replay_against(text)
     assert outcome.decisions == 203 and not outcome.replayed and outcome.recorded["run"] == 81
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,7 +1,7 @@
-"""Plays every scenario in `scenarios/`, those on sockets too, and one batch through the adapter.
+"""Scenarios of the admission controller and of an instance on sockets, the simulator adapter, and process start and stop.
 
-A scenario is a deployment, then lines of time and happening; `>` lists every decision that follows, in order,
-`~` some of them; wake-ups are left out. `all nack 3` and the like count what came so far.
+A scenario in `scenarios/` consists of a deployment, then lines with a time and an event. `>` lists all decisions that follow,
+in order, `~` some of them; wake-ups are omitted. `all nack 3` checks how many decisions of a kind were taken so far.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from mulleinhatch.instance.transport.connections import Connections
 from mulleinhatch.instance.transport.stream import GatheringStream
 from mulleinhatch.networking.http_grammar import HEAD_END, BadRequestError
-from standins import Interpreter, SocketScenario, default_settings
+from standins import FakeInterpreter, SocketScenario, default_settings
 
 ROOT = Path(__file__).parent
 KINDS = {kind.value: kind for family in (Effect, Advice, StopMode) for kind in family}
 
 
-def value(text: str) -> object:
+def parse_value(text: str) -> object:
     return KINDS.get(text) or json.loads(text)
 
 
@@ -40,52 +40,52 @@
     >>> parse_facts(["importance=5", "effect=keyed"])
     {'importance': 5, 'effect': <Effect.KEYED: 'keyed'>}
     """
-    return {name: value(text) for name, text in (word.split("=") for word in words)}
+    return {name: parse_value(text) for name, text in (word.split("=") for word in words)}
 
 
 def describe_decision(decision: Decision) -> str:
-    told = {Verb.HEALTH: " good" if decision.flag else " bad", Verb.ADVISE: "", Verb.TRIM: f" {decision.seconds:.0f}"}
+    details = {Verb.HEALTH: " good" if decision.flag else " bad", Verb.ADVISE: "", Verb.TRIM: f" {decision.seconds:.0f}"}
     if decision.verb is Verb.REJECT and decision.flag:
         return f"nack {decision.ref} for good"
-    return decision.verb.value + told.get(decision.verb, f" {decision.ref}")
+    return decision.verb.value + details.get(decision.verb, f" {decision.ref}")
 
 
-class Play:
+class ScenarioRunner:
     def __init__(self) -> None:
         self.deployment: dict = {"op_types": [], "tenants": [], "cores": 2}
         self.controller: AdmissionController | None = None
         self.now = 0.0
-        self.said: list[str] = []
+        self.decisions: list[str] = []
         self.counts: Counter[str] = Counter()
 
-    def line(self, text: str) -> None:
+    def run_line(self, text: str) -> None:
         word, *rest = text.split()
         if word in ("deployment", "type", "tenant"):
             target = {"type": "op_types", "tenant": "tenants"}.get(word)
             self.deployment[target].append(parse_facts(rest)) if target else self.deployment.update(parse_facts(rest))
         elif word == ">":
-            assert self.said == [said.strip() for said in " ".join(rest).split(",") if said]
+            assert self.decisions == [said.strip() for said in " ".join(rest).split(",") if said]
         elif word == "~":
-            assert set(said.strip() for said in " ".join(rest).split(",")) <= set(self.said), self.said
+            assert set(said.strip() for said in " ".join(rest).split(",")) <= set(self.decisions), self.decisions
         elif word == "all":
             assert self.counts[" ".join(rest[:-1])] == int(rest[-1]), self.counts
         else:
-            self.happen(float(word), *rest)
+            self.report_event(float(word), *rest)
 
-    def happen(self, now: float, what: str, *rest: str) -> None:
+    def report_event(self, now: float, what: str, *rest: str) -> None:
         self.now = now
         self.controller = self.controller or AdmissionController(self.deployment, 7, 0.0)
         for ref in self.refs(rest):
             self.report(what, ref, parse_facts([word for word in rest if "=" in word]))
-        self.said = []
+        self.decisions = []
         while decision := self.controller.next_decision(now):
             self.counts[decision.verb.value] += 1
             if decision.verb is not Verb.WAKE:
-                self.said.append(describe_decision(decision))
+                self.decisions.append(describe_decision(decision))
 
     @staticmethod
     def refs(words: tuple[str, ...]) -> list[int]:
-        """`3` is op 3, `3-6` are four of them, none at all is one happening without an op."""
+        """Return request ids: `3` is one, `3-6` are four; no id is an event without a request."""
         first, _, last = next((word for word in words if "=" not in word), "0").partition("-")
         return list(range(int(first), int(last or first) + 1))
 
@@ -124,22 +124,22 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.txt")), ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
-    play = Play()
+    runner = ScenarioRunner()
     for number, text in enumerate(path.read_text().splitlines(), 1):
         if text.strip() and not text.startswith("#"):
             try:
-                play.line(text)
+                runner.run_line(text)
             except AssertionError as error:
                 raise AssertionError(f"{path.name}:{number}: {text}\n{error}") from None
 
 
-def adapter(wire: bytes) -> subprocess.CompletedProcess:
+def run_adapter(frames: bytes) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "mulleinhatch.benchlink"], input=wire, capture_output=True, cwd=ROOT.parent, timeout=60
+        [sys.executable, "-m", "mulleinhatch.benchlink"], input=frames, capture_output=True, cwd=ROOT.parent, timeout=60
     )
 
 
-def batch(body: bytes, number: int = 1) -> bytes:
+def encode_batch(body: bytes, number: int = 1) -> bytes:
     return struct.pack(">IdI", len(body), 240.0, number) + body
 
 
@@ -147,29 +147,34 @@
     pairs = b"family_info.cores=1\nclasses.count=1\nclasses.0.aim=1000.0\nclasses.0.deadline=2000.0\nnovel=1"
     create = b"\x0a\x00\x03\x01" + struct.pack(">QI", 9, len(pairs)) + pairs
     op = b"\x02" + struct.pack(">QddHfQBHQBdf", 77, 1.5, 900.0, 0, 0.5, 0, 0, 4, 0, 1, 12.0, 8.0)
-    done = adapter(batch(create + op))
+    done = run_adapter(encode_batch(create + op))
     assert done.returncode == 0 and not done.stderr
     assert done.stdout[8:12] == struct.pack(">I", 1)
     assert done.stdout[12:24] == b"\x50\x00\x03\x41" + struct.pack(">Q", 77)
 
 
 @pytest.mark.parametrize(
-    "wire, complaint", [(batch(b"\x0a\x00\x03\xee"), b"byte 19"), (batch(b"\x0a\x00"), b"byte 17"), (batch(b"")[:9], b"byte 9")]
+    "frames, complaint",
+    [
+        (encode_batch(b"\x0a\x00\x03\xee"), b"byte 19"),
+        (encode_batch(b"\x0a\x00"), b"byte 17"),
+        (encode_batch(b"")[:9], b"byte 9"),
+    ],
 )
-def test_bad_wire_ends_with_one_line(wire: bytes, complaint: bytes) -> None:
-    done = adapter(wire)
+def test_malformed_input_is_reported_in_one_line(frames: bytes, complaint: bytes) -> None:
+    done = run_adapter(frames)
     assert done.returncode != 0 and done.stderr.count(b"\n") == 1 and complaint in done.stderr
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("scenarios/sockets/*.txt")), ids=lambda path: path.stem)
-def test_on_sockets(path: Path) -> None:
-    asyncio.run(SocketScenario().play(path))
+def test_socket_scenario(path: Path) -> None:
+    asyncio.run(SocketScenario().run_file(path))
 
 
-def test_a_stream_closed_a_moment_ago_has_nothing_unread() -> None:
-    """Its connection stands among the spare ones until its coroutine runs; looking at it ended every accept."""
+def test_a_closed_stream_has_no_unread_bytes() -> None:
+    """Its connection is an eviction candidate until its coroutine runs; an error in the check failed every accept."""
 
-    async def look() -> bool:
+    async def close_with_unread_bytes() -> bool:
         ours, theirs = socket.socketpair()
         stream = GatheringStream(ours)
         theirs.send(b"x")
@@ -178,13 +183,13 @@
         theirs.close()
         return before and not stream.has_unread()
 
-    assert asyncio.run(look())
+    assert asyncio.run(close_with_unread_bytes())
 
 
-def test_new_connections_that_waited_long_are_closed_unheard() -> None:
-    """What lies in the backlog has its time running: those that can't be taken soon must fail, not be lost."""
+def test_connections_that_wait_too_long_in_the_backlog_are_shed() -> None:
+    """Deadlines of requests in the backlog approach: connections that cannot be accepted soon must fail, not time out."""
 
-    async def crowd() -> tuple[int, int, int]:
+    async def accept_many() -> tuple[int, int, int]:
         now, counts = [5.0], Counter()
         observer = SimpleNamespace(count=lambda counter: counts.update([counter]), on_connection_accepted=lambda: None)
         connections = Connections(100, RequestReader, lambda: now[0], observer)
@@ -200,11 +205,11 @@
                 sock.close()
         return taken, counts["connections_shed"], len(connections.open)
 
-    taken, shed, open_at_last = asyncio.run(crowd())
+    taken, shed, open_at_last = asyncio.run(accept_many())
     assert 0 < taken < 40 and taken + shed == 40 and open_at_last == taken + 1
 
 
-def test_a_request_cut_at_every_byte() -> None:
+def test_a_request_split_at_any_byte_is_parsed() -> None:
     text = b"POST /svc/read HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 3\r\n\r\n\r\n!GET /x HTTP/1.1\r\n\r\n"
     for cut in range(len(text) + 1):
         reader, found = RequestReader(), []
@@ -217,8 +222,8 @@
 
 
 @pytest.mark.parametrize("first", [1, 2048, MAX_HEAD_BYTES - 1, MAX_HEAD_BYTES, MAX_HEAD_BYTES + MAX_BODY_BYTES])
-def test_a_head_of_any_length_is_judged_alike_however_it_comes(first: int) -> None:
-    """Whole in one read, or with more behind it; a reader that waits for more always has room for it."""
+def test_the_head_limit_is_independent_of_read_sizes(first: int) -> None:
+    """The head arrives in one read, or with more bytes after it; a reader that waits for more always has buffer space."""
     for length in (
         MAX_HEAD_BYTES - 1,
         MAX_HEAD_BYTES,
@@ -231,10 +236,10 @@
         text = words + (length - len(words) - len(HEAD_END)) * b"a" + HEAD_END + MAX_BODY_BYTES * b"b"
         reader, found, most = RequestReader(), None, first
         while text and not found:
-            room = reader.free_space()
-            assert room, f"waits for more of a head of {length}, and has no room"
-            count = min(most, len(room), len(text))
-            room[:count], text, most = text[:count], text[count:], len(room)
+            free_space_left = reader.free_space()
+            assert free_space_left, f"waits for more of a head of {length} bytes without buffer space"
+            count = min(most, len(free_space_left), len(text))
+            free_space_left[:count], text, most = text[:count], text[count:], len(free_space_left)
             reader.filled(count)
             try:
                 found = reader.message()
@@ -243,10 +248,10 @@
         assert (found == 431) == (length > MAX_HEAD_BYTES) and found, length
 
 
-def command(folder: Path, told: dict, *words: str) -> subprocess.CompletedProcess:
-    (folder / "told.json").write_text(json.dumps(told))
+def run_command(folder: Path, node_config: dict, *words: str) -> subprocess.CompletedProcess:
+    (folder / "settings.json").write_text(json.dumps(node_config))
     return subprocess.run(
-        [sys.executable, "-m", "mulleinhatch", *words, "--config", folder / "told.json"],
+        [sys.executable, "-m", "mulleinhatch", *words, "--config", folder / "settings.json"],
         capture_output=True,
         text=True,
         cwd=ROOT.parent,
@@ -254,41 +259,46 @@
     )
 
 
-async def from_start_to_stop(told: dict, path: Path) -> tuple[int, str]:
-    """A real process on loopback: it serves an op, hears SIGTERM, and ends by itself."""
-    interpreter = Interpreter()
-    interpreter.up = {"t": "BANNER", "status": "new", "time_ms": 0.0}
+async def serve_and_stop(node_config: dict, path: Path) -> tuple[int, str]:
+    """Run a real process on loopback: it serves a request, receives SIGTERM and exits by itself."""
+    interpreter = FakeInterpreter()
+    interpreter.banner = {"t": "BANNER", "status": "new", "time_ms": 0.0}
     server = await asyncio.start_server(interpreter.serve, "127.0.0.1", 0)
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    told = {**told, "vm": "127.0.0.1:%d" % server.sockets[0].getsockname()[1], "stop_ms": 300, "listen": f"127.0.0.1:{port}"}
-    path.write_text(json.dumps(told))
+    node_config = {
+        **node_config,
+        "vm": "127.0.0.1:%d" % server.sockets[0].getsockname()[1],
+        "stop_ms": 300,
+        "listen": f"127.0.0.1:{port}",
+    }
+    path.write_text(json.dumps(node_config))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-O", "-m", "mulleinhatch", "serve", "--config", path, cwd=ROOT.parent, stderr=asyncio.subprocess.PIPE
     )
-    assert (await interpreter.heard.get())["t"] == "CONNECT"
-    play = SocketScenario()
-    play.instance = argparse.Namespace(port=port)
-    await play.caller_sends("a", "r1", "sign")
-    interpreter.ended((await interpreter.heard.get())["rid"], "good", "out")
-    await play.caller_hears("a", "200", "out")
+    assert (await interpreter.received.get())["t"] == "CONNECT"
+    scenario = SocketScenario()
+    scenario.instance = argparse.Namespace(port=port)
+    await scenario.caller_sends("a", "r1", "sign")
+    interpreter.end_run((await interpreter.received.get())["rid"], "good", "out")
+    await scenario.caller_hears("a", "200", "out")
     process.terminate()
     log = (await process.communicate())[1].decode()
     server.close()
     return process.returncode, log
 
 
-def test_from_start_to_stop(tmp_path: Path) -> None:
-    run = from_start_to_stop(default_settings(), tmp_path / "told.json")
+def test_a_process_serves_a_request_and_stops_on_sigterm(tmp_path: Path) -> None:
+    run = serve_and_stop(default_settings(), tmp_path / "settings.json")
     status, log = asyncio.run(asyncio.wait_for(run, 20))
     assert status == 0 and "Traceback" not in log, log
     assert "event=stopped" in log and "answers_200=1" in log.splitlines()[-1], log
 
 
-def test_an_address_in_use_ends_with_one_line(tmp_path: Path) -> None:
+def test_an_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as holder:
-        told = {**default_settings(), "listen": "127.0.0.1:%d" % holder.getsockname()[1]}
-        done = command(tmp_path, told, "serve", "--log", "error")
+        node_config = {**default_settings(), "listen": "127.0.0.1:%d" % holder.getsockname()[1]}
+        done = run_command(tmp_path, node_config, "serve", "--log", "error")
     assert done.returncode == 1 and done.stderr.count("\n") == 1 and "127.0.0.1" in done.stderr, done.stderr
 
 
@@ -302,11 +312,11 @@
         ("settings.tick", "x", "settings.tick:"),
     ],
 )
-def test_the_faulty_key_is_named(tmp_path: Path, path: str, value: object, complaint: str) -> None:
-    told = default_settings()
-    place, (*way, last) = told, path.split(".")
-    for key in way:
-        place = place[key]
-    place[last] = value
-    done = command(tmp_path, told, "check")
+def test_check_names_the_faulty_key(tmp_path: Path, path: str, value: object, complaint: str) -> None:
+    node_config = default_settings()
+    parent, (*parent_keys, last) = node_config, path.split(".")
+    for key in parent_keys:
+        parent = parent[key]
+    parent[last] = value
+    done = run_command(tmp_path, node_config, "check")
     assert done.returncode == 2 and complaint in done.stderr and done.stderr.count("\n") == 1, done.stderr
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -1,4 +1,4 @@
-"""Second runs of requests that must not run twice: their attribution, the reports of fake callers, and real processes."""
+"""Second runs of non-retryable requests: attribution to a cause, reports of fake callers, and runs with real processes."""
 
 from __future__ import annotations
 
@@ -47,14 +47,19 @@
         (LATER, None, [DEATH], "had not ended by a death"),  # answered, or timed out
         (LATER, BROKEN, [], "had not ended by a death"),  # a live instance broke the connection
         (LATER, BROKEN, [DEATH._replace(place=1)], "had not ended by a death"),  # another instance died
-        (LATER, BROKEN, [Death(0, 5.3, 5.4)], "had not ended by a death"),  # it broke before the kill
+        (LATER, BROKEN, [Death(0, 5.3, 5.4)], "had not ended by a death"),  # the connection broke before the kill
         (
             LATER,
             BROKEN._replace(sent_at=5.25, broken_at=5.4),
             [DEATH],
             "had not ended by a death",
         ),  # sent to the restarted instance
-        (LATER._replace(at=5.15), BROKEN, [DEATH], "had not ended by a death"),  # the second ran before it broke
+        (
+            LATER._replace(at=5.15),
+            BROKEN,
+            [DEATH],
+            "had not ended by a death",
+        ),  # the second run started before the connection broke
     ],
 )
 def test_any_other_second_run_is_a_fault_of_an_instance(
@@ -65,7 +70,7 @@
 
 
 def test_each_of_three_runs_is_compared_with_all_before() -> None:
-    """The second run is the caller's. The third is not: the first attempt had ended by a death, the second had not."""
+    """The second run is attributed to the caller, as the first attempt had ended by a death; the second had not."""
     third = Run("a", 6.0, 2, 1, "r3")
     faults, repeats = find_second_runs([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
     assert faults == ["a ran at 1 as r2, and at 2 as r3: the first try had not ended by a death"] and not repeats
@@ -107,7 +112,7 @@
         )
     )
     finished = asyncio.Event()
-    original_over, load.over = load.over, lambda request, outcome: (original_over(request, outcome), finished.set())
+    original_callback, load.over = load.over, lambda request, outcome: (original_callback(request, outcome), finished.set())
     load.born(time.time())
     await asyncio.wait_for(asyncio.gather(served.wait(), finished.wait()), 10.0)
     server.close()
@@ -138,7 +143,7 @@
 
 @pytest.mark.processes
 def test_requests_of_a_killed_instance_run_again_only_for_their_callers(tmp_path: Path) -> None:
-    """Two real instances: on the first every run outlasts its caller's timeout, and it is killed once a run has begun.
+    """With two real instances, one is killed while it executes runs that outlast their callers' timeouts.
 
     Its callers retry at the other one. Counting the runs of both finds second runs, which are no fault of an instance.
     """
@@ -196,10 +201,10 @@
     ],
 )
 def test_a_retry_of_a_handed_over_request_does_not_run_again(rank: str, cost: str, kb: str, key: str) -> None:
-    """The instance that received the first attempt handed it over to this one, which runs it, and then died.
+    """The instance that received the first attempt hands it over to a peer, which runs it, and then dies.
 
-    The caller's marked retry arrives here and must be recognized, in whatever form its numbers are written. That numbers stay
-    the same over the attempts of a request, this instance has seen on others.
+    The caller's marked retry arrives at the peer, which must recognize it however its numbers are written. The peer has learned
+    from other requests that numbers stay the same over the attempts of a request.
     """
 
     def incoming(ref: str, extra_fields: str = "") -> tuple:
@@ -211,9 +216,12 @@
             ).encode("latin-1")
         )
 
-    def receive(peer: Reducer, now: float, place: int, request: tuple, from_peer: bool) -> set[Action]:
+    def receive(peer: Reducer, now: float, connection_id: int, request: tuple, from_peer: bool) -> set[Action]:
         *fields, read_rank = request
-        return {action for action, *_ in peer.reduce(now, Event.REQUEST_RECEIVED, place, *fields, b"in", read_rank, from_peer)}
+        return {
+            action
+            for action, *_ in peer.reduce(now, Event.REQUEST_RECEIVED, connection_id, *fields, b"in", read_rank, from_peer)
+        }
 
     origin, peer = (
         Reducer(
@@ -246,13 +254,13 @@
 
 @given(st.decimals(0, 99_999, places=15, allow_nan=False), st.integers(0, 15), st.sampled_from((1.0, 0.001)))
 @settings(max_examples=400, deadline=None, derandomize=True)
-def test_a_number_reaches_a_peer_unchanged(written: Decimal, places: int, unit: float) -> None:
+def test_numbers_are_unchanged_by_a_handover(written: Decimal, places: int, unit: float) -> None:
     read = http_requests.parse_decimal({b"x": f"{written:.{places}f}".encode()}, b"x", unit=unit)
     assert http_requests.parse_decimal({b"x": http_peers.format_decimal(read, unit).encode()}, b"x", unit=unit) == read
 
 
 def handed_over(origin: Reducer, now: float, ref: str) -> tuple:
-    """Return the effect that hands the request over to a peer, as if the controller had decided so."""
+    """Return the action that hands the request over to a peer, as if the controller had decided it."""
     origin.actions = []
     origin.requests[ref].running = False
     origin._do_hand_over(now, Decision(Verb.HAND_OVER, ref))
