--- a/mulleinhatch/admission/constants.py
+++ b/mulleinhatch/admission/constants.py
@@ -1,4 +1,4 @@
-"""Constants that several parts of the admission controller share; every other constant is in the module that uses it."""
+"""Constants shared by several components of the admission controller; all others are defined in the module that uses them."""
 
 from mulleinhatch.admission.interface import Ending
 
--- a/mulleinhatch/admission/controller.py
+++ b/mulleinhatch/admission/controller.py
@@ -25,7 +25,7 @@
 from mulleinhatch.admission.health import HealthMonitor
 from mulleinhatch.admission.idle_connections import IdleConnections
 from mulleinhatch.admission.interface import Decision, Deployment, Ending, Ref
-from mulleinhatch.admission.placement import Placement
+from mulleinhatch.admission.placement import ArrivalDecisions
 from mulleinhatch.admission.rejections import Rejections
 from mulleinhatch.admission.request import Request, Stage, build_request_classes
 from mulleinhatch.admission.request_table import RequestTable
@@ -74,14 +74,14 @@
         self._duplicates = duplicates = Duplicates(deployment, table)
         self._handover = handover = Handover(table, limit, throughput, bounds, order, drain, target_s)
         rejections = Rejections(table, handover, backpressure, traffic)
-        placement = Placement(table, drain, duplicates, bounds, tenants, rejections)
+        arrivals = ArrivalDecisions(table, drain, duplicates, bounds, tenants, rejections)
         self._expiry = expiry = Expiry(table, order, bounds, rejections)
         calls = DependencyCalls(table, dependency, order, rejections)
         scheduler = Scheduler(deployment, table, limit, dependency, tenants, order, classes)
         self._wakeups = Wakeups(table, expiry, backpressure)
         self._steps = (
             duplicates.forget_unused_key,
-            placement.place_next,
+            arrivals.decide_next,
             expiry.drop_next,
             scheduler.stop_next,
             calls.start_next,
--- a/mulleinhatch/admission/handover.py
+++ b/mulleinhatch/admission/handover.py
@@ -54,7 +54,7 @@
 
     def hand_over(self, request: Request, cause: str) -> Decision:
         """Hand a request over to a peer; it may have run there until the peer answers."""
-        self._table.unplaced.pop(request.ref, None)
+        self._table.undecided.pop(request.ref, None)
         self.offers -= 1
         request.was_handed_over = request.may_have_run = True
         self._table.move(request, Stage.AT_PEER)
@@ -86,4 +86,4 @@
             return
         self._table.move(request, Stage.QUEUED)
         if not request.may_have_run:
-            self._table.unplaced[ref] = request
+            self._table.undecided[ref] = request
--- a/mulleinhatch/admission/placement.py
+++ b/mulleinhatch/admission/placement.py
@@ -12,7 +12,7 @@
 from mulleinhatch.admission.tenant_limits import TenantLimits
 
 
-class Placement:
+class ArrivalDecisions:
     """Takes the first decision on requests, in the order of their arrival."""
 
     def __init__(
@@ -31,15 +31,15 @@
         self._tenants = tenants
         self._rejections = rejections
 
-    def place_next(self) -> Decision | None:
+    def decide_next(self) -> Decision | None:
         """Process new requests until one leads to a decision."""
         table, drain = self._table, self._drain
-        while table.unplaced:
-            request = next(iter(table.unplaced.values()))
+        while table.undecided:
+            request = next(iter(table.undecided.values()))
             drain.shorten_deadline(request)
             if drain.refuses(request, table.answer_margin_s):
                 return self._rejections.drop(request, "drain")
-            del table.unplaced[request.ref]
+            del table.undecided[request.ref]
             if request.may_have_run:
                 return self._duplicates.share_answer(request)
             if request.leader is not None:
--- a/mulleinhatch/admission/request_table.py
+++ b/mulleinhatch/admission/request_table.py
@@ -24,7 +24,7 @@
         by_ref: Every request that has not ended.
         by_stage: The same requests, in the order in which they entered their stage. The inner dictionaries live as long as
             the table, so components may keep a reference to one.
-        unplaced: Requests that arrived, or returned unexecuted from a peer, and wait for a first decision.
+        undecided: Requests that arrived, or returned unexecuted from a peer, and wait for a first decision.
         unused_keys: Idempotency keys of requests that ended without a run.
         running_by_tenant: Requests in progress of each tenant.
         memory_used_kb: Memory used by requests and remembered keys.
@@ -36,7 +36,7 @@
         self.answer_margin_s = ANSWER_MARGIN_S + 2 * deployment.get("tick", 0.0)
         self.by_ref: dict[Ref, Request] = {}
         self.by_stage: dict[Stage, dict[Ref, Request]] = {stage: {} for stage in Stage}
-        self.unplaced: dict[Ref, Request] = {}
+        self.undecided: dict[Ref, Request] = {}
         self.unused_keys: list[Ref] = []
         self.running_by_tenant: Counter[int] = Counter()
         self.memory_used_kb = 0.0
@@ -46,7 +46,7 @@
     def add(self, request: Request) -> None:
         """Queue a request that just arrived."""
         ref = request.ref
-        self.by_ref[ref] = self.by_stage[Stage.QUEUED][ref] = self.unplaced[ref] = request
+        self.by_ref[ref] = self.by_stage[Stage.QUEUED][ref] = self.undecided[ref] = request
         self.memory_used_kb += request.memory_kb
 
     def extra_run_memory_kb(self, request: Request) -> float:
@@ -76,7 +76,7 @@
     def close(self, request: Request) -> None:
         """Remove a request that ended and free its memory; its followers continue without it."""
         del self.by_ref[request.ref], self.by_stage[request.stage][request.ref]
-        self.unplaced.pop(request.ref, None)
+        self.undecided.pop(request.ref, None)
         is_in_progress = request.stage in IN_PROGRESS_STAGES
         self.memory_used_kb -= request.memory_kb * (self._run_factor if is_in_progress else 1.0)
         self.running_by_tenant[request.tenant] -= is_in_progress
@@ -92,7 +92,7 @@
             follower.leader, new_leader = new_leader, new_leader or follower
             if follower is new_leader:
                 self.move(new_leader, Stage.QUEUED)
-                self.unplaced[new_leader.ref] = new_leader
+                self.undecided[new_leader.ref] = new_leader
 
     def release(self, request: Request) -> None:
         """Mark that nobody waits for a request; a run or call in progress occupies its slot until it ends."""
--- a/mulleinhatch/admission/tenant_limits.py
+++ b/mulleinhatch/admission/tenant_limits.py
@@ -117,7 +117,7 @@
             return False
         rate = self._budget_rate(request.tenant)
         queued = sum(
-            other.tenant == request.tenant and other.ref not in self._table.unplaced
+            other.tenant == request.tenant and other.ref not in self._table.undecided
             for other in self._queued.values()
             if other is not request
         )
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -42,7 +42,7 @@
     "permits are not given back": [(PermitTable, "release", lambda table, name, fencing_token: table)],
     "suspicion is never refuted": [(Membership, "_apply_update_about_self", lambda members, now, member_update: None)],
     "the gone are never asked again": [(Membership, "heard_lately", lambda members, now, name: False)],
-    "an op at a peer is never given up": [(Expiry, "give_up_next", lambda expiry: None)],
+    "an op at a peer is never given up": [(Expiry, "drop_next", lambda expiry: None)],
     "one that leaves forgets what it holds": [(AdmissionController, "begin_drain", lambda controller, now, grace: None)],
 }
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("end", [close_idle, close_silent, evict, shut_down])
-def test_a_request_read_in_this_turn_of_the_loop_is_answered(end: Callable[[ListenerHarness], None]) -> None:
+def test_a_request_read_in_the_same_loop_iteration_is_answered(end: Callable[[ListenerHarness], None]) -> None:
     """Its bytes were read from the socket, but its coroutine has not run yet, so a check of the socket misses it."""
 
     async def scenario() -> None:
