--- a/mulleinhatch/instance/request_state_machine/peers.py
+++ b/mulleinhatch/instance/request_state_machine/peers.py
@@ -44,15 +44,15 @@
         request.is_handed_over = False
         self.handed_over_count -= 1
         self.counts["hand_" + ending.name.lower()] += 1
-        not_executed = ending in NOT_EXECUTED_ENDINGS
-        request.may_have_run = request.may_have_run and not not_executed
-        if not_executed and self.storms:
+        is_unexecuted = ending in NOT_EXECUTED_ENDINGS
+        request.may_have_run = request.may_have_run and not is_unexecuted
+        if is_unexecuted and self.storms:
             self.storms.executed.remove(request_id)
         if request.connection_id is None:
             self._remove_if_finished(now, request)
             return
         self.controller.record_handover_end(now, request_id, ending)
-        if not not_executed and not (ending is Ending.INTERRUPTED and request.request_type in self.retryable_types):
+        if not is_unexecuted and not (ending is Ending.INTERRUPTED and request.request_type in self.retryable_types):
             self._respond_to_run(now, request, ending, result)
 
     def _do_hand_over(self, now: float, decision: Decision) -> None:
