--- a/mulleinhatch/data_plane/access.py
+++ b/mulleinhatch/data_plane/access.py
@@ -1,15 +1,15 @@
-"""Whether a request may run by the configuration in force: its route, then its API key. Pure.
+"""Decides whether a request may run under the configuration in force: by its route, then by its API key. Pure.
 
 | route | key | configuration known to be current | answer |
 | --- | --- | --- | --- |
 | none | any | yes, no | 404, 503 |
-| public | any | any | it runs; under the name of the key's tenant where the key is known |
+| public | any | any | it runs, under the tenant's name if the key is known |
 | any, no tenants configured | any | any | it runs |
 | not public | known | any | it runs under the tenant's name |
 | not public | none, malformed, repeated, unknown | yes, no | 401, 503 |
 
-A data plane that is out of touch with the control plane may have missed the configuration that allows the request. It says
-503, after which clients try again, and never that something does not exist.
+A data plane that is out of touch with the control plane may have missed the configuration that allows the request. It answers
+503, after which clients retry, and never that a route or key does not exist.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True)
 class Access:
-    """A request may run.
+    """The result for a request that may run.
 
     Attributes:
         route: The route that it matches.
-        tenant: Whose key it carries, None where there is none.
+        tenant: The tenant whose key it carries, None without one.
     """
 
     route: Route
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True)
 class AccessDenied:
-    """A request may not run.
+    """The response to a request that may not run.
 
     Attributes:
         status: HTTP status of the answer.
-        message: Its text.
-        retry_after_s: Seconds for `Retry-After`, None for none.
+        message: Text of the answer.
+        retry_after_s: Seconds for `Retry-After`, None to omit it.
     """
 
     status: int
--- a/mulleinhatch/data_plane/control_plane_client.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -25,13 +25,13 @@
 from mulleinhatch.tenants.api_keys import KeyDigester
 
 LOG = logging.getLogger(__name__)
-POLL_WAIT_S = 1.0  # short enough that a control plane that stops answering is left well within the configuration's bound
-POLL_RESPONSE_MARGIN_S = 0.5  # beyond the wait; a control plane that does not answer by then is unreachable
-FIRST_POLL_TIMEOUT_S = 0.8  # a control plane that has not answered yet may be down: it is not waited for long
+POLL_WAIT_S = 1.0  # short enough to leave a silent control plane well within `configuration_apply_s`
+POLL_RESPONSE_MARGIN_S = 0.5  # added to the wait; a control plane that does not answer by then counts as unreachable
+FIRST_POLL_TIMEOUT_S = 0.8  # short: a control plane that has not answered before may be down
 POLL_RETRY_DELAY_S = 0.1
 DEMAND_REPORT_TIMEOUT_S = 0.6
-DIGEST_KEY_BYTES = 32  # of the random key under which this process keeps digests of the tenants' keys
-COOLDOWN_S = 2.0  # a control plane that failed, or has no majority, is asked last for so long
+DIGEST_KEY_BYTES = 32  # length of the random key for this process's digests of the tenants' API keys
+COOLDOWN_S = 2.0  # a control plane that failed, or has no majority, is polled last for this time
 
 
 class UnusableConfigurationError(ConfigurationError):
@@ -41,8 +41,8 @@
 class ControlPlaneClient:
     """Keeps the newest snapshot of configuration and registry.
 
-    Versions never go back while the process runs. After an update that could not be applied the configuration in force stays,
-    and the next poll asks for a complete one; an older one than the one in force is not accepted, whoever sends it.
+    Versions never go back while the process runs. If an update can't be applied, the configuration in force stays and the next
+    poll requests a complete one. A configuration older than the one in force is never accepted, whoever sends it.
 
     Args:
         settings: Settings of this data plane.
@@ -70,11 +70,11 @@
         self._registry_source, self._registry_cursor = "", 0
         port = settings.internal_address.rpartition(":")[2]
         self._seeds = [f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds]
-        self._control_addresses: list[str] = []  # published by the control plane; the seeds where empty
-        self._control_epoch = 0  # of the view that they belong to
+        self._control_addresses: list[str] = []  # published by the control plane; the seeds are used while empty
+        self._control_epoch = 0  # epoch of the view that the addresses belong to
         self._cooldown_until: dict[str, float] = {}  # by address
         self._responsive: set[str] = set()  # addresses whose last poll was answered
-        self._epoch = 0  # of the newest view that a control plane reported
+        self._epoch = 0  # epoch of the newest view that a control plane reported
         self._deregistrations_index = 0  # log index up to which deregistered backends are known
         self._unconfirmed_since: float | None = None  # when a first configuration was offered without a majority
         self.snapshot = ControlPlaneSnapshot()
@@ -94,7 +94,7 @@
                 await asyncio.sleep(POLL_RETRY_DELAY_S / 4)
 
     def _next_address(self) -> str:
-        """Return the control plane to ask: by rendezvous hashing, so that data planes spread; those that failed come last."""
+        """Return the control plane to poll: ranked by rendezvous hashing to spread the data planes, with failed ones last."""
         now = self._clock()
         if not self._control_addresses:
             addresses = self._seeds
@@ -135,7 +135,7 @@
             update.authoritative = False  # the machine has not learned of a newer view yet
         self._epoch = max(self._epoch, update.epoch)
         self._responsive.add(address)
-        # After a pause of this process an answer may have lain unread: it is not taken for newer than its timeout allows.
+        # After a pause of this process the response may have lain unread: it counts as no newer than the timeout allows.
         self._apply(update, min(self._clock(), asked_at + timeout_s))
         if not update.authoritative or self._needs_complete_configuration:
             self._cooldown_until[address] = self._clock() + COOLDOWN_S
@@ -149,7 +149,7 @@
             self._confirmed_at = max(self._confirmed_at, answered_at)
         self._apply_control_addresses(update)
         backends = self.snapshot.backends
-        # A machine that is partitioned gets no heartbeats of backends: that it does not list one proves nothing.
+        # A partitioned machine gets no heartbeats from backends, so a backend missing from its list may still be alive.
         is_complete = update.is_full_registry and update.authoritative
         if update.backends or is_complete or backends.unconfirmed or update.departed_backends:
             backends = backends.updated(update.backends, is_complete, self._clock(), update.departed_backends)
@@ -198,7 +198,7 @@
         LOG.info("configuration in force", extra={"version": document.version})
 
     def _is_wanted(self, update: PollResponse) -> bool:
-        """Return whether an update is newer than the configuration in force, or a complete one that was asked for."""
+        """Return whether an update is newer than the configuration in force, or a complete one that was requested."""
         if update.base_version:
             return update.configuration_version > self._document.version == update.base_version
         if self._needs_complete_configuration:
@@ -208,7 +208,7 @@
     def _may_use_unconfirmed(self) -> bool:
         """Return whether a first configuration may be used although its source has no majority.
 
-        It may be outdated. While the control plane has no majority for a long time, it serves better than none.
+        It may be outdated, but if the control plane has no majority for a long time it is better than none.
         """
         if self._unconfirmed_since is None:
             self._unconfirmed_since = self._clock()
@@ -216,10 +216,10 @@
         return self._clock() - self._unconfirmed_since >= bounds.contact_s + bounds.configuration_apply_s
 
     def _decode_configuration(self, update: PollResponse) -> Document:
-        """Return the configuration of an update, a complete one or patches.
+        """Return the configuration of an update, which holds either a complete one or patches.
 
         Raises:
-            UnusableConfigurationError: The bytes can't be read, a patch does not apply, or the version is another one.
+            UnusableConfigurationError: The bytes can't be read, a patch does not apply, or the resulting version differs.
         """
         try:
             value = json.loads(zlib.decompress(update.configuration))
@@ -232,7 +232,7 @@
             try:
                 patched = accept_patch(document, patch)
             except (AttributeError, KeyError, TypeError) as error:
-                raise UnusableConfigurationError(f"a patch has not the form of one: {error!r}") from error
+                raise UnusableConfigurationError(f"a patch is malformed: {error!r}") from error
             if isinstance(patched, Err):
                 raise UnusableConfigurationError(f"a patch does not apply: {patched.err_value}")
             document = patched.ok_value
@@ -247,7 +247,7 @@
 
         Args:
             demand: Demand for each model.
-            is_partial: Whether the report adds to the one before instead of replacing it.
+            is_partial: Whether the report adds to the previous one instead of replacing it.
 
         Returns:
             Whether the leader accepted it.
@@ -267,9 +267,9 @@
     """Return the route table of a configuration from a control plane.
 
     Raises:
-        UnusableConfigurationError: The value has not the form of a configuration.
+        UnusableConfigurationError: The value is not a valid configuration.
     """
     try:
         return build_route_table(document, tenants.build(document.value))
     except (AttributeError, KeyError, OverflowError, TypeError, ValueError) as error:
-        raise UnusableConfigurationError(f"it is no configuration: {error!r}") from error
+        raise UnusableConfigurationError(f"it is not a valid configuration: {error!r}") from error
--- a/mulleinhatch/data_plane/control_plane_snapshot.py
+++ b/mulleinhatch/data_plane/control_plane_snapshot.py
@@ -1,4 +1,4 @@
-"""What the control plane last published: configuration and registry in one immutable snapshot. Pure."""
+"""An immutable snapshot of the configuration and registry that the control plane last published. Pure."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from mulleinhatch.configuration.routes import RouteTable
 from mulleinhatch.data_plane.registry_snapshot import RegistrySnapshot
 
-# A poll is answered after a second at the latest, and another control plane is asked after half a second more.
+# A poll takes at most one second plus a margin of half a second, after which another control plane is polled.
 MAX_CONFIRMATION_AGE_S = 2.0
 
 
 @dataclass(frozen=True)
 class ControlPlaneSnapshot:
-    """All that the data plane acts by; replaced as a unit, so that a request never sees parts of two versions.
+    """The published state that the data plane acts on; replaced as a unit, so that a request never sees two versions.
 
     Attributes:
         table: Routes, services and limits of the configuration in force.
         backends: Registered backends.
         data_planes: Number of data planes that share the backends and the retry budgets.
-        authoritative: Whether the machine that answered last had contact with a majority.
+        authoritative: Whether the machine that answered last was in contact with a majority.
         confirmed_at: Loop time at which a machine with contact to a majority last confirmed that `table` is the newest.
         control_epoch: Epoch of the view that `control_addresses` belong to.
         control_addresses: Internal addresses of the chain of control planes in that view.
@@ -35,10 +35,10 @@
     control_addresses: tuple[str, ...] = ()
 
     def is_current(self, now: float, configuration_apply_s: float) -> bool:
-        """Return whether `table` may be taken for the newest configuration.
+        """Return whether `table` may be treated as the newest configuration.
 
-        A configuration binds `configuration_apply_s` after its acknowledgement, so what was confirmed that recently is still in
-        force everywhere, whatever was acknowledged since.
+        A configuration is binding `configuration_apply_s` after its acknowledgement. One that was confirmed more recently than
+        that is therefore still in force everywhere, whatever was acknowledged since.
 
         Args:
             now: Loop time.
--- a/mulleinhatch/data_plane/permit_waits.py
+++ b/mulleinhatch/data_plane/permit_waits.py
@@ -1,4 +1,4 @@
-"""Requests of a data plane that wait for quota tokens, in order of their arrival at the quota, by tenant."""
+"""Queues of requests that wait for quota tokens at a data plane, by tenant, in the order in which they asked for tokens."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 @dataclass(slots=True, eq=False)
 class PermitWait:
-    """A request's wait for a permit; `cancel` it where the request ends before.
+    """A request's wait for a permit; `cancel` it if the request ends first.
 
     Attributes:
         tenant: The tenant's name.
         tokens: Tokens of the request.
-        patience: How long it may wait.
+        patience: How long the request may wait.
         on_outcome: Called once with the permit or the refusal, unless cancelled.
-        position: Its place among all waits: a lower one came before.
-        timer: Decides on the wait at a time at which no answer may have come.
-        asked: Control planes that were asked since it last waited for a time.
-        was_parked: Whether it waited for a time at which tokens were expected.
+        position: Its sequence number among all waits; a lower one asked earlier.
+        timer: Ends or re-evaluates the wait if no answer has come by then.
+        attempts: Queries sent for it since it was last parked.
+        was_parked: Whether it was ever parked until tokens were expected.
         is_over: Whether the outcome is known, or the wait was cancelled.
     """
 
@@ -44,7 +44,7 @@
     on_outcome: Callable[[Outcome], None]
     position: int
     timer: Cancellable | None = None
-    asked: int = 0
+    attempts: int = 0
     was_parked: bool = False
     is_over: bool = False
 
@@ -55,8 +55,8 @@
             self.timer.cancel()
 
 
-class WaitingLine:
-    """Waits by tenant, each tenant's in order of position."""
+class WaitQueue:
+    """A queue of waits for each tenant, in order of position."""
 
     def __init__(self) -> None:
         self._waits: dict[str, list[PermitWait]] = {}
@@ -65,14 +65,14 @@
         return bool(self._waits)
 
     def add(self, wait: PermitWait) -> None:
-        """Add a wait at its place."""
+        """Insert a wait by its position."""
         waits = self._waits.setdefault(wait.tenant, [])
         waits.append(wait)
         if len(waits) > 1 and waits[-2].position > wait.position:
             waits.sort(key=lambda one: one.position)
 
     def tenants(self) -> list[str]:
-        """Return the tenants of whose waits some may not be over."""
+        """Return the tenants that may have waits that are not over."""
         return list(self._waits)
 
     def of(self, tenant: str) -> list[PermitWait]:
@@ -84,32 +84,32 @@
         return [wait for wait in self._waits.pop(tenant, ()) if not wait.is_over]
 
     def tokens_before(self, wait: PermitWait) -> int:
-        """Return the tokens of those of its tenant that came before a wait."""
+        """Return the tokens of the waits of the same tenant that precede a wait."""
         return sum(one.tokens for one in self.of(wait.tenant) if one.position < wait.position)
 
     def count(self) -> int:
-        """Return how many waits are not over."""
+        """Return the number of waits that are not over."""
         return sum(len(self.of(tenant)) for tenant in self._waits)
 
 
 class ParkedWaits:
-    """Waits that are asked for again at a time: those of one tenant together.
+    """Waits that are retried at a later time, all waits of a tenant together.
 
     Args:
         loop: Clock and timers.
-        on_due: Called with each of a tenant's waits, in order, when their time has come.
+        on_due: Called with each of a tenant's waits, in order, when they are due.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_due: Callable[[PermitWait], None]) -> None:
         self._loop, self._on_due = loop, on_due
-        self.line = WaitingLine()
+        self.queue = WaitQueue()
         self._timers: dict[str, asyncio.TimerHandle] = {}  # by tenant
-        self._owners: dict[str, str | None] = {}  # by tenant: the owner when the first of its waits was parked
+        self._owners: dict[str, str | None] = {}  # by tenant: its owner when the first of its waits was parked
 
     def park(self, wait: PermitWait, owner: str | None, due_at: float) -> None:
-        """Keep a wait until `due_at`, or until those of its tenant before it are due."""
-        wait.asked, wait.was_parked = 0, True
-        self.line.add(wait)
+        """Hold a wait until `due_at`, or until an earlier time at which the tenant's other waits are due."""
+        wait.attempts, wait.was_parked = 0, True
+        self.queue.add(wait)
         self._owners.setdefault(wait.tenant, owner)
         timer = self._timers.get(wait.tenant)
         if timer is None or due_at < timer.when():
@@ -118,21 +118,21 @@
             self._timers[wait.tenant] = self._loop.call_at(due_at, self.release, wait.tenant)
 
     def release(self, tenant: str) -> None:
-        """Hand over a tenant's waits now."""
+        """Pass a tenant's waits to `on_due` now."""
         self._owners.pop(tenant, None)
         timer = self._timers.pop(tenant, None)
         if timer is not None:
             timer.cancel()
-        for wait in self.line.take(tenant):
+        for wait in self.queue.take(tenant):
             self._on_due(wait)
 
     def release_moved(self, owner_of: Callable[[str], str | None]) -> None:
-        """Hand over the waits of all tenants that have another owner than before."""
+        """Release the waits of all tenants whose owner changed."""
         for tenant, owner in list(self._owners.items()):
             if owner_of(tenant) != owner:
                 self.release(tenant)
 
     def release_all(self) -> None:
-        """Hand over all waits."""
+        """Release all waits."""
         for tenant in list(self._owners):
             self.release(tenant)
--- a/mulleinhatch/data_plane/quota_client.py
+++ b/mulleinhatch/data_plane/quota_client.py
@@ -1,10 +1,10 @@
 """Gets quota tokens for requests: from the local balance at once, else from the control plane that owns the tenant.
 
-All needs of one owner go in one message; those that come while `MAX_QUESTIONS` are under way go with the next one. A question
-that is not answered is asked once more at the next control plane in the ranking, which owns the tenants in a view without the
-first. A request that gets no tokens then waits or is refused early (`permit_patience`), by what is known of the next answer:
-the owner's own word, or the time that the core takes to replace an owner that does not answer (`owner_contact`). Those that
-wait are asked for again together and in order, and at once where their tenant has another owner.
+Needs for the same owner are batched into one query. At most `MAX_QUERIES` queries per owner are in flight; later needs go with
+the next one. A query that is not answered is retried once at the next control plane in the ranking, which owns the tenants in a
+view without the first. A request that gets no tokens then waits or is refused early (`permit_patience`), depending on when
+tokens are expected: the owner's `retry_after_ms`, or the time that the core takes to replace an owner that does not answer
+(`owner_contact`). Waiting requests of a tenant are retried together and in order, and at once when the tenant's owner changes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from mulleinhatch.data_plane.owner_contact import OwnerContact
 from mulleinhatch.data_plane.permit_patience import Patience, backed_off_s
-from mulleinhatch.data_plane.permit_waits import Outcome, ParkedWaits, PermitWait, WaitingLine
+from mulleinhatch.data_plane.permit_waits import Outcome, ParkedWaits, PermitWait, WaitQueue
 from mulleinhatch.messages.cluster import QuotaGrant, QuotaNeed, QuotaRequest, QuotaResponse
 from mulleinhatch.messages.parsing import MAX_COUNT, UnreadableMessageError, parse_message
 from mulleinhatch.networking.http_client import HttpCallError, HttpClient
@@ -35,31 +35,33 @@
 LOG = logging.getLogger(__name__)
 QUOTA_PATH = "/internal/quota"
 QUESTION_TIMEOUT_S = 0.25
-MAX_QUESTIONS = 2  # under way to one owner
-MAX_ASKED = 2  # control planes that one request's need is told at a time
-ANSWER_S = MAX_ASKED * QUESTION_TIMEOUT_S  # by then a request that is asked for knows whether it is answered
-LOCAL_REFUSAL_S = 0.1  # at the most, after a refusal of the owner: requests as large are not asked for
-CROWDED_S = 5.0  # after a request waited in vain: first tries of its tenant do not wait for what the owner refuses
-ASK_AGAIN_S = 0.25  # while no owner answers: requests that wait are asked for so often
+MAX_QUERIES = 2  # in flight to one owner
+MAX_ATTEMPTS = 2  # control planes queried for one request before it waits or is refused
+ANSWER_TIMEOUT_S = MAX_ATTEMPTS * QUESTION_TIMEOUT_S  # all attempts for a request have ended by then
+# For at most this time after an owner's refusal, requests of at least that size are not sent to it.
+LOCAL_REFUSAL_S = 0.1
+# After a request waited and was refused, first attempts of its tenant do not wait while the owner refuses tokens.
+CONTENTION_S = 5.0
+RETRY_INTERVAL_S = 0.25  # between retries for waiting requests while no owner answers
 
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """The owner's word that a tenant has no tokens: who said so, for a request of what size, and when there will be some."""
+    """An owner's refusal of tokens for a tenant: its address, the size of the refused request, and when to retry."""
 
     address: str
     tokens: int
-    until: float  # requests as large are not asked for before
+    until: float  # requests of at least that size are not sent to the owner before this time
     retry_at: float
-    in_a_row: int  # refusals without a grant between them
+    in_a_row: int  # consecutive refusals without a grant
 
-    def holds_for(self, wait: PermitWait, owner: str | None, now: float, is_line: bool) -> bool:
-        """Return whether a request would get no tokens either; nobody passes a line of requests that wait for as little."""
-        return self.address == owner and wait.tokens >= self.tokens and now < (self.retry_at if is_line else self.until)
+    def holds_for(self, wait: PermitWait, owner: str | None, now: float, has_queue: bool) -> bool:
+        """Return whether the refusal covers this request too; it does not overtake queued requests of the same size or less."""
+        return self.address == owner and wait.tokens >= self.tokens and now < (self.retry_at if has_queue else self.until)
 
 
 class QuotaClient:
-    """Permits for requests of tenants with a limit.
+    """Gets permits for requests of tenants with a limit.
 
     Args:
         settings: Settings of this data plane.
@@ -72,20 +74,20 @@
         self._balance, self._demand, self._directory = QuotaBalance(), QuotaDemand(), OwnerDirectory()
         self._contact, self._deferred = OwnerContact(), DeferredTokens()
         self._configuration_version = 0
-        self._waiting = WaitingLine()  # not in a question that is under way
+        self._waiting = WaitQueue()  # not in a query that is in flight
         self._parked = ParkedWaits(loop, self._enqueue)
         self._next_position = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._is_flush_scheduled = False
         self._refusals: dict[str, _Refusal] = {}  # by tenant
-        self._crowded_until: dict[str, float] = {}  # by tenant: others take the tokens that its requests wait for here
+        self._contended_until: dict[str, float] = {}  # by tenant: requests at other data planes get its tokens first
         self.counters: Counter[str] = Counter()
 
     def update(self, epoch: int, addresses: Iterable[str], configuration_version: int, tenants: Iterable[str]) -> None:
-        """Use what the control plane published.
+        """Apply what the control plane published.
 
         Args:
-            epoch: Of the view that the addresses belong to.
+            epoch: Epoch of the view that the addresses belong to.
             addresses: Internal addresses of the chain.
             configuration_version: Version of the configuration in force.
             tenants: Names of its tenants with a limit; grants of all others are dropped.
@@ -96,11 +98,11 @@
             kept = set(tenants)
             self._balance.keep_only(kept)
             self._demand.keep_only(kept)
-            self._refusals, self._crowded_until = {}, {}
+            self._refusals, self._contended_until = {}, {}
             self._parked.release_all()
 
     def _learn_view(self, epoch: int, addresses: Iterable[str]) -> None:
-        """Use a view unless a newer one is known; requests that wait for tenants with another owner are asked for at once."""
+        """Apply a view unless a newer one is known; waiting requests of tenants whose owner changed are retried at once."""
         addresses = tuple(addresses)
         if self._directory.update(epoch, addresses):
             self._contact.keep_only(addresses)
@@ -117,13 +119,13 @@
             tenant: The tenant's name.
             tokens: Tokens of the request.
             patience: How long the request may wait for the answer.
-            on_outcome: Called with the outcome where it is not known at once.
+            on_outcome: Called with the outcome if it is not known at once.
 
         Returns:
-            The permit or the refusal; else the wait for it.
+            The permit or the refusal, or the wait if neither is known yet.
         """
         now = self._loop.time()
-        if not self._parked.line.of(tenant):
+        if not self._parked.queue.of(tenant):
             permit = self._balance.try_spend(tenant, tokens, now)
             if isinstance(permit, Ok):
                 self._record_admitted(tenant, tokens, now)
@@ -147,11 +149,11 @@
         return self._balance.redeem(permit, self._loop.time())
 
     def reinstate(self, permit: Permit) -> None:
-        """Hold a permit again whose request a backend surely did not execute."""
+        """Make a permit usable again after a backend confirmed that it did not execute the request."""
         self._balance.reinstate(permit)
 
     def refund(self, permit: Permit) -> None:
-        """Take back the permit of a request that ended; without effect if the request may have run."""
+        """Return the tokens of a request that ended to the balance; no effect if the request may have run."""
         self._balance.refund(permit, self._loop.time())
 
     def try_defer(self, tenant: Tenant, tokens: int, data_planes: int) -> bool:
@@ -160,44 +162,44 @@
         Args:
             tenant: The tenant; it has a limit.
             tokens: Tokens of the request.
-            data_planes: That share the limit.
+            data_planes: Number of data planes that share the limit.
         """
         refusal = self._refusals.get(tenant.name)
         is_refused = refusal is not None and self._loop.time() < refusal.retry_at
         return not is_refused and self._deferred.try_add(tenant.name, tokens, tenant.limit.rate_per_s, data_planes)
 
     def end_deferral(self, tenant: Tenant, tokens: int) -> None:
-        """Forget a queued request that asks for its tokens now, or ended."""
+        """Remove a deferred request that now acquires its tokens, or ended."""
         self._deferred.remove(tenant.name, tokens)
 
     # Waiting.
 
     def _known_answer(self, wait: PermitWait, now: float) -> tuple[float, float] | None:
-        """Return when to ask for a request and in how many seconds it will get tokens, None where it is to be asked for now."""
+        """Return when to query for a request and in how many seconds it should get tokens, or None to query now."""
         refusal = self._refusals.get(wait.tenant)
         owner = self._directory.owner_of(wait.tenant)
-        parked = self._parked.line.of(wait.tenant)
+        parked = self._parked.queue.of(wait.tenant)
         if refusal is not None and refusal.holds_for(wait, owner, now, bool(parked)):
-            return refusal.retry_at, refusal.retry_at - now + self._line_s(wait, refusal.tokens)
+            return refusal.retry_at, refusal.retry_at - now + self._queue_s(wait, refusal.tokens)
         if owner is not None and self._contact.is_lost(owner) and (parked or owner in self._contact.avoided(now)):
-            return now + ASK_AGAIN_S, self._handover_s(wait, now)
+            return now + RETRY_INTERVAL_S, self._handover_s(wait, now)
         return None
 
     def _handover_s(self, wait: PermitWait, now: float) -> float:
-        """Return in how many seconds a tenant whose owner does not answer will have tokens: a new owner's bucket is empty."""
+        """Return in how many seconds a tenant whose owner does not answer gets tokens; a new owner's bucket starts empty."""
         owner = self._directory.owner_of(wait.tenant)
         expected_s = self._contact.expected_s(owner, now) if owner is not None else None
-        return (ASK_AGAIN_S if expected_s is None else expected_s) + self._line_s(wait)
+        return (RETRY_INTERVAL_S if expected_s is None else expected_s) + self._queue_s(wait)
 
-    def _line_s(self, wait: PermitWait, covered_tokens: int = 0) -> float:
-        """Return the time that a bucket needs at least for a request and those parked before it, beyond what it covers."""
-        return wait.patience.line_s(max(0, self._parked.line.tokens_before(wait) + wait.tokens - covered_tokens))
+    def _queue_s(self, wait: PermitWait, covered_tokens: int = 0) -> float:
+        """Return the least time to refill the bucket for a request and those parked before it, less `covered_tokens`."""
+        return wait.patience.refill_s(max(0, self._parked.queue.tokens_before(wait) + wait.tokens - covered_tokens))
 
     def _park(self, wait: PermitWait, due_at: float) -> None:
         self._parked.park(wait, self._directory.owner_of(wait.tenant), due_at)
 
     def _park_or_refuse(self, wait: PermitWait, due_at: float, expected_s: float) -> None:
-        """Decide on a request that was asked for and got no tokens."""
+        """Park or refuse a request whose queries got no tokens."""
         if wait.is_over:
             return
         if self._may_wait(wait, expected_s, self._loop.time()):
@@ -206,34 +208,34 @@
             self._refuse(wait, expected_s)
 
     def _may_wait(self, wait: PermitWait, expected_s: float, now: float) -> bool:
-        """Return whether a request waits; first tries of a tenant that is over its limit do not."""
-        is_crowded = wait.tenant in self._refusals and now < self._crowded_until.get(wait.tenant, 0.0)
-        return wait.patience.waits(expected_s, now) and (wait.patience.waits_to_deadline or wait.was_parked or not is_crowded)
+        """Return whether a request may wait; first attempts of a tenant that is over its limit may not."""
+        is_contended = wait.tenant in self._refusals and now < self._contended_until.get(wait.tenant, 0.0)
+        return wait.patience.waits(expected_s, now) and (wait.patience.waits_to_deadline or wait.was_parked or not is_contended)
 
     def _set_timer(self, wait: PermitWait, now: float) -> None:
-        """Decide on a wait at the last moment at which a refusal is early, and end it when its patience is over."""
+        """Schedule the early-refusal check of a wait, or its end when the request can wait no longer."""
         patience = wait.patience
         if now < patience.early_at < patience.deadline and not patience.waits_to_deadline:
             wait.timer = self._loop.call_at(patience.early_at, self._on_early, wait)
         else:
-            last_at = max(patience.latest_at, now + ANSWER_S)
-            wait.timer = self._loop.call_at(min(patience.deadline, last_at), self._on_patience_over, wait)
+            last_at = max(patience.latest_at, now + ANSWER_TIMEOUT_S)
+            wait.timer = self._loop.call_at(min(patience.deadline, last_at), self._on_wait_expired, wait)
 
     def _on_early(self, wait: PermitWait) -> None:
         now = self._loop.time()
         owner = self._directory.owner_of(wait.tenant)
         is_silent = owner is None or self._contact.expected_s(owner, now) is not None
         expected_s = self._handover_s(wait, now)
-        # A process that stood still learns by its timers that time has passed, not that an owner is silent.
+        # After a pause of this process an overdue timer shows only that time has passed, not that the owner is silent.
         if is_silent and wait.patience.is_early(now) and not wait.patience.waits(expected_s, now):
             self._refuse(wait, expected_s)
         else:
             self._set_timer(wait, max(now, wait.patience.early_at))
 
-    def _on_patience_over(self, wait: PermitWait) -> None:
+    def _on_wait_expired(self, wait: PermitWait) -> None:
         self._refuse(wait, self._handover_s(wait, self._loop.time()))
 
-    # Asking.
+    # Queries.
 
     def _enqueue(self, wait: PermitWait) -> None:
         self._waiting.add(wait)
@@ -242,58 +244,58 @@
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Ask each owner that has a question free for all that waits for it."""
+        """Send each owner one query for all its waiting requests, unless `MAX_QUERIES` to it are in flight."""
         self._is_flush_scheduled = False
         now = self._loop.time()
         batches: dict[str, dict[str, list[PermitWait]]] = {}  # by address and tenant
         for tenant in self._waiting.tenants():
-            address = self._owner_to_ask(tenant, now)
-            if address is not None and self._contact.questions(address) >= MAX_QUESTIONS:
+            address = self._owner_to_query(tenant, now)
+            if address is not None and self._contact.in_flight(address) >= MAX_QUERIES:
                 continue
             waits = self._waiting.take(tenant)
             if address is None:
                 for wait in waits:
-                    self._park_or_refuse(wait, now + ASK_AGAIN_S, self._handover_s(wait, now))
+                    self._park_or_refuse(wait, now + RETRY_INTERVAL_S, self._handover_s(wait, now))
             elif waits:
                 batches.setdefault(address, {})[tenant] = waits
         for address, batch in batches.items():
-            self._start_question(address, batch)
+            self._start_query(address, batch)
 
-    def _owner_to_ask(self, tenant: str, now: float) -> str | None:
+    def _owner_to_query(self, tenant: str, now: float) -> str | None:
         return self._directory.owner_of(tenant, self._contact.avoided(now)) or self._directory.owner_of(tenant)
 
-    def _start_question(self, address: str, batch: dict[str, list[PermitWait]]) -> None:
-        asked_at = self._loop.time()
-        self._contact.on_asked(address, asked_at)
-        task = self._loop.create_task(self._ask(address, batch, asked_at))
+    def _start_query(self, address: str, batch: dict[str, list[PermitWait]]) -> None:
+        sent_at = self._loop.time()
+        self._contact.on_sent(address, sent_at)
+        task = self._loop.create_task(self._query(address, batch, sent_at))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, address: str, batch: dict[str, list[PermitWait]], asked_at: float) -> None:
+    async def _query(self, address: str, batch: dict[str, list[PermitWait]], sent_at: float) -> None:
         for waits in batch.values():
             for wait in waits:
-                wait.asked += 1
+                wait.attempts += 1
         request = QuotaRequest(
             node=self._settings.name,
             zone=self._settings.zone,
             configuration_version=self._configuration_version,
-            needs=self._needs(address, batch, asked_at),
+            needs=self._needs(address, batch, sent_at),
         )
         try:
             response = await self._call(address, request)
         except (HttpCallError, UnreadableMessageError) as error:
             self._http.forget(address)
-            self._avoid(address, asked_at, str(error))
-            self._ask_again(batch, address)
+            self._avoid(address, sent_at, str(error))
+            self._retry_elsewhere(batch, address)
         else:
-            self._on_answer(address, response, batch, asked_at)
+            self._on_answer(address, response, batch, sent_at)
         finally:
-            self._contact.on_ended(address, asked_at)
+            self._contact.on_ended(address, sent_at)
             if self._waiting:
                 self._flush()
 
     def _needs(self, address: str, batch: dict[str, list[PermitWait]], now: float) -> list[QuotaNeed]:
-        """Return the needs of a batch, and the unused tokens of all tenants of that owner."""
+        """Return the needs of a batch, and the tokens to return for all tenants of that owner."""
         self._balance.prune(now)
         with_returns = {tenant: [] for tenant in self._balance.tenants_with_returns() if tenant not in batch}
         owned = {tenant: none for tenant, none in with_returns.items() if self._directory.owner_of(tenant) == address}
@@ -308,11 +310,11 @@
         ]
 
     async def _call(self, address: str, request: QuotaRequest) -> QuotaResponse:
-        """Ask one process.
+        """Send one query to one control plane.
 
         Raises:
-            HttpCallError: It did not answer in time, or with another status than 200.
-            UnreadableMessageError: Its answer is no message of this version.
+            HttpCallError: It did not answer in time, or answered with a status other than 200.
+            UnreadableMessageError: The response body can't be parsed.
         """
         self.counters["questions"] += 1
         response = await self._http.request(address, "POST", QUOTA_PATH, bytes(request), QUESTION_TIMEOUT_S)
@@ -320,18 +322,18 @@
             raise HttpCallError(address, f"status {response.status}")
         return parse_message(QuotaResponse, response.body)
 
-    # Answers.
+    # Responses.
 
-    def _avoid(self, address: str, asked_at: float, reason: str) -> None:
+    def _avoid(self, address: str, sent_at: float, reason: str) -> None:
         self.counters["unanswered"] += 1
-        if self._contact.on_lost(address, asked_at, self._loop.time()):
+        if self._contact.on_lost(address, sent_at, self._loop.time()):
             LOG.warning("quota owner is out of reach; another one is asked", extra={"address": address, "error": reason})
 
-    def _on_answer(self, address: str, response: QuotaResponse, batch: dict[str, list[PermitWait]], asked_at: float) -> None:
+    def _on_answer(self, address: str, response: QuotaResponse, batch: dict[str, list[PermitWait]], sent_at: float) -> None:
         if not response.authoritative:
             self._learn_view(response.epoch, response.control_addresses)
-            self._avoid(address, asked_at, "no majority contact")
-            self._ask_again(batch, address)
+            self._avoid(address, sent_at, "no majority contact")
+            self._retry_elsewhere(batch, address)
             return
         if self._contact.on_answered(address):
             LOG.info("quota owner answers again", extra={"address": address})
@@ -340,36 +342,36 @@
         for tenant, waits in batch.items():
             grant = grants.get(tenant, QuotaGrant(tenant=tenant, not_owner=True))
             if grant.not_owner:
-                self._ask_again({tenant: waits}, address)
+                self._retry_elsewhere({tenant: waits}, address)
             else:
-                self._distribute(address, waits, grant, asked_at)
+                self._distribute(address, waits, grant, sent_at)
 
-    def _distribute(self, address: str, waits: list[PermitWait], grant: QuotaGrant, asked_at: float) -> None:
-        """Add a grant to the balance and serve those from it who waited for it, and then who came since."""
+    def _distribute(self, address: str, waits: list[PermitWait], grant: QuotaGrant, sent_at: float) -> None:
+        """Add a grant to the balance and serve from it the requests of its query, then those that arrived since."""
         now, tenant = self._loop.time(), grant.tenant
-        expires_at = asked_at + grant.lifetime_ms / 1000
+        expires_at = sent_at + grant.lifetime_ms / 1000
         granted, refused = waits[: grant.granted_requests], waits[grant.granted_requests :]
         granted_tokens = sum(wait.tokens for wait in granted)
-        # Apart from what was asked for ahead, so that what is left of one does not shorten the permits of the other.
+        # A permit expires with the first grant it draws on: merged, the rest of one part would shorten the other's permits.
         self._balance.add_grant(tenant, granted_tokens, expires_at, now)
         self._balance.add_grant(tenant, grant.ahead_tokens, expires_at, now)
         self.counters["granted_tokens"] += granted_tokens + grant.ahead_tokens
         for wait in granted:
             if self._try_serve(wait, now):
                 continue
-            if wait.asked < MAX_ASKED:
-                self._enqueue(wait)  # the grant came too late: this process stood still, or the answer took long
+            if wait.attempts < MAX_ATTEMPTS:
+                self._enqueue(wait)  # the grant came too late: this process was paused, or the response was slow
             else:
-                self._park_or_refuse(wait, now + ASK_AGAIN_S, self._handover_s(wait, now))
+                self._park_or_refuse(wait, now + RETRY_INTERVAL_S, self._handover_s(wait, now))
         if refused:
             self._on_refused(address, refused, grant, now)
         else:
             self._refusals.pop(tenant, None)
-        for wait in (*self._parked.line.of(tenant), *self._waiting.of(tenant)):
+        for wait in (*self._parked.queue.of(tenant), *self._waiting.of(tenant)):
             self._try_serve(wait, now)
 
     def _on_refused(self, address: str, refused: list[PermitWait], grant: QuotaGrant, now: float) -> None:
-        """Serve refused requests from what is left in the balance; the others wait for the time that the owner named."""
+        """Serve refused requests from the remaining balance; the others wait until the owner's retry time, or are refused."""
         tenant, tokens = grant.tenant, refused[0].tokens
         former = self._refusals.get(tenant)
         is_streak = former is not None and former.address == address and not grant.granted_requests
@@ -379,23 +381,23 @@
         self._refusals[tenant] = refusal
         for wait in refused:
             if not self._try_serve(wait, now):
-                self._park_or_refuse(wait, refusal.retry_at, retry_after_s + self._line_s(wait, tokens))
+                self._park_or_refuse(wait, refusal.retry_at, retry_after_s + self._queue_s(wait, tokens))
 
-    def _ask_again(self, batch: dict[str, list[PermitWait]], failed_address: str) -> None:
-        """Ask once more at another control plane, where one is known; else the requests wait for the next owner."""
+    def _retry_elsewhere(self, batch: dict[str, list[PermitWait]], failed_address: str) -> None:
+        """Retry at another control plane if one is known; otherwise the requests wait for the next owner, or are refused."""
         now = self._loop.time()
         for tenant, waits in batch.items():
-            next_address = self._owner_to_ask(tenant, now)
+            next_address = self._owner_to_query(tenant, now)
             for wait in waits:
-                if next_address == failed_address or next_address is None or wait.asked >= MAX_ASKED:
-                    self._park_or_refuse(wait, now + ASK_AGAIN_S, self._handover_s(wait, now))
+                if next_address == failed_address or next_address is None or wait.attempts >= MAX_ATTEMPTS:
+                    self._park_or_refuse(wait, now + RETRY_INTERVAL_S, self._handover_s(wait, now))
                 elif not wait.is_over:
                     self._enqueue(wait)
 
     # Outcomes.
 
     def _try_serve(self, wait: PermitWait, now: float) -> bool:
-        """Give a permit from the balance to a request that waits; return whether it needs none any more."""
+        """Give a waiting request a permit from the balance; return whether the wait is over."""
         if wait.is_over:
             return True
         permit = self._balance.try_spend(wait.tenant, wait.tokens, now)
@@ -407,13 +409,13 @@
         return True
 
     def _refuse(self, wait: PermitWait, expected_s: float) -> None:
-        """Refuse a request whose tokens are expected after so many seconds."""
+        """Refuse a request whose tokens are expected after `expected_s` seconds."""
         if wait.is_over:
             return
         wait.cancel()
         now = self._loop.time()
         if wait.was_parked and wait.tenant in self._refusals:
-            self._crowded_until[wait.tenant] = now + CROWDED_S
+            self._contended_until[wait.tenant] = now + CONTENTION_S
         self._record_refused(wait.tenant, wait.tokens, now)
         wait.on_outcome(Err(QuotaExceeded(wait.patience.retry_after_s(expected_s, now))))
 
@@ -428,9 +430,9 @@
     # For the status page.
 
     def status(self) -> dict[str, Any]:
-        """Return counters, the owners that did not answer, and the requests that wait for a grant."""
+        """Return counters, the owners that did not answer, and the number of requests waiting for a grant."""
         return {
             **{name: self.counters[name] for name in ("permits", "refused", "granted_tokens", "questions", "unanswered")},
             "silent_owners": self._contact.lost(),
-            "waiting": self._waiting.count() + self._parked.line.count(),
+            "waiting": self._waiting.count() + self._parked.queue.count(),
         }
--- a/tests/system/test_permit_patience.py
+++ b/tests/system/test_permit_patience.py
@@ -11,7 +11,7 @@
 
 from mulleinhatch.data_plane.owner_contact import OwnerContact
 from mulleinhatch.data_plane.permit_patience import MIN_RETRY_AFTER_S, Patience
-from mulleinhatch.data_plane.quota_client import ANSWER_S, QUESTION_TIMEOUT_S
+from mulleinhatch.data_plane.quota_client import ANSWER_TIMEOUT_S, QUESTION_TIMEOUT_S
 from mulleinhatch.membership.view_timing import HANDOVER_S
 from tests.system.test_quota_client import ADDRESSES, RATE_PER_S, World, played
 
@@ -208,14 +208,14 @@
                     world.ask(target_s=target_s, deadline_s=4.0, is_probable_retry=is_retry)
             for _ in range(20):
                 await asyncio.sleep(0.2)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_TIMEOUT_S)
             self.assertEqual((len(world.refusals()), world.client.status()["waiting"]), (8, 0))
 
         played(script)
 
     def test_the_checks_find_a_line_that_is_not_counted(self):
         """Planted defect: a bound that leaves out who waits before."""
-        with mock.patch.object(Patience, "line_s", lambda self, tokens: 0.0), self.assertRaises(AssertionError):
+        with mock.patch.object(Patience, "refill_s", lambda self, tokens: 0.0), self.assertRaises(AssertionError):
             self.test_a_flood_does_not_pile_up()
 
 
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -14,7 +14,7 @@
 from mulleinhatch.data_plane.permit_waits import Outcome, PermitWait
 from mulleinhatch.data_plane.quota_client import (
     LOCAL_REFUSAL_S,
-    MAX_QUESTIONS,
+    MAX_QUERIES,
     QuotaClient,
 )
 from mulleinhatch.messages.cluster import QuotaGrant, QuotaNeed, QuotaRequest, QuotaResponse
@@ -208,7 +208,7 @@
                 world.ask(target_s=PATIENT_TARGET_S)
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
-            self.assertEqual((world.planes.most_under_way, len(world.permits())), (MAX_QUESTIONS, 10))
+            self.assertEqual((world.planes.most_under_way, len(world.permits())), (MAX_QUERIES, 10))
             self.assertLessEqual(len(world.planes.asked), 4)
 
         played(script)
--- a/tests/system/test_quota_requests.py
+++ b/tests/system/test_quota_requests.py
@@ -36,7 +36,7 @@
 TENANT = Tenant("t", QuotaLimit(1000.0, 1000.0), QuotaUnit.TOKENS, TOKENS)
 TARGET_MS = 1500  # of all routes: a request whose tokens come later than within half of it is refused early
 RETRY_AFTER_MS = 1000  # of an owner without tokens
-ANSWER_S = 0.01  # by then an owner that is in reach has answered
+ANSWER_WAIT_S = 0.01  # by then an owner that is in reach has answered
 
 
 class MeteredContext(RequestContext):
@@ -91,7 +91,7 @@
 
     async def begin(self, name: str) -> None:
         await super().begin(name)
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(ANSWER_WAIT_S)
 
     def drain(self) -> None:
         """Let no backend take requests any more."""
@@ -251,7 +251,7 @@
             await asyncio.sleep(0.8)  # longer than a grant lives
             self.assertEqual(world.arrivals, [])
             world.router.apply_snapshot(snapshot)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_WAIT_S)
             self.assertEqual((len(world.arrivals), len(world.planes.asked)), (1, 2))
             self.assertEqual(world.planes.returned["t"], TOKENS)
             await world.event("answer", 0)
@@ -270,7 +270,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual(world.planes.asked, [])
             world.router.apply_snapshot(snapshot)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_WAIT_S)
             self.assertEqual((len(world.arrivals), len(world.planes.asked)), (1, 1))
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
@@ -294,7 +294,7 @@
             world.open_s = 0.6
             await world.begin("a")
             await asyncio.sleep(0.6)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_WAIT_S)
             self.assertEqual((len(world.transports), len(world.arrivals)), (1, 1))  # the second start used the first connection
             self.assertEqual(len(world.planes.asked), 2)
             self.assertEqual(world.requests["a"].context.state.sends, 1)
@@ -356,7 +356,7 @@
         async def script(world: MeteredWorld) -> None:
             await world.begin("a")
             await world.event("reset", 0)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_WAIT_S)
             self.assertEqual((len(world.arrivals), world.planes.granted["t"]), (2, 2 * TOKENS))
             await world.event("answer", 1)
             self.assertEqual(world.clients["a"].status, 200)
@@ -370,7 +370,7 @@
             world.planes.tokens["t"] = TOKENS
             await world.begin("a")
             await world.event("reset", 0)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_WAIT_S)
             self.assertEqual((world.clients["a"].status, len(world.arrivals)), (502, 1))
 
         scripted(script)
@@ -380,7 +380,7 @@
             world.planes.tokens["t"] = TOKENS
             await world.begin("a")
             await world.event("half and reset", 0)
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(ANSWER_WAIT_S)
             self.assertTrue(world.clients["a"].broken)
             self.assertFalse(world.clients["a"].complete)
 
@@ -413,7 +413,7 @@
         lines = ("POST /safe/x HTTP/1.1", "Host: h", f"Request-Id: {name}", "Content-Length: 1", f"Authorization: Bearer {key}")
         head = parse_request_head("\r\n".join((*lines, f"Token-Usage: {usage}", "", "")).encode())
         self.requests[name] = self.router.begin(self.clients[name], head, name.encode())
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(ANSWER_WAIT_S)
 
 
 def tenant(name: str, *keys: str, unit: str = "token_count", rate: int = 1000) -> dict[str, object]:
@@ -516,7 +516,7 @@
         world.planes.tokens["t"] += TOKENS
     else:
         await world.event(event, index)
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(ANSWER_WAIT_S)
 
 
 async def violations_of(rng: random.Random, kinds: tuple[str, str], events: list[tuple[str, int]]) -> list[str]:
