--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -32,7 +32,7 @@
 
 from mulleinhatch.data_plane.permit_patience import LINE_OVERCOMMIT, Patience
 from mulleinhatch.data_plane.permit_waits import Outcome, PermitWait
-from mulleinhatch.data_plane.quota_client import QUESTION_TIMEOUT_S, QuotaClient
+from mulleinhatch.data_plane.quota_client import QUERY_TIMEOUT_S, QuotaClient
 from mulleinhatch.membership.view_timing import AUTHORITY_S, HANDOVER_S, VIEW_CHANGE_S
 from mulleinhatch.messages.cluster import QuotaNeed, QuotaRequest, QuotaResponse
 from mulleinhatch.networking.http_client import HttpCallError, HttpResponse
@@ -304,7 +304,7 @@
         question = QuotaRequest(node="d", configuration_version=1, needs=[QuotaNeed(tenant=tenant, request_tokens=[tokens])])
         owner = self._directory.owner_of(tenant)
         try:
-            answer = await self._core.request(owner, "POST", "", bytes(question), QUESTION_TIMEOUT_S)
+            answer = await self._core.request(owner, "POST", "", bytes(question), QUERY_TIMEOUT_S)
         except HttpCallError:
             return min(HANDOVER_S, (deadline - self._loop.time()) / 3)
         grant = QuotaResponse().parse(answer.body).grants[0]
--- a/mulleinhatch/data_plane/quota_client.py
+++ b/mulleinhatch/data_plane/quota_client.py
@@ -34,10 +34,10 @@
 
 LOG = logging.getLogger(__name__)
 QUOTA_PATH = "/internal/quota"
-QUESTION_TIMEOUT_S = 0.25
+QUERY_TIMEOUT_S = 0.25
 MAX_QUERIES = 2  # in flight to one owner
 MAX_ATTEMPTS = 2  # control planes queried for one request before it waits or is refused
-ANSWER_TIMEOUT_S = MAX_ATTEMPTS * QUESTION_TIMEOUT_S  # all attempts for a request have ended by then
+ANSWER_TIMEOUT_S = MAX_ATTEMPTS * QUERY_TIMEOUT_S  # all attempts for a request have ended by then
 # For at most this time after an owner's refusal, requests of at least that size are not sent to it.
 LOCAL_REFUSAL_S = 0.1
 # After a request waited and was refused, first attempts of its tenant do not wait while the owner refuses tokens.
@@ -317,7 +317,7 @@
             UnreadableMessageError: The response body can't be parsed.
         """
         self.counters["questions"] += 1
-        response = await self._http.request(address, "POST", QUOTA_PATH, bytes(request), QUESTION_TIMEOUT_S)
+        response = await self._http.request(address, "POST", QUOTA_PATH, bytes(request), QUERY_TIMEOUT_S)
         if response.status != 200:
             raise HttpCallError(address, f"status {response.status}")
         return parse_message(QuotaResponse, response.body)
--- a/tests/system/test_permit_patience.py
+++ b/tests/system/test_permit_patience.py
@@ -11,7 +11,7 @@
 
 from mulleinhatch.data_plane.owner_contact import OwnerContact
 from mulleinhatch.data_plane.permit_patience import MIN_RETRY_AFTER_S, Patience
-from mulleinhatch.data_plane.quota_client import ANSWER_TIMEOUT_S, QUESTION_TIMEOUT_S
+from mulleinhatch.data_plane.quota_client import ANSWER_TIMEOUT_S, QUERY_TIMEOUT_S
 from mulleinhatch.membership.view_timing import HANDOVER_S
 from tests.system.test_quota_client import ADDRESSES, RATE_PER_S, World, played
 
@@ -107,7 +107,7 @@
             self.assertEqual(world.outcomes, [])
             world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != first)
             world.client.update(2, world.planes.addresses, 1, ["t", "u"])
-            await asyncio.sleep(0.02 + QUESTION_TIMEOUT_S)  # one question may be under way
+            await asyncio.sleep(0.02 + QUERY_TIMEOUT_S)  # one question may be under way
             self.assertEqual(len(world.permits()), 1)
 
         played(script)
