--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -30,7 +30,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.data_plane.permit_patience import LINE_OVERCOMMIT, Patience
+from mulleinhatch.data_plane.permit_patience import RATE_OVERCOMMIT, Patience
 from mulleinhatch.data_plane.permit_waits import Outcome, PermitWait
 from mulleinhatch.data_plane.quota_client import QUERY_TIMEOUT_S, QuotaClient
 from mulleinhatch.membership.view_timing import AUTHORITY_S, HANDOVER_S, VIEW_CHANGE_S
@@ -232,7 +232,7 @@
     async def acquire(self, tenant: str, tokens: int, data_plane: int, deadline: float, is_retry: bool) -> float | None:
         """Return None with a permit that is used at once, else the seconds of `Retry-After`."""
         client, now = self._clients[data_plane], self._loop.time()
-        rate_per_s = LINE_OVERCOMMIT * self._limits[tenant].rate_per_s / self._day.data_planes
+        rate_per_s = RATE_OVERCOMMIT * self._limits[tenant].rate_per_s / self._day.data_planes
         patience = Patience(now, TARGET_S, deadline, is_retry, rate_per_s)
         late: asyncio.Future[Outcome] = self._loop.create_future()
         outcome = client.acquire(tenant, tokens, patience, late.set_result)
--- a/mulleinhatch/data_plane/permit_patience.py
+++ b/mulleinhatch/data_plane/permit_patience.py
@@ -28,7 +28,7 @@
 MAX_WAIT_FRACTION = 0.5  # of the latency target: the rest of the target suffices for the work
 MAX_RETRY_AFTER_FRACTION = 1 / 3  # of the time until the deadline: clients do not wait longer
 MIN_RETRY_AFTER_S = 0.05
-LINE_OVERCOMMIT = 2.0  # multiple of an even share of a tenant's rate: clients are not spread evenly over data planes
+RATE_OVERCOMMIT = 2.0  # multiple of an even share of a tenant's rate: clients are not spread evenly over data planes
 MAX_DOUBLINGS = 5  # of an owner's retry time, while it grants a tenant nothing here
 
 
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -22,7 +22,7 @@
 from mulleinhatch.data_plane.access import AccessDenied
 from mulleinhatch.data_plane.admission_queue import PendingRequest, Rejection
 from mulleinhatch.data_plane.attempt import Attempt, AttemptResources
-from mulleinhatch.data_plane.permit_patience import LINE_OVERCOMMIT, Patience
+from mulleinhatch.data_plane.permit_patience import RATE_OVERCOMMIT, Patience
 from mulleinhatch.data_plane.permit_waits import Outcome, PermitWait
 from mulleinhatch.data_plane.request_context import RequestContext
 from mulleinhatch.data_plane.request_log import RequestLog
@@ -232,7 +232,7 @@
             context.route.target_latency_s,
             context.deadline,
             self._services.is_probable_retry(context.route, context.deadline - arrived_at),
-            LINE_OVERCOMMIT * context.tenant.limit.rate_per_s / max(1, self._services.data_plane_count()),
+            RATE_OVERCOMMIT * context.tenant.limit.rate_per_s / max(1, self._services.data_plane_count()),
             self.was_queued,
         )
 
