--- a/mulleinhatch/control_plane/confirmation_ages.py
+++ b/mulleinhatch/control_plane/confirmation_ages.py
@@ -1,17 +1,17 @@
-"""When this voter last confirmed a view to each control plane: how long another one's authority may still last. Pure.
+"""Tracks when this voter last confirmed a view to each control plane, which bounds that one's remaining authority. Pure.
 
-Source: C. Gray and D. Cheriton, "Leases" (SOSP 1989): who gave a lease knows when it ends.
+Source: C. Gray and D. Cheriton, "Leases" (SOSP 1989): the grantor of a lease knows when it expires.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-MAX_AGE_MS = 2**31  # of a message's field
+MAX_AGE_MS = 2**31  # limit of the message field
 
 
 class ConfirmationAges:
-    """The last confirmation of any view to each address.
+    """The time of the last confirmation of any view, by address.
 
     >>> ages = ConfirmationAges(started_at=10.0)
     >>> ages.record("a:1", 12.0)
@@ -19,7 +19,7 @@
     [500, 2500]
 
     Args:
-        started_at: When this process started: a former one may have confirmed until then, but not later.
+        started_at: When this process started; a previous process may have confirmed views until then, but not later.
     """
 
     def __init__(self, started_at: float) -> None:
@@ -27,10 +27,10 @@
         self._confirmed_at: dict[str, float] = {}  # by internal address
 
     def record(self, address: str, now: float) -> None:
-        """Count a response that confirmed a view, whichever, to the control plane at an internal address."""
+        """Record that any view was confirmed to the control plane at an internal address."""
         self._confirmed_at[address] = now
 
     def ages_ms(self, addresses: Iterable[str], now: float) -> list[int]:
-        """Return for each address the least time since this voter confirmed a view to it, rounded down."""
+        """Return for each address the minimum time since this voter confirmed a view to it, rounded down."""
         since = (self._confirmed_at.get(address, self._started_at) for address in addresses)
         return [int(min(MAX_AGE_MS, max(0.0, 1000.0 * (now - confirmed_at)))) for confirmed_at in since]
--- a/mulleinhatch/control_plane/quota_handover.py
+++ b/mulleinhatch/control_plane/quota_handover.py
@@ -1,6 +1,6 @@
-"""Ask the former owners of tenants for what is left of their quotas (`quotas.owner` says why that is safe).
+"""Asks the former owners of tenants for the remaining levels of their buckets (`quotas.owner` explains why that is safe).
 
-Whatever fails leaves the new owner with the wait and the empty bucket that need no answer.
+If the request fails, the new owner waits and starts with an empty bucket, which needs no answer.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """Asks former owners for the levels of the buckets that were taken over.
 
     Args:
-        owner: Takes the levels.
+        owner: Adopts the levels.
         clock: Returns the steady time in seconds.
         client: Sends messages to control planes.
         start_task: Runs a coroutine in the background; an `OSError` is an expected failure.
@@ -37,11 +37,11 @@
         self._owner, self._clock, self._client, self._start_task = owner, clock, client, start_task
 
     def request(self, view: View, tenants_by_owner: Mapping[str, tuple[str, ...]]) -> None:
-        """Ask in the background, all former owners at once.
+        """Ask all former owners concurrently, in the background.
 
         Args:
             view: The view in which this control plane owns the tenants.
-            tenants_by_owner: Names of the tenants, by the internal address of their owner in the view just before.
+            tenants_by_owner: Names of the tenants, by the internal address of their owner in the previous view.
         """
         for address, tenants in tenants_by_owner.items():
             self._start_task(self._ask(address, view, tenants))
@@ -54,7 +54,7 @@
                 address, HANDOVER_PATH, message, QuotaHandoverResponse, timeout_s=HANDOVER_TIMEOUT_S
             )
             asked_levels = [level for level in response.levels if response.accepted and level.tenant in tenants]
-            taken = self._owner.take_levels(asked_levels, view.epoch, self._clock())
+            taken = self._owner.adopt_levels(asked_levels, view.epoch, self._clock())
         finally:
             LOG.info(
                 "asked the former owner of tenants' quotas for their levels",
--- a/mulleinhatch/control_plane/quota_takeover.py
+++ b/mulleinhatch/control_plane/quota_takeover.py
@@ -1,6 +1,6 @@
-"""Find out when the authority of a lost owner of quotas ended, so that the new owner need not wait as if it had just ended.
+"""Determines when the authority of a lost quota owner ended, so that the new owner need not wait the full time.
 
-`quotas.former_authority` says why that is safe. Whatever fails leaves it with the whole wait.
+`quotas.former_authority` explains why that is safe. If the inquiry fails, the new owner waits the full time.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class TakeoverInquirer:
-    """Asks the voters of the view before.
+    """Asks the voters of the previous view when they last confirmed it to the former owner.
 
     Args:
-        owner: Whose wait is shortened.
+        owner: The quota owner whose wait is shortened.
         clock: Returns the steady time in seconds.
         client: Sends messages to control planes.
         start_task: Runs a coroutine in the background; an `OSError` is an expected failure.
@@ -47,11 +47,11 @@
         self._start_task, self._answer_here = start_task, answer_here
 
     def inquire(self, own: Member, former: View, view: View, tenants_by_owner: Mapping[str, tuple[str, ...]]) -> None:
-        """Ask in the background.
+        """Ask the voters in the background.
 
         Args:
             own: This control plane.
-            former: The view just before `view`.
+            former: The view before `view`.
             view: The view in which this control plane owns the tenants.
             tenants_by_owner: Names of the tenants, by the internal address of their owner in `former`.
         """
@@ -70,7 +70,7 @@
             )
 
     async def _find_end(self, own: Member, former: View, view: View, address: str) -> float | None:
-        """Return from when on the control plane at `address` surely has no majority of a former view, None if unknown."""
+        """Return the time from which the control plane at `address` has no majority of a former view, None if unknown."""
         request = ConfirmationAgeRequest(newest=view, addresses=[address])
         voters = [voter for voter in former.voters if voter.internal_address != address]
         responses = QuorumCall(
--- a/mulleinhatch/control_plane/quotas.py
+++ b/mulleinhatch/control_plane/quotas.py
@@ -1,4 +1,4 @@
-"""Answer data planes that ask for quota tokens of tenants that this control plane owns (`quotas.owner`), and report on it."""
+"""Answers quota queries of data planes for the tenants that this control plane owns (`quotas.owner`), and reports status."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
 
 
 class ViewLearner(Protocol):
-    """What a handover needs of the voter; `ViewChanger` satisfies it."""
+    """The part of the voter that a handover needs; `ViewChanger` satisfies it."""
 
     async def learn_view(self, view: View) -> None:
-        """Adopt a decided view, if it is newer: durable before it is in force."""
+        """Adopt a decided view if it is newer; it is stored durably before it is in force."""
 
 
-class ConfirmationAgeTeller(Protocol):
-    """What a takeover needs of this node as a voter; `HeartbeatResponder` satisfies it."""
+class ConfirmationAgeSource(Protocol):
+    """The part of this node's voter that a takeover needs; `HeartbeatResponder` satisfies it."""
 
     async def on_confirmation_age(self, request: ConfirmationAgeRequest) -> ConfirmationAgeResponse:
-        """Learn a view, with which this voter confirms no older one any more; then tell when it last confirmed one."""
+        """Learn a view, after which this voter confirms no older one; then report when it last confirmed one."""
 
 
 class QuotaNode(Protocol):
-    """What granting quota tokens needs of the node; `CoreNode` satisfies it once its state is open."""
+    """The part of the node that granting quota tokens needs; `CoreNode` satisfies it once its state is open."""
 
     member: Member
     state: ControlState
     view_changer: ViewLearner
-    heartbeat_responder: ConfirmationAgeTeller
+    heartbeat_responder: ConfirmationAgeSource
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
         """Run a coroutine in the background."""
@@ -64,11 +64,11 @@
         """Return whether a majority of voters confirmed the view recently."""
 
     async def wait_for_majority_contact(self) -> bool:
-        """Return whether a majority confirmed the view, or confirms it in the time that a new view needs."""
+        """Return whether a majority confirmed the view, or does so within the time that a new view needs."""
 
 
 class QuotaAccountStatus(TypedDict):
-    """The bucket of one owned tenant, and what was decided since it was taken over."""
+    """The bucket of one owned tenant, and counters since it was taken over."""
 
     rate_per_s: float
     burst: float
@@ -84,18 +84,18 @@
 
 
 class QuotaService:
-    """Grants quota tokens in the name of this control plane.
+    """Grants quota tokens on behalf of this control plane.
 
     Args:
-        node: The node whose view and configuration decide on ownership and limits; it is read at each use.
+        node: The node whose view and configuration determine ownership and limits; it is read at each use.
         clock: Returns the steady time in seconds.
-        bounds: The deployment's rule on quotas.
+        bounds: The deployment's quota rule.
         client: Sends messages to other control planes.
     """
 
     def __init__(self, node: QuotaNode, clock: Callable[[], float], bounds: QuotaBounds, client: InternalClient) -> None:
         self._node, self._clock = node, clock
-        # A former owner grants on as long as its view's last confirmations count.
+        # A former owner keeps granting while the last confirmations of its view are valid.
         self._owner = QuotaOwner(bounds, takeover_s=AUTHORITY_S)
         self._requester = HandoverRequester(self._owner, clock, client, node.start_task)
         self._inquirer = TakeoverInquirer(self._owner, clock, client, node.start_task, self._report_confirmation_age)
@@ -104,10 +104,10 @@
         self._document: Document | None = None
         self._addresses: list[str] = []
         self._tenants: Mapping[str, Tenant] = {}
-        self._refuses = False  # the last request met no majority contact
+        self._is_refusing = False  # the last request was answered without majority contact
 
     def on_change(self) -> None:
-        """Put the node's view and configuration into force where they changed; call it after each change of them."""
+        """Put the node's view and configuration into force if they changed; call it after each change."""
         view, document = self._node.view, self._node.state.document
         if view is self._view and document is self._document:
             return
@@ -122,8 +122,8 @@
         change = self._owner.update(owner_view, self._tenants, document.version, self._clock())
         if change.taken_over:
             LOG.info("took over the quotas of tenants", extra={"view_epoch": view.epoch, "tenants": list(change.taken_over)})
-        if change.given_up:
-            LOG.info("gave up the quotas of tenants", extra={"view_epoch": view.epoch, "tenants": list(change.given_up)})
+        if change.released:
+            LOG.info("gave up the quotas of tenants", extra={"view_epoch": view.epoch, "tenants": list(change.released)})
         if former_view is not None:
             self._requester.request(view, change.former_owners)
             self._inquirer.inquire(self._node.member, former_view, view, change.former_owners)
@@ -132,17 +132,17 @@
         return await self._node.heartbeat_responder.on_confirmation_age(request)
 
     async def on_request(self, request: QuotaRequest) -> QuotaResponse:
-        """Answer a data plane at once. Nothing is granted without a majority that confirmed the view.
+        """Answer a data plane. Nothing is granted unless a majority confirmed the view.
 
-        Just after a change of view the answer waits for that, for `CONFIRM_TIMEOUT_S` at most: a data plane asks an owner
-        without a majority last for some time.
+        Normally the answer is immediate. Just after a view change it waits up to `CONFIRM_TIMEOUT_S` for the confirmation,
+        because a data plane avoids an owner that answered without a majority for some time.
         """
         self.on_change()
         if not self._node.has_majority_contact() and self._clock() < self._view_since + CONFIRM_TIMEOUT_S:
             await self._node.wait_for_majority_contact()
             self.on_change()
         authoritative = self._node.has_majority_contact()
-        if authoritative == self._refuses:
+        if authoritative == self._is_refusing:
             self._log_contact(authoritative)
         return QuotaResponse(
             epoch=self._node.view.epoch,
@@ -152,26 +152,26 @@
         )
 
     async def on_handover(self, request: QuotaHandoverRequest) -> QuotaHandoverResponse:
-        """Learn the view in which another control plane owns tenants, and so grant no more of them; then tell what is left.
+        """Learn the view in which another control plane owns the tenants, stop granting for them, and return their levels.
 
         Raises:
-            OSError: The disk refused the view; nothing is handed over.
+            OSError: The view could not be stored on disk; nothing is handed over.
         """
         await self._node.view_changer.learn_view(request.newest)
         self.on_change()
-        # No await from here on: what is told is what the last grant left.
+        # No await from here on, so the returned levels include every grant.
         levels = self._owner.hand_over(request.tenants, request.epoch, self._clock())
         return QuotaHandoverResponse(accepted=bool(levels), levels=levels)
 
     def _log_contact(self, authoritative: bool) -> None:
-        self._refuses = not authoritative
+        self._is_refusing = not authoritative
         if authoritative:
             LOG.info("quota tokens are granted again: a majority confirms the view")
         else:
             LOG.warning("no quota tokens are granted: no majority of the voters confirms the view")
 
     def status(self) -> dict[str, QuotaAccountStatus]:
-        """Return the owned tenants that have a limit, by name."""
+        """Return the status of the owned tenants that have a limit, by name."""
         self.on_change()
         now = self._clock()
         return {name: _account_status(account, now) for name, account in self._owner.accounts.items()}
--- a/mulleinhatch/errors.py
+++ b/mulleinhatch/errors.py
@@ -1,4 +1,4 @@
-"""Define the base classes of every error that the project raises, one per concern.
+"""Base classes of every error that the project raises, one per concern.
 
 A concrete error lives in the module that raises it and derives from the class of its concern. Where callers already catch a
 built-in exception (``ValueError`` for bad input, ``OSError`` for failed I/O), the concrete error derives from that one too::
--- a/mulleinhatch/leadership/lease.py
+++ b/mulleinhatch/leadership/lease.py
@@ -1,4 +1,4 @@
-"""Decide when a node may act as the placement leader. Pure: a state machine with time as an argument."""
+"""Decides when a node may act as the placement leader. Pure: a state machine with time as an argument."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from enum import Enum
 
 LEASE_MARGIN_S = 0.3  # added to the lease before another node may claim
-MAX_PAUSE_S = 1.0  # what the leader knows of pending orders stays valid over a pause of this length
+MAX_PAUSE_S = 1.0  # the leader's knowledge of pending orders stays valid over a pause of this length
 FENCED_WAIT_S = 1.0  # replaces the lease where the backends themselves reject an unreachable previous leader
 
 
@@ -29,7 +29,7 @@
         identity: This node's identity.
         leader: The leader that the replicated state records, empty before the first one.
         token: The fencing token of that leader.
-        previous_leader_idle_s: How long the previous leader has given no order, by its own account; it will give no more.
+        previous_leader_idle_s: Seconds since the previous leader's last order, as it reported; it will send no more.
         is_previous_leader_fenced: The previous leader is unreachable, and backends reject its token after a higher one.
     """
 
@@ -49,7 +49,7 @@
     | FOLLOWER | the node can lead | WAITING |
     | WAITING | the previous leader's lease has expired, or it was this node, or it is fenced | CLAIMING |
     | CLAIMING | the claim is committed: its entry's index is the fencing token | LEADER |
-    | LEADER | the node cannot lead for a moment, for example during a view change | PAUSED: gives no orders |
+    | LEADER | the node cannot lead for a moment, for example during a view change | PAUSED: sends no orders |
     | PAUSED | it can lead again within MAX_PAUSE_S and the recorded token is still its own: no claim came between | LEADER |
     | PAUSED | MAX_PAUSE_S passed, or another token is recorded | FOLLOWER |
     | WAITING, CLAIMING | the node cannot lead | FOLLOWER |
@@ -61,8 +61,8 @@
     Attributes:
         state: The current state.
         token: The fencing token of this node's last committed claim.
-        rejected_token: The highest token of this node that a backend rejected as too low, 0 where none was. No order bears it,
-            or a lower one, again.
+        rejected_token: The highest token of this node that a backend rejected as too low, 0 if none was. No later order uses
+            it or a lower one.
     """
 
     def __init__(self, lease_s: float) -> None:
@@ -76,7 +76,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node may give orders."""
+        """Whether this node may send orders."""
         return self.state is LeaseState.LEADER
 
     def observe(self, observation: LeadershipObservation, now: float) -> LeaseState:
@@ -100,13 +100,13 @@
         """Become the leader once the claim is committed.
 
         Args:
-            token: The index of the claim's entry; 0 where the claim failed.
+            token: The log index of the claim's entry; 0 if the claim failed.
         """
         if self.state is LeaseState.CLAIMING and token > self.rejected_token:
             self.state, self.token = LeaseState.LEADER, token
 
     def on_higher_token(self, rejected_token: int) -> None:
-        """Handle that a backend has seen a higher token than one of this node: step down if that is the current one.
+        """Handle a backend that has seen a higher token than one of this node: step down if that one is current.
 
         Args:
             rejected_token: The token of the rejected order. A late response to an order of an earlier term says nothing
--- a/mulleinhatch/quotas/__init__.py
+++ b/mulleinhatch/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of tenants over all data planes: buckets at one owner for each tenant, short grants to data planes. Pure."""
+"""Tenant quotas shared by all data planes: one owner per tenant holds its bucket and makes short-lived grants. Pure."""
--- a/mulleinhatch/quotas/balance.py
+++ b/mulleinhatch/quotas/balance.py
@@ -1,13 +1,13 @@
 """The quota tokens that one data plane holds: grants with an expiry, and permits that are taken out of them. Pure.
 
-A token is at any moment in one place: in a grant, in a permit, on its way back to the owner, or used. All times are loop
-times in seconds; a grant's expiry counts from before the owner was asked, so that the holder's ends first.
+At any time a token is in exactly one place: in a grant, in a permit, on its way back to the owner, or used. All times are loop
+times in seconds. A grant's lifetime counts from before the query was sent, so it expires here before it does at the owner.
 
-| a permit | becomes | when |
+| permit | becomes | when |
 | --- | --- | --- |
 | reserved | redeemed | its request is about to be written, before the expiry |
 | reserved | refunded | its request ends without having been written |
-| redeemed | reserved | the backend says that it did not execute the request |
+| redeemed | reserved | the backend reports that it did not execute the request |
 
 A redeemed permit whose request may have run is used for good.
 """
@@ -20,11 +20,11 @@
 
 from result import Err, Ok, Result
 
-MIN_USE_S = 0.1  # a grant with less time left gives no permit: its request would hardly be written in time
+MIN_USE_S = 0.1  # grants closer to expiry give no permits: the request would rarely be written in time
 
 
 class PermitState(Enum):
-    """Where the tokens of a permit are."""
+    """The state of a permit; the values say where its tokens are."""
 
     RESERVED = "its request is not written yet"
     REDEEMED = "its request was written"
@@ -33,13 +33,13 @@
 
 @dataclass(slots=True, eq=False)
 class Permit:
-    """The tokens of one request. Only `QuotaBalance` changes it.
+    """The tokens of one request. Only `QuotaBalance` modifies it.
 
     Attributes:
-        tenant: Name of the tenant whose tokens these are.
-        tokens: How many.
-        expires_at: From when on the request must not be written.
-        state: Where the tokens are.
+        tenant: Name of the tenant that the tokens belong to.
+        tokens: Number of tokens.
+        expires_at: The request must not be written at or after this time.
+        state: The state of the permit.
     """
 
     tenant: str
@@ -48,16 +48,16 @@
     state: PermitState = PermitState.RESERVED
 
     def is_usable(self, now: float) -> bool:
-        """Return whether a request may be written with it."""
+        """Return whether a request may be written with this permit."""
         return self.state is PermitState.RESERVED and now < self.expires_at
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaExceeded:
-    """No tokens for a request.
+    """There are no tokens for a request.
 
     Attributes:
-        retry_after_s: When the client should come back.
+        retry_after_s: Seconds after which the client should retry.
     """
 
     retry_after_s: float
@@ -83,11 +83,11 @@
     """
 
     def __init__(self) -> None:
-        self._grants: dict[str, list[_Grant]] = {}  # by tenant, the first to expire first
-        self._returns: dict[str, int] = {}  # by tenant: tokens that were not used and can't be any more
+        self._grants: dict[str, list[_Grant]] = {}  # by tenant, in order of expiry
+        self._returns: dict[str, int] = {}  # by tenant: unused tokens that can no longer be used here
 
     def add_grant(self, tenant: str, tokens: int, expires_at: float, now: float) -> None:
-        """Add tokens that the owner granted, or a neighbour lent. Those that come too late go back."""
+        """Add tokens that the owner granted. Tokens that have already expired go to the returns."""
         if tokens <= 0:
             return
         if now >= expires_at:
@@ -98,10 +98,10 @@
         grants.sort(key=lambda grant: grant.expires_at)
 
     def try_spend(self, tenant: str, tokens: int, now: float) -> Result[Permit, QuotaExceeded]:
-        """Take the tokens of one request out of the grants, those first that expire first.
+        """Take the tokens of one request out of the grants, in order of expiry.
 
         Returns:
-            The permit, which expires with the first of the grants that it is taken from; or that they do not suffice.
+            The permit, which expires with the earliest grant that it draws on, or an error if the grants do not suffice.
         """
         usable = [grant for grant in self._grants.get(tenant, ()) if now + MIN_USE_S <= grant.expires_at]
         if tokens <= 0 or sum(grant.tokens for grant in usable) < tokens:
@@ -129,22 +129,22 @@
         return True
 
     def reinstate(self, permit: Permit) -> None:
-        """Hold a permit again whose request a backend surely did not execute."""
+        """Make a permit usable again after a backend confirmed that it did not execute the request."""
         if permit.state is PermitState.REDEEMED:
             permit.state = PermitState.RESERVED
 
     def refund(self, permit: Permit, now: float) -> None:
-        """Take a permit back whose request was not written; without effect on one that was redeemed or taken back before."""
+        """Refund a permit whose request was not written; no effect on one that was redeemed or refunded before."""
         if permit.state is PermitState.RESERVED:
             permit.state = PermitState.REFUNDED
             self.add_grant(permit.tenant, permit.tokens, permit.expires_at, now)
 
     def take_returns(self, tenant: str) -> int:
-        """Return the tokens that go back to the owner, each once: the caller sends them at most once."""
+        """Return the tokens that go back to the owner and forget them: the caller sends them at most once."""
         return self._returns.pop(tenant, 0)
 
     def tenants_with_returns(self) -> list[str]:
-        """Return the tenants of which `take_returns` has tokens."""
+        """Return the tenants for which `take_returns` has tokens."""
         return list(self._returns)
 
     def live_tokens(self, tenant: str, now: float) -> int:
@@ -152,7 +152,7 @@
         return sum(grant.tokens for grant in self._grants.get(tenant, ()) if now < grant.expires_at)
 
     def stored_tokens(self, tenant: str) -> int:
-        """Return the tokens of a tenant in all grants and returns, those in permits apart."""
+        """Return the tokens of a tenant in all grants and returns, not counting those in permits."""
         return sum(grant.tokens for grant in self._grants.get(tenant, ())) + self._returns.get(tenant, 0)
 
     def prune(self, now: float) -> None:
@@ -166,7 +166,7 @@
                 del self._grants[tenant]
 
     def keep_only(self, tenants: Iterable[str]) -> None:
-        """Drop the grants of all other tenants: the configuration does not name them any more."""
+        """Drop the grants and returns of all other tenants, which the configuration no longer contains."""
         kept = set(tenants)
         for tokens_by_tenant in (self._grants, self._returns):
             for tenant in [tenant for tenant in tokens_by_tenant if tenant not in kept]:
--- a/mulleinhatch/quotas/deferral.py
+++ b/mulleinhatch/quotas/deferral.py
@@ -1,17 +1,19 @@
 """Requests that are queued before they have quota tokens, because no backend can take them yet. Pure.
 
-Tokens that a request gets at its arrival expire while it waits for a model to be loaded, and come back to the owner only within
-a bound. So it asks when it is about to start, as long as a data plane's part of the tenant's rate covers what is queued like
-that; beyond, requests ask at their arrival, and those above the limit are refused there.
+Tokens acquired on arrival would expire while a request waits for a model to be loaded, and the owner credits returned tokens
+only up to a bound. So a queued request acquires its tokens when it is about to start, as long as the data plane's share of the
+tenant's rate covers all such requests. Beyond that, requests acquire tokens on arrival, and those above the limit are refused.
 """
 
 from __future__ import annotations
 
-DEFERRED_S = 2.0  # of a tenant's rate, over all data planes: about what loading a model takes, at half the rate
+# Limit of deferred tokens over all data planes, in seconds of the tenant's rate: about what arrives at half the rate while a
+# model is loaded.
+MAX_DEFERRED_S = 2.0
 
 
 class DeferredTokens:
-    """Tokens of queued requests that were not asked for yet, by tenant.
+    """Tokens of queued requests that were not acquired yet, by tenant.
 
     >>> deferred = DeferredTokens()
     >>> deferred.try_add("t", 100, 100.0, 2), deferred.try_add("t", 1, 100.0, 2), deferred.try_add("u", 100, 100.0, 2)
@@ -25,22 +27,22 @@
         self._tokens: dict[str, int] = {}
 
     def try_add(self, tenant: str, tokens: int, rate_per_s: float, data_planes: int) -> bool:
-        """Add a request that is queued without tokens, where the bound allows it; one request a tenant always may.
+        """Add a request that is queued without tokens if the bound allows it; one request per tenant is always allowed.
 
         Args:
             tenant: The tenant's name.
             tokens: Tokens of the request.
             rate_per_s: The tenant's limit, in units a second.
-            data_planes: That share the limit.
+            data_planes: Number of data planes that share the limit.
         """
         queued = self._tokens.get(tenant, 0)
-        if queued and queued + tokens > DEFERRED_S * rate_per_s / max(1, data_planes):
+        if queued and queued + tokens > MAX_DEFERRED_S * rate_per_s / max(1, data_planes):
             return False
         self._tokens[tenant] = queued + tokens
         return True
 
     def remove(self, tenant: str, tokens: int) -> None:
-        """Remove a request that got its tokens, or ended."""
+        """Remove a request that acquired its tokens, or ended."""
         self._tokens[tenant] -= tokens
         if not self._tokens[tenant]:
             del self._tokens[tenant]
--- a/mulleinhatch/quotas/demand.py
+++ b/mulleinhatch/quotas/demand.py
@@ -1,7 +1,7 @@
-"""How many tokens of each tenant a data plane wants ahead of its requests, by those that it admitted. Pure.
+"""Estimates how many tokens of each tenant a data plane requests in advance, from recent admissions. Pure.
 
-Only what was admitted counts, and a bounded part of what was refused: by what was asked for, a tenant's tokens would go to
-the data plane that sees most of its flood.
+Only admitted tokens and a bounded share of refused ones count. If all requested tokens counted, most of a tenant's tokens would
+go to the data plane that receives most of its flood.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 
 AVERAGING_S = 1.0  # time constant of the moving averages
-REFUSED_WEIGHT = 0.25  # of refused tokens, against admitted ones
-MAX_REFUSED_FRACTION = 0.5  # of the admitted tokens: refused ones count at most as much
-MIN_REQUESTS_AHEAD = 0.5  # expected within the lifetime of a grant; below, nothing is asked for ahead
+REFUSED_WEIGHT = 0.25  # weight of refused tokens relative to admitted ones
+MAX_REFUSED_FRACTION = 0.5  # of the admitted tokens: upper bound of the weighted refused tokens
+MIN_REQUESTS_AHEAD = 0.5  # requests expected within a grant's lifetime, below which no tokens are requested in advance
 
 
 @dataclass(slots=True)
 class _Demand:
     admitted_per_s: float = 0.0
     refused_per_s: float = 0.0
-    mean_tokens: float = 0.0  # of a request
+    mean_tokens: float = 0.0  # per request
     updated_at: float = 0.0
 
 
@@ -38,17 +38,17 @@
         self._demand: dict[str, _Demand] = {}
 
     def record_admitted(self, tenant: str, tokens: int, now: float) -> None:
-        """Count a request that got its tokens."""
+        """Record a request that got its tokens."""
         demand = self._decay(tenant, now)
         demand.admitted_per_s += tokens / AVERAGING_S
         demand.mean_tokens += 0.2 * (tokens - demand.mean_tokens) if demand.mean_tokens else tokens
 
     def record_refused(self, tenant: str, tokens: int, now: float) -> None:
-        """Count a request that did not get its tokens."""
+        """Record a request that did not get its tokens."""
         self._decay(tenant, now).refused_per_s += tokens / AVERAGING_S
 
     def tokens_ahead(self, tenant: str, lifetime_s: float, now: float) -> int:
-        """Return the tokens that requests within `lifetime_s` will probably need, 0 where hardly one is expected."""
+        """Return the tokens that requests are expected to need within `lifetime_s`, 0 if too few requests are expected."""
         if tenant not in self._demand:
             return 0
         demand = self._decay(tenant, now)
--- a/mulleinhatch/quotas/owner.py
+++ b/mulleinhatch/quotas/owner.py
@@ -1,17 +1,17 @@
 """The owner's side of quotas: a bucket for each tenant that this control plane owns, from which it grants to data planes. Pure.
 
-A tenant has one owner at a time, by rendezvous hashing over the chain of the view in force. Nothing is durable: who takes a
-tenant over waits until the former owner's authority is surely over, and then begins with an empty bucket, so both together
-grant what one bucket would have.
-
-A handover spares the wait. Why the owners A of view e and B of view e + 1 then still grant what one bucket would have:
-1. In each epoch one address owns a tenant, and there is one process at an address at a time.
-2. A closes the account when it puts e + 1 into force directly after e, and grants nothing of the tenant in e + 1. It hands the
-   level over only afterwards and only while e + 1 is in force, so all that A granted is taken from the level that it tells.
-3. A hands over once, and not before its own wait for the owner of e - 1 is over: no older owner grants any more either.
-4. B uses the level once, only in e + 1, only before it granted anything, and counts no refill between A's response and its
-   receipt. So the bucket moves from A to B; a lost, late or refused response leaves B with the wait and the empty bucket.
-5. Where A is the owner again in a later view it opens a new account: a closed one never opens again.
+A tenant has one owner at a time, chosen by rendezvous hashing over the chain of the view in force. No state is durable: a new
+owner waits until the former owner's authority has certainly ended and then starts with an empty bucket, so both together grant
+no more than one bucket would have.
+
+A handover avoids the wait. The owners A of view e and B of view e + 1 still grant no more than one bucket would, because:
+1. In each epoch one address owns a tenant, and at most one process runs at an address at a time.
+2. A closes the account when it puts e + 1 into force directly after e, and grants nothing for the tenant in e + 1. It hands the
+   level over only afterwards and only while e + 1 is in force, so the reported level already excludes everything A granted.
+3. A hands over once, and only after its own wait for the owner of e - 1 has ended, so no older owner still grants.
+4. B uses the level once, only in e + 1, only before it has granted anything, and counts no refill between A's response and its
+   receipt. So the bucket moves from A to B. If the response is lost, late or rejected, B waits and starts with an empty bucket.
+5. If A becomes the owner again in a later view, it opens a new account: a closed account is never reopened.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 
 MIN_RETRY_S = 0.05
 MAX_RETRY_S = 5.0
-HANDOVER_TIMEOUT_S = 0.3  # for the answer of a former owner; later ones are of no use
-AHEAD_RESERVE = 0.5  # of the capacity: only what lies above is granted ahead of requests
+HANDOVER_TIMEOUT_S = 0.3  # for a former owner's response; a later one would be useless
+AHEAD_RESERVE_FRACTION = 0.5  # of the capacity: only tokens above this level are granted in advance
 
 
 @dataclass(frozen=True)
 class OwnerView:
-    """What ownership depends on.
+    """The state that determines ownership.
 
     Attributes:
-        epoch: Epoch of the membership view in force; each view's is one above that of the view before it.
+        epoch: Epoch of the membership view in force; each view increments it by one.
         own_address: Internal address of this control plane.
         chain_addresses: Internal addresses of the view's chain.
     """
@@ -58,30 +58,30 @@
 
 @dataclass(frozen=True)
 class OwnershipChange:
-    """What an update changed in the ownership of tenants with a limit.
+    """Changes in the ownership of tenants with a limit.
 
     Attributes:
-        taken_over: Names of those that this control plane owns since the update.
-        given_up: Names of those that it owns no more.
-        former_owners: Names of those taken over whose owner in the view just before is known, by its internal address.
+        taken_over: Names of the tenants that this control plane owns since the update.
+        released: Names of the tenants that it no longer owns.
+        former_owners: Names of the tenants taken over whose previous owner is known, by that owner's internal address.
     """
 
     taken_over: tuple[str, ...] = ()
-    given_up: tuple[str, ...] = ()
+    released: tuple[str, ...] = ()
     former_owners: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
 
 
 @dataclass
 class GrantCounters:
-    """What was decided for one tenant since it was taken over.
+    """Counters of the decisions for one tenant since it was taken over.
 
     Attributes:
         granted_requests: Requests that were granted.
-        granted_tokens: Tokens of these.
-        ahead_tokens: Tokens granted ahead of requests.
-        refused_requests: Requests that were not granted; a request that is asked for again counts again.
-        returned_tokens: Tokens that were reported as not used.
-        credited_tokens: Tokens of these that were put back into the bucket.
+        granted_tokens: Tokens of these requests.
+        ahead_tokens: Tokens granted in advance of requests.
+        refused_requests: Requests that were not granted; a retry counts again.
+        returned_tokens: Tokens that were reported as unused.
+        credited_tokens: Returned tokens that were put back into the bucket.
     """
 
     granted_requests: int = 0
@@ -93,15 +93,15 @@
 
 
 class QuotaAccount:
-    """The bucket of one owned tenant, and what bounds the tokens returned to it.
+    """The bucket of one owned tenant, and a second bucket that bounds the tokens returned to it.
 
     Attributes:
         limit: The limit in force.
         owned_since: When this control plane became the owner.
         grants_from: Nothing is granted before this time.
-        awaits_level_until: Until when the former owner may still answer what it had left.
+        awaits_level_until: Until when the former owner may still report its remaining level.
         bucket: The tenant's bucket.
-        counters: What was decided.
+        counters: Counters of the decisions.
     """
 
     def __init__(
@@ -111,30 +111,30 @@
         self.awaits_level_until = -math.inf
         self.counters = GrantCounters()
         self._bounds, self._lifetime_s = bounds, lifetime_s
-        self._begin(0.0, 0.0, grants_from)
+        self._reset(0.0, 0.0, grants_from)
 
-    def _begin(self, level: float, returns_level: float, grants_from: float) -> None:
+    def _reset(self, level: float, returns_level: float, grants_from: float) -> None:
         self.grants_from = grants_from
         self.bucket = TokenBucket(*self._bucket_size(self.limit), level=level, updated_at=grants_from)
-        # A bucket of its own bounds what returns may add, in any span and over a change of owner. Half of it is its capacity,
-        # the other half is gained within the span.
+        # A separate bucket bounds what returns may add in any span, also across a change of owner. Half of the bound is its
+        # capacity, the other half is gained within the span.
         self._returns = TokenBucket(*self._returns_size(self.limit), level=returns_level, updated_at=grants_from)
 
     def hand_over(self, tenant: str, now: float) -> QuotaLevel:
-        """Return what is left; the caller sees to it that nothing is granted from this account any more."""
+        """Return the remaining levels; the caller ensures that this account grants nothing more."""
         self.bucket.refill(now)
         self._returns.refill(now)
         return QuotaLevel(tenant=tenant, level=self.bucket.level, returns_level=self._returns.level)
 
-    def take_level(self, level: QuotaLevel, now: float) -> bool:
-        """Go on from what the former owner had left, from now on.
+    def adopt_level(self, level: QuotaLevel, now: float) -> bool:
+        """Continue from the former owner's remaining level, starting now.
 
         Returns:
-            Whether it is used: not once this account may have granted, or where a level is no number.
+            Whether the level is used. It is not if this account may already have granted tokens, or if it is not finite.
         """
         if now >= self.grants_from or not (math.isfinite(level.level) and math.isfinite(level.returns_level)):
             return False
-        self._begin(level.level, level.returns_level, now)
+        self._reset(level.level, level.returns_level, now)
         return True
 
     def _bucket_size(self, limit: QuotaLimit) -> tuple[float, float]:
@@ -145,7 +145,7 @@
         return half / (self._bounds.window_s + longest_use_s(self._lifetime_s)), half
 
     def set_limit(self, limit: QuotaLimit, now: float) -> None:
-        """Put another limit into force at once; the level of the bucket stays, as far as the capacity allows."""
+        """Put another limit into force at once; the level of the bucket stays, but is cut to a lower capacity."""
         if limit == self.limit:
             return
         self.limit = limit
@@ -153,7 +153,7 @@
         self._returns.set_limit(*self._returns_size(limit), now)
 
     def put_back(self, tokens: int, now: float) -> None:
-        """Credit returned tokens, as far as they fit and their bound allows."""
+        """Credit returned tokens as far as the capacity and the bound on returns allow."""
         self.counters.returned_tokens += tokens
         self.bucket.refill(now)
         self._returns.refill(now)
@@ -162,15 +162,15 @@
             self.bucket.put_back(credited, now)
             self.counters.credited_tokens += credited
 
-    def begin_from(self, grants_from: float, now: float) -> bool:
-        """Begin empty at an earlier time; return whether it is earlier, and nothing was granted yet."""
+    def start_earlier(self, grants_from: float, now: float) -> bool:
+        """Start with an empty bucket at an earlier time, unless grants may have begun; return whether it does."""
         if now >= self.grants_from or grants_from >= self.grants_from:
             return False
-        self._begin(0.0, 0.0, grants_from)
+        self._reset(0.0, 0.0, grants_from)
         return True
 
     def grant_requests(self, request_tokens: Sequence[int], now: float) -> int:
-        """Grant whole requests in order; return how many of the first are granted."""
+        """Grant whole requests in order until one is refused; return the number granted."""
         largest = largest_request(self.limit, self._bounds, self._lifetime_s)
         for position, tokens in enumerate(request_tokens):
             if tokens > largest or not self.bucket.try_take(tokens, now):
@@ -181,14 +181,14 @@
         return len(request_tokens)
 
     def seconds_until(self, tokens: int, now: float) -> float:
-        """Return when a refused request should be sent again: earlier where the former owner's level may come."""
+        """Return the seconds until a refused request should be retried: fewer while the former owner's level may arrive."""
         wait_s = self.bucket.seconds_until(tokens, now)
         return min(wait_s, 0.5 * HANDOVER_TIMEOUT_S) if now < min(self.awaits_level_until, self.grants_from) else wait_s
 
     def grant_ahead(self, tokens: int, now: float) -> int:
-        """Grant tokens ahead of requests, of what lies above a part of the capacity; return how many."""
+        """Grant tokens in advance of requests, above `AHEAD_RESERVE_FRACTION` of the capacity; return the number granted."""
         self.bucket.refill(now)
-        granted = max(0, min(tokens, int(self.bucket.level - AHEAD_RESERVE * self.bucket.capacity)))
+        granted = max(0, min(tokens, int(self.bucket.level - AHEAD_RESERVE_FRACTION * self.bucket.capacity)))
         if not granted or not self.bucket.try_take(granted, now):
             return 0
         self.counters.ahead_tokens += granted
@@ -213,14 +213,14 @@
         self._view = OwnerView(0, "", ())
         self._view_since = self._former_view_since = 0.0
         self._configuration_version = 0
-        self._owned: dict[str, bool] = {}  # of each configured tenant: whether this control plane owns it
-        self._closed: dict[str, QuotaAccount] = {}  # owned in the view just before, and not handed over yet
+        self._owned: dict[str, bool] = {}  # by configured tenant: whether this control plane owns it
+        self._closed: dict[str, QuotaAccount] = {}  # owned in the previous view and not handed over yet
 
     def update(self, view: OwnerView, tenants: Mapping[str, Tenant], configuration_version: int, now: float) -> OwnershipChange:
         """Put a view and a configuration into force.
 
-        An owner stays the owner only from one view to the very next: where an epoch was skipped, another control plane may
-        have been the owner in between.
+        An owner keeps its accounts only from one view to the directly following one: if an epoch was skipped, another control
+        plane may have been the owner in between.
 
         Args:
             view: The view in force.
@@ -229,7 +229,7 @@
             now: The steady time in seconds.
 
         Returns:
-            The tenants with a limit that are taken over or given up.
+            The tenants with a limit that were taken over or released.
         """
         former_view, is_next = self._view, view.epoch == self._view.epoch + 1
         keeps_accounts = is_next or view.epoch == self._view.epoch
@@ -244,11 +244,11 @@
                 self.accounts[name].set_limit(tenant.limit, now)
         self._close_accounts((former if is_next else self._closed) if keeps_accounts else {}, tenants, now)
         taken_over = tuple(sorted(name for name, account in self.accounts.items() if account is not former.get(name)))
-        given_up = tuple(sorted(former.keys() - self.accounts.keys()))
-        return OwnershipChange(taken_over, given_up, self._former_owners(taken_over, former_view, now) if is_next else {})
+        released = tuple(sorted(former.keys() - self.accounts.keys()))
+        return OwnershipChange(taken_over, released, self._former_owners(taken_over, former_view, now) if is_next else {})
 
     def _close_accounts(self, accounts: Mapping[str, QuotaAccount], tenants: Mapping[str, Tenant], now: float) -> None:
-        """Keep the accounts that another control plane owns now, by the limits in force, until it asks for their levels."""
+        """Keep the accounts that another control plane now owns, with the limits in force, until it requests their levels."""
         self._closed = {}
         for name, account in accounts.items():
             tenant = tenants.get(name)
@@ -257,7 +257,7 @@
                 self._closed[name] = account
 
     def _former_owners(self, names: Sequence[str], former_view: OwnerView, now: float) -> dict[str, tuple[str, ...]]:
-        """Return the tenants whose former owner is to be asked, by its address."""
+        """Return the tenants whose former owner will be asked for the level, by its address."""
         by_address: dict[str, tuple[str, ...]] = {}
         for name in names:
             address = owner_address(name, former_view.chain_addresses)
@@ -267,11 +267,11 @@
         return by_address
 
     def hand_over(self, names: Sequence[str], epoch: int, now: float) -> list[QuotaLevel]:
-        """Return what is left of tenants that were owned in the view just before, each once.
+        """Return the remaining levels of tenants that were owned in the previous view, each only once.
 
         Args:
             names: The tenants that another control plane owns in the view in force.
-            epoch: The epoch of that view, as the other one knows it; another epoch than here gets nothing.
+            epoch: The epoch of that view at the requester; nothing is returned if it differs from the epoch here.
             now: The steady time in seconds.
         """
         if epoch != self._view.epoch:
@@ -279,24 +279,24 @@
         ready = [name for name in dict.fromkeys(names) if name in self._closed and now >= self._closed[name].grants_from]
         return [self._closed.pop(name).hand_over(name, now) for name in ready]
 
-    def take_levels(self, levels: Sequence[QuotaLevel], epoch: int, now: float) -> tuple[str, ...]:
-        """Grant at once from what the owners in the view just before had left.
+    def adopt_levels(self, levels: Sequence[QuotaLevel], epoch: int, now: float) -> tuple[str, ...]:
+        """Start granting at once from the remaining levels of the owners in the previous view.
 
         Args:
-            levels: Their responses.
-            epoch: The epoch of the view for which they were asked; without effect where another one is in force.
+            levels: The levels in their responses.
+            epoch: The epoch of the view in the request; no effect if another one is in force.
             now: The steady time in seconds.
 
         Returns:
-            The names of the tenants whose wait is over.
+            The names of the tenants whose wait has ended.
         """
         if epoch != self._view.epoch:
             return ()
         known = [level for level in levels if level.tenant in self.accounts]
-        return tuple(level.tenant for level in known if self.accounts[level.tenant].take_level(level, now))
+        return tuple(level.tenant for level in known if self.accounts[level.tenant].adopt_level(level, now))
 
     def _use_view(self, view: OwnerView, tenants: Mapping[str, Tenant], now: float) -> None:
-        """Compute which tenants are owned; hashes are only computed for another view or for new names."""
+        """Compute which tenants are owned; hashes are computed only for a new view or for new names."""
         known = self._owned if view == self._view else {}
         if view != self._view:
             self._former_view_since = self._view_since
@@ -309,21 +309,21 @@
         return QuotaAccount(limit, self._bounds, self._lifetime_s, now, grants_from)
 
     def shorten_wait(self, names: Sequence[str], epoch: int, ended_at: float, now: float) -> tuple[str, ...]:
-        """Grant from the end of the former owner's authority on, where that is before the end of the wait.
+        """Start granting when the former owner's authority ended, if that is before the end of the wait.
 
         Args:
-            names: Tenants of one former owner, which had them in the view just before (`OwnershipChange.former_owners`).
-            epoch: The epoch of the view in which they were taken over; without effect where another one is in force.
-            ended_at: From when on the former owner surely granted nothing (`FormerAuthority.ended_at`); may be over.
+            names: Tenants of one former owner, which owned them in the previous view (`OwnershipChange.former_owners`).
+            epoch: The epoch of the view in which they were taken over; no effect if another one is in force.
+            ended_at: The time from which the former owner granted nothing (`FormerAuthority.ended_at`); may lie in the past.
             now: The steady time in seconds.
 
         Returns:
-            The names of the tenants whose wait is shorter now.
+            The names of the tenants whose wait was shortened.
         """
         grants_from = max(ended_at, self._former_view_since + self._takeover_s)
         if epoch != self._view.epoch:
             return ()
-        return tuple(name for name in names if name in self.accounts and self.accounts[name].begin_from(grants_from, now))
+        return tuple(name for name in names if name in self.accounts and self.accounts[name].start_earlier(grants_from, now))
 
     def _is_owner(self, name: str) -> bool:
         return owner_address(name, self._view.chain_addresses) == self._view.own_address
@@ -369,7 +369,7 @@
 
 
 def owner_address(tenant: str, addresses: Sequence[str]) -> str:
-    """Return the internal address of a tenant's owner, empty where no control plane is named.
+    """Return the internal address of a tenant's owner, empty if there are no addresses.
 
     Args:
         tenant: The tenant's name.
--- a/mulleinhatch/quotas/owner_directory.py
+++ b/mulleinhatch/quotas/owner_directory.py
@@ -1,7 +1,7 @@
-"""Which control plane owns a tenant's quota, as a data plane knows it. Pure.
+"""Determines which control plane owns a tenant's quota, from the view that a data plane knows. Pure.
 
-The owner is computed by rendezvous hashing over the control planes of the newest view that is known. Where it does not answer,
-the next in the ranking is the owner of any view without it, and tells the view in force.
+The owner is computed by rendezvous hashing over the control planes of the newest known view. If it does not answer, the next
+one in the ranking is asked: it is the owner in any view without the first, and its response contains the view in force.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from mulleinhatch.membership.rendezvous import rank_by_weight
 
-OWNER_KEY_PREFIX = "quota/"  # before the tenant's name: the key that ranks the control planes
+OWNER_KEY_PREFIX = "quota/"  # prepended to the tenant's name to form the hash key that ranks the control planes
 
 
 class OwnerDirectory:
@@ -30,10 +30,10 @@
         self._ranking: dict[str, list[str]] = {}  # by tenant
 
     def update(self, epoch: int, addresses: Iterable[str]) -> bool:
-        """Use the internal addresses of the chain of a view, unless a newer view is known.
+        """Use the internal addresses of a view's chain unless a newer view is known.
 
         Returns:
-            Whether the addresses are in use now.
+            Whether the addresses are now in use.
         """
         addresses = tuple(addresses)
         if not addresses or epoch < self._epoch:
@@ -47,7 +47,7 @@
         """Return the address of a tenant's owner, or of the first in the ranking that is not `avoided`.
 
         Returns:
-            The address; None where no control plane is known, or each is avoided.
+            The address; None if no control plane is known or all are avoided.
         """
         ranking = self._ranking.get(tenant)
         if ranking is None:
--- a/mulleinhatch/simulation/quotas/defects.py
+++ b/mulleinhatch/simulation/quotas/defects.py
@@ -98,7 +98,7 @@
     if view.epoch < former.epoch + 2 or not former.epoch:
         return change
     one._closed = {name: account for name, account in accounts.items() if name not in one.accounts}
-    return OwnershipChange(change.taken_over, change.given_up, one._former_owners(change.taken_over, former, arguments[-1]))
+    return OwnershipChange(change.taken_over, change.released, one._former_owners(change.taken_over, former, arguments[-1]))
 
 
 def _hand_over_any_epoch(one: QuotaOwner, names: Any, epoch: int, now: float) -> Any:
--- a/mulleinhatch/simulation/quotas/world.py
+++ b/mulleinhatch/simulation/quotas/world.py
@@ -398,7 +398,7 @@
         if now < asker.frozen_until:
             self.queue.at(asker.frozen_until, self._on_levels, address, asker, levels, epoch, asked_at)
         elif now < asked_at + HANDOVER_TIMEOUT_S:
-            self.history.handovers += len(asker.owner.take_levels(levels, epoch, now))
+            self.history.handovers += len(asker.owner.adopt_levels(levels, epoch, now))
 
     def restart_machine(self, address: str) -> None:
         """Replace the process of a control plane by a new one, which knows nothing yet."""
--- a/mulleinhatch/tenants/__init__.py
+++ b/mulleinhatch/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants of the configuration: who they are, by which keys they are recognised, and what their quota counts. Pure."""
+"""Tenants of the configuration: their attributes, the API keys that identify them, and their quotas. Pure."""
--- a/mulleinhatch/tenants/api_keys.py
+++ b/mulleinhatch/tenants/api_keys.py
@@ -1,9 +1,9 @@
 """API keys: reading them from `Authorization`, hiding them, and the digests by which they are compared. Pure.
 
-A key never leaves the configuration and the client's request: nothing but its digest is kept for comparison, under a digest key
-that each process draws for itself, and neither is shown by any representation.
+A key exists only in the configuration and in the client's request. For comparison only its digest is stored, computed with a
+random digest key of the process, and no `repr` shows either.
 
-Source: RFC 6750, section 2.1 (`Authorization: Bearer KEY`); RFC 9110, section 11.1 (the scheme's name has no case).
+Source: RFC 6750, section 2.1 (`Authorization: Bearer KEY`); RFC 9110, section 11.1 (the scheme's name is case-insensitive).
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from result import Err, Ok, Result
 
-DIGEST_BYTES = 16  # two keys of one configuration meet in one digest with a probability below 1e-27 for a million keys
+DIGEST_BYTES = 16  # two of a million keys of one configuration share a digest with a probability below 1e-27
 BEARER = re.compile(rb"bearer +([^\s]+)", re.IGNORECASE)
 
 
 class AuthenticationError(Enum):
-    """Why a request has no tenant. The values are part of responses; they name no key."""
+    """Why a request has no tenant. The values are sent in responses and never contain a key."""
 
     NO_KEY = "an API key is needed: send Authorization: Bearer KEY"
     MALFORMED = "Authorization is not of the form Bearer KEY"
@@ -29,10 +29,10 @@
 
 
 class Secret:
-    """A text that no representation shows.
+    """A text that `repr` does not show.
 
     Args:
-        value: The text as it stands on the wire.
+        value: The text as sent on the wire.
     """
 
     __slots__ = ("_value",)
@@ -41,7 +41,7 @@
         self._value = value
 
     def reveal(self) -> bytes:
-        """Return the text; the caller keeps it out of logs, errors and status."""
+        """Return the text; the caller must keep it out of logs, errors and status pages."""
         return self._value
 
     def __repr__(self) -> str:
@@ -52,7 +52,7 @@
     """Computes the digests by which keys are compared.
 
     Args:
-        digest_key: Random bytes, 64 at most, that the process keeps to itself: digests say nothing about keys without it.
+        digest_key: At most 64 random bytes, private to the process: without them a digest reveals nothing about its key.
     """
 
     __slots__ = ("_digest_key",)
--- a/mulleinhatch/tenants/tenant.py
+++ b/mulleinhatch/tenants/tenant.py
@@ -1,4 +1,4 @@
-"""One tenant of the configuration, and what a request of it costs. Pure."""
+"""A tenant of the configuration, its limit and the unit that its quota counts. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class QuotaUnit(Enum):
-    """What a tenant's quota counts; the values are those of the configuration's `unit`."""
+    """What a tenant's quota counts; the values are those of `unit` in the configuration."""
 
     REQUESTS = ""
     TOKENS = "token_count"
@@ -18,8 +18,8 @@
     """A rate limit over all data planes together.
 
     Attributes:
-        rate_per_s: Units that a tenant may use a second.
-        burst: Units that it may use beyond that at once.
+        rate_per_s: Units per second that a tenant may use.
+        burst: Units that it may use beyond the rate at once.
     """
 
     rate_per_s: float
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """A tenant as configured; its keys are kept apart, in the `TenantTable`.
+    """A configured tenant; its keys are stored separately, in the `TenantTable`.
 
     Attributes:
-        name: Its name, sent to backends in `Tenant`.
-        limit: Its quota, None where it has none.
+        name: Its name, sent to backends in the `Tenant` header.
+        limit: Its quota, None if unlimited.
         unit: What the quota counts.
-        plain_tokens: What a request without a token count costs, where the quota counts tokens.
-        priority: Class of its requests, before that of the route; None where the route decides.
+        plain_tokens: Cost of a request without a token count, if the quota counts tokens.
+        priority: Priority class of its requests, which overrides the route's; None to use the route's.
     """
 
     name: str
--- a/mulleinhatch/tenants/tenant_table.py
+++ b/mulleinhatch/tenants/tenant_table.py
@@ -1,4 +1,4 @@
-"""The tenants of one configuration, and by which key each is recognised. Pure."""
+"""The tenants of one configuration, and the lookup of a tenant by API key. Pure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Args:
         digester: Computes the digests that `by_digest` is keyed by.
         by_name: The tenants by name.
-        by_digest: Digest and tenant of each key, by the digest.
+        by_digest: Digest and tenant of each key, by digest.
         asks_for_keys: Whether requests on routes that are not public need a key.
     """
 
@@ -34,7 +34,7 @@
         self.by_name, self.asks_for_keys = by_name, asks_for_keys
 
     def authenticate(self, authorization: Sequence[bytes]) -> Result[Tenant | None, AuthenticationError]:
-        """Return the tenant that a request's key belongs to; None where no keys are asked for.
+        """Return the tenant that a request's key belongs to; None if no keys are needed.
 
         Args:
             authorization: The values of all `Authorization` fields of the request.
@@ -43,7 +43,7 @@
             return Ok(None)
         if isinstance(secret := read_bearer_key(authorization), Err):
             return secret
-        # The lookup goes by a digest that nobody outside can compute, so its time tells nothing about the keys.
+        # The lookup uses a digest that nobody outside can compute, so its timing reveals nothing about the keys.
         digest = self._digester.digest(secret.ok_value)
         known = self._by_digest.get(digest)
         if known is None or not hmac.compare_digest(known[0], digest):
@@ -55,5 +55,5 @@
 
 
 NO_TENANTS = TenantTable(KeyDigester(b""), {}, {}, asks_for_keys=False)
-# Stands in where the tenants of a configuration were not built: every key is unknown, so nothing is allowed by mistake.
+# Used where the tenants of a configuration were not built: every key is unknown, so no request is allowed by mistake.
 LOCKED = TenantTable(KeyDigester(b""), {}, {}, asks_for_keys=True)
--- a/tests/system/test_quota_queues.py
+++ b/tests/system/test_quota_queues.py
@@ -20,7 +20,7 @@
 from mulleinhatch.messages.cluster import QuotaRequest, QuotaResponse
 from mulleinhatch.networking.http_client import HttpResponse
 from mulleinhatch.networking.http_streaming import parse_request_head
-from mulleinhatch.quotas.deferral import DEFERRED_S
+from mulleinhatch.quotas.deferral import MAX_DEFERRED_S
 from mulleinhatch.quotas.limits import FLIGHT_S, GRANT_LIFETIME_S, QuotaBounds, bucket_capacity
 from mulleinhatch.quotas.owner import OwnerView, QuotaOwner
 from mulleinhatch.simulation.virtual_time import VirtualLoop
@@ -236,7 +236,7 @@
             with self.subTest(rate=limit.rate_per_s):
                 played = play(limit, 5.0, 3.0)
                 granted = bucket_capacity(limit, BOUNDS, GRANT_LIFETIME_S) + 3.0 * limit.rate_per_s
-                bound = (DEFERRED_S * limit.rate_per_s + granted) / PLANES + TOKENS
+                bound = (MAX_DEFERRED_S * limit.rate_per_s + granted) / PLANES + TOKENS
                 self.assertLessEqual(played.most_waiting * TOKENS, bound)
                 self.assertLess(played.refused_late, 0.03 * played.statuses[429])
                 self.assertEqual(played.uncovered, 0)
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -186,7 +186,7 @@
     def test_an_owner_that_stays_keeps_its_bucket(self):
         chain = tuple(address for address in CHAIN if address == self.own or address != CHAIN[0])
         change = self.owner.update(OwnerView(2, self.own, chain), tenants(fern=SMALL), 1, 60.0)
-        self.assertEqual((change.taken_over, change.given_up), ((), ()))
+        self.assertEqual((change.taken_over, change.released), ((), ()))
         self.assertEqual(self.grant(60.0, need("fern", 2_400)).granted_requests, 1)
 
     def test_an_owner_that_missed_a_view_begins_anew(self):
@@ -205,7 +205,7 @@
     def test_who_left_the_chain_gives_up_its_tenants(self):
         chain = tuple(address for address in CHAIN if address != self.own)
         change = self.owner.update(OwnerView(2, self.own, chain), tenants(fern=SMALL), 1, 60.0)
-        self.assertEqual(change.given_up, ("fern",))
+        self.assertEqual(change.released, ("fern",))
         self.assertTrue(self.grant(60.0, need("fern", 1)).not_owner)
 
     # Handover.
@@ -217,7 +217,7 @@
         capacity = bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)
         self.assertEqual([(level.tenant, level.level) for level in levels], [("fern", capacity)])
         self.assertEqual(former.hand_over(["fern"], 2, 60.0), [])
-        self.assertEqual(new.take_levels(levels, 2, 60.2), ("fern",))
+        self.assertEqual(new.adopt_levels(levels, 2, 60.2), ("fern",))
         self.assertEqual(new.answer(ask(need("fern", int(capacity))), 60.2)[0].granted_requests, 1)
         self.assertEqual(new.answer(ask(need("fern", 10)), 60.2)[0].granted_requests, 0)
 
@@ -225,7 +225,7 @@
         former, new = self.pass_on(60.0, used=int(bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)))
         levels = former.hand_over(["fern"], 2, 60.0)
         self.assertLess(levels[0].level, 1)
-        new.take_levels(levels, 2, 60.3)
+        new.adopt_levels(levels, 2, 60.3)
         self.assertLess(new.accounts["fern"].bucket.level, 1)
 
     def test_a_former_owner_grants_nothing_after_the_handover_nor_opens_the_account_again(self):
@@ -241,7 +241,7 @@
         former, new = self.pass_on(60.0)
         self.assertEqual(former.hand_over(["fern"], 3, 60.0), [])
         levels = former.hand_over(["fern"], 2, 60.0)
-        self.assertEqual(new.take_levels(levels, 3, 60.0), ())
+        self.assertEqual(new.adopt_levels(levels, 3, 60.0), ())
         former, new = self.pass_on(60.0)
         former.update(OwnerView(3, self.own, self.without_own), tenants(fern=SMALL), 1, 60.0)
         self.assertEqual(former.hand_over(["fern"], 3, 60.0), [])
@@ -260,12 +260,12 @@
         """Guards against tokens out of nothing (QUOTA) by a late answer or a broken one."""
         former, new = self.pass_on(60.0)
         levels = former.hand_over(["fern"], 2, 60.0)
-        self.assertEqual(new.take_levels([QuotaLevel("fern", float("nan"), 0.0)], 2, 60.1), ())
-        self.assertEqual(new.take_levels([QuotaLevel("fern", 1.0, float("inf"))], 2, 60.1), ())
-        self.assertEqual(new.take_levels(levels, 2, 61.0), ())
+        self.assertEqual(new.adopt_levels([QuotaLevel("fern", float("nan"), 0.0)], 2, 60.1), ())
+        self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1.0, float("inf"))], 2, 60.1), ())
+        self.assertEqual(new.adopt_levels(levels, 2, 61.0), ())
         former, new = self.pass_on(60.0)
-        self.assertEqual(new.take_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ("fern",))
-        self.assertEqual(new.take_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ())
+        self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ("fern",))
+        self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ())
         self.assertEqual(new.accounts["fern"].bucket.level, bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S))
 
     def test_while_the_former_owner_is_asked_a_refused_request_is_to_come_back_soon(self):
