--- a/tests/system/test_permit_patience.py
+++ b/tests/system/test_permit_patience.py
@@ -1,4 +1,4 @@
-"""When a request without quota tokens waits and when it is refused: the pure decision, and what the client makes of it."""
+"""Whether a request without quota tokens waits or is refused: the pure decision, and its use in the quota client."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from mulleinhatch.data_plane.permit_patience import MIN_RETRY_AFTER_S, Patience
 from mulleinhatch.data_plane.quota_client import ANSWER_TIMEOUT_S, QUERY_TIMEOUT_S
 from mulleinhatch.membership.view_timing import HANDOVER_S
-from tests.system.test_quota_client import ADDRESSES, RATE_PER_S, World, played
+from tests.system.test_quota_client import ADDRESSES, RATE_PER_S, World, run_script
 
 SECONDS = st.floats(0.0, 20.0)
 PATIENCES = st.builds(
@@ -27,14 +27,16 @@
 
 class Decisions(unittest.TestCase):
     @given(PATIENCES, SECONDS, SECONDS)
-    def test_waits_only_for_tokens_that_leave_it_a_chance(self, patience: Patience, expected_s: float, passed_s: float):
+    def test_a_request_waits_only_for_tokens_within_its_target_or_deadline(
+        self, patience: Patience, expected_s: float, passed_s: float
+    ):
         now = patience.arrived_at + passed_s
         if patience.waits(expected_s, now):
             self.assertLess(now + expected_s, patience.deadline)
             self.assertTrue(patience.waits_to_deadline or now + expected_s < patience.arrived_at + patience.target_s)
 
     @given(PATIENCES, SECONDS, SECONDS, SECONDS)
-    def test_never_waits_for_later_tokens_but_not_for_sooner_ones(
+    def test_a_request_that_waits_for_late_tokens_also_waits_for_earlier_ones(
         self, patience: Patience, one_s: float, other_s: float, passed_s: float
     ):
         now = patience.arrived_at + passed_s
@@ -42,25 +44,25 @@
             self.assertTrue(patience.waits(min(one_s, other_s), now))
 
     @given(PATIENCES, SECONDS, SECONDS)
-    def test_one_that_came_back_waits_wherever_a_first_one_does(self, patience: Patience, expected_s: float, passed_s: float):
+    def test_a_retry_waits_wherever_a_first_attempt_does(self, patience: Patience, expected_s: float, passed_s: float):
         now = patience.arrived_at + passed_s
         first = Patience(patience.arrived_at, patience.target_s, patience.deadline)
         again = Patience(patience.arrived_at, patience.target_s, patience.deadline, is_probable_retry=True)
         self.assertLessEqual(first.waits(expected_s, now), again.waits(expected_s, now))
 
     @given(PATIENCES, SECONDS, SECONDS)
-    def test_a_client_comes_back_within_a_third_of_its_time(self, patience: Patience, expected_s: float, passed_s: float):
+    def test_retry_after_is_at_most_a_third_of_the_remaining_time(self, patience: Patience, expected_s: float, passed_s: float):
         now = patience.arrived_at + passed_s
         retry_after_s = patience.retry_after_s(expected_s, now)
         self.assertLessEqual(retry_after_s, max(MIN_RETRY_AFTER_S, (patience.deadline - now) / 3))
         self.assertLessEqual(retry_after_s, max(MIN_RETRY_AFTER_S, expected_s))
 
     @given(PATIENCES)
-    def test_the_early_decision_comes_within_a_quarter_of_the_target(self, patience: Patience):
+    def test_the_early_decision_is_made_within_a_quarter_of_the_target(self, patience: Patience):
         self.assertTrue(patience.is_early(patience.early_at))
         self.assertFalse(patience.is_early(patience.arrived_at + 0.2501 * patience.target_s))
 
-    def test_an_owner_that_is_overdue_is_expected_after_as_long_again(self):
+    def test_an_overdue_owner_is_expected_after_the_time_it_is_overdue(self):
         contact = OwnerContact()
         contact.on_lost("a", 0.0, 0.25)
         self.assertAlmostEqual(contact.expected_s("a", 0.3), HANDOVER_S - 0.3)
@@ -70,8 +72,8 @@
 
 
 class Waits(unittest.TestCase):
-    def test_the_first_request_that_meets_a_silent_owner_is_refused_early(self):
-        """A refusal after a quarter of the target is worth nothing; many machines see one request in a loss."""
+    def test_the_first_request_to_a_silent_owner_is_refused_early(self):
+        """Guards against late refusals: one after a quarter of the target has no value, even for the first request."""
 
         async def script(world: World) -> None:
             world.planes.silent |= set(ADDRESSES)
@@ -81,23 +83,23 @@
             [retry_after_s] = world.refusals()
             self.assertTrue(1.5 < retry_after_s < 5.0 / 3)
 
-        played(script)
+        run_script(script)
 
-    def test_later_requests_of_a_lost_owner_are_refused_at_once_with_the_time_of_the_next_one(self):
+    def test_later_requests_to_a_lost_owner_are_refused_at_once_with_the_time_of_its_replacement(self):
         async def script(world: World) -> None:
             world.planes.silent |= set(ADDRESSES)
             world.ask()
             await asyncio.sleep(0.6)
             world.outcomes.clear()
-            questions = len(world.planes.asked)
+            queries = len(world.planes.queries)
             self.assertIsNone(world.ask(deadline_s=20.0))
             [retry_after_s] = world.refusals()
             self.assertAlmostEqual(retry_after_s, HANDOVER_S - 0.6 + 100 / RATE_PER_S, delta=0.02)
-            self.assertEqual(len(world.planes.asked), questions)
+            self.assertEqual(len(world.planes.queries), queries)
 
-        played(script)
+        run_script(script)
 
-    def test_one_that_came_back_waits_until_the_new_view_and_is_served_at_once_with_it(self):
+    def test_a_retry_waits_for_the_new_view_and_is_then_served_at_once(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 1000
             first = world.owner()
@@ -107,12 +109,12 @@
             self.assertEqual(world.outcomes, [])
             world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != first)
             world.client.update(2, world.planes.addresses, 1, ["t", "u"])
-            await asyncio.sleep(0.02 + QUERY_TIMEOUT_S)  # one question may be under way
+            await asyncio.sleep(0.02 + QUERY_TIMEOUT_S)  # one query may be in flight
             self.assertEqual(len(world.permits()), 1)
 
-        played(script)
+        run_script(script)
 
-    def test_a_patient_request_waits_for_the_time_that_the_owner_named(self):
+    def test_a_waiting_request_is_retried_at_the_owners_retry_time(self):
         async def script(world: World) -> None:
             world.planes.retry_after_ms = 200
             world.ask()
@@ -120,11 +122,11 @@
             world.planes.tokens["t"] = 100
             self.assertEqual((world.outcomes, world.client.status()["waiting"]), ([], 1))
             await asyncio.sleep(0.12)
-            self.assertEqual((len(world.permits()), len(world.planes.asked)), (1, 2))
+            self.assertEqual((len(world.permits()), len(world.planes.queries)), (1, 2))
 
-        played(script)
+        run_script(script)
 
-    def test_waiting_requests_keep_their_order_and_are_asked_for_together(self):
+    def test_waiting_requests_keep_their_order_and_share_one_query(self):
         async def script(world: World) -> None:
             world.planes.retry_after_ms = 200
             served: list[int] = []
@@ -135,9 +137,9 @@
             world.planes.tokens["t"] = 1000
             await asyncio.sleep(0.25)
             self.assertEqual(served, [0, 1, 2, 3])
-            self.assertEqual([len(need.request_tokens) for need in world.planes.asked[-1][1].needs], [4])
+            self.assertEqual([len(need.request_tokens) for need in world.planes.queries[-1][1].needs], [4])
 
-        played(script)
+        run_script(script)
 
     def test_a_later_request_does_not_take_the_tokens_of_those_that_wait(self):
         async def script(world: World) -> None:
@@ -149,16 +151,16 @@
                 world.client.acquire("t", 100, patience, lambda outcome: served.append(name))
 
             ask("first")
-            await asyncio.sleep(0.15)  # the local refusal is over
+            await asyncio.sleep(0.15)  # the local refusal has ended
             world.client._balance.add_grant("t", 100, world.loop.time() + 0.5, world.loop.time())
             world.planes.tokens["t"] = 100
             ask("second")
             await asyncio.sleep(0.3)
             self.assertEqual(served, ["first", "second"])
 
-        played(script)
+        run_script(script)
 
-    def test_a_small_request_is_not_refused_for_a_larger_ones_sake(self):
+    def test_a_refusal_of_a_large_request_does_not_apply_to_a_small_one(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 100
             world.ask(tokens=500)
@@ -167,7 +169,7 @@
             await asyncio.sleep(0.01)
             self.assertEqual((len(world.refusals()), len(world.permits())), (1, 1))
 
-        played(script)
+        run_script(script)
 
     def test_a_refusal_does_not_outlive_a_change_of_owner(self):
         async def script(world: World) -> None:
@@ -181,10 +183,10 @@
             await asyncio.sleep(0.01)
             self.assertEqual((len(world.refusals()), len(world.permits())), (1, 1))
 
-        played(script)
+        run_script(script)
 
-    def test_a_flood_does_not_pile_up(self):
-        """A hot tenant's requests wait for no more tokens than its rate gives within their patience."""
+    def test_a_flood_does_not_build_up_a_queue(self):
+        """Guards against a growing queue: requests wait for at most the tokens that the rate yields within their wait."""
 
         async def script(world: World) -> None:
             world.planes.retry_after_ms = 100
@@ -198,9 +200,9 @@
             await asyncio.sleep(2.0)
             self.assertEqual(len(world.refusals()), 200)
 
-        played(script)
+        run_script(script)
 
-    def test_no_wait_outlives_its_patience(self):
+    def test_no_wait_exceeds_its_limit(self):
         async def script(world: World) -> None:
             world.planes.silent |= set(ADDRESSES)
             for target_s in (0.13, 0.8, 2.0, 6.0):
@@ -211,12 +213,12 @@
             await asyncio.sleep(ANSWER_TIMEOUT_S)
             self.assertEqual((len(world.refusals()), world.client.status()["waiting"]), (8, 0))
 
-        played(script)
+        run_script(script)
 
-    def test_the_checks_find_a_line_that_is_not_counted(self):
-        """Planted defect: a bound that leaves out who waits before."""
+    def test_a_defect_that_ignores_the_queue_is_detected(self):
+        """Injected defect: the expected wait ignores the requests that are queued before."""
         with mock.patch.object(Patience, "refill_s", lambda self, tokens: 0.0), self.assertRaises(AssertionError):
-            self.test_a_flood_does_not_pile_up()
+            self.test_a_flood_does_not_build_up_a_queue()
 
 
 if __name__ == "__main__":
--- a/tests/system/test_quota_balance.py
+++ b/tests/system/test_quota_balance.py
@@ -1,4 +1,4 @@
-"""The tokens that a data plane holds: none is used twice, after its expiry or given back twice; the sum stays the same."""
+"""Quota balance of a data plane: no token is used twice, used after its expiry or returned twice, and none is lost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BalanceHistories(RuleBasedStateMachine):
-    """Any order of grants, permits, writes, refunds and returns, counted from outside."""
+    """Random sequences of grants, permits, writes, refunds and returns, checked against an independent count."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,8 +24,8 @@
         self.granted = dict.fromkeys(TENANTS, 0)
         self.used = dict.fromkeys(TENANTS, 0)
         self.returned = dict.fromkeys(TENANTS, 0)
-        self.ends: dict[str, list[float]] = {tenant: [] for tenant in TENANTS}  # of all grants
-        self.permits: list[Permit] = []  # held, as the test knows it
+        self.ends: dict[str, list[float]] = {tenant: [] for tenant in TENANTS}  # expiry times of all grants
+        self.permits: list[Permit] = []  # reserved, according to the test
         self.redeemed: list[Permit] = []
 
     @rule(tenant=st.sampled_from(TENANTS), tokens=TOKENS, lifetime_s=st.sampled_from([-0.1, 0.05, 0.3, 0.5, 2.0]))
@@ -92,7 +92,7 @@
         self.balance.prune(self.now)
 
     @rule(tenant=st.sampled_from(TENANTS))
-    def give_back(self, tenant: str) -> None:
+    def take_returns(self, tenant: str) -> None:
         self.returned[tenant] += self.balance.take_returns(tenant)
         assert self.balance.take_returns(tenant) == 0
 
@@ -104,7 +104,7 @@
             assert self.balance.stored_tokens(tenant) + elsewhere == self.granted[tenant]
 
     @invariant()
-    def nothing_that_is_live_is_given_back(self) -> None:
+    def expired_grants_give_no_permits(self) -> None:
         for tenant in TENANTS:
             if any(end > self.now for end in self.ends[tenant]):
                 continue
@@ -117,7 +117,7 @@
 
 
 class Balance(unittest.TestCase):
-    def test_a_tenant_that_the_configuration_no_longer_names_loses_its_grants(self):
+    def test_a_removed_tenant_loses_its_grants(self):
         balance = QuotaBalance()
         for tenant in TENANTS:
             balance.add_grant(tenant, 10, 1.0, 0.0)
@@ -125,7 +125,7 @@
         self.assertTrue(balance.try_spend("a", 1, 0.0).is_err())
         self.assertTrue(balance.try_spend("b", 10, 0.0).is_ok())
 
-    def test_a_permit_of_two_grants_ends_with_the_first(self):
+    def test_a_permit_from_two_grants_expires_with_the_earlier_one(self):
         balance = QuotaBalance()
         balance.add_grant("a", 10, 2.0, 0.0)
         balance.add_grant("a", 10, 1.0, 0.0)
@@ -133,7 +133,7 @@
         self.assertEqual(permit.expires_at, 1.0)
         self.assertEqual(balance.live_tokens("a", 1.5), 5)
 
-    def test_a_refund_after_the_expiry_goes_back_to_the_owner_only(self):
+    def test_a_refund_after_the_expiry_goes_back_to_the_owner(self):
         balance = QuotaBalance()
         balance.add_grant("a", 10, 1.0, 0.0)
         permit = balance.try_spend("a", 10, 0.0).ok_value
@@ -143,8 +143,8 @@
 
 
 class Demand(unittest.TestCase):
-    def test_a_flood_that_is_refused_asks_for_half_more_than_what_is_admitted_at_the_most(self):
-        """Worth lost: by what was offered, tokens go to the data plane that sees most of a hot tenant's flood."""
+    def test_refused_requests_raise_the_demand_by_at_most_half(self):
+        """Guards against lost value: if all offered load counted, the data plane with most of a flood would get the tokens."""
         calm, flooded = QuotaDemand(), QuotaDemand()
         for tick in range(200):
             for demand in (calm, flooded):
@@ -155,7 +155,7 @@
         self.assertGreater(admitted, 800)
         self.assertLessEqual(asked, 1.5 * admitted + 1)
 
-    def test_nothing_is_wanted_ahead_of_rare_requests(self):
+    def test_no_tokens_are_requested_in_advance_for_rare_requests(self):
         demand = QuotaDemand()
         for tick in range(20):
             demand.record_admitted("a", 2400, 2.0 * tick)
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -1,4 +1,4 @@
-"""How a data plane gets quota tokens: one question for all needs, bounded waits, none used twice whatever is lost or late."""
+"""Quota client of a data plane: batched queries, bounded waits, and no token used twice if messages are lost or late."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 ADDRESSES = ("c1:1", "c2:1", "c3:1")
 LIFETIME_MS = int(1000 * GRANT_LIFETIME_S)
 ROUND_TRIP_S = 0.004
-PATIENCE_S = 0.4  # of a request whose client gives it up then
-TARGET_S = 0.8  # without tokens early in it, a request is refused early
-PATIENT_TARGET_S = 5.0  # waits for what the tests below let happen
+PATIENCE_S = 0.4  # time until a request's client times out
+TARGET_S = 0.8  # short latency target: a request without tokens is refused early
+PATIENT_TARGET_S = 5.0  # long latency target: a request waits for its tokens
 DEADLINE_S = 5.0
 RATE_PER_S = 1000.0
 
 
 class ControlPlanes:
-    """Answer as owners do, each with the tokens that a test gives it; an `HttpClient` to the data plane.
+    """Fake owners that grant the tokens that a test provides; stands in for the data plane's `HttpClient`.
 
     Attributes:
-        tokens: Left in the bucket of each tenant.
+        tokens: Tokens left in the bucket of each tenant.
         epoch: Epoch and addresses of the view in force.
         silent: Addresses that do not answer.
         without_majority: Addresses without contact to a majority.
-        round_trip_s: From the question to its answer.
-        asked: Address and request of each question.
-        granted: Tokens that left the buckets, by tenant.
-        returned: Tokens that came back to an owner, by tenant.
-        lost: Tokens of answers and returns that did not arrive.
-        last_end: Until when the last grant may be used.
+        round_trip_s: Time from a query to its response.
+        queries: Address and request of each query.
+        granted: Tokens taken from the buckets, by tenant.
+        returned: Tokens returned to an owner, by tenant.
+        lost: Tokens in responses and returns that did not arrive.
+        last_expiry: Expiry of the last grant.
     """
 
     def __init__(self) -> None:
@@ -58,54 +58,54 @@
         self.without_majority: set[str] = set()
         self.round_trip_s = ROUND_TRIP_S
         self.retry_after_ms = 700
-        self.asked: list[tuple[str, QuotaRequest]] = []
+        self.queries: list[tuple[str, QuotaRequest]] = []
         self.granted: dict[str, int] = {}
         self.returned: dict[str, int] = {}
         self.lost = 0
-        self.last_end = 0.0
-        self.under_way = 0
-        self.most_under_way = 0
+        self.last_expiry = 0.0
+        self.in_flight = 0
+        self.max_in_flight = 0
 
     def forget(self, address: str) -> None:
-        """No connection is kept."""
+        """Do nothing; there are no connections."""
 
     async def request(self, address: str, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
         assert (method, path) == ("POST", "/internal/quota")
-        question = QuotaRequest().parse(body)
-        self.asked.append((address, question))
-        self.under_way += 1
-        self.most_under_way = max(self.most_under_way, self.under_way)
+        query = QuotaRequest().parse(body)
+        self.queries.append((address, query))
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         try:
-            return HttpResponse(200, None, await self._exchange(address, question, timeout_s))
+            return HttpResponse(200, None, await self._exchange(address, query, timeout_s))
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
-    async def _exchange(self, address: str, question: QuotaRequest, timeout_s: float) -> bytes:
+    async def _exchange(self, address: str, query: QuotaRequest, timeout_s: float) -> bytes:
         asked_at = asyncio.get_running_loop().time()
         is_silent, trip_s = address in self.silent, self.round_trip_s / 2
         await asyncio.sleep(min(timeout_s, trip_s))
         if is_silent or trip_s >= timeout_s:
-            self.lost += sum(need.returned_tokens for need in question.needs)
+            self.lost += sum(need.returned_tokens for need in query.needs)
             await asyncio.sleep(timeout_s - min(timeout_s, trip_s))
             raise HttpCallError(address, "no answer")
         before = sum(self.granted.values())
-        answer = bytes(self._answer(address, question))
+        answer = bytes(self._answer(address, query))
         if 2 * trip_s > timeout_s:
             self.lost += sum(self.granted.values()) - before
             await asyncio.sleep(timeout_s - trip_s)
             raise HttpCallError(address, "no answer")
-        self.last_end = asked_at + LIFETIME_MS / 1000
+        self.last_expiry = asked_at + LIFETIME_MS / 1000
         await asyncio.sleep(trip_s)
         return answer
 
-    def _answer(self, address: str, question: QuotaRequest) -> QuotaResponse:
+    def _answer(self, address: str, query: QuotaRequest) -> QuotaResponse:
         directory = OwnerDirectory()
         directory.update(self.epoch, self.addresses)
         if address in self.without_majority:
-            self.lost += sum(need.returned_tokens for need in question.needs)
+            self.lost += sum(need.returned_tokens for need in query.needs)
             return QuotaResponse(epoch=self.epoch, control_addresses=list(self.addresses))
         grants = []
-        for need in question.needs:
+        for need in query.needs:
             if directory.owner_of(need.tenant) == address:
                 grants.append(self._grant(need))
             else:
@@ -171,8 +171,8 @@
         return [outcome.err_value.retry_after_s for outcome in self.outcomes if isinstance(outcome, Err)]
 
 
-def played(script: Callable[[World], Awaitable[None]]) -> None:
-    """Play a script in virtual time."""
+def run_script(script: Callable[[World], Awaitable[None]]) -> None:
+    """Run a script in virtual time."""
     loop = VirtualLoop()
 
     async def play() -> None:
@@ -187,20 +187,20 @@
 
 
 class QuotaClients(unittest.TestCase):
-    def test_needs_of_one_moment_go_in_one_question_and_are_granted_in_order(self):
+    def test_simultaneous_needs_share_one_query_and_are_granted_in_order(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 250
             for _ in range(3):
                 world.ask()
             await asyncio.sleep(0.1)
-            [(address, question)] = world.planes.asked
-            self.assertEqual((address, list(question.needs[0].request_tokens)), (world.owner(), [100, 100, 100]))
+            [(address, query)] = world.planes.queries
+            self.assertEqual((address, list(query.needs[0].request_tokens)), (world.owner(), [100, 100, 100]))
             self.assertEqual((len(world.permits()), world.refusals()), (2, [0.7]))
-            self.assertEqual((question.node, question.zone, question.configuration_version), ("d", "z", 1))
+            self.assertEqual((query.node, query.zone, query.configuration_version), ("d", "z", 1))
 
-        played(script)
+        run_script(script)
 
-    def test_two_questions_at_the_most_are_under_way_to_one_owner(self):
+    def test_at_most_two_queries_to_one_owner_are_in_flight(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 10_000
             world.planes.round_trip_s = 0.1
@@ -208,13 +208,13 @@
                 world.ask(target_s=PATIENT_TARGET_S)
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
-            self.assertEqual((world.planes.most_under_way, len(world.permits())), (MAX_QUERIES, 10))
-            self.assertLessEqual(len(world.planes.asked), 4)
+            self.assertEqual((world.planes.max_in_flight, len(world.permits())), (MAX_QUERIES, 10))
+            self.assertLessEqual(len(world.planes.queries), 4)
 
-        played(script)
+        run_script(script)
 
-    def test_a_grant_ends_by_the_time_before_it_was_asked_for(self):
-        """QUOTA, planted defect: an expiry from the answer's arrival outlives the owner's idea of it."""
+    def test_a_grants_lifetime_counts_from_before_the_query(self):
+        """Guards against an expiry that counts from the response's arrival and is later than the owner assumes."""
 
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 100
@@ -225,10 +225,10 @@
             [outcome] = world.permits()
             self.assertAlmostEqual(outcome.ok_value.expires_at, asked_at + 0.001 * LIFETIME_MS)
 
-        played(script)
+        run_script(script)
 
-    def test_an_answer_that_comes_after_its_grant_ended_gives_no_permit(self):
-        """QUOTA: a process that stood still finds its grants over before it uses one."""
+    def test_an_expired_grant_gives_no_permit(self):
+        """Guards against using expired grants after a pause of the process."""
 
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 1000
@@ -237,14 +237,14 @@
             await asyncio.sleep(0)
             world.loop.now += 3.0  # type: ignore[attr-defined]
             await asyncio.sleep(0.1)
-            self.assertEqual(len(world.planes.asked), 2)  # the first answer was of no use
+            self.assertEqual(len(world.planes.queries), 2)  # the first grant had expired
             [outcome] = world.permits()
             self.assertGreater(outcome.ok_value.expires_at, world.loop.time())
             self.assertEqual(world.planes.granted["t"] - world.planes.returned["t"], 100)
 
-        played(script)
+        run_script(script)
 
-    def test_a_silent_owner_is_asked_once_and_then_the_next_control_plane(self):
+    def test_after_a_silent_owner_the_next_control_plane_is_queried(self):
         async def script(world: World) -> None:
             first = world.owner()
             world.planes.silent.add(first)
@@ -252,13 +252,13 @@
             world.planes.tokens["t"] = 1000
             world.ask(target_s=PATIENT_TARGET_S)
             await asyncio.sleep(0.5)
-            self.assertEqual([address for address, _ in world.planes.asked], [first, world.owner()])
+            self.assertEqual([address for address, _ in world.planes.queries], [first, world.owner()])
             self.assertEqual(len(world.permits()), 1)
-            world.ask()  # the answer told of the new view
+            world.ask()  # the response contained the new view
             await asyncio.sleep(0.1)
-            self.assertEqual((world.planes.asked[-1][0], len(world.permits())), (world.owner(), 2))
+            self.assertEqual((world.planes.queries[-1][0], len(world.permits())), (world.owner(), 2))
 
-        played(script)
+        run_script(script)
 
     def test_without_an_owner_the_wait_is_bounded_and_further_requests_are_refused_at_once(self):
         async def script(world: World) -> None:
@@ -270,39 +270,39 @@
             self.assertLessEqual(world.loop.time() - began_at, PATIENCE_S + 0.02)
             [retry_after_s] = world.refusals()
             self.assertLess(retry_after_s, 0.2)
-            self.assertEqual(len(world.planes.asked), 2)
+            self.assertEqual(len(world.planes.queries), 2)
 
-        played(script)
+        run_script(script)
 
-    def test_one_that_is_no_owner_is_left_for_the_one_that_its_answer_names(self):
+    def test_a_response_of_a_former_owner_leads_to_the_new_owner(self):
         async def script(world: World) -> None:
             former = world.owner()
             world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != former)
             world.planes.tokens["t"] = 1000
             world.ask()
             await asyncio.sleep(0.1)
-            self.assertEqual([address for address, _ in world.planes.asked], [former, world.owner()])
+            self.assertEqual([address for address, _ in world.planes.queries], [former, world.owner()])
             self.assertEqual(len(world.permits()), 1)
 
-        played(script)
+        run_script(script)
 
-    def test_one_without_a_majority_is_avoided(self):
+    def test_an_owner_without_a_majority_is_avoided(self):
         async def script(world: World) -> None:
             first = world.owner()
             world.planes.without_majority.add(first)
             world.planes.tokens["t"] = 1000
             world.ask()
             await asyncio.sleep(0.1)
-            self.assertEqual((len(world.planes.asked), len(world.refusals())), (2, 1))
+            self.assertEqual((len(world.planes.queries), len(world.refusals())), (2, 1))
             world.planes.without_majority.clear()
             await asyncio.sleep(OWNER_COOLDOWN_S)
             world.ask()
             await asyncio.sleep(0.1)
-            self.assertEqual((world.planes.asked[-1][0], len(world.permits())), (first, 1))
+            self.assertEqual((world.planes.queries[-1][0], len(world.permits())), (first, 1))
 
-        played(script)
+        run_script(script)
 
-    def test_after_a_refusal_the_tenant_is_refused_here_for_a_moment_and_others_are_not(self):
+    def test_after_a_refusal_only_that_tenant_is_refused_locally_for_a_short_time(self):
         async def script(world: World) -> None:
             world.planes.tokens["u"] = 100
             world.ask()
@@ -310,16 +310,16 @@
             world.ask()
             world.ask(tenant="u")
             await asyncio.sleep(0.01)
-            self.assertEqual((len(world.planes.asked), len(world.refusals()), len(world.permits())), (2, 2, 1))
+            self.assertEqual((len(world.planes.queries), len(world.refusals()), len(world.permits())), (2, 2, 1))
             world.planes.tokens["t"] = 100
             await asyncio.sleep(LOCAL_REFUSAL_S)
             world.ask()
             await asyncio.sleep(0.01)
             self.assertEqual(len(world.permits()), 2)
 
-        played(script)
+        run_script(script)
 
-    def test_tokens_of_a_request_that_ended_while_it_waited_serve_the_next_one(self):
+    def test_tokens_of_a_cancelled_request_serve_the_next_one(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 100
             wait = world.ask()
@@ -328,12 +328,12 @@
             await asyncio.sleep(0.01)
             self.assertEqual(world.outcomes, [])
             world.ask()
-            self.assertEqual((len(world.permits()), len(world.planes.asked)), (1, 1))
+            self.assertEqual((len(world.permits()), len(world.planes.queries)), (1, 1))
 
-        played(script)
+        run_script(script)
 
-    def test_unused_tokens_go_back_once_even_if_the_question_is_lost(self):
-        """QUOTA: returned tokens that are sent twice would be granted twice."""
+    def test_unused_tokens_are_returned_once_even_if_the_query_is_lost(self):
+        """Guards against returning tokens twice, after which they would be granted twice."""
 
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 100
@@ -347,12 +347,12 @@
             world.planes.silent.clear()
             world.ask()
             await asyncio.sleep(0.1)
-            returns = [need.returned_tokens for _, question in world.planes.asked for need in question.needs]
+            returns = [need.returned_tokens for _, query in world.planes.queries for need in query.needs]
             self.assertEqual(sum(returns), 100)
 
-        played(script)
+        run_script(script)
 
-    def test_a_tenant_dropped_by_the_configuration_loses_its_grants(self):
+    def test_a_removed_tenant_loses_its_grants(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 100
             world.ask()
@@ -363,21 +363,21 @@
             await asyncio.sleep(0.1)
             self.assertEqual((len(world.permits()), len(world.refusals())), (1, 1))
 
-        played(script)
+        run_script(script)
 
-    def test_a_busy_data_plane_is_granted_ahead_of_its_requests(self):
+    def test_a_busy_data_plane_is_granted_tokens_in_advance(self):
         async def script(world: World) -> None:
             world.planes.tokens["t"] = 1_000_000
             for _ in range(200):
                 world.ask()
                 await asyncio.sleep(0.01)
             self.assertEqual(len(world.permits()), 200)
-            self.assertLess(len(world.planes.asked), 40)
+            self.assertLess(len(world.planes.queries), 40)
             self.assertLess(world.planes.granted["t"], 2 * 200 * 100)
 
-        played(script)
+        run_script(script)
 
-    def test_an_owner_that_is_lost_and_comes_back_is_logged_once_each(self):
+    def test_loss_and_return_of_an_owner_are_logged_once_each(self):
         async def script(world: World) -> None:
             first = world.owner()
             world.planes.tokens["t"] = 1000
--- a/tests/system/test_quota_histories.py
+++ b/tests/system/test_quota_histories.py
@@ -1,4 +1,4 @@
-"""Quotas in virtual time: the rule holds in drawn histories, and each planted defect is found by a history that is known."""
+"""Simulated quota histories: the quota rule holds in random ones, and each injected defect is detected by a known one."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from mulleinhatch.simulation.quotas import Defect, play
 
 SEEDS = range(120)
-# A history that finds each defect; `python -m benchmarks.quota_histories --defect NAME` finds others.
-FOUND_BY = {
+# A seed that detects each defect; `python -m benchmarks.quota_histories --defect NAME` finds others.
+DETECTING_SEEDS = {
     Defect.TAKEOVER_BY_MINORITY: 105,
     Defect.GRANT_AFTER_HANDOVER: 3,
     Defect.KEEP_LEVEL_AFTER_HANDOVER: 3,
@@ -32,30 +32,32 @@
 
 
 class Histories(unittest.TestCase):
-    def test_the_rule_holds_and_nothing_is_refused_in_the_calm_time(self):
-        """Guards against QUOTA: more than the rule's units in a window, grants beyond one bucket, refusals below the rate."""
+    def test_the_rule_holds_and_nothing_is_refused_after_the_faults(self):
+        """Guards against more units in a window than the rule allows, grants beyond one bucket, and refusals below the rate."""
         histories = [play(seed) for seed in SEEDS]
         self.assertEqual([(history.seed, history.violations) for history in histories if history.violations], [])
-        self.assertGreater(max(history.most_part for history in histories), 0.98, "no history comes near to the rule")
+        self.assertGreater(
+            max(history.most_part for history in histories), 0.98, "no history comes close to the limit of the rule"
+        )
         self.assertGreater(sum(history.asked_in_calm for history in histories), 1000)
-        self.assertGreater(sum(history.handovers for history in histories), 20, "hardly an owner hands its level over")
-        self.assertGreater(sum(history.shortened for history in histories), 10, "hardly a wait is shortened")
+        self.assertGreater(sum(history.handovers for history in histories), 20, "too few handovers")
+        self.assertGreater(sum(history.shortened for history in histories), 10, "too few shortened waits")
 
     @settings(deadline=None, max_examples=40)
     @given(st.integers(0, 2**48))
-    def test_the_rule_holds_in_any_drawn_history(self, seed):
-        """Guards against QUOTA, as above."""
+    def test_the_rule_holds_in_random_histories(self, seed):
+        """Guards against the same violations, for random seeds."""
         self.assertEqual(play(seed).violations, [])
 
-    def test_one_seed_gives_one_history(self):
+    def test_a_seed_determines_its_history(self):
         self.assertEqual(play(11), play(11))
 
 
-@pytest.mark.parametrize("defect", FOUND_BY, ids=lambda defect: defect.name.lower())
-def test_a_planted_defect_is_found(defect):
-    """Guards against checks that look away: the defect is found, and the same history without it holds."""
-    assert play(FOUND_BY[defect], defect).violations
-    assert play(FOUND_BY[defect]).violations == []
+@pytest.mark.parametrize("defect", DETECTING_SEEDS, ids=lambda defect: defect.name.lower())
+def test_an_injected_defect_is_detected(defect):
+    """Guards against ineffective checks: the defect is detected, and the same history passes without it."""
+    assert play(DETECTING_SEEDS[defect], defect).violations
+    assert play(DETECTING_SEEDS[defect]).violations == []
 
 
 if __name__ == "__main__":
--- a/tests/system/test_quota_queues.py
+++ b/tests/system/test_quota_queues.py
@@ -1,7 +1,7 @@
-"""Requests that wait in the queue for longer than a grant lives: a tenant below its rate is refused nothing, a flood is.
+"""Requests queued for longer than a grant's lifetime: tenants below their rate are not refused, floods are.
 
-Several data planes (the real requests, router and quota client on transports in memory) ask one real owner. The backends take
-no requests for some seconds, as those of a model that is being loaded do.
+Several data planes (real requests, router and quota client on in-memory transports) query one real owner. The backends accept
+no requests for some seconds, like those of a model that is being loaded.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 WORK_S = 0.05
 TRIP_S = 0.002
 BOUNDS = QuotaBounds(8.0, 0.1, 17_000.0)
-TOKENS = 2400  # of a request
+TOKENS = 2400  # per request
 EARLY_S = 0.25 * TARGET_MS / 1000
 SMALL = QuotaLimit(4_200.0, 4_200.0)
 LARGE = QuotaLimit(150_000.0, 150_000.0)
 
 
 class TimedClient(Client):
-    """Notes when it was answered."""
+    """Records when it was answered."""
 
     answered_at = 0.0
 
@@ -50,31 +50,31 @@
 
 
 class Owner:
-    """The control plane that owns the tenant; an `HttpClient` to the data planes."""
+    """The control plane that owns the tenant; stands in for the data planes' `HttpClient`."""
 
     def __init__(self, limit: QuotaLimit) -> None:
         self.owner = QuotaOwner(BOUNDS, takeover_s=0.0)
-        self.granted: list[tuple[float, int]] = []  # when, and how many tokens
+        self.granted: list[tuple[float, int]] = []  # time and number of tokens
         tenant = Tenant("t", limit, QuotaUnit.TOKENS, TOKENS)
         self.owner.update(OwnerView(1, OWNER, (OWNER,)), {"t": tenant}, 1, asyncio.get_running_loop().time())
 
     def forget(self, address: str) -> None:
-        """No connection is kept."""
+        """Do nothing; there are no connections."""
 
     async def request(self, address: str, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
         await asyncio.sleep(TRIP_S / 2)
-        question = QuotaRequest().parse(body)
+        query = QuotaRequest().parse(body)
         now = asyncio.get_running_loop().time()
-        grants = self.owner.answer(question, now)
-        for need, grant in zip(question.needs, grants, strict=True):
+        grants = self.owner.answer(query, now)
+        for need, grant in zip(query.needs, grants, strict=True):
             tokens = sum(need.request_tokens[: grant.granted_requests]) + grant.ahead_tokens
             self.granted.append((now, tokens))
         await asyncio.sleep(TRIP_S / 2)
         return HttpResponse(200, None, bytes(QuotaResponse(1, True, grants, [OWNER])))
 
 
-class Answered(list[tuple[str, str]]):
-    """What backends received; each is answered after `WORK_S`."""
+class AnsweredRequests(list[tuple[str, str]]):
+    """Requests that backends received; each is answered after `WORK_S`."""
 
     def __init__(self, world: DataPlane) -> None:
         super().__init__()
@@ -88,12 +88,12 @@
 
 
 class DataPlane(World):
-    """One data plane whose backends can be closed."""
+    """One data plane whose backends can stop accepting requests."""
 
     def __init__(self, owner: Owner) -> None:
         super().__init__(("safe", "safe"))
         self.router.quotas._http = owner  # type: ignore[assignment]
-        self.arrivals = Answered(self)
+        self.arrivals = AnsweredRequests(self)
         self.began_at: dict[str, float] = {}
         snapshot = self.router.snapshot
         table = build_route_table(Document(1, configuration(1)))
@@ -126,14 +126,14 @@
 
 
 @dataclasses.dataclass
-class Played:
-    """What was seen.
+class Outcome:
+    """The result of one run.
 
     Attributes:
-        statuses: Of all requests.
-        refused_late: Requests that were answered 429 later than within a quarter of their target.
-        most_waiting: Requests in the queue of one data plane.
-        uncovered: Arrivals at a backend that no grant of the last lifetime and flight covers.
+        statuses: Number of responses by status.
+        refused_late: Requests that were answered 429 after more than a quarter of their target.
+        most_waiting: Largest number of requests queued at one data plane.
+        uncovered: Arrivals at a backend that no grant within the last lifetime and flight time covers.
     """
 
     statuses: Counter[int]
@@ -142,8 +142,8 @@
     uncovered: int
 
 
-def play(limit: QuotaLimit, load: float, closed_s: float, seconds: float = 12.0) -> Played:
-    """Ask for `load` times the rate, evenly over the data planes; their backends take nothing from 2 s on for `closed_s`."""
+def play(limit: QuotaLimit, load: float, closed_s: float, seconds: float = 12.0) -> Outcome:
+    """Send `load` times the rate, evenly over the data planes; their backends accept nothing from 2 s on for `closed_s`."""
     loop = VirtualLoop()
 
     class MeteredContext(RequestContext):
@@ -153,7 +153,7 @@
             super().__init__(*facts)  # type: ignore[arg-type]
             self.tenant = Tenant("t", limit, QuotaUnit.TOKENS, TOKENS)
 
-    async def script() -> Played:
+    async def script() -> Outcome:
         owner = Owner(limit)
         planes = [DataPlane(owner) for _ in range(PLANES)]
         await asyncio.sleep(6.0)  # the bucket fills
@@ -177,7 +177,7 @@
         refused_late = sum(client.status == 429 and waited_s > EARLY_S for client, waited_s in waits_s)
         arrivals = sorted(moment for plane in planes for moment in plane.arrivals.times)
         statuses = Counter(client.status for client, _ in waits_s)
-        return Played(statuses, refused_late, most_waiting, count_uncovered(arrivals, owner.granted))
+        return Outcome(statuses, refused_late, most_waiting, count_uncovered(arrivals, owner.granted))
 
     logging.disable(logging.WARNING)
     try:
@@ -189,7 +189,7 @@
 
 
 def count_uncovered(arrivals: list[float], granted: list[tuple[float, int]]) -> int:
-    """Return how many arrivals no grant of the last lifetime and flight covers, each grant's tokens used once."""
+    """Return how many arrivals no grant within the last lifetime and flight time covers, using each token once."""
     left = [[moment, tokens] for moment, tokens in granted]
     uncovered = 0
     for arrival in arrivals:
@@ -204,8 +204,8 @@
 
 
 class QueuedRequests(unittest.TestCase):
-    def test_a_tenant_below_its_rate_is_refused_nothing_after_a_wait_for_a_model(self):
-        """Found with permits asked for at the arrival only: 15 of 375 refused at half the rate of a large tenant."""
+    def test_a_tenant_below_its_rate_is_not_refused_after_waiting_for_a_model(self):
+        """Guards against acquiring permits on arrival only: 15 of 375 were refused at half the rate of a large tenant."""
         for limit, load, closed_s in [
             (SMALL, 0.5, 3.0),
             (SMALL, 0.8, 3.0),
@@ -214,32 +214,32 @@
             (LARGE, 0.95, 1.0),
         ]:
             with self.subTest(rate=limit.rate_per_s, load=load, closed_s=closed_s):
-                played = play(limit, load, closed_s)
-                self.assertEqual(set(played.statuses), {200})
-                self.assertEqual(played.uncovered, 0)
-
-    def test_what_a_large_tenant_could_not_send_for_seconds_is_served_or_refused_early(self):
-        """Its bucket holds a second of its rate: more at once would break the rule on quotas."""
-        played = play(LARGE, 0.8, 3.0)
-        self.assertLess(played.statuses[429], 0.09 * played.statuses.total())
-        self.assertLess(played.refused_late, 0.01 * played.statuses.total())
-        self.assertEqual(played.uncovered, 0)
-
-    def test_a_flood_is_refused_early_where_backends_take_requests(self):
+                outcome = play(limit, load, closed_s)
+                self.assertEqual(set(outcome.statuses), {200})
+                self.assertEqual(outcome.uncovered, 0)
+
+    def test_the_backlog_of_a_large_tenant_is_served_or_refused_early(self):
+        """Its bucket holds one second of its rate; serving more at once would violate the quota rule."""
+        outcome = play(LARGE, 0.8, 3.0)
+        self.assertLess(outcome.statuses[429], 0.09 * outcome.statuses.total())
+        self.assertLess(outcome.refused_late, 0.01 * outcome.statuses.total())
+        self.assertEqual(outcome.uncovered, 0)
+
+    def test_a_flood_is_refused_early_while_backends_accept_requests(self):
         for limit in (SMALL, LARGE):
             with self.subTest(rate=limit.rate_per_s):
-                played = play(limit, 5.0, 0.0)
-                self.assertLess(played.refused_late, 0.03 * played.statuses[429])
+                outcome = play(limit, 5.0, 0.0)
+                self.assertLess(outcome.refused_late, 0.03 * outcome.statuses[429])
 
     def test_a_flood_is_refused_early_and_does_not_fill_the_queue(self):
         for limit in (SMALL, LARGE):
             with self.subTest(rate=limit.rate_per_s):
-                played = play(limit, 5.0, 3.0)
+                outcome = play(limit, 5.0, 3.0)
                 granted = bucket_capacity(limit, BOUNDS, GRANT_LIFETIME_S) + 3.0 * limit.rate_per_s
                 bound = (MAX_DEFERRED_S * limit.rate_per_s + granted) / PLANES + TOKENS
-                self.assertLessEqual(played.most_waiting * TOKENS, bound)
-                self.assertLess(played.refused_late, 0.03 * played.statuses[429])
-                self.assertEqual(played.uncovered, 0)
+                self.assertLessEqual(outcome.most_waiting * TOKENS, bound)
+                self.assertLess(outcome.refused_late, 0.03 * outcome.statuses[429])
+                self.assertEqual(outcome.uncovered, 0)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_quota_requests.py
+++ b/tests/system/test_quota_requests.py
@@ -1,7 +1,7 @@
-"""Requests of a tenant with a limit: none is written without a permit that lives, and no token is lost or used twice.
+"""Requests of a tenant with a limit: none is written without a valid permit, and no token is lost or used twice.
 
-The real requests, router and quota client run on transports in memory (`test_exchange_model`) against owners that record what
-they granted (`test_quota_client`).
+Real requests, router and quota client run on in-memory transports (`test_exchange_model`) against fake owners that record their
+grants (`test_quota_client`).
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 from tests.system.test_exchange_model import PAIRS, ROUTES, World
 from tests.system.test_quota_client import ADDRESSES, ControlPlanes
 
-TOKENS = 100  # of each request
+TOKENS = 100  # per request
 TENANT = Tenant("t", QuotaLimit(1000.0, 1000.0), QuotaUnit.TOKENS, TOKENS)
-TARGET_MS = 1500  # of all routes: a request whose tokens come later than within half of it is refused early
-RETRY_AFTER_MS = 1000  # of an owner without tokens
-ANSWER_WAIT_S = 0.01  # by then an owner that is in reach has answered
+TARGET_MS = 1500  # latency target of all routes; a request waits for its tokens for at most half of it
+RETRY_AFTER_MS = 1000  # sent by an owner without tokens
+ANSWER_WAIT_S = 0.01  # a reachable owner has answered by then
 
 
 class MeteredContext(RequestContext):
-    """A request of the tenant."""
+    """A request of `TENANT`."""
 
     __slots__ = ()
 
@@ -50,7 +50,7 @@
 
 
 class Arrivals(list[tuple[str, str]]):
-    """What backends received; notes what was written later than any grant lives."""
+    """Requests that backends received; records those written after every grant expired."""
 
     def __init__(self, world: MeteredWorld) -> None:
         super().__init__()
@@ -58,17 +58,17 @@
 
     def append(self, arrival: tuple[str, str]) -> None:
         super().append(arrival)
-        if self._world.loop.time() >= self._world.planes.last_end:
+        if self._world.loop.time() >= self._world.planes.last_expiry:
             self._world.late_writes.append(arrival[0])
 
 
 class MeteredWorld(World):
-    """The world of the exchange model, with owners of quotas.
+    """The world of the exchange model, with quota owners.
 
     Attributes:
         planes: The owners.
-        open_s: What opening a connection takes.
-        late_writes: Requests that were written although every grant was over.
+        open_s: Seconds that opening a connection takes.
+        late_writes: Requests that were written after every grant expired.
     """
 
     def __init__(self, kinds: tuple[str, str]) -> None:
@@ -94,7 +94,7 @@
         await asyncio.sleep(ANSWER_WAIT_S)
 
     def drain(self) -> None:
-        """Let no backend take requests any more."""
+        """Mark all backends as draining."""
         snapshot = self.router.snapshot
         draining = [dataclasses.replace(backend, draining=True) for backend in snapshot.backends.by_id.values()]
         registry = dataclasses.replace(
@@ -107,17 +107,17 @@
         return self.router.quotas._balance
 
     def used(self) -> int:
-        """Tokens of what arrived at a backend that may have run it."""
+        """Return the tokens of requests that backends received and may have run."""
         return TOKENS * (len(self.arrivals) - sum(self.unexecuted.values()))
 
     def quota_violations(self) -> Iterator[str]:
-        """Yield what is wrong once both requests have ended."""
+        """Yield the violations after both requests have ended."""
         kept = self.balance.stored_tokens("t") + self.planes.returned.get("t", 0) + self.planes.lost
         granted = self.planes.granted.get("t", 0)
         if self.used() + kept != granted:
             yield f"{granted} tokens granted, {self.used()} used, {kept} kept, returned or lost"
         if self.late_writes:
-            yield f"{self.late_writes} written after every grant was over"
+            yield f"{self.late_writes} written after every grant expired"
         for queue in self.router.queue.by_model.values():
             if queue.running or queue.waiting or any(queue.running_by_account.values()):
                 yield f"{queue.running} running, {len(queue.waiting)} waiting"
@@ -145,8 +145,8 @@
         yield
 
 
-def scripted(script: Callable[[MeteredWorld], Awaitable[None]], kinds: tuple[str, str] = ("safe", "unsafe")) -> None:
-    """Run a script in a world with a clock of its own; at the end no token is missing and no slot is taken."""
+def run_script(script: Callable[[MeteredWorld], Awaitable[None]], kinds: tuple[str, str] = ("safe", "unsafe")) -> None:
+    """Run a script in virtual time; at the end no token may be missing and no slot occupied."""
     loop = VirtualLoop()
 
     async def play() -> list[str]:
@@ -174,10 +174,10 @@
             self.assertEqual(world.clients["a"].status, 200)
             self.assertEqual(world.router.quotas.status()["permits"], 1)
 
-        scripted(script)
+        run_script(script)
 
-    def test_beyond_the_quota_the_answer_is_429_and_nothing_is_sent(self):
-        """QUOTA; a 429 is a promise that the request did not run."""
+    def test_beyond_the_quota_the_response_is_429_and_nothing_is_sent(self):
+        """Guards against exceeding the quota; a 429 also promises that the request did not run."""
 
         async def script(world: MeteredWorld) -> None:
             world.planes.tokens["t"] = TOKENS - 1
@@ -185,36 +185,36 @@
             self.assertEqual((world.clients["a"].status, world.arrivals), (429, []))
             self.assertEqual(world.router.request_log.counters["over_quota"], 1)
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_request_without_a_limit_is_started_at_once_and_asks_nobody(self):
+    def test_a_request_without_a_limit_starts_at_once_without_a_query(self):
         async def script(world: MeteredWorld) -> None:
             head = parse_request_head(b"POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nContent-Length: 1\r\n\r\n")
             with mock.patch.object(router_module, "RequestContext", RequestContext):
                 request = world.router.begin(world.clients["a"], head, b"a")
-            self.assertIsNotNone(request._attempt)  # without a turn of the loop
+            self.assertIsNotNone(request._attempt)  # without an iteration of the loop
             await world.run_callbacks()
-            self.assertEqual((world.planes.asked, len(world.arrivals)), ([], 1))
+            self.assertEqual((world.planes.queries, len(world.arrivals)), ([], 1))
             request.cancel()
             world.arrivals.clear()
             world.late_writes.clear()
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_client_that_leaves_while_its_request_waits_costs_nothing(self):
+    def test_a_client_that_disconnects_while_its_request_waits_uses_no_tokens(self):
         async def script(world: MeteredWorld) -> None:
             world.planes.round_trip_s = 0.2
             await world.begin("a")
             await world.event("client gone", 0)
             await asyncio.sleep(0.3)
             self.assertEqual(world.arrivals, [])
-            await world.begin("b")  # with the tokens that the first one left
-            self.assertEqual((len(world.planes.asked), world.arrivals[0][0]), (1, "b"))
+            await world.begin("b")  # uses the tokens of the first request
+            self.assertEqual((len(world.planes.queries), world.arrivals[0][0]), (1, "b"))
             await world.event("answer", 0)
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_deadline_while_the_request_waits_is_answered_as_not_run(self):
+    def test_a_deadline_while_the_request_waits_is_answered_with_503(self):
         async def script(world: MeteredWorld) -> None:
             world.planes.round_trip_s = 0.2
             await world.begin("a")
@@ -222,7 +222,7 @@
             await asyncio.sleep(0.3)
             self.assertEqual((world.clients["a"].status, world.clients["a"].answers, world.arrivals), (503, 1, []))
 
-        scripted(script)
+        run_script(script)
 
     def test_a_shutdown_while_the_request_waits_is_answered_in_time(self):
         async def script(world: MeteredWorld) -> None:
@@ -232,79 +232,81 @@
             await asyncio.sleep(0.15)
             self.assertEqual((world.clients["a"].status, world.arrivals), (503, []))
 
-        scripted(script)
+        run_script(script)
 
-    def test_without_any_owner_the_answer_is_429_within_the_wait(self):
+    def test_without_any_owner_the_response_is_429_within_the_wait_limit(self):
         async def script(world: MeteredWorld) -> None:
             world.planes.silent |= set(ADDRESSES)
             await world.begin("a")
             await asyncio.sleep(0.7)
             self.assertEqual((world.clients["a"].status, world.arrivals), (429, []))
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_permit_that_expires_in_the_queue_is_asked_for_again_without_a_slot(self):
+    def test_a_permit_that_expires_in_the_queue_is_renewed_without_a_slot(self):
         async def script(world: MeteredWorld) -> None:
             snapshot = world.router.snapshot
             world.drain()
             await world.begin("a")
-            await asyncio.sleep(0.8)  # longer than a grant lives
+            await asyncio.sleep(0.8)  # longer than a grant's lifetime
             self.assertEqual(world.arrivals, [])
             world.router.apply_snapshot(snapshot)
             await asyncio.sleep(ANSWER_WAIT_S)
-            self.assertEqual((len(world.arrivals), len(world.planes.asked)), (1, 2))
+            self.assertEqual((len(world.arrivals), len(world.planes.queries)), (1, 2))
             self.assertEqual(world.planes.returned["t"], TOKENS)
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
 
-        with mock.patch.object(DeferredTokens, "try_add", lambda *facts: False):  # too much is queued without tokens
-            scripted(script)
+        with mock.patch.object(DeferredTokens, "try_add", lambda *facts: False):  # the bound on deferred tokens is reached
+            run_script(script)
 
-    def test_a_request_that_no_backend_can_take_yet_asks_when_it_starts(self):
-        """Refused below the limit: tokens that expire in the queue come back to the owner only within a bound."""
+    def test_a_request_that_no_backend_can_take_yet_acquires_its_permit_when_it_starts(self):
+        """Guards against refusals below the limit: the owner credits tokens that expire in the queue only up to a bound."""
 
         async def script(world: MeteredWorld) -> None:
             snapshot = world.router.snapshot
             world.drain()
             await world.begin("a")
             await asyncio.sleep(3.0)
-            self.assertEqual(world.planes.asked, [])
+            self.assertEqual(world.planes.queries, [])
             world.router.apply_snapshot(snapshot)
             await asyncio.sleep(ANSWER_WAIT_S)
-            self.assertEqual((len(world.arrivals), len(world.planes.asked)), (1, 1))
+            self.assertEqual((len(world.arrivals), len(world.planes.queries)), (1, 1))
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
             self.assertEqual(world.router.quotas._deferred._tokens, {})
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_queued_request_that_ends_before_it_asks_is_forgotten(self):
+    def test_a_queued_request_that_ends_early_is_no_longer_deferred(self):
         async def script(world: MeteredWorld) -> None:
             world.drain()
             await world.begin("a")
             await world.event("client gone", 0)
-            self.assertEqual((world.planes.asked, world.router.quotas._deferred._tokens), ([], {}))
+            self.assertEqual((world.planes.queries, world.router.quotas._deferred._tokens), ([], {}))
 
-        scripted(script)
+        run_script(script)
 
     def test_a_permit_that_expires_during_the_connect_writes_nothing_and_keeps_the_connection(self):
-        """QUOTA: the clock is checked at the write, not at the decision."""
+        """Guards against exceeding the quota: the expiry is checked at the write, not at the decision."""
 
         async def script(world: MeteredWorld) -> None:
             world.open_s = 0.6
             await world.begin("a")
             await asyncio.sleep(0.6)
             await asyncio.sleep(ANSWER_WAIT_S)
-            self.assertEqual((len(world.transports), len(world.arrivals)), (1, 1))  # the second start used the first connection
-            self.assertEqual(len(world.planes.asked), 2)
+            self.assertEqual(
+                (len(world.transports), len(world.arrivals)), (1, 1)
+            )  # the second attempt used the same connection
+            self.assertEqual(len(world.planes.queries), 2)
             self.assertEqual(world.requests["a"].context.state.sends, 1)
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_process_that_stood_still_writes_nothing_with_its_former_permit(self):
-        """QUOTA: a thawed holder."""
+    def test_after_a_pause_of_the_process_an_expired_permit_writes_nothing(self):
+        """Guards against writes with an expired permit after a pause of the process."""
 
         async def script(world: MeteredWorld) -> None:
             world.open_s = 0.1
@@ -314,20 +316,20 @@
             await asyncio.sleep(0.2)
             self.assertEqual((world.clients["a"].status, world.arrivals), (429, []))
 
-        scripted(script)
+        run_script(script)
 
     def test_a_retry_after_not_executed_keeps_its_permit(self):
         async def script(world: MeteredWorld) -> None:
             await world.begin("a")
             await world.event("not executed", 0)
-            self.assertEqual((len(world.arrivals), world.planes.granted["t"], len(world.planes.asked)), (2, TOKENS, 1))
+            self.assertEqual((len(world.arrivals), world.planes.granted["t"], len(world.planes.queries)), (2, TOKENS, 1))
             await world.event("answer", 1)
             self.assertEqual(world.clients["a"].status, 200)
 
-        scripted(script)
+        run_script(script)
 
-    # Guards against QUOTA: a permit of one request unit paid for thousands of tokens after the tenant's unit had changed.
-    def test_a_permit_for_fewer_tokens_than_the_request_costs_now_is_no_permit(self):
+    # Guards against exceeding the quota: a permit for one request paid for thousands of tokens after the tenant's unit changed.
+    def test_a_permit_for_fewer_tokens_than_the_request_now_costs_is_unusable(self):
         async def script(world: MeteredWorld) -> None:
             world.drain()
             with mock.patch.object(DeferredTokens, "try_add", lambda *arguments: False):
@@ -337,9 +339,9 @@
             with mock.patch.object(RequestContext, "quota_tokens", 2 * TOKENS):
                 self.assertFalse(request._has_usable_permit())
 
-        scripted(script)
+        run_script(script)
 
-    # Guards against a model that stays shut: a request that ended for want of a retry budget kept its slot.
+    # Guards against a leaked slot, which blocks the model: a request that ended without retry budget kept its slot.
     def test_a_retry_without_budget_is_rejected_and_frees_its_slot(self):
         async def script(world: MeteredWorld) -> None:
             await world.begin("a")
@@ -348,10 +350,10 @@
             self.assertEqual(world.clients["a"].status, 503)
             self.assertEqual([queue.running for queue in world.router.queue.by_model.values()], [0])
 
-        scripted(script)
+        run_script(script)
 
     def test_a_retry_after_it_may_have_run_needs_a_new_permit(self):
-        """QUOTA: a retry counts again, as it arrives again."""
+        """Guards against exceeding the quota: a retry counts again, because the backend receives it again."""
 
         async def script(world: MeteredWorld) -> None:
             await world.begin("a")
@@ -361,10 +363,10 @@
             await world.event("answer", 1)
             self.assertEqual(world.clients["a"].status, 200)
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_retry_without_a_new_permit_is_no_429_as_it_may_have_run(self):
-        """DOUBLE: after a 429 a client sends again."""
+    def test_a_retry_without_a_new_permit_is_not_answered_429_as_it_may_have_run(self):
+        """Guards against running a request twice: after a 429 a client retries."""
 
         async def script(world: MeteredWorld) -> None:
             world.planes.tokens["t"] = TOKENS
@@ -373,9 +375,9 @@
             await asyncio.sleep(ANSWER_WAIT_S)
             self.assertEqual((world.clients["a"].status, len(world.arrivals)), (502, 1))
 
-        scripted(script)
+        run_script(script)
 
-    def test_a_stream_that_is_not_resumed_for_want_of_tokens_does_not_look_complete(self):
+    def test_a_stream_that_is_not_resumed_for_lack_of_tokens_does_not_look_complete(self):
         async def script(world: MeteredWorld) -> None:
             world.planes.tokens["t"] = TOKENS
             await world.begin("a")
@@ -384,9 +386,9 @@
             self.assertTrue(world.clients["a"].broken)
             self.assertFalse(world.clients["a"].complete)
 
-        scripted(script, ("resumable", "unsafe"))
+        run_script(script, ("resumable", "unsafe"))
 
-    def test_a_request_that_ends_unwritten_gives_its_tokens_back(self):
+    def test_a_request_that_ends_unwritten_returns_its_tokens(self):
         async def script(world: MeteredWorld) -> None:
             world.planes.tokens["t"] = TOKENS
             world.open_s = 0.05
@@ -397,11 +399,11 @@
             self.assertEqual([name for name, _ in world.arrivals], ["b"])
             self.assertEqual(world.planes.granted["t"], TOKENS)
 
-        scripted(script)
+        run_script(script)
 
 
 class ConfiguredWorld(MeteredWorld):
-    """The same with tenants of a configuration."""
+    """A metered world with the tenants of a configuration."""
 
     def configure(self, version: int, *tenants: dict[str, object]) -> None:
         value = configuration(version, *tenants)
@@ -421,9 +423,9 @@
 
 
 class ConfiguredRequests(unittest.TestCase):
-    """With keys and limits of a configuration."""
+    """Requests with API keys and limits from a configuration."""
 
-    def scripted(self, script: Callable[[ConfiguredWorld], Awaitable[None]]) -> None:
+    def run_script(self, script: Callable[[ConfiguredWorld], Awaitable[None]]) -> None:
         loop = VirtualLoop()
 
         async def play() -> None:
@@ -434,7 +436,7 @@
         finally:
             loop.close()
 
-    def test_a_request_costs_its_two_numbers_or_one_by_the_unit(self):
+    def test_a_request_costs_its_token_usage_or_one_depending_on_the_unit(self):
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t"), tenant("u", "key-u", unit=""))
             world.planes.tokens |= {"t": 1000, "u": 1000}
@@ -443,18 +445,18 @@
             self.assertEqual(world.planes.granted, {"t": 100, "u": 1})
             self.assertEqual(len(world.arrivals), 2)
 
-        self.scripted(script)
+        self.run_script(script)
 
-    def test_a_tenant_without_a_limit_is_not_asked_for(self):
+    def test_a_tenant_without_a_limit_causes_no_query(self):
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t", rate=0))
             await world.ask("a", "key-t")
-            self.assertEqual((world.planes.asked, len(world.arrivals)), ([], 1))
+            self.assertEqual((world.planes.queries, len(world.arrivals)), ([], 1))
 
-        self.scripted(script)
+        self.run_script(script)
 
-    def test_a_key_taken_away_while_its_request_waits_for_tokens_runs_nothing(self):
-        """CONFIG and QUOTA at once: the tokens come, the key is gone."""
+    def test_a_request_whose_key_is_removed_while_it_waits_for_tokens_does_not_run(self):
+        """Guards against running with a removed key: the tokens arrive after the key was removed."""
 
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t"))
@@ -464,10 +466,10 @@
             await asyncio.sleep(0.3)
             self.assertEqual((world.clients["a"].status, world.arrivals), (401, []))
 
-        self.scripted(script)
+        self.run_script(script)
 
-    def test_a_key_passed_on_while_its_request_waits_spends_the_new_tenants_tokens(self):
-        """QUOTA: a permit of the former tenant does not stand in."""
+    def test_a_request_whose_key_moves_while_it_waits_uses_the_new_tenants_tokens(self):
+        """Guards against exceeding the quota: a permit of the former tenant is not used for the new one."""
 
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key"), tenant("u", "key-u"))
@@ -478,11 +480,11 @@
             await asyncio.sleep(0.5)
             self.assertEqual(len(world.arrivals), 1)
             self.assertEqual(world.planes.granted["u"], 100)
-            self.assertEqual(world.balance.stored_tokens("t"), 100)  # given back unused
+            self.assertEqual(world.balance.stored_tokens("t"), 100)  # returned unused
 
-        self.scripted(script)
+        self.run_script(script)
 
-    def test_a_tenant_that_loses_its_limit_needs_no_tokens_any_more(self):
+    def test_a_tenant_whose_limit_is_removed_needs_no_tokens(self):
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t"))
             world.open_s = 0.6
@@ -491,7 +493,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(len(world.arrivals), 1)
 
-        self.scripted(script)
+        self.run_script(script)
 
 
 EVENTS = (*PAIRS, ("pass 0.2", 0), ("pass 0.6", 0), ("freeze", 0), ("silence", 0), ("refill", 0))
@@ -533,12 +535,12 @@
             await play_event(world, event, index)
         if violations := [*world.violations()]:
             return violations
-    await asyncio.sleep(7.0)  # every deadline passes
+    await asyncio.sleep(7.0)  # longer than every deadline
     return [*world.violations(), *world.quota_violations()]
 
 
 def play(count: int, seed: int) -> list[str]:
-    """Return what is wrong in the first history that violates an invariant."""
+    """Return the first history that violates an invariant, and its violations."""
     loop = VirtualLoop()
 
     async def play_all() -> list[str]:
@@ -560,29 +562,29 @@
     def test_no_violation_in_random_histories(self):
         self.assertEqual(play(3000, 11), [])
 
-    def assert_defect_found(self, patch: object) -> None:
+    def assert_defect_detected(self, patch: object) -> None:
         with patch:  # type: ignore[attr-defined]
             self.assertTrue(play(3000, 11))
 
-    def test_finds_a_permit_that_is_used_twice(self):
-        self.assert_defect_found(mock.patch.object(QuotaBalance, "redeem", lambda self, permit, now: permit.is_usable(now)))
+    def test_detects_a_permit_that_is_used_twice(self):
+        self.assert_defect_detected(mock.patch.object(QuotaBalance, "redeem", lambda self, permit, now: permit.is_usable(now)))
 
-    def test_finds_tokens_given_back_after_a_request_may_have_run(self):
+    def test_detects_tokens_returned_after_a_request_may_have_run(self):
         def failed(request: ClientRequest, attempt: object) -> None:
             request._services.permits.reinstate(request._permit)
             request._services.permits.refund(request._permit)
             original(request, attempt)
 
         original = ClientRequest.on_failed
-        self.assert_defect_found(mock.patch.object(ClientRequest, "on_failed", failed))
+        self.assert_defect_detected(mock.patch.object(ClientRequest, "on_failed", failed))
 
-    def test_finds_a_slot_that_is_not_freed(self):
+    def test_detects_a_slot_that_is_not_freed(self):
         def expired(request: ClientRequest) -> None:
             request.context.state.unsent()
             request._attempt = None
             request._with_permit(request._services.scheduler.resume)
 
-        self.assert_defect_found(mock.patch.object(ClientRequest, "on_permit_expired", expired))
+        self.assert_defect_detected(mock.patch.object(ClientRequest, "on_permit_expired", expired))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas at their owner: the bucket, the size that the rule leaves it, grants, changes of owner, and the service around it."""
+"""Quota owner: the token bucket, its size under the quota rule, grants, changes of owner, and the quota service."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
 
 class Bucket(unittest.TestCase):
     @given(steps, st.floats(0, 50), st.floats(0.1, 20))
-    def test_no_span_takes_more_than_its_gain_and_the_capacity(self, steps, level, capacity):
-        """Guards against more grants than the bucket allows (QUOTA): over any span, with tokens put back and limits changed."""
+    def test_no_span_takes_more_than_its_refill_and_the_capacity(self, steps, level, capacity):
+        """Guards against grants beyond the bucket's bound over any span, with returned tokens and changed limits."""
         bucket = TokenBucket(3.0, capacity, level, 0.0)
         now, taken, back, rates, capacities = 0.0, [], [], [3.0], [capacity]
         for action, wait_s, tokens, rate in steps:
@@ -90,21 +90,21 @@
                 self.assertLessEqual(used, bound + TOLERANCE * (1 + used))
 
     @given(st.floats(0.1, 100), st.floats(1, 100), st.floats(0, 100), st.floats(0, 300))
-    def test_the_time_told_is_enough_and_needed(self, rate, capacity, level, tokens):
-        """Guards against a Retry-After after which the same request is refused again, or that is longer than needed."""
+    def test_the_reported_wait_is_sufficient_and_necessary(self, rate, capacity, level, tokens):
+        """Guards against a Retry-After that is too short, so that the request is refused again, or longer than needed."""
         wait_s = TokenBucket(rate, capacity, level, 5.0).seconds_until(tokens, 5.0)
         self.assertTrue(TokenBucket(rate, capacity, level, 5.0).try_take(tokens, 5.0 + wait_s * (1 + TOLERANCE) + TOLERANCE))
         if wait_s > TOLERANCE:
             early = 5.0 + wait_s * (1 - TOLERANCE) - TOLERANCE
             self.assertFalse(TokenBucket(rate, capacity, level, 5.0).try_take(tokens, early))
 
-    def test_a_bucket_that_begins_later_grants_nothing_before(self):
+    def test_a_bucket_that_starts_later_grants_nothing_before(self):
         bucket = TokenBucket(10, 10, 0, 5.0)
         self.assertFalse(bucket.try_take(1, 4.9))
         self.assertAlmostEqual(bucket.seconds_until(1, 4.0), 1.1)
         self.assertTrue(bucket.try_take(1, 5.1 + TOLERANCE))
 
-    def test_more_than_the_capacity_is_taken_after_the_excess_was_gained_at_full(self):
+    def test_more_than_the_capacity_is_taken_after_the_bucket_was_full_for_long_enough(self):
         bucket = TokenBucket(10, 10, 10, 0.0)
         self.assertFalse(bucket.try_take(30, 1.9))
         self.assertTrue(bucket.try_take(30, 2.0))
@@ -116,7 +116,7 @@
 class Size(unittest.TestCase):
     @given(limits, rules, st.floats(0.05, 5))
     def test_rate_capacity_and_returns_together_keep_the_rule(self, limit, bounds, lifetime_s):
-        """Guards against a bucket that allows more than the rule (QUOTA), for every limit, rule and lifetime."""
+        """Guards against a bucket that allows more than the quota rule, for every limit, rule and lifetime."""
         span_s = bounds.window_s + longest_use_s(lifetime_s)
         capacity, rate = bucket_capacity(limit, bounds, lifetime_s), refill_rate(limit, bounds, lifetime_s)
         returned = returned_capacity(limit, bounds, lifetime_s)
@@ -125,7 +125,7 @@
         self.assertLessEqual(rate, limit.rate_per_s)
         self.assertLessEqual(rate * span_s + capacity + returned, bounds.allowed(limit) * (1 + TOLERANCE))
 
-    def test_the_sites_tenants_keep_their_whole_rate_and_nearly_a_burst(self):
+    def test_typical_tenants_keep_their_full_rate_and_nearly_their_burst(self):
         for limit, least in ((SMALL, 3.5), (LARGE, 0.9)):
             self.assertEqual(refill_rate(limit, BOUNDS, GRANT_LIFETIME_S), limit.rate_per_s)
             self.assertGreater(bucket_capacity(limit, BOUNDS, GRANT_LIFETIME_S), least * limit.burst)
@@ -165,22 +165,22 @@
         self.assertAlmostEqual(grant.retry_after_ms / 1000, wait_s, delta=0.002)
         self.assertEqual(self.grant(60.0 + grant.retry_after_ms / 1000, need("fern", 5_000)).granted_requests, 1)
 
-    def test_a_grant_of_all_requests_names_no_time(self):
+    def test_a_grant_of_all_requests_has_no_retry_time(self):
         self.assertEqual(self.grant(60.0, need("fern", 2_400)).retry_after_ms, 0)
 
-    def test_grants_ahead_leave_half_of_the_capacity(self):
+    def test_advance_grants_leave_half_of_the_capacity(self):
         capacity = bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)
         grant = self.grant(60.0, need("fern", ahead=1_000_000))
         self.assertEqual(grant.ahead_tokens, int(0.5 * capacity))
         self.assertEqual(self.grant(60.0, need("fern", ahead=10)).ahead_tokens, 0)
         self.assertEqual(self.grant(60.0, need("fern", 2_400)).granted_requests, 1)
 
-    def test_a_new_owner_grants_nothing_before_the_former_ones_time_is_over(self):
-        """Guards against two owners that grant at the same time (QUOTA after a change of view)."""
+    def test_a_new_owner_grants_nothing_until_the_former_owners_authority_ended(self):
+        """Guards against two owners that grant at the same time after a view change, which exceeds the quota."""
         self.assertEqual(self.change.taken_over, ("fern",))
         grant = self.grant(0.999, need("fern", 1))
         self.assertEqual((grant.granted_requests, grant.not_owner), (0, False))
-        self.assertEqual(self.grant(1.0, need("fern", 1)).granted_requests, 0, "the bucket began empty")
+        self.assertEqual(self.grant(1.0, need("fern", 1)).granted_requests, 0, "the bucket started empty")
         self.assertEqual(self.grant(1.1, need("fern", 400)).granted_requests, 1)
 
     def test_an_owner_that_stays_keeps_its_bucket(self):
@@ -189,20 +189,20 @@
         self.assertEqual((change.taken_over, change.released), ((), ()))
         self.assertEqual(self.grant(60.0, need("fern", 2_400)).granted_requests, 1)
 
-    def test_an_owner_that_missed_a_view_begins_anew(self):
-        """Guards against tokens that another owner granted in a view which this one never saw (QUOTA)."""
+    def test_an_owner_that_missed_a_view_starts_empty(self):
+        """Guards against exceeding the quota by tokens that another owner granted in a view that this one missed."""
         change = self.owner.update(OwnerView(3, self.own, CHAIN), tenants(fern=SMALL), 1, 60.0)
         self.assertEqual(change.taken_over, ("fern",))
         self.assertEqual(self.grant(60.9, need("fern", 1)).granted_requests, 0)
 
-    def test_who_is_not_the_owner_says_so(self):
+    def test_a_control_plane_that_is_not_the_owner_says_so(self):
         other = next(address for address in CHAIN if address != self.own)
         owner = QuotaOwner(BOUNDS, TAKEOVER_S)
         owner.update(OwnerView(1, other, CHAIN), tenants(fern=SMALL), 1, 0.0)
         grant = owner.answer(ask(need("fern", 1)), 60.0)[0]
         self.assertEqual((grant.not_owner, grant.granted_requests), (True, 0))
 
-    def test_who_left_the_chain_gives_up_its_tenants(self):
+    def test_a_control_plane_that_left_the_chain_releases_its_tenants(self):
         chain = tuple(address for address in CHAIN if address != self.own)
         change = self.owner.update(OwnerView(2, self.own, chain), tenants(fern=SMALL), 1, 60.0)
         self.assertEqual(change.released, ("fern",))
@@ -210,9 +210,9 @@
 
     # Handover.
 
-    def test_a_former_owner_tells_its_level_once_and_the_new_owner_grants_at_once(self):
-        """Guards against a second of refusals and an empty bucket at each change of view between owners that both live."""
-        former, new = self.pass_on(60.0)
+    def test_a_former_owner_hands_its_level_over_once_and_the_new_owner_grants_at_once(self):
+        """Guards against a second of refusals and an empty bucket at each view change between two live owners."""
+        former, new = self.owners_after_view_change(60.0)
         levels = former.hand_over(["fern"], 2, 60.0)
         capacity = bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)
         self.assertEqual([(level.tenant, level.level) for level in levels], [("fern", capacity)])
@@ -221,28 +221,28 @@
         self.assertEqual(new.answer(ask(need("fern", int(capacity))), 60.2)[0].granted_requests, 1)
         self.assertEqual(new.answer(ask(need("fern", 10)), 60.2)[0].granted_requests, 0)
 
-    def test_nothing_is_gained_between_answer_and_receipt(self):
-        former, new = self.pass_on(60.0, used=int(bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)))
+    def test_no_refill_is_counted_between_response_and_receipt(self):
+        former, new = self.owners_after_view_change(60.0, used=int(bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)))
         levels = former.hand_over(["fern"], 2, 60.0)
         self.assertLess(levels[0].level, 1)
         new.adopt_levels(levels, 2, 60.3)
         self.assertLess(new.accounts["fern"].bucket.level, 1)
 
-    def test_a_former_owner_grants_nothing_after_the_handover_nor_opens_the_account_again(self):
-        """Guards against one bucket that grants twice (QUOTA): the former owner and the new one, or an owner that returns."""
-        former, _ = self.pass_on(60.0)
+    def test_a_former_owner_neither_grants_nor_reopens_the_account_after_the_handover(self):
+        """Guards against granting one bucket twice: by the former owner and the new one, or by an owner that returns."""
+        former, _ = self.owners_after_view_change(60.0)
         former.hand_over(["fern"], 2, 60.0)
         self.assertTrue(former.answer(ask(need("fern", 1)), 60.1)[0].not_owner)
         former.update(OwnerView(3, self.own, CHAIN), tenants(fern=SMALL), 1, 60.2)
         self.assertEqual(former.answer(ask(need("fern", 1)), 60.3)[0].granted_requests, 0)
 
-    def test_a_handover_passes_from_one_epoch_to_the_very_next_only(self):
-        """Guards against tokens that the owner of a view in between granted (QUOTA)."""
-        former, new = self.pass_on(60.0)
+    def test_a_handover_is_possible_only_between_consecutive_epochs(self):
+        """Guards against exceeding the quota by tokens that the owner of a view in between granted."""
+        former, new = self.owners_after_view_change(60.0)
         self.assertEqual(former.hand_over(["fern"], 3, 60.0), [])
         levels = former.hand_over(["fern"], 2, 60.0)
         self.assertEqual(new.adopt_levels(levels, 3, 60.0), ())
-        former, new = self.pass_on(60.0)
+        former, new = self.owners_after_view_change(60.0)
         former.update(OwnerView(3, self.own, self.without_own), tenants(fern=SMALL), 1, 60.0)
         self.assertEqual(former.hand_over(["fern"], 3, 60.0), [])
         late = QuotaOwner(BOUNDS, TAKEOVER_S)
@@ -251,66 +251,66 @@
         change = late.update(OwnerView(3, successor, self.without_own), tenants(fern=SMALL), 1, 60.0)
         self.assertEqual((change.taken_over, change.former_owners), (("fern",), {}))
 
-    def test_a_former_owner_that_still_waits_itself_hands_nothing_over(self):
-        """Guards against an owner of two views ago that still grants (QUOTA after overlapping view changes)."""
-        former, _ = self.pass_on(0.5)
+    def test_a_former_owner_that_is_still_waiting_hands_nothing_over(self):
+        """Guards against overlapping view changes, after which the owner of two views ago may still grant."""
+        former, _ = self.owners_after_view_change(0.5)
         self.assertEqual(former.hand_over(["fern"], 2, 0.9), [])
 
-    def test_a_level_that_comes_after_the_first_grant_or_is_no_number_is_not_used(self):
-        """Guards against tokens out of nothing (QUOTA) by a late answer or a broken one."""
-        former, new = self.pass_on(60.0)
+    def test_a_level_that_is_late_or_not_finite_is_not_used(self):
+        """Guards against tokens created by a late or an invalid response."""
+        former, new = self.owners_after_view_change(60.0)
         levels = former.hand_over(["fern"], 2, 60.0)
         self.assertEqual(new.adopt_levels([QuotaLevel("fern", float("nan"), 0.0)], 2, 60.1), ())
         self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1.0, float("inf"))], 2, 60.1), ())
         self.assertEqual(new.adopt_levels(levels, 2, 61.0), ())
-        former, new = self.pass_on(60.0)
+        former, new = self.owners_after_view_change(60.0)
         self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ("fern",))
         self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ())
         self.assertEqual(new.accounts["fern"].bucket.level, bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S))
 
-    def test_while_the_former_owner_is_asked_a_refused_request_is_to_come_back_soon(self):
-        _, new = self.pass_on(60.0)
+    def test_the_retry_time_is_short_while_the_former_owner_is_asked(self):
+        _, new = self.owners_after_view_change(60.0)
         refused = new.answer(ask(need("fern", 2_400)), 60.0)[0]
         self.assertEqual((refused.granted_requests, refused.retry_after_ms, refused.not_owner), (0, 150, False))
         self.assertGreater(new.answer(ask(need("fern", 2_400)), 60.31)[0].retry_after_ms, 600)
 
-    def test_a_lower_limit_binds_what_is_handed_over(self):
-        """Guards against a handover that brings back the level of a former limit (QUOTA after a lower limit)."""
-        former, _ = self.pass_on(60.0)
+    def test_a_lower_limit_applies_to_the_handed_over_level(self):
+        """Guards against a handover that restores the level of a former, higher limit."""
+        former, _ = self.owners_after_view_change(60.0)
         lower = QuotaLimit(100, 100)
         former.update(OwnerView(2, self.own, self.without_own), tenants(fern=lower), 2, 60.0)
         former.update(OwnerView(2, self.own, self.without_own), tenants(fern=SMALL), 3, 60.0)
         levels = former.hand_over(["fern"], 2, 60.0)
         self.assertAlmostEqual(levels[0].level, bucket_capacity(lower, BOUNDS, GRANT_LIFETIME_S))
 
-    def test_a_tenant_that_was_dropped_since_is_not_handed_over(self):
-        former, _ = self.pass_on(60.0)
+    def test_a_tenant_that_was_removed_since_is_not_handed_over(self):
+        former, _ = self.owners_after_view_change(60.0)
         former.update(OwnerView(2, self.own, self.without_own), {}, 2, 60.0)
         former.update(OwnerView(2, self.own, self.without_own), tenants(fern=SMALL), 3, 60.0)
         self.assertEqual(former.hand_over(["fern"], 2, 60.0), [])
 
     # Takeover from a lost owner.
 
-    def test_a_wait_is_shortened_to_the_end_of_the_former_owners_authority_and_refill_counts_from_there(self):
-        """Guards against a whole second of refusals after the loss of an owner that was lost long before the view changed."""
-        _, new = self.pass_on(60.0)
+    def test_a_wait_is_shortened_to_the_end_of_the_former_owners_authority_and_refill_starts_there(self):
+        """Guards against a second of refusals when the former owner was lost long before the view changed."""
+        _, new = self.owners_after_view_change(60.0)
         self.assertEqual(new.shorten_wait(["fern"], 2, 59.8, 60.0), ("fern",))
         self.assertAlmostEqual(new.accounts["fern"].bucket.seconds_until(0.2 * 4_200, 60.0), 0.0, delta=0.001)
         self.assertEqual(new.answer(ask(need("fern", 800)), 60.0)[0].granted_requests, 1)
         self.assertEqual(new.answer(ask(need("fern", 100)), 60.0)[0].granted_requests, 0)
 
-    def test_a_wait_is_never_longer_nor_shortened_in_another_view_or_after_a_grant(self):
-        """Guards against a takeover by the word of voters about another view (QUOTA)."""
-        _, new = self.pass_on(60.0)
+    def test_a_wait_is_never_extended_nor_shortened_in_another_view_or_after_its_end(self):
+        """Guards against a takeover based on voters' answers about another view."""
+        _, new = self.owners_after_view_change(60.0)
         self.assertEqual(new.shorten_wait(["fern"], 2, 61.5, 60.0), ())
         self.assertEqual(new.shorten_wait(["fern"], 3, 59.0, 60.0), ())
         self.assertEqual(new.shorten_wait(["other"], 2, 59.0, 60.0), ())
         self.assertEqual(new.shorten_wait(["fern"], 2, 60.5, 61.0), ())
         self.assertEqual(new.accounts["fern"].grants_from, 61.0)
 
-    def test_the_owner_of_the_view_before_the_former_owners_has_its_second_too(self):
-        """Guards against an owner of two views ago that still grants (QUOTA after overlapping view changes)."""
-        _, new = self.pass_on(0.4)
+    def test_a_shortened_wait_still_covers_the_owner_of_two_views_ago(self):
+        """Guards against overlapping view changes, after which the owner of two views ago may still grant."""
+        _, new = self.owners_after_view_change(0.4)
         self.assertEqual(new.shorten_wait(["fern"], 2, -5.0, 0.4), ("fern",))
         self.assertEqual(new.accounts["fern"].grants_from, 1.0)
 
@@ -318,8 +318,8 @@
     def without_own(self) -> tuple[str, ...]:
         return tuple(address for address in CHAIN if address != self.own)
 
-    def pass_on(self, at: float, used: int = 0) -> tuple[QuotaOwner, QuotaOwner]:
-        """The owner of view 1 and the one of view 2; both have put view 2 into force, in which the former one has no part."""
+    def owners_after_view_change(self, at: float, used: int = 0) -> tuple[QuotaOwner, QuotaOwner]:
+        """Return the owners of views 1 and 2 after both put view 2 into force, which excludes the former owner."""
         former, new = QuotaOwner(BOUNDS, TAKEOVER_S), QuotaOwner(BOUNDS, TAKEOVER_S)
         successor = owner_of("fern", self.without_own)
         for owner, address in ((former, self.own), (new, successor)):
@@ -331,7 +331,7 @@
         self.assertEqual(change.former_owners, {self.own: ("fern",)})
         return former, new
 
-    def test_a_lower_limit_cuts_the_bucket_at_once_and_a_higher_one_adds_nothing_at_once(self):
+    def test_a_lower_limit_cuts_the_level_and_a_higher_one_does_not_raise_it(self):
         lower = QuotaLimit(100, 100)
         self.owner.update(OwnerView(1, self.own, CHAIN), tenants(fern=lower), 2, 60.0)
         capacity = bucket_capacity(lower, BOUNDS, GRANT_LIFETIME_S)
@@ -339,18 +339,18 @@
         self.assertAlmostEqual(self.owner.accounts["fern"].bucket.level, capacity)
         self.assertEqual(self.grant(60.0, need("fern", int(capacity) + 1)).granted_requests, 0)
 
-    def test_a_tenant_that_was_dropped_and_named_again_finds_no_new_bucket(self):
-        """Guards against tokens out of nothing (QUOTA) where an operator drops a tenant and names it again."""
+    def test_a_tenant_that_was_removed_and_added_again_starts_with_an_empty_bucket(self):
+        """Guards against tokens created when an operator removes a tenant and adds it again."""
         self.owner.update(OwnerView(1, self.own, CHAIN), {}, 2, 60.0)
         self.owner.update(OwnerView(1, self.own, CHAIN), tenants(fern=SMALL), 3, 60.0)
         self.assertEqual(self.grant(60.0, need("fern", 1)).granted_requests, 0)
 
-    def test_a_tenant_without_a_limit_is_granted_all(self):
+    def test_a_tenant_without_a_limit_is_granted_everything(self):
         self.owner.update(OwnerView(1, self.own, CHAIN), tenants(fern=None), 2, 60.0)
         grant = self.grant(60.0, need("fern", 10**9, 10**9, ahead=7))
         self.assertEqual((grant.granted_requests, grant.ahead_tokens, grant.lifetime_ms), (2, 7, 500))
 
-    def test_an_unknown_tenant_is_granted_nothing_and_asked_to_wait_for_a_newer_configuration(self):
+    def test_an_unknown_tenant_is_refused_with_a_retry_time_that_depends_on_the_configuration_version(self):
         name = next(name for name in map(str, range(1000)) if owner_of(name) == self.own)
         newer, older = self.grant(60.0, need(name, 1), version=2), self.grant(60.0, need(name, 1), version=1)
         self.assertEqual([grant.granted_requests for grant in (newer, older)], [0, 0])
@@ -359,7 +359,7 @@
 
     @given(st.lists(st.tuples(st.floats(0, 1), st.integers(0, 30_000)), max_size=60))
     def test_returned_tokens_are_credited_within_their_bound(self, returns):
-        """Guards against returns that are delivered twice or never were granted (QUOTA): the bound holds over any window."""
+        """Guards against returns that are delivered twice or were never granted: the bound holds over any window."""
         owner = QuotaOwner(BOUNDS, TAKEOVER_S)
         owner.update(OwnerView(1, self.own, CHAIN), tenants(fern=SMALL), 1, 0.0)
         account, now, credits = owner.accounts["fern"], 60.0, []
@@ -388,7 +388,7 @@
         self.authority = FormerAuthority(epoch=3, voters=["b", "c", "d", "e"], majority=3, authority_s=1.0)
 
     def test_the_latest_confirmation_of_a_majority_counts(self):
-        """Guards against a takeover while a voter that was not asked still confirms the former owner's view (QUOTA)."""
+        """Guards against a takeover while a voter that was not asked still confirms the former owner's view."""
         self.authority.record("b", 3, 9.0, 10.0)
         self.authority.record("b", 3, 9.0, 10.0)
         self.authority.record("c", 3, 0.5, 10.0)
@@ -396,8 +396,8 @@
         self.authority.record("d", 4, 5.0, 10.1)
         self.assertAlmostEqual(self.authority.ended_at, 10.0 - 0.5 + 1.0 + CLOCK_MARGIN_S)
 
-    def test_who_is_no_voter_or_may_still_confirm_the_view_does_not_count(self):
-        """Guards against a takeover by the word of a voter that confirms the former owner's view afterwards (QUOTA)."""
+    def test_nonvoters_and_voters_that_may_still_confirm_the_view_do_not_count(self):
+        """Guards against a takeover based on a voter that confirms the former owner's view afterwards."""
         for voter, epoch, age_s in (("a", 3, 9.0), ("x", 3, 9.0), ("b", 2, 9.0), ("c", 3, -1.0), ("d", 3, 9.0), ("e", 3, 9.0)):
             self.authority.record(voter, epoch, age_s, 10.0)
         self.assertIsNone(self.authority.ended_at)
@@ -408,8 +408,8 @@
                 self.authority.record(voter, 3, age_s, 10.0)
         self.assertAlmostEqual(self.authority.ended_at, 10.9 + CLOCK_MARGIN_S)
 
-    def test_a_voter_that_never_confirmed_may_have_until_its_process_began(self):
-        """Guards against a takeover by the word of a voter that forgot, in a restart, what it confirmed (QUOTA)."""
+    def test_a_voter_without_a_confirmation_reports_its_uptime(self):
+        """Guards against a takeover based on a voter that lost its confirmations in a restart."""
         ages = ConfirmationAges(started_at=10.0)
         ages.record("a:1", 11.0)
         ages.record("a:1", 12.0)
@@ -417,7 +417,7 @@
 
 
 class Voter(unittest.TestCase):
-    """A voter's answers to heartbeats, and its word on them afterwards."""
+    """A voter's answers to heartbeats, and the confirmation ages that it reports afterwards."""
 
     def setUp(self):
         self.now, self.confirms, self.known = 10.0, True, view_of(1)
@@ -437,13 +437,13 @@
 
     def learn(self, view: View) -> None:
         self.view_changer.view = view
-        self.now += 0.25  # the disk is slow
+        self.now += 0.25  # a slow disk write
 
     def beat(self) -> None:
         asyncio.run(self.voter.on_heartbeat(Heartbeat(sender=self.sender, epoch=1)))
 
-    def test_each_confirmation_counts_and_the_age_is_told_after_the_new_view_is_known(self):
-        """Guards against a takeover by a word that misses a confirmation (QUOTA): each one that a heartbeat got counts."""
+    def test_each_confirmation_counts_and_the_age_is_reported_after_the_new_view_is_stored(self):
+        """Guards against a takeover based on an age that misses a confirmation: each one sent to a heartbeat counts."""
         for self.now in (11.0, 12.0):
             self.beat()
         self.confirms = False
@@ -456,16 +456,16 @@
 
 @dataclass
 class FakeNode:
-    """A node in a chain of five whose view, configuration and contact the test sets."""
+    """A node in a chain of five; the test sets its view, configuration and majority contact."""
 
     member: Member
     state: ControlState = field(default_factory=ControlState)
     view: View = field(default_factory=View)
     has_contact: bool = True
     tasks: list = field(default_factory=list)
-    gains_contact: bool = False  # if waited for
-    waits: int = 0  # for contact
-    age_ms: int = 0  # since it confirmed a view, to whomever
+    gains_contact: bool = False  # whether waiting for contact succeeds
+    waits: int = 0  # number of waits for contact
+    age_ms: int = 0  # reported time since it last confirmed a view
 
     @property
     def view_changer(self) -> FakeNode:
@@ -501,7 +501,7 @@
 
 @dataclass
 class FakeClient:
-    """Calls the services of a network in which some addresses do not answer."""
+    """Calls the services and voters of a network; other addresses are unreachable."""
 
     services: dict[str, QuotaService]
     voters: dict[str, FakeNode] = field(default_factory=dict)
@@ -533,14 +533,14 @@
         answer = asyncio.run(self.service.on_request(ask(*needs)))
         return parse_message(QuotaResponse, bytes(answer))
 
-    def test_grants_in_the_name_of_the_view(self):
+    def test_a_response_contains_the_view_and_the_grants(self):
         self.now = 60.0
         answer = self.answer(need("fern", 2_400))
         self.assertEqual((answer.epoch, answer.authoritative, answer.control_addresses), (1, True, list(CHAIN)))
         self.assertEqual(answer.grants[0].granted_requests, 1)
 
-    def test_without_a_majority_nothing_is_granted_and_one_line_says_so(self):
-        """Guards against grants of an owner that is cut off while another one took over (QUOTA in a cut)."""
+    def test_without_a_majority_nothing_is_granted_and_it_is_logged_once(self):
+        """Guards against grants of a partitioned owner while another one has taken over."""
         self.now = 60.0
         self.node.has_contact = False
         with self.assertLogs("mulleinhatch.control_plane.quotas") as logs:
@@ -552,27 +552,27 @@
         self.assertEqual(len(logs.records), 2)
 
     def test_just_after_a_change_of_view_the_answer_waits_for_a_majority(self):
-        """Guards against 0.5 s of refusals, for which data planes avoid a new owner whose view is not confirmed yet."""
+        """Guards against 0.5 s of refusals while data planes avoid a new owner whose view is not confirmed yet."""
         self.now = 60.0
         self.node.view, self.node.has_contact, self.node.gains_contact = view_of(2), False, True
         self.assertEqual(self.answer(need("fern", 2_400)).grants[0].granted_requests, 1)
         self.assertEqual(self.node.waits, 1)
 
     def test_an_owner_that_stays_without_a_majority_answers_at_once_and_grants_nothing(self):
-        """Guards against grants without a majority (QUOTA), and questions that wait for an owner that is cut off."""
+        """Guards against grants without a majority, and against queries that wait for a partitioned owner."""
         self.now = 60.0
         self.node.view, self.node.has_contact = view_of(2), False
         for self.now in (60.0, 60.1, 60.2, 61.0):
             self.assertEqual(self.answer(need("fern", 2_400)).grants, [])
         self.assertEqual(self.node.waits, 2)
 
-    def test_a_new_view_is_in_force_for_the_very_next_request(self):
+    def test_a_new_view_is_in_force_for_the_next_request(self):
         self.now = 60.0
         self.node.view = view_of(2, tuple(address for address in CHAIN if address != self.node.member.internal_address))
         self.assertTrue(self.answer(need("fern", 1)).grants[0].not_owner)
 
     def successor(self, without_own: tuple[str, ...]) -> tuple[FakeNode, QuotaService]:
-        """The service that owns the tenant in a view without the first one, in the same network, still in view 1."""
+        """Return the node and service that own the tenant in a view without the first one; both are still in view 1."""
         member = Member(identity="m", internal_address=owner_of("fern", without_own))
         node = FakeNode(member, self.node.state, view_of(1))
         self.client = FakeClient(self.network)
@@ -581,7 +581,7 @@
         return node, service
 
     def test_a_new_owner_asks_the_former_one_which_learns_the_view_by_it(self):
-        """Guards against a second of refusals at each change of view between owners that both live."""
+        """Guards against a second of refusals at each view change between two live owners."""
         without_own = tuple(address for address in CHAIN if address != self.node.member.internal_address)
         node, service = self.successor(without_own)
         self.now = 60.0
@@ -598,8 +598,8 @@
         self.assertAlmostEqual(service.status()["fern"]["level"], left, delta=0.1)
         self.assertEqual(asyncio.run(service.on_request(ask(need("fern", int(left))))).grants[0].granted_requests, 1)
 
-    def test_where_the_former_owner_does_not_answer_the_wait_and_the_empty_bucket_stand(self):
-        """Guards against grants of two owners (QUOTA) where the former one is cut off from the new one only."""
+    def test_without_an_answer_of_the_former_owner_the_wait_and_the_empty_bucket_remain(self):
+        """Guards against grants of two owners if the former one is partitioned from the new one only."""
         without_own = tuple(address for address in CHAIN if address != self.node.member.internal_address)
         node, service = self.successor(without_own)
         self.network.clear()
@@ -615,7 +615,7 @@
             self.assertEqual(answer.grants[0].granted_requests, granted)
 
     def take_over(self, answering: int, learn: bool = True) -> int:
-        """Requests of 400 tokens that a new owner grants at once where so many other voters confirmed nothing for 5 s."""
+        """Return how many requests of 400 tokens a new owner grants at once if `answering` voters confirmed nothing for 5 s."""
         own = self.node.member.internal_address
         without_own = tuple(address for address in CHAIN if address != own)
         node, service = self.successor(without_own)
@@ -636,24 +636,24 @@
         answer = asyncio.run(service.on_request(ask(need("fern", *[400] * 100))))
         return answer.grants[0].granted_requests
 
-    def test_after_the_word_of_a_majority_a_lost_owners_tenants_are_granted_at_once(self):
-        """Guards against a second of refusals after the loss of an owner whose last confirmation is long ago."""
+    def test_after_answers_of_a_majority_a_lost_owners_tenants_are_granted_at_once(self):
+        """Guards against a second of refusals after the loss of an owner that was last confirmed long ago."""
         self.assertGreater(self.take_over(answering=2), 10)
 
-    def test_the_word_of_fewer_or_of_voters_without_the_new_view_changes_nothing(self):
-        """Guards against two owners that grant (QUOTA): the former one may have a majority that was not asked."""
+    def test_answers_of_a_minority_or_of_voters_without_the_new_view_do_not_shorten_the_wait(self):
+        """Guards against two owners that grant: the former one may have a majority that was not asked."""
         self.assertEqual(self.take_over(answering=1), 0)
         self.assertEqual(self.take_over(answering=3, learn=False), 0)
 
-    def test_status_names_the_owned_tenants_and_what_was_decided(self):
+    def test_status_contains_the_owned_tenants_and_their_counters(self):
         self.now = 60.0
         self.answer(need("fern", 2_400, 90_000, returned=5))
         status = self.service.status()["fern"]
         self.assertEqual((status["granted_requests"], status["granted_tokens"], status["refused_requests"]), (1, 2_400, 1))
         self.assertEqual((status["rate_per_s"], status["owned_for_s"], status["returned_tokens"]), (4_200, 60.0, 5))
 
-    def test_hashes_are_computed_once_a_view(self):
-        """Guards against an answer that grows with the number of tenants."""
+    def test_ownership_is_computed_once_per_view(self):
+        """Guards against a response time that grows with the number of tenants."""
         self.now = 60.0
         updates = []
         self.service._owner.update = lambda *arguments: updates.append(arguments)
--- a/tests/system/test_tenant_wire.py
+++ b/tests/system/test_tenant_wire.py
@@ -1,7 +1,7 @@
 """What backends and clients see of tenants, keys and quotas, on real sockets between real processes.
 
-One control plane and one data plane run as processes; two recording backends and the clients are the test's own. After each
-test every log, page and file but the configuration's own is searched for the keys.
+One control plane and one data plane run as processes; two recording backends and the clients run in the test. After each test
+all logs, pages and files, except the control plane's, are searched for the keys.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 POLL_S = 0.05
 FLOOD = 60
 LOW_RATE, LOW_BURST = 100, 100
-LEAST_UNITS = 100  # of a request whose `Token-Usage` is broken: by no reading is it less
+LEAST_UNITS = 100  # least cost of a request with a malformed `Token-Usage`, however it is interpreted
 BROKEN_USAGES = ("-300,100", "300,-100", "-1,-1", "x,100", "", "300", "0x12c,100", "3e2,100", "+300,+100", "30_0,10_0")
 PAGES = ("/status", "/metrics", "/ready", "/nothing")
 
 
 class ScriptedBackend(RecordingBackend):
-    """A backend that holds a request of the path `held` until told to break its connection off."""
+    """A backend that holds requests whose path contains `held` until it is told to abort their connections."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -57,13 +57,13 @@
 
 
 class Connection:
-    """A client's connection that is kept open."""
+    """A persistent client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer, self._messages = reader, writer, MessageReader(answers=True)
 
     async def ask(self, data: bytes) -> tuple[int, bytes]:
-        """Write bytes and return the status and the body of the next answer; status 0 if the connection ended first."""
+        """Write bytes and return status and body of the next response; status 0 if the connection ended first."""
         self.writer.write(data)
         return await self.answer()
 
@@ -93,7 +93,7 @@
 
 
 def request(path: str, *fields: str, body: bytes | None = None, request_id: str = "") -> bytes:
-    """Return the bytes of a request; with a body of a known length where there is one."""
+    """Return the bytes of a request, with `Content-Length` if it has a body."""
     lines = [f"{'GET' if body is None else 'POST'} {path} HTTP/1.1", f"Host: {HOST}"]
     lines += [f"Request-Id: {request_id or uuid.uuid4().hex[:16]}", "Request-Deadline: 8000", *fields]
     lines += [] if body is None else [f"Content-Length: {len(body)}"]
@@ -116,7 +116,7 @@
         self.operator = Operator(self.fleet.control_addresses, self.seen, random.Random(1))
         self.http_client = HttpClient()
         self.first, self.second, self.spare, self.low, self.unknown = (new_key() for _ in range(5))
-        self.low_keys = [new_key() for _ in BROKEN_USAGES]  # of one tenant each
+        self.low_keys = [new_key() for _ in BROKEN_USAGES]  # one tenant each
         self.keys = {self.first, self.second, self.spare, self.low, self.unknown, *self.low_keys}
         self.fleet.start_all()
         self.backends = [await self.start_backend(number) for number in range(2)]
@@ -125,7 +125,7 @@
         self.seen.runs.clear()
 
     async def asyncTearDown(self):
-        """No key and no digest of one may stand in a log, a page, or a file that is not the configuration's own."""
+        """Check that no log, page or file outside the control plane contains a key or a digest of one."""
         texts = {
             str(path.relative_to(self.folder)): path.read_bytes()
             for path in self.folder.rglob("*")
@@ -190,8 +190,8 @@
     async def ask_once(self, data: bytes) -> tuple[int, bytes]:
         return await (await self.connect()).ask(data)
 
-    async def take_first_key_away(self) -> None:
-        """Take the first tenant's first key away; return once it must be refused."""
+    async def remove_first_key(self) -> None:
+        """Remove the first tenant's first key; return once it must be refused."""
         await self.patch({"upsert": {"tenants": [tenant("first", [self.spare], 0, 0)]}})
         await asyncio.sleep(BOUNDS.apply_s)
 
@@ -204,7 +204,7 @@
         return [run for run in self.seen.runs if run.id == request_id]
 
     def assert_runs_as(self, request_id: str, name: str, message: str = "") -> None:
-        """Each run of a request carries exactly the tenant's name, no key and no `Authorization`."""
+        """Assert that each run of a request carries the tenant's name, no key and no `Authorization`."""
         runs = self.runs_of(request_id)
         self.assertTrue(runs, message)
         for run in runs:
@@ -215,10 +215,10 @@
 
     # Keys.
 
-    async def test_a_kept_connection_is_refused_once_its_key_was_taken_away_between_two_requests(self):
+    async def test_a_persistent_connection_is_refused_once_its_key_was_removed(self):
         connection = await self.connect()
         self.assertEqual((await connection.ask(request("/read/a", bearer(self.first), request_id="before")))[0], 200)
-        await self.take_first_key_away()
+        await self.remove_first_key()
         status, body = await connection.ask(request("/read/b", bearer(self.first), request_id="after"))
         self.assertEqual((status, self.runs_of("after")), (401, []))
         self.assertEqual(find_leaks({"answer": body}, self.keys), [])
@@ -226,35 +226,35 @@
         self.assert_runs_as("before", "first")
         self.assert_runs_as("spare", "first")
 
-    async def test_a_stream_that_its_client_resumes_is_refused_once_its_key_was_taken_away(self):
+    async def test_a_stream_that_its_client_resumes_is_refused_once_its_key_was_removed(self):
         fields = bearer(self.first), "Last-Event-Id: 2"
         connection = await self.connect()
         self.assertEqual((await connection.ask(request("/write/a", *fields, body=b"x", request_id="before")))[0], 200)
-        await self.take_first_key_away()
+        await self.remove_first_key()
         status, _ = await connection.ask(request("/write/b", *fields, body=b"x", request_id="after"))
         self.assertEqual((status, self.runs_of("after")), (401, []))
         self.assert_runs_as("before", "first")
 
-    async def test_a_broken_stream_is_not_resumed_at_another_backend_once_its_key_was_taken_away(self):
+    async def test_a_broken_stream_is_not_resumed_at_another_backend_once_its_key_was_removed(self):
         connection = await self.connect()
         asked = asyncio.ensure_future(connection.ask(request("/write/held", bearer(self.first), body=b"x", request_id="held")))
         await self.until_run("held")
-        await self.take_first_key_away()
+        await self.remove_first_key()
         self.break_off()
         await asked
         self.assertEqual(len(self.runs_of("held")), 1)
 
-    async def test_a_request_is_not_sent_to_another_backend_once_its_key_was_taken_away(self):
+    async def test_a_request_is_not_sent_to_another_backend_once_its_key_was_removed(self):
         connection = await self.connect()
         asked = asyncio.ensure_future(connection.ask(request("/read/held", bearer(self.first), request_id="held")))
         await self.until_run("held")
-        await self.take_first_key_away()
+        await self.remove_first_key()
         self.break_off()
         status, _ = await asked
         self.assertNotEqual(status, 200)
         self.assertEqual(len(self.runs_of("held")), 1)
 
-    async def test_a_retry_after_a_change_that_keeps_its_key_names_the_tenant_again(self):
+    async def test_a_retry_after_a_change_that_keeps_its_key_carries_the_tenant_again(self):
         connection = await self.connect()
         asked = asyncio.ensure_future(connection.ask(request("/read/held", bearer(self.first), request_id="held")))
         await self.until_run("held")
@@ -274,7 +274,7 @@
         for backend in self.backends:
             backend.break_off.set()
 
-    async def test_a_request_without_a_key_that_is_held_is_refused_and_never_runs(self):
+    async def test_a_request_without_a_configured_key_is_refused_and_never_runs(self):
         cases = {
             "none": (),
             "unknown": (bearer(self.unknown),),
@@ -292,7 +292,7 @@
             self.assertEqual((status, self.runs_of(f"case-{number}")), (401, []), name)
             self.assertEqual(find_leaks({"answer": body}, self.keys), [], name)
 
-    async def test_two_authorization_fields_never_run_though_one_is_right(self):
+    async def test_two_authorization_fields_never_run_even_if_one_is_valid(self):
         right, wrong = bearer(self.first), bearer(self.unknown)
         cases = [(right, wrong), (wrong, right), (right, "Authorization: x"), ("authorization:", right)]
         for number, fields in enumerate(cases):
@@ -314,13 +314,13 @@
         self.assertEqual(status, 200)
         self.assert_runs_as("public", "")
 
-    async def test_a_key_is_judged_after_the_route(self):
+    async def test_a_key_is_checked_after_the_route(self):
         self.assertEqual((await self.ask_once(request("/nowhere/a", bearer(self.unknown))))[0], 404)
         self.assertEqual((await self.ask_once(request("/nowhere/a", bearer(self.first))))[0], 404)
 
     # The tenant's name.
 
-    async def test_the_tenant_of_a_client_never_reaches_a_backend(self):
+    async def test_a_clients_tenant_field_never_reaches_a_backend(self):
         cases = [("tenant: second",), ("Tenant: second", "TENANT: low"), ("tEnAnT:second",), ("Tenant:",), ("Tenant: first",)]
         for number, fields in enumerate(cases):
             request_id = f"case-{number}"
@@ -328,7 +328,7 @@
             self.assertEqual(status, 200, fields)
             self.assert_runs_as(request_id, "first", str(fields))
 
-    async def test_the_tenant_and_the_key_of_a_trailer_never_reach_a_backend(self):
+    async def test_tenant_and_key_in_a_trailer_never_reach_a_backend(self):
         for number, trailer in enumerate(("tenant: second", "Tenant: second", bearer(self.second))):
             request_id = f"case-{number}"
             head = request("/once/a", bearer(self.first), "Transfer-Encoding: chunked", request_id=request_id)
@@ -338,13 +338,13 @@
             self.assert_runs_as(request_id, "first", trailer)
             self.assertNotIn(b"second", self.runs_of(request_id)[0].raw, trailer)
 
-    async def test_a_connection_option_does_not_take_the_tenant_away(self):
-        """`Connection: tenant` asks a proxy to drop the field; the system's own must arrive all the same."""
+    async def test_a_connection_option_does_not_remove_the_tenant(self):
+        """`Connection: tenant` tells a proxy to drop the field; the data plane's own must still arrive."""
         status, _ = await self.ask_once(request("/read/a", bearer(self.first), "Connection: tenant", request_id="option"))
         self.assertEqual(status, 200)
         self.assert_runs_as("option", "first")
 
-    async def test_pipelined_requests_are_each_judged_by_their_own_key(self):
+    async def test_pipelined_requests_are_each_checked_by_their_own_key(self):
         connection = await self.connect()
         keys = {"a": self.first, "b": self.second, "c": self.unknown, "d": self.first}
         connection.writer.write(b"".join(request(f"/read/{name}", bearer(key), request_id=name) for name, key in keys.items()))
@@ -355,7 +355,7 @@
         self.assertEqual(self.runs_of("c"), [])
         self.assert_runs_as("d", "first")
 
-    async def test_a_key_that_moves_to_another_tenant_names_the_new_one(self):
+    async def test_a_key_that_moves_to_another_tenant_runs_under_the_new_one(self):
         connection = await self.connect()
         moved = [tenant("first", [self.spare], 0, 0), tenant("second", [self.second, self.first], 0, 0)]
         await self.patch({"upsert": {"tenants": moved}})
@@ -365,7 +365,7 @@
 
     # Bodies of refused requests.
 
-    async def test_the_rest_of_a_refused_request_s_body_is_never_read_as_a_request(self):
+    async def test_the_rest_of_a_refused_requests_body_is_never_parsed_as_a_request(self):
         hidden = request("/once/hidden", bearer(self.first), body=b"x", request_id="hidden")
         chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(hidden), hidden)
         sized = request("/once/a", bearer(self.unknown), f"Content-Length: {len(hidden)}").replace(b"GET ", b"POST ", 1)
@@ -374,18 +374,18 @@
             for begun in (0, 1, len(rest) // 2):
                 connection = await self.connect()
                 connection.writer.write(head + rest[:begun])
-                await asyncio.sleep(2 * POLL_S)  # the answer may come before the body or after it
+                await asyncio.sleep(2 * POLL_S)  # the response may come before or after the body
                 status, _ = await connection.ask(rest[begun:])
                 self.assertEqual(status, 401, (head[-40:], begun))
                 status, body = await connection.ask(request("/read/next", bearer(self.second), request_id="next"))
-                self.assertIn(status, (0, 200), (head[-40:], begun))  # drained, or closed
+                self.assertIn(status, (0, 200), (head[-40:], begun))  # the body was drained, or the connection closed
                 self.assertTrue(status == 0 or b" next /read/next " in body, body)
         self.assertEqual(self.runs_of("hidden"), [])
 
     # Quotas.
 
     async def flood(self, key: str, *fields: str) -> tuple[int, list[int]]:
-        """Send requests of a tenant with the low limit at once; return how many ran, and the statuses."""
+        """Send concurrent requests of a tenant with the low limit; return how many ran, and the statuses."""
         before = len(self.seen.runs)
         connections = [await self.connect() for _ in range(6)]
 
@@ -396,7 +396,7 @@
         return len(self.seen.runs) - before, statuses
 
     async def assert_bounded(self, units: float, *fields: str) -> None:
-        """At most what a window allows may run of requests that cost at least `units`; the process serves on."""
+        """Assert that requests of at least `units` run only within a window's allowance, and that the process keeps serving."""
         ran, statuses = await self.flood(self.low, *fields)
         self.assertLessEqual(ran * units, BOUNDS.allowed_units(LOW_RATE, LOW_BURST), fields)
         self.assertIn(429, statuses, fields)
@@ -407,7 +407,7 @@
     async def test_requests_beyond_the_limit_are_refused(self):
         await self.assert_bounded(400, "Token-Usage: 300,100")
 
-    async def test_requests_without_token_usage_cost_the_plain_tokens(self):
+    async def test_requests_without_token_usage_cost_plain_tokens(self):
         await self.assert_bounded(PLAIN_TOKENS)
 
     async def test_requests_with_a_third_number_cost_the_first_two_at_least(self):
@@ -416,7 +416,7 @@
     async def test_requests_with_two_token_usages_are_not_free(self):
         await self.assert_bounded(PLAIN_TOKENS, "Token-Usage: 300,100", "Token-Usage: 1,1")
 
-    async def test_negative_and_broken_token_usages_are_not_free(self):
+    async def test_negative_and_malformed_token_usages_are_not_free(self):
         for key, text in zip(self.low_keys, BROKEN_USAGES, strict=True):
             with self.subTest(text):
                 ran, statuses = await self.flood(key, f"Token-Usage: {text}")
@@ -432,7 +432,7 @@
             )
             self.assertIn(status, (400, 429), text)
             self.assertEqual(self.runs_of(f"c{number}"), [], text)
-        async with asyncio.timeout(TIMEOUT_S):  # what fits the limit is served once the bucket holds it
+        async with asyncio.timeout(TIMEOUT_S):  # a request within the limit is served once the bucket has refilled
             while (await self.ask_once(request("/read/a", bearer(self.low), "Token-Usage: 20,20")))[0] != 200:
                 await asyncio.sleep(POLL_S)
 
@@ -444,7 +444,7 @@
 
     # What operators see.
 
-    async def test_a_refused_configuration_names_no_key_in_its_answer(self):
+    async def test_a_rejected_configuration_is_answered_without_a_key(self):
         base = self.document()
         shared = [tenant("first", [self.first], 0, 0), tenant("second", [self.first], 0, 0)]
         twice = [tenant("first", [self.first, self.first], 0, 0), {"name": "second", "api_keys": self.second}]
--- a/tests/system/test_tenants_configuration.py
+++ b/tests/system/test_tenants_configuration.py
@@ -1,4 +1,4 @@
-"""Tenants in the operator's configuration: what is read, what is rejected without showing a key, and what a patch costs."""
+"""Tenants in the operator's configuration: parsing, rejection without exposing a key, and the cost of a patch."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self.assertEqual((tenant.limit, tenant.unit, tenant.plain_tokens), (QuotaLimit(1000, 500), QuotaUnit.TOKENS, 200))
         self.assertEqual((tenant.priority, table.tenants.asks_for_keys), (1, True))
 
-    def test_a_rate_of_zero_or_none_is_no_limit(self):
+    def test_a_rate_of_zero_or_none_means_no_limit(self):
         for rate in (0, None, 0.0):
             document = read_complete(with_tenant(rate_per_s=rate), 0).ok_value
             self.assertIsNone(builder().build(document.value).by_name["t1"].limit, rate)
@@ -70,19 +70,19 @@
             document = read_complete(with_tenant(unit=unit), 0).ok_value
             self.assertIs(builder().build(document.value).by_name["t1"].unit, expected)
 
-    def test_a_document_from_before_tenants_stays_as_it_is(self):
-        """Guards against a change of what is stored and returned: an older document has no list of tenants."""
+    def test_a_document_without_tenants_stays_unchanged(self):
+        """Guards against changing stored documents: an older document has no list of tenants."""
         document = read_complete(WITHOUT_TENANTS, 0).ok_value
         self.assertNotIn("tenants", document.value)
         patched = apply_patch(document, {"version": 5, "upsert": {"routes": [{**ROUTE, "timeout_ms": 7}]}}).ok_value
         self.assertNotIn("tenants", patched.value)
         self.assertFalse(build_route_table(patched, builder().build(patched.value)).tenants.asks_for_keys)
 
-    def test_a_table_without_its_tenants_accepts_no_key(self):
-        """Guards against a data plane that asks for no key because a caller left the tenants out."""
+    def test_a_table_built_without_its_tenants_accepts_no_key(self):
+        """Guards against a data plane that requires no key because a caller omitted the tenants."""
         self.assertTrue(build_route_table(read_complete(COMPLETE, 0).ok_value).tenants.asks_for_keys)
 
-    def test_representations_show_no_key(self):
+    def test_representations_contain_no_key(self):
         document = read_complete(COMPLETE, 0).ok_value
         table = build_route_table(document, builder().build(document.value))
         for shown in (repr(document), str(document), repr(table), repr(table.tenants), repr(table.tenants.by_name)):
@@ -106,7 +106,7 @@
     def test_the_same_key_twice_in_one_tenant_is_harmless(self):
         self.assertIsInstance(read_complete(with_tenant(api_keys=["secret-1", "secret-1"]), 0), Ok)
 
-    def test_figures_that_are_none(self):
+    def test_invalid_numbers(self):
         for field in ("rate_per_s", "burst", "plain_tokens", "priority"):
             for value in (-1, math.inf, math.nan, "secret", True, [], {}, 1e308 * 10):
                 self.check_rejected(with_tenant(**{field: value}), "'t1'", field)
@@ -115,18 +115,18 @@
         for unit in ("tokens", "secret", 0, False, [], {}, "TOKEN_COUNT"):
             self.check_rejected(with_tenant(unit=unit), "'t1'", "unit")
 
-    def test_keys_that_are_none(self):
+    def test_invalid_keys(self):
         for keys in (None, "secret", {}, ["secret", ""], ["secret", 7], ["secret", None], 5):
             self.check_rejected(with_tenant(api_keys=keys), "'t1'", "api_keys")
         self.check_rejected({**COMPLETE, "tenants": [{"name": "t1"}]}, "'t1'", "api_keys")
 
-    def test_items_that_are_no_tenants(self):
+    def test_invalid_tenants(self):
         for items in (None, {}, "secret", 7):
             self.check_rejected({**COMPLETE, "tenants": items}, "tenants")
         for item in ("secret", ["secret"], None, {"name": ["secret"], "api_keys": []}, {"api_keys": ["secret"]}, {"name": ""}):
             self.check_rejected({**COMPLETE, "tenants": [TENANT, item]}, "tenants", "item 2")
 
-    def test_public_must_be_a_truth_value(self):
+    def test_public_must_be_a_boolean(self):
         for public in ("yes", 1, []):
             self.check_rejected({**COMPLETE, "routes": [{**ROUTE, "public": public}]}, "r1", "public")
 
@@ -147,7 +147,7 @@
         self.assertNotIn("secret", str(result.err_value))
 
     def test_upsert_and_remove(self):
-        """Guards against SHORT: a PATCH with `upsert.tenants` was answered 400."""
+        """Guards against rejecting a PATCH with `upsert.tenants` with 400."""
         new = {**TENANT, "name": "t3", "api_keys": ["secret-3"]}
         patched = self.patched(upsert={"tenants": [new]}, remove={"tenants": ["t2"]})
         self.assertEqual(patched.value["tenants"], [TENANT, new])
@@ -160,7 +160,7 @@
             self.patched(upsert={"tenants": [taken]}, remove={"tenants": ["t2"]}).value["tenants"], [TENANT, taken]
         )
 
-    def test_the_first_tenants_may_come_with_a_patch(self):
+    def test_a_patch_may_add_the_first_tenants(self):
         self.document = read_complete(WITHOUT_TENANTS, 0).ok_value
         self.assertEqual(self.patched(upsert={"tenants": [OTHER]}).value["tenants"], [OTHER])
 
@@ -173,8 +173,8 @@
         self.check_rejected(remove={"tenants": "t1"})
         self.check_rejected(remove={"tenants": [["secret"]]})
 
-    def test_the_replicated_state_takes_a_patch_of_tenants(self):
-        """Guards against SHORT, in the replicas: the change is checked by the head and takes the same effect in each."""
+    def test_the_replicated_state_rejects_a_shared_key(self):
+        """Guards against diverging replicas: the head checks the change, and it has the same effect in each replica."""
         state = ControlState()
         body = b'{"version":1,"routes":[],"services":[],"tenants":[{"name":"t","api_keys":["secret"]}]}'
         self.assertIsInstance(state.check("PUT", 0, body), Ok)
@@ -185,9 +185,9 @@
 
 
 class CostTest(unittest.TestCase):
-    """Guards against checks that compare each key with each other: a quadratic one takes hours here."""
+    """Guards against checks that compare every pair of keys: a quadratic check would take hours here."""
 
-    def test_a_patch_of_one_tenant_among_very_many_is_cheap(self):
+    def test_a_patch_of_one_of_many_tenants_is_cheap(self):
         tenants = [{"name": f"t{number}", "api_keys": [f"secret-{number}"], "rate_per_s": 1} for number in range(MANY)]
         document = accept_complete({**COMPLETE, "tenants": tenants}, 0).ok_value
         tables = builder()
@@ -201,8 +201,8 @@
         self.assertEqual(table.authenticate([b"Bearer secret-new"]).ok_value.name, "t7")
         self.assertIsInstance(table.authenticate([b"Bearer secret-7"]), Err)
 
-    def test_a_table_after_changes_is_that_of_the_whole_configuration(self):
-        """Guards against a key that stays known, or gets lost, in the table that is brought up to date by changes."""
+    def test_an_incrementally_updated_table_equals_a_new_one(self):
+        """Guards against keys that stay or get lost in an incrementally updated table."""
         tables, document = builder(), read_complete(COMPLETE, 0).ok_value
         tables.build(document.value)
         changes = (
@@ -230,7 +230,7 @@
 
 
 class JsonTest(unittest.TestCase):
-    def test_unreadable_text_is_not_repeated_in_the_message(self):
+    def test_unreadable_text_is_not_included_in_the_message(self):
         for body in (b'{"tenants":[{"api_keys":["secret"]', b'{"a":"secret","a":"secret"}', b'["secret"]', b'"secret"'):
             read = read_json(body)
             self.assertIsInstance(read, Err)
--- a/tests/system/test_tenants_keys.py
+++ b/tests/system/test_tenants_keys.py
@@ -1,4 +1,4 @@
-"""API keys: how they are read from a request, compared and hidden; and what a request costs its tenant's quota."""
+"""API keys: reading them from requests, comparing and hiding them; and the quota cost of a request."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         ):
             self.assertIs(self.table.authenticate(fields).err_value, error, fields)
 
-    def test_no_key_is_asked_for_where_there_are_no_tenants(self):
+    def test_no_key_is_required_without_tenants(self):
         self.assertFalse(NO_TENANTS.asks_for_keys)
         for fields in ([], [b"nonsense"], [b"Bearer key-1"]):
             self.assertIsNone(NO_TENANTS.authenticate(fields).ok_value)
@@ -61,7 +61,7 @@
         secret = read_bearer_key([b"Bearer key-1"]).ok_value
         self.assertNotEqual(KeyDigester(b"a" * 32).digest(secret), KeyDigester(b"b" * 32).digest(secret))
 
-    def test_a_secret_shows_nothing(self):
+    def test_a_secret_has_no_readable_representation(self):
         secret = Secret(b"hidden")
         shown = (repr(secret), str(secret), f"{secret}", f"{secret!r}", "%s" % secret, repr([secret]), repr({"a": secret}))
         for text in shown:
@@ -69,8 +69,8 @@
         self.assertFalse(hasattr(secret, "__dict__"))
         self.assertNotIn("key-1", repr(KeyDigester(b"key-1")))
 
-    def test_a_head_shows_no_fields(self):
-        """Guards against a key in a traceback or log line that shows a request's head."""
+    def test_the_representation_of_a_head_contains_no_fields(self):
+        """Guards against a key in a traceback or log line that contains a request's head."""
         head = parse_request_head(b"POST /x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer key-1\r\n\r\n")
         self.assertNotIn("key-1", repr(head))
 
@@ -86,10 +86,10 @@
         self.assertEqual(read_token_usage(head_with(b" 1460 , 80 ")).ok_value, TokenUsage(1460, 80))
         self.assertEqual(read_token_usage(head_with(b"0,0")).ok_value.total, 0)
 
-    def test_a_missing_field_is_no_error(self):
+    def test_a_missing_usage_is_no_error(self):
         self.assertIsNone(read_token_usage(head_with()).ok_value)
 
-    def test_what_is_no_usage(self):
+    def test_malformed_usages(self):
         for usage in (
             b"",
             b"5",
@@ -108,19 +108,19 @@
             self.assertIs(read_token_usage(head_with(usage)).err_value, TokenUsageError.MALFORMED, usage)
         self.assertIs(read_token_usage(head_with(b"1,2", b"3,4")).err_value, TokenUsageError.MALFORMED)
 
-    def test_endless_numbers_count_the_most(self):
-        """Guards against an exception: Python reads no number of over 4,300 digits."""
+    def test_huge_numbers_count_as_the_maximum(self):
+        """Guards against an exception: Python refuses to parse integers of more than 4,300 digits."""
         for digits in (8, 30, 5000):
             usage = read_token_usage(head_with(b"9" * digits + b",1")).ok_value
             self.assertEqual(usage, TokenUsage(MAX_TOKENS, 1))
         self.assertEqual(read_token_usage(head_with(b"0" * 5000 + b"7,1")).ok_value, TokenUsage(7, 1))
 
-    def test_a_plain_request_costs_no_more_than_a_message_carries(self):
-        """Guards against questions to a quota's owner that it can't read, for all tenants in them."""
+    def test_a_plain_request_costs_at_most_the_message_limit(self):
+        """Guards against quota queries that the owner can't parse, which would fail for all tenants in them."""
         head = parse_request_head(b"POST / HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertEqual(quota_tokens(head, Tenant("t", unit=QuotaUnit.TOKENS, plain_tokens=10**300)), MAX_TOKENS)
 
-    def test_what_a_request_costs(self):
+    def test_the_cost_of_a_request(self):
         by_tokens = Tenant("t", unit=QuotaUnit.TOKENS, plain_tokens=200)
         by_requests = Tenant("t")
         for usage, cost in ((b"1460,80", 1540), (b"x", 200), (b"1,2,3", 200), (b"9" * 30 + b",0", MAX_TOKENS)):
--- a/tests/system/test_tenants_mixed_fleet.py
+++ b/tests/system/test_tenants_mixed_fleet.py
@@ -1,4 +1,4 @@
-"""Patches of tenants while some core machines run a version from before tenants, which ignores the tenants of a patch."""
+"""Patches of tenants while some core machines run a version without tenant support, which ignores a patch's tenants."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OldState(ControlState):
-    """The control state of a version from before tenants: it applies the routes and services of a patch alone."""
+    """The control state of a version without tenant support: it applies only the routes and services of a patch."""
 
     def apply(self, entry: Entry) -> None:
         if entry.kind == EntryKind.PATCH:
@@ -30,7 +30,7 @@
 
 
 class Log:
-    """The replicated log of a head, whose replicas apply each entry as it is proposed."""
+    """The replicated log of a head; its replicas apply each entry as soon as it is proposed."""
 
     def __init__(self, view: View) -> None:
         self.state, self.old_replica = ControlState(), OldState()
@@ -67,8 +67,8 @@
     def can_accept_writes(self) -> bool:
         return True
 
-    def hear(self, *keeps_tenants: bool) -> None:
-        """Hear a heartbeat of each other member of the chain, and have it answered."""
+    def record_heartbeats(self, *keeps_tenants: bool) -> None:
+        """Record a heartbeat of, and a response from, each other member of the chain."""
         for member, keeps in zip(self.members[1:], keeps_tenants, strict=False):
             self.peers.record_heartbeat(Heartbeat(sender=member, epoch=1, keeps_tenants=keeps), 1.0)
             self.peers.record_response(HeartbeatResponse(sender=member, epoch=1, current=True), 1.0)
@@ -85,39 +85,41 @@
         return self.log.kinds[1]
 
     async def test_a_replica_of_an_older_version_keeps_the_tenants_of_a_patch(self):
-        """Guards against replicas that part: an older version ignored the tenants of a patch, and its snapshots lacked them."""
-        self.hear(True, False)
+        """Guards against diverging replicas: an older version ignored the tenants of a patch, and its snapshots lacked them."""
+        self.record_heartbeats(True, False)
         self.assertIs(await self.patched_kind(), EntryKind.CONFIGURATION)
         self.assertEqual(self.log.state.document.value["tenants"], [FIRST["tenants"][0], SECOND_TENANT])
         self.assertEqual(self.log.old_replica.document, self.log.state.document)
-        again = self.log.state.check("PATCH", 1, PATCH)  # a change that is sent again is recognised
+        again = self.log.state.check("PATCH", 1, PATCH)  # a repeated change is recognised
         self.assertIs(again.err_value.outcome, ChangeOutcome.ALREADY_APPLIED)
 
-    async def test_a_replica_that_was_not_heard_counts_as_one_of_an_older_version(self):
-        self.hear(True)
+    async def test_a_replica_without_a_heartbeat_counts_as_an_older_version(self):
+        self.record_heartbeats(True)
         self.assertIs(await self.patched_kind(), EntryKind.CONFIGURATION)
 
-    async def test_a_patch_stays_a_patch_where_all_replicas_apply_its_tenants(self):
-        """Guards against a whole configuration for each change of one among 250,000 tenants."""
-        self.hear(True, True)
+    async def test_a_patch_stays_a_patch_if_all_replicas_apply_its_tenants(self):
+        """Guards against sending the whole configuration for each change of one of 250,000 tenants."""
+        self.record_heartbeats(True, True)
         self.assertIs(await self.patched_kind(), EntryKind.PATCH)
-        self.assertNotEqual(self.log.old_replica.document, self.log.state.document)  # what the other tests guard against
+        self.assertNotEqual(
+            self.log.old_replica.document, self.log.state.document
+        )  # the divergence that the other tests guard against
 
     async def test_a_patch_without_tenants_stays_a_patch(self):
-        self.hear(False, False)
+        self.record_heartbeats(False, False)
         self.assertIs(await self.patched_kind(PATCH_WITHOUT_TENANTS), EntryKind.PATCH)
         self.assertEqual(self.log.old_replica.document, self.log.state.document)
 
-    async def test_an_older_machine_in_reach_that_may_join_the_chain_counts(self):
-        self.hear(True, True)
+    async def test_a_reachable_older_machine_that_may_join_the_chain_counts(self):
+        self.record_heartbeats(True, True)
         joining = Member(identity="d", name="d", internal_address="d:2")
         self.peers.record_heartbeat(Heartbeat(sender=joining, epoch=1), 1.0)
         self.peers.record_response(HeartbeatResponse(sender=joining, epoch=1), 1.0)
         self.assertIs(await self.patched_kind(), EntryKind.CONFIGURATION)
 
-    async def test_a_machine_that_goes_back_to_an_older_version_counts(self):
-        self.hear(True, True)
-        self.hear(False, True)
+    async def test_a_machine_that_is_downgraded_counts(self):
+        self.record_heartbeats(True, True)
+        self.record_heartbeats(False, True)
         self.assertIs(await self.patched_kind(), EntryKind.CONFIGURATION)
 
 
--- a/tests/system/test_tenants_requests.py
+++ b/tests/system/test_tenants_requests.py
@@ -1,7 +1,7 @@
-"""API keys on the wire: which requests run, under which tenant's name, and that no backend is shown a key.
+"""API keys on the wire: which requests run, under which tenant's name, and that no backend receives a key.
 
-A data plane's listener and router run in the test's loop between a plain client socket and backends that record what they
-received and answer when they are told to.
+A data plane's listener and router run in the test's loop between a plain client socket and backends that record requests and
+answer while their gate is open.
 """
 
 from __future__ import annotations
@@ -62,11 +62,11 @@
     """Records requests; answers each once `gate` is set.
 
     Attributes:
-        heads: Heads of the requests that it read whole.
+        heads: Heads of the requests that it read completely.
         bodies: Their bodies.
-        arrived: One entry for each request that it read whole.
+        arrived: One entry for each request that it read completely.
         gate: Requests are answered while it is set.
-        actions: What it does with the next requests instead of an ordinary answer.
+        actions: What it does with the next requests instead of a normal response.
     """
 
     heads: list[Head] = field(default_factory=list)
@@ -106,7 +106,7 @@
 
 @dataclass
 class Answer:
-    """What the client got."""
+    """A response that the client received."""
 
     status: int
     fields: dict[bytes, bytes]
@@ -114,7 +114,7 @@
 
 
 class Client:
-    """One connection of a client."""
+    """One client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer = reader, writer
@@ -153,7 +153,7 @@
     def configure(
         self, tenants: list[dict] | None = TENANTS, routes: list[dict] = ROUTES, confirmed_s_ago: float = 0.0
     ) -> None:
-        """Put a configuration in force that the control plane confirmed some seconds ago."""
+        """Put a configuration into force that the control plane confirmed `confirmed_s_ago` seconds ago."""
         self.version += 1
         value: dict[str, Any] = {"version": self.version, "routes": routes, "services": [{"name": "s"}]}
         if tenants is not None:
@@ -213,16 +213,16 @@
 
     # What reaches a backend.
 
-    async def test_a_request_with_a_key_runs_under_its_tenant_and_the_key_is_not_shown(self):
-        """Guards against UNASKED: keys were passed on, and no tenant was named."""
+    async def test_a_request_with_a_key_runs_under_its_tenant_and_the_key_is_not_passed_on(self):
+        """Guards against passing keys on to backends, and against requests without the tenant's name."""
         async with self.world() as world:
             for key, tenant in ((b"key-1", b"t1"), (b"key-1b", b"t1"), (b"key-2", b"t2")):
                 answer = await world.ask("/private/x", b"Authorization: bearer " + key)
                 self.assertEqual((answer.status, answer.body), (200, b"ok"))
                 self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([tenant], []))
 
-    async def test_a_tenant_that_the_client_names_is_never_passed_on(self):
-        """Guards against UNASKED: a client's own `Tenant`, in any case, repeated or in trailers."""
+    async def test_a_tenant_field_of_the_client_is_never_passed_on(self):
+        """Guards against passing on a client's own `Tenant` field, in any letter case, repeated or in trailers."""
         async with self.world() as world:
             own = (b"tenant: t2", b"TENANT: t2", b"Tenant: other")
             await world.ask("/private/x", AUTHORIZED, *own)
@@ -231,11 +231,11 @@
             await world.ask("/private/x", *own, AUTHORIZED, b"Trailer: Tenant", trailers=trailers)
             self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([b"t1"], []))
             self.assertEqual(world.backends[0].bodies[-1], b"hi")
-            answer = await world.ask("/private/x", trailers=trailers)  # a key in trailers is none
+            answer = await world.ask("/private/x", trailers=trailers)  # a key in trailers does not count
             self.assertEqual(answer.status, 401)
             self.assertEqual(len(world.heads), 2)
 
-    async def test_a_public_route_asks_for_no_key_and_shows_none(self):
+    async def test_a_public_route_requires_no_key_and_passes_none_on(self):
         async with self.world() as world:
             for fields, tenant in (
                 ((), []),
@@ -257,7 +257,7 @@
                 self.assertEqual(sent, ([b"Basic x"], [b"own"]))
 
     async def test_the_priority_of_the_tenant_comes_before_that_of_the_route(self):
-        """Guards against classes that a tenant's priority replaced: the pair of tenant's and route's decides."""
+        """Guards against ignoring the route's priority: the tenant's priority comes first, then the route's."""
         async with self.world() as world:
             for key, path, priority in (
                 (b"key-2", "/safe/x", b"0"),  # no priority counts as 0
@@ -269,7 +269,7 @@
                 self.assertEqual(world.sent_fields(b"priority"), [priority], path)
 
     async def send_in_order(self, world: World, *requests: tuple[str, str]) -> list[Client]:
-        """Send requests of a path and a key each on connections of their own, so that they arrive in this order."""
+        """Send requests, given by path and key, on separate connections so that they arrive in this order."""
         clients = []
         for path, key in requests:
             clients.append(await world.connect())
@@ -284,8 +284,8 @@
             self.assertEqual((await client.answer()).status, 200)
         return [(head.target, head.first[b"priority"]) for head in world.heads]
 
-    async def test_tenants_of_one_priority_leave_the_routes_their_order(self):
-        """Guards against flattened classes: where all tenants had priority 1, a route's own priority counted for nothing."""
+    async def test_tenants_of_equal_priority_are_ordered_by_the_routes_priority(self):
+        """Guards against ignoring a route's priority if all tenants have the same priority."""
         async with self.world(slots=2) as world:  # of which three run at a time
             world.configure([{"name": "t1", "api_keys": ["key-1"], "priority": 1}], [ROUTES[0], ROUTES[2]])
             world.backends[0].gate.clear()
@@ -295,8 +295,8 @@
             self.assertEqual(order[:3], [(b"/safe/1", b"0"), (b"/safe/2", b"0"), (b"/safe/3", b"0")])
             self.assertEqual(order[3:], [(b"/safe/5", b"0"), (b"/private/4", b"1")])
 
-    async def test_a_waiting_request_takes_its_class_in_a_new_configuration(self):
-        """Guards against a class of the configuration before, which the new one gives to more urgent requests."""
+    async def test_a_queued_request_gets_its_priority_class_from_a_new_configuration(self):
+        """Guards against keeping the priority class of a former configuration for a queued request."""
         busy, first, second = ({"name": f"t{number}", "api_keys": [f"key-{number}"]} for number in range(3))
         async with self.world(slots=2) as world:  # of which three run at a time
             world.configure([busy, first, second])
@@ -311,7 +311,7 @@
     # What is refused.
 
     async def test_a_request_without_a_known_key_gets_401_and_does_not_run(self):
-        """Guards against ROUTE: requests ran with keys that no configuration ever held."""
+        """Guards against running requests with keys that no configuration ever contained."""
         async with self.world() as world:
             for fields in (
                 (),
@@ -329,12 +329,12 @@
             self.assertEqual(world.heads, [])
             self.assertEqual(world.router.request_log.counters["unauthorized"], 7)
 
-    async def test_no_route_comes_before_no_key(self):
+    async def test_a_missing_route_takes_precedence_over_a_missing_key(self):
         async with self.world() as world:
             self.assertEqual((await world.ask("/nowhere/x")).status, 404)
 
-    async def test_out_of_touch_what_a_newer_configuration_may_allow_gets_503(self):
-        """Guards against DENIED: an instance that may have missed a newer configuration knows of no key that is wrong."""
+    async def test_out_of_touch_a_request_that_a_newer_configuration_may_allow_gets_503(self):
+        """Guards against rejecting valid requests: with an outdated configuration no key is known to be wrong."""
         async with self.world() as world:
             world.configure(confirmed_s_ago=20.0)
             for path, fields in (
@@ -350,7 +350,7 @@
             self.assertEqual((await world.ask("/private/x", AUTHORIZED)).status, 200)
             self.assertEqual((await world.ask("/public/x")).status, 200)
 
-    async def test_a_snapshot_grows_old_without_answers_of_the_control_plane(self):
+    async def test_a_snapshot_becomes_outdated_without_responses_of_the_control_plane(self):
         async with self.world() as world:
             world.configure(confirmed_s_ago=SETTINGS.bounds.configuration_apply_s - 0.3)
             self.assertEqual((await world.ask("/private/x")).status, 401)
@@ -358,7 +358,7 @@
             self.assertEqual((await world.ask("/private/x")).status, 503)
 
     async def test_a_401_leaves_the_connection_usable(self):
-        """The request is read whole before it is judged: the next one begins where it ends."""
+        """The request is read completely before it is rejected, so that the next one starts where it ends."""
         async with self.world() as world:
             client = await world.connect()
             for body in (b"POST /private/x HTTP/1.1\r\nHost: h\r\n\r\n", b"x" * 100_000):
@@ -367,10 +367,10 @@
                 self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 200)
             self.assertEqual(len(world.heads), 2)
 
-    # Keys that come and go.
+    # Keys that are added and removed.
 
-    async def test_a_key_is_judged_at_each_request_of_a_kept_connection(self):
-        """Guards against ROUTE: a key was taken away between two requests of a connection."""
+    async def test_a_key_is_checked_at_each_request_of_a_persistent_connection(self):
+        """Guards against running a request whose key was removed since the connection's previous request."""
         async with self.world() as world:
             client = await world.connect()
             self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 200)
@@ -381,7 +381,7 @@
             world.configure()
             self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 200)
 
-    async def test_a_pipelined_request_is_judged_by_its_own_key(self):
+    async def test_a_pipelined_request_is_checked_by_its_own_key(self):
         async with self.world() as world:
             client = await world.connect()
             for fields in ((AUTHORIZED,), (b"Authorization: Bearer key-2",), ()):
@@ -396,7 +396,7 @@
             self.assertEqual(world.sent_fields(b"tenant"), [b"t3"])
 
     async def wait_in_queue(self, world: World, *fields: bytes, path: str = "/private/x") -> tuple[list[Client], Client]:
-        """Occupy all places, and queue one request with these fields behind them; return the clients of both."""
+        """Occupy all slots and queue one request with these fields; return the clients of both."""
         backend = world.backends[0]
         backend.gate.clear()
         running = [await world.connect() for _ in range(2)]
@@ -409,8 +409,8 @@
             await asyncio.sleep(0.001)
         return running, waiting
 
-    async def test_a_request_whose_key_is_taken_away_while_it_waits_does_not_run(self):
-        """Guards against CONFIG: a run that starts with a key that was dropped while the request was queued."""
+    async def test_a_request_whose_key_is_removed_while_it_waits_does_not_run(self):
+        """Guards against running a request whose key was removed while it was queued."""
         async with self.world(slots=1) as world:
             running, waiting = await self.wait_in_queue(world, AUTHORIZED)
             world.configure(tenants=[TENANTS[1]])
@@ -420,7 +420,7 @@
             self.assertEqual(len(world.heads), 2)
             self.assertEqual([queue.running for queue in world.router.queue.by_model.values()], [0])
 
-    async def test_a_request_whose_route_is_dropped_while_it_waits_does_not_run(self):
+    async def test_a_request_whose_route_is_removed_while_it_waits_does_not_run(self):
         async with self.world(slots=1) as world:
             _, waiting = await self.wait_in_queue(world, AUTHORIZED)
             world.configure(routes=ROUTES[1:])
@@ -428,7 +428,7 @@
             self.assertEqual((await waiting.answer()).status, 404)
             self.assertEqual(len(world.heads), 2)
 
-    async def test_a_waiting_request_runs_under_the_tenants_that_are_then_in_force(self):
+    async def test_a_queued_request_runs_under_the_tenants_in_force_when_it_starts(self):
         async with self.world(slots=1) as world:
             world.configure(tenants=None)
             _, waiting = await self.wait_in_queue(world, AUTHORIZED, b"Tenant: own")
@@ -437,11 +437,11 @@
             self.assertEqual((await waiting.answer()).status, 200)
             self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([b"t1"], []))
 
-    async def test_a_retry_is_judged_again(self):
-        """Guards against ROUTE: a retry on another backend after the key was taken away."""
+    async def test_a_retry_is_authorized_again(self):
+        """Guards against a retry on another backend after the key was removed."""
         for path, action, expected in (
             ("/private/x", "not executed", 401),
-            ("/safe/x", "close", 502),  # it may have run: 401 would say that it did not
+            ("/safe/x", "close", 502),  # it may have run; 401 would claim that it did not
         ):
             async with self.world(backends=2) as world:
                 for backend in world.backends:
@@ -457,8 +457,8 @@
                 self.assertEqual((await client.answer()).status, expected, path)
                 self.assertEqual(len(world.heads), 1)
 
-    async def test_a_stream_is_not_resumed_after_its_key_was_taken_away(self):
-        """Guards against ROUTE: a resumed stream is a new run, and is judged as one."""
+    async def test_a_stream_is_not_resumed_after_its_key_was_removed(self):
+        """Guards against resuming a stream after its key was removed: a resumed stream is a new run."""
         async with self.world(backends=2) as world:
             for backend in world.backends:
                 backend.gate.clear()
--- a/tests/system/test_tenants_secrecy.py
+++ b/tests/system/test_tenants_secrecy.py
@@ -1,7 +1,7 @@
-"""No key of a tenant and no digest of one is shown by logs, errors, pages or representations of either plane.
+"""No API key and no digest of one appears in logs, errors, pages or object representations of either plane.
 
-Both planes run whole in the test's loop, so the digests under the data plane's own digest key are known and each object that
-either plane holds can be asked for its representation. `test_tenant_wire.py` looks at processes from outside.
+Both planes run completely in the test's loop, so the digests under the data plane's digest key are known and the representation
+of each object that either plane holds can be checked. `test_tenant_wire.py` checks processes from outside.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 ALL_KEYS = (*KEYS.values(), UNKNOWN, NEW, BROKEN, PATCHED)
 PLAIN_DIGESTS = ("md5", "sha1", "sha256", "sha512", "blake2b", "blake2s")
 UNFOLLOWED = (types.ModuleType, type, types.FrameType, types.CodeType, types.BuiltinFunctionType)
-LEAST_OBJECTS = 200  # of the project that both planes hold together: fewer, and the search looked in the wrong place
+LEAST_OBJECTS = 200  # of the project that both planes hold together; fewer mean that the search missed them
 
 
 class LogRecords(logging.Handler):
-    """Keeps each log line as it would be written, and each record's own values."""
+    """Stores each formatted log line and each record's attributes."""
 
     def __init__(self) -> None:
         super().__init__(logging.DEBUG)
@@ -92,12 +92,12 @@
 
 
 def traces_of(secret: bytes) -> list[str]:
-    """Return the texts that give bytes away, in the forms in which a program writes bytes."""
+    """Return the usual textual forms of bytes."""
     return [secret.hex(), base64.b64encode(secret).decode(), repr(secret)[2:-1]]
 
 
 def all_traces(digests: Iterable[bytes]) -> set[str]:
-    """Return the texts that may stand nowhere: the keys, their digests of common kinds, and the data plane's own digests."""
+    """Return the texts that must not appear: the keys, their common digests, and the data plane's own digests."""
     traces = set(ALL_KEYS)
     for key in ALL_KEYS:
         traces.update(traces_of(key.encode()))
@@ -109,7 +109,7 @@
 
 
 def reachable(*roots: Any) -> Iterator[Any]:
-    """Yield each object that the roots hold, in depth; what modules and classes hold is not followed."""
+    """Yield each object reachable from the roots, without following modules and classes."""
     seen: set[int] = set()
     waiting = list(roots)
     while waiting:
@@ -119,26 +119,26 @@
         seen.add(id(one))
         yield one
         if isinstance(one, types.FunctionType):
-            waiting += [one.__closure__, one.__defaults__]  # not its globals, which hold the whole program
+            waiting += [one.__closure__, one.__defaults__]  # not its globals, which reference the whole program
         else:
             waiting += gc.get_referents(one)
 
 
-def is_of_the_project(one: Any) -> bool:
+def is_project_object(one: Any) -> bool:
     return type(one).__module__.startswith("mulleinhatch") or is_dataclass(one)
 
 
 def representations(objects: Iterable[Any]) -> dict[str, str]:
-    """Return the representations of the project's objects, by the class and the number."""
+    """Return the representations of the project's objects, by class and number."""
     shown = {}
     for one in objects:
-        if is_of_the_project(one):
+        if is_project_object(one):
             shown[f"{type(one).__qualname__} {len(shown)}"] = f"{one!r} {one!s}"
     return shown
 
 
 def leaks(texts: Mapping[str, str], traces: set[str]) -> list[str]:
-    """Return the names of the texts in which a trace stands."""
+    """Return the names of the texts that contain a trace."""
     return sorted({name.partition(" ")[0] for name, text in texts.items() if any(trace in text for trace in traces)})
 
 
@@ -178,7 +178,7 @@
         return f"{answer.status} {answer.head.fields!r} {answer.body!r}"
 
     async def ask(self, *authorization: str) -> tuple[int, str]:
-        """Return the status and all that the client got for a request with these `Authorization` fields."""
+        """Return the status and the complete response to a request with these `Authorization` fields."""
         host, _, port = self.front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         fields = [(b"Host", HOST.encode()), (b"Request-Id", b"r1"), (b"Model", MODELS[0].encode()), (b"Connection", b"close")]
@@ -197,8 +197,8 @@
 
 
 class Messages(unittest.TestCase):
-    def test_no_message_shows_the_bytes_that_may_be_a_configuration(self):
-        """Guards against the representation that a dataclass makes: an entry of the log showed the change with its keys."""
+    def test_no_message_representation_contains_configuration_bytes(self):
+        """Guards against generated dataclass representations: a replicated log entry contained a change with its keys."""
         secret = KEYS["first"].encode()
         for message in (
             Entry(index=7, body=secret),
@@ -233,8 +233,8 @@
                 root.removeHandler(records)
                 root.setLevel(level)
 
-    async def test_nothing_shows_a_key_or_a_digest_of_one(self):
-        """Guards against a key in a log line, an error, a page or a representation, which ends up in one of the others."""
+    async def test_no_key_or_digest_appears_anywhere(self):
+        """Guards against a key in a log line, an error, a page or an object representation."""
         async with self.planes() as (planes, records):
             texts: dict[str, str] = {}
             statuses = await self.play(planes, texts)
@@ -248,15 +248,15 @@
             digests = {digest for table in tables for digest in table._by_digest}
             self.assertGreaterEqual(len(digests), len(KEYS))
             texts |= representations(objects)
-            self.assertGreater(sum(is_of_the_project(one) for one in objects), LEAST_OBJECTS)
+            self.assertGreater(sum(is_project_object(one) for one in objects), LEAST_OBJECTS)
         texts |= {f"log {number}": line for number, line in enumerate(records.lines)}
         self.assertEqual(statuses, {200, 401})
         self.assertTrue(any("configuration in force" in line for line in records.lines))
         self.assertEqual(leaks(texts, all_traces(digests)), [])
-        self.assertEqual(records.errors, [])  # nor does a wrong key or change raise what nobody expects
+        self.assertEqual(records.errors, [])  # a wrong key or change raises no unexpected error either
 
     async def play(self, planes: Planes, texts: dict[str, str]) -> set[int]:
-        """Change the configuration rightly and wrongly and send requests; return the statuses that clients saw."""
+        """Send valid and invalid configuration changes, and requests; return the statuses that clients received."""
         await until(lambda: self.status_of(planes.change("PUT", document(1), 0)), 200)
         await until(lambda: self.status_of(planes.ask(f"Bearer {KEYS['second']}")), 200)
         asked = [
