--- a/mulleinhatch/simulation/quotas/__init__.py
+++ b/mulleinhatch/simulation/quotas/__init__.py
@@ -1,6 +1,6 @@
-"""Quotas in virtual time: several owners, several holders of grants, faults, and checks of the rule after every event.
+"""Simulates quotas in virtual time: several owners and data planes, faults, and checks of the quota rule after every event.
 
-`play(seed)` runs one history; the same seed gives the same history.
+`play(seed)` runs one history; the seed determines it.
 """
 
 from mulleinhatch.simulation.quotas.defects import Defect
--- a/mulleinhatch/simulation/quotas/checks.py
+++ b/mulleinhatch/simulation/quotas/checks.py
@@ -1,4 +1,4 @@
-"""Check the rule on quotas from outside: what arrives at backends, what is granted, and who is refused. No clock of its own."""
+"""Checks of the quota rule, independent of the code under test: arrivals at backends and grants. Time is an argument."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class LimitHistory:
-    """The limits of one tenant over time, as they bind.
+    """The limits of one tenant over time.
 
     Args:
         limit: The first limit.
-        apply_s: How long after a change the former limit may still be granted by.
+        apply_s: How long after a change grants under the former limit are still allowed.
     """
 
     def __init__(self, limit: QuotaLimit, apply_s: float) -> None:
@@ -31,22 +31,22 @@
         """Put another limit into force."""
         self._limits.append((now, limit))
 
-    def binding(self, begin: float, end: float) -> list[QuotaLimit]:
-        """Return the limits that bound between two times, each former one for `apply_s` longer."""
+    def limits_in_force(self, begin: float, end: float) -> list[QuotaLimit]:
+        """Return the limits in force between two times, each former one extended by `apply_s`."""
         return [
             limit
             for place, (since, limit) in enumerate(self._limits)
             if since <= end and (place + 1 == len(self._limits) or begin <= self._limits[place + 1][0] + self._apply_s)
         ]
 
-    def most(self, begin: float, end: float) -> QuotaLimit:
-        """Return the limit that covers all that bound between two times."""
-        binding = self.binding(begin, end)
-        return QuotaLimit(max(limit.rate_per_s for limit in binding), max(limit.burst for limit in binding))
+    def loosest(self, begin: float, end: float) -> QuotaLimit:
+        """Return the limit that covers all limits in force between two times."""
+        limits_in_force = self.limits_in_force(begin, end)
+        return QuotaLimit(max(limit.rate_per_s for limit in limits_in_force), max(limit.burst for limit in limits_in_force))
 
 
 class WindowCheck:
-    """Units of one tenant that arrived at backends, against the rule over every window.
+    """Checks the units of one tenant that arrive at backends against the rule, over every window.
 
     Args:
         limits: The tenant's limits.
@@ -58,16 +58,16 @@
         self._limits, self._bounds, self._lifetime_s = limits, bounds, lifetime_s
         self._arrivals: deque[tuple[float, int]] = deque()
         self._arrived = 0
-        self.most_part = 0.0  # of what the rule allowed, the most that arrived
+        self.most_part = 0.0  # highest fraction of a window's allowance that arrived
 
     def record_arrival(self, tokens: int, now: float) -> str:
-        """Count a request that arrived; return what is violated, empty where nothing is."""
+        """Record a request that arrived; return a description of the violation, empty if there is none."""
         self._arrivals.append((now, tokens))
         self._arrived += tokens
         while self._arrivals[0][0] < now - self._bounds.window_s:
             self._arrived -= self._arrivals.popleft()[1]
         begin = now - self._bounds.window_s - longest_use_s(self._lifetime_s)
-        allowed = self._bounds.allowed(self._limits.most(begin, now))
+        allowed = self._bounds.allowed(self._limits.loosest(begin, now))
         self.most_part = max(self.most_part, self._arrived / allowed)
         if self._arrived > allowed * (1 + TOLERANCE):
             return f"{self._arrived} units arrived within a window that allows {allowed:.0f}"
@@ -75,27 +75,27 @@
 
 
 class _Meter:
-    """Whether what is counted stays within `rate` x time + `depth` over every span: the mirror image of a bucket."""
+    """Checks that tokens stay within `rate` x time + `depth` over every span: a leaky bucket used as a meter."""
 
     def __init__(self) -> None:
         self._level = self._updated_at = 0.0
 
     def add(self, tokens: float, rate_per_s: float, depth: float, now: float) -> float:
-        """Count tokens; return by how much they are too many, 0 where they are not."""
+        """Add tokens; return the excess over the bound, 0 if there is none."""
         self._level = max(0.0, self._level - rate_per_s * (now - self._updated_at)) + tokens
         self._updated_at = now
         excess = self._level - depth
         return excess if excess > TOLERANCE * (depth + tokens) else 0.0
 
     def shrink(self, by: float) -> None:
-        """Follow a depth that a change of the limit has made smaller: a bucket keeps its level, so it lacks less then."""
+        """Adjust to a depth lowered by a limit change: a bucket keeps its level, so it is closer to its capacity."""
         self._level = max(0.0, self._level - max(0.0, by))
 
 
 class GrantCheck:
-    """What all owners together granted of one tenant, less what was credited, against one bucket; and the credits.
+    """Checks the grants of all owners for one tenant, less the credits, against one bucket, and the credits against a bound.
 
-    That bounds what is granted and not over at any moment, over all holders and epochs.
+    This bounds the tokens in unexpired grants at any time, over all data planes and epochs.
 
     Args:
         limits: The tenant's limits.
@@ -109,8 +109,8 @@
         self._capacity = self._returned = 0.0
 
     def record(self, granted: int, credited: int, now: float) -> str:
-        """Count the effect of one answer; return what is violated, empty where nothing is."""
-        rules = [(limit, self._bounds, self._lifetime_s) for limit in self._limits.binding(now, now)]
+        """Record the effect of one response; return a description of the violation, empty if there is none."""
+        rules = [(limit, self._bounds, self._lifetime_s) for limit in self._limits.limits_in_force(now, now)]
         rate, capacity = max(refill_rate(*rule) for rule in rules), max(bucket_capacity(*rule) for rule in rules)
         returned = max(returned_capacity(*rule) for rule in rules)
         self._granted.shrink(self._capacity - capacity)
--- a/mulleinhatch/simulation/quotas/defects.py
+++ b/mulleinhatch/simulation/quotas/defects.py
@@ -1,4 +1,4 @@
-"""Defects that are planted in the real code of quotas to show that the checks find them, one for each guarantee."""
+"""Defects injected into the real quota code to show that the checks detect them, one for each guarantee."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Defect(Enum):
-    """A planted defect."""
+    """An injected defect."""
 
     NONE = "none"
     GRANT_AT_ONCE = "a new owner grants while the former one still does"
@@ -122,8 +122,8 @@
 
 
 @contextlib.contextmanager
-def planted(defect: Defect) -> Iterator[None]:
-    """Plant a defect for the duration of a history. Those that have no patch are read by the world itself."""
+def injected(defect: Defect) -> Iterator[None]:
+    """Inject a defect for the duration of a history. The world itself implements those that have no patch."""
     with contextlib.ExitStack() as stack:
         if defect in _PATCHES:
             stack.enter_context(mock.patch.object(*_PATCHES[defect]))
--- a/mulleinhatch/simulation/quotas/faults.py
+++ b/mulleinhatch/simulation/quotas/faults.py
@@ -1,4 +1,4 @@
-"""Draw the faults of one history: what happens to machines, views, limits and the network, and when."""
+"""Random faults of one history: events that affect machines, views, limits and the network."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 MAX_FAULTS = 4
 LONGEST_FREEZE_S = 2.0
-FREEZE_AFTER_S = 0.4  # after the begin of the flood: the bucket is empty then
-SLOW_ANSWER_S = 0.24  # just within the time that a data plane waits
+FREEZE_AFTER_S = 0.4  # after the start of the flood, when the bucket is empty
+SLOW_ANSWER_S = 0.24  # just below a data plane's query timeout
 LIMIT_FACTORS = (0.5, 1.0, 2.0)  # of the first limit
 
 
 class FaultSchedule:
-    """The faults of one history, all between the begin of the flood and the calm time.
+    """The faults of one history, from shortly before the flood until the calm time.
 
     Args:
-        world: The world that they happen to.
+        world: The world that they affect.
     """
 
     def __init__(self, world: QuotaWorld) -> None:
@@ -49,7 +49,7 @@
         world.history.faults.extend(self._kinds)
 
     def draw_release(self, flood_from: float) -> float:
-        """Return until when requests are held back: so long that faults which prolong the use of a grant do most harm."""
+        """Return until when requests are held back, chosen so that faults which prolong the use of a grant do most harm."""
         if "slow_answers" in self._kinds:
             return flood_from + SLOW_ANSWER_S + longest_use_s(GRANT_LIFETIME_S) - 0.01
         if "all_holders_freeze" in self._kinds:
@@ -68,7 +68,7 @@
         return [address for address, machine in self._world.machines.items() if not machine.is_dead]
 
     def _owner(self) -> str:
-        """Return the owner in the newest view, or another control plane where that is dead."""
+        """Return the owner in the newest view, or another control plane if it is dead."""
         address = self._world.owner()
         return address if address in self._alive() else self._source.choice(self._alive())
 
@@ -78,23 +78,23 @@
         self._world.decide_view(tuple(chain))
 
     def _missed_view(self) -> None:
-        """Decide a view without the owner that it never learns, and soon after one with it."""
+        """Decide a view without the owner, which never learns it, and soon after one with the owner."""
         owner, chain = self._owner(), tuple(self._alive())
         others = tuple(address for address in chain if address != owner) or chain
         self._world.decide_view(others, missed_by=frozenset({owner}))
-        self._soon(0.3, 3.0, self._decide_living, chain)
+        self._schedule_follow_up(0.3, 3.0, self._decide_alive, chain)
 
     def _short_absence(self) -> None:
-        """Decide a view without the owner, which stays in touch, and soon after one with it."""
+        """Decide a view without the owner, which stays connected, and soon after one with the owner."""
         owner, chain = self._owner(), tuple(self._alive())
         others = tuple(address for address in chain if address != owner) or chain
         self._world.decide_view(others)
-        self._soon(0.0, 2.5, self._decide_living, chain)
+        self._schedule_follow_up(0.0, 2.5, self._decide_alive, chain)
 
     def _view_missed_by_others(self) -> None:
-        """Decide a view without the owner that only the second owner learns for sure, and soon after one without both.
+        """Decide a view without the owner that only the second owner is certain to learn, and soon after one without both.
 
-        The first owner may be cut off in between; then it sees the second view only.
+        The first owner may be partitioned in between and then sees only the second view.
         """
         world, chain, owner = self._world, tuple(self._alive()), self._owner()
         others = tuple(address for address in chain if address != owner) or chain
@@ -103,30 +103,30 @@
         if self._source.random() < 0.7:
             world.machines[owner].cut(world.queue.now)
         world.decide_view(others, missed_by=frozenset(last) - {second})
-        self._soon(0.3, 2.5, self._heal_into, owner, last)
+        self._schedule_follow_up(0.3, 2.5, self._heal_into, owner, last)
 
     def _heal_into(self, owner: str, chain: tuple[str, ...]) -> None:
-        """Decide a view and end the cut of a control plane, which learns this view first."""
+        """End the partition of a control plane and decide a view, which it learns first."""
         self._world.machines[owner].heal(self._world.queue.now)
-        self._decide_living(chain)
+        self._decide_alive(chain)
 
-    def _soon(self, least_s: float, most_s: float, act: Callable[..., None], *arguments: Any) -> None:
-        """Schedule the second part of a fault: before the calm time, in which nothing happens any more."""
+    def _schedule_follow_up(self, least_s: float, most_s: float, act: Callable[..., None], *arguments: Any) -> None:
+        """Schedule the second part of a fault, before the calm time starts."""
         when = self._world.queue.now + self._source.uniform(least_s, most_s)
         self._world.queue.at(min(when, self._world.calm_from - 0.001), act, *arguments)
 
-    def _decide_living(self, chain: tuple[str, ...]) -> None:
-        """Decide a view with those of a chain that still live."""
-        living = tuple(address for address in chain if address in self._alive())
-        self._world.decide_view(living or tuple(self._alive()))
+    def _decide_alive(self, chain: tuple[str, ...]) -> None:
+        """Decide a view with the members of a chain that are still alive."""
+        alive = tuple(address for address in chain if address in self._alive())
+        self._world.decide_view(alive or tuple(self._alive()))
 
     def _owner_cut(self) -> None:
-        """Cut the owner off, decide a view without it, and heal it later."""
+        """Partition the owner, decide a view without it, and end the partition later."""
         world, owner = self._world, self._owner()
         machine = world.machines[owner]
         machine.cut(world.queue.now)
         others = tuple(address for address in self._alive() if address != owner) or (owner,)
-        self._soon(0.0, 1.5, self._decide_living, others)
+        self._schedule_follow_up(0.0, 1.5, self._decide_alive, others)
         world.queue.at(world.queue.now + self._source.uniform(0.5, 5.0), self._heal, owner)
 
     def _heal(self, address: str) -> None:
@@ -134,14 +134,14 @@
         self._world.learn(address)
 
     def _owner_kill(self) -> None:
-        """End the owner's process for good; the view without it comes a second later."""
+        """Kill the owner's process permanently; the view without it is decided one second later."""
         world, owner = self._world, self._owner()
         if len(self._alive()) < 2:
             return
         world.kill_machine(owner)
-        world.queue.at(world.queue.now + 1.0, self._view_of_the_living)
+        world.queue.at(world.queue.now + 1.0, self._decide_view_of_alive)
 
-    def _view_of_the_living(self) -> None:
+    def _decide_view_of_alive(self) -> None:
         self._world.decide_view(tuple(self._alive()))
 
     def _owner_restart(self) -> None:
@@ -156,12 +156,12 @@
         holder.frozen_until = self._world.queue.now + self._source.uniform(0.1, LONGEST_FREEZE_S)
 
     def _all_holders_freeze(self) -> None:
-        """Stop all data planes with what they hold until the release date."""
+        """Freeze all data planes, with the tokens that they hold, until the release time."""
         for holder in self._world.holders:
             holder.frozen_until = max(holder.frozen_until, self._world.release_at)
 
     def _slow_answers(self) -> None:
-        """Delay each answer until the release date, so that a lifetime that counted from it would end later."""
+        """Delay each response until the release time, so that a lifetime counted from the response would end later."""
         self._world.answer_delay_s = SLOW_ANSWER_S
         self._world.queue.at(self._world.release_at, self._end_slow_answers)
 
@@ -176,5 +176,5 @@
         self._world.change_limit(QuotaLimit(first.rate_per_s * factor, first.burst * factor))
 
     def _network_fault(self) -> None:
-        """Lose, delay and double messages from now on."""
+        """Lose, delay and duplicate messages from now on."""
         self._world.has_fault = True
--- a/mulleinhatch/simulation/quotas/machines.py
+++ b/mulleinhatch/simulation/quotas/machines.py
@@ -1,7 +1,7 @@
-"""Simulated control planes around the real `QuotaOwner`: what each knows of views and limits, and whether it may answer.
+"""Simulated control planes around the real `QuotaOwner`: the views and limits that each knows, and whether it may answer.
 
-The authority is the worst that the real one allows: a control plane whose view has a decided successor answers for a drawn part
-of `AUTHORITY_S` after that decision, and may never learn of a view.
+Authority is the worst case that the real protocol allows: a control plane whose view has a decided successor keeps answering
+for a random fraction of `AUTHORITY_S` after that decision, and may never learn of a view.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from mulleinhatch.quotas.owner import OwnerView, QuotaOwner
 from mulleinhatch.tenants.tenant import Tenant
 
-AUTHORITY_S = 1.0  # as control_plane/peers.py has it
+AUTHORITY_S = 1.0  # same value as in control_plane/peers.py
 
 
 @dataclass(frozen=True)
@@ -26,9 +26,9 @@
         epoch: Its epoch.
         chain: Internal addresses of its chain.
         decided_at: When a majority had accepted it.
-        acceptors: Addresses of that majority, which confirm no older view from then on; the others do until they learn it.
-        unconfirmed_since: When voters, by address, last confirmed the view before to its owner, where that was earlier because
-            their link was lost. These are so few that the owner still had a majority.
+        acceptors: Addresses of that majority, which confirm no older view from then on; other voters do until they learn it.
+        unconfirmed_since: By voter address, when it last confirmed the previous view to that view's owner, if its link was
+            lost before the decision. These voters are too few to cost the owner its majority.
     """
 
     epoch: int
@@ -40,7 +40,7 @@
 
 @dataclass
 class ViewHistory:
-    """All decided views, the first first."""
+    """All decided views, oldest first."""
 
     views: list[DecidedView] = field(default_factory=list)
 
@@ -61,7 +61,7 @@
         return self.latest
 
     def superseded_at(self, epoch: int) -> float:
-        """Return when the successor of a view was decided, infinite where it is the newest."""
+        """Return when the successor of a view was decided, infinity for the newest view."""
         return self.views[epoch].decided_at if epoch < len(self.views) else math.inf
 
 
@@ -70,10 +70,10 @@
 
     Args:
         address: Its internal address.
-        views: All decided views, for the judgement of its authority.
+        views: All decided views, which determine its authority.
         bounds: The deployment's rule.
         takeover_s: How long a new owner waits.
-        authority_s: How long it answers on in a view that has a decided successor, at most `AUTHORITY_S`.
+        authority_s: How long it keeps answering in a view that has a decided successor, at most `AUTHORITY_S`.
     """
 
     def __init__(self, address: str, views: ViewHistory, bounds: QuotaBounds, takeover_s: float, authority_s: float) -> None:
@@ -86,14 +86,14 @@
         self.owner = QuotaOwner(bounds, takeover_s)
         self._views, self._authority_s = views, authority_s
         self._cut_since = math.inf
-        self._lapsed_epoch, self._lapsed_at = -1, math.inf  # the view whose last confirmation was before a cut, and when
+        self._lapsed_epoch, self._lapsed_at = -1, math.inf  # the view that was last confirmed before a partition, and when
         self._tenants: Mapping[str, Tenant] = {}
         self._version = 0
 
     def learn(
         self, view: DecidedView, tenants: Mapping[str, Tenant], version: int, now: float
     ) -> Mapping[str, tuple[str, ...]]:
-        """Learn a view and a configuration, as far as they are newer; return the former owners that are asked for levels."""
+        """Learn a view and a configuration if they are newer; return the tenants by former owner to ask for levels."""
         if self.is_dead:
             return {}
         if version > self._version:
@@ -110,7 +110,7 @@
         return now < min(self._views.superseded_at(self.epoch), self._cut_since, lapsed_at) + self._authority_s
 
     def last_confirmed(self, other: ControlPlaneMachine, now: float) -> float:
-        """Return when this voter, which just learned of a successor of the other one's view, last confirmed that to it."""
+        """Return when this voter, which just learned a successor of the other one's view, last confirmed that view to it."""
         confirms_until = now
         if other.epoch < len(self._views.views):
             successor = self._views.views[other.epoch]
@@ -121,26 +121,26 @@
 
     @property
     def lost_at(self) -> float:
-        """Since when it asks nobody for a confirmation, because it is cut off or dead."""
+        """Since when it requests no confirmations, because it is partitioned or dead."""
         return min(self._cut_since, self.died_at)
 
     def cut(self, now: float) -> None:
-        """Cut it off from all other control planes; data planes still reach it."""
+        """Partition it from all other control planes; data planes still reach it."""
         self._cut_since = min(self._cut_since, now)
 
     def heal(self, now: float) -> None:
-        """End the cut. Where its view has a successor by now, no majority confirms that view to it any more."""
+        """End the partition. If its view has a successor by now, no majority confirms that view to it any more."""
         if self._cut_since < self._views.superseded_at(self.epoch) <= now:
             self._lapsed_epoch, self._lapsed_at = self.epoch, self._cut_since
         self._cut_since = math.inf
 
     @property
     def is_cut(self) -> bool:
-        """Whether it is cut off."""
+        """Whether it is partitioned."""
         return self._cut_since < math.inf
 
     def answer(self, request: QuotaRequest, now: float) -> list[QuotaGrant] | None:
-        """Return the grants for a request, None where it may not answer."""
+        """Return the grants for a request, None if it may not answer."""
         return self.owner.answer(request, now) if self.may_answer(now) else None
 
     @property
--- a/mulleinhatch/simulation/quotas/world.py
+++ b/mulleinhatch/simulation/quotas/world.py
@@ -1,7 +1,7 @@
-"""One history of quotas in virtual time: a flood of one tenant under faults, then a calm time.
+"""One simulated quota history: a flood of one tenant under faults, then a calm time.
 
-The flood is as bad as it can be for the rule: tokens are collected while few are used, and until a release date each request is
-written as late as its permit allows; from then on at once.
+The flood is the worst case for the quota rule: data planes collect tokens while using few, and until a release time each
+request is written as late as its permit allows; from then on requests are written at once.
 """
 
 from __future__ import annotations
@@ -15,39 +15,39 @@
 from mulleinhatch.quotas.limits import FLIGHT_S, GRANT_LIFETIME_S, QuotaBounds, bucket_capacity
 from mulleinhatch.quotas.owner import HANDOVER_TIMEOUT_S, owner_address
 from mulleinhatch.simulation.quotas.checks import GrantCheck, LimitHistory, WindowCheck
-from mulleinhatch.simulation.quotas.defects import Defect, planted
+from mulleinhatch.simulation.quotas.defects import Defect, injected
 from mulleinhatch.simulation.quotas.faults import FaultSchedule
-from mulleinhatch.simulation.quotas.holder import MAX_QUESTIONS, Holder, PendingRequest, Question
+from mulleinhatch.simulation.quotas.holder import MAX_ATTEMPTS, Holder, PendingRequest, Query
 from mulleinhatch.simulation.quotas.machines import AUTHORITY_S, ControlPlaneMachine, DecidedView, ViewHistory
 from mulleinhatch.simulation.virtual_time import EventQueue
 from mulleinhatch.tenants.tenant import QuotaLimit, QuotaUnit, Tenant
 
 TENANT = "fern"
 ADDRESSES = tuple(f"10.0.0.{number}:7000" for number in range(1, 6))
-QUESTION_TIMEOUT_S = 0.25
-LEARN_S = 0.3  # a control plane in touch knows a view or a configuration after this time at most
-CALM_LOAD = 0.8  # of the rate, asked for in the calm time
-CALM_S = 4.0  # of the calm time, in which nothing may be refused
-WRITE_MARGIN_S = 0.001  # before a permit's end: the latest write
-LIMIT_APPLY_S = AUTHORITY_S + LEARN_S + FLIGHT_S + GRANT_LIFETIME_S  # the time for which a former limit may still show
+QUERY_TIMEOUT_S = 0.25
+MAX_LEARN_S = 0.3  # a connected control plane learns a view or a configuration within this time
+CALM_LOAD = 0.8  # load in the calm time, as a fraction of the rate
+CALM_S = 4.0  # length of the settled part of the calm time, in which nothing may be refused
+WRITE_MARGIN_S = 0.001  # the latest write is this long before a permit's expiry
+LIMIT_APPLY_S = AUTHORITY_S + MAX_LEARN_S + FLIGHT_S + GRANT_LIFETIME_S  # a former limit may still have an effect for this time
 
 RULES = (QuotaBounds(8.0, 0.1, 0.0), QuotaBounds(8.0, 0.1, 17_000.0), QuotaBounds(4.0, 0.25, 500.0))
 
 
 @dataclass
 class History:
-    """What came of one history.
+    """The result of one history.
 
     Attributes:
-        seed: Determines it.
-        violations: What was violated, the first first.
+        seed: The seed that determines the history.
+        violations: Descriptions of the violations, in order.
         arrivals: Requests that arrived at backends.
         refused: Requests that were refused.
-        refused_in_calm: Of these, after the faults had ended and settled.
+        refused_in_calm: Refused requests after the faults had ended and settled.
         asked_in_calm: Requests in that time.
-        most_part: Of what the rule allows in a window, the most that arrived.
-        handovers: Times that a new owner granted at once from what the former one had left.
-        shortened: Times that a new owner waited less, by the word of the voters.
+        most_part: Highest fraction of a window's allowance that arrived.
+        handovers: Number of handovers, after which a new owner granted at once.
+        shortened: Number of waits of a new owner that were shortened by the voters' answers.
         faults: Names of the faults.
     """
 
@@ -67,9 +67,9 @@
     """The machines, the network, the clients and the checks of one history.
 
     Args:
-        source: Draws everything that is left open.
-        history: Is filled in.
-        defect: A defect that the world plants itself.
+        source: Random source for all choices.
+        history: Receives the results.
+        defect: A defect that the world implements itself.
     """
 
     def __init__(self, source: random.Random, history: History, defect: Defect = Defect.NONE) -> None:
@@ -93,9 +93,9 @@
         self._faults = FaultSchedule(self)
         self.release_at = self._faults.draw_release(self.flood_from)
         self.calm_from = self.release_at + self.bounds.window_s + 0.5
-        self.settled_from = self.calm_from + 2 * GRANT_LIFETIME_S + AUTHORITY_S + 2 * LEARN_S + 10 * self.cost / rate
+        self.settled_from = self.calm_from + 2 * GRANT_LIFETIME_S + AUTHORITY_S + 2 * MAX_LEARN_S + 10 * self.cost / rate
         self.end = self.settled_from + CALM_S
-        self.has_fault = False  # of the network
+        self.has_fault = False  # whether the network is faulty
         self.answer_delay_s = 0.0
 
     def _machine(self, address: str) -> ControlPlaneMachine:
@@ -119,7 +119,7 @@
     # Clients.
 
     def _client(self) -> None:
-        """Send one request to a data plane by chance, and schedule the next."""
+        """Send one request to a random data plane, and schedule the next."""
         now = self.queue.now
         is_calm = now >= self.calm_from
         load = CALM_LOAD if is_calm else 3.0
@@ -145,7 +145,7 @@
     # Data planes.
 
     def _at_holder(self, holder: Holder, act, *arguments) -> None:
-        """Run a step of a data plane: later where it is frozen, never where it restarted since."""
+        """Run a step of a data plane, delayed while it is frozen and dropped if it restarts."""
         self._step(holder, holder.incarnation, act, arguments)
 
     def _step(self, holder: Holder, incarnation: int, act, arguments) -> None:
@@ -174,7 +174,7 @@
         return permit is not None
 
     def _start(self, holder: Holder, request: PendingRequest, permit: Permit) -> None:
-        """Let a request with a permit wait for its turn at a backend; sometimes its client leaves before."""
+        """Schedule the write of a request with a permit; sometimes its client disconnects first."""
         now = self.queue.now
         if self.has_fault and self.source.random() < 0.05:
             self._later(self.source.uniform(0.0, 0.3), holder, self._refund, permit)
@@ -193,7 +193,7 @@
             self._refund(holder, permit)
             self._ask_or_refuse(holder, [request])
             return
-        if self.has_fault and self.source.random() < 0.05:  # the backend says that it did not execute it
+        if self.has_fault and self.source.random() < 0.05:  # the backend reports that it did not execute the request
             holder.balance.reinstate(permit)
             self._later(0.02, holder, self._write, request, permit)
             return
@@ -204,12 +204,12 @@
         self.history.arrivals += 1
         self._violate(self.window_check.record_arrival(tokens, self.queue.now))
 
-    # Questions and answers.
+    # Queries and responses.
 
     def _ask_or_refuse(self, holder: Holder, pending: list[PendingRequest]) -> None:
-        again = [request for request in pending if request.asked < MAX_QUESTIONS]
+        again = [request for request in pending if request.attempts < MAX_ATTEMPTS]
         for request in pending:
-            if request.asked >= MAX_QUESTIONS:
+            if request.attempts >= MAX_ATTEMPTS:
                 self._refuse(request)
         if again:
             self._ask(holder, again)
@@ -220,16 +220,16 @@
         if self.has_fault and self.source.random() < 0.1:
             address = self.source.choice(sorted(self.machines))
         for request in pending:
-            request.asked += 1
-        question = Question(address, pending, pending, now)
+            request.attempts += 1
+        query = Query(address, pending, pending, now)
         need = holder.need(TENANT, pending, GRANT_LIFETIME_S, now)
         message = QuotaRequest(node=holder.name, configuration_version=self._version, needs=[need])
         for delay_s in self._deliveries():
-            self.queue.at(now + delay_s, self._at_machine, address, message, holder, holder.incarnation, question)
-        self._later(QUESTION_TIMEOUT_S, holder, self._give_up, question)
+            self.queue.at(now + delay_s, self._at_machine, address, message, holder, holder.incarnation, query)
+        self._later(QUERY_TIMEOUT_S, holder, self._on_query_timeout, query)
 
     def _deliveries(self) -> list[float]:
-        """Return after how long each copy of a message arrives: none where it is lost, two where it is doubled."""
+        """Return the delay of each copy of a message: none if it is lost, two if it is duplicated."""
         draw = self.source.random() if self.has_fault else 1.0
         if draw < 0.05:
             return []
@@ -239,12 +239,12 @@
             return [0.002, self.source.uniform(0.0, 1.0)]
         return [self.source.uniform(0.0005, 0.005)]
 
-    def _at_machine(self, address: str, message: QuotaRequest, holder: Holder, incarnation: int, question: Question) -> None:
+    def _at_machine(self, address: str, message: QuotaRequest, holder: Holder, incarnation: int, query: Query) -> None:
         machine, now = self.machines[address], self.queue.now
         if machine.is_dead:
             return
         if now < machine.frozen_until:
-            self.queue.at(machine.frozen_until, self._at_machine, address, message, holder, incarnation, question)
+            self.queue.at(machine.frozen_until, self._at_machine, address, message, holder, incarnation, query)
             return
         credited_before = self._credited(machine)
         grants = machine.answer(message, now)
@@ -252,7 +252,7 @@
         granted += sum(sum(message.needs[0].request_tokens[: grant.granted_requests]) for grant in grants or ())
         self._violate(self.grant_check.record(granted, self._credited(machine) - credited_before, now))
         for delay_s in self._deliveries():
-            arguments = (question, grants, machine.epoch, machine.chain)
+            arguments = (query, grants, machine.epoch, machine.chain)
             self.queue.at(now + self.answer_delay_s + delay_s, self._step, holder, incarnation, self._on_answer, arguments)
 
     def _credited(self, machine: ControlPlaneMachine) -> int:
@@ -260,19 +260,19 @@
         return account.counters.credited_tokens if account else 0
 
     def _on_answer(
-        self, holder: Holder, question: Question, grants: list[QuotaGrant] | None, epoch: int, chain: tuple[str, ...]
+        self, holder: Holder, query: Query, grants: list[QuotaGrant] | None, epoch: int, chain: tuple[str, ...]
     ) -> None:
         now = self.queue.now
-        holder.hear_view(epoch, chain)
-        is_first, question.is_over = not question.is_over, True
-        waiting, question.waiting = question.waiting, []
+        holder.learn_view(epoch, chain)
+        is_first, query.is_over = not query.is_over, True
+        waiting, query.waiting = query.waiting, []
         if not is_first:
             return
         if not grants or grants[0].not_owner:
             self._ask_or_refuse(holder, waiting)
             return
-        counts_from = now if self._defect is Defect.EXPIRY_FROM_ANSWER else question.asked_at
-        holder.add_grant(TENANT, grants[0], question, counts_from, now)
+        counts_from = now if self._defect is Defect.EXPIRY_FROM_ANSWER else query.sent_at
+        holder.add_grant(TENANT, grants[0], query, counts_from, now)
         for place, request in enumerate(waiting):
             if self._try_start(holder, request):
                 continue
@@ -281,16 +281,16 @@
             else:
                 self._refuse(request)
 
-    def _give_up(self, holder: Holder, question: Question) -> None:
-        if not question.is_over:
-            question.is_over = self.source.random() < 0.5  # else an answer that still comes is used, for other requests
-            waiting, question.waiting = question.waiting, []
+    def _on_query_timeout(self, holder: Holder, query: Query) -> None:
+        if not query.is_over:
+            query.is_over = self.source.random() < 0.5  # else a late response is still used, for other requests
+            waiting, query.waiting = query.waiting, []
             self._ask_or_refuse(holder, waiting)
 
     # Views and configurations.
 
     def decide_view(self, chain: tuple[str, ...], missed_by: frozenset[str] = frozenset()) -> None:
-        """Decide the next view; all that are in touch learn it, but for those that miss it."""
+        """Decide the next view; all connected control planes learn it, except those in `missed_by`."""
         voters, now = sorted(self.machines), self.queue.now
         minority = len(voters) - self._majority
         acceptors = frozenset(self.source.sample(voters, self._majority))
@@ -300,22 +300,22 @@
         self.views.decide(chain, now, acceptors, unconfirmed_since)
         for address in self.machines:
             if address not in missed_by:
-                self.queue.at(self.queue.now + self.source.uniform(0.0, LEARN_S), self.learn, address)
-        self.queue.at(self.queue.now + LEARN_S, self._publish_view)
+                self.queue.at(self.queue.now + self.source.uniform(0.0, MAX_LEARN_S), self.learn, address)
+        self.queue.at(self.queue.now + MAX_LEARN_S, self._publish_view)
 
     def owner(self) -> str:
         """Return the address of the owner in the newest view."""
         return owner_address(TENANT, self.views.latest.chain)
 
     def change_limit(self, limit: QuotaLimit) -> None:
-        """Put another limit into force; control planes in touch know it soon."""
+        """Put another limit into force; connected control planes learn it soon."""
         self.limits.change(limit, self.queue.now)
         self._version += 1
         for address in self.machines:
-            self.queue.at(self.queue.now + self.source.uniform(0.0, LEARN_S), self._learn_limit, address)
+            self.queue.at(self.queue.now + self.source.uniform(0.0, MAX_LEARN_S), self._learn_limit, address)
 
     def learn(self, address: str) -> None:
-        """Let a control plane learn the newest view and configuration, if it is in touch."""
+        """Let a control plane learn the newest view and configuration if it is connected."""
         machine = self.machines[address]
         if not machine.is_cut:
             self._learn_view(machine, self.views.latest)
@@ -336,7 +336,7 @@
     # Takeovers from lost owners.
 
     def _ask_voters(self, former_owner: str, asker: ControlPlaneMachine) -> None:
-        """Ask all voters but the former owner itself when they last confirmed its view to it."""
+        """Ask all voters except the former owner when they last confirmed its view to it."""
         voters = [address for address in self.machines if address != former_owner]
         needed = 1 if self._defect is Defect.TAKEOVER_BY_MINORITY else self._majority
         authority = FormerAuthority(asker.epoch, voters, needed, AUTHORITY_S)
@@ -374,41 +374,41 @@
 
     # Handovers between owners.
 
-    def _on_handover_request(self, address: str, asker: ControlPlaneMachine, epoch: int, asked_at: float) -> None:
-        """Let a former owner learn the view of the message, and answer what it has left."""
+    def _on_handover_request(self, address: str, asker: ControlPlaneMachine, epoch: int, sent_at: float) -> None:
+        """Let a former owner learn the view of the message and respond with its remaining levels."""
         machine, now = self.machines[address], self.queue.now
         if machine.is_dead or machine.is_cut or asker.is_cut:
             return
         if now < machine.frozen_until:
-            self.queue.at(machine.frozen_until, self._on_handover_request, address, asker, epoch, asked_at)
+            self.queue.at(machine.frozen_until, self._on_handover_request, address, asker, epoch, sent_at)
             return
         if self._defect is not Defect.GRANT_AFTER_HANDOVER:
             self._learn_view(machine, self.views.views[epoch - 1])
         levels = machine.owner.hand_over([TENANT], epoch, now)
         for delay_s in self._deliveries():
-            self.queue.at(now + delay_s, self._on_levels, address, asker, levels, epoch, asked_at)
+            self.queue.at(now + delay_s, self._on_levels, address, asker, levels, epoch, sent_at)
 
     def _on_levels(
-        self, address: str, asker: ControlPlaneMachine, levels: list[QuotaLevel], epoch: int, asked_at: float
+        self, address: str, asker: ControlPlaneMachine, levels: list[QuotaLevel], epoch: int, sent_at: float
     ) -> None:
-        """Let a new owner use the answer, unless it came too late."""
+        """Let a new owner use the response unless it is too late."""
         now = self.queue.now
         if asker.is_dead or asker.is_cut or self.machines[address].is_cut:
             return
         if now < asker.frozen_until:
-            self.queue.at(asker.frozen_until, self._on_levels, address, asker, levels, epoch, asked_at)
-        elif now < asked_at + HANDOVER_TIMEOUT_S:
+            self.queue.at(asker.frozen_until, self._on_levels, address, asker, levels, epoch, sent_at)
+        elif now < sent_at + HANDOVER_TIMEOUT_S:
             self.history.handovers += len(asker.owner.adopt_levels(levels, epoch, now))
 
     def restart_machine(self, address: str) -> None:
-        """Replace the process of a control plane by a new one, which knows nothing yet."""
+        """Replace the process of a control plane by a new one without state."""
         self.kill_machine(address)
         self.machines[address] = self._machine(address)
         self.machines[address].started_at = self.queue.now
-        self.queue.at(self.queue.now + self.source.uniform(0.0, LEARN_S), self.learn, address)
+        self.queue.at(self.queue.now + self.source.uniform(0.0, MAX_LEARN_S), self.learn, address)
 
     def kill_machine(self, address: str) -> None:
-        """End the process of a control plane."""
+        """Kill the process of a control plane."""
         self.machines[address].is_dead = True
         self.machines[address].died_at = self.queue.now
 
@@ -417,10 +417,10 @@
 
     def _publish_view(self) -> None:
         for holder in self.holders:
-            holder.hear_view(self.views.latest.epoch, self.views.latest.chain)
+            holder.learn_view(self.views.latest.epoch, self.views.latest.chain)
 
     def _end_fault(self) -> None:
-        """End all faults; the view in force has all machines that live, and everybody knows it soon."""
+        """End all faults; a view with all live machines is decided, and all learn it soon."""
         self.has_fault = False
         for machine in self.machines.values():
             machine.heal(self.queue.now)
@@ -428,13 +428,13 @@
 
 
 def play(seed: int, defect: Defect = Defect.NONE) -> History:
-    """Play one history; the same seed gives the same one."""
+    """Play one history; the seed determines it."""
     return play_drawn(random.Random(seed), seed, defect)
 
 
 def play_drawn(source: random.Random, seed: int = 0, defect: Defect = Defect.NONE) -> History:
-    """Play the history that a source draws."""
+    """Play the history that a random source determines."""
     history = History(seed)
-    with planted(defect):
+    with injected(defect):
         QuotaWorld(source, history, defect).run()
     return history
