--- a/mulleinhatch/data_plane/quota_client.py
+++ b/mulleinhatch/data_plane/quota_client.py
@@ -40,7 +40,7 @@
 ANSWER_TIMEOUT_S = MAX_ATTEMPTS * QUERY_TIMEOUT_S  # all attempts for a request have ended by then
 # For at most this time after an owner's refusal, requests of at least that size are not sent to it.
 LOCAL_REFUSAL_S = 0.1
-# After a request waited and was refused, first attempts of its tenant do not wait while the owner refuses tokens.
+# For this time after a wait ended in a refusal, first attempts of its tenant do not wait while the owner refuses tokens.
 CONTENTION_S = 5.0
 RETRY_INTERVAL_S = 0.25  # between retries for waiting requests while no owner answers
 
