--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -30,9 +30,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.data_plane.permit_patience import LINE_OVERCOMMIT, Patience
+from mulleinhatch.data_plane.permit_patience import RATE_OVERCOMMIT, Patience
 from mulleinhatch.data_plane.permit_waits import Outcome, PermitWait
-from mulleinhatch.data_plane.quota_client import QUESTION_TIMEOUT_S, QuotaClient
+from mulleinhatch.data_plane.quota_client import QUERY_TIMEOUT_S, QuotaClient
 from mulleinhatch.membership.view_timing import AUTHORITY_S, HANDOVER_S, VIEW_CHANGE_S
 from mulleinhatch.messages.cluster import QuotaNeed, QuotaRequest, QuotaResponse
 from mulleinhatch.networking.http_client import HttpCallError, HttpResponse
@@ -232,7 +232,7 @@
     async def acquire(self, tenant: str, tokens: int, data_plane: int, deadline: float, is_retry: bool) -> float | None:
         """Return None with a permit that is used at once, else the seconds of `Retry-After`."""
         client, now = self._clients[data_plane], self._loop.time()
-        rate_per_s = LINE_OVERCOMMIT * self._limits[tenant].rate_per_s / self._day.data_planes
+        rate_per_s = RATE_OVERCOMMIT * self._limits[tenant].rate_per_s / self._day.data_planes
         patience = Patience(now, TARGET_S, deadline, is_retry, rate_per_s)
         late: asyncio.Future[Outcome] = self._loop.create_future()
         outcome = client.acquire(tenant, tokens, patience, late.set_result)
@@ -304,7 +304,7 @@
         question = QuotaRequest(node="d", configuration_version=1, needs=[QuotaNeed(tenant=tenant, request_tokens=[tokens])])
         owner = self._directory.owner_of(tenant)
         try:
-            answer = await self._core.request(owner, "POST", "", bytes(question), QUESTION_TIMEOUT_S)
+            answer = await self._core.request(owner, "POST", "", bytes(question), QUERY_TIMEOUT_S)
         except HttpCallError:
             return min(HANDOVER_S, (deadline - self._loop.time()) / 3)
         grant = QuotaResponse().parse(answer.body).grants[0]
