--- a/mulleinhatch/consensus/fault_tolerance.py
+++ b/mulleinhatch/consensus/fault_tolerance.py
@@ -1,8 +1,8 @@
-"""Which sets of core nodes survive the losses that a deployment tolerates. Pure.
+"""Compute which sets of core nodes survive the failures that a deployment tolerates. Pure.
 
-A deployment tolerates the loss of some machines at once, or of some zones, or of some regions, with all machines in them. Of a
-set of nodes, the worst of these losses takes the most: the largest groups. A node whose zone or region is not known (one that
-runs an earlier version, or has not answered yet) counts as a group of its own.
+A deployment tolerates the simultaneous loss of a number of machines, zones or regions; a lost zone or region takes all its
+machines with it. The worst loss for a set of nodes is that of its largest groups. A node whose zone or region is unknown (it
+runs an earlier version, or has not responded yet) counts as a group of its own.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 def _largest_groups(members: Sequence[Member], group_of: Callable[[Member], str], count: int) -> int:
-    """Return how many members the largest groups have together."""
+    """Return the total number of members in the `count` largest groups."""
     return sum(size for _, size in Counter(group_of(member) for member in members).most_common(count))
 
 
 @dataclass(frozen=True)
 class FaultTolerance:
-    """How much may be lost at once.
+    """The simultaneous failures that a deployment tolerates.
 
     Attributes:
-        machines: Core machines.
-        zones: Zones, with all machines in them.
-        regions: Regions, with all machines in them.
+        machines: Number of core machines that may fail.
+        zones: Number of zones that may fail, with all machines in them.
+        regions: Number of regions that may fail, with all machines in them.
     """
 
     machines: int
@@ -43,11 +43,11 @@
 
     @property
     def voters(self) -> int:
-        """Return how many voters there should be: the fewest of which any tolerated loss leaves a majority."""
+        """Return the target number of voters: the smallest that keeps a majority after any tolerated loss."""
         return 2 * max(self.machines, self.zones, self.regions) + 1
 
     def worst_loss(self, members: Sequence[Member]) -> int:
-        """Return how many of the members the worst tolerated loss takes.
+        """Return how many of the members are lost in the worst tolerated failure.
 
         >>> a, b, c = (Member(identity=name, zone=zone) for name, zone in (("a", "z1"), ("b", "z1"), ("c", "z2")))
         >>> FaultTolerance(machines=1).worst_loss([a, b, c]), FaultTolerance(machines=1, zones=1).worst_loss([a, b, c])
@@ -66,8 +66,8 @@
     def keeps_replica(self, members: Sequence[Member], candidates: Sequence[Member]) -> bool:
         """Return whether any tolerated loss leaves one of the members.
 
-        Zones and regions are asked for only as far as the candidates have them: three machines in one zone can't survive the
-        loss of that zone, and still serve.
+        Replicas must span several zones or regions only where the candidates do: three machines in one zone can't survive the
+        loss of that zone, but still serve.
 
         Args:
             members: The nodes that hold a replica.
@@ -82,5 +82,5 @@
         members: Sequence[Member], candidates: Sequence[Member], group_of: Callable[[Member], str], tolerated: int
     ) -> bool:
         groups, all_groups = ({group_of(member) for member in nodes} for nodes in (members, candidates))
-        # Of 2 * tolerated groups or fewer, no majority survives the loss: there is nothing to wait for.
+        # With 2 * tolerated groups or fewer no majority survives the loss, so spanning more groups is not required.
         return len(groups) > tolerated or len(all_groups) <= 2 * tolerated
--- a/mulleinhatch/consensus/paxos.py
+++ b/mulleinhatch/consensus/paxos.py
@@ -44,7 +44,7 @@
 
     Args:
         identity: The identity of the node's disk.
-        state: The state that the disk holds.
+        state: The persisted state of the voter.
     """
 
     def __init__(self, identity: str, state: VoterState) -> None:
@@ -120,7 +120,7 @@
 
 
 class ProposalOutcome(Enum):
-    """How far a proposal got."""
+    """The progress or result of a proposal."""
 
     RUNNING = "running"
     DECIDED = "decided"  # a majority accepted: the view is in force
@@ -138,7 +138,7 @@
         base: The view whose voters decide.
         proposal_number: Unique to this attempt.
         proposed_view: The view to propose if no voter has accepted another one.
-        outcome: How far the proposal got.
+        outcome: The progress or result so far.
         newest: The newer decided view, where the outcome is SUPERSEDED.
         highest_number: The highest number that a voter has promised; the next attempt must exceed it.
         view_to_accept: The view that the accept phase proposes; None until a majority has promised.
--- a/mulleinhatch/consensus/view_planner.py
+++ b/mulleinhatch/consensus/view_planner.py
@@ -12,7 +12,7 @@
 * The number of voters is odd, and 2 * tolerated + 1 as soon as there are as many nodes.
 * A caught-up node replaces an unreachable or leaving voter in a single view change, so that the next loss still leaves a
   majority.
-* Voters stand in different zones and regions where there are enough nodes: one by one they are replaced until any tolerated
+* Voters are spread over zones and regions where there are enough nodes: they are replaced one by one until any tolerated
   loss leaves a majority.
 
 Voters of a view choose the next view on their own, so any number of them may change at once (reconfiguration by the former
@@ -40,7 +40,7 @@
         is_caught_up: It holds every entry that is committed in the current view.
         unreachable_for_s: Seconds since its last response.
         log_complete: For a member of the chain: it holds every entry that was committed before the view.
-        unresponsive_peers: Identities of nodes that have not responded to it for long.
+        unresponsive_peers: Identities of the nodes that it reports as unresponsive.
     """
 
     member: Member
@@ -51,15 +51,16 @@
     unresponsive_peers: frozenset[str] = frozenset()
 
 
-def bootstrap_view(seeds: Iterable[str], internal_of: Callable[[str], str]) -> View:
+def bootstrap_view(seeds: Iterable[str], internal_address_of: Callable[[str], str]) -> View:
     """Return the view that every seed of a first start derives on its own, without communication.
 
     Args:
         seeds: Control addresses.
-        internal_of: Returns the internal address that belongs to a control address.
+        internal_address_of: Returns the internal address that belongs to a control address.
     """
     members = [
-        Member(identity=f"first-{seed}", name=seed, control_address=seed, internal_address=internal_of(seed)) for seed in seeds
+        Member(identity=f"first-{seed}", name=seed, control_address=seed, internal_address=internal_address_of(seed))
+        for seed in seeds
     ]
     return View(epoch=1, voters=members, chain=members)
 
@@ -70,7 +71,7 @@
     Args:
         view: The current view.
         health: Every known node and every voter, by identity.
-        tolerance: What may be lost at once.
+        tolerance: The simultaneous failures that the view must survive.
 
     Returns:
         The next view; None where the current one needs no change, or where no safe successor exists.
@@ -109,7 +110,7 @@
 
 def _plan_voters(view: View, health: Mapping[str, MemberHealth], tolerance: FaultTolerance) -> list[Member]:
     """Return the next voters: the current ones, with the unreachable replaced where candidates exist."""
-    # The view may name members as they were before their zones were known.
+    # The view's member records may be older than the knowledge of their zones.
     voters = [health[member.identity].member for member in view.voters]
     candidates = _voter_candidates(view, health)
     _replace_wiped_voters(voters, candidates)
@@ -127,7 +128,7 @@
 
 
 def _replace_voter(voters: list[Member], position: int, candidates: list[Member], tolerance: FaultTolerance) -> None:
-    """Replace a voter by the candidate with which the worst tolerated loss takes fewest voters, by identity among equals."""
+    """Replace a voter by the candidate that minimizes the voters lost in the worst tolerated failure; ties go by identity."""
 
     def loss_with(candidate: Member) -> int:
         return tolerance.worst_loss([*voters[:position], candidate, *voters[position + 1 :]])
@@ -173,7 +174,7 @@
 
 
 def _add_voters(voters: list[Member], candidates: list[Member], tolerance: FaultTolerance) -> None:
-    """Add voters up to the wanted number, one or two at a time so that their number is odd after each step."""
+    """Add voters up to the target number, one or two at a time so that their number is odd after each step."""
     while len(voters) < tolerance.voters:
         step = 1 + len(voters) % 2
         if len(candidates) < step:
--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -1,8 +1,8 @@
 """One replica's log and its position in the chain of the current view.
 
-A replica appends the entries of its predecessor in order and sends its successor what that one lacks. Entries that the tail
-has persisted are committed. The replica itself does no I/O: `propose` and `on_append` return a `LogWrite`, the caller persists
-it and then calls `on_persisted`; only then the entries count.
+A replica appends the entries of its predecessor in order and sends its successor the entries that it lacks. Entries that the
+tail has persisted are committed. The replica itself does no I/O: `propose` and `on_append` return a `LogWrite`, the caller
+persists it and then calls `on_persisted`; only then are the entries part of the log.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from mulleinhatch.messages.cluster import AppendRequest, AppendResponse, Entry, Member, Snapshot, View
 
 MAX_ENTRIES_PER_APPEND = 64
-# Sent as `sender_last` by a replica whose own log may be incomplete: no receiver reaches it, so none deems its log complete.
+# Sent as `sender_last` by a replica whose log may be incomplete: no log reaches this index, so no receiver's becomes complete.
 UNREACHABLE_INDEX = 2**63
 
 
@@ -37,10 +37,10 @@
 
     | event | in the view's epoch | in another epoch |
     | --- | --- | --- |
-    | `on_append`, entries follow the last index or overlap it | write what is new | reject, with our view |
-    | `on_append`, a gap before the entries | reject, with our last index: the predecessor resends from there | reject |
+    | `on_append`, entries follow the last index or overlap it | write the missing entries | reject, with this replica's view |
+    | `on_append`, a gap before the entries | reject, with the last index: the predecessor resends from there | reject |
     | `on_append`, a snapshot beyond the last index | write the snapshot and the entries after it | reject |
-    | `on_persisted` | the write counts; at the tail it is committed | the same: the write is on disk |
+    | `on_persisted` | add the entries to the log; at the tail, commit them | the same: the write is on disk |
     | `adopt_view` | committed entries stay; a tail with a complete log commits its whole log | |
 
     Attributes:
@@ -49,7 +49,7 @@
         base: Snapshot of the state before `entries`.
         entries: Entries after `base`, without gaps.
         committed: Index of the last committed entry known here.
-        log_complete: Whether the log certainly holds every entry that was committed before the current view.
+        log_complete: Whether the log is known to hold every entry that was committed before the current view.
     """
 
     def __init__(self, identity: str) -> None:
@@ -59,8 +59,8 @@
         self.entries: list[Entry] = []
         self.committed = 0
         self.log_complete = False
-        # Entries up to this index may have been acknowledged although this replica does not know them as committed: those on
-        # disk when the process started, and those that a joining replica received from logs that were there before it.
+        # Entries up to this index may have been acknowledged although this replica does not know that they are committed:
+        # entries on disk when the process started, and entries that a joining replica received from its predecessor's log.
         self._last_unknown_index = 0
 
     # State.
@@ -121,8 +121,8 @@
     def adopt_view(self, view: View) -> None:
         """Switch to a decided view.
 
-        A replica that stays in the chain keeps `log_complete`: whatever is committed was acknowledged by it. The log of a
-        joining replica is complete once it holds what its predecessor held; outside the chain it never is.
+        A replica that stays in the chain keeps `log_complete`: it has persisted every committed entry. The log of a joining
+        replica becomes complete once it holds every entry of its predecessor; outside the chain a log is never complete.
         """
         was_inside = self.position >= 0
         self.view = view
@@ -154,7 +154,7 @@
         return self._new_entries(request.entries)
 
     def _new_entries(self, entries: list[Entry]) -> LogWrite:
-        """Return the entries that are not here yet; an entry of another epoch at the same index truncates the log there."""
+        """Return the missing entries; an entry of another epoch at the same index truncates the log there."""
         new_entries = []
         truncate_to = None
         for entry in entries:
@@ -168,7 +168,7 @@
         return LogWrite(entries=tuple(new_entries), truncate_to=truncate_to)
 
     def on_persisted(self, write: LogWrite) -> None:
-        """Count a write that is on this node's disk."""
+        """Update the log with a write that is on this node's disk."""
         if write.snapshot is not None:
             self._install(write.snapshot, is_truncated=write.truncate_to is not None)
         elif write.truncate_to is not None:
@@ -183,17 +183,17 @@
         self.committed = snapshot.index if is_truncated else max(self.committed, snapshot.index)
 
     def on_append_persisted(self, request: AppendRequest) -> None:
-        """Take over the predecessor's committed index, after the write that `on_append` returned is persisted."""
+        """Adopt the predecessor's committed index, after the write that `on_append` returned is persisted."""
         if not self.log_complete and self.last_index >= request.sender_last:
             self.log_complete = True
-            # The sender may not know either which of its entries were acknowledged: after a loss of power, only a replica
-            # whose disk is lost could have said it. This replica is current once the tail has committed them all.
+            # The sender may not know either which of its entries were acknowledged: after a power loss, this may have been
+            # known only to a replica whose disk is lost. This replica is current once the tail has committed them all.
             self._last_unknown_index = max(self._last_unknown_index, request.sender_last)
         self.commit_to(request.committed)
         self._commit_at_tail()
 
     def commit_to(self, index: int) -> None:
-        """Raise the committed index, to the last entry here at most."""
+        """Raise the committed index, at most to the last entry of this log."""
         self.committed = max(self.committed, min(index, self.last_index))
 
     def _commit_at_tail(self) -> None:
@@ -207,7 +207,7 @@
         return AppendResponse(accepted=accepted, last_index=self.last_index, committed=self.committed, newest=self.view)
 
     def build_append(self, successor_last_index: int) -> AppendRequest:
-        """Return what a successor lacks: at most MAX_ENTRIES_PER_APPEND entries, after a snapshot if the log starts later."""
+        """Return an append with up to MAX_ENTRIES_PER_APPEND missing entries, after a snapshot if the log starts later."""
         snapshot = Snapshot()
         if successor_last_index < self.base.index:
             snapshot, successor_last_index = self.base, self.base.index
--- a/mulleinhatch/replication/state.py
+++ b/mulleinhatch/replication/state.py
@@ -37,11 +37,11 @@
 
 
 CONFIGURATION_KINDS = (EntryKind.CONFIGURATION, EntryKind.PATCH)
-# Changes that are recognised when they are sent again: about nine hours at the target rate.
+# Number of changes that are recognised when they are sent again: about nine hours of changes at the target rate.
 MAX_DIGESTS = 2048
-# Patches that a data plane can receive one by one; one that is further behind gets the complete configuration.
+# Number of patches that a data plane can receive one by one; one further behind gets the complete configuration.
 MAX_RECENT_PATCHES = 64
-# A departed backend serves for seconds only, and its heartbeats are seconds late at most: older ids are not needed.
+# A departed backend serves for a few seconds, and its heartbeats are at most seconds late: older ids are not needed.
 MAX_DEPARTED_BACKENDS = 1024
 
 
@@ -68,7 +68,7 @@
 
 
 class LogGapError(ReplicationError):
-    """An entry was to be applied that does not follow the last applied one."""
+    """An entry does not directly follow the last applied one."""
 
     def __init__(self, applied_index: int, entry_index: int) -> None:
         super().__init__(f"entry {entry_index} does not follow the last applied entry {applied_index}")
@@ -114,7 +114,7 @@
         leader: Identity of the placement leader, empty before the first one.
         fencing_token: Index of the entry that made it the leader.
         departed_backends: Ids of departed backends with the indexes of their entries, oldest first.
-        forgotten_version: Changes up to this version may have been applied although their digests are dropped.
+        forgotten_version: Changes up to this version may have been applied although their digests were dropped.
         recent: Recent patches with the versions they were applied to.
     """
 
@@ -141,12 +141,14 @@
         """
         digest = change_digest(method, body)
         if digest in self.digests:
-            return _reject(ChangeOutcome.ALREADY_APPLIED, "taken before")
+            return _reject(ChangeOutcome.ALREADY_APPLIED, "already applied")
         if isinstance(read := read_json(body), Err):
             return _reject(ChangeOutcome.INVALID, str(read.err_value))
         version = read.ok_value.get("version")
         if isinstance(version, int) and version <= self.forgotten_version:
-            return _reject(ChangeOutcome.HISTORY_COMPACTED, "so old a change may have been taken; read the configuration")
+            return _reject(
+                ChangeOutcome.HISTORY_COMPACTED, "a change this old may have been applied already; read the configuration"
+            )
         if base is None:
             return _reject(ChangeOutcome.INVALID, "If-Match must give the version that the change builds on, 0 for the first")
         document = self._check_document(method, read.ok_value)
@@ -195,7 +197,7 @@
         else:
             document = accept_patch(self.document, value)
         if isinstance(document, Err):
-            return  # the head checked the change against this very state; one that does not follow it never takes effect
+            return  # the head checked the change against this same state; a change that does not follow it never takes effect
         if entry.kind == EntryKind.PATCH:
             self.recent.append((self.document.version, entry))
         else:
@@ -225,7 +227,7 @@
         """Return the bodies of the patches that lead from a version to the current one.
 
         Returns:
-            The bodies in order; None where only the complete configuration will do.
+            The bodies in order; None where the complete configuration is needed.
         """
         for position, (patched_version, _) in enumerate(self.recent):
             if patched_version == version:
--- a/mulleinhatch/storage/append_log.py
+++ b/mulleinhatch/storage/append_log.py
@@ -50,7 +50,7 @@
         A torn end is truncated. A file that this software did not write is moved to another name in the same directory.
 
         Raises:
-            OSError: The disk rejected a call.
+            OSError: A system call failed.
             UnsupportedVersionError: Another version of the software wrote the file; it stays as it is.
         """
         os.makedirs(self._directory, exist_ok=True)
@@ -71,7 +71,7 @@
         """Append records and sync them.
 
         Raises:
-            OSError: None of the records counts; the next call repairs the file.
+            OSError: The caller must treat none of the records as written; the next call repairs the file.
         """
         data = b"".join(encode_record(record) for record in records)
         self._repair()
@@ -85,7 +85,7 @@
         """Replace the file by one with just these records.
 
         Raises:
-            OSError: Either the old or the new file is in force; the caller must give records that mean the same state.
+            OSError: Either the old or the new file is in use; the caller must pass records that describe the same state.
         """
         data = MAGIC + b"".join(encode_record(record) for record in records)
         self._repair()
@@ -119,7 +119,7 @@
             return LogContents([], 0)
 
     def _repair(self) -> None:
-        """Undo what a failed call left behind.
+        """Undo the effects of a failed call.
 
         Its bytes must not precede the next record, and the open file must be the one that a restart finds.
         """
@@ -135,7 +135,7 @@
 
 @contextmanager
 def _closed_on_error(descriptor: int) -> Iterator[None]:
-    """Close a descriptor if the block raises; otherwise the caller keeps it."""
+    """Close a descriptor if the block raises; otherwise leave it open."""
     try:
         yield
     except BaseException:
@@ -153,13 +153,13 @@
 
 
 def _sync_directory(directory: Path) -> None:
-    """Make the names in a directory durable."""
+    """Make the entries of a directory durable."""
     with _open_for_reading(directory) as descriptor:
         os.fsync(descriptor)
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Write all bytes: `os.write` may write a part of them."""
+    """Write all bytes; a single `os.write` may write fewer."""
     remaining = memoryview(data)
     while remaining:
         remaining = remaining[os.write(descriptor, remaining) :]
--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -20,7 +20,7 @@
 
 
 class RecordKind(IntEnum):
-    """What the body of a record is. The numbers are stored."""
+    """The type of the body of a record. The numbers are stored."""
 
     IDENTITY = 1  # UTF-8 text
     VOTER = 2  # messages.cluster.VoterState
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class LogContents:
-    """What a file contains: its complete records, and the size in bytes up to which they reach."""
+    """The contents of a file: its complete records, and the size in bytes up to the end of the last one."""
 
     records: list[Record]
     valid_size: int
@@ -94,7 +94,7 @@
 
 
 def _check_header(header: bytes) -> None:
-    """Raise the error that a header other than MAGIC calls for; return where it is torn."""
+    """Raise an error for a header that is not MAGIC, unless it is torn."""
     if _is_torn(header):
         return
     if header.startswith(FORMAT_ID):
@@ -105,6 +105,6 @@
 def _is_torn(header: bytes) -> bool:
     """Return whether a header was never synced.
 
-    What a power loss left of it is missing or zero. Then nothing after it was synced either.
+    After a power loss, its unsynced bytes are missing or zero. Then nothing after the header was synced either.
     """
     return len(header) < len(MAGIC) or all(byte in (0, expected) for byte, expected in zip(header, MAGIC))
