--- a/mulleinhatch/control_plane/backend_departures.py
+++ b/mulleinhatch/control_plane/backend_departures.py
@@ -1,4 +1,4 @@
-"""Record in the replicated log that backends leave, so that no data plane uses them again, whatever machine fails."""
+"""Record departures of backends in the replicated log, so that no failure of a machine lets a data plane use them again."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
         Returns:
             `accepted` once every replica of the chain has persisted them; for departures recorded before, once the view is
-            confirmed. Only the head accepts: a former one can learn of the commit from the tail before the head does.
+            confirmed. Only the head accepts: a former head can learn of the commit from the tail before the head does.
         """
         log, epoch = self._log, self._log.replica.view.epoch
         if not self._gate.can_accept_writes() or not await self._contact.wait_for_majority_contact():
@@ -70,7 +70,7 @@
         return all(backend_id in self._log.state.departed_backends for backend_id in backends)
 
     def _is_in_log(self, backend_id: str) -> bool:
-        """Return whether a departure is applied, or in an entry that is not applied yet."""
+        """Return whether a departure is applied, or recorded in an entry that is not applied yet."""
         replica, state = self._log.replica, self._log.state
         if backend_id in state.departed_backends:
             return True
--- a/mulleinhatch/control_plane/backend_handoff.py
+++ b/mulleinhatch/control_plane/backend_handoff.py
@@ -1,4 +1,4 @@
-"""Hand changes of the backend registry to every peer, however long a peer is out of reach (hinted handoff).
+"""Deliver changes of the backend registry to every peer, even after a long outage of that peer (hinted handoff).
 
 Source: DeCandia et al., "Dynamo: Amazon's Highly Available Key-value Store", SOSP 2007, section 4.6.
 """
@@ -13,7 +13,7 @@
 
 
 class BackendHandoff:
-    """Tracks for each peer which records of backends it has not acknowledged yet."""
+    """Tracks the backend records that each peer has not acknowledged yet."""
 
     def __init__(self, clock: Callable[[], float], registry: BackendRegistry, peers: Peers) -> None:
         self._clock, self._registry, self._peers = clock, registry, peers
@@ -26,7 +26,7 @@
             peer.unacknowledged_backends.add(backend_id)
 
     def records(self, backend_ids: set[str], now: float) -> list[Backend]:
-        """Return the records of backends as a heartbeat carries them."""
+        """Return the records of backends in the form that heartbeats carry."""
         return self._registry.records_for_peer(backend_ids, now)
 
     def merge(self, backends: list[Backend], now: float) -> None:
@@ -35,7 +35,7 @@
             self._registry.merge(backend, now)
 
     def resend_all(self, peer: Peer) -> None:
-        """Send all records to a peer that knows none, with its next heartbeat."""
+        """Send all records, with the next heartbeat, to a peer that has none."""
         peer.unacknowledged_backends.update(self._registry.entries)
 
     def acknowledge(self, peer: Peer, sent_ids: set[str], sent_at: float) -> None:
--- a/mulleinhatch/control_plane/backend_persistence.py
+++ b/mulleinhatch/control_plane/backend_persistence.py
@@ -15,7 +15,7 @@
 class BackendPersistence:
     """Writes the list of backends whenever the registry changed.
 
-    After a write that the disk refused, it writes again in each interval, so that a disk that has recovered is noticed.
+    After a failed write it writes again in each interval, to notice when the disk has recovered.
     """
 
     def __init__(self, registry: BackendRegistry, state_store: StateStore, replica: Replica) -> None:
--- a/mulleinhatch/control_plane/catch_up.py
+++ b/mulleinhatch/control_plane/catch_up.py
@@ -1,4 +1,4 @@
-"""Bring a node outside the chain up to date, so that the chain may take it in."""
+"""Bring a node outside the chain up to date, so that it can join the chain."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from mulleinhatch.replication.chain import Replica
 
 RETRY_S = 0.1
-COMPACTION_CHECK_S = 1.0  # replication compacts the log as it grows; this catches what a refused write left
+COMPACTION_CHECK_S = 1.0  # replication compacts the log as it grows; this check retries after a failed write
 
 
 class CatchUp:
@@ -54,11 +54,11 @@
         try:
             await self._compactor.compact()
         except OSError:
-            pass  # the former file has the same content; the next check tries again
+            pass  # the old file has the same content; the next check retries
 
     async def _catch_up(self) -> None:
         if not await self._fetcher.fetch():
             return
-        # A view change may have taken this node into the chain while the snapshot was written.
+        # A view change may have added this node to the chain while the snapshot was written.
         self._status.has_chain_snapshot = self._replica.position < 0
         self._request_heartbeat()
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -1,7 +1,7 @@
 """Changes and reads of the configuration by operators: changes at the head of the chain, reads at the tail.
 
-A write is acknowledged only after every replica in the chain has persisted it, and only by the head: once the head knows it as
-committed, each replica after it knows so too or does not count as current. Rejections and reads are served only after a
+A write is acknowledged only after every replica in the chain has persisted it, and only by the head: once the head knows that
+it is committed, each later replica knows so too or does not count as current. Rejections and reads are served only after a
 majority of voters confirms the current view (a linearizable read).
 """
 
@@ -25,7 +25,7 @@
 from mulleinhatch.replication.state import Change, ChangeOutcome, EntryKind, Rejection
 
 LOG = logging.getLogger(__name__)
-CHANGE_TIMEOUT_S = 0.9  # bounds the wait for earlier changes; the commit may take half as long again
+CHANGE_TIMEOUT_S = 0.9  # limit of the wait for earlier changes; the commit may take half as long again
 MIN_WAIT_S = 0.05
 
 
@@ -35,8 +35,8 @@
     OK = "ok"  # a change: every replica of the chain has persisted it; a read: the configuration is the newest
     REDIRECT = "redirect"  # another node serves the request
     RETRY = "retry"  # not served, or not decided yet; the same request may be sent again
-    INVALID = "invalid"  # the change is not valid, or names no version that it builds on
-    CONFLICT = "conflict"  # the change builds on another version than the current one
+    INVALID = "invalid"  # the change is not valid, or does not name the version that it builds on
+    CONFLICT = "conflict"  # the change does not build on the current version
 
 
 @dataclass(frozen=True)
@@ -79,7 +79,7 @@
 
         Args:
             method: `PUT` for a complete configuration, `PATCH` for a patch.
-            base: The version that the change builds on, None where the request named none.
+            base: The version that the change builds on, None where the request does not name it.
             body: The change as JSON.
 
         Returns:
@@ -113,24 +113,24 @@
         checked = log.state.check(method, base, body)
         if isinstance(checked, Err):
             return await self._reject(checked.err_value)
-        change = self._for_all_replicas(checked.ok_value)
+        change = self._to_compatible_change(checked.ok_value)
         async with log.lock:
-            # A view change may have brought the pending change of another head while the lock was awaited.
+            # While the lock was awaited, a view change may have added a pending change of another head to the log.
             if log.has_pending_change() or not await log.propose(int(change.kind), change.body, change.digest, epoch):
                 return VIEW_CHANGING
         if not await log.progress.wait_for(lambda: change.digest in log.state.digests, remaining_s() + 0.5 * CHANGE_TIMEOUT_S):
             return ConfigurationResult(ResultKind.RETRY, "not settled yet; send it again unchanged")
         if not self._gate.can_accept_writes():
-            # A former head can learn of the commit from the tail, as the next tail or by a snapshot, before the head does.
+            # A former head can learn of the commit before the head does: from the tail by a snapshot, or as the next tail.
             return VIEW_CHANGING
         LOG.info("a configuration change is committed", extra={"version": log.state.document.version})
         return ConfigurationResult(ResultKind.OK)
 
-    def _for_all_replicas(self, change: Change) -> Change:
-        """Return a change in the form that each replica applies alike.
+    def _to_compatible_change(self, change: Change) -> Change:
+        """Return a change in a form that replicas of all running versions apply with the same result.
 
-        A replica of a version from before tenants keeps those of a complete configuration, but ignores those of a patch. So a
-        patch of tenants is proposed as the configuration that it leads to, until all replicas have said that they apply it.
+        Versions without support for tenants keep the tenants of a complete configuration, but ignore those of a patch. So a
+        patch of tenants is proposed as the complete configuration that results, until all replicas report that they apply it.
         """
         view, current = self._log.replica.view, self._log.state.document
         if change.kind is not EntryKind.PATCH or tenants_of(change.document.value) is tenants_of(current.value):
@@ -138,7 +138,7 @@
         return change if self._peers.all_keep_tenants(view, self._clock()) else change.as_complete()
 
     async def _reject(self, rejection: Rejection) -> ConfigurationResult:
-        """Reject a change, once it is confirmed that this node's state is the newest."""
+        """Return the result of a rejection, after confirming that this node's state is the newest."""
         if rejection.outcome is ChangeOutcome.ALREADY_APPLIED:
             return ConfigurationResult(ResultKind.OK)
         if rejection.outcome is ChangeOutcome.HISTORY_COMPACTED:
@@ -162,7 +162,7 @@
         return ConfigurationResult(ResultKind.OK, text=self._log.state.document.to_json())
 
     def _redirect(self, member: Member | None) -> ConfigurationResult:
-        """Refer an operator to the member that serves the request, if it is another one and in reach."""
+        """Redirect an operator to the member that serves the request, if it is another node and reachable."""
         if member is None or member.identity == self._peers.own.identity:
             return VIEW_CHANGING
         if not self._peers.is_alive(member.identity, self._clock()):
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -1,7 +1,7 @@
 """Distribute the configuration and the list of backends to data planes by long polling.
 
-Each data plane polls with the versions that it has. The answer is sent as soon as there is something newer, or when the wait
-that the data plane asked for is over.
+Each data plane polls with the versions that it has. The response is sent as soon as there is an update, or when the wait time
+that the data plane requested ends.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from mulleinhatch.replication.state import ControlState
 
 MAX_WAIT_S = 5.0
-COALESCE_S = 0.004  # changes that occur within this time are sent in one answer
-POLLER_EXPIRY_S = 12.0  # a data plane that has not polled for so long is not counted any more
+COALESCE_S = 0.004  # changes within this time are sent in one response
+POLLER_EXPIRY_S = 12.0  # how long a data plane is counted after its last poll
 MAX_PATCHES = 32  # a data plane further behind gets the complete configuration
-MIN_INTERVAL_PER_DATA_PLANE_S = 0.002  # between two answers to one data plane, for each data plane in the system
-CONTACT_CHECK_S = 0.25  # between two checks that a majority still confirms the view, one for all waiting polls
+MIN_INTERVAL_PER_DATA_PLANE_S = 0.002  # least time between two responses to a data plane, per data plane in the system
+CONTACT_CHECK_S = 0.25  # interval of the check, shared by all waiting polls, that a majority still confirms the view
 NEVER_S = -1e9
 
 
 class DistributionNode(Protocol):
-    """What the distribution needs of the node; `CoreNode` satisfies it."""
+    """The interface of the node that `Distribution` uses; `CoreNode` implements it."""
 
     peers: Peers
     registry: BackendRegistry
@@ -47,19 +47,19 @@
         """Return whether a majority of voters confirmed the view recently."""
 
     async def wait_for_majority_contact(self) -> bool:
-        """Return whether a majority of voters confirms the view, waiting for it for a short time."""
+        """Return whether a majority of voters confirms the view, after waiting a short time for it."""
 
 
 @dataclass
 class PollerState:
-    """A data plane that polls this process; times are steady, in seconds."""
+    """A data plane that polls this process. Times are on the steady clock, in seconds."""
 
     polled_at: float
     answered_at: float = NEVER_S
 
 
 class Distribution:
-    """Answers the polls of data planes.
+    """Responds to the polls of data planes.
 
     Args:
         node: The node whose configuration and backends are distributed.
@@ -98,7 +98,7 @@
         return max(1, self.count_local_data_planes() + others)
 
     async def poll(self, request: PollRequest) -> EncodedPollResponse:
-        """Wait until there is an update for the data plane, its wait is over, or the view changes; then answer."""
+        """Wait until there is an update for the data plane, its wait time ends or the view changes; then respond."""
         poller = self._pollers.setdefault(request.node, PollerState(self._clock()))
         poller.polled_at = self._clock()
         end = self._clock() + min(MAX_WAIT_S, request.wait_ms / 1000.0)
@@ -120,7 +120,7 @@
         return self._build_response(request)
 
     def _schedule_contact_check(self) -> None:
-        """Check once soon whether a majority still confirms the view: a loss has no event that would wake the polls."""
+        """Schedule a check that a majority still confirms the view: no event wakes the polls when the majority is lost."""
         if self._contact_check is None:
             self._had_contact = self._node.has_majority_contact()
             self._contact_check = asyncio.get_running_loop().call_later(CONTACT_CHECK_S, self._check_contact)
@@ -144,11 +144,14 @@
             self._waiting -= 1
 
     def _min_interval_s(self) -> float:
-        """Return the least time between two answers to one data plane: the total rate does not grow with their number."""
+        """Return the minimum time between two responses to one data plane.
+
+        It grows with the number of data planes, so that the total rate of responses does not.
+        """
         return MIN_INTERVAL_PER_DATA_PLANE_S * self.count_all_data_planes()
 
     def _is_response_due(self, request: PollRequest, poller: PollerState) -> bool:
-        """Return whether there is an update that is urgent, or any update and the last answer is long enough ago."""
+        """Return whether there is an urgent update, or any update after the minimum interval."""
         registry = self._node.registry
         if self._has_new_state(request):
             return True
@@ -191,7 +194,7 @@
         return response
 
     def _encode_configuration(self, known_version: int) -> tuple[int, bytes]:
-        """Return the version that the bytes build on (0: a complete configuration) and compressed JSON."""
+        """Return the base version of the bytes (0 for a complete configuration), and the bytes: compressed JSON."""
         patches = self._node.state.patches_since(known_version) if known_version else None
         if patches is not None and len(patches) <= MAX_PATCHES:
             return known_version, zlib.compress(b"[" + b",".join(patches) + b"]")
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -20,8 +20,8 @@
 from mulleinhatch.membership.view_timing import HEARTBEAT_S
 from mulleinhatch.messages.cluster import ConfirmationAgeRequest, ConfirmationAgeResponse, Heartbeat, HeartbeatResponse
 
-MIN_GAP_S = 0.03  # between heartbeats that are requested out of turn
-MAX_IN_FLIGHT = 3  # heartbeats to one address: one that is lost must not look like a failed machine
+MIN_GAP_S = 0.03  # minimum time between two heartbeats, where one is requested before the interval ends
+MAX_IN_FLIGHT = 3  # heartbeats to one address, so that a lost one does not look like a failed machine
 
 
 class HeartbeatScheduler:
@@ -88,7 +88,7 @@
         self._handoff, self._status, self._contact = handoff, status, contact
 
     async def send(self, address: str) -> None:
-        """Send a heartbeat to an address. A machine that is out of reach is no error."""
+        """Send a heartbeat to an address. An unreachable machine is not an error."""
         try:
             await self._exchange(address)
         except OSError:
@@ -161,7 +161,7 @@
         return response
 
     async def on_confirmation_age(self, request: ConfirmationAgeRequest) -> ConfirmationAgeResponse:
-        """Learn a view, with which this voter confirms no older one any more; then tell when it last confirmed one.
+        """Learn a view, so that this voter confirms no older one any more; then report when it last confirmed one.
 
         Raises:
             OSError: The disk refused the view.
--- a/mulleinhatch/control_plane/internal_client.py
+++ b/mulleinhatch/control_plane/internal_client.py
@@ -31,7 +31,7 @@
         """Send a message and return the parsed response.
 
         Raises:
-            HttpCallError: No readable response with status 200 came in time.
+            HttpCallError: No readable response with status 200 arrived in time.
         """
         response = await self._http_client.request(address, "POST", f"/internal/{path}", bytes(message), timeout_s)
         if response.status != 200:
--- a/mulleinhatch/control_plane/leadership_claims.py
+++ b/mulleinhatch/control_plane/leadership_claims.py
@@ -1,4 +1,4 @@
-"""Claim the leadership over the backends: the replicated log records the leader and its fencing token."""
+"""Claim the placement leadership: the replicated log records the leader and its fencing token."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/control_plane/log_compaction.py
+++ b/mulleinhatch/control_plane/log_compaction.py
@@ -21,7 +21,7 @@
     """Compacts the log when it has many entries or the state file is large.
 
     Attributes:
-        rewrite_due: Whether the next call of `compact` rewrites the file in any case.
+        rewrite_due: Whether the next call of `compact` rewrites the file regardless of its size.
     """
 
     def __init__(
@@ -35,10 +35,10 @@
         return applied >= ENTRIES_BEFORE_SNAPSHOT or self._state_store.size >= REWRITE_THRESHOLD_BYTES or self.rewrite_due
 
     async def compact(self) -> None:
-        """Take a snapshot and rewrite the file, if either grew long.
+        """Take a snapshot and rewrite the file, if the log or the file has grown long.
 
         Raises:
-            OSError: The disk refused the new file; the former one stays in use.
+            OSError: The disk refused the new file; the old one stays in use.
         """
         if not self._is_due():
             return
@@ -51,7 +51,7 @@
                 *entry_records(remaining),
                 commit_record(replica.committed),
             ]
-            # A vote that is written while the file is replaced would be lost with the former file.
+            # A vote that is written while the file is replaced would be lost with the old file.
             async with self._view_changer.lock:
                 records += self._view_changer.records()
                 records.append(backends_record(self._registry.present_backends()))
--- a/mulleinhatch/control_plane/log_replication.py
+++ b/mulleinhatch/control_plane/log_replication.py
@@ -1,7 +1,7 @@
 """Send the log down the chain: each replica sends its successor the entries that it lacks.
 
-An append whose response is lost is sent again soon, and later each time that it stays without a response: the successor's disk
-may be slow. No response of a former view is awaited.
+An append without a response is sent again after a short timeout, which doubles with each failure because the successor's disk
+may be slow. Responses of a former view are not awaited.
 
 Source: van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004.
 """
@@ -18,11 +18,11 @@
 from mulleinhatch.messages.cluster import AppendRequest, AppendResponse, Member
 from mulleinhatch.replication.chain import UNREACHABLE_INDEX
 
-# In addition to the time for which the response waits for the commit: after a response, and doubled after each failure.
+# Added to COMMIT_WAIT_S: the minimum applies after each response, and is doubled after each failure up to the maximum.
 MIN_APPEND_TIMEOUT_S = 0.25
 MAX_APPEND_TIMEOUT_S = 1.35
 RETRY_S = 0.1
-IDLE_CHECK_S = 0.5  # between two checks of a successor that has all entries
+IDLE_CHECK_S = 0.5  # interval of checks whether a successor that has all entries has restarted
 NO_SUCCESSOR_WAIT_S = 1.0
 UNKNOWN = -1
 
@@ -44,8 +44,8 @@
         self._awaited_append: asyncio.Timeout | None = None  # ends the wait for a response when the view changes
 
     def on_view_changed(self) -> None:
-        """Stop waiting for the response to an append of the former view: it counts no more, and may never come."""
-        timeout, self._awaited_append = self._awaited_append, None  # one that expires must not be rescheduled again
+        """Stop waiting for the response to an append of the former view: it is ignored, and may never arrive."""
+        timeout, self._awaited_append = self._awaited_append, None  # an expired timeout must not be rescheduled
         if timeout is not None:
             timeout.reschedule(asyncio.get_running_loop().time())
 
@@ -67,17 +67,17 @@
         """Send appends until the view changes.
 
         Raises:
-            OSError: The successor is out of reach, or this node's disk refused a write.
+            OSError: The successor is unreachable, or this node's disk refused a write.
         """
         replica, progress = self._log.replica, self._log.progress
         successor_last, successor_committed, log_complete_sent = replica.last_index, UNKNOWN, False
         while epoch == replica.view.epoch:
-            has_all = (
+            is_up_to_date = (
                 0 <= successor_committed >= replica.committed
                 and successor_last >= replica.last_index
                 and log_complete_sent is replica.log_complete
             )
-            if has_all and replica.committed >= replica.last_index:
+            if is_up_to_date and replica.committed >= replica.last_index:
                 await progress.wait_for_progress(IDLE_CHECK_S)
                 if self._has_restarted(successor):
                     successor_committed = UNKNOWN
@@ -101,7 +101,7 @@
                 replica.commit_to(response.committed)
                 self._log.apply()
             elif replica.committed < replica.last_index:
-                # The rest of the chain took longer than the response waits: ask again.
+                # The rest of the chain took longer than the successor waited before its response: send another append.
                 await progress.wait_for_progress(RETRY_S)
             await self._compactor.compact()
 
@@ -109,7 +109,7 @@
         """Return the response to an append, None where the view changed while it was awaited.
 
         Raises:
-            OSError: No response came in time.
+            OSError: No response arrived in time.
         """
         timeout_s = self._append_timeout_s + COMMIT_WAIT_S
         self._append_timeout_s = min(2.0 * self._append_timeout_s, MAX_APPEND_TIMEOUT_S)
@@ -126,7 +126,7 @@
         return response
 
     def _has_restarted(self, successor: Member) -> bool:
-        """Return whether the successor reports less as committed than it was sent: it restarted from an older state."""
+        """Return whether the successor reports a lower committed index than it was sent: it restarted from older state."""
         peer = self._peers.by_identity.get(successor.identity)
         if peer is None:
             return False
--- a/mulleinhatch/control_plane/majority_contact.py
+++ b/mulleinhatch/control_plane/majority_contact.py
@@ -1,4 +1,4 @@
-"""Decide whether this node may answer in the system's name: a majority of the voters confirmed its view recently."""
+"""Decide whether this node may answer authoritatively: a majority of the voters confirmed its view recently."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self._confirms_epoch, self._on_gained = confirms_epoch, on_gained
 
     def has_majority_contact(self) -> bool:
-        """Return whether this node may answer in the system's name.
+        """Return whether this node may answer authoritatively.
 
         It is a replica of the chain whose state includes all acknowledged writes, and a majority of the voters confirmed
         its view as the newest within the last `AUTHORITY_S` seconds.
@@ -46,7 +46,7 @@
         return is_confirmed and not self._pauses.has_paused()
 
     async def wait_for_majority_contact(self) -> bool:
-        """Return whether this node has majority contact, or gains it in the time that a new view needs to be confirmed."""
+        """Return whether this node has majority contact, or gains it within the time in which a new view is confirmed."""
         return self._replica.position >= 0 and await self._progress.wait_for(self.has_majority_contact, CONFIRM_TIMEOUT_S)
 
     def record_response(self, response: HeartbeatResponse, now: float, sent_at: float) -> Peer | None:
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -1,7 +1,7 @@
 """One core machine: wiring and lifecycle of its voter, its replica in the chain and its heartbeats.
 
-The decisions are pure (`consensus`, `replication`, `peers`); the jobs that this module wires carry them out: they send,
-receive, write and wait. Each job receives the few objects that it uses; none receives the node.
+Decisions are made by pure code (`consensus`, `replication`, `peers`); the jobs that this module wires do the sending,
+receiving, writing and waiting. Each job receives only the objects that it uses; none receives the node.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class NodeObserver(LocalActivity, Protocol):
-    """The process around a node: reacts to its changes, and reports its own activity for the node's heartbeats."""
+    """The process that runs a node: handles its changes, and reports the activity that the node's heartbeats carry."""
 
     def on_change(self) -> None:
         """Handle that the configuration, the view or this node's role changed."""
@@ -92,7 +92,7 @@
 
         Raises:
             OSError: The disk can't be read; the call may be repeated.
-            OtherVersion: Another version of the software wrote the file.
+            UnsupportedVersionError: Another version of the software wrote the file.
         """
         control_address = self.settings.listen["control"]
         bootstraps = self.settings.first_start and control_address in self.settings.seeds
@@ -190,7 +190,7 @@
 
     async def run(self) -> None:
         """Run all jobs forever."""
-        while not await self._persist_first_vote():
+        while not await self._persist_initial_vote():
             await asyncio.sleep(DISK_RETRY_S)
         self._view_manager.start_grace_period()
         loops = {
@@ -203,8 +203,8 @@
         }
         await asyncio.gather(*(supervise(name, loop) for name, loop in loops.items()))
 
-    async def _persist_first_vote(self) -> bool:
-        """Return whether the voter's first state is on disk. A disk that refuses writes may recover: the caller retries."""
+    async def _persist_initial_vote(self) -> bool:
+        """Return whether the voter's initial state is on disk. After a failed write the caller retries: a disk may recover."""
         try:
             await self.view_changer.persist()
         except OSError:
@@ -237,11 +237,11 @@
         self.status.is_leaving = is_leaving
 
     def has_majority_contact(self) -> bool:
-        """Return whether this node may answer in the system's name; see `MajorityContact`."""
+        """Return whether this node may answer authoritatively; see `MajorityContact`."""
         return self.contact.has_majority_contact()
 
     async def wait_for_majority_contact(self) -> bool:
-        """Return whether this node has majority contact, or gains it in the time that a new view needs to be confirmed."""
+        """Return whether this node has majority contact, or gains it within the time in which a new view is confirmed."""
         return await self.contact.wait_for_majority_contact()
 
     # Heartbeats.
@@ -259,10 +259,10 @@
         port = self.settings.internal_address.rpartition(":")[2]
         return f"{control_address.rpartition(':')[0]}:{port}"
 
-    # Reactions to the jobs.
+    # Callbacks of the jobs.
 
     def activate_view(self, view: View) -> None:
-        """Put a durable view into force, if it is newer than the one in force."""
+        """Switch to a durable view, if it is newer than the one in force."""
         if view.epoch <= self.view.epoch:
             return
         self.replica.adopt_view(view)
@@ -277,11 +277,11 @@
         self.request_heartbeat()
 
     def on_snapshot_installed(self) -> None:
-        """Mark backends as draining whose departure the snapshot brought."""
+        """Mark the backends whose departure the snapshot records as draining."""
         self._drain_departed_backends()
 
     def on_entries_applied(self) -> None:
-        """Mark backends as draining whose departure new entries recorded, and publish the new state."""
+        """Mark the backends whose departure new entries record as draining, and publish the new state."""
         self._drain_departed_backends()
         self._publish_change()
 
@@ -294,7 +294,7 @@
             self.peers.add(member, self.clock())
 
     def _extend_grace_periods(self, now: float) -> None:
-        """After a pause of this process, give backends and peers time to answer again."""
+        """Give backends and peers time to respond again after a pause of this process."""
         self.registry.extend_grace_period(now)
         self.peers.extend_grace_period(now)
 
@@ -303,7 +303,7 @@
         self._observer.on_backend_change(backend_id)
 
     def _drain_departed_backends(self) -> None:
-        """Mark backends as draining whose departure the state has recorded since the last call."""
+        """Mark the backends whose departure was recorded since the last call as draining."""
         departed = self.state.departed_since(self._applied_departures_index)
         self._applied_departures_index = self.state.departure_index
         for backend_id in departed:
--- a/mulleinhatch/control_plane/node_status.py
+++ b/mulleinhatch/control_plane/node_status.py
@@ -12,7 +12,7 @@
 
 
 class LocalActivity(Protocol):
-    """What the other parts of this process do, as the heartbeats report it."""
+    """The activity of the rest of this process that heartbeats report."""
 
     def count_data_planes(self) -> int:
         """Return the number of data planes that poll this process."""
@@ -25,7 +25,7 @@
     """The status of this node.
 
     Attributes:
-        is_leaving: Whether this node is shutting down and asks the others to replace it.
+        is_leaving: Whether this node is shutting down and should be replaced by others.
         has_chain_snapshot: Whether a node outside the chain has installed a snapshot of the chain's state.
     """
 
--- a/mulleinhatch/control_plane/pause_detector.py
+++ b/mulleinhatch/control_plane/pause_detector.py
@@ -1,4 +1,4 @@
-"""Detect that this process was paused (a frozen virtual machine, a stopped process), by gaps of the clock."""
+"""Detect that this process was paused (a frozen virtual machine, a stopped process) by gaps between clock checks."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 LOG = logging.getLogger(__name__)
 CHECK_INTERVAL_S = 0.1
-PAUSE_THRESHOLD_S = 0.6  # a gap between two checks of the clock that is a pause of this process
+PAUSE_THRESHOLD_S = 0.6  # a longer gap between two checks of the clock counts as a pause
 
 
 class PauseDetector:
-    """Compares the clock with its last check.
+    """Detects pauses by the time since the last check of the clock.
 
-    After a pause this node's last knowledge is old: it must not act as the leader, and must not take the missing messages
-    of its peers for their failure.
+    After a pause this node's information is stale: it must not act as the leader, and must not treat missing messages of its
+    peers as failures.
 
     Args:
         clock: The steady clock, in seconds.
@@ -34,7 +34,7 @@
         return self.clock() - self._checked_at > PAUSE_THRESHOLD_S
 
     def is_recovering(self, now: float) -> bool:
-        """Return whether a pause ended so recently that peers may not have had time to answer since."""
+        """Return whether a pause ended so recently that peers may not have had time to respond since."""
         return now < self._recovering_until
 
     async def run(self) -> None:
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -1,4 +1,4 @@
-"""What one core machine knows of its peers: liveness, replication progress, and records that they still lack. Pure."""
+"""What one core machine knows about its peers: liveness, replication progress and unacknowledged backend records. Pure."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from mulleinhatch.membership.view_timing import ALIVE_S, AUTHORITY_S
 from mulleinhatch.messages.cluster import Heartbeat, HeartbeatResponse, Member, View
 
-MISSED_S = 1.6  # a member that has not answered for this long is reported to the peers as unresponsive
-FORGET_S = 60.0  # a silent peer that is in no list of the view is removed after this long
+UNRESPONSIVE_AFTER_S = 1.6  # a member that has not responded for this long is reported to the peers as unresponsive
+PEER_EXPIRY_S = 60.0  # a silent peer that is neither a voter nor in the chain is removed after this long
 NEVER = -1e9
 
 
@@ -23,9 +23,9 @@
     answered_at: float = NEVER  # when it last responded to a heartbeat of this node
     known_since: float = 0.0  # when it was first named, or the end of this node's last pause
     epoch: int = 0  # the newest epoch that it reported
-    confirmed_epoch: int = 0  # the epoch whose view it confirmed as the newest that it knows,
-    confirmed_at: float = NEVER  # in response to a heartbeat that was sent at this time
-    unconfirmed_epoch: int = 0  # the epoch after whose view it has accepted another one, or is writing a vote
+    confirmed_epoch: int = 0  # the epoch of the view that it last confirmed as the newest that it knows
+    confirmed_at: float = NEVER  # when the heartbeat was sent to which that confirmation responds
+    unconfirmed_epoch: int = 0  # the epoch whose view it does not confirm: it accepted a later one, or is writing a vote
     committed: int = 0
     caught_up_epoch: int = 0
     last_index: int = 0
@@ -33,7 +33,7 @@
     log_complete_epoch: int = 0  # the epoch in which it reported a complete log
     data_planes: int = 0
     orders_idle_s: float = 0.0
-    unresponsive_peers: frozenset[str] = frozenset()  # identities of members that do not answer it
+    unresponsive_peers: frozenset[str] = frozenset()  # identities of members that do not respond to it
     keeps_tenants: bool = False  # whether its version applies the tenants of a patch
     unacknowledged_backends: set[str] = field(default_factory=set)  # their records are sent again (hinted handoff)
 
@@ -55,15 +55,15 @@
             peer = self.by_identity[member.identity] = Peer(member, known_since=now)
         return peer
 
-    def latest(self, member: Member) -> Member:
-        """Return a member as it described itself last; a view may name it as it was known before."""
+    def latest_record(self, member: Member) -> Member:
+        """Return the latest record that a member sent of itself; that in a view may be older."""
         if member.identity == self.own.identity:
             return self.own
         peer = self.by_identity.get(member.identity)
         return peer.member if peer is not None else member
 
     def by_address(self, internal_address: str) -> Peer | None:
-        """Return the peer at an address: of several identities at one address the one that answered last."""
+        """Return the peer at an address; where several identities have the same address, the one that responded last."""
         candidates = [peer for peer in self.by_identity.values() if peer.member.internal_address == internal_address]
         return max(candidates, key=lambda peer: peer.answered_at, default=None)
 
@@ -84,14 +84,14 @@
         return peer
 
     def record_response(self, response: HeartbeatResponse, now: float, sent_at: float | None = None) -> Peer | None:
-        """Record a peer's response to a heartbeat, which shows that messages pass in both directions.
+        """Record a peer's response to a heartbeat, which shows that messages arrive in both directions.
 
         Args:
-            sent_at: When the heartbeat was sent, `now` where it is left out. A confirmation is valid from then on: the peer
-                may have accepted another view between sending its response and `now`.
+            sent_at: When the heartbeat was sent; `now` if omitted. A confirmation is valid as of this time: the peer may have
+                accepted another view between sending its response and `now`.
 
         Returns:
-            The peer, None where this node answered itself.
+            The peer, None where the response came from this node itself.
         """
         peer = self.add(response.sender, now)
         if peer is None:
@@ -106,7 +106,7 @@
         return peer
 
     def _expire_former_identities(self, peer: Peer) -> None:
-        """Count former identities at a peer's address as out of reach: a machine with an emptied disk has a new identity."""
+        """Mark former identities at a peer's address as unreachable: a machine with a wiped disk has a new identity."""
         for other in self.by_identity.values():
             if other is not peer and other.member.internal_address == peer.member.internal_address:
                 other.answered_at = other.confirmed_at = NEVER
@@ -115,30 +115,30 @@
         """Remove silent machines that are neither voters nor in the chain."""
         members = set(identities(view.voters)) | set(identities(view.chain))
         for identity, peer in list(self.by_identity.items()):
-            if identity not in members and now - max(peer.answered_at, peer.known_since) > FORGET_S:
+            if identity not in members and now - max(peer.answered_at, peer.known_since) > PEER_EXPIRY_S:
                 del self.by_identity[identity]
 
     def extend_grace_period(self, now: float) -> None:
-        """Count the time of silence of all peers from now on, after a pause of this process."""
+        """Restart the failure timeout of all peers after a pause of this process."""
         for peer in self.by_identity.values():
             peer.known_since = max(peer.known_since, now)
 
     def is_alive(self, identity: str, now: float) -> bool:
-        """Return whether a machine answered within the last `ALIVE_S` seconds; always true of this node."""
+        """Return whether a machine responded within the last `ALIVE_S` seconds; always true for this node."""
         if identity == self.own.identity:
             return True
         peer = self.by_identity.get(identity)
         return peer is not None and now - peer.answered_at < ALIVE_S
 
     def is_fit(self, identity: str, now: float) -> bool:
-        """Return whether another machine answered within the last `ALIVE_S` seconds and is not leaving."""
+        """Return whether another machine responded within the last `ALIVE_S` seconds and is not leaving."""
         peer = self.by_identity.get(identity)
         return peer is not None and not peer.leaving and now - peer.answered_at < ALIVE_S
 
     def all_keep_tenants(self, view: View, now: float) -> bool:
-        """Return whether each replica of the chain, and each other core machine in reach, applies the tenants of a patch.
+        """Return whether each replica of the chain, and each other reachable core machine, applies the tenants of a patch.
 
-        A replica that has not been heard since this process started counts as one that does not.
+        A replica from which nothing was received since this process started counts as one that does not.
         """
         chain = set(identities(view.chain)) - {self.own.identity}
         relevant = [peer for identity, peer in self.by_identity.items() if identity in chain or self.is_alive(identity, now)]
@@ -169,7 +169,7 @@
         return 2 * sum(confirms(identity) for identity in identities(view.voters)) > len(view.voters)
 
     def has_undecided_successor(self, view: View, now: float) -> bool:
-        """Return whether a voter in reach has accepted a later view that nobody reports as decided."""
+        """Return whether a reachable voter has accepted a later view that no node reports as decided."""
         return any(
             self.by_identity[identity].unconfirmed_epoch == view.epoch
             for identity in identities(view.voters)
@@ -182,12 +182,12 @@
         return 2 * sum(identity in known for identity in identities(view.voters)) > len(view.voters)
 
     def unresponsive_members(self, view: View, now: float) -> list[str]:
-        """Return the identities of members of a view that have not answered this node for `MISSED_S` seconds."""
+        """Return the identities of members of a view that have not responded for `UNRESPONSIVE_AFTER_S` seconds."""
         known = (self.by_identity.get(identity) for identity in {*identities(view.voters), *identities(view.chain)})
         return sorted(
             peer.member.identity
             for peer in known
-            if peer is not None and now - max(peer.answered_at, peer.known_since) > MISSED_S
+            if peer is not None and now - max(peer.answered_at, peer.known_since) > UNRESPONSIVE_AFTER_S
         )
 
     def health(self, view: View, now: float, own: MemberHealth) -> dict[str, MemberHealth]:
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -50,10 +50,10 @@
         self.quotas = QuotaService(self.node, self.clock, quota_bounds, InternalClient(self.http_client))
         self.stopped = asyncio.Event()
 
-    # What the node observes of this process, and reports to it (`NodeObserver`).
+    # `NodeObserver`: callbacks of the node, and the activity that its heartbeats report.
 
     def on_change(self) -> None:
-        """Answer the data planes' polls, reconcile, and find the owned tenants anew.
+        """Answer the data planes' polls, reconcile the placement, and recompute the owned tenants.
 
         Called when the configuration, the view or the node's role changed.
         """
@@ -80,11 +80,11 @@
     async def run(self) -> None:
         """Serve until SIGTERM, and then until the other core machines no longer need this one."""
         await self._open_state()
-        self.quotas.on_change()  # the wait of a new owner begins now
+        self.quotas.on_change()  # starts the waiting period of a new quota owner
         self._listen()
         self.loop.add_signal_handler(signal.SIGTERM, self._on_terminate)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read only at start"))
-        gc.freeze()  # what exists now lives as long as the process: the collector need not look at it again
+        gc.freeze()  # objects that exist now live as long as the process: exempt them from garbage collection
         LOG.info("control plane started", extra={"identity": self.node.member.identity, "view_epoch": self.node.view.epoch})
         await run_until_stopped(self.stopped, self.node.run(), supervise("placement", self.placement.run))
 
--- a/mulleinhatch/control_plane/quorum_calls.py
+++ b/mulleinhatch/control_plane/quorum_calls.py
@@ -10,7 +10,7 @@
 class QuorumCall:
     """Concurrent calls whose caller stops reading responses once it has a quorum.
 
-    Calls that nobody reads any more run to their end: their requests were sent and may have an effect.
+    Calls whose responses are no longer read still run to completion: their requests were sent and may have an effect.
     """
 
     def __init__(self, calls: Iterable[Awaitable[Any]]) -> None:
@@ -28,13 +28,13 @@
             self._responses.put_nowait(response)
 
     async def next(self, timeout_s: float | None = None) -> Any:
-        """Return the next response; a call that fails with `OSError` has none.
+        """Return the next response; a call that fails with `OSError` is skipped.
 
         Args:
-            timeout_s: Seconds to wait for it; None for as long as a call may still bring one.
+            timeout_s: Seconds to wait for it; None to wait until all calls have ended.
 
         Returns:
-            The response, None when no more will come, or none came in time.
+            The response, None where no more will arrive or none arrived in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/mulleinhatch/control_plane/replicated_log.py
+++ b/mulleinhatch/control_plane/replicated_log.py
@@ -12,7 +12,7 @@
 from mulleinhatch.replication.state import CONFIGURATION_KINDS, ControlState
 from mulleinhatch.storage.records import Record, RecordKind
 
-COMMIT_WAIT_S = 0.25  # how long the response to an append waits for the rest of the chain
+COMMIT_WAIT_S = 0.25  # how long the response to an append waits for the commit by the rest of the chain
 
 
 class StateListener(Protocol):
@@ -26,11 +26,11 @@
 
 
 class ReplicatedLog:
-    """Carries out what the pure `Replica` decides: writes to disk, and applies committed entries to the state.
+    """Does the I/O for the pure `Replica`: writes to disk, and applies committed entries to the state.
 
     Attributes:
         replica: The log and this node's position in the chain.
-        state: The state that the committed entries make.
+        state: The state that results from the committed entries.
         progress: Notified when entries are written or committed.
         lock: Held while entries are written.
     """
@@ -51,7 +51,7 @@
         """Make a write durable, then apply it to the replica. The caller holds the lock.
 
         Raises:
-            OSError: The disk refused; nothing of the write counts.
+            OSError: The disk refused the write; it has no effect on the log.
         """
         records = []
         if write.snapshot is not None:
@@ -91,12 +91,12 @@
             self._listener.on_entries_applied()
 
     def has_pending_change(self) -> bool:
-        """Return whether a change of the configuration is written here and not committed yet."""
+        """Return whether the log has a change of the configuration that is not committed yet."""
         replica = self.replica
         return any(entry.kind in CONFIGURATION_KINDS for entry in replica.entries[replica.committed - replica.base.index :])
 
     async def on_append(self, request: AppendRequest) -> AppendResponse:
-        """Write the entries that the predecessor in the chain sent, and wait a while until they are committed.
+        """Write the entries that the predecessor in the chain sent, and wait up to `COMMIT_WAIT_S` until they are committed.
 
         The view can change while an entry is written: the request's epoch is compared after each await, so that entries of
         a former view never commit in the new one.
@@ -122,6 +122,6 @@
         return replica.build_response(request.epoch == replica.view.epoch)
 
     async def _persist_log_complete(self, request: AppendRequest) -> None:
-        """Write that the log is complete before it counts, with the append that brings all that the predecessor has."""
+        """Persist that the log is complete before it takes effect, if the append brings the last entry of the predecessor."""
         if not self.replica.log_complete and self.replica.last_index >= request.sender_last:
             await self._state_store.append([log_complete_record(True)])
--- a/mulleinhatch/control_plane/shutdown.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned shutdown of a core machine: it stays until the core does not need it any more, within its grace period."""
+"""The planned shutdown of a core machine: it runs until the core no longer needs it, at most for its grace period."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from mulleinhatch.replication.chain import Replica
 
 LOG = logging.getLogger(__name__)
-MIN_SHUTDOWN_S = 1.0  # from the notice to the end: requests that came before are answered
-GRACE_MARGIN_S = 1.0  # how long before the end of the grace period the process ends
+MIN_SHUTDOWN_S = 1.0  # least time from the announcement to the end, in which requests received before are answered
+GRACE_MARGIN_S = 1.0  # the process ends this long before its grace period does
 CHECK_INTERVAL_S = 0.1
 
 
 class LeavingNode(Protocol):
-    """What the shutdown needs of a node."""
+    """The interface of a node that the shutdown uses."""
 
     clock: Callable[[], float]
     peers: Peers
@@ -34,8 +34,8 @@
         """Send a heartbeat to every core machine soon."""
 
 
-def _has_successor(node: LeavingNode) -> bool:
-    """Return whether a machine without a vote is in reach that can take this node's vote."""
+def _has_replacement_voter(node: LeavingNode) -> bool:
+    """Return whether a reachable machine without a vote can replace this node as a voter."""
     now, voting = node.clock(), identities(node.view.voters)
     return any(
         node.peers.is_alive(identity, now) and not peer.leaving and identity not in voting
@@ -43,11 +43,11 @@
     )
 
 
-def may_end(node: LeavingNode) -> bool:
-    """Return whether the core does not need a leaving node any more.
+def may_stop(node: LeavingNode) -> bool:
+    """Return whether the core no longer needs a leaving node.
 
     A majority of the voters has persisted a view whose chain lacks this node, each replica of that chain has the complete
-    log, and no other machine is about to take this node's vote.
+    log, and no other machine is about to replace this node as a voter.
     """
     view = node.view
     if node.replica.position >= 0 or not node.peers.is_known_to_majority(view):
@@ -55,11 +55,11 @@
     chain = [node.peers.by_identity.get(identity) for identity in identities(view.chain)]
     if any(peer is None or peer.log_complete_epoch != view.epoch for peer in chain):
         return False
-    return node.replica.identity not in identities(view.voters) or not _has_successor(node)
+    return node.replica.identity not in identities(view.voters) or not _has_replacement_voter(node)
 
 
 async def leave(node: LeavingNode, grace_s: float) -> None:
-    """Announce that a node leaves; return when it may end, or shortly before its grace period does.
+    """Announce that a node leaves; return when it may stop, or shortly before its grace period ends.
 
     Args:
         grace_s: Seconds until the process is killed.
@@ -69,7 +69,7 @@
     started_at = node.clock()
     deadline = started_at + max(MIN_SHUTDOWN_S, grace_s - GRACE_MARGIN_S)
     await asyncio.sleep(MIN_SHUTDOWN_S)
-    while node.clock() < deadline and not may_end(node):
+    while node.clock() < deadline and not may_stop(node):
         await asyncio.sleep(CHECK_INTERVAL_S)
     duration_s = round(node.clock() - started_at, 2)
-    LOG.info("left the core; the process may stop", extra={"duration_s": duration_s, "still_needed": not may_end(node)})
+    LOG.info("left the core; the process may stop", extra={"duration_s": duration_s, "still_needed": not may_stop(node)})
--- a/mulleinhatch/control_plane/snapshot_transfer.py
+++ b/mulleinhatch/control_plane/snapshot_transfer.py
@@ -14,7 +14,7 @@
 from mulleinhatch.replication.state import ControlState
 
 LOG = logging.getLogger(__name__)
-SNAPSHOT_TIMEOUT_S = 1.0  # a snapshot has some 100 KB at most, and another replica can be asked
+SNAPSHOT_TIMEOUT_S = 1.0  # enough for a snapshot of at most about 100 KB; another replica can be tried afterwards
 
 
 class SnapshotServer:
@@ -26,10 +26,10 @@
     async def on_snapshot(self, request: SnapshotRequest) -> SnapshotResponse:
         """Return a snapshot, if this node is a replica of the chain in the epoch of the request and its log is complete.
 
-        The snapshot may lack entries that were acknowledged: after a loss of power, a replica whose successor's disk is gone
-        can't tell which of its entries are committed. Waiting for it would be waiting for the successor that is gone. The
-        joining node gets them from its predecessor in the next view, and does not count as current before it knows them as
-        committed. One of an earlier version would count as current, and is served only by a replica that is current.
+        The snapshot may lack entries that were acknowledged: after a power loss, a replica whose successor's disk is gone
+        can't tell which of its entries are committed, and waiting for the lost successor would never end. The joining node
+        gets these entries from its predecessor in the next view, and does not count as current before it knows that they are
+        committed. A joining node of an earlier version would count as current at once, so only a current replica serves it.
         """
         replica = self._replica
         is_sufficient = replica.is_current or (replica.log_complete and request.awaits_commit)
@@ -54,14 +54,14 @@
         self._clock, self._peers, self._client, self._view_changer, self._log = clock, peers, client, view_changer, log
 
     async def fetch(self) -> bool:
-        """Install a snapshot from the first replica that has one, the tail asked first.
+        """Install a snapshot from the first replica that has one, starting at the tail.
 
         Returns:
             Whether a snapshot was installed.
         """
         for member in reversed(self._log.replica.view.chain):
             if not self._peers.is_alive(member.identity, self._clock()):
-                continue  # a machine without power would cost the whole timeout
+                continue  # the call to an unreachable machine would take the whole timeout
             try:
                 if await self._fetch_from(member):
                     return True
@@ -77,7 +77,7 @@
         if not response.available or replica.view.epoch != epoch:
             return False
         async with self._log.lock:
-            # A view change may have taken this node into the chain while the lock was awaited: its log is newer then.
+            # A view change may have added this node to the chain while the lock was awaited; its log is newer then.
             if replica.position >= 0 or replica.view.epoch != epoch:
                 return False
             await self._log.write(LogWrite(snapshot=response.snapshot, truncate_to=0))
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -14,14 +14,14 @@
 from mulleinhatch.storage.records import Record, RecordKind
 
 LOG = logging.getLogger(__name__)
-REWRITE_THRESHOLD_BYTES = 4 << 20  # the size from which the file is rewritten; at least twice its size after that
+REWRITE_THRESHOLD_BYTES = 4 << 20  # the file is rewritten from this size on; at least twice its size after a rewrite
 LOG_COMPLETE, LOG_INCOMPLETE = b"\x01", b"\x00"
-STALLED_S = 0.8  # a write that takes longer means that the disk does not keep up
+STALL_THRESHOLD_S = 0.8  # a write that takes longer means that the disk does not keep up
 
 
 @dataclass
 class Restored:
-    """The state that the disk had when the process started."""
+    """The persisted state at the start of the process."""
 
     identity: str = ""
     voter: VoterState = field(default_factory=VoterState)
@@ -33,7 +33,7 @@
 
 
 def replay(records: list[Record]) -> Restored:
-    """Return the state that the records of a file make, in their order."""
+    """Return the state that results from applying the records of a file in order."""
     state = Restored()
     for record in records:
         if record.kind == RecordKind.IDENTITY:
@@ -62,7 +62,7 @@
 
 
 def log_complete_record(log_complete: bool) -> Record:
-    """Return the record that says whether the log has, for certain, all entries committed before the view in force."""
+    """Return the record of whether the log is known to hold all entries committed before the view in force."""
     return Record(RecordKind.LOG_COMPLETE, LOG_COMPLETE if log_complete else LOG_INCOMPLETE)
 
 
@@ -80,16 +80,16 @@
     """Writes records durably, in the order of the calls.
 
     Args:
-        folder: The directory of the append log.
+        directory: The directory of the append log.
         clock: The steady clock, in seconds.
-        append_log: Replaces the append log in `folder`.
+        append_log: Used instead of an append log in `directory`.
     """
 
-    def __init__(self, folder: str, clock: Callable[[], float], append_log: AppendLog | None = None) -> None:
-        self._append_log = append_log or AppendLog(folder)
+    def __init__(self, directory: str, clock: Callable[[], float], append_log: AppendLog | None = None) -> None:
+        self._append_log = append_log or AppendLog(directory)
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self._clock = clock
-        self._started_at: dict[int, float] = {}  # of each write in progress, by its number
+        self._started_at: dict[int, float] = {}  # start of each write in progress, by its number
         self._writes = 0
         self._failed = False
 
@@ -97,7 +97,7 @@
         """Read the disk; blocks.
 
         Args:
-            first_identity: The identity that an empty disk gets; a random one where it is the empty string.
+            first_identity: The identity for an empty disk; a random one is generated where this is empty.
 
         Raises:
             OSError: The disk can't be read or written.
@@ -117,7 +117,7 @@
         await self._write(self._append_log.append, records)
 
     async def rewrite(self, records: list[Record]) -> None:
-        """Replace the file by one of these records; return once it is durable.
+        """Replace the file by one with just these records; return once it is durable.
 
         Raises:
             OSError: The disk refused the write.
@@ -142,9 +142,9 @@
         await asyncio.get_running_loop().run_in_executor(self._thread, operation, records)
 
     def stalled(self) -> bool:
-        """Return whether the disk refused the last write, or a write in progress takes longer than `STALLED_S`."""
+        """Return whether the disk refused the last write, or a write in progress takes longer than `STALL_THRESHOLD_S`."""
         now = self._clock()
-        return self._failed or any(now - started_at > STALLED_S for started_at in self._started_at.values())
+        return self._failed or any(now - started_at > STALL_THRESHOLD_S for started_at in self._started_at.values())
 
     @property
     def failed(self) -> bool:
--- a/mulleinhatch/control_plane/status.py
+++ b/mulleinhatch/control_plane/status.py
@@ -1,4 +1,4 @@
-"""Build the answer to GET /status of a control plane process. Its keys are part of the operators' interface."""
+"""Build the response to GET /status of a control plane process. Its keys are part of the operators' interface."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StatusNode(Protocol):
-    """What the status shows of the node; `CoreNode` satisfies it."""
+    """The interface of the node that the status reads; `CoreNode` implements it."""
 
     member: Member
     peers: Peers
@@ -48,7 +48,7 @@
     models: dict[str, list[str]]
 
 
-# Written as a call because three keys have names that the code uses no more: `stubs` are the backends by id, `holder` is the
+# Written as a call because three keys keep names that the code no longer uses: `stubs` are the backends by id, `holder` is the
 # placement leader, `fence_token` its fencing token.
 ControlPlaneStatus = TypedDict(  # noqa: UP013 (see above)
     "ControlPlaneStatus",
@@ -87,7 +87,7 @@
         orders: The latest placement orders, oldest first.
         data_planes: The number of data planes in the whole system.
         quotas: The tenants with a limit that this process owns, by name.
-        now: The steady time in seconds.
+        now: The time of the steady clock in seconds.
     """
     return {
         "name": node.member.name,
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -1,4 +1,4 @@
-"""A core machine's votes on views (Paxos acceptor and proposer), durable before they are answered.
+"""The Paxos acceptor and proposer of a core machine: votes on views are durable before the response.
 
 Source: Lamport, "Paxos Made Simple", 2001, section 2; one decision per view as in Lamport, Malkhi and Zhou, "Vertical Paxos
 and Primary-Backup Replication", PODC 2009.
@@ -27,7 +27,7 @@
 from mulleinhatch.replication.chain import Replica
 from mulleinhatch.storage.records import Record, RecordKind
 
-PREEMPTED_WAIT_S = 0.2  # for the other votes after a rejection: a round trip, a write to disk and a pause by a quota
+PREEMPTED_WAIT_S = 0.2  # wait for the other votes after a rejection: a round trip, a disk write and a CPU quota pause
 
 Response = TypeVar("Response")
 
@@ -35,11 +35,11 @@
 class ViewChanger:
     """The durable voter of one node, and the proposer of views.
 
-    The state in memory follows the disk: a step whose write fails was not taken, and is tried again when the message that
-    caused it comes again.
+    The state in memory changes only after it is written to disk: a step whose write fails has no effect, and is retried when
+    its message arrives again.
 
     Args:
-        voter_state: The voter's state as the disk has it.
+        voter_state: The persisted state of the voter.
         activate_view: Called with the newest decided view after each step; it ignores a view that is already in force.
 
     Attributes:
@@ -131,7 +131,7 @@
         return await self._step(lambda voter: voter.accept(request))
 
     async def on_confirm(self, request: ConfirmRequest) -> ConfirmResponse:
-        """Answer whether the view of an epoch is the newest that this voter has accepted."""
+        """Respond whether the view of an epoch is the newest that this voter has accepted."""
         async with self.lock:
             current = self._voter.confirms_epoch(request.epoch)
         return ConfirmResponse(voter=self._voter.identity, current=current, newest=self.view)
@@ -164,7 +164,7 @@
         return epoch == self._replica.view.epoch and count >= majority_size(self._replica.view)
 
     async def propose(self, planned: View) -> None:
-        """Try once to have the next view decided: this one, or one that a voter has accepted before.
+        """Make one attempt to decide the next view: the planned one, or one that a voter has accepted before.
 
         Raises:
             OSError: This node's disk refused the decided view.
@@ -194,10 +194,10 @@
         own_vote: Callable[[Any], Any],
         record_vote: Callable[[VoteResponse], bool],
     ) -> None:
-        """Send a request to all voters at once; return when `record_vote` reports a quorum or all have answered.
+        """Send a request to all voters at once; return when `record_vote` reports a quorum or all have responded.
 
-        After a rejection the others are given `PREEMPTED_WAIT_S`: a voter that is out of reach must not delay the next attempt,
-        whose higher number the rejecting voter will accept.
+        After a rejection it waits at most `PREEMPTED_WAIT_S` for each of the others: an unreachable voter must not delay the
+        next attempt, whose higher number the rejecting voter will accept.
         """
         responses = QuorumCall(
             [
--- a/mulleinhatch/control_plane/view_manager.py
+++ b/mulleinhatch/control_plane/view_manager.py
@@ -23,7 +23,7 @@
     """The planning loop: compares the view in force with the health of all nodes and proposes a better view.
 
     Args:
-        tolerance: What may be lost at once.
+        tolerance: The simultaneous failures that a view must survive.
         expire: Called with the current time before each planning step, to expire records of silent backends.
     """
 
@@ -40,11 +40,11 @@
         self._tolerance, self._replica, self._peers = tolerance, replica, peers
         self._view_changer, self._status, self._pauses, self._expire = view_changer, status, pauses, expire
         self._started_at = pauses.clock()
-        self._undecided_epoch = 0  # the epoch of a view whose successor is undecided,
-        self._undecided_since = 0.0  # and since when
+        self._undecided_epoch = 0  # the epoch of a view whose successor is undecided
+        self._undecided_since = 0.0  # when that was first noticed
 
     def start_grace_period(self) -> None:
-        """Start the grace period in which peers that do not answer may be starting, as this node is."""
+        """Start the grace period in which peers that do not respond may be starting, as this node is."""
         self._started_at = self._pauses.clock()
 
     async def run(self) -> None:
@@ -65,14 +65,16 @@
             await self._view_changer.propose(planned)
         except OSError:
             pass  # this node's disk refused the decided view; the next planning step tries again
-        await asyncio.sleep(random.uniform(0.0, PLANNING_INTERVAL_S))  # two proposers must not stay in step
+        await asyncio.sleep(
+            random.uniform(0.0, PLANNING_INTERVAL_S)
+        )  # random, so that two proposers do not keep preempting each other
 
     def _plan(self, now: float) -> View | None:
-        """Return the view to propose, None where the current one may stay or another node is to propose."""
+        """Return the view to propose, None where the current one may stay or another node has to propose."""
         view = self._replica.view
         if not view.epoch or self._pauses.is_recovering(now) or not self._peers.reaches_majority(view, now):
             return None
-        if self._is_preceded(view, now):
+        if self._has_fit_predecessor(view, now):
             return None
         health = self._peers.health(view, now, self._status.health())
         alive = [member.identity for member in view.chain if health[member.identity].is_alive]
@@ -82,14 +84,14 @@
         if not is_first_alive and not is_leaving_head:
             return None
         if now - self._started_at < ALIVE_S + HEARTBEAT_S:
-            return None  # peers that have not answered yet may be starting, as this node is
+            return None  # peers that have not responded yet may be starting, as this node is
         planned = plan_next_view(view, health, self._tolerance)
-        if planned is None and self._is_undecided_for_long(now):
+        if planned is None and self._is_decision_overdue(now):
             return View(epoch=view.epoch + 1, voters=view.voters, chain=view.chain)
         return planned
 
-    def _is_preceded(self, view: View, now: float) -> bool:
-        """Return whether a replica before this node in the chain certainly plans: it is alive and not leaving."""
+    def _has_fit_predecessor(self, view: View, now: float) -> bool:
+        """Return whether a replica before this node in the chain is alive and not leaving: that one plans the view."""
         for member in view.chain:
             if member.identity == self._peers.own.identity:
                 return False
@@ -97,11 +99,11 @@
                 return True
         return False
 
-    def _is_undecided_for_long(self, now: float) -> bool:
-        """Return whether a voter accepted a later view that nobody reports as decided, so that its proposer has failed.
+    def _is_decision_overdue(self, now: float) -> bool:
+        """Return whether a voter accepted a later view so long ago without a decision that its proposer must have failed.
 
-        That view may be decided without anyone knowing it; then no majority confirms the current view any more. Proposing
-        any view finds this out and completes the decision.
+        That view may be decided although no node knows it; then no majority confirms the current view any more. Proposing any
+        view reveals this and completes the decision.
         """
         view = self._replica.view
         if not self._view_changer.state.accepted.number and not self._peers.has_undecided_successor(view, now):
--- a/mulleinhatch/control_plane/write_gate.py
+++ b/mulleinhatch/control_plane/write_gate.py
@@ -10,7 +10,7 @@
 
 
 class WriteGate:
-    """Admits writes at the head of a chain of which any tolerated loss leaves a replica.
+    """Admits writes at the head of a chain that keeps a replica after any tolerated loss.
 
     Attributes:
         change_lock: Held by one configuration change or leadership claim at a time, from its check to its end.
@@ -26,5 +26,5 @@
 
     def _keeps_replica(self) -> bool:
         view = self._replica.view
-        chain = [self._peers.latest(member) for member in view.chain]
-        return self._tolerance.keeps_replica(chain, [*chain, *(self._peers.latest(member) for member in view.voters)])
+        chain = [self._peers.latest_record(member) for member in view.chain]
+        return self._tolerance.keeps_replica(chain, [*chain, *(self._peers.latest_record(member) for member in view.voters)])
--- a/tests/system/test_control_state.py
+++ b/tests/system/test_control_state.py
@@ -11,7 +11,7 @@
 from result import Err, Ok
 
 from mulleinhatch.configuration.document import change_digest
-from mulleinhatch.control_plane.peers import AUTHORITY_S, MISSED_S, Peers
+from mulleinhatch.control_plane.peers import AUTHORITY_S, UNRESPONSIVE_AFTER_S, Peers
 from mulleinhatch.control_plane.registry import BackendRegistry
 from mulleinhatch.data_plane.control_plane_client import ControlPlaneClient
 from mulleinhatch.data_plane.registry_snapshot import RegistrySnapshot
@@ -149,7 +149,7 @@
         for member in (self.second, self.third):
             self.peers.add(member, 0.0)
         self.peers.record_response(HeartbeatResponse(sender=self.second, epoch=4, current=True), 3.0, 3.0)
-        self.assertEqual(self.peers.unresponsive_members(self.view, MISSED_S + 0.1), ["c"])
+        self.assertEqual(self.peers.unresponsive_members(self.view, UNRESPONSIVE_AFTER_S + 0.1), ["c"])
         self.assertEqual(self.peers.unresponsive_members(self.view, 1.0), [])
 
     def test_view_is_known_once_a_majority_of_its_voters_has_it(self):
