--- a/mulleinhatch/configuration/__init__.py
+++ b/mulleinhatch/configuration/__init__.py
@@ -1,5 +1,5 @@
 """The operator's configuration: reading, validation, patches, and the route table that results.
 
-Used by both planes. Pure. Nothing is guessed: a document that cannot be read completely is rejected with a message that says
-what to correct.
+Used by both planes. Pure. A document that cannot be read completely is rejected with a message that says what to correct;
+nothing is guessed.
 """
--- a/mulleinhatch/configuration/document.py
+++ b/mulleinhatch/configuration/document.py
@@ -30,8 +30,8 @@
     """A complete configuration that passed all checks.
 
     Attributes:
-        version: Its version; 0 before the first configuration.
-        value: The JSON object. It must not be modified. It holds the tenants' keys, so no representation shows it.
+        version: The version; 0 before the first configuration.
+        value: The JSON object. It must not be modified. It holds the tenants' keys, so `repr` leaves it out.
     """
 
     version: int
@@ -47,7 +47,7 @@
 
 
 def change_digest(method: str, body: bytes) -> str:
-    """Return the digest by which a change is recognised when it is sent again."""
+    """Return the digest that identifies a change when it is sent again."""
     return hashlib.sha256(method.encode() + b" " + body).hexdigest()[:32]
 
 
@@ -67,7 +67,7 @@
 
     Args:
         value: The JSON object.
-        current: The version that it replaces; its own must be higher.
+        current: The version that it replaces; the new version must be higher.
     """
     if isinstance(version := check_proposed_version(value, current), Err):
         return version
@@ -109,7 +109,7 @@
             return checked
     if isinstance(limits := check_limits(value), Err):
         return limits
-    patched = _patched(document, value, version.ok_value)
+    patched = _build_patched(document, value, version.ok_value)
     if isinstance(keys := check_changed_keys(tenants_of(patched.value), upsert.ok_value.get(TENANTS, [])), Err):
         return keys
     return _check_document(patched)
@@ -118,7 +118,7 @@
 def accept_patch(document: Document, value: dict[str, Any]) -> Result[Document, ConfigurationError]:
     """Return the configuration after a patch that was validated when it was proposed.
 
-    Validating each item by its schema again costs every replica and every data plane a third of a millisecond an item.
+    Validating by the schema again would cost every replica and every data plane a third of a millisecond per item.
 
     Args:
         document: The configuration that the patch was validated against; it is not modified.
@@ -126,17 +126,17 @@
     """
     if isinstance(version := check_version(value, document.version), Err):
         return version
-    return Ok(_patched(document, value, version.ok_value))
+    return Ok(_build_patched(document, value, version.ok_value))
 
 
 def _with_all_lists(value: Mapping[str, Any]) -> dict[str, Any]:
     return {**value, **{kind: value.get(kind, []) for kind in ITEM_KINDS}}
 
 
-def _patched(document: Document, value: Mapping[str, Any], version: int) -> Document:
+def _build_patched(document: Document, value: Mapping[str, Any], version: int) -> Document:
     upsert, remove = value.get("upsert", {}), value.get("remove", {})
     lists = {kind: _merge(document.value[kind], upsert.get(kind, ()), remove.get(kind, ())) for kind in ITEM_KINDS}
-    if upsert.get(TENANTS) or remove.get(TENANTS):  # else they stay the same objects, or stay absent
+    if upsert.get(TENANTS) or remove.get(TENANTS):  # otherwise the list stays the same object, or absent
         lists[TENANTS] = _merge(tenants_of(document.value), upsert.get(TENANTS, ()), remove.get(TENANTS, ()))
     complete = {**document.value, **lists, "version": version}
     if "limits" in value:
--- a/mulleinhatch/configuration/routes.py
+++ b/mulleinhatch/configuration/routes.py
@@ -21,18 +21,18 @@
     """One route.
 
     Attributes:
-        name: Its name in the configuration.
-        host: The host that it serves, in lower case.
+        name: The name in the configuration.
+        host: The host that it matches, in lower case.
         path_prefix: Begins and ends with a slash.
         kind: "safe", "unsafe" or "streaming".
-        timeout_s: When a request fails.
-        target_latency_s: The latency to aim for; the timeout where the configuration gives none.
+        timeout_s: Seconds after which a request fails.
+        target_latency_s: The target latency; the timeout where the configuration sets none.
         priority: A lower number is more important.
-        max_attempts: How often a request may be sent to a backend, 1 at least.
+        max_attempts: How often a request may be sent to a backend, at least 1.
         is_resumable: Whether another backend can resume an event stream.
-        target_gap_s: The longest gap between two events of a stream to aim for, 0 for none.
-        weighted_services: The services that share the requests, with their weights.
-        is_public: Whether its requests need no key.
+        target_gap_s: The target for the longest gap between two events of a stream, 0 for none.
+        weighted_services: The services that receive the requests, with their weights.
+        is_public: Whether requests need no API key.
     """
 
     name: str
@@ -64,10 +64,10 @@
     """A model as configured.
 
     Attributes:
-        name: Its name.
+        name: The name of the model.
         weights_mb: The size of its weights in MB.
-        load_s: How long it takes to load from the weight store.
-        adapters: How many adapters it has.
+        load_s: Seconds that a load from the weight store takes.
+        adapters: The number of its adapters.
         adapter_size_mb: The size of an adapter in MB.
     """
 
@@ -80,10 +80,10 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """The backends of a service that serve models, as configured.
+    """The model server configuration of the backends of a service.
 
     Attributes:
-        slots: Requests that a backend runs at the same time.
+        slots: Requests that a backend runs concurrently.
         weights_mb: The memory of a backend for weights in MB.
         adapter_slots: Adapters that a backend can hold.
         loads_per_s: Loads from the weight store that may begin per second.
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds of what a client may send, in bytes and seconds."""
+    """Limits on what a client may send, in bytes and seconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -127,7 +127,7 @@
         version: The configuration's version.
         hosts: The routes of each host, the longest path prefix first.
         services: The services by name.
-        limits: Bounds of what a client may send.
+        limits: Limits on what a client may send.
         tenants: The tenants and their keys.
     """
 
@@ -150,7 +150,7 @@
 
     Args:
         document: The configuration.
-        tenants: Its tenants, from a `TenantTableBuilder`; without them no key of a configuration with tenants is known.
+        tenants: Its tenants, from a `TenantTableBuilder`; if omitted, a configuration with tenants accepts no key.
     """
     if tenants is None:
         tenants = LOCKED if tenants_of(document.value) else NO_TENANTS
@@ -209,7 +209,7 @@
 
 
 def _build_model(item: Mapping[str, Any]) -> ModelSpec:
-    """Return a model; one whose size is unusable gets an infinite size, so that it is never loaded and the others are."""
+    """Return a model. One with an unusable size gets an infinite size: it is never loaded, and other models still are."""
     return ModelSpec(
         name=str(item.get("name", "")),
         weights_mb=_usable_number(item.get("weights_mb"), 0.0, math.inf),
@@ -230,7 +230,7 @@
 
 
 def _usable_number(value: Any, default: float, unusable: float) -> float:
-    """Return a finite number of at least 0: `default` where the value is missing, `unusable` where it is no such number.
+    """Return a value that is a finite number of at least 0, `default` for a missing value, `unusable` for any other.
 
     >>> _usable_number(2, 1.0, 0.0), _usable_number(None, 1.0, 0.0), _usable_number(-2, 1.0, 0.0), _usable_number("x", 1.0, 0.0)
     (2.0, 1.0, 0.0, 0.0)
--- a/mulleinhatch/configuration/tenants.py
+++ b/mulleinhatch/configuration/tenants.py
@@ -1,6 +1,6 @@
-"""Tenants in a configuration: their checks, and the table that a data plane recognises their keys by.
+"""Tenants in a configuration: their validation, and the table by which a data plane recognises their keys.
 
-No message repeats a value of a tenant besides its name: a key may stand in the wrong place.
+No message contains a value of a tenant except its name: a key may be in the wrong field.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 
 TENANTS = "tenants"  # the key of a configuration
 UNITS = {None: QuotaUnit.REQUESTS, QuotaUnit.REQUESTS.value: QuotaUnit.REQUESTS, QuotaUnit.TOKENS.value: QuotaUnit.TOKENS}
-FIGURES = ("rate_per_s", "burst", "plain_tokens", "priority")
+NUMBER_KEYS = ("rate_per_s", "burst", "plain_tokens", "priority")
 REMEDY = "correct it and send the change again"
 
 
 def tenants_of(value: Mapping[str, Any]) -> Sequence[dict[str, Any]]:
-    """Return the tenants of a configuration; one from before tenants existed has none."""
+    """Return the tenants of a configuration; one written before tenants existed has none."""
     return value.get(TENANTS, ())
 
 
 def tenants_by_name(value: Mapping[str, Any]) -> dict[str, Tenant]:
-    """Return the tenants of an accepted configuration by name, without their keys; one that can't be used is left out.
+    """Return the tenants of an accepted configuration by name, without their keys; an invalid tenant is left out.
 
     Only a process without the checks of this module can have accepted such a tenant.
     """
-    return {item["name"]: build_tenant(item) for item in tenants_of(value) if not _fault_of(item)}
+    return {item["name"]: build_tenant(item) for item in tenants_of(value) if not _find_error(item)}
 
 
 def check_tenants(items: Any) -> Result[None, ConfigurationError]:
-    """Check tenants one by one: names, keys and figures."""
+    """Check tenants one by one: names, keys and numbers."""
     if not isinstance(items, list):
         return Err(ConfigurationError(f"tenants must be a list; {REMEDY}"))
     names: set[str] = set()
     for number, item in enumerate(items, 1):
-        fault = _fault_of(item)
+        fault = _find_error(item)
         name = item.get("name") if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
             return Err(ConfigurationError(f"tenants: item {number}: {fault}; {REMEDY}"))
@@ -55,8 +55,8 @@
     return Ok(None)
 
 
-def _fault_of(item: Any) -> str:
-    """Return what is wrong with a tenant by itself, empty where nothing is."""
+def _find_error(item: Any) -> str:
+    """Return what is wrong with a tenant regardless of the others, empty for a valid one."""
     if not isinstance(item, dict):
         return "a tenant must be an object"
     name = item.get("name")
@@ -68,13 +68,13 @@
     unit = item.get("unit")
     if not (unit is None or isinstance(unit, str)) or unit not in UNITS:
         return "unit must be token_count, or be left out where requests are counted"
-    for figure in FIGURES:
-        if not _is_figure(item.get(figure)):
-            return f"{figure} must be a finite number, 0 or more"
+    for number_key in NUMBER_KEYS:
+        if not _is_optional_amount(item.get(number_key)):
+            return f"{number_key} must be a finite number, 0 or more"
     return ""
 
 
-def _is_figure(value: Any) -> bool:
+def _is_optional_amount(value: Any) -> bool:
     return value is None or (is_number(value) and value >= 0)
 
 
@@ -85,7 +85,7 @@
         name = item["name"]
         for key in item["api_keys"]:
             if owners.setdefault(key, name) != name:
-                return _shared(owners[key], name)
+                return _shared_key_error(owners[key], name)
     return Ok(None)
 
 
@@ -109,17 +109,17 @@
             name = item["name"]
             other = next((owners[key] for key in item["api_keys"] if owners.get(key, name) != name), name)
             if other != name:
-                return _shared(name, other)
+                return _shared_key_error(name, other)
     return Ok(None)
 
 
-def _shared(first: str, second: str) -> Err[ConfigurationError]:
+def _shared_key_error(first: str, second: str) -> Err[ConfigurationError]:
     return Err(ConfigurationError(f"tenants: {first!r} and {second!r} share a key in api_keys; a key belongs to one tenant"))
 
 
 @dataclass(frozen=True, slots=True)
 class _Record:
-    """A tenant as built, with the item that it was built from. No representation shows its keys or their digests."""
+    """A built tenant, with the item that it was built from. `repr` shows neither its keys nor their digests."""
 
     item: Mapping[str, Any] = field(repr=False)
     tenant: Tenant
@@ -127,7 +127,7 @@
 
 
 class TenantTableBuilder:
-    """Builds the tables of successive configurations; only tenants that have changed cost a digest.
+    """Builds the tables of successive configurations, and computes digests only for tenants that have changed.
 
     Args:
         digester: Computes the digests of keys.
@@ -141,7 +141,7 @@
         self._table = NO_TENANTS
 
     def build(self, value: Mapping[str, Any]) -> TenantTable:
-        """Return the table of a configuration; the one before where its tenants are the same objects.
+        """Return the table of a configuration; the previous table if the list of tenants is the same object.
 
         Args:
             value: A validated configuration.
@@ -165,7 +165,7 @@
         return self._table
 
     def _record(self, item: Mapping[str, Any]) -> _Record:
-        if fault := _fault_of(item):  # of a configuration that a process without these checks accepted
+        if fault := _find_error(item):  # a process without these checks accepted the configuration
             raise ValueError(f"tenants: {fault}")
         digests = tuple(self._digester.digest(Secret(key.encode("utf-8", "surrogatepass"))) for key in item["api_keys"])
         return _Record(item, build_tenant(item), digests)
--- a/mulleinhatch/configuration/validation.py
+++ b/mulleinhatch/configuration/validation.py
@@ -19,11 +19,11 @@
 ROUTE_KINDS = ("safe", "unsafe", "streaming")
 ITEM_KINDS = ("routes", "services")
 MAX_FLOAT = sys.float_info.max
-KEY_ERROR = re.compile(r"Key '([^']*)' error:")  # how the schema names a key whose value is wrong
+KEY_ERROR = re.compile(r"Key '([^']*)' error:")  # how the schema reports the key of an invalid value
 
 
 def is_number(value: Any) -> bool:
-    """Return whether a JSON value is a number that a process can compute with: finite as a float; a boolean is none.
+    """Return whether a JSON value is a number that is finite as a float; a boolean is not a number.
 
     >>> [is_number(value) for value in (1, -0.5, True, "1", float("inf"), float("nan"), 10**400)]
     [True, True, False, False, False, False, False]
@@ -36,7 +36,7 @@
 
 
 def _is_readable_engine(engine: Any) -> bool:
-    """Return whether every data plane can build an engine; one of its figures that makes no sense excludes its model only."""
+    """Return whether every data plane can build an engine; an invalid number of a model excludes only that model."""
     if not isinstance(engine, dict) or not isinstance(engine.get("models", []), (list, type(None))):
         return False
     items = [engine, *(model for model in engine.get("models") or () if isinstance(model, dict))]
@@ -103,7 +103,7 @@
 
 
 def check_proposed_version(value: Mapping[str, Any], current: int) -> Result[int, ConfigurationError]:
-    """Check the version of a document that is proposed: also that the internal messages can carry it."""
+    """Check the version of a proposed document, including that the internal messages can carry it."""
     if isinstance(version := check_version(value, current), Err) or version.ok_value <= MAX_COUNT:
         return version
     return Err(ConfigurationError(f"version must be {MAX_COUNT} at most; number it lower"))
@@ -119,14 +119,14 @@
         except SchemaError as error:
             name = item.get("name") if isinstance(item, dict) else item
             reason = " ".join(str(text) for text in error.autos if text) if not any(error.errors) else error.code
-            where = _fault_key(error)
+            where = _invalid_key(error)
             named = reason if where in reason else f"{where}: {reason}"
             return Err(ConfigurationError(f"{kind}: item {name!r}: {named}; correct it and send the change again"))
     return Ok(None)
 
 
-def _fault_key(error: SchemaError) -> str:
-    """Return the key of the item whose value is wrong, empty where a key is missing."""
+def _invalid_key(error: SchemaError) -> str:
+    """Return the key of the item whose value is invalid, empty where a key is missing."""
     found = (KEY_ERROR.fullmatch(text) for text in error.autos if text)
     return next((match.group(1) for match in found if match), "")
 
