--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -1,7 +1,7 @@
 """Distribute the configuration and the list of backends to data planes by long polling.
 
-Each data plane polls with the versions that it has. The response is sent as soon as there is an update, or when the wait time
-that the data plane requested ends.
+Each data plane polls with the versions that it has. The response is sent as soon as there is an update, or after the wait
+time that the data plane requested.
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
         return len(self._pollers)
 
     def count_all_data_planes(self) -> int:
-        """Return the number of data planes that poll this process or a peer in reach, at least 1."""
+        """Return the number of data planes that poll this process or a reachable peer, at least 1."""
         now = self._clock()
         peers = self._node.peers
         others = sum(peer.data_planes for identity, peer in peers.by_identity.items() if peers.is_alive(identity, now))
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -164,7 +164,7 @@
         """Learn a view, so that this voter confirms no older one any more; then report when it last confirmed one.
 
         Raises:
-            OSError: The disk refused the view.
+            OSError: The view could not be written to disk.
         """
         await self._view_changer.learn_view(request.newest)
         # No await from here on: nothing is confirmed between the age and the epoch.
--- a/mulleinhatch/control_plane/leadership_claims.py
+++ b/mulleinhatch/control_plane/leadership_claims.py
@@ -23,7 +23,7 @@
             The fencing token, which is the index of the claim's entry; 0 where the claim failed.
 
         Raises:
-            OSError: The disk refused the entry.
+            OSError: The entry could not be written to disk.
         """
         log, replica, epoch = self._log, self._log.replica, self._log.replica.view.epoch
         async with self._gate.change_lock:
--- a/mulleinhatch/control_plane/log_compaction.py
+++ b/mulleinhatch/control_plane/log_compaction.py
@@ -38,7 +38,7 @@
         """Take a snapshot and rewrite the file, if the log or the file has grown long.
 
         Raises:
-            OSError: The disk refused the new file; the old one stays in use.
+            OSError: The new file could not be written; the old one stays in use.
         """
         if not self._is_due():
             return
--- a/mulleinhatch/control_plane/log_replication.py
+++ b/mulleinhatch/control_plane/log_replication.py
@@ -67,7 +67,7 @@
         """Send appends until the view changes.
 
         Raises:
-            OSError: The successor is unreachable, or this node's disk refused a write.
+            OSError: The successor is unreachable, or a write to this node's disk failed.
         """
         replica, progress = self._log.replica, self._log.progress
         successor_last, successor_committed, log_complete_sent = replica.last_index, UNKNOWN, False
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -24,7 +24,7 @@
     known_since: float = 0.0  # when it was first named, or the end of this node's last pause
     epoch: int = 0  # the newest epoch that it reported
     confirmed_epoch: int = 0  # the epoch of the view that it last confirmed as the newest that it knows
-    confirmed_at: float = NEVER  # when the heartbeat was sent to which that confirmation responds
+    confirmed_at: float = NEVER  # when the heartbeat was sent that this confirmation answers
     unconfirmed_epoch: int = 0  # the epoch whose view it does not confirm: it accepted a later one, or is writing a vote
     committed: int = 0
     caught_up_epoch: int = 0
@@ -56,7 +56,7 @@
         return peer
 
     def latest_record(self, member: Member) -> Member:
-        """Return the latest record that a member sent of itself; that in a view may be older."""
+        """Return the latest record that a member sent about itself; its record in a view may be older."""
         if member.identity == self.own.identity:
             return self.own
         peer = self.by_identity.get(member.identity)
--- a/mulleinhatch/control_plane/replicated_log.py
+++ b/mulleinhatch/control_plane/replicated_log.py
@@ -51,7 +51,7 @@
         """Make a write durable, then apply it to the replica. The caller holds the lock.
 
         Raises:
-            OSError: The disk refused the write; it has no effect on the log.
+            OSError: The disk write failed; it has no effect on the log.
         """
         records = []
         if write.snapshot is not None:
@@ -73,7 +73,7 @@
             The entry's index, 0 where this node is not the head in `epoch` any more.
 
         Raises:
-            OSError: The disk refused the entry.
+            OSError: The entry could not be written to disk.
         """
         if not self.replica.is_head or epoch != self.replica.view.epoch:
             return 0
--- a/mulleinhatch/control_plane/shutdown.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -13,7 +13,7 @@
 from mulleinhatch.replication.chain import Replica
 
 LOG = logging.getLogger(__name__)
-MIN_SHUTDOWN_S = 1.0  # least time from the announcement to the end, in which requests received before are answered
+MIN_SHUTDOWN_S = 1.0  # minimum time from the announcement to the end, to answer requests received before
 GRACE_MARGIN_S = 1.0  # the process ends this long before its grace period does
 CHECK_INTERVAL_S = 0.1
 
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -112,7 +112,7 @@
         """Append records; return once they are durable.
 
         Raises:
-            OSError: The disk refused the write.
+            OSError: The disk write failed.
         """
         await self._write(self._append_log.append, records)
 
@@ -120,7 +120,7 @@
         """Replace the file by one with just these records; return once it is durable.
 
         Raises:
-            OSError: The disk refused the write.
+            OSError: The disk write failed.
         """
         await self._write(self._append_log.rewrite, records)
 
@@ -142,13 +142,13 @@
         await asyncio.get_running_loop().run_in_executor(self._thread, operation, records)
 
     def stalled(self) -> bool:
-        """Return whether the disk refused the last write, or a write in progress takes longer than `STALL_THRESHOLD_S`."""
+        """Return whether the last disk write failed, or a write in progress takes longer than `STALL_THRESHOLD_S`."""
         now = self._clock()
         return self._failed or any(now - started_at > STALL_THRESHOLD_S for started_at in self._started_at.values())
 
     @property
     def failed(self) -> bool:
-        """Whether the disk refused the last write."""
+        """Whether the last disk write failed."""
         return self._failed
 
     @property
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -78,7 +78,7 @@
         """Write the voter's state.
 
         Raises:
-            OSError: The disk refused the write.
+            OSError: The disk write failed.
         """
         async with self.lock:
             await self._write(self._voter.state)
@@ -96,7 +96,7 @@
         """Apply a step to a copy of the voter, and replace the voter once the new state is durable.
 
         Raises:
-            OSError: The disk refused the write; the step was not taken.
+            OSError: The disk write failed; the step has no effect.
         """
         async with self.lock:
             trial = Voter(self._voter.identity, self._voter.state)
@@ -115,7 +115,7 @@
         """Adopt a decided view, if it is newer: durable before it is in force.
 
         Raises:
-            OSError: The disk refused the view; it is learned when a peer sends it again.
+            OSError: The view could not be written to disk; it is learned when a peer sends it again.
         """
         if view.epoch > self.view.epoch:
             await self._step(lambda voter: voter.learn(view))
@@ -167,7 +167,7 @@
         """Make one attempt to decide the next view: the planned one, or one that a voter has accepted before.
 
         Raises:
-            OSError: This node's disk refused the decided view.
+            OSError: The decided view could not be written to this node's disk.
         """
         base = self.view
         if planned.epoch != base.epoch + 1:
--- a/mulleinhatch/control_plane/view_manager.py
+++ b/mulleinhatch/control_plane/view_manager.py
@@ -64,10 +64,8 @@
         try:
             await self._view_changer.propose(planned)
         except OSError:
-            pass  # this node's disk refused the decided view; the next planning step tries again
-        await asyncio.sleep(
-            random.uniform(0.0, PLANNING_INTERVAL_S)
-        )  # random, so that two proposers do not keep preempting each other
+            pass  # the decided view could not be written to disk; the next planning step retries
+        await asyncio.sleep(random.uniform(0.0, PLANNING_INTERVAL_S))  # keeps two proposers from colliding repeatedly
 
     def _plan(self, now: float) -> View | None:
         """Return the view to propose, None where the current one may stay or another node has to propose."""
