--- a/tests/system/test_overlapping_losses.py
+++ b/tests/system/test_overlapping_losses.py
@@ -1,4 +1,4 @@
-"""Overlapping failures, scripted in virtual time: a partition, then loss of the tolerated disks and of power on all machines.
+"""Overlapping failures, scripted in virtual time: a partition, then loss of the tolerated disks and power loss everywhere.
 
 The surviving disks hold every acknowledged change, so the core must serve again and must not serve an older version meanwhile.
 """
--- a/tests/system/test_views.py
+++ b/tests/system/test_views.py
@@ -239,7 +239,7 @@
     def test_voters_stay_where_no_replacement_reduces_the_worst_loss(self):
         members = self.zoned("xxx")
         self.assertIsNone(plan(FIRST, self.healthy(members), 1, zones=1))
-        members = self.zoned("xxyy")  # of two zones, the loss of one always takes a majority
+        members = self.zoned("xxyy")  # with two zones, one of them always holds a majority of the voters
         view = View(epoch=2, voters=[A, B, C], chain=members)
         self.assertIsNone(plan(view, self.healthy(members), 1, zones=1))
 
@@ -268,7 +268,7 @@
             while (planned := plan(view, machines, 1, zones=1)) is not None:
                 view = planned
             if len(set(zones)) < 3:
-                continue  # too few zones for a majority outside of each
+                continue  # too few zones to keep a majority after the loss of any one
             for lost in "xyz":
                 left = [node for node in view.voters if node.zone != lost]
                 self.assertGreater(2 * len(left), len(view.voters), zones)
