--- a/mulleinhatch/control_plane/leadership_claims.py
+++ b/mulleinhatch/control_plane/leadership_claims.py
@@ -1,4 +1,4 @@
-"""Claim the leadership over the backends: the replicated log records the leader and its fencing token."""
+"""Claim the placement leadership: the replicated log records the leader and its fencing token."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
             The fencing token, which is the index of the claim's entry; 0 where the claim failed.
 
         Raises:
-            OSError: The disk refused the entry.
+            OSError: The entry could not be written to disk.
         """
         log, replica, epoch = self._log, self._log.replica, self._log.replica.view.epoch
         async with self._gate.change_lock:
