--- a/mulleinhatch/instance/gossip/aggregation_tree.py
+++ b/mulleinhatch/instance/gossip/aggregation_tree.py
@@ -1,8 +1,8 @@
-"""Aggregation tree: beyond the own group only sums travel, of other groups, zones and regions.
+"""Aggregation tree: members exchange reports within their group, and only sums of other groups, zones and regions.
 
-One member speaks for each group. The speakers of a zone send summaries to each other at steps of 1, 2, 4, ... groups, so
-that after as many messages as the number of groups has bits, each has heard of each. For each other zone and region one
-speaker keeps the link. A change of who is there is sent at once, all else in turn, and everything within a bound of bytes
+One member is the speaker of each group. The speakers of a zone send summaries to each other at steps of 1, 2, 4, ... groups,
+so that a summary reaches all groups after as many messages as the number of groups has bits. For each other zone and region
+one speaker maintains the link. Membership changes are sent at once and everything else in rotation, within a limit of bytes
 per second.
 
 `summary_table` holds what is received, `group_summary` computes the own group's sums, `summary_composer` decides what each
@@ -40,27 +40,27 @@
 from mulleinhatch.random_source import RandomSource
 
 MAX_GROUP_MEMBERS = 96
-MESH_ROUND_S = 2.0  # in which a speaker sends as many messages as the number of groups has bits
-STANDBY_INTERVAL_S = 4.0  # between messages of the second member of a group to other groups
-SEED_INTERVAL_S, MISSING_GROUP_SEED_INTERVAL_S = 20.0, 5.0  # between pings to seeds; where some group is unknown
-# Between pings to seeds of a member that knows no peer: grows by the third after each seed was asked once.
+MESH_ROUND_S = 2.0  # a speaker sends one message per bit of the number of groups in this time
+STANDBY_INTERVAL_S = 4.0  # between messages of a group's standby speaker to other groups
+SEED_INTERVAL_S, MISSING_GROUP_SEED_INTERVAL_S = 20.0, 5.0  # between pings to seeds; the second while a group is unknown
+# Interval between seed pings of a member without peers. It grows by the step after each seed was pinged once.
 ALONE_MIN_INTERVAL_S, ALONE_MAX_INTERVAL_S, ALONE_INTERVAL_STEP_S = 1.0, 8.0, 0.7
-MISSED_CHANGE_INTERVAL_S = 0.4  # between messages about what another group's speaker missed
-ALL_MEMBERS_INTERVAL_S = 0.5  # between messages with all members, to a peer that sees others
-GROUP_FANOUT, PEER_FANOUT = 2, 2  # groups and peers that a change is sent to at once; further ones hear of it in turn
-RATE_BYTES_PER_S = 2600.0  # in and out
-OPTIONAL_EXCESS = 8000.0  # bytes above the rate up to which what is due in turn is still sent
+MISSED_CHANGE_INTERVAL_S = 0.4  # between messages about changes that another group's speaker missed
+ALL_MEMBERS_INTERVAL_S = 0.5  # between messages that list all members for a peer with a different view
+GROUP_FANOUT, PEER_FANOUT = 2, 2  # groups and peers to which a change is sent at once; the others receive it in rotation
+RATE_BYTES_PER_S = 2600.0  # sent and received together
+OPTIONAL_EXCESS = 8000.0  # periodic messages are still sent up to this many bytes above the rate
 
 
 class AggregationTree:
-    """One member's part of the tree; `heartbeat` and `handle_message` yield what to send.
+    """One member's node of the tree; `heartbeat` and `handle_message` yield the messages to send.
 
     Args:
         bounds: settings.
-        location: of this member.
-        members: of the own group.
+        location: location of this member.
+        members: members of its own group.
         fleet_counters: reports of the peers.
-        seed: of the random choices.
+        seed: seed of the random choices.
         now: seconds of the caller's clock.
     """
 
@@ -77,11 +77,11 @@
         self.draw = draw = RandomSource(seed).below
         self.counts: Counter[str] = Counter()
         self.byte_rate = ByteRate(RATE_BYTES_PER_S, now)
-        started_at = now - 0.01 * draw(70)  # at random: members that were started together would all send at the same moment
+        started_at = now - 0.01 * draw(70)  # random offset, so that members started together do not send at the same time
         self.mesh_sent_at = self.change_sent_at = self.seeds_pinged_at = started_at
         self.all_members_sent_at = self.missed_sent_at = now
-        self.step = 0  # of the mesh
-        self.lonely_pings = 0  # to seeds, since this member last knew a peer
+        self.step = 0  # number of mesh steps taken
+        self.pings_while_alone = 0  # seed pings since this member last knew a peer
         self.mesh_interval_s = MESH_ROUND_S / max(2, (location.groups - 1).bit_length())
         self.summaries = SummaryTable(location, bounds.forget_after_s, self.counts)
         self.election = SpeakerElection(location, members, now)
@@ -91,21 +91,21 @@
         self.links = RemoteLinks(self.composer, self.election, self.introductions, self.byte_rate, started_at)
 
     def is_speaker(self, now: float) -> bool:
-        """Return whether this member speaks for its group."""
+        """Return whether this member is the speaker of its group."""
         return self.election.is_speaker(now)
 
     def is_peer(self, message: GossipMessage) -> bool:
-        """Return whether the sender belongs to the own group."""
+        """Return whether the sender belongs to this member's group."""
         return message.group_key == self.location.key
 
     def totals(self, now: float) -> dict[str, Total]:
-        """Return the sums over `group`, `zone`, `region` and `fleet`, as far as is known here."""
+        """Return the sums over `group`, `zone`, `region` and `fleet`, as known to this member."""
         return self.composer.totals(now)
 
     # Heartbeat.
 
     def heartbeat(self, now: float, own_figures: MemberFigures | None) -> Iterator[OutgoingMessage]:
-        """Run one period and yield what to send."""
+        """Run one period and yield the messages to send."""
         self.group_summary.own_figures = own_figures
         if self.members.left:
             return
@@ -129,8 +129,8 @@
 
     def _ping_seeds(self, now: float, rank: int) -> Iterator[OutgoingMessage]:
         is_alone = self.election.is_alone()
-        if is_alone:  # each seed once at first: then any member of the group that asks one of them learns of this one
-            repeated = max(0, self.lonely_pings - len(self.bounds.seeds))
+        if is_alone:  # ping each seed once first, so that any group member that pings one of them learns of this member
+            repeated = max(0, self.pings_while_alone - len(self.bounds.seeds))
             interval_s = min(ALONE_MAX_INTERVAL_S, ALONE_MIN_INTERVAL_S + ALONE_INTERVAL_STEP_S * repeated)
         elif self.summaries.known_groups() >= self.location.groups:
             interval_s = SEED_INTERVAL_S
@@ -138,11 +138,11 @@
             interval_s = MISSING_GROUP_SEED_INTERVAL_S
         if (is_alone or rank == 0) and now - self.seeds_pinged_at >= interval_s:
             self.seeds_pinged_at = now
-            self.lonely_pings = self.lonely_pings + 1 if is_alone else 0
+            self.pings_while_alone = self.pings_while_alone + 1 if is_alone else 0
             yield from self.introductions.ping_next(now, self.bounds.seeds)
 
     def _send_to_groups(self, now: float, count: int) -> Iterator[OutgoingMessage]:
-        """Send summaries to the next groups in steps that double, past those that are unknown or silent."""
+        """Send summaries to the next groups at doubling steps, skipping unknown and silent ones."""
         groups = self.location.groups
         for _ in range(count):
             for _ in range(max(1, groups.bit_length())):
@@ -156,7 +156,7 @@
                     break
 
     def send_changes(self, now: float) -> Iterator[OutgoingMessage]:
-        """Send changes at once where the byte rate allows it; otherwise they go in turn."""
+        """Send changes at once if the byte rate allows it; otherwise they are sent in rotation."""
         if now - self.change_sent_at < MIN_INTERVAL_S or self.byte_rate.excess > URGENT_EXCESS:
             return
         rows = self.summaries.rows.values()
@@ -175,13 +175,13 @@
     # Messages.
 
     def decode_summaries(self, message: GossipMessage) -> SummaryMessage:
-        """Return the summaries of a message; invalid ones are counted and taken for none."""
+        """Return the summaries of a message; invalid ones are counted and treated as empty."""
         summaries = decode_summary_message(message.summary_data) if message.summary_data else SummaryMessage()
         self.counts["upward_unfit"] += summaries is None
         return summaries or SummaryMessage()
 
     def handle_message(self, now: float, message: GossipMessage, summaries: SummaryMessage) -> Iterator[OutgoingMessage]:
-        """Take in the summaries of a message and yield the answers; its other contents are handled elsewhere."""
+        """Process the summaries of a message and yield the responses; its other contents are handled elsewhere."""
         is_peer = self.is_peer(message)
         has_changes = False
         for summary in summaries.summaries:
@@ -196,7 +196,7 @@
             yield from self.introductions.ping_contacts(now, summaries.contacts)
 
     def should_send_all_members(self, now: float, summaries: SummaryMessage) -> bool:
-        """Return whether the sender of a ping sees other members than this one; rarely true where many come and go."""
+        """Return whether to send all members to a pinging peer because its view differs; rate-limited under heavy churn."""
         if not summaries.view_digest or summaries.view_digest == self.composer.view_digest():
             return False
         is_too_soon = now - self.all_members_sent_at < ALL_MEMBERS_INTERVAL_S
@@ -208,7 +208,7 @@
     def _compare_ages(
         self, now: float, message: GossipMessage, summaries: SummaryMessage, is_peer: bool
     ) -> Iterator[OutgoingMessage]:
-        """Send what the sender has missed: to a peer with the next message to it, to another group at once."""
+        """Send changes that the sender missed: to a peer with the next message, to another group's speaker at once."""
         if not summaries.ages or not (is_peer or self.summaries.is_own_zone(summaries)):
             return
         missed = self.summaries.apply_ages(now, summaries.ages)
@@ -219,9 +219,9 @@
             row.peer_sends_left = max(1, row.peer_sends_left)
 
     def _send_missed(self, now: float, address: str, missed: list[ReceivedSummary]) -> Iterator[OutgoingMessage]:
-        """Send another group's speaker what it missed, since the next message in turn would go to another group.
+        """Send another group's speaker the changes it missed, since the next scheduled message would go to another group.
 
-        Where the other one knows better, it sees that by the ages and answers in the same way.
+        If the other speaker has newer information, it sees that from the ages and responds in the same way.
         """
         is_too_soon = now - self.missed_sent_at < MISSED_CHANGE_INTERVAL_S
         if not missed or is_too_soon or self.byte_rate.excess > OPTIONAL_EXCESS:
--- a/mulleinhatch/instance/gossip/budgets.py
+++ b/mulleinhatch/instance/gossip/budgets.py
@@ -1,10 +1,10 @@
 """Quotas with leases: units of a fleet-wide total that instances own, lend and borrow without ever exceeding the total.
 
-Each seat owns an even share for good, on which an isolated member keeps going. It lends what it can spare. The lender gives
-up first: it stops using what it lends, waits for a window, and only then grants it; it takes it back a window after the
-lease has expired by its own clock, extended by the clock drift, and counted from a later moment than the borrower's. So the
-total holds whatever messages are lost. `LeasedQuota` is one budget at one instance; `simulation/budget_model_checker.py`
-explores its states.
+Each seat owns an equal share permanently, which an isolated member can keep using, and lends units that it does not need. The
+lender releases first: it stops using the units, waits for one window, and only then grants them. It reuses them one window
+after the lease has expired by its own clock. Its lease time includes the clock drift and starts later than the borrower's, so
+the total holds regardless of lost messages. `LeasedQuota` is one budget at one instance;
+`simulation/budget_model_checker.py` explores its states.
 
 Source: Gray, Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency" (1989),
 section 5, for clocks that drift.
@@ -17,14 +17,14 @@
 
 from mulleinhatch.instance.gossip.bounds import BudgetBounds
 
-REQUEST_INTERVAL_S = 0.7  # between requests to the same lender that are answered
-UNANSWERED_FACTOR = 2.0  # times that interval after a request without an answer
-# Reserve beside the demand, in square roots of it (how much a random demand scatters): below the first units are borrowed,
-# above the second they are given back, between the two nothing moves.
+REQUEST_INTERVAL_S = 0.7  # between answered requests to the same lender
+UNANSWERED_FACTOR = 2.0  # multiplies the interval after an unanswered request
+# Headroom above the demand, in square roots of the demand (the spread of a random demand). Units are borrowed below the
+# first, returned above the second, and left unchanged in between.
 BORROW_BELOW_ROOTS, RETURN_ABOVE_ROOTS = 1.0, 2.0
-MAX_LENDERS = 4  # asked at a time
-MAX_FRUITLESS_REQUESTS = 4  # after which no more is expected of a lender
-COLLECT_WITHIN_S = 3.0  # units reserved for a borrower wait this long for its next request
+MAX_LENDERS = 4  # asked at the same time
+MAX_FRUITLESS_REQUESTS = 4  # without additional units, after which a lender is not expected to grant more
+COLLECT_WITHIN_S = 3.0  # units reserved for a borrower are released if its next request takes longer
 Borrower = tuple[str, int]  # name and process epoch
 
 
@@ -32,19 +32,19 @@
     """A borrower's message to a lender."""
 
     number: int
-    amount: int  # the borrower uses no more of the lender's units than this from now on
-    wanted: int  # in total
+    amount: int  # maximum of the lender's units that the borrower uses from now on
+    wanted: int  # units wanted in total
 
 
 class LeaseGrant(NamedTuple):
-    """A lender's answer."""
+    """A lender's response."""
 
-    number: int  # of the request that it answers
-    amount: int  # that the borrower may use
+    number: int  # number of the request
+    amount: int  # units that the borrower may use
 
 
 class Loan:
-    """Units lent to one borrower: `amount` until `expires_at`; `reserved` ones are granted from `ready_at` on."""
+    """Units lent to one borrower: `amount` until `expires_at`, and `reserved` units that can be granted from `ready_at`."""
 
     __slots__ = ("amount", "expires_at", "number", "reserved", "ready_at")
 
@@ -54,7 +54,7 @@
 
 
 class BorrowedQuota:
-    """Units borrowed from one lender, by this instance's own clock."""
+    """Units borrowed from one lender; times are of this instance's clock."""
 
     __slots__ = ("amount", "until", "number", "requested_at", "is_answered", "wanted", "fruitless_requests")
 
@@ -65,12 +65,12 @@
 
 
 class LeasedQuota:
-    """One instance's part of one budget, as lender and as borrower.
+    """One instance's share of one budget, as lender and as borrower.
 
     Args:
         bounds: the budget.
-        name: seat of this instance; with an aggregation tree, the seat's full path, since an instance of the same name at
-            another location owns another seat or none.
+        name: seat of this instance. With an aggregation tree it is the seat's full path, since an instance of the same name
+            at another location owns a different seat or none.
         now: seconds of the caller's clock.
         request_interval_s: between requests to the same lender.
 
@@ -90,35 +90,35 @@
     def __init__(self, bounds: BudgetBounds, name: str, now: float, request_interval_s: float = REQUEST_INTERVAL_S) -> None:
         self.bounds, self.name, self.request_interval_s = bounds, name, request_interval_s
         self.even_share = bounds.total // len(bounds.seats) if name in bounds.seats else 0
-        # What an earlier process of this instance lent is unknown here: nothing is owned until that is certainly returned.
+        # Loans of an earlier process of this instance are unknown, so nothing is owned until all of them must have expired.
         self.owned_from = now + self._lender_lease_s() + self._window_s()
         self.loans: dict[Borrower, Loan] = {}
-        self.quarantined: list[tuple[float, int]] = []  # until when units may still count as used by others, and how many
+        self.quarantined: list[tuple[float, int]] = []  # units that may still count as used by others: until when, amount
         self.borrowed: dict[str, BorrowedQuota] = {}
         self.number = 0
-        self.has_duplicate_name = False  # another instance uses the own name: nothing is owned
+        self.has_duplicate_name = False  # another instance uses this name, so nothing is owned
 
     def _lender_lease_s(self) -> float:
         return self.bounds.lease * (1.0 + self.bounds.drift)
 
     def _window_s(self) -> float:
-        """Return a window by any member's clock: units used just before count for so long."""
+        """Return the longest duration of a window by any member's clock, for which used units count."""
         return self.bounds.window * (1.0 + self.bounds.drift)
 
-    # The guards, each a method of its own, so that the model checker can remove one at a time.
+    # Each guard is a separate method, so that the model checker can remove one at a time.
 
     def _may_grant(self, now: float, loan: Loan) -> bool:
         return now >= loan.ready_at
 
     def _is_latest(self, borrowed: BorrowedQuota, grant: LeaseGrant) -> bool:
-        """Reject an earlier answer: the lender may have taken back units since, on a later request."""
+        """Reject outdated grants: the lender may have taken back units on a later request."""
         return grant.number == borrowed.number
 
     def _is_newer(self, loan: Loan, request: LeaseRequest) -> bool:
         return request.number > loan.number
 
     def _lease_starts_at(self, borrowed: BorrowedQuota, now: float) -> float:
-        """Return the time of the request; the lender counts from its arrival, which is later."""
+        """Return the time when the request was sent; the lender's lease starts at its arrival, which is later."""
         return borrowed.requested_at
 
     def _owns_share(self, now: float) -> bool:
@@ -128,10 +128,10 @@
         if amount:
             self.quarantined.append((now + self._window_s(), amount))
 
-    # What may be used.
+    # Usable units.
 
     def own_units(self, now: float) -> int:
-        """Return the units of the own share that are not lent, reserved or quarantined."""
+        """Return the units of this instance's share that are not lent, reserved or quarantined."""
         self._expire(now)
         if not self._owns_share(now):
             return 0
@@ -139,12 +139,12 @@
         return self.even_share - lent - sum(amount for _, amount in self.quarantined)
 
     def usable(self, now: float, lasts: float = 0.0) -> int:
-        """Return the units that may be used now, by something that occupies them for `lasts` seconds."""
+        """Return the units that may be used now for `lasts` seconds."""
         borrowed = sum(borrowed.amount for borrowed in self.borrowed.values() if now + lasts < borrowed.until)
         return self.own_units(now) + borrowed
 
     def usable_pieces(self, now: float) -> list[tuple[float, float]]:
-        """Return what may be used as units and expiry; the own units have none, since only this instance can lend them."""
+        """Return the usable units with their expiry; this instance's own units never expire."""
         return [
             (float(self.own_units(now)), inf),
             *(
@@ -157,7 +157,7 @@
     def _expire(self, now: float) -> None:
         for borrower, loan in list(self.loans.items()):
             if loan.reserved and now > loan.ready_at + COLLECT_WITHIN_S:
-                loan.reserved = 0  # never granted, so nobody used it
+                loan.reserved = 0  # never granted, so the borrower used none of them
             if loan.amount and now >= loan.expires_at:
                 self._quarantine(loan.expires_at, loan.amount)
                 loan.amount = 0
@@ -165,19 +165,19 @@
                 del self.loans[borrower]
         self.quarantined = [(until, amount) for until, amount in self.quarantined if until > now]
 
-    # As lender.
+    # Lender.
 
     def handle_request(
         self, now: float, borrower: Borrower, request: LeaseRequest, spare: int, reclaim: int = 0
     ) -> LeaseGrant | None:
-        """Answer a request, or return None where it is outdated or nothing is owned.
+        """Answer a request, or return None if it is outdated or nothing is owned.
 
         Args:
             now: seconds of the caller's clock.
             borrower: name and process epoch.
-            request: what it wants.
+            request: the request.
             spare: units that this instance does not need now.
-            reclaim: units that it needs back from what is lent.
+            reclaim: lent units that this instance needs back.
         """
         self._expire(now)
         if not self._owns_share(now):
@@ -202,23 +202,23 @@
         return LeaseGrant(request.number, max(0, loan.amount - taken_back))
 
     def _shrink(self, now: float, loan: Loan, amount: int) -> None:
-        """Take back what the borrower no longer uses, after the window in which it still counts as used."""
+        """Take back units that the borrower no longer uses, after the window in which they still count as used."""
         if amount < loan.amount:
             self._quarantine(now, loan.amount - amount)
             loan.amount = amount
 
     def spare_units(self, now: float, demand: float) -> int:
-        """Return the own units that this instance does not need."""
+        """Return the owned units that this instance does not need."""
         return max(0, self.own_units(now) - self._needed(demand, BORROW_BELOW_ROOTS))
 
     def units_to_reclaim(self, now: float, demand: float) -> int:
-        """Return the lent units that are needed back: the demand of others must not push an instance below its own share."""
+        """Return the lent units to take back, since demand elsewhere must not push an instance below its own share."""
         return max(0, min(self.even_share, int(demand)) - self.own_units(now))
 
-    # As borrower.
+    # Borrower.
 
     def create_request(self, now: float, lender: str, wanted: int) -> LeaseRequest:
-        """Return a request for `wanted` units in total; units above that are given back and no longer used."""
+        """Return a request for `wanted` units in total; borrowed units above that are returned and no longer used."""
         borrowed = self.borrowed.setdefault(lender, BorrowedQuota())
         if now >= borrowed.until:
             borrowed.amount = 0
@@ -230,7 +230,7 @@
         return LeaseRequest(self.number, borrowed.amount, wanted)
 
     def handle_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        """Use what a lender grants, if it answers the latest request."""
+        """Apply a grant if it answers the latest request."""
         borrowed = self.borrowed.get(lender)
         if borrowed is None or not self._is_latest(borrowed, grant):
             return
@@ -241,12 +241,12 @@
         borrowed.amount = grant.amount
 
     def plan_requests(self, now: float, demand: float, spares: list[tuple[str, int]]) -> list[tuple[str, int]]:
-        """Return the requests that are due: lender, and units wanted of it in total.
+        """Return the requests that are due: lender, and total units wanted from it.
 
         Args:
             now: seconds of the caller's clock.
             demand: units that this instance needs.
-            spares: other members with what they can spare, by their last reports, in order of preference.
+            spares: other members and their spare units by their last reports, in order of preference.
         """
         for lender, borrowed in list(self.borrowed.items()):
             if now >= borrowed.until and not borrowed.amount and now - borrowed.requested_at > COLLECT_WITHIN_S:
@@ -267,7 +267,7 @@
         return due
 
     def _plan_return(self, now: float, demand: float, current: dict[str, int]) -> dict[str, int]:
-        """Renew the leases, without what is above the larger reserve."""
+        """Renew the leases except for units above the larger headroom."""
         surplus = self.usable(now) - self._needed(demand, RETURN_ABOVE_ROOTS)
         wanted = {}
         for lender in sorted(current):
@@ -278,8 +278,8 @@
     def _plan_borrowing(
         self, now: float, missing: int, current: dict[str, int], spares: list[tuple[str, int]]
     ) -> dict[str, int]:
-        """Renew the leases, and distribute what is missing over some lenders by what they can spare."""
-        # What was requested a moment ago is reserved by now, and no longer in its lender's reports.
+        """Renew the leases, and request the missing units from some lenders in proportion to their spare units."""
+        # Units that were just requested are reserved by now and no longer appear in the lender's reports.
         wanted = {
             lender: max(
                 current.get(lender, 0),
@@ -297,20 +297,20 @@
             if spare > 0
             and lender != self.name
             and wanted.get(lender, 0) <= current.get(lender, 0)
-            and not self._gave_nothing_lately(now, lender)
+            and not self._granted_nothing_recently(now, lender)
         ][:MAX_LENDERS]
         total_spare = sum(spare for _, spare in chosen)
         for lender, spare in chosen:
             portion = -(-missing * spare // total_spare)  # rounded up
             wanted[lender] = current.get(lender, 0) + min(spare, portion)
             if lender in self.borrowed:
-                self.borrowed[lender].fruitless_requests = 0  # otherwise what it reserves now would not be collected
+                self.borrowed[lender].fruitless_requests = 0  # otherwise the units that it reserves now are never collected
         return wanted
 
     def _interval_s(self, borrowed: BorrowedQuota) -> float:
         return self.request_interval_s * (1.0 if borrowed.is_answered else UNANSWERED_FACTOR)
 
-    def _gave_nothing_lately(self, now: float, lender: str) -> bool:
+    def _granted_nothing_recently(self, now: float, lender: str) -> bool:
         borrowed = self.borrowed.get(lender)
         if borrowed is None or borrowed.fruitless_requests < MAX_FRUITLESS_REQUESTS:
             return False
@@ -318,12 +318,12 @@
 
     @staticmethod
     def _needed(demand: float, roots: float) -> int:
-        """Return the units for a demand that arrives at random: its square root is how much it scatters."""
+        """Return the units for a random demand, whose standard deviation is about its square root."""
         return int(demand + roots * sqrt(demand) + 1.0)
 
 
 class QuotaMeter:
-    """Keeps one instance to its part of a rate: no window uses more units than the quota at the time of use.
+    """Sliding-window limiter: no window uses more units than the quota at the time of use.
 
     >>> meter = QuotaMeter(window=1.0); [meter.take(0.1 * n, quota=3) for n in range(5)], meter.take(1.05, quota=3)
     ([True, True, True, False, False], True)
@@ -335,7 +335,7 @@
         self.requested_at: list[float] = []
 
     def take(self, now: float, quota: int) -> bool:
-        """Use one unit, or return False where the quota is used up."""
+        """Use one unit, or return False if the quota is used up."""
         self._drop_old(now)
         self.requested_at.append(now)
         if len(self.used_at) >= quota:
@@ -344,7 +344,7 @@
         return True
 
     def demand(self, now: float) -> int:
-        """Return the units requested in the last window, refused ones included."""
+        """Return the units requested in the last window, including rejected ones."""
         self._drop_old(now)
         return len(self.requested_at)
 
--- a/mulleinhatch/instance/gossip/byte_rate.py
+++ b/mulleinhatch/instance/gossip/byte_rate.py
@@ -1,8 +1,8 @@
-"""A leaky bucket that measures by how much the traffic of the last seconds exceeded a rate."""
+"""Leaky bucket that measures how far recent traffic exceeded a rate."""
 
 from __future__ import annotations
 
-HEADER_BYTES = 28  # of IPv4 and UDP for each datagram
+HEADER_BYTES = 28  # IPv4 and UDP headers of a datagram
 
 
 class ByteRate:
--- a/mulleinhatch/instance/gossip/connectivity.py
+++ b/mulleinhatch/instance/gossip/connectivity.py
@@ -1,6 +1,7 @@
-"""A member's own connectivity, judged by how many others it does not hear.
+"""Estimates a member's own connectivity from the number of silent members.
 
-Source: Dadgar, Phillips, Currey, "Lifeguard" (2018), section IV, for the idea that a detector must doubt itself first.
+Source: Dadgar, Phillips, Currey, "Lifeguard" (2018), section IV, for the principle that a failure detector first checks its
+own health.
 """
 
 from __future__ import annotations
@@ -11,25 +12,27 @@
 from mulleinhatch.instance.gossip.member import Member
 from mulleinhatch.instance.gossip.messages import GONE, SUSPECT
 
-FREEZING_FRACTION = 0.4  # of the members: when so many are silent the view freezes; half, less what is not known yet
-COUNTS_AS_SILENT_S = 10.0  # how long a member declared gone counts as silent: else a minority would go on, one by one
+# The view freezes when this fraction of the members is silent: half, less a margin for silence that is not detected yet.
+FREEZING_FRACTION = 0.4
+# A member declared gone counts as silent for this long; otherwise a minority would declare the majority gone one by one.
+COUNTS_AS_SILENT_S = 10.0
 
 
 class MemberCounts(NamedTuple):
-    """How many members are heard."""
+    """Numbers of members by whether they are heard."""
 
-    living: int  # this one included
-    silent: int  # suspected and not heard lately
-    gone: int  # declared gone a short while ago
+    living: int  # including this one
+    silent: int  # suspected and not heard recently
+    gone: int  # recently declared gone
 
     def is_cut_off(self, most_probes_failed: bool) -> bool:
-        """Return whether the fault is more likely this member's own connection than that of the silent ones."""
+        """Return whether this member's own connection is more likely to have failed than the silent members."""
         missing = self.silent + self.gone
         many_silent = missing >= FREEZING_FRACTION * (self.living + missing)
         return self.silent > 0 and (most_probes_failed or many_silent)
 
     def describe(self) -> str:
-        """Return the numbers as text for the log."""
+        """Return the counts as text for the log."""
         return f"{self.silent} silent of {self.living + self.silent}"
 
 
--- a/mulleinhatch/instance/gossip/core.py
+++ b/mulleinhatch/instance/gossip/core.py
@@ -1,7 +1,7 @@
-"""One instance's side of the gossip protocol: a heartbeat or a datagram goes in, datagrams and state changes come out.
+"""One instance's gossip protocol state machine: heartbeats and datagrams go in, datagrams and state changes come out.
 
-`GossipNode` wires membership, reports, leases, outlier detection and the aggregation tree, each of which keeps its own state.
-No I/O and no clock: `instance/runtime/gossip.py` owns the socket and the timer.
+`GossipNode` connects membership, reports, leases, outlier detection and the aggregation tree, each of which has its own
+state. It does no I/O and reads no clock: `instance/runtime/gossip.py` owns the socket and the timer.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 MAX_MEMBERS = 1000
 JUDGE_INTERVAL_S = 0.5
 MAX_SUBJECT_LENGTH = 40
-TREE_SEED_OFFSET = 5  # so that the tree does not repeat the membership's random sequence
+TREE_SEED_OFFSET = 5  # gives the tree a random sequence that differs from the membership's
 MessageListener = Callable[[float, GossipMessage], None]
 
 __all__ = ["MAX_MEMBERS", "GossipNode", "LocalState", "interpreter_of"]
@@ -46,14 +46,14 @@
 
 
 class GossipNode:
-    """This member of the fleet.
+    """The local member of the fleet.
 
     Args:
         bounds: settings.
-        name: of this member.
-        address: host:port under which the others reach it.
-        process_epoch: a number that grows with each restart of the process.
-        seed: of the random choices.
+        name: name of this member.
+        address: host:port at which the other members reach it.
+        process_epoch: number that increases with each restart of the process.
+        seed: seed of the random choices.
         now: seconds of the caller's clock.
 
     >>> bounds = FleetBounds("f", seeds=("10.0.0.1:1",), heartbeat_s=0.1)
@@ -74,7 +74,7 @@
         self.max_members = MAX_GROUP_MEMBERS if location else MAX_MEMBERS
         self.members: Membership = (PeerGroup if location else Membership)(name, address, process_epoch, bounds, seed, now)
         self.fleet_counters = FleetCounters(self.max_members, bounds.fresh_for_s)
-        self.own_counters = FleetCounters(1)  # the own reports as others see them
+        self.own_counters = FleetCounters(1)  # this member's reports as the others see them
         self.outlier_detector = OutlierDetector()
         self.ejected: list[str] = []
         self.aggregation_tree = (
@@ -90,7 +90,7 @@
         tree = self.aggregation_tree
         self.composer = MessageComposer(bounds.fleet, self.members, tree, self.report_selection, self.counts)
         self.heartbeat_at = self.judged_at = now
-        self.pending_requests = 0  # requests that this instance queues and would hand over, sent with each message
+        self.pending_requests = 0  # queued requests that this instance could hand over, sent with each message
         self.listeners: list[MessageListener] = []
 
     def _create_report_selection(self) -> ReportSelection:
@@ -100,12 +100,12 @@
 
     @property
     def quotas(self) -> list[LeasedQuota]:
-        """Leased quotas in the order of the budgets."""
+        """The leased quotas in the order of the budgets."""
         return self.leases.quotas
 
     @property
     def demands(self) -> list[float]:
-        """Smoothed demands in units per window, in the order of the budgets."""
+        """The smoothed demands in units per window, in the order of the budgets."""
         return self.leases.demands
 
     @property
@@ -115,7 +115,7 @@
 
     @property
     def handover_address(self) -> str:
-        """Where peers may hand requests over to this instance; empty where they may not."""
+        """The address to which peers hand requests over; empty if this instance accepts none."""
         return self.report_source.handover_address
 
     @handover_address.setter
@@ -123,13 +123,13 @@
         self.report_source.handover_address = address
 
     def subscribe(self, listener: MessageListener) -> None:
-        """Call a listener with each message of a member's current process."""
+        """Call a listener with each message from a member's current process."""
         self.listeners.append(listener)
 
     # Events.
 
     def heartbeat(self, now: float, local: LocalState) -> list[Datagram]:
-        """Run one period of the protocol and return what to send."""
+        """Run one period of the protocol and return the datagrams to send."""
         self.report_source.local = local
         self.leases.update_demands(local.demands, now - self.heartbeat_at)
         self.heartbeat_at = now
@@ -146,7 +146,7 @@
         return self._compose(now, outgoing)
 
     def handle_datagram(self, now: float, data: bytes) -> list[Datagram]:
-        """Handle any bytes that arrived and return the answers; invalid ones are counted and dropped."""
+        """Handle received bytes and return the responses; invalid datagrams are counted and dropped."""
         self.counts["datagrams_heard"] += 1
         if self.aggregation_tree:
             self.aggregation_tree.byte_rate.add(now, len(data))
@@ -158,7 +158,7 @@
         return self._compose(now, self.handle_message(now, message))
 
     def handle_message(self, now: float, message: GossipMessage) -> list[OutgoingMessage]:
-        """Handle a valid message and return the answers."""
+        """Handle a valid message and return the responses."""
         tree, members = self.aggregation_tree, self.members
         if tree and not tree.is_peer(message):
             return self._handle_foreign_message(now, tree, message)
@@ -191,7 +191,7 @@
                 self.outlier_detector.record(now, report.name, subject, bad_percent / 100.0, evidence, report.age_s)
 
     def _handle_foreign_message(self, now: float, tree: AggregationTree, message: GossipMessage) -> list[OutgoingMessage]:
-        """Answer a member of another group, or one without an aggregation tree: it sees this one alive and is no peer."""
+        """Answer a member of another group or without an aggregation tree, to show that this member is alive."""
         if message.sender == self.name:
             self.counts["names_elsewhere"] += message.address != self.members.address
         else:
@@ -204,15 +204,15 @@
         return [OutgoingMessage(message.address, ACK, number=message.number, is_brief=True)]
 
     def leave(self, now: float) -> list[Datagram]:
-        """Leave in an orderly way: notify some members, and return what is borrowed."""
+        """Leave gracefully: notify some members and return borrowed units."""
         outgoing = list(self.members.leave())
         outgoing += self.leases.return_borrowed(now)
         return self._compose(now, outgoing)
 
     def message_to(self, now: float, name: str, *, offers: Iterable[Offer] = (), extension: bytes = b"") -> list[Datagram]:
-        """Return a brief message to a member, or nothing where it is unknown.
+        """Return a brief message to a member, or nothing if it is unknown.
 
-        Updates and reports go with the heartbeats: with hundreds of brief messages a second, each would pay for them.
+        Updates and reports are sent with heartbeats only; adding them to hundreds of brief messages per second costs too much.
         """
         member = self.members.view.get(name)
         if member is None:
@@ -223,7 +223,7 @@
     # Queries.
 
     def take_changes(self) -> list[MembershipChange]:
-        """Return the changes of membership since the last call."""
+        """Return the membership changes since the last call."""
         changes, self.members.changes = self.members.changes, []
         return changes
 
@@ -232,18 +232,18 @@
         return self.aggregation_tree.totals(now) if self.aggregation_tree else {}
 
     def usable_quota(self, now: float, budget: int, lasts: float = 0.0) -> int:
-        """Return the units of a budget that may be used now, by something that occupies them for `lasts` seconds."""
+        """Return the units of a budget that may be used now for `lasts` seconds."""
         return self.quotas[budget].usable(now, lasts)
 
     def is_judged_unhealthy(self) -> bool:
-        """Return whether this member or its interpreter is ejected; never while few members are heard."""
+        """Return whether this member or its interpreter is ejected; always False while the view is frozen."""
         return not self.members.frozen and (self.name in self.ejected or interpreter_of(self.name) in self.ejected)
 
     def free_fraction(self, now: float) -> float:
-        """Return the fraction of the other members' slots that is free; negative where most are silent.
+        """Return the free fraction of the other members' slots; negative if most members are silent.
 
-        With an aggregation tree of the own group alone: a hash draws its members from the zone, so that they stand for it, and
-        their figures are more recent than any summary.
+        With an aggregation tree only this member's group counts: a hash selects its members, so they are a representative
+        sample of the zone, and their figures are more recent than any summary.
         """
         return -1.0 if self.members.frozen else self.fleet_counters.free_fraction(now, set(self.members.alive()))
 
--- a/mulleinhatch/instance/gossip/counters.py
+++ b/mulleinhatch/instance/gossip/counters.py
@@ -1,8 +1,8 @@
-"""The last report of each member, and sums over all members that state how certain they are.
+"""The last report of each member, and sums over all members with lower and upper bounds.
 
-A figure of another member has an age. A silent member may have done anything from nothing to all that it can, so a sum is a
-range: the least counts what is known, the most adds what the silent members could have done. Memory is bounded: a row for
-each member, with four tenants each.
+Figures of other members have an age. A silent member may have done anything between nothing and its capacity, so a sum is a
+range: the lower bound counts known figures only, and the upper bound adds the capacity of silent members. Memory is bounded:
+one row per member, with four tenants each.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from mulleinhatch.instance.gossip.messages import Report
 
-# The order is on the wire. New figures go to the end: reports of an older version are shorter and lack them.
+# The order is part of the wire format. New figures are appended: reports of older versions are shorter and lack them.
 FIGURES = (
     "first_tries",
     "repeats",
@@ -29,28 +29,28 @@
     "pace",
     "load_ops",
     "load",
-)  # of the last four: amounts of evidence in tenths, values in thousandths
-# Totals since the start of the process, shown as rates; the other figures are current values.
+)  # the last four alternate amounts of evidence in tenths and values in thousandths
+# Totals since the start of the process, converted to rates; the other figures are current values.
 RATE_FIGURES = ("first_tries", "repeats", "acked", "nacked", "failed")
 INDEX_OF = {figure: index for index, figure in enumerate(FIGURES)}
-MIN_FIGURES = 8  # figures of the first version
-FRESH_FOR_S = 2.0  # an older report counts as missing
-MAX_HEAVY_HITTERS = 4  # tenants that a report names
+MIN_FIGURES = 8  # number of figures in the first version
+FRESH_FOR_S = 2.0  # older reports count as missing
+MAX_HEAVY_HITTERS = 4  # tenants listed in a report
 DROPPED_AFTER_S = 30.0
 
 
 class Range(NamedTuple):
-    """A figure over all members. The names of the fields are keys of the command line's JSON."""
+    """Bounds of a figure summed over all members. Field names are keys of the command line's JSON output."""
 
     least: float
     most: float
-    members: int  # that reported
-    silent: int  # of these, members whose report is too old
-    oldest: float  # seconds
+    members: int  # members that reported
+    silent: int  # how many of them have a report that is too old
+    oldest: float  # age of the oldest report in seconds
 
 
 class MemberFigures:
-    """The last report of a member, and an earlier one from which rates are measured. Slots: one for each member."""
+    """The last report of a member, and an earlier one as the base of rates. Uses slots because there is one per member."""
 
     __slots__ = ("report", "made_at", "previous", "previous_at")
 
@@ -59,7 +59,7 @@
         self.made_at = self.previous_at = made_at
 
     def value(self, figure: str) -> float:
-        """Return a rate per second or a current value; 0 for a figure that the report lacks."""
+        """Return a rate per second or a current value; 0 if the report lacks the figure."""
         index, figures = INDEX_OF[figure], self.report.figures
         if index >= len(figures):
             return 0.0
@@ -75,8 +75,8 @@
     """Reports of members, and sums over them.
 
     Args:
-        max_members: reports of further members are ignored.
-        fresh_for_s: after which a report counts as missing.
+        max_members: maximum number of members; reports of further ones are ignored.
+        fresh_for_s: age in seconds after which a report counts as missing.
 
     >>> counters = FleetCounters(max_members=10)
     >>> for number, served in ((1, 0), (2, 50)):
@@ -94,7 +94,7 @@
         self.rows: dict[str, MemberFigures] = {}
 
     def record(self, now: float, report: Report) -> bool:
-        """Record a report and return whether it was newer than what was known."""
+        """Record a report and return whether it was newer than the known one."""
         row, made_at = self.rows.get(report.name), now - report.age_s
         if now - made_at > self.dropped_after_s or len(report.figures) < MIN_FIGURES:
             return False
@@ -108,7 +108,7 @@
         if report.process_epoch != row.report.process_epoch:
             self.rows[report.name] = MemberFigures(report, made_at)
             return True
-        # The base of the rates moves only after a while: over a fraction of a second they would be noise.
+        # Rates need a long enough time base: over a fraction of a second they would be noise.
         if made_at - row.made_at >= 0.5 * min(FRESH_FOR_S, self.fresh_for_s) or row.previous is row.report:
             row.previous, row.previous_at = row.report, row.made_at
         row.report, row.made_at = report, max(made_at, row.made_at + 1e-6)
@@ -119,12 +119,12 @@
         return now - row.made_at <= self.fresh_for_s
 
     def drop_old(self, now: float) -> None:
-        """Drop reports of members that are silent for long."""
+        """Drop reports of members that have been silent for a long time."""
         for name in [name for name, row in self.rows.items() if now - row.made_at > self.dropped_after_s]:
             del self.rows[name]
 
     def total(self, now: float, figure: str) -> Range:
-        """Return the sum of a figure: rates per second, or current values."""
+        """Return the sum of a figure: a rate per second or a current value."""
 
         def bounds_of(row: MemberFigures) -> tuple[float, float]:
             value = row.value(figure)
@@ -135,7 +135,7 @@
     def tenant(self, now: float, name: str) -> Range:
         """Return the requests per second of a tenant.
 
-        A member that does not name it among its most active ones has at most as many of it as of the least active one named.
+        For a member that does not list the tenant, the rate of its least active listed tenant is an upper bound.
         """
 
         def bounds_of(row: MemberFigures) -> tuple[float, float]:
@@ -148,15 +148,15 @@
         return self._sum(now, bounds_of)
 
     def heavy_hitters(self, now: float, limit: int) -> list[tuple[str, Range]]:
-        """Return the most active tenants over all members, by what is known for certain."""
+        """Return the most active tenants over all members, ordered by the lower bounds of their rates."""
         names = {tenant for row in self.rows.values() for tenant, _ in row.report.heavy_hitters}
         tenants = ((name, self.tenant(now, name)) for name in names)
         return sorted(tenants, key=lambda tenant: (-tenant[1].least, tenant[0]))[:limit]
 
     def free_fraction(self, now: float, members: set[str]) -> float:
-        """Return the fraction of the members' slots that is free, at least.
+        """Return a lower bound of the free fraction of the members' slots.
 
-        A silent member counts as full. Negative where more than half of the members are silent.
+        A silent member counts as full. The result is negative if more than half of the members are silent.
         """
         free = slots = 0.0
         silent = len(members - self.rows.keys())
@@ -170,7 +170,7 @@
         return -1.0 if 2 * silent > len(members) or not members else free / max(1.0, slots)
 
     def _sum(self, now: float, bounds_of: Callable[[MemberFigures], tuple[float, float]]) -> Range:
-        """Add the least and the most of each row; a silent member adds at most its capacity."""
+        """Sum the bounds of all rows; a silent member adds its capacity to the upper bound."""
         least, most, silent, oldest = 0.0, 0.0, 0, 0.0
         for row in self.rows.values():
             age_s, (low, high) = now - row.made_at, bounds_of(row)
--- a/mulleinhatch/instance/gossip/group_summary.py
+++ b/mulleinhatch/instance/gossip/group_summary.py
@@ -1,4 +1,4 @@
-"""The own group's summary: computed from the reports of its members, published where it changed."""
+"""Summary of this member's group: computed from the reports of its members and published when it changes."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from mulleinhatch.instance.gossip.speaker_election import SpeakerElection
 from mulleinhatch.instance.gossip.summary_table import SENDS_TO_GROUPS, SUMMED, Total, with_age
 
-REFRESH_INTERVAL_S = 8.0  # published again after this time though nothing changed
+REFRESH_INTERVAL_S = 8.0  # an unchanged summary is published again after this time
 MIN_INTERVAL_S = 2.0  # between versions with the same members
-RELATIVE_CHANGE, ABSOLUTE_CHANGE = 0.125, 4  # change of a figure from which on a new version is published
+RELATIVE_CHANGE, ABSOLUTE_CHANGE = 0.125, 4  # a larger change of a figure publishes a new version
 
 
 class GroupSummary:
-    """Totals of the own group, and the version of them that was last published.
+    """Totals of this member's group and their last published version.
 
     Args:
-        location: of this member.
-        members: of the own group.
+        location: location of this member.
+        members: members of its group.
         fleet_counters: reports of the peers.
-        election: names the contacts of the group.
+        election: ranks the members, the first of which are the contacts of the group.
         published_at: start of the first refresh interval.
     """
 
@@ -40,7 +40,7 @@
         self.sends_left = 0
 
     def total(self, now: float) -> Total:
-        """Return the sums over the own group, from what each peer reported."""
+        """Return the sums over the group from the reports of its members."""
         counters = self.fleet_counters
         names = [member.name for member in self.members.view.values() if member.state <= SUSPECT]
         rows, silent, unknown, oldest = [self.own_figures] if self.own_figures else [], 0, 0.0, 0.0
@@ -56,7 +56,7 @@
         return Total(1 + len(names), silent, unknown, oldest, figures)
 
     def refresh(self, now: float) -> None:
-        """Publish a new version where the members or figures changed enough, or the last one is old."""
+        """Publish a new version if the members changed, figures changed enough, or the last version is old."""
         published = self.published
         summary = self.total(now).summary(GROUP, self.location.group, self._contacts())
         has_new_members = published is None or published.members != summary.members or published.contacts != summary.contacts
@@ -66,11 +66,11 @@
             self.sends_left = SENDS_TO_GROUPS if has_new_members else 1
 
     def current(self, now: float) -> Summary | None:
-        """Return the published version with its age: a former speaker must not present an old one as new."""
+        """Return the published version with its age, so that a former speaker does not present an old one as new."""
         return with_age(self.published, now - self.published_at) if self.published else None
 
     def has_unsent_change(self) -> bool:
-        """Return whether a change of the members was not sent to any other group yet."""
+        """Return whether a membership change was not sent to any other group yet."""
         return self.sends_left == SENDS_TO_GROUPS
 
     def _contacts(self) -> list[str]:
--- a/mulleinhatch/instance/gossip/heavy_hitters.py
+++ b/mulleinhatch/instance/gossip/heavy_hitters.py
@@ -1,7 +1,7 @@
 """The most active tenants in bounded memory: a Space-Saving sketch with exponential decay.
 
 A plain dict by tenant grows with each name that callers invent. The sketch holds a fixed number of names, and a tenant with
-more than `total / capacity` requests is always among them. Each count carries how much of it may belong to others.
+more than `total / capacity` requests is always among them. Each count has an error bound: the part that may belong to others.
 
 Source: Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams" (2005).
 """
@@ -12,17 +12,17 @@
 from typing import NamedTuple
 
 DECAY_INTERVAL_S = 1.0
-DECAY = 0.7  # of each count is left after an interval: the rates cover about 3 s
-MAX_DECAYED_SPAN_S = 3.3  # with the span at its limit and no counts left, further decay changes nothing
-MIN_COUNT = 0.05  # a name whose count decayed below this is dropped
+DECAY = 0.7  # factor applied to each count per interval, so that rates cover about 3 s
+MAX_DECAYED_SPAN_S = 3.3  # once the span exceeds this and no counts are left, further decay changes nothing
+MIN_COUNT = 0.05  # names whose count decays below this are dropped
 
 
 class HeavyHitter(NamedTuple):
     """A tenant with its rate."""
 
     name: str
-    rate: float  # per second, an upper bound
-    over: float  # part of the rate that may belong to others
+    rate: float  # upper bound in requests per second
+    over: float  # error bound: the part of the rate that may belong to others
 
 
 class HeavyHitters:
@@ -38,10 +38,10 @@
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.counts: dict[str, list[float]] = {}  # by name: the count, and how much of it may belong to others
-        self.queue: list[tuple[float, str]] = []  # a heap: counts as of when they were last compared
+        self.counts: dict[str, list[float]] = {}  # by name: the count and its error bound
+        self.queue: list[tuple[float, str]] = []  # a heap of counts as of their last comparison
         self.decayed_at: float | None = None
-        self.span_s = 0.0  # that a count covers, with the same decay
+        self.span_s = 0.0  # time that the counts cover, with the same decay
 
     def add(self, now: float, name: str, count: float = 1.0) -> None:
         """Count requests of a tenant."""
@@ -53,7 +53,7 @@
             self.counts[name] = [count, 0.0]
             heapq.heappush(self.queue, (count, name))
         else:
-            # The least active name gives up its entry and passes on its count: so no count is ever too low.
+            # The new name replaces the least active one and inherits its count, so that no count is ever too low.
             floor, least = self.queue[0]
             while self.counts[least][0] > floor:
                 heapq.heapreplace(self.queue, (self.counts[least][0], least))
@@ -77,7 +77,7 @@
             self.queue = sorted((count, name) for name, (count, _) in self.counts.items())
 
     def top(self, now: float, limit: int) -> list[HeavyHitter]:
-        """Return the most active names, highest rate first, without those of whose count most may belong to others."""
+        """Return the most active names, highest rate first, except those whose error bound exceeds half of the count."""
         self._decay(now)
         span_s = self.span_s + max(0.05, now - (self.decayed_at if self.decayed_at is not None else now))
         hitters = [
--- a/mulleinhatch/instance/gossip/introductions.py
+++ b/mulleinhatch/instance/gossip/introductions.py
@@ -1,4 +1,4 @@
-"""How members of other groups are found: pings to seeds and contacts, and the answers that name contacts closer by."""
+"""Discovery of members of other groups: pings to seeds and contacts, and responses with contacts closer to the sender."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 from mulleinhatch.instance.gossip.summary_composer import SummaryComposer
 from mulleinhatch.instance.gossip.summary_table import PartKey
 
-MAX_NEWCOMER_LOCATIONS = 128  # of which the last members that asked are kept, to introduce them to each other
-MAX_NEWCOMERS = 2  # by location
-MAX_PINGED = 64  # addresses whose last ping is remembered
+MAX_NEWCOMER_LOCATIONS = 128  # locations for which the last pinging members are kept, to introduce them to each other
+MAX_NEWCOMERS = 2  # per location
+MAX_PINGED = 64  # addresses whose last ping time is kept
 PING_INTERVAL_S = 1.0  # between pings to the same contact
-OWN_GROUP_PING_INTERVAL_S = 2.0  # between pings to the same contact of another part of the own group
+OWN_GROUP_PING_INTERVAL_S = 2.0  # between pings to the same contact of a separated part of this member's group
 
 
 class Introductions:
-    """Pings to other groups and answers to theirs.
+    """Pings to other groups and responses to theirs.
 
     Args:
-        location: of this member.
-        members: of the own group.
-        bounds: seeds.
-        composer: builds the summaries that go along.
+        location: location of this member.
+        members: members of its group.
+        bounds: settings with the seeds.
+        composer: builds the summaries to send.
         draw: returns a random integer below its argument.
     """
 
@@ -54,20 +54,20 @@
         self.pinged_at: dict[str, float] = {}
 
     def ping_next(self, now: float, addresses: Sequence[str]) -> Iterator[OutgoingMessage]:
-        """Ping one of the addresses, each in turn."""
+        """Ping the next address in round-robin order."""
         others = [address for address in addresses if address != self.members.address] or self.bounds.beyond
         if others:
             self.turn += 1
             yield self._ping(now, others[self.turn % len(others)])
 
     def ping_contacts(self, now: float, contacts: bytes) -> Iterator[OutgoingMessage]:
-        """Ping the contacts that an answer names."""
+        """Ping the contacts listed in a response."""
         for address in unpack_addresses(contacts):
             if address != self.members.address and self._may_ping(now, address, PING_INTERVAL_S):
                 yield self._ping(now, address)
 
     def merge_groups(self, now: float, summary: Summary) -> Iterator[OutgoingMessage]:
-        """Ping the speakers of the own group that this member does not know: of a part that is to be merged with this one."""
+        """Ping unknown speakers of this member's group, which belong to a separated part of it, in order to merge the parts."""
         if (summary.level, summary.name) != (GROUP, self.location.group):
             return
         known = {member.address for member in self.members.view.values() if member.state <= SUSPECT}
@@ -77,11 +77,11 @@
                 yield self._ping(now, address)
 
     def answer(self, now: float, message: GossipMessage, summaries: SummaryMessage) -> OutgoingMessage:
-        """Return the answer to another group's ping: contacts closer to the sender, and summaries that it may lack."""
+        """Return the response to another group's ping: contacts closer to the sender, and summaries that it may lack."""
         summary_data = b""
         if summaries.region:
             contacts = self._contacts_for(message.address, summaries)
-            # A sender without summaries is no speaker: it wants to know whom to ask, and at once.
+            # A sender without summaries is not a speaker and needs contacts only.
             known = self.composer.for_stranger(now, summaries) if summaries.summaries else []
             summary_data = self.composer.from_here(contacts=pack_addresses(contacts), summaries=known)
         return OutgoingMessage(message.address, ACK, number=message.number, is_brief=True, summary_data=summary_data)
@@ -99,7 +99,7 @@
         return contacts
 
     def _closest_part(self, summaries: SummaryMessage) -> PartKey:
-        """Return the row here that the sender's location belongs to."""
+        """Return the key of the row that the sender's location belongs to."""
         if summaries.region != self.location.region:
             return REGION, summaries.region
         if summaries.zone != self.location.zone:
--- a/mulleinhatch/instance/gossip/lease_exchange.py
+++ b/mulleinhatch/instance/gossip/lease_exchange.py
@@ -12,19 +12,19 @@
 from mulleinhatch.instance.gossip.messages import ALIVE, NOTICE, GossipMessage, LeaseMessage
 from mulleinhatch.instance.gossip.outgoing import OutgoingMessage
 
-DEMAND_SMOOTHING_S = 3.0  # by the demand of single windows, leases would never come to rest
+DEMAND_SMOOTHING_S = 3.0  # leases would keep changing if they followed the demand of single windows
 
 
 class LeaseExchange:
-    """This member's quotas, its demand for each, and the messages about them.
+    """This member's quotas, its demand for each, and the lease messages.
 
     Args:
-        bounds: the budgets.
+        bounds: settings with the budgets.
         seat: name under which this member owns a share.
-        members: whom to ask.
-        fleet_counters: reports, which say what members can spare.
+        members: membership, which knows the lenders.
+        fleet_counters: reports with the spare units of members.
         counts: counters of the node.
-        is_brief: whether lease messages go without other state, to save bytes.
+        is_brief: whether lease messages carry no other state, to save bytes.
         now: seconds of the caller's clock.
     """
 
@@ -63,9 +63,9 @@
                 yield self._create_request(now, index, lender, wanted)
 
     def _find_spares(self, now: float, index: int) -> list[tuple[str, int]]:
-        """Return members with what they can spare, those with most first.
+        """Return members and their spare units, largest first.
 
-        Among similar amounts the order is random: otherwise all members with a shortage would ask the same one.
+        Similar amounts are in random order; otherwise all members with a shortage would ask the same lender.
         """
         spares = [
             (name, row.report.spare_units[index])
@@ -87,7 +87,7 @@
         return OutgoingMessage(address, NOTICE, lender, is_brief=self.is_brief, lease_messages=[message])
 
     def handle_messages(self, now: float, message: GossipMessage) -> OutgoingMessage | None:
-        """Handle the lease messages of a datagram and return the answers to its requests, if there are any."""
+        """Handle the lease messages of a datagram and return the grants for its requests, if any."""
         grants = [grant for lease in message.lease_messages if (grant := self._handle(now, message, lease))]
         if not grants:
             return None
@@ -113,12 +113,12 @@
         return grant and LeaseMessage(lease.budget, grant.number, True, grant.amount, 0, message.process_epoch)
 
     def return_borrowed(self, now: float) -> Iterator[OutgoingMessage]:
-        """Yield the messages that give back all borrowed units."""
+        """Yield the messages that return all borrowed units."""
         for index, quota in enumerate(self.quotas):
             for lender, borrowed in quota.borrowed.items():
                 if borrowed.amount and lender in self.members.view:
                     yield self._create_request(now, index, lender, 0)
 
     def spare_units(self, now: float) -> list[int]:
-        """Return what this member can spare, by budget."""
+        """Return the units that this member can spare, by budget."""
         return [quota.spare_units(now, demand) for quota, demand in zip(self.quotas, self.demands)]
--- a/mulleinhatch/instance/gossip/locations.py
+++ b/mulleinhatch/instance/gossip/locations.py
@@ -1,4 +1,4 @@
-"""The location of a member in the aggregation tree: region, zone and group; and addresses in packed form."""
+"""Location of a member in the aggregation tree (region, zone and group), and packed addresses."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
     region: str
     zone: str
-    group: str  # index and number of groups, as in `3/16`
+    group: str  # index and number of groups, for example `3/16`
     index: int
     groups: int
-    key: int  # 32 bits, in each message: a sender with the same key is a peer
+    key: int  # 32 bits, sent in each message: a sender with the same key is a peer
 
 
 def locate(bounds: FleetBounds, name: str) -> GroupLocation | None:
-    """Return the group that a hash assigns to a member, or None without a zone.
+    """Return the group that a hash of its name assigns to a member, or None without a zone.
 
     >>> locate(FleetBounds("f"), "a")
     >>> location = locate(FleetBounds("f", zone="z", region="r", groups=16), "a")
@@ -52,7 +52,7 @@
 
 
 def pack_addresses(addresses: Iterable[str]) -> bytes:
-    """Return up to `MAX_CONTACTS` addresses as bytes; invalid ones are left out.
+    """Return up to `MAX_CONTACTS` addresses as bytes, without invalid ones.
 
     >>> unpack_addresses(pack_addresses(["127.0.0.1:80", "10.1.2.3:65535"]))
     ['127.0.0.1:80', '10.1.2.3:65535']
@@ -63,11 +63,11 @@
         try:
             packed += struct.pack("!4BH", *map(int, host.split(".")), int(port))
         except (struct.error, ValueError):
-            continue  # a number out of range
+            continue  # a number is out of range
     return packed[: ADDRESS_BYTES * MAX_CONTACTS]
 
 
 def unpack_addresses(packed: bytes) -> list[str]:
-    """Return the addresses of `pack_addresses`; an incomplete last one is ignored."""
+    """Return the addresses packed by `pack_addresses`; an incomplete last one is ignored."""
     complete = packed[: len(packed) // ADDRESS_BYTES * ADDRESS_BYTES]
     return ["%d.%d.%d.%d:%d" % fields for fields in struct.iter_unpack("!4BH", complete)]
--- a/mulleinhatch/instance/gossip/member.py
+++ b/mulleinhatch/instance/gossip/member.py
@@ -1,4 +1,4 @@
-"""Another member of the fleet, as this one sees it. Pure."""
+"""State of another member of the fleet, as seen by this one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Member:
-    """Another member, as this one sees it. Slots: there is one for each member."""
+    """Another member, as seen by this one. Uses slots because there is one per member."""
 
     __slots__ = ("name", "address", "process_epoch", "incarnation", "state", "since", "heard_at")
 
@@ -19,11 +19,11 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """What decides between two states of a member: the higher one is the newer."""
+        """The precedence of this state: of two states of a member, the one with the higher rank is newer."""
         return self.process_epoch, self.incarnation, self.state
 
     def to_update(self, now: float) -> MemberUpdate:
-        """Return the state as it is sent to others."""
+        """Return the state as an update for other members."""
         age_s = max(0.0, now - self.since) if self.state == SUSPECT else 0.0
         age_s = min(age_s, MAX_SUSPICION_AGE_S)
         return MemberUpdate(self.name, self.address, self.process_epoch, self.incarnation, self.state, age_s)
--- a/mulleinhatch/instance/gossip/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -1,8 +1,8 @@
-"""Membership: who is there, suspicion and its refutation, and doubt about a member's own connectivity.
+"""Membership: suspicion and refutation, and checks of this member's own connectivity.
 
-SWIM with Lifeguard's local health, and two differences. A member whose heartbeat was late, or to whom many fall silent at
-once, declares nobody gone; and a member that sent a message a moment ago is not gone, whatever others say. The cost of a
-heartbeat does not depend on the number of members. `docs/design/fleet.md` has the table of states.
+SWIM with Lifeguard's local health awareness and two differences. A member whose heartbeat was late, or for which many members
+fall silent at once, declares nobody gone; and a member that sent a message recently is never declared gone, whatever others
+report. The cost of a heartbeat does not depend on the number of members. `docs/design/fleet.md` has the table of states.
 
 Source: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate
 Failure Detection" (2018).
@@ -35,8 +35,8 @@
 from mulleinhatch.random_source import RandomSource
 
 HEARD_LATELY_S = 1.0  # a member that sent a message within this time is not declared gone
-SEED_INTERVAL = 10  # heartbeats between pings to a seed, for each 16 members
-DUPLICATE_SEEN_FOR_S = 3.0  # how long a message of a second instance of the own name counts
+SEED_INTERVAL = 10  # heartbeats between pings to a seed, per 16 members
+DUPLICATE_SEEN_FOR_S = 3.0  # time for which a message from a second instance with this member's name counts
 COUNTERS = (
     "probes",
     "probes_failed",
@@ -59,20 +59,20 @@
 
 
 class Membership:
-    """The other members, what is sent to them, and the state changes for the log.
+    """The other members, the messages to them, and their state changes for the log.
 
-    `heartbeat` and `handle_message` return what to send; `changes` collects what happened.
+    `heartbeat` and `handle_message` yield the messages to send; `changes` collects the state changes.
 
     Args:
-        name: of this member.
-        address: host:port under which the others reach it.
-        process_epoch: a number that grows with each restart of the process.
+        name: name of this member.
+        address: host:port at which the other members reach it.
+        process_epoch: number that increases with each restart of the process.
         bounds: settings.
-        seed: of the random choices.
+        seed: seed of the random choices.
         now: seconds of the caller's clock.
     """
 
-    update_overhead_bytes = 34  # an upper bound on what an update takes beside its name and address
+    update_overhead_bytes = 34  # upper bound of an encoded update's size without its name and address
 
     def __init__(self, name: str, address: str, process_epoch: int, bounds: FleetBounds, seed: int, now: float) -> None:
         self.name, self.address, self.process_epoch, self.incarnation = name, address, process_epoch, 0
@@ -83,18 +83,18 @@
         self.updates = UpdateQueue()
         self.changes: list[MembershipChange] = []
         self.heartbeat_at, self.started_at, self.seed_countdown = now, now, SEED_INTERVAL
-        self.frozen = False  # few members are heard: nobody is declared gone
+        self.frozen = False  # this member seems to be cut off and declares nobody gone
         self.left = False
-        self.ignores_suspicions_until = -1e9  # suspicions of others are about the time when few were heard
+        self.ignores_suspicions_until = -1e9  # until then, reported suspicions may date from the time when this view was frozen
         self.duplicate_seen_at = -1e9
-        self.outlived = False  # a later instance of the own name exists elsewhere
+        self.outlived = False  # an instance with this name that was started later exists elsewhere
 
     def alive(self) -> list[str]:
-        """Return the names of the other members that serve as far as is known, suspected ones too."""
+        """Return the names of the other members that are alive or only suspected."""
         return [member.name for member in self.view.values() if member.state <= SUSPECT]
 
     def is_serving(self, name: str) -> bool:
-        """Return whether a member is known to be alive, or is only suspected."""
+        """Return whether a member is alive or only suspected."""
         member = self.view.get(name)
         return member is not None and member.state <= SUSPECT
 
@@ -104,17 +104,17 @@
         return member is not None and now - member.heard_at <= HEARD_LATELY_S
 
     def has_duplicate_name(self, now: float) -> bool:
-        """Return whether another instance uses the own name, and was started later or was seen just now."""
+        """Return whether another instance uses this name and was started later or was seen recently."""
         return self.outlived or now - self.duplicate_seen_at < DUPLICATE_SEEN_FOR_S
 
     def opinions(self, now: float) -> list[tuple[str, int, int]]:
-        """Return observations of members by own probes; none while few members are heard."""
+        """Return observations of members by this member's probes; none while the view is frozen."""
         return [] if self.frozen else self.prober.evidence.opinions(now, self.is_serving)
 
     # Heartbeat.
 
     def heartbeat(self, now: float) -> Iterator[OutgoingMessage]:
-        """Run one period of the protocol and yield what to send."""
+        """Run one period of the protocol and yield the messages to send."""
         late_s = now - self.heartbeat_at - self.bounds.heartbeat_s
         self.heartbeat_at = now
         if late_s > self.bounds.late_after_s:
@@ -123,14 +123,14 @@
         self._judge_own_connectivity(now)
         self._declare_gone(now)
         if self.left:
-            # Repeated until the process ends: where most leave together, messages to a few would not reach those that stay.
+            # Repeated until the process ends: if most members leave together, a few messages would not reach the rest.
             for member in self.prober.random_alive(self.bounds.probes_per_heartbeat):
                 yield OutgoingMessage(member.address, NOTICE, member.name)
             return
         yield from self._probe_members(now)
 
     def _on_late_heartbeat(self, now: float) -> None:
-        """Restart all timers: what was not heard during a pause of this process says nothing about others."""
+        """Restart all timers: silence during a pause of this process proves nothing about other members."""
         self.counts["beats_late"] += 1
         self.prober.clear()
         self._reset_suspicions(now, SUSPECT)
@@ -143,15 +143,15 @@
         known = len(self.alive())
         self.seed_countdown -= 1
         if bounds.seeds and (known < 2 or self.seed_countdown <= 0):
-            # Not only to join: two groups that started by different seeds would stay apart for good. The interval grows with
-            # the number of members, or the load of a seed would.
+            # Needed after joining, too: two groups that joined through different seeds would never merge otherwise. The
+            # interval grows with the number of members; otherwise the load of a seed would.
             self.seed_countdown = SEED_INTERVAL * (1 + known // 16)
             seed = bounds.seeds[self.draw(len(bounds.seeds))]
             if seed != self.address:
                 yield OutgoingMessage(seed, PING)
 
     def _contact_gone_member(self, now: float) -> Iterator[OutgoingMessage]:
-        """Write to a random member that is gone, or forget it: so the end of a partition is noticed."""
+        """Contact a random member that is gone, to detect the end of a partition, or forget it."""
         if gone := [member for member in self.view.values() if member.state >= GONE]:
             member = gone[self.draw(len(gone))]
             if now - member.since > self.bounds.forget_after_s:
@@ -167,7 +167,7 @@
             self.counts["suspected"] += 1
 
     def _judge_own_connectivity(self, now: float) -> None:
-        """Freeze the view while this member seems to be cut off, and thaw it afterwards."""
+        """Freeze the view while this member seems to be cut off, and unfreeze it afterwards."""
         heard = count_members(now, self.view.values(), self.heard_lately)
         frozen = heard.is_cut_off(self.prober.evidence.most_failed())
         thaws = self.frozen and not frozen
@@ -182,7 +182,7 @@
             self._reset_suspicions(now, SUSPECT if frozen else ALIVE)
 
     def _reset_suspicions(self, now: float, state: int) -> None:
-        """Restart or lift suspicions from a time when few members were heard: else hundreds would have to refute theirs."""
+        """Restart or clear suspicions raised while few members were heard; otherwise hundreds would have to refute theirs."""
         for member in self.view.values():
             if member.state == SUSPECT:
                 member.state, member.since = state, now
@@ -204,9 +204,9 @@
     # Messages.
 
     def handle_message(self, now: float, message: GossipMessage) -> Iterator[OutgoingMessage]:
-        """Apply a message of the own fleet and yield the answers.
+        """Apply a message of this fleet and yield the responses.
 
-        An unknown sender becomes a member; a sender of an earlier process epoch changes nothing.
+        An unknown sender becomes a member; a message of an earlier process epoch changes nothing.
         """
         if message.sender == self.name:
             if message.process_epoch != self.process_epoch and message.address != self.address:
@@ -215,7 +215,7 @@
         known = self.view.get(message.sender)
         if known and message.process_epoch < known.process_epoch:
             self.counts["earlier_lives"] += 1
-            # It may be a second instance of that name, which learns so of the other.
+            # The sender may be a second instance with that name, which learns of the other one by this answer.
             yield OutgoingMessage(message.address, NOTICE, message.sender)
             return
         sender = MemberUpdate(message.sender, message.address, message.process_epoch, message.incarnation, ALIVE)
@@ -233,10 +233,10 @@
             yield from self.prober.on_ack(now, message)
 
     def _resolve_name_conflict(self, now: float, process_epoch: int, address: str) -> None:
-        """Handle another process epoch of the own name.
+        """Handle another process epoch of this member's name.
 
-        Under the own address it is an earlier process of this instance whose clock ran ahead: this one takes a later epoch.
-        Elsewhere it is a second instance beside this one: the later of the two stays, the other is outlived.
+        At this member's address it is an earlier process of this instance whose clock was ahead: this process takes a later
+        epoch. At another address it is a second instance: the later of the two stays, and the other is marked as outlived.
         """
         if process_epoch == self.process_epoch:
             return
@@ -278,18 +278,18 @@
             self.changes.append(MembershipChange(update.name, STATES[update.state], "reported by another member"))
 
     def _apply_known_suspicion(self, now: float, member: Member, update: MemberUpdate) -> None:
-        """Take over the earlier start of a suspicion that is known already."""
+        """Adopt the earlier start time of a suspicion that is already known."""
         is_same = update.state == SUSPECT == member.state and update.incarnation == member.incarnation
         if is_same and now >= self.ignores_suspicions_until:
             member.since = min(member.since, max(now - update.age_s, self.started_at))
 
     def _is_unreliable(self, now: float, member: Member, update: MemberUpdate) -> bool:
-        """Return whether an update that is newer than what is known must not be believed."""
+        """Return whether to ignore an update although it is newer than the known state."""
         if update.state == GONE:
-            # An isolated partition declares nobody gone, and a member that just sent a message is there.
+            # An isolated member accepts no such update, and a member that sent a message recently is alive.
             return self.frozen or self.heard_lately(now, update.name)
         return (
-            # Raised by an isolated member, or before this one was connected to the others again.
+            # The suspicion may have been raised by an isolated member, or before this one was reconnected.
             update.state == SUSPECT
             and not self.frozen
             and now < self.ignores_suspicions_until
@@ -297,7 +297,7 @@
         )
 
     def _apply_update_about_self(self, now: float, update: MemberUpdate) -> None:
-        """Refute a suspicion by a higher incarnation, or resolve a conflict of names."""
+        """Refute a suspicion with a higher incarnation, or resolve a name conflict."""
         if update.process_epoch != self.process_epoch:
             if update.address != self.address and update.state <= SUSPECT:
                 self._resolve_name_conflict(now, update.process_epoch, update.address)
@@ -308,18 +308,18 @@
             self.counts["refuted"] += 1
 
     def leave(self) -> Iterator[OutgoingMessage]:
-        """Leave in an orderly way: notify some members at once, who pass it on."""
+        """Leave gracefully: notify some members at once, which pass it on."""
         self.left = True
         for member in self.prober.random_alive(4 * self.bounds.indirect_probers):
             yield OutgoingMessage(member.address, NOTICE, member.name)
 
-    # Updates that messages carry.
+    # Updates in messages.
 
     def select_updates(self, now: float, free_bytes: int, to: str, all_members: bool = False) -> list[MemberUpdate]:
-        """Return the updates for a message, as many as fit.
+        """Return as many updates as fit into a message.
 
-        These are: the own state, the state of the receiver (which may refute it), recent changes, and members at random, by
-        which a new member learns of the fleet and two views become one.
+        These are this member's state, the receiver's state (which it may refute), recent changes, and random members, through
+        which a new member learns of the fleet and differing views converge.
         """
         selection = UpdateSelection(free_bytes, self.update_overhead_bytes)
         selection.add(self._own_update(LEFT if self.left else ALIVE))
@@ -330,7 +330,7 @@
         return selection.updates()
 
     def select_suspicion(self, now: float, to: str) -> list[MemberUpdate]:
-        """Return the updates for a brief message: none here."""
+        """Return the updates for a brief message; none without an aggregation tree."""
         return []
 
     def _own_update(self, state: int) -> MemberUpdate:
--- a/mulleinhatch/instance/gossip/message_composer.py
+++ b/mulleinhatch/instance/gossip/message_composer.py
@@ -1,4 +1,4 @@
-"""Turns an outgoing message into a datagram, and fills it with member updates, reports and summaries as far as they fit."""
+"""Encodes outgoing messages as datagrams and fills the free space with member updates, reports and summaries."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from mulleinhatch.instance.gossip.outgoing import Datagram, OutgoingMessage
 from mulleinhatch.instance.gossip.report_selection import ReportSelection
 
-ENVELOPE_BYTES = 64  # of a message beside its names and lists, at most
-LEASE_MESSAGE_BYTES, OFFER_BYTES = 40, 45  # at most
+ENVELOPE_BYTES = 64  # upper bound of a message's size without its names and lists
+LEASE_MESSAGE_BYTES, OFFER_BYTES = 40, 45  # upper bounds
 MAX_UPDATE_BYTES = 780  # for member updates; reports get the rest
-ALL_MEMBERS_RESERVE_BYTES = 60  # left for a report where all members are sent
+ALL_MEMBERS_RESERVE_BYTES = 60  # reserved for a report in a message with all members
 
 
 class MessageComposer:
@@ -22,9 +22,9 @@
 
     Args:
         fleet: name of the fleet.
-        members: this member and its updates.
-        tree: this member's part of the aggregation tree, if there is one.
-        reports: chooses the reports.
+        members: membership, which provides the member updates.
+        tree: aggregation tree, if there is one.
+        reports: selects the reports.
         counts: counters of the node.
     """
 
@@ -39,12 +39,12 @@
         self.fleet, self.members, self.tree, self.reports, self.counts = fleet, members, tree, reports, counts
 
     def compose(self, now: float, message: OutgoingMessage, pending_requests: int) -> Datagram:
-        """Return a message with its state as a datagram.
+        """Return a message and the state that it carries as a datagram.
 
         Args:
             now: seconds of the caller's clock.
-            message: what to send.
-            pending_requests: requests that this member queues and would hand over.
+            message: the message to send.
+            pending_requests: queued requests that this member could hand over.
         """
         members = self.members
         summary_data = message.summary_data or self._summaries_for(now, message)
@@ -80,7 +80,7 @@
         return Datagram(message.address, data)
 
     def _free_bytes(self, message: OutgoingMessage) -> int:
-        """Return the bytes for summaries, updates and reports."""
+        """Return the bytes available for summaries, updates and reports."""
         names = len(self.members.name) + len(self.members.address) + len(self.fleet) + len(message.subject)
         lists = LEASE_MESSAGE_BYTES * len(message.lease_messages) + OFFER_BYTES * len(message.offers)
         return MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - names - lists
--- a/mulleinhatch/instance/gossip/messages.py
+++ b/mulleinhatch/instance/gossip/messages.py
@@ -1,7 +1,7 @@
 """Datagrams between members: MessagePack arrays of at most 1,200 bytes, validated by msgspec.
 
-The order of the fields is the wire format: a new field goes to the end and has a default. A datagram of another fleet, of
-another version or of invalid form is never answered.
+The order of the fields is the wire format: new fields are appended and have a default. A datagram that is invalid or from
+another fleet or version is never answered.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 MAX_DATAGRAM_BYTES = 1200
 VERSION = 1
 
-# What `GossipMessage.kind` may be. The values are on the wire.
+# Values of `GossipMessage.kind`; they are part of the wire format.
 PING = "ping"
 ACK = "ack"
 PROBE_REQUEST = "help"  # asks the receiver to probe `subject` on behalf of the sender
-NOTICE = "word"  # carries state only; needs no answer
+NOTICE = "word"  # carries state only; needs no response
 
 Name = Annotated[str, Meta(min_length=1, max_length=40)]
 # Numeric addresses only: resolving a host name would block the sender's event loop.
@@ -36,49 +36,49 @@
 
     name: Name
     address: Address
-    process_epoch: Number  # grows with each restart of the process
-    incarnation: Number  # grows each time that the member refutes a suspicion
+    process_epoch: Number  # increases with each restart of the process
+    incarnation: Number  # increases each time the member refutes a suspicion
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
     age_s: Age = 0.0  # since the suspicion began
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """A member's own figures in the order of `counters.FIGURES`, and its observations of others."""
+    """A member's figures in the order of `counters.FIGURES`, and its observations of others."""
 
     name: Name
     process_epoch: Number
-    number: Number  # grows with each report of this process
-    age_s: Age  # since the report was made
-    figures: Annotated[list[Amount], Meta(max_length=16)]  # integers, because they make up most of a datagram
+    number: Number  # increases with each report of this process
+    age_s: Age  # time since the report was made
+    figures: Annotated[list[Amount], Meta(max_length=16)]  # integers for size: figures make up most of a datagram
     spare_units: Annotated[list[Amount], Meta(max_length=16)] = []  # by budget
     heavy_hitters: Annotated[list[tuple[Name, Figure]], Meta(max_length=4)] = []  # tenants, requests per second
-    # Subject, percent of the evidence that is bad, amount of evidence.
+    # Subject, percentage of bad evidence, amount of evidence.
     opinions: Annotated[list[tuple[Name, Annotated[int, Meta(ge=0, le=100)], Amount]], Meta(max_length=4)] = []
-    # Where peers may hand requests over to it.
+    # Address to which peers hand requests over.
     handover_address: Annotated[str, Meta(max_length=21, pattern=r"^([0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5})?$")] = ""
 
 
 class LeaseMessage(msgspec.Struct, array_like=True, frozen=True):
-    """A lease request (uses at most `amount` from now on, wants `wanted` in total) or a grant (`amount` may be used)."""
+    """A lease request (the borrower uses at most `amount` and wants `wanted` in total) or a grant of `amount` units."""
 
     budget: Annotated[int, Meta(ge=0, lt=16)]
     number: Number
     is_grant: bool
     amount: Amount
     wanted: Amount = 0
-    process_epoch: Number = 0  # of the borrower, in a grant: one meant for an earlier process is ignored
+    process_epoch: Number = 0  # in a grant: the borrower's epoch, since a grant for an earlier process must be ignored
 
 
 class Offer(msgspec.Struct, array_like=True, frozen=True):
     """Capacity for one request, reserved for the receiver of the message."""
 
-    number: Number  # grows with each offer of this process
+    number: Number  # increases with each offer of this process
     valid_for_s: Annotated[float, Meta(ge=0.0, le=60.0)]
-    address: Address  # where to send the request
+    address: Address  # to send the request to
 
 
 class GossipMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram: its kind, and the state that it carries along."""
+    """One datagram: its kind and the state that it carries."""
 
     version: int
     fleet: Name
@@ -88,15 +88,15 @@
     incarnation: Number
     kind: Annotated[str, Meta(pattern=r"^(ping|ack|help|word)$")]
     number: Number = 0  # of the ping that is sent, forwarded or acknowledged
-    subject: Annotated[str, Meta(max_length=40)] = ""  # member that an indirect probe is about
+    subject: Annotated[str, Meta(max_length=40)] = ""  # target of an indirect probe
     member_updates: Annotated[list[MemberUpdate], Meta(max_length=40)] = []
     reports: Annotated[list[Report], Meta(max_length=40)] = []
     lease_messages: Annotated[list[LeaseMessage], Meta(max_length=32)] = []
-    pending_requests: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # requests that the sender queues and would hand over
+    pending_requests: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # queued requests that the sender could hand over
     offers: Annotated[list[Offer], Meta(max_length=16)] = []
     extension: Annotated[bytes, Meta(max_length=1000)] = b""  # for protocols on top of gossip; opaque here
-    group_key: Number = 0  # `GroupLocation.key` of the sender; 0 from a member without an aggregation tree
-    # An encoded `SummaryMessage`. Decoded on its own, so that an invalid one does not invalidate the whole datagram.
+    group_key: Number = 0  # `GroupLocation.key` of the sender; 0 without an aggregation tree
+    # An encoded `SummaryMessage`, decoded separately so that an invalid one does not invalidate the whole datagram.
     summary_data: Annotated[bytes, Meta(max_length=1000)] = b""
 
 
@@ -107,30 +107,30 @@
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True):
-    """Sums over a group, zone or region, as computed by one of its members `age_ds` tenths of a second ago."""
+    """Sums over a group, zone or region, computed by one of its members `age_ds` tenths of a second ago."""
 
     level: Annotated[int, Meta(ge=GROUP, le=REGION)]
     name: LocationName
     age_ds: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second
-    members: Amount  # that serve as far as is known
-    silent: Amount  # members of these whose figures are too old to count
-    unknown_capacity: Amount  # requests per second that the silent ones may serve
-    oldest_ds: Annotated[int, Meta(ge=0, le=864_000)]  # tenths of a second: age of the oldest figures that count
+    members: Amount  # members known to serve
+    silent: Amount  # how many of them have figures that are too old to count
+    unknown_capacity: Amount  # requests per second that the silent members may serve
+    oldest_ds: Annotated[int, Meta(ge=0, le=864_000)]  # age of the oldest counted figures in tenths of a second
     figures: Annotated[list[Amount], Meta(max_length=16)]
-    contacts: PackedAddresses = b""  # members that speak for it
+    contacts: PackedAddresses = b""  # its speakers
 
 
 class SummaryMessage(msgspec.Struct, array_like=True, frozen=True):
-    """What groups, zones and regions exchange; the names are empty between members of one group."""
+    """Summaries exchanged by groups, zones and regions; the names are empty between members of one group."""
 
     region: Annotated[str, Meta(max_length=32)] = ""
     zone: Annotated[str, Meta(max_length=32)] = ""
     group: Annotated[str, Meta(max_length=32)] = ""
-    wants_contacts: bool = False  # asks for contacts closer to its own location
-    contacts: PackedAddresses = b""  # the answer to that
+    wants_contacts: bool = False  # requests contacts closer to the sender's location
+    contacts: PackedAddresses = b""  # the response to such a request
     ages: Annotated[bytes, Meta(max_length=128)] = b""  # see `summary_table.encode_ages`
     summaries: Annotated[list[Summary], Meta(max_length=16)] = []
-    view_digest: Annotated[int, Meta(ge=0, le=0xFFFF)] = 0  # of the members that the sender sees in its group
+    view_digest: Annotated[int, Meta(ge=0, le=0xFFFF)] = 0  # hash of the members that the sender sees in its group
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -140,7 +140,7 @@
 
 
 class InvalidMessageError(ValueError):
-    """A datagram that is dropped. The text ends the counter's name: garbage, other_version, other_fleet or too_long."""
+    """A datagram that is dropped. The message is the suffix of a counter: garbage, other_version, other_fleet or too_long."""
 
 
 def encode(message: GossipMessage) -> bytes:
@@ -149,7 +149,7 @@
 
 
 def encoded_size(report: Report) -> int:
-    """Return the bytes that a report takes in a datagram."""
+    """Return the encoded size of a report in bytes."""
     return len(_encoder.encode(report))
 
 
@@ -183,7 +183,7 @@
 
 
 def decode_summary_message(data: bytes) -> SummaryMessage | None:
-    """Decode the summaries of a message, or return None where they are invalid.
+    """Decode the summaries of a message, or return None if they are invalid.
 
     >>> message = SummaryMessage("r", "z", "1/4", True)
     >>> decode_summary_message(encode_summary_message(message)).group, decode_summary_message(b"?")
@@ -201,7 +201,7 @@
 
 
 def _invalid_reason(datagram: bytes) -> str:
-    """Tell a newer version, whose fields may differ, from garbage by the first field."""
+    """Distinguish a newer version, whose fields may differ, from garbage by the first field."""
     try:
         fields = _list_decoder.decode(datagram)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/mulleinhatch/instance/gossip/outgoing.py
+++ b/mulleinhatch/instance/gossip/outgoing.py
@@ -1,4 +1,4 @@
-"""Messages on their way out, before they are encoded: what the parts of the gossip protocol ask `GossipNode` to send."""
+"""Outgoing messages before they are encoded."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to one address; `MessageComposer` adds the state that it carries along.
+    """A message to one address; `MessageComposer` adds the state that it carries.
 
-    A named tuple instead of a frozen dataclass: several are made each heartbeat, and it is built in a third of the time.
+    A named tuple because several are created per heartbeat, and a frozen dataclass takes three times as long to construct.
     """
 
     address: str
     kind: str
-    to: str = ""  # name of the receiver; empty where it is not known
+    to: str = ""  # name of the receiver; empty if unknown
     number: int = 0
     subject: str = ""
     is_brief: bool = False  # carries no member updates and no reports
-    sends_all_members: bool = False  # the receiver sees other members than the sender does
+    sends_all_members: bool = False  # the receiver's view differs from the sender's
     lease_messages: Sequence[LeaseMessage] = ()
     offers: Sequence[Offer] = ()
     extension: bytes = b""
@@ -28,7 +28,7 @@
 
 
 class Datagram(NamedTuple):
-    """Encoded bytes and the host:port that they go to."""
+    """Encoded bytes and their destination as host:port."""
 
     address: str
     data: bytes
--- a/mulleinhatch/instance/gossip/outlier_detection.py
+++ b/mulleinhatch/instance/gossip/outlier_detection.py
@@ -1,28 +1,28 @@
-"""Outlier detection by votes: which members, interpreters or downstream services most observers find failing.
+"""Outlier detection by votes on members, interpreters or downstream services that most observers find failing.
 
-A subject is any name. An observer's weight follows from its amount of evidence and its age, and never exceeds one vote,
-however often it reports. Nobody is ejected because of one observer, no more than a fraction at a time, and nobody where
-most look unhealthy (the cause is then something that all share); an isolated observer judges nothing. Where a
-single observer disagrees with all others, the fault is taken to be its own.
+A subject is any name. An observer's weight depends on the amount and age of its evidence and never exceeds one vote, however
+often it reports. A single observer cannot eject a subject, only a fraction of the subjects is ejected at a time, and none if
+most look unhealthy, since the cause is then shared. An isolated observer changes nothing. If a single observer disagrees with
+all others, the fault is assumed to be its own.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-FULL_VOTE_EVIDENCE = 20  # amount of evidence that makes a full vote
-MAX_AGE_S = 6.0  # after which an opinion weighs nothing
+FULL_VOTE_EVIDENCE = 20  # amount of evidence that counts as a full vote
+MAX_AGE_S = 6.0  # age at which an opinion has no weight
 MIN_VOTES = 2.0
-EJECT_AT, RETURN_BELOW = 0.6, 0.3  # bad fraction of the votes: ejected from the first on, back below the second
-MAX_EJECTED_FRACTION = 0.2  # of the subjects at a time, one at least
-MAX_UNHEALTHY_FRACTION = 0.5  # with more unhealthy subjects nobody is ejected
-SINGLE_ACCUSATION = 0.8  # bad fraction of one observer's evidence where all others find the subject healthy
+EJECT_AT, RETURN_BELOW = 0.6, 0.3  # bad fraction of the votes from which a subject is ejected, and below which it returns
+MAX_EJECTED_FRACTION = 0.2  # of the subjects at a time, but at least one subject
+MAX_UNHEALTHY_FRACTION = 0.5  # if more subjects are unhealthy, none is ejected
+SINGLE_ACCUSATION = 0.8  # bad fraction of an observer's evidence that makes it a single accuser
 
 
 class Opinion(NamedTuple):
-    """What one observer last reported of a subject."""
+    """An observer's last report on a subject."""
 
-    bad: float  # fraction of its evidence
+    bad: float  # bad fraction of the evidence
     evidence: int
     at: float
 
@@ -31,7 +31,7 @@
     """Opinions by subject and observer, and the subjects that are ejected.
 
     Args:
-        max_subjects: further subjects are ignored.
+        max_subjects: maximum number of subjects; further ones are ignored.
 
     >>> detector = OutlierDetector()
     >>> for observer in ("a", "b", "c"):
@@ -49,11 +49,11 @@
         self.max_subjects = max_subjects
         self.opinions: dict[str, dict[str, Opinion]] = {}
         self.ejected_since: dict[str, float] = {}
-        self.single_accusers: set[tuple[str, str]] = set()  # observer and the subject that only it finds unhealthy
-        self.blocked_ejections = 0  # that a limit prevented, in the last judgement
+        self.single_accusers: set[tuple[str, str]] = set()  # observers with the subject that only they find unhealthy
+        self.blocked_ejections = 0  # ejections that a limit prevented in the last call of `judge`
 
     def record(self, now: float, observer: str, subject: str, bad: float, evidence: int, age_s: float = 0.0) -> None:
-        """Record an opinion; an older one than is known changes nothing."""
+        """Record an opinion; one that is older than the known one changes nothing."""
         if subject not in self.opinions and len(self.opinions) >= self.max_subjects:
             return
         by_observer = self.opinions.setdefault(subject, {})
@@ -61,7 +61,7 @@
             by_observer[observer] = Opinion(bad, evidence, now - age_s)
 
     def vote(self, now: float, subject: str, observers: set[str]) -> tuple[float, float]:
-        """Return the fraction of the votes that finds a subject bad, and the weight of all votes."""
+        """Return the bad fraction of the votes on a subject, and the total weight of the votes."""
         bad = total = 0.0
         for observer, opinion in self.opinions.get(subject, {}).items():
             if observer in observers and observer != subject:
@@ -75,7 +75,7 @@
         Args:
             now: seconds of the caller's clock.
             observers: members whose opinions count.
-            is_isolated: whether this member is cut off from most others: then nothing changes.
+            is_isolated: whether this member is cut off from most others, in which case nothing changes.
         """
         self._drop_old(now)
         if is_isolated:
@@ -107,7 +107,7 @@
         return total > 0.0 and bad >= RETURN_BELOW
 
     def _eject(self, now: float, unhealthy: list[str], subjects: int) -> None:
-        """Eject as many as the limits allow, the worst first."""
+        """Eject as many subjects as the limits allow, the worst first."""
         self.blocked_ejections = 0
         if len(unhealthy) > MAX_UNHEALTHY_FRACTION * subjects:
             self.blocked_ejections = len(unhealthy)
--- a/mulleinhatch/instance/gossip/peer_groups.py
+++ b/mulleinhatch/instance/gossip/peer_groups.py
@@ -1,9 +1,9 @@
 """Membership of one group of a zone: `Membership` with a fraction of the messages, for groups of bounded size.
 
-Each member probes its successor on a ring of names, and now and then one at random; it probes its predecessor when it misses
-its messages. Before a suspected member is declared gone, each peer has probed it itself, and a member that refutes a
-suspicion notifies all its peers at once. In a group of a few dozen this costs little, and a pause of two seconds with loss
-of messages lets nobody be declared gone.
+Each member probes its successor on a ring of names and occasionally a random member; it probes its predecessor if no message
+from it arrives. Each peer probes a suspected member itself before declaring it gone, and a member that refutes a suspicion
+notifies all its peers at once. In a group of a few dozen members this costs little, and a pause of two seconds combined with
+message loss does not cause a member to be declared gone.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from mulleinhatch.instance.gossip.update_selection import UpdateSelection
 
 RING_PROBE_INTERVAL_S, RANDOM_PROBE_INTERVAL_S = 1.0, 3.0
-PREDECESSOR_TIMEOUT_S = 1.75  # without a message of the predecessor, after which it is probed
+PREDECESSOR_TIMEOUT_S = 1.75  # the predecessor is probed after this time without a message from it
 GONE_CONTACT_INTERVAL_S = 4.0
-SUSPECT_PROBE_DELAYS_S = (0.0, 1.2)  # after the start of a suspicion, when each peer probes the suspect itself
-REFUTATION_HEARTBEATS = 2  # heartbeats at which a member that refutes a suspicion notifies all peers
+SUSPECT_PROBE_DELAYS_S = (0.0, 1.2)  # times after the start of a suspicion at which each peer probes the suspect itself
+REFUTATION_HEARTBEATS = 2  # number of heartbeats at which a refuting member notifies all peers
 MOVED = "restarted in another group"
 
 
 class PeerGroup(Membership):
-    """The members of the own group; see `Membership` for the arguments.
+    """The members of this member's group; see `Membership` for the arguments.
 
     >>> from mulleinhatch.instance.gossip.messages import STATES
     >>> group = PeerGroup("a", "10.0.0.1:1", 7, FleetBounds("f"), 1, 0.0)
@@ -34,16 +34,16 @@
     ('left', [])
     """
 
-    update_overhead_bytes = 25  # close to the encoded size: so all of a group of a few dozen fit into one message
+    update_overhead_bytes = 25  # close to the encoded size, so that a group of a few dozen members fits into one message
 
     def __init__(self, name: str, address: str, process_epoch: int, bounds: FleetBounds, seed: int, now: float) -> None:
         super().__init__(name, address, process_epoch, bounds, seed, now)
-        # At random offsets: members that were started together would all probe at the same moment.
+        # Random offsets, so that members started together do not probe at the same time.
         self.ring_probed_at = now - RING_PROBE_INTERVAL_S * self.draw(100) / 100.0
         self.random_probed_at = now - RANDOM_PROBE_INTERVAL_S * self.draw(100) / 100.0
         self.predecessor_probed_at = self.gone_contacted_at = now
         self.refutations_left = 0
-        self.suspect_probes: dict[str, int] = {}  # by suspect: how often this member probed it
+        self.suspect_probes: dict[str, int] = {}  # by suspect: number of probes sent
 
     def _probe_members(self, now: float) -> Iterator[OutgoingMessage]:
         yield from self._send_refutation()
@@ -68,13 +68,13 @@
             yield from self._contact_gone_member(now)
 
     def _ring_neighbour(self, step: int) -> str:
-        """Return the successor (1) or predecessor (-1) among those alive, by name; empty where there is none."""
+        """Return the name of the successor (1) or predecessor (-1) among the members alive; empty if there is none."""
         ring = sorted([self.name, *(member.name for member in self.view.values() if member.state == ALIVE)])
         name = ring[(ring.index(self.name) + step) % len(ring)]
         return name if name != self.name else ""
 
     def _probe_suspects(self, now: float) -> Iterator[OutgoingMessage]:
-        """Ping each suspect; not as a probe, since a timeout here must not raise a further suspicion."""
+        """Ping each suspect; the pings are not tracked as probes, since a timeout must not raise another suspicion."""
         suspects = {member.name: member for member in self.view.values() if member.state == SUSPECT}
         self.suspect_probes = {name: count for name, count in self.suspect_probes.items() if name in suspects}
         for name, member in suspects.items():
@@ -98,7 +98,7 @@
             self.refutations_left = REFUTATION_HEARTBEATS
 
     def on_foreign_message(self, now: float, message: GossipMessage) -> None:
-        """Handle a message from outside the group: only what it says about this member matters, and where the sender is."""
+        """Handle a message from outside the group: use only updates about this member and the sender's location."""
         for update in message.member_updates:
             if update.name == self.name and update.address == self.address:
                 self._apply_update_about_self(now, update)
@@ -107,21 +107,21 @@
             self.on_peer_moved(now, message.sender, message.process_epoch)
 
     def on_peer_moved(self, now: float, name: str, process_epoch: int) -> None:
-        """Mark a peer that was restarted in another group, or without an aggregation tree, as left: it is not gone."""
+        """Mark a peer that was restarted in another group or without an aggregation tree as left, since it is not gone."""
         member = self.view[name]
         if member.state != LEFT:
             member.process_epoch = process_epoch
             self._set_state(now, member, LEFT, MOVED)
 
     def select_suspicion(self, now: float, to: str) -> list[MemberUpdate]:
-        """Return the receiver's own suspicion, which it otherwise might answer again and again without refuting it."""
+        """Return the suspicion of the receiver, which otherwise might keep answering pings without refuting it."""
         member = self.view.get(to)
         return [member.to_update(now)] if member and member.state in (SUSPECT, GONE) else []
 
     def select_updates(self, now: float, free_bytes: int, to: str, all_members: bool = False) -> list[MemberUpdate]:
-        """Return recent changes and a doubtful state of the receiver; all members for one that sees others than this one."""
+        """Return recent changes and the receiver's state unless it is alive; with `all_members`, all members as well."""
         selection = UpdateSelection(free_bytes, self.update_overhead_bytes)
-        if self.left:  # otherwise the message itself proves that this member is alive
+        if self.left:  # otherwise the message itself shows that this member is alive
             selection.add(self._own_update(LEFT))
         if (member := self.view.get(to)) and member.state != ALIVE:
             selection.add(member.to_update(now))
@@ -132,6 +132,6 @@
 
     def _add_all_members(self, now: float, selection: UpdateSelection, to: str) -> None:
         serving = [member for member in self.view.values() if member.state <= SUSPECT and member.name != to]
-        start = self.draw(len(serving)) if serving else 0  # at random: where not all fit, the others go another time
+        start = self.draw(len(serving)) if serving else 0  # random, so that members that do not fit are sent another time
         for member in serving[start:] + serving[:start]:
             selection.add(member.to_update(now))
--- a/mulleinhatch/instance/gossip/probing.py
+++ b/mulleinhatch/instance/gossip/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection: direct and indirect probes, and the evidence that their outcomes give.
+"""Failure detection: direct and indirect probes, and the evidence from their outcomes.
 
 Source: Das, Gupta, Motivala, "SWIM" (2002), sections 3.1 (probes) and 4.3 (each round in a new random order).
 """
@@ -13,31 +13,31 @@
 from mulleinhatch.instance.gossip.messages import ACK, ALIVE, PING, PROBE_REQUEST, SUSPECT, GossipMessage
 from mulleinhatch.instance.gossip.outgoing import OutgoingMessage
 
-MAX_OUTCOMES = 16  # of the last probes, by which a member judges its own connectivity
+MAX_OUTCOMES = 16  # number of recent probe outcomes by which a member estimates its own connectivity
 MIN_OUTCOMES = 4
 EVIDENCE_HALVED_AFTER_S = 3.0
-MAX_OPINIONS = 2  # members reported at a time: the worst one, and the others in turn
-MAX_FORWARDED = 64  # probes on behalf of others that are kept, for each probe per heartbeat
+MAX_OPINIONS = 2  # members per report: the worst one, and the others in rotation
+MAX_FORWARDED = 64  # forwarded probes that are kept, per probe and heartbeat
 
 
 class PendingProbe(NamedTuple):
-    """A ping without an acknowledgement so far."""
+    """A ping that is not acknowledged yet."""
 
     name: str
     sent_at: float
-    is_indirect: bool  # other members were asked to probe, too
+    is_indirect: bool  # other members were also asked to probe
 
 
 class ForwardedProbe(NamedTuple):
     """A ping on behalf of another member."""
 
     requester: str
-    number: int  # of the requester's own ping
+    number: int  # number of the requester's ping
     subject: str
 
 
 class ProbeEvidence:
-    """Outcomes of this member's own probes, with exponential decay."""
+    """Outcomes of this member's probes, with exponential decay."""
 
     def __init__(self) -> None:
         self.outcomes: list[bool] = []
@@ -51,13 +51,13 @@
         self.evidence[name] = (failed + (not success), probes + 1.0, now)
 
     def most_failed(self) -> bool:
-        """Return whether more than half of the last probes failed, whoever they went to."""
+        """Return whether more than half of the recent probes failed, regardless of their targets."""
         return len(self.outcomes) >= MIN_OUTCOMES and self.outcomes.count(False) > len(self.outcomes) / 2
 
     def opinions(self, now: float, is_serving: Callable[[str], bool]) -> list[tuple[str, int, int]]:
-        """Return a few observations: name, percent of the probes that failed, number of probes.
+        """Return a few observations: name, percentage of failed probes, number of probes.
 
-        Members in good health are reported, too: from bad ones alone, a receiver would conclude that most are unhealthy.
+        Healthy members are reported, too; from unhealthy ones alone, a receiver would conclude that most are unhealthy.
         """
         for name in [name for name in self.evidence if not is_serving(name)]:
             del self.evidence[name]
@@ -79,14 +79,14 @@
 
 
 class Prober:
-    """Sends pings, repeats them, asks others to probe, and reports acknowledgements and timeouts.
+    """Sends and repeats pings, asks other members to probe, and reports acknowledgements and timeouts.
 
     Args:
-        bounds: timing, and how many members take part.
+        bounds: settings.
         view: the other members by name; owned by `Membership`.
         draw: returns a random integer below its argument.
         on_failure: called with the time and the member when a probe times out.
-        counts: counters of the membership; `probes` grows here.
+        counts: counters of the membership; this class increments `probes`.
     """
 
     def __init__(
@@ -105,12 +105,12 @@
         self.number = 0
 
     def clear(self) -> None:
-        """Drop all open probes, whose time out would say nothing."""
+        """Drop all pending probes, whose timeouts would prove nothing."""
         self.pending.clear()
         self.forwarded.clear()
 
     def next_targets(self, count: int) -> list[str]:
-        """Return whom to probe next, in rounds of a new random order: nobody waits longer than two rounds."""
+        """Return the next members to probe; each round has a new random order, so no member waits longer than two rounds."""
         chosen: list[str] = []
         serving = self._serving()
         while len(chosen) < min(count, len(serving)):
@@ -130,7 +130,7 @@
         return [alive.pop(self.draw(len(alive))) for _ in range(min(count, len(alive)))]
 
     def ping(self, now: float, member: Member) -> OutgoingMessage:
-        """Return a ping whose acknowledgement is awaited."""
+        """Return a ping and wait for its acknowledgement."""
         number = self.next_number()
         self.counts["probes"] += 1
         self.pending[number] = PendingProbe(member.name, now, False)
@@ -142,7 +142,7 @@
         return self.number
 
     def check(self, now: float) -> Iterator[OutgoingMessage]:
-        """Repeat pings without an acknowledgement, ask others to probe, and report timeouts."""
+        """Repeat unacknowledged pings, ask other members to probe, and report timeouts."""
         bounds = self.bounds
         for number, probe in list(self.pending.items()):
             member = self.view.get(probe.name)
@@ -154,7 +154,7 @@
                 self.evidence.record(now, probe.name, False)
                 self.on_failure(now, member)
             elif elapsed >= 0.5 * bounds.indirect_probe_after_s:
-                # Repeated each heartbeat: with 20% loss one attempt in three fails, and a wrong suspicion costs all members.
+                # Repeated each heartbeat: with 20% loss one attempt in three fails, and a false suspicion costs all members.
                 yield OutgoingMessage(member.address, PING, probe.name, number)
                 if not probe.is_indirect and elapsed >= bounds.indirect_probe_after_s:
                     self.pending[number] = probe._replace(is_indirect=True)
@@ -169,12 +169,12 @@
         subject = self.view.get(request.subject)
         if subject and subject.state <= SUSPECT:
             ping = self.ping(now, subject)
-            del self.pending[ping.number]  # not this member's own probe: a timeout must not raise a suspicion
+            del self.pending[ping.number]  # a timeout of a forwarded probe must not raise a suspicion here
             self.forwarded[ping.number] = ForwardedProbe(request.sender, request.number, request.subject)
             yield ping
 
     def on_ack(self, now: float, ack: GossipMessage) -> Iterator[OutgoingMessage]:
-        """Handle an acknowledgement: of an own ping, by way of another member, or for another member."""
+        """Handle an acknowledgement of a direct, indirect or forwarded ping."""
         if ack.subject:
             self._acknowledge(now, ack.number, ack.subject)
         elif ack.number in self.forwarded:
--- a/mulleinhatch/instance/gossip/remote_links.py
+++ b/mulleinhatch/instance/gossip/remote_links.py
@@ -1,4 +1,4 @@
-"""Links to other zones and regions: one group keeps each, and a second one at a slower pace in case the first is cut off."""
+"""Links to other zones and regions: one group maintains each link, and a standby group at a lower rate."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from mulleinhatch.instance.gossip.summary_composer import SummaryComposer
 from mulleinhatch.instance.gossip.summary_table import STALE_AFTER_S, PartKey, ReceivedSummary, Total
 
-LINK_INTERVAL_S, STANDBY_LINK_INTERVAL_S = 2.5, 5.0  # between messages over a link, by its keeper and by the second
-SEED_INTERVAL_S, MISSING_SEED_INTERVAL_S = 20.0, 5.0  # between pings to remote seeds; where some zone or region is not heard
+LINK_INTERVAL_S, STANDBY_LINK_INTERVAL_S = 2.5, 5.0  # between messages over a link, by its primary and standby group
+SEED_INTERVAL_S, MISSING_SEED_INTERVAL_S = 20.0, 5.0  # between pings to remote seeds; the second if a zone or region is silent
 MIN_INTERVAL_S = 0.1  # between messages about changes
-MAX_CHANGE_SENDS = 2  # how often a change goes over a link at once: one message may be lost
-URGENT_EXCESS = 4000.0  # bytes above the rate up to which changes are sent at once
+MAX_CHANGE_SENDS = 2  # immediate sends of a change over a link, since one message may be lost
+URGENT_EXCESS = 4000.0  # changes are sent at once up to this many bytes above the rate
 
 
 def choose_contact(now: float, row: ReceivedSummary, draw: Callable[[int], int]) -> str:
-    """Return whom to write to: mostly the speaker, now and then its standby, and earlier speakers where nothing is heard."""
+    """Return a contact: mostly the speaker, sometimes its standby, and also earlier speakers if the row is aging."""
     is_aging = now - row.seen_at > 0.5 * STALE_AFTER_S[row.summary.level]
     candidates = len(row.contacts) if is_aging else min(2, len(row.contacts))
     return row.contacts[0 if draw(8) else draw(candidates)]
 
 
 class RemoteLinks:
-    """What a speaker sends to other zones and regions.
+    """A speaker's links to other zones and regions.
 
     Args:
-        composer: builds the messages from the table of summaries.
-        election: which links the own group keeps.
+        composer: builds the messages from the summary table.
+        election: decides which links this member's group maintains.
         introductions: pings the remote seeds.
-        byte_rate: of this member's traffic.
-        seeds_pinged_at: start of the first interval of the remote seeds.
+        byte_rate: rate of this member's traffic.
+        seeds_pinged_at: start of the first interval between pings to remote seeds.
     """
 
     def __init__(
@@ -48,11 +48,11 @@
         self.composer, self.election, self.introductions, self.byte_rate = composer, election, introductions, byte_rate
         self.table, self.draw, self.seeds = composer.table, composer.draw, introductions.bounds.beyond
         self.sent_at: dict[PartKey, float] = {}
-        self.sent_counts: dict[PartKey, tuple[list[int], int]] = {}  # numbers of members last sent, and how often
+        self.sent_counts: dict[PartKey, tuple[list[int], int]] = {}  # member counts last sent, and how often
         self.seeds_pinged_at = seeds_pinged_at
 
     def heartbeat(self, now: float) -> Iterator[OutgoingMessage]:
-        """Send what is due over the links that the own group keeps, and ping a remote seed now and then."""
+        """Send due messages over the links that this member's group maintains, and ping remote seeds periodically."""
         totals: dict[str, Total] = {}
         for key, row in list(self.table.rows.items()):
             since_s = now - self.sent_at.get(key, -1e9)
@@ -75,14 +75,14 @@
         yield from self._ping_seeds(now)
 
     def _member_counts(self, key: PartKey, totals: dict[str, Total]) -> list[int]:
-        """Return the numbers of members that go over a link; where they differ, the change is sent at once."""
+        """Return the member counts to send over a link; a change of them is sent at once."""
         if key[0] == REGION:
             return [totals["region"].members]
         regions = [row.summary.members for (level, _), row in self.table.rows.items() if level == REGION]
         return [totals["zone"].members, *regions]
 
     def _ping_seeds(self, now: float) -> Iterator[OutgoingMessage]:
-        """Look for zones and regions that nobody here knows of, seldom where all known ones are heard."""
+        """Ping remote seeds to discover unknown zones and regions, less often if all known ones are heard."""
         heard = [not row.is_stale(now) for (level, _), row in self.table.rows.items() if level != GROUP]
         interval_s = SEED_INTERVAL_S if heard and all(heard) else MISSING_SEED_INTERVAL_S
         is_due = self.seeds and now - self.seeds_pinged_at >= interval_s
--- a/mulleinhatch/instance/gossip/report_selection.py
+++ b/mulleinhatch/instance/gossip/report_selection.py
@@ -1,4 +1,4 @@
-"""This member's own reports, and which reports of others it passes on with a message."""
+"""This member's reports, and the selection of reports that a message carries."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from mulleinhatch.instance.gossip.members import Membership
 from mulleinhatch.instance.gossip.messages import Report, encoded_size
 
-MAX_OPINIONS = 3  # in a report
-MAX_RELAYED = 8  # reports of others in a message
-# With an aggregation tree, where bytes are few:
-GROUP_REPORT_BYTES = 150  # of a message
-GROUP_RELAYS = 3  # how often each member passes on a report
-GROUP_MAX_EXCESS = 1000.0  # bytes above the rate beyond which reports of others are not passed on
-GROUP_OPINIONS_EVERY = 4  # reports
-GROUP_HEAVY_HITTERS = 1  # tenants that a report names
+MAX_OPINIONS = 3  # per report
+MAX_RELAYED = 8  # reports of other members per message
+# Limits with an aggregation tree, which has a small byte rate:
+GROUP_REPORT_BYTES = 150  # bytes of reports per message
+GROUP_RELAYS = 3  # number of times that each member relays a report
+GROUP_MAX_EXCESS = 1000.0  # reports of other members are not relayed beyond this many bytes above the rate
+GROUP_OPINIONS_EVERY = 4  # one report in this many has opinions
+GROUP_HEAVY_HITTERS = 1  # tenants listed in a report
 
 
 class LocalState(NamedTuple):
-    """What this instance reports about itself."""
+    """This instance's state, as reported to others."""
 
     figures: list[int] = [0] * len(FIGURES)
     demands: tuple[float, ...] = ()  # units per window, by budget
     heavy_hitters: Sequence[tuple[str, float]] = ()  # tenants with requests per second, the most active first
-    opinions: Sequence[tuple[str, int, int]] = ()  # subject, percent of the evidence that is bad, amount of evidence
+    opinions: Sequence[tuple[str, int, int]] = ()  # subject, percentage of bad evidence, amount of evidence
 
 
 class ReportSource:
-    """Makes this member's own reports.
+    """Creates this member's reports.
 
     Args:
-        members: this member, and observations of others by probes.
-        spare_units: returns what can be spared by budget, at a time.
+        members: membership, which provides observations of other members by probes.
+        spare_units: returns the spare units by budget at a given time.
         is_grouped: whether the member belongs to an aggregation tree.
     """
 
@@ -42,13 +42,13 @@
         self.members, self.spare_units, self.is_grouped = members, spare_units, is_grouped
         self.local = LocalState()
         self.made_at, self.number = -1e9, 0
-        self.opinions: list[tuple[str, int, int]] = []  # of the current report
+        self.opinions: list[tuple[str, int, int]] = []  # opinions of the current report
         self.handover_address = ""
 
     def start_report(self, now: float) -> None:
-        """Begin a new report.
+        """Start a new report.
 
-        Only some reports have opinions: these make one half as long again, and more reports fit into a message without.
+        Only some reports have opinions, which make a report 50% larger; more reports without them fit into a message.
         """
         self.made_at = now
         self.number += 1
@@ -57,7 +57,7 @@
         self.opinions = opinions[:MAX_OPINIONS]
 
     def current(self, now: float) -> Report:
-        """Return the current report with its age; what can be spared is as of now."""
+        """Return the current report with its age and the spare units as of now."""
         return Report(
             self.members.name,
             self.members.process_epoch,
@@ -77,24 +77,24 @@
 
 
 class ReportSelection(Protocol):
-    """Chooses the reports of a message."""
+    """Selects the reports of a message."""
 
     def choose(self, now: float, free_bytes: int, to: str) -> list[Report]:
-        """Return reports that fit into `free_bytes`, for the member named `to`."""
+        """Return reports for the member `to` that fit into `free_bytes`."""
 
     def record_repeated(self, report: Report) -> None:
-        """Note that a report arrived again: others pass it on, too."""
+        """Record that a report arrived again because other members relay it, too."""
 
 
 class FlatReportSelection:
-    """The own report, and those of the others in turn."""
+    """Selects this member's report, and those of other members in rotation."""
 
     def __init__(self, source: ReportSource, fleet_counters: FleetCounters, draw: Callable[[int], int]) -> None:
         self.source, self.fleet_counters, self.draw = source, fleet_counters, draw
         self.order: list[str] = []
 
     def choose(self, now: float, free_bytes: int, to: str) -> list[Report]:
-        """Return the own report and the next ones, as many as fit."""
+        """Return this member's report and as many of the next ones as fit."""
         chosen: list[Report] = []
         if self.source.number:
             own = self.source.current(now)
@@ -127,21 +127,21 @@
         return True
 
     def record_repeated(self, report: Report) -> None:
-        """Do nothing: each report has its turn."""
+        """Do nothing, since reports are sent in rotation."""
 
 
 class GroupReportSelection:
-    """The reports that were passed on least often, the newest first, each a few times.
+    """Selects the least relayed reports, newest first, and relays each a few times.
 
-    Most peers then hear of a report at once, and the others of the next one.
+    Most peers then receive a report quickly, and the rest receive the following one.
     """
 
     def __init__(self, source: ReportSource, fleet_counters: FleetCounters, byte_rate: ByteRate) -> None:
         self.source, self.fleet_counters, self.byte_rate = source, fleet_counters, byte_rate
-        self.relays: dict[str, tuple[int, int]] = {}  # by member: number of the report, how often it was passed on
+        self.relays: dict[str, tuple[int, int]] = {}  # by member: number of the report, and how often it was relayed
 
     def choose(self, now: float, free_bytes: int, to: str) -> list[Report]:
-        """Return reports within the bytes that a group has for them."""
+        """Return reports within the byte limit of a group."""
         free_bytes, chosen = min(free_bytes, GROUP_REPORT_BYTES), []
         for relays, age_s, name in self._candidates(now, to):
             if name == self.source.members.name:
@@ -158,16 +158,16 @@
         return chosen
 
     def record_repeated(self, report: Report) -> None:
-        """Count another member's message as if it were an own one."""
+        """Count a relay by another member as if this one had relayed the report."""
         self.relays[report.name] = report.number, self._relays_of(report.name, report.number) + 1
 
     def _candidates(self, now: float, to: str) -> list[tuple[int, float, str]]:
-        """Return how often a report was passed on, its age and its member, in the order of preference."""
+        """Return the relay count, age and member of each candidate report in order of preference."""
         candidates = []
         if self.source.number:
             own_name = self.source.members.name
             candidates.append((self._relays_of(own_name, self.source.number), 0.0, own_name))
-        if self.byte_rate.excess <= GROUP_MAX_EXCESS:  # a speaker, which sends more, leaves the relaying to its peers
+        if self.byte_rate.excess <= GROUP_MAX_EXCESS:  # speakers send more and leave relaying to their peers
             for name, row in self.fleet_counters.rows.items():
                 relays = self._relays_of(name, row.report.number)
                 if name != to and relays < GROUP_RELAYS and self.fleet_counters.is_fresh(now, row):
@@ -180,7 +180,7 @@
 
 
 def with_age(report: Report, age_s: float) -> Report:
-    """Return a report as it is passed on. Built field by field: several are made for each message."""
+    """Return a copy of a report with the given age, built field by field for speed: each message needs several."""
     return Report(
         report.name,
         report.process_epoch,
@@ -195,7 +195,7 @@
 
 
 def estimate_size(report: Report) -> int:
-    """Return about how many bytes a report takes, without encoding it."""
+    """Return an estimate of a report's encoded size in bytes."""
     return (
         35
         + len(report.name)
--- a/mulleinhatch/instance/gossip/speaker_election.py
+++ b/mulleinhatch/instance/gossip/speaker_election.py
@@ -1,7 +1,7 @@
-"""Which member speaks for its group, and which group and zone keep the links to the rest of the tree.
+"""Election of a group's speaker, and of the groups and zones that maintain the links to the rest of the tree.
 
-The speaker is the first living member by a rendezvous hash that each member computes for itself. There is no vote that could
-stall, and two speakers at a time do no harm: a summary has an age, and the latest one counts.
+The speaker is the first living member by a rendezvous hash that each member computes locally. There is no vote that could
+stall, and two speakers at the same time are harmless, since a summary has an age and the latest one counts.
 
 Source: Thaler, Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998), for rendezvous hashing.
 """
@@ -11,42 +11,42 @@
 from mulleinhatch.instance.gossip.locations import GroupLocation, stable_hash
 from mulleinhatch.instance.gossip.messages import ALIVE, GROUP, REGION, ZONE
 from mulleinhatch.instance.gossip.peer_groups import PeerGroup
-from mulleinhatch.instance.gossip.summary_table import NON_SPEAKER_PATIENCE, PartKey, SummaryTable
+from mulleinhatch.instance.gossip.summary_table import NON_SPEAKER_STALE_FACTOR, PartKey, SummaryTable
 
-SILENT_AFTER_START_S = 5.0  # a member that was just started knows too few others to speak
+SILENT_AFTER_START_S = 5.0  # a newly started member knows too few others to be a speaker
 
 
 class SpeakerElection:
-    """The order of the members of the own group.
+    """Ranks the members of this member's group.
 
     Args:
-        location: of this member.
-        members: of the own group.
-        started_at: of this member.
+        location: location of this member.
+        members: members of its group.
+        started_at: start time of this member.
     """
 
     def __init__(self, location: GroupLocation, members: PeerGroup, started_at: float) -> None:
         self.location, self.members, self.started_at = location, members, started_at
         self.ranked: list[str] = []
-        # A member that is no speaker learns of other groups through its peers alone, which takes longer.
-        self.patience = 1.0
+        # Other members learn about other groups only through their peers, which takes longer.
+        self.stale_factor = 1.0
 
     def rank(self) -> int:
-        """Return this member's rank: 0 speaks, 1 stands by. With few members heard, or on leaving, it is the last one."""
+        """Return this member's rank: 0 is the speaker, 1 its standby. While frozen or after leaving, the rank is the last."""
         members = self.members
         names = [member.name for member in members.view.values() if member.state == ALIVE] + [members.name]
         location = self.location
         self.ranked = sorted(names, key=lambda name: stable_hash(location.group, location.zone, name), reverse=True)
         rank = len(names) if members.frozen or members.left else self.ranked.index(members.name)
-        self.patience = 1.0 if rank <= 1 else NON_SPEAKER_PATIENCE
+        self.stale_factor = 1.0 if rank <= 1 else NON_SPEAKER_STALE_FACTOR
         return rank
 
     def is_settled(self, now: float) -> bool:
-        """Return whether this member was started long enough ago to speak."""
+        """Return whether this member was started long enough ago to be a speaker."""
         return now - self.started_at >= SILENT_AFTER_START_S
 
     def is_speaker(self, now: float) -> bool:
-        """Return whether this member speaks for its group."""
+        """Return whether this member is the speaker of its group."""
         return self.is_settled(now) and self.rank() == 0
 
     def is_alone(self) -> bool:
@@ -54,9 +54,9 @@
         return len(self.ranked) == 1
 
     def link_rank(self, now: float, link: PartKey, table: SummaryTable) -> int:
-        """Return the own group's rank for a link to another zone or region: 0 keeps it, 1 stands by.
+        """Return the rank of this member's group for a link to another zone or region: 0 maintains it, 1 is the standby.
 
-        Added up from the own group's rank in its zone, and for another region the own zone's rank in its region.
+        The rank is the group's rank in its zone plus, for another region, the zone's rank in its region.
         """
         levels = [(GROUP, self.location.group)]
         if link[0] == REGION:
--- a/mulleinhatch/instance/gossip/summary_composer.py
+++ b/mulleinhatch/instance/gossip/summary_composer.py
@@ -1,4 +1,4 @@
-"""Which summaries each kind of receiver is sent, within the bytes that a message has for them."""
+"""Selects the summaries for each kind of receiver within the byte limit of a message."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 MAX_SUMMARY_BYTES = 640
 MAX_SUMMARIES_TO_PEER, MAX_SUMMARIES_TO_GROUP = 3, 6
-GROUP_REFRESH_INTERVALS_S = (8.0, 4.0, 4.0)  # by level: a row is sent between groups again though nothing changed
-PEER_REFRESH_INTERVAL_S = 12.0  # and between peers
+GROUP_REFRESH_INTERVALS_S = (8.0, 4.0, 4.0)  # by level: between sends of an unchanged row to other groups
+PEER_REFRESH_INTERVAL_S = 12.0  # between sends of an unchanged row to peers
 
 
 class SummaryComposer:
     """Builds `SummaryMessage`s.
 
     Args:
-        location: of this member.
-        members: of the own group.
+        location: location of this member.
+        members: members of its group.
         table: summaries of other parts of the tree.
-        group_summary: the own group's.
-        election: whether this member speaks.
+        group_summary: summary of this member's group.
+        election: decides whether this member is the speaker.
         draw: returns a random integer below its argument.
     """
 
@@ -52,15 +52,20 @@
         self.group_summary, self.election, self.draw = group_summary, election, draw
 
     def totals(self, now: float) -> dict[str, Total]:
-        """Return the sums over `group`, `zone`, `region` and `fleet`, as far as is known here."""
-        patience = self.election.patience
+        """Return the sums over `group`, `zone`, `region` and `fleet`, as known to this member."""
+        stale_factor = self.election.stale_factor
         group = self.group_summary.total(now)
-        zone = group.plus(self.table.total(now, GROUP, patience))
-        region = zone.plus(self.table.total(now, ZONE, patience))
-        return {"group": group, "zone": zone, "region": region, "fleet": region.plus(self.table.total(now, REGION, patience))}
+        zone = group.plus(self.table.total(now, GROUP, stale_factor))
+        region = zone.plus(self.table.total(now, ZONE, stale_factor))
+        return {
+            "group": group,
+            "zone": zone,
+            "region": region,
+            "fleet": region.plus(self.table.total(now, REGION, stale_factor)),
+        }
 
     def view_digest(self) -> int:
-        """Return two bytes that stand for the members seen in the own group, this one included; never 0."""
+        """Return a two-byte hash of the members seen in this member's group, including itself; never 0."""
         digest = stable_hash(self.members.name)
         for member in self.members.view.values():
             if member.state <= SUSPECT:
@@ -68,15 +73,15 @@
         return digest & 0xFFFF or 1
 
     def ages(self, now: float) -> bytes:
-        """Return the ages of all parts, the own group included where this member speaks for it."""
+        """Return the ages of all parts of the tree, including this member's group if it is the speaker."""
         is_first = self.election.rank() == 0
         published = self.group_summary.published
         return self.table.encode_ages(now, published.members if is_first and published else None)
 
     def for_peer(self, now: float, is_ping: bool) -> bytes:
-        """Return changes, and of the rest what peers heard longest ago; empty where nothing is due.
+        """Return changes and then the rows sent to peers longest ago; empty if nothing is due.
 
-        A ping also has the ages, and a digest of the view, by which the receiver sees whether to send all members.
+        A ping also has the ages and a view digest, by which the receiver decides whether to send all members.
         """
         chosen: list[Summary] = []
         rows = sorted(self.table.rows.values(), key=lambda row: (-row.peer_sends_left, row.sent_to_peers_at))
@@ -92,7 +97,7 @@
         return fit_message(SummaryMessage(summaries=chosen)) if chosen else b""
 
     def for_group(self, now: float) -> bytes:
-        """Return what a speaker sends another group of its zone: the own summary, changes, and the rest in turn."""
+        """Return a speaker's message to another group of its zone: its group's summary, changes, and the rest in rotation."""
         chosen: list[Summary] = []
         if self.group_summary.sends_left and (own := self.group_summary.current(now)):
             self.group_summary.sends_left -= 1
@@ -109,13 +114,13 @@
         return self.from_here(ages=self.ages(now), summaries=chosen)
 
     def for_group_that_missed(self, now: float, missed: list[ReceivedSummary]) -> bytes:
-        """Return what another group's speaker has missed, the newest first."""
+        """Return the summaries that another group's speaker missed, newest first."""
         newest = sorted(missed, key=lambda row: -row.made_at)[:MAX_SUMMARIES_TO_GROUP]
         summaries = [row.relayed(now) for row in newest]
         return self.from_here(ages=self.ages(now), summaries=[*self._own_if_speaker(now), *summaries])
 
     def for_remote(self, now: float, level: int) -> list[Summary]:
-        """Return what another zone or region is sent: the own one's sums, and its siblings, so that it finds those."""
+        """Return the summaries for another zone or region: this one's sums, and its siblings, so that it discovers them."""
         totals = self.totals(now)
         contacts = [self.members.address, *self._contact_of_other_group(now)]
         if level == REGION:
@@ -128,9 +133,9 @@
         return [own, *siblings]
 
     def for_ping(self, now: float) -> bytes:
-        """Return what a ping to a member of another group carries: a request for contacts, and a speaker's summaries."""
+        """Return the contents of a ping to another group: a request for contacts and, from a speaker, summaries."""
         summaries: list[Summary] = []
-        # A member that is alone wants nothing but contacts.
+        # A member that is alone needs contacts only.
         if self.election.is_speaker(now) and not self.election.is_alone():
             own = self.group_summary.current(now)
             summaries = [own] if own else []
@@ -139,7 +144,7 @@
         return self.from_here(wants_contacts=True, summaries=summaries, view_digest=self.view_digest())
 
     def for_stranger(self, now: float, message: SummaryMessage) -> list[Summary]:
-        """Return what the sender of a ping from another group may not know: groups of the shared zone, else the own zone."""
+        """Return summaries that a pinging member of another group may lack: groups of a shared zone, else sums of this one."""
         if self.table.is_own_zone(message):
             rows = [row for (level, name), row in self.table.rows.items() if level == GROUP and name != message.group]
             own = self._own_if_speaker(now)
@@ -150,7 +155,7 @@
         return self.for_remote(now, REGION if message.region != self.location.region else ZONE)
 
     def from_here(self, **fields: object) -> bytes:
-        """Return an encoded message with the own location."""
+        """Return an encoded message with this member's location."""
         return fit_message(SummaryMessage(self.location.region, self.location.zone, self.location.group, **fields))
 
     def _own_if_speaker(self, now: float) -> list[Summary]:
@@ -158,7 +163,7 @@
         return [own] if own else []
 
     def _contact_of_other_group(self, now: float) -> list[str]:
-        """Return a speaker of another group, to be asked if all members of the own group are gone."""
+        """Return a speaker of another group, as a contact if all members of this group are gone."""
         names = sorted(
             name for (level, name), row in self.table.rows.items() if level == GROUP and row.contacts and not row.is_stale(now)
         )
@@ -166,7 +171,7 @@
 
 
 def fit_message(message: SummaryMessage) -> bytes:
-    """Encode a message, without its last summaries where it would be longer than `MAX_SUMMARY_BYTES`."""
+    """Encode a message, dropping its last summaries until it fits into `MAX_SUMMARY_BYTES`."""
     summaries = list(message.summaries)
     while len(data := encode_summary_message(message)) > MAX_SUMMARY_BYTES and summaries:
         summaries.pop()
--- a/mulleinhatch/instance/gossip/summary_table.py
+++ b/mulleinhatch/instance/gossip/summary_table.py
@@ -1,4 +1,4 @@
-"""The latest summaries of other groups, zones and regions, their totals, and which of them another member has missed."""
+"""The latest summaries of other groups, zones and regions, their totals, and comparison with another member's table."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 )
 from mulleinhatch.instance.gossip.messages import GROUP, REGION, ZONE, Summary, SummaryMessage
 
-SUMMED = FIGURES[:11]  # sums over members; the other figures are means with an amount of evidence each
+SUMMED = FIGURES[:11]  # figures that are summed; the others are means, each with an amount of evidence
 CAPACITY_INDEX = SUMMED.index("capacity")
 MAX_ROWS = (63, 15, 15)  # other groups of the zone, other zones of the region, other regions
-STALE_AFTER_S = (10.0, 12.0, 16.0)  # by level: with nothing heard for so long, all its members count as silent
-NON_SPEAKER_PATIENCE = 2.0  # times as long at a member that is no speaker
-SENDS_TO_GROUPS, SENDS_TO_PEERS = 3, 3  # how often a change of membership is sent at once
+STALE_AFTER_S = (10.0, 12.0, 16.0)  # by level: time without a summary after which all members count as silent
+NON_SPEAKER_STALE_FACTOR = 2.0  # multiplies that time at members that are not speakers
+SENDS_TO_GROUPS, SENDS_TO_PEERS = 3, 3  # immediate sends of a membership change
 MAX_AGE_DS = 864_000
-SAME_AGE_S = 0.05  # summaries made closer together than this are the same one
+SAME_AGE_S = 0.05  # summaries made less than this apart are treated as the same
 PartKey = tuple[int, str]  # level and name
 
 
 class Total(NamedTuple):
-    """Sums over a group, zone, region or the fleet. The names of the fields are keys of the command line's JSON."""
+    """Sums over a group, zone, region or the fleet. Field names are keys of the command line's JSON output."""
 
     members: int
-    silent: int  # members without figures that count, because they or their whole group are not heard
-    unknown: float  # requests per second that the silent ones may serve: what a sum may be higher
-    oldest: float  # seconds: age of the oldest figures that count
+    silent: int  # members without current figures, because they or their whole group are silent
+    unknown: float  # requests per second that the silent members may serve, by which a sum may be higher
+    oldest: float  # age of the oldest counted figures in seconds
     figures: dict[str, float]
 
     def plus(self, other: Total) -> Total:
@@ -55,7 +55,7 @@
         return self.figures[figure] + self.unknown
 
     def summary(self, level: int, name: str, contacts: Iterable[str]) -> Summary:
-        """Return the sums as a message, as of now."""
+        """Return the sums as a summary with age 0."""
         return Summary(
             level,
             name,
@@ -70,12 +70,12 @@
 
 
 def with_age(summary: Summary, age_s: float) -> Summary:
-    """Return a summary as of `age_s` seconds ago, rounded down."""
+    """Return a copy of a summary with the given age, rounded down."""
     return msgspec.structs.replace(summary, age_ds=min(MAX_AGE_DS, int(10.0 * age_s)))
 
 
 class ReceivedSummary:
-    """The latest summary of another group, zone or region. Slots: there is one for each."""
+    """The latest summary of another group, zone or region. Uses slots because there is one for each."""
 
     __slots__ = (
         "summary",
@@ -90,7 +90,7 @@
 
     def __init__(self, summary: Summary, made_at: float) -> None:
         self.summary, self.made_at = summary, made_at
-        # When somebody spoke for it: passed on in a byte at once, while the figures follow in turn.
+        # Time of its last sign of life. It is propagated as one byte in each age list, faster than the figures.
         self.seen_at = made_at
         self.contacts: list[str] = []
         self.group_sends_left = self.peer_sends_left = 0
@@ -98,17 +98,17 @@
         self.mark_changed()
 
     def mark_changed(self) -> None:
-        """Send it at once to other groups and to peers, a few times."""
+        """Schedule a few immediate sends to other groups and to peers."""
         self.group_sends_left, self.peer_sends_left = SENDS_TO_GROUPS, SENDS_TO_PEERS
 
-    def is_stale(self, now: float, patience: float = 1.0) -> bool:
-        """Return whether nobody spoke for it for so long that its members count as silent."""
-        return now - self.seen_at > patience * STALE_AFTER_S[self.summary.level]
+    def is_stale(self, now: float, stale_factor: float = 1.0) -> bool:
+        """Return whether its last sign of life is so old that its members count as silent."""
+        return now - self.seen_at > stale_factor * STALE_AFTER_S[self.summary.level]
 
-    def total(self, now: float, patience: float = 1.0) -> Total:
-        """Return its sums; of a stale one only how many members are silent and what they may serve."""
+    def total(self, now: float, stale_factor: float = 1.0) -> Total:
+        """Return its sums; for a stale summary only the number of silent members and the capacity they may serve."""
         summary = self.summary
-        if self.is_stale(now, patience):
+        if self.is_stale(now, stale_factor):
             capacity = (summary.figures[CAPACITY_INDEX:] or [0])[0]
             unknown = float(summary.unknown_capacity + capacity)
             return Total(0, summary.members, unknown, 0.0, dict.fromkeys(SUMMED, 0.0))
@@ -122,10 +122,10 @@
         )
 
     def relayed(self, now: float) -> Summary:
-        """Return the summary as it is passed on.
+        """Return the summary to relay.
 
-        The age is rounded up, since a summary that circulates must not stay young. It names a third contact: of two parts of
-        a group that do not know each other each names two, and through the third they are merged.
+        The age is rounded up, so that a circulating summary does not stay young. A third contact is added: separated parts of
+        a group each list two contacts of their own, and are merged through the third.
         """
         return msgspec.structs.replace(
             self.summary,
@@ -134,19 +134,19 @@
         )
 
     def learn_contacts(self, summary: Summary) -> None:
-        """Put the contacts of a summary first, and keep earlier ones as far as there is room."""
+        """Put the contacts of a summary first, followed by earlier ones up to `MAX_CONTACTS`."""
         contacts = unpack_addresses(summary.contacts)
         earlier = [address for address in self.contacts if address not in contacts]
         self.contacts = [*contacts, *earlier][:MAX_CONTACTS]
 
 
 class SummaryTable:
-    """Summaries by level and name, of the parts of the tree that the own location is not in.
+    """Summaries by level and name, of the parts of the tree that do not contain this member.
 
     Args:
-        location: of this member.
-        max_age_s: of a summary that is accepted, and after which a row is dropped.
-        counts: counters; `sums_refused` and `news` grow here.
+        location: location of this member.
+        max_age_s: maximum age of an accepted summary, and age after which a row is dropped.
+        counts: counters; this class increments `sums_refused` and `news`.
     """
 
     def __init__(self, location: GroupLocation, max_age_s: float, counts: Counter[str]) -> None:
@@ -154,32 +154,32 @@
         self.rows: dict[PartKey, ReceivedSummary] = {}
 
     def drop_old(self, now: float) -> None:
-        """Drop rows that nobody spoke for in a long time."""
+        """Drop rows without a sign of life for `max_age_s` seconds."""
         for key in [key for key, row in self.rows.items() if now - row.seen_at > self.max_age_s]:
             del self.rows[key]
 
-    def total(self, now: float, level: int, patience: float) -> Total:
+    def total(self, now: float, level: int, stale_factor: float) -> Total:
         """Return the sum over the other groups, zones or regions."""
         total = Total(0, 0, 0.0, 0.0, dict.fromkeys(SUMMED, 0.0))
         for (row_level, _), row in self.rows.items():
             if row_level == level:
-                total = total.plus(row.total(now, patience))
+                total = total.plus(row.total(now, stale_factor))
         return total
 
     def known_groups(self) -> int:
-        """Return how many groups of the own zone are known, the own one included."""
+        """Return the number of known groups of this member's zone, including its own."""
         return 1 + sum(level == GROUP for level, _ in self.rows)
 
-    # Summaries that arrive.
+    # Received summaries.
 
     def accept(self, now: float, summary: Summary, message: SummaryMessage, is_peer: bool) -> bool:
-        """Take in a summary and return whether it changes who is there.
+        """Process a summary and return whether the membership changed.
 
         Args:
             now: seconds of the caller's clock.
-            summary: one of the message's.
-            message: states the location of the sender, if it is no peer.
-            is_peer: whether the sender belongs to the own group.
+            summary: one of the message's summaries.
+            message: the message, which has the sender's location unless the sender is a peer.
+            is_peer: whether the sender belongs to this member's group.
         """
         if not self._is_relevant(summary, message, is_peer):
             return False
@@ -193,8 +193,8 @@
             return self._record_change(row, summary)
         if made_at <= row.made_at + SAME_AGE_S:
             return False
-        # Not where it was silent for a moment and is as before: sent at once, that would cost each member a message.
-        was_silent = now - row.seen_at > NON_SPEAKER_PATIENCE * STALE_AFTER_S[summary.level]
+        # A short silence without a membership change is not a change: sending it at once would cost each member a message.
+        was_silent = now - row.seen_at > NON_SPEAKER_STALE_FACTOR * STALE_AFTER_S[summary.level]
         is_change = summary.members != row.summary.members or was_silent
         row.summary, row.made_at, row.seen_at = summary, made_at, max(made_at, row.seen_at)
         if is_change:
@@ -209,7 +209,7 @@
         return True
 
     def _is_relevant(self, summary: Summary, message: SummaryMessage, is_peer: bool) -> bool:
-        """Return whether it sums a sibling of the own location, by a sender that can know it: else it would count twice."""
+        """Return whether it sums a sibling of this member's location and its sender can know it; others would count twice."""
         if summary.level == REGION:
             return summary.name != self.location.region
         if summary.level == ZONE:
@@ -217,7 +217,7 @@
         return summary.name != self.location.group and (is_peer or self.is_own_zone(message))
 
     def is_own_zone(self, message: SummaryMessage) -> bool:
-        """Return whether the sender is in the own zone."""
+        """Return whether the sender is in this member's zone."""
         return (message.region, message.zone) == (self.location.region, self.location.zone)
 
     def _has_capacity_for(self, summary: Summary) -> bool:
@@ -232,17 +232,17 @@
             return True
         return index.isdigit() and groups.isdigit() and int(index) < int(groups) <= MAX_ROWS[GROUP] + 1
 
-    # Ages: what two members compare instead of all summaries.
+    # Ages, which two members compare instead of all summaries.
 
     def encode_ages(self, now: float, own_members: int | None = None) -> bytes:
-        """Return two bytes of check sum and then two for each part: its age, and the low byte of its number of members.
+        """Return a two-byte checksum, then two bytes per part: its age and the low byte of its number of members.
 
-        The age is in tenths of a second, 255 where nothing was heard. By the number of members a receiver sees which changes
-        one of the two has missed.
+        The age is in tenths of a second, or 255 if unknown. By the number of members, a receiver detects changes that one of
+        the two members has missed.
 
         Args:
             now: seconds of the caller's clock.
-            own_members: members of the own group, where this member speaks for it.
+            own_members: number of members of this member's group, if it is the speaker.
         """
         keys, check_sum = self._listed_parts()
         ages = bytearray(check_sum)
@@ -256,7 +256,7 @@
         return bytes(ages)
 
     def apply_ages(self, now: float, ages: bytes) -> list[ReceivedSummary]:
-        """Take over later ages, and return the rows of which this member or the sender has missed a change."""
+        """Apply more recent ages, and return the rows for which this member or the sender has missed a change."""
         differing: list[ReceivedSummary] = []
         keys, check_sum = self._listed_parts()
         is_same_list = ages[:2] == check_sum and len(ages) == 2 + 2 * len(keys)
@@ -275,7 +275,7 @@
         return differing
 
     def _listed_parts(self) -> tuple[list[PartKey], bytes]:
-        """Return the parts in the order of the ages, and two bytes by which a receiver knows whether it lists the same."""
+        """Return the parts in the order of the ages, and a checksum by which a receiver checks that its list is the same."""
         groups = [(GROUP, f"{index}/{self.location.groups}") for index in range(self.location.groups)]
         others = sorted(key for key in self.rows if key[0] != GROUP)
         return groups + others, (stable_hash(*(name for _, name in others)) & 0xFFFF).to_bytes(2)
