--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -1,9 +1,9 @@
-"""One instance's side of load balancing: free slots and pending requests go in; offers and a redirected fraction come out.
+"""One instance's load balancing logic: free slots and pending requests go in; offers and a redirected fraction come out.
 
-No I/O and no clock. Uses the gossip protocol for members, figures and messages. What each instance does alone is the fallback,
-in this order: a leaving instance only hands over; during a retry storm nothing is handed over (a retry stays a retry at a
-peer); an instance that is isolated, whose view is frozen or of whose fleet most members look unhealthy neither issues nor
-uses offers; without offers it may guess by two reports. Each fallback has a counter.
+It does no I/O and reads no clock, and uses the gossip protocol for members, figures and messages. It falls back to serving
+requests locally in this order: a leaving instance only hands over; during a retry storm nothing is handed over (a retry stays
+a retry at a peer); an instance that is isolated, has a frozen view, or finds most of the fleet unhealthy neither issues nor
+uses offers; without offers it may choose a peer by two reports. Each fallback has a counter.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from mulleinhatch.instance.load_balancing.offers import NEEDS_VALID_FOR_S, OfferIssuer, OfferReceiver, ReceivedOffer
 from mulleinhatch.instance.load_balancing.redirects import LoadObservation, RedirectController
 
-MAX_ASKED = 2  # members that get a message of their own about pending requests, each heartbeat
+MAX_ASKED = 2  # members that are sent a separate message about pending requests per heartbeat
 GUESS_FRESH_FOR_S = 1.0  # older reports are not used for guesses
-MIN_GUESS_SLOTS = 2  # free at the peer, less what was sent there since its report
+MIN_GUESS_SLOTS = 2  # free slots required at the peer, minus requests sent there since its report
 OBSERVATION_INTERVAL_S = 0.5
 MAX_OPINIONS = 2
-RECEIVER_SEED_OFFSET, REDIRECT_SEED_OFFSET = 1, 2  # so that the parts do not repeat each other's random sequence
+RECEIVER_SEED_OFFSET, REDIRECT_SEED_OFFSET = 1, 2  # give each component a different random sequence
 
 
 class InstanceLoad(NamedTuple):
-    """What this instance knows of itself just now."""
+    """Current load of this instance."""
 
-    free_slots: int  # requests that could start at once
+    free_slots: int  # requests that could start immediately
     pending: int  # queued requests that could be handed over
-    slots: int  # requests that may run at a time
+    slots: int  # maximum number of concurrent requests
     is_leaving: bool = False
     in_retry_storm: bool = False
 
@@ -46,9 +46,9 @@
     Args:
         bounds: settings.
         fleet: members, their reports and messages.
-        seed: of the random choices.
+        seed: seed of the random choices.
         now: seconds of the caller's clock.
-        returns: whether the instance was just started and warms up.
+        returns: whether the instance was restarted and is warming up.
     """
 
     def __init__(self, bounds: LoadBalancingBounds, fleet: LoadBalancingFleet, seed: int, now: float, returns: bool) -> None:
@@ -57,9 +57,9 @@
         self.offer_receiver = OfferReceiver(seed + RECEIVER_SEED_OFFSET)
         self.redirects = RedirectController(bounds.step, bounds.step_every, seed + REDIRECT_SEED_OFFSET, now, returns)
         self.statistics = LoadStatistics(fleet.members, fleet.fleet_counters, now)
-        self.needs: dict[str, tuple[int, float]] = {}  # by member: pending requests, and when it reported them
+        self.needs: dict[str, tuple[int, float]] = {}  # by member: pending requests, and time of that report
         self.peer_epochs: dict[str, int] = {}
-        self.guesses_sent: dict[str, list[float]] = {}  # by member: when a request was sent there on a guess
+        self.guesses_sent: dict[str, list[float]] = {}  # by member: times at which a request was sent there on a guess
         self.counts: Counter[str] = Counter()
         self.load = InstanceLoad(0, 0, 1)
         self.observed_at = self.guessed_at = now
@@ -71,7 +71,7 @@
     # Events of this instance.
 
     def record_arrival(self, now: float, work: float) -> None:
-        """Record a request of the own callers."""
+        """Record a request of this instance's callers."""
         self.statistics.record_arrival(now, work)
 
     def record_run(self, now: float, seconds: float, work: float, failed: bool) -> None:
@@ -79,7 +79,7 @@
         self.statistics.record_run(now, seconds, work, failed)
 
     def heartbeat(self, now: float, load: InstanceLoad) -> list[Datagram]:
-        """Run one period and return what to send; `count_offers` and `redirect_fraction` may have changed."""
+        """Run one period and return the datagrams to send; `count_offers` and `redirect_fraction` may change."""
         self.load = load
         datagrams = self.take_messages()
         self._drop_old(now)
@@ -98,9 +98,9 @@
         return datagrams
 
     def on_load_change(self, now: float, load: InstanceLoad) -> list[Datagram]:
-        """Handle an arrival or a completed run between two heartbeats, and return what to send.
+        """Handle an arrival or a completed run between two heartbeats, and return the datagrams to send.
 
-        An instance that just began to queue asks for offers at once; one with free slots issues them.
+        An instance that starts to queue asks for offers immediately; one with free slots issues them.
         """
         previous, self.load = self.load, load
         datagrams = self._issue_offers(now) if load.free_slots and self.needs else []
@@ -111,7 +111,7 @@
         return datagrams
 
     def suspension_reason(self) -> str:
-        """Return why nothing is handed over just now, as the end of a counter's name; empty where it may be."""
+        """Return why handover is suspended, as the suffix of a counter; empty if it is not."""
         fleet = self.fleet
         if self.load.in_retry_storm:
             return "storm"
@@ -147,7 +147,7 @@
             self.needs.pop(message.sender, None)
 
     def take_messages(self) -> list[Datagram]:
-        """Return the answers to messages that arrived, to be sent at once."""
+        """Return the responses to received messages, to be sent immediately."""
         datagrams, self.outgoing = self.outgoing, []
         return datagrams
 
@@ -169,11 +169,11 @@
         ]
 
     def _ask_for_offers(self, now: float) -> list[Datagram]:
-        """Return messages to a few members; each message states how many requests are pending."""
+        """Return messages to a few members; each message carries the number of pending requests."""
         return [datagram for name in self._members_to_ask(now) for datagram in self.fleet.message_to(now, name)]
 
     def _members_to_ask(self, now: float) -> list[str]:
-        """Return members that lately reported free slots, at random; others where there are too few."""
+        """Return random members that recently reported free slots, and other members if there are too few."""
         fleet, draw = self.fleet, self.offer_receiver.draw
         serving = fleet.members.alive()
         with_free_slots = [
@@ -191,13 +191,13 @@
     # Handover.
 
     def count_offers(self, now: float) -> int:
-        """Return how many requests can be handed over now."""
+        """Return the number of requests that can be handed over now."""
         if not self.bounds.hand_over or self.suspension_reason():
             return 0
         return self.offer_receiver.count(now) or int(self._guess(now) is not None)
 
     def take_offer(self, now: float) -> ReceivedOffer | None:
-        """Return where to hand a request over to, or None where what was offered has expired."""
+        """Return an offer to hand a request over on, or None if all offers have expired."""
         if offer := self.offer_receiver.take(now):
             self.counts["handed_on_offers"] += 1
             return offer
@@ -208,7 +208,7 @@
         return guess
 
     def _guess(self, now: float) -> ReceivedOffer | None:
-        """Return the better one of two random members by their reports; at most one guess each heartbeat.
+        """Return the better of two random members by their reports; at most one guess per heartbeat.
 
         Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (2001).
         """
@@ -223,7 +223,7 @@
         return ReceivedOffer(name, row.report.handover_address, 0, now)
 
     def _guess_candidates(self, now: float) -> list[tuple[float, str, MemberFigures]]:
-        """Return the members that probably have free slots: how many, name and report."""
+        """Return the members that probably have free slots, as tuples of free slots, name and report."""
         candidates = []
         for name, row in self.fleet.fleet_counters.rows.items():
             is_fresh = now - row.made_at <= GUESS_FRESH_FOR_S and row.report.handover_address
@@ -246,9 +246,9 @@
         return [(interpreter_of(name), bad_percent, evidence) for name, bad_percent, evidence in observed]
 
     def figures(self, now: float) -> list[int]:
-        """Return the own figures on pace and load for the report."""
+        """Return this instance's pace and load figures for the report."""
         return self.statistics.figures(now, self.load.slots)
 
     def estimate(self, now: float) -> Estimate | None:
-        """Return the own pace, drawn towards that of similar instances."""
+        """Return this instance's pace, shrunk towards that of similar instances."""
         return self.statistics.estimate_pace(now, self.load.slots)
--- a/mulleinhatch/instance/load_balancing/estimates.py
+++ b/mulleinhatch/instance/load_balancing/estimates.py
@@ -1,9 +1,9 @@
-"""Estimates from few requests: an instance's own figure is drawn towards the mean of similar instances.
+"""Estimates from few requests: an instance's figure is shrunk towards the mean of similar instances.
 
-Three completed runs say little about one instance; three runs each of two hundred instances say well what is usual and how
-much instances differ. So each figure is shrunk towards the mean, the more the fewer runs it is based on and the less the
-instances differ. An estimate has a range and an age. The pace is in seconds of a slot per second of work, in whatever unit
-of work all instances report.
+Three completed runs say little about one instance, but three runs on each of two hundred instances give a good estimate of
+the mean and of the variance between instances. So each figure is shrunk towards the mean: more if it is based on fewer runs,
+and more if the instances differ less. An estimate has a range and an age. The pace is slot time in seconds per unit of work,
+in whatever unit of work all instances report.
 
 Source: Efron, Morris, "Data Analysis Using Stein's Estimator and its Generalizations" (1975), for empirical Bayes;
 DerSimonian, Laird, "Meta-analysis in clinical trials" (1986), for the variance between instances.
@@ -15,37 +15,37 @@
 from math import sqrt
 from typing import NamedTuple
 
-SCATTER = 0.6  # standard deviation of single runs as a fraction of their mean, until the own runs show it
-PRIOR_RUNS = 8.0  # weight of that assumption, in runs
-STANDARD_DEVIATIONS = 2.0  # from an estimate to the ends of its range
+SCATTER = 0.6  # prior for the standard deviation of single runs as a fraction of their mean
+PRIOR_RUNS = 8.0  # weight of that prior in runs
+STANDARD_DEVIATIONS = 2.0  # from an estimate to either end of its range
 EULER = 2.718281828459045
 MIN_COUNT = 1e-6
 
 
 class Estimate(NamedTuple):
-    """A figure with its range."""
+    """An estimated figure with its range."""
 
     value: float
     least: float
     most: float
-    age: float  # seconds since the newest evidence of the instance itself
+    age: float  # seconds since the instance's newest measurement
 
 
 class Evidence(NamedTuple):
-    """What one instance measured in its window."""
+    """Measurements of one instance in its window."""
 
-    count: float  # runs
+    count: float  # number of runs
     mean: float
-    at: float  # when the newest run completed
+    at: float  # completion time of the newest run
 
 
 class DecayingWindow:
     """Count, mean and scatter of measurements with exponential decay.
 
-    Slots: one is updated with each run.
+    Uses slots because one is updated with each run.
 
     Args:
-        memory: seconds after which a measurement weighs a third.
+        memory: time constant of the decay in seconds, after which a measurement weighs about a third.
     """
 
     __slots__ = ("memory", "count", "total", "squares", "at", "newest_at")
@@ -58,7 +58,7 @@
         if elapsed_s <= 0:
             return
         if elapsed_s < 0.1 * self.memory:
-            weight = max(0.0, 1.0 - elapsed_s / self.memory)  # close to the exponential, and cheaper
+            weight = max(0.0, 1.0 - elapsed_s / self.memory)  # approximates the exponential at less cost
         else:
             weight = EULER ** (-elapsed_s / self.memory)
         self.count, self.total, self.squares, self.at = weight * self.count, weight * self.total, weight * self.squares, now
@@ -75,7 +75,7 @@
         return Evidence(self.count, self.total / self.count if self.count > MIN_COUNT else 0.0, self.newest_at)
 
     def scatter(self) -> float:
-        """Return the standard deviation of single measurements as a fraction of the mean, mixed with the assumed one."""
+        """Return the relative standard deviation of single measurements, weighted with the prior."""
         if self.count < MIN_COUNT or not self.total:
             return SCATTER
         mean = self.total / self.count
@@ -104,20 +104,20 @@
     heterogeneity = sum(weight * (one.mean - mean) ** 2 for weight, one in zip(weights, usable))
     total = sum(weights)
     variance = max(0.0, (heterogeneity - (len(usable) - 1)) / (total - sum(weight * weight for weight in weights) / total))
-    # With the variance known, instances with many runs no longer outweigh the others: the mean is that of instances.
+    # With the variance known, instances with many runs no longer dominate: this is the mean over instances, not runs.
     weights = [1.0 / (variance + run_variance / one.count) for one in usable]
     mean = sum(weight * one.mean for weight, one in zip(weights, usable)) / sum(weights)
     return mean, sqrt(variance)
 
 
 def shrink_towards_mean(now: float, own: Evidence, scatter: float, mean: float, deviation: float) -> Estimate | None:
-    """Combine an instance's evidence with what is known of similar ones; None where neither says anything.
+    """Combine an instance's evidence with the population of similar ones; return None if there is no evidence at all.
 
     Args:
         now: seconds of the caller's clock.
         own: the instance's evidence.
         scatter: standard deviation of single runs as a fraction of their mean.
-        mean: of similar instances; 0 where it is unknown.
+        mean: mean of similar instances; 0 if unknown.
         deviation: standard deviation between similar instances.
 
     >>> shrink_towards_mean(1.0, Evidence(0.0, 0.0, -1e9), 0.5, 2.0, 0.5).value     # no evidence: as similar instances
@@ -134,9 +134,9 @@
         margin = STANDARD_DEVIATIONS * deviation
         return Estimate(mean, max(0.0, mean - margin), mean + margin, age)
     error = (scatter * (mean or own.mean)) ** 2 / own.count
-    if not mean:  # no other instance is heard
+    if not mean:  # no reports of other instances
         value = own.mean
-    elif deviation <= 0.0:  # instances do not differ as far as can be seen
+    elif deviation <= 0.0:  # no measurable difference between instances
         value, error = mean, 0.0
     else:
         weight = deviation * deviation / (deviation * deviation + error)
--- a/mulleinhatch/instance/load_balancing/fleet.py
+++ b/mulleinhatch/instance/load_balancing/fleet.py
@@ -22,7 +22,7 @@
         fleet_counters: Reports of the members.
         outlier_detector: Detects unhealthy members.
         ejected: Subjects that are ejected as outliers: members, or interpreters of members.
-        pending_requests: Requests that this instance queues and would hand over, sent with each message.
+        pending_requests: Queued requests that this instance could hand over, sent with each message.
     """
 
     bounds: FleetBounds
@@ -33,7 +33,7 @@
     pending_requests: int
 
     def subscribe(self, listener: Callable[[float, GossipMessage], None]) -> None:
-        """Call a listener with each message of a member's current process."""
+        """Call a listener with each message from a member's current process."""
 
     def message_to(self, now: float, name: str, *, offers: Iterable[Offer] = ()) -> list[Datagram]:
-        """Return a brief message to a member, or nothing where it is unknown."""
+        """Return a brief message to a member, or nothing if it is unknown."""
--- a/mulleinhatch/instance/load_balancing/load_statistics.py
+++ b/mulleinhatch/instance/load_balancing/load_statistics.py
@@ -1,4 +1,4 @@
-"""How loaded this instance and the fleet are, from own measurements and the reports of others."""
+"""Load of this instance and of the fleet, from local measurements and the reports of other members."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 PACE_MEMORY_S = 10.0
 LOAD_MEMORY_S = 8.0
 LOAD_SCATTER = 1.0
-# An instance that fails at least this fraction of its runs issues no offers, however idle it looks; given so many runs.
+# An instance that fails at least this fraction of at least this many runs issues no offers, however idle it looks.
 FAILING_FRACTION, MIN_RUNS = 0.5, 4.0
-MAX_VALUE = 1e6  # of a reported mean
+MAX_VALUE = 1e6  # maximum reported mean
 
 
 class LoadStatistics:
-    """Measurements of this instance, and estimates that combine them with reports of others.
+    """Measurements of this instance, and estimates that combine them with the reports of other members.
 
     Args:
-        members: who is there.
-        fleet_counters: their reports.
+        members: membership.
+        fleet_counters: reports of the members.
         now: seconds of the caller's clock.
     """
 
@@ -39,7 +39,7 @@
         self.failures = DecayingWindow(PACE_MEMORY_S)
 
     def record_arrival(self, now: float, work: float) -> None:
-        """Record a request of the own callers by its work; by 1 where it states none."""
+        """Record a request of this instance's callers by its work, or by 1 if it states none."""
         self.loads.add(now, work or 1.0)
 
     def record_run(self, now: float, seconds: float, work: float, failed: bool) -> None:
@@ -48,12 +48,12 @@
         self.failures.add(now, float(failed))
 
     def is_failing(self, now: float) -> bool:
-        """Return whether most of the own runs fail."""
+        """Return whether most runs of this instance fail."""
         failures = self.failures.evidence(now)
         return failures.count >= MIN_RUNS and failures.mean >= FAILING_FRACTION
 
     def figures(self, now: float, slots: int) -> list[int]:
-        """Return the last five figures of a report: slots, then evidence in tenths and value in thousandths twice."""
+        """Return the last five figures of a report: slots, then evidence (tenths) and value (thousandths) of pace and load."""
         pace, load = self.pace.evidence(now), self._own_load(now, slots)
         return [
             slots,
@@ -64,11 +64,11 @@
         ]
 
     def estimate_pace(self, now: float, slots: int) -> Estimate | None:
-        """Return the own pace, drawn towards that of similar instances."""
+        """Return this instance's pace, shrunk towards that of similar instances."""
         return self._shrink_pace(now, *self._similar_pace(now, slots))
 
     def observe(self, now: float, slots: int) -> LoadObservation:
-        """Return the own load and the fleet's, which is unknown without reports of half of the members."""
+        """Return the loads of this instance and of the fleet, which is unknown without reports of half of the members."""
         rows = self._fresh_rows(now)
         if self.members.frozen or 2 * len(rows) < len(self.members.alive()) or not rows:
             return LoadObservation(0.0, -1.0)
@@ -84,7 +84,7 @@
         return shrink_towards_mean(now, self.pace.evidence(now), self.pace.scatter(), mean, deviation)
 
     def _similar_pace(self, now: float, slots: int) -> tuple[float, float]:
-        """Return mean and standard deviation of the pace of instances with as many slots."""
+        """Return the mean and standard deviation of the pace of instances with the same number of slots."""
         rows = [row for row in self._fresh_rows(now) if row.value("places") == slots]
         return estimate_population([_evidence_of(row, "pace_runs", "pace") for row in rows], SCATTER)
 
@@ -97,7 +97,7 @@
         ]
 
     def _own_load(self, now: float, slots: int) -> Evidence:
-        """Return the work that arrived over what can be served, by the slot time that work takes here."""
+        """Return the arrived work relative to the capacity, by the slot time that work takes on this instance."""
         arrived = self.loads.evidence(now)
         running_s = max(0.1, now - self.started_at)
         span_s = LOAD_MEMORY_S * (1.0 - EULER ** (-running_s / LOAD_MEMORY_S))
--- a/mulleinhatch/instance/load_balancing/offers.py
+++ b/mulleinhatch/instance/load_balancing/offers.py
@@ -1,9 +1,9 @@
 """Offers of capacity: an instance with free slots issues a few short-lived offers, never more than it has free slots.
 
-The issuer counts an offer as a used slot until its expiry and the time that a message may take, or until a request arrives on
-it. So however many instances know of a free one, it receives no more requests than it has slots, and they cannot all rush to
-it. The receiver considers an offer valid until its own clock says otherwise, counted from the arrival, which is later than
-the issue; a request on an expired offer is one like any other. Each offer is used once.
+The issuer counts an offer as a used slot until a request arrives on it, or until it has expired and a request under way would
+have arrived. So however many instances know of a free one, it receives no more requests than it has slots, which prevents
+herding. The receiver measures the validity of an offer by its own clock from the arrival, which is later than the issue; a
+request on an expired offer is treated like any other. Each offer is used once.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 from mulleinhatch.random_source import RandomSource
 
-TRANSIT_S = 0.1  # that a request may be under way after its offer has expired
+TRANSIT_S = 0.1  # time for which a request may be under way after its offer has expired
 MAX_OFFERS_KEPT = 64  # by a receiver
 OUTCOME_HALVED_AFTER_S = 5.0
-# A peer's offers are ignored from this fraction of bad outcomes on, given at least so many of them.
+# A peer's offers are ignored if at least this fraction of its outcomes and at least this many are bad.
 BAD_FRACTION, MIN_BAD = 0.5, 1.5
-REST_S = 3.0  # during which a peer that broke off or was unreachable gets nothing
-NEEDS_VALID_FOR_S = 1.5  # after a message with a member's pending requests, an offer to it is still worthwhile
-MAX_PEERS = 1000  # whose outcomes are kept before old ones are dropped
+AVOID_FOR_S = 3.0  # time for which no request is sent to a peer that disconnected or was unreachable
+NEEDS_VALID_FOR_S = 1.5  # time after a member's message about pending requests for which it is still sent offers
+MAX_PEERS = 1000  # with more peers than this, old outcomes are dropped
 
 
 class IssuedOffer(NamedTuple):
-    """A slot that is reserved for a member."""
+    """A slot reserved for a member."""
 
     to: str
     until: float
@@ -33,9 +33,9 @@
     """Offers that this instance has issued.
 
     Args:
-        offer_for: seconds that an offer is valid.
-        max_offers: outstanding at a time.
-        seed: of the random choices.
+        offer_for: seconds for which an offer is valid.
+        max_offers: maximum number of outstanding offers.
+        seed: seed of the random choices.
 
     >>> issuer = OfferIssuer(offer_for=0.3, max_offers=8, seed=1)
     >>> [(to, number) for to, number in issuer.issue(0.0, free_slots=2, needs={"a": 5, "b": 1})]
@@ -53,7 +53,7 @@
         self.counts = dict.fromkeys(("offers_given", "offers_used", "offers_over"), 0)
 
     def outstanding(self, now: float) -> int:
-        """Return how many offers are valid; expired ones are dropped."""
+        """Return the number of valid offers, after dropping expired ones."""
         for number in [number for number, offer in self.issued.items() if offer.until <= now]:
             del self.issued[number]
             self.counts["offers_over"] += 1
@@ -64,9 +64,9 @@
 
         Args:
             now: seconds of the caller's clock.
-            free_slots: of this instance.
-            needs: pending requests of others, as heard lately. A receiver is drawn in proportion to these, so that not all
-                instances with free slots choose the same one.
+            free_slots: free slots of this instance.
+            needs: recently reported pending requests of other members. Receivers are drawn in proportion to these, so that
+                instances with free slots do not all choose the same one.
         """
         free = min(free_slots - self.outstanding(now), self.max_offers)
         outstanding: dict[str, int] = {}
@@ -97,14 +97,14 @@
         return name
 
     def redeem(self, now: float, number: int) -> bool:
-        """Handle a request on an offer, whose slot the request itself now uses; return whether the offer was valid."""
+        """Redeem an offer whose request arrived and now uses the slot; return whether the offer was valid."""
         is_valid = self.issued.pop(number, None) is not None
         self.counts["offers_used"] += is_valid
         return is_valid
 
 
 class ReceivedOffer(NamedTuple):
-    """A slot at a peer."""
+    """A slot offered by a peer."""
 
     issuer: str
     address: str  # host:port to send the request to
@@ -113,13 +113,13 @@
 
 
 class PeerOutcomes:
-    """What became of requests at one peer, with exponential decay. Slots: there is one for each peer."""
+    """Outcomes of requests at one peer, with exponential decay. Uses slots because there is one per peer."""
 
-    __slots__ = ("bad", "total", "at", "rests_until")
+    __slots__ = ("bad", "total", "at", "avoided_until")
 
     def __init__(self) -> None:
         self.bad = self.total = 0.0
-        self.at = self.rests_until = -1e9
+        self.at = self.avoided_until = -1e9
 
     def decay(self, now: float) -> None:
         """Reduce the weight of earlier outcomes."""
@@ -128,10 +128,10 @@
 
 
 class OfferReceiver:
-    """Offers that this instance has received, and which of them a request is handed over on.
+    """Offers that this instance has received, and the choice of one for each request that is handed over.
 
     Args:
-        seed: of the random choices.
+        seed: seed of the random choices.
 
     >>> receiver = OfferReceiver(seed=1)
     >>> for _ in range(2):
@@ -150,12 +150,12 @@
         self.draw = RandomSource(seed).below
         self.offers: list[ReceivedOffer] = []
         self.outcomes: dict[str, PeerOutcomes] = {}
-        self.last_number: dict[str, int] = {}  # by issuer: a repeated datagram brings nothing new
+        self.last_number: dict[str, int] = {}  # by issuer: number of the last offer, to ignore duplicate datagrams
         self.ejected: set[str] = set()  # by outlier detection
         self.counts = dict.fromkeys(("offers_heard", "offers_unused", "offers_shunned"), 0)
 
     def receive(self, now: float, offer: ReceivedOffer) -> None:
-        """Keep an offer, unless it is a repeated one or its issuer is avoided."""
+        """Store an offer unless it is a duplicate or its issuer is avoided."""
         if offer.number <= self.last_number.get(offer.issuer, 0):
             return
         self.last_number[offer.issuer] = offer.number
@@ -167,12 +167,12 @@
             self.counts["offers_shunned"] += 1
 
     def on_peer_restart(self, issuer: str) -> None:
-        """Drop the offers of an earlier process of a peer, whose numbers start anew."""
+        """Drop the offers of a peer's earlier process; the numbers of the new process start again."""
         self.last_number.pop(issuer, None)
         self._drop_offers_of(issuer)
 
     def is_usable(self, now: float, issuer: str) -> bool:
-        """Return whether requests may go to a peer: it is not ejected, and did well with earlier ones."""
+        """Return whether requests may be sent to a peer: it is not ejected, and few earlier ones failed."""
         if issuer in self.ejected:
             return False
         outcomes = self.outcomes.get(issuer)
@@ -180,35 +180,35 @@
             return True
         outcomes.decay(now)
         fails = outcomes.bad >= MIN_BAD and outcomes.bad >= BAD_FRACTION * outcomes.total
-        return now >= outcomes.rests_until and not fails
+        return now >= outcomes.avoided_until and not fails
 
     def count(self, now: float) -> int:
-        """Return how many offers are usable; others are dropped."""
+        """Return the number of usable offers, after dropping others."""
         received = len(self.offers)
         self.offers = [offer for offer in self.offers if offer.until > now and self.is_usable(now, offer.issuer)]
         self.counts["offers_unused"] += received - len(self.offers)
         return len(self.offers)
 
     def take(self, now: float) -> ReceivedOffer | None:
-        """Return a usable offer at random, for one use: the newest one would be everybody's choice."""
+        """Remove and return a random usable offer: if all receivers chose the newest one, they would herd."""
         if not self.count(now):
             return None
         return self.offers.pop(self.draw(len(self.offers)))
 
     def record_outcome(self, now: float, issuer: str, is_bad: bool, is_unreachable: bool = False) -> None:
-        """Record what became of a request at a peer.
+        """Record the outcome of a request at a peer.
 
         Args:
             now: seconds of the caller's clock.
             issuer: the peer.
             is_bad: whether the request failed there.
-            is_unreachable: whether the peer broke off, or could not be reached.
+            is_unreachable: whether the peer disconnected or could not be reached.
         """
         outcomes = self.outcomes.setdefault(issuer, PeerOutcomes())
         outcomes.decay(now)
         outcomes.bad, outcomes.total = outcomes.bad + is_bad, outcomes.total + 1.0
         if is_unreachable:
-            outcomes.rests_until = now + REST_S
+            outcomes.avoided_until = now + AVOID_FOR_S
             self._drop_offers_of(issuer)
         if len(self.outcomes) > MAX_PEERS:
             for name in [name for name, seen in self.outcomes.items() if now - seen.at > 10.0 * OUTCOME_HALVED_AFTER_S]:
@@ -218,7 +218,7 @@
         self.offers = [offer for offer in self.offers if offer.issuer != issuer]
 
     def opinions(self, now: float, limit: int) -> list[tuple[str, int, int]]:
-        """Return observations of peers: name, percent of the requests with a bad outcome, requests. The worst come first."""
+        """Return observations of peers, worst first: name, percentage of requests with a bad outcome, number of requests."""
         observed = []
         for name, outcomes in sorted(self.outcomes.items()):
             outcomes.decay(now)
--- a/mulleinhatch/instance/load_balancing/redirects.py
+++ b/mulleinhatch/instance/load_balancing/redirects.py
@@ -1,9 +1,9 @@
-"""Which fraction of its requests an instance asks its callers to send elsewhere.
+"""Computes the fraction of requests that an instance asks its callers to send elsewhere.
 
-Each instance compares its load with that of the fleet. One that is more loaded redirects what is above, in bounded steps at
-random times, so that hundreds do not step at once; the way back is as bounded. Nobody acts on a single report: the fleet's
-load needs reports of half of the members. An instance that was just started redirects half at first, and less as its pace
-approaches that of similar instances.
+Each instance compares its load with that of the fleet. A more loaded instance redirects the excess in bounded steps at random
+times, so that hundreds of instances do not step at once; the fraction decreases in bounded steps, too. No instance acts on a
+single report: the fleet's load requires reports of half of the members. A newly started instance redirects half of its
+requests at first, and less as its pace approaches that of similar instances.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 from mulleinhatch.random_source import RandomSource
 
-MIN_LOAD = 0.5  # below it nothing is redirected
-DEAD_BAND = 0.05  # fraction of the fleet's load: random variation alone is larger
+MIN_LOAD = 0.5  # nothing is redirected at or below this load
+DEAD_BAND = 0.05  # relative difference to the fleet's load that is ignored; random variation alone is larger
 MAX_FRACTION = 0.8  # an instance that redirected everything would never notice that it has capacity again
-MIN_FRACTION = 0.01  # taken for none on the way down
-GAIN = 0.5  # of the distance to the balance, a step
-STARTUP_FRACTION = 0.5  # redirected by an instance that was just started
-WARM_PACE = 1.3  # times the pace of similar instances, from which on it is warmed up
+MIN_FRACTION = 0.01  # a decreasing fraction below this is set to 0
+GAIN = 0.5  # part of the distance to the balanced fraction that a step covers
+STARTUP_FRACTION = 0.5  # fraction redirected by a newly started instance
+WARM_PACE = 1.3  # an instance is warmed up once its pace is at most this multiple of that of similar instances
 
 
 class LoadObservation(NamedTuple):
-    """What is known when a step is due. A load is the work asked for, over what can be served."""
+    """Inputs of a step. A load is the requested work relative to the capacity."""
 
     own: float
-    fleet: float  # negative where it is unknown
-    pace: float = 0.0  # the own one, relative to that of similar instances; 0 where it is unknown
+    fleet: float  # negative if unknown
+    pace: float = 0.0  # this instance's pace relative to that of similar instances; 0 if unknown
 
 
 class RedirectController:
@@ -34,8 +34,8 @@
 
     Args:
         step: largest change at a time.
-        step_every: seconds between changes, on average.
-        seed: of the random times.
+        step_every: mean time in seconds between changes.
+        seed: seed of the random times.
         now: seconds of the caller's clock.
         is_warming_up: whether the instance was just started.
 
@@ -56,7 +56,7 @@
         self.due_at = now + step_every * self._draw()
 
     def update(self, now: float, observation: LoadObservation) -> float:
-        """Return the fraction to redirect, changed by a step where one is due."""
+        """Return the fraction to redirect, after a step if one is due."""
         if now < self.due_at:
             return self.fraction
         self.due_at = now + self.step_every * (0.5 + self._draw())
@@ -69,9 +69,9 @@
         return self.fraction
 
     def _balanced_fraction(self, observation: LoadObservation) -> float:
-        """Return the fraction with which this instance would be as loaded as the fleet.
+        """Return the fraction at which this instance would be as loaded as the fleet.
 
-        The own load already lacks what callers redirect, as far as they comply: so their compliance need not be known.
+        This instance's load already excludes redirected requests, so the compliance of callers need not be known.
         """
         if observation.fleet < 0.0:
             return 0.0
