--- a/mulleinhatch/instance/retry_storms/__init__.py
+++ b/mulleinhatch/instance/retry_storms/__init__.py
@@ -1,6 +1,6 @@
-"""Retry and reconnect storms: detect them, tell them from bursts, deploys and a single noisy caller, and damp them.
+"""Detection and damping of retry and reconnect storms, as opposed to bursts, deploys and a single noisy caller.
 
-The request state machine calls `RetryAdmission`, and the caller listener asks it before it reads a request in full. The package
-never admits or rejects a request by itself: it counts, spreads retries over time, and keeps to the rate that the admission
-controller sets.
+The request state machine calls `RetryAdmission`, and the caller listener consults it before it reads a request in full. The
+package counts requests, spreads retries over time, and enforces the rate set by the admission controller, which makes all
+other decisions to admit or reject a request.
 """
--- a/mulleinhatch/instance/retry_storms/bounds.py
+++ b/mulleinhatch/instance/retry_storms/bounds.py
@@ -8,21 +8,21 @@
 class StormBounds(NamedTuple):
     """Limits that an operator may set; field names are keys of the operator's file.
 
-    Shares and multiples are plain numbers, times are seconds. The admission controller measures the rate that can be served.
+    Shares and multiples are plain numbers, times are in seconds. The admission controller measures the rate that can be served.
 
     Attributes:
-        rising_share: Share of retries among the requests from which a storm may be rising.
-        storm_share: Share from which it may be a storm.
-        storm_multiple: Retries as a multiple of the rate that can be served, from which it is a storm.
-        calm_multiple: Multiple below which it is over.
-        confirm: Seconds for which it must look like a storm if no outage was seen before.
-        settle: Seconds for which it must look over.
-        outage_memory: Seconds after which an outage no longer makes a storm likelier.
-        loud_share: Share of all retries from which a single caller is the cause; the other callers are not limited then.
-        callers_kept: Number of callers with a counter of their own.
+        rising_share: Minimum share of retries among the requests for the stage rising.
+        storm_share: Minimum share of retries for a storm.
+        storm_multiple: Minimum retries for a storm, as a multiple of the rate that can be served.
+        calm_multiple: Multiple below which a storm ends.
+        confirm: Seconds for which the criteria of a storm must hold if there was no recent outage.
+        settle: Seconds for which the retries must stay below `calm_multiple`.
+        outage_memory: Seconds for which an outage counts as recent.
+        loud_share: Minimum share of all retries for a single caller to be the cause; other callers are not limited then.
+        callers_kept: Number of callers with their own counter.
         repeats_kept: Fingerprints of recent requests kept in each of two generations.
-        horizon: Longest retry delay in seconds, if callers accept such a long one.
-        heeding_part: Part of the retry rate reserved for callers that waited as long as they were asked to.
+        horizon: Longest retry delay in seconds, if callers accept it.
+        heeding_part: Part of the retry rate reserved for callers that waited for the requested delay.
     """
 
     rising_share: float = 0.4
--- a/mulleinhatch/instance/retry_storms/budget.py
+++ b/mulleinhatch/instance/retry_storms/budget.py
@@ -1,14 +1,14 @@
-"""The rate of retries that are accepted, most of it reserved for callers that waited as long as they were asked to."""
+"""Rate limit for accepted retries, mostly reserved for callers that waited for the requested delay."""
 
 from __future__ import annotations
 
 import math
 
-BURST_S = 0.5  # burst size in seconds of the rate: retries arrive in bunches
+BURST_S = 0.5  # burst size in seconds at the rate, since retries arrive in bursts
 
 
 class TokenBucket:
-    """A token bucket: it fills at a rate up to `max_tokens` and passes on the overflow.
+    """A token bucket that fills at a rate up to `max_tokens` and returns the overflow.
 
     >>> bucket = TokenBucket(2.0)
     >>> bucket.fill(1.0, 5.0), bucket.try_take(), bucket.try_take(), bucket.try_take()
@@ -25,7 +25,7 @@
         return tokens - self.tokens
 
     def try_take(self) -> bool:
-        """Take one token if there is one; return whether there was."""
+        """Take one token if available; return whether one was taken."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -33,9 +33,9 @@
 
 
 class RetryBudget:
-    """Limits retries to a rate, with a reserved part for punctual callers and the rest for all.
+    """Limits retries to a rate, one part of which is reserved for punctual callers while the rest is for all.
 
-    Tokens that punctual callers leave overflow to the others. An infinite rate accepts every retry.
+    Tokens that punctual callers do not use overflow to the others. An infinite rate accepts every retry.
 
     Args:
         heeding_part: Part of the rate reserved for punctual callers, 0 to 1.
@@ -48,10 +48,10 @@
     def __init__(self, heeding_part: float) -> None:
         self.heeding_part, self.rate, self.filled = heeding_part, math.inf, 0.0
         self.punctual, self.others = TokenBucket(1.0), TokenBucket(1.0)
-        self.empty_until = 0.0  # no token before then: saves work for thousands of calls in between
+        self.empty_until = 0.0  # no token is available before then, which saves work for thousands of calls in between
 
     def set_rate(self, now: float, rate: float) -> None:
-        """Set the rate in retries per second; tokens saved up at a higher rate are cut to the new burst size."""
+        """Set the rate in retries per second; accumulated tokens are capped to the new burst size."""
         if self.rate < math.inf:
             self._fill(now)
         self.rate, self.filled, self.empty_until = rate, now, now
@@ -66,7 +66,7 @@
         self.others.fill(1.0, surplus + span * (1.0 - self.heeding_part) * self.rate)
 
     def should_accept(self, now: float, punctual: bool) -> bool:
-        """Return whether to accept a retry, and take its token; `punctual` callers may use the reserved part."""
+        """Return whether to accept a retry, and take its token if so; `punctual` callers may use the reserved part."""
         if now < self.empty_until:
             return False
         if self.rate == math.inf:
--- a/mulleinhatch/instance/retry_storms/calendar.py
+++ b/mulleinhatch/instance/retry_storms/calendar.py
@@ -1,6 +1,6 @@
-"""Retry times for rejected callers: slots one after another, as many per second as can be served.
+"""Retry times for rejected callers: consecutive slots, as many per second as can be served.
 
-Slots are given out in order, so the time of the next free one is the complete state.
+Slots are assigned in order, so the time of the next free slot is the complete state.
 
 Source: ITU-T I.371, generic cell rate algorithm in its virtual scheduling form.
 """
@@ -9,7 +9,7 @@
 
 
 class ReconnectCalendar:
-    """Gives out retry slots at `rate` slots per second.
+    """Assigns retry slots at `rate` slots per second.
 
     Args:
         horizon: Longest delay in seconds; callers ignore longer ones.
@@ -31,7 +31,8 @@
     def reserve_slot(self, now: float, min_delay: float, draw: float) -> float:
         """Reserve the next slot and return the delay until then in seconds.
 
-        Past the horizon there are no slots: the delay is spread over the farther half of the horizon and counted as overbooked.
+        There are no slots past the horizon: the delay is then random in the second half of the horizon, and counted as
+        overbooked.
 
         Args:
             now: Monotonic seconds.
--- a/mulleinhatch/instance/retry_storms/duplicate_detection.py
+++ b/mulleinhatch/instance/retry_storms/duplicate_detection.py
@@ -1,8 +1,8 @@
-"""Recognises attempts of the same request by what they have in common.
+"""Recognises attempts of the same request by their fingerprints.
 
-Each caller is a backend with thousands of clients, so two requests may be equal to the last byte of their bodies. A fingerprint
-that was seen on two requests at once, or again after a response, is shared and proves nothing from then on. Then the detailed
-fingerprint decides, which adds the costs given for a client's request. `docs/design/lookalikes.md` has the table.
+Each caller is a backend with thousands of clients, so different requests may have identical bodies. A fingerprint that occurs
+on two pending requests, or again after a response, is shared by different requests and proves nothing from then on. The
+detailed fingerprint, which adds the stated costs of the request, then decides. `docs/design/lookalikes.md` has the table.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from mulleinhatch.instance.retry_storms.expiring_items import ExpiringItems
 from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, fingerprint
 
-REJECTED_LIFETIME_S = 10.0  # seconds for which a rejected request is recognised, at most twice that
-EXECUTED_LIFETIME_S = 30.0  # the same for an executed one whose response may be lost
-# Seconds and number of retries, all with the costs of an earlier attempt, until costs are relied on.
+REJECTED_LIFETIME_S = 10.0  # minimum time for which a rejected request is recognised; the maximum is twice that
+EXECUTED_LIFETIME_S = 30.0  # the same for an executed request whose response may be lost
+# Costs are considered stable after this time and this many retries, all with the costs of an earlier attempt.
 STABLE_COSTS_S, STABLE_COSTS_RETRIES = 5.0, 64
-RESPONSE_MARGIN_S = 0.25  # seconds before the deadline by which a response must be written to count as read
+RESPONSE_MARGIN_S = 0.25  # a response must be written this long before the deadline to count as read
 
 
 class RequestFingerprint(NamedTuple):
@@ -86,9 +86,9 @@
 class DuplicateDetector:
     """Decides whether an attempt without a retry mark repeats a rejected request.
 
-    A fingerprint has as many known repeats as rejections that were not retried yet, so a request that was served since is no
-    repeat. `classify` returns the keys of the attempt, by which its rejection, response and end are reported; the detailed key
-    is kept only where it is needed.
+    A fingerprint has as many known repeats as rejections that were not retried yet, so a request that was served since then is
+    not a repeat. `classify` returns the keys of the attempt, by which its rejection, response and end are reported; the
+    detailed key is included only if it is needed.
 
     Args:
         capacity: Maximum number of fingerprints in each of two generations.
@@ -110,7 +110,7 @@
         self.served, self.shared = ExpiringSet(REJECTED_LIFETIME_S, capacity), ExpiringSet(REJECTED_LIFETIME_S, capacity)
         self.counts: Counter[str] = Counter()
         self.stable_retries = 0  # consecutive marked retries with the costs of an earlier attempt
-        self.unstable_at = -math.inf  # time of the last one with other costs
+        self.unstable_at = -math.inf  # time of the last marked retry with different costs
 
     def classify(
         self, now: float, fingerprints: RequestFingerprint, is_marked_retry: bool, is_non_retryable: bool = False
@@ -119,9 +119,9 @@
 
         Args:
             now: Monotonic seconds.
-            fingerprints: Its fingerprints.
-            is_marked_retry: The caller marked it as a retry.
-            is_non_retryable: Its type must not execute twice; such requests show whether the costs stay equal over the
+            fingerprints: Fingerprints of the attempt.
+            is_marked_retry: Whether the caller marked it as a retry.
+            is_non_retryable: Whether it must not execute twice; such requests show whether the costs are equal in all
                 attempts.
 
         Returns:
@@ -149,9 +149,9 @@
         return is_marked_retry or is_known_repeat, keys
 
     def _mark_if_shared(self, now: float, item: bytes) -> None:
-        """Mark a fingerprint as shared if a first attempt equals one that is pending here or was served.
+        """Mark a fingerprint as shared if a first attempt equals a request that is pending here or was served.
 
-        An unmarked second copy of a request looks the same; it then counts as a first attempt, with no other effect.
+        An unmarked duplicate of a request looks the same; it then counts as a first attempt, with no other effect.
         """
         if item in self.open or self.served.contains(now, item):
             self.counts["likenesses_shared"] += not self.shared.contains(now, item)
@@ -201,7 +201,7 @@
             self.served.add(now, item)
 
     def record_closed(self, keys: tuple[bytes, ...]) -> None:
-        """Record that an attempt is no longer pending: it was answered, or its caller disconnected."""
+        """Record that an attempt is no longer pending, because it was answered or its caller disconnected."""
         for item in keys:
             if self.open[item] > 1:
                 self.open[item] -= 1
@@ -211,15 +211,15 @@
     def _record_costs(self, now: float, are_costs_equal: bool) -> None:
         """Record whether a retry has the costs of the rejected attempt.
 
-        The first attempt may have reached another instance, which looks like a change: after a start, costs prove nothing for a
-        while.
+        The first attempt may have reached another instance, which looks like a change of costs; therefore costs prove nothing
+        for a while after a start.
         """
         self.stable_retries += 1
         if not are_costs_equal:
             self.stable_retries, self.unstable_at = 0, now
 
     def are_costs_stable(self, now: float) -> bool:
-        """Return whether retries have repeated the costs of their first attempts often and long enough to rely on them."""
+        """Return whether retries had the costs of their first attempts often and long enough to rely on the costs."""
         return self.stable_retries >= STABLE_COSTS_RETRIES and now - self.unstable_at >= STABLE_COSTS_S
 
 
@@ -233,7 +233,7 @@
 class ExecutedRequests:
     """Executions of non-retryable requests, kept while a retry is still possible.
 
-    An entry is kept until the response is known to have been read, or for one to two spans.
+    An entry is kept until its response is known to have been read, or for one to two lifetimes.
 
     Args:
         capacity: Maximum number of entries in each of two generations.
@@ -278,13 +278,13 @@
         self.by_coarse.setdefault(fingerprints.coarse, {})[ref] = fingerprints.detailed
 
     def remove(self, ref: str) -> None:
-        """Remove a request of which no retry can arrive: it did not execute, or its caller has the response."""
+        """Remove a request that cannot be retried, because it did not execute or its caller has the response."""
         for executed in (self.current, self.previous):
             if executed_request := executed.pop(ref, None):
                 self._forget(ref, executed_request)
 
     def record_response(self, now: float, ref: str, connection: int) -> None:
-        """Record that the response was written; one written at the last moment may not have been read."""
+        """Record that the response was written; one written just before the deadline may not have been read."""
         executed_request = self.current.get(ref) or self.previous.get(ref)
         if executed_request and now <= executed_request.due - RESPONSE_MARGIN_S:
             self.answers[connection] = ref
--- a/mulleinhatch/instance/retry_storms/expiring_items.py
+++ b/mulleinhatch/instance/retry_storms/expiring_items.py
@@ -1,4 +1,4 @@
-"""Items that expire without a timer: two generations, of which the older one is dropped whole."""
+"""Items that expire without a timer: two generations, of which the older one is dropped as a whole."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.current, self.previous = generation_type(), generation_type()
 
     def _rotate(self, now: float) -> None:
-        """Begin a new generation if the current one is a span old; drop the current one, too, if it is two spans old."""
+        """Start a new generation if the current one is one span old; drop the current one, too, if it is two spans old."""
         if now - self.rotated_at >= self.span:
             if now - self.rotated_at >= 2.0 * self.span:
                 self.current = self._generation_type()
--- a/mulleinhatch/instance/retry_storms/request_log.py
+++ b/mulleinhatch/instance/retry_storms/request_log.py
@@ -1,4 +1,4 @@
-"""Which callers send most requests, and which requests were seen recently, both in bounded memory.
+"""The most frequent callers and the recently seen requests, both in bounded memory.
 
 Source: Metwally, Agrawal, El Abbadi, "Efficient computation of frequent and top-k elements in data streams" (2005), the
 space-saving sketch in `HeavyCallers`: a caller without a counter takes over the smallest one and inherits its count as error.
@@ -22,17 +22,17 @@
     >>> callers = HeavyCallers(2)
     >>> for caller in [7, 7, 7, 8, 9]:
     ...     callers.add(caller)
-    >>> callers.most_frequent(1), callers.at_most(9), callers.at_least(9), len(callers)
+    >>> callers.most_frequent(1), callers.upper_bound(9), callers.lower_bound(9), len(callers)
     ([(7, 3)], 2, 1, 2)
     """
 
     def __init__(self, capacity: int) -> None:
         if capacity < 1:
-            raise ValueError("room: at least one caller must fit")
+            raise ValueError("capacity must be at least 1")
         self.capacity, self.total = capacity, 0
         self.counts: dict[Hashable, int] = {}
         self.errors: dict[Hashable, int] = {}
-        self.order: list[tuple[int, int, Hashable]] = []  # counts when pushed; corrected on eviction
+        self.order: list[tuple[int, int, Hashable]] = []  # heap with the counts when pushed; corrected on eviction
         self.sequence = 0
 
     def add(self, caller: Hashable, times: int = 1) -> None:
@@ -68,7 +68,7 @@
             self._push(caller)
 
     def halve(self) -> None:
-        """Halve all counts, so that old requests weigh less; counters that reach 0 are removed."""
+        """Halve all counts, so that old requests have less weight; counters that reach 0 are removed."""
         self.counts = {caller: count // 2 for caller, count in self.counts.items() if count > 1}
         self.errors = {caller: error // 2 for caller, error in self.errors.items() if error > 1 and caller in self.counts}
         self.total //= 2
@@ -76,11 +76,11 @@
         self.sequence = len(self.order)
         heapify(self.order)
 
-    def at_most(self, caller: Hashable) -> int:
+    def upper_bound(self, caller: Hashable) -> int:
         """Return an upper bound of the requests of a caller that has a counter, 0 for others."""
         return self.counts.get(caller, 0)
 
-    def at_least(self, caller: Hashable) -> int:
+    def lower_bound(self, caller: Hashable) -> int:
         """Return a lower bound of the requests of a caller."""
         return self.counts.get(caller, 0) - self.errors.get(caller, 0)
 
@@ -93,7 +93,7 @@
 
 
 def fingerprint(caller: int, request_type: str, tenant: str, key: str, body: bytes) -> bytes:
-    """Return 16 bytes that two attempts of one request have in common if nothing marks the second as a retry."""
+    """Return a 16-byte hash that is equal for all attempts of a request, marked as a retry or not."""
     return blake2b(f"{caller} {request_type} {tenant} {key} ".encode() + body, digest_size=16).digest()
 
 
--- a/mulleinhatch/instance/retry_storms/retry_admission.py
+++ b/mulleinhatch/instance/retry_storms/retry_admission.py
@@ -1,4 +1,4 @@
-"""Combines detection, budget, retry times and duplicate detection for one instance."""
+"""Combines storm detection, retry budget, retry times and duplicate detection for one instance."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from mulleinhatch.instance.retry_storms.request_log import HeavyCallers
 from mulleinhatch.instance.retry_storms.storm_detector import Stage, StormDetector
 
-HALVING_INTERVAL_S = 2.0  # seconds after which a caller's counts are halved
-PUNCTUAL_TOLERANCE_S = 0.02  # seconds too early that still count as punctual: clocks and rounding
+HALVING_INTERVAL_S = 2.0  # between halvings of the callers' counts
+PUNCTUAL_TOLERANCE_S = 0.02  # a retry this much too early still counts as punctual, because of clocks and rounding
 
 
 class RetryAdmission:
     """Decides for each retry during a storm whether it is rejected early, and when rejected callers should retry.
 
-    The host reports requests (`record_request`), asks `should_reject` before it reads a retry and `retry_after` for the delay
-    in a rejection, and reports `last_reported` to the admission controller when `update` returns True.
+    The owner reports requests (`record_request`), calls `should_reject` before it reads a retry and `retry_after` for the delay
+    in a rejection, and sends `last_reported` to the admission controller when `update` returns True.
 
     Args:
         bounds: Configured limits.
@@ -41,7 +41,7 @@
     def __init__(self, bounds: StormBounds, longest_hold_off: float, seed: int) -> None:
         self.bounds = bounds
         self.detector = StormDetector(bounds)
-        self.callers = HeavyCallers(bounds.callers_kept)  # by their repeats
+        self.callers = HeavyCallers(bounds.callers_kept)  # callers by their number of retries
         self.calendar = ReconnectCalendar(min(bounds.horizon, longest_hold_off))
         self.budget = RetryBudget(bounds.heeding_part)
         self.duplicates, self.executed = DuplicateDetector(bounds.repeats_kept), ExecutedRequests(bounds.repeats_kept)
@@ -51,15 +51,15 @@
         self.halved_at = 0.0
         self.promised_until = 0.0  # latest retry time given to a caller
         self.rejected_retries = 0
-        self.rejected_early_retries = 0  # those of them that came before their retry time
+        self.rejected_early_retries = 0  # rejected retries that arrived before their retry time
         self.last_reported: tuple[bool, float] = (False, 0.0)
 
     @property
     def is_active(self) -> bool:
-        """Whether retries are limited or delayed: from the first signs until the end of the recovery.
+        """Whether retries are limited or delayed, from the stage `RISING` to the end of the recovery.
 
-        Callers that wait as asked can prevent the stage `STORM`, but their retries still compete with first attempts for as
-        long as retry times are outstanding.
+        Callers that wait for the requested delay can prevent the stage `STORM`, but their retries still compete with first
+        attempts while retry times are outstanding.
         """
         return self.detector.stage is not Stage.CALM or self.detector.updated_at < self.promised_until
 
@@ -95,18 +95,18 @@
         return changed
 
     def _find_dominant_caller(self) -> int | None:
-        """Return the caller that sends most of the retries, if there are enough callers to compare."""
+        """Return the caller that sends most of the retries, if there are enough callers for a comparison."""
         (first, count), *others = self.callers.most_frequent(3) or [(None, 0)]
         alone = count >= self.bounds.loud_share * max(1, self.callers.total)
         return first if alone and len(others) >= 2 else None
 
     def set_rate(self, now: float, rate: float) -> None:
-        """Set the accepted retries per second, infinite without a storm; the admission controller decides it."""
+        """Set the accepted retries per second, as decided by the admission controller; infinite without a storm."""
         self.budget.set_rate(now, rate)
         self.calendar.rate = rate if rate < math.inf else 0.0
 
     def should_reject(self, now: float, caller: int, punctual: bool) -> bool:
-        """Return whether to reject this retry; if one caller dominates, only its retries are limited."""
+        """Return whether to reject this retry; if one caller is dominant, only its retries are limited."""
         if self.budget.rate == math.inf or self.dominant_caller is not None and caller != self.dominant_caller:
             return False
         return not self.budget.should_accept(now, punctual)
@@ -114,7 +114,7 @@
     def retry_after(self, now: float, least: float, ignored_last_delay: bool) -> float:
         """Return the seconds after which a rejected caller should retry, at least `least`.
 
-        During a storm it is the time of a slot. Callers that ignored the last delay get no slot, which others would lack.
+        During a storm it is the time of a slot. Callers that ignored the last delay get none, to leave the slots to others.
         """
         if self.calendar.rate <= 0.0:
             return least
--- a/mulleinhatch/instance/retry_storms/storm_detector.py
+++ b/mulleinhatch/instance/retry_storms/storm_detector.py
@@ -1,8 +1,8 @@
-"""Detects retry storms from counts alone, in the stages calm, rising, storm and recovering.
+"""Detects retry storms from counters, in the stages calm, rising, storm and recovering.
 
-A storm is retries beyond what can be served. A burst of first attempts has no retries; a deploy causes reconnects and the
-retries of a few seconds; a slow dependency causes some retries of the same requests; a single noisy caller is recognised by its
-share of the retries. `docs/design/storms.md` has the table of stages.
+In a storm, more retries arrive than can be served. A burst of first attempts has no retries; a deploy causes reconnects and
+retries for a few seconds; a slow dependency causes some retries of the same requests; a single noisy caller is recognised by
+its share of the retries. `docs/design/storms.md` has the table of stages.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.sliding_window import SlidingWindow
 
-UPDATE_INTERVAL_S = 0.25  # seconds between updates
-WINDOW_BUCKET_S, WINDOW_BUCKETS = 0.25, 4  # the last second, in buckets of WINDOW_BUCKET_S seconds
+UPDATE_INTERVAL_S = 0.25
+WINDOW_BUCKET_S, WINDOW_BUCKETS = 0.25, 4  # buckets of the sliding window, which covers the last second
 CALM_SHARE = 0.25  # share of retries below which a storm is no longer rising
-CALM_S = 1.0  # seconds below CALM_SHARE until the stage is calm
-EASED_S = 1.0  # seconds with less than half of the storm multiple until the stage is recovering
+CALM_S = 1.0  # time below CALM_SHARE until the stage is calm
+EASED_S = 1.0  # time below half of the storm multiple until the stage is recovering
 USUAL_RATE_WEIGHT = 0.02  # weight of an update in the moving average of first attempts
-OVERLOAD_AGE_S = 0.5  # mean age in seconds from which reading is overloaded, which counts as an outage
+OVERLOAD_AGE_S = 0.5  # a larger mean age of requests when read means overload, which counts as an outage
 
 
 class Stage(Enum):
@@ -54,19 +54,19 @@
         self.reads, self.repeats, self.connects, self.ages = (SlidingWindow(WINDOW_BUCKET_S, WINDOW_BUCKETS) for _ in range(4))
         self.usual_rate = self.first_rate = self.repeat_rate = self.connect_rate = 0.0
         self.updated_at = -math.inf
-        self.calmer_s = self.storm_like_s = 0.0  # seconds for which it looked calmer, or like a storm
+        self.calmer_s = self.storm_like_s = 0.0  # time for which the criteria of a calmer stage, or of a storm, held
         self.outage_at: float | None = None
         self.entered: dict[Stage, int] = dict.fromkeys(Stage, 0)
 
     def count(self, reads: int = 0, repeats: int = 0, connects: int = 0, age: float = 0.0) -> None:
-        """Count what arrived since the last update; `age` is the sum of the requests' ages in seconds when read."""
+        """Count arrivals since the last update; `age` is the sum of the requests' ages in seconds when read."""
         self.new_reads += reads
         self.new_repeats += repeats
         self.new_connects += connects
         self.new_age += age
 
     def record_outage(self, now: float) -> None:
-        """Record an outage of this instance: a start, a lost link, or executions that stopped completing."""
+        """Record an outage of this instance: a start, a lost link, or runs that stopped completing."""
         self.outage_at = now
 
     def is_due(self, now: float) -> bool:
@@ -103,9 +103,9 @@
         self._advance_stage(now, span, repeats / reads if reads else 0.0, self.repeat_rate / served)
 
     def _advance_stage(self, now: float, span: float, share: float, multiple: float) -> None:
-        """Change the stage, by the share of retries and by their multiple of the rate that can be served.
+        """Change the stage by the share of retries and by their multiple of the rate that can be served.
 
-        Each way back has a lower threshold than the way there and must last longer, which prevents flapping.
+        Leaving a stage has a lower threshold than entering it and requires a longer time, which prevents flapping.
         """
         bounds = self.bounds
         is_storm_like = share >= bounds.storm_share and multiple >= bounds.storm_multiple
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -1,4 +1,4 @@
-"""Storms: the watch by scenarios, the books against plain ones, the player in virtual time, what the door believes."""
+"""Retry storms: detector scenarios, sketches against exact counts, histories in virtual time, and early rejections."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 from standins import SocketPlay
 
 ROOT = Path(__file__).parent
-SETTLED = 12.0  # seconds after the last input in which every history must be calm again
+SETTLED = 12.0  # seconds after the last input within which every history must be calm again
 
 
-class Skies:
-    """Plays a scenario: `0-2 reads 250 repeats 240 capacity 80` is that at each beat of the time."""
+class ScenarioPlayer:
+    """Plays a scenario; a line `0-2 reads 250 repeats 240 capacity 80` gives the counts of each update from 0 s to 2 s."""
 
     def __init__(self) -> None:
         self.detector = StormDetector(StormBounds())
 
-    def line(self, text: str) -> None:
+    def play_line(self, text: str) -> None:
         word, *rest = text.split()
         if word == ">":
             assert self.detector.stage.value == rest[0], self.detector.stage
@@ -59,19 +59,19 @@
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios/storms").glob("*.txt")), ids=lambda path: path.stem)
-def test_the_watch(path: Path) -> None:
-    skies = Skies()
+def test_detector_scenarios(path: Path) -> None:
+    player = ScenarioPlayer()
     for number, text in enumerate(path.read_text().splitlines(), 1):
         if text.strip() and not text.startswith("#"):
             try:
-                skies.line(text)
+                player.play_line(text)
             except AssertionError as error:
                 raise AssertionError(f"{path.name}:{number}: {text}\n{error}") from None
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_heavy_callers_against_a_plain_count(seed: int) -> None:
-    """The sketch's promises: never too little, too much by the least count at most, and nobody heavy is missing."""
+    """Bounds of the sketch: they enclose the true count, and no caller with more than 1/capacity of the requests is missing."""
     draw, sketch, plain = random.Random(seed), HeavyCallers(32), Counter()
     for _ in range(5000):
         caller = int(draw.paretovariate(0.9)) % 3000
@@ -79,12 +79,12 @@
         plain[caller] += 1
     assert len(sketch) <= 32 and sketch.total == 5000 and len(sketch.order) <= 32
     for caller, count in plain.items():
-        assert sketch.at_least(caller) <= count
-        assert count <= 5000 / 32 or sketch.at_most(caller) >= count, caller
+        assert sketch.lower_bound(caller) <= count
+        assert count <= 5000 / 32 or sketch.upper_bound(caller) >= count, caller
 
 
-def test_recently_seen_stays_in_bounds() -> None:
-    """Ten thousand fingerprints in a second must not push the memory up, whatever the span."""
+def test_expiring_set_is_bounded() -> None:
+    """Ten thousand fingerprints per second must not increase the memory, regardless of the span."""
     recent = ExpiringSet(span=10.0, capacity=100)
     for number in range(10_000):
         recent.add(number / 10_000, number)
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_more_slots_than_can_be_served(seed: int) -> None:
-    """In no stretch of time lie more slots than the highest rate in force while they were given makes room for."""
+    """No time interval has more slots than the highest rate at which they were assigned allows."""
     draw, calendar, slots, now = random.Random(seed), ReconnectCalendar(20.0), [], 0.0
     for _ in range(400):
         now += draw.expovariate(40.0)
@@ -109,18 +109,18 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_budget_gives_what_its_rate_allows(seed: int) -> None:
-    draw, budget, now, heard = random.Random(seed), RetryBudget(0.9), 0.0, 0
+def test_retry_budget_accepts_at_its_rate(seed: int) -> None:
+    draw, budget, now, accepted_count = random.Random(seed), RetryBudget(0.9), 0.0, 0
     budget.set_rate(0.0, 5.0)
     while now < 60.0:
         now += draw.expovariate(200.0)
-        heard += budget.should_accept(now, draw.random() < 0.02)
+        accepted_count += budget.should_accept(now, draw.random() < 0.02)
         assert min(budget.punctual.tokens, budget.others.tokens) >= 0.0
-    assert 0.8 * 5.0 * 60.0 <= heard <= 5.0 * 60.0 + 6.0
+    assert 0.8 * 5.0 * 60.0 <= accepted_count <= 5.0 * 60.0 + 6.0
 
 
-SMALL = Scenario(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # it can do 20 a second
-WEATHERS = [
+SMALL = Scenario(rate=18.0, cores=1, outage=(3.0, 7.0), load_until=13.0, patience=8.0)  # the capacity is 20 per second
+SCENARIOS = [
     SMALL,
     *(
         SMALL._replace(**other)
@@ -138,18 +138,18 @@
 ]
 
 
-@pytest.mark.parametrize("scenario", WEATHERS, ids=lambda scenario: f"{scenario.kind}-{scenario.rate:g}-{scenario.heeding}")
-def test_in_virtual_time(scenario: Scenario) -> None:
-    """What must hold at every step is checked by the player; at the end all is calm, and no effect was had twice."""
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: f"{scenario.kind}-{scenario.rate:g}-{scenario.heeding}")
+def test_scenarios_in_virtual_time(scenario: Scenario) -> None:
+    """The world checks its invariants at every step; at the end the stage is calm, and no effect was applied twice."""
     last = scenario.load_until + scenario.patience
     world = World(scenario._replace(until=last + SETTLED), seed=5).play()
     assert not world.ran_twice()
-    world.reducer.reduce(last + SETTLED, Event.HEALTH_CHECK_RECEIVED, 0)  # an idle instance judges when it next hears anything
+    world.reducer.reduce(last + SETTLED, Event.HEALTH_CHECK_RECEIVED, 0)  # an idle instance updates its stage on the next event
     assert world.reducer.storms.detector.stage is Stage.CALM, world.stages
     assert not world.waiting
 
 
-def test_virtual_seeds_permute_the_weather() -> None:
+def test_random_scenarios_in_virtual_time() -> None:
     draw = random.Random(9)
     for seed in range(12):
         scenario = Scenario(
@@ -168,29 +168,31 @@
         assert not world.ran_twice(), (seed, scenario)
 
 
-def test_the_same_seed_is_the_same_history() -> None:
+def test_histories_are_deterministic() -> None:
     one, other = (World(SMALL._replace(heeding=0.3, until=20.0), seed=3).play() for _ in range(2))
     assert one.counts == other.counts and one.stages == other.stages and one.in_time == other.in_time
 
 
-def test_service_is_back_within_seconds_only_with_retry_admission() -> None:
-    """The outage of the design note on half the cores: 8 s, load 0.92, patience 30 s, nobody heeds."""
+def test_service_recovers_within_seconds_only_with_retry_admission() -> None:
+    """The outage of the design note on half the cores: 8 s at load 0.92; callers retry for 30 s and ignore retry times."""
     scenario = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
     assert World(scenario, 1).play().share_in_time(14.0, 21.0) > 0.9
     assert World(scenario, 1, storm_bounds=None).play().share_in_time(14.0, 21.0) < 0.6
 
 
-def test_the_door_believes_nothing_that_a_full_reading_does_not() -> None:
-    """Whatever it takes for a whole request must be one, alone, with the same id, path and body: else bytes of one
-    request would be thrown away with another, or one be hidden."""
+def test_plain_parser_accepts_only_what_the_full_parser_accepts() -> None:
+    """Data that the plain parser accepts must be exactly one request, with the same ID, path and body as in the full parser.
+
+    Otherwise bytes of one request would be discarded with another, or a request would be hidden.
+    """
     plain = (
         b"POST /svc/read HTTP/1.1\r\nHost: a\r\nX-Request-Id: 0123456789abcdef\r\nX-Request-Start: 1000\r\n"
         b"X-Caller: 4\r\nX-Memory-Kb: 2\r\nX-Retry: 1\r\nContent-Length: 4\r\n\r\nabcd"
     )
     assert parse_plain_request(plain)
     assert not any(parse_plain_request(plain[:cut]) for cut in range(len(plain)))
-    draw, believed = random.Random(4), 0
-    scraps = [
+    draw, accepted = random.Random(4), 0
+    fragments = [
         b"\r\n",
         b"\n",
         b" ",
@@ -209,11 +211,11 @@
         data = bytearray(plain)
         for _ in range(draw.randrange(1, 4)):
             at = draw.randrange(len(data))
-            data[at : at + draw.randrange(3)] = draw.choice(scraps)
-        looked = parse_plain_request(bytes(data))
-        if looked is None:
+            data[at : at + draw.randrange(3)] = draw.choice(fragments)
+        parsed = parse_plain_request(bytes(data))
+        if parsed is None:
             continue
-        believed += 1
+        accepted += 1
         reader = RequestReader()
         reader.free_space()[: len(data)] = data
         reader.filled(len(data))
@@ -221,18 +223,18 @@
             _, path, fields, body = reader.message()
             fields_read = parse_request(path, fields, 1.0)
         except BadRequestError:
-            continue  # a refusal there, a refusal here
-        assert not reader.started() and body == looked[6], data
+            continue  # the full parser rejects the request, too
+        assert not reader.started() and body == parsed[6], data
         assert (fields_read[0], fields_read[1], fields_read[2], fields_read[8], fields_read[9]) == (
-            *looked[:3],
-            looked[4],
-            looked[5],
+            *parsed[:3],
+            parsed[4],
+            parsed[5],
         ), data
-    assert believed > 500
+    assert accepted > 500
 
 
 @pytest.mark.parametrize(
-    "text, complaint",
+    "text, error_text",
     [
         ("storms {\n  settle 0\n}", ":2: storms.settle: Expected `float` > 0.0"),
         ("storms {\n  settle 3\n  loud-share 1.5\n}", ":3: storms.loud-share: Expected `float` <= 1.0"),
@@ -246,24 +248,24 @@
         ('storms {\n  settle "3\n}', ":2:"),
     ],
 )
-def test_the_faulty_line_of_the_operators_file_is_named(text: str, complaint: str) -> None:
+def test_error_in_the_operators_file_has_the_line_number(text: str, error_text: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
         operator.told(text)
-    assert str(error.value).startswith("operator.kdl" + complaint), error.value
+    assert str(error.value).startswith("operator.kdl" + error_text), error.value
 
 
-def test_the_operators_file_as_shipped_is_what_holds_without_it() -> None:
+def test_shipped_operators_file_matches_the_defaults() -> None:
     assert operator.read(str(ROOT.parent / "deploy/operator.kdl")).storms == StormBounds()
 
 
 @pytest.mark.parametrize("script", ["kill 0", "at x kill 0", "at 3 kill", "at 3 flap 0", "at 3 silent 5"])
-def test_a_bad_fault_script_is_refused(script: str) -> None:
+def test_invalid_fault_script_is_rejected(script: str) -> None:
     with pytest.raises(faults.FaultScriptError, match="line 1"):
         faults.read(script)
 
 
 class TurnClock:
-    """A clock of the listener by which each of its turns takes equally long, whatever the processor does meanwhile."""
+    """A clock for the listener, by which each of its turns takes equally long regardless of the machine's load."""
 
     def __init__(self, turn_s: float) -> None:
         self.turn_s, self.now = turn_s, 0.0
@@ -274,7 +276,7 @@
 
 
 class ConnectBurst(NamedTuple):
-    """What came of many connects at once: the first bytes that each got, and what the others noticed of it."""
+    """Result of many simultaneous connects: the first bytes that each received, and the delays of others meanwhile."""
 
     answers: list[bytes]
     shed: int
@@ -283,9 +285,9 @@
 
 
 def connect_at_once(count: int, turn_s: float) -> ConnectBurst:
-    """Let clients connect to a fresh instance at once while one that is connected goes on with its checks."""
+    """Let clients connect to a new instance at once while a connected client continues its health checks."""
 
-    async def newcomer(port: int) -> bytes:
+    async def connect(port: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
             writer.write(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -304,15 +306,15 @@
             await play.caller_hears("a", "200")
             play.instance.listener.connections.listener.clock = TurnClock(turn_s)
             slowest, loop = 0.0, asyncio.get_running_loop()
-            crowd = asyncio.gather(*(newcomer(play.instance.port) for _ in range(count)))
-            while not crowd.done():
+            connects = asyncio.gather(*(connect(play.instance.port) for _ in range(count)))
+            while not connects.done():
                 asked = loop.time()
                 await play.caller_checks("a")
                 await play.caller_hears("a", "200")
                 slowest = max(slowest, loop.time() - asked)
                 await asyncio.sleep(0.01)
             counts = play.instance.counts
-            return ConnectBurst(await crowd, counts["connections_shed"], slowest, counts["alarm_late_ms_most"])
+            return ConnectBurst(await connects, counts["connections_shed"], slowest, counts["alarm_late_ms_most"])
         finally:
             play.instance.stopped.set()
             await play.serving
@@ -320,30 +322,32 @@
     return asyncio.run(asyncio.wait_for(burst(), 20))
 
 
-def test_hundreds_connect_at_once_and_nobody_starves() -> None:
-    """A fresh instance under a burst of connects: an open connection gets its checks answered meanwhile, alarms go off in
-    time, and every new connection is served: 400 are accepted in fewer turns than the listener has within its bound."""
+def test_burst_of_connects_does_not_starve_other_connections() -> None:
+    """A burst of 400 connects to a new instance, which takes fewer turns of the listener than its delay bound allows.
+
+    Health checks on an open connection are answered meanwhile, timers fire in time, and every new connection is served.
+    """
     turn_s = 0.9 * MAX_ACCEPT_DELAY_S / math.ceil(400 / MAX_ACCEPTS_PER_TURN)
     burst = connect_at_once(400, turn_s)
     assert set(burst.answers) == {b"HTTP/1.1 200"} and burst.shed == 0
     assert burst.slowest_check_s < 1.5 and burst.latest_alarm_ms < 1000, burst
 
 
-def test_a_listener_that_cannot_keep_up_closes_new_connections_and_leaves_none_hanging() -> None:
-    turns = 4  # within the bound
+def test_overloaded_listener_closes_new_connections_promptly() -> None:
+    turns = 4  # within the delay bound
     burst = connect_at_once(400, MAX_ACCEPT_DELAY_S / turns)
     assert set(burst.answers) <= {b"HTTP/1.1 200", b""} and burst.answers.count(b"") == burst.shed
     assert burst.answers.count(b"HTTP/1.1 200") >= turns * MAX_ACCEPTS_PER_TURN
     assert burst.slowest_check_s < 1.5 and burst.latest_alarm_ms < 1000, burst
 
 
-def test_runs_that_stopped_ending_count_as_an_outage() -> None:
-    """A frozen interpreter is one, an idle instance is none: behind an outage a storm is seen sooner."""
+def test_runs_that_stop_completing_count_as_an_outage() -> None:
+    """A frozen interpreter is an outage, an idle instance is not; after an outage a storm is detected sooner."""
 
-    def outage_after(gap: float, in_hand: bool) -> bool:
+    def outage_after(gap: float, is_running: bool) -> bool:
         reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], 7, StormBounds())
         reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
-        asked = 0.0 if in_hand else gap
+        asked = 0.0 if is_running else gap
         for number, at in ((1, 0.0), (2, asked)):
             reducer.reduce(at, Event.REQUEST_RECEIVED, number, f"r{number}", "read", "", 0.0, 60.0, 1, 0.1, 8.0, False, "", b"")
             if number == 1:
@@ -351,27 +355,27 @@
         reducer.reduce(gap, Event.RUN_ENDED, 2, "r2", Ending.OK, b"")
         return reducer.storms.detector.outage_at is not None
 
-    assert outage_after(5.0, in_hand=True)
-    assert not outage_after(0.2, in_hand=True) and not outage_after(5.0, in_hand=False)
+    assert outage_after(5.0, is_running=True)
+    assert not outage_after(0.2, is_running=True) and not outage_after(5.0, is_running=False)
 
 
 def test_no_retry_time_is_given_where_the_settings_allow_none() -> None:
-    """A longest hold-off may be told beside the word that none is allowed; the door must heed that as the module does."""
+    """Settings may have a maximum hold-off although none is allowed; early rejection must respect that like the controller."""
     for allowed in (False, True):
         reducer = Reducer(
             {"op_types": [{}], "cores": 1, "max_hold_off": 5.0, "hold_off_allowed": allowed}, ["read"], [], 7, StormBounds()
         )
         reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
         reducer.storms.set_rate(0.0, 0.001)
-        fields_read = [
+        delays = [
             reducer.reject_early(0.1, f"r{number}", "read", "", 4, True, "", b"", is_punctual=False, is_too_early=number > 2)
             for number in range(6)
         ]
-        assert max(fields_read) > 0.0 if allowed else set(fields_read) == {0.0}
+        assert max(delays) > 0.0 if allowed else set(delays) == {0.0}
 
 
-def test_an_unmarked_repeat_is_known_for_as_long_as_it_keeps_coming() -> None:
-    """Seen on loopback: 20 s after their first nack all unmarked repeats counted as first tries, and came in at once."""
+def test_unmarked_retry_is_recognised_while_it_keeps_arriving() -> None:
+    """Seen on loopback: 20 s after their first rejection, unmarked retries counted as first attempts and were admitted."""
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
     reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
     reducer.storms.set_rate(0.0, 0.001)
