--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Leased quotas: every order of events, each guard removed by itself, and random histories."""
+"""Leased quotas: exhaustive orders of events, each guard removed separately, and random histories."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from mulleinhatch.simulation.budget_model_checker import LOAN_IN_PROGRESS, Model, explore, explore_random_walks
 
 TICK3 = (("tick",),) * 3
-# Each history ends a few steps before the point where a single guard prevents a violation.
-# A grant under way while all is returned; a loan, with an earlier request under way; a grant that takes five ticks.
+# Each history ends a few steps before the point where a single guard prevents a violation:
+# a grant in flight while all units are returned; a loan with an earlier request in flight; a grant that takes five ticks.
 LATE_GRANT = (*LOAN_IN_PROGRESS, ("ask", 1, 0, 2), ("deliver", 0), ("ask", 1, 0, 0), ("deliver", 1))
 OLD_REQUEST = (
     ("ask", 1, 0, 0),
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     "before",
     [(), LOAN_IN_PROGRESS, LATE_GRANT, OLD_REQUEST, SLOW_GRANT],
-    ids=["new", "lent", "late give", "old ask", "slow give"],
+    ids=["new", "lent", "late grant", "old request", "slow grant"],
 )
 def test_no_order_of_four_steps_exceeds_a_total(before: tuple) -> None:
     states, history = explore(Model(), 4, before)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    "part, before, model",
+    "quota, before, model",
     [
         (GrantsWithoutWaiting, (), {}),
         (AcceptsAnyAnswer, LATE_GRANT, {}),
@@ -78,16 +78,16 @@
         (ReusesAtOnce, LOAN_IN_PROGRESS, {}),
         (LeasedQuota, LOAN_IN_PROGRESS, {**DRIFTING, "drift": 0.0}),
     ],
-    ids=["rest", "latest answer", "newer ask", "lease from the ask", "quarantine", "cooling", "drift"],
+    ids=["wait before grant", "latest grant", "newer request", "lease from request", "restart", "quarantine", "drift"],
 )
-def test_model_checker_finds_each_missing_guard(part: type[LeasedQuota], before: tuple, model: dict) -> None:
-    """Without it the same search finds a total exceeded: otherwise the guard or the search would be useless."""
-    _, history = explore(Model(part, **model), 6, before, most_states=60_000)
+def test_model_checker_finds_each_missing_guard(quota: type[LeasedQuota], before: tuple, model: dict) -> None:
+    """Without the guard the same search must find an exceeded total; otherwise the guard or the search is useless."""
+    _, history = explore(Model(quota, **model), 6, before, most_states=60_000)
     assert "in one window" in history
 
 
 @pytest.mark.parametrize(
-    "model", [Model(), Model(needed=1), Model(**DRIFTING, drift=1.5)], ids=["plain", "takes back", "clocks apart"]
+    "model", [Model(), Model(needed=1), Model(**DRIFTING, drift=1.5)], ids=["plain", "reclaim", "clock drift"]
 )
 def test_long_random_histories(model: Model) -> None:
     assert explore_random_walks(model, seed=3, walks=1200, steps=40) == ""
@@ -95,13 +95,13 @@
 
 def test_restarted_owner_waits_until_its_former_loans_expired() -> None:
     bounds = BudgetBounds("q", 20, ("a", "b"), window=1.0, lease=5.0)
-    part = LeasedQuota(bounds, "a", 100.0)
-    assert part.usable(106.1) == 0 and part.handle_request(106.1, ("b", 1), LeaseRequest(1, 0, 5), spare=10) is None
-    assert part.usable(100.0 + 5.0 * 1.03 + 1.03) == 10
+    quota = LeasedQuota(bounds, "a", 100.0)
+    assert quota.usable(106.1) == 0 and quota.handle_request(106.1, ("b", 1), LeaseRequest(1, 0, 5), spare=10) is None
+    assert quota.usable(100.0 + 5.0 * 1.03 + 1.03) == 10
 
 
 def test_units_are_not_occupied_beyond_their_lease() -> None:
-    """A call of two seconds on units leased for one more would still run when the lender has them back."""
+    """A call of two seconds on units whose lease lasts one more second would still run when the lender reuses them."""
     bounds = BudgetBounds("calls", 8, ("a", "b"), window=0.0, lease=5.0)
     lender, borrower = LeasedQuota(bounds, "a", -99.0), LeasedQuota(bounds, "b", -99.0)
     borrower.handle_grant(0.0, "a", lender.handle_request(0.0, ("b", 1), borrower.create_request(0.0, "a", 2), spare=4))
@@ -109,16 +109,16 @@
 
 
 def test_two_instances_of_one_name_use_no_unit_twice() -> None:
-    part = LeasedQuota(BudgetBounds("q", 20, ("a", "b")), "a", -99.0)
-    part.has_duplicate_name = True
-    assert part.usable(0.0) == 0
+    quota = LeasedQuota(BudgetBounds("q", 20, ("a", "b")), "a", -99.0)
+    quota.has_duplicate_name = True
+    assert quota.usable(0.0) == 0
 
 
 def test_meter_with_a_changing_quota() -> None:
     meter, used = QuotaMeter(1.0), []
     for step in range(400):
-        now, part = 0.05 * step, (3, 7)[step // 50 % 2]
-        if meter.take(now, part):
+        now, quota = 0.05 * step, (3, 7)[step // 50 % 2]
+        if meter.take(now, quota):
             used.append(now)
         assert sum(now - 1.0 < at <= now for at in used) <= 7
     assert meter.demand(19.95) == 20
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Gossip: hard cases and random histories in virtual time, datagrams of every kind, and real processes with faults."""
+"""Gossip: edge cases and random histories in virtual time, datagrams of each kind, and real processes with faults."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from mulleinhatch.testing.instance_harness import keep_environment
 
 
-def uneven(place: int, now: float) -> float:
+def uneven_demand(place: int, now: float) -> float:
     return 2.0 if (place + int(now / 4)) % 2 else 0.4
 
 
-def frozen(world: GossipWorld) -> set[int]:
+def frozen_places(world: GossipWorld) -> set[int]:
     return {node.place for node in world.nodes if node.core and node.core.members.frozen}
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_histories(seed: int) -> None:
-    """No window above its total, no negative quota, nobody declared gone by the minority; one view again within 3 s."""
+    """No window exceeds its total, no quota is negative, a minority declares nobody gone, and views agree again within 3 s."""
     draw = random.Random(seed)
     instances = draw.choice((3, 4, 5, 6, 8, 12))
     script = draw_fault_script(draw, instances, 7.0, 6.0)
@@ -43,7 +43,7 @@
             script,
             seed=seed,
             clocks=draw.choice(((), (0.99, 1.01))),
-            demand=uneven,
+            demand=uneven_demand,
             budgets=(("quota", 20 * instances, 1.0),),
         )
     )
@@ -73,11 +73,11 @@
 )
 def test_isolated_members_freeze_and_declare_nobody_gone(script: str, cut_off: set[int]) -> None:
     world = GossipWorld(Plan(12, script)).play(9.0)
-    assert frozen(world) >= cut_off
+    assert frozen_places(world) >= cut_off
     world.play(12.9)
     assert not [declared for declared in world.declared if declared[1] in cut_off], world.declared
     world.play(16.0)
-    assert world.views_agree() and not frozen(world)
+    assert world.views_agree() and not frozen_places(world)
 
 
 @pytest.mark.parametrize(
@@ -103,16 +103,16 @@
     assert not [1 for _, by, _ in world.declared if by in (2, 3)]
     world.play(20.0)
     assert world.views_agree()
-    assert not [1 for _, by, _ in world.declared if by in (2, 3)], "a paused member accused others when it resumed"
+    assert not [1 for _, by, _ in world.declared if by in (2, 3)], "a paused member declared others gone when it resumed"
 
 
 def test_all_restarted_together_with_clocks_set_back() -> None:
-    """Process epochs come from clocks that may have been set back an hour: messages of the others correct them."""
+    """Process epochs come from clocks that may have been set back by an hour; messages of the others correct them."""
     world = GossipWorld(Plan(8, "at 5 kill 0-3 for 1\nat 8 kill all for 1", seed=3)).play(14.0)
     assert world.views_agree()
 
 
-def test_fleet_grows_at_once_and_shrinks_by_leaves() -> None:
+def test_many_members_join_and_leave_at_once() -> None:
     script = "at 0.3 kill 5-59\nat 4 start 5-59\nat 9 leave 5-59"
     world = GossipWorld(Plan(60, script, budgets=())).play(7.5)
     assert world.views_agree()
@@ -121,8 +121,8 @@
     assert {member.state for member in world.nodes[0].core.members.view.values()} >= {wire.LEFT}
 
 
-def test_lender_dies_with_a_grant_under_way() -> None:
-    """Its loans expire, and its even share is usable again once its former loans are certainly returned."""
+def test_lender_dies_with_a_grant_in_flight() -> None:
+    """Its loans expire, and its equal share is usable again once its former loans must have expired."""
     plan = Plan(
         4,
         "at 10 lossy all 0.5 for 3\nat 11 kill 2 for 2",
@@ -149,7 +149,7 @@
     shared, _ = used(True)
     assert shared >= 0.9 > 0.75 > used(False)[0]
     _, cut_off_half = used(True, "at 8 cut 0-3 from 4-7 for 20")
-    assert cut_off_half >= 0.93  # of its even share; the rest is random variation within each window
+    assert cut_off_half >= 0.93  # of its equal share; the rest is random variation within each window
 
 
 def test_two_instances_of_one_name_detect_each_other() -> None:
@@ -245,7 +245,7 @@
 
 
 def test_ejections_respect_the_limits() -> None:
-    """One observer ejects nobody; at most a fifth at a time; none where most look unhealthy; none by an isolated member."""
+    """A single observer or an isolated member ejects nobody; at most a fifth are ejected, and none if most look unhealthy."""
     observers = {f"v{number}" for number in range(10)}
 
     def judged(unhealthy: int, by: int, cut_off: bool = False) -> list[str]:
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, complaint",
+    "text, error_text",
     [
         ('fleet {\n name "x"\n listen "nowhere"\n}', ":3: fleet.listen: Expected `str`"),
         (
@@ -292,19 +292,22 @@
         ('fleet {\n name "x"\n}', ":1: fleet"),
     ],
 )
-def test_error_names_the_line_of_the_fleet_node(text: str, complaint: str) -> None:
+def test_error_in_the_fleet_node_has_the_line_number(text: str, error_text: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
         operator.told(text)
-    assert str(error.value).startswith("operator.kdl" + complaint), error.value
+    assert str(error.value).startswith("operator.kdl" + error_text), error.value
 
 
-MAX_VOID_PLAYS = 2
+MAX_VOID_RUNS = 2
 
 
 @pytest.mark.processes
 def test_processes_partitioned_killed_and_paused(tmp_path: Path) -> None:
-    """Six real processes: a cut of two, a kill with a return, a stall; the tenant's total holds in every window of what the
-    interpreters ran, views are one again after each, and nobody that lives is declared gone by who was cut off."""
+    """Six real processes: a partition of two, a restart after a kill, and a stall.
+
+    The runs of the interpreters never exceed the tenant's total in any window, views agree again after each fault, and the
+    isolated members declare no living member gone.
+    """
     keep_environment()
     case = FleetCase(
         6,
@@ -329,8 +332,8 @@
             back = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
             return cut, await harness.finish(), healed, back
 
-    # A play in which the harness itself was so late that no window is left shows nothing: it is void, and played again.
-    for attempt in range(MAX_VOID_PLAYS + 1):
+    # A run in which the harness was so late that no window remains proves nothing and is repeated.
+    for attempt in range(MAX_VOID_RUNS + 1):
         folder = tmp_path / str(attempt)
         folder.mkdir()
         cut, results, healed, back = asyncio.run(asyncio.wait_for(play(folder), 80.0))
@@ -342,14 +345,16 @@
         assert len(starts) > 300
         if window_s > 0.0:
             break
-    assert window_s > 0.0, f"the harness was late by {results['late']} s in each of {MAX_VOID_PLAYS + 1} plays"
+    assert window_s > 0.0, f"the harness was late by {results['late']} s in each of {MAX_VOID_RUNS + 1} runs"
     assert most_in_window(starts, window_s) <= case.total
 
 
 @pytest.mark.processes
 def test_processes_restart_while_the_directory_is_down(tmp_path: Path) -> None:
-    """Two of four are killed, and come back while no report arrives: the fleet knows them at once, the stubs keep the last
-    list, and once the directory hears again all four serve."""
+    """Two of four instances are killed and restart while the directory is down.
+
+    The fleet detects them at once, the clients keep the last list, and all four serve again once the directory is back.
+    """
     keep_environment()
     case = FleetCase(
         4,
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -1,4 +1,4 @@
-"""How the admission controller uses figures of other instances, how these are computed, and what it hands over."""
+"""Figures of other instances: how they are computed and used by the admission controller, and handover of requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ControllerHarness:
-    """An admission controller with one core; runs complete when the test says so."""
+    """An admission controller with one core, whose runs complete when the test says so."""
 
     def __init__(self, **more: object) -> None:
         self.controller = AdmissionController(
@@ -59,7 +59,7 @@
 
 
 def create_warm_harness() -> ControllerHarness:
-    """Return a controller that has measured its pace: half a second per run."""
+    """Return a controller that has measured its pace of half a second per run."""
     harness = ControllerHarness()
     for turn in range(4):
         harness.read(0.5 * turn, f"w{turn}")
@@ -76,7 +76,7 @@
     assert harness.read(2.0, "b") == [(Verb.HAND_OVER, "b")] and harness.read(2.0, "c") == []
 
 
-@pytest.mark.parametrize("request_type, handed", [(2, False), (0, True)], ids=["keyed", "came from a peer"])
+@pytest.mark.parametrize("request_type, handed", [(2, False), (0, True)], ids=["keyed", "received from a peer"])
 def test_requests_that_are_not_handed_over(request_type: int, handed: bool) -> None:
     harness = create_warm_harness()
     harness.controller.set_peer_offers(2.0, 5)
@@ -97,7 +97,10 @@
     ],
 )
 def test_outcome_of_a_request_at_a_peer(request_type: int, ending: Ending, then: str) -> None:
-    """A link that broke tells nothing: what may not run twice is over here, what may runs here, and none goes on again."""
+    """After a broken link it is unknown whether the request ran at the peer.
+
+    A non-retryable one is closed, a retryable one runs here, and none is handed over again.
+    """
     harness = create_warm_harness()
     harness.controller.set_peer_offers(2.0, 5)
     assert harness.read(2.0, "a", request_type) == [(Verb.HAND_OVER, "a")]
@@ -151,7 +154,7 @@
     assert {decision.verb: decision for decision in harness.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
     harness.read(0.2, "running", wait=3.0)
     harness.read(0.2, "held", wait=1.0)
-    harness.controller.begin_drain(0.3, 0.1)  # nothing is free elsewhere: the caller should not try other instances, either
+    harness.controller.begin_drain(0.3, 0.1)  # no instance has free slots, so the caller should not try other instances, either
     rejections = [decision for decision in harness.pull(0.3) if decision.verb is Verb.REJECT]
     assert [(rejection.ref, rejection.flag) for rejection in rejections] == [("held", True)]
 
@@ -172,7 +175,7 @@
 
 
 def test_heavy_hitters_are_found_among_invented_names() -> None:
-    """Nobody that asks for more than a part in `room` is missed, and room stays bounded whoever makes names up."""
+    """No tenant above 1/capacity of the requests is missed, and memory stays bounded when callers invent names."""
     draw, hitters, true = random.Random(3), HeavyHitters(64), Counter()
     for number in range(60_000):
         name = draw.choice(("loud", "loud", "also", "third")) if draw.random() < 0.4 else f"made up {draw.randrange(100_000)}"
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Load balancing: pure parts, histories in virtual time with faults, and real processes that hand over requests."""
+"""Load balancing: unit tests, histories with faults in virtual time, and real processes that hand over requests."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 def test_shrunk_estimate_is_better_than_the_own_mean_with_few_runs() -> None:
-    """With three runs per window the estimate is far closer to the truth than the own mean, with hundreds it is no worse."""
+    """The estimate is far closer to the truth than the instance's mean with three runs, and no worse with hundreds."""
     draw = random.Random(4)
     for runs, better in ((3, 0.75), (300, 1.02)):
         own_error = drawn_error = 0.0
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("heeds", [0.0, 0.3, 0.8, 1.0])
 def test_redirects_converge_however_many_callers_comply(heeds: float) -> None:
-    """Twelve instances, four with twice the load: the fractions converge in bounded steps, and the load evens out."""
+    """With twelve instances, four at twice the load, the fractions converge in bounded steps and the load is balanced."""
     asked = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
     controllers = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
     fractions, history = [0.0] * 12, []
@@ -160,14 +160,15 @@
         http_peers.parse_response_head(head)
 
 
-def test_load_balancing_requires_a_fleet_and_errors_name_the_line() -> None:
+def test_load_balancing_requires_a_fleet_and_errors_have_the_line_number() -> None:
     with pytest.raises(operator.OperatorFileError, match=":1: spread: wants a fleet"):
         operator.told("spread {\n}")
     with pytest.raises(operator.OperatorFileError, match=":6: spread.ofer-for: no such key"):
         operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
 
 
-# Virtual time: each step checks one answer per request, no second run of a non-retryable one, and offers within the free slots.
+# Virtual time: each step checks that a request gets one response, that a non-retryable one runs at most once, and that offers
+# do not exceed the free slots.
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -188,7 +189,7 @@
     owed = [
         ref for node in world.nodes if node.core for ref, request in node.reducer.requests.items() if request.place is not None
     ]
-    assert not owed, "requests that nobody answered"
+    assert not owed, "requests without a response"
 
 
 def test_load_balancing_comes_close_to_one_common_queue() -> None:
@@ -234,8 +235,11 @@
 
 @pytest.mark.processes
 def test_processes_hand_over_with_a_paused_and_a_failing_peer(tmp_path: Path) -> None:
-    """Six real ones, two of them asked half as much again as they can do: the rest take it. A stalled taker, one that fails
-    all it runs, one that leaves: no sign-off runs twice, no answer is lost or a stranger's."""
+    """Six real processes, two of which get 1.5 times the load that they can serve and hand it over to the others.
+
+    One receiver stalls, one fails all its runs, and one instance leaves: no sign-off runs twice, and no response is lost or
+    belongs to another request.
+    """
     keep_environment()
     case = FleetCase(
         6,
@@ -271,6 +275,7 @@
     for client in results["stubs"]:
         assert client["counts"]["wrong"] == 0 and client["counts"]["unanswered"] <= 8, client["counts"]
         asked, in_time = asked + sum(client["first"].values()), in_time + sum(client["in_time"].values())
-    # Alone the two can serve 40 of their 60 a second: 0.75 of all; a stall, a failing one and a leave cost the rest.
+    # Without handover the two could serve 40 of their 60 requests per second, which is 0.75 of all requests. The margin allows
+    # for a stalled, a failing and a leaving instance.
     assert in_time > 0.8 * asked, (in_time, asked, results["stubs"][0]["counts"])
     assert LoadBalancingBounds().hand_over
