--- a/mulleinhatch/instance/gossip/aggregation_tree.py
+++ b/mulleinhatch/instance/gossip/aggregation_tree.py
@@ -5,8 +5,9 @@
 one speaker maintains the link. Membership changes are sent at once and everything else in rotation, within a limit of bytes
 per second.
 
-`summary_table` holds what is received, `group_summary` computes the own group's sums, `summary_composer` decides what each
-receiver is sent, `introductions` finds other groups and `remote_links` keeps the links. `GossipNode` calls this module.
+`summary_table` stores received summaries, `group_summary` computes the sums of this member's group, `summary_composer` selects
+the summaries for each receiver, `introductions` discovers other groups, and `remote_links` maintains the links to other zones
+and regions. `GossipNode` calls this module.
 
 Source: Hensgen, Finkel, Manber, "Two Algorithms for Barrier Synchronization" (1988), for the dissemination at doubling steps.
 """
--- a/mulleinhatch/instance/gossip/introductions.py
+++ b/mulleinhatch/instance/gossip/introductions.py
@@ -49,7 +49,7 @@
         draw: Callable[[int], int],
     ) -> None:
         self.location, self.members, self.bounds, self.composer = location, members, bounds, composer
-        self.turn = draw(64)
+        self.next_index = draw(64)
         self.newcomers: dict[PartKey, list[str]] = {}
         self.pinged_at: dict[str, float] = {}
 
@@ -57,8 +57,8 @@
         """Ping the next address in round-robin order."""
         others = [address for address in addresses if address != self.members.address] or self.bounds.beyond
         if others:
-            self.turn += 1
-            yield self._ping(now, others[self.turn % len(others)])
+            self.next_index += 1
+            yield self._ping(now, others[self.next_index % len(others)])
 
     def ping_contacts(self, now: float, contacts: bytes) -> Iterator[OutgoingMessage]:
         """Ping the contacts listed in a response."""
--- a/mulleinhatch/instance/gossip/probing.py
+++ b/mulleinhatch/instance/gossip/probing.py
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.outcomes: list[bool] = []
         self.evidence: dict[str, tuple[float, float, float]] = {}  # by member: failed probes, all probes, time of the last one
-        self.turn = 0
+        self.rotation_offset = 0
 
     def record(self, now: float, name: str, success: bool) -> None:
         """Record the outcome of a probe."""
@@ -68,9 +68,9 @@
                 observed.append((name, round(100.0 * failed / probes), max(1, round(probes))))
         worst = sorted(observed, key=lambda opinion: (-opinion[1], opinion[0]))[: MAX_OPINIONS // 2]
         others = [opinion for opinion in observed if opinion not in worst]
-        self.turn += MAX_OPINIONS // 2
+        self.rotation_offset += MAX_OPINIONS // 2
         count = min(len(others), MAX_OPINIONS - len(worst))
-        return worst + [others[(self.turn + offset) % len(others)] for offset in range(count)]
+        return worst + [others[(self.rotation_offset + offset) % len(others)] for offset in range(count)]
 
     def _decayed(self, now: float, name: str) -> tuple[float, float]:
         failed, probes, at = self.evidence.get(name, (0.0, 0.0, now))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -159,11 +159,11 @@
         "10.0.0.1:1": GossipNode(bounds, "b", "10.0.0.1:1", 5, 2, 0.0),
         "10.0.0.1:2": GossipNode(bounds, "b", "10.0.0.1:2", 9, 3, 0.0),
     }
-    for turn in range(1, 30):
-        waiting = [outgoing for core in fleet.values() for outgoing in core.heartbeat(0.1 * turn, LocalState())]
+    for step in range(1, 30):
+        waiting = [outgoing for core in fleet.values() for outgoing in core.heartbeat(0.1 * step, LocalState())]
         while waiting:
             address, data = waiting.pop(0)
-            waiting += fleet[address].handle_datagram(0.1 * turn, data)
+            waiting += fleet[address].handle_datagram(0.1 * step, data)
     assert fleet["10.0.0.1:1"].members.outlived and not fleet["10.0.0.1:2"].members.outlived
     assert fleet["10.0.0.1:0"].members.view["b"].address == "10.0.0.1:2"
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -29,7 +29,7 @@
 
 def names_in_group(group: int, count: int, bounds: FleetBounds = BOUNDS) -> list[str]:
     """Return names that the hash assigns to the given group."""
-    found = (f"n{turn}" for turn in range(10_000))
+    found = (f"n{index}" for index in range(10_000))
     return [name for name in found if locate(bounds, name).index == group][:count]
 
 
@@ -37,44 +37,44 @@
     return GossipNode(bounds, name, f"10.0.0.1:{7000 + int(name[1:])}", process_epoch, int(name[1:]), now)
 
 
-def deliver(cores: list[GossipNode], messages: list[tuple[str, bytes]], now: float) -> None:
+def deliver(nodes: list[GossipNode], messages: list[tuple[str, bytes]], now: float) -> None:
     """Deliver messages and their responses until none are left."""
-    by_address = {one.members.address: one for one in cores}
+    by_address = {node.members.address: node for node in nodes}
     while messages:
         address, data = messages.pop(0)
         if address in by_address:
             messages += by_address[address].handle_datagram(now, data)
 
 
-def run_heartbeats(cores: list[GossipNode], since: float, until: float, step: float = 0.25) -> float:
+def run_heartbeats(nodes: list[GossipNode], since: float, until: float, step: float = 0.25) -> float:
     now = since
     while now < until:
         now += step
-        for one in cores:
-            deliver(cores, one.heartbeat(now, LOCAL_STATE), now)
+        for node in nodes:
+            deliver(nodes, node.heartbeat(now, LOCAL_STATE), now)
     return now
 
 
-def introduce(cores: list[GossipNode], now: float = 0.0) -> None:
+def introduce(nodes: list[GossipNode], now: float = 0.0) -> None:
     """Send a message from each member to each other member."""
-    for one in cores:
-        for other in cores:
-            if one is not other:
+    for node in nodes:
+        for other in nodes:
+            if node is not other:
                 message = GossipMessage(
                     1,
                     "f",
-                    one.name,
-                    one.members.address,
-                    one.members.process_epoch,
+                    node.name,
+                    node.members.address,
+                    node.members.process_epoch,
                     0,
                     "word",
-                    group_key=one.aggregation_tree.location.key if one.aggregation_tree else 0,
+                    group_key=node.aggregation_tree.location.key if node.aggregation_tree else 0,
                 )
                 other.handle_datagram(now, wire.encode(message))
 
 
-def speaker_of(cores: list[GossipNode], now: float) -> GossipNode:
-    return next(one for one in cores if one.aggregation_tree.is_speaker(now))
+def speaker_of(nodes: list[GossipNode], now: float) -> GossipNode:
+    return next(node for node in nodes if node.aggregation_tree.is_speaker(now))
 
 
 def encode_message(
@@ -106,10 +106,10 @@
 
 
 def test_member_of_another_group_is_answered_and_becomes_no_peer() -> None:
-    one, other = create_node(names_in_group(0, 1)[0]), names_in_group(1, 1)[0]
-    ((address, data),) = one.handle_datagram(1.0, encode_message(other, kind="ping"))
+    node, other = create_node(names_in_group(0, 1)[0]), names_in_group(1, 1)[0]
+    ((address, data),) = node.handle_datagram(1.0, encode_message(other, kind="ping"))
     assert address == f"10.0.0.2:{7000 + int(other[1:])}" and wire.decode(data, "f").kind == "ack"
-    assert one.members.view == {} and one.totals(1.0)["fleet"].members == 1
+    assert node.members.view == {} and node.totals(1.0)["fleet"].members == 1
 
 
 def test_member_without_tree_is_answered_and_neither_declares_the_other_gone() -> None:
@@ -125,45 +125,45 @@
 
 
 def test_suspicion_of_a_member_without_tree_is_refuted() -> None:
-    one = create_node("n0")
-    suspicion = wire.MemberUpdate("n0", one.members.address, 7, 0, wire.SUSPECT, 0.5)
+    node = create_node("n0")
+    suspicion = wire.MemberUpdate("n0", node.members.address, 7, 0, wire.SUSPECT, 0.5)
     message = GossipMessage(1, "f", "n1", "10.0.0.1:7001", 7, 0, "ping", 4, member_updates=[suspicion])
-    ((_, data),) = one.handle_datagram(1.0, wire.encode(message))
+    ((_, data),) = node.handle_datagram(1.0, wire.encode(message))
     assert wire.decode(data, "f").incarnation == 1
 
 
 def test_peer_restarted_in_another_zone_has_left_and_is_not_gone() -> None:
-    one, name = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
-    one.handle_datagram(1.0, encode_message(name))
-    assert one.members.alive() == [name]
-    one.handle_datagram(2.0, encode_message(name, BOUNDS._replace(zone="y"), process_epoch=8))
-    assert one.members.view[name].state == LEFT and one.members.counts["declared_gone"] == 0
+    node, name = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
+    node.handle_datagram(1.0, encode_message(name))
+    assert node.members.alive() == [name]
+    node.handle_datagram(2.0, encode_message(name, BOUNDS._replace(zone="y"), process_epoch=8))
+    assert node.members.view[name].state == LEFT and node.members.counts["declared_gone"] == 0
 
 
 def test_same_name_in_another_zone_owns_another_seat() -> None:
     bounds = BOUNDS._replace(budgets=(BudgetBounds("q", 8, ("r/z/n0", "r/y/n0"), 1.0),))
-    one = create_node("n0", bounds)
-    one.handle_datagram(20.0, encode_message("n0", bounds._replace(zone="y"), process_epoch=9))
-    assert one.counts["names_elsewhere"] == 1 and not one.members.has_duplicate_name(20.0)
-    assert one.usable_quota(20.0, 0) == 4, "each instance owns the seat of its own location"
+    node = create_node("n0", bounds)
+    node.handle_datagram(20.0, encode_message("n0", bounds._replace(zone="y"), process_epoch=9))
+    assert node.counts["names_elsewhere"] == 1 and not node.members.has_duplicate_name(20.0)
+    assert node.usable_quota(20.0, 0) == 4, "each instance owns the seat of its own location"
     assert create_node("n0", bounds._replace(zone="x")).usable_quota(20.0, 0) == 0, "there is no seat at that location"
 
 
 def test_group_size_is_bounded() -> None:
     bounds = BOUNDS._replace(groups=1)
-    one = create_node("n0", bounds)
-    for turn in range(1, 150):
-        one.handle_datagram(1.0, encode_message(f"n{turn}", bounds))
-    assert len(one.members.view) == MAX_GROUP_MEMBERS and one.counts["members_refused"] == 149 - MAX_GROUP_MEMBERS
+    node = create_node("n0", bounds)
+    for index in range(1, 150):
+        node.handle_datagram(1.0, encode_message(f"n{index}", bounds))
+    assert len(node.members.view) == MAX_GROUP_MEMBERS and node.counts["members_refused"] == 149 - MAX_GROUP_MEMBERS
 
 
 # Summaries.
 
 
 def test_summaries_add_up_and_none_is_counted_twice() -> None:
-    one = create_node(names_in_group(0, 1)[0])
+    node = create_node(names_in_group(0, 1)[0])
     peer = names_in_group(0, 2)[1]
-    one.handle_datagram(
+    node.handle_datagram(
         1.0,
         encode_message(
             peer,
@@ -179,13 +179,13 @@
             ),
         ),
     )
-    assert [one.totals(1.0)[level].members for level in ("group", "zone", "region", "fleet")] == [2, 22, 102, 402]
+    assert [node.totals(1.0)[level].members for level in ("group", "zone", "region", "fleet")] == [2, 22, 102, 402]
 
 
 def test_summaries_of_a_foreign_sender_count_only_for_its_own_location() -> None:
-    one = create_node(names_in_group(0, 1)[0])
+    node = create_node(names_in_group(0, 1)[0])
     abroad, near = BOUNDS._replace(region="s", zone="q"), BOUNDS._replace(zone="y")
-    one.handle_datagram(
+    node.handle_datagram(
         1.0,
         encode_message(
             "n5",
@@ -198,7 +198,7 @@
             ),
         ),
     )
-    one.handle_datagram(
+    node.handle_datagram(
         1.0,
         encode_message(
             "n5",
@@ -206,7 +206,7 @@
             SummaryMessage("r", "y", "1/4", summaries=[create_summary(ZONE, "y", 80), create_summary(GROUP, "2/4", 25)]),
         ),
     )
-    assert set(one.aggregation_tree.summaries.rows) == {(REGION, "s"), (ZONE, "y")}
+    assert set(node.aggregation_tree.summaries.rows) == {(REGION, "s"), (ZONE, "y")}
 
 
 @pytest.mark.parametrize("age, patience", [(0, 1.0), (40, 1.0), (0, 2.0)])
@@ -226,36 +226,36 @@
 
 
 def test_earlier_summary_changes_nothing_and_a_missed_change_is_sent_with_the_next_message() -> None:
-    one, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
-    one.handle_datagram(
+    node, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
+    node.handle_datagram(
         10.0, encode_message(peer, summary_message=SummaryMessage(summaries=[create_summary(GROUP, "1/4", 20)]))
     )
-    one.handle_datagram(
+    node.handle_datagram(
         10.1, encode_message(peer, summary_message=SummaryMessage(summaries=[create_summary(GROUP, "1/4", 25, age=30)]))
     )
-    row = one.aggregation_tree.summaries.rows[GROUP, "1/4"]
+    row = node.aggregation_tree.summaries.rows[GROUP, "1/4"]
     assert row.summary.members == 20
     row.peer_sends_left = 0
-    ages = bytearray(one.aggregation_tree.summaries.encode_ages(10.2))
-    one.handle_datagram(10.2, encode_message(peer, summary_message=SummaryMessage(ages=bytes(ages))))
+    ages = bytearray(node.aggregation_tree.summaries.encode_ages(10.2))
+    node.handle_datagram(10.2, encode_message(peer, summary_message=SummaryMessage(ages=bytes(ages))))
     assert row.peer_sends_left == 0, "the sender has the same information"
     ages[2 + 2 * 1 + 1] = 25
-    one.handle_datagram(10.2, encode_message(peer, summary_message=SummaryMessage(ages=bytes(ages))))
+    node.handle_datagram(10.2, encode_message(peer, summary_message=SummaryMessage(ages=bytes(ages))))
     assert row.peer_sends_left == 1
 
 
 def test_speaker_that_missed_a_change_is_answered_at_once() -> None:
     """The next scheduled message would go to another group: one change took 14 s to reach all of a zone of 16 groups."""
-    one, peer, other = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1], names_in_group(2, 1)[0]
-    one.handle_datagram(
+    node, peer, other = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1], names_in_group(2, 1)[0]
+    node.handle_datagram(
         10.0, encode_message(peer, summary_message=SummaryMessage(summaries=[create_summary(GROUP, "1/4", 20)]))
     )
-    ages = bytearray(one.aggregation_tree.summaries.encode_ages(10.1))
-    assert not one.handle_datagram(
+    ages = bytearray(node.aggregation_tree.summaries.encode_ages(10.1))
+    assert not node.handle_datagram(
         10.1, encode_message(other, summary_message=SummaryMessage("r", "z", "2/4", ages=bytes(ages)))
     )
     ages[2 + 2 * 1 : 2 + 2 * 1 + 2] = 3, 12
-    ((address, data),) = one.handle_datagram(
+    ((address, data),) = node.handle_datagram(
         10.5, encode_message(other, summary_message=SummaryMessage("r", "z", "2/4", ages=bytes(ages)))
     )
     decoded = wire.decode_summary_message(wire.decode(data, "f").summary_data)
@@ -272,59 +272,59 @@
     ],
 )
 def test_invalid_summaries_are_counted_and_the_rest_of_the_message_is_used(summary_data: bytes) -> None:
-    one, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
+    node, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
     message = GossipMessage(
-        1, "f", peer, "10.0.0.1:7900", 7, 0, "word", group_key=one.aggregation_tree.location.key, summary_data=summary_data
+        1, "f", peer, "10.0.0.1:7900", 7, 0, "word", group_key=node.aggregation_tree.location.key, summary_data=summary_data
     )
-    one.handle_datagram(1.0, wire.encode(message))
-    assert one.aggregation_tree.counts["upward_unfit"] == 1 and one.members.alive() == [peer]
+    node.handle_datagram(1.0, wire.encode(message))
+    assert node.aggregation_tree.counts["upward_unfit"] == 1 and node.members.alive() == [peer]
 
 
 @pytest.mark.parametrize("name", ["9/4", "x/4", "1", "1/900", "1/2/3"])
 def test_impossible_group_names_are_rejected(name: str) -> None:
-    one, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
-    one.handle_datagram(
+    node, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
+    node.handle_datagram(
         1.0, encode_message(peer, summary_message=SummaryMessage(summaries=[create_summary(GROUP, name, 20)], ages=b"\0" * 9))
     )
-    assert not one.aggregation_tree.summaries.rows and one.aggregation_tree.counts["sums_refused"] == 1
+    assert not node.aggregation_tree.summaries.rows and node.aggregation_tree.counts["sums_refused"] == 1
 
 
 def test_number_of_zones_and_bytes_of_a_message_are_bounded() -> None:
-    one, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
-    for turn in range(40):
-        one.handle_datagram(
+    node, peer = create_node(names_in_group(0, 1)[0]), names_in_group(0, 2)[1]
+    for index in range(40):
+        node.handle_datagram(
             1.0,
             encode_message(
-                peer, summary_message=SummaryMessage(summaries=[create_summary(ZONE, f"zone-of-a-long-name-{turn}", 20)])
+                peer, summary_message=SummaryMessage(summaries=[create_summary(ZONE, f"zone-of-a-long-name-{index}", 20)])
             ),
         )
-    assert len(one.aggregation_tree.summaries.rows) == MAX_ROWS[ZONE] and one.aggregation_tree.counts["sums_refused"] == 25
-    assert len(one.aggregation_tree.composer.for_group(1.0)) <= MAX_SUMMARY_BYTES
+    assert len(node.aggregation_tree.summaries.rows) == MAX_ROWS[ZONE] and node.aggregation_tree.counts["sums_refused"] == 25
+    assert len(node.aggregation_tree.composer.for_group(1.0)) <= MAX_SUMMARY_BYTES
 
 
 # Speaker election.
 
 
 def create_group_of_five(now: float = 0.0) -> list[GossipNode]:
-    cores = [create_node(name, now=now) for name in names_in_group(0, 5)]
-    introduce(cores, now)
-    return cores
+    nodes = [create_node(name, now=now) for name in names_in_group(0, 5)]
+    introduce(nodes, now)
+    return nodes
 
 
 def test_one_member_speaks_and_its_standby_takes_over() -> None:
-    cores = create_group_of_five()
-    now = run_heartbeats(cores, 0.0, 6.0)
-    assert sum(one.aggregation_tree.is_speaker(now) for one in cores) == 1
-    dead = speaker_of(cores, now)
-    left = [one for one in cores if one is not dead]
+    nodes = create_group_of_five()
+    now = run_heartbeats(nodes, 0.0, 6.0)
+    assert sum(node.aggregation_tree.is_speaker(now) for node in nodes) == 1
+    dead = speaker_of(nodes, now)
+    left = [node for node in nodes if node is not dead]
     now = run_heartbeats(left, now, now + 3.0)
-    assert sum(one.aggregation_tree.is_speaker(now) for one in left) == 1, "on suspicion, before it is declared gone"
+    assert sum(node.aggregation_tree.is_speaker(now) for node in left) == 1, "on suspicion, before it is declared gone"
 
 
 def test_isolated_and_just_started_members_do_not_speak() -> None:
-    cores = create_group_of_five()
-    now = run_heartbeats(cores, 0.0, 6.0)
-    alone = speaker_of(cores, now)
+    nodes = create_group_of_five()
+    now = run_heartbeats(nodes, 0.0, 6.0)
+    alone = speaker_of(nodes, now)
     later = run_heartbeats([alone], now, now + 4.0)
     assert alone.members.frozen and not alone.aggregation_tree.is_speaker(later)
     fresh = create_node(alone.name, process_epoch=8, now=later)
@@ -333,9 +333,9 @@
 
 def test_former_speaker_does_not_present_its_old_summary_as_new() -> None:
     """A standby that was speaker before sent its old summary with age 0, so the totals of the fleet alternated."""
-    cores = create_group_of_five()
-    now = run_heartbeats(cores, 0.0, 6.0)
-    speaker = speaker_of(cores, now)
+    nodes = create_group_of_five()
+    now = run_heartbeats(nodes, 0.0, 6.0)
+    speaker = speaker_of(nodes, now)
     speaker.aggregation_tree.group_summary.published_at -= 30.0
     assert speaker.aggregation_tree.group_summary.current(now).age_ds >= 300
 
@@ -354,7 +354,7 @@
 
 @pytest.fixture(scope="module")
 def converged_world() -> Iterator[World]:
-    """A world of 90 members in 9 groups, after all members have converged_world."""
+    """A world of 90 members in 9 groups, after all views have converged."""
     with World(Plan(members=90, levels=True, group_size=10, seed=3), 1, processes=False) as world:
         assert wait_for_convergence(world.play(10.0))
         yield world
@@ -364,7 +364,7 @@
     speakers = converged_world.speakers()
     assert len(speakers) == 9, "one per group"
     for _ in range(20):  # the views have converged; the sums follow
-        if {look.members for look in converged_world.listed("looks")[-9:]} == {90}:
+        if {sample.members for sample in converged_world.listed("looks")[-9:]} == {90}:
             return
         converged_world.play(converged_world.now + 0.5)
     raise AssertionError(converged_world.listed("looks")[-9:])
@@ -386,8 +386,8 @@
         assert wait_for_convergence(world, 30.0), script
         assert over_budgets(world.used(), plan.budgets) == 0, script
         # A member that stalled or was cut off from its group for longer than the suspicion timeout may be declared gone.
-        hit = {place for fault in Ground(plan).faults(script) if fault.what in ("stall", "cut") for place in fault.places}
-        wrong = [gone for gone in world.listed("gone") if gone.wrong and gone.subject not in hit]
+        affected = {place for fault in Ground(plan).faults(script) if fault.what in ("stall", "cut") for place in fault.places}
+        wrong = [gone for gone in world.listed("gone") if gone.wrong and gone.subject not in affected]
         assert not wrong, (script, wrong)
 
 
@@ -396,28 +396,28 @@
 
 def test_suspects_are_probed_by_each_peer(monkeypatch: pytest.MonkeyPatch) -> None:
     """If only one peer probed a suspect, the other peers would get no answer from it and rely on relayed updates alone."""
-    cores = create_group_of_five()
-    now = run_heartbeats(cores, 0.0, 3.0)
-    one, suspect = cores[0], cores[1]
-    one.members._set_state(now, one.members.view[suspect.name], wire.SUSPECT, "told")
-    asked = [address for address, data in one.heartbeat(now + 0.25, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
+    nodes = create_group_of_five()
+    now = run_heartbeats(nodes, 0.0, 3.0)
+    node, suspect = nodes[0], nodes[1]
+    node.members._set_state(now, node.members.view[suspect.name], wire.SUSPECT, "told")
+    asked = [address for address, data in node.heartbeat(now + 0.25, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
     assert suspect.members.address in asked
     monkeypatch.setattr(PeerGroup, "_probe_suspects", lambda self, now: iter(()))
-    one.members.ring_probed_at = one.members.random_probed_at = one.members.predecessor_probed_at = now + 10.0
-    asked = [address for address, data in one.heartbeat(now + 0.5, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
+    node.members.ring_probed_at = node.members.random_probed_at = node.members.predecessor_probed_at = now + 10.0
+    asked = [address for address, data in node.heartbeat(now + 0.5, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
     assert suspect.members.address not in asked
 
 
 def test_probe_carries_the_suspicion_and_the_suspect_refutes_it_to_all_peers(monkeypatch: pytest.MonkeyPatch) -> None:
     """A member that answers but does not know of the suspicion does not refute it, and is declared gone between answers."""
-    cores = create_group_of_five()
-    now = run_heartbeats(cores, 0.0, 3.0)
-    one, suspect = cores[0], cores[1]
+    nodes = create_group_of_five()
+    now = run_heartbeats(nodes, 0.0, 3.0)
+    node, suspect = nodes[0], nodes[1]
 
     def refutation_receivers() -> list[str]:
-        one.members._set_state(now, one.members.view[suspect.name], wire.SUSPECT, "told")
-        one.members.suspect_probes.clear()
-        for address, data in one.heartbeat(now, LOCAL_STATE):
+        node.members._set_state(now, node.members.view[suspect.name], wire.SUSPECT, "told")
+        node.members.suspect_probes.clear()
+        for address, data in node.heartbeat(now, LOCAL_STATE):
             if address == suspect.members.address:
                 suspect.handle_datagram(now, data)
         return [address for address, data in suspect.heartbeat(now + 0.25, LOCAL_STATE) if wire.decode(data, "f").incarnation]
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -61,9 +61,9 @@
 def create_warm_harness() -> ControllerHarness:
     """Return a controller that has measured its pace of half a second per run."""
     harness = ControllerHarness()
-    for turn in range(4):
-        harness.read(0.5 * turn, f"w{turn}")
-        harness.ended(0.5 * turn + 0.5, f"w{turn}")
+    for step in range(4):
+        harness.read(0.5 * step, f"w{step}")
+        harness.ended(0.5 * step + 0.5, f"w{step}")
     harness.read(2.0, "running")
     return harness
 
@@ -192,9 +192,9 @@
     fleet = GossipNode(bounds, "a", "10.0.0.1:0", 5, 1, 0.0)
     for name in ("b", "c", "d", "e", "x"):
         fleet.members._apply_update(0.0, MemberUpdate(name, "10.0.0.1:1", 4, 0, ALIVE))
-    for turn in range(12):
+    for step in range(12):
         for name in ("b", "c", "d", "e", "x"):
-            fleet.members.prober.evidence.record(0.1 * turn, name, name != "x")
+            fleet.members.prober.evidence.record(0.1 * step, name, name != "x")
     said = {name: bad for name, bad, _ in fleet.members.opinions(1.2)}
     assert said["x"] == 100 and len(said) == 2 and 0 in said.values()
     fleet.members.frozen = True
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -98,31 +98,31 @@
     assert shrink_towards_mean(5.0, Evidence(0.0, 0.0, -1e9), 0.5, 0.0, 0.0) is None
 
 
-@pytest.mark.parametrize("heeds", [0.0, 0.3, 0.8, 1.0])
-def test_redirects_converge_however_many_callers_comply(heeds: float) -> None:
+@pytest.mark.parametrize("compliance", [0.0, 0.3, 0.8, 1.0])
+def test_redirects_converge_however_many_callers_comply(compliance: float) -> None:
     """With twelve instances, four at twice the load, the fractions converge in bounded steps and the load is balanced."""
     asked = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
     controllers = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
     fractions, history = [0.0] * 12, []
-    for turn in range(900):
-        leaves = [heeds * fraction * load for fraction, load in zip(fractions, asked)]
-        loads = [0.6 * (load - gone + sum(leaves) / 12) for load, gone in zip(asked, leaves)]
+    for step in range(900):
+        redirected = [compliance * fraction * load for fraction, load in zip(fractions, asked)]
+        loads = [0.6 * (load - removed + sum(redirected) / 12) for load, removed in zip(asked, redirected)]
         fleet = sum(loads) / 12
         before, fractions = (
             fractions,
-            [controller.update(0.1 * turn, LoadObservation(load, fleet)) for controller, load in zip(controllers, loads)],
+            [controller.update(0.1 * step, LoadObservation(load, fleet)) for controller, load in zip(controllers, loads)],
         )
         assert all(abs(new - old) <= 0.05 + 1e-9 for new, old in zip(fractions, before))
         history.append((max(loads), sum(abs(new - old) for new, old in zip(fractions, before))))
     assert sum(moved for _, moved in history[-100:]) < 0.1, "the fractions keep changing"
-    if heeds >= 0.8:
+    if compliance >= 0.8:
         assert history[-1][0] < 1.15 * fleet < history[0][0]
 
 
 def test_started_instance_redirects_less_as_it_warms_up() -> None:
     controller = RedirectController(0.05, 0.5, 1, 0.0, is_warming_up=True)
-    assert [controller.update(0.1 * turn, LoadObservation(0.2, 0.8, 3.0)) for turn in range(50)][-1] == 0.5
-    opened = [controller.update(5.0 + 0.1 * turn, LoadObservation(0.2, 0.8, 1.1)) for turn in range(200)]
+    assert [controller.update(0.1 * step, LoadObservation(0.2, 0.8, 3.0)) for step in range(50)][-1] == 0.5
+    opened = [controller.update(5.0 + 0.1 * step, LoadObservation(0.2, 0.8, 1.1)) for step in range(200)]
     assert opened[-1] == 0.0 and opened[3] > 0.3
 
 
