--- a/mulleinhatch/instance/gossip/heavy_hitters.py
+++ b/mulleinhatch/instance/gossip/heavy_hitters.py
@@ -22,7 +22,7 @@
 
     name: str
     rate: float  # upper bound in requests per second
-    over: float  # error bound: the part of the rate that may belong to others
+    error: float  # upper bound of the part of the rate that may belong to others
 
 
 class HeavyHitters:
@@ -72,7 +72,9 @@
                 break
             self.span_s = DECAY * (self.span_s + DECAY_INTERVAL_S)
             self.counts = {
-                name: [DECAY * count, DECAY * over] for name, (count, over) in self.counts.items() if DECAY * count >= MIN_COUNT
+                name: [DECAY * count, DECAY * error]
+                for name, (count, error) in self.counts.items()
+                if DECAY * count >= MIN_COUNT
             }
             self.queue = sorted((count, name) for name, (count, _) in self.counts.items())
 
@@ -81,8 +83,8 @@
         self._decay(now)
         span_s = self.span_s + max(0.05, now - (self.decayed_at if self.decayed_at is not None else now))
         hitters = [
-            HeavyHitter(name, count / span_s, over / span_s)
-            for name, (count, over) in self.counts.items()
-            if over <= 0.5 * count
+            HeavyHitter(name, count / span_s, error / span_s)
+            for name, (count, error) in self.counts.items()
+            if error <= 0.5 * count
         ]
         return sorted(hitters, key=lambda hitter: (-hitter.rate, hitter.name))[:limit]
--- a/mulleinhatch/instance/retry_storms/duplicate_detection.py
+++ b/mulleinhatch/instance/retry_storms/duplicate_detection.py
@@ -178,7 +178,7 @@
     def record_rejected_unread(self, now: float, coarse: bytes, detailed: Callable[[], bytes], is_marked_retry: bool) -> None:
         """Record a rejection of an attempt that was not read in full; its fingerprint stays known while retries arrive.
 
-        Marked retries need no fingerprint; where fingerprints are shared they show whether the costs stay equal.
+        Marked retries need no fingerprint, but show whether the costs stay equal if the fingerprint is shared.
         """
         shared = self.shared.contains(now, coarse)
         if is_marked_retry and not shared:
--- a/mulleinhatch/instance/retry_storms/request_log.py
+++ b/mulleinhatch/instance/retry_storms/request_log.py
@@ -59,9 +59,9 @@
         pushed back with their current count.
         """
         while True:
-            was, _, caller = heappop(self.order)
+            pushed_count, _, caller = heappop(self.order)
             count = self.counts[caller]
-            if count == was:
+            if count == pushed_count:
                 del self.counts[caller]
                 self.errors.pop(caller, None)
                 return count
--- a/mulleinhatch/instance/retry_storms/retry_admission.py
+++ b/mulleinhatch/instance/retry_storms/retry_admission.py
@@ -49,7 +49,7 @@
         self.random_state = seed % 2**64
         self.dominant_caller: int | None = None
         self.halved_at = 0.0
-        self.promised_until = 0.0  # latest retry time given to a caller
+        self.last_retry_at = 0.0  # latest retry time given to a caller
         self.rejected_retries = 0
         self.rejected_early_retries = 0  # rejected retries that arrived before their retry time
         self.last_reported: tuple[bool, float] = (False, 0.0)
@@ -61,7 +61,7 @@
         Callers that wait for the requested delay can prevent the stage `STORM`, but their retries still compete with first
         attempts while retry times are outstanding.
         """
-        return self.detector.stage is not Stage.CALM or self.detector.updated_at < self.promised_until
+        return self.detector.stage is not Stage.CALM or self.detector.updated_at < self.last_retry_at
 
     @property
     def is_limiting(self) -> bool:
@@ -97,8 +97,8 @@
     def _find_dominant_caller(self) -> int | None:
         """Return the caller that sends most of the retries, if there are enough callers for a comparison."""
         (first, count), *others = self.callers.most_frequent(3) or [(None, 0)]
-        alone = count >= self.bounds.loud_share * max(1, self.callers.total)
-        return first if alone and len(others) >= 2 else None
+        is_dominant = count >= self.bounds.loud_share * max(1, self.callers.total)
+        return first if is_dominant and len(others) >= 2 else None
 
     def set_rate(self, now: float, rate: float) -> None:
         """Set the accepted retries per second, as decided by the admission controller; infinite without a storm."""
@@ -121,7 +121,7 @@
         if ignored_last_delay:
             return max(least, (0.5 + 0.5 * self._draw()) * self.calendar.horizon)
         seconds = self.calendar.reserve_slot(now, least, self._draw())
-        self.promised_until = max(self.promised_until, now + seconds)
+        self.last_retry_at = max(self.last_retry_at, now + seconds)
         return seconds
 
     def _draw(self) -> float:
--- a/mulleinhatch/instance/retry_storms/storm_detector.py
+++ b/mulleinhatch/instance/retry_storms/storm_detector.py
@@ -17,7 +17,7 @@
 WINDOW_BUCKET_S, WINDOW_BUCKETS = 0.25, 4  # buckets of the sliding window, which covers the last second
 CALM_SHARE = 0.25  # share of retries below which a storm is no longer rising
 CALM_S = 1.0  # time below CALM_SHARE until the stage is calm
-EASED_S = 1.0  # time below half of the storm multiple until the stage is recovering
+RECOVERING_AFTER_S = 1.0  # time below half of the storm multiple until the stage is recovering
 USUAL_RATE_WEIGHT = 0.02  # weight of an update in the moving average of first attempts
 OVERLOAD_AGE_S = 0.5  # a larger mean age of requests when read means overload, which counts as an outage
 
@@ -122,7 +122,7 @@
             elif self._has_been_calmer(span, share < CALM_SHARE or multiple < 0.25 * bounds.storm_multiple, CALM_S):
                 self._enter(Stage.CALM)
         elif self.stage is Stage.STORM:
-            if self._has_been_calmer(span, multiple < 0.5 * bounds.storm_multiple, EASED_S):
+            if self._has_been_calmer(span, multiple < 0.5 * bounds.storm_multiple, RECOVERING_AFTER_S):
                 self._enter(Stage.RECOVERING)
         elif is_storm_like:
             self._enter(Stage.STORM)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -260,13 +260,13 @@
 
 
 def test_ejection_has_hysteresis() -> None:
-    outlier_detector, said = OutlierDetector(), []
+    outlier_detector, ejected = OutlierDetector(), []
     for step, bad in enumerate((0.7, 0.5, 0.4, 0.5, 0.2, 0.5, 0.7)):
         for observer in ("a", "b", "c"):
             outlier_detector.record(float(step), observer, "s", bad, 100)
             outlier_detector.record(float(step), observer, "t", 0.0, 100)
-        said.append(bool(outlier_detector.judge(float(step), {"a", "b", "c"}, False)))
-    assert said == [True, True, True, True, False, False, True]
+        ejected.append(bool(outlier_detector.judge(float(step), {"a", "b", "c"}, False)))
+    assert ejected == [True, True, True, True, False, False, True]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -53,7 +53,7 @@
             self.controller.mark_received_from_peer(now, ref)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
-    def ended(self, now: float, ref: str, ending: Ending = Ending.OK) -> list[tuple[Verb, str]]:
+    def end_run(self, now: float, ref: str, ending: Ending = Ending.OK) -> list[tuple[Verb, str]]:
         self.controller.record_run_end(now, ref, ending)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
@@ -63,7 +63,7 @@
     harness = ControllerHarness()
     for step in range(4):
         harness.read(0.5 * step, f"w{step}")
-        harness.ended(0.5 * step + 0.5, f"w{step}")
+        harness.end_run(0.5 * step + 0.5, f"w{step}")
     harness.read(2.0, "running")
     return harness
 
@@ -107,7 +107,7 @@
     harness.controller.record_handover_end(2.1, "a", ending)
     assert harness.pull(2.1) == [] and harness.controller.is_open("a") is (then == "held")
     if then == "held":
-        assert harness.ended(2.4, "running") == [(Verb.RUN, "a")]
+        assert harness.end_run(2.4, "running") == [(Verb.RUN, "a")]
 
 
 def test_request_at_a_peer_times_out_and_is_never_rejected() -> None:
@@ -135,20 +135,20 @@
     harness.controller.set_tenant_budget(0.0, 0, 0.0, [(1.0, 1e9), (1.0, 2.6)])
     runs = [harness.read(0.0, ref) for ref in "abc"]
     assert runs == [[(Verb.RUN, "a")], [(Verb.RUN, "b")], []]
-    assert harness.ended(0.5, "a") == [(Verb.RUN, "c")]
-    harness.ended(0.5, "b")
-    harness.ended(1.0, "c")
+    assert harness.end_run(0.5, "a") == [(Verb.RUN, "c")]
+    harness.end_run(0.5, "b")
+    harness.end_run(1.0, "c")
     # The lease expires before a run that starts now would complete.
     assert harness.read(1.8, "d") == [(Verb.RUN, "d")] and harness.read(1.8, "e") == []
-    assert harness.ended(2.3, "d") == [(Verb.RUN, "e")]
+    assert harness.end_run(2.3, "d") == [(Verb.RUN, "e")]
 
 
 def test_reports_of_peers_on_health_capacity_and_retries() -> None:
     harness = ControllerHarness(advice=Advice.FLOOR)
     harness.controller.update_peer_load(0.0, 0.5, True, 3.0, 0.3)
     harness.controller.set_retry_storm(0.2, True, 0.1)
-    said = {decision.verb: decision for decision in harness.pull(0.2)}
-    assert not said[Verb.HEALTH].flag and said[Verb.LIMIT_RETRIES].level <= 3.0
+    decisions = {decision.verb: decision for decision in harness.pull(0.2)}
+    assert not decisions[Verb.HEALTH].flag and decisions[Verb.LIMIT_RETRIES].level <= 3.0
     harness = ControllerHarness(advice=Advice.FLOOR)
     harness.controller.update_peer_load(0.0, 0.02, False, 1e9, 0.3)
     assert {decision.verb: decision for decision in harness.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
@@ -195,8 +195,8 @@
     for step in range(12):
         for name in ("b", "c", "d", "e", "x"):
             fleet.members.prober.evidence.record(0.1 * step, name, name != "x")
-    said = {name: bad for name, bad, _ in fleet.members.opinions(1.2)}
-    assert said["x"] == 100 and len(said) == 2 and 0 in said.values()
+    reported = {name: bad for name, bad, _ in fleet.members.opinions(1.2)}
+    assert reported["x"] == 100 and len(reported) == 2 and 0 in reported.values()
     fleet.members.frozen = True
     assert fleet.members.opinions(1.2) == []
     fleet.members.frozen = False
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -47,13 +47,13 @@
         elif rest == ["outage"]:
             self.detector.record_outage(float(word))
         else:
-            fields_read = dict(zip(rest[::2], map(int, rest[1::2])))
+            counts = dict(zip(rest[::2], map(int, rest[1::2])))
             first, _, last = word.partition("-")
             now = float(first)
             while now < float(last or first) + 1e-9:
                 now += UPDATE_INTERVAL_S
-                self.detector.count(fields_read["reads"], fields_read["repeats"], fields_read.get("connects", 0))
-                self.detector.update(now, fields_read["capacity"])
+                self.detector.count(counts["reads"], counts["repeats"], counts.get("connects", 0))
+                self.detector.update(now, counts["capacity"])
                 if now + UPDATE_INTERVAL_S > float(last or first) + 1e-9:
                     break
 
@@ -298,26 +298,26 @@
             writer.close()
 
     async def burst() -> ConnectBurst:
-        play = SocketPlay()
-        await play.start()
-        await play.interpreter_up()
+        harness = SocketPlay()
+        await harness.start()
+        await harness.interpreter_up()
         try:
-            await play.caller_checks("a")
-            await play.caller_hears("a", "200")
-            play.instance.listener.connections.listener.clock = TurnClock(turn_s)
+            await harness.caller_checks("a")
+            await harness.caller_hears("a", "200")
+            harness.instance.listener.connections.listener.clock = TurnClock(turn_s)
             slowest, loop = 0.0, asyncio.get_running_loop()
-            connects = asyncio.gather(*(connect(play.instance.port) for _ in range(count)))
+            connects = asyncio.gather(*(connect(harness.instance.port) for _ in range(count)))
             while not connects.done():
-                asked = loop.time()
-                await play.caller_checks("a")
-                await play.caller_hears("a", "200")
-                slowest = max(slowest, loop.time() - asked)
+                sent_at = loop.time()
+                await harness.caller_checks("a")
+                await harness.caller_hears("a", "200")
+                slowest = max(slowest, loop.time() - sent_at)
                 await asyncio.sleep(0.01)
-            counts = play.instance.counts
+            counts = harness.instance.counts
             return ConnectBurst(await connects, counts["connections_shed"], slowest, counts["alarm_late_ms_most"])
         finally:
-            play.instance.stopped.set()
-            await play.serving
+            harness.instance.stopped.set()
+            await harness.serving
 
     return asyncio.run(asyncio.wait_for(burst(), 20))
 
@@ -347,8 +347,8 @@
     def outage_after(gap: float, is_running: bool) -> bool:
         reducer = Reducer({"op_types": [{}], "cores": 1}, ["read"], [], 7, StormBounds())
         reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
-        asked = 0.0 if is_running else gap
-        for number, at in ((1, 0.0), (2, asked)):
+        second_at = 0.0 if is_running else gap
+        for number, at in ((1, 0.0), (2, second_at)):
             reducer.reduce(at, Event.REQUEST_RECEIVED, number, f"r{number}", "read", "", 0.0, 60.0, 1, 0.1, 8.0, False, "", b"")
             if number == 1:
                 reducer.reduce(0.0, Event.RUN_ENDED, 1, "r1", Ending.OK, b"")
@@ -359,7 +359,7 @@
     assert not outage_after(0.2, is_running=True) and not outage_after(5.0, is_running=False)
 
 
-def test_no_retry_time_is_given_where_the_settings_allow_none() -> None:
+def test_no_retry_time_is_given_if_the_settings_allow_none() -> None:
     """Settings may have a maximum hold-off although none is allowed; early rejection must respect that like the controller."""
     for allowed in (False, True):
         reducer = Reducer(
@@ -379,11 +379,11 @@
     reducer = Reducer({"op_types": [{}], "cores": 1, "max_hold_off": 5.0}, ["read"], [], 7, StormBounds())
     reducer.reduce(0.0, Event.INTERPRETER_READY, False, 9.0)
     reducer.storms.set_rate(0.0, 0.001)
-    fields_read = ("read", "", 4, False, "", b"a body")
-    assert reducer.reject_early(0.0, "r0", *fields_read, is_punctual=False, is_too_early=False) is None
+    request = ("read", "", 4, False, "", b"a body")
+    assert reducer.reject_early(0.0, "r0", *request, is_punctual=False, is_too_early=False) is None
     reducer.storms.duplicates.record_rejected(0.0, (request_fingerprint(4, "read", "", "", b"a body", 0.0, 0.0, 0.0).coarse,))
     for tenth in range(1, 600):
-        assert (
-            reducer.reject_early(0.1 * tenth, f"r{tenth}", *fields_read, is_punctual=False, is_too_early=False) is not None
-        ), tenth
-    assert reducer.reject_early(120.0, "last", *fields_read, is_punctual=False, is_too_early=False) is None
+        assert reducer.reject_early(0.1 * tenth, f"r{tenth}", *request, is_punctual=False, is_too_early=False) is not None, (
+            tenth
+        )
+    assert reducer.reject_early(120.0, "last", *request, is_punctual=False, is_too_early=False) is None
