--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -48,14 +48,16 @@
         fleet: members, their reports and messages.
         seed: seed of the random choices.
         now: seconds of the caller's clock.
-        returns: whether the instance was restarted and is warming up.
+        is_warming_up: whether the instance was just started.
     """
 
-    def __init__(self, bounds: LoadBalancingBounds, fleet: LoadBalancingFleet, seed: int, now: float, returns: bool) -> None:
+    def __init__(
+        self, bounds: LoadBalancingBounds, fleet: LoadBalancingFleet, seed: int, now: float, is_warming_up: bool
+    ) -> None:
         self.bounds, self.fleet = bounds, fleet
         self.offer_issuer = OfferIssuer(bounds.offer_for, bounds.most_offers, seed)
         self.offer_receiver = OfferReceiver(seed + RECEIVER_SEED_OFFSET)
-        self.redirects = RedirectController(bounds.step, bounds.step_every, seed + REDIRECT_SEED_OFFSET, now, returns)
+        self.redirects = RedirectController(bounds.step, bounds.step_every, seed + REDIRECT_SEED_OFFSET, now, is_warming_up)
         self.statistics = LoadStatistics(fleet.members, fleet.fleet_counters, now)
         self.needs: dict[str, tuple[int, float]] = {}  # by member: pending requests, and time of that report
         self.peer_epochs: dict[str, int] = {}
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -51,7 +51,7 @@
         if not bounds.at:
             bounds = bounds._replace(at=":".join(map(str, placement.listen)))
         self.reducer, self.handle_event, self.send = reducer, handle_event, send
-        self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
+        self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), is_warming_up=True)
         self.peers = PeerConnections(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.published_offer_count = 0
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -160,7 +160,7 @@
         node.spread = None
         if self.mode != "alone":
             bounds = self.spread_bounds._replace(at=f"10.0.0.1:{node.place}")
-            node.spread = LoadBalancer(bounds, node.core, self.draw.getrandbits(40), now, returns=node.incarnations > 1)
+            node.spread = LoadBalancer(bounds, node.core, self.draw.getrandbits(40), now, is_warming_up=node.incarnations > 1)
             node.core.handover_address = bounds.at
             if self.mode in ("random", "freshest"):
                 self._compared(node)
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -227,7 +227,11 @@
         if plan.spread:
             at = node.core.members.address
             node.spread = LoadBalancer(
-                LoadBalancingBounds(at=at), node.core, node.random_source.getrandbits(40), now, returns=node.incarnations > 1
+                LoadBalancingBounds(at=at),
+                node.core,
+                node.random_source.getrandbits(40),
+                now,
+                is_warming_up=node.incarnations > 1,
             )
             node.core.handover_address = at
         if plan.maintenance_voters:
