--- a/mulleinhatch/instance/gossip/introductions.py
+++ b/mulleinhatch/instance/gossip/introductions.py
@@ -81,7 +81,7 @@
         summary_data = b""
         if summaries.region:
             contacts = self._contacts_for(message.address, summaries)
-            # A sender without summaries is not a speaker and needs contacts only.
+            # A sender without summaries is not a speaker: it needs contacts only, and immediately.
             known = self.composer.for_stranger(now, summaries) if summaries.summaries else []
             summary_data = self.composer.from_here(contacts=pack_addresses(contacts), summaries=known)
         return OutgoingMessage(message.address, ACK, number=message.number, is_brief=True, summary_data=summary_data)
--- a/mulleinhatch/instance/gossip/summary_table.py
+++ b/mulleinhatch/instance/gossip/summary_table.py
@@ -90,7 +90,7 @@
 
     def __init__(self, summary: Summary, made_at: float) -> None:
         self.summary, self.made_at = summary, made_at
-        # Time of its last sign of life. It is propagated as one byte in each age list, faster than the figures.
+        # Time at which it was last heard from, directly or through others. Age lists propagate it faster than the figures.
         self.seen_at = made_at
         self.contacts: list[str] = []
         self.group_sends_left = self.peer_sends_left = 0
@@ -102,7 +102,7 @@
         self.group_sends_left, self.peer_sends_left = SENDS_TO_GROUPS, SENDS_TO_PEERS
 
     def is_stale(self, now: float, stale_factor: float = 1.0) -> bool:
-        """Return whether its last sign of life is so old that its members count as silent."""
+        """Return whether it was not heard from for so long that its members count as silent."""
         return now - self.seen_at > stale_factor * STALE_AFTER_S[self.summary.level]
 
     def total(self, now: float, stale_factor: float = 1.0) -> Total:
@@ -154,7 +154,7 @@
         self.rows: dict[PartKey, ReceivedSummary] = {}
 
     def drop_old(self, now: float) -> None:
-        """Drop rows without a sign of life for `max_age_s` seconds."""
+        """Drop rows of parts that were not heard from for `max_age_s` seconds."""
         for key in [key for key, row in self.rows.items() if now - row.seen_at > self.max_age_s]:
             del self.rows[key]
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -319,7 +319,7 @@
         cores=8,
     )
 
-    async def play(folder: Path) -> tuple[dict, dict, float | None, float | None]:
+    async def run_case(folder: Path) -> tuple[dict, dict, float | None, float | None]:
         async with FleetHarness(case, folder) as harness:
             names = {node.name for node in harness.nodes}
             assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
@@ -327,20 +327,20 @@
             await harness.until(4.8)
             cut = await harness.views()
             await harness.until(5.0)
-            healed = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
+            healed_after_s = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
             await harness.until(8.3)
-            back = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
-            return cut, await harness.finish(), healed, back
+            restarted_after_s = await harness.wait_for(lambda views: views_agree(views, names), 10.0)
+            return cut, await harness.finish(), healed_after_s, restarted_after_s
 
     # A run in which the harness was so late that no window remains proves nothing and is repeated.
     for attempt in range(MAX_VOID_RUNS + 1):
         folder = tmp_path / str(attempt)
         folder.mkdir()
-        cut, results, healed, back = asyncio.run(asyncio.wait_for(play(folder), 80.0))
+        cut, results, healed_after_s, restarted_after_s = asyncio.run(asyncio.wait_for(run_case(folder), 80.0))
         window_s = 1.0 - 4.0 * results["late"] - 0.03
         assert all(cut[name]["frozen"] for name in ("n0", "n1")) and not cut["n3"]["frozen"]
         assert not [row for name in ("n0", "n1") for row in cut[name]["members"] if row["state"] == "gone"]
-        assert healed is not None and back is not None
+        assert healed_after_s is not None and restarted_after_s is not None
         starts = [at for host in results["ran"] for at, _ in host["starts"]]
         assert len(starts) > 300
         if window_s > 0.0:
@@ -366,17 +366,21 @@
         directory=True,
     )
 
-    async def play() -> tuple[dict, float | None]:
+    async def run_case() -> tuple[dict, float | None]:
         async with FleetHarness(case, tmp_path) as harness:
             names = {node.name for node in harness.nodes}
             assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
             await harness.go()
             await harness.until(2.5)
-            back = await harness.wait_for(lambda views: views_agree(views, names), 8.0)
-            return await harness.finish(), back
-
-    results, back = asyncio.run(asyncio.wait_for(play(), 60.0))
-    assert back is not None and results["relay"]["directory"]["reports"] > 20 and not results["relay"]["directory"]["broken"]
+            restarted_after_s = await harness.wait_for(lambda views: views_agree(views, names), 8.0)
+            return await harness.finish(), restarted_after_s
+
+    results, restarted_after_s = asyncio.run(asyncio.wait_for(run_case(), 60.0))
+    assert (
+        restarted_after_s is not None
+        and results["relay"]["directory"]["reports"] > 20
+        and not results["relay"]["directory"]["broken"]
+    )
     end = max(at for host in results["ran"] for at, _ in host["starts"])
     late = [sum(at > end - 2.0 for at, _ in host["starts"]) for host in results["ran"]]
     assert all(count > 5 for count in late), late
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -252,7 +252,7 @@
         signoffs=0.2,
     )
 
-    async def play() -> tuple[dict, list[Counter[str]], dict]:
+    async def run_case() -> tuple[dict, list[Counter[str]], dict]:
         async with FleetHarness(case, tmp_path) as harness:
             names = {node.name for node in harness.nodes}
             assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
@@ -262,7 +262,7 @@
             views = await harness.views()
             return await harness.finish(), counts, views
 
-    results, counts, views = asyncio.run(asyncio.wait_for(play(), 60.0))
+    results, counts, views = asyncio.run(asyncio.wait_for(run_case(), 60.0))
     assert views["n2"]["spread"]["places"] >= 2 and len(views["n2"]["carried"]) == 5
     busy, free = counts[0] + counts[1], counts[2] + counts[3] + counts[4] + counts[5]
     assert busy["decided_hand"] > 40 and free["ops_from_peers"] > 40 and free["offers_given"] > 40
@@ -271,11 +271,11 @@
     for host in results["ran"]:
         ran.update(host["signoffs"])
     assert ran and max(ran.values()) == 1, [name for name, count in ran.items() if count > 1]
-    asked = in_time = 0
+    requests = in_time = 0
     for client in results["stubs"]:
         assert client["counts"]["wrong"] == 0 and client["counts"]["unanswered"] <= 8, client["counts"]
-        asked, in_time = asked + sum(client["first"].values()), in_time + sum(client["in_time"].values())
+        requests, in_time = requests + sum(client["first"].values()), in_time + sum(client["in_time"].values())
     # Without handover the two could serve 40 of their 60 requests per second, which is 0.75 of all requests. The margin allows
     # for a stalled, a failing and a leaving instance.
-    assert in_time > 0.8 * asked, (in_time, asked, results["stubs"][0]["counts"])
+    assert in_time > 0.8 * requests, (in_time, requests, results["stubs"][0]["counts"])
     assert LoadBalancingBounds().hand_over
