--- a/mulleinhatch/instance/gossip/members.py
+++ b/mulleinhatch/instance/gossip/members.py
@@ -1,8 +1,8 @@
 """Membership: suspicion and refutation, and checks of this member's own connectivity.
 
 SWIM with Lifeguard's local health awareness and two differences. A member whose heartbeat was late, or for which many members
-fall silent at once, declares nobody gone; and a member that sent a message recently is never declared gone, whatever others
-report. The cost of a heartbeat does not depend on the number of members. `docs/design/fleet.md` has the table of states.
+fall silent at once, declares nobody gone; and a member that sent a message recently is never declared gone, even if others
+report it. The cost of a heartbeat does not depend on the number of members. `docs/design/fleet.md` has the table of states.
 
 Source: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate
 Failure Detection" (2018).
