--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -1,4 +1,4 @@
-"""How the admission controller uses figures of other instances, how these are computed, and what it hands over."""
+"""Figures of other instances: how they are computed and used by the admission controller, and handover of requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ControllerHarness:
-    """An admission controller with one core; runs complete when the test says so."""
+    """An admission controller with one core, whose runs complete when the test says so."""
 
     def __init__(self, **more: object) -> None:
         self.controller = AdmissionController(
@@ -53,17 +53,17 @@
             self.controller.mark_received_from_peer(now, ref)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
-    def ended(self, now: float, ref: str, ending: Ending = Ending.OK) -> list[tuple[Verb, str]]:
+    def end_run(self, now: float, ref: str, ending: Ending = Ending.OK) -> list[tuple[Verb, str]]:
         self.controller.record_run_end(now, ref, ending)
         return [(decision.verb, decision.ref) for decision in self.pull(now)]
 
 
 def create_warm_harness() -> ControllerHarness:
-    """Return a controller that has measured its pace: half a second per run."""
+    """Return a controller that has measured its pace of half a second per run."""
     harness = ControllerHarness()
-    for turn in range(4):
-        harness.read(0.5 * turn, f"w{turn}")
-        harness.ended(0.5 * turn + 0.5, f"w{turn}")
+    for step in range(4):
+        harness.read(0.5 * step, f"w{step}")
+        harness.end_run(0.5 * step + 0.5, f"w{step}")
     harness.read(2.0, "running")
     return harness
 
@@ -76,7 +76,7 @@
     assert harness.read(2.0, "b") == [(Verb.HAND_OVER, "b")] and harness.read(2.0, "c") == []
 
 
-@pytest.mark.parametrize("request_type, handed", [(2, False), (0, True)], ids=["keyed", "came from a peer"])
+@pytest.mark.parametrize("request_type, handed", [(2, False), (0, True)], ids=["keyed", "received from a peer"])
 def test_requests_that_are_not_handed_over(request_type: int, handed: bool) -> None:
     harness = create_warm_harness()
     harness.controller.set_peer_offers(2.0, 5)
@@ -97,14 +97,17 @@
     ],
 )
 def test_outcome_of_a_request_at_a_peer(request_type: int, ending: Ending, then: str) -> None:
-    """A link that broke tells nothing: what may not run twice is over here, what may runs here, and none goes on again."""
+    """After a broken link it is unknown whether the request ran at the peer.
+
+    A non-retryable one is closed, a retryable one runs here, and none is handed over again.
+    """
     harness = create_warm_harness()
     harness.controller.set_peer_offers(2.0, 5)
     assert harness.read(2.0, "a", request_type) == [(Verb.HAND_OVER, "a")]
     harness.controller.record_handover_end(2.1, "a", ending)
     assert harness.pull(2.1) == [] and harness.controller.is_open("a") is (then == "held")
     if then == "held":
-        assert harness.ended(2.4, "running") == [(Verb.RUN, "a")]
+        assert harness.end_run(2.4, "running") == [(Verb.RUN, "a")]
 
 
 def test_request_at_a_peer_times_out_and_is_never_rejected() -> None:
@@ -132,26 +135,26 @@
     harness.controller.set_tenant_budget(0.0, 0, 0.0, [(1.0, 1e9), (1.0, 2.6)])
     runs = [harness.read(0.0, ref) for ref in "abc"]
     assert runs == [[(Verb.RUN, "a")], [(Verb.RUN, "b")], []]
-    assert harness.ended(0.5, "a") == [(Verb.RUN, "c")]
-    harness.ended(0.5, "b")
-    harness.ended(1.0, "c")
+    assert harness.end_run(0.5, "a") == [(Verb.RUN, "c")]
+    harness.end_run(0.5, "b")
+    harness.end_run(1.0, "c")
     # The lease expires before a run that starts now would complete.
     assert harness.read(1.8, "d") == [(Verb.RUN, "d")] and harness.read(1.8, "e") == []
-    assert harness.ended(2.3, "d") == [(Verb.RUN, "e")]
+    assert harness.end_run(2.3, "d") == [(Verb.RUN, "e")]
 
 
 def test_reports_of_peers_on_health_capacity_and_retries() -> None:
     harness = ControllerHarness(advice=Advice.FLOOR)
     harness.controller.update_peer_load(0.0, 0.5, True, 3.0, 0.3)
     harness.controller.set_retry_storm(0.2, True, 0.1)
-    said = {decision.verb: decision for decision in harness.pull(0.2)}
-    assert not said[Verb.HEALTH].flag and said[Verb.LIMIT_RETRIES].level <= 3.0
+    decisions = {decision.verb: decision for decision in harness.pull(0.2)}
+    assert not decisions[Verb.HEALTH].flag and decisions[Verb.LIMIT_RETRIES].level <= 3.0
     harness = ControllerHarness(advice=Advice.FLOOR)
     harness.controller.update_peer_load(0.0, 0.02, False, 1e9, 0.3)
     assert {decision.verb: decision for decision in harness.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
     harness.read(0.2, "running", wait=3.0)
     harness.read(0.2, "held", wait=1.0)
-    harness.controller.begin_drain(0.3, 0.1)  # nothing is free elsewhere: the caller should not try other instances, either
+    harness.controller.begin_drain(0.3, 0.1)  # no instance has free slots, so the caller should not try other instances, either
     rejections = [decision for decision in harness.pull(0.3) if decision.verb is Verb.REJECT]
     assert [(rejection.ref, rejection.flag) for rejection in rejections] == [("held", True)]
 
@@ -172,7 +175,7 @@
 
 
 def test_heavy_hitters_are_found_among_invented_names() -> None:
-    """Nobody that asks for more than a part in `room` is missed, and room stays bounded whoever makes names up."""
+    """No tenant above 1/capacity of the requests is missed, and memory stays bounded when callers invent names."""
     draw, hitters, true = random.Random(3), HeavyHitters(64), Counter()
     for number in range(60_000):
         name = draw.choice(("loud", "loud", "also", "third")) if draw.random() < 0.4 else f"made up {draw.randrange(100_000)}"
@@ -189,11 +192,11 @@
     fleet = GossipNode(bounds, "a", "10.0.0.1:0", 5, 1, 0.0)
     for name in ("b", "c", "d", "e", "x"):
         fleet.members._apply_update(0.0, MemberUpdate(name, "10.0.0.1:1", 4, 0, ALIVE))
-    for turn in range(12):
+    for step in range(12):
         for name in ("b", "c", "d", "e", "x"):
-            fleet.members.prober.evidence.record(0.1 * turn, name, name != "x")
-    said = {name: bad for name, bad, _ in fleet.members.opinions(1.2)}
-    assert said["x"] == 100 and len(said) == 2 and 0 in said.values()
+            fleet.members.prober.evidence.record(0.1 * step, name, name != "x")
+    reported = {name: bad for name, bad, _ in fleet.members.opinions(1.2)}
+    assert reported["x"] == 100 and len(reported) == 2 and 0 in reported.values()
     fleet.members.frozen = True
     assert fleet.members.opinions(1.2) == []
     fleet.members.frozen = False
