--- a/mulleinhatch/control_plane/placement/__init__.py
+++ b/mulleinhatch/control_plane/placement/__init__.py
@@ -1,5 +1,5 @@
 """Placement of models and adapters on backends.
 
 `controller.PlacementController` is the entry point, created by `control_plane.process`. Every control-plane node runs it;
-only the leader of placement issues orders, each with its fencing token.
+only the placement leader issues orders, and each order carries its fencing token.
 """
--- a/mulleinhatch/control_plane/placement/adapter_planner.py
+++ b/mulleinhatch/control_plane/placement/adapter_planner.py
@@ -14,7 +14,7 @@
 
 
 class AdapterPlanner:
-    """Places each requested adapter once, at a backend that has its model loaded.
+    """Places each requested adapter on one backend that has the adapter's model loaded.
 
     Args:
         draft: The plan to add orders to.
@@ -25,7 +25,7 @@
         self._placed = {pair for backend in draft.backends for pair in backend.retained_adapters()}
 
     def plan(self) -> None:
-        """Plan an order for each requested adapter that no backend has, the one with most pending requests first."""
+        """Plan a load for each requested adapter that no backend has, in descending order of pending requests."""
         missing = [
             (-demand.pending, -demand.value, model, adapter)
             for model, model_demand in self._draft.demand.items()
@@ -41,14 +41,14 @@
             for backend in self._draft.orderable_backends()
             if model in backend.models and (model, "") not in backend.unloading
         ]
-        facts = self._draft.engine.models.get(model)
-        if facts is None or not hosts:
+        spec = self._draft.engine.models.get(model)
+        if spec is None or not hosts:
             return
-        with_capacity = [backend for backend in hosts if self._has_capacity(backend, facts.adapter_size_mb)]
+        with_capacity = [backend for backend in hosts if self._has_capacity(backend, spec.adapter_size_mb)]
         if not with_capacity:
             self._plan_eviction(hosts, model, adapter)
             return
-        # The rendezvous weight spreads adapters over equally loaded backends, the same way in each pass.
+        # Among equally loaded backends the rendezvous weight spreads adapters, with the same result in each pass.
         target = min(
             with_capacity,
             key=lambda backend: (used_adapters(backend), -rendezvous_weight(f"{model}/{adapter}", backend.address)),
@@ -62,7 +62,7 @@
         return used_adapters(backend) < engine.adapter_slots and used_mb(backend, engine) + adapter_mb <= engine.weights_mb
 
     def _plan_eviction(self, hosts: Sequence[BackendView], model: str, adapter: str) -> None:
-        """Unload the adapter of least value from a host, if the requested one gains enough over it."""
+        """Unload the least valuable adapter on the hosts if the requested one is worth enough more."""
         candidates = [
             (self._value(hosted_model, name), backend, hosted_model, name)
             for backend in hosts
--- a/mulleinhatch/control_plane/placement/backend_report.py
+++ b/mulleinhatch/control_plane/placement/backend_report.py
@@ -1,4 +1,4 @@
-"""A backend's report of its models and its running order. Pure."""
+"""Parses the reports in which backends list their models and say whether an order is running. Pure."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True)
 class BackendReport:
-    """The part of a backend's report that placement uses.
+    """The fields of a backend's report that placement uses.
 
     Attributes:
-        models: Adapters by model.
+        models: The loaded adapters by model.
         is_busy: Whether an order is running.
-        revision: How many orders the backend has accepted.
-        versions: Version of the weights of each model.
+        revision: The number of orders that the backend has accepted.
+        versions: The version of the weights by model.
     """
 
     models: dict[str, set[str]]
@@ -30,7 +30,7 @@
     """Parse the body of a backend's response to `GET /report`.
 
     Raises:
-        ValueError: The body is no report.
+        ValueError: The body is not a valid report.
     """
     value = json.loads(body)
     try:
@@ -38,16 +38,16 @@
         versions = {model["name"]: _count(model.get("version", 0)) for model in value.get("models", ())}
         return BackendReport(models, bool(value.get("busy")), _count(value.get("sequence", 0)), versions)
     except (AttributeError, KeyError, TypeError, OverflowError) as error:
-        raise ValueError(f"no report: {error!r}") from None
+        raise ValueError(f"invalid report: {error!r}") from None
 
 
 def _count(value: Any) -> int:
-    """Return a whole number that the messages between control planes can carry.
+    """Return the value as an integer that messages between control-plane nodes can carry.
 
     Raises:
-        ValueError: The value is none.
+        ValueError: The value is not such an integer.
     """
     count = int(value)
     if not 0 <= count <= MAX_COUNT:
-        raise ValueError(f"{value!r} is no whole number from 0 to 2^63 - 1")
+        raise ValueError(f"{value!r} is not a whole number from 0 to 2^63 - 1")
     return count
--- a/mulleinhatch/control_plane/placement/backend_state.py
+++ b/mulleinhatch/control_plane/placement/backend_state.py
@@ -1,4 +1,4 @@
-"""What the leader of placement knows of one backend. Pure."""
+"""The placement leader's state of one backend. Pure."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from mulleinhatch.control_plane.placement.order import Operation, OrderInFlight
 from mulleinhatch.messages.cluster import Backend
 
-LOADED_LONG_AGO = -1e9  # load time of models that were present before the first report under this leader
+LOADED_LONG_AGO = -1e9  # load time of models that the first report of a term shows: they may be evicted at once
 
 
 @dataclass
 class BackendState:
-    """What the leader knows of one backend; it starts empty with each term of leadership.
+    """The leader's state of one backend; each leadership term starts with an empty one.
 
     Times are monotonic seconds.
 
     Attributes:
-        models: Models by name as the latest report showed them.
-        revision: The backend's count of orders, according to the latest report.
-        is_known: Whether a report arrived under this leader and no order was rejected since.
-        in_flight: The order that the backend carries out, or may.
+        models: Models by name, from the latest report.
+        revision: The number of orders that the backend has accepted, from the latest report.
+        is_known: Whether a report has arrived in this term and no order was rejected since then.
+        in_flight: The order that the backend is executing or may be executing.
         next_poll_at: The earliest time of the next poll.
         is_polling: Whether a poll is running.
-        has_foreign_order: Whether the backend carries out an order that this leader did not issue.
-        poll_failures: Failed polls in a row.
+        has_foreign_order: Whether the backend is executing an order that this leader did not issue.
+        poll_failures: The number of consecutive failed polls.
         reserved_for: The model that memory was freed for, or "".
         reserved_until: When the reservation expires.
     """
@@ -47,16 +47,16 @@
         return self.is_known and self.in_flight is None and not self.has_foreign_order
 
     def needs_report(self, now: float) -> bool:
-        """Return whether a report would tell something new: the state is unknown or an order should be complete."""
+        """Return whether to poll: the state is unknown, a foreign order is running, or an order should be complete."""
         is_order_due = self.in_flight is not None and now >= self.in_flight.expected_at
         return not self.is_known or self.has_foreign_order or is_order_due
 
     def apply_report(self, report: BackendReport, now: float) -> None:
-        """Take over what a report shows, when no order of this leader is in flight.
+        """Update the state from a report; no order of this leader may be in flight.
 
         Args:
             report: The backend's report.
-            now: Time at which models that are new count as loaded, unless this is the first report.
+            now: The load time of models that are new in this report, unless it is the first one.
         """
         loaded_at = now if self.is_known else LOADED_LONG_AGO
         self.has_foreign_order = report.is_busy
@@ -74,8 +74,8 @@
 
         Args:
             backend: The backend's registry record.
-            disk_models: Models that the backend's disk has.
-            now: Time by which a reservation may have expired.
+            disk_models: Models on the backend's disk.
+            now: The current time, which decides whether a reservation has expired.
         """
         loading: set[tuple[str, str]] = set()
         unloading: set[tuple[str, str]] = set()
--- a/mulleinhatch/control_plane/placement/backend_view.py
+++ b/mulleinhatch/control_plane/placement/backend_view.py
@@ -25,17 +25,17 @@
 
 @dataclass
 class BackendView:
-    """A backend as the planner sees it. A pair (model, "") denotes the model itself, (model, adapter) an adapter.
+    """A backend as the planner sees it. The pair (model, "") denotes the model itself, (model, adapter) an adapter.
 
     Attributes:
         id: The backend's id.
-        address: Its address, which selects among equal backends by rendezvous hashing.
+        address: Its address; rendezvous hashing of it breaks ties between equal backends.
         models: The loaded models by name.
-        disk_models: Models that its own disk has, which load fast and without the weight store.
+        disk_models: Models on its own disk, which load fast and without the weight store.
         is_idle: Whether it can take an order: its state is known and no order is in flight.
-        is_serving: Whether it is neither draining nor about to end.
-        loading: What an order in flight loads.
-        unloading: What an order in flight unloads.
+        is_serving: Whether it is neither draining nor about to be terminated.
+        loading: The models and adapters that an order in flight loads.
+        unloading: The models and adapters that an order in flight unloads.
         reserved_for: The model that an unload has freed memory for, or "".
     """
 
@@ -50,37 +50,37 @@
     reserved_for: str = ""
 
     def retained_models(self) -> set[str]:
-        """Return the models that are loaded and stay, are being loaded, or have memory reserved."""
+        """Return the models that are loaded and not being unloaded, are being loaded, or have memory reserved."""
         loading = {model for model, adapter in self.loading if not adapter}
         unloading = {model for model, adapter in self.unloading if not adapter}
         reserved = {self.reserved_for} if self.reserved_for else set()
         return (set(self.models) | loading | reserved) - unloading
 
     def retained_adapters(self) -> set[tuple[str, str]]:
-        """Return the adapters that are loaded and stay or are being loaded, each as (model, adapter)."""
+        """Return the (model, adapter) pairs that are loaded and not being unloaded, or are being loaded."""
         hosted_adapters = {(model, adapter) for model, hosted in self.models.items() for adapter in hosted.adapters}
         return (hosted_adapters - self.unloading) | {pair for pair in self.loading if pair[1]}
 
 
 def model_mb(model: str, hosted: HostedModel, engine: EngineSpec) -> float:
-    """Return the memory of a model with its adapters.
+    """Return the memory in MB of a model and its adapters.
 
-    A model that the configuration does not name counts as the largest one that it names.
+    A model that is not in the configuration counts as large as the largest configured model.
     """
-    model_facts = engine.models.get(model)
-    if model_facts is None:
+    spec = engine.models.get(model)
+    if spec is None:
         return max((known.weights_mb for known in engine.models.values() if known.weights_mb < math.inf), default=0.0)
-    return model_facts.weights_mb + len(hosted.adapters) * model_facts.adapter_size_mb
+    return spec.weights_mb + len(hosted.adapters) * spec.adapter_size_mb
 
 
 def used_mb(backend: BackendView, engine: EngineSpec) -> float:
-    """Return the memory that a backend's models and adapters use, including those being loaded."""
+    """Return the memory in MB of a backend's models and adapters, including those being loaded."""
     total = sum(model_mb(model, hosted, engine) for model, hosted in backend.models.items())
     for model, adapter in backend.loading:
-        model_facts = engine.models.get(model)
-        if model_facts is None or (model in backend.models and (not adapter or adapter in backend.models[model].adapters)):
+        spec = engine.models.get(model)
+        if spec is None or (model in backend.models and (not adapter or adapter in backend.models[model].adapters)):
             continue
-        total += model_facts.adapter_size_mb if adapter else model_facts.weights_mb
+        total += spec.adapter_size_mb if adapter else spec.weights_mb
     return total
 
 
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -1,12 +1,12 @@
 """The placement controller: reconciles the models at backends with the demand of data planes.
 
-The controller runs on every control-plane node and acts only where that node leads placement. The parts it wires:
+The controller runs on every control-plane node and acts only on the placement leader. It wires these modules:
 
-| part | module |
+| responsibility | module |
 | --- | --- |
-| who may issue orders, under which fencing token | `leadership` |
+| which node may issue orders, and with which fencing token | `leadership` |
 | demand of all data planes | `demand` |
-| what the leader knows of a backend | `backend_state`, `backend_report`, `report_poller` |
+| the leader's state of each backend | `backend_state`, `backend_report`, `report_poller` |
 | which orders to issue | `planner`, `value`, `backend_view`, `load_rate_limiter` |
 | sending orders | `order`, `order_client`, `order_dispatch` |
 | notifying data planes | `published_holdings` |
@@ -37,20 +37,20 @@
 
 LOG = logging.getLogger(__name__)
 RECONCILE_INTERVAL_S = 0.1
-FOLLOWER_INTERVAL_S = 0.5  # of a node that may not lead; a new view wakes it at once
-RECONCILE_REST_FACTOR = 5.0  # a pass is followed by a pause of this many times its duration, at most one interval
-ASSUMED_PREVIOUS_LOADS = 3  # store loads that a former leader may have started without publishing them
-ASSUMED_LOAD_AGE_FRACTION = 0.6  # of the rate limiter's window: the age that such loads are given
+FOLLOWER_INTERVAL_S = 0.5  # interval on a node that may not lead; a new view triggers a pass at once
+RECONCILE_REST_FACTOR = 5.0  # a pass is followed by a pause of this many times its duration, up to one interval
+ASSUMED_PREVIOUS_LOADS = 3  # store loads that the previous leader may have started without publishing them
+ASSUMED_LOAD_AGE_FRACTION = 0.6  # assumed age of these loads, as a fraction of the rate limiter's window
 
 
 class PlacementController:
-    """Runs the reconcile loop and wires the parts of placement.
+    """Runs the reconcile loop and wires the placement modules.
 
     Args:
         node: The control plane node.
         http_client: Client for requests to backends.
         clock: Monotonic time in seconds.
-        bounds: Lease length, the window of the store's load rate limit, and whether backends fence off old leaders.
+        bounds: The lease duration, the window of the weight store's load rate limit, and whether backends enforce fencing.
     """
 
     def __init__(self, node: ClusterMember, http_client: HttpClient, clock: Callable[[], float], bounds: Bounds) -> None:
@@ -64,17 +64,17 @@
         self._client = OrderClient(node, http_client, clock, self.leadership)
         self._dispatcher = OrderDispatcher(node, clock, self._client, self.leadership, self._publisher, self._store_loads)
         self._backend_states: dict[str, BackendState] = {}
-        self._disk_models: dict[str, set[str]] = {}  # models that a backend's disk has, by address
+        self._disk_models: dict[str, set[str]] = {}  # models on the disk of the backend at each address
         self._table = RouteTable()
         self._started_at = clock()
 
     @property
     def recent_orders(self) -> deque[dict[str, str]]:
-        """Return the latest orders, each with the reason why it was issued."""
+        """Return the latest orders, each with the reason it was issued for."""
         return self._dispatcher.recent_orders
 
     def idle_s(self) -> float:
-        """Return for how many seconds this control-plane node has issued no order."""
+        """Return the seconds since this control-plane node last issued an order."""
         return self._client.idle_s()
 
     def record_store_load(self) -> None:
@@ -82,7 +82,7 @@
         self._store_loads.record(self._clock())
 
     async def on_demand(self, report: DemandReport) -> DemandResponse:
-        """Take a data plane's demand report; the response says whether this control-plane node leads placement."""
+        """Handle a data plane's demand report; the response says whether this control-plane node leads placement."""
         for invalid in self.demand.merge_report(report, self._clock()):
             fields = {"data_plane": invalid.data_plane, "model": invalid.model, "reason": str(invalid)}
             LOG.warning("ignored invalid demand figures of a data plane", extra=fields)
@@ -91,11 +91,11 @@
         return DemandResponse(accepted=self.leadership.is_acting)
 
     def on_change(self) -> None:
-        """Reconcile soon: the view, and with it who may lead, or the configuration has changed."""
+        """Request a pass, because the configuration has changed or a new view may have changed which node leads."""
         self._reconcile_soon.set()
 
     async def run(self) -> None:
-        """Reconcile at each interval, and without delay after a report, a new view, or when requests are pending."""
+        """Reconcile at each interval, and at once after a report, a new view, or demand with pending requests."""
         interval_s = RECONCILE_INTERVAL_S
         while True:
             try:
@@ -111,7 +111,7 @@
             await asyncio.sleep(min(RECONCILE_INTERVAL_S, RECONCILE_REST_FACTOR * duration_s))
 
     async def reconcile(self) -> None:
-        """Claim leadership if it is vacant; while this node leads, poll backends and issue orders."""
+        """Claim leadership if it is vacant; on the leader, poll backends and issue orders."""
         lease_state = self.leadership.observe()
         if lease_state is LeaseState.CLAIMING:
             is_first_claim = not self._node.state.leader
@@ -121,7 +121,7 @@
             self._reconcile_services()
 
     def _start_leading(self, is_first_claim: bool) -> None:
-        """Forget all backend state, because the former leader's orders in flight are unknown."""
+        """Discard all backend state, because the previous leader's orders in flight are unknown."""
         LOG.info("acquired placement leadership", extra={"fencing_token": self.leadership.token})
         self._backend_states.clear()
         self._publisher.reset()
@@ -153,7 +153,7 @@
             for backend in backends.values()
         ]
         for order in Planner(engine, views, demand, now, self._store_loads.available(now)).plan():
-            # An order issued earlier in this pass may have used up the limit: publishing a store load records it.
+            # An order issued earlier in this pass may have exhausted the limit: publishing a store load counts it.
             if order.from_store and self._store_loads.available(now) <= 0:
                 continue
             backend_id = order.backend_id
@@ -168,7 +168,7 @@
         }
 
     def _observe_backend(self, backend: Backend, now: float) -> None:
-        """Remember the models on the backend's disk and poll the backend if its state is unknown or out of date."""
+        """Record the models on the backend's disk and poll the backend if its state is unknown or out of date."""
         disk_models = self._disk_models.setdefault(backend.address, set())
         disk_models.update(model.name for model in backend.models)
         state = self._backend_states.get(backend.id)
--- a/mulleinhatch/control_plane/placement/demand.py
+++ b/mulleinhatch/control_plane/placement/demand.py
@@ -1,4 +1,4 @@
-"""Sums the demand that all data planes report. Pure."""
+"""Aggregates the demand that data planes report. Pure."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from mulleinhatch.messages.cluster import DemandReport, ModelDemand
 
-REPORT_TTL_S = 4.0  # a data plane that has not reported for so long no longer counts
-MAX_FIGURE = 1e9  # the largest plausible count, rate or value of an entry
-MIN_TOTAL_RATE_PER_S = 1e-6  # a total below is rounding error, left after its reports were subtracted
+REPORT_TTL_S = 4.0  # a data plane's report no longer counts this long after it arrived
+MAX_PLAUSIBLE_VALUE = 1e9  # an entry's counts, rates and values must be lower to be plausible
+MIN_TOTAL_RATE_PER_S = 1e-6  # a lower total is the rounding error left after its reports were subtracted
 
 
 @dataclass(frozen=True)
 class InvalidDemand:
-    """An entry of a demand report that was ignored because its figures are impossible."""
+    """An entry of a demand report that was ignored because its values are impossible."""
 
     data_plane: str
     model: str
@@ -32,11 +32,11 @@
     """Demand of all data planes for one model, or for one adapter of it.
 
     Attributes:
-        pending: Requests that wait in data planes because no backend can take them.
+        pending: Requests queued in data planes because no backend can take them.
         rate: Arrivals in requests per second.
         value: Value per second of these arrivals, weighted by priority class.
-        running: Requests that run at backends.
-        adapters: The part of the demand that needs an adapter, by adapter.
+        running: Requests running on backends.
+        adapters: The demand for each adapter of the model, included in the totals above.
     """
 
     pending: int = 0
@@ -64,21 +64,21 @@
 
 
 class DemandAggregator:
-    """Keeps the latest report of each data plane and the totals over all of them, updated as reports arrive and expire."""
+    """Holds the latest report of each data plane and the totals over them, updated as reports arrive and expire."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
         self._totals: dict[_Key, AggregatedDemand] = {}
 
     def merge_report(self, report: DemandReport, now: float) -> list[InvalidDemand]:
-        """Replace a data plane's previous report, or only the entries that a partial report has.
+        """Replace a data plane's previous report; a partial report replaces only the entries it contains.
 
         Args:
             report: The report.
             now: Monotonic time in seconds.
 
         Returns:
-            The entries that were ignored because they are impossible; the others count.
+            The entries that were ignored because their values are impossible; the others count.
         """
         previous = self._reports.get(report.node)
         entries = {_key_of(entry): entry for entry in report.demand if _is_valid(entry)}
@@ -128,9 +128,11 @@
 
 
 def _is_valid(entry: ModelDemand) -> bool:
-    """Return whether an entry names a model and has finite, non-negative, plausible figures."""
-    figures = (entry.pending_requests, entry.running, entry.rate, entry.value_rate)
-    return bool(entry.service and entry.model) and all(math.isfinite(figure) and 0 <= figure < MAX_FIGURE for figure in figures)
+    """Return whether an entry names a service and a model and has finite, non-negative, plausible values."""
+    values = (entry.pending_requests, entry.running, entry.rate, entry.value_rate)
+    return bool(entry.service and entry.model) and all(
+        math.isfinite(value) and 0 <= value < MAX_PLAUSIBLE_VALUE for value in values
+    )
 
 
 def _key_of(entry: ModelDemand) -> _Key:
@@ -138,6 +140,6 @@
 
 
 def _keys_of(entry: ModelDemand) -> list[_Key]:
-    """Return the totals that an entry counts for: its model's, then its adapter's if it has one."""
+    """Return the totals that an entry counts toward: its model's, then its adapter's if it has one."""
     model = _Key(entry.service, entry.model)
     return [model, _key_of(entry)] if entry.adapter else [model]
--- a/mulleinhatch/control_plane/placement/interfaces.py
+++ b/mulleinhatch/control_plane/placement/interfaces.py
@@ -15,7 +15,7 @@
 
 
 class PeerStatus(Protocol):
-    """The latest heartbeat of one other control-plane node."""
+    """The latest heartbeat of another control-plane node."""
 
     leaving: bool
     epoch: int
@@ -27,14 +27,14 @@
 
     @property
     def by_identity(self) -> Mapping[str, PeerStatus]:
-        """Return the known peers by their identity."""
+        """Return the known peers by identity."""
 
     def is_alive(self, identity: str, now: float) -> bool:
-        """Return whether a peer answered recently."""
+        """Return whether a peer has responded recently."""
 
 
 class LeadershipSource(Protocol):
-    """What decides whether this control-plane node may lead placement, and how it claims leadership."""
+    """The node state that decides whether this control-plane node may lead placement, and the leadership claim."""
 
     leaving: bool
     state: ControlState
@@ -50,7 +50,7 @@
         """Return the current view of the replication chain."""
 
     def has_majority_contact(self) -> bool:
-        """Return whether a majority of voters confirmed the current view recently."""
+        """Return whether a majority of voters has confirmed the current view recently."""
 
     async def claim_leadership(self) -> int:
         """Replicate a leadership claim and return its fencing token, or 0 if the claim failed.
@@ -76,7 +76,7 @@
     def record_holdings(
         self, backend_id: str, models: list[LoadedModel], loads: list[PendingLoad], unloads: list[PendingLoad], revision: int
     ) -> bool:
-        """Record a backend's models and pending orders, and return whether anything changed for data planes."""
+        """Record a backend's models and pending orders, and return whether any field that data planes use has changed."""
 
 
 class HoldingsTarget(Protocol):
--- a/mulleinhatch/control_plane/placement/leadership.py
+++ b/mulleinhatch/control_plane/placement/leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of placement: when this control-plane node may issue orders, and under which fencing token."""
+"""Placement leadership: when this control-plane node may issue orders, and with which fencing token."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from mulleinhatch.control_plane.placement.interfaces import LeadershipSource
 from mulleinhatch.leadership.lease import LeaderLease, LeadershipObservation, LeaseState
 
-NEVER_ISSUED_S = 1e5  # idle time that a node reports if it has issued no order since its start
+NEVER_ISSUED_S = 1e5  # reported idle time, in seconds, of a node that has issued no order since its start
 
 
 class PlacementLeadership:
-    """The leader lease of placement, fed with observations of the cluster.
+    """The placement leader's lease, updated by observations of the cluster.
 
     Args:
         source: The control plane node.
         clock: Monotonic time in seconds.
-        lease_s: How long an unreachable leader may keep acting.
+        lease_s: The lease duration: how long a leader may act without confirmation, in seconds.
         is_fenced: Whether backends reject orders with a lower fencing token than the highest they have seen. A leader
-            that can't be reached is then replaced without waiting for its whole lease.
+            that can't be reached is then replaced before its lease has expired.
     """
 
     def __init__(self, source: LeadershipSource, clock: Callable[[], float], lease_s: float, is_fenced: bool) -> None:
@@ -41,11 +41,11 @@
         return self._lease.state is LeaseState.FOLLOWER
 
     def observe(self) -> LeaseState:
-        """Observe the cluster and return the resulting state of the lease."""
+        """Update the lease from the state of the cluster and return its new state."""
         return self._lease.observe(self._observation(), self._clock())
 
     def confirm(self) -> bool:
-        """Observe the cluster and return whether this control-plane node may issue orders now."""
+        """Update the lease from the state of the cluster and return whether this node may issue orders now."""
         return self.observe() is LeaseState.LEADER
 
     async def acquire(self) -> bool:
@@ -54,14 +54,14 @@
         return self._lease.is_leader
 
     async def claim(self) -> int:
-        """Replicate a claim and return its fencing token, or 0 if it failed, for example because the disk is full."""
+        """Replicate a claim and return its fencing token, or 0 if that failed, for example because the disk is full."""
         try:
             return await self._source.claim_leadership()
         except OSError:
             return 0
 
     def revoke(self, rejected_token: int) -> None:
-        """Handle that a backend rejected an order because it has seen a higher fencing token; a new claim is needed.
+        """Give up leadership after a backend rejected an order because it has seen a higher fencing token.
 
         Args:
             rejected_token: The token of that order.
@@ -69,7 +69,7 @@
         self._lease.on_higher_token(rejected_token)
 
     def is_token_rejected(self) -> bool:
-        """Return whether a backend has rejected the current fencing token: no further order may bear it."""
+        """Return whether a backend has rejected the current fencing token; no further order may carry it."""
         return 0 < self._lease.token <= self._lease.rejected_token
 
     def _observation(self) -> LeadershipObservation:
@@ -79,7 +79,7 @@
         is_reachable = former is not None and source.peers.is_alive(source.state.leader, self._clock()) and not former.leaving
         if is_reachable and former.epoch >= source.view.epoch and former.orders_idle_s >= NEVER_ISSUED_S:
             # The former leader has restarted and learned the current view: it knows that it does not lead, has issued no order
-            # since its start and will issue none. It counts as unreachable, so that nobody waits for its whole lease.
+            # since its start and will issue none. It counts as unreachable, so that no node waits for its lease to expire.
             is_reachable = False
         return LeadershipObservation(
             source.replica.is_head and source.has_majority_contact() and not source.leaving,
--- a/mulleinhatch/control_plane/placement/load_rate_limiter.py
+++ b/mulleinhatch/control_plane/placement/load_rate_limiter.py
@@ -6,7 +6,7 @@
 
 
 class LoadRateLimiter:
-    """Counts the loads that started within the window, by whichever node they were ordered.
+    """Counts the loads that started within the window, whichever node ordered them.
 
     At least one load in each window is always allowed.
 
@@ -33,7 +33,7 @@
         return max(1, int(self._loads_per_s * self._window_s))
 
     def available(self, now: float) -> int:
-        """Return how many more loads may start now; zero or less if none may."""
+        """Return how many more loads may start now, or a number below one if none may."""
         recent = [started_at for started_at in self._started_at if started_at > now - self._window_s]
         self._started_at = deque(recent)
         return self._limit - len(recent)
--- a/mulleinhatch/control_plane/placement/order.py
+++ b/mulleinhatch/control_plane/placement/order.py
@@ -8,9 +8,9 @@
 from mulleinhatch.control_plane.placement.backend_report import BackendReport
 
 ORDER_TIMEOUT_S = 0.8  # for the response to an order
-REPORT_LAG_S = 0.35  # a report may show the backend's state of so long ago
-ORDER_OVERDUE_S = 6.0  # past its expected time an accepted order without a new revision counts as never executed
-LOST_RESPONSE_MARGIN_S = 1.0  # beyond timeout and report lag, after which an order without a response counts as not accepted
+REPORT_LAG_S = 0.35  # a report may show a state of the backend that is this old
+ORDER_OVERDUE_S = 6.0  # an accepted order whose revision does not appear counts as not executed this long after its due time
+LOST_RESPONSE_MARGIN_S = 1.0  # added to timeout and report lag, before an order without a response counts as not accepted
 
 
 class Operation(Enum):
@@ -30,10 +30,10 @@
         model: The model, or the adapter's base model.
         adapter: The adapter, or "" for the model itself.
         from_store: Whether the load reads the shared weight store, whose load rate is limited.
-        expected_s: Seconds that the order should take.
-        reason: Why the order is issued, for operators.
+        expected_s: The expected duration in seconds.
+        reason: Why the order was issued; shown to operators.
         reserved_for: The model that an unload frees memory for.
-        follow_up: The load that can be sent right after this unload, if it frees enough memory.
+        follow_up: The load to send right after this unload; None unless the unload frees enough memory for it.
     """
 
     backend_id: str
@@ -49,7 +49,7 @@
 
 @dataclass
 class OrderInFlight:
-    """An order that a backend carries out, or may.
+    """An order that a backend is executing or may be executing.
 
     Times are monotonic seconds.
 
@@ -57,10 +57,10 @@
         order: The order.
         started_at: When it was issued.
         expected_at: When it should be complete.
-        revision: The backend's count of orders before it.
+        revision: The number of orders that the backend had accepted before this one.
         is_response_lost: Whether no response arrived, so that it is unknown whether the backend accepted the order.
         is_follow_up_sending: Whether the load that follows this unload is being sent.
-        is_assumed_done: Whether an adapter is published as loaded before a report shows it.
+        is_assumed_done: Whether the adapter is published as loaded although no report has shown it yet.
     """
 
     order: Order
@@ -72,10 +72,10 @@
     is_assumed_done: bool = False
 
     def is_completed_by(self, report: BackendReport, polled_at: float) -> bool:
-        """Return whether a report that shows no running order describes the time after this one.
+        """Return whether a report without a running order shows the state after this order has completed or failed.
 
         Args:
-            report: A report that is not busy.
+            report: A report that shows no running order.
             polled_at: When the report was requested.
         """
         if report.revision > self.revision:
--- a/mulleinhatch/control_plane/placement/order_client.py
+++ b/mulleinhatch/control_plane/placement/order_client.py
@@ -14,11 +14,11 @@
 from mulleinhatch.networking.http_client import HttpClient
 from mulleinhatch.networking.http_server import JSON_TYPE
 
-NEVER = -1e9  # a time before any other
+NEVER = -1e9  # earlier than any clock reading
 
 
 class FencedOffError(LeadershipError):
-    """A backend has rejected the current fencing token, so no order is sent until a new claim is committed."""
+    """A backend has rejected the current fencing token; no order is sent until a new claim is committed."""
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
     Attributes:
         status: The HTTP status.
-        token: The fencing token that the order bore.
+        token: The fencing token that the order carried.
     """
 
     status: int
@@ -35,10 +35,10 @@
 
 
 class OrderClient:
-    """Encodes orders, sends them with the leader's fencing token, and knows when the latest was sent.
+    """Encodes orders, sends them with the leader's fencing token, and records when the latest was sent.
 
     Args:
-        source: The control plane node, for the name that orders carry.
+        source: The control plane node, whose name orders carry.
         http_client: Client for requests to backends.
         clock: Monotonic time in seconds.
         leadership: Source of the fencing token.
@@ -55,19 +55,19 @@
         self._last_sent_at = NEVER
 
     def idle_s(self) -> float:
-        """Return for how many seconds no order was sent, at most `NEVER_ISSUED_S`."""
+        """Return the seconds since the latest order was sent, at most `NEVER_ISSUED_S`."""
         return min(NEVER_ISSUED_S, self._clock() - self._last_sent_at)
 
     async def send(self, backend: Backend, order: Order, revision: int) -> OrderResponse:
-        """Send an order that the backend accepts only at the given revision.
+        """Send an order, which the backend accepts only if its revision matches.
 
         Args:
-            backend: The backend; it must still be the same incarnation (`Expect-Instance`).
-            order: What to load or unload.
-            revision: The backend's count of orders before this one.
+            backend: The backend; the order is addressed to this incarnation of it (`Expect-Instance`).
+            order: The order.
+            revision: The number of orders that the backend has accepted before this one.
 
         Raises:
-            FencedOffError: A backend has rejected the current token; nothing was sent.
+            FencedOffError: A backend has rejected the current token; the order was not sent.
             HttpCallError: No response arrived; the backend may have accepted the order.
         """
         token = self._leadership.token
--- a/mulleinhatch/control_plane/placement/order_dispatch.py
+++ b/mulleinhatch/control_plane/placement/order_dispatch.py
@@ -1,6 +1,6 @@
 """Issues orders to backends and handles their responses.
 
-A backend carries out one order at a time. An order without a response may have been accepted: it counts as in flight until a
+A backend executes one order at a time. An order without a response may have been accepted, so it counts as in flight until a
 report shows a higher revision or enough time has passed (`OrderInFlight.is_completed_by`).
 """
 
@@ -24,16 +24,16 @@
 from mulleinhatch.networking.http_client import HttpCallError
 
 LOG = logging.getLogger(__name__)
-FOLLOW_UP_RETRY_DELAYS_S = (0.05, 0.05, 0.1)  # pause before each attempt to send a load right after the unload it needs
-RESERVATION_S = 4.0  # how long memory that an unload freed is reserved for the model it was freed for
-RECENT_ORDERS_KEPT = 50  # orders that `/status` lists
+FOLLOW_UP_RETRY_DELAYS_S = (0.05, 0.05, 0.1)  # before each attempt to send a load right after its unload
+RESERVATION_S = 4.0  # how long the memory that an unload frees stays reserved for the model to load
+RECENT_ORDERS_KEPT = 50  # the number of orders that `/status` lists
 
 
 class OrderDispatcher:
-    """Issues orders, follows an unload by the load it makes capacity for, and keeps the recent orders for operators.
+    """Issues orders, sends the load that follows an unload, and keeps recent orders for operators.
 
     Args:
-        tasks: Runs the sending in the background.
+        tasks: Sends orders in the background.
         clock: Monotonic time in seconds.
         client: Sends an order to a backend.
         leadership: Checked again right before each order is sent.
@@ -72,7 +72,7 @@
 
     async def _send(self, backend: Backend, state: BackendState, order: Order) -> None:
         in_flight = state.in_flight
-        # Race: leadership may be lost between the decision and this task's start. The order was never sent, so it is dropped.
+        # Race: leadership may be lost between the decision and the start of this task. The order was not sent, so drop it.
         if not self._leadership.confirm():
             state.in_flight = None
             return
@@ -113,23 +113,23 @@
     def _handle_rejection(
         self, backend: Backend, state: BackendState, in_flight: OrderInFlight, response: OrderResponse
     ) -> None:
-        """Drop an order that the backend did not start, and poll the backend before the next one."""
+        """Drop an order that the backend did not accept, and poll the backend before the next order."""
         now, order, status = self._clock(), in_flight.order, response.status
         fields = {"backend": backend.id, "operation": order.operation.value, "model": order.model, "adapter": order.adapter}
         LOG.info("backend did not start an order", extra=fields | {"status": status})
         if status == HTTPStatus.PRECONDITION_FAILED:
             self._leadership.revoke(response.token)
         state.in_flight, state.is_known = None, False
-        # 200 means that the backend already is as ordered, 409 that its revision differs: both are resolved by the next report.
+        # 200: the backend already has the ordered state; 409: its revision differs. The next report resolves both.
         is_stale = status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
         state.next_poll_at = now + (POLL_INTERVAL_S if is_stale else POLL_BACKOFF_S)
         self._publisher.publish(backend.id, state)
 
     async def _follow_unload(self, backend: Backend, state: BackendState, unload: OrderInFlight, load: Order) -> None:
-        """Send the load that an unload makes capacity for, without waiting for a report that shows the unload's completion.
+        """Send the load that needs the freed memory, without waiting for a report that shows the completed unload.
 
-        A backend that is still unloading rejects the load. After the last attempt the planner issues the load again once a
-        report shows the freed memory.
+        A backend that is still unloading rejects the load. After the last attempt it is left to the planner, which issues
+        the load again once a report shows the freed memory.
         """
         for delay_s in FOLLOW_UP_RETRY_DELAYS_S:
             await asyncio.sleep(delay_s)
@@ -142,9 +142,10 @@
                 return
 
     async def _send_follow_up(self, backend: Backend, state: BackendState, unload: OrderInFlight, load: Order) -> bool:
-        """Send the load after an unload and return whether the matter is settled: the backend accepted it, or may have.
+        """Send the load after an unload; return True if no further attempt is needed.
 
-        It is settled as well once a backend has seen a higher fencing token: another leader decides about the freed memory.
+        None is needed if the backend accepted the load or may have accepted it, or if a backend has seen a higher fencing
+        token: then another leader decides how to use the freed memory.
         """
         now = self._clock()
         in_flight = OrderInFlight(load, now, now + load.expected_s, state.revision + 1)
@@ -171,7 +172,7 @@
         return True
 
     def _replace_unload(self, backend: Backend, state: BackendState, load: OrderInFlight) -> None:
-        """Complete the unload in flight and put the load in its place."""
+        """Mark the unload in flight as complete and make the load the order in flight."""
         unloaded = state.in_flight.order.model
         state.models = {name: hosted for name, hosted in state.models.items() if name != unloaded}
         state.in_flight, state.revision, state.reserved_for = load, load.revision, ""
@@ -179,9 +180,9 @@
         self._publisher.publish(backend.id, state)
 
     async def _assume_done_when_due(self, backend: Backend, state: BackendState, in_flight: OrderInFlight) -> None:
-        """Publish an adapter when its load should be complete, before a report shows it.
+        """Publish an adapter as loaded when its load should be complete, before a report shows it.
 
-        Adapters load within milliseconds. A backend that is late rejects the requests, which are then sent again.
+        Adapters load within milliseconds. A backend that has not finished rejects the requests, which are then retried.
         """
         await asyncio.sleep(in_flight.order.expected_s)
         if state.in_flight is in_flight:
--- a/mulleinhatch/control_plane/placement/plan_draft.py
+++ b/mulleinhatch/control_plane/placement/plan_draft.py
@@ -1,4 +1,4 @@
-"""What the planners of models and of adapters share in one pass over one service. Pure."""
+"""The state that the model planner and the adapter planner share in one pass over one service. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from mulleinhatch.control_plane.placement.order import Operation, Order
 from mulleinhatch.control_plane.placement.value import ModelValue
 
-EVICTION_GAIN_FACTOR = 3.0  # an eviction must gain this many times what it loses, so that noise in demand moves nothing
+EVICTION_GAIN_FACTOR = 3.0  # an eviction must gain this many times its loss, so that noise in demand causes no orders
 
 
 class PlanDraft:
@@ -18,13 +18,13 @@
 
     Args:
         engine: The service's models and the limits of its backends.
-        backends: The service's backends; those that do not serve are left out.
+        backends: The service's backends; the draft excludes those that are not serving.
         demand: Demand by model.
         now: Monotonic time in seconds.
 
     Attributes:
-        value: The value of models, kept up with the evictions planned so far.
-        orders: The orders planned so far, at most one for each backend.
+        value: The value of models, updated by the evictions planned so far.
+        orders: The orders planned so far, at most one per backend.
     """
 
     def __init__(
--- a/mulleinhatch/control_plane/placement/planner.py
+++ b/mulleinhatch/control_plane/placement/planner.py
@@ -1,7 +1,7 @@
-"""Plans the next orders from the holdings of backends and the demand for models and adapters. Pure.
+"""Plans the next orders from what backends have loaded and the demand for models and adapters. Pure.
 
-A backend carries out one order at a time, so a plan has at most one order for each. Requested models that are loaded nowhere
-come first, then further replicas of busy models. Models and adapters of least value are evicted.
+A backend executes one order at a time, so a plan has at most one order per backend. Requested models without a replica come
+first, then further replicas of busy models. The least valuable models and adapters are evicted.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
         backends: The service's backends.
         demand: Demand by model.
         now: Monotonic time in seconds.
-        store_loads_available: How many loads from the weight store may start now.
+        store_loads_available: The number of loads from the weight store that may start now.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         self._adapters = AdapterPlanner(self._draft)
 
     def plan(self) -> list[Order]:
-        """Return the next orders, at most one for each backend."""
+        """Return the next orders, at most one per backend."""
         self._models.plan_reserved_loads()
-        # Adapters come before further models: an adapter order keeps its backend busy for milliseconds only.
+        # Adapters come before further replicas, because an adapter order occupies its backend for milliseconds only.
         self._adapters.plan()
         self._models.plan_replicas()
         return self._draft.orders
--- a/mulleinhatch/control_plane/placement/published_holdings.py
+++ b/mulleinhatch/control_plane/placement/published_holdings.py
@@ -1,4 +1,4 @@
-"""What data planes are notified of: the models at each backend and the orders in flight there."""
+"""Publishes the models and the orders in flight at each backend to data planes."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from mulleinhatch.control_plane.placement.order import Operation
 from mulleinhatch.messages.cluster import LoadedModel, PendingLoad
 
-PUBLISH_DELAY_MS = 150  # from the completion of an order until data planes learn of it by report, heartbeat and poll
-REVISION_TOKEN_SHIFT_BITS = 32  # a revision is the fencing token above these bits and a count of publications below
+PUBLISH_DELAY_MS = 150  # from the completion of an order until data planes learn of it through report, heartbeat and poll
+REVISION_TOKEN_SHIFT_BITS = 32  # a revision has the fencing token above these bits and a publication counter below
 
 
 @dataclass
@@ -25,12 +25,12 @@
 
 
 def current_holdings(state: BackendState, now: float) -> Holdings:
-    """Return what data planes should assume of a backend.
+    """Return the holdings that data planes should assume for a backend.
 
-    An adapter whose load is assumed to be complete counts as present before a report confirms it.
+    An adapter whose load is assumed to be complete counts as loaded before a report confirms it.
 
     Args:
-        state: What the leader knows of the backend.
+        state: The leader's state of the backend.
         now: Monotonic time in seconds.
     """
     models, holdings = dict(state.models), Holdings()
@@ -59,7 +59,7 @@
 
 
 class HoldingsPublisher:
-    """Writes holdings to the registry, from where heartbeats and polls carry them to all data planes.
+    """Writes holdings to the registry, from which heartbeats and polls carry them to all data planes.
 
     Args:
         target: The control plane node.
@@ -72,11 +72,11 @@
         self._publications = 0
 
     def reset(self) -> None:
-        """Start counting anew under a new fencing token."""
+        """Restart the publication counter for a new fencing token."""
         self._publications = 0
 
     def publish(self, backend_id: str, state: BackendState) -> None:
-        """Publish what the leader knows of a backend, and request a heartbeat if it is new to data planes."""
+        """Publish the holdings of a backend, and request a heartbeat if any field that data planes use has changed."""
         self._publications += 1
         holdings = current_holdings(state, self._clock())
         revision = (self._leadership.token << REVISION_TOKEN_SHIFT_BITS) + self._publications
--- a/mulleinhatch/control_plane/placement/report_poller.py
+++ b/mulleinhatch/control_plane/placement/report_poller.py
@@ -1,4 +1,4 @@
-"""Polls backends for their reports and applies what they say to the leader's state."""
+"""Polls backends for their reports and applies these to the leader's state."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from mulleinhatch.networking.http_client import HttpCallError, HttpClient
 
 LOG = logging.getLogger(__name__)
-REPORT_TIMEOUT_S = 0.6  # for the response to a request for a report
+REPORT_TIMEOUT_S = 0.6  # of a request for a report
 POLL_INTERVAL_S = 0.12  # between polls of a backend whose order should be complete
-POLL_BACKOFF_S = 1.0  # pause after a failed poll, for each failure in a row
+POLL_BACKOFF_S = 1.0  # pause after a failed poll, per consecutive failure
 MAX_POLL_BACKOFF_S = 4.0
 
 
@@ -28,8 +28,8 @@
         tasks: Runs the polls in the background.
         http_client: Client for requests to backends.
         clock: Monotonic time in seconds.
-        publisher: Publishes what a report has shown.
-        on_report: Called after a report was applied.
+        publisher: Publishes the state after a report was applied.
+        on_report: Called after a report has been applied.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._apply(backend, state, report, polled_at, now)
 
     async def _request_report(self, backend: Backend) -> BackendReport | None:
-        """Return the backend's report, or None if the call failed or the response is no report."""
+        """Return the backend's report, or None if the call failed or the response is not a valid report."""
         try:
             response = await self._http_client.request(backend.address, "GET", "/report", b"", REPORT_TIMEOUT_S)
             return parse_report(response.body) if response.status == HTTPStatus.OK else None
@@ -74,11 +74,11 @@
             return None
 
     def _apply(self, backend: Backend, state: BackendState, report: BackendReport, polled_at: float, now: float) -> None:
-        """Apply a report, unless it may describe the time before the order in flight was executed."""
+        """Apply a report, unless it may show the state before the order in flight was executed."""
         in_flight = state.in_flight
         if in_flight is not None:
-            # Race: a follow-up load is sent while this report was on its way. The report would clear the unload and the load's
-            # response would then find no order to replace.
+            # Race: a follow-up load may be sent while this report is on its way. Applying the report would clear the unload,
+            # and the handler of the load's response would find no order to replace.
             if report.is_busy or in_flight.is_follow_up_sending or not in_flight.is_completed_by(report, polled_at):
                 return
             self._log_completion(backend, in_flight, now)
--- a/tests/system/test_model_planner.py
+++ b/tests/system/test_model_planner.py
@@ -1,4 +1,4 @@
-"""What a planning pass remembers changes no plan: it is compared with a planner that remembers nothing."""
+"""The caches of a planning pass change no plan: plans are compared with those of a planner without caches."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 ENGINE = EngineSpec(64, 220.0, 4, 20.0, 1000, MODELS)
 
 
-class ForgetfulPlanner(ModelPlanner):
-    """Forgets everything before each look."""
+class UncachedPlanner(ModelPlanner):
+    """Clears all caches before each search for evictions."""
 
-    def _evictions_for(self, backend: BackendView, facts: ModelSpec) -> list[str] | None:
-        for memo in (self._free_mb, self._losses, self._ranked_models, self._adapter_rates):
-            memo.clear()
-        return super()._evictions_for(backend, facts)
+    def _evictions_for(self, backend: BackendView, spec: ModelSpec) -> list[str] | None:
+        for cache in (self._free_mb, self._losses, self._ranked_models, self._adapter_rates):
+            cache.clear()
+        return super()._evictions_for(backend, spec)
 
 
 def random_backend(rng: random.Random, number: int) -> BackendView:
@@ -48,18 +48,18 @@
     return demand
 
 
-class Memory(unittest.TestCase):
+class PlannerCaches(unittest.TestCase):
     def plan(self, model_planner: type[ModelPlanner], seed: int) -> list[Order]:
         rng = random.Random(seed)
         backends = [random_backend(rng, number) for number in range(rng.randrange(1, 9))]
         with mock.patch.object(planner, "ModelPlanner", model_planner):
             return planner.Planner(ENGINE, backends, random_demand(rng), 0.0, rng.randrange(0, 4)).plan()
 
-    def test_plans_are_those_of_a_planner_that_remembers_nothing(self):
+    def test_plans_equal_those_of_a_planner_without_caches(self):
         kinds = dict.fromkeys(Operation, 0)
         for seed in range(600):
             plan = self.plan(ModelPlanner, seed)
-            self.assertEqual(plan, self.plan(ForgetfulPlanner, seed), seed)
+            self.assertEqual(plan, self.plan(UncachedPlanner, seed), seed)
             for order in plan:
                 kinds[order.operation] += 1
         self.assertGreater(min(kinds.values()), 100)
