--- a/mulleinhatch/control_plane/api/__init__.py
+++ b/mulleinhatch/control_plane/api/__init__.py
@@ -1,7 +1,7 @@
-"""Serve the two HTTP interfaces of a control plane process.
+"""The two HTTP interfaces of a control plane process.
 
-`ControlApi` answers operators and backends at the `control` address; `InternalApi` answers the other processes of the system
-at the internal address.
+`ControlApi` serves operators and backends at the `control` address; `InternalApi` serves the other processes of the system at
+the internal address.
 """
 
 from mulleinhatch.control_plane.api.control import ControlApi
--- a/mulleinhatch/control_plane/api/backend_heartbeats.py
+++ b/mulleinhatch/control_plane/api/backend_heartbeats.py
@@ -1,4 +1,4 @@
-"""Answer backends: their heartbeats (PUT /instances/ID) and departures (DELETE /instances/ID)."""
+"""Handles requests of backends: heartbeats (PUT /instances/ID) and departures (DELETE /instances/ID)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BackendNode(Protocol):
-    """What the backends' interface needs of the node; `CoreNode` satisfies it."""
+    """The part of the node that `BackendApi` uses; `CoreNode` satisfies it."""
 
     registry: BackendRegistry
     backend_handoff: BackendHandoff
@@ -26,10 +26,10 @@
         """Send a heartbeat to the peers as soon as possible."""
 
     async def wait_for_majority_contact(self) -> bool:
-        """Return whether a majority of voters confirms this node's view."""
+        """Wait until a majority of voters confirms this node's view; return whether it did."""
 
     async def record_departure(self, backend_id: str) -> bool:
-        """Return whether every replica of the chain has persisted that a backend leaves."""
+        """Record the departure of a backend; return whether every replica of the chain has persisted it."""
 
 
 class BackendApi:
@@ -41,7 +41,7 @@
         self._parser = HeartbeatParser()
 
     async def handle_instance(self, request: HttpServerRequest, backend_id: str) -> HttpServerResponse:
-        """Answer a heartbeat or a departure of one backend."""
+        """Handle a heartbeat or a departure of one backend."""
         if not backend_id or "/" in backend_id:
             return error_response(HTTPStatus.NOT_FOUND, "name one instance: /instances/ID")
         if request.method == "DELETE":
@@ -54,7 +54,7 @@
         return await self._handle_heartbeat(parsed.ok_value)
 
     async def _handle_departure(self, backend_id: str) -> HttpServerResponse:
-        """Record that a backend has ended or ends now; acknowledge it only after the record is replicated."""
+        """Record that a backend is shutting down; acknowledge it only after the record is replicated."""
         is_recorded = await self._node.record_departure(backend_id)
         self._node.registry.deregister(backend_id, self._clock())
         self._node.request_heartbeat()
--- a/mulleinhatch/control_plane/api/control.py
+++ b/mulleinhatch/control_plane/api/control.py
@@ -1,4 +1,4 @@
-"""Route the requests at the `control` address to the interface that answers them."""
+"""Routes requests at the `control` address to the interface that handles them."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class ControlNode(ConfigurationNode, BackendNode, Protocol):
-    """What both interfaces at the `control` address need of the node; `CoreNode` satisfies it."""
+    """The part of the node that both interfaces at the `control` address use; `CoreNode` satisfies it."""
 
 
 class ControlApi:
     """Serves operators and backends.
 
     Args:
-        node: The node that holds the configuration and the list of backends.
-        clock: Returns the steady time in seconds.
+        node: The node, which has the configuration and the registry of backends.
+        clock: Returns the monotonic time in seconds.
         status: Builds the JSON value of GET /status.
     """
 
@@ -32,7 +32,7 @@
         self._status = status
 
     async def handle_request(self, request: HttpServerRequest) -> HttpServerResponse:
-        """Answer one request by its path."""
+        """Handle one request according to its path."""
         if request.path == CONFIGURATION_PATH:
             return await self._operator.handle_configuration(request)
         if request.path.startswith(INSTANCES_PREFIX):
--- a/mulleinhatch/control_plane/api/heartbeat_parser.py
+++ b/mulleinhatch/control_plane/api/heartbeat_parser.py
@@ -1,7 +1,7 @@
-"""Parse and validate the heartbeats of backends. Pure.
+"""Parses and validates the heartbeats of backends. Pure.
 
-Most heartbeats of a backend differ from the one before in a few numbers only. The schema is applied to a body whose other
-fields are new; of a repeated body only those numbers are checked again.
+Most heartbeats of a backend differ from the previous one only in a few numbers. The full schema is applied to a body whose
+other fields have changed; in a repeated body only those numbers are checked again.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from mulleinhatch.messages.cluster import Backend, LoadedModel
 from mulleinhatch.messages.parsing import MAX_COUNT
 
-MAX_REMEMBERED_BACKENDS = 4096  # above the backends of the target size; beyond it all are validated anew
-CHANGING_FIELDS = ("sequence", "cold_remaining_ms", "remaining_ms")  # numbers that differ from heartbeat to heartbeat
+MAX_REMEMBERED_BACKENDS = 4096  # above the target number of backends; when it is reached, the cache is cleared
+CHANGING_FIELDS = ("sequence", "cold_remaining_ms", "remaining_ms")  # numbers that change with every heartbeat
 
 
 def _is_count(value: Any) -> bool:
@@ -25,7 +25,7 @@
 
 
 def _is_duration(value: Any) -> bool:
-    """Return whether a value is a number of milliseconds that a message can carry; NaN and infinities are none."""
+    """Return whether a value is a number of milliseconds that a message can carry; NaN and infinities are not."""
     return isinstance(value, (int, float)) and -MAX_COUNT <= value <= MAX_COUNT
 
 
@@ -51,11 +51,11 @@
 
 @dataclass(frozen=True)
 class ValidatedFields:
-    """The fields of a backend's last valid heartbeat, without the changing ones.
+    """The fields of a backend's last valid heartbeat, except `CHANGING_FIELDS`.
 
     Attributes:
-        text: Their text, by which a repeated body is recognised (1, 1.0 and true differ in it).
-        models: The models that it named.
+        text: Their `repr`, which identifies a repeated body (1, 1.0 and true differ in it).
+        models: The models that the heartbeat listed.
     """
 
     text: str
@@ -63,7 +63,7 @@
 
 
 class HeartbeatParser:
-    """Parses heartbeats; remembers the last valid one of each backend."""
+    """Parses heartbeats and caches the last valid one of each backend."""
 
     def __init__(self) -> None:
         self._validated: dict[str, ValidatedFields] = {}
@@ -72,7 +72,7 @@
         """Parse and validate the JSON body of a heartbeat.
 
         Returns:
-            The record for the registry, or a message that names the faulty field.
+            The record for the registry, or an error message that names the invalid field.
         """
         if isinstance(parsed := read_json(body), Err):
             return Err(str(parsed.err_value))
@@ -96,12 +96,12 @@
 
 
 def _describe(error: SchemaError) -> str:
-    """Return the schema's text with the key that it found."""
+    """Return the schema's error text, including the key of the invalid field."""
     return " ".join(dict.fromkeys(text for text in (*error.autos, *error.errors) if text))
 
 
 def _are_changing_fields_valid(payload: dict[str, Any]) -> bool:
-    """Return whether the numbers certainly satisfy the schema; it decides, and words the error, where they may not."""
+    """Return whether the numbers satisfy the schema; if False, the schema decides and words the error."""
     remaining_ms = payload.get("remaining_ms")
     return (
         _is_count(payload.get("sequence"))
--- a/mulleinhatch/control_plane/api/internal.py
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -1,4 +1,4 @@
-"""Answer the other processes of the system: betterproto messages, sent by POST to /internal/NAME."""
+"""Handles requests of the other processes of the system: betterproto messages, sent by POST to /internal/NAME."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class MessageRoute:
-    """The type that the body of a request is parsed as, and the coroutine function that answers it."""
+    """The message type of a request body and the coroutine function that handles the message."""
 
     message_type: Callable[[], Any]
     handler: MessageHandler
@@ -34,11 +34,11 @@
         self._routes: dict[str, MessageRoute] = {}
 
     def register(self, name: str, message_type: Callable[[], Any], handler: MessageHandler) -> None:
-        """Serve the message type at /internal/`name` by a handler, which may raise OSError: the caller gets a 503."""
+        """Serve a message type at /internal/`name`; if the handler raises OSError, the caller gets a 503."""
         self._routes[INTERNAL_PREFIX + name] = MessageRoute(message_type, handler)
 
     async def handle_request(self, request: HttpServerRequest) -> HttpServerResponse:
-        """Answer one request: 404 for an unknown name, 400 for an unreadable body, 503 if the handler cannot answer now."""
+        """Handle one request: 404 for an unknown name, 400 for an unreadable body, 503 if the handler raises OSError."""
         route = self._routes.get(request.path)
         if route is None or request.method != "POST":
             return error_response(HTTPStatus.NOT_FOUND, "no such message")
@@ -48,14 +48,14 @@
             LOG.warning("rejected an internal message that cannot be parsed", extra={"path": request.path, "error": str(error)})
             return error_response(HTTPStatus.BAD_REQUEST, "the message can't be read; both sides must run the same version")
         try:
-            answer = await route.handler(message)
+            response = await route.handler(message)
         except OSError as error:
             return error_response(HTTPStatus.SERVICE_UNAVAILABLE, f"{error}")
-        return HttpServerResponse(HTTPStatus.OK, bytes(answer), BINARY_TYPE)
+        return HttpServerResponse(HTTPStatus.OK, bytes(response), BINARY_TYPE)
 
 
 def build_internal_api(node: CoreNode) -> InternalApi:
-    """Return an interface with a route to each job of the node that answers its peers."""
+    """Return an interface that routes each message to the part of the node that handles it."""
     api = InternalApi()
     api.register("heartbeat", cluster.Heartbeat, node.heartbeat_responder.on_heartbeat)
     api.register("prepare", cluster.PrepareRequest, node.view_changer.on_prepare)
--- a/mulleinhatch/control_plane/api/operator.py
+++ b/mulleinhatch/control_plane/api/operator.py
@@ -1,4 +1,4 @@
-"""Answer operators: read and change the configuration."""
+"""Handles requests of operators to read and change the configuration."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class ConfigurationNode(Protocol):
-    """What the operator's interface needs of the node; `CoreNode` satisfies it."""
+    """The part of the node that `OperatorApi` uses; `CoreNode` satisfies it."""
 
     state: ControlState
 
     async def read_configuration(self) -> ConfigurationResult:
-        """Return the newest configuration, or why it cannot be served."""
+        """Return the newest configuration, or the reason why it cannot be served."""
 
     async def change_configuration(self, method: str, base: int | None, body: bytes) -> ConfigurationResult:
         """Replace (PUT) or patch (PATCH) the configuration version `base`."""
@@ -32,7 +32,7 @@
         self._node = node
 
     async def handle_configuration(self, request: HttpServerRequest) -> HttpServerResponse:
-        """Answer GET, PUT and PATCH of the configuration; a change names its base version in `If-Match`."""
+        """Handle GET, PUT and PATCH of the configuration; a change carries its base version in `If-Match`."""
         if request.method == "GET":
             return await self._read()
         if request.method not in ("PUT", "PATCH"):
--- a/mulleinhatch/control_plane/api/paths.py
+++ b/mulleinhatch/control_plane/api/paths.py
@@ -1,4 +1,4 @@
-"""Define the HTTP paths of the control plane. They are part of the protocol: peers, backends and operators call them."""
+"""HTTP paths of the control plane. They are part of the protocol: peers, backends and operators call them."""
 
 CONFIGURATION_PATH = "/configuration"
 STATUS_PATH = "/status"
--- a/mulleinhatch/control_plane/api/responses.py
+++ b/mulleinhatch/control_plane/api/responses.py
@@ -1,4 +1,4 @@
-"""Build the responses that more than one interface of the control plane sends."""
+"""Responses that more than one interface of the control plane sends."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from mulleinhatch.networking.http_server import HttpServerResponse
 
-NO_MAJORITY_MESSAGE = "this machine is not in touch with the core; call another one"
+NO_MAJORITY_MESSAGE = "this node has no contact with a majority of voters; call another one"
 RETRY_AFTER_S = "0.2"
 
 
@@ -27,5 +27,5 @@
 
 
 def empty_response() -> HttpServerResponse:
-    """Return a 200 with an empty JSON object: the request was acknowledged."""
+    """Return a 200 with an empty JSON object, which acknowledges the request."""
     return HttpServerResponse.of_json(HTTPStatus.OK, {})
--- a/mulleinhatch/control_plane/registry/__init__.py
+++ b/mulleinhatch/control_plane/registry/__init__.py
@@ -1,6 +1,6 @@
-"""Keep the list of backends of one control plane process.
+"""The registry of backends of one control plane process.
 
-Heartbeats from backends and from the other core machines feed it; distribution and placement read it.
+Heartbeats from backends and from the other control-plane nodes update it; distribution and placement read it.
 """
 
 from mulleinhatch.control_plane.registry.backend_registry import BackendRegistry, RegistryChanges, RegistryEntry
--- a/mulleinhatch/control_plane/registry/backend_registry.py
+++ b/mulleinhatch/control_plane/registry/backend_registry.py
@@ -1,6 +1,6 @@
-"""The list of backends: soft state on every core machine, rebuilt from the backends' heartbeats. Pure.
+"""The registry of backends: soft state on every control-plane node, rebuilt from the backends' heartbeats. Pure.
 
-A cursor counts the changes that data planes use, so that a poll returns only the records that changed since the last one.
+A cursor counts the changes to fields that data planes use, so that a poll returns only records changed since the previous poll.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from mulleinhatch.control_plane.registry.record_merge import merge_records, published_fields
 from mulleinhatch.messages.cluster import Backend, LoadedModel, PendingLoad
 
-SILENT_AFTER_HEARTBEATS = 3.2  # heartbeat intervals without a heartbeat after which a backend is silent
-RESTORED_GRACE_S = 2.5  # a backend restored from disk is silent if it sends no heartbeat for so long
-FORGET_AFTER_S = 90.0  # a silent or gone backend is removed after so long without a heartbeat
+SILENT_AFTER_HEARTBEATS = 3.2  # intervals without a heartbeat after which a backend is marked as silent
+RESTORED_GRACE_S = 2.5  # a backend restored from disk is marked as silent if it sends no heartbeat in this time
+FORGET_AFTER_S = 90.0  # a silent or gone backend is removed this long after its last heartbeat
 
 
 @dataclass
@@ -24,9 +24,9 @@
 
     Attributes:
         backend: The merged record.
-        last_heartbeat_at: The steady time, in seconds, of the last heartbeat to any core machine.
-        cursor: The registry's cursor at the last change that data planes use.
-        encoded: The record as it was encoded last, and the encoding.
+        last_heartbeat_at: The monotonic time, in seconds, of the last heartbeat to any control-plane node.
+        cursor: The registry's cursor at the last change to a field that data planes use.
+        encoded: The most recently encoded record and its encoding.
     """
 
     backend: Backend
@@ -35,7 +35,7 @@
     encoded: tuple[Backend, bytes] | None = None
 
     def encode(self) -> bytes:
-        """Return the encoded record; it is encoded once, however many data planes receive it."""
+        """Return the encoded record, which is encoded only once, no matter how many data planes receive it."""
         if self.encoded is None or self.encoded[0] is not self.backend:
             self.encoded = (self.backend, bytes(self.backend))
         return self.encoded[1]
@@ -45,7 +45,7 @@
     """Records for one data plane.
 
     Attributes:
-        is_complete: Whether these are all records; if not, they are those that changed after its cursor.
+        is_complete: Whether these are all records rather than those that changed after the data plane's cursor.
         entries: The entries of the records.
     """
 
@@ -70,13 +70,13 @@
         on_change: Called with the id of each backend whose published fields changed.
         has_left: Returns whether the replicated control state records the departure of a backend id; such a backend is
             draining, whatever its heartbeats say.
-        on_store_load: Called when a backend begins to load a model from the weight store, whichever machine ordered it.
+        on_store_load: Called when a backend begins to load a model from the weight store, whichever node ordered it.
 
     Attributes:
-        source: A random id of this registry; cursors of another source mean nothing here.
-        cursor: Counts the changes that data planes use.
+        source: A random id of this registry; a cursor is valid only for the source that issued it.
+        cursor: The number of changes to fields that data planes use.
         urgent_cursor: The cursor of the last change that data planes need at once: a new backend, or one that became
-            (or is no longer) draining, gone or silent.
+            draining, gone or silent, or stopped being so.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self._on_change = on_change
 
     def merge(self, backend: Backend, now: float) -> bool:
-        """Merge a record from a heartbeat; return whether it contained anything newer."""
+        """Merge a record from a heartbeat and return whether it contained anything newer."""
         if not backend.draining and self._has_left(backend.id):
             backend = replace(backend, draining=True)
         last_heartbeat_at = now - backend.age_ms / 1000.0
@@ -117,7 +117,7 @@
         return True
 
     def restore(self, backend: Backend, now: float) -> None:
-        """Add a backend that was present before a restart; it becomes silent unless it sends a heartbeat soon."""
+        """Add a backend that was registered before a restart; it becomes silent unless it sends a heartbeat soon."""
         if backend.id not in self.entries:
             self.merge(
                 replace(backend, sequence=0, loads=[], unloads=[], order_revision=0, age_ms=0),
@@ -125,17 +125,17 @@
             )
 
     def present_backends(self) -> list[Backend]:
-        """Return the records to persist for the next restart: those neither gone nor silent."""
+        """Return the records to persist for the next restart: those that are neither gone nor silent."""
         return [entry.backend for entry in self.entries.values() if not entry.backend.gone and not entry.backend.silent]
 
     def mark_draining(self, backend_id: str) -> None:
-        """Mark a backend whose departure the control state records."""
+        """Mark a backend as draining because the control state records its departure."""
         entry = self.entries.get(backend_id)
         if entry is not None and not entry.backend.draining:
             self._replace(entry, replace(entry.backend, draining=True))
 
     def deregister(self, backend_id: str, now: float) -> None:
-        """Mark a backend as gone; an unknown one is added, so that a late heartbeat does not bring it back."""
+        """Mark a backend as gone; an unknown one is added, so that a late heartbeat does not register it again."""
         entry = self.entries.get(backend_id)
         if entry is None:
             self.merge(Backend(id=backend_id, gone=True), now)
@@ -149,10 +149,10 @@
 
         Args:
             backend_id: The backend.
-            models: The models that it holds.
+            models: The models that it has loaded.
             loads: The loads in progress.
             unloads: The unloads in progress.
-            revision: The `order_revision` of this knowledge.
+            revision: The `order_revision` of these holdings.
 
         Returns:
             Whether the published fields changed.
@@ -188,7 +188,7 @@
         self._on_change(entry.backend.id)
 
     def expire(self, now: float) -> None:
-        """Mark backends without recent heartbeats as silent, and remove those long gone or silent."""
+        """Mark backends without recent heartbeats as silent, and remove those that have been gone or silent for long."""
         for backend_id, entry in list(self.entries.items()):
             silent_s = now - entry.last_heartbeat_at
             if silent_s > FORGET_AFTER_S:
@@ -197,19 +197,19 @@
                 self._replace(entry, replace(entry.backend, silent=True))
 
     def extend_grace_period(self, now: float) -> None:
-        """Give backends time to send heartbeats after this process was paused: it may have missed the earlier ones."""
+        """Give backends time to send heartbeats after a pause of this process, which may have missed earlier ones."""
         for entry in self.entries.values():
             if not entry.backend.silent:
                 entry.last_heartbeat_at = max(entry.last_heartbeat_at, now - self._silent_after_s / 2)
 
     def changes_since(self, source: str, cursor: int) -> RegistryChanges:
-        """Return the records that changed after a cursor, or all that are not gone if the cursor is of another source."""
+        """Return the records that changed after a cursor, or all that are not gone if the cursor is from another source."""
         if source != self.source:
             return RegistryChanges(True, [entry for entry in self.entries.values() if not entry.backend.gone])
         return RegistryChanges(False, [entry for entry in self.entries.values() if entry.cursor > cursor])
 
     def records_for_peer(self, ids: set[str], now: float) -> list[Backend]:
-        """Return the records of some ids for another core machine, each with the age of its last heartbeat (`age_ms`)."""
+        """Return the records of some ids for another control-plane node, with the age of the last heartbeat as `age_ms`."""
         return [
             replace(entry.backend, age_ms=max(0, int(1000 * (now - entry.last_heartbeat_at))))
             for backend_id in sorted(ids)
--- a/mulleinhatch/control_plane/registry/record_merge.py
+++ b/mulleinhatch/control_plane/registry/record_merge.py
@@ -1,8 +1,8 @@
-"""Merge two records of one backend, and compare what data planes see of them. Pure.
+"""Merges two records of one backend, and compares the fields that data planes use. Pure.
 
-Records of one backend arrive out of order and by several ways: from the backend, from other core machines, from the
-placement leader. A backend orders its own statements by `sequence`; the placement leader orders what it knows of loads and
-unloads by `order_revision`. `merge_records` decides each field of the result by these rules:
+Records of one backend arrive out of order and from several sources: the backend, other control-plane nodes, and the placement
+leader. A backend orders its own records by `sequence`; the placement leader orders the loads and unloads it publishes by
+`order_revision`. `merge_records` decides each field of the result by these rules:
 
 ========================================  =============================================================================
 Field                                     Taken from the update when
@@ -14,7 +14,7 @@
 loads, unloads, order_revision            its `order_revision` is higher
 draining                                  its `sequence` is higher, but true never turns false
 gone                                      always; true never turns false, as each start of a backend has a new id
-silent                                    never: each core machine decides it; a higher `sequence` makes it false
+silent                                    never: each node decides it; a higher `sequence` makes it false
 ========================================  =============================================================================
 """
 
@@ -26,9 +26,9 @@
 
 
 def published_fields(backend: Backend) -> tuple:
-    """Return the fields of a record that data planes use; if they are equal, no data plane needs an update.
+    """Return the fields of a record that data planes use; while these are equal, no data plane needs an update.
 
-    Remaining times count as present or absent only: they change with every heartbeat.
+    Remaining times count only as present or absent, because their values change with every heartbeat.
     """
     return (
         backend.service,
