--- a/benchmarks/soak_parts/backends.py
+++ b/benchmarks/soak_parts/backends.py
@@ -121,10 +121,10 @@
 
     async def _handle(self, head: Head, body: bytes, raw: bytes, writer: asyncio.StreamWriter) -> None:
         own_id = (b"Instance-Id", self.id.encode())
-        not_run = [own_id, (b"Request-Id", head.first.get(b"request-id", b"")), (b"Not-Executed", b"1")]
+        not_run = [own_id, (b"Request-Id", head.field_values.get(b"request-id", b"")), (b"Not-Executed", b"1")]
         if head.target == b"/health":
             writer.write(write_response(200, [own_id], b""))
-        elif head.first.get(b"expect-instance", self.id.encode()).decode() != self.id:
+        elif head.field_values.get(b"expect-instance", self.id.encode()).decode() != self.id:
             writer.write(write_response(421, not_run, b""))
         elif len(self._at_work) >= SLOTS:
             writer.write(write_response(503, not_run, b""))
@@ -132,7 +132,7 @@
             await self._run(head, body, raw, writer)
 
     async def _run(self, head: Head, body: bytes, raw: bytes, writer: asyncio.StreamWriter) -> None:
-        request_id = head.first.get(b"request-id", b"").decode("latin-1")
+        request_id = head.field_values.get(b"request-id", b"").decode("latin-1")
         fields = tuple((name.lower(), value) for name, value in head.fields)
         now = asyncio.get_running_loop().time()
         run = BackendRun(request_id, now, self.id, self.service, head.method, head.target, body, fields, raw)
@@ -147,7 +147,7 @@
         """Answer a run as a healthy backend does; tests replace it."""
         fields = [(b"Request-Id", run.id.encode("latin-1")), (b"Server-Signature", self.id.encode())]
         if head.target.startswith((b"/write/", b"/talk/")):
-            await self.stream(run.id, int(head.first.get(b"last-event-id", b"0") or 0), fields, writer)
+            await self.stream(run.id, int(head.field_values.get(b"last-event-id", b"0") or 0), fields, writer)
         else:
             await asyncio.sleep(WORK_S)
             answer = plain_answer(self.id, run.id, head.target.decode("latin-1"), run.body)
--- a/benchmarks/soak_parts/changes.py
+++ b/benchmarks/soak_parts/changes.py
@@ -201,7 +201,7 @@
                 return None
             if answer.status != 307:
                 return answer
-            address = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
+            address = answer.head.field_values[b"location"].decode().removeprefix("http://").partition("/")[0]
         return None
 
     def _shuffled(self) -> list[str]:
--- a/benchmarks/soak_parts/clients.py
+++ b/benchmarks/soak_parts/clients.py
@@ -176,8 +176,8 @@
             if not await self._feed(reader, messages):
                 return False
         request.status = head.status
-        request.signature = head.first.get(b"server-signature", b"").decode("latin-1")
-        request.answered_id = head.first.get(b"request-id", b"").decode("latin-1")
+        request.signature = head.field_values.get(b"server-signature", b"").decode("latin-1")
+        request.answered_id = head.field_values.get(b"request-id", b"").decode("latin-1")
         request.answer = messages.body()
         while not messages.done:
             if not await self._feed(reader, messages):
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -141,7 +141,7 @@
             if answer.status == 200:
                 return
             if answer.status == 307:
-                at = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
+                at = answer.head.field_values[b"location"].decode().removeprefix("http://").partition("/")[0]
         except HttpCallError:
             at = address
         await asyncio.sleep(0.2)
--- a/mulleinhatch/data_plane/access.py
+++ b/mulleinhatch/data_plane/access.py
@@ -84,6 +84,6 @@
 
 def _find_route(table: RouteTable, head: Head) -> Route | None:
     """Find the route for a request's host, with or without its port, and path."""
-    host = head.first.get(b"host", b"").decode("latin-1").lower()
+    host = head.field_values.get(b"host", b"").decode("latin-1").lower()
     path = head.target.decode("latin-1").partition("?")[0]
     return table.find(host, path) or table.find(host.rpartition(":")[0], path)
--- a/mulleinhatch/data_plane/attempt.py
+++ b/mulleinhatch/data_plane/attempt.py
@@ -221,7 +221,7 @@
         )
         now = self._resources.loop.time()
         if head.status == MISDIRECTED:
-            answered_by = head.first.get(b"instance-id", b"").decode("latin-1")
+            answered_by = head.field_values.get(b"instance-id", b"").decode("latin-1")
             health.record_misdirected(backend, answered_by, context.model_key, now)
         else:
             health.record_overload(backend, context.model_key, now)
--- a/mulleinhatch/data_plane/client_timeouts.py
+++ b/mulleinhatch/data_plane/client_timeouts.py
@@ -22,7 +22,7 @@
 
     def deadline(self, route: Route, head: Head, now: float) -> float:
         """Return the loop time at which the timeout of the client or the route expires, and record the client's timeout."""
-        header = head.first.get(b"request-deadline", b"")
+        header = head.field_values.get(b"request-deadline", b"")
         timeout_s = float(header) / 1000.0 if header.isdigit() else route.timeout_s
         self._longest_s[route.name] = max(self._longest_s.get(route.name, 0.0), timeout_s)
         return now + min(timeout_s, route.timeout_s)
--- a/mulleinhatch/data_plane/connection_pool.py
+++ b/mulleinhatch/data_plane/connection_pool.py
@@ -19,7 +19,7 @@
 
 def keep_alive_timeout_s(head: Head) -> float | None:
     """Return the timeout of a response's `Keep-Alive` field in seconds, None if there is none."""
-    for parameter in head.first.get(b"keep-alive", b"").split(b","):
+    for parameter in head.field_values.get(b"keep-alive", b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return float(value)
--- a/mulleinhatch/data_plane/listener.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -151,9 +151,9 @@
         """Reject an invalid head, and send `100 Continue` if the client waits for it."""
         if head.length is not None and head.length > limits.max_body_bytes:
             raise BadRequestError("body too long", 413)
-        if head.minor and not head.first.get(b"host"):
+        if head.minor and not head.field_values.get(b"host"):
             raise BadRequestError("host")
-        if head.first.get(b"expect", b"").lower() == b"100-continue" and not self._reader.done:
+        if head.field_values.get(b"expect", b"").lower() == b"100-continue" and not self._reader.done:
             self.transport.write(CONTINUE)
 
     def _start_request(self) -> None:
@@ -189,7 +189,7 @@
             return
         self._stop_timer()
         fields = [(b"Content-Type", b"text/plain")]
-        request_id = self._head.first.get(b"request-id") if self._head is not None else None
+        request_id = self._head.field_values.get(b"request-id") if self._head is not None else None
         if request_id:
             fields.append((b"Request-Id", request_id))
         if status == UNAUTHORIZED:
--- a/mulleinhatch/data_plane/request_context.py
+++ b/mulleinhatch/data_plane/request_context.py
@@ -84,11 +84,11 @@
         self.route, self.service, self.deadline = route, service, deadline
         self.bind(table, tenant, priority_classes)
         self.prompt = read_prompt(head)
-        self.request_id = head.first.get(b"request-id", b"")
+        self.request_id = head.field_values.get(b"request-id", b"")
         self.model_key = ModelKey(service, self.prompt.model, self.prompt.adapter)
         is_resumable = route.is_streaming and route.is_resumable
         self.state = RequestState(route.is_idempotent, is_resumable, route.max_attempts)
-        self.event_filter = EventStreamFilter(head.first.get(b"last-event-id", b"")) if is_resumable else None
+        self.event_filter = EventStreamFilter(head.field_values.get(b"last-event-id", b"")) if is_resumable else None
 
     def bind(self, table: RouteTable | None, tenant: Tenant | None, priority_classes: PriorityClassTable) -> None:
         """Set the configuration that access was granted by, and the tenant and priority class under it."""
--- a/mulleinhatch/data_plane/request_headers.py
+++ b/mulleinhatch/data_plane/request_headers.py
@@ -44,11 +44,11 @@
     >>> read_prompt(parse_request_head(b"\\r\\n".join(lines)))
     Prompt(model='m', adapter='a1', tokens=30, prefix='a', account='b')
     """
-    model, _, adapter = head.first.get(b"model", b"").decode("latin-1").partition("/")
-    tokens = _read_tokens(head.first.get(b"token-usage", b"").split(b",")[0].strip())
+    model, _, adapter = head.field_values.get(b"model", b"").decode("latin-1").partition("/")
+    tokens = _read_tokens(head.field_values.get(b"token-usage", b"").split(b",")[0].strip())
     sections = [
         section.split(b":")[0].strip().decode("latin-1")
-        for section in head.first.get(b"prompt-prefix", b"").split(b",")
+        for section in head.field_values.get(b"prompt-prefix", b"").split(b",")
         if section.strip()
     ]
     account = sections[-1] if sections else ""
@@ -82,7 +82,7 @@
 
 def read_token_usage(head: Head) -> Result[TokenUsage | None, TokenUsageError]:
     """Parse the two numbers of `Token-Usage`, each capped at `MAX_TOKENS`; None if the field is missing."""
-    text = head.first.get(b"token-usage")
+    text = head.field_values.get(b"token-usage")
     if text is None:
         return Ok(None)
     numbers = [_read_tokens(part.strip(b" \t")) for part in text.split(b",")]
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -97,13 +97,13 @@
     def expects(self, head: Head) -> bool:
         """Return whether a response head belongs to this request, not to an earlier one on the connection."""
         request_id = self._context.request_id
-        return not request_id or head.first.get(b"request-id") == request_id
+        return not request_id or head.field_values.get(b"request-id") == request_id
 
     def on_head(self, head: Head) -> None:
         """Decide from the response head how the body is handled."""
         route, state = self._context.route, self._context.state
         self._head = head
-        self._verdict = classify_response(head.status, head.first, route.is_idempotent)
+        self._verdict = classify_response(head.status, head.field_values, route.is_idempotent)
         if self._verdict is ResponseVerdict.NOT_EXECUTED:
             return
         if self._verdict is ResponseVerdict.UNUSABLE:
--- a/mulleinhatch/networking/http_streaming.py
+++ b/mulleinhatch/networking/http_streaming.py
@@ -30,7 +30,7 @@
 
     Attributes:
         fields: Header fields in their order, with names as sent.
-        first: Values by lower-case name; repeated fields are joined with a comma.
+        field_values: Values by lower-case name; repeated fields are joined with a comma.
         minor: Minor version of HTTP/1.
         method: Request method; empty for responses.
         target: Request target; empty for responses.
@@ -41,7 +41,7 @@
     """
 
     fields: tuple[tuple[bytes, bytes], ...] = field(repr=False)
-    first: dict[bytes, bytes] = field(repr=False)
+    field_values: dict[bytes, bytes] = field(repr=False)
     minor: int = 1
     method: bytes = b""
     target: bytes = b""
@@ -53,7 +53,7 @@
     @property
     def keep_alive(self) -> bool:
         """Whether the sender keeps the connection open for another message."""
-        options = self.first.get(b"connection", b"").lower()
+        options = self.field_values.get(b"connection", b"").lower()
         return b"close" not in options if self.minor else b"keep-alive" in options
 
 
@@ -65,22 +65,22 @@
     """
     if not HEAD_LINES.fullmatch(block):
         raise BadRequestError("header line")
-    fields, first = [], {}
+    fields, field_values = [], {}
     for line in block.split(LINE_END)[:-1]:
         name, _, text = line.partition(b":")
         text = text.strip(b" \t")
         lower = name.lower()
-        if lower in first and lower in SINGLE_FIELDS:
+        if lower in field_values and lower in SINGLE_FIELDS:
             raise BadRequestError("repeated field")
-        first[lower] = first[lower] + b"," + text if lower in first else text
+        field_values[lower] = field_values[lower] + b"," + text if lower in field_values else text
         fields.append((name, text))
-    return tuple(fields), first
+    return tuple(fields), field_values
 
 
-def _framing(first: dict[bytes, bytes], minor: int) -> tuple[int | None, bool]:
+def _framing(field_values: dict[bytes, bytes], minor: int) -> tuple[int | None, bool]:
     """Return the body's length and whether it is chunked; (None, False) if the head states neither."""
-    coding = first.get(b"transfer-encoding")
-    length = first.get(b"content-length")
+    coding = field_values.get(b"transfer-encoding")
+    length = field_values.get(b"content-length")
     if coding is not None:
         if length is not None or coding.lower() != b"chunked" or not minor:
             raise BadRequestError("transfer coding")
@@ -105,12 +105,12 @@
     line = REQUEST_LINE.match(data)
     if line is None:
         raise BadRequestError("request line")
-    fields, first = _split_fields(data[line.end() : -len(LINE_END)])
+    fields, field_values = _split_fields(data[line.end() : -len(LINE_END)])
     minor = int(line.group(3))
-    length, chunked = _framing(first, minor)
+    length, chunked = _framing(field_values, minor)
     return Head(
         fields,
-        first,
+        field_values,
         minor,
         method=line.group(1),
         target=line.group(2),
@@ -135,12 +135,14 @@
     line = STATUS_LINE.match(data)
     if line is None:
         raise BadRequestError("answer line")
-    fields, first = _split_fields(data[line.end() : -len(LINE_END)])
+    fields, field_values = _split_fields(data[line.end() : -len(LINE_END)])
     minor, status = int(line.group(1)), int(line.group(2))
     if to_head_request or status in STATUSES_WITHOUT_BODY or status < 200:
-        return Head(fields, first, minor, status=status)
-    length, chunked = _framing(first, minor)
-    return Head(fields, first, minor, status=status, length=length, chunked=chunked, until_close=not chunked and length is None)
+        return Head(fields, field_values, minor, status=status)
+    length, chunked = _framing(field_values, minor)
+    return Head(
+        fields, field_values, minor, status=status, length=length, chunked=chunked, until_close=not chunked and length is None
+    )
 
 
 class _Stage(Enum):
--- a/mulleinhatch/testing/fake_model_server/request_runner.py
+++ b/mulleinhatch/testing/fake_model_server/request_runner.py
@@ -34,7 +34,7 @@
     async def run(self, head: Head, store: ModelStore, writer: asyncio.StreamWriter) -> None:
         """Answer a request: 421 without its model, 503 if it can't wait, otherwise a stream of events."""
         prompt = read_prompt(head)
-        request_id = head.first.get(b"request-id", b"")
+        request_id = head.field_values.get(b"request-id", b"")
         fields: Fields = [(b"Request-Id", request_id)]
         if prompt.model and not store.is_loaded(prompt.model, prompt.adapter):
             writer.write(write_response(421, fields, b""))
@@ -55,7 +55,7 @@
 
     async def _stream(self, head: Head, prompt_tokens: int, writer: asyncio.StreamWriter, fields: Fields) -> None:
         """Write the events after `Last-Event-Id`, one for each token."""
-        first = int(head.first.get(b"last-event-id", b"0") or 0)
+        first = int(head.field_values.get(b"last-event-id", b"0") or 0)
         await asyncio.sleep(prompt_tokens / self._config.prompt_tokens_per_s)
         writer.write(self._response_head(fields))
         for number in range(first + 1, _token_count(head) + 1):
@@ -78,5 +78,5 @@
 
 def _token_count(head: Head) -> int:
     """Return how many tokens to stream: half of the output tokens that the request allows."""
-    token_usage = head.first.get(b"token-usage", b"0,8").split(b",")
+    token_usage = head.field_values.get(b"token-usage", b"0,8").split(b",")
     return max(1, int(token_usage[1]) // 2) if len(token_usage) > 1 else DEFAULT_TOKENS
--- a/mulleinhatch/testing/fake_model_server/server.py
+++ b/mulleinhatch/testing/fake_model_server/server.py
@@ -108,7 +108,7 @@
 
     async def _handle(self, head: Head, body: bytes, writer: asyncio.StreamWriter) -> None:
         own_id = (b"Instance-Id", self.id.encode())
-        expected_id = head.first.get(b"expect-instance", self.id.encode()).decode()
+        expected_id = head.field_values.get(b"expect-instance", self.id.encode()).decode()
         if expected_id != self.id:
             writer.write(write_response(421, [own_id], b""))
         elif head.target == b"/report":
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -91,14 +91,14 @@
         if not separator or self.closed:
             return
         parsed = parse_request_head(head + b"\r\n\r\n")
-        length = int(parsed.first.get(b"content-length", b"0"))
+        length = int(parsed.field_values.get(b"content-length", b"0"))
         if len(remainder) < length:
             return
         self._received = remainder[length:]
-        name = parsed.first[b"request-id"].decode()
+        name = parsed.field_values[b"request-id"].decode()
         self.previous, self.waiting = self.waiting or self.previous, name
         self.world.arrivals.append((name, self.backend))
-        self.world.deadlines.setdefault(name, []).append(int(parsed.first[b"request-deadline"]))
+        self.world.deadlines.setdefault(name, []).append(int(parsed.field_values[b"request-deadline"]))
 
     def get_write_buffer_size(self) -> int:
         return 0
--- a/tests/system/test_listener.py
+++ b/tests/system/test_listener.py
@@ -91,7 +91,7 @@
         session.respond_error(503, "not run", 0.5)
         await asyncio.sleep(0)
         self.assertEqual(len(self.requests), 2)
-        self.assertEqual(self.requests[1].head.first[b"request-id"], b"2")
+        self.assertEqual(self.requests[1].head.field_values[b"request-id"], b"2")
         self.assertIn(b"Retry-After: 0.50\r\n", transport.out)
         self.assertFalse(transport.closed)
 
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -87,7 +87,7 @@
                 return None
             if answer.status != 307:
                 return answer
-            address = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
+            address = answer.head.field_values[b"location"].decode().removeprefix("http://").partition("/")[0]
         return None
 
     async def version(self) -> int | None:
--- a/tests/system/test_tenants_requests.py
+++ b/tests/system/test_tenants_requests.py
@@ -83,7 +83,7 @@
                 self.heads.append(head)
                 self.arrived.put_nowait(None)
                 await self.gate.wait()
-                self._respond(writer, head.first[b"request-id"], self.actions.pop(0) if self.actions else "")
+                self._respond(writer, head.field_values[b"request-id"], self.actions.pop(0) if self.actions else "")
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
@@ -282,7 +282,7 @@
         world.backends[0].gate.set()
         for client in clients:
             self.assertEqual((await client.answer()).status, 200)
-        return [(head.target, head.first[b"priority"]) for head in world.heads]
+        return [(head.target, head.field_values[b"priority"]) for head in world.heads]
 
     async def test_tenants_of_one_priority_leave_the_routes_their_order(self):
         """Guards against flattened classes: where all tenants had priority 1, a route's own priority counted for nothing."""
@@ -387,7 +387,7 @@
             for fields in ((AUTHORIZED,), (b"Authorization: Bearer key-2",), ()):
                 client.send("/private/x", *fields)
             self.assertEqual([(await client.answer()).status for _ in range(3)], [200, 200, 401])
-            self.assertEqual([head.first[b"tenant"] for head in world.heads], [b"t1", b"t2"])
+            self.assertEqual([head.field_values[b"tenant"] for head in world.heads], [b"t1", b"t2"])
 
     async def test_a_key_that_moved_runs_under_its_new_tenant(self):
         async with self.world() as world:
