--- a/benchmarks/soak_parts/backends.py
+++ b/benchmarks/soak_parts/backends.py
@@ -95,7 +95,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        messages = MessageReader(answers=False)
+        messages = MessageReader(reads_responses=False)
         try:
             raw = b""
             while data := await reader.read(READ_BYTES):
--- a/benchmarks/soak_parts/clients.py
+++ b/benchmarks/soak_parts/clients.py
@@ -171,7 +171,7 @@
         return False
 
     async def _read(self, reader: asyncio.StreamReader) -> bool:
-        messages, request = MessageReader(answers=True), self.request
+        messages, request = MessageReader(reads_responses=True), self.request
         while (head := messages.head()) is None:
             if not await self._feed(reader, messages):
                 return False
--- a/mulleinhatch/data_plane/listener.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -41,7 +41,7 @@
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
-        self._reader = MessageReader(answers=False, max_head_bytes=listener.limits().max_header_bytes)
+        self._reader = MessageReader(reads_responses=False, max_head_bytes=listener.limits().max_header_bytes)
         self._head: Head | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
--- a/mulleinhatch/networking/http_connection.py
+++ b/mulleinhatch/networking/http_connection.py
@@ -67,7 +67,7 @@
         self.idle_until = 0.0
         self.requests = 0
         self.pool: IdleConnectionOwner | None = None
-        self._reader = MessageReader(answers=True, max_head_bytes=MAX_RESPONSE_HEAD_BYTES)
+        self._reader = MessageReader(reads_responses=True, max_head_bytes=MAX_RESPONSE_HEAD_BYTES)
         self._sink: ResponseSink | None = None
         self._head: Head | None = None
         self._is_paused = False
--- a/mulleinhatch/networking/http_streaming.py
+++ b/mulleinhatch/networking/http_streaming.py
@@ -164,10 +164,10 @@
     protocol.
 
     Args:
-        answers: Whether the peer sends responses rather than requests.
+        reads_responses: Whether the peer sends responses rather than requests.
         max_head_bytes: Longest head that is accepted; a longer one is answered with status 431.
 
-    >>> reader = MessageReader(answers=True)
+    >>> reader = MessageReader(reads_responses=True)
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhi\\r")
     >>> reader.head().status, reader.body(), reader.done
     (200, b'hi', False)
@@ -175,8 +175,8 @@
     (b'', True, True)
     """
 
-    def __init__(self, answers: bool, max_head_bytes: int = 65536) -> None:
-        self.answers, self.max_head_bytes = answers, max_head_bytes
+    def __init__(self, reads_responses: bool, max_head_bytes: int = 65536) -> None:
+        self.reads_responses, self.max_head_bytes = reads_responses, max_head_bytes
         self._buffer = bytearray()
         self._stage = _Stage.HEAD
         self._left = 0
@@ -215,7 +215,7 @@
         data = bytes(buffer[: end + len(HEAD_END)])
         del buffer[: end + len(HEAD_END)]
         self._searched = 0
-        head = parse_response_head(data, to_head_request) if self.answers else parse_request_head(data)
+        head = parse_response_head(data, to_head_request) if self.reads_responses else parse_request_head(data)
         self._begin_body(head)
         return head
 
--- a/mulleinhatch/testing/fake_model_server/server.py
+++ b/mulleinhatch/testing/fake_model_server/server.py
@@ -89,7 +89,7 @@
 
     async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._connections.add(writer)
-        messages = MessageReader(answers=False)
+        messages = MessageReader(reads_responses=False)
         try:
             while data := await reader.read(READ_BYTES):
                 messages.feed(data)
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -400,7 +400,7 @@
 
     def test_finds_a_connection_with_surplus_bytes_reused(self):
         def reset_reader(connection: ClientConnection) -> None:
-            connection._reader = type(connection._reader)(answers=True, max_head_bytes=65536)
+            connection._reader = type(connection._reader)(reads_responses=True, max_head_bytes=65536)
 
         self.assert_defect_found(
             mock.patch.object(ClientConnection, "_end_idle", reset_reader),
--- a/tests/system/test_tenant_wire.py
+++ b/tests/system/test_tenant_wire.py
@@ -60,7 +60,7 @@
     """A client's connection that is kept open."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._reader, self.writer, self._messages = reader, writer, MessageReader(answers=True)
+        self._reader, self.writer, self._messages = reader, writer, MessageReader(reads_responses=True)
 
     async def ask(self, data: bytes) -> tuple[int, bytes]:
         """Write bytes and return the status and the body of the next answer; status 0 if the connection ended first."""
