--- a/mulleinhatch/networking/circuits_import.py
+++ b/mulleinhatch/networking/circuits_import.py
@@ -1,8 +1,8 @@
-"""Import the parts of circuits that the HTTP server uses, and none of those that it does not.
+"""Imports only those modules of circuits that the HTTP server uses.
 
-The `__init__` of circuits.web imports controllers, dispatchers for XML-RPC and WebSockets, sessions and an HTTP client: a sixth
-of the processor time that a plane needs to start. Here the package is registered without running it; its modules are then
-imported one by one as usual.
+The `__init__` of circuits.web imports controllers, dispatchers for XML-RPC and WebSockets, sessions and an HTTP client, which
+takes a sixth of the processor time of a plane's start. This module registers the package without running its `__init__` and
+then imports the required modules one by one as usual.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 import importlib.util
 import sys
 
-# circuits declares its namespace by pkg_resources if that is installed, and works without it. Importing it would cost 7 MB and
-# a third of the processor time of a start, for nothing that is used here.
+# circuits uses pkg_resources to declare its namespace if that is installed, and works without it. Importing it would cost 7 MB
+# and a third of the processor time of a start, and nothing here needs it.
 sys.modules.setdefault("pkg_resources", None)  # type: ignore[arg-type]
 
 
 def register_package(name: str) -> None:
-    """Make a package importable without running its `__init__`, unless it was imported before.
+    """Make a package importable without running its `__init__`, unless it is already imported.
 
     Raises:
-        ModuleNotFoundError: There is no such package.
+        ModuleNotFoundError: The package does not exist.
     """
     if name in sys.modules:
         return
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -1,4 +1,4 @@
-"""Call other processes by HTTP/1.1 over pooled connections and return complete responses."""
+"""HTTP/1.1 client for other processes: pools connections and returns complete responses."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from mulleinhatch.networking.http_connection import ClientConnection, Loss, connect, take_usable
 from mulleinhatch.networking.http_streaming import Head, write_request
 
-MAX_RESPONSE_BYTES = 64 << 20  # of one body
-IDLE_TIMEOUT_S = 20.0  # a pooled connection is not used again after so long without use
+MAX_RESPONSE_BYTES = 64 << 20  # of one response body
+IDLE_TIMEOUT_S = 20.0  # a pooled connection that was idle for this long is not used again
 
 
 @dataclass(frozen=True)
@@ -26,7 +26,7 @@
 class HttpCallError(CallError):
     """No complete response arrived; the message names the address.
 
-    Call another process, or the same one again later. If `sent` is true, the request may have been executed.
+    The caller can call another process, or retry later. If `sent` is true, the request may have been executed.
 
     Args:
         address: The address that was called, "HOST:PORT".
@@ -35,12 +35,12 @@
     """
 
     def __init__(self, address: str, reason: str, sent: bool = True) -> None:
-        super().__init__(f"{address}: {reason}; ask another instance, or again later")
+        super().__init__(f"{address}: {reason}; call another instance, or retry later")
         self.sent = sent
 
 
 class ResponseCollector:
-    """A `ResponseSink` that collects one response; `future` gets it, or an `HttpCallError`."""
+    """A `ResponseSink` that collects one response; `future` completes with it or fails with an `HttpCallError`."""
 
     def __init__(self) -> None:
         self.future: asyncio.Future[HttpResponse] = asyncio.get_running_loop().create_future()
@@ -49,15 +49,15 @@
         self.head: Head | None = None
 
     def expects(self, head: Head) -> bool:
-        """Accept any head: a pooled connection carries one request at a time."""
+        """Accept any head, because a pooled connection carries one request at a time."""
         return True
 
     def on_head(self, head: Head) -> None:
-        """Keep the head."""
+        """Store the head."""
         self.head = head
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body; fail if the body becomes too long."""
+        """Store a chunk of the body; fail if the body becomes too long."""
         self.chunks.append(data)
         self.size += len(data)
         if self.size > MAX_RESPONSE_BYTES:
@@ -121,7 +121,7 @@
         try:
             connection.send(data, sink)
             response = await sink.future
-        except BaseException:  # a cancellation too: the response may still arrive, so nobody else may use the connection
+        except BaseException:  # also a cancellation: the response may still arrive, so no other request may use the connection
             connection.close()
             raise
         if connection.usable:
@@ -139,6 +139,6 @@
             raise HttpCallError(address, f"no connection ({type(error).__name__})", sent=False) from None
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to an address that did not answer."""
+        """Close the idle connections to an address that did not respond."""
         for connection in self._idle.pop(address, []):
             connection.close()
--- a/mulleinhatch/networking/http_connection.py
+++ b/mulleinhatch/networking/http_connection.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 client connections: one request at a time, the response body passed on as it arrives.
+"""HTTP/1.1 client connections, which carry one request at a time and pass on the response body as it arrives.
 
-`ClientConnection` reports to a `ResponseSink`. It knows no pool; an `IdleConnectionOwner` learns when an idle one ends.
+`ClientConnection` reports to a `ResponseSink`. It is independent of any pool; an `IdleConnectionOwner` is notified when an idle
+connection ends.
 """
 
 from __future__ import annotations
@@ -15,27 +16,27 @@
 
 MAX_RESPONSE_HEAD_BYTES = 65536
 CONNECT_TIMEOUT_S = 1.0
-TCP_USER_TIMEOUT_MS = 2500  # a peer that acknowledges no bytes for so long is unreachable
+TCP_USER_TIMEOUT_MS = 2500  # a peer that leaves bytes unacknowledged for this long is unreachable
 
 
 class Loss(Enum):
     """How a connection ended before the response was complete."""
 
-    NO_ANSWER = "no answer"  # the request may have arrived
-    BROKEN = "broken"  # in the middle of the response, or the bytes were no response
+    NO_RESPONSE = "no answer"  # the request may have arrived
+    BROKEN = "broken"  # in the middle of the response, or the bytes were not a valid response
 
 
 class ResponseSink(Protocol):
-    """Receives one response; each call may close the connection."""
+    """Receives one response; any of its methods may close the connection."""
 
     def expects(self, head: Head) -> bool:
-        """Return whether a head belongs to the request; a response that does not is discarded."""
+        """Return whether a head belongs to the request; if not, its response is discarded."""
 
     def on_head(self, head: Head) -> None:
         """Handle the head of the response."""
 
     def on_body(self, data: bytes) -> None:
-        """Handle a part of the body."""
+        """Handle a chunk of the body."""
 
     def on_end(self) -> None:
         """Handle the end of a complete response."""
@@ -45,7 +46,7 @@
 
 
 class IdleConnectionOwner(Protocol):
-    """Keeps a connection between requests."""
+    """Owns a connection between requests."""
 
     def on_idle_loss(self, connection: ClientConnection) -> None:
         """Handle the end of a connection that carried no request."""
@@ -58,7 +59,7 @@
         usable: Whether it may carry another request.
         idle_until: The loop time, in seconds, from which it must not be used again; 0 if it was never idle.
         requests: The number of requests sent.
-        pool: Who keeps it between requests, if it is to learn of its end.
+        pool: The owner between requests, notified when the idle connection ends; None if there is none.
     """
 
     def __init__(self) -> None:
@@ -72,10 +73,10 @@
         self._head: Head | None = None
         self._is_paused = False
         self._is_discarding = False  # the response being read belongs to an earlier request
-        self._is_desynchronized = False  # such a response arrived: no further request may use the connection
+        self._is_desynchronized = False  # such a response has arrived, so no further request may use the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set socket options; asyncio calls it once."""
+        """Set socket options; called once by asyncio."""
         self.transport = transport  # type: ignore[assignment]
         self.usable = True
         sock = transport.get_extra_info("socket")
@@ -83,20 +84,20 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def send(self, data: bytes, sink: ResponseSink) -> None:
-        """Send the bytes of a request; its response goes to `sink`."""
+        """Send the bytes of a request and pass its response to `sink`."""
         assert self._sink is None and self.transport is not None
         self._sink, self._head = sink, None
         self.requests += 1
         self.transport.write(data)
 
     def close(self) -> None:
-        """Abort the connection; the sink gets no further call."""
+        """Abort the connection; the sink is not called again."""
         self.usable, self._sink = False, None
         if self.transport is not None:
             self.transport.abort()
 
     def pause(self, paused: bool) -> None:
-        """Stop or resume reading, for backpressure from the receiver of the response."""
+        """Stop or resume reading, as backpressure from the receiver of the response."""
         if self.transport is None or paused is self._is_paused or self.transport.is_closing():
             return
         self._is_paused = paused
@@ -106,10 +107,10 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the response; asyncio calls it."""
+        """Parse bytes of the response; called by asyncio."""
         self._reader.feed(data)
         if self._sink is None:
-            self._end_idle()  # bytes that belong to no request
+            self._end_idle()  # the bytes belong to no request
             return
         try:
             self._read()
@@ -139,7 +140,7 @@
             self._finish()
 
     def _read_final_head(self) -> Head | None:
-        """Return the next head that is not an interim (1xx) response, None until it is complete."""
+        """Return the next head that is not of an interim (1xx) response, or None until it is complete."""
         head = self._reader.head()
         while head is not None and head.status < 200:
             self._reader.next()
@@ -157,7 +158,9 @@
 
     def _finish(self) -> None:
         sink, head, self._sink = self._sink, self._head, None
-        has_unsent_bytes = self.transport.get_write_buffer_size() > 0  # the response came before the request was sent
+        has_unsent_bytes = (
+            self.transport.get_write_buffer_size() > 0
+        )  # the response arrived before the request was completely sent
         if has_unsent_bytes or self._is_desynchronized or self._reader.surplus() or not head.keep_alive or head.until_close:
             self.usable = False
             self.transport.close()
@@ -177,7 +180,7 @@
         self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Report the end to the sink, or to the owner if no request was in progress; asyncio calls it once."""
+        """Report the end to the sink, or to the owner if no request was in progress; called once by asyncio."""
         self.usable = False
         sink, self._sink = self._sink, None
         if sink is None:
@@ -187,11 +190,11 @@
         if error is None and self._head is not None and self._reader.ended():
             sink.on_end()
             return
-        sink.on_loss(Loss.NO_ANSWER if self._head is None else Loss.BROKEN)
+        sink.on_loss(Loss.NO_RESPONSE if self._head is None else Loss.BROKEN)
 
 
 def take_usable(idle: list[ClientConnection]) -> ClientConnection | None:
-    """Remove and return the newest idle connection that may carry a request; close the newer ones that may not."""
+    """Remove and return the newest usable idle connection; close the unusable ones that are newer."""
     now = asyncio.get_running_loop().time()
     while idle:
         connection = idle.pop()
@@ -205,7 +208,7 @@
     """Open a connection to "HOST:PORT".
 
     Raises:
-        OSError: The connection was refused, or not open after `timeout_s` seconds (TimeoutError).
+        OSError: The connection was refused or was not open after `timeout_s` seconds (TimeoutError).
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
--- a/mulleinhatch/networking/http_grammar.py
+++ b/mulleinhatch/networking/http_grammar.py
@@ -1,4 +1,4 @@
-"""Grammar of HTTP/1.1 that every parser here shares: line ends, header lines, reason phrases, and the error of a bad message.
+"""HTTP/1.1 grammar shared by all parsers: line ends, header lines, reason phrases, and the error for malformed messages.
 
 Pure; used by the system's streaming parser and by the service instance's request parser. Source: RFC 9110 and RFC 9112.
 """
@@ -33,8 +33,8 @@
     """A message that violates the protocol.
 
     Args:
-        cause: What is wrong, in a few words; counters are kept by it.
-        status: The HTTP status that the sender receives.
+        cause: What is wrong, in a few words; the error counters use it as a key.
+        status: The HTTP status for the response to the sender.
     """
 
     def __init__(self, cause: str, status: int = 400) -> None:
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -1,6 +1,6 @@
-"""Serve HTTP by circuits.web on the asyncio loop of the process.
+"""HTTP server: circuits.web on the asyncio loop of the process.
 
-circuits brings a loop of its own that wakes ten times a second. Here its events are dispatched whenever the asyncio loop
+The event loop of circuits would wake ten times a second. Here the events of circuits are dispatched whenever the asyncio loop
 reports one of its sockets as ready, in the same thread as everything else.
 """
 
@@ -31,7 +31,7 @@
 LOG = logging.getLogger(__name__)
 JSON_TYPE = "application/json"
 BINARY_TYPE = "application/octet-stream"
-MAX_DISPATCHES = 1000  # in one go: an endless chain of circuits events would block the asyncio loop
+MAX_DISPATCHES = 1000  # per call of `dispatch`: an endless chain of circuits events would block the asyncio loop
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class HttpServerResponse:
-    """A complete response; `headers` are those besides the content type and length."""
+    """A complete response; `headers` excludes the content type and length."""
 
     status: int
     body: bytes = b""
@@ -55,7 +55,7 @@
 
     @staticmethod
     def of_json(status: int, value: Any, headers: Mapping[str, str] | None = None) -> HttpServerResponse:
-        """Return a response with a value as compact JSON."""
+        """Return a response whose body is the value as compact JSON."""
         return HttpServerResponse(int(status), json.dumps(value, separators=(",", ":")).encode(), headers=headers or {})
 
 
@@ -67,7 +67,7 @@
 
     Args:
         loop: The asyncio loop.
-        dispatch: Dispatches queued circuits events; called after each report.
+        dispatch: Dispatches queued circuits events; called after each reported readiness.
     """
 
     channel = "asyncio"
@@ -81,7 +81,7 @@
         event.reduce_time_left(0)
 
     def _descriptor(self, source: Any) -> int:
-        """Return the descriptor of a socket, also after it was closed; -1 if it is unknown."""
+        """Return the descriptor of a socket, even after it was closed, or -1 if it is unknown."""
         descriptor = source if isinstance(source, int) else source.fileno()
         if descriptor >= 0:
             self._descriptors[source] = descriptor
@@ -92,27 +92,27 @@
         self._dispatch()
 
     def addReader(self, source: Any, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
-        """Report when a socket can be read."""
+        """Report when a socket is readable."""
         super().addReader(source, fd)
         self._loop.add_reader(self._descriptor(fd), self._ready, read_event, fd)
 
     def addWriter(self, source: Any, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
-        """Report when a socket can be written."""
+        """Report when a socket is writable."""
         super().addWriter(source, fd)
         self._loop.add_writer(self._descriptor(fd), self._ready, write_event, fd)
 
     def removeReader(self, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
-        """Stop reporting that a socket can be read."""
+        """Stop reporting that a socket is readable."""
         super().removeReader(fd)
         self._loop.remove_reader(self._descriptor(fd))
 
     def removeWriter(self, fd: Any) -> None:  # noqa: N802 (circuits calls it by this name)
-        """Stop reporting that a socket can be written."""
+        """Stop reporting that a socket is writable."""
         super().removeWriter(fd)
         self._loop.remove_writer(self._descriptor(fd))
 
     def discard(self, fd: Any) -> None:
-        """Stop all reports on a socket."""
+        """Stop reporting on a socket."""
         super().discard(fd)
         descriptor = self._descriptor(fd)
         if descriptor >= 0:
@@ -126,7 +126,7 @@
 
 
 class _WebListener(BaseComponent):
-    """One listening address: a TCP server, an HTTP parser and a request dispatcher, on a channel of their own."""
+    """One listening address: a TCP server, an HTTP parser and a request dispatcher on their own channel."""
 
     def __init__(self, channel: str, host: str, port: int, handle: RequestHandler, server: HttpServer) -> None:
         super().__init__(channel=channel)
@@ -134,7 +134,7 @@
         self.http = HTTP(self, channel=channel).register(self)
         _RequestDispatcher(channel, handle, server).register(self)
 
-    secure = False  # circuits.web's HTTP component reads it, like `host` and `port`
+    secure = False  # read by circuits.web's HTTP component, like `host` and `port`
 
     @property
     def host(self) -> str:
@@ -156,7 +156,7 @@
 
     @handler("request", priority=1.0)
     def _on_request(self, event: Any, request: Request, response: Response) -> None:
-        event.value.promise = True  # the response follows later: circuits must not send the value of this event
+        event.value.promise = True  # the response is sent later, so circuits must not send the value of this event
         event.success = False
         event.stop()
         parsed = HttpServerRequest(
@@ -166,7 +166,7 @@
 
     @handler("httperror", priority=1.0)
     def _on_error(self, event: Any, request: Request, response: Response, code: int | None = None, **_: Any) -> None:
-        """Answer bytes that are no valid request with JSON, in place of circuits' HTML page."""
+        """Respond to malformed requests with JSON instead of circuits' HTML page."""
         event.stop()
         result = HttpServerResponse.of_json(
             code or HTTPStatus.INTERNAL_SERVER_ERROR,
@@ -203,7 +203,7 @@
 
 
 class HttpServer:
-    """All circuits.web servers of a process, and the tasks that answer their requests.
+    """All circuits.web servers of a process, and the tasks that handle their requests.
 
     Args:
         loop: The asyncio loop of the process.
@@ -218,7 +218,7 @@
         self.dispatch()
 
     def listen(self, address: str, handle: RequestHandler) -> None:
-        """Serve requests to "HOST:PORT" by a handler.
+        """Serve requests to "HOST:PORT" with a handler.
 
         Raises:
             OSError: The address cannot be bound.
@@ -229,13 +229,13 @@
         self.dispatch()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine as a task and hold a reference to it, as the loop holds only a weak one."""
+        """Run a coroutine as a task and hold a reference to it, because the loop holds only a weak one."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def dispatch(self) -> None:
-        """Dispatch queued circuits events and step its tasks (accepting a connection is one) until none is left."""
+        """Dispatch queued circuits events and step its tasks, such as accepting a connection, until none is left."""
         if self._dispatching:
             return
         self._dispatching = True
--- a/mulleinhatch/networking/http_streaming.py
+++ b/mulleinhatch/networking/http_streaming.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 messages whose bodies are relayed as they arrive: heads, and bodies by length, in chunks or until the connection
-closes.
+"""HTTP/1.1 messages whose bodies are relayed as they arrive: heads, and bodies delimited by length, by chunks or by the end of
+the connection.
 
-Used by the data plane (towards clients and backends) and by the HTTP client. Parsers without I/O: bytes in, a `Head`, chunks
-of the body and the end of the message out. The parsers are strict wherever two readings of the same bytes are possible,
+Used by the data plane (toward clients and backends) and by the HTTP client. The parsers do no I/O: they turn bytes into a
+`Head`, chunks of the body and the end of the message. They are strict wherever the same bytes can be read in two ways,
 because a second request could be hidden there (request smuggling). Source: RFC 9112, sections 5 to 7 and 11.2.
 """
 
@@ -15,7 +15,7 @@
 from mulleinhatch.networking.http_grammar import HEAD_END, HEAD_LINES, LINE_END, REASONS, BadRequestError
 
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade"))
-MAX_CHUNK_LINE_BYTES = 256  # bytes of a chunk's size line
+MAX_CHUNK_LINE_BYTES = 256  # of the line with a chunk's size
 MAX_TRAILER_BYTES = 8192
 STATUSES_WITHOUT_BODY = (204, 304)
 REQUEST_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([^ \x00-\x20\x7f]+) HTTP/1\.([01])\r\n")
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True)
 class Head:
-    """The head of a request or of a response. No representation shows its fields: they may hold a key.
+    """The head of a request or of a response. Its `repr` omits the fields, because they may contain an API key.
 
     Attributes:
-        fields: Header fields in their order, with names as sent.
+        fields: Header fields in the order and with the names as sent.
         field_values: Values by lower-case name; repeated fields are joined with a comma.
         minor: Minor version of HTTP/1.
         method: Request method; empty for responses.
@@ -61,7 +61,7 @@
     """Parse the header lines of a head.
 
     Raises:
-        BadRequestError: A line is no header field, or a field that must be single is repeated.
+        BadRequestError: A line is not a header field, or a field that must occur only once is repeated.
     """
     if not HEAD_LINES.fullmatch(block):
         raise BadRequestError("header line")
@@ -78,7 +78,7 @@
 
 
 def _framing(field_values: dict[bytes, bytes], minor: int) -> tuple[int | None, bool]:
-    """Return the body's length and whether it is chunked; (None, False) if the head states neither."""
+    """Return the body's length and whether it is chunked, or (None, False) if the head states neither."""
     coding = field_values.get(b"transfer-encoding")
     length = field_values.get(b"content-length")
     if coding is not None:
@@ -96,7 +96,7 @@
     """Parse a request's head; `data` ends with the empty line.
 
     Raises:
-        BadRequestError: The bytes are no request head.
+        BadRequestError: The bytes are not a valid request head.
 
     >>> head = parse_request_head(b"POST /a/b HTTP/1.1\\r\\nHost: x\\r\\nContent-Length: 2\\r\\n\\r\\n")
     >>> head.method, head.target, head.length, head.keep_alive
@@ -127,7 +127,7 @@
         to_head_request: Whether it responds to a HEAD request, so that no body follows.
 
     Raises:
-        BadRequestError: The bytes are no response head.
+        BadRequestError: The bytes are not a valid response head.
 
     >>> parse_response_head(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n").chunked
     True
@@ -157,15 +157,15 @@
 
 
 class MessageReader:
-    """Parser of the messages that one side of a connection sends, one after another.
+    """Parser of the successive messages that one side of a connection sends.
 
-    The owner passes received bytes to `feed`, asks `head()` for the next head, then `body()` for what has arrived of its body
-    until `done`, and calls `next()` to go on to the next message. Methods raise BadRequestError if the bytes violate the
+    The owner passes received bytes to `feed`, calls `head()` for the next head, then `body()` for newly received bytes of its
+    body until `done`, and then `next()` to advance to the next message. Methods raise BadRequestError if the bytes violate the
     protocol.
 
     Args:
         reads_responses: Whether the peer sends responses rather than requests.
-        max_head_bytes: Longest head that is accepted; a longer one is answered with status 431.
+        max_head_bytes: The longest accepted head; a longer one raises BadRequestError with status 431.
 
     >>> reader = MessageReader(reads_responses=True)
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhi\\r")
@@ -179,8 +179,8 @@
         self.reads_responses, self.max_head_bytes = reads_responses, max_head_bytes
         self._buffer = bytearray()
         self._stage = _Stage.HEAD
-        self._left = 0
-        self._searched = 0
+        self._remaining = 0
+        self._searched_bytes = 0
 
     @property
     def done(self) -> bool:
@@ -188,7 +188,7 @@
         return self._stage is _Stage.DONE
 
     def feed(self, data: bytes) -> None:
-        """Take bytes that the connection received."""
+        """Append bytes that the connection has received."""
         self._buffer += data
 
     def surplus(self) -> bool:
@@ -196,25 +196,25 @@
         return bool(self._buffer)
 
     def started(self) -> bool:
-        """Return whether a message has begun and is not complete."""
+        """Return whether a message has begun but is not complete."""
         return self._stage is not _Stage.DONE and (self._stage is not _Stage.HEAD or bool(self._buffer))
 
     def head(self, to_head_request: bool = False) -> Head | None:
-        """Return the next head, or None until it has arrived completely."""
+        """Return the next head, or None until it is complete."""
         buffer = self._buffer
         while buffer[:2] == LINE_END:
             del buffer[:2]  # RFC 9112, 2.2: some senders add an empty line after a body
-        end = buffer.find(HEAD_END, max(0, self._searched - len(HEAD_END)))
+        end = buffer.find(HEAD_END, max(0, self._searched_bytes - len(HEAD_END)))
         if end < 0:
             if len(buffer) > self.max_head_bytes:
                 raise BadRequestError("head too long", 431)
-            self._searched = len(buffer)
+            self._searched_bytes = len(buffer)
             return None
         if end + len(HEAD_END) > self.max_head_bytes:
             raise BadRequestError("head too long", 431)
         data = bytes(buffer[: end + len(HEAD_END)])
         del buffer[: end + len(HEAD_END)]
-        self._searched = 0
+        self._searched_bytes = 0
         head = parse_response_head(data, to_head_request) if self.reads_responses else parse_request_head(data)
         self._begin_body(head)
         return head
@@ -225,11 +225,11 @@
         elif head.until_close:
             self._stage = _Stage.UNTIL_CLOSE
         else:
-            self._left = head.length or 0
-            self._stage = _Stage.SIZED if self._left else _Stage.DONE
+            self._remaining = head.length or 0
+            self._stage = _Stage.SIZED if self._remaining else _Stage.DONE
 
     def body(self) -> bytes:
-        """Return the bytes of the body that arrived since the last call."""
+        """Return the bytes of the body that have arrived since the previous call."""
         if self._stage is _Stage.SIZED:
             return self._take_sized(_Stage.DONE)
         if self._stage is _Stage.UNTIL_CLOSE:
@@ -242,18 +242,18 @@
         return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     def _take_sized(self, after: _Stage) -> bytes:
-        taken = bytes(self._buffer[: self._left])
+        taken = bytes(self._buffer[: self._remaining])
         del self._buffer[: len(taken)]
-        self._left -= len(taken)
-        if not self._left:
+        self._remaining -= len(taken)
+        if not self._remaining:
             self._stage = after
         return taken
 
-    def _line(self, most: int) -> bytes | None:
+    def _line(self, max_bytes: int) -> bytes | None:
         end = self._buffer.find(LINE_END)
-        if end < 0 and len(self._buffer) <= most:
+        if end < 0 and len(self._buffer) <= max_bytes:
             return None
-        if end < 0 or end > most:
+        if end < 0 or end > max_bytes:
             raise BadRequestError("chunk line")
         line = bytes(self._buffer[:end])
         del self._buffer[: end + len(LINE_END)]
@@ -268,8 +268,8 @@
             size = CHUNK_SIZE.match(line)
             if size is None:
                 raise BadRequestError("chunk size")
-            self._left = int(size.group(1), 16)
-            self._stage = _Stage.CHUNK if self._left else _Stage.TRAILER
+            self._remaining = int(size.group(1), 16)
+            self._stage = _Stage.CHUNK if self._remaining else _Stage.TRAILER
             return True
         if self._stage is _Stage.CHUNK:
             if not self._buffer:
@@ -294,13 +294,13 @@
         return False
 
     def ended(self) -> bool:
-        """Handle the end of the connection; return whether that completes the message."""
+        """Handle the end of the connection and return whether that completes the message."""
         if self._stage is _Stage.UNTIL_CLOSE:
             self._stage = _Stage.DONE
         return self.done
 
     def next(self) -> None:
-        """Go on to the message after one that is complete."""
+        """Advance to the message after a complete one."""
         self._stage = _Stage.HEAD
 
 
--- a/mulleinhatch/process/__init__.py
+++ b/mulleinhatch/process/__init__.py
@@ -1,4 +1,4 @@
-"""Provide what every process of the system needs: settings, logging, supervision of background tasks.
+"""Settings, logging and supervision of background tasks, for every process of the system.
 
-Both planes and the command line use it; it imports neither of them.
+Both planes and the command line use this package; it imports none of them.
 """
--- a/mulleinhatch/process/logs.py
+++ b/mulleinhatch/process/logs.py
@@ -1,4 +1,4 @@
-"""Write logs as JSON to standard error, one object per line."""
+"""Logging as JSON to standard error, one object per line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Send all log records of the process to standard error.
 
     Args:
-        node: The name of the process; each line carries it as `node`.
+        node: The name of the process, included in each line as `node`.
         level: The lowest level that is written.
     """
     stream = logging.StreamHandler(sys.stderr)
--- a/mulleinhatch/process/settings.py
+++ b/mulleinhatch/process/settings.py
@@ -1,7 +1,7 @@
-"""Read the settings file of a process: lines of `a.b=value`, parsed by jproperties and validated by schema.
+"""The settings file of a process: lines of the form `a.b=value`, parsed by jproperties and validated by schema.
 
 `read_settings` returns typed `Settings`, or a `SettingsError` whose message names the file, the key and the remedy. Unknown
-keys are ignored, so that newer files work with older processes.
+keys are ignored, so that older versions can read newer files.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """Limits and time spans of the deployment's rules, from the `bounds.*` keys.
+    """Limits and durations of the deployment's rules, from the `bounds.*` keys.
 
-    Fields without a description are validated, but no process reads them.
+    Fields without a description are validated but not used by any process.
 
     Attributes:
-        contact_s: With `configuration_apply_s`, how long a data plane without a configuration waits for a control plane
-            that a majority confirms before it accepts one from a control plane that is not sure.
+        contact_s: Added to `configuration_apply_s`, the time that a data plane without a configuration waits for one from a
+            control-plane node confirmed by a majority, before it accepts one from an unconfirmed node.
         acknowledge_s:
         drain_s:
-        grace_s: The time from SIGTERM to the forced end of the process.
+        grace_s: The time from SIGTERM to the forced termination of the process.
         configuration_apply_s: See `contact_s`.
         retry_budget_ratio: Retries allowed per first attempt, over `budget_window_s`.
-        retry_budget_slack: Retries allowed besides, over `budget_window_s`.
+        retry_budget_slack: Retries allowed in addition, over `budget_window_s`.
         budget_window_s: The window of the retry budget.
         pass_s:
         lease_s: The duration of the placement leader's lease.
@@ -47,11 +47,11 @@
         ceiling_window_s: The window over which loads from the weight store are limited.
         ceiling_overage:
         reuse_after_s:
-        fenced: Whether backends reject orders with a fencing token below one that they have seen.
-        version_s: How long after a newer version of weights was acknowledged older ones may still be used; 0: not said.
+        fenced: Whether backends reject orders with a fencing token lower than the highest they have seen.
+        version_s: How long older weights may still be used after a newer version was acknowledged; 0 if not specified.
         quota_window_s: The window over which the tenants' quotas are counted.
-        quota_overage: The part of a quota that may be used beyond it.
-        quota_slack: The units of a quota that may be used besides.
+        quota_overage: The fraction of a quota that may be used beyond it.
+        quota_slack: The units that may be used in addition to a quota.
         revocation_s:
     """
 
@@ -83,23 +83,23 @@
 
     Attributes:
         name: The name of this process (`node_name`).
-        ip_address: The address that it listens at.
+        ip_address: The IP address that it listens on.
         zone: Its zone.
         region: Its region.
-        listen: Listen addresses "HOST:PORT" by purpose: `front`, `ready`, `control`.
-        internal_address: "HOST:PORT" for the other processes of the system.
-        seeds: Control addresses of core machines to contact first.
-        first_start: Whether the whole system starts for the first time, without state on disk.
-        counts_for_quorum: Whether this process counts for the quorum.
-        machines_tolerated: The number of core machines that may be lost at once without stopping the system.
+        listen: Listening addresses "HOST:PORT" by purpose: `front`, `ready`, `control`.
+        internal_address: "HOST:PORT" for requests of the other processes of the system.
+        seeds: Control addresses of the control-plane nodes to contact first.
+        first_start: Whether the whole system is started for the first time, without state on disk.
+        counts_for_quorum: Whether this process counts toward the quorum.
+        machines_tolerated: The number of control-plane nodes that may fail at once without stopping the system.
         heartbeat_s: The interval of the backends' heartbeats.
-        data_directory: The directory of the persisted state.
-        file_descriptors: The limit of open files.
-        memory_mb: The limit of memory.
+        data_directory: The directory for persisted state.
+        file_descriptors: The limit on open files.
+        memory_mb: The limit on memory in MB.
         regions_of_zones: The region of each zone (`zones.ZONE=REGION`).
-        bounds: Limits and time spans of the rules.
-        zones_tolerated: The number of zones that may be lost at once.
-        regions_tolerated: The number of regions that may be lost at once.
+        bounds: Limits and durations of the deployment's rules.
+        zones_tolerated: The number of zones that may fail at once.
+        regions_tolerated: The number of regions that may fail at once.
     """
 
     name: str
@@ -146,7 +146,7 @@
 SECONDS = And(Use(float), lambda value: value >= 0)
 COUNT = And(Use(int), lambda value: value >= 0)
 FRACTION = And(Use(float), lambda value: value >= 0)
-BOUND_KEYS = {  # key behind `bounds.` -> field of Bounds, check
+BOUND_KEYS = {  # key without the prefix `bounds.` -> field of Bounds, check
     "contact_ms": ("contact_s", MILLISECONDS),
     "acknowledge_ms": ("acknowledge_s", MILLISECONDS),
     "drain_ms": ("drain_s", MILLISECONDS),
@@ -205,7 +205,7 @@
 
 
 def _build_settings(checked: dict[str, Any], values: dict[str, str]) -> Settings:
-    """Build the settings from the validated values and, for the keys that the schema does not list, the texts."""
+    """Build the settings from the validated values and, for keys that the schema does not list, from the raw values."""
     return Settings(
         name=checked["node_name"],
         ip_address=checked["ip_address"],
@@ -241,7 +241,7 @@
 
     Args:
         text: The content, in UTF-8.
-        path: Names the file in error messages.
+        path: The file name for error messages.
     """
     properties = Properties()
     try:
@@ -252,7 +252,7 @@
 
 
 def read_settings(path: str | None = None) -> Result[Settings, SettingsError]:
-    """Read and validate the file at `path`, or the one that the environment variable MULLEINHATCH_NODE_FILE names."""
+    """Read and validate the file at `path`, or the one named by the environment variable MULLEINHATCH_NODE_FILE."""
     path = path or os.environ.get(FILE_VARIABLE, "")
     if not path:
         return Err(SettingsError(f"no settings file; set {FILE_VARIABLE} to its path"))
--- a/mulleinhatch/process/supervision.py
+++ b/mulleinhatch/process/supervision.py
@@ -1,4 +1,4 @@
-"""Own the background tasks of a process: restart those that must not end, cancel and await all of them at shutdown."""
+"""Supervision of background tasks: restarts those that must not end, and cancels and awaits all of them at shutdown."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 async def supervise(name: str, work: Callable[[], Awaitable[None]], restart_delay_s: float = RESTART_DELAY_S) -> None:
-    """Run `work` again and again until cancelled, with a delay after each end.
+    """Run `work` repeatedly until cancelled, with a delay after each end.
 
-    An OSError (a full disk, a lost connection) is expected in operation and logged as a warning; any other exception is a
+    An OSError (a full disk, a lost connection) is expected in operation and logged as a warning. Any other exception is a
     defect and logged with its traceback.
 
     Args:
-        name: Names the task in the log.
-        work: Starts the task; it should not return.
+        name: The task's name in the log.
+        work: A coroutine function that should not return.
         restart_delay_s: Seconds between an end and the next start.
     """
     while True:
@@ -37,7 +37,7 @@
     """Run coroutines as tasks until `stopped` is set or one of them ends; then cancel and await all of them.
 
     Raises:
-        Exception: What a task that ended by itself raised.
+        Exception: The exception of a task that failed before `stopped` was set.
     """
     tasks = [asyncio.create_task(coroutine) for coroutine in work]
     stop = asyncio.create_task(stopped.wait())
