--- a/mulleinhatch/messages/__init__.py
+++ b/mulleinhatch/messages/__init__.py
@@ -1,1 +1,1 @@
-"""The messages between the processes of the system; `cluster.proto` defines them and `cluster.py` is generated from it."""
+"""The messages between the processes of the system, defined in `cluster.proto`, from which `cluster.py` is generated."""
--- a/mulleinhatch/messages/base.py
+++ b/mulleinhatch/messages/base.py
@@ -1,7 +1,7 @@
-"""The base class of the internal messages: betterproto's, with what depends on the class alone computed once.
+"""The base class of the internal messages: betterproto's, with per-class values computed only once.
 
-betterproto 1 looks up the type hints of a class again for each of its fields, and each field's default again for each message.
-The encoding and the parser are betterproto's own; `tests/system/test_message_base.py` compares both base classes.
+betterproto 1 computes the type hints of a class anew for each of its fields, and each field's default anew for each message.
+Encoding and parsing are those of betterproto; `tests/system/test_message_base.py` compares both base classes.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @cache
 def _default_factories(message_type: type[Message]) -> tuple[tuple[str, Callable[[], Any]], ...]:
-    """Return the name of each field with what makes its default value.
+    """Return the name of each field and the factory of its default value.
 
     Raises:
         TypeError: The message has a one-of group, which this base class does not track.
@@ -36,27 +36,27 @@
     return tuple(factories)
 
 
-def _without_bytes(value: Any) -> str:
-    """Return the representation of a field's value, of bytes their number alone.
+def _repr_without_bytes(value: Any) -> str:
+    """Return the `repr` of a field's value, with the length of bytes instead of their content.
 
-    >>> _without_bytes([b"abc"]), _without_bytes("abc")
+    >>> _repr_without_bytes([b"abc"]), _repr_without_bytes("abc")
     ('[<3 bytes>]', "'abc'")
     """
     if isinstance(value, list):
-        return f"[{', '.join(map(_without_bytes, value))}]"
+        return f"[{', '.join(map(_repr_without_bytes, value))}]"
     return f"<{len(value)} bytes>" if isinstance(value, bytes) else repr(value)
 
 
 class Message(betterproto.Message):
-    """A protobuf message without one-of groups. No representation shows its bytes: they may hold a configuration with keys."""
+    """A protobuf message without one-of groups. Its `repr` omits bytes, which may contain a configuration with API keys."""
 
     def __init_subclass__(cls, **options: Any) -> None:
-        """Give each message class the representation below; `dataclass` would put its own, which shows all, in its place."""
+        """Set `__repr__` on each message class; otherwise `dataclass` would generate one that shows all values."""
         super().__init_subclass__(**options)
         cls.__repr__ = Message.__repr__
 
     def __repr__(self) -> str:
-        shown = (f"{field.name}={_without_bytes(getattr(self, field.name))}" for field in dataclasses.fields(self))
+        shown = (f"{field.name}={_repr_without_bytes(getattr(self, field.name))}" for field in dataclasses.fields(self))
         return f"{type(self).__qualname__}({', '.join(shown)})"
 
     @classmethod
--- a/mulleinhatch/messages/cluster.py
+++ b/mulleinhatch/messages/cluster.py
@@ -12,15 +12,16 @@
 @dataclass
 class Member(Message):
     """
-    A core node. `identity` belongs to its disk: a wiped disk gets a new one.
+    A control-plane node. `identity` belongs to its disk: a wiped disk gets a
+    new one.
     """
 
     identity: str = betterproto.string_field(1)
     name: str = betterproto.string_field(2)
     control_address: str = betterproto.string_field(3)
     internal_address: str = betterproto.string_field(4)
-    # Empty where the node runs a version that does not report them, or has not
-    # been heard yet.
+    # Empty if the node runs a version that does not report zone and region, or
+    # if no heartbeat of it has arrived yet.
     zone: str = betterproto.string_field(5)
     region: str = betterproto.string_field(6)
 
@@ -63,7 +64,7 @@
 @dataclass
 class PrepareRequest(Message):
     """
-    Phase 1a of the choice of the view after `base`.
+    Paxos phase 1a for the view after `base`.
     """
 
     base: "View" = betterproto.message_field(1)
@@ -73,7 +74,7 @@
 @dataclass
 class AcceptRequest(Message):
     """
-    Phase 2a of the choice of the view after `base`.
+    Paxos phase 2a for the view after `base`.
     """
 
     base: "View" = betterproto.message_field(1)
@@ -143,16 +144,16 @@
     entries: List["Entry"] = betterproto.message_field(4)
     snapshot: "Snapshot" = betterproto.message_field(5)
     committed: int = betterproto.uint64_field(6)
-    # Last index of a sender whose log is complete: the receiver's log is complete
-    # once it reaches it.
+    # The last index of a sender whose log is complete. The receiver's log is
+    # complete once it reaches this index.
     sender_last: int = betterproto.uint64_field(7)
 
 
 @dataclass
 class AppendResponse(Message):
     """
-    The response to AppendRequest. After a rejection the sender resends from
-    `last_index`.
+    The response to AppendRequest. After a rejection the sender resends the
+    entries after `last_index`.
     """
 
     accepted: bool = betterproto.bool_field(1)
@@ -165,9 +166,10 @@
 class SnapshotRequest(Message):
     """
     Asks a replica for a snapshot of the committed state in the view of
-    `epoch`. `awaits_commit`: once in the chain, the sender counts as current
-    only when it knows as committed all that its predecessor's log held when
-    its own became complete. A sender of an earlier version does not say so.
+    `epoch`. `awaits_commit` is true if the sender, once in the chain, counts
+    as current only when it knows that all entries are committed that its
+    predecessor's log had when its own log became complete. Senders of earlier
+    versions leave it false.
     """
 
     epoch: int = betterproto.uint64_field(1)
@@ -177,8 +179,8 @@
 @dataclass
 class SnapshotResponse(Message):
     """
-    The response to SnapshotRequest. `available` is false where the replica is
-    not in that view, or its log may be incomplete.
+    The response to SnapshotRequest. `available` is false if the replica is not
+    in that view, or if its log may be incomplete.
     """
 
     available: bool = betterproto.bool_field(1)
@@ -199,7 +201,7 @@
 class ConfirmResponse(Message):
     """
     The response to ConfirmRequest. `current` is true if the view is the newest
-    and the voter accepted no later one.
+    and the voter has accepted no later one.
     """
 
     voter: str = betterproto.string_field(1)
@@ -210,7 +212,7 @@
 @dataclass
 class Heartbeat(Message):
     """
-    Sent between core nodes at each heartbeat interval.
+    Sent between control-plane nodes at each heartbeat interval.
     """
 
     sender: "Member" = betterproto.message_field(1)
@@ -223,17 +225,17 @@
     data_planes: int = betterproto.uint32_field(8)
     demand: List["ModelDemand"] = betterproto.message_field(9)
     known_members: List["Member"] = betterproto.message_field(10)
-    # How long the sender has given no placement order.
+    # The time since the sender last issued a placement order.
     orders_idle_ms: int = betterproto.uint64_field(11)
-    # The sender's log certainly holds every entry that was committed before its
-    # view began.
+    # The sender's log is known to have every entry that was committed before
+    # its view began.
     log_complete: bool = betterproto.bool_field(12)
     # The sender's view, if the receiver is known to have an older one.
     newest: "View" = betterproto.message_field(13)
-    # Identities of nodes that have not responded to the sender for long.
+    # The identities of nodes that have not responded to the sender for long.
     unresponsive_peers: List[str] = betterproto.string_field(14)
-    # The sender's version applies the tenants of a patch; versions from before
-    # tenants ignore them.
+    # The sender's version applies the tenants in a patch; versions without
+    # support for tenants ignore them.
     keeps_tenants: bool = betterproto.bool_field(15)
 
 
@@ -247,17 +249,17 @@
     epoch: int = betterproto.uint64_field(2)
     newest: "View" = betterproto.message_field(3)
     known_members: List["Member"] = betterproto.message_field(4)
-    # The responder asks for every backend of the sender, once after its start.
+    # The responder has started and asks, once, for all backends of the sender.
     needs_all_backends: bool = betterproto.bool_field(5)
-    # The view of `epoch` is the newest that the responder knows, and it accepted
-    # no later one.
+    # The view of `epoch` is the newest that the responder knows, and it has
+    # accepted no later one.
     current: bool = betterproto.bool_field(6)
 
 
 @dataclass
 class LeaveRequest(Message):
     """
-    Asks the head to record the departure of backends.
+    Asks the head of the chain to record the departure of backends.
     """
 
     backends: List[str] = betterproto.string_field(1)
@@ -319,8 +321,8 @@
     order_revision: int = betterproto.uint64_field(14)
     remaining_ms: int = betterproto.uint32_field(15)
     silent: bool = betterproto.bool_field(16)
-    # Models and adapters that pending orders unload; no new request is sent for
-    # them.
+    # Models and adapters that pending orders unload; no new request for them is
+    # sent to this backend.
     unloads: List["PendingLoad"] = betterproto.message_field(17)
 
 
@@ -356,15 +358,14 @@
     registry_cursor: int = betterproto.uint64_field(5)
     demand: List["ModelDemand"] = betterproto.message_field(6)
     wait_ms: int = betterproto.uint32_field(7)
-    # Index of the newest departure entry that the data plane knows.
+    # The index of the newest departure entry that the data plane knows.
     departure_index: int = betterproto.uint64_field(8)
 
 
 @dataclass
 class PollResponse(Message):
     """
-    The response to PollRequest: what changed since the versions in the
-    request.
+    The response to PollRequest: the changes since the versions in the request.
     """
 
     authoritative: bool = betterproto.bool_field(1)
@@ -394,7 +395,8 @@
 
     node: str = betterproto.string_field(1)
     demand: List["ModelDemand"] = betterproto.message_field(2)
-    # Only urgent lines are included; the others stay as reported before.
+    # Only urgent entries are included; the others are unchanged from earlier
+    # reports.
     partial: bool = betterproto.bool_field(3)
 
 
@@ -411,24 +413,23 @@
 @dataclass
 class QuotaNeed(Message):
     """
-    A data plane's need of quota tokens of one tenant.
+    A data plane's demand for quota tokens of one tenant.
     """
 
     tenant: str = betterproto.string_field(1)
-    # The tokens of each request that waits for a grant, in the order in which they
-    # wait.
+    # The tokens of each request that is queued for a grant, in queue order.
     request_tokens: List[int] = betterproto.uint64_field(2)
-    # Wanted beyond these, for requests that are expected within the lifetime of
-    # the grant.
+    # Further tokens for requests that are expected within the lifetime of the
+    # grant.
     ahead_tokens: int = betterproto.uint64_field(3)
-    # Of earlier grants, surely not used and not usable any more.
+    # Tokens of earlier grants that were not used and can no longer be used.
     returned_tokens: int = betterproto.uint64_field(4)
 
 
 @dataclass
 class QuotaRequest(Message):
     """
-    Asks the owner of tenants, or a neighbour that holds grants of theirs, for
+    Asks the owner of tenants, or a neighbour that has grants of theirs, for
     quota tokens.
     """
 
@@ -445,13 +446,15 @@
     """
 
     tenant: str = betterproto.string_field(1)
-    # The first `granted_requests` of the requests that wait are granted.
+    # The number of queued requests that are granted, from the front of the
+    # queue.
     granted_requests: int = betterproto.uint32_field(2)
     ahead_tokens: int = betterproto.uint64_field(3)
-    # The grant ends so long after the moment before the request was sent, on the
-    # steady clock of the requester.
+    # The lifetime of the grant, from just before the request was sent, on the
+    # monotonic clock of the requester.
     lifetime_ms: int = betterproto.uint32_field(4)
-    # When more tokens can be expected; 0 where all that was asked for is granted.
+    # The time until more tokens can be expected; 0 if everything requested is
+    # granted.
     retry_after_ms: int = betterproto.uint32_field(5)
     # The receiver does not own the tenant in the view of `QuotaResponse.epoch`;
     # nothing is granted.
@@ -465,8 +468,8 @@
     """
 
     epoch: int = betterproto.uint64_field(1)
-    # A majority of voters confirmed the responder's view; without it nothing is
-    # granted.
+    # Whether a majority of voters has confirmed the responder's view; if not,
+    # nothing is granted.
     authoritative: bool = betterproto.bool_field(2)
     grants: List["QuotaGrant"] = betterproto.message_field(3)
     # The internal addresses of the chain, from which the owner of a tenant is
@@ -477,12 +480,12 @@
 @dataclass
 class QuotaLevel(Message):
     """
-    What is left of one tenant's bucket at its former owner.
+    The remaining level of one tenant's token bucket at its former owner.
     """
 
     tenant: str = betterproto.string_field(1)
-    # Tokens in the bucket at the moment of the response; negative after a request
-    # that was larger than the bucket.
+    # The tokens in the bucket at the time of the response; negative after a
+    # request that was larger than the bucket.
     level: float = betterproto.double_field(2)
     # Tokens that may still be credited for returned grants.
     returns_level: float = betterproto.double_field(3)
@@ -491,14 +494,14 @@
 @dataclass
 class QuotaHandoverRequest(Message):
     """
-    Asks the owner of tenants in the view before for what is left of their
-    buckets; it grants no more of these tenants.
+    Asks the owner of tenants in the previous view for the levels of their
+    buckets; it then stops granting their tokens.
     """
 
     # The epoch of the view in which the sender owns the tenants.
     epoch: int = betterproto.uint64_field(1)
     tenants: List[str] = betterproto.string_field(2)
-    # That view, for a receiver that does not know it yet.
+    # The view of `epoch`, for a receiver that does not know it yet.
     newest: "View" = betterproto.message_field(3)
 
 
@@ -509,20 +512,21 @@
     """
 
     accepted: bool = betterproto.bool_field(1)
-    # Of the tenants that the receiver owned in the view before, each once.
+    # One entry for each of the tenants that the receiver owned in the previous
+    # view.
     levels: List["QuotaLevel"] = betterproto.message_field(2)
 
 
 @dataclass
 class ConfirmationAgeRequest(Message):
     """
-    Asks a voter when it last confirmed a view to control planes that may be lost;
-    the voter confirms no older view any more.
+    Asks a voter when it last confirmed a view to control-plane nodes that may
+    have failed; from then on the voter confirms no older view.
     """
 
-    # A decided view, which the receiver learns before it answers.
+    # A decided view, which the receiver learns before it responds.
     newest: "View" = betterproto.message_field(1)
-    # Internal addresses.
+    # The internal addresses of these control-plane nodes.
     addresses: List[str] = betterproto.string_field(2)
 
 
@@ -533,7 +537,8 @@
     """
 
     voter: str = betterproto.string_field(1)
-    # Of the newest view that the voter knows.
+    # The epoch of the newest view that the voter knows.
     epoch: int = betterproto.uint64_field(2)
-    # For each address: the least time since the voter confirmed any view to it.
+    # For each address, the minimum time since the voter last confirmed a view
+    # to it.
     ages_ms: List[int] = betterproto.uint32_field(3)
--- a/mulleinhatch/messages/encoded.py
+++ b/mulleinhatch/messages/encoded.py
@@ -1,7 +1,8 @@
-"""Messages that carry others in their encoded form.
+"""Messages that contain other messages in encoded form.
 
-On the wire, a field of bytes is the same as a field of the message that the bytes encode. A sender that puts one message into
-many others encodes it once; receivers parse the ordinary type. Source: Protocol Buffers, "Encoding", length-delimited records.
+On the wire, a bytes field is identical to a field of the message that the bytes encode. A sender that puts one message into
+many others can therefore encode it once; receivers parse the ordinary type. Source: Protocol Buffers, "Encoding",
+length-delimited records.
 """
 
 from __future__ import annotations
@@ -16,6 +17,6 @@
 
 @dataclass
 class EncodedPollResponse(PollResponse):
-    """A `PollResponse` whose backends are encoded already; `PollResponse` parses it."""
+    """A `PollResponse` whose backends are already encoded; receivers parse it as a `PollResponse`."""
 
     backends: List[bytes] = betterproto.bytes_field(8)  # noqa: UP006 (betterproto reads the annotation)
