--- a/tests/system/placement_fakes.py
+++ b/tests/system/placement_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for tests of placement: a backend that keeps the rules of its API, and a control plane node that leads alone."""
+"""Fakes for placement tests: a backend that follows its API's rules, and a control plane node that leads a chain of one."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 ]
 ENGINE = {"slots": 8, "models": MODELS, "weights_mb": MODEL_MB, "adapter_slots": 2, "loads_per_s": 5.0}
 CONFIGURATION = {"version": 1, "routes": [], "services": [{"name": "s", "engine": ENGINE}], "limits": {}}
-REPORT_DELAY_S = 0.2  # reports show the backend's state of so long ago
+REPORT_DELAY_S = 0.2  # reports show the backend's state from this long ago
 
 
 @dataclass
 class ScriptedBackend:
-    """Has memory for one model, takes one order at a time, and crashes if it is ordered to load beyond its memory.
+    """A backend with memory for one model: accepts one order at a time and crashes if a load exceeds its memory.
 
-    It also stands in for the HTTP client: `request` answers as the backend would.
+    It also replaces the HTTP client: `request` responds as the backend would.
     """
 
     loop: VirtualLoop
     unload_s: float = 0.02
-    lost_responses: set[int] = field(default_factory=set)  # orders, by their number, whose responses are lost
+    lost_responses: set[int] = field(default_factory=set)  # numbers of the orders whose responses are lost
     models: set[str] = field(default_factory=lambda: {"a"})
     busy_until: float = 0.0
     sequence: int = 0
@@ -90,7 +90,7 @@
 
 
 def fake_node(loop: VirtualLoop) -> SimpleNamespace:
-    """Return a control plane node that leads a chain of one and has one backend with model `a`."""
+    """Return the only control plane node of a chain, with one backend that has model `a` loaded."""
     registry = BackendRegistry(1.0, lambda backend_id: None)
     record = Backend(id="i", service="s", address="i:1", slots=8, sequence=1, models=[LoadedModel(name="a")])
     registry.merge(record, 0.0)
@@ -119,21 +119,21 @@
     """Runs a controller against a scripted backend in virtual time."""
 
     def play(self, until: float = 6.0, **backend) -> ScriptedBackend:
-        """Keep a request for `b` pending from second 1, while `a` is loaded without demand."""
+        """Report pending requests for `b` from second 1 until `b` is loaded; `a` is loaded without demand."""
         loop = VirtualLoop()
         self.addCleanup(loop.close)
         script = ScriptedBackend(loop, **backend)
         self.node = fake_node(loop)
         self.controller = PlacementController(self.node, script, loop.time, Bounds())
 
-        async def ask() -> None:
+        async def report_demand() -> None:
             for second in range(1, int(until)):
                 await asyncio.sleep(float(second) - loop.now)
                 is_waiting = "b" not in script.models
                 demand = [ModelDemand("s", "b", "", 2 * is_waiting, 1.0, 2.0)]
                 await self.controller.on_demand(DemandReport("n", demand))
 
-        work = [loop.create_task(ask()), loop.create_task(self.controller.run())]
+        work = [loop.create_task(report_demand()), loop.create_task(self.controller.run())]
         loop.run_until_complete(asyncio.wait(work, timeout=until))
         for task in asyncio.all_tasks(loop):
             task.cancel()
--- a/tests/system/test_backend_heartbeats.py
+++ b/tests/system/test_backend_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of backends: what is valid, what an error names, and that a repeated body is judged as a new one would be."""
+"""Validation of backend heartbeats: valid bodies, errors that name the field, and the same result for repeated bodies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return parser.parse("i-1", json.dumps(payload).encode())
 
 
-class BackendHeartbeats(unittest.TestCase):
+class HeartbeatValidation(unittest.TestCase):
     def test_an_invalid_heartbeat_names_the_field(self):
         read = parsed(HeartbeatParser(), {"service": "s", "address": "nowhere", "sequence": 1})
         self.assertIsInstance(read, Err)
@@ -43,40 +43,40 @@
         read = parsed(HeartbeatParser(), {**VALID, "state": "draining", "remaining_ms": 700, "new": [1]}).ok_value
         self.assertEqual((read.draining, read.slots, read.remaining_ms, read.models[0].adapters), (True, 6, 700, ["a1"]))
 
-    def test_numbers_that_no_message_can_carry_are_errors_that_name_them(self):
+    def test_numbers_that_no_message_can_carry_are_rejected_by_field_name(self):
         for field in ("sequence", "slots", "cold_remaining_ms", "remaining_ms"):
             for value in (1 << 64, 1e400, float("nan"), -(1 << 70)):
-                for parser in (HeartbeatParser(), self.parser_that_knows_the_backend()):
+                for parser in (HeartbeatParser(), self.parser_with_cached_heartbeat()):
                     with self.subTest(field=field, value=value):
                         read = parsed(parser, {**VALID, field: value})
                         self.assertIsInstance(read, Err)
                         self.assertIn(field, read.err_value)
 
-    def parser_that_knows_the_backend(self) -> HeartbeatParser:
+    def parser_with_cached_heartbeat(self) -> HeartbeatParser:
         parser = HeartbeatParser()
         self.assertIsInstance(parsed(parser, VALID), Ok)
         return parser
 
     @settings(max_examples=400, deadline=None)
     @given(first=changes, second=changes)
-    def test_a_repeated_body_is_judged_as_a_new_one(self, first: dict[str, Any], second: dict[str, Any]):
+    def test_a_repeated_body_is_validated_like_a_new_one(self, first: dict[str, Any], second: dict[str, Any]):
         parser = HeartbeatParser()
         parsed(parser, {**VALID, **first})
-        known, fresh = parsed(parser, {**VALID, **second}), parsed(HeartbeatParser(), {**VALID, **second})
-        self.assertEqual(known, fresh)
+        cached, fresh = parsed(parser, {**VALID, **second}), parsed(HeartbeatParser(), {**VALID, **second})
+        self.assertEqual(cached, fresh)
         if isinstance(fresh, Ok):
             record = fresh.ok_value
             self.assertEqual(Backend().parse(bytes(record)), record)
 
     def test_a_repeated_body_is_not_validated_by_the_schema(self):
-        parser = self.parser_that_knows_the_backend()
+        parser = self.parser_with_cached_heartbeat()
         with unittest.mock.patch.object(heartbeat_parser, "HEARTBEAT_SCHEMA", None):
             read = parsed(parser, {**VALID, "sequence": 5, "cold_remaining_ms": 12.5}).ok_value
             self.assertEqual((read.sequence, read.cold_remaining_ms), (5, 12))
             with self.assertRaises(AttributeError):
                 parsed(parser, {**VALID, "slots": 7})
 
-    def test_memory_is_bounded(self):
+    def test_cache_size_is_bounded(self):
         parser = HeartbeatParser()
         for number in range(heartbeat_parser.MAX_REMEMBERED_BACKENDS + 10):
             parser.parse(f"i-{number}", b'{"service":"s","address":"a:1","sequence":1}')
--- a/tests/system/test_demand.py
+++ b/tests/system/test_demand.py
@@ -1,4 +1,4 @@
-"""Totals over the demand reports of data planes: partial reports, expired reports, impossible entries."""
+"""Totals of the demand reports of data planes: partial reports, expired reports, impossible entries."""
 
 import math
 import unittest
@@ -11,7 +11,7 @@
     return ModelDemand("s", model, adapter, pending, rate, 2.0 * rate, running=running)
 
 
-class Reports(unittest.TestCase):
+class DemandTotals(unittest.TestCase):
     def setUp(self):
         self.demand = DemandAggregator()
 
--- a/tests/system/test_log_lines.py
+++ b/tests/system/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Every log line of the system's programs stands in docs/operate/system.md, where the engineer on call looks it up."""
+"""Every log message of the system's programs is listed in docs/operate/system.md, for the engineer on call."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 PACKAGES = ("control_plane", "data_plane", "networking", "process", "storage")
 
 
-def log_lines() -> Iterator[tuple[str, str]]:
-    """Yield the file and the phrase of each log call."""
+def log_messages() -> Iterator[tuple[str, str]]:
+    """Yield the file and the message of each log call."""
     for package in PACKAGES:
         for path in sorted((ROOT / "mulleinhatch" / package).rglob("*.py")):
             for call in ast.walk(ast.parse(path.read_text())):
@@ -21,13 +21,13 @@
                     yield str(path.relative_to(ROOT)), ast.literal_eval(call.args[0])
 
 
-class LogLines(unittest.TestCase):
-    def test_the_page_lists_every_log_line(self):
+class LogMessages(unittest.TestCase):
+    def test_the_page_lists_every_log_message(self):
         rows = [line for line in PAGE.read_text().splitlines() if line.startswith("| `")]
         listed = {row.split("|")[1].strip().strip("`") for row in rows}
-        lines = list(log_lines())
-        self.assertGreater(len(lines), 20)
-        missing = [(path, phrase) for path, phrase in lines if phrase not in listed]
+        messages = list(log_messages())
+        self.assertGreater(len(messages), 20)
+        missing = [(path, message) for path, message in messages if message not in listed]
         self.assertEqual(missing, [])
 
 
--- a/tests/system/test_message_base.py
+++ b/tests/system/test_message_base.py
@@ -1,4 +1,4 @@
-"""The base class of the internal messages agrees with betterproto's; the import of circuits leaves out what is not used."""
+"""The base class of the internal messages behaves like betterproto's; the planes do not import unused modules."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class MessageBase(unittest.TestCase):
-    def test_every_message_uses_it(self):
+    def test_every_message_uses_the_base_class(self):
         self.assertGreater(len(MESSAGES), 20)
         for message_type in MESSAGES:
             self.assertIn("__post_init__", dir(message_type))
             self.assertIs(message_type.__post_init__, base.Message.__post_init__)
 
-    def test_a_new_message_is_as_betterproto_makes_it(self):
+    def test_a_new_message_equals_that_of_betterproto(self):
         for message_type in MESSAGES:
             ours, theirs = message_type(), message_type()
             betterproto.Message.__post_init__(theirs)
@@ -54,7 +54,7 @@
         newer = bytes(cluster.Member(name="n1")) + bytes([0x82, 0x7D, 0x01]) + b"x"
         self.assertEqual(bytes(cluster.Member().parse(newer)), newer)
 
-    def test_a_one_of_group_is_refused(self):
+    def test_a_one_of_group_is_rejected(self):
         @dataclass
         class Either(base.Message):
             one: str = betterproto.string_field(1, group="which")
@@ -63,9 +63,9 @@
             Either()
 
 
-class ImportedParts(unittest.TestCase):
+class ImportedModules(unittest.TestCase):
     def test_the_planes_import_only_what_they_use(self):
-        """A start pays for each imported module: those listed here are not needed by either plane."""
+        """Each imported module lengthens the start; neither plane needs those listed here."""
         unused = ["circuits.web.controllers", "circuits.web.dispatchers", "circuits.web.client", "fire", "pkg_resources"]
         for plane in ("control_plane", "data_plane"):
             code = (
--- a/tests/system/test_order_client.py
+++ b/tests/system/test_order_client.py
@@ -1,4 +1,4 @@
-"""The HTTP form of an order."""
+"""The HTTP request of an order."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 BACKEND = SimpleNamespace(id="i-1", address="i:1")
 
 
-class Sending(unittest.IsolatedAsyncioTestCase):
+class SendOrder(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.now = 100.0
         self.requests: list[tuple] = []
@@ -54,7 +54,7 @@
         order = json.loads(self.requests[0][3])
         self.assertEqual((order["operation"], order["model"], order["adapter"]), ("unload", "m", "x"))
 
-    async def test_idle_time_counts_also_orders_without_a_response(self):
+    async def test_idle_time_also_counts_from_an_order_without_a_response(self):
         self.assertEqual(self.client.idle_s(), NEVER_ISSUED_S)
         self.error = HttpCallError("i:1", "no answer")
         with self.assertRaises(HttpCallError):
--- a/tests/system/test_order_dispatch.py
+++ b/tests/system/test_order_dispatch.py
@@ -1,4 +1,4 @@
-"""Orders to a backend that keeps the rules of its API: an unload, the load that follows it, lost responses."""
+"""Orders to a backend that follows its API's rules: an unload, the load that follows it, lost responses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.assertEqual(script.models, {"b"})
         self.assertFalse(script.has_crashed)
 
-    def test_waits_for_an_unload_that_waits_for_running_requests(self):
+    def test_load_is_retried_while_the_unload_waits_for_running_requests(self):
         script = self.play(unload_s=1.5)
         self.assertEqual([order[1:] for order in script.accepted[:2]], [("unload", "a"), ("load", "b")])
         self.assertGreaterEqual(script.accepted[1][0] - script.accepted[0][0], 1.5)
@@ -44,7 +44,7 @@
 
 
 class FakeLeadership:
-    """Leads until told otherwise."""
+    """Leads until `leads` is cleared or leadership is revoked."""
 
     def __init__(self) -> None:
         self.leads = True
@@ -59,8 +59,8 @@
         self.leads = False
 
 
-class Responses(unittest.IsolatedAsyncioTestCase):
-    """One order, its response given by the test; background work runs at the end of `issue`."""
+class OrderResponses(unittest.IsolatedAsyncioTestCase):
+    """One order with a response chosen by the test; `issue` runs the background task that sends it."""
 
     def setUp(self):
         self.sent: list[tuple[Order, int]] = []
@@ -110,7 +110,7 @@
         await self.issue(412, Order("i", Operation.LOAD, "b"))
         self.assertEqual((self.leadership.revoked, self.leadership.rejected_token), (1, 9))
 
-    async def test_a_load_after_an_unload_is_not_repeated_once_its_token_was_rejected(self):
+    async def test_follow_up_load_is_not_retried_after_its_token_was_rejected(self):
         load = Order("i", Operation.LOAD, "b")
         await self.issue(202, Order("i", Operation.UNLOAD, "a", reserved_for="b", follow_up=load))
         self.status = 412
@@ -119,7 +119,7 @@
         self.assertEqual([order.model for order, _ in self.sent], ["a", "b"])
         self.assertEqual((self.leadership.revoked, self.leadership.rejected_token), (1, 9))
 
-    async def test_an_order_that_the_client_holds_back_is_dropped(self):
+    async def test_order_that_the_client_does_not_send_is_dropped(self):
         await self.issue(None, Order("i", Operation.LOAD, "b"))
         self.assertIsNone(self.state.in_flight)
 
--- a/tests/system/test_placement_controller.py
+++ b/tests/system/test_placement_controller.py
@@ -1,4 +1,4 @@
-"""The reconcile loop of placement against a backend that keeps the rules of its API, in virtual time."""
+"""The placement reconcile loop against a backend that follows its API's rules, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.system.placement_fakes import PlacementCase, fake_node
 
 
-class Reconciling(PlacementCase):
+class Reconciliation(PlacementCase):
     def test_at_most_one_order_is_in_flight_at_a_backend(self):
         script = self.play()
         self.assertEqual(self.controller.recent_orders[0]["operation"], "unload")
@@ -32,7 +32,7 @@
         self.assertEqual(backend.order_revision >> 32, 1)
 
 
-class Demanding(unittest.TestCase):
+class DemandReports(unittest.TestCase):
     def setUp(self):
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
@@ -42,7 +42,7 @@
     def run_in_loop(self, work):
         return self.loop.run_until_complete(work)
 
-    def test_response_says_whether_this_instance_leads(self):
+    def test_response_says_whether_this_node_leads(self):
         report = DemandReport("n", [])
         self.assertFalse(self.run_in_loop(self.controller.on_demand(report)).accepted)
         self.run_in_loop(self.controller.reconcile())
@@ -66,7 +66,7 @@
                 self.assertTrue(controller.leadership.is_acting)
                 self.assertEqual(before - controller._store_loads.available(self.loop.now), loads)
 
-    def test_instance_without_orders_reports_the_longest_idle_time(self):
+    def test_node_without_orders_reports_the_longest_idle_time(self):
         self.assertEqual(self.controller.idle_s(), NEVER_ISSUED_S)
 
 
--- a/tests/system/test_placement_leadership.py
+++ b/tests/system/test_placement_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of placement: what of the cluster decides whether an instance may claim it and issue orders."""
+"""Placement leadership: the cluster state that decides whether a node may claim it and issue orders."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LEASE_S = 3.0
 
 
-class Leading(unittest.IsolatedAsyncioTestCase):
+class Leadership(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         loop = VirtualLoop()
         self.addCleanup(loop.close)
@@ -25,18 +25,18 @@
     def make_leadership(self, is_fenced: bool = False) -> PlacementLeadership:
         return PlacementLeadership(self.node, lambda: self.now, LEASE_S, is_fenced)
 
-    def follow(self, **peer) -> None:
-        """Another instance leads; `peer` is what its heartbeats said."""
+    def set_other_leader(self, **peer) -> None:
+        """Make another node the leader, with the fields `peer` of its latest heartbeat."""
         self.node.state.leader, self.node.state.fencing_token = "other", 4
         self.node.peers.by_identity["other"] = SimpleNamespace(**{"leaving": False, "epoch": 1, "orders_idle_s": 0.0} | peer)
 
-    async def test_claims_at_once_where_nobody_led_before(self):
+    async def test_claims_at_once_if_there_was_no_leader(self):
         self.assertIs(self.leadership.observe(), LeaseState.CLAIMING)
         self.assertTrue(await self.leadership.acquire())
         self.assertTrue(self.leadership.confirm())
         self.assertEqual(self.leadership.token, 1)
 
-    async def test_claim_that_fails_leads_nothing(self):
+    async def test_failed_claim_does_not_lead(self):
         for failure in (0, OSError(28, "No space left on device")):
             with self.subTest(failure=failure):
 
@@ -50,7 +50,7 @@
                 self.assertFalse(await self.leadership.acquire())
                 self.assertEqual(self.leadership.token, 0)
 
-    def test_does_not_claim_without_being_a_head_in_contact_with_a_majority(self):
+    def test_claims_only_as_head_with_majority_contact_that_is_not_leaving(self):
         for change in ({"replica": SimpleNamespace(is_head=False)}, {"has_majority_contact": lambda: False}, {"leaving": True}):
             with self.subTest(change=list(change)):
                 former = {name: getattr(self.node, name) for name in change}
@@ -58,7 +58,7 @@
                 self.assertIs(self.make_leadership().observe(), LeaseState.FOLLOWER)
                 vars(self.node).update(former)
 
-    async def test_pauses_while_it_lost_contact(self):
+    async def test_pauses_while_it_has_no_majority_contact(self):
         self.leadership.observe()
         await self.leadership.acquire()
         self.node.has_majority_contact = lambda: False
@@ -66,7 +66,7 @@
         self.node.has_majority_contact = lambda: True
         self.assertTrue(self.leadership.confirm())
 
-    async def test_revoked_leadership_has_to_be_claimed_again(self):
+    async def test_revoked_leadership_must_be_claimed_again(self):
         self.leadership.observe()
         await self.leadership.acquire()
         self.leadership.revoke(1)
@@ -74,7 +74,7 @@
         self.assertTrue(self.leadership.is_token_rejected())
         self.assertFalse(self.leadership.confirm())
 
-    async def test_a_rejected_token_is_not_borne_again_until_a_new_claim(self):
+    async def test_rejected_token_is_not_used_until_a_new_claim(self):
         tokens = iter((5, 5, 6))
 
         async def claim_leadership() -> int:
@@ -92,7 +92,7 @@
         self.assertEqual(acted, [False, True])
         self.assertFalse(self.leadership.is_token_rejected())
 
-    async def test_a_late_rejection_of_an_earlier_term_leaves_the_current_one(self):
+    async def test_late_rejection_of_an_earlier_token_does_not_end_the_current_term(self):
         self.node.claim_leadership = mock.AsyncMock(return_value=8)
         self.leadership.observe()
         await self.leadership.acquire()
@@ -108,23 +108,23 @@
         return self.now
 
     def test_waits_for_the_lease_of_a_reachable_leader_even_with_fencing(self):
-        self.follow()
+        self.set_other_leader()
         self.assertGreaterEqual(self.seconds_until_claim(is_fenced=True), LEASE_S)
 
     def test_waits_less_for_an_unreachable_leader_only_with_fencing(self):
-        self.follow()
+        self.set_other_leader()
         self.node.peers.is_alive = lambda *more: False
         self.assertGreaterEqual(self.seconds_until_claim(is_fenced=False), LEASE_S)
         self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_WAIT_S)
 
     def test_restarted_leader_that_issued_nothing_counts_as_unreachable(self):
-        self.follow(orders_idle_s=NEVER_ISSUED_S)
+        self.set_other_leader(orders_idle_s=NEVER_ISSUED_S)
         self.assertEqual(self.seconds_until_claim(is_fenced=True), FENCED_WAIT_S)
-        self.follow(orders_idle_s=NEVER_ISSUED_S, epoch=0)
+        self.set_other_leader(orders_idle_s=NEVER_ISSUED_S, epoch=0)
         self.assertGreaterEqual(self.seconds_until_claim(is_fenced=True), LEASE_S)
 
     def test_idle_time_of_a_leaving_leader_shortens_the_wait(self):
-        self.follow(leaving=True, orders_idle_s=2.0)
+        self.set_other_leader(leaving=True, orders_idle_s=2.0)
         self.assertLess(self.seconds_until_claim(is_fenced=False), LEASE_S - 1.5)
 
 
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -1,6 +1,6 @@
-"""Run both programs as processes on loopback, with simulated backends, and observe them as operators and clients do.
+"""Both programs run as processes on loopback with simulated backends, and are observed as operators and clients do.
 
-No step waits for a fixed time: it continues as soon as its condition holds and fails after a timeout.
+No step waits for a fixed time: each continues as soon as its condition holds and fails after a timeout.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
         self.control = [f"{control_plane_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
         self.fronts = [f"{data_plane_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
         self.backends = make_backends(3, self.control)
-        self.caller = HttpClient()
+        self.client = HttpClient()
 
     async def start(self) -> None:
         for number in range(CORES):
@@ -53,7 +53,7 @@
             self.start_plane("data", number)
         for backend in self.backends:
             await backend.start()
-        await put_configuration(self.caller, self.control[0], TIMEOUT_S)
+        await put_configuration(self.client, self.control[0], TIMEOUT_S)
 
     def start_plane(self, kind: str, number: int) -> None:
         first = not (self.folder / f"{kind}-{number}.conf").exists()
@@ -71,34 +71,34 @@
             self.kill(kind, number)
 
     async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> HttpResponse | None:
-        """Return the first response below 500 of any control plane, redirects followed; None if there is none now."""
+        """Return the first response with a status below 500 of any control plane, after redirects; None if there is none."""
         fields = ((b"If-Match", b"%d" % base),) if base is not None else ()
-        for start in self.control:
-            answer = await self._follow(start, method, path, body, fields)
-            if answer is not None and answer.status < 500:
-                return answer
+        for first_address in self.control:
+            response = await self._follow(first_address, method, path, body, fields)
+            if response is not None and response.status < 500:
+                return response
         return None
 
     async def _follow(self, address: str, method: str, path: str, body: bytes, fields: tuple) -> HttpResponse | None:
         for _ in range(3):
             try:
-                answer = await self.caller.request(address, method, path, body, 2.0, "application/json", fields)
+                response = await self.client.request(address, method, path, body, 2.0, "application/json", fields)
             except HttpCallError:
                 return None
-            if answer.status != 307:
-                return answer
-            address = answer.head.field_values[b"location"].decode().removeprefix("http://").partition("/")[0]
+            if response.status != 307:
+                return response
+            address = response.head.field_values[b"location"].decode().removeprefix("http://").partition("/")[0]
         return None
 
     async def version(self) -> int | None:
-        answer = await self.call("GET", "/configuration")
-        return json.loads(answer.body)["version"] if answer is not None and answer.status == 200 else None
+        response = await self.call("GET", "/configuration")
+        return json.loads(response.body)["version"] if response is not None and response.status == 200 else None
 
     async def change(self, base: int, version: int) -> int:
-        """Send a change until the response is below 500; return its status."""
+        """Send a change until a response has a status below 500; return the status."""
         body = json.dumps({**configuration(version), "note": version}).encode()
-        answer = await until(lambda: self.call("PUT", "/configuration", body, base))
-        return answer.status
+        response = await until(lambda: self.call("PUT", "/configuration", body, base))
+        return response.status
 
 
 async def until(read_value: Callable[[], Awaitable], is_expected: Callable[[object], bool] = lambda value: value is not None):
@@ -137,7 +137,7 @@
         self.assertEqual(set(runs), {1})
         self.assertEqual(sum(backend.counters.capacity_violations for backend in self.system.backends), 0)
 
-    async def test_a_change_survives_the_head_and_a_restart_of_all(self):
+    async def test_a_change_survives_the_loss_of_the_head_and_a_restart_of_all(self):
         system = self.system
         self.assertEqual(await system.change(1, 4), 200)
         self.assertEqual(await system.change(1, 5), 412)
--- a/tests/system/test_published_holdings.py
+++ b/tests/system/test_published_holdings.py
@@ -1,4 +1,4 @@
-"""What data planes are notified of: loaded models, orders in flight, revisions that follow the fencing token."""
+"""Holdings published to data planes: loaded models, orders in flight, revisions that grow with the fencing token."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     def count_heartbeat(self) -> None:
         self.heartbeats += 1
 
-    def test_revisions_grow_and_those_of_a_later_leader_are_higher(self):
+    def test_revisions_increase_within_a_term_and_from_leader_to_leader(self):
         self.publisher.publish("i", state_with())
         self.publisher.publish("i", state_with())
         self.leadership.token = 4
--- a/tests/system/test_report_poller.py
+++ b/tests/system/test_report_poller.py
@@ -1,4 +1,4 @@
-"""Polling backends for reports: when a report is requested, when it is applied, how failures back off."""
+"""Polling backends for reports: when a report is requested, when it is applied, and the backoff after failures."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self.forgotten.append(address)
 
     async def poll(self, response) -> bool:
-        """Whether a poll was due; its response is the given one."""
+        """Poll if due and handle the given response; return whether a poll was due."""
         self.response = response
         self.poller.poll_if_due(BACKEND, self.state, self.now)
         if not self.started:
@@ -91,7 +91,7 @@
         self.assertEqual(len(self.forgotten), 4)
         self.assertFalse(self.state.is_known)
 
-    async def test_failures_are_counted_anew_after_a_report(self):
+    async def test_report_resets_the_failure_count(self):
         for response in (HttpCallError("i:1", "refused"), self.report("a", busy=True), HttpCallError("i:1", "refused")):
             self.assertTrue(await self.poll(response))
             pause_s = self.state.next_poll_at - self.now
@@ -124,20 +124,20 @@
         self.assertIs(self.state.in_flight, in_flight)
 
 
-class Completion(unittest.TestCase):
-    def test_order_without_a_new_revision_ends_when_it_is_overdue(self):
+class OrderCompletion(unittest.TestCase):
+    def test_order_without_a_new_revision_expires_when_it_is_overdue(self):
         report = BackendReport({}, False, 1)
         in_flight = OrderInFlight(LOAD, 10.0, 12.0, 1)
         self.assertFalse(in_flight.is_completed_by(report, 17.9))
         self.assertTrue(in_flight.is_completed_by(report, 18.1))
 
-    def test_order_whose_response_was_lost_ends_sooner(self):
+    def test_order_whose_response_was_lost_expires_sooner(self):
         report = BackendReport({}, False, 1)
         in_flight = OrderInFlight(LOAD, 10.0, 12.0, 1, is_response_lost=True)
         self.assertFalse(in_flight.is_completed_by(report, 12.1))
         self.assertTrue(in_flight.is_completed_by(report, 12.2))
 
-    def test_body_that_is_no_report_is_rejected(self):
+    def test_body_that_is_not_a_report_is_rejected(self):
         for body in (b"", b"[]", b'{"models":[{}]}', b'{"models":3}', b'{"sequence":"x"}'):
             with self.subTest(body=body), self.assertRaises(ValueError):
                 parse_report(body)
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -12,7 +12,7 @@
 from mulleinhatch.simulation.virtual_time import VirtualLoop
 
 
-class Supervised(unittest.TestCase):
+class Supervision(unittest.TestCase):
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
@@ -20,12 +20,12 @@
         self.addCleanup(self.loop.close)
 
     def test_work_that_raises_or_ends_is_restarted(self):
-        begun = []
+        started_at = []
 
         async def work() -> None:
-            begun.append(self.loop.time())
-            if len(begun) < 3:
-                raise OSError("full") if len(begun) == 1 else ValueError("a fault")
+            started_at.append(self.loop.time())
+            if len(started_at) < 3:
+                raise OSError("full") if len(started_at) == 1 else ValueError("a fault")
 
         async def main() -> None:
             task = asyncio.ensure_future(supervise("work", work, 1.0))
@@ -33,7 +33,7 @@
             task.cancel()
 
         self.loop.run_until_complete(main())
-        self.assertEqual(begun, [0.0, 1.0, 2.0, 3.0])
+        self.assertEqual(started_at, [0.0, 1.0, 2.0, 3.0])
 
 
 class RunUntilStopped(unittest.IsolatedAsyncioTestCase):
@@ -62,8 +62,8 @@
         self.assertEqual(self.cancelled, 1)
 
 
-class RefusingCore:
-    """A node whose disk is full, as far as a claim needs it."""
+class FullDiskNode:
+    """A node whose leadership claims fail because its disk is full."""
 
     on_store_load = None
 
@@ -71,11 +71,11 @@
         raise OSError(28, "No space left on device")
 
 
-class Claims(unittest.IsolatedAsyncioTestCase):
-    async def test_a_claim_that_the_disk_refuses_is_no_claim(self):
-        """Found by a hunt: a control plane ended itself when its disk was full as it claimed the orders."""
-        orders = PlacementController(RefusingCore(), None, lambda: 0.0, Bounds())
-        self.assertEqual(await orders.leadership.claim(), 0)
+class LeadershipClaims(unittest.IsolatedAsyncioTestCase):
+    async def test_claim_fails_when_the_disk_is_full(self):
+        """A fault found by randomized tests: a control plane with a full disk terminated itself when it claimed leadership."""
+        controller = PlacementController(FullDiskNode(), None, lambda: 0.0, Bounds())
+        self.assertEqual(await controller.leadership.claim(), 0)
 
 
 if __name__ == "__main__":
