--- a/mulleinhatch/control_plane/api/backend_heartbeats.py
+++ b/mulleinhatch/control_plane/api/backend_heartbeats.py
@@ -54,7 +54,7 @@
         return await self._handle_heartbeat(parsed.ok_value)
 
     async def _handle_departure(self, backend_id: str) -> HttpServerResponse:
-        """Record that a backend is shutting down; acknowledge it only after the record is replicated."""
+        """Record that a backend has shut down or is shutting down; acknowledge it only after the record is replicated."""
         is_recorded = await self._node.record_departure(backend_id)
         self._node.registry.deregister(backend_id, self._clock())
         self._node.request_heartbeat()
--- a/mulleinhatch/control_plane/api/heartbeat_parser.py
+++ b/mulleinhatch/control_plane/api/heartbeat_parser.py
@@ -16,7 +16,7 @@
 from mulleinhatch.messages.cluster import Backend, LoadedModel
 from mulleinhatch.messages.parsing import MAX_COUNT
 
-MAX_REMEMBERED_BACKENDS = 4096  # above the target number of backends; when it is reached, the cache is cleared
+MAX_CACHED_BACKENDS = 4096  # above the target number of backends; when it is reached, the cache is cleared
 CHANGING_FIELDS = ("sequence", "cold_remaining_ms", "remaining_ms")  # numbers that change with every heartbeat
 
 
@@ -84,11 +84,11 @@
                 HEARTBEAT_SCHEMA.validate(payload)
             except SchemaError as error:
                 return Err(f"instance {backend_id}: {_describe(error)}; correct that field")
-            validated = self._remember(backend_id, text, payload)
+            validated = self._cache_heartbeat(backend_id, text, payload)
         return Ok(_build_backend(backend_id, payload, validated.models))
 
-    def _remember(self, backend_id: str, text: str, payload: dict[str, Any]) -> ValidatedFields:
-        if len(self._validated) >= MAX_REMEMBERED_BACKENDS:
+    def _cache_heartbeat(self, backend_id: str, text: str, payload: dict[str, Any]) -> ValidatedFields:
+        if len(self._validated) >= MAX_CACHED_BACKENDS:
             self._validated.clear()
         models = [_build_model(model) for model in payload.get("models", ())]
         validated = self._validated[backend_id] = ValidatedFields(text, models)
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -38,7 +38,7 @@
 LOG = logging.getLogger(__name__)
 RECONCILE_INTERVAL_S = 0.1
 FOLLOWER_INTERVAL_S = 0.5  # interval on a node that may not lead; a new view triggers a pass at once
-RECONCILE_REST_FACTOR = 5.0  # a pass is followed by a pause of this many times its duration, up to one interval
+RECONCILE_PAUSE_FACTOR = 5.0  # a pass is followed by a pause of this many times its duration, up to one interval
 ASSUMED_PREVIOUS_LOADS = 3  # store loads that the previous leader may have started without publishing them
 ASSUMED_LOAD_AGE_FRACTION = 0.6  # assumed age of these loads, as a fraction of the rate limiter's window
 
@@ -108,7 +108,7 @@
             await self.reconcile()
             interval_s = FOLLOWER_INTERVAL_S if self.leadership.is_following else RECONCILE_INTERVAL_S
             duration_s = self._clock() - started_at
-            await asyncio.sleep(min(RECONCILE_INTERVAL_S, RECONCILE_REST_FACTOR * duration_s))
+            await asyncio.sleep(min(RECONCILE_INTERVAL_S, RECONCILE_PAUSE_FACTOR * duration_s))
 
     async def reconcile(self) -> None:
         """Claim leadership if it is vacant; on the leader, poll backends and issue orders."""
--- a/mulleinhatch/control_plane/placement/order_dispatch.py
+++ b/mulleinhatch/control_plane/placement/order_dispatch.py
@@ -26,7 +26,7 @@
 LOG = logging.getLogger(__name__)
 FOLLOW_UP_RETRY_DELAYS_S = (0.05, 0.05, 0.1)  # before each attempt to send a load right after its unload
 RESERVATION_S = 4.0  # how long the memory that an unload frees stays reserved for the model to load
-RECENT_ORDERS_KEPT = 50  # the number of orders that `/status` lists
+MAX_RECENT_ORDERS = 50  # the number of orders that `/status` lists
 
 
 class OrderDispatcher:
@@ -52,7 +52,7 @@
     ) -> None:
         self._tasks, self._clock, self._client = tasks, clock, client
         self._leadership, self._publisher, self._store_loads = leadership, publisher, store_loads
-        self.recent_orders: deque[dict[str, str]] = deque(maxlen=RECENT_ORDERS_KEPT)
+        self.recent_orders: deque[dict[str, str]] = deque(maxlen=MAX_RECENT_ORDERS)
 
     def issue(self, backend: Backend, state: BackendState, order: Order, now: float) -> None:
         """Record an order as in flight, publish it, and send it in the background."""
--- a/tests/system/test_backend_heartbeats.py
+++ b/tests/system/test_backend_heartbeats.py
@@ -78,9 +78,9 @@
 
     def test_cache_size_is_bounded(self):
         parser = HeartbeatParser()
-        for number in range(heartbeat_parser.MAX_REMEMBERED_BACKENDS + 10):
+        for number in range(heartbeat_parser.MAX_CACHED_BACKENDS + 10):
             parser.parse(f"i-{number}", b'{"service":"s","address":"a:1","sequence":1}')
-        self.assertLessEqual(len(parser._validated), heartbeat_parser.MAX_REMEMBERED_BACKENDS)
+        self.assertLessEqual(len(parser._validated), heartbeat_parser.MAX_CACHED_BACKENDS)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -30,7 +30,7 @@
 )
 from mulleinhatch.networking.http_client import HttpCallError, HttpClient, HttpResponse
 
-CORES, FRONTS = 3, 2
+CONTROL_PLANES, DATA_PLANES = 3, 2
 TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.05
 
@@ -38,26 +38,26 @@
 class System:
     """The planes and backends of one test."""
 
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
+    def __init__(self, directory: Path) -> None:
+        self.directory = directory
         self.planes: dict[tuple[str, int], subprocess.Popen[bytes]] = {}
-        self.control = [f"{control_plane_ip(number)}:{demo.CONTROL_PORT}" for number in range(CORES)]
-        self.fronts = [f"{data_plane_ip(number)}:{demo.FRONT_PORT}" for number in range(FRONTS)]
-        self.backends = make_backends(3, self.control)
+        self.control_addresses = [f"{control_plane_ip(number)}:{demo.CONTROL_PORT}" for number in range(CONTROL_PLANES)]
+        self.data_plane_addresses = [f"{data_plane_ip(number)}:{demo.FRONT_PORT}" for number in range(DATA_PLANES)]
+        self.backends = make_backends(3, self.control_addresses)
         self.client = HttpClient()
 
     async def start(self) -> None:
-        for number in range(CORES):
+        for number in range(CONTROL_PLANES):
             self.start_plane("control", number)
-        for number in range(FRONTS):
+        for number in range(DATA_PLANES):
             self.start_plane("data", number)
         for backend in self.backends:
             await backend.start()
-        await put_configuration(self.client, self.control[0], TIMEOUT_S)
+        await put_configuration(self.client, self.control_addresses[0], TIMEOUT_S)
 
     def start_plane(self, kind: str, number: int) -> None:
-        first = not (self.folder / f"{kind}-{number}.conf").exists()
-        self.planes[kind, number] = start_plane(self.folder, kind, number, CORES, first)
+        first = not (self.directory / f"{kind}-{number}.conf").exists()
+        self.planes[kind, number] = start_plane(self.directory, kind, number, CONTROL_PLANES, first)
 
     def kill(self, kind: str, number: int) -> None:
         plane = self.planes.pop((kind, number))
@@ -73,7 +73,7 @@
     async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> HttpResponse | None:
         """Return the first response with a status below 500 of any control plane, after redirects; None if there is none."""
         fields = ((b"If-Match", b"%d" % base),) if base is not None else ()
-        for first_address in self.control:
+        for first_address in self.control_addresses:
             response = await self._follow(first_address, method, path, body, fields)
             if response is not None and response.status < 500:
                 return response
@@ -116,23 +116,23 @@
 @pytest.mark.processes
 class Planes(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        folder = tempfile.TemporaryDirectory(prefix="mulleinhatch-test-")
-        self.addCleanup(folder.cleanup)
-        self.system = System(Path(folder.name))
+        directory = tempfile.TemporaryDirectory(prefix="mulleinhatch-test-")
+        self.addCleanup(directory.cleanup)
+        self.system = System(Path(directory.name))
         self.addAsyncCleanup(self.system.stop)
         await self.system.start()
 
-    async def serve(self, model: str, front: int = 0) -> ClientTally:
+    async def send(self, model: str, number: int = 0) -> ClientTally:
         tally = ClientTally()
-        await send_request(self.system.fronts[front], model, tally)
+        await send_request(self.system.data_plane_addresses[number], model, tally)
         return tally
 
-    async def served(self, model: str, front: int = 0) -> None:
-        await until(lambda: self.serve(model, front), lambda tally: tally.served == 1)
+    async def wait_until_served(self, model: str, number: int = 0) -> None:
+        await until(lambda: self.send(model, number), lambda tally: tally.served == 1)
 
     async def test_requests_are_served_models_and_adapters_are_loaded_and_no_request_runs_twice(self):
         for model in (MODELS[0], MODELS[6], f"{MODELS[1]}/a2"):
-            await self.served(model)
+            await self.wait_until_served(model)
         runs = [count for backend in self.system.backends for count in backend.counters.runs.values()]
         self.assertEqual(set(runs), {1})
         self.assertEqual(sum(backend.counters.capacity_violations for backend in self.system.backends), 0)
@@ -145,18 +145,18 @@
         self.assertEqual(await system.change(4, 8), 200)
         self.assertEqual(await until(system.version), 8)
         system.start_plane("control", 0)
-        for number in range(CORES):
+        for number in range(CONTROL_PLANES):
             if ("control", number) in system.planes:
                 system.kill("control", number)
-        for number in range(CORES):
+        for number in range(CONTROL_PLANES):
             system.start_plane("control", number)
         self.assertEqual(await until(system.version), 8)
-        await self.served(MODELS[0])
+        await self.wait_until_served(MODELS[0])
 
     async def test_a_stream_whose_backend_crashes_is_completed_by_another_backend(self):
-        await self.served(MODELS[0])
-        await self.served(MODELS[0], front=1)
-        running = asyncio.ensure_future(self.serve(MODELS[2]))
+        await self.wait_until_served(MODELS[0])
+        await self.wait_until_served(MODELS[0], number=1)
+        running = asyncio.ensure_future(self.send(MODELS[2]))
         backend = await until(self.busy_backend)
         await backend.crash()
         tally = await running
@@ -166,8 +166,8 @@
         return next((backend for backend in self.system.backends if backend.running and backend.counters.runs), None)
 
     async def test_a_terminated_data_plane_completes_its_accepted_requests(self):
-        await self.served(MODELS[0])
-        running = [asyncio.ensure_future(self.serve(MODELS[0])) for _ in range(4)]
+        await self.wait_until_served(MODELS[0])
+        running = [asyncio.ensure_future(self.send(MODELS[0])) for _ in range(4)]
         await until(self.busy_backend)
         plane = self.system.planes["data", 0]
         plane.send_signal(signal.SIGTERM)
