--- a/benchmarks/soak_parts/clients.py
+++ b/benchmarks/soak_parts/clients.py
@@ -171,13 +171,13 @@
         return False
 
     async def _read(self, reader: asyncio.StreamReader) -> bool:
-        messages, request = MessageReader(answers=True), self.request
+        messages, request = MessageReader(reads_responses=True), self.request
         while (head := messages.head()) is None:
             if not await self._feed(reader, messages):
                 return False
         request.status = head.status
-        request.signature = head.first.get(b"server-signature", b"").decode("latin-1")
-        request.answered_id = head.first.get(b"request-id", b"").decode("latin-1")
+        request.signature = head.field_values.get(b"server-signature", b"").decode("latin-1")
+        request.answered_id = head.field_values.get(b"request-id", b"").decode("latin-1")
         request.answer = messages.body()
         while not messages.done:
             if not await self._feed(reader, messages):
--- a/tests/system/test_exchange_model.py
+++ b/tests/system/test_exchange_model.py
@@ -91,14 +91,14 @@
         if not separator or self.closed:
             return
         parsed = parse_request_head(head + b"\r\n\r\n")
-        length = int(parsed.first.get(b"content-length", b"0"))
+        length = int(parsed.field_values.get(b"content-length", b"0"))
         if len(remainder) < length:
             return
         self._received = remainder[length:]
-        name = parsed.first[b"request-id"].decode()
+        name = parsed.field_values[b"request-id"].decode()
         self.previous, self.waiting = self.waiting or self.previous, name
         self.world.arrivals.append((name, self.backend))
-        self.world.deadlines.setdefault(name, []).append(int(parsed.first[b"request-deadline"]))
+        self.world.deadlines.setdefault(name, []).append(int(parsed.field_values[b"request-deadline"]))
 
     def get_write_buffer_size(self) -> int:
         return 0
@@ -400,7 +400,7 @@
 
     def test_finds_a_connection_with_surplus_bytes_reused(self):
         def reset_reader(connection: ClientConnection) -> None:
-            connection._reader = type(connection._reader)(answers=True, max_head_bytes=65536)
+            connection._reader = type(connection._reader)(reads_responses=True, max_head_bytes=65536)
 
         self.assert_defect_found(
             mock.patch.object(ClientConnection, "_end_idle", reset_reader),
