--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -36,17 +36,17 @@
 QUERY_INTERVAL_S, DISTANT_QUERY_INTERVAL_S = (
     0.5,
     2.0,
-)  # seconds between position queries; the longer one applies to distant positions
-DISTANT_POSITION = 10  # requests ahead of ours from which the longer interval applies
-REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which unresponsive instances are asked
-LOAD_MARGIN = 0.1  # fraction of the load that the others must be able to carry in addition
+)  # seconds between position queries, near the front of the order and far from it
+DISTANT_POSITION = 10  # with more requests ahead, the longer query interval applies
+REQUEST_FOR_OTHERS_TIMEOUT_S = 60.0  # seconds for which a request is resent to an instance that does not acknowledge it
+LOAD_MARGIN = 0.1  # fraction of the load that the other instances must be able to carry in addition to it
 
 
 class MaintenanceState(Enum):
     """State of an instance; the order is the value of the counter `upkeep_state`."""
 
     SERVING = "serving"
-    WAITING = "waiting"  # has a request; it is not its turn yet
+    WAITING = "waiting"  # has a pending request and waits for its turn
     ASKING = "asking"  # a round for a permit is in progress
     GOING = "going"  # holds a permit and is leaving service
     CHECKING = "checking"  # has returned with its permit and is not healthy yet
@@ -109,29 +109,29 @@
         self.state = MaintenanceState.SERVING
         self.fencing_token = 0
         self.replies = PositionReplies()
-        self.asked_at = -1e9
-        self.requested_of_others: dict[
+        self.queried_at = -1e9
+        self.requests_for_others: dict[
             str, tuple[MaintenanceRequest, float]
-        ] = {}  # instances to ask for an operator, and until when
+        ] = {}  # by instance: a request to forward for an operator, and until when
         self.requests_sent_at = now
-        self.back_at, self.has_frozen = math.inf, False  # returned and not healthy since; whether we froze the permits
-        self.changes: list[tuple[str, str]] = []  # state and reason; the host logs each
+        self.returned_at, self.has_frozen = math.inf, False  # time of an unhealthy return; whether it froze the permits
+        self.changes: list[tuple[str, str]] = []  # state and reason, to be logged by the caller
         self.wall = 0.0
         self.messenger.last_now = now
 
     @property
     def known(self) -> PermitTable:
-        """Latest table that this instance knows of."""
+        """Latest permit table that this instance knows."""
         return self.rounds.known
 
     @property
     def round(self) -> ProposalRound | None:
-        """Round in progress here, if any."""
+        """Round that this instance runs, if any."""
         return self.rounds.current
 
     @property
     def voter(self) -> Voter | None:
-        """The voter of the permit register; None if this instance is no voter."""
+        """This instance's voter for the permit table; None if it is not a voter."""
         return self.voter_role and self.voter_role.voter
 
     @property
@@ -154,21 +154,21 @@
     # Requests by operators and by the instance itself.
 
     def ask(self, request: MaintenanceRequest) -> None:
-        """Request maintenance for this instance; the latest request counts."""
+        """Request maintenance for this instance; a new request replaces the previous one."""
         self.request = request
         if self.state is MaintenanceState.SERVING:
             self._set_state(MaintenanceState.WAITING, request.kind)
 
     def request_for_others(self, now: float, requests: list[MaintenanceRequest]) -> None:
-        """Ask instances, by the names in the requests, to request maintenance; repeated until they acknowledge."""
+        """Ask the named instances to request maintenance; resent until they acknowledge."""
         for request in requests:
             if request.name == self.name:
                 self.ask(request)
             else:
-                self.requested_of_others[request.name] = request, now + REQUEST_FOR_OTHERS_TIMEOUT_S
+                self.requests_for_others[request.name] = request, now + REQUEST_FOR_OTHERS_TIMEOUT_S
 
     def cancel(self) -> None:
-        """Withdraw the request if no permit was granted yet; an instance that is out returns by itself."""
+        """Withdraw the request if no permit was granted yet. An instance that is out of service returns on its own."""
         if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING):
             self.messenger.send_to_all(self.known.voters, PositionQuery(cancelled=True))
             self.request = None
@@ -176,13 +176,13 @@
             self._set_state(MaintenanceState.SERVING, "cancelled")
 
     def change(self, now: float, change: TableChange) -> ProposalRound:
-        """Start a round for an operator's change (freeze, bounds, voters, release); its outcome is in the returned round.
+        """Start a round for an operator's change (freeze, bounds, voters, release). The returned round tells its outcome.
 
         Raises:
             PermitRefusedError: Another round is in progress here.
         """
         if self.round:
-            raise PermitRefusedError("a round is under way here: again in a moment")
+            raise PermitRefusedError("another change is in progress on this instance; retry in a moment")
         return self.rounds.begin(now, change)
 
     def current_replies(self, now: float) -> dict[str, PositionReply]:
@@ -191,7 +191,7 @@
 
     # Periodic work.
 
-    def tick(self, now: float, wall: float, is_fit: bool) -> list[tuple[str, bytes]]:
+    def tick(self, now: float, wall: float, is_ready: bool) -> list[tuple[str, bytes]]:
         """Advance by one period and return the datagrams to send, as (instance, bytes).
 
         The instance must leave service when `state` becomes `GOING`.
@@ -199,18 +199,18 @@
         Args:
             now: Monotonic seconds.
             wall: Unix time in seconds.
-            is_fit: Whether the instance passes its own health checks and is warm.
+            is_ready: Whether the instance passes its own health checks and is warm.
         """
         self.wall, self.messenger.last_now = wall, now
         if self.voter_role and self.voter_role.is_abstaining:
-            if now - self.asked_at >= QUERY_INTERVAL_S:
+            if now - self.queried_at >= QUERY_INTERVAL_S:
                 self.voter_role.query_other_voters()
             self.voter_role.learn_from_voters(now)
         if self.round:
             self.rounds.resume(now)
         elif now < self.rounds.next_allowed_at:
-            pass  # the time after a beaten round is not over
-        elif self.state is MaintenanceState.CHECKING and is_fit and not self._is_abstaining:
+            pass  # backing off after an abandoned round
+        elif self.state is MaintenanceState.CHECKING and is_ready and not self._is_abstaining:
             self._set_state(MaintenanceState.RETURNING, "fit")
             self._release_permit(now)
         elif self.state is MaintenanceState.RETURNING:
@@ -222,17 +222,17 @@
             self.state is MaintenanceState.CHECKING
             and self.bounds.freeze_after
             and not self.has_frozen
-            and now - self.back_at > self.bounds.freeze_after
+            and now - self.returned_at > self.bounds.freeze_after
         ):
-            # The cause, such as a bad release, may affect the next instances, too.
+            # The cause, for example a bad release, may affect the next instances as well.
             self.rounds.begin(now, self._freeze)
-        if self.requested_of_others and now - self.requests_sent_at >= QUERY_INTERVAL_S:
+        if self.requests_for_others and now - self.requests_sent_at >= QUERY_INTERVAL_S:
             self._send_maintenance_requests(now)
-        places = self.replies.queue_position(now)
-        if now - self.asked_at >= (DISTANT_QUERY_INTERVAL_S if places > DISTANT_POSITION else QUERY_INTERVAL_S) and (
+        position = self.replies.queue_position(now)
+        if now - self.queried_at >= (DISTANT_QUERY_INTERVAL_S if position > DISTANT_POSITION else QUERY_INTERVAL_S) and (
             self.request or self.state is not MaintenanceState.SERVING or now - self.started_at < 2.0 * ABSTENTION_S
         ):
-            self.asked_at = now
+            self.queried_at = now
             is_waiting = self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING)
             self.messenger.send_to_all(self.known.voters, PositionQuery(self.request if is_waiting else None))
         if self.voter_role:
@@ -248,24 +248,24 @@
 
     def _send_maintenance_requests(self, now: float) -> None:
         self.requests_sent_at = now
-        for name, (request, until) in list(self.requested_of_others.items()):
+        for name, (request, until) in list(self.requests_for_others.items()):
             if now > until:
-                del self.requested_of_others[name]
+                del self.requests_for_others[name]
                 self._report_change("asking", f"{name} does not answer")
             else:
                 self.messenger.send(name, MaintenanceRequestMessage(request))
 
     def take_outgoing(self) -> list[tuple[str, bytes]]:
-        """Return and clear the datagrams that received messages gave rise to."""
+        """Return and clear the datagrams caused by received messages."""
         return self.messenger.take_outgoing()
 
     # As an instance that requests a permit.
 
     def _is_turn(self, now: float) -> bool:
-        """Return whether a majority of the voters reports this instance's turn; an error costs a round, never the bound.
+        """Return whether a majority of the voters reports this instance's turn; a wrong answer only wastes a round.
 
-        A voter may list a permit that this instance does not know of: its round was reported as beaten after others had
-        completed it. No other instance can use that permit, so it is claimed.
+        A voter may list a permit that this instance does not know of: its round was reported as beaten although another
+        proposer completed it. No other instance can use that permit, so this one claims it.
         """
         if self.replies.has_unclaimed_permit(now):
             return True
@@ -289,10 +289,10 @@
         if self.state is MaintenanceState.ASKING:
             self._set_state(MaintenanceState.WAITING, why)
 
-    def _on_register_response(self, now: float, response: RegisterResponseMessage) -> None:
+    def _on_register_response(self, now: float, message: RegisterResponseMessage) -> None:
         if self.voter_role:
-            self.voter_role.record_write_count(response.answer.voter, response.answer.writes)
-        table = self.rounds.handle_response(now, response)
+            self.voter_role.record_write_count(message.response.voter, message.response.writes)
+        table = self.rounds.handle_response(now, message)
         if table is None:
             return
         permit = table.permit(self.name)
@@ -302,8 +302,8 @@
         elif self.state is MaintenanceState.CHECKING:
             self.has_frozen = bool(table.frozen)
         elif self.state is MaintenanceState.RETURNING and not permit:
-            self.fencing_token, self.request, self.back_at, self.has_frozen = 0, None, math.inf, False
-            self._set_state(MaintenanceState.SERVING, "permit given back")
+            self.fencing_token, self.request, self.returned_at, self.has_frozen = 0, None, math.inf, False
+            self._set_state(MaintenanceState.SERVING, "permit released")
 
     # Messages.
 
@@ -317,12 +317,12 @@
             if self.voter_role:
                 self.voter_role.state_replies[sender] = message
         elif isinstance(message, MaintenanceRequestMessage):
-            if self.request is None or message.request.asked > self.request.asked:
+            if self.request is None or message.request.requested_at > self.request.requested_at:
                 self.ask(message.request._replace(name=self.name, zone=self.bounds.zone))
-            self.messenger.send(sender, MaintenanceRequestAck(message.request.asked))
+            self.messenger.send(sender, MaintenanceRequestAck(message.request.requested_at))
         elif isinstance(message, MaintenanceRequestAck):
-            if sender in self.requested_of_others and self.requested_of_others[sender][0].asked == message.asked:
-                del self.requested_of_others[sender]
+            if sender in self.requests_for_others and self.requests_for_others[sender][0].requested_at == message.requested_at:
+                del self.requests_for_others[sender]
         elif self.voter_role is None:
             self.counts["words_to_no_voter"] += 1
         elif isinstance(message, PositionQuery):
@@ -337,11 +337,11 @@
         self.rounds.record_number(reply.number)
         if self.voter_role:
             self.voter_role.record_write_count(sender, reply.writes)
-            if self.voter_role.detect_restored_disk(now, reply.your_writes):
+            if self.voter_role.detect_restored_disk(now, reply.receiver_writes):
                 self.started_at = now
         if reply.fencing_token and self.state is MaintenanceState.SERVING:
             self.fencing_token = max(self.fencing_token, reply.fencing_token)
-            self.back_at = now
+            self.returned_at = now
             self._set_state(MaintenanceState.CHECKING, f"we hold permit {reply.fencing_token}")
         elif reply.fencing_token > self.fencing_token and self.state in (MaintenanceState.CHECKING, MaintenanceState.RETURNING):
             self.fencing_token = reply.fencing_token
--- a/mulleinhatch/instance/maintenance/messages.py
+++ b/mulleinhatch/instance/maintenance/messages.py
@@ -41,24 +41,24 @@
 
     Attributes:
         fencing_token: Fencing token of the sender's permit; 0 for none.
-        place: Position in the order from 0; -1 if the sender is not in it.
+        position: Position in the order from 0; -1 if the sender is not in it.
         waiting: Number of requests that are allowed to start.
-        may_go: Number of permits left.
-        why: Reasons for the position.
+        available_permits: Number of permits that the voter can still grant.
+        reasons: Reasons for the position.
         version: Version of the voter's table; 0 for none.
-        your_writes: Highest write count the voter knows of the receiver as a voter.
+        receiver_writes: The receiver's highest write count as a voter that the sender knows.
         writes: The voter's own write count.
         frozen: Reason of a freeze; empty for none.
-        number: Highest proposal number the voter promised; a lower proposal would only be beaten.
+        number: Highest proposal number the voter promised; a lower proposal would be rejected.
     """
 
     fencing_token: int
-    place: int
+    position: int
     waiting: int
-    may_go: int
-    why: Annotated[str, Meta(max_length=120)] = ""
+    available_permits: int
+    reasons: Annotated[str, Meta(max_length=120)] = ""
     version: int = 0
-    your_writes: int = 0
+    receiver_writes: int = 0
     writes: int = 0
     frozen: ShortText = ""
     number: int = 0
@@ -67,14 +67,14 @@
 class RegisterRequestMessage(MaintenanceMessage, tag="Asked"):
     """A `RegisterRequest`; the response repeats `number`, which identifies the round."""
 
-    ask: RegisterRequest
+    request: RegisterRequest
     number: int
 
 
 class RegisterResponseMessage(MaintenanceMessage, tag="Answered"):
     """A `RegisterResponse` to the request with that `number`."""
 
-    answer: RegisterResponse
+    response: RegisterResponse
     number: int
 
 
@@ -83,10 +83,10 @@
 
 
 class VoterStateReply(MaintenanceMessage, tag="Told"):
-    """A voter's state; `empty` means that it has none either and abstains."""
+    """A voter's state; `is_empty` means that it has none either and abstains."""
 
     voter_state: VoterState
-    empty: bool
+    is_empty: bool
 
 
 class MaintenanceRequestMessage(MaintenanceMessage, tag="Please"):
@@ -96,9 +96,9 @@
 
 
 class MaintenanceRequestAck(MaintenanceMessage, tag="Thanks"):
-    """Acknowledge the request that was made at the time `asked`."""
+    """Acknowledge the request made at the time `requested_at`."""
 
-    asked: float
+    requested_at: float
 
 
 AnyMessage = (
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -3,7 +3,7 @@
 A round has two phases. In the prepare phase a proposer asks the voters to promise that they ignore lower proposal numbers, and
 learns the latest table that any of a majority accepted. It applies its change to that table and asks the voters to accept the
 result. A table accepted by a majority is agreed whatever crashes, and the next round of any proposer learns it. A voter
-persists a promise or an accepted table before it answers. Messages may be lost, duplicated, delayed and reordered.
+persists a promise or an accepted table before it responses. Messages may be lost, duplicated, delayed and reordered.
 
 Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018).
 """
@@ -35,7 +35,7 @@
         promised: Highest proposal number promised.
         accepted: Proposal number of `table`.
         table: Accepted table, None before the first.
-        writes: Number of writes. A disk that was restored from a backup is detected by a count that is too low.
+        writes: Number of writes. A count lower than the other voters know reveals a disk that was restored from a backup.
     """
 
     promised: ProposalNumber = NO_PROPOSAL
@@ -83,7 +83,7 @@
 
 
 class Voter:
-    """The acceptor of a register.
+    """A voter (the acceptor of Paxos).
 
     Args:
         name: Name of the voter.
@@ -157,13 +157,13 @@
 class ProposalRound:
     """One attempt of a proposer to change the table.
 
-    Send `pending_requests` at the start, after a change of phase, and again until the round has an `outcome`: "agreed",
+    Send `pending_requests` at the start, after a change of phase, and repeatedly until the round has an `outcome`: "agreed",
     "refused" (the change is not allowed), "beaten" (retry with a higher number) or "moved" (the voters changed); "" while in
     progress.
 
     Args:
-        name: Proposer's name. It is unique for each incarnation; otherwise two tables could share one proposal number.
-        number: Number higher than all numbers seen.
+        name: Proposer's name. It must differ between incarnations; otherwise two tables could share one proposal number.
+        number: Proposal number, higher than all numbers seen.
         known: Latest table known; it names the voters.
         change: Returns the changed table or raises `PermitRefusedError`.
 
@@ -180,7 +180,7 @@
     def __init__(self, name: str, number: int, known: PermitTable, change: Callable[[PermitTable], PermitTable]) -> None:
         self.proposal, self.known, self.change = ProposalNumber(number, name), known, change
         self.table: PermitTable | None = None  # proposed, and finally agreed, table
-        self.answers: dict[str, RegisterResponse] = {}
+        self.responses: dict[str, RegisterResponse] = {}
         self.outcome = ""
         self.why = ""
         self.highest = number  # highest proposal number seen
@@ -188,27 +188,29 @@
     def pending_requests(self) -> list[tuple[str, RegisterRequest]]:
         """Return the requests of the current phase for the voters that have not responded."""
         request = RegisterRequest(self.proposal, self.table, None if self.table else self.known)
-        return [] if self.outcome else [(voter, request) for voter in self.known.voters if voter not in self.answers]
+        return [] if self.outcome else [(voter, request) for voter in self.known.voters if voter not in self.responses]
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.known.voters)
 
-    def _matches_current_phase(self, answer: RegisterResponse) -> bool:
-        """Return whether a response belongs to the current phase; a delayed one of the previous phase must not count."""
+    def _matches_current_phase(self, response: RegisterResponse) -> bool:
+        """Return whether a response belongs to the current phase; a delayed response to the previous phase must not count."""
         return (
-            answer.proposal == self.proposal and answer.accept is (self.table is not None) and answer.voter in self.known.voters
+            response.proposal == self.proposal
+            and response.accept is (self.table is not None)
+            and response.voter in self.known.voters
         )
 
-    def handle_response(self, answer: RegisterResponse | None) -> None:
+    def handle_response(self, response: RegisterResponse | None) -> None:
         """Process a voter's response (None: it abstained) and move to the next phase or to an outcome."""
-        if answer is None or self.outcome or not self._matches_current_phase(answer):
+        if response is None or self.outcome or not self._matches_current_phase(response):
             return
-        self.highest = max(self.highest, answer.promised.number)
-        self.answers[answer.voter] = answer
-        taken = [response for response in self.answers.values() if response.taken]
+        self.highest = max(self.highest, response.promised.number)
+        self.responses[response.voter] = response
+        taken = [received for received in self.responses.values() if received.taken]
         if not self._is_majority(len(taken)):
-            if self._is_majority(len(self.answers) - len(taken)):
-                self.outcome, self.why = "beaten", f"ballot {self.highest} was asked for"
+            if self._is_majority(len(self.responses) - len(taken)):
+                self.outcome, self.why = "beaten", f"another proposer used number {self.highest}"
             return
         if self.table is not None:
             self.outcome = "agreed"
@@ -216,9 +218,9 @@
         latest = max(taken, key=lambda response: response.accepted)
         table = latest.table or self.known
         if table.epoch > self.known.epoch:
-            self.known, self.outcome, self.why = table, "moved", f"epoch {table.epoch} has other voters"
+            self.known, self.outcome, self.why = table, "moved", f"the set of voters changed in epoch {table.epoch}"
             return
         try:
-            self.table, self.answers = self.change(table), {}
+            self.table, self.responses = self.change(table), {}
         except PermitRefusedError as error:
             self.known, self.outcome, self.why = table, "refused", str(error)
--- a/mulleinhatch/instance/maintenance/permit_rounds.py
+++ b/mulleinhatch/instance/maintenance/permit_rounds.py
@@ -26,7 +26,7 @@
         table: Table assumed until a response brings a newer one.
         seed: Seed of the backoff times.
         now: Monotonic seconds.
-        on_abandoned: Called with the reason when a round ends without agreement.
+        on_abandoned: Called with the reason when a round ends without an agreement.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         self.next_allowed_at = now  # monotonic seconds
         self._random_fraction = RandomSource(seed).fraction
         self._started_at = self._sent_at = -1e9
-        self._rounds = 0  # rounds begun here; tells responses to an earlier round apart
+        self._rounds = 0  # rounds started here; identifies the responses to the current one
         self._number = 0  # highest proposal number known
 
     def begin(self, now: float, change: TableChange) -> ProposalRound:
         """Start a round for a change of the table.
 
         Returns:
-            The round. Where this instance is the only voter it has its outcome already and is not `current` any more.
+            The round. If this instance is the only voter, the round has completed and is no longer `current`.
         """
         self._rounds += 1
         self._number += 1
@@ -69,21 +69,21 @@
         """Send requests again when they are due, or abandon the current round after `ROUND_TIMEOUT_S`."""
         if now - self._started_at >= ROUND_TIMEOUT_S:
             self.counts["rounds_given_up"] += 1
-            self._abandon(now, "no majority answers")
+            self._abandon(now, "no majority of the voters responds")
         elif now - self._sent_at >= RESEND_INTERVAL_S:
             self._send_requests(now)
 
     def record_number(self, number: int) -> None:
-        """Record a proposal number in use, so that the next round is not beaten by it."""
+        """Record a proposal number in use, so that the next round uses a higher one."""
         self._number = max(self._number, number)
 
-    def handle_response(self, now: float, response: RegisterResponseMessage) -> PermitTable | None:
+    def handle_response(self, now: float, message: RegisterResponseMessage) -> PermitTable | None:
         """Handle a voter's response; return the table if it completes the agreement on it."""
         current = self.current
-        if current is None or response.number != self._rounds:
+        if current is None or message.number != self._rounds:
             return None
         was_preparing = current.table is None
-        current.handle_response(response.answer)
+        current.handle_response(message.response)
         if not current.outcome:
             if was_preparing and current.table is not None:
                 self._send_requests(now)
--- a/mulleinhatch/instance/maintenance/schedule.py
+++ b/mulleinhatch/instance/maintenance/schedule.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-DEADLINE_MARGIN = 2.0  # in durations of the work: with less time left before its deadline, a request goes before others
+DEADLINE_MARGIN = 2.0  # a deadline is near if the time left is less than the duration plus this many durations
 
 
 class MaintenanceRequest(NamedTuple):
@@ -23,23 +23,23 @@
         name: Instance.
         zone: Its failure domain.
         kind: Kind of work (kernel, disk, release, ill, memory), shown to operators.
-        seconds: Expected duration.
-        asked: Time of the request.
-        wished: Earliest start; 0 for any time.
-        latest: Time by which the instance must be back; 0 for none.
+        duration_s: Expected duration in seconds.
+        requested_at: Time of the request.
+        earliest_start: Earliest start; 0 for any time.
+        deadline: Time by which the instance must be back; 0 for none.
         urgency: 2 for an emergency, 1 for urgent, 0 otherwise.
         last_out: End of its last maintenance as the instance reports it; 0 for never.
-        ill: Whether the instance is unhealthy.
+        is_unhealthy: Whether the instance is unhealthy.
         only_copy: Whether it holds the only copy of needed data, which must be moved first.
     """
 
     name: str
     zone: str
     kind: str
-    seconds: float
-    asked: float
-    wished: float = 0.0
-    latest: float = 0.0
+    duration_s: float
+    requested_at: float
+    earliest_start: float = 0.0
+    deadline: float = 0.0
     urgency: int = 0
     last_out: float = 0.0
     is_unhealthy: bool = False
@@ -60,8 +60,8 @@
     """Sort the requests; blocked ones come last.
 
     Args:
-        requests: Requests; of several by one instance the latest counts.
-        out: Instances that hold a permit; their requests are left out.
+        requests: Requests; if one instance has several, only its latest is used.
+        out: Instances that hold a permit; their requests are omitted.
         zones_out: Number of permits in use, by zone.
         now: Unix time in seconds.
 
@@ -74,7 +74,7 @@
     """
     latest: dict[str, MaintenanceRequest] = {}
     for request in requests:
-        if request.name not in out and (request.name not in latest or request.asked > latest[request.name].asked):
+        if request.name not in out and (request.name not in latest or request.requested_at > latest[request.name].requested_at):
             latest[request.name] = request
     allowed, blocked = [], []
     for request in latest.values():
@@ -90,14 +90,14 @@
                 _priority_class(request, now),
                 before[request.zone],
                 request.last_out,
-                request.asked,
+                request.requested_at,
                 request.name,
             ),
         )
         del waiting[chosen.name]
         places.append(QueuePosition(chosen, True, _reasons(chosen, now, before[chosen.zone])))
         before[chosen.zone] += 1
-    blocked.sort(key=lambda entry: (entry[0].wished, entry[0].name))
+    blocked.sort(key=lambda entry: (entry[0].earliest_start, entry[0].name))
     return places + [QueuePosition(request, False, (why,)) for request, why in blocked]
 
 
@@ -105,8 +105,8 @@
     """Return why the request must not start now, or an empty string."""
     if request.only_copy:
         return "holds the only copy of something that is needed"
-    if request.urgency < 2 and request.wished and now < request.wished:
-        return f"not before {request.wished:.0f}"
+    if request.urgency < 2 and request.earliest_start and now < request.earliest_start:
+        return f"not before {request.earliest_start:.0f}"
     return ""
 
 
@@ -120,17 +120,17 @@
 
 
 def _is_deadline_near(request: MaintenanceRequest, now: float) -> bool:
-    return request.latest > 0.0 and request.latest - now < (1.0 + DEADLINE_MARGIN) * request.seconds
+    return request.deadline > 0.0 and request.deadline - now < (1.0 + DEADLINE_MARGIN) * request.duration_s
 
 
 def _reasons(request: MaintenanceRequest, now: float, before: int) -> tuple[str, ...]:
-    what = ("an emergency", "ill", f"has to be back by {request.latest:.0f}", "urgent", "")[_priority_class(request, now)]
+    what = ("an emergency", "ill", f"has to be back by {request.deadline:.0f}", "urgent", "")[_priority_class(request, now)]
     turn = f"zone {request.zone} has {before} before it"
     return (*((what,) if what else ()), turn, "out longest ago")
 
 
 def has_spare_capacity(capacity_least: float, demand_most: float, own: float, margin: float) -> bool:
-    """Return whether the other instances can carry the load without one more.
+    """Return whether the other instances can carry the load if one more leaves service.
 
     Args:
         capacity_least: Lower bound of their capacity in requests per second.
@@ -178,5 +178,5 @@
             continue
         waiting.remove(next_request)
         start_times[next_request.name] = start_time
-        running.append((start_time + max(0.001, next_request.seconds), next_request.zone))
+        running.append((start_time + max(0.001, next_request.duration_s), next_request.zone))
     return start_times
--- a/mulleinhatch/instance/maintenance/store.py
+++ b/mulleinhatch/instance/maintenance/store.py
@@ -42,7 +42,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise CorruptVoterFileError(f"{self.folder}: another process keeps its votes here") from None
+            raise CorruptVoterFileError(f"{self.folder}: another process uses this directory") from None
 
     def read(self) -> VoterState | None:
         """Return the stored state, or None if there is no file yet.
@@ -56,9 +56,9 @@
             return None
         body = data[HEADER_SIZE:]
         if data[: len(MAGIC)] != MAGIC or len(data) < HEADER_SIZE:
-            raise CorruptVoterFileError(f"{self.path}: no file of a voter; move it away, and the voter learns from the others")
+            raise CorruptVoterFileError(f"{self.path}: not a voter file; move it away, and the voter learns from the others")
         if data[len(MAGIC)] != VERSION:
-            raise CorruptVoterFileError(f"{self.path}: version {data[len(MAGIC)]}, this text reads {VERSION}")
+            raise CorruptVoterFileError(f"{self.path}: version {data[len(MAGIC)]}, this release reads version {VERSION}")
         if int.from_bytes(data[len(MAGIC) + 1 : HEADER_SIZE], "big") != zlib.crc32(body):
             raise CorruptVoterFileError(f"{self.path}: damaged; move it away, and the voter learns from the others")
         try:
--- a/mulleinhatch/instance/maintenance/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -93,7 +93,7 @@
             zone: Its zone.
             why: Reason, truncated to `MAX_REASON_LENGTH` characters.
             gone: Crashed members and their zones. They count as out of service.
-            over: Reason of an operator to exceed the bounds and a freeze.
+            over: An operator's reason for exceeding the bounds or a freeze; empty for an ordinary permit.
 
         Raises:
             PermitRefusedError: A bound or a freeze forbids it.
@@ -117,7 +117,7 @@
             # Without a majority of the voters no permit could be released; without disks the agreed table would be lost.
             raise PermitRefusedError(f"{voters} of {len(self.voters)} voters are out already")
         if len(self.out) >= MAX_PERMITS:
-            raise PermitRefusedError(f"{MAX_PERMITS} are out, and no more can be told of")
+            raise PermitRefusedError(f"{MAX_PERMITS} are out, and the table holds no more")
         return self._next_version(
             out=(*self.out, Permit(name, zone, self.version + 1, why[:MAX_REASON_LENGTH], over[:MAX_REASON_LENGTH]))
         )
@@ -154,9 +154,9 @@
         """
         new = tuple(sorted(set(voters)))
         if not 1 <= len(new) <= MAX_VOTERS:
-            raise PermitRefusedError(f"1 to {MAX_VOTERS} voters are wanted")
+            raise PermitRefusedError(f"1 to {MAX_VOTERS} voters are required")
         if not self._overlap(new):
-            raise PermitRefusedError("one voter at a time: else a majority of the old and one of the new need not meet")
+            raise PermitRefusedError("one voter at a time: otherwise old and new majorities may not intersect")
         return self if new == self.voters else self._next_version(voters=new, epoch=self.epoch + 1)
 
     def _overlap(self, new: tuple[str, ...]) -> bool:
--- a/mulleinhatch/instance/maintenance/voter_role.py
+++ b/mulleinhatch/instance/maintenance/voter_role.py
@@ -1,4 +1,4 @@
-"""One voter's part in coordinated maintenance: it answers queries and rounds, and persists its state before each response."""
+"""The voter of coordinated maintenance: it answers queries and rounds, and persists its state before each response."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest, QueuePosition, order
 from mulleinhatch.instance.maintenance.table import PermitTable
 
-ABSTENTION_S = 4.0  # seconds that a voter without state waits: ROUND_TIMEOUT_S of the rounds and clock drift
-REQUEST_LIFETIME_S = 6.0  # seconds for which a voter keeps a request that is not repeated
+ABSTENTION_S = 4.0  # seconds that a voter without state abstains: longer than ROUND_TIMEOUT_S, allowing for clock drift
+REQUEST_LIFETIME_S = 6.0  # seconds after which a voter drops a request that is not repeated
 MAX_REQUESTS = 1000
 MAX_REASONS_LENGTH = 120  # characters of a position reply's reasons
 
@@ -28,10 +28,10 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that a voter received, and when (monotonic seconds)."""
+    """A request that a voter received, and its arrival in monotonic seconds."""
 
     request: MaintenanceRequest
-    position: float
+    received_at: float
 
 
 class VoterRole:
@@ -39,9 +39,9 @@
 
     Args:
         messenger: Transport of the responses.
-        initial_table: Table in force until the voters agree on another one; it names the voters.
+        initial_table: Table used until the voters agree on another one; it names the voters.
         now: Monotonic seconds.
-        voter_state: State read from disk; None if there is none, so that the voter abstains until it has learned.
+        voter_state: State read from disk; None if there is none, and the voter abstains until it has learned the others' state.
         persist: Writes the state durably; None without a disk.
         on_state_change: Called with each event to be logged.
     """
@@ -126,7 +126,7 @@
     def on_register_request(self, sender: str, message: RegisterRequestMessage) -> None:
         """Handle a request of a round; the response is sent only after the changed state was persisted."""
         before = self.voter.voter_state
-        response = self.voter.handle_request(message.ask)
+        response = self.voter.handle_request(message.request)
         if response is None:
             self.counts["asks_abstained"] += 1
             return
@@ -151,18 +151,18 @@
 
     def drop_expired_requests(self, now: float) -> None:
         """Drop requests that were not repeated for `REQUEST_LIFETIME_S`."""
-        expired = [name for name, received in self.requests.items() if now - received.position > REQUEST_LIFETIME_S]
+        expired = [name for name, received in self.requests.items() if now - received.received_at > REQUEST_LIFETIME_S]
         for name in expired:
             del self.requests[name]
 
     # State that other voters report.
 
     def record_write_count(self, voter: str, writes: int) -> None:
-        """Record how many writes another voter has made; it gets this count in replies, to detect a restored disk."""
+        """Record another voter's write count; replies report it, so that the voter detects a restored disk."""
         self.write_counts[voter] = max(writes, self.write_counts.get(voter, 0))
 
     def detect_restored_disk(self, now: float, own_writes: int) -> bool:
-        """Abstain if a voter knows of more writes of ours than our disk holds; return whether that is the case.
+        """Abstain if another voter knows of more of our writes than our disk holds; return whether that is the case.
 
         Then the disk was restored, and promises made after the backup are lost.
         """
@@ -171,7 +171,7 @@
         if self.is_abstaining or own_writes <= known_writes:
             return False
         self.counts["disk_set_back"] += 1
-        self.on_state_change("voter", f"our disk was set back: {known_writes} of {own_writes} writes")
+        self.on_state_change("voter", f"the disk was restored from a backup: {known_writes} of {own_writes} writes")
         self.voter.is_abstaining, self.abstaining_since, self.state_replies = True, now, {}
         return True
 
@@ -192,9 +192,9 @@
         if self._is_new_group():
             self._start_without_table()
         else:
-            voter_states = [reply.voter_state for reply in self.state_replies.values() if not reply.empty]
+            voter_states = [reply.voter_state for reply in self.state_replies.values() if not reply.is_empty]
             if self.voter.learn(voter_states, len(self.initial_table.voters), self.writes_known_by_voters):
-                self.on_state_change("voter", f"learned what {len(voter_states)} others keep")
+                self.on_state_change("voter", f"restored from the state of {len(voter_states)} voters")
         if not self.is_abstaining and not self._persist_voter_state(VoterState()):
             self.voter.is_abstaining = True
 
@@ -210,4 +210,4 @@
             writes=max(voter_state.writes, self.writes_known_by_voters) + 1,
         )
         self.voter.is_abstaining = False
-        self.on_state_change("voter", "begins: no voter keeps a table")
+        self.on_state_change("voter", "starts a new group: no voter has a table")
--- a/mulleinhatch/instance/runtime/maintenance_control_port.py
+++ b/mulleinhatch/instance/runtime/maintenance_control_port.py
@@ -96,8 +96,8 @@
         own = self._build_request(
             str(request["kind"]),
             float(request["seconds"]),
-            wished=float(request.get("wished", 0.0)),
-            latest=float(request.get("latest", 0.0)),
+            earliest_start=float(request.get("wished", 0.0)),
+            deadline=float(request.get("latest", 0.0)),
             urgency=int(request.get("urgency", 0)),
         )
         names = self._chosen_names(request.get("names"), request.get("zone"), bool(request.get("all")))
@@ -181,7 +181,7 @@
             "table": table._asdict() | {"out": [permit._asdict() for permit in table.out]},
             "order": self._order_status(table),
             "places": {
-                name: {"place": reply.place, "of": reply.waiting, "may_go": reply.may_go, "why": reply.why}
+                name: {"place": reply.position, "of": reply.waiting, "may_go": reply.available_permits, "why": reply.reasons}
                 for name, reply in coordinator.current_replies(time.monotonic()).items()
             },
             "history": self._history.entries(),
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -44,7 +44,7 @@
 class AnyAnswer(ProposalRound):
     """Counts late words of an earlier step, or an earlier round."""
 
-    def _matches_current_phase(self, answer: RegisterResponse) -> bool:
+    def _matches_current_phase(self, response: RegisterResponse) -> bool:
         return True
 
 
@@ -176,7 +176,7 @@
     table = PermitTable(("a",), MAX_PERMITS, MAX_PERMITS)
     for number in range(MAX_PERMITS):
         table = table.grant(f"n{number}", "z", "w" * 500, over="o" * 500)
-    with pytest.raises(PermitRefusedError, match="no more can be told of"):
+    with pytest.raises(PermitRefusedError, match="the table holds no more"):
         table.grant("one more", "z", "w", over="because")
     assert all(len(permit.why) == MAX_REASON_LENGTH for permit in table.out)
     with pytest.raises(PermitRefusedError, match="a bound is"):
@@ -216,11 +216,11 @@
     places = order(
         [
             asked("well"),
-            asked("late", latest=200.0),
+            asked("late", deadline=200.0),
             asked("ill", is_unhealthy=True),
             asked("fire", urgency=2),
             asked("copy", only_copy=True),
-            asked("later", wished=500.0),
+            asked("later", earliest_start=500.0),
         ],
         (),
         {},
@@ -259,7 +259,7 @@
             store.path.write_bytes(changed)
             with pytest.raises(CorruptVoterFileError, match=str(store.path)):
                 store.read()
-    with pytest.raises(CorruptVoterFileError, match="another process"):
+    with pytest.raises(CorruptVoterFileError, match="another process uses this directory"):
         Store(str(tmp_path))
     store.close()
     Store(str(tmp_path)).close()
