--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.instance import Instance
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement, placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError, placement
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
@@ -18,7 +18,7 @@
     signals.remember_early_signals()
     start_logging(arguments["--log"])
 
-    def placed() -> Placement:
+    def placed() -> InstanceSettings:
         return placement(os.environ, arguments["--config"], arguments["--operator"])
 
     try:
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -20,7 +20,7 @@
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.callbacks import EventHandler
-from mulleinhatch.instance.runtime.instance_settings import Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings
 
 if TYPE_CHECKING:
     from mulleinhatch.instance.runtime.load_balancing import LoadBalancingService
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, placement: Placement, reducer: Reducer, handle_event: EventHandler, request_shutdown: Callable[[], None]
+        self, placement: InstanceSettings, reducer: Reducer, handle_event: EventHandler, request_shutdown: Callable[[], None]
     ) -> None:
         self.placement, self.reducer = placement, reducer
         self.handle_event, self.request_shutdown = handle_event, request_shutdown
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -18,7 +18,7 @@
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import BackgroundTasks
 from mulleinhatch.instance.runtime.caller_listener import ClientListener
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError
 from mulleinhatch.instance.runtime.interpreter_link import InterpreterLink
 from mulleinhatch.instance.transport.datagrams import DatagramSender
 from mulleinhatch.invariants import VIOLATIONS
@@ -43,7 +43,7 @@
 RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # fields that a reload changes
 
 
-def max_connections(placement: Placement) -> int:
+def max_connections(placement: InstanceSettings) -> int:
     """Return how many client connections the limit on descriptors allows."""
     descriptors = min(placement.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if placement.dependency else 0)
@@ -58,7 +58,7 @@
         read_placement: Reads the settings again, for a reload.
     """
 
-    def __init__(self, placement: Placement, read_placement: Callable[[], Placement] | None = None) -> None:
+    def __init__(self, placement: InstanceSettings, read_placement: Callable[[], InstanceSettings] | None = None) -> None:
         self.placement, self.read_placement = placement, read_placement or (lambda: placement)
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
--- a/mulleinhatch/instance/runtime/instance_settings.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -22,7 +22,7 @@
     """What was told at start does not do; the text names the faulty key."""
 
 
-class Placement(NamedTuple):
+class InstanceSettings(NamedTuple):
     name: str
     listen: Address
     interpreter: Address
@@ -91,7 +91,7 @@
         raise InvalidSettingsError(f"settings.{error}") from None
 
 
-def placement(environ: Mapping[str, str], path: str | None = None, operator: str | None = None) -> Placement:
+def placement(environ: Mapping[str, str], path: str | None = None, operator: str | None = None) -> InstanceSettings:
     path = path or environ.get("NODE_CONFIG")
     if not path:
         raise InvalidSettingsError("NODE_CONFIG: not set")
@@ -112,7 +112,7 @@
 
 
 def operated(path: str | None) -> dict[str, Any]:
-    """What the operator's file says, for the fields of a `Placement`; its libraries are loaded for it alone."""
+    """What the operator's file says, for the fields of a `InstanceSettings`; its libraries are loaded for it alone."""
     if not path:
         return {}
     try:
@@ -125,7 +125,7 @@
         raise InvalidSettingsError(str(error)) from None
 
 
-def placed(told: dict[str, Any]) -> Placement:
+def placed(told: dict[str, Any]) -> InstanceSettings:
     """
     >>> placed({"name": "n1", "listen": "127.0.0.1:0", "seed": "a"})
     Traceback (most recent call last):
@@ -138,7 +138,7 @@
     if not isinstance(limits, dict):
         raise InvalidSettingsError("limits: an object is wanted")
     deployment_facts = facts(settings)
-    return Placement(
+    return InstanceSettings(
         name=str(told["name"]),
         listen=address("listen", told["listen"]),
         interpreter=address("vm", told["vm"]),
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -18,7 +18,7 @@
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.runtime.callbacks import EventHandler
-from mulleinhatch.instance.runtime.instance_settings import Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings
 from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        placement: Placement,
+        placement: InstanceSettings,
         fleet: GossipNode,
         reducer: Reducer,
         handle_event: EventHandler,
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -13,7 +13,7 @@
 from mulleinhatch.instance.maintenance.schedule import MaintenanceRequest
 from mulleinhatch.instance.maintenance.store import CorruptVoterFileError, Store
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError
 from mulleinhatch.instance.runtime.maintenance_control_port import MaintenanceControlPort, SendMessages
 from mulleinhatch.instance.runtime.maintenance_history import MaintenanceHistory
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        placement: Placement,
+        placement: InstanceSettings,
         fleet: GossipNode,
         reducer: Reducer,
         send: SendMessages,
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch import __version__, admission
 from mulleinhatch.admission import AdmissionController
-from mulleinhatch.instance.runtime.instance_settings import Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings
 from mulleinhatch.instance.traces.file import TraceMetadata
 from mulleinhatch.instance.traces.recorder import Recorder
 from mulleinhatch.instance.traces.replay import deployment_to_dict
@@ -21,7 +21,7 @@
 class Tracing:
     """Records the calls and decisions of the admission controller into trace files."""
 
-    def __init__(self, placement: Placement) -> None:
+    def __init__(self, placement: InstanceSettings) -> None:
         self.placement = placement
         parts = sorted(Path(admission.__file__).parent.glob("*.py"))
         self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
