--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -41,18 +41,18 @@
     """Connects the gossip core to the socket, to the reducer and to what is built on gossip.
 
     Args:
-        placement: Settings of the instance.
+        settings: Settings of the instance.
         reducer: Read for the figures that are reported.
         handle_event: Passes events to the reducer.
         request_shutdown: Called when the instance was granted a maintenance permit.
     """
 
     def __init__(
-        self, placement: InstanceSettings, reducer: Reducer, handle_event: EventHandler, request_shutdown: Callable[[], None]
+        self, settings: InstanceSettings, reducer: Reducer, handle_event: EventHandler, request_shutdown: Callable[[], None]
     ) -> None:
-        self.placement, self.reducer = placement, reducer
+        self.settings, self.reducer = settings, reducer
         self.handle_event, self.request_shutdown = handle_event, request_shutdown
-        self.bounds = placement.fleet
+        self.bounds = settings.fleet
         self.counts: Counter[str] = Counter()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.core: GossipNode | None = None
@@ -84,15 +84,15 @@
         address, now = self.bounds.advertise or f"{host}:{port}", time.monotonic()
         # The incarnation must grow over restarts, without a disk: it is the wall clock. If that was set back, the
         # others report the higher number (`Membership._resolve_name_conflict`).
-        self.core = GossipNode(self.bounds, self.placement.name, address, int(1000.0 * time.time()), self.placement.seed, now)
-        if self.placement.spread:
+        self.core = GossipNode(self.bounds, self.settings.name, address, int(1000.0 * time.time()), self.settings.seed, now)
+        if self.settings.spread:
             from mulleinhatch.instance.runtime.load_balancing import LoadBalancingService
 
-            self.spread = LoadBalancingService(self.placement, self.core, self.reducer, self.handle_event, self._send)
-        if self.placement.upkeep:
+            self.spread = LoadBalancingService(self.settings, self.core, self.reducer, self.handle_event, self._send)
+        if self.settings.upkeep:
             from mulleinhatch.instance.runtime.maintenance import MaintenanceService
 
-            self.upkeep = MaintenanceService(self.placement, self.core, self.reducer, self._send, self.request_shutdown)
+            self.upkeep = MaintenanceService(self.settings, self.core, self.reducer, self._send, self.request_shutdown)
         self.reducer.on_tenant_request = self._record_tenant_request if self.reducer.tenants else None
         LOG.info("gossip started", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
         loop = asyncio.get_running_loop()
@@ -188,7 +188,7 @@
         runs, errors = self.recent
         if runs < 1.0 or errors < MIN_REPORTED_ERROR_SHARE * runs:
             return []
-        return [(interpreter_of(self.placement.name), round(100 * errors / runs), round(runs))]
+        return [(interpreter_of(self.settings.name), round(100 * errors / runs), round(runs))]
 
     def _heartbeat(self) -> None:
         now = time.monotonic()
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -43,10 +43,10 @@
 RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # fields that a reload changes
 
 
-def max_connections(placement: InstanceSettings) -> int:
+def max_connections(settings: InstanceSettings) -> int:
     """Return how many client connections the limit on descriptors allows."""
-    descriptors = min(placement.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if placement.dependency else 0)
+    descriptors = min(settings.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+    reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if settings.dependency else 0)
     return max(1, descriptors - min(reserved, descriptors // 2))
 
 
@@ -54,45 +54,45 @@
     """A service instance: client listener, interpreter link, reducer, and what the settings add to them.
 
     Args:
-        placement: Its settings.
-        read_placement: Reads the settings again, for a reload.
+        settings: Its settings.
+        read_settings: Reads the settings again, for a reload.
     """
 
-    def __init__(self, placement: InstanceSettings, read_placement: Callable[[], InstanceSettings] | None = None) -> None:
-        self.placement, self.read_placement = placement, read_placement or (lambda: placement)
+    def __init__(self, settings: InstanceSettings, read_settings: Callable[[], InstanceSettings] | None = None) -> None:
+        self.settings, self.read_settings = settings, read_settings or (lambda: settings)
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
         self.fleet: GossipService | None = None
         self.reducer = Reducer(
-            placement.deployment,
-            placement.op_types,
-            placement.tenants,
-            placement.seed,
-            placement.storms,
-            self._record_decisions if placement.traces else None,
+            settings.deployment,
+            settings.op_types,
+            settings.tenants,
+            settings.seed,
+            settings.storms,
+            self._record_decisions if settings.traces else None,
         )
         self.listener = listener = ClientListener(
-            max_connections(placement),
+            max_connections(settings),
             self.handle_event,
             self.count,
             self.counters_text,
-            self.reducer.reject_early if placement.storms else None,
+            self.reducer.reject_early if settings.storms else None,
             lambda: self.reducer.advice_level,
         )
-        if placement.storms:
+        if settings.storms:
             listener.on_connected = self.reducer.record_connection
-        self.interpreter = interpreter = InterpreterLink(*placement.interpreter, self.handle_event, self.count)
+        self.interpreter = interpreter = InterpreterLink(*settings.interpreter, self.handle_event, self.count)
         self.datagrams = DatagramSender()
-        self.tasks = BackgroundTasks(self.count, placement.seed)
+        self.tasks = BackgroundTasks(self.count, settings.seed)
         self.dependency: DependencyClient | None = None
-        if placement.dependency:
+        if settings.dependency:
             from mulleinhatch.instance.runtime.dependency_calls import DependencyClient
 
-            self.dependency = DependencyClient(*placement.dependency, self.handle_event, self.count)
+            self.dependency = DependencyClient(*settings.dependency, self.handle_event, self.count)
         self.port = 0
         self.is_listed_open: bool | None = None  # not reported until the interpreter is ready
         # Clients close their idle connections earlier: one that is older belongs to a client that is gone.
-        self.idle_timeout_s = placement.deployment.get("longest_idle") or math.inf
+        self.idle_timeout_s = settings.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
         self.action_handlers: dict[Action, Callable[..., None]] = {
             Action.SEND_RESULT: listener.send_result,
@@ -119,7 +119,7 @@
         """Wrap the admission controller in a recorder. Its libraries are imported only where traces are written."""
         from mulleinhatch.instance.runtime.tracing import Tracing
 
-        self.tracing = Tracing(self.placement)
+        self.tracing = Tracing(self.settings)
         return self.tracing.record_decisions(controller, now, is_cold_start, since)
 
     def count(self, name: str) -> None:
@@ -189,9 +189,9 @@
 
     def _send_report(self) -> None:
         """Report to the directory whether this instance is available."""
-        directory = self.placement.directory
+        directory = self.settings.directory
         if directory and self.is_listed_open is not None:
-            sent = self.datagrams.send(directory, directory_reports.write_report(self.placement.name, self.is_listed_open))
+            sent = self.datagrams.send(directory, directory_reports.write_report(self.settings.name, self.is_listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
     # Life cycle.
@@ -202,11 +202,11 @@
         loop.set_exception_handler(self.tasks.handle_loop_exception)
         signals.handle_signals(loop, hangup=self.reload, end=self.leave, counters=lambda: self.log_counters("counters"))
         self.port = await self._listen()
-        LOG.info("listening for clients", extra={"fields": {"name": self.placement.name, "port": self.port}})
-        if self.placement.fleet:
+        LOG.info("listening for clients", extra={"fields": {"name": self.settings.name, "port": self.port}})
+        if self.settings.fleet:
             from mulleinhatch.instance.runtime.gossip import GossipService
 
-            self.fleet = GossipService(self.placement, self.reducer, self.handle_event, self.leave)
+            self.fleet = GossipService(self.settings, self.reducer, self.handle_event, self.leave)
             self.fleet.listen()
             self.listener.serve_fleet_status(self.fleet.status_json)
             if self.fleet.upkeep:
@@ -232,7 +232,7 @@
         until, pause = time.monotonic() + LISTEN_TIMEOUT_S, MIN_LISTEN_PAUSE_S
         while True:
             try:
-                return self.listener.connections.listen(*self.placement.listen)
+                return self.listener.connections.listen(*self.settings.listen)
             except OSError as error:
                 if time.monotonic() >= until:
                     raise
@@ -249,22 +249,22 @@
 
     def leave(self) -> None:
         """Request the shutdown."""
-        self.handle_event(Event.SHUTDOWN_REQUESTED, self.placement.stop_after)
+        self.handle_event(Event.SHUTDOWN_REQUESTED, self.settings.stop_after)
 
     def reload(self) -> None:
         """Read the settings again. They are checked completely first; faulty ones change nothing."""
         try:
-            new = self.read_placement()
+            new = self.read_settings()
         except InvalidSettingsError as error:
             self.count("reloads_refused")
             LOG.error("reload refused, the old settings stay in force", extra={"fields": {"error": error}})
             return
         unchanged_until_restart = [
-            key for key in new._fields if key not in RELOADABLE_FIELDS and getattr(new, key) != getattr(self.placement, key)
+            key for key in new._fields if key not in RELOADABLE_FIELDS and getattr(new, key) != getattr(self.settings, key)
         ]
         self.count("reloads")
         LOG.info("settings reloaded", extra={"fields": {"left_until_restart": ",".join(unchanged_until_restart)}})
-        self.placement = self.placement._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
+        self.settings = self.settings._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
         self.listener.connections.max_connections = max_connections(new)
         self.interpreter.link.change_address(*new.interpreter)
         if self.dependency and new.dependency:
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -32,7 +32,7 @@
     """Connects the load balancing core to gossip, to the reducer and to the peers.
 
     Args:
-        placement: Settings of the instance.
+        settings: Settings of the instance.
         fleet: The gossip core that carries offers and reports.
         reducer: Read for load and capacity.
         handle_event: Passes events to the reducer.
@@ -41,17 +41,17 @@
 
     def __init__(
         self,
-        placement: InstanceSettings,
+        settings: InstanceSettings,
         fleet: GossipNode,
         reducer: Reducer,
         handle_event: EventHandler,
         send: Callable[[list[tuple[str, bytes]]], None],
     ) -> None:
-        bounds = placement.spread
+        bounds = settings.spread
         if not bounds.at:
-            bounds = bounds._replace(at=":".join(map(str, placement.listen)))
+            bounds = bounds._replace(at=":".join(map(str, settings.listen)))
         self.reducer, self.handle_event, self.send = reducer, handle_event, send
-        self.core = LoadBalancer(bounds, fleet, placement.seed, time.monotonic(), returns=True)
+        self.core = LoadBalancer(bounds, fleet, settings.seed, time.monotonic(), returns=True)
         self.peers = PeerConnections(bounds.links, http_peers.parse_response_head, time.monotonic)
         self.counts: Counter[str] = Counter()
         self.published_offer_count = 0
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -27,7 +27,7 @@
     """Takes part in the agreement on maintenance windows, and leaves when this instance has a permit.
 
     Args:
-        placement: Name, seed and maintenance bounds of this instance.
+        settings: Name, seed and maintenance bounds of this instance.
         fleet: Membership of the instances.
         reducer: Tells whether this instance is healthy.
         send: Sends gossip messages.
@@ -39,20 +39,20 @@
 
     def __init__(
         self,
-        placement: InstanceSettings,
+        settings: InstanceSettings,
         fleet: GossipNode,
         reducer: Reducer,
         send: SendMessages,
         leave: Callable[[], None],
     ) -> None:
-        self._name, self._bounds = placement.name, placement.upkeep
+        self._name, self._bounds = settings.name, settings.upkeep
         self._reducer, self._leave = reducer, leave
         self._zones = dict(self._bounds.zones)
         self._store, voter_state = self._open_store()
         self._coordinator = MaintenanceCoordinator(
             self._coordinator_bounds(),
             fleet,
-            placement.seed + COORDINATOR_SEED_OFFSET,
+            settings.seed + COORDINATOR_SEED_OFFSET,
             time.monotonic(),
             voter_state,
             self._store and self._store.persist,
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -21,26 +21,26 @@
 class Tracing:
     """Records the calls and decisions of the admission controller into trace files."""
 
-    def __init__(self, placement: InstanceSettings) -> None:
-        self.placement = placement
+    def __init__(self, settings: InstanceSettings) -> None:
+        self.settings = settings
         parts = sorted(Path(admission.__file__).parent.glob("*.py"))
         self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
         self.started_at, self.started_at_wall = time.monotonic(), time.time()
-        self.writer = TraceFileManager(placement.traces, self._facts)
+        self.writer = TraceFileManager(settings.traces, self._facts)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
     def _facts(self, number: int) -> TraceMetadata:
-        placement = self.placement
+        settings = self.settings
         return TraceMetadata(
-            placement.name,
-            placement.seed,
+            settings.name,
+            settings.seed,
             self.started_at,
             self.started_at_wall,
             number,
-            deployment_to_dict(placement.deployment),
-            placement.op_types,
-            placement.tenants,
+            deployment_to_dict(settings.deployment),
+            settings.op_types,
+            settings.tenants,
             self.policy_digest,
             f"mulleinhatch {__version__}",
         )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -742,10 +742,10 @@
     async def scenario() -> None:
         instance_harness = SocketScenario()
         await instance_harness.run_step("interpreter", "up")
-        before = instance_harness.instance.placement
+        before = instance_harness.instance.settings
         instance_harness.settings[key] = value
         instance_harness.instance.reload()
-        assert instance_harness.instance.placement is before and instance_harness.instance.counts["reloads_refused"] == 1
+        assert instance_harness.instance.settings is before and instance_harness.instance.counts["reloads_refused"] == 1
         with pytest.raises(InvalidSettingsError, match=complaint):
             placed(instance_harness.settings)
         instance_harness.instance.stopped.set()
