--- a/mulleinhatch/cli/instance/check.py
+++ b/mulleinhatch/cli/instance/check.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any
 
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placement
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, load_settings
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
@@ -14,7 +14,7 @@
     """Validate the settings and print a summary."""
     start_logging(arguments["--log"])
     try:
-        place = placement(os.environ, arguments["--config"], arguments["--operator"])
+        place = load_settings(os.environ, arguments["--config"], arguments["--operator"])
     except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.instance import Instance
-from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError, placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError, load_settings
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
@@ -19,7 +19,7 @@
     start_logging(arguments["--log"])
 
     def placed() -> InstanceSettings:
-        return placement(os.environ, arguments["--config"], arguments["--operator"])
+        return load_settings(os.environ, arguments["--config"], arguments["--operator"])
 
     try:
         place = placed()
--- a/mulleinhatch/instance/runtime/instance_settings.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -91,7 +91,7 @@
         raise InvalidSettingsError(f"settings.{error}") from None
 
 
-def placement(environ: Mapping[str, str], path: str | None = None, operator: str | None = None) -> InstanceSettings:
+def load_settings(environ: Mapping[str, str], path: str | None = None, operator: str | None = None) -> InstanceSettings:
     path = path or environ.get("NODE_CONFIG")
     if not path:
         raise InvalidSettingsError("NODE_CONFIG: not set")
@@ -108,7 +108,7 @@
         if text and text != told.setdefault(key, text):
             LOG.warning("NODE_%s goes before the file", key.upper(), extra={"fields": {key: told[key]}})
             told[key] = text
-    return placed(told)._replace(**operated(operator))
+    return parse_settings(told)._replace(**operated(operator))
 
 
 def operated(path: str | None) -> dict[str, Any]:
@@ -125,9 +125,9 @@
         raise InvalidSettingsError(str(error)) from None
 
 
-def placed(told: dict[str, Any]) -> InstanceSettings:
+def parse_settings(told: dict[str, Any]) -> InstanceSettings:
     """
-    >>> placed({"name": "n1", "listen": "127.0.0.1:0", "seed": "a"})
+    >>> parse_settings({"name": "n1", "listen": "127.0.0.1:0", "seed": "a"})
     Traceback (most recent call last):
     mulleinhatch.instance.runtime.instance_settings.InvalidSettingsError: vm: missing
     """
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from mulleinhatch.instance.runtime.instance import Instance
-from mulleinhatch.instance.runtime.instance_settings import placed
+from mulleinhatch.instance.runtime.instance_settings import parse_settings
 
 STEP_TIMEOUT_S = 3.0
 
@@ -196,7 +196,9 @@
         if self.settings.get("db"):
             server = await asyncio.start_server(self.database.serve, "127.0.0.1", 0)
             self.settings["db"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        self.instance = Instance(placed(self.settings)._replace(**self.placement_overrides), lambda: placed(self.settings))
+        self.instance = Instance(
+            parse_settings(self.settings)._replace(**self.placement_overrides), lambda: parse_settings(self.settings)
+        )
         self.serving = asyncio.ensure_future(self.instance.serve())
         await asyncio.sleep(0.01)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,7 +28,7 @@
 
 from mulleinhatch.instance.protocol import http_requests, http_responses
 from mulleinhatch.instance.runtime.background_tasks import BackgroundTasks
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, placed
+from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, parse_settings
 from mulleinhatch.instance.transport import limits
 from mulleinhatch.instance.transport.connection import Connection
 from mulleinhatch.instance.transport.connections import Connections
@@ -747,7 +747,7 @@
         instance_harness.instance.reload()
         assert instance_harness.instance.settings is before and instance_harness.instance.counts["reloads_refused"] == 1
         with pytest.raises(InvalidSettingsError, match=complaint):
-            placed(instance_harness.settings)
+            parse_settings(instance_harness.settings)
         instance_harness.instance.stopped.set()
         await instance_harness.serving
 
@@ -766,7 +766,7 @@
     node_config = default_settings()
     node_config["settings"][path] = value
     with pytest.raises(InvalidSettingsError, match=complaint):
-        placed(node_config)
+        parse_settings(node_config)
 
 
 def test_callers_that_reset_after_a_half_close_leave_no_garbage() -> None:
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -19,7 +19,7 @@
 from benchmarks import scale_instance
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
-from mulleinhatch.instance.runtime.instance_settings import placement
+from mulleinhatch.instance.runtime.instance_settings import load_settings
 from mulleinhatch.testing.load_generator import Driver, Habits
 from mulleinhatch.testing.single_instance import SingleInstance, cpu_seconds, driven, settings
 
@@ -148,7 +148,7 @@
             }
         )
     )
-    place = placement({}, str(config))
+    place = load_settings({}, str(config))
     assert (len(place.tenants), len(place.op_types)) == (tenants, classes)
     assert all(tenant["fraction"] > 0 and tenant["quota_per_s"] > 0 for tenant in place.deployment["tenants"])
     environ = {name: text for name, text in os.environ.items() if not name.startswith("NODE_")}
