--- a/mulleinhatch/cli/instance/fleet.py
+++ b/mulleinhatch/cli/instance/fleet.py
@@ -172,7 +172,7 @@
         if not address:
             if not arguments["--operator"]:
                 raise operator.OperatorFileError("--operator FILE or --at HOST:PORT is wanted")
-            address = operator.fleet_status(arguments["--operator"])
+            address = operator.read_status_address(arguments["--operator"])
         if arguments["watch"]:
             watch(address)
         fleet = ask(address)
--- a/mulleinhatch/instance/runtime/operator_file.py
+++ b/mulleinhatch/instance/runtime/operator_file.py
@@ -140,10 +140,10 @@
         text = Path(path).read_text()
     except (OSError, ValueError) as error:
         raise OperatorFileError(f"{path}: can't be read: {error}") from None
-    return told(text, path)
+    return parse(text, path)
 
 
-def fleet_status(path: str) -> str:
+def read_status_address(path: str) -> str:
     """Where the command line asks: `status` of the fleet."""
     fleet = read(path).fleet
     if fleet is None or not fleet.status:
@@ -151,15 +151,15 @@
     return fleet.status
 
 
-def told(text: str, path: str = "operator.kdl") -> Operator:
+def parse(text: str, path: str = "operator.kdl") -> Operator:
     """
-    >>> told("storms {\\n    settle 5\\n}").storms.settle
+    >>> parse("storms {\\n    settle 5\\n}").storms.settle
     5.0
-    >>> told("storms enabled=#false").storms
-    >>> told("storms {\\n    settle 5\\n    confirm soon\\n}")
+    >>> parse("storms enabled=#false").storms
+    >>> parse("storms {\\n    settle 5\\n    confirm soon\\n}")
     Traceback (most recent call last):
     mulleinhatch.instance.runtime.operator_file.OperatorFileError: operator.kdl:3: storms.confirm: Expected `float`, got `str`
-    >>> told("storms {\\n    setle 5\\n}")
+    >>> parse("storms {\\n    setle 5\\n}")
     Traceback (most recent call last):
     mulleinhatch.instance.runtime.operator_file.OperatorFileError: operator.kdl:2: storms.setle: no such key
     """
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -215,4 +215,4 @@
 
 def test_seed_with_a_host_name_is_rejected() -> None:
     with pytest.raises(operator.OperatorFileError, match=":4: fleet.seeds"):
-        operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n seeds "some.host:7300"\n}')
+        operator.parse('fleet {\n name "x"\n listen "127.0.0.1:1"\n seeds "some.host:7300"\n}')
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -162,9 +162,9 @@
 
 def test_load_balancing_requires_a_fleet_and_errors_name_the_line() -> None:
     with pytest.raises(operator.OperatorFileError, match=":1: spread: wants a fleet"):
-        operator.told("spread {\n}")
+        operator.parse("spread {\n}")
     with pytest.raises(operator.OperatorFileError, match=":6: spread.ofer-for: no such key"):
-        operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
+        operator.parse('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
 
 
 # Virtual time: each step checks one answer per request, no second run of a non-retryable one, and offers within the free slots.
