--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -294,7 +294,7 @@
 )
 def test_error_names_the_line_of_the_fleet_node(text: str, complaint: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
-        operator.told(text)
+        operator.parse(text)
     assert str(error.value).startswith("operator.kdl" + complaint), error.value
 
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -425,7 +425,7 @@
 
 
 def read_fleet_node(*lines: str) -> object:
-    return operator.told(FLEET.format(more="\n".join(f"    {line}" for line in lines)))
+    return operator.parse(FLEET.format(more="\n".join(f"    {line}" for line in lines)))
 
 
 def test_location_is_read_from_the_operators_file() -> None:
@@ -459,4 +459,4 @@
 def test_maintenance_beside_a_zone_is_rejected() -> None:
     text = FLEET.format(more='    zone "z1"\n    region "eu"') + 'upkeep {\n    voters "n0"\n}\n'
     with pytest.raises(operator.OperatorFileError, match="upkeep.there is no order yet among members of several groups"):
-        operator.told(text)
+        operator.parse(text)
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -209,7 +209,7 @@
 )
 def test_budgets_of_each_kind_in_the_operators_file(budget: str, kind: str) -> None:
     text = f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n seats "a" "b"\n budgets {{\n  q total=9 {budget}\n }}\n}}'
-    [bounds] = operator.told(text).fleet.budgets
+    [bounds] = operator.parse(text).fleet.budgets
     assert (bool(bounds.tenant), bounds.retries, bounds.window) == (kind == "cap", kind == "retries", float(kind == "retries"))
 
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -248,7 +248,7 @@
 )
 def test_the_faulty_line_of_the_operators_file_is_named(text: str, complaint: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
-        operator.told(text)
+        operator.parse(text)
     assert str(error.value).startswith("operator.kdl" + complaint), error.value
 
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -427,7 +427,7 @@
 )
 def test_invalid_maintenance_settings_are_named(lines: str, complaint: str) -> None:
     with pytest.raises(operator.OperatorFileError, match=complaint):
-        operator.told(f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n}}\nupkeep {{\n {lines}\n}}')
+        operator.parse(f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n}}\nupkeep {{\n {lines}\n}}')
 
 
 @pytest.mark.processes
