--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -279,11 +279,11 @@
         ),
         (
             'fleet {\n name "x"\n listen "10.0.0.1:1"\n budgets {\n  q total=9 tenant="t"\n }\n}',
-            ":5: fleet.budgets.q.seats: nobody",
+            ":5: fleet.budgets.q.seats: none are given",
         ),
         (
             'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q total=9\n }\n}',
-            ":6: fleet.budgets.q.tenant: either",
+            ":6: fleet.budgets.q.tenant: exactly one",
         ),
         (
             'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q totl=9\n }\n}',
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -442,11 +442,11 @@
         (['zone ""', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
         (['zone "a/b"', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
         (['zone "z1"', 'region "eu"', "groups 65"], "operator.kdl:6: fleet.groups: Expected"),
-        (["groups 4"], "operator.kdl:4: fleet.groups: wants a zone"),
-        (['beyond "10.0.0.9:7300"'], "operator.kdl:4: fleet.beyond: wants a zone"),
+        (["groups 4"], "operator.kdl:4: fleet.groups: requires a zone"),
+        (['beyond "10.0.0.9:7300"'], "operator.kdl:4: fleet.beyond: requires a zone"),
         (
             ['zone "z1"', 'region "eu"', 'seats "n0"', "budgets {", "q total=4 calls=#true", "}"],
-            "fleet.budgets.q.seats: 'n0' names no place",
+            "fleet.budgets.q.seats: 'n0' has no location",
         ),
     ],
 )
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -185,7 +185,7 @@
 def test_an_instance_that_does_not_start_says_why(tmp_path: Path) -> None:
     report = settings(2)
     report["tenants"][1]["name"] = report["tenants"][0]["name"]
-    with pytest.raises(RuntimeError, match="ended with 2.*a name comes twice"):
+    with pytest.raises(RuntimeError, match="ended with 2.*a name occurs twice"):
         SingleInstance(tmp_path, report)
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -161,7 +161,7 @@
 
 
 def test_load_balancing_requires_a_fleet_and_errors_name_the_line() -> None:
-    with pytest.raises(operator.OperatorFileError, match=":1: spread: wants a fleet"):
+    with pytest.raises(operator.OperatorFileError, match=":1: spread: requires a fleet"):
         operator.parse("spread {\n}")
     with pytest.raises(operator.OperatorFileError, match=":6: spread.ofer-for: no such key"):
         operator.parse('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -236,8 +236,8 @@
     [
         ("storms {\n  settle 0\n}", ":2: storms.settle: Expected `float` > 0.0"),
         ("storms {\n  settle 3\n  loud-share 1.5\n}", ":3: storms.loud-share: Expected `float` <= 1.0"),
-        ("storms {\n  settle 3\n  settle 4\n}", ":3: storms.settle: told twice"),
-        ("storms settle=3 {\n  settle 4\n}", ":1: storms.settle: told twice"),
+        ("storms {\n  settle 3\n  settle 4\n}", ":3: storms.settle: given twice"),
+        ("storms settle=3 {\n  settle 4\n}", ":1: storms.settle: given twice"),
         ("\nstroms {\n}", ":2: stroms: no such key"),
         ("storms 5", ":1: storms: Expected `object`"),
         ("storms {\n  callers-kept 2.5\n}", ":2: storms.callers-kept: Expected `int`"),
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -418,11 +418,11 @@
 @pytest.mark.parametrize(
     "lines, complaint",
     [
-        ('voters "a" "a"', "upkeep.voters: told twice"),
+        ('voters "a" "a"', "upkeep.voters: given twice"),
         ("most 1", "upkeep: Object missing required field `voters`"),
-        ('voters "a"\n control "10.1.1.1:5"', "upkeep.control: only on loopback"),
+        ('voters "a"\n control "10.1.1.1:5"', "upkeep.control: must be a loopback address"),
         ('voters "a"\n most 99', "upkeep.most"),
-        ('voters "a"\n zones {\n  x "a" "b"\n  y "b"\n }', "upkeep.zones: a member in two"),
+        ('voters "a"\n zones {\n  x "a" "b"\n  y "b"\n }', "upkeep.zones: a member is in two zones"),
     ],
 )
 def test_invalid_maintenance_settings_are_named(lines: str, complaint: str) -> None:
