--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -385,12 +385,12 @@
             for name, row in sorted(self.core.fleet_counters.rows.items())
         ]
 
-    def counted(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Return all counters and gauges by name."""
         if not self.core:
             return dict(self.counts)
         members = self.core.members
-        spread = {**(self.spread.counted() if self.spread else {}), **(self.upkeep.counters() if self.upkeep else {})}
+        spread = {**(self.spread.counters() if self.spread else {}), **(self.upkeep.counters() if self.upkeep else {})}
         counts = {
             **self.core.counts,
             **members.counts,
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -273,13 +273,13 @@
 
     def log_counters(self, event: str) -> None:
         """Log all counters."""
-        LOG.info(event, extra={"fields": self.counted()})
+        LOG.info(event, extra={"fields": self.counters()})
 
-    def counted(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Return all counters and gauges by name."""
         storms = self.reducer.storms.counters() if self.reducer.storms else {}
         traces = self.tracing.writer.counts if self.tracing else {}
-        fleet = self.fleet.counted() if self.fleet else {}
+        fleet = self.fleet.counters() if self.fleet else {}
         return {
             **self.counts,
             **self.reducer.counts,
@@ -294,4 +294,4 @@
 
     def counters_text(self) -> str:
         """Return all counters as lines of name=value."""
-        return "".join(f"{name}={count}\n" for name, count in sorted(self.counted().items()))
+        return "".join(f"{name}={count}\n" for name, count in sorted(self.counters().items()))
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -200,7 +200,7 @@
             "held_back": core.suspension_reason(),
         }
 
-    def counted(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Return all counters by name."""
         core = self.core
         return {
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -313,7 +313,7 @@
         await asyncio.shield(self.serving)
 
     async def instance_counts(self, name: str, count: str) -> None:
-        while self.instance.counted().get(name, 0) != int(count):
+        while self.instance.counters().get(name, 0) != int(count):
             await asyncio.sleep(0.01)
 
     # Callers.
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -329,7 +329,7 @@
         finally:
             play.instance.stopped.set()
             await play.serving
-        return play.instance.counted()
+        return play.instance.counters()
 
     counted = asyncio.run(asyncio.wait_for(run_instance(), 20))
     (path,) = tmp_path.glob("n1-*.mht")
