--- a/mulleinhatch/instance/runtime/__init__.py
+++ b/mulleinhatch/instance/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The program round the module: what it is told at start, how its parts join, what it says of itself."""
+"""The process of a service instance: settings, wiring of its parts, I/O, signals, logs and status."""
--- a/mulleinhatch/instance/runtime/background_tasks.py
+++ b/mulleinhatch/instance/runtime/background_tasks.py
@@ -15,16 +15,16 @@
 from mulleinhatch.random_source import RandomSource
 
 LOG = logging.getLogger(__name__)
-MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 2.0  # before a failed task is restarted; doubled each time
-HEALTHY_AFTER_S = 10.0  # a task that ran so long restarts after the shortest pause
+MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 2.0  # seconds until a failed task is restarted; doubled with each failure
+HEALTHY_AFTER_S = 10.0  # seconds; a task that ran longer is restarted after the shortest pause
 
 
 class BackgroundTasks:
-    """Runs tasks until they are cancelled: `keep` for one that runs until the end, `every` for one that is repeated.
+    """Runs tasks until they are cancelled: `keep` for a permanent one, `every` for a periodic one.
 
     Args:
         count: Increments a counter.
-        seed: Of the jitter of pauses.
+        seed: Seed of the jitter of the pauses.
     """
 
     def __init__(self, count: CounterIncrement, seed: int) -> None:
@@ -38,9 +38,9 @@
         task.add_done_callback(self.running.discard)
 
     def every(self, name: str, seconds: float, work: Callable[[], None]) -> None:
-        """Call a function every so many seconds; a failing call affects only itself."""
+        """Call a function periodically; a failed call does not stop later ones."""
 
-        async def turns() -> None:
+        async def repeat() -> None:
             while True:
                 try:
                     work()
@@ -48,7 +48,7 @@
                     self._record_failure(name)
                 await asyncio.sleep(seconds)
 
-        self.keep(name, turns)
+        self.keep(name, repeat)
 
     async def _keep_running(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         loop, pause = asyncio.get_running_loop(), MIN_RESTART_PAUSE_S
--- a/mulleinhatch/instance/runtime/callbacks.py
+++ b/mulleinhatch/instance/runtime/callbacks.py
@@ -1,4 +1,4 @@
-"""What the parts of the runtime call at the instance that wires them."""
+"""Callbacks by which the parts of the runtime report to the instance."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/instance/runtime/caller_listener.py
+++ b/mulleinhatch/instance/runtime/caller_listener.py
@@ -19,14 +19,18 @@
 from mulleinhatch.networking import http_grammar
 
 LOG = logging.getLogger(__name__)
-STATUS_BY_CAUSE = {"tenant": 400, "id in use": 409, "key in use": 422}  # of requests that do not fit; all other causes: 404
+STATUS_BY_CAUSE = {
+    "tenant": 400,
+    "id in use": 409,
+    "key in use": 422,
+}  # of requests that do not fit the deployment; 404 for all other causes
 
 
 class ClientListener:
     """Receives requests and health checks of clients, and writes the answers.
 
     Args:
-        max_connections: How many connections may be open.
+        max_connections: Maximum number of open connections.
         handle_event: Passes events to the reducer.
         count: Increments a counter.
         counters_text: Returns the counters as served under their path.
@@ -51,7 +55,7 @@
             time.monotonic,
             observer=self,
         )
-        self.closing_connections: set[int] = set()  # by the wish of the client, after the answer
+        self.closing_connections: set[int] = set()  # to be closed after the response, as the client asked
         self.is_leaving = False
         self.on_handover: Callable[[bytes], None] | None = None
         self.on_connected: Callable[[], None] | None = None
@@ -66,7 +70,7 @@
         self.on_handover = on_handover
 
     def on_connection_accepted(self) -> None:
-        """Report an accepted connection, if anybody counts them."""
+        """Report an accepted connection if a callback is set."""
         if self.on_connected:
             self.on_connected()
 
--- a/mulleinhatch/instance/runtime/dependency_calls.py
+++ b/mulleinhatch/instance/runtime/dependency_calls.py
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
-MAX_CONNECTIONS = 64  # of the descriptors that are reserved beside client connections
+MAX_CONNECTIONS = 64  # `instance.RESERVED_DEPENDENCY_CONNECTIONS` reserves their descriptors
 
 
 class DependencyClient:
@@ -55,7 +55,7 @@
             self.handle_event(Event.CALL_ENDED, request_id, ending, result if ending is Ending.OK else b"")
 
     def set_address(self, host: str, port: int) -> None:
-        """Use another address for new calls; those in progress end where they began."""
+        """Use another address for new calls; those in progress continue at the old one."""
         self.address = f"{host}:{port}"
 
     def sweep(self) -> None:
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -28,17 +28,17 @@
 
 LOG = logging.getLogger(__name__)
 MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before other work of the event loop
-RECEIVE_BUFFER_BYTES = 1 << 18  # what arrives while the process is stalled must not be lost: it proves who is alive
+RECEIVE_BUFFER_BYTES = 1 << 18  # messages that arrive during a stall of the process must not be lost: they show who is alive
 TENANTS_KEPT = 256  # tenants with a counter of their own
-RECENT_RUNS_S = 6.0  # runs count for the opinion of our interpreter with this time constant
-MIN_REPORTED_ERROR_SHARE = 0.1  # with fewer failed runs nothing is reported of it
-# Counters of dropped messages: the first of each is logged.
+RECENT_RUNS_S = 6.0  # time constant of the decayed run counts from which our interpreter is judged
+MIN_REPORTED_ERROR_SHARE = 0.1  # error rate below which our interpreter is not reported
+# Prefixes of the counters of dropped messages; the first drop of each kind is logged.
 DROPPED = ("unfit_", "members_refused", "names_elsewhere", "letters_without_levels", "upward_unfit", "sums_refused")
-CALL_TIMEOUT_S = 2.0  # the longest call under a budget of concurrent calls
+CALL_TIMEOUT_S = 2.0  # maximum duration of a call under a budget of concurrent calls
 
 
 class GossipService:
-    """Connects the gossip core to the socket, to the reducer and to what is built on gossip.
+    """Connects the gossip core to the socket, to the reducer and to the services built on gossip.
 
     Args:
         settings: Settings of the instance.
@@ -60,7 +60,7 @@
         self.upkeep: MaintenanceService | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.published_pieces: dict[str, list[tuple[float, float]]] = {}
-        # Requests per tenant with a budget: in the current window and in the one before.
+        # Requests per tenant with a budget: in the current window and in the previous one.
         self.requested_counts: dict[str, list[int]] = {
             budget.tenant: [0, 0] for budget in self.bounds.budgets if budget.tenant and budget.window
         }
@@ -97,11 +97,11 @@
         LOG.info("gossip started", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
         loop = asyncio.get_running_loop()
         loop.add_reader(self.socket.fileno(), self._readable)
-        self._publish_budget_parts(now)
+        self._publish_budget_shares(now)
         self._heartbeat()
 
     def close(self) -> None:
-        """Close the socket and what is built on gossip."""
+        """Close the socket and the services built on gossip."""
         if self.timer:
             self.timer.cancel()
         if self.spread:
@@ -112,11 +112,11 @@
         self.socket.close()
 
     def leave(self) -> None:
-        """Announce the departure: borrowed budget is returned, and requests that still wait run on the own part."""
+        """Announce the departure: borrowed budget is returned, and waiting requests use the instance's own share."""
         if self.core and not self.core.members.left:
             now = time.monotonic()
             self._send(self.core.leave(now))
-            self._publish_budget_parts(now)
+            self._publish_budget_shares(now)
 
     def _record_tenant_request(self, now: float, tenant: str) -> None:
         self.loudest.add(now, tenant)
@@ -148,8 +148,8 @@
                     now,
                 )
                 since = now
-            part = (now - since) / budget.window
-            demands.append(counts[0] + (1.0 - part) * counts[1])
+            elapsed = (now - since) / budget.window
+            demands.append(counts[0] + (1.0 - elapsed) * counts[1])
         return tuple(demands)
 
     def _local(self, now: float) -> LocalState:
@@ -157,7 +157,7 @@
         counts, controller = reducer.counts, reducer.controller
         storms = reducer.storms
         repeats = storms.counts["repeats_read"] if storms else 0
-        # Requests that peers hand over are their demand: counted twice, the fleet would look overloaded.
+        # Requests handed over by peers are part of the peers' demand; counted twice, the fleet would look overloaded.
         reads = counts["ops_read"] - counts["ops_from_peers"] + (storms.rejected_retries if storms else 0)
         figures = [
             max(0, reads - repeats),
@@ -180,7 +180,7 @@
         return LocalState(figures, self._demands(now), loudest, opinions)
 
     def _interpreter_opinions(self, now: float) -> list[tuple[str, int, int]]:
-        """Return the recent error rate of our interpreter; nothing while it is healthy."""
+        """Return the recent error rate of our interpreter, or nothing while it is healthy."""
         current_counts = (self.reducer.counts["run_ok"] + self.reducer.counts["run_error"], self.reducer.counts["run_error"])
         left = math.exp(-(now - self.recent_at) / RECENT_RUNS_S)
         self.recent = [left * old + new - before for old, new, before in zip(self.recent, current_counts, self.last_counts)]
@@ -200,7 +200,7 @@
             if self.upkeep:
                 self._send(self.upkeep.tick(now))
             self._send(self.core.heartbeat(now, self._local(now)))
-            self._publish_budget_parts(now)
+            self._publish_budget_shares(now)
             self._publish_peer_load(now)
             self._log_dropped_messages()
             for change in self.core.take_changes():
@@ -214,7 +214,7 @@
             LOG.exception("unexpected exception", extra={"fields": {"at": "gossip heartbeat"}})
 
     def _log_dropped_messages(self) -> None:
-        """Log each cause once; the counters tell how often."""
+        """Log each cause once; the counters show how often it occurred."""
         for name, count in {
             **self.core.counts,
             **(self.core.aggregation_tree.counts if self.core.aggregation_tree else {}),
@@ -236,7 +236,7 @@
                     self._send(self.spread.on_datagram(now))
                 if self.upkeep:
                     self._send(self.upkeep.on_messages())
-                self._publish_budget_parts(now)
+                self._publish_budget_shares(now)
             except Exception:
                 self.counts["fleet_errors_inside"] += 1
                 LOG.exception("unexpected exception", extra={"fields": {"at": "gossip datagram"}})
@@ -247,19 +247,19 @@
             with contextlib.suppress(OSError, OverflowError):  # the peer may be down or its address invalid
                 self.socket.sendto(data, (host, int(port)))
 
-    def _publish_budget_parts(self, now: float) -> None:
-        """Report a changed part of a budget at once: units that were lent out must not be used."""
-        for budget, part in zip(self.bounds.budgets, self.core.quotas):
+    def _publish_budget_shares(self, now: float) -> None:
+        """Report a changed share of a budget at once: units that were lent must not be used any more."""
+        for budget, quota in zip(self.bounds.budgets, self.core.quotas):
             if budget.retries:
-                self.max_retry_rate = part.usable(now) / budget.window
+                self.max_retry_rate = quota.usable(now) / budget.window
                 continue
             if not budget.tenant:
-                share = float(part.usable(now, CALL_TIMEOUT_S))
+                share = float(quota.usable(now, CALL_TIMEOUT_S))
                 if self.published_pieces.get(budget.name) != [(share, 0.0)]:
                     self.published_pieces[budget.name] = [(share, 0.0)]
                     self.handle_event(Event.DEPENDENCY_SHARE_CHANGED, share)
                 continue
-            pieces = part.usable_pieces(now)
+            pieces = quota.usable_pieces(now)
             if self.published_pieces.get(budget.name) != pieces:
                 self.published_pieces[budget.name] = pieces
                 self.handle_event(Event.TENANT_BUDGET_CHANGED, budget.tenant, budget.window, pieces)
@@ -304,7 +304,7 @@
             for member in members.view.values()
         ]
         budgets = []
-        for place, (budget, part) in enumerate(zip(self.bounds.budgets, core.quotas)):
+        for index, (budget, quota) in enumerate(zip(self.bounds.budgets, core.quotas)):
             budgets.append(
                 {
                     "name": budget.name,
@@ -312,12 +312,12 @@
                     "window": budget.window,
                     "tenant": budget.tenant,
                     "retries": budget.retries,
-                    "home": part.even_share,
-                    "own": part.own_units(now),
-                    "usable": part.usable(now),
-                    "demand": round(core.demands[place], 1),
-                    "lent": sum(loan.amount for loan in part.loans.values()),
-                    "borrowed": sum(have.amount for have in part.borrowed.values() if now < have.until),
+                    "home": quota.even_share,
+                    "own": quota.own_units(now),
+                    "usable": quota.usable(now),
+                    "demand": round(core.demands[index], 1),
+                    "lent": sum(loan.amount for loan in quota.loans.values()),
+                    "borrowed": sum(grant.amount for grant in quota.borrowed.values() if now < grant.until),
                 }
             )
         sums: dict[str, Any] = {figure: core.fleet_counters.total(now, figure)._asdict() for figure in FIGURES}
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -33,28 +33,30 @@
 LOG = logging.getLogger(__name__)
 RESERVED_DESCRIPTORS = 16  # descriptors that are not for client connections
 RESERVED_DEPENDENCY_CONNECTIONS = 64  # further ones, if there is a dependency
-LISTEN_TIMEOUT_S = 15.0  # a predecessor that was killed a moment ago may still have the address
-MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # between attempts: doubled each time, with random jitter
-CLOSE_LISTENER_BEFORE_STOP_S = 0.12  # later than the last answers of the admission controller
-CLOSE_LISTENER_INTERVAL_S = 0.02  # repeated until the stop, for connections that become idle
-EXIT_AFTER_STOP_S = 0.5  # the supervisor stops the process at the announced time: to exit before would lose requests
+LISTEN_TIMEOUT_S = 15.0  # seconds; a predecessor that was just killed may still hold the address
+MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # seconds between attempts; doubled each time, with random jitter
+CLOSE_LISTENER_BEFORE_STOP_S = 0.12  # seconds; after the last answers of the admission controller
+CLOSE_LISTENER_INTERVAL_S = 0.02  # seconds; repeated until the stop, for connections that become idle
+EXIT_AFTER_STOP_S = (
+    0.5  # seconds; the supervisor stops the process at the announced time, and an earlier exit would lose requests
+)
 REPORT_INTERVAL_S = directory_reports.ENTRY_LIFETIME_S / 6
 SWEEP_INTERVAL_S = 0.25
 RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # fields that a reload changes
 
 
 def max_connections(settings: InstanceSettings) -> int:
-    """Return how many client connections the limit on descriptors allows."""
+    """Return the number of client connections that the limit on descriptors allows."""
     descriptors = min(settings.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if settings.dependency else 0)
     return max(1, descriptors - min(reserved, descriptors // 2))
 
 
 class Instance:
-    """A service instance: client listener, interpreter link, reducer, and what the settings add to them.
+    """A service instance: client listener, interpreter link, reducer, and the optional parts.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the instance.
         read_settings: Reads the settings again, for a reload.
     """
 
@@ -91,7 +93,7 @@
             self.dependency = DependencyClient(*settings.dependency, self.handle_event, self.count)
         self.port = 0
         self.is_listed_open: bool | None = None  # not reported until the interpreter is ready
-        # Clients close their idle connections earlier: one that is older belongs to a client that is gone.
+        # Clients close idle connections earlier, so one that is idle longer belongs to a client that is gone.
         self.idle_timeout_s = settings.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
         self.action_handlers: dict[Action, Callable[..., None]] = {
@@ -159,7 +161,7 @@
     def _start_call(self, request_id: str, seconds: float, payload: bytes) -> None:
         if self.dependency:
             self.dependency.call(request_id, seconds, payload)
-        else:  # no dependency is configured, and the run must not wait for ever
+        else:  # no dependency is configured; the run must not wait forever
             asyncio.get_running_loop().call_soon(self.handle_event, Event.CALL_ENDED, request_id, Ending.UNREACHABLE, b"")
 
     def _report_availability(self, is_open: bool) -> None:
@@ -252,7 +254,7 @@
         self.handle_event(Event.SHUTDOWN_REQUESTED, self.settings.stop_after)
 
     def reload(self) -> None:
-        """Read the settings again. They are checked completely first; faulty ones change nothing."""
+        """Read the settings again. They are validated completely first; invalid ones change nothing."""
         try:
             new = self.read_settings()
         except InvalidSettingsError as error:
--- a/mulleinhatch/instance/runtime/interpreter_link.py
+++ b/mulleinhatch/instance/runtime/interpreter_link.py
@@ -11,7 +11,7 @@
 from mulleinhatch.instance.transport.reconnecting_link import ReconnectingLink
 
 LOG = logging.getLogger(__name__)
-MAX_UNREADABLE_RUN_ENDS = 1000  # request ids that are remembered
+MAX_UNREADABLE_RUN_ENDS = 1000  # maximum number of remembered request ids
 # Log lines by counter.
 PROBLEMS = {
     "lines_broken": "the interpreter sent a line that cannot be parsed",
@@ -41,7 +41,7 @@
             self.handle_event(Event.MALFORMED_LINE_RECEIVED)
             return
         try:
-            self._notice(message)
+            self._handle_notice(message)
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             self._count_problem("notices_broken", {"error": repr(error)})
             self._handle_unreadable_run_end(message)
@@ -49,8 +49,8 @@
     def _handle_unreadable_run_end(self, message: dict) -> None:
         """Handle a notice of a run's end that cannot be read.
 
-        It is sent again after a reconnect, perhaps readable. The second time the run has ended all the same: it fails, since
-        its result cannot be known, and must not occupy capacity for ever.
+        The interpreter sends it again after a reconnect. If it is unreadable again, the run has ended with an unknown
+        result: it fails, so that it does not occupy capacity forever.
         """
         request_id = message.get("rid")
         if message.get("t") != "VALUE" or not isinstance(request_id, str):
@@ -65,13 +65,13 @@
         self.handle_event(Event.MALFORMED_LINE_RECEIVED)
 
     def _count_problem(self, kind: str, fields: dict) -> None:
-        """Count each problem and log the first of a kind: a fault of the other side must not fill the log."""
+        """Count each problem and log the first of its kind: a faulty interpreter must not fill the log."""
         self.count(kind)
         if kind not in self.logged_problems:
             self.logged_problems.add(kind)
             LOG.warning(PROBLEMS[kind], extra={"fields": fields})
 
-    def _notice(self, message: dict) -> None:
+    def _handle_notice(self, message: dict) -> None:
         kind, status = message.get("t"), message.get("status")
         if kind == "VALUE":
             ending = interpreter_messages.ENDINGS.get(status, Ending.ERROR)
--- a/mulleinhatch/instance/runtime/load_balancing.py
+++ b/mulleinhatch/instance/runtime/load_balancing.py
@@ -22,9 +22,9 @@
 from mulleinhatch.instance.transport.peer_connections import ConnectFailedError, ConnectionLostError, PeerConnections
 
 LOG = logging.getLogger(__name__)
-ANSWER_MARGIN_S = 0.08  # time between the answer of a peer and our own deadline
-LOAD_CHANGE_DELAY_S = 0.005  # changes within this time are reported together
-MAX_HANDOVER_S = 30.0  # for a request without a deadline
+ANSWER_MARGIN_S = 0.08  # seconds before our own deadline by which a peer must answer
+LOAD_CHANGE_DELAY_S = 0.005  # seconds; changes within this time are reported together
+MAX_HANDOVER_S = 30.0  # seconds; timeout for a request without a deadline
 NOT_EXECUTED_STATUSES = (429, 503, 400, 404, 405, 408, 409, 411, 413, 431)  # the peer did not execute the request
 
 
@@ -70,7 +70,7 @@
         self._schedule_load_change()
 
     def _schedule_load_change(self) -> None:
-        """Report a change of load shortly afterwards: once for all events of a moment, after their decisions."""
+        """Report a change of load shortly afterwards: once for all events within the delay, after their decisions."""
         if not self.is_load_change_scheduled:
             self.is_load_change_scheduled = True
             asyncio.get_running_loop().call_later(LOAD_CHANGE_DELAY_S, self._send_load_change)
@@ -98,7 +98,7 @@
         return datagrams
 
     def on_datagram(self, now: float) -> list[tuple[str, bytes]]:
-        """Handle what a datagram changed, at once: a waiting request gains most from a new offer. Return datagrams."""
+        """Handle the changes by a datagram at once, as a waiting request gains most from a new offer; return datagrams."""
         self.core.load = self.core.load._replace(free_slots=self.reducer.free_capacity(now))
         self.publish_offer_count(now)
         return self.core.take_messages()
@@ -111,7 +111,7 @@
             self.handle_event(Event.PEER_OFFERS_CHANGED, count)
 
     def accept_handover(self, number: bytes) -> None:
-        """Record that a peer used the offer of that number."""
+        """Record that a peer used the offer with this number."""
         self.core.offer_issuer.redeem(time.monotonic(), int(number) if number.isdigit() and len(number) < 19 else 0)
 
     # Handover.
@@ -122,7 +122,7 @@
         offer = self.core.take_offer(time.monotonic())
         if offer is None:
             self.counts["hand_offers_over"] += 1
-            # Not at once: the actions of the event that decided this are still being performed.
+            # Deferred, because the actions of the event that decided this are still being performed.
             asyncio.get_running_loop().call_soon(self.handle_event, Event.HANDOVER_ENDED, request_id, Ending.UNREACHABLE, b"")
             return
         task = asyncio.ensure_future(self._send_handover(offer, request_id, *arguments))
@@ -136,21 +136,21 @@
         op_type: str,
         tenant: str,
         body: bytes,
-        age: float,
-        left: float,
-        caller: int,
-        work: float,
-        kb: float,
-        again: bool,
+        age_s: float,
+        remaining_s: float,
+        client: int,
+        cost_s: float,
+        memory_kb: float,
+        is_retry: bool,
         rank: float,
         key: str,
     ) -> None:
-        wait = max(0.01, left - ANSWER_MARGIN_S) if left else 0.0
-        request = IncomingRequest(request_id, op_type, tenant, age, wait, caller, work, kb, again, key, rank)
+        timeout_s = max(0.01, remaining_s - ANSWER_MARGIN_S) if remaining_s else 0.0
+        request = IncomingRequest(request_id, op_type, tenant, age_s, timeout_s, client, cost_s, memory_kb, is_retry, key, rank)
         pieces = http_peers.write_handover_request(request, body, time.time(), offer.number, offer.address)
         ending, result = Ending.INTERRUPTED, b""
         try:
-            status, result = await self.peers.request(offer.address, pieces, wait or MAX_HANDOVER_S)
+            status, result = await self.peers.request(offer.address, pieces, timeout_s or MAX_HANDOVER_S)
             ending = Ending.OK if status == 200 else Ending.FULL if status in NOT_EXECUTED_STATUSES else Ending.ERROR
             self.counts[f"hand_answers_{status}"] += 1
         except ConnectFailedError:
--- a/mulleinhatch/instance/runtime/logs.py
+++ b/mulleinhatch/instance/runtime/logs.py
@@ -38,7 +38,7 @@
 
 
 def start_logging(level: str) -> None:
-    """Log to standard error from this level on."""
+    """Log to standard error at this level and above."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -1,4 +1,4 @@
-"""The I/O of maintenance windows: the voter's file, the control port, the log, and leaving once a permit is granted."""
+"""The I/O of coordinated maintenance: the voter's file, the control port, the log, and leaving once a permit is granted."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from mulleinhatch.instance.runtime.maintenance_history import MaintenanceHistory
 
 LOG = logging.getLogger(__name__)
-FIT_AFTER_S = 2.0  # of good health until an instance that returned counts as fit
+READY_AFTER_S = 2.0  # seconds of good health until a returned instance counts as ready
 MAX_KIND_CHARACTERS = 40
-COORDINATOR_SEED_OFFSET = 3  # the instance's other parts draw from seeds of their own
+COORDINATOR_SEED_OFFSET = 3  # the instance's other parts use different seeds
 
 
 class MaintenanceService:
-    """Takes part in the agreement on maintenance windows, and leaves when this instance has a permit.
+    """Takes part in coordinated maintenance, and shuts the instance down when it holds a permit.
 
     Args:
         settings: Name, seed and maintenance bounds of this instance.
         fleet: Membership of the instances.
         reducer: Tells whether this instance is healthy.
         send: Sends gossip messages.
-        leave: Begins the planned end of this instance.
+        leave: Begins the shutdown of this instance.
 
     Raises:
         InvalidSettingsError: The voter's file can't be read.
@@ -64,7 +64,7 @@
         self._has_left = False
 
     def _open_store(self) -> tuple[Store | None, Any]:
-        """Open the voter's file, where this instance votes and has a folder for it, and read its state."""
+        """Open the voter's file and read its state, if this instance is a voter with a directory for it."""
         if self._name not in self._bounds.voters or not self._bounds.folder:
             return None, None
         try:
@@ -79,7 +79,7 @@
         return MaintenanceBounds(bounds.voters, bounds.most, bounds.zone_most, own_zone, bounds.zones, bounds.freeze_after)
 
     async def listen(self) -> None:
-        """Serve the control port, where the operator's file names one."""
+        """Serve the control port if the operator file names one."""
         if self._bounds.control:
             await self._control_port.listen(self._bounds.control)
 
@@ -92,16 +92,16 @@
     # Called by the gossip service.
 
     def tick(self, now: float) -> list[tuple[str, bytes]]:
-        """Advance the agreement by one protocol round; return the messages to send."""
+        """Advance by one period; return the messages to send."""
         self._track_health(now)
         self._request_when_unhealthy(now)
-        is_fit = self._healthy_since is not None and now - self._healthy_since >= FIT_AFTER_S
-        messages = self._coordinator.tick(now, time.time(), is_fit)
+        is_ready = self._healthy_since is not None and now - self._healthy_since >= READY_AFTER_S
+        messages = self._coordinator.tick(now, time.time(), is_ready)
         self._report_changes()
         return messages
 
     def on_messages(self) -> list[tuple[str, bytes]]:
-        """Handle that messages of peers were delivered; return the messages to send."""
+        """Handle the changes by received messages; return the messages to send."""
         self._report_changes()
         return self._coordinator.take_outgoing()
 
@@ -127,7 +127,7 @@
             self._unhealthy_since = now
 
     def _request_when_unhealthy(self, now: float) -> None:
-        """Request a window for an instance that stays unhealthy, where the operator wants that."""
+        """Request maintenance for an instance that stays unhealthy, if the operator configured that."""
         after_s = self._bounds.ask_when_ill
         if not after_s or self._unhealthy_since is None or now - self._unhealthy_since < after_s:
             return
@@ -141,12 +141,12 @@
     # State changes.
 
     def _report_changes(self) -> None:
-        """Record and log each state change, and leave when the permit is there."""
+        """Record and log each state change, and leave once the permit is granted."""
         changes, self._coordinator.changes = self._coordinator.changes, []
         for state, reason in changes:
             self._history.record(state, reason)
             LOG.info("upkeep", extra={"fields": {"state": state, "why": reason}})
         if self._coordinator.state is MaintenanceState.GOING and not self._has_left:
             self._has_left = True
-            # Not while a gossip message is handled: leaving sends gossip messages itself.
+            # Deferred, because leaving sends gossip messages and one may be in progress.
             asyncio.get_running_loop().call_soon(self._leave)
--- a/mulleinhatch/instance/runtime/maintenance_control_port.py
+++ b/mulleinhatch/instance/runtime/maintenance_control_port.py
@@ -1,4 +1,4 @@
-"""The control port of maintenance: one line of JSON in, one out, on a loopback address of its own.
+"""The control port of coordinated maintenance: a line of JSON per request and response, on its own loopback address.
 
 The keys of requests and responses are part of the operators' interface (`cli/instance/upkeep.py`, `docs/operate/upkeep.md`).
 """
@@ -21,7 +21,7 @@
 
 LOG = logging.getLogger(__name__)
 MAX_LINE_BYTES = 8192
-CHANGE_TIMEOUT_S = 10.0  # for an operator's change to be agreed, and for the request to arrive
+CHANGE_TIMEOUT_S = 10.0  # seconds for an operator's change to be agreed, and for a request to arrive
 CHANGE_POLL_S = 0.02
 UNDECIDED_OUTCOMES = ("beaten", "moved", "")  # another round may still agree on the change
 
@@ -30,7 +30,7 @@
 
 
 class MaintenanceControlPort:
-    """Serves operators' requests about maintenance windows.
+    """Serves operators' requests about coordinated maintenance.
 
     Args:
         coordinator: Agrees on permits with the other instances.
@@ -86,11 +86,11 @@
     async def _execute(self, request: dict[str, Any]) -> dict[str, Any]:
         action = self._actions.get(request["do"])
         if action is None:
-            raise PermitRefusedError(f"no such word: {request['do']}")
+            raise PermitRefusedError(f"unknown action: {request['do']}")
         await action(request)
         return self.status()
 
-    # Actions, by the word under `do`.
+    # Actions, by the value of `do`.
 
     async def _ask(self, request: dict[str, Any]) -> None:
         own = self._build_request(
@@ -118,22 +118,22 @@
 
     async def _release(self, request: dict[str, Any]) -> None:
         name, reason = str(request["name"]), str(request["why"])
-        LOG.warning("released by hand", extra={"fields": {"name": name, "why": reason}})
-        await self._agree(lambda table: _released(table, name))
+        LOG.warning("permit released by an operator", extra={"fields": {"name": name, "why": reason}})
+        await self._agree(lambda table: _without_permit(table, name))
 
     async def _grant_over_bound(self, request: dict[str, Any]) -> None:
         name, reason = str(request["name"]), str(request["why"])
         if not reason:
-            raise PermitRefusedError("a reason is wanted to go over the bound")
-        LOG.warning("over the bound by hand", extra={"fields": {"name": name, "why": reason}})
+            raise PermitRefusedError("a reason is required to exceed the bound")
+        LOG.warning("permit beyond the bound requested by an operator", extra={"fields": {"name": name, "why": reason}})
         zone = self._zones.get(name, "")
         await self._agree(lambda table: table.grant(name, zone, "by hand", over=reason))
 
     async def _show(self, request: dict[str, Any]) -> None:
-        """Change nothing: each response carries the status."""
+        """Do nothing: each response carries the status."""
 
-    def _chosen_names(self, names: list[str] | None, zone: str | None, everybody: bool) -> list[str]:
-        """Return the instances that a request is for: those named, those of a zone, all, or this one.
+    def _chosen_names(self, names: list[str] | None, zone: str | None, all_members: bool) -> list[str]:
+        """Return the instances that a request applies to: the named ones, those of a zone, all, or this one.
 
         Raises:
             PermitRefusedError: A named instance is not alive, or none of the zone is.
@@ -143,20 +143,20 @@
         if names:
             unknown = sorted(set(names) - set(alive))
             if unknown:
-                raise PermitRefusedError(f"{unknown[0]} is not there")
+                raise PermitRefusedError(f"{unknown[0]} is not an alive member")
             return list(names)
         if zone:
             in_zone = [name for name in alive if self._zones.get(name) == zone]
             if not in_zone:
-                raise PermitRefusedError(f"nobody of zone {zone} is there")
+                raise PermitRefusedError(f"no member of zone {zone} is alive")
             return in_zone
-        return alive if everybody else [own_name]
+        return alive if all_members else [own_name]
 
     async def _agree(self, change: Callable[[PermitTable], PermitTable]) -> None:
-        """Propose a change, round after round, until it is agreed or refused: other instances may propose, too.
+        """Propose a change, repeatedly until it is agreed or refused, as rounds of other instances may beat it.
 
         Raises:
-            PermitRefusedError: The change is refused, or no majority answers in time.
+            PermitRefusedError: The change is refused, or no majority responds in time.
         """
         ends_at, proposal = time.monotonic() + CHANGE_TIMEOUT_S, None
         while time.monotonic() < ends_at and (proposal is None or proposal.outcome in UNDECIDED_OUTCOMES):
@@ -165,12 +165,12 @@
                 self._send(self._coordinator.take_outgoing())
             await asyncio.sleep(CHANGE_POLL_S)
         if proposal is None or proposal.outcome != "agreed":
-            raise PermitRefusedError(proposal.why if proposal and proposal.why else "no majority of the voters answers")
+            raise PermitRefusedError(proposal.why if proposal and proposal.why else "no majority of the voters responds")
 
     # Status.
 
     def status(self) -> dict[str, Any]:
-        """Return the permits in force, the order of the waiting requests, and the history."""
+        """Return the permits in use, the order of the waiting requests, and the history."""
         coordinator, table = self._coordinator, self._permit_table()
         voter = coordinator.voter
         return {
@@ -188,7 +188,7 @@
         }
 
     def _permit_table(self) -> PermitTable:
-        """Return the table that this instance voted for, or else the newest that it knows."""
+        """Return the table that this instance accepted as a voter, or else the newest one it knows."""
         voter, known = self._coordinator.voter, self._coordinator.known
         if voter is None or voter.is_abstaining:
             return known
@@ -213,7 +213,7 @@
     }
 
 
-def _released(table: PermitTable, name: str) -> PermitTable:
+def _without_permit(table: PermitTable, name: str) -> PermitTable:
     """Return the table without an instance's permit.
 
     Raises:
--- a/mulleinhatch/instance/runtime/maintenance_history.py
+++ b/mulleinhatch/instance/runtime/maintenance_history.py
@@ -11,17 +11,17 @@
 from typing import Any
 
 LOG = logging.getLogger(__name__)
-MAX_FILE_BYTES = 1 << 20  # of the history file; its older half is dropped then
-MAX_ENTRIES = 256  # that are remembered
+MAX_FILE_BYTES = 1 << 20  # size of the history file above which its older half is dropped
+MAX_ENTRIES = 256  # kept in memory, and returned
 
 
 class MaintenanceHistory:
     """State changes with their times and reasons.
 
-    A process that went out for maintenance has forgotten why when it returns: where there is a folder, a file keeps it.
+    A process that returns from maintenance no longer knows why it left: if there is a directory, a file keeps the history.
 
     Args:
-        folder: Where the file is kept, None for memory only.
+        folder: Directory of the file; None for memory only.
     """
 
     def __init__(self, folder: Path | None) -> None:
@@ -29,7 +29,7 @@
         self._entries: deque[tuple[float, str, str]] = deque(maxlen=MAX_ENTRIES)
 
     def record(self, state: str, reason: str) -> None:
-        """Remember a state change; a file that can't be written is logged, and the entry stays in memory."""
+        """Record a state change; a write error is logged, and the entry stays in memory."""
         entry = (time.time(), state, reason)
         self._entries.append(entry)
         if self._path is None:
@@ -39,7 +39,7 @@
             with self._path.open("a") as file:
                 file.write(json.dumps([round(entry[0], 3), state, reason]) + "\n")
         except OSError as error:
-            LOG.warning("history not kept", extra={"fields": {"error": error}})
+            LOG.warning("maintenance history could not be written", extra={"fields": {"error": error}})
 
     def _drop_older_half_of_long_file(self) -> None:
         if self._path.exists() and self._path.stat().st_size > MAX_FILE_BYTES:
--- a/mulleinhatch/instance/runtime/signals.py
+++ b/mulleinhatch/instance/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals, from the first moment of the process: one that arrives during the start is remembered and handled afterwards.
+"""Signal handling from the start of the process: a signal that arrives during the start is handled afterwards.
 
 SIGHUP and SIGUSR1 end a process that does not handle them, and a SIGHUP that is ignored during the start would leave old
 addresses in force for good. This module imports nothing that takes time: it is called before the slow imports.
@@ -20,14 +20,14 @@
 
 
 def remember_early_signals() -> None:
-    """Remember signals until `handle_signals` is called. A second call forgets none."""
+    """Remember signals until `handle_signals` is called. A second call keeps those received before."""
     for number in EARLY_SIGNALS:
         signal.signal(number, _remember)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
 
 
 def handle_signals(loop: Any, hangup: Callable[[], None], end: Callable[[], None], counters: Callable[[], None]) -> None:
-    """Handle signals in the running event loop, those that were remembered at once.
+    """Handle signals in the running event loop, and at once those that were received before.
 
     Args:
         hangup: Called for SIGHUP.
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -15,7 +15,7 @@
 from mulleinhatch.instance.traces.replay import deployment_to_dict
 from mulleinhatch.instance.traces.writer import TraceFileManager
 
-FLUSH_INTERVAL_S = 1.0  # the longest time that a record is only in memory: what a kill loses
+FLUSH_INTERVAL_S = 1.0  # seconds for which a record is only in memory and would be lost with the process
 
 
 class Tracing:
@@ -26,11 +26,11 @@
         parts = sorted(Path(admission.__file__).parent.glob("*.py"))
         self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
         self.started_at, self.started_at_wall = time.monotonic(), time.time()
-        self.writer = TraceFileManager(settings.traces, self._facts)
+        self.writer = TraceFileManager(settings.traces, self._metadata)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
-    def _facts(self, number: int) -> TraceMetadata:
+    def _metadata(self, number: int) -> TraceMetadata:
         settings = self.settings
         return TraceMetadata(
             settings.name,
@@ -51,13 +51,13 @@
         return self.recorder
 
     def flush_if_due(self, now: float) -> None:
-        """Pass what was recorded to the writer."""
+        """Pass the records to the writer if the flush interval has passed."""
         if self.recorder and now - self.flushed_at >= FLUSH_INTERVAL_S:
             self.flushed_at = now
             self.recorder.flush()
 
     def close(self) -> None:
-        """Write what is left and close the file."""
+        """Write the remaining records and close the file."""
         if self.recorder:
             self.recorder.flush()
         self.writer.close()
