--- a/mulleinhatch/instance/jobs/__init__.py
+++ b/mulleinhatch/instance/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Background jobs within budgets: which job runs when, and which wait while the service is under load.
+"""Scheduling of background jobs: which job runs when, within budgets, and which wait while the service is under load.
 
-Subsystems submit jobs made of small steps; a runner in the program executes the steps. The package performs no work itself.
+Subsystems submit jobs that consist of small steps; a runner executes the steps. The package performs no work itself.
 """
--- a/mulleinhatch/instance/jobs/scheduler.py
+++ b/mulleinhatch/instance/jobs/scheduler.py
@@ -1,8 +1,8 @@
 """Chooses the job that takes the next step: by priority, which improves with waiting, and within budgets.
 
-A job is a name; the runner knows its work. The runner asks `next_step`, executes the step, and reports its cost with
-`record_step`. A step is charged after it ran, by its real cost: a budget goes into debt, and the next step waits until the
-debt is paid off.
+The scheduler knows only the name of a job; the runner knows its work. The runner calls `next_step`, executes the step, and
+reports its cost with `record_step`. A step is charged its actual cost after it ran: a budget goes into debt, and the next step
+waits until the debt is paid off.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from mulleinhatch.instance.jobs.timer_wheel import TimerWheel
 
-AGEING_S = 10.0  # seconds of waiting that improve the priority by one: no job starves
-OVERDUE_BONUS = 10.0  # priorities gained by a passed deadline
+AGEING_S = 10.0  # seconds of waiting that improve the priority by one, so that no job starves
+OVERDUE_BONUS = 10.0  # improvement of the priority by a passed deadline
 FIRST_RETRY_S, MAX_RETRY_S = 1.0, 300.0  # seconds until a failed job is retried, doubled for each consecutive failure
-PRESSED_RATE_FRACTION = 0.1  # fraction of the budgets for overdue jobs while the service is under load
-MAX_DEBT_S = 10.0  # maximum debt in seconds of the rate: a wrong cost must not stop all jobs
+UNDER_LOAD_RATE_FRACTION = 0.1  # fraction of the budgets for overdue jobs while the service is under load
+MAX_DEBT_S = 10.0  # maximum debt in seconds of the rate, so that a wrong cost does not stop all jobs
 
 
 class JobState(Enum):
@@ -42,15 +42,15 @@
 
     Attributes:
         cpu_share: Share of one CPU core.
-        bytes_a_second: Bytes read and written per second.
-        at_once: Maximum number of steps in progress.
-        most_jobs: Maximum number of jobs.
+        bytes_per_second: Bytes read and written per second.
+        max_running: Maximum number of steps in progress.
+        max_jobs: Maximum number of jobs.
     """
 
     cpu_share: float = 0.05
-    bytes_a_second: float = 20e6
-    at_once: int = 1
-    most_jobs: int = 1000
+    bytes_per_second: float = 20e6
+    max_running: int = 1
+    max_jobs: int = 1000
 
 
 class Job:
@@ -94,7 +94,7 @@
 
 
 class QueueFullError(Exception):
-    """Raised when the maximum number of jobs is reached; the submitter should retry later."""
+    """Raised when the maximum number of jobs is reached; the submitter may retry later."""
 
 
 class Scheduler:
@@ -110,7 +110,7 @@
     ('expire', None)
     >>> jobs.record_step(0.0, "expire", StepOutcome.DONE, cpu=0.02); jobs.next_step(0.1), round(jobs.wake_at(0.1), 3)
     (None, 0.2)
-    >>> jobs.next_step(0.2), jobs.set_pressed(0.2, True)
+    >>> jobs.next_step(0.2), jobs.set_under_load(0.2, True)
     ('pack', None)
     >>> jobs.record_step(0.2, "pack", StepOutcome.MORE, cpu=0.0); jobs.next_step(5.0) is None
     True
@@ -120,8 +120,8 @@
         self.budgets = budgets
         self.jobs: dict[str, Job] = {}
         self.wheel = TimerWheel(now)
-        self.cpu, self.bytes = DebtBudget(budgets.cpu_share), DebtBudget(budgets.bytes_a_second)
-        self.is_pressed = False
+        self.cpu, self.bytes = DebtBudget(budgets.cpu_share), DebtBudget(budgets.bytes_per_second)
+        self.is_under_load = False
         self.running = 0
         self.counts: Counter[str] = Counter()
 
@@ -146,7 +146,7 @@
             job.priority, job.every, job.is_cancelled = priority, every, False
             job.deadline = min(job.deadline, now + within)
             return
-        if len(self.jobs) >= self.budgets.most_jobs:
+        if len(self.jobs) >= self.budgets.max_jobs:
             self.counts["jobs_refused"] += 1
             raise QueueFullError(f"{name}: {len(self.jobs)} jobs are waiting")
         job = self.jobs[name] = Job(name, priority, now, now + within, every)
@@ -163,19 +163,19 @@
             self._remove(job)
         return True
 
-    def set_pressed(self, now: float, is_pressed: bool) -> None:
-        """Set whether the service needs the machine for itself, for example in a retry storm or when its loop is late."""
+    def set_under_load(self, now: float, is_under_load: bool) -> None:
+        """Set whether the service is under load, for example in a retry storm or when its event loop is late."""
         for debt in (self.cpu, self.bytes):
             debt.available_at(now, self._rate_fraction())
-        self.is_pressed = is_pressed
+        self.is_under_load = is_under_load
 
     def next_step(self, now: float) -> str | None:
         """Return the job whose step the runner must execute now and mark it running; None if no job or budget is available."""
         self._wake_due_jobs(now)
-        if self.running >= self.budgets.at_once or self._budgets_available_at(now) > now:
+        if self.running >= self.budgets.max_running or self._budgets_available_at(now) > now:
             return None
         ready = [
-            job for job in self.jobs.values() if job.state is JobState.READY and (not self.is_pressed or job.deadline <= now)
+            job for job in self.jobs.values() if job.state is JobState.READY and (not self.is_under_load or job.deadline <= now)
         ]
         if not ready:
             return None
@@ -207,7 +207,7 @@
         """
         job = self.jobs[name]
         if job.state is not JobState.RUNNING:
-            raise ValueError(f"{name}: no step of it is under way")
+            raise ValueError(f"{name}: no step is in progress")
         self.running -= 1
         self.cpu.charge(now, cpu, self._rate_fraction())
         self.bytes.charge(now, used_bytes, self._rate_fraction())
@@ -231,23 +231,23 @@
             job.failures = 0
 
     def wake_at(self, now: float) -> float:
-        """Return when to call `next_step` again at the latest if nothing happens before; infinite without jobs."""
+        """Return when `next_step` must be called again at the latest; infinite without jobs."""
         self._wake_due_jobs(now)
         if not self.jobs:
             return math.inf
         ready = [job for job in self.jobs.values() if job.state is JobState.READY]
-        moments = [now + 1.0] if len(self.wheel) else []  # a waiting job: the timer wheel is checked once a second
-        if any(not self.is_pressed or job.deadline <= now for job in ready) and self.running < self.budgets.at_once:
-            moments.append(self._budgets_available_at(now))
+        wake_times = [now + 1.0] if len(self.wheel) else []  # with a waiting job, the timer wheel is checked once a second
+        if any(not self.is_under_load or job.deadline <= now for job in ready) and self.running < self.budgets.max_running:
+            wake_times.append(self._budgets_available_at(now))
         elif ready:
-            moments.append(max(now, min(job.deadline for job in ready)))
-        return min(moments, default=math.inf)
+            wake_times.append(max(now, min(job.deadline for job in ready)))
+        return min(wake_times, default=math.inf)
 
     def _budgets_available_at(self, now: float) -> float:
         return max(self.cpu.available_at(now, self._rate_fraction()), self.bytes.available_at(now, self._rate_fraction()))
 
     def _rate_fraction(self) -> float:
-        return PRESSED_RATE_FRACTION if self.is_pressed else 1.0
+        return UNDER_LOAD_RATE_FRACTION if self.is_under_load else 1.0
 
     def _wake_due_jobs(self, now: float) -> None:
         for name in self.wheel.pop_due(now):
--- a/mulleinhatch/instance/jobs/timer_wheel.py
+++ b/mulleinhatch/instance/jobs/timer_wheel.py
@@ -1,7 +1,7 @@
-"""A hierarchical timer wheel: timers in slots of time, with several wheels for distant ones.
+"""A hierarchical timer wheel: timers are kept in slots of time, and distant ones in coarser wheels.
 
-Setting, cancelling and expiry cost the same however many timers there are; `python -m benchmarks.wheel` compares it with a
-heap.
+The cost of setting, cancelling and expiry does not depend on the number of timers; `python -m benchmarks.wheel` compares it
+with a heap.
 
 Source: G. Varghese, A. Lauck, "Hashed and hierarchical timing wheels" (1987).
 """
@@ -33,7 +33,7 @@
         self.tick, self.start, self.current_tick = tick, now, 0
         self.wheels: list[list[dict[Hashable, int]]] = [[{} for _ in range(SLOTS)] for _ in range(WHEELS)]
         self.slots_by_name: dict[Hashable, dict[Hashable, int]] = {}
-        self.counts = [0] * WHEELS  # timers in each wheel: empty wheels need no cascade
+        self.counts = [0] * WHEELS  # timers in each wheel; empty wheels need no cascade
         self.levels_by_name: dict[Hashable, int] = {}
 
     def set(self, name: Hashable, at: float) -> None:
@@ -60,7 +60,7 @@
         return True
 
     def pop_due(self, now: float) -> list[Any]:
-        """Remove and return the expired timers in order of time, those of one tick in the order they were set."""
+        """Remove and return the expired timers in order of time, those of one tick in the order in which they were set."""
         until, names = int((now - self.start) / self.tick + 1e-9), []
         while self.current_tick < until:
             if not self.slots_by_name:
@@ -76,14 +76,14 @@
         return names
 
     def _skip_empty_ticks(self, until: int) -> None:
-        """Skip ticks without timers in the nearest wheel, up to the next step of the wheel that has some."""
+        """Skip empty ticks: up to the next step of the finest wheel that has timers."""
         level = next(level for level, count in enumerate(self.counts) if count)
         if level:
             span = 1 << SLOT_BITS * level
             self.current_tick = max(self.current_tick, min(until, (self.current_tick // span + 1) * span) - 1)
 
     def _cascade(self) -> None:
-        """Move the next slot of a farther wheel into the nearer ones when these have completed a turn."""
+        """Move the next slot of a coarser wheel into the finer ones when these have completed a turn."""
         for level in range(1, WHEELS):
             if self.current_tick & (1 << SLOT_BITS * level) - 1:
                 return
