--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files that text 3fe6cd9 wrote (`tests/data/README.md`), read by the current code: all that they hold is still understood."""
+"""Files written by version 3fe6cd9 (`tests/data/README.md`): the current code still reads all that they contain."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from mulleinhatch.simulation.fault_search.campaign import format_history, parse_history
 from mulleinhatch.simulation.fault_search.histories import draw_history
 from mulleinhatch.simulation.fault_search.play import play
-from mulleinhatch.storage.append_log import LOG_NAME as NAME
+from mulleinhatch.storage.append_log import LOG_NAME
 from mulleinhatch.storage.records import MAGIC, RecordKind, decode_log, encode_record
 
 DATA = Path(__file__).parent / "data"
 IDENTITIES = ["first-10.0.0.1:80", "first-10.0.0.2:80", "first-10.0.0.3:80"]
 
 
-def opened(folder: str, tmp_path: Path) -> Restored:
-    """What the current control plane finds on a disk that holds a kept file."""
+def open_stored(folder: str, tmp_path: Path) -> Restored:
+    """Open a stored directory with the current control plane; opening must not change the log."""
     shutil.copytree(DATA / folder, tmp_path, dirs_exist_ok=True)
     restored = StateStore(str(tmp_path), lambda: 0.0).open("another identity")
-    assert (tmp_path / NAME).read_bytes() == (DATA / folder / NAME).read_bytes()
+    assert (tmp_path / LOG_NAME).read_bytes() == (DATA / folder / LOG_NAME).read_bytes()
     return restored
 
 
 def committed_state(restored: Restored) -> ControlState:
-    """The control state that a replica makes of what the disk held."""
+    """Return the control state of a replica that is restored from the disk."""
     replica, state = Replica(restored.identity), ControlState()
     state.restore(restored.snapshot)
     replica.restore(restored.voter.view, restored.snapshot, restored.entries, restored.committed, restored.log_complete)
@@ -56,8 +56,8 @@
         ("control_played", {1: 1, 2: 25, 3: 54, 4: 3, 5: 54, 6: 28, 7: 9}),
     ],
 )
-def test_control_records_are_whole_and_written_again_as_they_were(folder: str, counts: dict[int, int]) -> None:
-    data = (DATA / folder / NAME).read_bytes()
+def test_control_records_are_complete_and_encode_to_the_same_bytes(folder: str, counts: dict[int, int]) -> None:
+    data = (DATA / folder / LOG_NAME).read_bytes()
     contents = decode_log(data)
     assert contents.valid_size == len(data)
     assert Counter(int(record.kind) for record in contents.records) == counts
@@ -65,8 +65,8 @@
     assert MAGIC == b"MHCTL\x00\x01\n"
 
 
-def test_control_records_are_made_again_of_what_is_read_from_them() -> None:
-    records = decode_log((DATA / "control" / NAME).read_bytes()).records
+def test_control_records_are_unchanged_by_decoding_and_encoding() -> None:
+    records = decode_log((DATA / "control" / LOG_NAME).read_bytes()).records
     state = replay(records)
     last = {record.kind: record.body for record in records}
     assert bytes(state.voter) == last[RecordKind.VOTER]
@@ -76,7 +76,7 @@
 
 
 def test_control_identity_and_votes(tmp_path: Path) -> None:
-    restored = opened("control", tmp_path)
+    restored = open_stored("control", tmp_path)
     voter = restored.voter
     assert restored.identity == IDENTITIES[0] and restored.log_complete is True
     assert voter.view.epoch == 1
@@ -92,7 +92,7 @@
 
 
 def test_control_snapshot(tmp_path: Path) -> None:
-    snapshot = opened("control", tmp_path).snapshot
+    snapshot = open_stored("control", tmp_path).snapshot
     assert (snapshot.index, snapshot.epoch, snapshot.configuration_version) == (6, 1, 5)
     assert (snapshot.leader, snapshot.fencing_token, snapshot.departed_backends) == (IDENTITIES[1], 6, ["i-7 4", "i-8 4"])
     assert snapshot.forgotten_version == 0
@@ -107,7 +107,7 @@
 
 
 def test_control_entries_and_backends(tmp_path: Path) -> None:
-    restored = opened("control", tmp_path)
+    restored = open_stored("control", tmp_path)
     expected = [(7, 1, EntryKind.PATCH), (8, 1, EntryKind.DEPARTURE), (9, 1, EntryKind.PATCH)]
     assert [(entry.index, entry.epoch, entry.kind) for entry in restored.entries] == expected
     assert [int(kind) for _, _, kind in expected] == [2, 4, 2]
@@ -123,22 +123,22 @@
     assert (leaving.id, leaving.slots, leaving.sequence, leaving.draining) == ("i-2", 2, 31, True)
 
 
-def test_control_state_goes_on_from_what_was_committed(tmp_path: Path) -> None:
-    state = committed_state(opened("control", tmp_path))
+def test_control_state_continues_from_the_committed_entries(tmp_path: Path) -> None:
+    state = committed_state(open_stored("control", tmp_path))
     assert (state.index, state.document.version) == (8, 6)
     assert [route["name"] for route in state.document.value["routes"]] == ["find"]
     assert (state.leader, state.fencing_token) == (IDENTITIES[1], 6)
     assert (state.departed_backends, state.departure_index) == ({"i-7": 4, "i-8": 4, "i-9": 8}, 8)
     assert list(state.digests.values()) == [1, 2, 5, 6]
-    taken = b'{"version": 6, "remove": {"routes": ["cart"]}}'
-    assert state.check("PATCH", 5, taken).err_value.outcome.http_status == 200
-    late = opened("control", tmp_path).entries[-1]
-    checked = state.check("PATCH", 6, late.body).ok_value
-    assert (checked.digest, checked.document.version) == (late.digest, 7)
+    committed_patch = b'{"version": 6, "remove": {"routes": ["cart"]}}'
+    assert state.check("PATCH", 5, committed_patch).err_value.outcome.http_status == 200
+    next_entry = open_stored("control", tmp_path).entries[-1]
+    checked = state.check("PATCH", 6, next_entry.body).ok_value
+    assert (checked.digest, checked.document.version) == (next_entry.digest, 7)
 
 
-def test_control_state_that_a_played_core_wrote(tmp_path: Path) -> None:
-    restored = opened("control_played", tmp_path)
+def test_control_state_written_in_a_simulation(tmp_path: Path) -> None:
+    restored = open_stored("control_played", tmp_path)
     view = restored.voter.view
     assert (restored.identity, view.epoch, restored.log_complete) == (IDENTITIES[0], 9, True)
     assert [member.identity for member in view.voters] == [*IDENTITIES[:2], "disk-306082ef137b4694"]
@@ -155,14 +155,14 @@
     assert (len(state.digests), state.forgotten_version) == (38, 0)
 
 
-def kept_voter(tmp_path: Path) -> tuple[Store, VoterState]:
+def open_stored_voter(tmp_path: Path) -> tuple[Store, VoterState]:
     shutil.copytree(DATA / "maintenance", tmp_path, dirs_exist_ok=True)
     store = Store(str(tmp_path))
     return store, store.read()
 
 
 def test_maintenance_voter(tmp_path: Path) -> None:
-    store, voter_state = kept_voter(tmp_path)
+    store, voter_state = open_stored_voter(tmp_path)
     permits = (Permit("n4", "z1", 1, "kernel"), Permit("n5", "z2", 2, "disk", "the disk is on fire"))
     table = PermitTable(("n1", "n2", "n3", "n6"), 3, 2, 4, 1, permits, "a sale until noon")
     assert voter_state == VoterState(ProposalNumber(9, "n3.4"), ProposalNumber(6, "n2.3"), table, 7)
@@ -174,7 +174,7 @@
 
 
 def test_maintenance_voter_keeps_its_promise(tmp_path: Path) -> None:
-    store, voter_state = kept_voter(tmp_path)
+    store, voter_state = open_stored_voter(tmp_path)
     store.close()
     voter = Voter("n1", voter_state)
     earlier = voter.handle_request(RegisterRequest(ProposalNumber(8, "n2.9")))
@@ -188,7 +188,7 @@
     return Trace(io.BytesIO((DATA / "trace.mht").read_bytes()))
 
 
-def test_trace_facts_and_blocks(trace: Trace) -> None:
+def test_trace_metadata_and_blocks(trace: Trace) -> None:
     facts = trace.facts
     assert (trace.major, trace.minor, trace.indexed, trace.lost) == (2, 2, True, [])
     assert (facts.instance, facts.seed, facts.clock, facts.wall, facts.number) == ("n1", 2, 20.5, 1.7e9, 4)
@@ -224,7 +224,7 @@
     assert trace.unknown == 0 and trace.lost == []
 
 
-def test_trace_is_decided_the_same(trace: Trace) -> None:
+def test_trace_replays_to_the_same_decisions(trace: Trace) -> None:
     outcome = replay_trace(trace.records(), trace.facts)
     assert outcome.differences == 0, outcome.first
     assert (outcome.pulls, outcome.decisions) == (304, 203)
@@ -232,20 +232,20 @@
 
 
 def test_trace_summary(trace: Trace) -> None:
-    told = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
-    assert told["seconds"] == 15.0
-    assert {name: told["counts"][name] for name in ("ops_read", "run_ok", "decided_nack_bound", "turned_back")} == {
+    totals = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
+    assert totals["seconds"] == 15.0
+    assert {name: totals["counts"][name] for name in ("ops_read", "run_ok", "decided_nack_bound", "turned_back")} == {
         "ops_read": 139,
         "run_ok": 81,
         "decided_nack_bound": 58,
         "turned_back": 320,
     }
-    assert told["by_op_type"]["signoff"] == {"decided_nack": 4, "decided_run": 7, "ops_read": 11, "run_ok": 7}
-    assert list(told["by_tenant"]) == ["t1"]
-    assert told["held_s"] == {"50%": 0.185, "90%": 0.318, "99%": 1.079, "100%": 1.115}
+    assert totals["by_op_type"]["signoff"] == {"decided_nack": 4, "decided_run": 7, "ops_read": 11, "run_ok": 7}
+    assert list(totals["by_tenant"]) == ["t1"]
+    assert totals["held_s"] == {"50%": 0.185, "90%": 0.318, "99%": 1.079, "100%": 1.115}
 
 
-def test_trace_is_written_again_as_it_was(trace: Trace) -> None:
+def test_trace_is_rewritten_unchanged(trace: Trace) -> None:
     file = io.BytesIO()
     writer = TraceWriter(file, trace.facts)
     for head, block in trace.blocks():
@@ -272,7 +272,7 @@
     assert draw_history(139) == history
 
 
-def test_search_history_is_played_as_it_was() -> None:
-    found = play(parse_history((DATA / "search_history.txt").read_text()))
-    assert (found.what, len(found.states), found.handed, found.maintenance_windows) == ("", 12, 33, 0)
-    assert (found.before, found.after, found.recovered, round(found.worst, 6)) == (1.0, 1.0, 0.0, 0.615385)
+def test_search_history_replays_to_the_same_result() -> None:
+    result = play(parse_history((DATA / "search_history.txt").read_text()))
+    assert (result.what, len(result.states), result.handed, result.maintenance_windows) == ("", 12, 33, 0)
+    assert (result.before, result.after, result.recovered, round(result.worst, 6)) == (1.0, 1.0, 0.0, 0.615385)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Upkeep: the agreed table, and permits under every order of loss, repetition, crash, lost disks and new voters."""
+"""Coordinated maintenance: the permit table, and permits under lost and duplicate messages, crashes, lost disks, new voters."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class NoPromise(Voter):
-    """Listens to any ballot, whatever it promised."""
+    """Accepts any proposal, whatever it promised."""
 
     def _may_promise(self, proposal: ProposalNumber) -> bool:
         return True
 
 
 class NoAbstaining(Voter):
-    """Lost its disk and goes on as if nothing was."""
+    """Keeps voting after it lost its disk."""
 
     def __init__(self, name: str, voter_state: VoterState, is_abstaining: bool = False) -> None:
         super().__init__(name, voter_state, False)
@@ -41,8 +41,8 @@
         return 2 * count >= len(self.known.voters) - 1
 
 
-class AnyAnswer(ProposalRound):
-    """Counts late words of an earlier step, or an earlier round."""
+class AnyResponse(ProposalRound):
+    """Counts delayed responses of an earlier phase or round."""
 
     def _matches_current_phase(self, response: RegisterResponse) -> bool:
         return True
@@ -54,22 +54,22 @@
 
 
 class ReusedToken(PermitTable):
-    """Gives a permit that is there still under the fence that it had."""
+    """Grants an existing permit again with its old fencing token."""
 
     def grant(self, name: str, zone: str, why: str, gone: dict[str, str] | None = None, over: str = "") -> PermitTable:
         return self if self.permit(name) else super().grant(name, zone, why, gone, over)
 
 
 class IgnoredToken(PermitTable):
-    """Gives back whatever permit the name has."""
+    """Releases a permit whatever its fencing token is."""
 
     def release(self, name: str, fence: int) -> PermitTable:
         permit = self.permit(name)
         return super().release(name, permit.fence if permit else fence)
 
 
-# Two voters join at once, one of the old has taken it, and an asker has heard of it: then the old and the new need not meet.
-HALF_ELECTED = (
+# Two voters join at once, one old voter has accepted that, and a requester knows it: old and new majorities may not intersect.
+DISJOINT_MAJORITIES = (
     ("elect", 2, tuple("abcde")),
     ("step", 2, "a"),
     ("step", 2, "b"),
@@ -78,16 +78,16 @@
     ("want", 0),
     ("step", 0, "c"),
     ("step", 0, "a"),
-    ("step", 0, "b"),  # its ballot is too low
+    ("step", 0, "b"),  # its proposal number is too low
     ("want", 0),
     ("step", 0, "a"),
-    ("step", 0, "c"),  # hears of the five
+    ("step", 0, "c"),  # learns of the five voters
     ("want", 0),
     *(("step", 0, name) for name in "adeade"),
-)  # and goes by three of them
-# An accept was taken and counted by a voter that then lost its disk, and learned before the round was over.
-FORGOTTEN_YES = (("want", 0), ("step", 0, "a"), ("step", 0, "b"), ("step", 0, "b"), ("wipe", "b"), ("learn", "b"))
-# A permit is left of one that serves again, a person decides to take it, and before the word arrives its holder goes again.
+)  # and gets the permit from three of them
+# A voter accepts, its response counts, and it loses its disk and learns before the round is over.
+FORGOTTEN_ACCEPT = (("want", 0), ("step", 0, "a"), ("step", 0, "b"), ("step", 0, "b"), ("wipe", "b"), ("learn", "b"))
+# An instance in service still has a permit, an operator releases it, and before the release arrives the holder leaves again.
 LATE_RELEASE = (
     ("want", 0),
     *(("step", 0, name) for name in "abab"),
@@ -98,11 +98,16 @@
     ("want", 0),
     *(("step", 0, name) for name in "abab"),
 )
-BEFORE = {"overlap": HALF_ELECTED, "wait after a lost disk": FORGOTTEN_YES, "new fence": LATE_RELEASE, "fence": LATE_RELEASE}
+HISTORY_BEFORE_GUARD = {
+    "overlap": DISJOINT_MAJORITIES,
+    "wait after a lost disk": FORGOTTEN_ACCEPT,
+    "new fence": LATE_RELEASE,
+    "fence": LATE_RELEASE,
+}
 GUARDS = {
     "promise": Model(3, voter=NoPromise),
     "majority": Model(5, round=NoMajority),
-    "own answers": Model(3, round=AnyAnswer),
+    "own answers": Model(3, round=AnyResponse),
     "durable promise": Model(3, wipes=True, voter=NoAbstaining),
     "overlap": Model(3, elects=True, table=NoOverlap),
     "wait after a lost disk": Model(3, wipes=True, waits=False),
@@ -116,7 +121,7 @@
     [(Model(3), 5), (Model(3, wipes=True), 4), (Model(3, elects=True), 4), (Model(5), 4)],
     ids=["three voters", "lost disks", "new voters", "five voters"],
 )
-def test_no_order_of_what_can_happen_takes_too_many_out(model: Model, depth: int) -> None:
+def test_bound_holds_in_every_order_of_events(model: Model, depth: int) -> None:
     states, history = explore(model, depth)
     assert not history and states > 500
 
@@ -133,25 +138,25 @@
     ],
     ids=["plain", "lost disks", "new voters", "two of three", "both", "released"],
 )
-def test_no_long_history_takes_too_many_out(model: Model) -> None:
+def test_bound_holds_in_long_random_walks(model: Model) -> None:
     agreed, history = explore_random_walks(model, 1, 120, 120)
     assert not history and agreed > 50, history
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_each_guard_taken_out_is_found(guard: str) -> None:
-    """Some from a history a few steps before the place where that guard is all that holds."""
-    _, history = explore_random_walks(GUARDS[guard], 2, 4000, 100, BEFORE.get(guard, ()))
-    assert history, f"without the guard of {guard} nothing was found"
+def test_removal_of_each_guard_is_detected(guard: str) -> None:
+    """For some guards the random walks start from a prepared history, a few steps before the guard is needed."""
+    _, history = explore_random_walks(GUARDS[guard], 2, 4000, 100, HISTORY_BEFORE_GUARD.get(guard, ()))
+    assert history, f"no violation found without the guard {guard!r}"
 
 
-def test_permit_survives_any_pause_and_ends_by_its_own_token_alone() -> None:
+def test_permit_is_released_only_with_its_own_fencing_token() -> None:
     table = PermitTable(("a",), 2, 1).grant("n", "z", "kernel")
     again = table.release("n", 1).grant("n", "z", "disk")
     assert again.release("n", 1) is again and not again.release("n", again.permit("n").fence).out
 
 
-def test_the_bounds_hold_unless_a_person_gives_a_reason() -> None:
+def test_bounds_hold_unless_an_operator_gives_a_reason() -> None:
     table = PermitTable(("a",), 1, 1).grant("n", "z", "kernel")
     with pytest.raises(PermitRefusedError, match="1 of 1 are out"):
         table.grant("m", "y", "kernel")
@@ -163,7 +168,7 @@
         frozen.grant("n", "z", "kernel")
 
 
-def test_a_majority_of_the_voters_stays() -> None:
+def test_majority_of_the_voters_stays_in_service() -> None:
     table = PermitTable(("a", "b", "c"), 9, 9).grant("a", "z", "w")
     with pytest.raises(PermitRefusedError, match="1 of 3 voters are out already"):
         table.grant("b", "y", "w")
@@ -172,7 +177,7 @@
     assert table.grant("n", "y", "w").permit("n") and PermitTable(("a",), 1, 1).grant("a", "z", "w").out
 
 
-def test_the_table_stays_small_whatever_people_say() -> None:
+def test_table_size_is_limited() -> None:
     table = PermitTable(("a",), MAX_PERMITS, MAX_PERMITS)
     for number in range(MAX_PERMITS):
         table = table.grant(f"n{number}", "z", "w" * 500, over="o" * 500)
@@ -184,27 +189,27 @@
 
 
 @pytest.mark.parametrize("voters, why", [((), "1 to 9"), ("abcdefghij", "1 to 9"), ("ab", "one voter at a time")])
-def test_an_electorate_that_is_refused(voters: str, why: str) -> None:
+def test_invalid_set_of_voters_is_refused(voters: str, why: str) -> None:
     with pytest.raises(PermitRefusedError, match=why):
         PermitTable(tuple("abcd"), 1, 1).electorate(voters)
 
 
-# The order.
+# The maintenance order.
 
 
 @pytest.mark.parametrize("before, model", [(LATE_RELEASE, Model(3, releases=True))])
-def test_from_the_same_histories_nothing_is_found_with_the_guard(before: tuple, model: Model) -> None:
+def test_no_violation_is_found_from_the_same_history_with_the_guard(before: tuple, model: Model) -> None:
     agreed, history = explore_random_walks(model, 2, 300, 100, before)
     assert agreed and not history
 
 
-def asked(name: str, zone: str = "z", **more: float) -> MaintenanceRequest:
+def request_of(name: str, zone: str = "z", **more: float) -> MaintenanceRequest:
     return MaintenanceRequest(name, zone, "kernel", 60.0, 5.0, **more)
 
 
-def test_the_order_is_the_same_whoever_computes_it_and_in_whatever_order_it_heard() -> None:
+def test_order_does_not_depend_on_the_order_of_requests() -> None:
     requests = [
-        asked(f"n{number}", f"z{number % 3}", last_out=float(number % 5), urgency=number % 3, is_unhealthy=number % 7 == 0)
+        request_of(f"n{number}", f"z{number % 3}", last_out=float(number % 5), urgency=number % 3, is_unhealthy=number % 7 == 0)
         for number in range(40)
     ]
     result = order(requests, ["n3"], {"z1": 1}, 100.0)
@@ -212,15 +217,15 @@
     assert [place.request.urgency for place in result[:13]].count(2) == 13
 
 
-def test_unhealthy_go_first_then_near_deadlines_and_the_only_copy_stays() -> None:
+def test_order_of_priorities_and_blocked_requests() -> None:
     places = order(
         [
-            asked("well"),
-            asked("late", deadline=200.0),
-            asked("ill", is_unhealthy=True),
-            asked("fire", urgency=2),
-            asked("copy", only_copy=True),
-            asked("later", earliest_start=500.0),
+            request_of("well"),
+            request_of("late", deadline=200.0),
+            request_of("ill", is_unhealthy=True),
+            request_of("fire", urgency=2),
+            request_of("copy", only_copy=True),
+            request_of("later", earliest_start=500.0),
         ],
         (),
         {},
@@ -237,15 +242,17 @@
     assert "not before 500" in places[-1].reasons[0]
 
 
-def test_a_second_of_a_zone_waits_for_the_first_of_others() -> None:
-    places = order([asked(f"a{number}", "a") for number in range(3)] + [asked("b", "b", last_out=99.0)], (), {}, 100.0)
+def test_zones_take_turns() -> None:
+    places = order(
+        [request_of(f"a{number}", "a") for number in range(3)] + [request_of("b", "b", last_out=99.0)], (), {}, 100.0
+    )
     assert [place.request.name for place in places] == ["a0", "b", "a1", "a2"]
 
 
-# What a voter keeps.
+# Voter storage.
 
 
-def test_a_file_cut_or_changed_at_any_byte_is_refused_and_never_read_as_a_vote(tmp_path: Path) -> None:
+def test_voter_file_truncated_or_changed_at_any_byte_is_refused(tmp_path: Path) -> None:
     store = Store(str(tmp_path))
     assert store.read() is None
     voter_state = VoterState(
@@ -265,15 +272,15 @@
     Store(str(tmp_path)).close()
 
 
-# One fleet in virtual time, real cores.
+# A simulated fleet in virtual time with the real coordinators.
 
 
-def agreed(machines: MaintenanceWorld, change: Callable[[PermitTable], PermitTable]) -> None:
-    """A person's change by n0, again while others ask at the same time."""
+def agree(world: MaintenanceWorld, change: Callable[[PermitTable], PermitTable]) -> None:
+    """Make an operator's change at n0; retry while other instances run rounds at the same time."""
     for _ in range(20):
-        if machines.cores["n0"].round is None:
-            done = machines.cores["n0"].change(machines.nodes[0].clock(machines.now), change)
-        machines.play(machines.now + 0.5)
+        if world.cores["n0"].round is None:
+            done = world.cores["n0"].change(world.nodes[0].clock(world.now), change)
+        world.play(world.now + 0.5)
         if done.outcome == "agreed":
             return
     raise AssertionError(done.why)
@@ -291,86 +298,86 @@
     ],
     ids=["calm", "cuts and loss", "a voter cut", "stalls and a crash", "loss", "all voters crash"],
 )
-def test_all_go_one_at_a_time_whatever_happens(script: str, within: float) -> None:
-    machines = MaintenanceWorld(6, script)
-    machines.to_go = {f"n{place}" for place in range(6)}
-    machines.play(within)
-    assert machines.most_out == 1 and set(machines.been) == machines.to_go, machines.been
-    assert max(machines.been.values()) == 1
+def test_instances_leave_one_at_a_time_under_faults(script: str, within: float) -> None:
+    world = MaintenanceWorld(6, script)
+    world.to_go = {f"n{place}" for place in range(6)}
+    world.play(within)
+    assert world.most_out == 1 and set(world.been) == world.to_go, world.been
+    assert max(world.been.values()) == 1
 
 
-def test_the_part_without_a_majority_sends_nobody() -> None:
-    machines = MaintenanceWorld(6, "at 5 cut 0,3 from 1,2,4,5 for 15")
-    machines.play(5.5)
-    machines.to_go = {"n0", "n3"}
-    machines.play(19.0)
-    assert not machines.been
-    machines.play(35.0)
-    assert set(machines.been) == {"n0", "n3"}
+def test_partition_without_a_majority_grants_no_permit() -> None:
+    world = MaintenanceWorld(6, "at 5 cut 0,3 from 1,2,4,5 for 15")
+    world.play(5.5)
+    world.to_go = {"n0", "n3"}
+    world.play(19.0)
+    assert not world.been
+    world.play(35.0)
+    assert set(world.been) == {"n0", "n3"}
 
 
 @pytest.mark.parametrize("disks", [True, False], ids=["disks", "no disks"])
-def test_random_histories_never_take_too_many_out(disks: bool) -> None:
-    """Without a disk a voter abstains until a majority of the others told it what they keep."""
+def test_bound_holds_in_random_fault_histories(disks: bool) -> None:
+    """Without a disk, a restarted voter abstains until it has learned the state of a majority of the others."""
     for seed in range(3):
         draw = random.Random(seed)
         count = draw.choice((4, 5, 7))
         script = draw_fault_script(draw, count, 6.0, 6.0)
-        if not disks:  # a voter that crashes while another is out would be one too many: promised with disks alone
+        if not disks:  # with a crash while another voter is out no majority would be left; only with disks is that supported
             script = "\n".join(line for line in script.splitlines() if " kill " not in line) + "\nat 9 kill 3 for 1"
-        machines = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
-        machines.to_go = {f"n{place}" for place in range(count)}
-        machines.play(60.0)
-        assert set(machines.been) == machines.to_go, (script, machines.been)
+        world = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
+        world.to_go = {f"n{place}" for place in range(count)}
+        world.play(60.0)
+        assert set(world.been) == world.to_go, (script, world.been)
 
 
-def test_a_voter_whose_disk_was_set_back_is_found_out_and_abstains_until_it_learned() -> None:
-    machines = MaintenanceWorld(5, "at 12 kill 1 for 1")
-    machines.to_go = {"n3"}
-    machines.play(11.9)
+def test_voter_with_a_restored_disk_abstains_until_it_has_learned() -> None:
+    world = MaintenanceWorld(5, "at 12 kill 1 for 1")
+    world.to_go = {"n3"}
+    world.play(11.9)
     old = VoterState(ProposalNumber(1, "n9.1"), writes=1)
-    assert machines.disks["n1"].writes > 1
-    machines.disks["n1"] = old
-    machines.play(15.0)
-    core = machines.cores["n1"]
+    assert world.disks["n1"].writes > 1
+    world.disks["n1"] = old
+    world.play(15.0)
+    core = world.cores["n1"]
     assert core.counts["disk_set_back"] == 1
-    machines.play(25.0)
+    world.play(25.0)
     assert not core.voter.is_abstaining and core.voter.voter_state.table is not None
 
 
-def test_a_permit_that_was_agreed_without_its_asker_hearing_of_it_is_taken_up() -> None:
-    """Seen with 30 processes: its round was beaten, the one that beat it took its table over, and it waited for ever."""
-    machines = MaintenanceWorld(4)
-    machines.play(8.0)
-    agreed(machines, lambda table: table.grant("n3", "z", "kernel"))
-    machines.to_go = {"n3"}
-    machines.cores["n3"].ask(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
-    machines.play(16.0)
-    assert machines.been == {"n3": 1} and not machines.cores["n0"].voter.voter_state.table.out
-
-
-def test_a_holder_that_never_returns_keeps_its_place_until_a_person_takes_it() -> None:
-    machines = MaintenanceWorld(4, works=1000.0)
-    machines.to_go = {"n2", "n3"}
-    machines.play(30.0)
-    assert machines.most_out == 1 and len(machines.been) == 1
-    [gone] = machines.been
-    core = machines.cores["n0"]
+def test_permit_agreed_without_its_requester_knowing_is_claimed() -> None:
+    """Seen with 30 processes: another proposer beat a round and completed its table, and the requester waited forever."""
+    world = MaintenanceWorld(4)
+    world.play(8.0)
+    agree(world, lambda table: table.grant("n3", "z", "kernel"))
+    world.to_go = {"n3"}
+    world.cores["n3"].ask(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
+    world.play(16.0)
+    assert world.been == {"n3": 1} and not world.cores["n0"].voter.voter_state.table.out
+
+
+def test_permit_of_a_lost_instance_is_held_until_an_operator_releases_it() -> None:
+    world = MaintenanceWorld(4, works=1000.0)
+    world.to_go = {"n2", "n3"}
+    world.play(30.0)
+    assert world.most_out == 1 and len(world.been) == 1
+    [gone] = world.been
+    core = world.cores["n0"]
     fence = core.voter.voter_state.table.permit(gone).fence
-    agreed(machines, lambda table: table.release(gone, fence))
-    machines.play(45.0)
-    # It is off, permit or not: nobody else goes until it is back, or a person allows one more.
-    assert len(machines.been) == 1
-    machines.most = 2
-    agreed(machines, lambda table: table.bounds(2, 2))
-    machines.play(machines.now + 10.0)
-    assert len(machines.been) == 2
-
-
-def test_a_change_by_the_only_voter_has_its_outcome_at_once() -> None:
-    machines = MaintenanceWorld(2, most=1, voters=1)
-    machines.play(8.0)
-    core, now = machines.cores["n0"], machines.nodes[0].clock(machines.now)
+    agree(world, lambda table: table.release(gone, fence))
+    world.play(45.0)
+    # It counts as out without a permit, too: no other leaves until it returns or an operator raises the bound.
+    assert len(world.been) == 1
+    world.most = 2
+    agree(world, lambda table: table.bounds(2, 2))
+    world.play(world.now + 10.0)
+    assert len(world.been) == 2
+
+
+def test_change_by_the_only_voter_completes_at_once() -> None:
+    world = MaintenanceWorld(2, most=1, voters=1)
+    world.play(8.0)
+    core, now = world.cores["n0"], world.nodes[0].clock(world.now)
     done = core.change(now, lambda table: table.freeze("a person"))
     assert (done.outcome, core.round, core.known.frozen) == ("agreed", None, "a person")
 
@@ -381,42 +388,42 @@
     assert (refused.outcome, refused.why, core.round) == ("refused", "there is no such permit", None)
 
 
-def test_a_frozen_fleet_sends_nobody_and_a_cancelled_request_is_gone() -> None:
-    machines = MaintenanceWorld(4)
-    machines.play(8.0)
-    agreed(machines, lambda table: table.freeze("the first are ill"))
-    machines.to_go = {"n2", "n3"}
-    machines.play(20.0)
-    assert not machines.been
-    machines.to_go = {"n3"}
-    machines.cores["n2"].cancel()
-    agreed(machines, lambda table: table.freeze(""))
-    machines.play(35.0)
-    assert set(machines.been) == {"n3"}
-
-
-def test_one_person_asks_many_by_one_and_an_instance_that_stays_unfit_freezes_the_rest() -> None:
-    """Words to the others are lost on the way, and told again; the first that comes back ill stops those that wait."""
-    machines = MaintenanceWorld(6, "at 8 lossy all 0.5 for 4")
-    machines.permits = machines.permits._replace(freeze_after=3.0)
-    machines.unfit = {"n4"}
-    machines.play(8.0)
+def test_freeze_stops_permits_and_cancelled_request_is_dropped() -> None:
+    world = MaintenanceWorld(4)
+    world.play(8.0)
+    agree(world, lambda table: table.freeze("the first are ill"))
+    world.to_go = {"n2", "n3"}
+    world.play(20.0)
+    assert not world.been
+    world.to_go = {"n3"}
+    world.cores["n2"].cancel()
+    agree(world, lambda table: table.freeze(""))
+    world.play(35.0)
+    assert set(world.been) == {"n3"}
+
+
+def test_operator_request_for_several_instances_and_freeze_by_an_unhealthy_one() -> None:
+    """Lost requests to other instances are resent; the first that returns unhealthy freezes the permits of those that wait."""
+    world = MaintenanceWorld(6, "at 8 lossy all 0.5 for 4")
+    world.permits = world.permits._replace(freeze_after=3.0)
+    world.unfit = {"n4"}
+    world.play(8.0)
     for until, names in ((14.0, ["n4"]), (40.0, ["n5", "n2"])):
-        machines.cores["n0"].request_for_others(
-            machines.nodes[0].clock(machines.now), [MaintenanceRequest(name, "z", "release", 1.0, 0.0) for name in names]
+        world.cores["n0"].request_for_others(
+            world.nodes[0].clock(world.now), [MaintenanceRequest(name, "z", "release", 1.0, 0.0) for name in names]
         )
-        machines.play(until)
-    assert set(machines.been) == {"n4"}
-    assert machines.cores["n0"].voter.voter_state.table.frozen == "n4 came back and is not fit"
-    machines.unfit.clear()
-    machines.play(44.0)
-    agreed(machines, lambda table: table.freeze(""))
-    machines.play(70.0)
-    assert set(machines.been) == {"n4", "n5", "n2"}
+        world.play(until)
+    assert set(world.been) == {"n4"}
+    assert world.cores["n0"].voter.voter_state.table.frozen == "n4 came back and is not fit"
+    world.unfit.clear()
+    world.play(44.0)
+    agree(world, lambda table: table.freeze(""))
+    world.play(70.0)
+    assert set(world.been) == {"n4", "n5", "n2"}
 
 
 @pytest.mark.parametrize(
-    "lines, complaint",
+    "lines, error",
     [
         ('voters "a" "a"', "upkeep.voters: given twice"),
         ("most 1", "upkeep: Object missing required field `voters`"),
@@ -425,14 +432,14 @@
         ('voters "a"\n zones {\n  x "a" "b"\n  y "b"\n }', "upkeep.zones: a member is in two zones"),
     ],
 )
-def test_invalid_maintenance_settings_are_named(lines: str, complaint: str) -> None:
-    with pytest.raises(operator.OperatorFileError, match=complaint):
+def test_invalid_maintenance_settings_are_named(lines: str, error: str) -> None:
+    with pytest.raises(operator.OperatorFileError, match=error):
         operator.parse(f'fleet {{\n name "x"\n listen "127.0.0.1:1"\n}}\nupkeep {{\n {lines}\n}}')
 
 
 @pytest.mark.processes
-def test_processes_go_out_by_permit_under_a_cut_and_a_stall(tmp_path: Path) -> None:
-    """Six real ones in two zones, all asked at once: two at most out, one a zone, counted by their processes; and all were."""
+def test_processes_leave_by_permit_under_a_partition_and_a_stall(tmp_path: Path) -> None:
+    """Six processes in two zones, all requested at once: at most two are out, one per zone, and all complete maintenance."""
     keep_environment()
     zones = {place: "xy"[place % 2] for place in range(6)}
     lines = (
@@ -445,7 +452,7 @@
         async with FleetHarness(case, tmp_path) as harness:
             names = {node.name for node in harness.nodes}
             assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
-            await asyncio.sleep(5.0)  # voters that start for the first time abstain for so long
+            await asyncio.sleep(5.0)  # voters that start for the first time abstain that long
             await harness.go()
             maintenance_windows = MaintenanceWindows(harness, 0.5, zones)
             maintenance_windows.start()
