--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -47,8 +47,8 @@
 
     SERVING = "serving"
     WAITING = "waiting"  # has a pending request and waits for its turn
-    ASKING = "asking"  # a round for a permit is in progress
-    GOING = "going"  # holds a permit and is leaving service
+    PROPOSING = "asking"  # a round for a permit is in progress
+    LEAVING = "going"  # holds a permit and is leaving service
     CHECKING = "checking"  # has returned with its permit and is not healthy yet
     RETURNING = "returning"  # a round to release the permit is in progress
 
@@ -169,7 +169,7 @@
 
     def cancel(self) -> None:
         """Withdraw the request if no permit was granted yet. An instance that is out of service returns on its own."""
-        if self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING):
+        if self.state in (MaintenanceState.WAITING, MaintenanceState.PROPOSING):
             self.messenger.send_to_all(self.known.voters, PositionQuery(cancelled=True))
             self.request = None
             self.rounds.cancel()
@@ -194,7 +194,7 @@
     def tick(self, now: float, wall: float, is_ready: bool) -> list[tuple[str, bytes]]:
         """Advance by one period and return the datagrams to send, as (instance, bytes).
 
-        The instance must leave service when `state` becomes `GOING`.
+        The instance must leave service when `state` becomes `LEAVING`.
 
         Args:
             now: Monotonic seconds.
@@ -216,7 +216,7 @@
         elif self.state is MaintenanceState.RETURNING:
             self._release_permit(now)
         elif self.state is MaintenanceState.WAITING and self._is_turn(now):
-            self._set_state(MaintenanceState.ASKING, "its turn")
+            self._set_state(MaintenanceState.PROPOSING, "its turn")
             self.rounds.begin(now, self._request_permit)
         elif (
             self.state is MaintenanceState.CHECKING
@@ -233,7 +233,7 @@
             self.request or self.state is not MaintenanceState.SERVING or now - self.started_at < 2.0 * ABSTENTION_S
         ):
             self.queried_at = now
-            is_waiting = self.state in (MaintenanceState.WAITING, MaintenanceState.ASKING)
+            is_waiting = self.state in (MaintenanceState.WAITING, MaintenanceState.PROPOSING)
             self.messenger.send_to_all(self.known.voters, PositionQuery(self.request if is_waiting else None))
         if self.voter_role:
             self.voter_role.drop_expired_requests(now)
@@ -286,7 +286,7 @@
         return table.grant(self.name, self.bounds.zone, request.kind if request else "", gone)
 
     def _on_round_abandoned(self, why: str) -> None:
-        if self.state is MaintenanceState.ASKING:
+        if self.state is MaintenanceState.PROPOSING:
             self._set_state(MaintenanceState.WAITING, why)
 
     def _on_register_response(self, now: float, message: RegisterResponseMessage) -> None:
@@ -296,9 +296,9 @@
         if table is None:
             return
         permit = table.permit(self.name)
-        if self.state is MaintenanceState.ASKING and permit:
+        if self.state is MaintenanceState.PROPOSING and permit:
             self.fencing_token = permit.fence
-            self._set_state(MaintenanceState.GOING, f"permit {permit.fence}")
+            self._set_state(MaintenanceState.LEAVING, f"permit {permit.fence}")
         elif self.state is MaintenanceState.CHECKING:
             self.has_frozen = bool(table.frozen)
         elif self.state is MaintenanceState.RETURNING and not permit:
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -146,7 +146,7 @@
         for state, reason in changes:
             self._history.record(state, reason)
             LOG.info("upkeep", extra={"fields": {"state": state, "why": reason}})
-        if self._coordinator.state is MaintenanceState.GOING and not self._has_left:
+        if self._coordinator.state is MaintenanceState.LEAVING and not self._has_left:
             self._has_left = True
             # Deferred, because leaving sends gossip messages and one may be in progress.
             asyncio.get_running_loop().call_soon(self._leave)
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -72,7 +72,7 @@
             self._look_at(node)
 
     def _look_at(self, node: Node) -> None:
-        if self.cores[node.name].state is MaintenanceState.GOING and node.name not in self.outside:
+        if self.cores[node.name].state is MaintenanceState.LEAVING and node.name not in self.outside:
             self.been[node.name] += 1
             self.outside.add(node.name)
             self.most_out = max(self.most_out, len(self.outside))
