--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -153,7 +153,7 @@
 
     # Requests by operators and by the instance itself.
 
-    def ask(self, request: MaintenanceRequest) -> None:
+    def request_maintenance(self, request: MaintenanceRequest) -> None:
         """Request maintenance for this instance; a new request replaces the previous one."""
         self.request = request
         if self.state is MaintenanceState.SERVING:
@@ -163,7 +163,7 @@
         """Ask the named instances to request maintenance; resent until they acknowledge."""
         for request in requests:
             if request.name == self.name:
-                self.ask(request)
+                self.request_maintenance(request)
             else:
                 self.requests_for_others[request.name] = request, now + REQUEST_FOR_OTHERS_TIMEOUT_S
 
@@ -175,7 +175,7 @@
             self.rounds.cancel()
             self._set_state(MaintenanceState.SERVING, "cancelled")
 
-    def change(self, now: float, change: TableChange) -> ProposalRound:
+    def propose(self, now: float, change: TableChange) -> ProposalRound:
         """Start a round for an operator's change (freeze, bounds, voters, release). The returned round tells its outcome.
 
         Raises:
@@ -318,7 +318,7 @@
                 self.voter_role.state_replies[sender] = message
         elif isinstance(message, MaintenanceRequestMessage):
             if self.request is None or message.request.requested_at > self.request.requested_at:
-                self.ask(message.request._replace(name=self.name, zone=self.bounds.zone))
+                self.request_maintenance(message.request._replace(name=self.name, zone=self.bounds.zone))
             self.messenger.send(sender, MaintenanceRequestAck(message.request.requested_at))
         elif isinstance(message, MaintenanceRequestAck):
             if sender in self.requests_for_others and self.requests_for_others[sender][0].requested_at == message.requested_at:
--- a/mulleinhatch/instance/runtime/maintenance.py
+++ b/mulleinhatch/instance/runtime/maintenance.py
@@ -132,7 +132,7 @@
         if not after_s or self._unhealthy_since is None or now - self._unhealthy_since < after_s:
             return
         if self._coordinator.state is MaintenanceState.SERVING:
-            self._coordinator.ask(self._build_request("ill", self._bounds.ill_for, is_unhealthy=True))
+            self._coordinator.request_maintenance(self._build_request("ill", self._bounds.ill_for, is_unhealthy=True))
 
     def _build_request(self, kind: str, seconds: float, **details: Any) -> MaintenanceRequest:
         zone = self._zones.get(self._name, "")
--- a/mulleinhatch/instance/runtime/maintenance_control_port.py
+++ b/mulleinhatch/instance/runtime/maintenance_control_port.py
@@ -161,7 +161,7 @@
         ends_at, proposal = time.monotonic() + CHANGE_TIMEOUT_S, None
         while time.monotonic() < ends_at and (proposal is None or proposal.outcome in UNDECIDED_OUTCOMES):
             if self._coordinator.round is None:
-                proposal = self._coordinator.change(time.monotonic(), change)
+                proposal = self._coordinator.propose(time.monotonic(), change)
                 self._send(self._coordinator.take_outgoing())
             await asyncio.sleep(CHANGE_POLL_S)
         if proposal is None or proposal.outcome != "agreed":
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -60,7 +60,7 @@
         if node.core and node.incarnations == incarnation and not node.stalled:
             core = self.cores[node.name]
             if node.name in self.to_go and not self.been[node.name] and core.state is MaintenanceState.SERVING:
-                core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
+                core.request_maintenance(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._look_at(node)
         super()._send_heartbeat(node, incarnation, again)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -279,7 +279,7 @@
     """Make an operator's change at n0; retry while other instances run rounds at the same time."""
     for _ in range(20):
         if world.cores["n0"].round is None:
-            done = world.cores["n0"].change(world.nodes[0].clock(world.now), change)
+            done = world.cores["n0"].propose(world.nodes[0].clock(world.now), change)
         world.play(world.now + 0.5)
         if done.outcome == "agreed":
             return
@@ -351,7 +351,7 @@
     world.play(8.0)
     agree(world, lambda table: table.grant("n3", "z", "kernel"))
     world.to_go = {"n3"}
-    world.cores["n3"].ask(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
+    world.cores["n3"].request_maintenance(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
     world.play(16.0)
     assert world.been == {"n3": 1} and not world.cores["n0"].voter.voter_state.table.out
 
@@ -378,13 +378,13 @@
     world = MaintenanceWorld(2, most=1, voters=1)
     world.play(8.0)
     core, now = world.cores["n0"], world.nodes[0].clock(world.now)
-    done = core.change(now, lambda table: table.freeze("a person"))
+    done = core.propose(now, lambda table: table.freeze("a person"))
     assert (done.outcome, core.round, core.known.frozen) == ("agreed", None, "a person")
 
     def refuse(table: PermitTable) -> PermitTable:
         raise PermitRefusedError("there is no such permit")
 
-    refused = core.change(now, refuse)
+    refused = core.propose(now, refuse)
     assert (refused.outcome, refused.why, core.round) == ("refused", "there is no such permit", None)
 
 
