--- a/mulleinhatch/instance/maintenance/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -136,7 +136,7 @@
         """Stop granting permits; an empty reason resumes."""
         return self if self.frozen == why else self._next_version(frozen=why[:MAX_REASON_LENGTH])
 
-    def bounds(self, most: int, zone_most: int) -> PermitTable:
+    def set_bounds(self, most: int, zone_most: int) -> PermitTable:
         """Set the maximum number of instances out of service, in total and in one zone.
 
         Raises:
@@ -146,7 +146,7 @@
             raise PermitRefusedError(f"a bound is 0 to {MAX_PERMITS}")
         return self._next_version(most=most, zone_most=zone_most)
 
-    def electorate(self, voters: Collection[str]) -> PermitTable:
+    def set_voters(self, voters: Collection[str]) -> PermitTable:
         """Replace the set of voters by one that differs by at most one voter, so that old and new majorities intersect.
 
         Raises:
--- a/mulleinhatch/instance/runtime/maintenance_control_port.py
+++ b/mulleinhatch/instance/runtime/maintenance_control_port.py
@@ -111,10 +111,10 @@
         await self._agree(lambda table: table.freeze(str(request["why"])))
 
     async def _set_bounds(self, request: dict[str, Any]) -> None:
-        await self._agree(lambda table: table.bounds(int(request["most"]), int(request["zone_most"])))
+        await self._agree(lambda table: table.set_bounds(int(request["most"]), int(request["zone_most"])))
 
     async def _set_voters(self, request: dict[str, Any]) -> None:
-        await self._agree(lambda table: table.electorate(list(request["voters"])))
+        await self._agree(lambda table: table.set_voters(list(request["voters"])))
 
     async def _release(self, request: dict[str, Any]) -> None:
         name, reason = str(request["name"]), str(request["why"])
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -65,7 +65,7 @@
 
     def __call__(self, table: PermitTable) -> PermitTable:
         """Return the table with the new electorate."""
-        return table.electorate(self.voters)
+        return table.set_voters(self.voters)
 
 
 class Asker:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -185,13 +185,13 @@
         table.grant("one more", "z", "w", over="because")
     assert all(len(permit.why) == MAX_REASON_LENGTH for permit in table.out)
     with pytest.raises(PermitRefusedError, match="a bound is"):
-        table.bounds(-1, 1)
+        table.set_bounds(-1, 1)
 
 
 @pytest.mark.parametrize("voters, why", [((), "1 to 9"), ("abcdefghij", "1 to 9"), ("ab", "one voter at a time")])
 def test_invalid_set_of_voters_is_refused(voters: str, why: str) -> None:
     with pytest.raises(PermitRefusedError, match=why):
-        PermitTable(tuple("abcd"), 1, 1).electorate(voters)
+        PermitTable(tuple("abcd"), 1, 1).set_voters(voters)
 
 
 # The maintenance order.
@@ -369,7 +369,7 @@
     # It counts as out without a permit, too: no other leaves until it returns or an operator raises the bound.
     assert len(world.been) == 1
     world.most = 2
-    agree(world, lambda table: table.bounds(2, 2))
+    agree(world, lambda table: table.set_bounds(2, 2))
     world.play(world.now + 10.0)
     assert len(world.been) == 2
 
