--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -64,7 +64,7 @@
     Attributes:
         voter: Name of the voter.
         proposal: Proposal number of the request.
-        taken: Whether the voter promised (prepare) or accepted (accept).
+        is_granted: Whether the voter promised (prepare) or accepted (accept).
         accept: Whether the request was an accept request.
         promised: Highest proposal number that the voter has promised.
         accepted: Proposal number of `table`.
@@ -74,7 +74,7 @@
 
     voter: str
     proposal: ProposalNumber
-    taken: bool
+    is_granted: bool
     accept: bool
     promised: ProposalNumber
     accepted: ProposalNumber = NO_PROPOSAL
@@ -92,10 +92,10 @@
 
     >>> voter = Voter("a", VoterState()); first = PermitTable(voters=("a",), most=1, zone_most=1)
     >>> higher, lower = ProposalNumber(2, "x"), ProposalNumber(1, "y")
-    >>> [voter.handle_request(RegisterRequest(proposal, first=first)).taken for proposal in (higher, lower)]
+    >>> [voter.handle_request(RegisterRequest(proposal, first=first)).is_granted for proposal in (higher, lower)]
     [True, False]
     >>> accepted = voter.handle_request(RegisterRequest(higher, table=first.grant("n", "z", "w")))
-    >>> accepted.taken, voter.voter_state.table.out[0].name, voter.voter_state.writes
+    >>> accepted.is_granted, voter.voter_state.table.out[0].name, voter.voter_state.writes
     (True, 'n', 2)
     """
 
@@ -113,15 +113,15 @@
         if self.is_abstaining:
             return None
         voter_state, accept = self.voter_state, request.table is not None
-        taken = self._may_promise(request.proposal)
-        if taken and accept:
+        is_granted = self._may_promise(request.proposal)
+        if is_granted and accept:
             self.voter_state = VoterState(request.proposal, request.proposal, request.table, voter_state.writes + 1)
-        elif taken and request.proposal > voter_state.promised:
+        elif is_granted and request.proposal > voter_state.promised:
             self.voter_state = voter_state._replace(promised=request.proposal, writes=voter_state.writes + 1)
         return RegisterResponse(
             self.name,
             request.proposal,
-            taken,
+            is_granted,
             accept,
             self.voter_state.promised,
             voter_state.accepted,
@@ -207,15 +207,15 @@
             return
         self.highest = max(self.highest, response.promised.number)
         self.responses[response.voter] = response
-        taken = [received for received in self.responses.values() if received.taken]
-        if not self._is_majority(len(taken)):
-            if self._is_majority(len(self.responses) - len(taken)):
+        granted = [received for received in self.responses.values() if received.is_granted]
+        if not self._is_majority(len(granted)):
+            if self._is_majority(len(self.responses) - len(granted)):
                 self.outcome, self.why = "beaten", f"another proposer used number {self.highest}"
             return
         if self.table is not None:
             self.outcome = "agreed"
             return
-        latest = max(taken, key=lambda response: response.accepted)
+        latest = max(granted, key=lambda response: response.accepted)
         table = latest.table or self.known
         if table.epoch > self.known.epoch:
             self.known, self.outcome, self.why = table, "moved", f"the set of voters changed in epoch {table.epoch}"
--- a/mulleinhatch/instance/maintenance/schedule.py
+++ b/mulleinhatch/instance/maintenance/schedule.py
@@ -81,7 +81,7 @@
         why = _blocking_reason(request, now)
         (blocked if why else allowed).append((request, why))
     before = Counter(zones_out)
-    places: list[QueuePosition] = []
+    positions: list[QueuePosition] = []
     waiting = {request.name: request for request, _ in allowed}
     while waiting:
         chosen = min(
@@ -95,10 +95,10 @@
             ),
         )
         del waiting[chosen.name]
-        places.append(QueuePosition(chosen, True, _reasons(chosen, now, before[chosen.zone])))
+        positions.append(QueuePosition(chosen, True, _reasons(chosen, now, before[chosen.zone])))
         before[chosen.zone] += 1
     blocked.sort(key=lambda entry: (entry[0].earliest_start, entry[0].name))
-    return places + [QueuePosition(request, False, (why,)) for request, why in blocked]
+    return positions + [QueuePosition(request, False, (why,)) for request, why in blocked]
 
 
 def _blocking_reason(request: MaintenanceRequest, now: float) -> str:
@@ -145,12 +145,12 @@
 
 
 def schedule(
-    places: Sequence[QueuePosition], out: dict[str, tuple[str, float]], most: int, zone_most: int, now: float
+    positions: Sequence[QueuePosition], out: dict[str, tuple[str, float]], most: int, zone_most: int, now: float
 ) -> dict[str, float]:
     """Estimate when each request would start if nothing fails.
 
     Args:
-        places: The order.
+        positions: The order.
         out: Zone and expected return time by instance that is out.
         most: Maximum number of instances out at a time.
         zone_most: The same for one zone.
@@ -165,7 +165,7 @@
     """
     running = [(back, zone) for zone, back in out.values()]
     start_times: dict[str, float] = {}
-    waiting = [place.request for place in places if place.is_allowed]
+    waiting = [place.request for place in positions if place.is_allowed]
     start_time = now
     while waiting and most > 0 and zone_most > 0:
         running = [(back, zone) for back, zone in running if back > start_time]
--- a/mulleinhatch/instance/maintenance/voter_role.py
+++ b/mulleinhatch/instance/maintenance/voter_role.py
@@ -77,13 +77,13 @@
         self._record_request(now, sender, query)
         table = self.voter.voter_state.table or self.initial_table
         occupied = Counter(permit.zone for permit in table.out)
-        places = order(
+        positions = order(
             [received.request for received in self.requests.values()],
             [permit.name for permit in table.out],
             dict(occupied),
             wall,
         )
-        self.messenger.send(sender, self._position_reply(sender, table, occupied, places))
+        self.messenger.send(sender, self._position_reply(sender, table, occupied, positions))
 
     def _record_request(self, now: float, sender: str, query: PositionQuery) -> None:
         is_accepted = sender in self.requests or len(self.requests) < MAX_REQUESTS
@@ -93,14 +93,14 @@
             self.requests.pop(sender, None)
 
     def _position_reply(
-        self, sender: str, table: PermitTable, occupied: Counter[str], places: list[QueuePosition]
+        self, sender: str, table: PermitTable, occupied: Counter[str], positions: list[QueuePosition]
     ) -> PositionReply:
-        allowed = [place for place in places if place.is_allowed]
+        allowed = [entry for entry in positions if entry.is_allowed]
         position, reasons = next(
-            ((index, place.reasons) for index, place in enumerate(allowed) if place.request.name == sender), (-1, ())
+            ((index, entry.reasons) for index, entry in enumerate(allowed) if entry.request.name == sender), (-1, ())
         )
         if position < 0:
-            reasons = next((place.reasons for place in places if place.request.name == sender), ())
+            reasons = next((entry.reasons for entry in positions if entry.request.name == sender), ())
         available_permits = 0 if table.frozen or self.is_abstaining else max(0, table.most - len(table.out))
         if available_permits and position >= 0 and occupied[allowed[position].request.zone] >= table.zone_most:
             available_permits = 0
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -56,8 +56,8 @@
         self.counts: Counter[str] = Counter()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.core: GossipNode | None = None
-        self.spread: LoadBalancingService | None = None
-        self.upkeep: MaintenanceService | None = None
+        self.load_balancing: LoadBalancingService | None = None
+        self.maintenance: MaintenanceService | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.published_pieces: dict[str, list[tuple[float, float]]] = {}
         # Requests per tenant with a budget: in the current window and in the previous one.
@@ -88,11 +88,11 @@
         if self.settings.spread:
             from mulleinhatch.instance.runtime.load_balancing import LoadBalancingService
 
-            self.spread = LoadBalancingService(self.settings, self.core, self.reducer, self.handle_event, self._send)
+            self.load_balancing = LoadBalancingService(self.settings, self.core, self.reducer, self.handle_event, self._send)
         if self.settings.upkeep:
             from mulleinhatch.instance.runtime.maintenance import MaintenanceService
 
-            self.upkeep = MaintenanceService(self.settings, self.core, self.reducer, self._send, self.request_shutdown)
+            self.maintenance = MaintenanceService(self.settings, self.core, self.reducer, self._send, self.request_shutdown)
         self.reducer.on_tenant_request = self._record_tenant_request if self.reducer.tenants else None
         LOG.info("gossip started", extra={"fields": {"fleet": self.bounds.fleet, "address": address}})
         loop = asyncio.get_running_loop()
@@ -104,10 +104,10 @@
         """Close the socket and the services built on gossip."""
         if self.timer:
             self.timer.cancel()
-        if self.spread:
-            self.spread.close()
-        if self.upkeep:
-            self.upkeep.close()
+        if self.load_balancing:
+            self.load_balancing.close()
+        if self.maintenance:
+            self.maintenance.close()
         asyncio.get_running_loop().remove_reader(self.socket.fileno())
         self.socket.close()
 
@@ -172,9 +172,9 @@
             reducer.advertised_capacity(now),
         ]
         opinions = self._interpreter_opinions(now)
-        if self.spread:
-            figures += self.spread.core.figures(now)
-            opinions += self.spread.core.opinions(now)
+        if self.load_balancing:
+            figures += self.load_balancing.core.figures(now)
+            opinions += self.load_balancing.core.opinions(now)
         assert len(figures) <= len(FIGURES)
         loudest = [(hitter.name[:40], round(hitter.rate, 2)) for hitter in self.loudest.top(now, MAX_HEAVY_HITTERS)]
         return LocalState(figures, self._demands(now), loudest, opinions)
@@ -194,11 +194,11 @@
         now = time.monotonic()
         self.timer = asyncio.get_running_loop().call_later(self.core.bounds.heartbeat_s, self._heartbeat)
         try:
-            if self.spread:
-                self._send(self.spread.heartbeat(now))
-                self.redirect_share = self.spread.core.redirect_fraction
-            if self.upkeep:
-                self._send(self.upkeep.tick(now))
+            if self.load_balancing:
+                self._send(self.load_balancing.heartbeat(now))
+                self.redirect_share = self.load_balancing.core.redirect_fraction
+            if self.maintenance:
+                self._send(self.maintenance.tick(now))
             self._send(self.core.heartbeat(now, self._local(now)))
             self._publish_budget_shares(now)
             self._publish_peer_load(now)
@@ -232,10 +232,10 @@
             try:
                 now = time.monotonic()
                 self._send(self.core.handle_datagram(now, data))
-                if self.spread:
-                    self._send(self.spread.on_datagram(now))
-                if self.upkeep:
-                    self._send(self.upkeep.on_messages())
+                if self.load_balancing:
+                    self._send(self.load_balancing.on_datagram(now))
+                if self.maintenance:
+                    self._send(self.maintenance.on_messages())
                 self._publish_budget_shares(now)
             except Exception:
                 self.counts["fleet_errors_inside"] += 1
@@ -337,7 +337,7 @@
                 "alone": sorted(core.outlier_detector.single_accusers),
                 "held_back": core.outlier_detector.blocked_ejections,
                 "levels": self._levels(now),
-                "spread": self.spread and self.spread.status(now),
+                "spread": self.load_balancing and self.load_balancing.status(now),
                 "carried": self._carried(now),
             }
         ).encode()
@@ -369,7 +369,7 @@
 
     def _carried(self, now: float) -> list[dict[str, Any]]:
         """Return what each of the other members executes, by its last report."""
-        if not self.spread:
+        if not self.load_balancing:
             return []
         return [
             {
@@ -390,7 +390,10 @@
         if not self.core:
             return dict(self.counts)
         members = self.core.members
-        spread = {**(self.spread.counters() if self.spread else {}), **(self.upkeep.counters() if self.upkeep else {})}
+        services = {
+            **(self.load_balancing.counters() if self.load_balancing else {}),
+            **(self.maintenance.counters() if self.maintenance else {}),
+        }
         counts = {
             **self.core.counts,
             **members.counts,
@@ -398,7 +401,7 @@
         }
         return {
             **self.counts,
-            **spread,
+            **services,
             **{f"fleet_{name}": count for name, count in counts.items()},
             "fleet_members": len(members.alive()) + 1,
             "fleet_is_frozen": int(members.frozen),
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -64,7 +64,7 @@
         self.settings, self.read_settings = settings, read_settings or (lambda: settings)
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
-        self.fleet: GossipService | None = None
+        self.gossip: GossipService | None = None
         self.reducer = Reducer(
             settings.deployment,
             settings.op_types,
@@ -180,8 +180,8 @@
         loop = asyncio.get_running_loop()
         loop.call_later(max(0.0, seconds - CLOSE_LISTENER_BEFORE_STOP_S), self._close_listener)
         loop.call_later(seconds + EXIT_AFTER_STOP_S, self.stopped.set)
-        if self.fleet:
-            self.fleet.leave()
+        if self.gossip:
+            self.gossip.leave()
         self.log_counters("draining before the stop")
 
     def _close_listener(self) -> None:
@@ -208,20 +208,20 @@
         if self.settings.fleet:
             from mulleinhatch.instance.runtime.gossip import GossipService
 
-            self.fleet = GossipService(self.settings, self.reducer, self.handle_event, self.leave)
-            self.fleet.listen()
-            self.listener.serve_fleet_status(self.fleet.status_json)
-            if self.fleet.upkeep:
-                await self.fleet.upkeep.listen()
-            if self.fleet.spread:
-                self.action_handlers[Action.HAND_OVER] = self.fleet.spread.hand_over
-                self.listener.accept_handovers(self.fleet.spread.accept_handover)
+            self.gossip = GossipService(self.settings, self.reducer, self.handle_event, self.leave)
+            self.gossip.listen()
+            self.listener.serve_fleet_status(self.gossip.status_json)
+            if self.gossip.maintenance:
+                await self.gossip.maintenance.listen()
+            if self.gossip.load_balancing:
+                self.action_handlers[Action.HAND_OVER] = self.gossip.load_balancing.hand_over
+                self.listener.accept_handovers(self.gossip.load_balancing.accept_handover)
         self.tasks.keep("link", self.interpreter.link.run)
         self.tasks.every("reports", REPORT_INTERVAL_S, self._send_report)
         self.tasks.every("sweep", SWEEP_INTERVAL_S, self._sweep)
         await self.stopped.wait()
-        if self.fleet:
-            self.fleet.close()
+        if self.gossip:
+            self.gossip.close()
         if self.tracing:
             self.tracing.close()
         if self.dependency:
@@ -281,13 +281,13 @@
         """Return all counters and gauges by name."""
         storms = self.reducer.storms.counters() if self.reducer.storms else {}
         traces = self.tracing.writer.counts if self.tracing else {}
-        fleet = self.fleet.counters() if self.fleet else {}
+        gossip = self.gossip.counters() if self.gossip else {}
         return {
             **self.counts,
             **self.reducer.counts,
             **storms,
             **traces,
-            **fleet,
+            **gossip,
             "connections_open": len(self.listener.connections.open),
             "ops_owed": len(self.reducer.requests),
             "advice_percent": round(100.0 * (self.reducer.advice_level or 0.0)),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -178,8 +178,8 @@
     store.close()
     voter = Voter("n1", voter_state)
     earlier = voter.handle_request(RegisterRequest(ProposalNumber(8, "n2.9")))
-    assert not earlier.taken and earlier.promised == (9, "n3.4") and earlier.table == voter_state.table
-    assert voter.handle_request(RegisterRequest(ProposalNumber(9, "n3.4"), table=voter_state.table.release("n4", 1))).taken
+    assert not earlier.is_granted and earlier.promised == (9, "n3.4") and earlier.table == voter_state.table
+    assert voter.handle_request(RegisterRequest(ProposalNumber(9, "n3.4"), table=voter_state.table.release("n4", 1))).is_granted
     assert [permit.name for permit in voter.voter_state.table.out] == ["n5"]
 
 
