--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -211,7 +211,7 @@
         elif now < self.rounds.next_allowed_at:
             pass  # backing off after an abandoned round
         elif self.state is MaintenanceState.CHECKING and is_ready and not self._is_abstaining:
-            self._set_state(MaintenanceState.RETURNING, "fit")
+            self._set_state(MaintenanceState.RETURNING, "healthy")
             self._release_permit(now)
         elif self.state is MaintenanceState.RETURNING:
             self._release_permit(now)
@@ -244,7 +244,7 @@
         self.rounds.begin(now, lambda table: table.release(self.name, fencing_token))
 
     def _freeze(self, table: PermitTable) -> PermitTable:
-        return table if table.frozen else table.freeze(f"{self.name} came back and is not fit")
+        return table if table.frozen else table.freeze(f"{self.name} returned unhealthy")
 
     def _send_maintenance_requests(self, now: float) -> None:
         self.requests_sent_at = now
@@ -342,6 +342,6 @@
         if reply.fencing_token and self.state is MaintenanceState.SERVING:
             self.fencing_token = max(self.fencing_token, reply.fencing_token)
             self.returned_at = now
-            self._set_state(MaintenanceState.CHECKING, f"we hold permit {reply.fencing_token}")
+            self._set_state(MaintenanceState.CHECKING, f"holds permit {reply.fencing_token}")
         elif reply.fencing_token > self.fencing_token and self.state in (MaintenanceState.CHECKING, MaintenanceState.RETURNING):
             self.fencing_token = reply.fencing_token
