--- a/tests/standins.py
+++ b/tests/standins.py
@@ -145,7 +145,7 @@
 class SocketScenario:
     def __init__(self) -> None:
         self.settings = default_settings()
-        self.placement_overrides: dict = {}  # fields of the placement that are not in the JSON
+        self.settings_overrides: dict = {}  # fields of the settings that are not in the JSON
         self.interpreter = FakeInterpreter()
         self.database = FakeDependency()
         self.callers: dict[str, FakeCaller] = {}
@@ -197,7 +197,7 @@
             server = await asyncio.start_server(self.database.serve, "127.0.0.1", 0)
             self.settings["db"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
         self.instance = Instance(
-            parse_settings(self.settings)._replace(**self.placement_overrides), lambda: parse_settings(self.settings)
+            parse_settings(self.settings)._replace(**self.settings_overrides), lambda: parse_settings(self.settings)
         )
         self.serving = asyncio.ensure_future(self.instance.serve())
         await asyncio.sleep(0.01)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -310,7 +310,7 @@
 
     async def run_instance() -> dict[str, int]:
         play = SocketScenario()
-        play.placement_overrides = {"traces": TraceBounds(str(tmp_path))}
+        play.settings_overrides = {"traces": TraceBounds(str(tmp_path))}
         await play.start()
         try:
             await play.interpreter_up()
