--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.instance import Instance
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement, placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError, load_settings
 from mulleinhatch.instance.runtime.logs import start_logging
 
 
@@ -18,8 +18,8 @@
     signals.remember_early_signals()
     start_logging(arguments["--log"])
 
-    def placed() -> Placement:
-        return placement(os.environ, arguments["--config"], arguments["--operator"])
+    def placed() -> InstanceSettings:
+        return load_settings(os.environ, arguments["--config"], arguments["--operator"])
 
     try:
         place = placed()
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -18,7 +18,7 @@
 from mulleinhatch.instance.runtime import signals
 from mulleinhatch.instance.runtime.background_tasks import BackgroundTasks
 from mulleinhatch.instance.runtime.caller_listener import ClientListener
-from mulleinhatch.instance.runtime.instance_settings import InvalidSettingsError, Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings, InvalidSettingsError
 from mulleinhatch.instance.runtime.interpreter_link import InterpreterLink
 from mulleinhatch.instance.transport.datagrams import DatagramSender
 from mulleinhatch.invariants import VIOLATIONS
@@ -33,66 +33,68 @@
 LOG = logging.getLogger(__name__)
 RESERVED_DESCRIPTORS = 16  # descriptors that are not for client connections
 RESERVED_DEPENDENCY_CONNECTIONS = 64  # further ones, if there is a dependency
-LISTEN_TIMEOUT_S = 15.0  # a predecessor that was killed a moment ago may still have the address
-MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # between attempts: doubled each time, with random jitter
-CLOSE_LISTENER_BEFORE_STOP_S = 0.12  # later than the last answers of the admission controller
-CLOSE_LISTENER_INTERVAL_S = 0.02  # repeated until the stop, for connections that become idle
-EXIT_AFTER_STOP_S = 0.5  # the supervisor stops the process at the announced time: to exit before would lose requests
+LISTEN_TIMEOUT_S = 15.0  # seconds; a predecessor that was just killed may still hold the address
+MIN_LISTEN_PAUSE_S, MAX_LISTEN_PAUSE_S = 0.02, 0.25  # seconds between attempts; doubled each time, with random jitter
+CLOSE_LISTENER_BEFORE_STOP_S = 0.12  # seconds; after the last answers of the admission controller
+CLOSE_LISTENER_INTERVAL_S = 0.02  # seconds; repeated until the stop, for connections that become idle
+EXIT_AFTER_STOP_S = (
+    0.5  # seconds; the supervisor stops the process at the announced time, and an earlier exit would lose requests
+)
 REPORT_INTERVAL_S = directory_reports.ENTRY_LIFETIME_S / 6
 SWEEP_INTERVAL_S = 0.25
 RELOADABLE_FIELDS = ("interpreter", "directory", "dependency", "stop_after", "descriptors")  # fields that a reload changes
 
 
-def max_connections(placement: Placement) -> int:
-    """Return how many client connections the limit on descriptors allows."""
-    descriptors = min(placement.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if placement.dependency else 0)
+def max_connections(settings: InstanceSettings) -> int:
+    """Return the number of client connections that the limit on descriptors allows."""
+    descriptors = min(settings.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+    reserved = RESERVED_DESCRIPTORS + (RESERVED_DEPENDENCY_CONNECTIONS if settings.dependency else 0)
     return max(1, descriptors - min(reserved, descriptors // 2))
 
 
 class Instance:
-    """A service instance: client listener, interpreter link, reducer, and what the settings add to them.
+    """A service instance: client listener, interpreter link, reducer, and the optional parts.
 
     Args:
-        placement: Its settings.
-        read_placement: Reads the settings again, for a reload.
+        settings: Settings of the instance.
+        read_settings: Reads the settings again, for a reload.
     """
 
-    def __init__(self, placement: Placement, read_placement: Callable[[], Placement] | None = None) -> None:
-        self.placement, self.read_placement = placement, read_placement or (lambda: placement)
+    def __init__(self, settings: InstanceSettings, read_settings: Callable[[], InstanceSettings] | None = None) -> None:
+        self.settings, self.read_settings = settings, read_settings or (lambda: settings)
         self.counts: Counter[str] = Counter()
         self.tracing: Tracing | None = None
-        self.fleet: GossipService | None = None
+        self.gossip: GossipService | None = None
         self.reducer = Reducer(
-            placement.deployment,
-            placement.op_types,
-            placement.tenants,
-            placement.seed,
-            placement.storms,
-            self._record_decisions if placement.traces else None,
+            settings.deployment,
+            settings.op_types,
+            settings.tenants,
+            settings.seed,
+            settings.storms,
+            self._record_decisions if settings.traces else None,
         )
         self.listener = listener = ClientListener(
-            max_connections(placement),
+            max_connections(settings),
             self.handle_event,
             self.count,
             self.counters_text,
-            self.reducer.reject_early if placement.storms else None,
+            self.reducer.reject_early if settings.storms else None,
             lambda: self.reducer.advice_level,
         )
-        if placement.storms:
+        if settings.storms:
             listener.on_connected = self.reducer.record_connection
-        self.interpreter = interpreter = InterpreterLink(*placement.interpreter, self.handle_event, self.count)
+        self.interpreter = interpreter = InterpreterLink(*settings.interpreter, self.handle_event, self.count)
         self.datagrams = DatagramSender()
-        self.tasks = BackgroundTasks(self.count, placement.seed)
+        self.tasks = BackgroundTasks(self.count, settings.seed)
         self.dependency: DependencyClient | None = None
-        if placement.dependency:
+        if settings.dependency:
             from mulleinhatch.instance.runtime.dependency_calls import DependencyClient
 
-            self.dependency = DependencyClient(*placement.dependency, self.handle_event, self.count)
+            self.dependency = DependencyClient(*settings.dependency, self.handle_event, self.count)
         self.port = 0
         self.is_listed_open: bool | None = None  # not reported until the interpreter is ready
-        # Clients close their idle connections earlier: one that is older belongs to a client that is gone.
-        self.idle_timeout_s = placement.deployment.get("longest_idle") or math.inf
+        # Clients close idle connections earlier, so one that is idle longer belongs to a client that is gone.
+        self.idle_timeout_s = settings.deployment.get("longest_idle") or math.inf
         self.stopped = asyncio.Event()
         self.action_handlers: dict[Action, Callable[..., None]] = {
             Action.SEND_RESULT: listener.send_result,
@@ -119,7 +121,7 @@
         """Wrap the admission controller in a recorder. Its libraries are imported only where traces are written."""
         from mulleinhatch.instance.runtime.tracing import Tracing
 
-        self.tracing = Tracing(self.placement)
+        self.tracing = Tracing(self.settings)
         return self.tracing.record_decisions(controller, now, is_cold_start, since)
 
     def count(self, name: str) -> None:
@@ -159,7 +161,7 @@
     def _start_call(self, request_id: str, seconds: float, payload: bytes) -> None:
         if self.dependency:
             self.dependency.call(request_id, seconds, payload)
-        else:  # no dependency is configured, and the run must not wait for ever
+        else:  # no dependency is configured; the run must not wait forever
             asyncio.get_running_loop().call_soon(self.handle_event, Event.CALL_ENDED, request_id, Ending.UNREACHABLE, b"")
 
     def _report_availability(self, is_open: bool) -> None:
@@ -178,8 +180,8 @@
         loop = asyncio.get_running_loop()
         loop.call_later(max(0.0, seconds - CLOSE_LISTENER_BEFORE_STOP_S), self._close_listener)
         loop.call_later(seconds + EXIT_AFTER_STOP_S, self.stopped.set)
-        if self.fleet:
-            self.fleet.leave()
+        if self.gossip:
+            self.gossip.leave()
         self.log_counters("draining before the stop")
 
     def _close_listener(self) -> None:
@@ -189,9 +191,9 @@
 
     def _send_report(self) -> None:
         """Report to the directory whether this instance is available."""
-        directory = self.placement.directory
+        directory = self.settings.directory
         if directory and self.is_listed_open is not None:
-            sent = self.datagrams.send(directory, directory_reports.write_report(self.placement.name, self.is_listed_open))
+            sent = self.datagrams.send(directory, directory_reports.write_report(self.settings.name, self.is_listed_open))
             self.count("reports_sent" if sent else "reports_unsent")
 
     # Life cycle.
@@ -202,24 +204,24 @@
         loop.set_exception_handler(self.tasks.handle_loop_exception)
         signals.handle_signals(loop, hangup=self.reload, end=self.leave, counters=lambda: self.log_counters("counters"))
         self.port = await self._listen()
-        LOG.info("listening for clients", extra={"fields": {"name": self.placement.name, "port": self.port}})
-        if self.placement.fleet:
+        LOG.info("listening for clients", extra={"fields": {"name": self.settings.name, "port": self.port}})
+        if self.settings.fleet:
             from mulleinhatch.instance.runtime.gossip import GossipService
 
-            self.fleet = GossipService(self.placement, self.reducer, self.handle_event, self.leave)
-            self.fleet.listen()
-            self.listener.serve_fleet_status(self.fleet.status_json)
-            if self.fleet.upkeep:
-                await self.fleet.upkeep.listen()
-            if self.fleet.spread:
-                self.action_handlers[Action.HAND_OVER] = self.fleet.spread.hand_over
-                self.listener.accept_handovers(self.fleet.spread.accept_handover)
+            self.gossip = GossipService(self.settings, self.reducer, self.handle_event, self.leave)
+            self.gossip.listen()
+            self.listener.serve_fleet_status(self.gossip.status_json)
+            if self.gossip.maintenance:
+                await self.gossip.maintenance.listen()
+            if self.gossip.load_balancing:
+                self.action_handlers[Action.HAND_OVER] = self.gossip.load_balancing.hand_over
+                self.listener.accept_handovers(self.gossip.load_balancing.accept_handover)
         self.tasks.keep("link", self.interpreter.link.run)
         self.tasks.every("reports", REPORT_INTERVAL_S, self._send_report)
         self.tasks.every("sweep", SWEEP_INTERVAL_S, self._sweep)
         await self.stopped.wait()
-        if self.fleet:
-            self.fleet.close()
+        if self.gossip:
+            self.gossip.close()
         if self.tracing:
             self.tracing.close()
         if self.dependency:
@@ -232,7 +234,7 @@
         until, pause = time.monotonic() + LISTEN_TIMEOUT_S, MIN_LISTEN_PAUSE_S
         while True:
             try:
-                return self.listener.connections.listen(*self.placement.listen)
+                return self.listener.connections.listen(*self.settings.listen)
             except OSError as error:
                 if time.monotonic() >= until:
                     raise
@@ -249,22 +251,22 @@
 
     def leave(self) -> None:
         """Request the shutdown."""
-        self.handle_event(Event.SHUTDOWN_REQUESTED, self.placement.stop_after)
+        self.handle_event(Event.SHUTDOWN_REQUESTED, self.settings.stop_after)
 
     def reload(self) -> None:
-        """Read the settings again. They are checked completely first; faulty ones change nothing."""
+        """Read the settings again. They are validated completely first; invalid ones change nothing."""
         try:
-            new = self.read_placement()
+            new = self.read_settings()
         except InvalidSettingsError as error:
             self.count("reloads_refused")
             LOG.error("reload refused, the old settings stay in force", extra={"fields": {"error": error}})
             return
         unchanged_until_restart = [
-            key for key in new._fields if key not in RELOADABLE_FIELDS and getattr(new, key) != getattr(self.placement, key)
+            key for key in new._fields if key not in RELOADABLE_FIELDS and getattr(new, key) != getattr(self.settings, key)
         ]
         self.count("reloads")
         LOG.info("settings reloaded", extra={"fields": {"left_until_restart": ",".join(unchanged_until_restart)}})
-        self.placement = self.placement._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
+        self.settings = self.settings._replace(**{key: getattr(new, key) for key in RELOADABLE_FIELDS})
         self.listener.connections.max_connections = max_connections(new)
         self.interpreter.link.change_address(*new.interpreter)
         if self.dependency and new.dependency:
@@ -273,19 +275,19 @@
 
     def log_counters(self, event: str) -> None:
         """Log all counters."""
-        LOG.info(event, extra={"fields": self.counted()})
+        LOG.info(event, extra={"fields": self.counters()})
 
-    def counted(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Return all counters and gauges by name."""
         storms = self.reducer.storms.counters() if self.reducer.storms else {}
         traces = self.tracing.writer.counts if self.tracing else {}
-        fleet = self.fleet.counted() if self.fleet else {}
+        gossip = self.gossip.counters() if self.gossip else {}
         return {
             **self.counts,
             **self.reducer.counts,
             **storms,
             **traces,
-            **fleet,
+            **gossip,
             "connections_open": len(self.listener.connections.open),
             "ops_owed": len(self.reducer.requests),
             "advice_percent": round(100.0 * (self.reducer.advice_level or 0.0)),
@@ -294,4 +296,4 @@
 
     def counters_text(self) -> str:
         """Return all counters as lines of name=value."""
-        return "".join(f"{name}={count}\n" for name, count in sorted(self.counted().items()))
+        return "".join(f"{name}={count}\n" for name, count in sorted(self.counters().items()))
--- a/mulleinhatch/instance/runtime/tracing.py
+++ b/mulleinhatch/instance/runtime/tracing.py
@@ -9,38 +9,38 @@
 
 from mulleinhatch import __version__, admission
 from mulleinhatch.admission import AdmissionController
-from mulleinhatch.instance.runtime.instance_settings import Placement
+from mulleinhatch.instance.runtime.instance_settings import InstanceSettings
 from mulleinhatch.instance.traces.file import TraceMetadata
 from mulleinhatch.instance.traces.recorder import Recorder
 from mulleinhatch.instance.traces.replay import deployment_to_dict
 from mulleinhatch.instance.traces.writer import TraceFileManager
 
-FLUSH_INTERVAL_S = 1.0  # the longest time that a record is only in memory: what a kill loses
+FLUSH_INTERVAL_S = 1.0  # seconds for which a record is only in memory and would be lost with the process
 
 
 class Tracing:
     """Records the calls and decisions of the admission controller into trace files."""
 
-    def __init__(self, placement: Placement) -> None:
-        self.placement = placement
+    def __init__(self, settings: InstanceSettings) -> None:
+        self.settings = settings
         parts = sorted(Path(admission.__file__).parent.glob("*.py"))
         self.policy_digest = sha256(b"".join(part.read_bytes() for part in parts)).hexdigest()
         self.started_at, self.started_at_wall = time.monotonic(), time.time()
-        self.writer = TraceFileManager(placement.traces, self._facts)
+        self.writer = TraceFileManager(settings.traces, self._metadata)
         self.recorder: Recorder | None = None
         self.flushed_at = -math.inf
 
-    def _facts(self, number: int) -> TraceMetadata:
-        placement = self.placement
+    def _metadata(self, number: int) -> TraceMetadata:
+        settings = self.settings
         return TraceMetadata(
-            placement.name,
-            placement.seed,
+            settings.name,
+            settings.seed,
             self.started_at,
             self.started_at_wall,
             number,
-            deployment_to_dict(placement.deployment),
-            placement.op_types,
-            placement.tenants,
+            deployment_to_dict(settings.deployment),
+            settings.op_types,
+            settings.tenants,
             self.policy_digest,
             f"mulleinhatch {__version__}",
         )
@@ -51,13 +51,13 @@
         return self.recorder
 
     def flush_if_due(self, now: float) -> None:
-        """Pass what was recorded to the writer."""
+        """Pass the records to the writer if the flush interval has passed."""
         if self.recorder and now - self.flushed_at >= FLUSH_INTERVAL_S:
             self.flushed_at = now
             self.recorder.flush()
 
     def close(self) -> None:
-        """Write what is left and close the file."""
+        """Write the remaining records and close the file."""
         if self.recorder:
             self.recorder.flush()
         self.writer.close()
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -60,7 +60,7 @@
         if node.core and node.incarnations == incarnation and not node.stalled:
             core = self.cores[node.name]
             if node.name in self.to_go and not self.been[node.name] and core.state is MaintenanceState.SERVING:
-                core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
+                core.request_maintenance(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._look_at(node)
         super()._send_heartbeat(node, incarnation, again)
@@ -72,7 +72,7 @@
             self._look_at(node)
 
     def _look_at(self, node: Node) -> None:
-        if self.cores[node.name].state is MaintenanceState.GOING and node.name not in self.outside:
+        if self.cores[node.name].state is MaintenanceState.LEAVING and node.name not in self.outside:
             self.been[node.name] += 1
             self.outside.add(node.name)
             self.most_out = max(self.most_out, len(self.outside))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from mulleinhatch.instance.runtime.instance import Instance
-from mulleinhatch.instance.runtime.instance_settings import placed
+from mulleinhatch.instance.runtime.instance_settings import parse_settings
 
 STEP_TIMEOUT_S = 3.0
 
@@ -145,7 +145,7 @@
 class SocketScenario:
     def __init__(self) -> None:
         self.settings = default_settings()
-        self.placement_overrides: dict = {}  # fields of the placement that are not in the JSON
+        self.settings_overrides: dict = {}  # fields of the settings that are not in the JSON
         self.interpreter = FakeInterpreter()
         self.database = FakeDependency()
         self.callers: dict[str, FakeCaller] = {}
@@ -196,7 +196,9 @@
         if self.settings.get("db"):
             server = await asyncio.start_server(self.database.serve, "127.0.0.1", 0)
             self.settings["db"] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        self.instance = Instance(placed(self.settings)._replace(**self.placement_overrides), lambda: placed(self.settings))
+        self.instance = Instance(
+            parse_settings(self.settings)._replace(**self.settings_overrides), lambda: parse_settings(self.settings)
+        )
         self.serving = asyncio.ensure_future(self.instance.serve())
         await asyncio.sleep(0.01)
 
@@ -311,7 +313,7 @@
         await asyncio.shield(self.serving)
 
     async def instance_counts(self, name: str, count: str) -> None:
-        while self.instance.counted().get(name, 0) != int(count):
+        while self.instance.counters().get(name, 0) != int(count):
             await asyncio.sleep(0.01)
 
     # Callers.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -279,11 +279,11 @@
         ),
         (
             'fleet {\n name "x"\n listen "10.0.0.1:1"\n budgets {\n  q total=9 tenant="t"\n }\n}',
-            ":5: fleet.budgets.q.seats: nobody",
+            ":5: fleet.budgets.q.seats: none are given",
         ),
         (
             'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q total=9\n }\n}',
-            ":6: fleet.budgets.q.tenant: either",
+            ":6: fleet.budgets.q.tenant: exactly one",
         ),
         (
             'fleet {\n name "x"\n listen "10.0.0.1:1"\n seats "a"\n budgets {\n  q totl=9\n }\n}',
@@ -294,7 +294,7 @@
 )
 def test_error_in_the_fleet_node_has_the_line_number(text: str, error_text: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
-        operator.told(text)
+        operator.parse(text)
     assert str(error.value).startswith("operator.kdl" + error_text), error.value
 
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -456,7 +456,7 @@
 
 
 def read_fleet_node(*lines: str) -> object:
-    return operator.told(FLEET.format(more="\n".join(f"    {line}" for line in lines)))
+    return operator.parse(FLEET.format(more="\n".join(f"    {line}" for line in lines)))
 
 
 def test_location_is_read_from_the_operators_file() -> None:
@@ -473,11 +473,11 @@
         (['zone ""', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
         (['zone "a/b"', 'region "eu"'], "operator.kdl:4: fleet.zone: Expected"),
         (['zone "z1"', 'region "eu"', "groups 65"], "operator.kdl:6: fleet.groups: Expected"),
-        (["groups 4"], "operator.kdl:4: fleet.groups: wants a zone"),
-        (['beyond "10.0.0.9:7300"'], "operator.kdl:4: fleet.beyond: wants a zone"),
+        (["groups 4"], "operator.kdl:4: fleet.groups: requires a zone"),
+        (['beyond "10.0.0.9:7300"'], "operator.kdl:4: fleet.beyond: requires a zone"),
         (
             ['zone "z1"', 'region "eu"', 'seats "n0"', "budgets {", "q total=4 calls=#true", "}"],
-            "fleet.budgets.q.seats: 'n0' names no place",
+            "fleet.budgets.q.seats: 'n0' has no location",
         ),
     ],
 )
@@ -490,4 +490,4 @@
 def test_maintenance_beside_a_zone_is_rejected() -> None:
     text = FLEET.format(more='    zone "z1"\n    region "eu"') + 'upkeep {\n    voters "n0"\n}\n'
     with pytest.raises(operator.OperatorFileError, match="upkeep.there is no order yet among members of several groups"):
-        operator.told(text)
+        operator.parse(text)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -161,10 +161,10 @@
 
 
 def test_load_balancing_requires_a_fleet_and_errors_have_the_line_number() -> None:
-    with pytest.raises(operator.OperatorFileError, match=":1: spread: wants a fleet"):
-        operator.told("spread {\n}")
+    with pytest.raises(operator.OperatorFileError, match=":1: spread: requires a fleet"):
+        operator.parse("spread {\n}")
     with pytest.raises(operator.OperatorFileError, match=":6: spread.ofer-for: no such key"):
-        operator.told('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
+        operator.parse('fleet {\n name "x"\n listen "127.0.0.1:1"\n}\nspread {\n ofer-for 1\n}')
 
 
 # Virtual time: each step checks that a request gets one response, that a non-retryable one runs at most once, and that offers
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -238,8 +238,8 @@
     [
         ("storms {\n  settle 0\n}", ":2: storms.settle: Expected `float` > 0.0"),
         ("storms {\n  settle 3\n  loud-share 1.5\n}", ":3: storms.loud-share: Expected `float` <= 1.0"),
-        ("storms {\n  settle 3\n  settle 4\n}", ":3: storms.settle: told twice"),
-        ("storms settle=3 {\n  settle 4\n}", ":1: storms.settle: told twice"),
+        ("storms {\n  settle 3\n  settle 4\n}", ":3: storms.settle: given twice"),
+        ("storms settle=3 {\n  settle 4\n}", ":1: storms.settle: given twice"),
         ("\nstroms {\n}", ":2: stroms: no such key"),
         ("storms 5", ":1: storms: Expected `object`"),
         ("storms {\n  callers-kept 2.5\n}", ":2: storms.callers-kept: Expected `int`"),
@@ -250,7 +250,7 @@
 )
 def test_error_in_the_operators_file_has_the_line_number(text: str, error_text: str) -> None:
     with pytest.raises(operator.OperatorFileError) as error:
-        operator.told(text)
+        operator.parse(text)
     assert str(error.value).startswith("operator.kdl" + error_text), error.value
 
 
