--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -1,7 +1,7 @@
-"""Aliases for identifying values: the same key and text give the same alias in every file, and without the key it can't be
-reversed.
+"""Aliases for identifying values: one key maps a text to the same alias in every file, and the mapping can't be reversed
+without the key.
 
-Shape and length are kept: a hexadecimal ID stays one, letters stay letters, and a number keeps its count of digits.
+Shape and length are kept: a hexadecimal ID stays hexadecimal, letters stay letters, and a number keeps its number of digits.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 ROUNDS = 8
 HEX = frozenset("0123456789abcdef")
-MIN_KEY_BYTES = 16  # bytes: a shorter key could be guessed
+MIN_KEY_BYTES = 16  # a shorter key could be guessed
 
 
 class Aliases:
@@ -38,7 +38,7 @@
 
     def __init__(self, key: bytes) -> None:
         if len(key) < MIN_KEY_BYTES:
-            raise ValueError(f"the key has {len(key)} bytes: {MIN_KEY_BYTES} or more are wanted")
+            raise ValueError(f"the key has {len(key)} bytes, at least {MIN_KEY_BYTES} are required")
         self.key = blake2b(key, digest_size=32).digest()
 
     def _stream(self, text: str, count: int) -> bytes:
@@ -54,7 +54,7 @@
         return self.text(ref)
 
     def text(self, text: str) -> str:
-        """Return the alias of a text; punctuation stays, letters beyond ASCII become plain ones."""
+        """Return the alias of a text; ASCII punctuation stays, letters outside ASCII become ASCII letters."""
         drawn = self._stream(text, 2 * len(text))
         return "".join(
             self._map_character(character, drawn[2 * index] << 8 | drawn[2 * index + 1]) for index, character in enumerate(text)
@@ -70,11 +70,10 @@
         return alphabet[draw % 26]
 
     def number(self, number: int) -> int:
-        """Return the alias of a whole number: one of as many digits, different for each number.
+        """Return the alias of a non-negative integer: distinct numbers get distinct aliases with the same number of digits.
 
-        Source: J. Black, P. Rogaway, "Ciphers with arbitrary finite domains" (2002): a Feistel network, repeated until the
-            result is
-        in the range.
+        Source: J. Black, P. Rogaway, "Ciphers with arbitrary finite domains" (2002): a Feistel network, repeated
+            until the result is in the range.
         """
         low = 10 ** (len(str(number)) - 1) if number > 9 else 0
         size = 10 ** len(str(number)) - low
@@ -93,7 +92,7 @@
 
 
 def anonymous_facts(facts: TraceMetadata, aliases: Aliases) -> TraceMetadata:
-    """Return metadata with aliases; seed and deployment stay, as a replay needs them and they identify nobody."""
+    """Return metadata with aliases; seed and deployment stay, because a replay needs them and they identify nobody."""
     return TraceMetadata(
         aliases.text(facts.instance),
         facts.seed,
--- a/mulleinhatch/instance/traces/block.py
+++ b/mulleinhatch/instance/traces/block.py
@@ -1,6 +1,6 @@
 """One block of a trace file: records as columns, compressed, with a checksum; each block can be read on its own.
 
-Layout (little endian; byte by byte in `docs/design/traces.md`): a header of 64 bytes, then the body compressed by Zstandard.
+Layout (little endian; details in `docs/design/traces.md`): a header of 64 bytes, then the body compressed with Zstandard.
 The checksum (xxh3, 64 bits) covers the preceding header and the body as stored.
 """
 
@@ -15,19 +15,19 @@
 import zstandard
 from xxhash import xxh3_64_intdigest
 
-from mulleinhatch.instance.traces.codec import MAX_NUMBERS, MICRO, ColumnReader, ColumnWriter, CorruptTraceError
+from mulleinhatch.instance.traces.codec import MAX_NUMBERS, MICROS_PER_S, ColumnReader, ColumnWriter, CorruptTraceError
 from mulleinhatch.instance.traces.kinds import DECIDED, DECIDED_FOR, KINDS, Kind, Record
 
 MAGIC = b"mhtBLOCK"
-# magic, major, reserved, stored bytes, raw bytes, records, first and last time, newest request before; then the checksum
+# Magic, major, reserved, stored bytes, raw bytes, records, first and last time, highest request number before the block.
 HEAD = struct.Struct("<8sHHIIIddQ")
-CHECKSUM = struct.Struct("<QQ")  # checksum, and eight bytes that are zero
+CHECKSUM = struct.Struct("<QQ")  # checksum and eight zero bytes, following the header
 HEAD_SIZE = HEAD.size + CHECKSUM.size
 MAX_STORED_BYTES, MAX_RAW_BYTES, MAX_RECORDS = (
     8 << 20,
     16 << 20,
     1 << 20,
-)  # limits of a writer, checked by a reader
+)  # limits for writers, checked by readers
 TIMES, KINDS_COLUMN, TEXTS = 0, 1, 2  # codes of the columns that belong to no kind
 COMPRESSOR = zstandard.ZstdCompressor(level=3, write_content_size=True)
 HEX = frozenset("0123456789abcdef")
@@ -75,7 +75,7 @@
     def add(self, record: Record) -> None:
         """Add a record."""
         kind, time, values = record
-        micro = round(time * MICRO)
+        micro = round(time * MICROS_PER_S)
         if not self.kinds:
             self.first = self.last = time
             self.micro = micro
@@ -88,7 +88,7 @@
                 write_value(value)
 
     def _make_writers(self, kind: Kind) -> list[Callable[[Any], None]]:
-        """Return the functions that write the values of a kind into its columns; they are kept for later records."""
+        """Return the functions that write the values of a kind into its columns; cached for later records."""
         writers = self.writers[kind.code] = []
         for column_index, (_, codec) in enumerate(kind.columns):
             column = self.columns[kind.code, column_index] = ColumnWriter()
@@ -180,15 +180,15 @@
     """Decode the first `HEAD_SIZE` bytes of a block and check the sizes against their limits.
 
     Raises:
-        CorruptTraceError: The bytes are no valid header.
+        CorruptTraceError: The bytes are not a valid header.
     """
     if len(data) < HEAD_SIZE:
-        raise CorruptTraceError("a block's head is cut")
+        raise CorruptTraceError("truncated block header")
     magic, major, _, stored, raw, records, first, last, newest = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise CorruptTraceError("no block begins here")
+        raise CorruptTraceError("no block magic at this offset")
     if stored > MAX_STORED_BYTES or raw > MAX_RAW_BYTES or records > MAX_RECORDS:
-        raise CorruptTraceError(f"a block of {stored} bytes, {raw} raw, {records} records")
+        raise CorruptTraceError(f"block exceeds the limits: {stored} bytes, {raw} uncompressed, {records} records")
     return BlockHeader(major, stored, raw, records, first, last, newest)
 
 
@@ -200,16 +200,16 @@
     """
     head = read_header(data)
     if len(data) < HEAD_SIZE + head.stored:
-        raise CorruptTraceError("a block is cut")
+        raise CorruptTraceError("truncated block")
     body = memoryview(data)[HEAD_SIZE : HEAD_SIZE + head.stored]
     checksum, zero = CHECKSUM.unpack_from(data, HEAD.size)
     if zero or checksum != xxh3_64_intdigest(body, xxh3_64_intdigest(data[: HEAD.size])):
-        raise CorruptTraceError("a block's checksum does not fit")
+        raise CorruptTraceError("block checksum mismatch")
     return head
 
 
 class Block:
-    """A verified block. `unknown` counts records of kinds that this version does not know.
+    """A verified block. `unknown` counts the skipped records of unknown kinds, by code.
 
     Raises:
         CorruptTraceError: The block is damaged.
@@ -223,14 +223,14 @@
                 data[HEAD_SIZE : HEAD_SIZE + self.head.stored], max_output_size=self.head.raw, allow_extra_data=False
             )
         except zstandard.ZstdError as error:
-            raise CorruptTraceError(f"a block can't be decompressed: {error}") from None
+            raise CorruptTraceError(f"block can't be decompressed: {error}") from None
         if len(raw) != self.head.raw:
-            raise CorruptTraceError("a block is of another length than it says")
+            raise CorruptTraceError("uncompressed size differs from the block header")
         self.columns = self._split(raw)
         self.texts = _decode_texts(self._column(TEXTS))
         self.kinds = self._column(KINDS_COLUMN).data
         if len(self.kinds) != self.head.records:
-            raise CorruptTraceError("a block has other records than it says")
+            raise CorruptTraceError("number of records differs from the block header")
 
     @staticmethod
     def _split(raw: bytes) -> dict[tuple[int, int], bytes]:
@@ -241,7 +241,7 @@
         sizes = [(reader.varint(), reader.varint(), reader.varint()) for _ in range(count)]
         columns = {(code, column_index): reader.raw(size) for code, column_index, size in sizes}
         if not reader.is_exhausted():
-            raise CorruptTraceError("bytes behind the last column")
+            raise CorruptTraceError("bytes after the last column")
         return columns
 
     def _column(self, code: int, column_index: int = 0) -> ColumnReader:
@@ -277,18 +277,18 @@
                 if codec == "op":
                     newest = max(newest, value)
                 values.append(value)
-            yield Record(kind, micro / MICRO, tuple(values))
+            yield Record(kind, micro / MICROS_PER_S, tuple(values))
 
     def _read_value(self, codec: str, column: ColumnReader, newest: int) -> Any:
         if codec == "whole":
             return column.varint()
         if codec == "op":
-            sizes = column.varint()
-            if not sizes:
+            encoded = column.varint()
+            if not encoded:
                 return 0
-            value = newest - (sizes - 1) // 2 if sizes & 1 else newest + sizes // 2
+            value = newest - (encoded - 1) // 2 if encoded & 1 else newest + encoded // 2
             if value <= 0:
-                raise CorruptTraceError("an op before the first")
+                raise CorruptTraceError("request number below 1")
             return value
         if codec == "number":
             return column.number()
@@ -297,22 +297,22 @@
             if count > MAX_NUMBERS:
                 raise CorruptTraceError(f"{count} numbers in one value")
             return tuple(column.number() for _ in range(count))
-        column_index = column.varint()
+        text_index = column.varint()
         if codec == "ref":
-            if not column_index:
+            if not text_index:
                 return column.raw(8).hex()
-            column_index -= 1
-        if column_index >= len(self.texts):
-            raise CorruptTraceError("a text that is not in the table")
-        return self.texts[column_index]
+            text_index -= 1
+        if text_index >= len(self.texts):
+            raise CorruptTraceError("text index outside the string table")
+        return self.texts[text_index]
 
 
 def _micro(time: float) -> int:
     if not abs(time) < 1e12:
-        raise CorruptTraceError(f"a time of {time}")
-    return round(time * MICRO)
+        raise CorruptTraceError(f"invalid time {time}")
+    return round(time * MICROS_PER_S)
 
 
-def decided(major: int) -> Kind:
-    """The kind of record that a decision is in a file of that version."""
+def decision_kind(major: int) -> Kind:
+    """Return the record kind of decisions in files of a major version."""
     return DECIDED_FOR if major >= 2 else DECIDED
--- a/mulleinhatch/instance/traces/codec.py
+++ b/mulleinhatch/instance/traces/codec.py
@@ -1,21 +1,21 @@
-"""Columns of bytes: variable-length integers, exact floats and raw bytes. Reading past a bound raises `CorruptTraceError`."""
+"""Columns of bytes: variable-length integers, exact floats and raw bytes. Reading beyond the end raises `CorruptTraceError`."""
 
 from __future__ import annotations
 
 import struct
 
-MICRO = 1e6
-EXACT = 2**52  # microseconds up to which a float is written as an integer
+MICROS_PER_S = 1e6
+MAX_EXACT_MICROS = 2**52  # largest number of microseconds written as an integer
 F64 = struct.Struct("<d")
 MAX_NUMBERS = 256  # maximum count in one value of several numbers
 
 
 class CorruptTraceError(ValueError):
-    """Raised for bytes that no writer can have produced; the message states the problem."""
+    """Raised for bytes that no writer can have produced."""
 
 
 class ColumnWriter:
-    """A column under construction.
+    """Encodes the values of a column.
 
     >>> out = ColumnWriter()
     >>> out.varint(300); out.number(0.25); out.number(1 / 3); out.number(-2.0); len(out.data)
@@ -35,7 +35,7 @@
         """
         value = int(value)
         if value < 0:
-            raise ValueError(f"{value} is no whole number of 0 or more")
+            raise ValueError(f"{value} is not a non-negative integer")
         while value > 127:
             self.data.append(value & 127 | 128)
             value >>= 7
@@ -45,14 +45,18 @@
         """Append a float exactly.
 
         A number of milliseconds or microseconds is written as an integer: four times the milliseconds, or four times the
-        microseconds plus 2. All others are written as a byte 1 and eight bytes.
+        microseconds plus 2. All others are written as a byte 1, then the eight bytes of an IEEE 754 double.
         """
-        micro = value * MICRO
-        if 0.0 <= micro < EXACT and (varint := round(micro)) / MICRO == value and (varint or str(value)[0] != "-"):
-            if varint % 1000:
-                self.varint(4 * varint + 2)
+        micro = value * MICROS_PER_S
+        if (
+            0.0 <= micro < MAX_EXACT_MICROS
+            and (whole_micros := round(micro)) / MICROS_PER_S == value
+            and (whole_micros or str(value)[0] != "-")
+        ):
+            if whole_micros % 1000:
+                self.varint(4 * whole_micros + 2)
             else:
-                self.varint(4 * (varint // 1000))
+                self.varint(4 * (whole_micros // 1000))
         else:
             self.data.append(1)
             self.data += F64.pack(value)
@@ -74,7 +78,7 @@
         data, position = self.data, self.position
         while True:
             if position >= len(data) or shift > 63:
-                raise CorruptTraceError("a number has no end")
+                raise CorruptTraceError("unterminated variable-length integer")
             byte = data[position]
             position += 1
             value |= (byte & 127) << shift
@@ -88,15 +92,15 @@
         value = self.varint()
         if value == 1:
             return F64.unpack(self.raw(8))[0]
-        if value & 1 or value > 4 * EXACT + 2:
-            raise CorruptTraceError("a float in no known form")
-        return (value >> 2) / MICRO if value & 2 else (value >> 2) * 1000 / MICRO
+        if value & 1 or value > 4 * MAX_EXACT_MICROS + 2:
+            raise CorruptTraceError("unknown encoding of a float")
+        return (value >> 2) / MICROS_PER_S if value & 2 else (value >> 2) * 1000 / MICROS_PER_S
 
     def raw(self, count: int) -> bytes:
         """Read `count` bytes."""
         data = self.data[self.position : self.position + count]
         if len(data) < count:
-            raise CorruptTraceError("a column is too short")
+            raise CorruptTraceError("column ends early")
         self.position += count
         return data
 
--- a/mulleinhatch/instance/traces/cutting.py
+++ b/mulleinhatch/instance/traces/cutting.py
@@ -10,11 +10,11 @@
 from mulleinhatch.instance.traces.file import Trace, TraceMetadata, TraceWriter
 from mulleinhatch.instance.traces.kinds import Record
 
-BLOCK_RECORDS = 16384  # larger blocks compress better; a live file has one block for each batch
+BLOCK_RECORDS = 16384  # larger blocks compress better than the one block per batch of a live file
 
 
 class RecordFilter(NamedTuple):
-    """Which records to keep; None keeps all. Times are the instance's clock, numbers are indices of the metadata's lists."""
+    """Selects records; None selects all. Times are on the instance's clock, numbers are indices into the metadata's lists."""
 
     since: float | None = None
     until: float | None = None
@@ -28,7 +28,7 @@
 
 
 def request_column(kind: kinds.Kind) -> int | None:
-    """Return the column of a kind that has the request number, or None."""
+    """Return the index of the column that holds the request number, or None."""
     return next((column for column, (_, codec) in enumerate(kind.columns) if codec == "op"), None)
 
 
@@ -36,7 +36,7 @@
 
 
 def select(records: Iterable[Record], record_filter: RecordFilter) -> Iterator[Record]:
-    """Yield every record of the selected requests; with a filter on requests, no record without one."""
+    """Yield every record of the selected requests; a filter on requests drops records without a request."""
     requests: set[int] = set()
     for record in records:
         column = REQUEST_COLUMNS[record.kind.code]
--- a/mulleinhatch/instance/traces/file.py
+++ b/mulleinhatch/instance/traces/file.py
@@ -1,7 +1,7 @@
 """A trace file: a header, blocks, and an index at the end. Reading needs no more than one block at a time.
 
-As much as possible is read: a damaged block is skipped, a truncated file is read up to the break, and a missing or wrong
-index is rebuilt from the block headers.
+As much as possible is read: a damaged block is skipped, a truncated file is read up to its end, and a missing or
+inconsistent index is rebuilt from the block headers.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from mulleinhatch.instance.traces.kinds import MAJORS, MINOR, Record
 
 MAGIC = b"mhtTRACE"
-START = struct.Struct("<8sHHIQ")  # magic, major, minor, bytes of the metadata, their checksum
+START = struct.Struct("<8sHHIQ")  # magic, major, minor, size and checksum of the metadata
 MAX_METADATA_BYTES = 4 << 20
 INDEX_MAGIC, INDEX_ROW = b"mhtINDEX", struct.Struct("<QIIdd")  # offset, stored bytes, records, first and last time
-INDEX_HEAD, INDEX_TAIL = struct.Struct("<8sI"), struct.Struct("<IQ8s")  # rows; rows, checksum, magic again
+INDEX_HEAD, INDEX_TAIL = struct.Struct("<8sI"), struct.Struct("<IQ8s")  # magic, rows; rows, checksum, magic
 MAX_INDEX_ENTRIES = 1 << 22
-SCAN_CHUNK_BYTES = 1 << 16  # bytes read at once when searching for the next block
+SCAN_CHUNK_BYTES = 1 << 16  # read size when searching for the next block
 
 
 class UnreadableTraceError(ValueError):
-    """Raised for a file that is no trace file, or has an unknown major version."""
+    """Raised for a file that is not a trace file, is damaged at its start, or has an unsupported major version."""
 
 
 class TraceMetadata(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
         seed: Seed of its admission controller.
         clock: The instance's clock in seconds when the metadata was made.
         wall: Unix time at that moment.
-        number: Number of the file among those of this process.
+        number: Sequence number of the file within its process.
         deployment: Settings the admission controller was created with.
         op_types: Names of the request types.
         tenants: Names of the tenants.
@@ -73,7 +73,7 @@
 
 
 class UnreadableBlock(NamedTuple):
-    """A block that could not be read: its offset, the reason, and what is known of its content."""
+    """A block that could not be read: its offset, the reason, and the content that its header or the index states."""
 
     offset: int
     why: str
@@ -130,7 +130,7 @@
         file: Seekable binary file.
 
     Raises:
-        UnreadableTraceError: The file is no trace file, has an unknown version, or its metadata is damaged.
+        UnreadableTraceError: The file is not a trace file, its version is not supported, or its metadata is damaged.
 
     >>> from mulleinhatch.instance.traces.kinds import NOTE
     >>> file = io.BytesIO()
@@ -151,17 +151,19 @@
         if not start:
             raise UnreadableTraceError("the file is empty")
         if len(start) < START.size or start[:8] != MAGIC:
-            raise UnreadableTraceError("this is no trace file")
+            raise UnreadableTraceError("not a trace file")
         _, self.major, self.minor, size, checksum = START.unpack(start)
         if self.major not in MAJORS:
-            raise UnreadableTraceError(f"version {self.major}.{self.minor}: this text reads {', '.join(map(str, MAJORS))}")
+            raise UnreadableTraceError(
+                f"version {self.major}.{self.minor}: supported major versions are {', '.join(map(str, MAJORS))}"
+            )
         body = file.read(size) if size <= MAX_METADATA_BYTES else b""
         if len(body) < size or xxh3_64_intdigest(body) != checksum:
-            raise UnreadableTraceError("the facts at its start are damaged")
+            raise UnreadableTraceError("the metadata at the start is damaged")
         try:
             self.facts = msgspec.msgpack.decode(body, type=TraceMetadata)
         except msgspec.DecodeError as error:
-            raise UnreadableTraceError(f"the facts at its start: {error}") from None
+            raise UnreadableTraceError(f"invalid metadata at the start: {error}") from None
         self.start = START.size + size
         self.lost: list[UnreadableBlock] = []
         self.unknown = 0
@@ -203,18 +205,18 @@
             try:
                 head = block.read_header(data)
             except CorruptTraceError as error:
-                after = self._find_next_block(offset + 1)
+                next_offset = self._find_next_block(offset + 1)
                 self.lost.append(UnreadableBlock(offset, str(error)))
-                if after is None:
+                if next_offset is None:
                     break
-                offset = after
+                offset = next_offset
                 continue
             if offset + HEAD_SIZE + head.stored > self.size:
-                after = self._find_next_block(offset + 1)
-                self.lost.append(UnreadableBlock(offset, "a block is cut", head.records, head.first, head.last))
-                if after is None:
+                next_offset = self._find_next_block(offset + 1)
+                self.lost.append(UnreadableBlock(offset, "truncated block", head.records, head.first, head.last))
+                if next_offset is None:
                     break
-                offset = after
+                offset = next_offset
                 continue
             rows.append(IndexEntry(offset, head.stored, head.records, head.first, head.last))
             offset += HEAD_SIZE + head.stored
@@ -222,14 +224,14 @@
 
     def _find_next_block(self, offset: int) -> int | None:
         """Return the offset of the next block at or after `offset`, or None."""
-        kept = b""
+        tail = b""
         while offset < self.size:
-            data = kept + self._read(offset, SCAN_CHUNK_BYTES)
+            data = tail + self._read(offset, SCAN_CHUNK_BYTES)
             found = data.find(block.MAGIC)
             if found >= 0:
-                return offset - len(kept) + found
+                return offset - len(tail) + found
             offset += SCAN_CHUNK_BYTES
-            kept = data[-len(block.MAGIC) + 1 :]
+            tail = data[-len(block.MAGIC) + 1 :]
         return None
 
     def block(self, row: IndexEntry) -> Block | None:
@@ -247,7 +249,7 @@
                 yield read.head, read
 
     def records(self, since: float | None = None, until: float | None = None) -> Iterator[Record]:
-        """Yield the records of a time span in the order written; a block found damaged ends early."""
+        """Yield the records of a time span in the order written; a block whose columns turn out damaged ends early."""
         for head, read in self.blocks(since, until):
             try:
                 for record in read.records():
--- a/mulleinhatch/instance/traces/kinds.py
+++ b/mulleinhatch/instance/traces/kinds.py
@@ -1,7 +1,8 @@
-"""The kinds of records and their columns. Codes never change; a kind is only added, with a new minor version.
+"""Record kinds and their columns. Codes never change, and a new kind raises the minor version.
 
-Codecs of columns: `op` is a request number, stored as distance from the newest; `ref` a request ID as received; `text` an index
-into the block's string table; `whole` a non-negative integer; `number` an exact float; `numbers` several of them.
+Codecs of columns: `op` is a request number, stored as its distance from the highest one so far; `ref` is a request ID as
+received; `text` is an index into the block's string table; `whole` is a non-negative integer; `number` is an exact float;
+`numbers` is several of them.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
         code: Code in the file.
         name: Name, shown by `mulleinhatch trace`.
         columns: Names and codecs of the values.
-        since: First major version that has it.
+        since: First major version with this kind.
     """
 
     code: int
@@ -66,18 +67,21 @@
 WOKEN = Kind(8, "woken", (("token", "whole"), ("readings", "numbers")))
 TURNED_BACK = Kind(9, "turned back", (("count", "whole"),))
 STORM = Kind(10, "storm", (("on", "whole"), ("first_tries", "number")))
-PULLED = Kind(11, "pulled", ())  # the host asked for decisions until none was left
+PULLED = Kind(11, "pulled", ())  # the host took all pending decisions
 DECIDED = Kind(12, "decided", (("verb", "whole"), ("op", "op"), ("seconds", "number"), ("flag", "whole"), ("level", "number")))
 # A decision with its cause; files of major version 1 have DECIDED.
 DECIDED_FOR = Kind(13, "decided for", (*DECIDED.columns, ("cause", "text")), since=2)
 NOTE = Kind(14, "note", (("what", "text"), ("detail", "text")))  # connections, reloads, counters: for operators
 GAP = Kind(15, "gap", (("records", "whole"), ("until", "number")))  # batches dropped because the disk was too slow
 NODE = Kind(16, "node", (("node", "whole"),), since=2)  # in a merged file: the node of the records that follow
-PART = Kind(17, "part", (("tenant", "whole"), ("window", "number"), ("pieces", "numbers")))  # units and end times, alternating
+# An instance's share of a tenant budget; `pieces` alternates units and end times.
+PART = Kind(17, "part", (("tenant", "whole"), ("window", "number"), ("pieces", "numbers")))
+# This instance's share of the calls to a shared dependency.
 CALLS = Kind(18, "calls", (("share", "number"),))
+# Load and health of the peers.
 OTHERS = Kind(19, "others", (("room", "number"), ("ill", "whole"), ("hear_most", "number"), ("shut", "number")))
-OFFERS = Kind(20, "offers", (("count", "whole"),))
-HANDED = Kind(21, "came handed", (("op", "op"),))
+OFFERS = Kind(20, "offers", (("count", "whole"),))  # capacity offers from peers
+HANDED = Kind(21, "came handed", (("op", "op"),))  # a request handed over by a peer
 HAND_ENDED = Kind(22, "hand ended", (("op", "op"), ("ending", "whole")))
 
 KINDS = {
--- a/mulleinhatch/instance/traces/merging.py
+++ b/mulleinhatch/instance/traces/merging.py
@@ -1,7 +1,7 @@
-"""Merges trace files of several nodes in one pass with one block of each node in memory, ordered by Unix time.
+"""Merges trace files of several nodes, ordered by Unix time, in one pass with one block of each node in memory.
 
-A node's own clock never goes backward, so its records keep their order whatever its system clock did. Where the system clock
-was set between two files of a node, or two nodes disagree, the metadata of the new file lists the offsets used.
+A node's own clock is monotonic, so its records keep their order even if its system clock was set. The metadata of the new
+file lists the offset used for each source, because system clocks are set between files and differ between nodes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from mulleinhatch.instance.traces.file import Trace, TraceMetadata
 from mulleinhatch.instance.traces.kinds import MAJORS, Record
 
-CLOCK_STEP_S = 0.05  # seconds of drift between two files of a process that do not count as setting the clock
+CLOCK_STEP_S = 0.05  # seconds of drift between two files of a process that are not reported as a clock step
 
 
 class Source(NamedTuple):
@@ -37,9 +37,9 @@
 
 
 def offsets(traces: list[Trace], corrections: dict[str, float] | None = None) -> tuple[list[Source], list[dict[str, Any]]]:
-    """Return the sources ordered by time, and a description of each for the metadata.
+    """Return the sources ordered by time, and their descriptions for the metadata.
 
-    All files of a process use the offset of its first file, so that setting the system clock moves no record.
+    All files of a process use the offset of its first file, so that a step of the system clock shifts no record.
 
     Args:
         traces: Files to merge.
@@ -49,11 +49,11 @@
     sources, notes = [], []
     for trace in sorted(traces, key=lambda trace: (trace.facts.instance, trace.facts.seed, trace.facts.number)):
         facts = trace.facts
-        incarnation, seen = Incarnation(facts.instance, facts.seed), facts.wall - facts.clock
+        incarnation, clock_offset = Incarnation(facts.instance, facts.seed), facts.wall - facts.clock
         node, offset = incarnations.setdefault(
-            incarnation, (len(incarnations) + 1, seen + (corrections or {}).get(facts.instance, 0.0))
+            incarnation, (len(incarnations) + 1, clock_offset + (corrections or {}).get(facts.instance, 0.0))
         )
-        stepped = seen + (corrections or {}).get(facts.instance, 0.0) - offset
+        stepped = clock_offset + (corrections or {}).get(facts.instance, 0.0) - offset
         sources.append(Source(trace, node, offset, min((row.first for row in trace.rows), default=0.0) + offset))
         notes.append(
             {
@@ -70,7 +70,7 @@
 
 
 def ordered(sources: list[Source]) -> Iterator[tuple[float, int, Record]]:
-    """Yield time, node and record in the order of time; of each process only one file is open at a time."""
+    """Yield time, node and record ordered by time; each process has one file open at a time."""
     by_node: dict[int, list[Source]] = {}
     for source in sources:
         by_node.setdefault(source.node, []).append(source)
@@ -88,7 +88,7 @@
 
 
 def merged(sources: list[Source], since: float) -> Iterator[Record]:
-    """Yield the records with request numbers of their own, and a `NODE` record wherever the node changes."""
+    """Yield the records with request numbers unique to the merged file, and a `NODE` record wherever the node changes."""
     current_node, newest = 0, 0
     numbers: dict[int, dict[int, int]] = {}
     for time, node, record in ordered(sources):
@@ -129,11 +129,13 @@
         ValueError: There are no files, or they differ in request types or tenants.
     """
     if not traces:
-        raise ValueError("no file to merge")
+        raise ValueError("no files to merge")
     first = traces[0].facts
     for trace in traces[1:]:
         if (trace.facts.op_types, trace.facts.tenants) != (first.op_types, first.tenants):
-            raise ValueError(f"{trace.facts.instance}: other op types or tenants than {first.instance}: their places would lie")
+            raise ValueError(
+                f"{trace.facts.instance}: op types or tenants differ from {first.instance}, so their indices would not match"
+            )
     sources, notes = offsets(traces, corrections)
     since = min(source.first for source in sources)
     facts = msgspec.structs.replace(first, instance="", seed=0, clock=0.0, wall=since, number=0, merged=notes)
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -1,7 +1,7 @@
 """Records the inputs and decisions of an admission controller.
 
 The recorder is placed between the request state machine and the controller and has the controller's methods. Times and measured
-values are rounded to microseconds before the controller gets them, so that a file holds exactly its inputs.
+values are rounded to microseconds before the controller gets them, so that a file holds its exact inputs.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from mulleinhatch.admission.interface import Decision, Ref, Verb
 from mulleinhatch.instance.traces import kinds
 
-BATCH_RECORDS = 4096  # records in a batch
+BATCH_RECORDS = 4096  # size at which a batch is flushed
 VERB_CODES = {verb: code for code, verb in enumerate(Verb)}  # codes in the files: new verbs are appended
 VERB_BY_CODE = dict(enumerate(Verb))
 
@@ -28,7 +28,7 @@
     Args:
         controller: The admission controller.
         now: Time of the start in seconds.
-        is_cold_start: Whether the process just started.
+        is_fresh_start: Whether the process just started.
         since: Seconds since the start.
         on_batch: Called with each batch of records and the highest request number before it.
     """
@@ -60,7 +60,7 @@
         return self.rounded_time
 
     def flush(self) -> None:
-        """Pass on the pending records, and remove the numbers of requests that the controller has forgotten."""
+        """Pass on the pending records, and remove the numbers of requests that the controller no longer tracks."""
         if self.batch:
             self.on_batch(self.batch, self.newest_before)
             self.batch, self.newest_before = [], self.newest
@@ -83,7 +83,7 @@
         memory_kb: float,
         further_try: bool,
     ) -> None:
-        """Record the input and forward it to `AdmissionController.op_read`."""
+        """Record the input and forward it to `AdmissionController.record_arrival`."""
         now, age, wait, work = self._time(now), _micro(age), _micro(wait), _micro(work)
         self.newest = self.numbers[ref] = self.newest + 1
         self._add(
@@ -104,85 +104,85 @@
         self.controller.record_arrival(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, memory_kb, further_try)
 
     def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Record the input and forward it to `AdmissionController.run_ended`."""
+        """Record the input and forward it to `AdmissionController.record_run_end`."""
         now = self._time(now)
         self._add(kinds.RUN_ENDED, now, self.numbers.get(ref, 0), int(ending))
         self.controller.record_run_end(now, ref, ending)
 
     def record_call_request(self, now: float, ref: Ref) -> None:
-        """Record the input and forward it to `AdmissionController.call_wanted`."""
+        """Record the input and forward it to `AdmissionController.record_call_request`."""
         now = self._time(now)
         self._add(kinds.CALL_WANTED, now, self.numbers.get(ref, 0))
         self.controller.record_call_request(now, ref)
 
     def record_call_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Record the input and forward it to `AdmissionController.call_ended`."""
+        """Record the input and forward it to `AdmissionController.record_call_end`."""
         now = self._time(now)
         self._add(kinds.CALL_ENDED, now, self.numbers.get(ref, 0), int(ending))
         self.controller.record_call_end(now, ref, ending)
 
     def record_abandonment(self, now: float, ref: Ref) -> None:
-        """Record the input and forward it to `AdmissionController.op_abandoned`."""
+        """Record the input and forward it to `AdmissionController.record_abandonment`."""
         now = self._time(now)
         self._add(kinds.ABANDONED, now, self.numbers.get(ref, 0))
         self.controller.record_abandonment(now, ref)
 
     def begin_drain(self, now: float, grace: float) -> None:
-        """Record the input and forward it to `AdmissionController.leave_notice`."""
+        """Record the input and forward it to `AdmissionController.begin_drain`."""
         now, grace = self._time(now), round(grace, 6)
         self._add(kinds.LEAVE, now, grace)
         self.controller.begin_drain(now, grace)
 
     def handle_wakeup(self, now: float, token: int, readings: Sequence[float]) -> None:
-        """Record the input and forward it to `AdmissionController.woken`."""
+        """Record the input and forward it to `AdmissionController.handle_wakeup`."""
         now = self._time(now)
         self._add(kinds.WOKEN, now, token, tuple(readings))
         self.controller.handle_wakeup(now, token, readings)
 
     def set_retry_storm(self, now: float, on: bool, first_tries: float) -> None:
-        """Record the input and forward it to `AdmissionController.storm_told`."""
+        """Record the input and forward it to `AdmissionController.set_retry_storm`."""
         now = self._time(now)
         self._add(kinds.STORM, now, int(on), first_tries)
         self.controller.set_retry_storm(now, on, first_tries)
 
     def record_early_rejections(self, now: float, count: int) -> None:
-        """Record the input and forward it to `AdmissionController.turned_back`."""
+        """Record the input and forward it to `AdmissionController.record_early_rejections`."""
         now = self._time(now)
         self._add(kinds.TURNED_BACK, now, count)
         self.controller.record_early_rejections(now, count)
 
     def set_tenant_budget(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
-        """Record the input and forward it to `AdmissionController.part_told`."""
+        """Record the input and forward it to `AdmissionController.set_tenant_budget`."""
         now = self._time(now)
         self._add(kinds.PART, now, tenant, window, tuple(figure for piece in pieces for figure in piece))
         self.controller.set_tenant_budget(now, tenant, window, pieces)
 
     def set_dependency_share(self, now: float, share: float) -> None:
-        """Record the input and forward it to `AdmissionController.calls_told`."""
+        """Record the input and forward it to `AdmissionController.set_dependency_share`."""
         now = self._time(now)
         self._add(kinds.CALLS, now, share)
         self.controller.set_dependency_share(now, share)
 
     def update_peer_load(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
-        """Record the input and forward it to `AdmissionController.others_told`."""
+        """Record the input and forward it to `AdmissionController.update_peer_load`."""
         now = self._time(now)
         self._add(kinds.OTHERS, now, room, int(ill), hear_most, shut)
         self.controller.update_peer_load(now, room, ill, hear_most, shut)
 
     def set_peer_offers(self, now: float, count: int) -> None:
-        """Record the input and forward it to `AdmissionController.offers_told`."""
+        """Record the input and forward it to `AdmissionController.set_peer_offers`."""
         now = self._time(now)
         self._add(kinds.OFFERS, now, count)
         self.controller.set_peer_offers(now, count)
 
     def mark_received_from_peer(self, now: float, ref: Ref) -> None:
-        """Record the input and forward it to `AdmissionController.came_handed`."""
+        """Record the input and forward it to `AdmissionController.mark_received_from_peer`."""
         now = self._time(now)
         self._add(kinds.HANDED, now, self.numbers.get(ref, 0))
         self.controller.mark_received_from_peer(now, ref)
 
     def record_handover_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Record the input and forward it to `AdmissionController.hand_ended`."""
+        """Record the input and forward it to `AdmissionController.record_handover_end`."""
         now = self._time(now)
         self._add(kinds.HAND_ENDED, now, self.numbers.get(ref, 0), int(ending))
         self.controller.record_handover_end(now, ref, ending)
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -1,7 +1,7 @@
 """Replays a trace on a new admission controller and compares the decisions.
 
-The same source must make exactly the same decisions, which proves that a trace holds all inputs of the controller; another
-source shows what it would have decided.
+The same source must make exactly the same decisions, which proves that a trace holds all inputs of the controller. A
+different source shows what it would have decided.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 def deployment_from_dict(plain: dict[str, Any]) -> Deployment:
     """Return a deployment from the plain values of a trace's metadata."""
-    deployment_facts = {
+    deployment = {
         name: ENUM_BY_VALUE[value] if name in ENUM_FIELDS and value is not None else value for name, value in plain.items()
     }
-    if "op_types" in deployment_facts:
-        deployment_facts["op_types"] = [deployment_from_dict(op_type) for op_type in deployment_facts["op_types"]]
-    return deployment_facts
+    if "op_types" in deployment:
+        deployment["op_types"] = [deployment_from_dict(op_type) for op_type in deployment["op_types"]]
+    return deployment
 
 
 class DecisionRecord(NamedTuple):
-    """A decision in a form that can be compared between versions of the source."""
+    """A decision in a form that is comparable between versions of the controller's source."""
 
     verb: str
     request: int
@@ -66,7 +66,7 @@
 
 
 class Difference(NamedTuple):
-    """The first difference: its time, the number of decision requests so far, and the decisions on both sides."""
+    """The first difference: its time, the number of pulls so far, and the decisions on both sides."""
 
     time: float
     pull: int
@@ -75,7 +75,7 @@
 
 
 class Outcome(NamedTuple):
-    """Result of a replay; `recorded` and `replayed` count decisions by verb."""
+    """Result of a replay. A pull takes all pending decisions at one time."""
 
     pulls: int
     decisions: int
@@ -86,7 +86,7 @@
 
 
 class IncompleteTraceError(ValueError):
-    """Raised for a trace that lacks the start of its instance, or a part: nothing after that can be replayed."""
+    """Raised for a trace without the start of its instance or with a gap: nothing after it can be replayed."""
 
 
 class Replayer:
@@ -110,15 +110,15 @@
         """
         kind, now, values = record
         if kind is kinds.NODE:
-            raise IncompleteTraceError("a merged file is of several modules: replay the files it was made of")
+            raise IncompleteTraceError("a merged file holds several instances: replay its source files")
         if kind is kinds.GAP:
-            raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow for them")
+            raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow to write them")
         if kind is kinds.START:
             is_fresh_start, since = values
             deployment = {**deployment_from_dict(self.facts.deployment), "fresh_start": bool(is_fresh_start)}
             self.controller = self.make(deployment, self.facts.seed, now - since)
         elif self.controller is None:
-            raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, uncut")
+            raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, unfiltered")
         elif kind is kinds.READ:
             request, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
             self.refs[request], self.numbers[ref] = ref, request
@@ -184,18 +184,18 @@
 
 
 def compare_decisions(
-    records: Iterable[Record], player: Replayer
+    records: Iterable[Record], replayer: Replayer
 ) -> Iterator[tuple[float, list[DecisionRecord], list[DecisionRecord]]]:
-    """Yield, for each time that decisions were requested, the time, the recorded and the replayed decisions."""
+    """Yield, for each pull, its time, the recorded and the replayed decisions."""
     recorded: list[DecisionRecord] = []
     for record in records:
         if record.kind is kinds.DECIDED or record.kind is kinds.DECIDED_FOR:
             recorded.append(decision_record(record))
         elif record.kind is kinds.PULLED:
-            yield record.time, recorded, player.pull_decisions(record.time)
+            yield record.time, recorded, replayer.pull_decisions(record.time)
             recorded = []
         else:
-            player.apply(record)
+            replayer.apply(record)
 
 
 def replay(
@@ -210,10 +210,10 @@
         records: Records from the start of the instance.
         facts: Metadata of the trace.
         make: Creates a controller from deployment, seed and start time.
-        to_the_end: Continue after the first difference. The inputs remain those recorded, not those that would have followed.
+        to_the_end: Continue after the first difference, with the recorded inputs rather than those that would have followed.
 
     Raises:
-        IncompleteTraceError: The trace lacks its start or a part.
+        IncompleteTraceError: The trace has no start or a gap.
     """
     count = decisions = differences = 0
     first: Difference | None = None
--- a/mulleinhatch/instance/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -21,7 +21,7 @@
 
 
 class Summary:
-    """Accumulates records in bounded memory: a request is dropped with its last record, seconds are counters."""
+    """Accumulates records; keeps live requests only until their last record, and one counter per second of the trace."""
 
     def __init__(self, op_types: list[str], tenants: list[str]) -> None:
         self.op_types, self.tenants = op_types, tenants
@@ -31,7 +31,7 @@
         self.seconds: dict[int, Counter[str]] = {}
         self.queue_waits, self.run_times = HdrHistogram(1, MAX_MS, 3), HdrHistogram(1, MAX_MS, 3)
         self.retry_delays = HdrHistogram(1, MAX_MS, 3)
-        self.live: dict[int, tuple[int, int, float, float]] = {}  # by request number: type, tenant, time read, time started
+        self.live: dict[int, tuple[int, int, float, float]] = {}  # by request number: type, tenant, arrival and start time
         self.first: float | None = None
         self.last = 0.0
 
--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -1,8 +1,8 @@
-"""Writes trace files in a thread: batches arrive through a bounded queue; files are rolled by size and age, and old ones
-deleted.
+"""Writes trace files in a thread: batches arrive through a bounded queue; files are rotated by size and age,
+and the oldest are deleted.
 
-The event loop only enqueues lists. When the disk is slow or full, whole batches are dropped, counted, and marked in the file
-by a `GAP` record; no request ever waits.
+The event loop only enqueues lists, so no request ever waits for the disk. When the disk is slow or full, whole batches are
+dropped, counted, and marked in the file by a `GAP` record.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 LOG = logging.getLogger(__name__)
 MAX_QUEUED_BATCHES = 16  # batches waiting for the disk: a few MB
 SUFFIX, OPEN_SUFFIX = ".mht", ".mht.part"
-RETRY_DELAY_S = 5.0  # seconds without an attempt after a disk error
+RETRY_DELAY_S = 5.0  # after a disk error
 
 
 class TraceBounds(NamedTuple):
@@ -34,8 +34,8 @@
 
     Attributes:
         folder: Directory of the files.
-        file_mb: Size in MB at which a file is ended.
-        file_age: Age in seconds at which a file is ended.
+        file_mb: Size in MB at which a file is rotated.
+        file_age: Age in seconds at which a file is rotated.
         total_mb: Total size in MB of this instance's files; the oldest are deleted beyond it.
     """
 
@@ -79,18 +79,18 @@
             self._drop(dropped, records)
 
     def _drop(self, marked_before: int, records: list[Record]) -> None:
-        """Count dropped records once; a gap mark lost with this batch is repeated by the next one."""
+        """Count dropped records once; a gap record lost with this batch is repeated with the next one."""
         with self.lock:
             self.counts["trace_records_dropped"] += len(records)
             self.dropped, self.dropped_until = self.dropped + marked_before + len(records), records[-1][1]
 
     def close(self, within: float = 2.0) -> None:
-        """End the current file if the disk allows it within `within` seconds."""
+        """Complete the current file, waiting up to `within` seconds each for the queue and for the thread."""
         with contextlib.suppress(queue.Full):
             self.queue.put(None, timeout=within)
         self.thread.join(within)
 
-    # In its own thread.
+    # Methods of the writer thread.
 
     def _run(self) -> None:
         while (item := self.queue.get()) is not None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -180,7 +180,7 @@
     "spoil, complaint",
     [
         (lambda data: b"", "empty"),
-        (lambda data: b"something else", "no trace file"),
+        (lambda data: b"something else", "not a trace file"),
         (lambda data: data[: START.size + 9], "damaged"),
         (lambda data: START.pack(b"mhtTRACE", 3, 0, 5, 0) + data[START.size :], "version 3.0"),
         (lambda data: START.pack(b"mhtTRACE", 2, 0, 2**32 - 1, 0) + data[START.size :], "damaged"),
@@ -346,10 +346,10 @@
 def node_file(name: str, seed: int, number: int, wall: float, times: list[float], major: int = 2) -> bytes:
     """Reads and their decisions at those times, ids `NAME-0` and on; the instance's clock stood at 100 at `wall`."""
     file, built = io.BytesIO(), BlockBuilder(major, 0)
-    decided = block.decided(major)
+    kind = block.decision_kind(major)
     for place, at in enumerate(times, 1):
         built.add(Record(kinds.READ, at, (place, f"{name}-{place}", 0, 0.0, 1.0, 0, 0, 4711, 0.05, 8.0, 0)))
-        built.add(Record(decided, at, (0, place, 0.0, 0, 0.0) + (("order",) if major > 1 else ())))
+        built.add(Record(kind, at, (0, place, 0.0, 0, 0.0) + (("order",) if major > 1 else ())))
     writer = TraceWriter(
         file, TraceMetadata(name, seed, 100.0, wall, number, op_types=["read"], tenants=["Moshi Portal"]), major
     )
