--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -61,8 +61,9 @@
             last = max((row.last for row in trace.rows), default=0.0)
             damaged = sum(trace.block(row) is None for row in trace.rows)
             print(
-                f"{path}: version {trace.major}.{trace.minor}, instance {trace.facts.instance}, file {trace.facts.number}, "
-                f"{trace.size} bytes, {len(trace.rows)} blocks, {records} records, {first:.3f} to {last:.3f} s, "
+                f"{path}: version {trace.major}.{trace.minor}, instance {trace.metadata.instance}, "
+                f"file {trace.metadata.number}, {trace.size} bytes, {len(trace.rows)} blocks, "
+                f"{records} records, {first:.3f} to {last:.3f} s, "
                 f"{'indexed' if trace.indexed else 'no index: not ended, or cut'}"
             )
             print(missing(trace), end="")
@@ -86,8 +87,8 @@
         wanted = RecordFilter(
             arguments["--since"] and float(arguments["--since"]),
             arguments["--until"] and float(arguments["--until"]),
-            place(trace.facts.tenants, arguments["--tenant"], "tenant"),
-            place(trace.facts.op_types, arguments["--op-type"], "op type"),
+            place(trace.metadata.tenants, arguments["--tenant"], "tenant"),
+            place(trace.metadata.op_types, arguments["--op-type"], "op type"),
             arguments["--op"],
         )
         with open(arguments["--out"], "xb") as file:
@@ -134,7 +135,7 @@
     with open(arguments["FILE"][0], "rb") as source:
         trace = Trace(source)
         with open(arguments["--out"], "xb") as file:
-            count = write(anonymous(trace.records(), aliases), file, anonymous_facts(trace.facts, aliases), trace.major)
+            count = write(anonymous(trace.records(), aliases), file, anonymous_facts(trace.metadata, aliases), trace.major)
         print(f"{arguments['--out']}: {count} records")
         print(missing(trace), end="")
     return 0
@@ -144,7 +145,7 @@
     """Print sums and quantiles."""
     with open(arguments["FILE"][0], "rb") as file:
         trace = Trace(file)
-        totals = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
+        totals = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)
         lost = missing(trace)
     if arguments["--json"]:
         print(json.dumps({**totals, "lost": [list(gap) for gap in trace.lost]}))
@@ -210,9 +211,9 @@
     with open(arguments["FILE"][0], "rb") as file:
         trace = Trace(file)
         if against:
-            outcome = replay(trace.records(), trace.facts, other_text(against), to_the_end=True)
+            outcome = replay(trace.records(), trace.metadata, other_text(against), to_the_end=True)
         else:
-            outcome = replay(trace.records(), trace.facts)
+            outcome = replay(trace.records(), trace.metadata)
         differ = {0: "no step differs", 1: "one step differs"}.get(outcome.differences, f"{outcome.differences} steps differ")
         print(f"{outcome.decisions} decisions in {outcome.pulls} steps, {differ}")
         print(missing(trace), end="")
--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -91,20 +91,20 @@
                 return low + value
 
 
-def anonymous_facts(facts: TraceMetadata, aliases: Aliases) -> TraceMetadata:
+def anonymous_facts(metadata: TraceMetadata, aliases: Aliases) -> TraceMetadata:
     """Return metadata with aliases; seed and deployment stay, because a replay needs them and they identify nobody."""
     return TraceMetadata(
-        aliases.text(facts.instance),
-        facts.seed,
-        facts.clock,
-        facts.wall,
-        facts.number,
-        facts.deployment,
-        facts.op_types,
-        [aliases.text(tenant) for tenant in facts.tenants],
-        facts.policy,
-        facts.made_by,
-        [{**source, "instance": aliases.text(str(source.get("instance", "")))} for source in facts.merged],
+        aliases.text(metadata.instance),
+        metadata.seed,
+        metadata.clock,
+        metadata.wall,
+        metadata.number,
+        metadata.deployment,
+        metadata.op_types,
+        [aliases.text(tenant) for tenant in metadata.tenants],
+        metadata.policy,
+        metadata.made_by,
+        [{**source, "instance": aliases.text(str(source.get("instance", "")))} for source in metadata.merged],
     )
 
 
--- a/mulleinhatch/instance/traces/cutting.py
+++ b/mulleinhatch/instance/traces/cutting.py
@@ -53,9 +53,9 @@
             yield record
 
 
-def write(records: Iterable[Record], file: BinaryIO, facts: TraceMetadata, major: int) -> int:
+def write(records: Iterable[Record], file: BinaryIO, metadata: TraceMetadata, major: int) -> int:
     """Write records to a new file; return their number."""
-    writer, builder, count = TraceWriter(file, facts, major), BlockBuilder(major, 0), 0
+    writer, builder, count = TraceWriter(file, metadata, major), BlockBuilder(major, 0), 0
     for record in records:
         builder.add(record)
         count += 1
@@ -70,4 +70,6 @@
 
 def extract(trace: Trace, file: BinaryIO, record_filter: RecordFilter) -> int:
     """Write the selected records of a trace to a new file; return their number."""
-    return write(select(trace.records(record_filter.since, record_filter.until), record_filter), file, trace.facts, trace.major)
+    return write(
+        select(trace.records(record_filter.since, record_filter.until), record_filter), file, trace.metadata, trace.major
+    )
--- a/mulleinhatch/instance/traces/file.py
+++ b/mulleinhatch/instance/traces/file.py
@@ -82,9 +82,9 @@
     last: float = 0.0
 
 
-def encode_header(facts: TraceMetadata, major: int, minor: int = MINOR) -> bytes:
+def encode_header(metadata: TraceMetadata, major: int, minor: int = MINOR) -> bytes:
     """Return the header of a file."""
-    body = msgspec.msgpack.encode(facts)
+    body = msgspec.msgpack.encode(metadata)
     return START.pack(MAGIC, major, minor, len(body), xxh3_64_intdigest(body)) + body
 
 
@@ -100,13 +100,13 @@
 
     Args:
         file: File to write to.
-        facts: Metadata of the file.
+        metadata: Metadata of the file.
         major: Major version of the format.
     """
 
-    def __init__(self, file: BinaryIO, facts: TraceMetadata, major: int = MAJORS[-1]) -> None:
+    def __init__(self, file: BinaryIO, metadata: TraceMetadata, major: int = MAJORS[-1]) -> None:
         self.file, self.major, self.rows = file, major, []
-        head = encode_header(facts, major)
+        head = encode_header(metadata, major)
         file.write(head)
         self.offset = len(head)
 
@@ -161,7 +161,7 @@
         if len(body) < size or xxh3_64_intdigest(body) != checksum:
             raise UnreadableTraceError("the metadata at the start is damaged")
         try:
-            self.facts = msgspec.msgpack.decode(body, type=TraceMetadata)
+            self.metadata = msgspec.msgpack.decode(body, type=TraceMetadata)
         except msgspec.DecodeError as error:
             raise UnreadableTraceError(f"invalid metadata at the start: {error}") from None
         self.start = START.size + size
--- a/mulleinhatch/instance/traces/merging.py
+++ b/mulleinhatch/instance/traces/merging.py
@@ -47,20 +47,20 @@
     """
     incarnations: dict[Incarnation, tuple[int, float]] = {}
     sources, notes = [], []
-    for trace in sorted(traces, key=lambda trace: (trace.facts.instance, trace.facts.seed, trace.facts.number)):
-        facts = trace.facts
-        incarnation, clock_offset = Incarnation(facts.instance, facts.seed), facts.wall - facts.clock
+    for trace in sorted(traces, key=lambda trace: (trace.metadata.instance, trace.metadata.seed, trace.metadata.number)):
+        metadata = trace.metadata
+        incarnation, clock_offset = Incarnation(metadata.instance, metadata.seed), metadata.wall - metadata.clock
         node, offset = incarnations.setdefault(
-            incarnation, (len(incarnations) + 1, clock_offset + (corrections or {}).get(facts.instance, 0.0))
+            incarnation, (len(incarnations) + 1, clock_offset + (corrections or {}).get(metadata.instance, 0.0))
         )
-        stepped = clock_offset + (corrections or {}).get(facts.instance, 0.0) - offset
+        stepped = clock_offset + (corrections or {}).get(metadata.instance, 0.0) - offset
         sources.append(Source(trace, node, offset, min((row.first for row in trace.rows), default=0.0) + offset))
         notes.append(
             {
-                "instance": facts.instance,
-                "seed": facts.seed,
+                "instance": metadata.instance,
+                "seed": metadata.seed,
                 "node": node,
-                "file": facts.number,
+                "file": metadata.number,
                 "offset": round(offset, 6),
                 "clock_stepped": round(stepped, 6) if abs(stepped) > CLOCK_STEP_S else 0.0,
                 "version": trace.major,
@@ -130,13 +130,13 @@
     """
     if not traces:
         raise ValueError("no files to merge")
-    first = traces[0].facts
+    first = traces[0].metadata
     for trace in traces[1:]:
-        if (trace.facts.op_types, trace.facts.tenants) != (first.op_types, first.tenants):
+        if (trace.metadata.op_types, trace.metadata.tenants) != (first.op_types, first.tenants):
             raise ValueError(
-                f"{trace.facts.instance}: op types or tenants differ from {first.instance}, so their indices would not match"
+                f"{trace.metadata.instance}: op types or tenants differ from {first.instance}, so their indices would not match"
             )
     sources, notes = offsets(traces, corrections)
     since = min(source.first for source in sources)
-    facts = msgspec.structs.replace(first, instance="", seed=0, clock=0.0, wall=since, number=0, merged=notes)
-    return write(merged(sources, since), file, TraceMetadata(**msgspec.structs.asdict(facts)), MAJORS[-1]), notes
+    metadata = msgspec.structs.replace(first, instance="", seed=0, clock=0.0, wall=since, number=0, merged=notes)
+    return write(merged(sources, since), file, TraceMetadata(**msgspec.structs.asdict(metadata)), MAJORS[-1]), notes
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -94,11 +94,11 @@
 
     Args:
         make: Creates a controller from deployment, seed and start time.
-        facts: Metadata of the trace.
+        metadata: Metadata of the trace.
     """
 
-    def __init__(self, make: Callable[[Deployment, int, float], Any], facts: Any) -> None:
-        self.make, self.facts, self.controller = make, facts, None
+    def __init__(self, make: Callable[[Deployment, int, float], Any], metadata: Any) -> None:
+        self.make, self.metadata, self.controller = make, metadata, None
         self.refs: dict[int, str] = {0: ""}
         self.numbers: dict[Any, int] = {}
 
@@ -115,8 +115,8 @@
             raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow to write them")
         if kind is kinds.START:
             is_fresh_start, since = values
-            deployment = {**deployment_from_dict(self.facts.deployment), "fresh_start": bool(is_fresh_start)}
-            self.controller = self.make(deployment, self.facts.seed, now - since)
+            deployment = {**deployment_from_dict(self.metadata.deployment), "fresh_start": bool(is_fresh_start)}
+            self.controller = self.make(deployment, self.metadata.seed, now - since)
         elif self.controller is None:
             raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, unfiltered")
         elif kind is kinds.READ:
@@ -200,7 +200,7 @@
 
 def replay(
     records: Iterable[Record],
-    facts: Any,
+    metadata: Any,
     make: Callable[[Deployment, int, float], Any] = AdmissionController,
     to_the_end: bool = False,
 ) -> Outcome:
@@ -208,7 +208,7 @@
 
     Args:
         records: Records from the start of the instance.
-        facts: Metadata of the trace.
+        metadata: Metadata of the trace.
         make: Creates a controller from deployment, seed and start time.
         to_the_end: Continue after the first difference, with the recorded inputs rather than those that would have followed.
 
@@ -219,7 +219,7 @@
     first: Difference | None = None
     recorded_all: Counter[str] = Counter()
     replayed_all: Counter[str] = Counter()
-    for time, recorded, replayed in compare_decisions(records, Replayer(make, facts)):
+    for time, recorded, replayed in compare_decisions(records, Replayer(make, metadata)):
         count += 1
         decisions += len(recorded)
         recorded_all.update(decision.verb for decision in recorded)
--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -50,12 +50,12 @@
 
     Args:
         bounds: Limits of the files.
-        facts: Returns the metadata for a file number.
+        make_metadata: Returns the metadata for a file number.
         major: Major version of the format.
     """
 
-    def __init__(self, bounds: TraceBounds, facts: Callable[[int], TraceMetadata], major: int = MAJORS[-1]) -> None:
-        self.bounds, self.facts, self.major = bounds, facts, major
+    def __init__(self, bounds: TraceBounds, make_metadata: Callable[[int], TraceMetadata], major: int = MAJORS[-1]) -> None:
+        self.bounds, self.make_metadata, self.major = bounds, make_metadata, major
         self.counts: Counter[str] = Counter()
         self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(MAX_QUEUED_BATCHES)
         self.lock = threading.Lock()  # guards the two fields below: the event loop and the thread both drop batches
@@ -125,15 +125,15 @@
 
     def _begin_file(self) -> None:
         self.number += 1
-        facts = self.facts(self.number)
+        metadata = self.make_metadata(self.number)
         stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
         folder = Path(self.bounds.folder)
         folder.mkdir(parents=True, exist_ok=True)
-        self.path = folder / f"{facts.instance}-{stamp}-{os.getpid()}-{self.number:05d}{OPEN_SUFFIX}"
+        self.path = folder / f"{metadata.instance}-{stamp}-{os.getpid()}-{self.number:05d}{OPEN_SUFFIX}"
         file = open(self.path, "xb")  # noqa: SIM115 (`_end_file` closes it)
-        self.writer = TraceWriter(file, facts, self.major)
+        self.writer = TraceWriter(file, metadata, self.major)
         self.opened = time.monotonic()
-        self._expire(facts.instance)
+        self._expire(metadata.instance)
 
     def _end_file(self) -> None:
         """Write the index, flush, and rename: a file under its final name is complete."""
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -189,7 +189,7 @@
 
 
 def test_trace_facts_and_blocks(trace: Trace) -> None:
-    facts = trace.facts
+    facts = trace.metadata
     assert (trace.major, trace.minor, trace.indexed, trace.lost) == (2, 2, True, [])
     assert (facts.instance, facts.seed, facts.clock, facts.wall, facts.number) == ("n1", 2, 20.5, 1.7e9, 4)
     assert (facts.op_types, facts.tenants, facts.policy, facts.made_by) == (
@@ -225,14 +225,14 @@
 
 
 def test_trace_is_decided_the_same(trace: Trace) -> None:
-    outcome = replay_trace(trace.records(), trace.facts)
+    outcome = replay_trace(trace.records(), trace.metadata)
     assert outcome.differences == 0, outcome.first
     assert (outcome.pulls, outcome.decisions) == (304, 203)
     assert outcome.replayed == outcome.recorded == {"run": 81, "nack": 58, "wake": 41, "hear": 12, "keep": 8, "forget": 3}
 
 
 def test_trace_summary(trace: Trace) -> None:
-    told = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
+    told = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)
     assert told["seconds"] == 15.0
     assert {name: told["counts"][name] for name in ("ops_read", "run_ok", "decided_nack_bound", "turned_back")} == {
         "ops_read": 139,
@@ -247,7 +247,7 @@
 
 def test_trace_is_written_again_as_it_was(trace: Trace) -> None:
     file = io.BytesIO()
-    writer = TraceWriter(file, trace.facts)
+    writer = TraceWriter(file, trace.metadata)
     for head, block in trace.blocks():
         builder = BlockBuilder(head.major, head.newest)
         for record in block.records():
@@ -255,7 +255,7 @@
         writer.write(builder.encode())
     writer.close()
     again = Trace(io.BytesIO(file.getvalue()))
-    assert (again.facts, list(again.records())) == (trace.facts, list(trace.records()))
+    assert (again.metadata, list(again.records())) == (trace.metadata, list(trace.records()))
     assert [row.records for row in again.rows] == [500, 297]
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -83,10 +83,10 @@
     recorder, batches = incarnations[-1]
     recorder.flush()
     file = io.BytesIO()
-    facts = TraceMetadata(
+    metadata = TraceMetadata(
         "n1", seed=world.incarnation, deployment=deployment_to_dict(world.deployment), op_types=[kind[0] for kind in OP_KINDS]
     )
-    writer = TraceWriter(file, facts)
+    writer = TraceWriter(file, metadata)
     for records, newest in batches:
         for start in range(0, len(records), 500):
             built = BlockBuilder(2, newest)
@@ -110,7 +110,7 @@
 def test_a_replay_decides_the_same_to_the_last(seed: int, change: dict) -> None:
     world, data = traced(SMALL._replace(**change), seed)
     trace = Trace(io.BytesIO(data))
-    outcome = replay(trace.records(), trace.facts)
+    outcome = replay(trace.records(), trace.metadata)
     assert outcome.differences == 0, outcome.first
     assert outcome.decisions == sum(count for name, count in world.reducer.counts.items() if name.startswith("decided_"))
 
@@ -121,20 +121,20 @@
     at = next(place for place, one in enumerate(records) if one.kind is kinds.READ and place > 500)
     values = list(records[at].values)
     values[4] = 0.01  # it hears of a shorter wait than the module did
-    outcome = replay([*records[:at], records[at]._replace(values=tuple(values)), *records[at + 1 :]], trace.facts)
+    outcome = replay([*records[:at], records[at]._replace(values=tuple(values)), *records[at + 1 :]], trace.metadata)
     assert outcome.differences == 1 and outcome.first.time >= records[at].time
 
 
 def test_a_replay_of_a_part_is_refused(recorded_trace: tuple[World, bytes]) -> None:
     trace = Trace(io.BytesIO(recorded_trace[1]))
     with pytest.raises(IncompleteTraceError, match="start"):
-        replay(trace.records(since=8.0), trace.facts)
+        replay(trace.records(since=8.0), trace.metadata)
 
 
 def test_the_summary_is_the_live_counters(recorded_trace: tuple[World, bytes]) -> None:
     world, data = recorded_trace
     trace = Trace(io.BytesIO(data))
-    sums = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)
+    sums = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)
     live = {name: count for name, count in world.reducer.counts.items() if name.startswith(("decided_", "run_"))}
     assert live and {name: sums["counts"].get(name, 0) for name in live} == live
     assert sums["counts"]["turned_back"] + world.reducer.early_rejections == world.reducer.storms.rejected_retries
@@ -335,10 +335,10 @@
     (path,) = tmp_path.glob("n1-*.mht")
     with open(path, "rb") as file:
         trace = Trace(file)
-        assert trace.indexed and trace.facts.instance == "n1" and trace.facts.op_types == ["read", "sign", "keyed"]
-        outcome = replay(trace.records(), trace.facts)
+        assert trace.indexed and trace.metadata.instance == "n1" and trace.metadata.op_types == ["read", "sign", "keyed"]
+        outcome = replay(trace.records(), trace.metadata)
         assert outcome.differences == 0 and outcome.pulls > 60, outcome.first
-        sums = summary(trace.records(), trace.facts.op_types, trace.facts.tenants)["counts"]
+        sums = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)["counts"]
     live = {name: count for name, count in counted.items() if name.startswith(("decided_", "run_ok", "run_err", "ops_read"))}
     assert {name: sums.get(name, 0) for name in live} == live and sums["ops_read"] == 31
 
@@ -370,23 +370,23 @@
     count, notes = merge([Trace(io.BytesIO(part)) for part in parts], file)
     trace = Trace(file)
     records = list(trace.records())
-    assert count == len(records) and trace.facts.merged == notes
+    assert count == len(records) and trace.metadata.merged == notes
     reads = [(record.time, record.values[1]) for record in records if record.kind is kinds.READ]
     assert reads == [(0.0, "n1-1"), (0.5, "n1-1"), (1.0, "n2-1"), (2.0, "n1-2"), (3.5, "n1-2"), (4.0, "n1-1"), (6.0, "n1-2")]
     assert len({note["node"] for note in notes}) == 3 and [note["clock_stepped"] for note in notes] == [0.0, -10.0, 0.0, 0.0]
     names = {record.values[0]: record.values[1] for record in records if record.kind is kinds.READ}
     assert len(names) == 7 and {record.values[1] for record in records if record.kind is kinds.DECIDED_FOR} == set(names)
     with pytest.raises(IncompleteTraceError, match="merged"):
-        replay(records, trace.facts)
+        replay(records, trace.metadata)
 
 
 def test_an_anonymised_file_holds_no_original(recorded_trace: tuple[World, bytes]) -> None:
-    """In raw and decompressed bytes, in facts and texts; the same key gives the same aliases in another file, and a replay
+    """In raw and decompressed bytes, in metadata and texts; the same key gives the same aliases in another file, and a replay
     of it still decides the same."""
     aliases = Aliases(b"one key of sixteen bytes")
     source, file = Trace(io.BytesIO(recorded_trace[1])), io.BytesIO()
-    facts = anonymous_facts(source.facts, aliases)
-    cutting.write(anonymous(source.records(), aliases), file, facts, 2)
+    metadata = anonymous_facts(source.metadata, aliases)
+    cutting.write(anonymous(source.records(), aliases), file, metadata, 2)
     refs = {record.values[1] for record in source.records() if record.kind is kinds.READ}
     data = file.getvalue()
     trace = Trace(file)
@@ -398,11 +398,11 @@
     for ref in refs:
         assert ref.encode() not in raw and bytes.fromhex(ref) not in raw
     assert b"n1" not in data[: START.size + 30]
-    outcome = replay(trace.records(), trace.facts)
+    outcome = replay(trace.records(), trace.metadata)
     assert outcome.differences == 0 and outcome.decisions > 100
     part = Trace(io.BytesIO(node_file("n1", 1, 1, 0.0, [101.0])))
-    assert anonymous_facts(part.facts, aliases).instance == facts.instance
-    assert anonymous_facts(part.facts, Aliases(b"another key of sixteen")).instance != facts.instance
+    assert anonymous_facts(part.metadata, aliases).instance == metadata.instance
+    assert anonymous_facts(part.metadata, Aliases(b"another key of sixteen")).instance != metadata.instance
     (note,) = anonymous([Record(kinds.NOTE, 1.0, ("reloaded", "by Juma at Moshi 17"))], aliases)
     assert note.values[0] == "reloaded" and "Juma" not in note.values[1] and len(note.values[1]) == 19
 
@@ -411,11 +411,11 @@
     """A mark that is itself dropped must not take what it told of with it."""
     gate = threading.Event()
 
-    def facts(number: int) -> TraceMetadata:
+    def make_metadata(number: int) -> TraceMetadata:
         gate.wait(10.0)  # the disk hangs at the first file
         return TraceMetadata("n1", 7)
 
-    file_manager = TraceFileManager(TraceBounds(str(tmp_path)), facts)
+    file_manager = TraceFileManager(TraceBounds(str(tmp_path)), make_metadata)
     notes = [Record(kinds.NOTE, place / 10.0, ("note", "")) for place in range(10)]
     for _ in range(30):
         file_manager.enqueue(notes, 0)
