--- a/mulleinhatch/cli/instance/__init__.py
+++ b/mulleinhatch/cli/instance/__init__.py
@@ -1,4 +1,5 @@
-"""The command line, a file for each sub-command; `mulleinhatch/__main__.py` has the text that all are called by.
+"""Sub-commands of the command line, one module each; the usage text is in `mulleinhatch/__main__.py`.
 
-Each has `run(told)`, given what docopt read, and gives the exit status. Only the one that is called is imported.
+Each module defines `run(arguments)`, which takes the arguments parsed by docopt and returns the exit status. Only the module
+of the requested sub-command is imported.
 """
--- a/mulleinhatch/cli/instance/check.py
+++ b/mulleinhatch/cli/instance/check.py
@@ -14,10 +14,10 @@
     """Validate the settings and print a summary."""
     start_logging(arguments["--log"])
     try:
-        place = placement(os.environ, arguments["--config"], arguments["--operator"])
+        config = placement(os.environ, arguments["--config"], arguments["--operator"])
     except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
-    detection = "storm books kept" if place.storms else "no storm books"
-    print(f"{place.name}: {len(place.op_types)} op types, {len(place.tenants)} tenants, {detection}")
+    detection = "retry storm detection on" if config.storms else "retry storm detection off"
+    print(f"{config.name}: {len(config.op_types)} op types, {len(config.tenants)} tenants, {detection}")
     return 0
--- a/mulleinhatch/cli/instance/counters.py
+++ b/mulleinhatch/cli/instance/counters.py
@@ -13,8 +13,8 @@
     """Print the counters of the instance at an address."""
     address = arguments["HOST:PORT"]
     try:
-        with urllib.request.urlopen(f"http://{address}{COUNTERS_PATH.decode()}", timeout=5) as answer:
-            sys.stdout.write(answer.read().decode())
+        with urllib.request.urlopen(f"http://{address}{COUNTERS_PATH.decode()}", timeout=5) as response:
+            sys.stdout.write(response.read().decode())
     except (OSError, ValueError) as error:
         print(f"mulleinhatch: {address}: {error}", file=sys.stderr)
         return 1
--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -1,4 +1,4 @@
-"""`mulleinhatch demo`: a minute with an outage, played on a real instance with fake clients and a fake interpreter."""
+"""`mulleinhatch demo`: run a scenario with an outage on a real instance with fake clients and a fake interpreter."""
 
 from __future__ import annotations
 
@@ -23,39 +23,39 @@
     raise SystemExit(2) from None
 
 OUTAGE = "at 20 kill 0 for 6"
-RATE, CAPACITY = 64.0, 80.0  # requests per second that are sent, and that the fake interpreter can execute
+RATE, CAPACITY = 64.0, 80.0  # requests per second: load, and what the fake interpreter can execute
 REFRESH_INTERVAL_S = 0.5
 STAGES = ("calm", "rising", "storm", "recovering")
 BARS = " ▁▂▃▄▅▆▇█"
 
 
-class Picture:
-    """The rates per second between the last two readings of the counters."""
+class Dashboard:
+    """Shows the rates per second between the last two readings of the counters."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds, self.at, self.counters = seconds, 0.0, {}
         self.acked: deque[float] = deque(maxlen=60)
         self.rates: dict[str, float] = {}
 
-    def look(self, at: float, counters: dict[str, int]) -> None:
-        """Take a reading of the counters."""
+    def update(self, at: float, counters: dict[str, int]) -> None:
+        """Add a reading of the counters, taken `at` seconds after the first request."""
         span = max(0.05, at - self.at)
         self.rates = {
             name: max(0.0, counters.get(count, 0) - self.counters.get(count, 0)) / span
-            for name, count in (("acked", "answers_200"), ("nacked", "answers_429"), ("of these at the door", "turned_back"))
+            for name, count in (("acked", "answers_200"), ("nacked", "answers_429"), ("of these rejected early", "turned_back"))
         }
         self.acked.append(self.rates["acked"])
         self.at, self.counters = at, counters
 
     def rows(self) -> list[tuple[str, str]]:
-        """Return the picture as names and values."""
+        """Return the names and values to show."""
         if not self.counters:
-            return [("instance", "down"), ("stage", "-"), ("acked a second", "0")]
+            return [("instance", "down"), ("stage", "-"), ("acked per second", "0")]
         rows = [
             ("instance", "up"),
             ("stage", STAGES[self.counters.get("storm_stage", 0)]),
             *(
-                (f"{name}, a second" if "door" in name else f"{name} a second", f"{rate:.0f}")
+                (f"{name}, per second" if "early" in name else f"{name} per second", f"{rate:.0f}")
                 for name, rate in self.rates.items()
             ),
         ]
@@ -66,7 +66,7 @@
         ]
 
     def table(self) -> Table:
-        """Return the picture as a table."""
+        """Return the values and a chart of the latest rates as a table."""
         table = Table(title=f"{self.at:.0f} of {self.seconds:.0f} s", width=74)
         table.add_column("", width=26)
         table.add_column("", width=40)
@@ -77,26 +77,26 @@
         return table
 
 
-async def play_live(harness: InstanceHarness, picture: Picture, console: Console) -> dict[str, Any]:
-    """Play the scenario and show the picture while it runs."""
+async def play_live(harness: InstanceHarness, dashboard: Dashboard, console: Console) -> dict[str, Any]:
+    """Run the scenario and show the dashboard meanwhile."""
     playing = asyncio.ensure_future(harness.play())
-    with Live(picture.table(), console=console, transient=True) if console.is_terminal else contextlib.nullcontext() as live:
+    with Live(dashboard.table(), console=console, transient=True) if console.is_terminal else contextlib.nullcontext() as live:
         printed_until = 0.0
         while not playing.done():
             await asyncio.wait([playing], timeout=REFRESH_INTERVAL_S)
-            into = time.time() - harness.start_at
-            if 0.0 < into < picture.seconds:
-                picture.look(into, await harness.places[0].counters())
+            elapsed = time.time() - harness.start_at
+            if 0.0 < elapsed < dashboard.seconds:
+                dashboard.update(elapsed, await harness.places[0].counters())
                 if live:
-                    live.update(picture.table())
-                elif into >= printed_until:
-                    printed_until = into + 5.0
-                    console.print(f"{into:4.0f} s  " + "  ".join(f"{name}: {text}" for name, text in picture.rows()))
+                    live.update(dashboard.table())
+                elif elapsed >= printed_until:
+                    printed_until = elapsed + 5.0
+                    console.print(f"{elapsed:4.0f} s  " + "  ".join(f"{name}: {text}" for name, text in dashboard.rows()))
     return await playing
 
 
 def run(arguments: dict[str, Any]) -> int:
-    """Play the demo and print its outcome."""
+    """Run the demo and print its outcome."""
     keep_environment()
     console = Console()
     try:
@@ -108,25 +108,25 @@
         return 2
     case = Case(script, seconds, RATE, patience=15.0, heeding=0.3, loads=1)
     console.print(
-        f"{RATE:.0f} ops a second of the {CAPACITY:.0f} that can be done, callers that try again after 50 ms for 15 s, "
-        f"three of ten heed advice.\nWhat goes wrong: {'; '.join(script.splitlines())}"
+        f"{RATE:.0f} requests per second with capacity for {CAPACITY:.0f}; clients retry after 50 ms for up to 15 s, "
+        f"and 30% of them obey retry delays.\nFaults: {'; '.join(script.splitlines())}"
     )
     with tempfile.TemporaryDirectory() as folder:
-        raw = asyncio.run(play_live(InstanceHarness(case, Path(folder)), Picture(seconds), console))
+        raw = asyncio.run(play_live(InstanceHarness(case, Path(folder)), Dashboard(seconds), console))
     figures = outcome(case, raw)
     counts, back = figures["counts"], figures["back_after"]
-    table = Table(title="What became of it")
+    table = Table(title="Outcome")
     table.add_column("")
     table.add_column("")
     for name, text in (
         ("first tries acked within 1.8 s before the outage", f"{figures['calm']:.0%}"),
-        (f"and after its end, at {ends:.0f} s", f"{figures['in_time']:.0%}"),
-        ("nine of ten in time again", "never" if back is None else f"{back:.1f} s after the end"),
+        (f"and after its end at {ends:.0f} s", f"{figures['in_time']:.0%}"),
+        ("90% in time again", "never" if back is None else f"{back:.1f} s after the end"),
         ("tries, acked, nacked", f"{counts['tries']}, {counts['acked']}, {counts['nacked']}"),
         ("most tries in a second", f"{figures['most_tries']:.0f}"),
-        ("without an answer in their time; ran twice", f"{figures['lost']}; {figures['twice']}"),
-        ("core used, at most, 10 s after the end", f"{figures['core']:.2f}"),
-        ("memory, at most", f"{figures['memory_mb']:.0f} MB"),
+        ("tries without an answer in time; requests executed twice", f"{figures['lost']}; {figures['twice']}"),
+        ("peak core use from 10 s after the end", f"{figures['core']:.2f}"),
+        ("peak memory", f"{figures['memory_mb']:.0f} MB"),
     ):
         table.add_row(name, text)
     console.print(table)
--- a/mulleinhatch/cli/instance/fleet.py
+++ b/mulleinhatch/cli/instance/fleet.py
@@ -1,4 +1,4 @@
-"""`mulleinhatch fleet`: what a running instance knows of its fleet."""
+"""`mulleinhatch fleet`: print what a running instance knows about its fleet."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 REFRESH_INTERVAL_S = 0.5
 
 
-def ask(address: str) -> dict[str, Any]:
+def fetch_status(address: str) -> dict[str, Any]:
     """Return the fleet status of an instance."""
-    with urllib.request.urlopen(f"http://{address}{FLEET_PATH.decode()}", timeout=5) as answer:
-        return json.loads(answer.read())
+    with urllib.request.urlopen(f"http://{address}{FLEET_PATH.decode()}", timeout=5) as response:
+        return json.loads(response.read())
 
 
 def members(status: dict[str, Any]) -> list[tuple[str, ...]]:
@@ -37,7 +37,7 @@
         *(
             (
                 row["name"],
-                f"{row['total']} in {row['window']:g} s" if row["window"] else f"{row['total']} in hand",
+                f"{row['total']} in {row['window']:g} s" if row["window"] else f"{row['total']} at a time",
                 *(f"{row[key]:g}" for key in ("home", "usable", "lent", "borrowed", "demand")),
             )
             for row in status["budgets"]
@@ -50,8 +50,8 @@
     return [
         ("subject", "verdict"),
         *((subject, "out") for subject in status["out"]),
-        *((subject, f"ill for {voice} alone: look there") for voice, subject in status["alone"]),
-        *([("-", f"{status['held_back']} more are ill, and kept: too many at once")] if status["held_back"] else []),
+        *((subject, f"unhealthy according to {observer} alone: check that instance") for observer, subject in status["alone"]),
+        *([("-", f"{status['held_back']} more are unhealthy but still used: too many at once")] if status["held_back"] else []),
     ]
 
 
@@ -62,24 +62,24 @@
     'a    bb\\nccc  d\\n'
     """
     widths = [max(map(len, column)) for column in zip(*rows)]
-    return "".join("  ".join(word.ljust(width) for word, width in zip(row, widths)).rstrip() + "\n" for row in rows)
+    return "".join("  ".join(cell.ljust(width) for cell, width in zip(row, widths)).rstrip() + "\n" for row in rows)
 
 
 def head(status: dict[str, Any]) -> str:
     """Return the summary line."""
-    state = "FROZEN: most are silent to us, nobody is declared gone" if status["frozen"] else "as heard"
+    state = "FROZEN: most members are silent, none is declared gone" if status["frozen"] else "not frozen"
     known = status["others_free"] >= 0.0
-    free = f"{status['others_free']:.0%} of the others' places free" if known else "how the others fare is not known"
+    free = f"{status['others_free']:.0%} of the peers' capacity free" if known else "capacity of the peers unknown"
     return (
-        f"fleet {status['fleet']}, {state}; {free}{'; ANOTHER INSTANCE HAS OUR NAME' if status['doubled'] else ''}"
-        f"{'; THE OTHERS JUDGE US ILL' if status['judged_ill'] else ''}"
+        f"fleet {status['fleet']}, {state}; {free}{'; ANOTHER INSTANCE USES THIS NAME' if status['doubled'] else ''}"
+        f"{'; THE PEERS CONSIDER THIS INSTANCE UNHEALTHY' if status['judged_ill'] else ''}"
     )
 
 
-def heavy_hitters(status: dict[str, Any]) -> list[tuple[str, ...]]:
-    """Return the table of the tenants with the most requests."""
+def busiest_tenants(status: dict[str, Any]) -> list[tuple[str, ...]]:
+    """Return the table of the tenants with the most requests, with bounds of their rates."""
     return [
-        ("loudest tenant", "least a second", "most", "of", "silent"),
+        ("busiest tenant", "at least per second", "at most", "members", "silent"),
         *(
             (name, f"{least:.1f}", f"{most:.1f}", str(count), str(silent))
             for name, least, most, count, silent, _ in status["loudest"]
@@ -88,9 +88,9 @@
 
 
 def sums(status: dict[str, Any]) -> list[tuple[str, ...]]:
-    """Return the table of sums over the fleet."""
+    """Return the table of sums over the fleet, as lower and upper bounds."""
     return [
-        ("over the fleet", "least", "most", "of", "silent"),
+        ("sum over the fleet", "at least", "at most", "members", "silent"),
         *(
             (figure, f"{row['least']:.0f}", f"{row['most']:.0f}", str(row["members"]), str(row["silent"]))
             for figure, row in status["sums"].items()
@@ -99,10 +99,10 @@
 
 
 def levels(status: dict[str, Any]) -> list[tuple[str, ...]]:
-    """Return the table of what is known beyond the group; one line if there are no levels."""
+    """Return the table of totals by level (group, zone, region, fleet); one line if there are no levels."""
     known = status["levels"]
     if not known:
-        return [("all members are one group: no zone is set",)]
+        return [("all members are one group because no zone is set",)]
     figures = ("capacity", "first_tries", "acked", "nacked", "held", "running", "room")
     rows = [("level", "name", "members", "silent", "heard", *figures)]
     names = {"group": known["group"], "zone": known["zone"], "region": known["region"], "fleet": status["fleet"]}
@@ -133,10 +133,10 @@
     with Live(refresh_per_second=4) as live:
         while True:
             try:
-                status = ask(address)
+                status = fetch_status(address)
                 shown = [Text(head(status))] + [
                     Text(text(rows))
-                    for rows in (members(status), budgets(status), sums(status), heavy_hitters(status), judgements(status))
+                    for rows in (members(status), budgets(status), sums(status), busiest_tenants(status), judgements(status))
                 ]
             except (OSError, ValueError) as error:
                 shown = [Text(f"{address}: {error}")]
@@ -145,18 +145,18 @@
 
 
 def show_spread(arguments: dict[str, Any], address: str, fleet: dict[str, Any]) -> int:
-    """Print, show live or plot how load is spread."""
+    """Print, show live or plot the distribution of load."""
     from mulleinhatch.cli.instance import spread
 
     if not fleet.get("spread"):
-        print(f"mulleinhatch: {address}: the instance there spreads no load", file=sys.stderr)
+        print(f"mulleinhatch: {address}: load balancing is off at this instance", file=sys.stderr)
         return 1
     try:
         if arguments["--live"]:
-            spread.live(lambda: ask(address), text)
+            spread.live(lambda: fetch_status(address), text)
         if arguments["--plot"]:
-            looks = spread.plot(lambda: ask(address), float(arguments["--seconds"]), arguments["--plot"])
-            print(f"{arguments['--plot']}: {looks} looks")
+            readings = spread.plot(lambda: fetch_status(address), float(arguments["--seconds"]), arguments["--plot"])
+            print(f"{arguments['--plot']}: {readings} readings")
             return 0
     except ImportError as error:
         print(f"mulleinhatch: {error.name} is not installed: pip install 'mulleinhatch[lab,plots]'", file=sys.stderr)
@@ -171,17 +171,17 @@
     try:
         if not address:
             if not arguments["--operator"]:
-                raise operator.OperatorFileError("--operator FILE or --at HOST:PORT is wanted")
+                raise operator.OperatorFileError("--operator FILE or --at HOST:PORT is required")
             address = operator.fleet_status(arguments["--operator"])
         if arguments["watch"]:
             watch(address)
-        fleet = ask(address)
+        fleet = fetch_status(address)
         if arguments["spread"]:
             return show_spread(arguments, address, fleet)
     except KeyboardInterrupt:
         return 0
     except urllib.error.HTTPError:
-        print(f"mulleinhatch: {address}: the instance there is in no fleet", file=sys.stderr)
+        print(f"mulleinhatch: {address}: this instance is not part of a fleet", file=sys.stderr)
         return 1
     except (operator.OperatorFileError, OSError, ValueError) as error:
         print(f"mulleinhatch: {address + ': ' if address else ''}{error}", file=sys.stderr)
--- a/mulleinhatch/cli/instance/spread.py
+++ b/mulleinhatch/cli/instance/spread.py
@@ -1,4 +1,4 @@
-"""`mulleinhatch fleet spread`: which instance executes how much, as a table, live, or over time as a heat map (PNG)."""
+"""`mulleinhatch fleet spread`: show the load of each instance as a table, live, or over time as a heat map (PNG)."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 COLUMNS = ("instance", "busy", "held", "room", "load", "pace", "acked", "nacked", "failed", "age")
 
 
-def carried(status: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return a row for the instance that is asked, then one for each other by its last report."""
+def load_rows(status: dict[str, Any]) -> list[dict[str, Any]]:
+    """Return a row for the queried instance, then one for each peer from its last report."""
     here = next((row["name"] for row in status["members"] if row["state"] == "self"), "-")
     own = status["spread"]
-    ours = {
+    own_row = {
         "name": f"{here} (asked)",
         "age": 0.0,
         "held": own["held"],
@@ -24,7 +24,7 @@
         "pace": own["pace"]["value"] if own["pace"] else 0.0,
         "load": own["load"],
     }
-    return [ours, *status["carried"]]
+    return [own_row, *status["carried"]]
 
 
 def busy(row: dict[str, Any]) -> float:
@@ -41,7 +41,7 @@
     [('instance', 'busy', 'held', 'room'), ('a (asked)', '0%', '0', '2'), ('b', '50%', '2', '1')]
     """
 
-    def of(row: dict[str, Any], figure: str) -> str:
+    def format_rate(row: dict[str, Any], figure: str) -> str:
         return f"{row[figure]:.1f}" if figure in row else "-"
 
     return [
@@ -54,12 +54,12 @@
                 f"{row['room']:.0f}",
                 f"{row['load']:.2f}",
                 f"{row['pace']:.2f}",
-                of(row, "acked"),
-                of(row, "nacked"),
-                of(row, "failed"),
+                format_rate(row, "acked"),
+                format_rate(row, "nacked"),
+                format_rate(row, "failed"),
                 f"{row['age']:.1f} s",
             )
-            for row in carried(status)
+            for row in load_rows(status)
         ),
     ]
 
@@ -67,14 +67,14 @@
 def head(status: dict[str, Any]) -> str:
     """Return the summary line."""
     own = status["spread"]
-    back = f"; nothing is handed over: {own['held_back']}" if own["held_back"] else ""
+    back = f"; handover is off: {own['held_back']}" if own["held_back"] else ""
     return (
-        f"{own['offers_out']} offers given, {own['offers_held']} held, {own['away']} ops at peers; fleet's load "
-        f"{own['fleet_load']:.2f}, wished elsewhere {own['wish']:.0%}{back}"
+        f"{own['offers_out']} offers granted, {own['offers_held']} held, {own['away']} requests at peers; fleet load "
+        f"{own['fleet_load']:.2f}, share to hand over {own['wish']:.0%}{back}"
     )
 
 
-def live(ask: Callable[[], dict[str, Any]], text: Callable[[list[tuple[str, ...]]], str]) -> None:
+def live(fetch_status: Callable[[], dict[str, Any]], text: Callable[[list[tuple[str, ...]]], str]) -> None:
     """Show the table live."""
     from rich.live import Live
     from rich.text import Text
@@ -82,47 +82,47 @@
     with Live(refresh_per_second=4) as shown:
         while True:
             try:
-                status = ask()
+                status = fetch_status()
                 shown.update(Text(head(status) + "\n" + text(rows(status))))
             except (OSError, ValueError) as error:
                 shown.update(Text(str(error)))
             time.sleep(REFRESH_INTERVAL_S)
 
 
-def plot(ask: Callable[[], dict[str, Any]], seconds: float, path: str) -> int:
+def plot(fetch_status: Callable[[], dict[str, Any]], seconds: float, path: str) -> int:
     """Plot the busy share of each instance over time; return the number of readings."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    begun, looks = time.monotonic(), []
+    begun, readings = time.monotonic(), []
     while time.monotonic() - begun < seconds:
         try:
-            looks.append((time.monotonic() - begun, {row["name"]: busy(row) for row in carried(ask())}))
+            readings.append((time.monotonic() - begun, {row["name"]: busy(row) for row in load_rows(fetch_status())}))
         except (OSError, ValueError):
-            looks.append((time.monotonic() - begun, {}))
+            readings.append((time.monotonic() - begun, {}))
         time.sleep(REFRESH_INTERVAL_S)
-    heat(looks, path, pyplot)
-    return len(looks)
+    plot_heat_map(readings, path, pyplot)
+    return len(readings)
 
 
-def heat(looks: list[tuple[float, dict[str, float]]], path: str, pyplot: Any) -> None:
+def plot_heat_map(readings: list[tuple[float, dict[str, float]]], path: str, pyplot: Any) -> None:
     """Write the heat map.
 
     Args:
-        looks: Times, and the busy share of each instance known then; white where one was not known.
+        readings: Times, and the busy share of each instance known then; instances unknown then are left white.
     """
-    names = sorted({name for _, shares in looks for name in shares})
+    names = sorted({name for _, shares in readings for name in shares})
     figure, axes = pyplot.subplots(figsize=(10, max(2.5, 0.12 * len(names))))
     image = axes.imshow(
-        [[shares.get(name, float("nan")) for _, shares in looks] for name in names],
+        [[shares.get(name, float("nan")) for _, shares in readings] for name in names],
         aspect="auto",
         vmin=0.0,
         vmax=1.0,
         cmap="viridis",
         interpolation="nearest",
-        extent=(looks[0][0] if looks else 0.0, looks[-1][0] if looks else 1.0, len(names) - 0.5, -0.5),
+        extent=(readings[0][0] if readings else 0.0, readings[-1][0] if readings else 1.0, len(names) - 0.5, -0.5),
     )
     if len(names) <= 40:
         axes.set_yticks(range(len(names)), names, fontsize=7)
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -24,7 +24,7 @@
 
 
 def run(arguments: dict[str, Any]) -> int:
-    """Perform a sub-command."""
+    """Run a sub-command."""
     tools = {
         "info": info,
         "cut": cut_file,
@@ -40,10 +40,10 @@
         return 1
 
 
-def missing(trace: Trace) -> str:
-    """Return one line for each part that cannot be read."""
+def format_unreadable(trace: Trace) -> str:
+    """Return one line for each unreadable block."""
     return "".join(
-        f"  lost at byte {lost.offset}: {lost.why}"
+        f"  unreadable at byte {lost.offset}: {lost.why}"
         + (f", {lost.records} records, {lost.last - lost.first:.3f} s" if lost.records else "")
         + "\n"
         for lost in trace.lost
@@ -64,15 +64,15 @@
                 f"{path}: version {trace.major}.{trace.minor}, instance {trace.metadata.instance}, "
                 f"file {trace.metadata.number}, {trace.size} bytes, {len(trace.rows)} blocks, "
                 f"{records} records, {first:.3f} to {last:.3f} s, "
-                f"{'indexed' if trace.indexed else 'no index: not ended, or cut'}"
+                f"{'indexed' if trace.indexed else 'no index: incomplete or truncated'}"
             )
-            print(missing(trace), end="")
+            print(format_unreadable(trace), end="")
             is_complete &= not damaged and not trace.lost
     return 0 if is_complete else 1
 
 
-def place(names: list[str], name: str | None, what: str) -> int | None:
-    """Return the index of a name, or None if no name is asked for."""
+def index_of(names: list[str], name: str | None, what: str) -> int | None:
+    """Return the index of a name, or None if no name is given."""
     if name is None:
         return None
     if name not in names:
@@ -81,20 +81,20 @@
 
 
 def cut_file(arguments: dict[str, Any]) -> int:
-    """Write the wanted part of a trace to a new file."""
+    """Write the selected part of a trace to a new file."""
     with open(arguments["FILE"][0], "rb") as source:
         trace = Trace(source)
-        wanted = RecordFilter(
+        record_filter = RecordFilter(
             arguments["--since"] and float(arguments["--since"]),
             arguments["--until"] and float(arguments["--until"]),
-            place(trace.metadata.tenants, arguments["--tenant"], "tenant"),
-            place(trace.metadata.op_types, arguments["--op-type"], "op type"),
+            index_of(trace.metadata.tenants, arguments["--tenant"], "tenant"),
+            index_of(trace.metadata.op_types, arguments["--op-type"], "op type"),
             arguments["--op"],
         )
         with open(arguments["--out"], "xb") as file:
-            count = extract(trace, file, wanted)
+            count = extract(trace, file, record_filter)
         print(f"{arguments['--out']}: {count} records")
-        print(missing(trace), end="")
+        print(format_unreadable(trace), end="")
     return 0
 
 
@@ -107,7 +107,7 @@
     for text in texts:
         name, sign, seconds = text.partition("=")
         if not sign or not name:
-            raise ValueError(f"--offset {text}: NODE=SECONDS is wanted")
+            raise ValueError(f"--offset {text}: expected NODE=SECONDS")
         offsets[name] = float(seconds)
     return offsets
 
@@ -125,7 +125,7 @@
                 f"  {note['instance']} (node {note['node']}, file {note['file']}, version {note['version']}): "
                 f"offset {note['offset']:.6f} s{stepped}"
             )
-        print("".join(missing(trace) for trace in traces), end="")
+        print("".join(format_unreadable(trace) for trace in traces), end="")
     return 0
 
 
@@ -137,7 +137,7 @@
         with open(arguments["--out"], "xb") as file:
             count = write(anonymous(trace.records(), aliases), file, anonymous_facts(trace.metadata, aliases), trace.major)
         print(f"{arguments['--out']}: {count} records")
-        print(missing(trace), end="")
+        print(format_unreadable(trace), end="")
     return 0
 
 
@@ -146,7 +146,7 @@
     with open(arguments["FILE"][0], "rb") as file:
         trace = Trace(file)
         totals = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)
-        lost = missing(trace)
+        lost = format_unreadable(trace)
     if arguments["--json"]:
         print(json.dumps({**totals, "lost": [list(gap) for gap in trace.lost]}))
         return 0
@@ -160,26 +160,26 @@
 
 
 ADMISSION = "mulleinhatch.admission"
-SHARED_TYPES = f"{ADMISSION}.interface"  # the trace reader compares decisions by these enums, so both texts must use the same
+SHARED_TYPES = f"{ADMISSION}.interface"  # decisions are compared by these enums, so both versions must share them
 
 
-def other_text(path: str) -> Any:
-    """Load the `AdmissionController` of another text of the admission package.
+def load_other_controller(path: str) -> Any:
+    """Load the `AdmissionController` of another version of the admission package.
 
     Args:
-        path: Its `controller.py`. If an `__init__.py` lies beside it, the other modules of that folder are loaded with it;
-            otherwise it is a text that is one file.
+        path: Its `controller.py`. If the folder has an `__init__.py`, the other modules of the folder are loaded with it;
+            otherwise the controller is a single file.
     """
     folder = Path(path).parent
     if Path(path).name == "controller.py" and (folder / "__init__.py").is_file():
         return _load_package(folder).AdmissionController
-    module = _execute("mulleinhatch_other_text", Path(path))
-    # Texts from before 0.3 named the class `Hatch`.
+    module = _execute("mulleinhatch_other_admission", Path(path))
+    # Before version 0.3 the class was named `Hatch`.
     return module.AdmissionController if hasattr(module, "AdmissionController") else module.Hatch
 
 
 def _load_package(folder: Path) -> Any:
-    """Load an admission package from a folder, in the place of the installed one only while it is being loaded."""
+    """Load an admission package from a folder; it replaces the installed one in `sys.modules` only while it is loaded."""
     importlib.import_module(SHARED_TYPES)
     own = [name for name in sys.modules if name == ADMISSION or name.startswith(f"{ADMISSION}.")]
     installed = {name: sys.modules[name] for name in own}
@@ -197,7 +197,7 @@
 def _execute(name: str, path: Path) -> Any:
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
-        raise ValueError(f"{path}: no Python file")
+        raise ValueError(f"{path}: not a Python file")
     module = importlib.util.module_from_spec(spec)
     if name == ADMISSION:
         sys.modules[name] = module  # its modules import each other by this name
@@ -211,12 +211,12 @@
     with open(arguments["FILE"][0], "rb") as file:
         trace = Trace(file)
         if against:
-            outcome = replay(trace.records(), trace.metadata, other_text(against), to_the_end=True)
+            outcome = replay(trace.records(), trace.metadata, load_other_controller(against), to_the_end=True)
         else:
             outcome = replay(trace.records(), trace.metadata)
         differ = {0: "no step differs", 1: "one step differs"}.get(outcome.differences, f"{outcome.differences} steps differ")
         print(f"{outcome.decisions} decisions in {outcome.pulls} steps, {differ}")
-        print(missing(trace), end="")
+        print(format_unreadable(trace), end="")
     print_difference(outcome)
     if against:
         for verb in sorted({*outcome.recorded, *outcome.replayed}):
@@ -227,6 +227,6 @@
 def print_difference(outcome: Outcome) -> None:
     """Print the first difference."""
     if first := outcome.first:
-        print(f"the first at {first.time:.6f} s, step {first.pull}:")
+        print(f"first difference at {first.time:.6f} s, step {first.pull}:")
         print("  recorded: " + ("; ".join(map(str, first.recorded)) or "nothing"))
         print("  replayed: " + ("; ".join(map(str, first.replayed)) or "nothing"))
--- a/mulleinhatch/cli/instance/upkeep.py
+++ b/mulleinhatch/cli/instance/upkeep.py
@@ -1,4 +1,4 @@
-"""`mulleinhatch upkeep`: maintenance permits: ask, cancel, see the order and who is out, and what an operator may change."""
+"""`mulleinhatch upkeep`: request, cancel, list and override maintenance permits."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
     return float(found[1]) * UNITS[found[2]]
 
 
-def ask(address: str, **request: Any) -> dict[str, Any]:
-    """Send a request to the control port of an instance and return its answer."""
+def send_request(address: str, **request: Any) -> dict[str, Any]:
+    """Send a request to the control port of an instance and return its response."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=15) as connection:
         connection.sendall(json.dumps(request).encode() + b"\n")
         data = b""
         while chunk := connection.recv(65536):
             data += chunk
-    answer = json.loads(data)
-    if "error" in answer:
-        raise ValueError(answer["error"])
-    return answer
+    response = json.loads(data)
+    if "error" in response:
+        raise ValueError(response["error"])
+    return response
 
 
-def out(status: dict[str, Any]) -> list[tuple[str, ...]]:
+def permit_holders(status: dict[str, Any]) -> list[tuple[str, ...]]:
     """Return the table of instances that hold a permit."""
     return [
         ("out", "zone", "permit", "why", "over the bound because"),
@@ -61,7 +61,7 @@
         return "-" if row["at"] is None else "now" if row["at"] <= time.time() + 1.0 else f"in {row['at'] - time.time():.0f} s"
 
     return [
-        ("place", "waits", "would go", "why"),
+        ("position", "instance", "may go", "why"),
         *((str(place) if row["may"] else "-", row["name"], at(row), row["why"]) for place, row in enumerate(status["order"])),
     ]
 
@@ -71,34 +71,34 @@
     table = status["table"]
     frozen = f"; FROZEN: {table['frozen']}" if table["frozen"] else ""
     return (
-        f"{len(table['out'])} of {table['most']} out, {table['zone_most']} a zone; voters {' '.join(table['voters'])} "
+        f"{len(table['out'])} of {table['most']} out, {table['zone_most']} per zone; voters {' '.join(table['voters'])} "
         f"(epoch {table['epoch']}); {status['name']} is {status['state']}{frozen}\n"
     )
 
 
 def print_position(status: dict[str, Any], name: str) -> int:
-    """Print the position of an instance, as the one that is asked knows it: a voter knows all that wait."""
+    """Print the position of an instance as the queried instance knows it; only voters know all waiting instances."""
     permit = next((permit for permit in status["table"]["out"] if permit["name"] == name), None)
     place = next(((at, row) for at, row in enumerate(status["order"]) if row["name"] == name), None)
     if permit:
-        print(f"{name} is out by permit {permit['fence']}: {permit['why']}")
+        print(f"{name} is out under permit {permit['fence']}: {permit['why']}")
     elif place:
-        print(f"{name} has place {place[0]} of {len(status['order'])}: {place[1]['why']}")
+        print(f"{name} has position {place[0]} of {len(status['order'])}: {place[1]['why']}")
     else:
-        known = "" if status["voter"] == "votes" else ", as far as is known here: ask a voter"
-        print(f"{name} neither is out nor waits{known}")
+        known = "" if status["voter"] == "votes" else ", as far as this instance knows: ask a voter"
+        print(f"{name} is neither out nor waiting{known}")
     return 0 if permit or place else 1
 
 
 def run(arguments: dict[str, Any]) -> int:
-    """Perform a sub-command."""
+    """Run a sub-command."""
     try:
         address = arguments["--control"] or (arguments["--operator"] and operator.read(arguments["--operator"]).upkeep.control)
         if not address:
-            raise ValueError("--control HOST:PORT, or --operator FILE with upkeep.control, is wanted")
+            raise ValueError("--control HOST:PORT, or --operator FILE with upkeep.control, is required")
         if arguments["ask"]:
             latest = time.time() + seconds(arguments["--by"]) if arguments["--by"] else 0.0
-            status = ask(
+            status = send_request(
                 address,
                 do="ask",
                 kind=arguments["--reason"],
@@ -110,19 +110,19 @@
                 all=arguments["--all"],
             )
         elif arguments["cancel"]:
-            status = ask(address, do="cancel")
+            status = send_request(address, do="cancel")
         elif arguments["freeze"]:
-            status = ask(address, do="freeze", why=arguments["--reason"])
+            status = send_request(address, do="freeze", why=arguments["--reason"])
         elif arguments["thaw"]:
-            status = ask(address, do="freeze", why="")
+            status = send_request(address, do="freeze", why="")
         elif arguments["release"]:
-            status = ask(address, do="release", name=arguments["NAME"], why=arguments["--reason"])
+            status = send_request(address, do="release", name=arguments["NAME"], why=arguments["--reason"])
         elif arguments["over"]:
-            status = ask(address, do="over", name=arguments["NAME"], why=arguments["--over-the-bound"])
+            status = send_request(address, do="over", name=arguments["NAME"], why=arguments["--over-the-bound"])
         elif arguments["voters"]:
-            status = ask(address, do="voters", voters=arguments["VOTER"])
+            status = send_request(address, do="voters", voters=arguments["VOTER"])
         else:
-            status = ask(address, do="show")
+            status = send_request(address, do="show")
     except (operator.OperatorFileError, AttributeError, OSError, ValueError) as error:
         what = "no upkeep node in the operator's file" if isinstance(error, AttributeError) else error
         print(f"mulleinhatch: {what}", file=sys.stderr)
@@ -133,5 +133,5 @@
         for at, state, why in status["history"]:
             print(f"{time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(at))}  {state:10} {why}")
         return 0
-    sys.stdout.write(head(status) + text(out(status)) + text(waiting(status)))
+    sys.stdout.write(head(status) + text(permit_holders(status)) + text(waiting(status)))
     return 0
--- a/mulleinhatch/cli/system/__main__.py
+++ b/mulleinhatch/cli/system/__main__.py
@@ -17,7 +17,7 @@
 
 
 def usage() -> str:
-    """Return the commands with their parameters and the first line of what each does."""
+    """Return the commands with their parameters and the first line of their descriptions."""
     lines = [f"usage: {PROGRAM} COMMAND [ARGUMENT ...]", ""]
     for name, command in inspect.getmembers(Console, inspect.isfunction):
         if not name.startswith("_"):
--- a/mulleinhatch/cli/system/client.py
+++ b/mulleinhatch/cli/system/client.py
@@ -1,4 +1,4 @@
-"""Call running processes for the command line: HTTP with a time limit, errors that name the remedy."""
+"""HTTP client of the command line, with a timeout and with error messages that name the remedy."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _NoRedirect(urllib.request.HTTPRedirectHandler):
-    """Leaves redirects to `call`: urllib does not repeat a PUT."""
+    """Leaves redirects to `call`, because urllib does not repeat a PUT."""
 
     def redirect_request(self, *_: Any) -> None:
         return None
@@ -40,19 +40,19 @@
     """Send one request to "HOST:PORT" and follow at most `MAX_REDIRECTS` redirects (307).
 
     Returns:
-        The response, whatever its status, or a message that says what to do.
+        The response, whatever its status, or an error message that names the remedy.
     """
     url = f"http://{address}{path}"
     opener = urllib.request.build_opener(_NoRedirect)
     for _ in range(MAX_REDIRECTS):
         request = urllib.request.Request(url, data=body, method=method, headers=headers or {})
         try:
-            with opener.open(request, timeout=TIMEOUT_S) as answer:
-                return Ok(HttpResult(answer.status, answer.read()))
+            with opener.open(request, timeout=TIMEOUT_S) as response:
+                return Ok(HttpResult(response.status, response.read()))
         except urllib.error.HTTPError as error:
             if error.code != HTTPStatus.TEMPORARY_REDIRECT:
                 return Ok(HttpResult(error.code, error.read()))
             url = error.headers["Location"]
         except OSError as error:
             return Err(f"{url}: {error}; name the address of a running instance, HOST:PORT")
-    return Err(f"{address}: sent from one machine to the next; ask again when the core has settled")
+    return Err(f"{address}: too many redirects; retry when the control plane is stable")
--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -42,21 +42,21 @@
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise CommandError(f"{path}: {error.strerror}; name a file that can be read") from None
+        raise CommandError(f"{path}: {error.strerror}; name a readable file") from None
 
 
 class Console:
-    """The commands: each public method is one.
+    """The commands, one per public method.
 
-    CONTROL is the control address of a core machine, READY the ready address of a data plane, both "HOST:PORT".
+    CONTROL is the control address of a control plane instance, READY the ready address of a data plane, both "HOST:PORT".
     """
 
     def check(self, settings: str) -> str:
-        """Validate a settings file as a process would at its start, and name the faulty key."""
+        """Validate a settings file as a process does at its start, and name the invalid key."""
         read = read_settings(settings)
         if isinstance(read, Err):
             raise CommandError(str(read.err_value))
-        return f"{settings}: settings of {read.ok_value.name} are fine"
+        return f"{settings}: settings of {read.ok_value.name} are valid"
 
     def verify(self, file: str) -> str:
         """Validate a complete configuration without sending it."""
@@ -74,7 +74,7 @@
         return result.body.decode()
 
     def send(self, control: str, file: str, base: int, patch: bool = False) -> str:
-        """Send a configuration, or a patch of it, that builds on version `base`."""
+        """Send a configuration, or a patch, based on version `base`."""
         result = _call(
             control,
             "PATCH" if patch else "PUT",
@@ -87,7 +87,7 @@
         return result.body.decode()
 
     def members(self, control: str) -> dict[str, Any]:
-        """Print the view in force: voters, chain, and when each peer answered last."""
+        """Print the view in force: voters, chain, and the time of each peer's last answer."""
         status = _status(control)
         return {
             key: status[key] for key in ("name", "epoch", "chain", "voters", "authoritative", "committed", "version", "peers")
@@ -98,7 +98,7 @@
         return self.backends(control)
 
     def backends(self, control: str) -> dict[str, Any]:
-        """Print the list of backends with the models of each; `stubs` is the older name of this command."""
+        """Print the list of backends with the models of each; `stubs` is the former name of this command."""
         return _status(control)["stubs"]
 
     def placement(self, control: str) -> dict[str, Any]:
@@ -114,15 +114,15 @@
         """Print why a request waited or was rejected, by its Request-Id."""
         rejections = [rejection for rejection in _status(ready)["refused"] if rejection["request_id"] == request]
         if not rejections:
-            raise CommandError(f"{request}: not among the latest that were refused here; see the logs for its id")
+            raise CommandError(f"{request}: not among the latest rejected requests here; search the logs for its id")
         return rejections
 
     def quotas(self, address: str) -> dict[str, Any]:
-        """Print tenants' quotas: at a data plane (READY) what it holds, at a control plane (CONTROL) what it owns."""
+        """Print tenants' quotas: those held by a data plane (READY) or owned by a control plane (CONTROL)."""
         return _status(address)["quotas"]
 
     def demo(self, seconds: float = 20.0) -> None:
-        """Run a complete system on loopback with simulated backends and clients, and print its figures."""
+        """Run a complete system on loopback with simulated backends and clients, and print its statistics."""
         from mulleinhatch.cli.system.demo import run_demo
 
         run_demo(seconds)
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -1,6 +1,6 @@
 """Run a complete system on one machine: three control planes, two data planes, simulated backends, streaming clients.
 
-The planes are processes with loopback addresses of their own; all of them end with the demonstration.
+Each plane is a process with its own loopback address; all of them end with the demonstration.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 MODEL_MB, BACKEND_MB = 60.0, 200.0
 CLIENTS = 12
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, BACKEND_PORT = 18146, 17660, 18144, 18140, 18300
-SHOW_S = 2.0
+STATUS_INTERVAL_S = 2.0
 
 
 @dataclass
@@ -119,18 +119,18 @@
     }
 
 
-async def put_configuration(caller: HttpClient, address: str, within_s: float = 20.0) -> None:
+async def put_configuration(client: HttpClient, address: str, within_s: float = 20.0) -> None:
     """Send the first configuration until a control plane accepts it.
 
     Raises:
-        TimeoutError: None accepted it within `within_s` seconds.
+        TimeoutError: No control plane accepted it within `within_s` seconds.
     """
     loop = asyncio.get_running_loop()
-    end, at = loop.time() + within_s, address
+    end, target = loop.time() + within_s, address
     while loop.time() < end:
         try:
-            answer = await caller.request(
-                at,
+            response = await client.request(
+                target,
                 "PUT",
                 "/configuration",
                 json.dumps(configuration()).encode(),
@@ -138,21 +138,21 @@
                 "application/json",
                 ((b"If-Match", b"0"),),
             )
-            if answer.status == 200:
+            if response.status == 200:
                 return
-            if answer.status == 307:
-                at = answer.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
+            if response.status == 307:
+                target = response.head.first[b"location"].decode().removeprefix("http://").partition("/")[0]
         except HttpCallError:
-            at = address
+            target = address
         await asyncio.sleep(0.2)
-    raise TimeoutError("no control plane took the configuration; see the logs in the demonstration's folder")
+    raise TimeoutError("no control plane accepted the configuration; see the logs in the demonstration's folder")
 
 
 def make_backends(count: int, control: list[str]) -> list[FakeModelServer]:
-    """Return simulated backends that send heartbeats to some control addresses."""
+    """Return simulated backends that send heartbeats to the control planes."""
     backends = []
     for number in range(count):
-        facts = FakeModelServerConfig(
+        config = FakeModelServerConfig(
             SERVICE,
             f"127.3.{number}.1:{BACKEND_PORT}",
             f"zone-{number % 2}",
@@ -162,7 +162,7 @@
             dict.fromkeys(MODELS, MODEL_MB),
             0.8,
         )
-        backends.append(FakeModelServer(facts, control, {MODELS[number % 4]: set()}))
+        backends.append(FakeModelServer(config, control, {MODELS[number % 4]: set()}))
     return backends
 
 
@@ -178,7 +178,7 @@
         (b"Request-Deadline", b"8000"),
     ]
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_at = loop.time()
     try:
         host, _, port = front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -189,9 +189,9 @@
             while not body.endswith(b"0\r\n\r\n"):
                 data = await asyncio.wait_for(reader.read(65536), 9.0)
                 if not data:
-                    raise ConnectionError("cut")
+                    raise ConnectionError("connection closed before the end of the response")
                 if not body:
-                    tally.first_token_s.append(loop.time() - begun)
+                    tally.first_token_s.append(loop.time() - started_at)
                 body += data
             tally.served += 1
         else:
@@ -218,7 +218,7 @@
         f"\n{max(0.0, left_s):4.0f} s left   served {tally.served}  refused {tally.refused}  failed {tally.failed}  "
         f"first token p50 {1000 * first[len(first) // 2]:.0f} ms, p95 {1000 * first[int(0.95 * (len(first) - 1))]:.0f} ms"
     )
-    print(f"{'stub':<14}{'running':>8}  holds")
+    print(f"{'backend':<14}{'running':>8}  models")
     for backend in backends:
         loaded = ", ".join(
             name + (f" ({', '.join(sorted(adapters))})" if adapters else "")
@@ -228,7 +228,7 @@
 
 
 async def _demo(seconds: float, folder: Path) -> ClientTally:
-    cores, fronts, caller, tally = 3, 2, HttpClient(), ClientTally()
+    cores, fronts, client, tally = 3, 2, HttpClient(), ClientTally()
     planes = [start_plane(folder, "control", number, cores) for number in range(cores)]
     planes += [start_plane(folder, "data", number, cores) for number in range(fronts)]
     control = [f"{control_plane_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
@@ -236,13 +236,13 @@
     try:
         for backend in backends:
             await backend.start()
-        await put_configuration(caller, control[0])
+        await put_configuration(client, control[0])
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         addresses = [f"{data_plane_ip(number)}:{FRONT_PORT}" for number in range(fronts)]
         clients = [asyncio.ensure_future(_client(addresses, tally, until)) for _ in range(CLIENTS)]
         while loop.time() < until:
-            await asyncio.sleep(min(SHOW_S, max(0.05, until - loop.time())))
+            await asyncio.sleep(min(STATUS_INTERVAL_S, max(0.05, until - loop.time())))
             print_status(backends, tally, until - loop.time())
         await asyncio.gather(*clients)
         return tally
@@ -257,7 +257,7 @@
 
 
 def run_demo(seconds: float) -> None:
-    """Run the demonstration for some seconds of traffic."""
+    """Run the demonstration with `seconds` of traffic."""
     with tempfile.TemporaryDirectory(prefix="mulleinhatch-demo-") as folder:
         tally = asyncio.run(_demo(seconds, Path(folder)))
         print(f"\nserved {tally.served}, refused {tally.refused}, failed {tally.failed}")
--- a/mulleinhatch/cli/system/start.py
+++ b/mulleinhatch/cli/system/start.py
@@ -1,4 +1,4 @@
-"""Start a plane from its settings file; an invalid one ends the process with a line that names the key and the remedy."""
+"""Start a plane from its settings file; invalid settings end the process with a message that names the key and the remedy."""
 
 from __future__ import annotations
 
--- a/tests/test_other_admission_text.py
+++ b/tests/test_other_admission_text.py
@@ -9,7 +9,7 @@
 import pytest
 
 import mulleinhatch.admission
-from mulleinhatch.cli.instance.trace import other_text
+from mulleinhatch.cli.instance.trace import load_other_controller
 from mulleinhatch.instance.traces.file import Trace
 from mulleinhatch.instance.traces.replay import Outcome, replay
 
@@ -26,7 +26,7 @@
 def replay_against(controller: Path) -> Outcome:
     with TRACE.open("rb") as file:
         trace = Trace(file)
-        return replay(trace.records(), trace.metadata, other_text(str(controller)), to_the_end=True)
+        return replay(trace.records(), trace.metadata, load_other_controller(str(controller)), to_the_end=True)
 
 
 def test_an_identical_version_takes_the_same_decisions(other: Path) -> None:
