--- a/mulleinhatch/testing/__init__.py
+++ b/mulleinhatch/testing/__init__.py
@@ -1,4 +1,4 @@
 """Fakes and process harnesses for tests, demos and benchmarks: callers, interpreters, model servers, relays, fault scripts.
 
-Each runs in a process of its own on loopback; the programs import none of them.
+The fakes run in processes of their own on loopback; the production programs import nothing from this package.
 """
--- a/mulleinhatch/testing/datagram_relay.py
+++ b/mulleinhatch/testing/datagram_relay.py
@@ -1,8 +1,8 @@
-"""A relay for the datagrams of a fleet that drops, repeats, reorders and delays them by script.
+"""A datagram relay between the instances of a fleet that drops, duplicates, reorders and delays datagrams by script.
 
-Runs as `python -m mulleinhatch.testing.datagram_relay`, with one JSON line on standard input: for each instance the port
-at which the others reach it here and its own, the directory's two ports if there is one, the script, and its start time.
-On SIGTERM it prints what passed, and how late the relay itself was.
+Runs as `python -m mulleinhatch.testing.datagram_relay`, with its settings as one JSON line on standard input: for each
+instance the relay's port for it (`here`) and its own port (`there`), the same two ports of the directory if there is one, the
+script, and its start time. On SIGTERM it prints its counts and the largest lateness of its own timers.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
         self.start_at = settings["start_at"]
         self.draw = random.Random(settings.get("seed", 1))
         self.sockets: list[socket.socket] = []
-        self.directory = settings.get("directory")  # the port here and its own
+        self.directory = settings.get("directory")  # the relay's port for it, and its own
         self.counts = {"passed": 0, "dropped": 0, "strangers": 0, "bytes": 0, "to_directory": 0}
-        self.by_sender = [[0, 0] for _ in self.here]  # datagrams and bytes
+        self.by_sender = [[0, 0] for _ in self.here]  # by sender: datagrams and bytes
         self.late = 0.0
 
     def open(self) -> None:
@@ -70,10 +70,10 @@
                 continue
             self.by_sender[sender][0] += 1
             self.by_sender[sender][1] += len(data)
-            self.passes(time.time() - self.start_at, sender, to, data)
+            self.apply_faults(time.time() - self.start_at, sender, to, data)
 
     def report(self) -> None:
-        """Forward reports of instances to the directory, unless it is off; their senders do not matter."""
+        """Forward the reports of instances to the directory, unless it is off."""
         for _ in range(32):
             try:
                 data = self.reports.recv(2048)
@@ -86,8 +86,8 @@
             self.counts["to_directory"] += 1
             self.reports.sendto(data, ("127.0.0.1", self.directory[1]))
 
-    def passes(self, now: float, sender: int, to: int, data: bytes) -> None:
-        """Apply the active faults to a datagram and forward what is left of it."""
+    def apply_faults(self, now: float, sender: int, to: int, data: bytes) -> None:
+        """Apply the active faults to a datagram, and forward it unless it is dropped."""
         if not faults.passes(self.links, now, sender, to):
             self.counts["dropped"] += 1
             return
@@ -118,8 +118,8 @@
         except OSError:
             self.counts["dropped"] += 1
 
-    async def watch_itself(self) -> None:
-        """Measure how late the relay's own timers are."""
+    async def measure_lateness(self) -> None:
+        """Record the largest lateness of the relay's own timers."""
         while True:
             due = time.monotonic() + LATENESS_CHECK_S
             await asyncio.sleep(LATENESS_CHECK_S)
@@ -131,10 +131,10 @@
     relay, stop = Relay(json.loads(sys.stdin.readline())), asyncio.Event()
     relay.open()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    watching = asyncio.ensure_future(relay.watch_itself())
+    measuring = asyncio.ensure_future(relay.measure_lateness())
     print("up", flush=True)
     await stop.wait()
-    watching.cancel()
+    measuring.cancel()
     print(json.dumps({**relay.counts, "by_sender": relay.by_sender, "late": round(relay.late, 4)}), flush=True)
 
 
--- a/mulleinhatch/testing/duplicate_runs.py
+++ b/mulleinhatch/testing/duplicate_runs.py
@@ -1,9 +1,9 @@
-"""Classifies second runs of non-retryable requests: an instance's fault, or a retry that its client sent.
+"""Classifies second runs of non-retryable requests as the fault of an instance, or as the retry of a client.
 
-An instance answers for its own incarnation alone: a request that ran in it is not run in it again, and while the instance lives
-its client has one final answer and no reason to ask elsewhere. When it dies, its connections break, and clients may retry what
-they had sent there: the next instance can't know what the dead one ran. Nothing else explains a second run. All inputs are
-observed from outside: by interpreters, clients and the harness. Times are seconds on one machine's system clock.
+An instance is responsible for its own incarnation only: it must not run a request twice, and while it lives its client gets one
+final answer and has no reason to retry elsewhere. When it dies, its connections break and clients may retry, and the next
+instance can't know what the dead one ran. Every other second run is a fault. All inputs are observed from outside: by
+interpreters, clients and the harness. Times are seconds on one machine's system clock.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 
 class Run(NamedTuple):
-    """A run, as an interpreter saw it begin."""
+    """The start of a run, as an interpreter observed it."""
 
-    request: str  # who it is, by its body
+    request: str  # identity, from the body
     at: float
     place: int
-    incarnation: int  # of the interpreter there, which dies with its instance
-    ref: str  # id of the try
+    incarnation: int  # of the interpreter, which dies with its instance
+    ref: str  # id of the attempt
 
 
 class BrokenTry(NamedTuple):
-    """An attempt whose connection ended before its answer, as a client saw it."""
+    """An attempt whose connection ended before the answer, as a client observed it."""
 
     place: int  # where the client sent it
     sent_at: float
@@ -31,7 +31,7 @@
 
 
 class Death(NamedTuple):
-    """A process that the harness killed: signalled no earlier than `begun_at`, gone by `gone_at`."""
+    """A process killed by the harness: signalled no earlier than `begun_at`, gone by `gone_at`."""
 
     place: int
     begun_at: float
@@ -39,10 +39,10 @@
 
 
 class SecondRuns(NamedTuple):
-    """The second runs that were found, by who caused them."""
+    """Second runs by cause."""
 
-    faults: list[str]  # of instances, in words
-    repeats: list[str]  # requests that their callers sent again after a death, and that ran again by it
+    faults: list[str]  # descriptions of faults of instances
+    repeats: list[str]  # requests that ran again because their clients retried them after a death
 
 
 def find_second_runs(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
@@ -86,16 +86,16 @@
         return "one try"
     if (first.place, first.incarnation) == (later.place, later.incarnation):
         return "one life"
-    if broken is None or broken.broken_at > later.at or not _by_a_death(broken, deaths):
+    if broken is None or broken.broken_at > later.at or not _ended_by_death(broken, deaths):
         return "the first try had not ended by a death"
     return ""
 
 
-def _by_a_death(broken: BrokenTry, deaths: list[Death]) -> bool:
+def _ended_by_death(broken: BrokenTry, deaths: list[Death]) -> bool:
     """Return whether a death explains the broken attempt.
 
-    It was sent before the process was gone, and its connection ended after the kill had begun. An instance that lives, or
-    leaves, and closes a connection on which it owes an answer has no excuse.
+    It was sent before the process was gone, and its connection ended after the kill had begun. A live or draining instance
+    that closes a connection with an unanswered request is at fault.
     """
     return any(
         death.place == broken.place and broken.sent_at <= death.gone_at and death.begun_at <= broken.broken_at
--- a/mulleinhatch/testing/fake_directory.py
+++ b/mulleinhatch/testing/fake_directory.py
@@ -1,8 +1,8 @@
-"""A fake directory: reports arrive by UDP, lists are served over TCP with the delay of a real one.
+"""A fake service directory: reports arrive by UDP, and lists are served over TCP with a fixed staleness.
 
-Runs as `python -m mulleinhatch.testing.fake_directory UDP-PORT TCP-PORT BEHIND`. An instance is listed while it reports, and
-for 3 s after; one that reports `closed` is listed as taking no work. Each line received over TCP is answered by one JSON list
-of the names that take work, as it was BEHIND seconds ago. On SIGTERM it prints its counts.
+Runs as `python -m mulleinhatch.testing.fake_directory UDP-PORT TCP-PORT BEHIND`. An instance is listed while it reports
+`open`, and for 3 s after its last report. Each line received over TCP is answered with a JSON list of the listed names as it
+was BEHIND seconds ago. On SIGTERM it prints its counts.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 import time
 from collections import deque
 
-LISTED_FOR = 3.0
+LISTED_FOR_S = 3.0  # after the last report
 
 
 class Listing:
-    """The instances as lists of `behind` seconds ago show them.
+    """The instances as they were known `behind` seconds ago.
 
     >>> listing = Listing(behind=1.0)
     >>> listing.report(0.0, b"PULSE n1 open"); listing.report(0.5, b"PULSE n2 closed"); listing.report(0.5, b"?")
@@ -29,7 +29,8 @@
     def __init__(self, behind: float) -> None:
         self.behind = behind
         self.heard: deque[tuple[float, str, bool]] = deque()
-        self.last: dict[str, tuple[float, bool]] = {}  # as the lists know it: when, open
+        # The last report of each name as of `behind` seconds ago: its time, and whether it said open.
+        self.last: dict[str, tuple[float, bool]] = {}
         self.counts = {"reports": 0, "broken": 0}
 
     def report(self, now: float, datagram: bytes) -> None:
@@ -42,12 +43,12 @@
         self.heard.append((now, fields[1], fields[2] == "open"))
 
     def names(self, now: float) -> list[str]:
-        """Return the names that take work."""
+        """Return the names of the listed instances."""
         known = now - self.behind
         while self.heard and self.heard[0][0] <= known:
             at, name, is_open = self.heard.popleft()
             self.last[name] = at, is_open
-        return sorted(name for name, (at, is_open) in self.last.items() if is_open and known - at <= LISTED_FOR)
+        return sorted(name for name, (at, is_open) in self.last.items() if is_open and known - at <= LISTED_FOR_S)
 
 
 class Reports(asyncio.DatagramProtocol):
@@ -65,7 +66,7 @@
     """Serve until SIGTERM, then print the counts."""
     listing, stop, loop = Listing(behind), asyncio.Event(), asyncio.get_running_loop()
 
-    async def asked(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_lists(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while await reader.readline():
                 writer.write(json.dumps(listing.names(time.monotonic())).encode() + b"\n")
@@ -76,7 +77,7 @@
             writer.close()
 
     await loop.create_datagram_endpoint(lambda: Reports(listing), ("127.0.0.1", udp))
-    server = await asyncio.start_server(asked, "127.0.0.1", tcp)
+    server = await asyncio.start_server(serve_lists, "127.0.0.1", tcp)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     print("up", flush=True)
     await stop.wait()
--- a/mulleinhatch/testing/fake_model_server/__init__.py
+++ b/mulleinhatch/testing/fake_model_server/__init__.py
@@ -1,8 +1,8 @@
 """A fake model backend on loopback, for demonstrations and tests of the whole system.
 
-It speaks the backend API: registration, reports, orders and streamed responses. Its times are its own: a prompt is read at a
-fixed rate, each token takes a step that grows with the number of running requests, and a load takes less time if the backend's
-disk has the model.
+It speaks the backend API: registration, reports, orders and streamed responses. Timing is simulated: a prompt is read at
+a fixed rate, the time per token grows with the number of running requests, and a load is faster if the model is on the
+backend's disk.
 """
 
 from mulleinhatch.testing.fake_model_server.config import Counters, FakeModelServerConfig
--- a/mulleinhatch/testing/fake_model_server/config.py
+++ b/mulleinhatch/testing/fake_model_server/config.py
@@ -1,4 +1,4 @@
-"""Configuration of a fake model server, and what tests read from it."""
+"""Configuration of a fake model server, and the counters that tests read."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     """Properties of a fake model server.
 
     Attributes:
-        service: The service that it belongs to.
+        service: The service that the backend belongs to.
         address: `host:port` to listen on.
         zone: Its failure domain.
-        slots: Requests that run at the same time.
-        weights_mb: Memory for models.
-        adapter_slots: How many adapters fit.
-        model_mb: Memory of each model.
-        load_s: Duration of a load from the weight store.
+        slots: Maximum number of concurrent requests.
+        weights_mb: Memory for model weights in MB.
+        adapter_slots: Maximum number of loaded adapters.
+        model_mb: Memory of each model in MB.
+        load_s: Duration of a load from the weight store in seconds.
         prompt_tokens_per_s: Rate at which a prompt is read.
-        step_s: Duration of a token if no other request runs.
+        step_s: Seconds per token if no other request runs.
     """
 
     service: str
@@ -36,13 +36,13 @@
 
 @dataclass
 class Counters:
-    """What a test can check from outside the system.
+    """Counters that a test can check from outside the system.
 
     Attributes:
         runs: How often each request was executed, by Request-Id.
         store_loads: Loads from the weight store.
-        capacity_violations: Orders beyond memory or adapter slots; must stay 0.
-        fencing_tokens: Issuer and token of each order whose token was not too low.
+        capacity_violations: Orders that exceeded the memory or the adapter slots; must stay 0.
+        fencing_tokens: Issuer and token of each order whose token was high enough.
     """
 
     runs: dict[str, int] = field(default_factory=dict)
--- a/mulleinhatch/testing/fake_model_server/model_store.py
+++ b/mulleinhatch/testing/fake_model_server/model_store.py
@@ -9,9 +9,9 @@
 
 from mulleinhatch.testing.fake_model_server.config import Counters, FakeModelServerConfig
 
-DISK_LOAD_FACTOR = 0.3  # of a load's duration, if the backend's disk has the model
+DISK_LOAD_FACTOR = 0.3  # factor of a load's duration if the model is on the backend's disk
 ADAPTER_LOAD_S = 0.02
-UNLOAD_POLL_S = 0.01  # pause between checks whether running requests have ended
+UNLOAD_POLL_S = 0.01  # interval between checks that the running requests have ended
 
 
 class ModelStore:
@@ -65,19 +65,19 @@
             The status and message of the response, and the work to run in the background if the order was accepted.
         """
         if not order.get("holder") or not order.get("fence_token") or order.get("operation") not in ("load", "unload"):
-            return HTTPStatus.BAD_REQUEST, "no such order", None
+            return HTTPStatus.BAD_REQUEST, "invalid order", None
         if order["fence_token"] < self._highest_fencing_token:
-            return HTTPStatus.PRECONDITION_FAILED, "a higher token was seen", None
+            return HTTPStatus.PRECONDITION_FAILED, "a higher fencing token was seen", None
         self._highest_fencing_token = order["fence_token"]
         self._counters.fencing_tokens.append((order["holder"], order["fence_token"]))
         if self.order is not None or order.get("if_revision", self.revision) != self.revision:
-            return HTTPStatus.CONFLICT, "another order is under way, or the revision is another", None
+            return HTTPStatus.CONFLICT, "another order is in progress, or the revision differs", None
         model, adapter = order["model"], order.get("adapter", "")
         if self.is_loaded(model, adapter) is (order["operation"] == "load"):
-            return HTTPStatus.OK, "it holds already", None
+            return HTTPStatus.OK, "already in the requested state", None
         self.revision += 1
         self.order = order
-        return HTTPStatus.ACCEPTED, "under way", self._execute(order["operation"], model, adapter)
+        return HTTPStatus.ACCEPTED, "in progress", self._execute(order["operation"], model, adapter)
 
     async def _execute(self, operation: str, model: str, adapter: str) -> None:
         if operation == "unload":
--- a/mulleinhatch/testing/fake_model_server/registration.py
+++ b/mulleinhatch/testing/fake_model_server/registration.py
@@ -15,11 +15,11 @@
 
 
 class Registration:
-    """Sends heartbeats to one control plane instance, and to the next one if it does not answer.
+    """Sends heartbeats to one control plane instance, and fails over to the next if it does not answer.
 
     Args:
         backend_id: The id of this incarnation.
-        config: What the heartbeats say of the backend.
+        config: Properties that the heartbeats report.
         store: The loaded models.
         control_addresses: Addresses of the control plane instances.
     """
@@ -53,7 +53,7 @@
             self._addresses.append(self._addresses.pop(0))
 
     async def deregister(self) -> None:
-        """Tell the first control plane instance that answers that this backend has ended."""
+        """Report to the first control plane instance that answers that this backend has ended."""
         for address in self._addresses:
             try:
                 await self._http_client.request(address, "DELETE", self._path, b"", CALL_TIMEOUT_S)
--- a/mulleinhatch/testing/fake_model_server/request_runner.py
+++ b/mulleinhatch/testing/fake_model_server/request_runner.py
@@ -1,4 +1,4 @@
-"""Requests at a fake model server: rejected, or executed with a stream of tokens as response."""
+"""Executes requests at a fake model server: rejects them, or streams tokens as the response."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from mulleinhatch.testing.fake_model_server.config import Counters, FakeModelServerConfig
 from mulleinhatch.testing.fake_model_server.model_store import ModelStore
 
-MAX_WAITING_FACTOR = 2  # requests that may wait, for each slot
-SLOWDOWN_PER_REQUEST = 0.02  # by which each running request lengthens a token's step
-DEFAULT_TOKENS = 4  # if the request names no token usage
+MAX_WAITING_FACTOR = 2  # maximum waiting requests per slot
+SLOWDOWN_PER_REQUEST = 0.02  # share by which each running request lengthens the time per token
+DEFAULT_TOKENS = 4  # without a token usage header
 
 Fields = list[tuple[bytes, bytes]]
 
@@ -32,7 +32,7 @@
         self.running = self.waiting = 0
 
     async def run(self, head: Head, store: ModelStore, writer: asyncio.StreamWriter) -> None:
-        """Answer a request: 421 without its model, 503 if it can't wait, otherwise a stream of events."""
+        """Answer a request: 421 if its model is not loaded, 503 if it can't be queued, otherwise a stream of events."""
         prompt = read_prompt(head)
         request_id = head.first.get(b"request-id", b"")
         fields: Fields = [(b"Request-Id", request_id)]
--- a/mulleinhatch/testing/fake_model_server/server.py
+++ b/mulleinhatch/testing/fake_model_server/server.py
@@ -1,4 +1,4 @@
-"""The fake model server's connections, and its start and end."""
+"""The fake model server's connections and lifecycle."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
         config: Its properties.
         control_addresses: Addresses of the control plane instances.
         models: Models that are loaded at the start, with their adapters.
-        disk_models: Models on its disk; by default those that are loaded.
+        disk_models: Models on its disk; by default the loaded ones.
 
     Attributes:
         id: The id of this incarnation.
-        counters: What tests check.
+        counters: Counters that tests check.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._start_task(self._registration.run())
 
     async def crash(self) -> None:
-        """End without deregistering; connections are reset."""
+        """Stop without deregistering; connections are reset."""
         for task in list(self._tasks):
             task.cancel()
         for writer in list(self._connections):
@@ -75,7 +75,7 @@
             self._server.close()
 
     async def drain(self, after_s: float) -> None:
-        """Announce the end, serve a little longer, deregister and end."""
+        """Announce draining, serve for `after_s` more seconds, deregister and stop."""
         self._registration.is_draining = True
         await self._registration.send_heartbeat()
         await asyncio.sleep(after_s)
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -1,26 +1,25 @@
-"""Fault scripts: small text files that say what goes wrong when.
+"""Fault scripts: small text files with one fault per line. Times are seconds from the first request.
 
-    # seconds from the first request
-    at 4 kill 0 for 8                # the instance and its interpreter, both start anew after
+    at 4 kill 0 for 8                # kills the instance and its interpreter, restarts both after 8 s
     at 4 kill 0,1 for 8
-    at 4 freeze 0 for 6              # the interpreter stands still
-    at 4 flap 0 every 3 until 20     # killed for 3, up for 3, and so on
-    at 2 silent 200 at 0 for 10      # connections that say nothing
-    at 2 garble 50 at 0 for 10       # connections that send what is no request, again and again
-    at 9 look 0                      # no fault: its counters and CPU are taken down
-    at 9 leave 1                     # the notice to leave
+    at 4 freeze 0 for 6              # stops the interpreter (SIGSTOP)
+    at 4 flap 0 every 3 until 20     # killed for 3 s, up for 3 s, repeatedly
+    at 2 silent 200 at 0 for 10      # connections that send nothing
+    at 2 garble 50 at 0 for 10       # connections that send invalid requests, repeatedly
+    at 9 look 0                      # no fault: records its counters and CPU time
+    at 9 leave 1                     # sends SIGTERM
     at 9 start 1
 
-Between the instances of a fleet; these are numbers, lists as 0-4,9 or all:
+Between the instances of a fleet, which are given as a number, a list such as 0-4,9, or all:
 
-    at 4 cut 0-4 from 5-19 for 6          # nothing passes, either way
-    at 4 deaf 0-4 to 5-19 for 6           # 0-4 hear nothing of 5-19, who hear them
+    at 4 cut 0-4 from 5-19 for 6          # drops datagrams in both directions
+    at 4 deaf 0-4 to 5-19 for 6           # drops datagrams from 5-19 to 0-4 only
     at 4 lossy all 0.3 for 10             # share of datagrams lost; also: repeated, swapped (reordered)
     at 4 delayed all 0.5 for 10           # seconds
-    at 4 stall 3,7 for 2                  # the process is stopped, then goes on
-    at 4 replace 3,7 for 2                # killed; others start in their places, by new names (simulated instances alone)
-    at 4 slow 3 by 8 for 10               # its interpreter's work takes 8 times as long
-    at 4 failing 3 0.5 for 10             # that share of its runs fails
+    at 4 stall 3,7 for 2                  # stops the process, then continues it
+    at 4 replace 3,7 for 2                # kills them, starts others with new names (simulated instances only)
+    at 4 slow 3 by 8 for 10               # slows its interpreter down by a factor of 8
+    at 4 failing 3 0.5 for 10             # share of its runs that fail
     at 4 directory off for 10
 """
 
@@ -31,19 +30,19 @@
 
 
 class FaultScriptError(ValueError):
-    """A line of the script is no fault; the text names it."""
+    """Raised for an invalid line, which the message names."""
 
 
 class Fault(NamedTuple):
     """One fault, or its end, at a time."""
 
     at: float  # seconds from the first request
-    what: str  # kill, start, freeze, thaw, leave, look, silent, garble, quiet
+    what: str  # the verb of the script, or of an end: start, thaw, quiet, go, renew
     places: tuple[int, ...]
     count: int = 0
-    others: tuple[int, ...] = ()  # cut from, deaf to
-    amount: float = 0.0  # share, seconds, times
-    until: float = math.inf  # when what was said with `for` is over
+    others: tuple[int, ...] = ()  # the other side of `cut` and `deaf`
+    amount: float = 0.0  # a share, seconds or a factor, depending on the fault
+    until: float = math.inf  # end of the duration given with `for`
 
 
 LINKS = ("cut", "deaf", "lossy", "repeated", "swapped", "delayed")
@@ -51,7 +50,7 @@
 
 
 def end_of(faults: list[Fault]) -> float:
-    """Return when the last outage ends; until then no service can be expected."""
+    """Return when the last outage ends; before that no service is expected."""
     ends = [fault.at for fault in faults if fault.what in ("start", "thaw", "go")]
     return max([*ends, *(fault.until for fault in faults if fault.until < math.inf)], default=0.0)
 
@@ -74,7 +73,7 @@
 
 
 def passes(faults: list[Fault], now: float, sender: int, to: int) -> bool:
-    """Return whether a datagram between two instances passes the cuts active then."""
+    """Return whether no active cut drops a datagram between two instances."""
     for fault in faults:
         if fault.what in ("cut", "deaf") and fault.at <= now < fault.until:
             if to in fault.places and sender in fault.others:
@@ -85,7 +84,7 @@
 
 
 def amount(faults: list[Fault], what: str, now: float, place: int) -> float:
-    """Return the largest amount of that kind of fault active at a place then."""
+    """Return the largest amount among the active faults of one kind at a place."""
     return max(
         (fault.amount for fault in faults if fault.what == what and fault.at <= now < fault.until and place in fault.places),
         default=0.0,
@@ -120,7 +119,7 @@
     """Parse one line.
 
     Raises:
-        ValueError: It is no fault.
+        ValueError: The line is not a fault.
     """
     if fields[0] != "at" or len(fields) < 4:
         raise ValueError
--- a/mulleinhatch/testing/maintenance_windows.py
+++ b/mulleinhatch/testing/maintenance_windows.py
@@ -1,6 +1,6 @@
-"""Performs the work on machines: waits for a process to end, works for a while, restarts it; counts who is out from outside.
+"""Simulates maintenance: when a process ends, waits for the duration of the work and restarts it, and counts machines out.
 
-It does not use permits: a machine is out while its process does not run. `roll_by_list` takes machines out without agreement.
+It does not read permits: a machine is out while its process does not run. `roll_by_list` takes machines out without permits.
 """
 
 from __future__ import annotations
@@ -12,27 +12,33 @@
 
 from mulleinhatch.testing.fleet_harness import FleetHarness
 
-LOOK = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class Seen(NamedTuple):
-    """A machine was seen to go out of service, or to return."""
+    """An observed change: a machine went out of service, or returned."""
 
-    at: float  # of the script's clock
+    at: float  # seconds on the script's clock
     place: int
     out: bool
 
 
 class MaintenanceWindows:
-    """Observes a fleet harness and restarts the machines that went out."""
+    """Polls a fleet harness and restarts the machines that went out.
+
+    Args:
+        harness: The fleet.
+        works: Duration of the work in seconds.
+        zone_of: The zone of each place.
+    """
 
     def __init__(self, harness: FleetHarness, works: float, zone_of: dict[int, str]) -> None:
         self.harness, self.works, self.zone_of = harness, works, zone_of
         self.seen: list[Seen] = []
         self.most = 0
         self.zone_most: dict[str, int] = {}
-        self.done: dict[int, float] = {}  # when it was back
-        self.crashed: set[int] = set()  # what a script killed is no outing
+        self.done: dict[int, float] = {}  # by place: when the machine was back, on the script's clock
+        self.crashed: set[int] = set()  # places killed by a fault script, which are not maintenance
         self.tasks: set[asyncio.Task[None]] = set()
         self.watching: asyncio.Task[None] | None = None
         self.late = 0.0
@@ -45,8 +51,8 @@
         out: set[int] = set()
         last = time.monotonic()
         while True:
-            await asyncio.sleep(LOOK)
-            self.late, last = max(self.late, time.monotonic() - last - LOOK), time.monotonic()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            self.late, last = max(self.late, time.monotonic() - last - POLL_INTERVAL_S), time.monotonic()
             now_out = {node.place for node in self.harness.nodes if not node.up}
             for place in sorted(now_out ^ out):
                 self.seen.append(Seen(self.harness.now(), place, place in now_out))
@@ -67,7 +73,7 @@
         self.done[place] = self.harness.now()
 
     async def all_done(self, places: set[int], within: float) -> float | None:
-        """Return when the last of the machines was back, on the script's clock, or None."""
+        """Return when the last of the machines was back, on the script's clock, or None if one was not back in time."""
         until = time.monotonic() + within
         while time.monotonic() < until:
             if places <= self.done.keys():
@@ -76,7 +82,7 @@
         return None
 
     async def roll_by_list(self, places: list[int], at_a_time: int, starts: float) -> None:
-        """Without agreement: the first `at_a_time` leave, and the next whenever one is back for `starts` seconds."""
+        """Roll without permits: `at_a_time` leave at first, then another whenever one has been back for `starts` seconds."""
         waiting, leaving = list(places), set[int]()
         while waiting or leaving:
             leaving = {place for place in leaving if place not in self.done or self.harness.now() - self.done[place] < starts}
--- a/tests/system/test_console.py
+++ b/tests/system/test_console.py
@@ -1,4 +1,4 @@
-"""The names of the commands are the operators' interface: they stay as docs/operate/system.md lists them."""
+"""Command names are part of the operators' interface and must match docs/operate/system.md."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 class Usage(unittest.TestCase):
-    def test_without_a_command_the_commands_are_listed(self):
+    def test_commands_are_listed_without_arguments(self):
         arguments = [sys.executable, "-m", "mulleinhatch.console"]
-        ended = subprocess.run(arguments, cwd=ROOT, capture_output=True, text=True, check=False)
-        self.assertEqual((ended.returncode, ended.stdout), (2, ""))
-        self.assertNotIn("Traceback", ended.stderr)
+        result = subprocess.run(arguments, cwd=ROOT, capture_output=True, text=True, check=False)
+        self.assertEqual((result.returncode, result.stdout), (2, ""))
+        self.assertNotIn("Traceback", result.stderr)
         for name in COMMANDS:
-            self.assertRegex(ended.stderr, rf"(?m)^  {name}\b")
+            self.assertRegex(result.stderr, rf"(?m)^  {name}\b")
 
 
 class Demonstration(unittest.TestCase):
-    def test_the_time_left_is_never_below_zero(self):
+    def test_remaining_time_is_never_negative(self):
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed):
             demo.print_status([], demo.ClientTally(), -0.2)
@@ -41,7 +41,7 @@
 
 
 class CommandNames(unittest.TestCase):
-    def test_every_command_that_operators_know_exists(self):
+    def test_every_documented_command_exists(self):
         self.assertLessEqual(COMMANDS, {name for name in dir(commands.Console) if not name.startswith("_")})
 
     def test_the_page_lists_every_command(self):
@@ -50,7 +50,7 @@
         listed = {name for row in rows for name in re.findall(r"`([a-z]+)", row.split("|")[1])}
         self.assertEqual(listed & COMMANDS, COMMANDS)
 
-    def test_the_older_name_shows_the_backends_of_the_status(self):
+    def test_former_command_name_prints_the_backends(self):
         status = HttpResult(200, b'{"stubs": {"i-1": {"silent": false}}}')
         with mock.patch.object(commands, "call", return_value=Ok(status)):
             self.assertEqual(commands.Console().stubs("h:1"), {"i-1": {"silent": False}})
--- a/tests/system/test_fake_model_server.py
+++ b/tests/system/test_fake_model_server.py
@@ -1,4 +1,4 @@
-"""The fake model server's answers to orders: the rules of the backend API that placement relies on."""
+"""The fake model server's responses to orders, which follow the rules of the backend API that placement relies on."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         return status
 
     def complete(self) -> float:
-        """Run the accepted order to its end; its duration."""
+        """Run the accepted order to its end; return its duration in seconds."""
         started_at = self.loop.time()
         self.loop.run_until_complete(self.task)
         return self.loop.time() - started_at
@@ -59,7 +59,7 @@
         self.order("unload", "a")
         self.assertGreaterEqual(self.complete(), 0.5)
 
-    def test_load_from_the_own_disk_is_faster_and_reads_no_store(self):
+    def test_load_from_local_disk_is_faster_and_bypasses_the_store(self):
         self.order("unload", "a")
         self.complete()
         self.order("load", "a")
@@ -69,7 +69,7 @@
         self.assertAlmostEqual(self.complete(), CONFIG.load_s)
         self.assertEqual((self.counters.store_loads, self.counters.capacity_violations), (1, 1))
 
-    def test_adapters_beyond_their_slots_are_counted(self):
+    def test_adapters_beyond_the_slots_count_as_violations(self):
         for adapter in ("x", "y"):
             self.assertEqual(self.order("load", "a", adapter=adapter), 202)
             self.complete()
--- a/tests/test_fake_interpreter.py
+++ b/tests/test_fake_interpreter.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: where one of them is wrong, what it shows of an instance is, too."""
+"""The fake interpreter: a fault in it would make tests of instances report wrong results."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from mulleinhatch.testing.instance_harness import free_port, keep_environment
 
 
-class Deaf:
-    """The writer of a link that nobody reads."""
+class DiscardingWriter:
+    """The writer of a link whose peer reads nothing."""
 
     def write(self, data: bytes) -> None:
         pass
@@ -26,7 +26,7 @@
         return False
 
 
-def command(ref: str) -> bytes:
+def apply_command(ref: str) -> bytes:
     return (
         json.dumps({"t": "APPLY", "rid": ref, "route": "signoff", "b64": b64encode(b"1.0 op of a caller").decode()}).encode()
         + b"\n"
@@ -34,21 +34,21 @@
 
 
 @pytest.mark.parametrize("replaced", (False, True))
-def test_what_a_link_of_before_still_holds_is_run_by_nobody(replaced: bool) -> None:
-    """The command lies read on the old link when its instance dies, or when a new link takes its place."""
+def test_commands_buffered_on_a_former_link_are_not_run(replaced: bool) -> None:
+    """Guards against a run whose command was still buffered when the interpreter was reset or its link replaced."""
 
     async def play() -> Interpreter:
         host = Interpreter(2, 1.0, 0.0)
-        host.keep_starts = True
+        host.record_starts = True
         old = asyncio.StreamReader()
-        serving = asyncio.ensure_future(host.serve(old, Deaf()))
-        old.feed_data(command("r1"))
+        serving = asyncio.ensure_future(host.serve(old, DiscardingWriter()))
+        old.feed_data(apply_command("r1"))
         await asyncio.sleep(0)
-        while not host.once:
+        while not host.non_retryable_runs:
             await asyncio.sleep(0)
-        old.feed_data(command("r2"))  # it wakes the reader, which gets no turn before the next line
+        old.feed_data(apply_command("r2"))  # wakes the reader, which is not scheduled before the next line
         if replaced:
-            host.writer = Deaf()
+            host.writer = DiscardingWriter()
         else:
             host.reset()
         old.feed_eof()
@@ -56,11 +56,11 @@
         return host
 
     host = asyncio.run(play())
-    assert [ref for _, _, ref, _ in host.once] == ["r1"] and host.incarnation == (1 if replaced else 2)
+    assert [ref for _, _, ref, _ in host.non_retryable_runs] == ["r1"] and host.incarnation == (1 if replaced else 2)
 
 
-def test_the_host_of_interpreters_hears_all_lines_of_one_write() -> None:
-    """Instances that are killed together are told of in one write, or are read at one time: no line may be left over."""
+def test_all_commands_of_one_write_are_read() -> None:
+    """Guards against commands left in a buffer: instances killed together are reset by lines that arrive in one read."""
 
     async def play() -> list[bytes]:
         ports = [free_port(), free_port()]
@@ -78,9 +78,9 @@
         try:
             assert await host.stdout.readline() == b"up\n"
             host.stdin.write(b"reset 0\nreset 1\nbegun 0\nbegun 1\nbeg")
-            said = [await asyncio.wait_for(host.stdout.readline(), 10.0) for _ in range(2)]
+            replies = [await asyncio.wait_for(host.stdout.readline(), 10.0) for _ in range(2)]
             host.stdin.write(b"un 1\n")
-            return [*said, await asyncio.wait_for(host.stdout.readline(), 10.0)]
+            return [*replies, await asyncio.wait_for(host.stdout.readline(), 10.0)]
         finally:
             host.kill()
             await host.wait()
