--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes: instances, one host of interpreters, clients, and a relay for all datagrams between instances.
+"""A fleet of real processes: instances, one process for all interpreters, clients, and a relay for datagrams between instances.
 
-Faults follow a script (`fault_script.py`). The fleet is observed from outside: each instance's status over HTTP, the
-interpreters' record of runs, the operating system's view of the processes. Each process is ended by its id.
+Faults follow a script (`fault_script.py`). The fleet is observed from outside: by each instance's status over HTTP,
+the interpreters' records of runs, and the operating system's data about the processes. Each process is ended by its id.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 from mulleinhatch.testing import fault_script as faults
 
-UP_WITHIN = 40.0
-STARTS_AT_A_TIME = 16  # processes that start together: more only wait for the cores
-LOOK_WAIT = 2.0
-LOOKED_AT = 24  # instances of a large fleet that are asked for their views
+STARTUP_TIMEOUT_S = 40.0
+MAX_CONCURRENT_STARTS = 16  # more processes would only wait for the cores
+STATUS_TIMEOUT_S = 2.0
+MAX_POLLED = 24  # instances of a large fleet whose views are polled
 
 
 class FleetCase(NamedTuple):
-    """One run. Times are seconds, rates requests a second; there is a client process for each of `loads`: places, rate."""
+    """One run. Times are in seconds, rates in requests per second. Each entry of `loads` (places, rate) is a client process."""
 
     instances: int
     script: str = ""
     run_for: float = 10.0
-    total: int = 0  # runs of the tenant that the fleet may start in a window; 0: no budget
+    total: int = 0  # runs of the tenant that the fleet may start in a window; 0 sets no budget
     window: float = 1.0
     leases: bool = True
     loads: tuple[tuple[str, float], ...] = ()
@@ -43,14 +43,14 @@
     cores: int = 4
     seed: int = 1
     seeds: int = 3
-    directory: bool = False  # clients know the instances that it lists, a second late; else all of them
-    fleet: bool = True  # False: the same processes with no fleet, for what it costs
+    directory: bool = False  # clients know the instances it lists, with a second of delay; otherwise all instances
+    fleet: bool = True  # False runs the same processes without a fleet, to measure its cost
     lease: float = 5.0
-    spread: str = ""  # lines of a `spread` node; "-" for an empty one; none: load is not spread
-    maintenance: str = ""  # lines of an `upkeep` node, "{folder}" and "{control}" filled in
-    signoffs: float = 0.0  # share of the requests that may not run twice
-    tries: int = 1  # of a request
-    heeding: float = 0.0
+    spread: str = ""  # lines of a `spread` node; "-" for an empty one; "" disables load balancing
+    maintenance: str = ""  # lines of an `upkeep` node, a template with "{folder}" and "{control}"
+    signoffs: float = 0.0  # share of non-retryable requests
+    tries: int = 1  # maximum attempts of a request
+    heeding: float = 0.0  # share of the clients that obey retry delays
 
 
 def settings(case: FleetCase) -> dict[str, Any]:
@@ -153,7 +153,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
-            return (await asyncio.wait_for(reader.read(), LOOK_WAIT)).partition(b"\r\n\r\n")[2]
+            return (await asyncio.wait_for(reader.read(), STATUS_TIMEOUT_S)).partition(b"\r\n\r\n")[2]
         finally:
             writer.close()
 
@@ -197,8 +197,8 @@
 def free_ports(count: int, kind: int) -> list[int]:
     """Return free ports below the system's ephemeral range.
 
-    Of hundreds of ports that the system assigns one by one, some come twice, or are taken by a connection before their process
-    listens there.
+    Of hundreds of ports assigned one by one by the system, some repeat, or are taken by an outgoing connection before their
+    process listens there.
     """
     found: list[int] = []
     port = 12_000 + (os.getpid() * 997 + int(time.time() * 1000)) % 16_000
@@ -213,7 +213,7 @@
 class FleetHarness:
     """Runs a fleet: `async with FleetHarness(case, folder) as harness`. On entry all instances are up and see each other.
 
-    `start_at` is the zero of the fault script's clock.
+    `start_at` is the origin of the fault script's clock.
     """
 
     def __init__(self, case: FleetCase, folder: Path) -> None:
@@ -231,7 +231,7 @@
         self.relay: asyncio.subprocess.Process | None = None
         self.start_at = 0.0
         self.late = 0.0
-        self.deaths: list[tuple[int, float, float]] = []  # place, and between which times it was killed
+        self.deaths: list[tuple[int, float, float]] = []  # place, time before the kill, time after it
         self.loads: list[asyncio.subprocess.Process] = []
         self.scripted: asyncio.Task[None] | None = None
 
@@ -243,12 +243,12 @@
             if self.case.directory:
                 self.directory = await self._start_fake("fake_directory", str(self.reports[1]), str(self.lists), "1.0")
                 await self.directory.stdout.readline()
-            for first in range(0, len(self.nodes), STARTS_AT_A_TIME):
-                await asyncio.gather(*(node.start() for node in self.nodes[first : first + STARTS_AT_A_TIME]))
-                await asyncio.gather(*(self._is_up(node) for node in self.nodes[first : first + STARTS_AT_A_TIME]))
+            for first in range(0, len(self.nodes), MAX_CONCURRENT_STARTS):
+                await asyncio.gather(*(node.start() for node in self.nodes[first : first + MAX_CONCURRENT_STARTS]))
+                await asyncio.gather(*(self._wait_until_up(node) for node in self.nodes[first : first + MAX_CONCURRENT_STARTS]))
             self.relay = await self._start_fake("datagram_relay")
             self.start_at = time.time() + 1.0
-            await self._configure_relay(self.start_at + 10_000.0)  # nothing goes wrong until `go`
+            await self._configure_relay(self.start_at + 10_000.0)  # no faults before `go`
             return self
         except BaseException:
             await self.__aexit__()
@@ -278,15 +278,15 @@
         await self.relay.stdin.drain()
         await self.relay.stdout.readline()
 
-    async def _is_up(self, node: Node) -> None:
-        until = time.monotonic() + UP_WITHIN
+    async def _wait_until_up(self, node: Node) -> None:
+        until = time.monotonic() + STARTUP_TIMEOUT_S
         while not (await node.counters()).get("link_opened"):
             if time.monotonic() > until or not node.up:
                 raise TimeoutError(f"{node.name} is not up: see {self.folder}")
             await asyncio.sleep(0.1)
 
     async def go(self) -> None:
-        """Start the script and the clients; a new relay replaces the calm one."""
+        """Start the script and the clients; a new relay with faults replaces the one without."""
         self.relay.terminate()
         await self.relay.communicate()
         self.relay = await self._start_fake("datagram_relay")
@@ -319,25 +319,25 @@
             load.stdin.write(json.dumps(habits).encode() + b"\n")
             await load.stdin.drain()
             self.loads.append(load)
-        self.scripted = asyncio.ensure_future(self._script())
+        self.scripted = asyncio.ensure_future(self._play_script())
 
     def now(self) -> float:
-        """Return the time of the script's clock."""
+        """Return the time on the script's clock."""
         return time.time() - self.start_at
 
     async def until(self, moment: float) -> None:
-        """Sleep until a time of the script's clock."""
+        """Sleep until a time on the script's clock."""
         await asyncio.sleep(max(0.0, moment - self.now()))
 
-    async def _script(self) -> None:
+    async def _play_script(self) -> None:
         moments = [(fault.at, fault.what, fault) for fault in self.faults if fault.what not in faults.LINKS]
         moments += [(fault.until, "mend", fault) for fault in self.faults if fault.what in faults.WORK]
         for at, what, fault in sorted(moments, key=lambda moment: moment[0]):
             await self.until(at)
             self.late = max(self.late, self.now() - at)
-            await asyncio.gather(*(self._do(what, fault, self.nodes[place]) for place in fault.places))
+            await asyncio.gather(*(self._apply_fault(what, fault, self.nodes[place]) for place in fault.places))
 
-    async def _do(self, what: str, fault: faults.Fault, node: Node) -> None:
+    async def _apply_fault(self, what: str, fault: faults.Fault, node: Node) -> None:
         if what == "kill":
             await self.kill(node)
         elif what == "start":
@@ -360,30 +360,30 @@
         self.deaths.append((node.place, begun_at, time.time()))
         self.host.stdin.write(f"reset {node.place}\n".encode())
 
-    # Looks from outside.
+    # Observations from outside.
 
     async def views(self) -> dict[str, dict[str, Any]]:
-        """Return by name each instance's view; of a large fleet a sample, as polling all of it would be a load."""
-        nodes = self.nodes[:: max(1, self.case.instances // LOOKED_AT)]
+        """Return the views by name of the instance; of a large fleet only a sample, because polling all would add load."""
+        nodes = self.nodes[:: max(1, self.case.instances // MAX_POLLED)]
         answers = await asyncio.gather(*(node.fleet() for node in nodes))
         return {node.name: view for node, view in zip(nodes, answers) if view}
 
-    async def wait_for(self, what: Callable[[dict[str, dict[str, Any]]], bool], within: float) -> float | None:
-        """Return the seconds until the condition held for all views, or None."""
+    async def wait_for(self, condition: Callable[[dict[str, dict[str, Any]]], bool], within: float) -> float | None:
+        """Return the seconds until the condition held for the views, or None after `within` seconds."""
         begun = time.monotonic()
         while time.monotonic() - begun < within:
-            if what(await self.views()):
+            if condition(await self.views()):
                 return time.monotonic() - begun
             await asyncio.sleep(0.1)
         return None
 
     async def begun(self, place: int) -> int:
-        """Return the number of runs that the interpreter there began, in all its incarnations."""
+        """Return the number of runs that the interpreter at a place began, in all its incarnations."""
         self.host.stdin.write(f"begun {place}\n".encode())
         return int(await self.host.stdout.readline())
 
     def usage(self) -> list[tuple[float, int] | None]:
-        """Return CPU seconds and bytes of memory, by place."""
+        """Return CPU seconds and resident bytes by place, None for instances that do not run."""
         usage: list[tuple[float, int] | None] = []
         for node in self.nodes:
             try:
@@ -394,12 +394,12 @@
         return usage
 
     async def finish(self) -> dict[str, Any]:
-        """Wait for script and clients; return the reports of all fakes."""
+        """Wait for the script and the clients; return the reports of all fakes."""
         if self.scripted:
             await self.scripted
         clients = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
         for client, (places, _) in zip(clients, self.case.loads):
-            known = faults.numbers(places, self.case.instances)  # a client numbers those it knows
+            known = faults.numbers(places, self.case.instances)  # a client numbers only the instances it knows
             client["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in client["broken_once"].items()}
         self.host.terminate()
         ran = json.loads((await self.host.communicate())[0])
@@ -422,8 +422,8 @@
 
 
 def views_agree(views: dict[str, dict[str, Any]], names: set[str]) -> bool:
-    """Return whether these instances see exactly each other as alive."""
-    return len(views) >= min(len(names), LOOKED_AT - 1) and all(
+    """Return whether the instances with these names consider exactly each other alive."""
+    return len(views) >= min(len(names), MAX_POLLED - 1) and all(
         {row["name"] for row in view["members"] if row["state"] in ("alive", "self")} == names
         and not any(row["state"] == "suspect" for row in view["members"])
         for name, view in views.items()
@@ -432,7 +432,7 @@
 
 
 def most_in_window(starts: list[float], window: float) -> int:
-    """Return the most of these moments that lie in any window of that length.
+    """Return the largest number of start times in any window of that length.
 
     >>> most_in_window([0.0, 0.5, 0.9, 1.0, 1.2], 1.0)
     4
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -1,7 +1,7 @@
-"""A harness of real instances, fake interpreters and fake clients in processes of their own, with faults by script.
+"""A harness of real instances, fake interpreters and fake clients in separate processes, with scripted faults.
 
-Everything is on loopback and bounded in time. The measuring processes are measured too: CPU and memory each quarter of a
-second, and the lateness of clients, interpreters and the harness itself.
+Everything is on loopback and bounded in time. It samples CPU and memory of the instances, and it reports the lateness of the
+measuring processes: clients, interpreters and the harness itself.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 from mulleinhatch.testing import fault_script as faults
 
-SAMPLE = 0.25  # seconds between two looks at the processes
-WINDOW = 2.0  # seconds over which a core counts as busy
-LEAD = 1.5  # seconds from the start of the clients to their first request
-UP_WITHIN = 15.0
+SAMPLE_INTERVAL_S = 0.25  # between samples of CPU and memory
+CORE_USE_WINDOW_S = 2.0  # over which core use is averaged
+CLIENT_LEAD_S = 1.5  # from the start of the clients to their first request
+STARTUP_TIMEOUT_S = 15.0
 GARBLE = b"\x00\x17garbled \xff line\r\nContent-Length: -7\r\n\r\n"
 
 
 class Case(NamedTuple):
-    """One run; times are seconds from the first request, rates requests a second."""
+    """One run; times are in seconds, rates in requests per second."""
 
     script: str
     run_for: float
@@ -40,13 +40,13 @@
     patience: float = 30.0
     heeding: float = 0.0
     marked: float = 1.0
-    alike: float = 0.0  # share of the requests whose bodies are all the same
-    steady: float = 1.0  # share of the clients whose rank and cost stay over the tries of a request
+    alike: float = 0.0  # share of the requests with identical bodies
+    steady: float = 1.0  # share of the clients that keep rank and cost over the attempts of a request
     instances: int = 1
     cores: int = 4
     work_ms: float = 50.0
     loads: int = 2  # client processes
-    cold_speed: float = 1.0  # of a fresh interpreter
+    cold_speed: float = 1.0  # relative speed of a fresh interpreter
     warming: float = 0.0  # seconds until it is warm
     seed: int = 1
     operator: str = ""  # the operator's file, as KDL
@@ -93,7 +93,7 @@
 
 
 class Place:
-    """An instance and its interpreter, at the same addresses in all their incarnations."""
+    """An instance and its interpreter, whose addresses stay the same over their incarnations."""
 
     def __init__(self, case: Case, number: int, folder: Path) -> None:
         self.case, self.number, self.folder = case, number, folder
@@ -105,7 +105,7 @@
         self.lost_reports: list[dict[str, Any]] = []
 
     async def start(self) -> None:
-        """Write the files and start interpreter and instance."""
+        """Write the settings files and start the interpreter and the instance."""
         case, self.incarnation = self.case, self.incarnation + 1
         config_json = {
             "name": f"n{self.number}",
@@ -156,13 +156,13 @@
         return {}
 
     async def kill(self) -> None:
-        """Kill the instance; the interpreter first reports its runs, which a kill would lose."""
+        """Kill the instance; the interpreter is terminated instead, so that it reports its runs."""
         self.instance.kill()
         self.lost_reports.append(await self.stop())
         self.watched = None
 
     async def ask(self, path: str) -> str:
-        """Return the whole answer to an HTTP GET."""
+        """Return the complete response to an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
@@ -186,9 +186,9 @@
         self.case, self.folder, self.on_sample = case, folder, on_sample
         self.faults = faults.read(case.script)
         self.places = [Place(case, number, folder) for number in range(case.instances)]
-        self.samples: list[tuple[float, list[float | None], list[int]]] = []  # at, CPU seconds, memory
+        self.samples: list[tuple[float, list[float | None], list[int]]] = []  # time, CPU seconds and memory by place
         self.late = 0.0
-        self.looks: list[tuple[float, float, dict[str, int]]] = []  # CPU seconds, at, counters
+        self.looks: list[tuple[float, float, dict[str, int]]] = []  # CPU seconds, time, counters
         self.noise: list[asyncio.Task[None]] = []
         self.start_at = math.inf
 
@@ -198,9 +198,9 @@
         try:
             for place in self.places:
                 await place.start()
-            await self._up()
-            self.start_at = time.time() + LEAD
-            loads = [await self._load(number) for number in range(self.case.loads)]
+            await self._wait_until_up()
+            self.start_at = time.time() + CLIENT_LEAD_S
+            loads = [await self._start_load(number) for number in range(self.case.loads)]
             sampling = asyncio.ensure_future(self._sample())
             reports = [asyncio.ensure_future(load.communicate()) for load in loads]
             await self._play_faults()
@@ -227,16 +227,16 @@
                 with contextlib.suppress(ProcessLookupError):
                     await place.stop()
 
-    async def _up(self) -> None:
+    async def _wait_until_up(self) -> None:
         """Wait until all instances answer a health check and are connected to their interpreters."""
-        until = time.monotonic() + UP_WITHIN
+        until = time.monotonic() + STARTUP_TIMEOUT_S
         for place in self.places:
             while not (await place.counters()).get("link_opened"):
                 if time.monotonic() > until:
                     raise TimeoutError(f"instance {place.number} is not up: see {self.folder}")
                 await asyncio.sleep(0.05)
 
-    async def _load(self, number: int) -> asyncio.subprocess.Process:
+    async def _start_load(self, number: int) -> asyncio.subprocess.Process:
         case = self.case
         habits = {
             "instances": [["127.0.0.1", place.port] for place in self.places],
@@ -271,9 +271,9 @@
             if wait > 0.0:
                 await asyncio.sleep(wait)
             self.late = max(self.late, time.time() - self.start_at - fault.at)
-            await asyncio.gather(*(self._do(fault, self.places[number]) for number in fault.places))
+            await asyncio.gather(*(self._apply_fault(fault, self.places[number]) for number in fault.places))
 
-    async def _do(self, fault: faults.Fault, place: Place) -> None:
+    async def _apply_fault(self, fault: faults.Fault, place: Place) -> None:
         if fault.what == "kill":
             await place.kill()
         elif fault.what == "start":
@@ -289,11 +289,11 @@
             for task in self.noise:
                 task.cancel()
         else:
-            self.noise += [asyncio.ensure_future(self._noise(place, fault.what)) for _ in range(fault.count)]
+            self.noise += [asyncio.ensure_future(self._disturb(place, fault.what)) for _ in range(fault.count)]
 
     @staticmethod
-    async def _noise(place: Place, what: str) -> None:
-        """Open a useless connection, again whenever it is closed."""
+    async def _disturb(place: Place, what: str) -> None:
+        """Open a connection that sends nothing or garbage, and reopen it whenever it is closed."""
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", place.port)
@@ -320,16 +320,16 @@
             self.samples.append((time.time() - self.start_at, cpu, memory))
             if self.on_sample:
                 self.on_sample(self)
-            await asyncio.sleep(SAMPLE)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
 def core_use(samples: list[tuple[float, list[float | None], list[int]]], since: float) -> float:
-    """Return the largest share of a core that one instance used in any `WINDOW` from `since` on.
+    """Return the largest share of a core that one instance used in any `CORE_USE_WINDOW_S` from `since` on.
 
     >>> core_use([(t / 4, [t / 8], [0]) for t in range(20)], 1.0)
     0.5
     """
-    most, width = 0.0, round(WINDOW / SAMPLE)
+    most, width = 0.0, round(CORE_USE_WINDOW_S / SAMPLE_INTERVAL_S)
     for earlier, later in zip(samples, samples[width:]):
         if earlier[0] >= since:
             for before, after in zip(earlier[1], later[1]):
@@ -346,9 +346,9 @@
 
 
 def played_beside(cases: list[Case], on_sample: Callable[[InstanceHarness], None] | None = None) -> list[dict[str, Any]]:
-    """Run several cases at once, for a comparison under the same conditions; each takes four processes or more."""
+    """Run several cases at once, to compare them under the same conditions; each takes four or more processes."""
 
-    async def all_of_them() -> list[dict[str, Any]]:
+    async def run_all() -> list[dict[str, Any]]:
         with tempfile.TemporaryDirectory() as folder:
             harnesses = []
             for number, case in enumerate(cases):
@@ -357,11 +357,11 @@
                 harnesses.append(InstanceHarness(case, place, on_sample))
             return list(await asyncio.gather(*(harness.play() for harness in harnesses)))
 
-    return asyncio.run(all_of_them())
+    return asyncio.run(run_all())
 
 
 def outcome(case: Case, report: dict[str, Any]) -> dict[str, Any]:
-    """Return the figures that a run is judged by; shares from 0 to 1, times in seconds from the end of the outage."""
+    """Return the results of a run; shares are from 0 to 1, times in seconds from the end of the last outage."""
     bucket = report["stubs"][0]["bucket"]
     first: dict[int, int] = {}
     good: dict[int, int] = {}
@@ -373,7 +373,8 @@
     start, stop = round(end * per), round(case.run_for * per)
     after, served = sum(first.get(b, 0) for b in range(start, stop)), sum(good.get(b, 0) for b in range(start, stop))
     back, late = None, 0
-    for at in range(stop - 2 * per, start - 1, -1):  # backwards: the last two seconds that were not good
+    # Backwards, to find the last two seconds with fewer than 90% served in time.
+    for at in range(stop - 2 * per, start - 1, -1):
         wanted, got = (sum(of.get(b, 0) for b in range(at, at + 2 * per)) for of in (first, good))
         if got < 0.9 * wanted:
             break
@@ -386,7 +387,7 @@
         for name, count in incarnation.get("twice", {}).items():
             twice[name] = twice.get(name, 0) + count
         late = max(late, incarnation.get("late_most", 0.0))
-        # Requests that look alike are counted by the ids of their attempts: only the clients know their identity.
+        # Requests with identical bodies are counted by the ids of their attempts, because only the clients know their identity.
         owners = [
             (number, refs[ref])
             for ref in incarnation.get("alike", ())
@@ -419,5 +420,5 @@
 
 
 def keep_environment() -> None:
-    """Let child processes import the project from where this one was started."""
+    """Let child processes import the project from the same source tree."""
     os.environ.setdefault("PYTHONPATH", str(Path(__file__).parents[2]))
--- a/mulleinhatch/testing/load_generator.py
+++ b/mulleinhatch/testing/load_generator.py
@@ -1,13 +1,13 @@
-"""A lean open-loop load generator that is free of coordinated omission.
+"""A lightweight open-loop load generator without coordinated omission.
 
-Requests leave when they are due, whatever happened to earlier ones, and a latency counts from the moment the request was due,
-so a server that stands still shows in each request that it kept waiting.
+Requests are sent when due regardless of earlier ones, and latency is measured from the due time, so a stalled server shows in
+every request that it delays.
 
 Runs as `python -m mulleinhatch.testing.load_generator`, with its settings (`Habits`) as one JSON line on standard input; it
 prints `up`, and at the end of its time one JSON line. It speaks HTTP/1.1 to a service instance, or the interpreter protocol to
-an interpreter: the same requests, to measure what the instance adds. One thread over epoll; the wait for the next request is a
-`select` on the epoll's descriptor, which takes microseconds where epoll rounds up to a millisecond. Times are seconds of the
-monotonic clock.
+an interpreter: the same requests, to measure the overhead of the instance. It is one thread over epoll; it waits for the next
+request with `select` on the epoll descriptor, which has microsecond resolution, while epoll rounds up to a millisecond. Times
+are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -30,41 +30,41 @@
 DONE = re.compile(rb'"t": ?"VALUE".*?"rid": ?"([0-9a-f]{16})"')
 QUANTILES = (50, 90, 99, 99.9, 100)
 CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
-SLICE = 0.1  # seconds over which the driver's own lateness is kept
-STRIDE = 7919  # a prime: the names are gone through out of order, each once before one comes again
+SLICE_S = 0.1  # resolution of the generator's own lateness
+STRIDE = 7919  # a prime, so that names are used out of order, each once before any repeats
 
 
 class Habits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The settings of a generator; rates are requests a second, times seconds."""
+    """The settings of a generator; rates are in requests per second, times in seconds."""
 
     port: int  # on loopback
     rate: float
     run_for: float
-    wire: str = "http"  # or "link": the interpreter's own protocol
+    wire: str = "http"  # or "link" for the interpreter protocol
     seed: int = 1
-    even: bool = False  # evenly spaced, not by a Poisson process
-    skip: float = 0.0  # from the start, in which latencies are not counted
-    drain: float = 6.0  # after the last request, in which answers may still come: longer than a request waits
-    work_ms: float = 1.0  # of a request, on one core of the interpreter
-    connections: int = 64  # at most; they are kept
-    opened: int = 0  # of these, before the first request: no connect then waits for a server that stands still
-    idle: int = 0  # connections that are opened first, asked on once and left alone
-    first: int = 0  # of the callers, tenants and classes, for runs that go on where one left off
+    even: bool = False  # evenly spaced arrivals instead of a Poisson process
+    skip: float = 0.0  # initial time without latency measurement
+    drain: float = 6.0  # wait for answers after the last request; longer than the timeout of a request
+    work_ms: float = 1.0  # work per request, on one core of the interpreter
+    connections: int = 64  # maximum number of keep-alive connections
+    opened: int = 0  # of these, opened before the first request, so that no connect waits for a stalled server
+    idle: int = 0  # extra connections that send one request at the start and then stay idle
+    first: int = 0  # index of the first caller, tenant and class, to continue where an earlier run ended
     callers: int = 4
-    tenants: int = 0  # 0: no tenant is named
-    tenant: str = "t%07d"  # the form of their names
+    tenants: int = 0  # 0 sends no tenant
+    tenant: str = "t%07d"  # format of their names
     classes: int = 1
-    repeats: float = 0.0  # share that is marked as a further try
-    keep: bool = False  # report each answer, [when due, latency], and the driver's lateness by slices
+    repeats: float = 0.0  # share of requests marked as retries
+    keep: bool = False  # report each answer as [due time, latency], and the generator's lateness by slice
 
 
-def checked(line: bytes) -> Habits:
+def parse_habits(line: bytes) -> Habits:
     """Parse and validate the settings.
 
-    >>> checked(b'{"port": 1, "rate": 0, "run_for": 1}')
+    >>> parse_habits(b'{"port": 1, "rate": 0, "run_for": 1}')
     Traceback (most recent call last):
     ValueError: rate: 0.0 is not above zero
-    >>> checked(b'{"port": 1, "rate": 1, "run_for": 1, "wire": "carrier pigeon"}')
+    >>> parse_habits(b'{"port": 1, "rate": 1, "run_for": 1, "wire": "carrier pigeon"}')
     Traceback (most recent call last):
     ValueError: wire: 'carrier pigeon' is neither http nor link
     """
@@ -77,8 +77,8 @@
     return habits
 
 
-class Wire:
-    """One kept connection; `due` is when its request in flight was to leave, 0.0 with none."""
+class Connection:
+    """A keep-alive connection; `due` is the due time of its request in flight, 0.0 without one."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port), 2.0)
@@ -87,47 +87,47 @@
         self.due, self.data = 0.0, b""
 
 
-class Driver:
+class LoadGenerator:
     """The connections, requests and counts of one run."""
 
     def __init__(self, habits: Habits) -> None:
         self.habits, self.draw = habits, random.Random(habits.seed)
         self.epoll = select.epoll()
-        self.wires: dict[int, Wire] = {}
-        self.free: list[Wire] = []
-        self.waiting: deque[tuple[float, int]] = deque()  # due, number: no connection was free
-        self.refs: dict[bytes, float] = {}  # on the link: when the run was due
+        self.connections: dict[int, Connection] = {}
+        self.available: list[Connection] = []
+        self.waiting: deque[tuple[float, int]] = deque()  # due time and number of requests without a free connection
+        self.refs: dict[bytes, float] = {}  # on the link: due time of each run
         self.latency, self.late = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)  # microseconds
         self.sent = self.answered = self.broken = self.waited = 0
         self.statuses: dict[str, int] = {}
         self.kept: list[tuple[float, float]] = []
-        self.late_in: dict[int, float] = {}  # by slice of the clock: how late at most
+        self.late_in: dict[int, float] = {}  # by slice of the clock: maximum lateness in seconds
         self.count_from = 0.0
-        self.rest: list[socket.socket] = []
+        self.idle_sockets: list[socket.socket] = []
 
-    def settle(self) -> None:
-        """Open the idle connections and send one request on each: a connection that never sent one is not kept."""
+    def open_connections(self) -> None:
+        """Open connections and send one request on each, because a server closes connections that never sent one."""
         for _ in range(self.habits.idle):
             sock = socket.create_connection(("127.0.0.1", self.habits.port), 5.0)
             sock.sendall(CHECK)
             sock.recv(4096)
-            self.rest.append(sock)
+            self.idle_sockets.append(sock)
         for _ in range(self.habits.opened):
-            wire = self._connect()
-            wire.sock.settimeout(5.0)
-            wire.sock.sendall(CHECK)
-            wire.sock.recv(4096)
-            wire.sock.setblocking(False)
-            self.free.append(wire)
+            connection = self._connect()
+            connection.sock.settimeout(5.0)
+            connection.sock.sendall(CHECK)
+            connection.sock.recv(4096)
+            connection.sock.setblocking(False)
+            self.available.append(connection)
         if self.habits.wire == "link":
-            wire = self._connect()
-            wire.sock.sendall(b'{"t":"CONNECT","no":0}\n')
+            connection = self._connect()
+            connection.sock.sendall(b'{"t":"CONNECT","no":0}\n')
 
-    def _connect(self) -> Wire:
-        wire = Wire(self.habits.port)
-        self.wires[wire.sock.fileno()] = wire
-        self.epoll.register(wire.sock.fileno(), select.EPOLLIN)
-        return wire
+    def _connect(self) -> Connection:
+        connection = Connection(self.habits.port)
+        self.connections[connection.sock.fileno()] = connection
+        self.epoll.register(connection.sock.fileno(), select.EPOLLIN)
+        return connection
 
     def _request(self, number: int, now: float) -> bytes:
         habits, place = self.habits, self.habits.first + number
@@ -153,102 +153,106 @@
         while due < until:
             while (now := time.monotonic()) >= due and due < until:
                 self.late.record_value(max(1, int(1e6 * (now - due))))
-                place = int(due / SLICE)
+                place = int(due / SLICE_S)
                 self.late_in[place] = max(self.late_in.get(place, 0.0), now - due)
                 self._send(due, number)
                 number += 1
                 due += 1.0 / habits.rate if habits.even else self.draw.expovariate(habits.rate)
-            self._hear(min(due, until))
+            self._receive(min(due, until))
         last = time.monotonic() + habits.drain
         while (self.outstanding() or self.waiting) and time.monotonic() < last:
-            self._hear(last)
+            self._receive(last)
 
     def outstanding(self) -> int:
         """Return the number of requests in flight."""
-        return len(self.refs) if self.habits.wire == "link" else sum(wire.due > 0.0 for wire in self.wires.values())
+        return (
+            len(self.refs)
+            if self.habits.wire == "link"
+            else sum(connection.due > 0.0 for connection in self.connections.values())
+        )
 
     def _send(self, due: float, number: int) -> None:
         self.sent += 1
         if self.habits.wire == "link":
-            wire = next(iter(self.wires.values()), None)
-            if wire is None:
+            connection = next(iter(self.connections.values()), None)
+            if connection is None:
                 self.broken += 1
                 return
-            self._write(wire, self._request(number, due))
-        elif self.free:
-            self._ask(self.free.pop(), due, number)
-        elif len(self.wires) < self.habits.connections:
+            self._write(connection, self._request(number, due))
+        elif self.available:
+            self._send_on(self.available.pop(), due, number)
+        elif len(self.connections) < self.habits.connections:
             try:
-                self._ask(self._connect(), due, number)
+                self._send_on(self._connect(), due, number)
             except OSError:
                 self.broken += 1
         else:
             self.waited += 1
             self.waiting.append((due, number))
 
-    def _ask(self, wire: Wire, due: float, number: int) -> None:
-        wire.due = due
-        self._write(wire, self._request(number, due))
+    def _send_on(self, connection: Connection, due: float, number: int) -> None:
+        connection.due = due
+        self._write(connection, self._request(number, due))
 
-    def _write(self, wire: Wire, data: bytes) -> None:
+    def _write(self, connection: Connection, data: bytes) -> None:
         try:
-            if wire.sock.send(data) < len(data):
-                self._lose(wire)  # a peer that reads nothing for so long that a whole buffer stands full
+            if connection.sock.send(data) < len(data):
+                self._drop_connection(connection)  # the peer stopped reading, so the send buffer is full
         except OSError:
-            self._lose(wire)
+            self._drop_connection(connection)
 
-    def _lose(self, wire: Wire) -> None:
+    def _drop_connection(self, connection: Connection) -> None:
         """Close a connection; its request in flight is lost."""
-        if self.wires.pop(wire.sock.fileno(), None) is None:
+        if self.connections.pop(connection.sock.fileno(), None) is None:
             return
-        self.broken += len(self.refs) if self.habits.wire == "link" else wire.due > 0.0
+        self.broken += len(self.refs) if self.habits.wire == "link" else connection.due > 0.0
         self.refs.clear()
-        if wire in self.free:
-            self.free.remove(wire)
-        wire.sock.close()
+        if connection in self.available:
+            self.available.remove(connection)
+        connection.sock.close()
 
-    def _hear(self, until: float) -> None:
+    def _receive(self, until: float) -> None:
         wait = until - time.monotonic()
         if wait > 0.0:
             select.select([self.epoll], [], [], wait)
         for fd, _ in self.epoll.poll(0):
-            wire = self.wires.get(fd)
-            if wire is None:
+            connection = self.connections.get(fd)
+            if connection is None:
                 continue
             try:
-                data = wire.sock.recv(65536)
+                data = connection.sock.recv(65536)
             except BlockingIOError:
                 continue
             except OSError:
                 data = b""
             if not data:
-                self._lose(wire)
+                self._drop_connection(connection)
                 continue
-            wire.data += data
-            (self._runs if self.habits.wire == "link" else self._answer)(wire, time.monotonic())
+            connection.data += data
+            (self._handle_notices if self.habits.wire == "link" else self._handle_response)(connection, time.monotonic())
 
-    def _runs(self, wire: Wire, now: float) -> None:
-        *lines, wire.data = wire.data.split(b"\n")
+    def _handle_notices(self, connection: Connection, now: float) -> None:
+        *lines, connection.data = connection.data.split(b"\n")
         for line in lines:
             found = DONE.search(line)
             if found and (due := self.refs.pop(found[1], None)) is not None:
-                self._over("200", due, now)
+                self._complete("200", due, now)
 
-    def _answer(self, wire: Wire, now: float) -> None:
-        found = ANSWER.match(wire.data)
-        if not found or len(wire.data) < found.end() + int(found[2]) or wire.due == 0.0:
+    def _handle_response(self, connection: Connection, now: float) -> None:
+        found = ANSWER.match(connection.data)
+        if not found or len(connection.data) < found.end() + int(found[2]) or connection.due == 0.0:
             return
-        due, wire.due, last = wire.due, 0.0, b"Connection: close" in found[0]
-        wire.data = wire.data[found.end() + int(found[2]) :]
-        self._over(found[1].decode(), due, now)
+        due, connection.due, last = connection.due, 0.0, b"Connection: close" in found[0]
+        connection.data = connection.data[found.end() + int(found[2]) :]
+        self._complete(found[1].decode(), due, now)
         if last:
-            self._lose(wire)
+            self._drop_connection(connection)
         elif self.waiting:
-            self._ask(wire, *self.waiting.popleft())
+            self._send_on(connection, *self.waiting.popleft())
         else:
-            self.free.append(wire)
+            self.available.append(connection)
 
-    def _over(self, status: str, due: float, now: float) -> None:
+    def _complete(self, status: str, due: float, now: float) -> None:
         self.answered += 1
         self.statuses[status] = self.statuses.get(status, 0) + 1
         if due >= self.count_from:
@@ -257,7 +261,7 @@
                 self.kept.append((due, now - due))
 
     def report(self) -> dict[str, Any]:
-        """Return all figures; latencies in milliseconds. A request is lost if it had no answer, for whatever reason."""
+        """Return all counts and latencies, in milliseconds. A request without an answer is lost, whatever the reason."""
 
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"p{q:g}": histogram.get_value_at_percentile(q) / 1000.0 for q in QUANTILES}
@@ -280,8 +284,8 @@
 def calm_latencies(report: dict[str, Any], most: float) -> list[float]:
     """Return the latencies in seconds of requests due while the generator itself was on time.
 
-    A request counts if in its slice of time, and in the one before, the generator was late by `most` at most. That lateness
-    depends on the machine and not on the server, so no wait caused by the server is left out.
+    A request counts if the generator was late by at most `most` in its time slice and in the one before. That lateness
+    depends on the machine and not on the server, so no delay caused by the server is excluded.
 
     >>> calm_latencies({"kept": [[0.05, 1.0], [0.15, 2.0], [0.25, 3.0], [0.35, 4.0]], "late_in": {"2": 0.1}}, 0.01)
     [1.0, 2.0]
@@ -290,21 +294,21 @@
     return [
         latency
         for due, latency in report["kept"]
-        if max(late.get(int(due / SLICE), 0.0), late.get(int(due / SLICE) - 1, 0.0)) <= most
+        if max(late.get(int(due / SLICE_S), 0.0), late.get(int(due / SLICE_S) - 1, 0.0)) <= most
     ]
 
 
 def main() -> None:
     """Run the generator and print its report."""
     try:
-        habits = checked(sys.stdin.buffer.readline())
+        habits = parse_habits(sys.stdin.buffer.readline())
     except (ValueError, msgspec.MsgspecError) as error:
-        sys.exit(f"heavy: {error}")
-    driver = Driver(habits)
-    driver.settle()
+        sys.exit(f"load_generator: {error}")
+    generator = LoadGenerator(habits)
+    generator.open_connections()
     print("up", flush=True)
-    driver.play()
-    print(json.dumps(driver.report()), flush=True)
+    generator.play()
+    print(json.dumps(generator.report()), flush=True)
 
 
 if __name__ == "__main__":
--- a/mulleinhatch/testing/single_instance.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -1,7 +1,7 @@
-"""One service instance and its fake interpreter as real processes, with settings of any size, and their cost.
+"""One service instance and its fake interpreter as real processes, with settings of any size, and measurements of their cost.
 
-CPU seconds are user and system time of all threads, in nanoseconds where the system provides it; memory is what belongs to the
-process alone (USS), in bytes.
+CPU seconds are user and system time of all threads, in nanoseconds where the system provides it; memory is the unique set
+size (USS), in bytes.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 from mulleinhatch.testing.instance_harness import free_port
 
-UP_WITHIN = 120.0  # seconds: the largest settings take their time, on a busy machine the more
-CORES = 8  # of the interpreter: such that short work never waits for one
+STARTUP_TIMEOUT_S = 120.0  # the largest settings load slowly, especially on a busy machine
+CORES = 8  # of the interpreter, so that short work never waits for a core
 WORTHS = 4  # distinct worths of the classes
 
 
 def settings(tenants: int = 0, classes: int = 1, worths: int = WORTHS, quota: float = 20.0) -> dict[str, Any]:
-    """Return settings of that size; each tenant has a fraction (four times its even share) and a quota in requests a second."""
+    """Return settings of the given size; each tenant gets four times its even share, and `quota` requests per second."""
     if tenants < 0 or classes < 1 or worths < 1:
-        raise ValueError(f"{tenants} tenants, {classes} classes of {worths} worths: sizes below what there can be")
+        raise ValueError(f"{tenants} tenants, {classes} classes of {worths} worths: sizes are too small")
     timing = {"aim": 1800.0, "deadline": 4500.0, "late_worth": 0.0, "memory_span": 60_000.0}
     settings_json: dict[str, Any] = {
         "classes": [
@@ -59,7 +59,7 @@
 
 
 def cpu_seconds(process: psutil.Process) -> float:
-    """Return the CPU time of all threads, from the scheduler's count where there is one, else in ticks of 10 ms."""
+    """Return the CPU time of all threads, from the scheduler's statistics if available, otherwise in ticks of 10 ms."""
     try:
         tasks = Path(f"/proc/{process.pid}/task")
         found = sum(int((task / "schedstat").read_text().split()[0]) for task in tasks.iterdir())
@@ -72,7 +72,7 @@
 
 
 class SingleInstance:
-    """The two processes; `stop` or a `with` block ends them."""
+    """Runs the two processes; `stop` or a `with` block ends them."""
 
     def __init__(self, folder: Path, settings_json: dict[str, Any], sockets: int = 1024, operator: str = "") -> None:
         self.folder, self.port, self.link = folder, free_port(), free_port()
@@ -96,7 +96,7 @@
             )
         self.watched = psutil.Process(self.process.pid)
         try:
-            self._until_live(began)
+            self._wait_until_serving(began)
         except BaseException:
             self.stop()
             raise
@@ -108,7 +108,7 @@
         self.stop()
 
     def write(self, settings_json: dict[str, Any]) -> None:
-        """Write the file of the next start or reload atomically."""
+        """Write the settings file for the next start or reload atomically."""
         config_json = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -138,29 +138,29 @@
         process.kill()
         raise TimeoutError(f"no interpreter at {port}")
 
-    def _until_live(self, began: float) -> None:
+    def _wait_until_serving(self, began: float) -> None:
         """Wait until a health check succeeds, then until a request does; record time, CPU and memory.
 
-        Decisions are only possible once the interpreter has greeted, which takes a while with large settings.
+        Requests are served only after the interpreter's banner, which takes a while with large settings.
         """
-        self._until("live", began, lambda: self.ask("/status/live"))
+        self._wait_until("live", began, lambda: self.ask("/status/live"))
         self.ready_s, self.ready_cpu_s = time.monotonic() - began, self.cpu()
-        self._until("serving", began, self._request)
+        self._wait_until("serving", began, self._request)
         self.serving_s, self.serving_cpu_s = time.monotonic() - began, self.cpu()
-        time.sleep(0.3)  # its first gauges
+        time.sleep(0.3)  # until the first gauge readings
         self.ready_bytes, self.peak_bytes = self.memory(), self.peak()
 
-    def _until(self, what: str, began: float, asked: Callable[[], str]) -> None:
-        while time.monotonic() - began < UP_WITHIN:
+    def _wait_until(self, what: str, began: float, probe: Callable[[], str]) -> None:
+        while time.monotonic() - began < STARTUP_TIMEOUT_S:
             if self.process.poll() is not None:
                 raise RuntimeError(f"the instance ended with {self.process.returncode}: {self.log.read_text()[-400:]}")
             try:
-                if asked().startswith("HTTP/1.1 200"):
+                if probe().startswith("HTTP/1.1 200"):
                     return
             except OSError:
                 pass
             time.sleep(0.01)
-        raise TimeoutError(f"not {what} within {UP_WITHIN:.0f} s: {self.log.read_text()[-400:]}")
+        raise TimeoutError(f"not {what} within {STARTUP_TIMEOUT_S:.0f} s: {self.log.read_text()[-400:]}")
 
     def _request(self) -> str:
         ref, tenant = f"{random.getrandbits(64):016x}", f"X-Tenant: {self.first_tenant}\r\n" if self.first_tenant else ""
@@ -172,7 +172,7 @@
         )
 
     def ask(self, path: str) -> str:
-        """Return the whole answer to an HTTP GET."""
+        """Return the complete response to an HTTP GET."""
         return self._exchange(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 
     def _exchange(self, request: str) -> str:
@@ -207,11 +207,11 @@
         Path(f"/proc/{self.process.pid}/clear_refs").write_text("5")
 
     def left(self) -> str:
-        """Return the settings that the last reload logged as deferred to a restart."""
+        """Return the settings that the last reload deferred to a restart, from the log."""
         return self.log.read_text().rpartition("left_until_restart=")[2].split(maxsplit=1)[0] if self.log.exists() else ""
 
     def reload(self) -> None:
-        """Let the instance read its file again."""
+        """Make the instance reload its settings file."""
         self.process.send_signal(signal.SIGHUP)
 
     def stop(self) -> None:
@@ -223,7 +223,7 @@
 
 
 class Driving:
-    """A running load generator; it has begun when the constructor returns."""
+    """A running load generator, which has started when the constructor returns."""
 
     def __init__(self, port: int, rate: float, run_for: float, **habits: Any) -> None:
         self.run_for = run_for
@@ -234,7 +234,7 @@
         self.process.stdin.flush()
         if self.process.stdout.readline() != b"up\n":
             self.process.wait()
-            raise RuntimeError(f"the driver ended with {self.process.returncode}")
+            raise RuntimeError(f"the load generator ended with {self.process.returncode}")
 
     def done(self) -> dict[str, Any]:
         """Wait for the report."""
@@ -247,11 +247,11 @@
 
 
 def driven(single_instance: SingleInstance, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
-    """Run a generator against the instance; return its report, with the instance's CPU and, towards its end, memory."""
-    driving = Driving(single_instance.port, rate, run_for, **habits)
+    """Run a generator against the instance; return its report with the instance's CPU, and its memory after 80% of the run."""
+    running_load = Driving(single_instance.port, rate, run_for, **habits)
     cpu, at = single_instance.cpu(), time.monotonic()
     time.sleep(0.8 * run_for)
     memory = single_instance.memory()
-    report = driving.done()
+    report = running_load.done()
     cpu, took = single_instance.cpu() - cpu, time.monotonic() - at
     return {**report, "cpu_ms": 1000.0 * cpu / max(1, report["answered"]), "core": cpu / took, "memory": memory, "took": took}
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -1,4 +1,4 @@
-"""What measures an instance at the target size must itself be right: waits are seen, lost answers counted, settings taken."""
+"""The tools that measure an instance at the target size: the load generator, the settings, and the records of costs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
 from mulleinhatch.instance.runtime.instance_settings import placement
-from mulleinhatch.testing.load_generator import Driver, Habits
+from mulleinhatch.testing.load_generator import Habits, LoadGenerator
 from mulleinhatch.testing.single_instance import SingleInstance, cpu_seconds, driven, settings
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -28,7 +28,7 @@
 
 @contextmanager
 def server(answer: Callable[[bytes], bytes | None]) -> Iterator[int]:
-    """A server with a thread a connection; `answer` gets what came and tells what goes back, None to close."""
+    """Run a server with one thread per connection; `answer` maps received data to a reply, None to close the connection."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
 
     def converse(sock: socket.socket) -> None:
@@ -55,74 +55,75 @@
         listener.close()
 
 
-def played(port: int, **habits: object) -> dict:
-    driver = Driver(Habits(port=port, **{"rate": 100.0, "run_for": 0.6, "even": True, "keep": True, **habits}))
-    driver.settle()
-    driver.play()
-    return driver.report()
+def run_generator(port: int, **habits: object) -> dict:
+    generator = LoadGenerator(Habits(port=port, **{"rate": 100.0, "run_for": 0.6, "even": True, "keep": True, **habits}))
+    generator.open_connections()
+    generator.play()
+    return generator.report()
 
 
-def test_all_that_waited_for_a_server_that_stood_still_are_slow() -> None:
-    """With two connections only two requests are on their way in the standstill; those due behind them waited no less."""
+def test_every_request_delayed_by_a_stalled_server_is_slow() -> None:
+    """Guards against coordinated omission: with two connections only two requests are in flight during the stall, but the
+    requests due after them are delayed as well."""
     begun = time.monotonic()
-    still = begun + 0.2, begun + 0.6
+    stall = begun + 0.2, begun + 0.6
 
     def answer(data: bytes) -> bytes:
         now = time.monotonic()
-        if still[0] <= now < still[1]:
-            time.sleep(still[1] - now)
+        if stall[0] <= now < stall[1]:
+            time.sleep(stall[1] - now)
         return GOOD
 
     with server(answer) as port:
-        report = played(port, connections=2)
+        report = run_generator(port, connections=2)
     assert report["lost"] == 0 and report["answered"] == report["sent"] > 50
     assert report["latency_ms"]["p100"] >= 350.0
-    assert sum(latency >= 0.1 for _, latency in report["kept"]) >= 25  # of 40 due in the standstill
+    assert sum(latency >= 0.1 for _, latency in report["kept"]) >= 25  # of 40 due during the stall
     assert report["waited"] >= 25
 
 
-def test_a_latency_counts_from_when_the_request_was_due() -> None:
+def test_latency_is_measured_from_the_due_time() -> None:
     with server(lambda data: GOOD) as port:
-        driver = Driver(Habits(port=port, rate=100.0, run_for=0.1))
-        driver.settle()
-        driver._send(time.monotonic() - 0.25, 0)  # it leaves a quarter of a second late
-        while driver.outstanding():
-            driver._hear(time.monotonic() + 0.1)
-    assert driver.report()["latency_ms"]["p100"] >= 250.0
+        generator = LoadGenerator(Habits(port=port, rate=100.0, run_for=0.1))
+        generator.open_connections()
+        generator._send(time.monotonic() - 0.25, 0)  # sent a quarter of a second late
+        while generator.outstanding():
+            generator._receive(time.monotonic() + 0.1)
+    assert generator.report()["latency_ms"]["p100"] >= 250.0
 
 
-def test_what_has_no_answer_is_lost() -> None:
+def test_unanswered_requests_are_lost() -> None:
     with server(lambda data: b"") as port:
-        report = played(port, run_for=0.2, drain=0.1, connections=50)
+        report = run_generator(port, run_for=0.2, drain=0.1, connections=50)
     assert report["lost"] == report["sent"] > 10 and report["answered"] == 0
 
 
-def test_what_ends_with_its_connection_is_lost() -> None:
-    came: list[bytes] = []
+def test_requests_on_a_closed_connection_are_lost() -> None:
+    received: list[bytes] = []
 
     def answer(data: bytes) -> bytes | None:
-        came.append(data)
-        return None if len(came) % 5 == 0 else GOOD
+        received.append(data)
+        return None if len(received) % 5 == 0 else GOOD
 
     with server(answer) as port:
-        report = played(port)
-    assert report["broken"] == report["lost"] == len(came) // 5 > 5
-    assert report["answered"] + report["lost"] == report["sent"] == len(came)
+        report = run_generator(port)
+    assert report["broken"] == report["lost"] == len(received) // 5 > 5
+    assert report["answered"] + report["lost"] == report["sent"] == len(received)
 
 
-def test_an_answer_in_pieces_is_one_answer_and_a_rejection_is_no_good_one() -> None:
+def test_rejections_are_counted_by_status() -> None:
     rejected = b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
 
     def answer(data: bytes) -> bytes:
         return rejected if b"X-Retry" in data else GOOD
 
     with server(answer) as port:
-        report = played(port, repeats=0.5)
+        report = run_generator(port, repeats=0.5)
     assert report["lost"] == 0 and report["statuses"]["429"] + report["statuses"]["200"] == report["sent"]
     assert report["statuses"]["429"] > 10
 
 
-def test_on_the_link_runs_without_a_notice_are_lost() -> None:
+def test_runs_without_a_notice_on_the_link_are_lost() -> None:
     def answer(data: bytes) -> bytes:
         refs = re.findall(rb'"rid":"([0-9a-f]{16})"', data)
         return b"".join(
@@ -130,12 +131,12 @@
         )
 
     with server(answer) as port:
-        report = played(port, wire="link", drain=0.1)
+        report = run_generator(port, wire="link", drain=0.1)
     assert 10 < report["lost"] < report["sent"] - 10 and report["lost"] + report["answered"] == report["sent"]
 
 
 @pytest.mark.parametrize("tenants,classes", [(0, 1), (3, 2), (2000, 1), (5, 3000)])
-def test_settings_of_any_size_are_taken(tmp_path: Path, tenants: int, classes: int) -> None:
+def test_settings_of_any_size_are_valid(tmp_path: Path, tenants: int, classes: int) -> None:
     config = tmp_path / "config.json"
     config.write_text(
         json.dumps(
@@ -152,13 +153,13 @@
     assert (len(place.tenants), len(place.op_types)) == (tenants, classes)
     assert all(tenant["fraction"] > 0 and tenant["quota_per_s"] > 0 for tenant in place.deployment["tenants"])
     environ = {name: text for name, text in os.environ.items() if not name.startswith("NODE_")}
-    said = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "mulleinhatch", "check", "--config", str(config)], capture_output=True, text=True, env=environ
     )
-    assert said.returncode == 0 and f"{classes} op types, {tenants} tenants" in said.stdout
+    assert completed.returncode == 0 and f"{classes} op types, {tenants} tenants" in completed.stdout
 
 
-def test_an_instance_answers_by_name_for_each_tenant_and_refuses_those_it_never_heard_of(tmp_path: Path) -> None:
+def test_known_tenants_are_served_and_unknown_ones_get_400(tmp_path: Path) -> None:
     with SingleInstance(tmp_path, settings(50)) as single_instance:
         good = driven(single_instance, 100, 0.8, tenants=50)
         unknown = driven(single_instance, 20, 0.3, tenants=50, tenant="x%07d", connections=50)
@@ -169,20 +170,20 @@
         until = time.monotonic() + 5.0
         while not single_instance.counters().get("reloads") and time.monotonic() < until:
             time.sleep(0.02)
-        left = single_instance.left()
+        deferred = single_instance.left()
         assert (
             cpu_seconds(single_instance.watched) > 0.05
             and single_instance.memory() > 5e6
             and single_instance.peak() > single_instance.memory()
         )
-    # Some may be rejected where the machine is busy; who is not known is refused with 400, whatever the load.
+    # Some requests may be rejected on a busy machine; those of unknown tenants get 400 at any load.
     assert good["lost"] == 0 and set(good["statuses"]) <= {"200", "429"} and good["cpu_ms"] > 0.0
     assert good["statuses"]["200"] >= good["sent"] // 2
     assert unknown["lost"] == 0 and unknown["statuses"] == {"400": unknown["sent"]}
-    assert left == "deployment"
+    assert deferred == "deployment"
 
 
-def test_an_instance_that_does_not_start_says_why(tmp_path: Path) -> None:
+def test_failed_start_reports_the_reason(tmp_path: Path) -> None:
     report = settings(2)
     report["tenants"][1]["name"] = report["tenants"][0]["name"]
     with pytest.raises(RuntimeError, match="ended with 2.*a name comes twice"):
@@ -192,7 +193,7 @@
 @pytest.mark.parametrize(
     "arguments,named", [(["--only", "everything"], "added, connections, callers"), (["--seed", "x"], "no whole number")]
 )
-def test_bad_arguments_are_named(capsys: pytest.CaptureFixture[str], arguments: list[str], named: str) -> None:
+def test_invalid_arguments_are_named(capsys: pytest.CaptureFixture[str], arguments: list[str], named: str) -> None:
     assert scale_instance.main(arguments) == 2
     assert named in capsys.readouterr().err
 
@@ -205,25 +206,25 @@
         ({"rate": 1, "run_for": 1, "raet": 1}, "unknown field `raet`"),
     ],
 )
-def test_a_driver_names_what_is_wrong_with_its_habits(habits: dict, named: str) -> None:
-    said = subprocess.run(
+def test_generator_names_the_invalid_setting(habits: dict, named: str) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "mulleinhatch.testing.load_generator"],
         capture_output=True,
         text=True,
         input=json.dumps({"port": 1, **habits}) + "\n",
     )
-    assert said.returncode == 1 and named in said.stderr
+    assert completed.returncode == 1 and named in completed.stderr
 
 
-def test_sizes_below_zero_are_refused() -> None:
+def test_too_small_sizes_are_rejected() -> None:
     for sizes in ((-1, 1), (0, 0), (0, 1, 0)):
-        with pytest.raises(ValueError, match="below what there can be"):
+        with pytest.raises(ValueError, match="sizes are too small"):
             settings(*sizes)
     with pytest.raises(ValueError, match="a fit of 1 points"):
         worthwhile([[1, 1.0]])
 
 
-def test_the_largest_of_five_sizes_checks_the_fit_of_the_others() -> None:
+def test_fit_is_checked_against_the_largest_of_five_sizes() -> None:
     measurements = scale_instance.Measurements(quick=False, seed=1)
     straight = [(size, 10.0 + 0.01 * size) for size in (10, 100, 1000, 5000)]
     measurements.cost("settings.straight", "MB", "tenants", [*straight, (50_000, 510.0)])
@@ -237,7 +238,7 @@
     assert measurements.check_error("instance.settings.four") is None
 
 
-def test_a_part_is_recorded_beside_the_others(tmp_path: Path) -> None:
+def test_new_measurements_are_merged_into_the_record(tmp_path: Path) -> None:
     path, points = tmp_path / "instance.json", [(1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0)]
     for part in ("tenants", "routes", "tenants"):
         measurements = scale_instance.Measurements(quick=False, seed=1)
