--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -193,9 +193,9 @@
             if wait > 0.0:
                 await asyncio.sleep(wait)
             self.late.record_value(max(1, min(60_000, int(1000.0 * (time.time() - at)))))
-            self.born(at)
+            self.start_request(at)
 
-    def born(self, at: float) -> None:
+    def start_request(self, at: float) -> None:
         """Start a new request that arrives at `at`."""
         draw, habits = self.draw, self.habits
         kind = draw.choices(habits.kinds, [kind.share for kind in habits.kinds])[0]
@@ -236,7 +236,7 @@
         if request.state[1]:
             return
         if now - request.arrived_at > self.habits.patience or request.state[0] >= self.habits.most_tries:
-            self.over(request, "gave_up")
+            self.finish_request(request, "gave_up")
             return
         request.state[0] += 1
         self.counts["tries"] += 1
@@ -299,7 +299,7 @@
     def handle_answer(self, request: Request, place: int, status: int, body: bytes, hold_off_s: float) -> None:
         """Handle an answer by its status."""
         if status == 200:
-            self.over(request, "acked" if body == b"done " + request.body else "wrong")
+            self.finish_request(request, "acked" if body == b"done " + request.body else "wrong")
         elif status in (429, 503):
             self.counts["nacked"] += 1
             if hold_off_s:
@@ -308,14 +308,16 @@
             self.schedule_retry(request, max(self.habits.pause, hold_off_s) if request.heeds else self.habits.pause)
         else:
             self.counts["failed"] += 1
-            self.schedule_retry(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(
+            self.schedule_retry(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.finish_request(
                 request, "gave_up"
             )
 
     def handle_timeout(self, request: Request) -> None:
         """Handle an attempt that was not answered in time."""
         self.counts["unanswered"] += 1
-        self.schedule_retry(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.over(request, "gave_up")
+        self.schedule_retry(request, self.habits.pause) if request.kind.repeats != "unsafe" else self.finish_request(
+            request, "gave_up"
+        )
 
     def handle_connection_loss(self, request: Request) -> None:
         """Handle a connection loss after the request may have executed."""
@@ -333,7 +335,7 @@
         """Schedule the next attempt."""
         asyncio.get_running_loop().call_later(pause, self.send_next_attempt, request)
 
-    def over(self, request: Request, how: str) -> None:
+    def finish_request(self, request: Request, how: str) -> None:
         """Finish a request and count its outcome."""
         if request.state[1]:
             return
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -112,8 +112,11 @@
         )
     )
     finished = asyncio.Event()
-    original_callback, load.over = load.over, lambda request, outcome: (original_callback(request, outcome), finished.set())
-    load.born(time.time())
+    original_callback, load.finish_request = (
+        load.finish_request,
+        lambda request, outcome: (original_callback(request, outcome), finished.set()),
+    )
+    load.start_request(time.time())
     await asyncio.wait_for(asyncio.gather(served.wait(), finished.wait()), 10.0)
     server.close()
     return load, heads
