--- a/benchmarks/nack_cost.py
+++ b/benchmarks/nack_cost.py
@@ -22,7 +22,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from mulleinhatch.testing.instance_harness import Case, keep_environment, played
+from mulleinhatch.testing.instance_harness import Case, keep_environment, run_case
 
 OFF = "storms enabled=#false"
 OBJECTIVE = 1 / 3
@@ -31,7 +31,7 @@
 def cost(operator: str, seconds: float, seed: int, full: float = 0.0) -> tuple[float, float]:
     """Microseconds of CPU a nack, and nacks a second; `full` is what an op read in full costs beside."""
     first, last = 4.0, 4.0 + seconds
-    report = played(
+    report = run_case(
         Case(
             f"at 1 freeze 0 for {last}\nat {first} look 0\nat {last} look 0",
             run_for=last + 1.0,
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -27,7 +27,7 @@
 from rich.table import Table
 
 from mulleinhatch.testing import fault_script as faults
-from mulleinhatch.testing.instance_harness import Case, keep_environment, outcome, played_beside
+from mulleinhatch.testing.instance_harness import Case, keep_environment, outcome, run_cases
 
 OFF = "storms enabled=#false"
 CAN = 80.0  # ops a second of one instance
@@ -98,7 +98,7 @@
 def look_alikes(name: str, case: Case, table: Table, result: dict[str, Any]) -> dict[str, list[str]]:
     """One day with different shares of ops that look alike, and without the storm books, all at one time."""
     cases = [*(case._replace(alike=share) for share in ALIKE), case._replace(operator=OFF, alike=1.0)]
-    runs = [outcome(one, run) for one, run in zip(cases, played_beside(cases))]
+    runs = [outcome(one, run) for one, run in zip(cases, run_cases(cases))]
     *damped, plain = runs
     for one, figures in zip(cases, runs):
         table.add_row(name, "off" if one.operator else "damped", *row(one, figures))
@@ -156,9 +156,9 @@
         case = case._replace(seed=int(options["--seed"]))
         plain_case = case._replace(operator=OFF)
         if case.instances == 1:
-            runs = played_beside([case, plain_case])
+            runs = run_cases([case, plain_case])
         else:  # a fleet of four takes all the cores there are
-            runs = [played_beside([one])[0] for one in (case, plain_case)]
+            runs = [run_cases([one])[0] for one in (case, plain_case)]
         damped, plain = (outcome(case, run) for run in runs)
         table.add_row(name, "damped", *row(case, damped))
         table.add_row("", "off", *row(case, plain))
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -338,14 +338,16 @@
     return most
 
 
-def played(case: Case, keep: Path | None = None, on_sample: Callable[[InstanceHarness], None] | None = None) -> dict[str, Any]:
+def run_case(
+    case: Case, keep: Path | None = None, on_sample: Callable[[InstanceHarness], None] | None = None
+) -> dict[str, Any]:
     """Run one case; `keep` is a folder for the instances' logs."""
     with tempfile.TemporaryDirectory() as folder:
         harness = InstanceHarness(case, keep or Path(folder), on_sample)
         return asyncio.run(harness.play())
 
 
-def played_beside(cases: list[Case], on_sample: Callable[[InstanceHarness], None] | None = None) -> list[dict[str, Any]]:
+def run_cases(cases: list[Case], on_sample: Callable[[InstanceHarness], None] | None = None) -> list[dict[str, Any]]:
     """Run several cases at once, to compare them under the same conditions; each takes four or more processes."""
 
     async def run_all() -> list[dict[str, Any]]:
