--- a/benchmarks/scale_instance_load.py
+++ b/benchmarks/scale_instance_load.py
@@ -9,7 +9,7 @@
 from benchmarks.scale_instance_measurements import CALM_RATE, REGION_LOST_RATE, WARM_UP_S, ZONE_LOST_RATE, Measurements
 from mulleinhatch.testing.instance_harness import free_port
 from mulleinhatch.testing.load_generator import calm_latencies
-from mulleinhatch.testing.single_instance import Driving, SingleInstance, driven, settings
+from mulleinhatch.testing.single_instance import RunningLoad, SingleInstance, run_load, settings
 
 MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # milliseconds at p99; share of a core
 MAX_DRIVER_LATE_S, MIN_CALM_ANSWERS = (
@@ -38,12 +38,12 @@
     rounds = []
     for number in range(count):
         load_options = {"skip": 0.5, "seed": measurements.seed + number, "keep": True}
-        alone = measurements.add_report(Driving(interpreter_port, rate, seconds + 0.5, wire="link", **load_options).done())
+        alone = measurements.add_report(RunningLoad(interpreter_port, rate, seconds + 0.5, wire="link", **load_options).done())
         rounds.append(
             (
                 alone,
                 measurements.add_report(
-                    driven(instance, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **load_options)
+                    run_load(instance, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **load_options)
                 ),
             )
         )
--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -6,7 +6,7 @@
 
 from benchmarks.fits import worthwhile
 from benchmarks.records import Fit
-from mulleinhatch.testing.single_instance import SingleInstance, driven
+from mulleinhatch.testing.single_instance import SingleInstance, run_load
 
 CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests a second
 WARM_UP_S = 2.0  # at the calm rate, after which caches and pools no longer grow
@@ -40,7 +40,7 @@
             run_for: Duration in seconds.
             load_options: Further options of the load generator.
         """
-        return self.add_report(driven(instance, rate, run_for, seed=self.seed, **load_options))
+        return self.add_report(run_load(instance, rate, run_for, seed=self.seed, **load_options))
 
     def add_report(self, report: dict[str, Any]) -> dict[str, Any]:
         """Count the losses and lateness of a report and return it."""
--- a/benchmarks/scale_instance_settings.py
+++ b/benchmarks/scale_instance_settings.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from benchmarks.scale_instance_measurements import CALM_RATE, WARM_UP_S, Measurements
-from mulleinhatch.testing.single_instance import Driving, SingleInstance, settings
+from mulleinhatch.testing.single_instance import RunningLoad, SingleInstance, settings
 
 CHANGES_A_DAY = 5700
 
@@ -113,7 +113,7 @@
     with SingleInstance(folder, instance_settings, sockets=4096) as instance:
         measurements.drive(instance, CALM_RATE, 0.5 * WARM_UP_S, tenants=size)
         guess = 0.5 + 2.0 * instance.ready_cpu_s
-        driving = Driving(
+        driving = RunningLoad(
             instance.port,
             rate,
             2.0 + times * (guess + 0.7),
@@ -130,7 +130,7 @@
         time.sleep(1.0)
         usual = (instance.cpu() - cpu) / (time.monotonic() - at)
         before, spent, spans, memory_after = instance.memory(), [], [], []
-        instance.forget_peak()
+        instance.reset_peak()
         for number in range(times):
             instance_settings["tenants"][0]["quota_per_s"] = 1000.0 + number
             instance.write(instance_settings)
@@ -149,7 +149,7 @@
             measurements.add_report(driving.done()),
             instance.counters(),
             instance.peak(),
-            instance.left(),
+            instance.deferred_settings(),
         )
     late = [latency for due, latency in report["kept"] if any(at - 0.05 <= due <= end for at, end in spans)]
     calm = [latency for due, latency in report["kept"] if due < spans[0][0] - 0.05]
--- a/mulleinhatch/testing/single_instance.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -198,15 +198,15 @@
         return self.watched.memory_full_info().uss
 
     def peak(self) -> int:
-        """Return the peak resident memory in bytes since the start or `forget_peak`, including shared libraries."""
+        """Return the peak resident memory in bytes since the start or `reset_peak`, including shared libraries."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return 1024 * int(status.partition("VmHWM:")[2].split()[0])
 
-    def forget_peak(self) -> None:
+    def reset_peak(self) -> None:
         """Reset the peak."""
         Path(f"/proc/{self.process.pid}/clear_refs").write_text("5")
 
-    def left(self) -> str:
+    def deferred_settings(self) -> str:
         """Return the settings that the last reload deferred to a restart, from the log."""
         return self.log.read_text().rpartition("left_until_restart=")[2].split(maxsplit=1)[0] if self.log.exists() else ""
 
@@ -222,7 +222,7 @@
             process.wait()
 
 
-class Driving:
+class RunningLoad:
     """A running load generator, which has started when the constructor returns."""
 
     def __init__(self, port: int, rate: float, run_for: float, **habits: Any) -> None:
@@ -246,9 +246,9 @@
         return json.loads(out)
 
 
-def driven(single_instance: SingleInstance, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
+def run_load(single_instance: SingleInstance, rate: float, run_for: float, **habits: Any) -> dict[str, Any]:
     """Run a generator against the instance; return its report with the instance's CPU, and its memory after 80% of the run."""
-    running_load = Driving(single_instance.port, rate, run_for, **habits)
+    running_load = RunningLoad(single_instance.port, rate, run_for, **habits)
     cpu, at = single_instance.cpu(), time.monotonic()
     time.sleep(0.8 * run_for)
     memory = single_instance.memory()
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -21,7 +21,7 @@
 from benchmarks.records import Fit
 from mulleinhatch.instance.runtime.instance_settings import placement
 from mulleinhatch.testing.load_generator import Habits, LoadGenerator
-from mulleinhatch.testing.single_instance import SingleInstance, cpu_seconds, driven, settings
+from mulleinhatch.testing.single_instance import SingleInstance, cpu_seconds, run_load, settings
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -161,8 +161,8 @@
 
 def test_known_tenants_are_served_and_unknown_ones_get_400(tmp_path: Path) -> None:
     with SingleInstance(tmp_path, settings(50)) as single_instance:
-        good = driven(single_instance, 100, 0.8, tenants=50)
-        unknown = driven(single_instance, 20, 0.3, tenants=50, tenant="x%07d", connections=50)
+        good = run_load(single_instance, 100, 0.8, tenants=50)
+        unknown = run_load(single_instance, 20, 0.3, tenants=50, tenant="x%07d", connections=50)
         report = settings(50)
         report["tenants"][0]["quota_per_s"] = 1.0
         single_instance.write(report)
@@ -170,7 +170,7 @@
         until = time.monotonic() + 5.0
         while not single_instance.counters().get("reloads") and time.monotonic() < until:
             time.sleep(0.02)
-        deferred = single_instance.left()
+        deferred = single_instance.deferred_settings()
         assert (
             cpu_seconds(single_instance.watched) > 0.05
             and single_instance.memory() > 5e6
