--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -148,7 +148,7 @@
         """Return whether the process runs."""
         return self.process is not None and self.process.returncode is None
 
-    async def ask(self, path: str) -> bytes:
+    async def get(self, path: str) -> bytes:
         """Return the body of an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
@@ -174,14 +174,14 @@
         if not self.up or self.stalled:
             return None
         try:
-            return json.loads(await self.ask("/status/fleet"))
+            return json.loads(await self.get("/status/fleet"))
         except (OSError, ValueError, TimeoutError):
             return None
 
     async def counters(self) -> dict[str, int]:
         """Return the counters; empty if the instance does not answer."""
         try:
-            body = (await self.ask("/status/counters")).decode()
+            body = (await self.get("/status/counters")).decode()
         except (OSError, TimeoutError):
             return {}
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -161,7 +161,7 @@
         self.lost_reports.append(await self.stop())
         self.watched = None
 
-    async def ask(self, path: str) -> str:
+    async def get(self, path: str) -> str:
         """Return the complete response to an HTTP GET."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
@@ -173,7 +173,7 @@
     async def counters(self) -> dict[str, int]:
         """Return the counters; empty if the instance does not answer."""
         try:
-            _, _, body = (await self.ask("/status/counters")).partition("\r\n\r\n")
+            _, _, body = (await self.get("/status/counters")).partition("\r\n\r\n")
         except (TimeoutError, OSError):
             return {}
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
@@ -188,8 +188,8 @@
         self.places = [Place(case, number, folder) for number in range(case.instances)]
         self.samples: list[tuple[float, list[float | None], list[int]]] = []  # time, CPU seconds and memory by place
         self.late = 0.0
-        self.looks: list[tuple[float, float, dict[str, int]]] = []  # CPU seconds, time, counters
-        self.noise: list[asyncio.Task[None]] = []
+        self.readings: list[tuple[float, float, dict[str, int]]] = []  # CPU seconds, time, counters
+        self.disturbances: list[asyncio.Task[None]] = []
         self.start_at = math.inf
 
     async def play(self) -> dict[str, Any]:
@@ -213,12 +213,12 @@
                 "counters": counters,
                 "ran": ran,
                 "samples": self.samples,
-                "looks": self.looks,
+                "looks": self.readings,
                 "rig_late": self.late,
                 "end": faults.end_of(self.faults),
             }
         finally:
-            for task in self.noise:
+            for task in self.disturbances:
                 task.cancel()
             for load in loads:
                 if load.returncode is None:
@@ -284,12 +284,12 @@
             place.instance.send_signal(signal.SIGTERM)
         elif fault.what == "look":
             counters, times = await place.counters(), place.watched.cpu_times()
-            self.looks.append((times.user + times.system, time.time() - self.start_at, counters))
+            self.readings.append((times.user + times.system, time.time() - self.start_at, counters))
         elif fault.what == "quiet":
-            for task in self.noise:
+            for task in self.disturbances:
                 task.cancel()
         else:
-            self.noise += [asyncio.ensure_future(self._disturb(place, fault.what)) for _ in range(fault.count)]
+            self.disturbances += [asyncio.ensure_future(self._disturb(place, fault.what)) for _ in range(fault.count)]
 
     @staticmethod
     async def _disturb(place: Place, what: str) -> None:
--- a/mulleinhatch/testing/maintenance_windows.py
+++ b/mulleinhatch/testing/maintenance_windows.py
@@ -15,7 +15,7 @@
 POLL_INTERVAL_S = 0.02
 
 
-class Seen(NamedTuple):
+class Transition(NamedTuple):
     """An observed change: a machine went out of service, or returned."""
 
     at: float  # seconds on the script's clock
@@ -34,7 +34,7 @@
 
     def __init__(self, harness: FleetHarness, works: float, zone_of: dict[int, str]) -> None:
         self.harness, self.works, self.zone_of = harness, works, zone_of
-        self.seen: list[Seen] = []
+        self.seen: list[Transition] = []
         self.most = 0
         self.zone_most: dict[str, int] = {}
         self.done: dict[int, float] = {}  # by place: when the machine was back, on the script's clock
@@ -55,7 +55,7 @@
             self.late, last = max(self.late, time.monotonic() - last - POLL_INTERVAL_S), time.monotonic()
             now_out = {node.place for node in self.harness.nodes if not node.up}
             for place in sorted(now_out ^ out):
-                self.seen.append(Seen(self.harness.now(), place, place in now_out))
+                self.seen.append(Transition(self.harness.now(), place, place in now_out))
                 if place in now_out and self.harness.nodes[place].process.returncode == 0:
                     task = asyncio.ensure_future(self._work(place))
                     self.tasks.add(task)
--- a/mulleinhatch/testing/single_instance.py
+++ b/mulleinhatch/testing/single_instance.py
@@ -143,7 +143,7 @@
 
         Requests are served only after the interpreter's banner, which takes a while with large settings.
         """
-        self._wait_until("live", began, lambda: self.ask("/status/live"))
+        self._wait_until("live", began, lambda: self.get("/status/live"))
         self.ready_s, self.ready_cpu_s = time.monotonic() - began, self.cpu()
         self._wait_until("serving", began, self._request)
         self.serving_s, self.serving_cpu_s = time.monotonic() - began, self.cpu()
@@ -171,7 +171,7 @@
             f"{tenant}Content-Length: {len(body)}\r\n\r\n{body}"
         )
 
-    def ask(self, path: str) -> str:
+    def get(self, path: str) -> str:
         """Return the complete response to an HTTP GET."""
         return self._exchange(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 
@@ -186,7 +186,7 @@
 
     def counters(self) -> dict[str, int]:
         """Return the counters."""
-        body = self.ask("/status/counters").partition("\r\n\r\n")[2]
+        body = self.get("/status/counters").partition("\r\n\r\n")[2]
         return {name: int(count) for name, _, count in (line.partition("=") for line in body.splitlines())}
 
     def cpu(self) -> float:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces: round trips, replays without one differing decision, files cut, flipped, hostile."""
+"""Traces: round trips, replays with identical decisions, and truncated, corrupted and hostile files."""
 
 from __future__ import annotations
 
@@ -53,25 +53,25 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(RECORDS, some.integers(0, 2**40))
-def test_any_records_come_back_as_they_were(records: list[Record], newest: int) -> None:
-    built = BlockBuilder(2, newest)
+def test_records_survive_a_round_trip(records: list[Record], newest: int) -> None:
+    builder = BlockBuilder(2, newest)
     for record in records:
-        built.add(record)
-    read = Block(built.encode())
+        builder.add(record)
+    read = Block(builder.encode())
     assert list(read.records()) == records
     assert read.counts() == Counter(record.kind.name for record in records)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(some.floats(allow_nan=False))
-def test_a_float_comes_back_to_the_last_bit(value: float) -> None:
+def test_floats_survive_a_round_trip_exactly(value: float) -> None:
     out = ColumnWriter()
     out.number(value)
     assert struct.pack("<d", ColumnReader(bytes(out.data)).number()) == struct.pack("<d", value)
 
 
-def traced(scenario: Scenario, seed: int) -> tuple[World, bytes]:
-    """A virtual history and the trace of the instance's last life."""
+def trace_scenario(scenario: Scenario, seed: int) -> tuple[World, bytes]:
+    """Return a virtual history and the trace of the instance's last incarnation."""
     incarnations: list[tuple[Recorder, list[tuple[list[Record], int]]]] = []
 
     def record(controller, now: float, is_fresh_start: bool, since: float) -> Recorder:
@@ -89,26 +89,26 @@
     writer = TraceWriter(file, metadata)
     for records, newest in batches:
         for start in range(0, len(records), 500):
-            built = BlockBuilder(2, newest)
+            builder = BlockBuilder(2, newest)
             for one in records[start : start + 500]:
-                built.add(one)
-            writer.write(built.encode())
-            newest = built.newest
+                builder.add(one)
+            writer.write(builder.encode())
+            newest = builder.newest
     writer.close()
     return world, file.getvalue()
 
 
 @pytest.fixture(scope="module")
 def recorded_trace() -> tuple[World, bytes]:
-    return traced(SMALL, 3)
+    return trace_scenario(SMALL, 3)
 
 
 @pytest.mark.parametrize(
     "seed, change",
     [(1, {}), (2, {"kind": "freeze"}), (3, {"heeding": 1.0, "marked": 0.3}), (4, {"rate": 40.0, "kind": "refuse"})],
 )
-def test_a_replay_decides_the_same_to_the_last(seed: int, change: dict) -> None:
-    world, data = traced(SMALL._replace(**change), seed)
+def test_replay_makes_the_same_decisions(seed: int, change: dict) -> None:
+    world, data = trace_scenario(SMALL._replace(**change), seed)
     trace = Trace(io.BytesIO(data))
     outcome = replay(trace.records(), trace.metadata)
     assert outcome.differences == 0, outcome.first
@@ -120,31 +120,31 @@
     records = list(trace.records())
     at = next(place for place, one in enumerate(records) if one.kind is kinds.READ and place > 500)
     values = list(records[at].values)
-    values[4] = 0.01  # it hears of a shorter wait than the module did
+    values[4] = 0.01  # a shorter wait than the one recorded
     outcome = replay([*records[:at], records[at]._replace(values=tuple(values)), *records[at + 1 :]], trace.metadata)
     assert outcome.differences == 1 and outcome.first.time >= records[at].time
 
 
-def test_a_replay_of_a_part_is_refused(recorded_trace: tuple[World, bytes]) -> None:
+def test_replay_without_the_start_is_rejected(recorded_trace: tuple[World, bytes]) -> None:
     trace = Trace(io.BytesIO(recorded_trace[1]))
     with pytest.raises(IncompleteTraceError, match="start"):
         replay(trace.records(since=8.0), trace.metadata)
 
 
-def test_the_summary_is_the_live_counters(recorded_trace: tuple[World, bytes]) -> None:
+def test_summary_equals_the_live_counters(recorded_trace: tuple[World, bytes]) -> None:
     world, data = recorded_trace
     trace = Trace(io.BytesIO(data))
-    sums = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)
+    totals = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)
     live = {name: count for name, count in world.reducer.counts.items() if name.startswith(("decided_", "run_"))}
-    assert live and {name: sums["counts"].get(name, 0) for name in live} == live
-    assert sums["counts"]["turned_back"] + world.reducer.early_rejections == world.reducer.storms.rejected_retries
-    causes = {name: count for name, count in sums["counts"].items() if name.startswith("decided_nack_")}
-    assert causes and sum(causes.values()) == sums["counts"]["decided_nack"] and sums["counts"]["decided_run_order"]
-    assert sum(sum(second.get("ops_read", 0) for second in sums["rates"]) for _ in "x") == sums["counts"]["ops_read"]
+    assert live and {name: totals["counts"].get(name, 0) for name in live} == live
+    assert totals["counts"]["turned_back"] + world.reducer.early_rejections == world.reducer.storms.rejected_retries
+    causes = {name: count for name, count in totals["counts"].items() if name.startswith("decided_nack_")}
+    assert causes and sum(causes.values()) == totals["counts"]["decided_nack"] and totals["counts"]["decided_run_order"]
+    assert sum(sum(second.get("ops_read", 0) for second in totals["rates"]) for _ in "x") == totals["counts"]["ops_read"]
 
 
-def test_a_file_cut_at_every_byte_of_its_last_blocks(recorded_trace: tuple[World, bytes]) -> None:
-    """A node killed in mid-write: all whole blocks are read, and what is missing is told."""
+def test_file_truncated_at_every_byte_of_its_last_blocks(recorded_trace: tuple[World, bytes]) -> None:
+    """After a kill during a write all complete blocks are read, and the missing records are reported."""
     data, complete = recorded_trace[1], Trace(io.BytesIO(recorded_trace[1]))
     last, before = complete.rows[-1], complete.rows[-2]
     for end in range(before.offset + 1, len(data)):
@@ -159,7 +159,7 @@
     assert len(list(trace.records())) == sum(row.records for row in complete.rows[:-1])
 
 
-def test_flipped_bits_lose_their_block_alone(recorded_trace: tuple[World, bytes]) -> None:
+def test_flipped_bits_lose_only_their_block(recorded_trace: tuple[World, bytes]) -> None:
     draw, data, complete = random.Random(5), recorded_trace[1], Trace(io.BytesIO(recorded_trace[1]))
     total = sum(row.records for row in complete.rows)
     for _ in range(60):
@@ -170,14 +170,14 @@
         trace = Trace(io.BytesIO(bytes(flipped)))
         assert len(list(trace.records())) == total - row.records, at
         assert len(trace.lost) == 1
-        # and the same where no index helps
+        # the same without an index
         end = complete.rows[-1].offset + HEAD_SIZE + complete.rows[-1].stored
         scanned = Trace(io.BytesIO(bytes(flipped[:end])))
         assert len(list(scanned.records())) == total - row.records and scanned.lost
 
 
 @pytest.mark.parametrize(
-    "spoil, complaint",
+    "corrupt, complaint",
     [
         (lambda data: b"", "empty"),
         (lambda data: b"something else", "not a trace file"),
@@ -186,13 +186,13 @@
         (lambda data: START.pack(b"mhtTRACE", 2, 0, 2**32 - 1, 0) + data[START.size :], "damaged"),
     ],
 )
-def test_what_is_no_trace_is_said_to_be_none(recorded_trace: tuple[World, bytes], spoil, complaint: str) -> None:
+def test_files_that_are_not_traces_are_rejected(recorded_trace: tuple[World, bytes], corrupt, complaint: str) -> None:
     with pytest.raises(UnreadableTraceError, match=complaint):
-        Trace(io.BytesIO(spoil(recorded_trace[1])))
+        Trace(io.BytesIO(corrupt(recorded_trace[1])))
 
 
-def packed(raw: bytes, records: int = 1, raw_size: int | None = None) -> bytes:
-    """A block with a right checksum round whatever it holds."""
+def pack_block(raw: bytes, records: int = 1, raw_size: int | None = None) -> bytes:
+    """Return a block with a valid checksum around any content."""
     stored = block.COMPRESSOR.compress(raw)
     head = block.HEAD.pack(block.MAGIC, 2, 0, len(stored), len(raw) if raw_size is None else raw_size, records, 0.0, 0.0, 0)
     return head + block.CHECKSUM.pack(block.xxh3_64_intdigest(stored, block.xxh3_64_intdigest(head)), 0) + stored
@@ -200,25 +200,25 @@
 
 HUGE = b"\xff" * 9 + b"\x01"  # 2^64 - 1
 HOSTILE = {
-    "a bomb": packed(bytes(64 << 20), raw_size=1000),
-    "columns without end": packed(HUGE),
-    "a column of 2^63": packed(b"\x01\x00\x00" + HUGE),
-    "texts without end": packed(b"\x01\x02\x00\x0a" + HUGE),
-    "a text of 2^63": packed(b"\x01\x02\x00\x0b\x01" + HUGE),
-    "a number without end": packed(b"\xff" * 40),
-    "nothing": packed(b""),
-    "more records than it has": packed(b"\x00", records=1 << 20),
+    "a bomb": pack_block(bytes(64 << 20), raw_size=1000),
+    "columns without end": pack_block(HUGE),
+    "a column of 2^63": pack_block(b"\x01\x00\x00" + HUGE),
+    "texts without end": pack_block(b"\x01\x02\x00\x0a" + HUGE),
+    "a text of 2^63": pack_block(b"\x01\x02\x00\x0b\x01" + HUGE),
+    "a number without end": pack_block(b"\xff" * 40),
+    "nothing": pack_block(b""),
+    "more records than it has": pack_block(b"\x00", records=1 << 20),
 }
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_hostile_blocks_end_in_an_error(name: str) -> None:
+def test_hostile_blocks_raise_an_error(name: str) -> None:
     with pytest.raises(CorruptTraceError):
         list(Block(HOSTILE[name]).records())
 
 
-def test_an_index_that_lies_is_not_believed(recorded_trace: tuple[World, bytes]) -> None:
-    """Rows that point at each other, or outside, with a right checksum: the blocks are looked for themselves."""
+def test_inconsistent_index_is_rebuilt(recorded_trace: tuple[World, bytes]) -> None:
+    """Index rows that overlap or point outside the file, under a valid checksum: the blocks are scanned instead."""
     complete = Trace(io.BytesIO(recorded_trace[1]))
     end = complete.rows[-1].offset + HEAD_SIZE + complete.rows[-1].stored
     for rows in (
@@ -231,8 +231,8 @@
         assert not trace.indexed and trace.rows == complete.rows
 
 
-def test_seeded_noise_never_does_more_than_lose(recorded_trace: tuple[World, bytes]) -> None:
-    """A short fuzz: whatever bytes are put in, reading ends, in records or in an error of ours."""
+def test_random_corruption_only_loses_records(recorded_trace: tuple[World, bytes]) -> None:
+    """A short fuzz test: whatever the bytes, reading ends with records or with an `UnreadableTraceError`."""
     draw = random.Random(11)
     for _ in range(200):
         data = bytearray(recorded_trace[1])
@@ -246,15 +246,15 @@
 
 
 def test_both_versions_are_read_and_unknown_kinds_are_counted() -> None:
-    unknown = kinds.Kind(200, "of a later text", (("what", "text"),))
+    unknown = kinds.Kind(200, "of a later version", (("what", "text"),))
     values = (2, 1, 0.5, 1, 0.0)
     for major, kind, decision_values in ((1, kinds.DECIDED, values), (2, kinds.DECIDED_FOR, (*values, "bound"))):
-        file, built = io.BytesIO(), BlockBuilder(major, 1)
-        built.add(Record(kind, 1.0, decision_values))
-        built.add(Record(unknown, 1.5, ("x",)))
-        built.add(Record(kind, 2.0, decision_values))
+        file, builder = io.BytesIO(), BlockBuilder(major, 1)
+        builder.add(Record(kind, 1.0, decision_values))
+        builder.add(Record(unknown, 1.5, ("x",)))
+        builder.add(Record(kind, 2.0, decision_values))
         writer = TraceWriter(file, TraceMetadata("n1", 1), major)
-        writer.write(built.encode())
+        writer.write(builder.encode())
         writer.close()
         trace = Trace(file)
         assert trace.major == major and [record.time for record in trace.records()] == [1.0, 2.0]
@@ -278,7 +278,7 @@
 
 
 def test_file_manager_rolls_expires_and_marks_gaps(tmp_path: Path) -> None:
-    """Files are ended by size, the oldest go beyond the total, and what a full queue dropped is marked and counted."""
+    """Files are rotated by size, the oldest are deleted beyond the total, and records that a full queue dropped are marked."""
     file_manager = TraceFileManager(
         TraceBounds(str(tmp_path), file_mb=0.002, total_mb=0.01), lambda number: TraceMetadata("n1", 7, number=number)
     )
@@ -297,7 +297,7 @@
     assert [record.values for record in records if record.kind is kinds.GAP] == [(5, 2.0)]
 
 
-def test_a_disk_that_refuses_costs_the_records_and_nothing_else(tmp_path: Path) -> None:
+def test_disk_error_only_loses_records(tmp_path: Path) -> None:
     (tmp_path / "taken").write_text("no folder")
     file_manager = TraceFileManager(TraceBounds(str(tmp_path / "taken" / "x")), lambda number: TraceMetadata("n1", 7))
     file_manager.enqueue([Record(kinds.NOTE, 1.0, ("a", ""))], 0)
@@ -305,8 +305,8 @@
     assert file_manager.counts["trace_records_dropped"] == 1 and file_manager.dropped == 1
 
 
-def test_an_instance_on_sockets_is_traced_and_replayed(tmp_path: Path) -> None:
-    """From the start to the stop of a real instance: its file has what its counters have, and replays to the last."""
+def test_instance_on_sockets_is_traced_and_replayed(tmp_path: Path) -> None:
+    """The file of a real instance, from start to stop, agrees with its counters and replays without a difference."""
 
     async def run_instance() -> dict[str, int]:
         play = SocketScenario()
@@ -338,33 +338,33 @@
         assert trace.indexed and trace.metadata.instance == "n1" and trace.metadata.op_types == ["read", "sign", "keyed"]
         outcome = replay(trace.records(), trace.metadata)
         assert outcome.differences == 0 and outcome.pulls > 60, outcome.first
-        sums = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)["counts"]
+        totals = summary(trace.records(), trace.metadata.op_types, trace.metadata.tenants)["counts"]
     live = {name: count for name, count in counted.items() if name.startswith(("decided_", "run_ok", "run_err", "ops_read"))}
-    assert {name: sums.get(name, 0) for name in live} == live and sums["ops_read"] == 31
+    assert {name: totals.get(name, 0) for name in live} == live and totals["ops_read"] == 31
 
 
-def node_file(name: str, seed: int, number: int, wall: float, times: list[float], major: int = 2) -> bytes:
-    """Reads and their decisions at those times, ids `NAME-0` and on; the instance's clock stood at 100 at `wall`."""
-    file, built = io.BytesIO(), BlockBuilder(major, 0)
+def make_node_file(name: str, seed: int, number: int, wall: float, times: list[float], major: int = 2) -> bytes:
+    """Return a file with reads and their decisions at those times, ids `NAME-1` and on; the clock reads 100 at `wall`."""
+    file, builder = io.BytesIO(), BlockBuilder(major, 0)
     kind = block.decision_kind(major)
     for place, at in enumerate(times, 1):
-        built.add(Record(kinds.READ, at, (place, f"{name}-{place}", 0, 0.0, 1.0, 0, 0, 4711, 0.05, 8.0, 0)))
-        built.add(Record(kind, at, (0, place, 0.0, 0, 0.0) + (("order",) if major > 1 else ())))
+        builder.add(Record(kinds.READ, at, (place, f"{name}-{place}", 0, 0.0, 1.0, 0, 0, 4711, 0.05, 8.0, 0)))
+        builder.add(Record(kind, at, (0, place, 0.0, 0, 0.0) + (("order",) if major > 1 else ())))
     writer = TraceWriter(
         file, TraceMetadata(name, seed, 100.0, wall, number, op_types=["read"], tenants=["Moshi Portal"]), major
     )
-    writer.write(built.encode())
+    writer.write(builder.encode())
     writer.close()
     return file.getvalue()
 
 
-def test_files_of_several_nodes_versions_and_clocks_are_merged() -> None:
-    """Two versions, two nodes of one name, and a clock that stepped back between two files of one life."""
+def test_merge_of_several_nodes_versions_and_clocks() -> None:
+    """Two versions, two nodes of one name, and a clock that stepped back between two files of one incarnation."""
     parts = [
-        node_file("n1", 1, 1, 5000.0, [101.0, 103.0]),
-        node_file("n1", 1, 2, 4990.0, [105.0, 107.0]),
-        node_file("n1", 2, 1, 5000.5, [101.0, 104.0], major=1),
-        node_file("n2", 3, 1, 5000.0, [102.0]),
+        make_node_file("n1", 1, 1, 5000.0, [101.0, 103.0]),
+        make_node_file("n1", 1, 2, 4990.0, [105.0, 107.0]),
+        make_node_file("n1", 2, 1, 5000.5, [101.0, 104.0], major=1),
+        make_node_file("n2", 3, 1, 5000.0, [102.0]),
     ]
     file = io.BytesIO()
     count, notes = merge([Trace(io.BytesIO(part)) for part in parts], file)
@@ -380,9 +380,9 @@
         replay(records, trace.metadata)
 
 
-def test_an_anonymised_file_holds_no_original(recorded_trace: tuple[World, bytes]) -> None:
-    """In raw and decompressed bytes, in metadata and texts; the same key gives the same aliases in another file, and a replay
-    of it still decides the same."""
+def test_anonymised_file_contains_no_original_names(recorded_trace: tuple[World, bytes]) -> None:
+    """Neither in raw or decompressed bytes nor in the metadata. The same key gives the same aliases in another file, and a
+    replay still makes the same decisions."""
     aliases = Aliases(b"one key of sixteen bytes")
     source, file = Trace(io.BytesIO(recorded_trace[1])), io.BytesIO()
     metadata = anonymous_facts(source.metadata, aliases)
@@ -400,15 +400,15 @@
     assert b"n1" not in data[: START.size + 30]
     outcome = replay(trace.records(), trace.metadata)
     assert outcome.differences == 0 and outcome.decisions > 100
-    part = Trace(io.BytesIO(node_file("n1", 1, 1, 0.0, [101.0])))
+    part = Trace(io.BytesIO(make_node_file("n1", 1, 1, 0.0, [101.0])))
     assert anonymous_facts(part.metadata, aliases).instance == metadata.instance
     assert anonymous_facts(part.metadata, Aliases(b"another key of sixteen")).instance != metadata.instance
     (note,) = anonymous([Record(kinds.NOTE, 1.0, ("reloaded", "by Juma at Moshi 17"))], aliases)
     assert note.values[0] == "reloaded" and "Juma" not in note.values[1] and len(note.values[1]) == 19
 
 
-def test_next_gap_mark_reports_all_that_a_full_queue_dropped(tmp_path: Path) -> None:
-    """A mark that is itself dropped must not take what it told of with it."""
+def test_gap_record_counts_everything_a_full_queue_dropped(tmp_path: Path) -> None:
+    """Guards against a lost count: a gap record can itself be dropped, and the next one must include it."""
     gate = threading.Event()
 
     def make_metadata(number: int) -> TraceMetadata:
