--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -124,7 +124,7 @@
         ("90% in time again", "never" if back is None else f"{back:.1f} s after the end"),
         ("tries, acked, nacked", f"{counts['tries']}, {counts['acked']}, {counts['nacked']}"),
         ("most tries in a second", f"{figures['most_tries']:.0f}"),
-        ("tries without an answer in time; requests executed twice", f"{figures['lost']}; {figures['twice']}"),
+        ("unanswered tries; requests run twice", f"{figures['lost']}; {figures['twice']}"),
         ("peak core use from 10 s after the end", f"{figures['core']:.2f}"),
         ("peak memory", f"{figures['memory_mb']:.0f} MB"),
     ):
--- a/mulleinhatch/instance/traces/kinds.py
+++ b/mulleinhatch/instance/traces/kinds.py
@@ -78,7 +78,7 @@
 PART = Kind(17, "part", (("tenant", "whole"), ("window", "number"), ("pieces", "numbers")))
 # This instance's share of the calls to a shared dependency.
 CALLS = Kind(18, "calls", (("share", "number"),))
-# Load and health of the peers.
+# Free capacity of the peers, whether they judge this instance unhealthy, its retry allowance, and the share to divert.
 OTHERS = Kind(19, "others", (("room", "number"), ("ill", "whole"), ("hear_most", "number"), ("shut", "number")))
 OFFERS = Kind(20, "offers", (("count", "whole"),))  # capacity offers from peers
 HANDED = Kind(21, "came handed", (("op", "op"),))  # a request handed over by a peer
--- a/mulleinhatch/instance/traces/recorder.py
+++ b/mulleinhatch/instance/traces/recorder.py
@@ -73,35 +73,37 @@
         self,
         now: float,
         ref: Ref,
-        op_type: int,
-        age: float,
-        wait: float,
+        type_number: int,
+        age_s: float,
+        wait_s: float,
         tenant: int,
         repeat_of: Ref,
         caller: int,
         work: float,
         memory_kb: float,
-        further_try: bool,
+        is_retry: bool,
     ) -> None:
         """Record the input and forward it to `AdmissionController.record_arrival`."""
-        now, age, wait, work = self._time(now), _micro(age), _micro(wait), _micro(work)
+        now, age_s, wait_s, work = self._time(now), _micro(age_s), _micro(wait_s), _micro(work)
         self.newest = self.numbers[ref] = self.newest + 1
         self._add(
             kinds.READ,
             now,
             self.newest,
             str(ref),
-            op_type,
-            age,
-            wait,
+            type_number,
+            age_s,
+            wait_s,
             tenant,
             self.numbers.get(repeat_of, 0),
             caller,
             work,
             memory_kb,
-            int(further_try),
+            int(is_retry),
+        )
+        self.controller.record_arrival(
+            now, ref, type_number, age_s, wait_s, tenant, repeat_of, caller, work, memory_kb, is_retry
         )
-        self.controller.record_arrival(now, ref, op_type, age, wait, tenant, repeat_of, caller, work, memory_kb, further_try)
 
     def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
         """Record the input and forward it to `AdmissionController.record_run_end`."""
@@ -139,11 +141,11 @@
         self._add(kinds.WOKEN, now, token, tuple(readings))
         self.controller.handle_wakeup(now, token, readings)
 
-    def set_retry_storm(self, now: float, on: bool, first_tries: float) -> None:
+    def set_retry_storm(self, now: float, is_active: bool, first_tries_per_s: float) -> None:
         """Record the input and forward it to `AdmissionController.set_retry_storm`."""
         now = self._time(now)
-        self._add(kinds.STORM, now, int(on), first_tries)
-        self.controller.set_retry_storm(now, on, first_tries)
+        self._add(kinds.STORM, now, int(is_active), first_tries_per_s)
+        self.controller.set_retry_storm(now, is_active, first_tries_per_s)
 
     def record_early_rejections(self, now: float, count: int) -> None:
         """Record the input and forward it to `AdmissionController.record_early_rejections`."""
@@ -151,11 +153,11 @@
         self._add(kinds.TURNED_BACK, now, count)
         self.controller.record_early_rejections(now, count)
 
-    def set_tenant_budget(self, now: float, tenant: int, window: float, pieces: Sequence[tuple[float, float]]) -> None:
+    def set_tenant_budget(self, now: float, tenant: int, window_s: float, pieces: Sequence[tuple[float, float]]) -> None:
         """Record the input and forward it to `AdmissionController.set_tenant_budget`."""
         now = self._time(now)
-        self._add(kinds.PART, now, tenant, window, tuple(figure for piece in pieces for figure in piece))
-        self.controller.set_tenant_budget(now, tenant, window, pieces)
+        self._add(kinds.PART, now, tenant, window_s, tuple(figure for piece in pieces for figure in piece))
+        self.controller.set_tenant_budget(now, tenant, window_s, pieces)
 
     def set_dependency_share(self, now: float, share: float) -> None:
         """Record the input and forward it to `AdmissionController.set_dependency_share`."""
@@ -163,11 +165,13 @@
         self._add(kinds.CALLS, now, share)
         self.controller.set_dependency_share(now, share)
 
-    def update_peer_load(self, now: float, room: float, ill: bool, hear_most: float, shut: float) -> None:
+    def update_peer_load(
+        self, now: float, free_fraction: float, is_outlier: bool, retry_allowance: float, diverted: float
+    ) -> None:
         """Record the input and forward it to `AdmissionController.update_peer_load`."""
         now = self._time(now)
-        self._add(kinds.OTHERS, now, room, int(ill), hear_most, shut)
-        self.controller.update_peer_load(now, room, ill, hear_most, shut)
+        self._add(kinds.OTHERS, now, free_fraction, int(is_outlier), retry_allowance, diverted)
+        self.controller.update_peer_load(now, free_fraction, is_outlier, retry_allowance, diverted)
 
     def set_peer_offers(self, now: float, count: int) -> None:
         """Record the input and forward it to `AdmissionController.set_peer_offers`."""
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -120,10 +120,10 @@
         elif self.controller is None:
             raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, unfiltered")
         elif kind is kinds.READ:
-            request, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
+            request, ref, op_type, age, wait, tenant, repeat_of, caller, work, memory_kb, is_retry = values
             self.refs[request], self.numbers[ref] = ref, request
             self.controller.record_arrival(
-                now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, kb, bool(again)
+                now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, memory_kb, bool(is_retry)
             )
         elif kind is kinds.RUN_ENDED:
             self.controller.record_run_end(now, self._ref(values[0]), values[1])
@@ -146,8 +146,8 @@
         elif kind is kinds.CALLS:
             self.controller.set_dependency_share(now, values[0])
         elif kind is kinds.OTHERS:
-            room, ill, hear_most, shut = values
-            self.controller.update_peer_load(now, room, bool(ill), hear_most, shut)
+            free_fraction, is_outlier, retry_allowance, diverted = values
+            self.controller.update_peer_load(now, free_fraction, bool(is_outlier), retry_allowance, diverted)
         elif kind is kinds.OFFERS:
             self.controller.set_peer_offers(now, values[0])
         elif kind is kinds.HANDED:
--- a/mulleinhatch/instance/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -75,12 +75,12 @@
             self.retry_delays.record_value(_ms(seconds))
             self.live.pop(request, None)
 
-    def _count(self, time: float, what: str, request: int) -> None:
-        self.counts[what] += 1
-        self._second(time)[what] += 1
+    def _count(self, time: float, counter: str, request: int) -> None:
+        self.counts[counter] += 1
+        self._second(time)[counter] += 1
         if live := self.live.get(request):
-            self.by_type[self._name(self.op_types, live[0]), what] += 1
-            self.by_tenant[self._name(self.tenants, live[1]), what] += 1
+            self.by_type[self._name(self.op_types, live[0]), counter] += 1
+            self.by_tenant[self._name(self.tenants, live[1]), counter] += 1
 
     def _second(self, time: float) -> Counter[str]:
         return self.seconds.setdefault(int(time), Counter())
@@ -97,11 +97,11 @@
 
         first = self.first or 0.0
         by_type: dict[str, dict[str, int]] = {}
-        for (name, what), count in sorted(self.by_type.items()):
-            by_type.setdefault(name, {})[what] = count
+        for (name, counter), count in sorted(self.by_type.items()):
+            by_type.setdefault(name, {})[counter] = count
         by_tenant: dict[str, dict[str, int]] = {}
-        for (name, what), count in sorted(self.by_tenant.items()):
-            by_tenant.setdefault(name, {})[what] = count
+        for (name, counter), count in sorted(self.by_tenant.items()):
+            by_tenant.setdefault(name, {})[counter] = count
         return {
             "seconds": round(self.last - first, 6),
             "counts": dict(sorted(self.counts.items())),
--- a/mulleinhatch/testing/fake_directory.py
+++ b/mulleinhatch/testing/fake_directory.py
@@ -28,7 +28,7 @@
 
     def __init__(self, behind: float) -> None:
         self.behind = behind
-        self.heard: deque[tuple[float, str, bool]] = deque()
+        self.pending_reports: deque[tuple[float, str, bool]] = deque()
         # The last report of each name as of `behind` seconds ago: its time, and whether it said open.
         self.last: dict[str, tuple[float, bool]] = {}
         self.counts = {"reports": 0, "broken": 0}
@@ -40,13 +40,13 @@
             self.counts["broken"] += 1
             return
         self.counts["reports"] += 1
-        self.heard.append((now, fields[1], fields[2] == "open"))
+        self.pending_reports.append((now, fields[1], fields[2] == "open"))
 
     def names(self, now: float) -> list[str]:
         """Return the names of the listed instances."""
         known = now - self.behind
-        while self.heard and self.heard[0][0] <= known:
-            at, name, is_open = self.heard.popleft()
+        while self.pending_reports and self.pending_reports[0][0] <= known:
+            at, name, is_open = self.pending_reports.popleft()
             self.last[name] = at, is_open
         return sorted(name for name, (at, is_open) in self.last.items() if is_open and known - at <= LISTED_FOR_S)
 
--- a/mulleinhatch/testing/fault_script.py
+++ b/mulleinhatch/testing/fault_script.py
@@ -55,10 +55,10 @@
     return max([*ends, *(fault.until for fault in faults if fault.until < math.inf)], default=0.0)
 
 
-def numbers(text: str, instances: int) -> tuple[int, ...]:
+def parse_places(text: str, instances: int) -> tuple[int, ...]:
     """Parse a list of places.
 
-    >>> numbers("0-2,9", 10), numbers("all", 3)
+    >>> parse_places("0-2,9", 10), parse_places("all", 3)
     ((0, 1, 2, 9), (0, 1, 2))
     """
     if text == "all":
@@ -109,14 +109,14 @@
         fields = line.partition("#")[0].split()
         if fields:
             try:
-                faults += of(fields, instances)
+                faults += parse_line(fields, instances)
             except (ValueError, IndexError, KeyError):
                 raise FaultScriptError(f"line {number}: {' '.join(fields)!r} is no fault") from None
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def of(fields: list[str], instances: int) -> list[Fault]:
-    """Parse one line.
+def parse_line(fields: list[str], instances: int) -> list[Fault]:
+    """Parse the fields of one line.
 
     Raises:
         ValueError: The line is not a fault.
@@ -129,11 +129,11 @@
         return [Fault(at, what, places, count), Fault(at + float(options["for"]), "quiet", places)]
     if what == "directory" and fields[3] == "off":
         return [Fault(at, "directory", (), until=at + float(_after(fields, "for")))]
-    places = numbers(fields[3], instances)
+    places = parse_places(fields[3], instances)
     if what in LINKS + WORK:
         until, named = at + float(_after(fields, "for")), {"cut": "from", "deaf": "to", "slow": "by"}.get(what)
         if what in ("cut", "deaf"):
-            return [Fault(at, what, places, others=numbers(_after(fields, named), instances), until=until)]
+            return [Fault(at, what, places, others=parse_places(_after(fields, named), instances), until=until)]
         amount = float(_after(fields, named) if named else fields[4])
         if amount < 0.0 or what in ("lossy", "repeated", "swapped", "failing") and amount > 1.0:
             raise ValueError
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -294,7 +294,7 @@
         await self._configure_relay(self.start_at)
         case = self.case
         for number, (places, rate) in enumerate(case.loads):
-            chosen = faults.numbers(places, self.case.instances)
+            chosen = faults.parse_places(places, self.case.instances)
             habits = {
                 "instances": [["127.0.0.1", self.nodes[place].port] for place in chosen],
                 "kinds": [
@@ -331,7 +331,7 @@
 
     async def _play_script(self) -> None:
         moments = [(fault.at, fault.what, fault) for fault in self.faults if fault.what not in faults.LINKS]
-        moments += [(fault.until, "mend", fault) for fault in self.faults if fault.what in faults.WORK]
+        moments += [(fault.until, "restore", fault) for fault in self.faults if fault.what in faults.WORK]
         for at, what, fault in sorted(moments, key=lambda moment: moment[0]):
             await self.until(at)
             self.late = max(self.late, self.now() - at)
@@ -348,9 +348,9 @@
                 node.process.send_signal(signal.SIGSTOP if node.stalled else signal.SIGCONT)
         elif what == "leave" and node.up:
             node.process.send_signal(signal.SIGTERM)
-        elif what in ("slow", "failing", "mend"):
+        elif what in ("slow", "failing", "restore"):
             usual = {"slow": 1.0, "failing": 0.0}[fault.what]
-            amount = usual if what == "mend" else fault.amount
+            amount = usual if what == "restore" else fault.amount
             self.host.stdin.write(f"{fault.what} {node.place} {amount}\n".encode())
 
     async def kill(self, node: Node) -> None:
@@ -399,7 +399,7 @@
             await self.scripted
         clients = [json.loads(out) for out, _ in await asyncio.gather(*(load.communicate() for load in self.loads))]
         for client, (places, _) in zip(clients, self.case.loads):
-            known = faults.numbers(places, self.case.instances)  # a client numbers only the instances it knows
+            known = faults.parse_places(places, self.case.instances)  # a client numbers only the instances it knows
             client["broken_once"] = {ref: (known[index], *times) for ref, (index, *times) in client["broken_once"].items()}
         self.host.terminate()
         ran = json.loads((await self.host.communicate())[0])
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -377,8 +377,8 @@
     back, late = None, 0
     # Backwards, to find the last two seconds with fewer than 90% served in time.
     for at in range(stop - 2 * per, start - 1, -1):
-        wanted, got = (sum(of.get(b, 0) for b in range(at, at + 2 * per)) for of in (first, good))
-        if got < 0.9 * wanted:
+        requested, served_in_time = (sum(of.get(b, 0) for b in range(at, at + 2 * per)) for of in (first, good))
+        if served_in_time < 0.9 * requested:
             break
         back = (at - start) * bucket
     outages = [fault.at for fault in faults.read(case.script) if fault.what in ("kill", "freeze")]
--- a/mulleinhatch/testing/load_generator.py
+++ b/mulleinhatch/testing/load_generator.py
@@ -100,7 +100,7 @@
         self.latency, self.late = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)  # microseconds
         self.sent = self.answered = self.broken = self.waited = 0
         self.statuses: dict[str, int] = {}
-        self.kept: list[tuple[float, float]] = []
+        self.latencies: list[tuple[float, float]] = []
         self.late_in: dict[int, float] = {}  # by slice of the clock: maximum lateness in seconds
         self.count_from = 0.0
         self.idle_sockets: list[socket.socket] = []
@@ -258,7 +258,7 @@
         if due >= self.count_from:
             self.latency.record_value(max(1, int(1e6 * (now - due))))
             if self.habits.keep:
-                self.kept.append((due, now - due))
+                self.latencies.append((due, now - due))
 
     def report(self) -> dict[str, Any]:
         """Return all counts and latencies, in milliseconds. A request without an answer is lost, whatever the reason."""
@@ -276,7 +276,7 @@
             "latency_ms": quantiles(self.latency),
             "late_ms": quantiles(self.late),
             "cpu_s": time.process_time(),
-            "kept": self.kept,
+            "kept": self.latencies,
             "late_in": self.late_in if self.habits.keep else {},
         }
 
