--- a/benchmarks/scale_instance_load.py
+++ b/benchmarks/scale_instance_load.py
@@ -8,7 +8,7 @@
 
 from benchmarks.scale_instance_measurements import CALM_RATE, REGION_LOST_RATE, WARM_UP_S, ZONE_LOST_RATE, Measurements
 from mulleinhatch.testing.instance_harness import free_port
-from mulleinhatch.testing.load_generator import calm_latencies
+from mulleinhatch.testing.load_generator import on_time_latencies
 from mulleinhatch.testing.single_instance import RunningLoad, SingleInstance, run_load, settings
 
 MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # milliseconds at p99; share of a core
@@ -47,7 +47,7 @@
                 ),
             )
         )
-    calm = [[latency for run in side for latency in calm_latencies(run, MAX_DRIVER_LATE_S)] for side in zip(*rounds)]
+    calm = [[latency for run in side for latency in on_time_latencies(run, MAX_DRIVER_LATE_S)] for side in zip(*rounds)]
     has_enough = min(map(len, calm)) >= MIN_CALM_ANSWERS
     sides = calm if has_enough else [[latency for run in side for _, latency in run["kept"]] for side in zip(*rounds)]
     row = {"rate": rate, "pairs": count, "calm": int(has_enough), "alone_n": len(sides[0]), "through_n": len(sides[1])}
--- a/mulleinhatch/testing/load_generator.py
+++ b/mulleinhatch/testing/load_generator.py
@@ -281,13 +281,13 @@
         }
 
 
-def calm_latencies(report: dict[str, Any], most: float) -> list[float]:
+def on_time_latencies(report: dict[str, Any], most: float) -> list[float]:
     """Return the latencies in seconds of requests due while the generator itself was on time.
 
     A request counts if the generator was late by at most `most` in its time slice and in the one before. That lateness
     depends on the machine and not on the server, so no delay caused by the server is excluded.
 
-    >>> calm_latencies({"kept": [[0.05, 1.0], [0.15, 2.0], [0.25, 3.0], [0.35, 4.0]], "late_in": {"2": 0.1}}, 0.01)
+    >>> on_time_latencies({"kept": [[0.05, 1.0], [0.15, 2.0], [0.25, 3.0], [0.35, 4.0]], "late_in": {"2": 0.1}}, 0.01)
     [1.0, 2.0]
     """
     late = {int(place): seconds for place, seconds in report["late_in"].items()}
