--- a/benchmarks/scale_instance_load.py
+++ b/benchmarks/scale_instance_load.py
@@ -8,8 +8,8 @@
 
 from benchmarks.scale_instance_measurements import CALM_RATE, REGION_LOST_RATE, WARM_UP_S, ZONE_LOST_RATE, Measurements
 from mulleinhatch.testing.instance_harness import free_port
-from mulleinhatch.testing.load_generator import calm_latencies
-from mulleinhatch.testing.single_instance import Driving, SingleInstance, driven, settings
+from mulleinhatch.testing.load_generator import on_time_latencies
+from mulleinhatch.testing.single_instance import RunningLoad, SingleInstance, run_load, settings
 
 MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # milliseconds at p99; share of a core
 MAX_DRIVER_LATE_S, MIN_CALM_ANSWERS = (
@@ -38,16 +38,16 @@
     rounds = []
     for number in range(count):
         load_options = {"skip": 0.5, "seed": measurements.seed + number, "keep": True}
-        alone = measurements.add_report(Driving(interpreter_port, rate, seconds + 0.5, wire="link", **load_options).done())
+        alone = measurements.add_report(RunningLoad(interpreter_port, rate, seconds + 0.5, wire="link", **load_options).done())
         rounds.append(
             (
                 alone,
                 measurements.add_report(
-                    driven(instance, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **load_options)
+                    run_load(instance, rate, seconds + 0.5, connections=256, tenants=1000, callers=1000, **load_options)
                 ),
             )
         )
-    calm = [[latency for run in side for latency in calm_latencies(run, MAX_DRIVER_LATE_S)] for side in zip(*rounds)]
+    calm = [[latency for run in side for latency in on_time_latencies(run, MAX_DRIVER_LATE_S)] for side in zip(*rounds)]
     has_enough = min(map(len, calm)) >= MIN_CALM_ANSWERS
     sides = calm if has_enough else [[latency for run in side for _, latency in run["kept"]] for side in zip(*rounds)]
     row = {"rate": rate, "pairs": count, "calm": int(has_enough), "alone_n": len(sides[0]), "through_n": len(sides[1])}
--- a/mulleinhatch/instance/traces/replay.py
+++ b/mulleinhatch/instance/traces/replay.py
@@ -1,7 +1,7 @@
 """Replays a trace on a new admission controller and compares the decisions.
 
-The same source must make exactly the same decisions, which proves that a trace holds all inputs of the controller; another
-source shows what it would have decided.
+The same source must make exactly the same decisions, which proves that a trace holds all inputs of the controller. A
+different source shows what it would have decided.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 def deployment_from_dict(plain: dict[str, Any]) -> Deployment:
     """Return a deployment from the plain values of a trace's metadata."""
-    deployment_facts = {
+    deployment = {
         name: ENUM_BY_VALUE[value] if name in ENUM_FIELDS and value is not None else value for name, value in plain.items()
     }
-    if "op_types" in deployment_facts:
-        deployment_facts["op_types"] = [deployment_from_dict(op_type) for op_type in deployment_facts["op_types"]]
-    return deployment_facts
+    if "op_types" in deployment:
+        deployment["op_types"] = [deployment_from_dict(op_type) for op_type in deployment["op_types"]]
+    return deployment
 
 
 class DecisionRecord(NamedTuple):
-    """A decision in a form that can be compared between versions of the source."""
+    """A decision in a form that is comparable between versions of the controller's source."""
 
     verb: str
     request: int
@@ -66,7 +66,7 @@
 
 
 class Difference(NamedTuple):
-    """The first difference: its time, the number of decision requests so far, and the decisions on both sides."""
+    """The first difference: its time, the number of pulls so far, and the decisions on both sides."""
 
     time: float
     pull: int
@@ -75,7 +75,7 @@
 
 
 class Outcome(NamedTuple):
-    """Result of a replay; `recorded` and `replayed` count decisions by verb."""
+    """Result of a replay. A pull takes all pending decisions at one time."""
 
     pulls: int
     decisions: int
@@ -86,7 +86,7 @@
 
 
 class IncompleteTraceError(ValueError):
-    """Raised for a trace that lacks the start of its instance, or a part: nothing after that can be replayed."""
+    """Raised for a trace without the start of its instance or with a gap: nothing after it can be replayed."""
 
 
 class Replayer:
@@ -94,11 +94,11 @@
 
     Args:
         make: Creates a controller from deployment, seed and start time.
-        facts: Metadata of the trace.
+        metadata: Metadata of the trace.
     """
 
-    def __init__(self, make: Callable[[Deployment, int, float], Any], facts: Any) -> None:
-        self.make, self.facts, self.controller = make, facts, None
+    def __init__(self, make: Callable[[Deployment, int, float], Any], metadata: Any) -> None:
+        self.make, self.metadata, self.controller = make, metadata, None
         self.refs: dict[int, str] = {0: ""}
         self.numbers: dict[Any, int] = {}
 
@@ -110,20 +110,20 @@
         """
         kind, now, values = record
         if kind is kinds.NODE:
-            raise IncompleteTraceError("a merged file is of several modules: replay the files it was made of")
+            raise IncompleteTraceError("a merged file holds several instances: replay its source files")
         if kind is kinds.GAP:
-            raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow for them")
+            raise IncompleteTraceError(f"{values[0]} records are missing at {now:.3f}: the disk was too slow to write them")
         if kind is kinds.START:
             is_fresh_start, since = values
-            deployment = {**deployment_from_dict(self.facts.deployment), "fresh_start": bool(is_fresh_start)}
-            self.controller = self.make(deployment, self.facts.seed, now - since)
+            deployment = {**deployment_from_dict(self.metadata.deployment), "fresh_start": bool(is_fresh_start)}
+            self.controller = self.make(deployment, self.metadata.seed, now - since)
         elif self.controller is None:
-            raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, uncut")
+            raise IncompleteTraceError("the trace begins after the start of its instance: replay its first file, unfiltered")
         elif kind is kinds.READ:
-            request, ref, op_type, age, wait, tenant, repeat_of, caller, work, kb, again = values
+            request, ref, op_type, age, wait, tenant, repeat_of, caller, work, memory_kb, is_retry = values
             self.refs[request], self.numbers[ref] = ref, request
             self.controller.record_arrival(
-                now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, kb, bool(again)
+                now, ref, op_type, age, wait, tenant, self.refs.get(repeat_of, ""), caller, work, memory_kb, bool(is_retry)
             )
         elif kind is kinds.RUN_ENDED:
             self.controller.record_run_end(now, self._ref(values[0]), values[1])
@@ -146,8 +146,8 @@
         elif kind is kinds.CALLS:
             self.controller.set_dependency_share(now, values[0])
         elif kind is kinds.OTHERS:
-            room, ill, hear_most, shut = values
-            self.controller.update_peer_load(now, room, bool(ill), hear_most, shut)
+            free_fraction, is_outlier, retry_allowance, diverted = values
+            self.controller.update_peer_load(now, free_fraction, bool(is_outlier), retry_allowance, diverted)
         elif kind is kinds.OFFERS:
             self.controller.set_peer_offers(now, values[0])
         elif kind is kinds.HANDED:
@@ -184,23 +184,23 @@
 
 
 def compare_decisions(
-    records: Iterable[Record], player: Replayer
+    records: Iterable[Record], replayer: Replayer
 ) -> Iterator[tuple[float, list[DecisionRecord], list[DecisionRecord]]]:
-    """Yield, for each time that decisions were requested, the time, the recorded and the replayed decisions."""
+    """Yield, for each pull, its time, the recorded and the replayed decisions."""
     recorded: list[DecisionRecord] = []
     for record in records:
         if record.kind is kinds.DECIDED or record.kind is kinds.DECIDED_FOR:
             recorded.append(decision_record(record))
         elif record.kind is kinds.PULLED:
-            yield record.time, recorded, player.pull_decisions(record.time)
+            yield record.time, recorded, replayer.pull_decisions(record.time)
             recorded = []
         else:
-            player.apply(record)
+            replayer.apply(record)
 
 
 def replay(
     records: Iterable[Record],
-    facts: Any,
+    metadata: Any,
     make: Callable[[Deployment, int, float], Any] = AdmissionController,
     to_the_end: bool = False,
 ) -> Outcome:
@@ -208,18 +208,18 @@
 
     Args:
         records: Records from the start of the instance.
-        facts: Metadata of the trace.
+        metadata: Metadata of the trace.
         make: Creates a controller from deployment, seed and start time.
-        to_the_end: Continue after the first difference. The inputs remain those recorded, not those that would have followed.
+        to_the_end: Continue after the first difference, with the recorded inputs rather than those that would have followed.
 
     Raises:
-        IncompleteTraceError: The trace lacks its start or a part.
+        IncompleteTraceError: The trace has no start or a gap.
     """
     count = decisions = differences = 0
     first: Difference | None = None
     recorded_all: Counter[str] = Counter()
     replayed_all: Counter[str] = Counter()
-    for time, recorded, replayed in compare_decisions(records, Replayer(make, facts)):
+    for time, recorded, replayed in compare_decisions(records, Replayer(make, metadata)):
         count += 1
         decisions += len(recorded)
         recorded_all.update(decision.verb for decision in recorded)
--- a/mulleinhatch/instance/traces/summary.py
+++ b/mulleinhatch/instance/traces/summary.py
@@ -21,7 +21,7 @@
 
 
 class Summary:
-    """Accumulates records in bounded memory: a request is dropped with its last record, seconds are counters."""
+    """Accumulates records; keeps live requests only until their last record, and one counter per second of the trace."""
 
     def __init__(self, op_types: list[str], tenants: list[str]) -> None:
         self.op_types, self.tenants = op_types, tenants
@@ -31,7 +31,7 @@
         self.seconds: dict[int, Counter[str]] = {}
         self.queue_waits, self.run_times = HdrHistogram(1, MAX_MS, 3), HdrHistogram(1, MAX_MS, 3)
         self.retry_delays = HdrHistogram(1, MAX_MS, 3)
-        self.live: dict[int, tuple[int, int, float, float]] = {}  # by request number: type, tenant, time read, time started
+        self.live: dict[int, tuple[int, int, float, float]] = {}  # by request number: type, tenant, arrival and start time
         self.first: float | None = None
         self.last = 0.0
 
@@ -75,12 +75,12 @@
             self.retry_delays.record_value(_ms(seconds))
             self.live.pop(request, None)
 
-    def _count(self, time: float, what: str, request: int) -> None:
-        self.counts[what] += 1
-        self._second(time)[what] += 1
+    def _count(self, time: float, counter: str, request: int) -> None:
+        self.counts[counter] += 1
+        self._second(time)[counter] += 1
         if live := self.live.get(request):
-            self.by_type[self._name(self.op_types, live[0]), what] += 1
-            self.by_tenant[self._name(self.tenants, live[1]), what] += 1
+            self.by_type[self._name(self.op_types, live[0]), counter] += 1
+            self.by_tenant[self._name(self.tenants, live[1]), counter] += 1
 
     def _second(self, time: float) -> Counter[str]:
         return self.seconds.setdefault(int(time), Counter())
@@ -97,11 +97,11 @@
 
         first = self.first or 0.0
         by_type: dict[str, dict[str, int]] = {}
-        for (name, what), count in sorted(self.by_type.items()):
-            by_type.setdefault(name, {})[what] = count
+        for (name, counter), count in sorted(self.by_type.items()):
+            by_type.setdefault(name, {})[counter] = count
         by_tenant: dict[str, dict[str, int]] = {}
-        for (name, what), count in sorted(self.by_tenant.items()):
-            by_tenant.setdefault(name, {})[what] = count
+        for (name, counter), count in sorted(self.by_tenant.items()):
+            by_tenant.setdefault(name, {})[counter] = count
         return {
             "seconds": round(self.last - first, 6),
             "counts": dict(sorted(self.counts.items())),
--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -1,8 +1,8 @@
-"""Writes trace files in a thread: batches arrive through a bounded queue; files are rolled by size and age, and old ones
-deleted.
+"""Writes trace files in a thread: batches arrive through a bounded queue; files are rotated by size and age,
+and the oldest are deleted.
 
-The event loop only enqueues lists. When the disk is slow or full, whole batches are dropped, counted, and marked in the file
-by a `GAP` record; no request ever waits.
+The event loop only enqueues lists, so no request ever waits for the disk. When the disk is slow or full, whole batches are
+dropped, counted, and marked in the file by a `GAP` record.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 LOG = logging.getLogger(__name__)
 MAX_QUEUED_BATCHES = 16  # batches waiting for the disk: a few MB
 SUFFIX, OPEN_SUFFIX = ".mht", ".mht.part"
-RETRY_DELAY_S = 5.0  # seconds without an attempt after a disk error
+RETRY_DELAY_S = 5.0  # after a disk error
 
 
 class TraceBounds(NamedTuple):
@@ -34,8 +34,8 @@
 
     Attributes:
         folder: Directory of the files.
-        file_mb: Size in MB at which a file is ended.
-        file_age: Age in seconds at which a file is ended.
+        file_mb: Size in MB at which a file is rotated.
+        file_age: Age in seconds at which a file is rotated.
         total_mb: Total size in MB of this instance's files; the oldest are deleted beyond it.
     """
 
@@ -50,12 +50,12 @@
 
     Args:
         bounds: Limits of the files.
-        facts: Returns the metadata for a file number.
+        make_metadata: Returns the metadata for a file number.
         major: Major version of the format.
     """
 
-    def __init__(self, bounds: TraceBounds, facts: Callable[[int], TraceMetadata], major: int = MAJORS[-1]) -> None:
-        self.bounds, self.facts, self.major = bounds, facts, major
+    def __init__(self, bounds: TraceBounds, make_metadata: Callable[[int], TraceMetadata], major: int = MAJORS[-1]) -> None:
+        self.bounds, self.make_metadata, self.major = bounds, make_metadata, major
         self.counts: Counter[str] = Counter()
         self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(MAX_QUEUED_BATCHES)
         self.lock = threading.Lock()  # guards the two fields below: the event loop and the thread both drop batches
@@ -79,18 +79,18 @@
             self._drop(dropped, records)
 
     def _drop(self, marked_before: int, records: list[Record]) -> None:
-        """Count dropped records once; a gap mark lost with this batch is repeated by the next one."""
+        """Count dropped records once; a gap record lost with this batch is repeated with the next one."""
         with self.lock:
             self.counts["trace_records_dropped"] += len(records)
             self.dropped, self.dropped_until = self.dropped + marked_before + len(records), records[-1][1]
 
     def close(self, within: float = 2.0) -> None:
-        """End the current file if the disk allows it within `within` seconds."""
+        """Complete the current file, waiting up to `within` seconds each for the queue and for the thread."""
         with contextlib.suppress(queue.Full):
             self.queue.put(None, timeout=within)
         self.thread.join(within)
 
-    # In its own thread.
+    # Methods of the writer thread.
 
     def _run(self) -> None:
         while (item := self.queue.get()) is not None:
@@ -125,15 +125,15 @@
 
     def _begin_file(self) -> None:
         self.number += 1
-        facts = self.facts(self.number)
+        metadata = self.make_metadata(self.number)
         stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
         folder = Path(self.bounds.folder)
         folder.mkdir(parents=True, exist_ok=True)
-        self.path = folder / f"{facts.instance}-{stamp}-{os.getpid()}-{self.number:05d}{OPEN_SUFFIX}"
+        self.path = folder / f"{metadata.instance}-{stamp}-{os.getpid()}-{self.number:05d}{OPEN_SUFFIX}"
         file = open(self.path, "xb")  # noqa: SIM115 (`_end_file` closes it)
-        self.writer = TraceWriter(file, facts, self.major)
+        self.writer = TraceWriter(file, metadata, self.major)
         self.opened = time.monotonic()
-        self._expire(facts.instance)
+        self._expire(metadata.instance)
 
     def _end_file(self) -> None:
         """Write the index, flush, and rename: a file under its final name is complete."""
