--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -255,7 +255,7 @@
         writer.write(builder.encode())
     writer.close()
     again = Trace(io.BytesIO(file.getvalue()))
-    assert (again.facts, list(again.records())) == (trace.metadata, list(trace.records()))
+    assert (again.metadata, list(again.records())) == (trace.metadata, list(trace.records()))
     assert [row.records for row in again.rows] == [500, 297]
 
 
