--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,13 +1,13 @@
-"""Soak a fleet of real processes with clients, changes, revocations and faults from a seed, and judge it from outside.
+"""Run a seeded soak test of real processes with clients, configuration changes, key revocations and faults.
 
 Usage: python -m benchmarks.soak [--seed=1] [--seeds=1] [--seconds=14] [--data-planes=3] [--control-planes=3] [--quick]
 [--logs=DIR]
 
 Control planes and data planes are processes on loopback; clients, backends and the operator are tasks of this program. Faults
-come in series and overlapping: SIGTERM, SIGKILL and SIGSTOP with restart, SIGHUP, backends that crash, leave and come back,
-several at once, while the operator changes routes, time-outs, limits and keys. Only what clients and backends saw is judged.
-For each seed there is a table and a JSON line with "holds" and the seed; the status is 1 where something does not hold. With
-`--logs` the violations and the logs of each seed that fails are kept there.
+occur one after another and overlapping: SIGTERM and SIGKILL with a restart, SIGSTOP, SIGHUP, and backends that crash, leave and
+return, several at once, while the operator changes routes, timeouts, limits and keys. The checks use only what clients and
+backends observed. Each seed prints a table and a JSON line with "holds" and the seed; the exit status is 1 if a check fails.
+With `--logs`, the violations and logs of each failing seed are saved in that directory.
 """
 
 from __future__ import annotations
@@ -25,26 +25,37 @@
 from rich.table import Table
 
 from benchmarks.soak_parts.bounds import SoakBounds
-from benchmarks.soak_parts.checks import Judge, figures, served_shares
+from benchmarks.soak_parts.checks import SoakChecker, figures, served_shares
 from benchmarks.soak_parts.quota_check import fullest_windows
 from benchmarks.soak_parts.records import Observations
-from benchmarks.soak_parts.scene import Scene, SoakSize
+from benchmarks.soak_parts.scene import SoakRun, SoakSize
 
 QUICK_SECONDS = 6.0
-SHOWN_VIOLATIONS = 5
+MAX_PRINTED_VIOLATIONS = 5
 BOUNDS = SoakBounds()
 
 
 def run_seed(seed: int, size: SoakSize, folder: Path) -> tuple[dict, Observations]:
-    """Play the soak of one seed; return its violations by check, its figures and its seed, and what was recorded."""
-    scene = Scene(folder, seed, size, BOUNDS)
-    observations = asyncio.run(scene.play())
-    fills = {f"fullest window, {name}": round(one.fill, 3) for name, one in fullest_windows(observations, BOUNDS).items()}
-    measured = {**figures(observations), **served_shares(observations, BOUNDS), **fills, "ended by force": scene.forced_ends}
-    return {"seed": seed, "violations": Judge(observations, BOUNDS).violations(), "figures": measured}, observations
-
-
-def show(result: dict) -> None:
+    """Run the soak of one seed; return its violations by check, its figures and its seed, and the observations."""
+    soak_run = SoakRun(folder, seed, size, BOUNDS)
+    observations = asyncio.run(soak_run.run())
+    utilizations = {
+        f"fullest window, {name}": round(one.fill, 3) for name, one in fullest_windows(observations, BOUNDS).items()
+    }
+    measured = {
+        **figures(observations),
+        **served_shares(observations, BOUNDS),
+        **utilizations,
+        "ended by force": soak_run.forced_kills,
+    }
+    return {
+        "seed": seed,
+        "violations": SoakChecker(observations, BOUNDS).violations(),
+        "figures": measured,
+    }, observations
+
+
+def print_result(result: dict) -> None:
     """Print the table of one seed, its first violations, and the JSON line."""
     table = Table("check", "violations", title=f"seed {result['seed']}")
     for name, lines in result["violations"].items():
@@ -52,20 +63,20 @@
     console = Console(width=140)
     console.print(table)
     for name, lines in result["violations"].items():
-        for line in lines[:SHOWN_VIOLATIONS]:
+        for line in lines[:MAX_PRINTED_VIOLATIONS]:
             console.print(f"{name}: {line}", markup=False)
     holds = {name: not lines for name, lines in result["violations"].items()}
     print(json.dumps({"benchmark": "soak", "seed": result["seed"], "figures": result["figures"], "holds": holds}), flush=True)
 
 
-def keep(result: dict, observations: Observations, folder: Path, logs: Path) -> None:
-    """Keep the violations, the records and the logs of a seed that failed."""
-    kept = logs / f"seed-{result['seed']}"
-    kept.mkdir(parents=True, exist_ok=True)
-    (kept / "result.json").write_text(json.dumps(result, indent=1))
-    (kept / "records.json").write_text(json.dumps(asdict(observations), indent=1, default=repr))
+def save_failure(result: dict, observations: Observations, folder: Path, logs: Path) -> None:
+    """Save the violations, the records and the logs of a seed that failed."""
+    seed_folder = logs / f"seed-{result['seed']}"
+    seed_folder.mkdir(parents=True, exist_ok=True)
+    (seed_folder / "result.json").write_text(json.dumps(result, indent=1))
+    (seed_folder / "records.json").write_text(json.dumps(asdict(observations), indent=1, default=repr))
     for path in folder.glob("*.log"):
-        shutil.copy(path, kept)
+        shutil.copy(path, seed_folder)
 
 
 def soak(
@@ -77,16 +88,16 @@
     quick: bool = False,
     logs: str = "",
 ) -> None:
-    """Play the soaks of some seeds and end with status 1 where something does not hold.
+    """Run the soaks of consecutive seeds and exit with status 1 if a check fails.
 
     Args:
         seed: The first seed.
-        seeds: How many seeds in a row.
-        seconds: Time with faults; start and calm come on top.
+        seeds: Number of consecutive seeds.
+        seconds: Duration of the fault phase; startup and the recovery phase are added to it.
         data_planes: Number of data planes.
         control_planes: Number of control planes.
-        quick: Two data planes, and less time with faults where `seconds` is not given.
-        logs: Directory for the violations and logs of seeds that fail.
+        quick: At most two data planes, and a shorter fault phase unless `seconds` is given.
+        logs: Directory for the violations and logs of failing seeds.
     """
     size = SoakSize(data_planes=data_planes, control_planes=control_planes)
     if quick:
@@ -97,11 +108,11 @@
     for number in range(seed, seed + seeds):
         with tempfile.TemporaryDirectory(prefix="mulleinhatch-soak-") as folder:
             result, observations = run_seed(number, size, Path(folder))
-            show(result)
+            print_result(result)
             if any(result["violations"].values()):
                 failed.append(number)
                 if logs:
-                    keep(result, observations, Path(folder), Path(logs))
+                    save_failure(result, observations, Path(folder), Path(logs))
     if seeds > 1:
         print(json.dumps({"benchmark": "soak", "seeds": seeds, "first": seed, "failed": failed, "holds": not failed}))
     sys.exit(1 if failed else 0)
--- a/benchmarks/soak_parts/backends.py
+++ b/benchmarks/soak_parts/backends.py
@@ -1,4 +1,4 @@
-"""Backends of a soak: each records every request that it runs, whole, and answers with what belongs to that request alone."""
+"""Backends of a soak: each records the complete requests that it runs and sends responses that identify their request."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 def plain_answer(signature: str, request_id: str, target: str, body: bytes) -> bytes:
-    """Return the whole body of the answer to a request that is no stream."""
+    """Return the complete body of a response that is not a stream."""
     return f"{signature} {request_id} {target} ".encode() + body
 
 
 def stream_event(request_id: str, number: int) -> bytes:
-    """Return one event of a stream; whichever backend makes it, it is the same."""
+    """Return one event of a stream; it is the same from every backend."""
     return b"id: %d\ndata: %b %d\n\n" % (number, request_id.encode(), number)
 
 
 def stream_answer(request_id: str, first: int = 1) -> bytes:
-    """Return the whole body of a stream."""
+    """Return the body of a stream from event `first` to the last one."""
     return b"".join(stream_event(request_id, number) for number in range(first, STREAM_EVENTS + 1))
 
 
@@ -43,9 +43,9 @@
         service: Its service.
         address: "HOST:PORT" to listen on.
         zone: Its zone.
-        control_addresses: Control planes that it sends heartbeats to; none: it does not register.
+        control_addresses: Control planes that it sends heartbeats to; if empty, it does not register.
         record: Called with each run.
-        on_broken_off: Called with the id of each request that `crash` cuts.
+        on_interrupted: Called with the ID of each request that `crash` interrupts.
     """
 
     def __init__(
@@ -55,18 +55,18 @@
         zone: str,
         control_addresses: list[str],
         record: Callable[[BackendRun], None],
-        on_broken_off: Callable[[str], None] = lambda request_id: None,
+        on_interrupted: Callable[[str], None] = lambda request_id: None,
     ) -> None:
         self.id = f"i-{uuid.uuid4().hex[:10]}"
         self.service, self.address = service, address
-        self._record, self._on_broken_off = record, on_broken_off
-        facts = FakeModelServerConfig(service, address, zone, SLOTS)
-        store = ModelStore(facts, Counters(), {}, None, lambda: 0)
-        self._registration = Registration(self.id, facts, store, control_addresses)
+        self._record, self._on_interrupted = record, on_interrupted
+        config = FakeModelServerConfig(service, address, zone, SLOTS)
+        store = ModelStore(config, Counters(), {}, None, lambda: 0)
+        self._registration = Registration(self.id, config, store, control_addresses)
         self._server: asyncio.Server | None = None
         self._heartbeats: asyncio.Task[None] | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._at_work: set[str] = set()
+        self._running: set[str] = set()
 
     async def start(self) -> None:
         """Listen and register."""
@@ -75,9 +75,9 @@
         self._heartbeats = asyncio.ensure_future(self._registration.run())
 
     async def crash(self) -> None:
-        """End at once; connections are reset."""
-        for request_id in self._at_work:
-            self._on_broken_off(request_id)
+        """Stop immediately and reset all connections."""
+        for request_id in self._running:
+            self._on_interrupted(request_id)
         if self._heartbeats is not None:
             self._heartbeats.cancel()
         if self._server is not None:
@@ -86,7 +86,7 @@
             writer.transport.abort()
 
     async def leave(self, after_s: float) -> None:
-        """Announce the end, serve on for a while, deregister and end."""
+        """Announce draining, serve for `after_s` more seconds, deregister and stop."""
         self._registration.is_draining = True
         await self._registration.send_heartbeat()
         await asyncio.sleep(after_s)
@@ -120,13 +120,13 @@
             writer.close()
 
     async def _handle(self, head: Head, body: bytes, raw: bytes, writer: asyncio.StreamWriter) -> None:
-        own_id = (b"Instance-Id", self.id.encode())
-        not_run = [own_id, (b"Request-Id", head.first.get(b"request-id", b"")), (b"Not-Executed", b"1")]
+        instance_id = (b"Instance-Id", self.id.encode())
+        not_run = [instance_id, (b"Request-Id", head.first.get(b"request-id", b"")), (b"Not-Executed", b"1")]
         if head.target == b"/health":
-            writer.write(write_response(200, [own_id], b""))
+            writer.write(write_response(200, [instance_id], b""))
         elif head.first.get(b"expect-instance", self.id.encode()).decode() != self.id:
             writer.write(write_response(421, not_run, b""))
-        elif len(self._at_work) >= SLOTS:
+        elif len(self._running) >= SLOTS:
             writer.write(write_response(503, not_run, b""))
         else:
             await self._run(head, body, raw, writer)
@@ -137,14 +137,14 @@
         now = asyncio.get_running_loop().time()
         run = BackendRun(request_id, now, self.id, self.service, head.method, head.target, body, fields, raw)
         self._record(run)
-        self._at_work.add(request_id)
+        self._running.add(request_id)
         try:
             await self.answer(run, head, writer)
         finally:
-            self._at_work.discard(request_id)
+            self._running.discard(request_id)
 
     async def answer(self, run: BackendRun, head: Head, writer: asyncio.StreamWriter) -> None:
-        """Answer a run as a healthy backend does; tests replace it."""
+        """Respond to a run as a healthy backend does; tests override it."""
         fields = [(b"Request-Id", run.id.encode("latin-1")), (b"Server-Signature", self.id.encode())]
         if head.target.startswith((b"/write/", b"/talk/")):
             await self.stream(run.id, int(head.first.get(b"last-event-id", b"0") or 0), fields, writer)
@@ -154,7 +154,7 @@
             writer.write(write_response(200, fields, b"" if head.method == b"HEAD" else answer))
 
     async def stream(self, request_id: str, last: int, fields: list[tuple[bytes, bytes]], writer: asyncio.StreamWriter) -> None:
-        """Write the events of a stream behind the one numbered `last`."""
+        """Write the events of a stream that follow number `last`."""
         lines = [*fields, (b"Content-Type", b"text/event-stream"), (b"Transfer-Encoding", b"chunked")]
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n" % b"".join(b"%b: %b\r\n" % line for line in lines))
         for number in range(last + 1, STREAM_EVENTS + 1):
--- a/benchmarks/soak_parts/bounds.py
+++ b/benchmarks/soak_parts/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of the soak's deployment: the settings of its processes and what the checks allow follow from them."""
+"""Bounds of the soak's deployment, used for the settings of its processes and for the limits of the checks."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(frozen=True)
 class SoakBounds:
-    """Time spans and limits of the rules; the names are those of the settings.
+    """Durations and limits; the names are those of the settings.
 
     Attributes:
-        contact_s: How long a machine must have been undisturbed to count as in touch.
-        acknowledge_s: The time to acknowledge a change in calm.
-        apply_s: The time from an acknowledgement until machines in touch act on it.
-        outer_s: By how much an unstable core may stretch that.
-        grace_s: From SIGTERM until the platform kills.
-        recovery_s: From the last fault until requests are served again.
-        loss_slack_s: A connection that closes sooner than this after a request was sent may not have read it.
+        contact_s: How long a machine must have been undisturbed to count as in contact.
+        acknowledge_s: The time limit for acknowledging a change while there are no faults.
+        apply_s: The time from an acknowledgement until machines in contact apply the change.
+        outer_s: By how much faults of control planes may extend `apply_s`.
+        grace_s: The time from SIGTERM until the platform sends SIGKILL.
+        recovery_s: The time from the last fault until requests are served again.
+        loss_slack_s: If a connection closes sooner than this after a request was sent, the request may not have been read.
         quota_window_s: Length of the sliding window of quotas.
-        quota_overage: Part of a limit that may be used beyond it.
-        quota_slack: Tokens that may be used beyond both.
+        quota_overage: Fraction of a limit that may be used beyond it.
+        quota_slack: Tokens that may be used beyond the limit and the overage.
     """
 
     contact_s: float = 4.0
@@ -48,7 +48,7 @@
         ]
 
     def allowed_units(self, rate_per_s: float, burst: float) -> float:
-        """Return the units that one window may hold.
+        """Return the units that may be used in one window.
 
         >>> SoakBounds().allowed_units(1000, 500)
         11350.0
--- a/benchmarks/soak_parts/changes.py
+++ b/benchmarks/soak_parts/changes.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: draws changes of the configuration, sends each until it is answered, and records what was said."""
+"""The operator of a soak: draws configuration changes, sends each until it is answered, and records the outcome."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def new_key() -> str:
-    """Return a new API key; not from the seed, so that no other run has it."""
+    """Return a new API key. It does not depend on the seed, so that no two runs share a key."""
     return f"key-{secrets.token_hex(KEY_BYTES)}"
 
 
@@ -42,8 +42,8 @@
     return {"name": name, "api_keys": keys, "priority": priority, **quota}
 
 
-def first_document() -> dict[str, Any]:
-    """Return the first configuration: routes of every kind, one of them public, and three tenants with two keys each."""
+def initial_document() -> dict[str, Any]:
+    """Return the initial configuration: routes of every kind, one of them public, and three tenants with two keys each."""
     more: dict[str, dict[str, Any]] = {"write": {"resumable": True, "gap_aim_ms": 400}, "open": {"public": True}}
     return {
         "version": 1,
@@ -54,20 +54,20 @@
     }
 
 
-def _take_key(tenants: list[dict[str, Any]], random_source: random.Random) -> dict[str, Any] | None:
-    """Take the oldest key of a tenant that has several away."""
-    rich = [item for item in tenants if len(item["api_keys"]) > MIN_KEYS]
-    if not rich:
+def _remove_key(tenants: list[dict[str, Any]], random_source: random.Random) -> dict[str, Any] | None:
+    """Return a tenant that has several keys, without its oldest key, or None if there is none."""
+    candidates = [item for item in tenants if len(item["api_keys"]) > MIN_KEYS]
+    if not candidates:
         return None
-    chosen = random_source.choice(rich)
+    chosen = random_source.choice(candidates)
     return {**chosen, "api_keys": chosen["api_keys"][1:]}
 
 
 def _add_key(tenants: list[dict[str, Any]], random_source: random.Random) -> dict[str, Any] | None:
-    poor = [item for item in tenants if len(item["api_keys"]) < MAX_KEYS]
-    if not poor:
+    candidates = [item for item in tenants if len(item["api_keys"]) < MAX_KEYS]
+    if not candidates:
         return None
-    chosen = random_source.choice(poor)
+    chosen = random_source.choice(candidates)
     return {**chosen, "api_keys": [*chosen["api_keys"], new_key()]}
 
 
@@ -83,36 +83,36 @@
 
     Args:
         document: The newest acknowledged configuration.
-        number: Number of the change, for new names.
+        number: Number of the change; new names contain it.
         random_source: Source of the draws.
     """
     tenants, extra = document["tenants"], [item for item in document["routes"] if item["name"] not in KINDS]
     kind = random_source.choice(["take", "take", "add", "add", "limit", "limit", "tenant", "route", "drop", "time-out"])
-    if kind == "take" and (item := _take_key(tenants, random_source)):
+    if kind == "take" and (item := _remove_key(tenants, random_source)):
         return {"upsert": {"tenants": [item]}}
     if kind == "limit":
         return {"upsert": {"tenants": [_change_limit(tenants, random_source)]}}
     if kind == "tenant":
-        return _swap_tenant(tenants, number)
+        return _replace_tenant(tenants, number)
     if kind == "route" and len(extra) < MAX_ROUTES:
         return {"upsert": {"routes": [route(f"extra-{number}", "safe")]}}
     if kind == "drop" and extra:
         return {"remove": {"routes": [random_source.choice(extra)["name"]]}}
     if kind == "add" and (item := _add_key(tenants, random_source)):
         return {"upsert": {"tenants": [item]}}
-    timed = next(item for item in document["routes"] if item["name"] == "read")
-    return {"upsert": {"routes": [{**timed, "timeout_ms": random_source.choice([3000, 4000, 5000, 6000])}]}}
+    read_route = next(item for item in document["routes"] if item["name"] == "read")
+    return {"upsert": {"routes": [{**read_route, "timeout_ms": random_source.choice([3000, 4000, 5000, 6000])}]}}
 
 
-def _swap_tenant(tenants: list[dict[str, Any]], number: int) -> dict[str, Any]:
-    """Add a tenant of a name that never was, and drop the one that was added before."""
+def _replace_tenant(tenants: list[dict[str, Any]], number: int) -> dict[str, Any]:
+    """Return a patch that adds a tenant with a new name and removes the tenant that was added before."""
     old = [item["name"] for item in tenants if item["name"] not in LIMITS]
     patch: dict[str, Any] = {"upsert": {"tenants": [tenant(f"guest-{number}", [new_key()], 800, 800)]}}
     return {**patch, "remove": {"tenants": old}} if old else patch
 
 
 def apply_patch(document: dict[str, Any], patch: dict[str, Any], version: int) -> dict[str, Any]:
-    """Return the configuration that a change leads to."""
+    """Return the configuration that results from a patch."""
     changed = {**copy.deepcopy(document), "version": version}
     for kind in ("routes", "tenants"):
         named = {item["name"]: item for item in changed[kind]}
@@ -128,7 +128,7 @@
 
     Args:
         control_addresses: Control addresses of all control planes.
-        observations: Gets the versions, and the answers that the rules exclude.
+        observations: Receives the versions, and the rejections of valid changes.
         random_source: Source of the draws.
     """
 
@@ -144,20 +144,20 @@
         return dict(acknowledged[-1].document) if acknowledged else {}
 
     async def put(self, document: dict[str, Any]) -> bool:
-        """Send a first configuration until it is answered; return whether it was acknowledged."""
+        """Send an initial configuration until it is answered; return whether it was acknowledged."""
         return await self._send_until_answered("PUT", 0, document, document)
 
     async def change(self) -> bool:
         """Draw a change and send it until it is answered; return whether it was acknowledged."""
         return await self.apply(draw_patch(self.document, self.changes, self._random))
 
-    async def take_key(self) -> bool:
-        """Take a key away; return whether that was acknowledged."""
-        item = _take_key(self.document["tenants"], self._random)
+    async def remove_key(self) -> bool:
+        """Remove a key; return whether the change was acknowledged."""
+        item = _remove_key(self.document["tenants"], self._random)
         return await self.apply({"upsert": {"tenants": [item]}} if item else {"upsert": {}})
 
     async def apply(self, patch: dict[str, Any]) -> bool:
-        """Send a patch on top of the newest acknowledged configuration; return whether it was acknowledged."""
+        """Send a patch based on the newest acknowledged configuration; return whether it was acknowledged."""
         self.changes += 1
         base = self.document
         version = base["version"] + self._random.randrange(1, 4)
@@ -166,9 +166,9 @@
         )
 
     async def read(self) -> dict[str, Any] | None:
-        """Return the configuration as any control plane gives it, or None if none does now."""
+        """Return the configuration from any control plane, or None if none returns it."""
         for address in self._shuffled():
-            answer = await self._follow(address, "GET", b"", ())
+            answer = await self._send_with_redirects(address, "GET", b"", ())
             if answer is not None and answer.status == 200:
                 return json.loads(answer.body)
         return None
@@ -180,18 +180,18 @@
         data, fields = json.dumps(body).encode(), ((b"If-Match", b"%d" % base),)
         while True:
             for address in self._shuffled():
-                answer = await self._follow(address, method, data, fields)
+                answer = await self._send_with_redirects(address, method, data, fields)
                 if answer is not None and answer.status == 200:
                     version.acknowledged_at = loop.time()
                     return True
                 if answer is not None and answer.status in (400, 404, 405, 409, 412, 413, 422):
                     self._observations.operator_failures.append(
-                        f"valid change to {document['version']} on top of {base} refused: {answer.status} {answer.body[:200]!r}"
+                        f"valid change to {document['version']} based on {base} rejected: {answer.status} {answer.body[:200]!r}"
                     )
                     return False
             await asyncio.sleep(RETRY_S)
 
-    async def _follow(self, address: str, method: str, body: bytes, fields: tuple) -> HttpResponse | None:
+    async def _send_with_redirects(self, address: str, method: str, body: bytes, fields: tuple) -> HttpResponse | None:
         for _ in range(MAX_REDIRECTS + 1):
             try:
                 answer = await self._client.request(
--- a/benchmarks/soak_parts/clients.py
+++ b/benchmarks/soak_parts/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: each keeps its connection until the process behind it is gone, and records each answer whole."""
+"""Clients of a soak: each keeps its connection until the data plane closes it, and records complete responses."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 READ_BYTES = 65536
 CONNECT_TIMEOUT_S = 1.0
-GIVE_UP_S = 9.0
+RESPONSE_TIMEOUT_S = 9.0
 DEADLINE_MS = 8000
 RECONNECT_S = 0.1
 PAUSE_S = (0.02, 0.12)
-TOKENS = (260, 140)  # prompt, and most out
+TOKENS = (260, 140)  # prompt tokens, maximum completion tokens
 UNKNOWN_KEY_SHARE, OLD_KEY_SHARE, NO_KEY_SHARE, HOT_SHARE = 0.05, 0.15, 0.03, 0.6
 CLAIMED_TENANT = "somebody-else"
 
 
 @dataclass(frozen=True)
-class Plan:
-    """What a client sends next."""
+class PlannedRequest:
+    """The next request of a client."""
 
     route: str
     key: str
     claimed_tenant: str
-    names_tokens: bool
+    has_token_usage: bool
 
     @property
     def tokens(self) -> int:
-        """Return what the request costs."""
-        return sum(TOKENS) if self.names_tokens else PLAIN_TOKENS
+        """Return the tokens that the request costs."""
+        return sum(TOKENS) if self.has_token_usage else PLAIN_TOKENS
 
 
-def draw_plan(versions: list[Version], random_source: random.Random) -> Plan:
-    """Draw the route and the key of the next request, from what the operator has sent so far.
+def draw_request(versions: list[Version], random_source: random.Random) -> PlannedRequest:
+    """Draw the route and the key of the next request from the versions that the operator has sent so far.
 
     Args:
         versions: The versions of the configuration, at least one.
@@ -49,7 +49,9 @@
     newest = versions[-1]
     names = [*KINDS, *sorted(newest.routes - set(KINDS))]
     claimed = CLAIMED_TENANT if random_source.random() < 0.2 else ""
-    return Plan(random_source.choice(names), _draw_key(versions, random_source), claimed, random_source.random() < 0.8)
+    return PlannedRequest(
+        random_source.choice(names), _draw_key(versions, random_source), claimed, random_source.random() < 0.8
+    )
 
 
 def _draw_key(versions: list[Version], random_source: random.Random) -> str:
@@ -67,23 +69,23 @@
 
 
 class Client:
-    """Sends requests one after another on a kept connection; goes to the next data plane when it is gone.
+    """Sends requests one after another on one connection; switches to the next data plane if it can't connect.
 
     Args:
-        fronts: Names of the data planes, in the order in which this client tries them.
+        data_planes: Names of the data planes, in the order in which this client tries them.
         address_of: Returns the address of a data plane.
-        observations: Gets the requests.
+        observations: Receives the requests.
         random_source: Source of the draws.
     """
 
     def __init__(
         self,
-        fronts: list[str],
+        data_planes: list[str],
         address_of: Callable[[str], tuple[str, int]],
         observations: Observations,
         random_source: random.Random,
     ) -> None:
-        self._fronts, self._address_of = list(fronts), address_of
+        self._data_planes, self._address_of = list(data_planes), address_of
         self._observations, self._random = observations, random_source
 
     async def run(self) -> None:
@@ -91,39 +93,39 @@
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    reader, writer = await asyncio.open_connection(*self._address_of(self._fronts[0]))
+                    reader, writer = await asyncio.open_connection(*self._address_of(self._data_planes[0]))
             except (OSError, TimeoutError):
-                self._fronts.append(self._fronts.pop(0))
+                self._data_planes.append(self._data_planes.pop(0))
                 await asyncio.sleep(RECONNECT_S)
                 continue
             try:
-                await self._use(reader, writer)
+                await self._send_requests(reader, writer)
             finally:
                 writer.transport.abort()
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send requests until the connection may not or can't be used any more."""
+    async def _send_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send requests until the connection can no longer be used."""
         while True:
             await asyncio.sleep(self._random.uniform(*PAUSE_S))
             if reader.at_eof():
                 return
-            plan = draw_plan(self._observations.versions, self._random)
-            exchange = Exchange(self._fronts[0], plan, asyncio.get_running_loop().time())
+            plan = draw_request(self._observations.versions, self._random)
+            exchange = Exchange(self._data_planes[0], plan, asyncio.get_running_loop().time())
             self._observations.requests.append(exchange.request)
             if not await exchange.perform(reader, writer):
                 return
 
 
 class Exchange:
-    """One request and its answer on a connection.
+    """One request and its response on a connection.
 
     Args:
         front: Name of the data plane.
-        plan: What to send.
-        now: The present moment.
+        plan: The request to send.
+        now: The current time.
     """
 
-    def __init__(self, front: str, plan: Plan, now: float) -> None:
+    def __init__(self, front: str, plan: PlannedRequest, now: float) -> None:
         request_id = uuid.uuid4().hex[:16]
         method_has_body = KINDS.get(plan.route, "safe") != "safe"
         self.request = ClientRequest(
@@ -137,7 +139,7 @@
             tokens=plan.tokens,
             sent_at=now,
         )
-        self._names_tokens = plan.names_tokens
+        self._has_token_usage = plan.has_token_usage
 
     def message(self) -> bytes:
         """Return the bytes of the request."""
@@ -151,16 +153,16 @@
         ]
         lines += [f"Authorization: Bearer {request.key}"] if request.key else []
         lines += [f"tenant: {request.claimed_tenant}"] if request.claimed_tenant else []
-        lines += [f"Token-Usage: {TOKENS[0]},{TOKENS[1]}"] if self._names_tokens else []
+        lines += [f"Token-Usage: {TOKENS[0]},{TOKENS[1]}"] if self._has_token_usage else []
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + request.body
 
     async def perform(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Send the request and read the answer; return whether the connection may be used again."""
+        """Send the request and read the response; return whether the connection can be reused."""
         loop, request = asyncio.get_running_loop(), self.request
         request.sent_at = loop.time()
         try:
             writer.write(self.message())
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 return await self._read(reader)
         except TimeoutError:
             request.is_abandoned = True
@@ -173,20 +175,20 @@
     async def _read(self, reader: asyncio.StreamReader) -> bool:
         messages, request = MessageReader(answers=True), self.request
         while (head := messages.head()) is None:
-            if not await self._feed(reader, messages):
+            if not await self._read_more(reader, messages):
                 return False
         request.status = head.status
         request.signature = head.first.get(b"server-signature", b"").decode("latin-1")
         request.answered_id = head.first.get(b"request-id", b"").decode("latin-1")
         request.answer = messages.body()
         while not messages.done:
-            if not await self._feed(reader, messages):
+            if not await self._read_more(reader, messages):
                 return False
             request.answer += messages.body()
         request.is_complete = True
         return head.keep_alive and not messages.surplus()
 
-    async def _feed(self, reader: asyncio.StreamReader, messages: MessageReader) -> bool:
+    async def _read_more(self, reader: asyncio.StreamReader, messages: MessageReader) -> bool:
         data = await reader.read(READ_BYTES)
         if not data:
             self.request.is_cut = not messages.ended()
--- a/benchmarks/soak_parts/faults.py
+++ b/benchmarks/soak_parts/faults.py
@@ -1,4 +1,4 @@
-"""Draw the faults of a soak from its seed: in series and overlapping, alone and several at once. Pure."""
+"""Draw the faults of a soak from its seed: sequential and overlapping, single and in groups. Pure functions."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     """One fault.
 
     Attributes:
-        at_s: When it begins, from the start of the traffic.
-        kind: "kill", "terminate", "freeze", "hang_up" of a process; "crash", "leave" of a backend.
+        at_s: Begin, in seconds from the start of the traffic.
+        kind: "kill", "terminate", "freeze" or "hang_up" for a process; "crash" or "leave" for a backend.
         target: Name of the process or backend.
-        duration_s: Length of a freeze, or the time from the end to the restart.
+        duration_s: Length of a freeze, or the time from the exit to the restart.
     """
 
     at_s: float
@@ -33,11 +33,11 @@
 
 
 def draw_faults(seed: int, seconds: float, processes: list[str], backends: list[str]) -> list[Fault]:
-    """Return the faults of one soak in the order of their beginnings.
+    """Return the faults of one soak, ordered by their begin.
 
     Args:
         seed: Seed of the draws.
-        seconds: No fault begins later.
+        seconds: Time before which every fault begins.
         processes: Names of all processes.
         backends: Names of all backends.
 
--- a/benchmarks/soak_parts/fleet.py
+++ b/benchmarks/soak_parts/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: control planes and data planes on loopback addresses of their own, and the signals sent to them."""
+"""The processes of a soak: control planes and data planes on separate loopback addresses, and the signals sent to them."""
 
 from __future__ import annotations
 
@@ -23,53 +23,53 @@
 
 
 def free_network() -> int:
-    """Return a number N such that no soak of this machine listens in 127.N.0.0/16."""
+    """Return a number N such that no soak on this machine listens in 127.N.0.0/16."""
     while True:
         number = random.SystemRandom().randrange(64, 250)
         try:
             for kind, port in ((1, CONTROL_PORT), (2, FRONT_PORT), (3, BACKEND_PORT)):
-                with socket.socket() as tried:
-                    tried.bind((f"127.{number}.{kind}.1", port))
+                with socket.socket() as probe:
+                    probe.bind((f"127.{number}.{kind}.1", port))
         except OSError:
             continue
         return number
 
 
 class Fleet:
-    """Control planes and data planes as processes; every signal is recorded as a disturbance.
+    """Runs control planes and data planes as processes; every signal is recorded as a disturbance.
 
     Args:
         folder: Directory of settings, logs and persisted state.
-        cores: Number of control planes.
-        fronts: Number of data planes.
-        bounds: Bounds that the settings name.
+        control_planes: Number of control planes.
+        data_planes: Number of data planes.
+        bounds: Bounds to write to the settings.
     """
 
-    def __init__(self, folder: Path, cores: int, fronts: int, bounds: SoakBounds) -> None:
+    def __init__(self, folder: Path, control_planes: int, data_planes: int, bounds: SoakBounds) -> None:
         self._folder, self._bounds = folder, bounds
         self._network = free_network()
-        self._cores, self._fronts = cores, fronts
+        self._control_planes, self._data_planes = control_planes, data_planes
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
         self.disturbances: list[Disturbance] = []
-        self.forced_ends = 0  # processes that had to be killed after the grace period
+        self.forced_kills = 0  # processes that were killed because they did not exit in the grace period
 
     @property
-    def core_names(self) -> list[str]:
+    def control_plane_names(self) -> list[str]:
         """Return the names of the control planes."""
-        return [f"control-{number}" for number in range(self._cores)]
+        return [f"control-{number}" for number in range(self._control_planes)]
 
     @property
-    def front_names(self) -> list[str]:
+    def data_plane_names(self) -> list[str]:
         """Return the names of the data planes."""
-        return [f"data-{number}" for number in range(self._fronts)]
+        return [f"data-{number}" for number in range(self._data_planes)]
 
     @property
     def control_addresses(self) -> list[str]:
         """Return the control addresses of all control planes."""
-        return [f"{self.ip(name)}:{CONTROL_PORT}" for name in self.core_names]
+        return [f"{self.ip(name)}:{CONTROL_PORT}" for name in self.control_plane_names]
 
     def front_address(self, name: str) -> tuple[str, int]:
-        """Return where clients reach a data plane."""
+        """Return the address at which clients reach a data plane."""
         return self.ip(name), FRONT_PORT
 
     def status_address(self, name: str) -> str:
@@ -91,11 +91,11 @@
 
     def start_all(self) -> None:
         """Start all processes for the first time."""
-        for name in (*self.core_names, *self.front_names):
+        for name in (*self.control_plane_names, *self.data_plane_names):
             self.start(name, is_first=True)
 
     def start(self, name: str, is_first: bool = False) -> None:
-        """Start one process; its log is appended to a file beside its settings."""
+        """Start one process; its log is appended to a file next to its settings."""
         path = self._folder / f"{name}.conf"
         path.write_text("\n".join(self._settings_lines(name, is_first)) + "\n")
         with path.with_suffix(".log").open("ab") as log:
@@ -118,7 +118,7 @@
             f"internal_port_range={INTERNAL_PORT},{INTERNAL_PORT + 9}",
             "seeds=" + ",".join(self.control_addresses),
             f"first_start={str(is_first).lower()}",
-            f"fault_tolerance.machines={(self._cores - 1) // 2}",
+            f"fault_tolerance.machines={(self._control_planes - 1) // 2}",
             "heartbeat_interval_ms=1000",
             *self._bounds.settings_lines(),
         ]
@@ -127,29 +127,29 @@
         return [*lines, f"listen.front={ip}:{FRONT_PORT}", f"listen.ready={ip}:{READY_PORT}"]
 
     async def kill(self, name: str, restart_after_s: float) -> None:
-        """End a process by SIGKILL and start it again."""
+        """Send SIGKILL to a process and restart it after a delay."""
         began_at = self._now()
         self._processes[name].kill()
-        await self._exited(name)
+        await self._wait_for_exit(name)
         await self._restart(name, "kill", began_at, restart_after_s, is_planned=False)
 
     async def terminate(self, name: str, restart_after_s: float) -> None:
-        """End a process by SIGTERM, by SIGKILL where it outlives the grace period, and start it again."""
+        """Send SIGTERM to a process, SIGKILL if it does not exit in the grace period, and restart it after a delay."""
         began_at = self._now()
         self._processes[name].terminate()
         is_planned = True
         try:
             async with asyncio.timeout(self._bounds.grace_s):
-                await self._exited(name)
+                await self._wait_for_exit(name)
         except TimeoutError:
-            self.forced_ends += 1
+            self.forced_kills += 1
             self._processes[name].kill()
             is_planned = False
-            await self._exited(name)
+            await self._wait_for_exit(name)
         await self._restart(name, "terminate", began_at, restart_after_s, is_planned)
 
     async def freeze(self, name: str, duration_s: float) -> None:
-        """Stop a process by SIGSTOP and let it go on by SIGCONT."""
+        """Stop a process with SIGSTOP and resume it with SIGCONT."""
         began_at = self._now()
         self._processes[name].send_signal(signal.SIGSTOP)
         try:
@@ -164,7 +164,7 @@
         self._record(name, "hang_up", self._now(), is_planned=True)
 
     def ended_by_themselves(self) -> list[str]:
-        """Return the processes that are not running though nothing ended them."""
+        """Return the processes that have exited on their own."""
         return [name for name, process in self._processes.items() if process.poll() is not None]
 
     def end(self) -> None:
@@ -174,7 +174,7 @@
         for process in self._processes.values():
             process.wait()
 
-    async def _exited(self, name: str) -> None:
+    async def _wait_for_exit(self, name: str) -> None:
         while self._processes[name].poll() is None:
             await asyncio.sleep(EXIT_POLL_S)
 
--- a/benchmarks/soak_parts/history.py
+++ b/benchmarks/soak_parts/history.py
@@ -1,4 +1,4 @@
-"""What may have been in force, and who was in touch, at each moment of a soak. Pure."""
+"""Reconstruct which versions may have been in force and which machines were in contact during a soak. Pure functions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from benchmarks.soak_parts.bounds import SoakBounds
 from benchmarks.soak_parts.records import ClientRequest, Disturbance, Interval, Observations, Version
 
-CORE_BOOT_S = 2.0  # a control plane that was started counts as running only after this
+CORE_BOOT_S = 2.0  # seconds after its start until a control plane counts as running
 
 
 def overlaps(intervals: Iterable[Interval], begin: float, end: float) -> bool:
-    """Return whether one of the intervals meets [begin, end].
+    """Return whether one of the intervals overlaps [begin, end].
 
     >>> overlaps([(1.0, 2.0)], 2.0, 3.0), overlaps([(1.0, 2.0)], 2.1, 3.0)
     (True, False)
@@ -33,7 +33,7 @@
         self._by_process: dict[str, list[Disturbance]] = {}
         for disturbance in observations.disturbances:
             self._by_process.setdefault(disturbance.process, []).append(disturbance)
-        self._core = [
+        self._control_plane_faults = [
             (disturbance.began_at, disturbance.ended_at)
             for disturbance in observations.disturbances
             if disturbance.process in observations.cores
@@ -50,8 +50,8 @@
         )
 
     def is_core_stable(self, begin: float, end: float) -> bool:
-        """Return whether no control plane was touched in [begin, end]."""
-        return not overlaps(self._core, begin, end)
+        """Return whether no fault met a control plane in [begin, end]."""
+        return not overlaps(self._control_plane_faults, begin, end)
 
     def has_core_majority(self, begin: float, end: float) -> bool:
         """Return whether more than half of the control planes ran throughout [begin, end]."""
@@ -65,11 +65,13 @@
         return [(one.began_at, one.ended_at) for one in self._by_process.get(process, ()) if one.kind != "hang_up"]
 
     def apply_time_s(self, request: ClientRequest, until: float) -> float:
-        """Return how old an acknowledgement must be to bind the data plane that got a request; infinite out of touch.
+        """Return how long before a request a version must have been acknowledged for its data plane to have applied it.
+
+        It is infinite if the data plane may have been out of contact.
 
         Args:
             request: The request.
-            until: End of what is judged: when it ran or was answered.
+            until: Time at which it ran or was answered.
         """
         begin = request.sent_at - self._bounds.contact_s
         if not self.is_undisturbed(request.front, begin, until):
@@ -80,30 +82,30 @@
         return outer_s if self.has_core_majority(request.sent_at - outer_s, until) else math.inf
 
     def possible_versions(self, request: ClientRequest, until: float) -> list[Version]:
-        """Return the versions by which the data plane of a request may have handled it up to `until`."""
+        """Return the versions that the data plane of a request may have applied to it up to `until`."""
         latest_binding = request.sent_at - self.apply_time_s(request, until)
         acknowledged = [one.number for one in self._observations.versions if one.acknowledged_at <= latest_binding]
         base = max(acknowledged, default=0)
         return [one for one in self._observations.versions if one.number >= base and one.sent_at <= until]
 
     def was_ever_configured(self, key: str, until: float) -> bool:
-        """Return whether a version that was sent before `until` holds a key."""
+        """Return whether a version that was sent by `until` contains a key."""
         return any(key in version.key_owners for version in self._observations.versions if version.sent_at <= until)
 
     def owner(self, key: str) -> str:
-        """Return the tenant of a key; no key changes its tenant in a soak."""
+        """Return the tenant of a key, empty if unknown; no key changes its tenant in a soak."""
         return next((one.key_owners[key] for one in self._observations.versions if key in one.key_owners), "")
 
     def binding_at(self, version: Version, end: float) -> float:
-        """Return from when on every data plane must act on a version, infinite if never before `end`.
+        """Return the time from which every data plane must apply a version, infinite if not before `end`.
 
-        That is the first moment at which each of them was in touch for the whole apply time after the acknowledgement.
+        That is the first time at which each of them was in contact for the whole apply time after the acknowledgement.
         """
-        step_s, moment = 0.1, version.acknowledged_at + self._bounds.apply_s
-        while moment < end:
-            begin = moment - max(self._bounds.contact_s, self._bounds.apply_s)
-            fronts_calm = all(self.is_undisturbed(front, begin, moment) for front in self._observations.fronts)
-            if fronts_calm and self.is_core_stable(begin, moment):
-                return moment
-            moment += step_s
+        step_s, time_s = 0.1, version.acknowledged_at + self._bounds.apply_s
+        while time_s < end:
+            begin = time_s - max(self._bounds.contact_s, self._bounds.apply_s)
+            are_data_planes_undisturbed = all(self.is_undisturbed(front, begin, time_s) for front in self._observations.fronts)
+            if are_data_planes_undisturbed and self.is_core_stable(begin, time_s):
+                return time_s
+            time_s += step_s
         return math.inf
--- a/benchmarks/soak_parts/quota_check.py
+++ b/benchmarks/soak_parts/quota_check.py
@@ -1,4 +1,4 @@
-"""Check the quotas of a soak: the units of each tenant that arrived at backends in every sliding window. Pure."""
+"""Check the quotas of a soak: the units of each tenant that reached backends in every sliding window. Pure functions."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True)
 class LimitPeriod:
-    """A limit and when it may be in force; a window is judged by the highest of the limits that may be in force in it.
+    """A limit and when it may be in force; the highest limit that may be in force in a window applies to it.
 
     Attributes:
-        allowed: Units in one window by this limit; infinite without a limit.
+        allowed: Units that this limit allows in one window; infinite without a limit.
         begins_at: When it was sent.
-        ends_at: From when on a later limit binds every data plane.
+        ends_at: When a later limit is in force at every data plane.
     """
 
     allowed: float
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class FullestWindow:
-    """The window with the largest part of what it may hold."""
+    """The window with the highest use of its allowed units."""
 
     begin: float
     units: float
@@ -46,14 +46,14 @@
 
     @property
     def fill(self) -> float:
-        """Return the part of the allowed units that was used."""
+        """Return the fraction of the allowed units that was used."""
         return self.units / self.allowed
 
 
 def arrivals_by_tenant(observations: Observations) -> dict[str, list[Arrival]]:
-    """Return the runs of each tenant in their order, by the key that the client sent.
+    """Return the runs of each tenant in order of time; the tenant is the owner of the key that the client sent.
 
-    On a public route, where no key is needed, a run is the tenant's if it arrived as that tenant's.
+    On a public route, where no key is needed, a run counts only if it reached the backend with the tenant's name.
     """
     history = History(observations, SoakBounds())
     requests = {request.id: request for request in observations.requests}
@@ -67,7 +67,7 @@
 
 
 def limit_periods(observations: Observations, bounds: SoakBounds, tenant: str) -> list[LimitPeriod]:
-    """Return the limits that a tenant had, with when each may have been in force."""
+    """Return the limits of a tenant and the periods in which each may have been in force."""
     history = History(observations, bounds)
     end = max((run.at for run in observations.runs), default=0.0) + 1.0
     periods, ends_at = [], math.inf
@@ -81,9 +81,9 @@
 
 
 def fullest_window(arrivals: list[Arrival], periods: list[LimitPeriod], window_s: float) -> FullestWindow | None:
-    """Return the window that is fullest, of all that begin at an arrival; None without a limit.
+    """Return the fullest of the windows that begin at an arrival, or None without a limit.
 
-    A lower limit binds windows that begin after every data plane must act on it.
+    A lower limit applies to windows that begin after every data plane must have applied it.
 
     >>> fullest_window([Arrival(0.0, 5), Arrival(9.0, 5), Arrival(9.5, 6)], [LimitPeriod(10, 0.0, math.inf)], 8.0)
     FullestWindow(begin=9.0, units=11.0, allowed=10)
@@ -111,7 +111,7 @@
 
 
 def check_quotas(observations: Observations, bounds: SoakBounds) -> list[str]:
-    """Return a line for each tenant that used more than a window may hold."""
+    """Return a line for each tenant that exceeded the allowed units of a window."""
     return [
         f"{name}: {window.units:.0f} units in the window from {window.begin:.2f} s, {window.allowed:.0f} allowed"
         for name, window in fullest_windows(observations, bounds).items()
--- a/benchmarks/soak_parts/records.py
+++ b/benchmarks/soak_parts/records.py
@@ -1,6 +1,6 @@
-"""What a soak records from outside: requests of clients, runs at backends, versions of the configuration, disturbances. Pure.
+"""Records of a soak: requests of clients, runs at backends, versions of the configuration, disturbances.
 
-All moments are seconds of one steady clock.
+All times are in seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass
 class ClientRequest:
-    """One request as its client saw it.
+    """One request as its client observed it.
 
     Attributes:
         id: Its `Request-Id`.
@@ -24,17 +24,17 @@
         path: Its path.
         body: The body that it carried.
         key: The API key that it carried, empty for none.
-        claimed_tenant: The `Tenant` that the client itself sent, empty for none.
-        tokens: What it costs where a quota counts tokens.
-        sent_at: The moment before it was written.
-        ended_at: When its answer was complete, its connection was gone or the client gave up.
-        status: Status of the answer, 0 without one.
-        signature: `Server-Signature` of the answer.
-        answer: Body of the answer.
-        answered_id: `Request-Id` of the answer.
-        is_complete: Whether the whole answer arrived.
-        is_cut: Whether the connection ended before the whole answer.
-        is_abandoned: Whether the client gave up waiting.
+        claimed_tenant: The `Tenant` field that the client itself sent, empty for none.
+        tokens: Its cost if a quota counts tokens.
+        sent_at: The time just before it was written.
+        ended_at: When its response was complete, its connection was closed or the client timed out.
+        status: Status of the response, 0 without one.
+        signature: `Server-Signature` of the response.
+        answer: Body of the response.
+        answered_id: `Request-Id` of the response.
+        is_complete: Whether the complete response arrived.
+        is_cut: Whether the connection ended before the complete response.
+        is_abandoned: Whether the client timed out.
     """
 
     id: str
@@ -62,7 +62,7 @@
 
     Attributes:
         id: `Request-Id` of the request.
-        at: When the backend had read it whole and began.
+        at: When the backend had read it completely and began to execute it.
         backend: Signature of the backend.
         service: Service of the backend.
         method: Method as it arrived.
@@ -93,8 +93,8 @@
 
     Attributes:
         number: Its version number.
-        document: The complete configuration that is in force once it is.
-        sent_at: When it was sent first.
+        document: The complete configuration that results from it.
+        sent_at: When it was first sent.
         acknowledged_at: When it was acknowledged, infinite before that.
     """
 
@@ -117,14 +117,14 @@
 
 @dataclass(frozen=True)
 class Disturbance:
-    """What was done to one process, from the first signal until it ran again.
+    """A fault of one process or backend, from the first signal until it ran again.
 
     Attributes:
         process: Name of the process or backend.
-        kind: The fault, such as "kill".
-        began_at: The first signal.
+        kind: Kind of the fault, such as "kill".
+        began_at: When the first signal was sent.
         ended_at: When it ran again.
-        is_planned: Whether it was announced (SIGTERM, SIGHUP): nothing that was accepted may be lost by it.
+        is_planned: Whether it was announced (SIGTERM, SIGHUP, a backend that left); it must not lose accepted requests.
     """
 
     process: str
@@ -143,13 +143,13 @@
         cores: Names of the control planes.
         requests: All requests of the clients.
         runs: All runs at backends.
-        versions: All versions that were sent, in their order.
-        disturbances: Everything that was done to processes and backends.
-        broken_off: Ids of requests whose answer a crashing backend cut.
-        operator_failures: Answers to the operator that the rules exclude.
-        unrecovered: What did not come back after the faults.
+        versions: All versions that were sent, in order.
+        disturbances: All faults of processes and backends.
+        broken_off: IDs of requests whose response was interrupted by a crash of the backend.
+        operator_failures: Valid changes that were rejected.
+        unrecovered: Failures to recover after the faults.
         leaks: Places where a key or a digest of one was found.
-        largest_stall_s: The longest time that the soak's own loop stood still.
+        largest_stall_s: The longest stall of the soak's own event loop.
     """
 
     fronts: list[str] = field(default_factory=list)
--- a/benchmarks/soak_parts/rollback_check.py
+++ b/benchmarks/soak_parts/rollback_check.py
@@ -1,4 +1,4 @@
-"""Check that no data plane goes back to an older configuration than one whose effect a backend has seen from it. Pure."""
+"""Check that no data plane returns to an older configuration than one whose effect a backend observed. Pure functions."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from benchmarks.soak_parts.records import BackendRun, ClientRequest, Disturbance, Observations, Version
 
 ROLLBACK_SLACK_S = 0.25
-SLOWED_FACTOR = 8  # of the slack, for a data plane that was frozen lately
-SLOWED_S = 4.0  # how long a frozen data plane counts as slowed
-REFUSALS = (401, 403, 404)
+SLOWED_FACTOR = 8  # multiplies the slack for a data plane that was frozen recently
+SLOWED_S = 4.0  # seconds after a freeze during which a data plane counts as slowed
+REJECTION_STATUSES = (401, 403, 404)
 RESTARTS = ("kill", "terminate")
 
 
 @dataclass(frozen=True)
-class SeenVersion:
-    """The oldest version that explains a run, and when the run was seen."""
+class ObservedVersion:
+    """The oldest version that allows a run, and when the run was observed."""
 
     at: float
     number: int
@@ -32,50 +32,50 @@
 
 
 class RollbackCheck:
-    """Follows which version each data plane must have.
+    """Tracks the oldest version that each data plane can have.
 
     Args:
         observations: What the soak recorded.
     """
 
     def __init__(self, observations: Observations) -> None:
-        self._seen = observations
+        self._observations = observations
         requests = {request.id: request for request in observations.requests}
-        self._pairs = [(run, requests[run.id]) for run in observations.runs if run.id in requests]
-        self._floors: dict[str, list[SeenVersion]] = {}
-        for run, request in self._pairs:
+        self._matched_runs = [(run, requests[run.id]) for run in observations.runs if run.id in requests]
+        self._observed_versions: dict[str, list[ObservedVersion]] = {}
+        for run, request in self._matched_runs:
             number = _oldest_allowing(observations.versions, request, run.at)
-            self._floors.setdefault(request.front, []).append(SeenVersion(run.at, number))
+            self._observed_versions.setdefault(request.front, []).append(ObservedVersion(run.at, number))
 
     def violations(self) -> Iterable[str]:
-        """Return a line for each request that only a version before the seen one explains."""
-        for run, request in self._pairs:
-            yield from self._ran_by_older(run, request)
-        for request in self._seen.requests:
-            if request.status in REFUSALS and request.is_complete:
-                yield from self._refused_by_older(request)
-
-    def _ran_by_older(self, run: BackendRun, request: ClientRequest) -> Iterable[str]:
-        floor = self._floor(request)
-        versions = [one for one in self._seen.versions if one.number >= floor and one.sent_at <= run.at]
+        """Yield a line for each request whose outcome is only possible with a version older than the observed one."""
+        for run, request in self._matched_runs:
+            yield from self._runs_by_older_version(run, request)
+        for request in self._observations.requests:
+            if request.status in REJECTION_STATUSES and request.is_complete:
+                yield from self._rejections_by_older_version(request)
+
+    def _runs_by_older_version(self, run: BackendRun, request: ClientRequest) -> Iterable[str]:
+        floor = self._min_version(request)
+        versions = [one for one in self._observations.versions if one.number >= floor and one.sent_at <= run.at]
         if floor and not any(_allows(one, request) for one in versions):
             yield f"{request.id} by {request.front}, sent {request.sent_at:.2f} s: ran though version {floor} was in force"
 
-    def _refused_by_older(self, request: ClientRequest) -> Iterable[str]:
-        floor = self._floor(request)
-        versions = [one for one in self._seen.versions if one.number >= floor and one.sent_at <= request.ended_at]
+    def _rejections_by_older_version(self, request: ClientRequest) -> Iterable[str]:
+        floor = self._min_version(request)
+        versions = [one for one in self._observations.versions if one.number >= floor and one.sent_at <= request.ended_at]
         if floor and all(_allows(one, request) for one in versions):
             yield f"{request.id} by {request.front}, sent {request.sent_at:.2f} s: {request.status} though {floor} was in force"
 
-    def _floor(self, request: ClientRequest) -> int:
-        """Return the newest version that a run before a request proves, in the same incarnation of its data plane."""
-        disturbances = [one for one in self._seen.disturbances if one.process == request.front]
+    def _min_version(self, request: ClientRequest) -> int:
+        """Return the newest version shown by runs before a request in the same incarnation of its data plane, 0 if none."""
+        disturbances = [one for one in self._observations.disturbances if one.process == request.front]
         latest = request.sent_at - self._slack_s(request, disturbances)
         restarted = max(
             (one.ended_at for one in disturbances if one.kind in RESTARTS and one.began_at <= request.ended_at), default=0.0
         )
-        seen = [one.number for one in self._floors.get(request.front, ()) if restarted < one.at <= latest]
-        return max(seen, default=0)
+        numbers = [one.number for one in self._observed_versions.get(request.front, ()) if restarted < one.at <= latest]
+        return max(numbers, default=0)
 
     @staticmethod
     def _slack_s(request: ClientRequest, disturbances: list[Disturbance]) -> float:
--- a/benchmarks/soak_parts/scene.py
+++ b/benchmarks/soak_parts/scene.py
@@ -1,4 +1,4 @@
-"""Play one soak: start everything, let clients, operator and faults go on side by side, end the faults, and look again."""
+"""Run one soak: start all processes, run clients, operator and faults concurrently, then check the recovery."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from benchmarks.soak_parts.backends import RecordingBackend
 from benchmarks.soak_parts.bounds import SoakBounds
-from benchmarks.soak_parts.changes import SERVICE, Operator, first_document, tenant
-from benchmarks.soak_parts.clients import Client, Exchange, Plan
+from benchmarks.soak_parts.changes import SERVICE, Operator, initial_document, tenant
+from benchmarks.soak_parts.clients import Client, Exchange, PlannedRequest
 from benchmarks.soak_parts.faults import Fault, draw_faults
 from benchmarks.soak_parts.fleet import Fleet
 from benchmarks.soak_parts.leaks import find_leaks
@@ -24,17 +24,17 @@
 STALL_PROBE_S = 0.05
 CHANGE_PAUSE_S = (0.2, 1.5)
 BACKEND_LEAVE_S = 1.0
-AFTER_LAST_CHANGE_S = 6.0  # of traffic, beyond the apply time: most of a window under the lower limit
-MAX_REFUSED_CHANGES = 20  # the operator gives up: more of the same tells nothing
-CLIENTS_A_FRONT = 4
+AFTER_LAST_CHANGE_S = 6.0  # seconds of traffic after the apply time: most of a quota window under the lower limit
+MAX_REJECTED_CHANGES = 20  # the operator stops: further rejections add no information
+CLIENTS_PER_DATA_PLANE = 4
 
 
 @dataclass(frozen=True)
 class SoakSize:
-    """How large a soak is, and how long its faults go on.
+    """Size of a soak and duration of its faults.
 
     Attributes:
-        seconds: Time with faults; start, calm and the last looks come on top.
+        seconds: Duration of the fault phase; startup and the recovery checks are added to it.
         data_planes: Number of data planes.
         control_planes: Number of control planes.
         backends: Number of backends.
@@ -46,7 +46,7 @@
     backends: int = 3
 
 
-class Scene:
+class SoakRun:
     """One soak.
 
     Args:
@@ -59,33 +59,33 @@
     def __init__(self, folder: Path, seed: int, size: SoakSize, bounds: SoakBounds) -> None:
         self._seed, self._size, self._bounds = seed, size, bounds
         self._fleet = Fleet(folder, size.control_planes, size.data_planes, bounds)
-        self.observations = Observations(fronts=self._fleet.front_names, cores=self._fleet.core_names)
+        self.observations = Observations(fronts=self._fleet.data_plane_names, cores=self._fleet.control_plane_names)
         self.observations.disturbances = self._fleet.disturbances
         self._operator = Operator(self._fleet.control_addresses, self.observations, random.Random(f"operator {seed}"))
         self._backends: dict[str, RecordingBackend] = {}
-        self._busy: set[str] = set()  # targets of faults that are not over
+        self._faulty_targets: set[str] = set()  # targets of faults in progress
         self._tasks: set[asyncio.Task[Any]] = set()
         self._http_client = HttpClient()
-        self._may_change = True
+        self._changes_enabled = True
         self._changes: asyncio.Task[None] | None = None
 
     @property
-    def forced_ends(self) -> int:
-        """Return how many processes outlived the grace period after SIGTERM."""
-        return self._fleet.forced_ends
+    def forced_kills(self) -> int:
+        """Return how many processes did not exit in the grace period after SIGTERM."""
+        return self._fleet.forced_kills
 
-    async def play(self) -> Observations:
-        """Play it and return what was recorded."""
+    async def run(self) -> Observations:
+        """Run the soak and return the observations."""
         try:
             await self._start()
             clients = self._start_clients()
             probe = asyncio.ensure_future(self._probe_stalls())
-            await self._play_faults()
-            await self._calm()
+            await self._inject_faults()
+            await self._check_recovery()
             for task in (*clients, probe):
                 task.cancel()
             await asyncio.gather(*clients, probe, return_exceptions=True)
-            await self._look_for_keys()
+            await self._search_for_keys()
             return self.observations
         finally:
             await self._end()
@@ -97,7 +97,7 @@
         for number in range(self._size.backends):
             await self._start_backend(f"backend-{number}")
         async with asyncio.timeout(START_TIMEOUT_S):
-            await self._operator.put(first_document())
+            await self._operator.put(initial_document())
             for name in self.observations.fronts:
                 while not await self._is_served(name):
                     await asyncio.sleep(POLL_S)
@@ -116,25 +116,25 @@
 
     def _start_clients(self) -> list[asyncio.Task[None]]:
         names, clients = self.observations.fronts, []
-        for number in range(CLIENTS_A_FRONT * len(names)):
+        for number in range(CLIENTS_PER_DATA_PLANE * len(names)):
             source, first = random.Random(f"client {self._seed} {number}"), number % len(names)
             order = [*names[first:], *names[:first]]
             clients.append(Client(order, self._fleet.front_address, self.observations, source))
         return [asyncio.ensure_future(client.run()) for client in clients]
 
-    # Trouble.
+    # Faults.
 
-    async def _play_faults(self) -> None:
-        """Play the faults while the operator changes the configuration; return when all faults are over."""
+    async def _inject_faults(self) -> None:
+        """Inject the faults while the operator changes the configuration; return when all faults are over."""
         self._changes = asyncio.ensure_future(self._change_forever())
         processes = [*self.observations.cores, *self.observations.fronts]
         loop = asyncio.get_running_loop()
-        begun_at = loop.time()
+        started_at = loop.time()
         for fault in draw_faults(self._seed, self._size.seconds, processes, sorted(self._backends)):
-            await asyncio.sleep(max(0.0, begun_at + fault.at_s - loop.time()))
-            if fault.target not in self._busy:
-                self._start_task(self._play_fault(fault))
-        await asyncio.sleep(max(0.0, begun_at + self._size.seconds - loop.time()))
+            await asyncio.sleep(max(0.0, started_at + fault.at_s - loop.time()))
+            if fault.target not in self._faulty_targets:
+                self._start_task(self._inject_fault(fault))
+        await asyncio.sleep(max(0.0, started_at + self._size.seconds - loop.time()))
         while self._tasks:
             await asyncio.gather(*list(self._tasks))
 
@@ -143,11 +143,11 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _play_fault(self, fault: Fault) -> None:
-        self._busy.add(fault.target)
+    async def _inject_fault(self, fault: Fault) -> None:
+        self._faulty_targets.add(fault.target)
         try:
             if fault.target in self._backends:
-                await self._play_backend_fault(fault)
+                await self._inject_backend_fault(fault)
             elif fault.kind == "hang_up":
                 self._fleet.hang_up(fault.target)
             elif fault.kind == "freeze":
@@ -157,9 +157,9 @@
             else:
                 await self._fleet.terminate(fault.target, fault.duration_s)
         finally:
-            self._busy.discard(fault.target)
+            self._faulty_targets.discard(fault.target)
 
-    async def _play_backend_fault(self, fault: Fault) -> None:
+    async def _inject_backend_fault(self, fault: Fault) -> None:
         loop, backend = asyncio.get_running_loop(), self._backends[fault.target]
         began_at = loop.time()
         if fault.kind == "crash":
@@ -174,32 +174,32 @@
 
     async def _change_forever(self) -> None:
         source = random.Random(f"pauses {self._seed}")
-        while self._may_change:
+        while self._changes_enabled:
             await asyncio.sleep(source.uniform(*CHANGE_PAUSE_S))
-            if not self._may_change:
+            if not self._changes_enabled:
                 return
-            if not await self._operator.change() and len(self.observations.operator_failures) >= MAX_REFUSED_CHANGES:
+            if not await self._operator.change() and len(self.observations.operator_failures) >= MAX_REJECTED_CHANGES:
                 return
 
-    # Calm.
+    # Recovery.
 
-    async def _calm(self) -> None:
-        """Demand what is owed once the faults are over: the open change, new ones, service, and the configuration itself."""
+    async def _check_recovery(self) -> None:
+        """Check after the faults: the pending change, service at each data plane, new changes, and the configuration."""
         bounds, unrecovered = self._bounds, self.observations.unrecovered
-        self._may_change = False
+        self._changes_enabled = False
         ended = self._fleet.ended_by_themselves()
-        unrecovered += [f"{name} ended by itself" for name in ended]
-        calm_s = bounds.contact_s * 2 + bounds.acknowledge_s
-        if not await self._within(calm_s, asyncio.shield(self._changes)):
-            unrecovered.append(f"the change sent last had no acknowledgement after {calm_s:.0f} s of calm")
+        unrecovered += [f"{name} exited on its own" for name in ended]
+        timeout_s = bounds.contact_s * 2 + bounds.acknowledge_s
+        if not await self._within(timeout_s, asyncio.shield(self._changes)):
+            unrecovered.append(f"the last change was not acknowledged within {timeout_s:.0f} s after the faults")
             return
         for name in self.observations.fronts:
             if not await self._within(bounds.recovery_s, self._until_served(name)):
-                unrecovered.append(f"{name} serves no request after {bounds.recovery_s} s of calm")
-        for change in (self._operator.take_key, self._lower_limit):
+                unrecovered.append(f"{name} served no request within {bounds.recovery_s} s after the faults")
+        for change in (self._operator.remove_key, self._lower_limit):
             if not await self._within(bounds.acknowledge_s, change()):
                 unrecovered.append(
-                    f"a change in calm ({change.__name__}) had no acknowledgement after {bounds.acknowledge_s} s"
+                    f"a change after the faults ({change.__name__}) was not acknowledged within {bounds.acknowledge_s} s"
                 )
                 return
         await asyncio.sleep(bounds.apply_s + AFTER_LAST_CHANGE_S)
@@ -214,7 +214,7 @@
         read = await self._operator.read()
         expected = self._operator.document
         if read is None:
-            self.observations.unrecovered.append("no control plane gives the configuration")
+            self.observations.unrecovered.append("no control plane returned the configuration")
             return
         versions = [version for version in self.observations.versions if version.number == read.get("version")]
         if read.get("version", 0) < expected["version"]:
@@ -231,10 +231,10 @@
         return True
 
     async def _is_served(self, name: str) -> bool:
-        """Send a request with a key that is held; return whether a data plane serves it."""
+        """Send a request with a configured key; return whether a data plane serves it."""
         loop, document = asyncio.get_running_loop(), self._operator.document
         steady = next(item for item in document["tenants"] if item["name"] == "steady")
-        exchange = Exchange(name, Plan("read", steady["api_keys"][-1], "", True), loop.time())
+        exchange = Exchange(name, PlannedRequest("read", steady["api_keys"][-1], "", True), loop.time())
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(*self._fleet.front_address(name))
@@ -249,7 +249,7 @@
 
     @staticmethod
     async def _within(seconds: float, work: Awaitable[bool | None]) -> bool:
-        """Return whether work ended in time and did not say that it failed."""
+        """Return whether an awaitable ended in time and did not return False."""
         try:
             async with asyncio.timeout(seconds):
                 return await work is not False
@@ -266,7 +266,7 @@
             stall_s = loop.time() - asked_at - STALL_PROBE_S
             self.observations.largest_stall_s = max(self.observations.largest_stall_s, stall_s)
 
-    async def _look_for_keys(self) -> None:
+    async def _search_for_keys(self) -> None:
         texts = {path.name: path.read_bytes() for path in self._fleet.log_paths()}
         for name in (*self.observations.cores, *self.observations.fronts):
             for page in ("/status", "/metrics", "/ready"):
