--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -1,7 +1,7 @@
-"""Measure the cost of the replicated state after many changes: a snapshot, the file, a start, and catching up.
+"""Measure the cost of the replicated state after many changes: snapshot, file size, start, and catch-up of a replica.
 
 `python -m benchmarks.control_state [--quick]` prints a table by the number of changes and a line of JSON. It exits with 1 if
-sizes grow with the number of changes beyond the history that is kept on purpose.
+sizes keep growing with the number of changes after the retained history of digests has reached its maximum.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 ROUTES = 40
 COUNTS = (100, 500, 2_000, 20_000)
-MAX_GROWTH = 1.05  # of bytes, from the first count with the full history to the last
+MAX_GROWTH = 1.05  # factor of sizes from the first count with a first_full history of digests to the last count
 
 
 @dataclass(frozen=True)
 class Row:
-    """Figures after a number of changes, in bytes and milliseconds."""
+    """Figures after a number of changes; sizes in bytes, times in milliseconds."""
 
     changes: int
     digests: int
@@ -36,8 +36,8 @@
     file_bytes: int
     snapshot_ms: float
     rewrite_ms: float
-    start_ms: float  # the file read and replayed, the state restored
-    catch_up_ms: float  # a snapshot parsed, restored and written
+    start_ms: float  # reading and replaying the file and restoring the state
+    catch_up_ms: float  # parsing, restoring and writing a received snapshot
 
 
 def route(number: int, timeout_ms: int) -> dict:
@@ -47,7 +47,7 @@
     }  # fmt: skip
 
 
-def changed(count: int) -> ControlState:
+def state_after_changes(count: int) -> ControlState:
     """Return the state after a complete configuration and `count` patches of one route each."""
     state = ControlState()
     complete = {"version": 1, "routes": [route(number, 1000) for number in range(ROUTES)], "services": [{"name": "s"}]}
@@ -63,14 +63,14 @@
     state.apply(Entry(index=state.index + 1, epoch=1, kind=kind, body=body, digest=change_digest(method, body)))
 
 
-def _timed(work) -> tuple[float, object]:
+def _measure_ms(work) -> tuple[float, object]:
     started_at = time.perf_counter()
     result = work()
     return round(1000 * (time.perf_counter() - started_at), 2), result
 
 
 def _records(state: ControlState) -> list[Record]:
-    """Return the longest file between two rewrites: a snapshot and as many entries as come before the next one."""
+    """Return the records of the largest file between two rewrites: a snapshot and all entries before the next one."""
     body = json.dumps({"version": 0, "upsert": {"routes": [route(0, 1)]}}).encode()
     entries = [
         Entry(index=state.index + 1 + number, epoch=1, kind=EntryKind.PATCH, body=body, digest="0" * 32)
@@ -82,16 +82,16 @@
 
 def measure(count: int) -> Row:
     """Measure the costs after a number of changes."""
-    state = changed(count)
-    snapshot_ms, snapshot = _timed(lambda: bytes(state.snapshot()))
+    state = state_after_changes(count)
+    snapshot_ms, snapshot = _measure_ms(lambda: bytes(state.snapshot()))
     with tempfile.TemporaryDirectory() as folder:
         append_log = AppendLog(folder)
         append_log.open()
         records = _records(state)
-        rewrite_ms, _ = _timed(lambda: append_log.rewrite(records))
+        rewrite_ms, _ = _measure_ms(lambda: append_log.rewrite(records))
         file_bytes = append_log.size
         append_log.close()
-        start_ms, _ = _timed(lambda: ControlState().restore(replay(AppendLog(folder).open()).snapshot))
+        start_ms, _ = _measure_ms(lambda: ControlState().restore(replay(AppendLog(folder).open()).snapshot))
         reopened = AppendLog(folder)
         reopened.open()
 
@@ -100,7 +100,7 @@
             ControlState().restore(received)
             reopened.append([Record(RecordKind.SNAPSHOT, bytes(received))])
 
-        catch_up_ms, _ = _timed(catch_up)
+        catch_up_ms, _ = _measure_ms(catch_up)
         reopened.close()
     return Row(count, len(state.digests), len(snapshot), file_bytes, snapshot_ms, rewrite_ms, start_ms, catch_up_ms)
 
@@ -116,8 +116,10 @@
     print("  ".join(f"{name:>14}" for name in names))
     for row in rows:
         print("  ".join(f"{value:>14}" for value in asdict(row).values()))
-    full, last = rows[-2], rows[-1]
-    is_bounded = last.snapshot_bytes <= MAX_GROWTH * full.snapshot_bytes and last.file_bytes <= MAX_GROWTH * full.file_bytes
+    first_full, last = rows[-2], rows[-1]
+    is_bounded = (
+        last.snapshot_bytes <= MAX_GROWTH * first_full.snapshot_bytes and last.file_bytes <= MAX_GROWTH * first_full.file_bytes
+    )
     print(json.dumps({"holds": is_bounded, "rows": [asdict(row) for row in rows]}))
     return 0 if is_bounded else 1
 
--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -26,11 +26,11 @@
 SETTINGS_VARIABLE = "MULLEINHATCH_NODE_FILE"
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, MODEL_PORT = 18146, 17660, 18144, 18140, 18300
 HOST, MODEL = "footprint.example", "model-0"
-REQUESTS_A_S = 100.0  # the rate of the small sites
+REQUESTS_PER_S = 100.0  # the rate of the small sites
 GIVE_UP_S = 30.0
 READY_POLL_S = 0.002
-EVENTS_A_STREAM, EVENT_GAP_S = 20, 0.005
-STREAMS_A_S = 10.0
+EVENTS_PER_STREAM, EVENT_GAP_S = 20, 0.005
+STREAMS_PER_S = 10.0
 
 
 @dataclass(frozen=True)
@@ -209,7 +209,7 @@
         fields = {**fields, b"Content-Type": b"text/event-stream", b"Transfer-Encoding": b"chunked"}
         lines = b"".join(b"%b: %b\r\n" % field for field in fields.items())
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n" % lines)
-        for number in range(1, EVENTS_A_STREAM + 1):
+        for number in range(1, EVENTS_PER_STREAM + 1):
             await asyncio.sleep(EVENT_GAP_S)
             event = b"id: %d\ndata: %d\n\n" % (number, time.perf_counter_ns())
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
@@ -347,7 +347,7 @@
         self.process.wait()
 
 
-async def at_rate(count: int, rate: float, act) -> None:
+async def run_at_rate(count: int, rate: float, act) -> None:
     """Start `act(number)` at a fixed rate, however long the earlier ones take; return when all are done."""
     loop = asyncio.get_running_loop()
     begun, tasks = loop.time(), []
@@ -368,7 +368,7 @@
         await asyncio.sleep(0.02)
 
 
-async def until_served(front: Client) -> None:
+async def wait_until_served(front: Client) -> None:
     """Send requests until one is served.
 
     Raises:
@@ -405,7 +405,7 @@
                 if kind == "control":
                     await put_configuration(control)
                     await server.start()
-            await until_served(front)
+            await wait_until_served(front)
             await asyncio.sleep(load.settle_s)
             pids = {kind: plane.pid for kind, plane in planes.items()}
             for kind, pid in pids.items():
@@ -444,7 +444,7 @@
             raise RuntimeError(f"heartbeat {number} was answered {status}")
 
     before = processor_s(pid)
-    await at_rate(count, REQUESTS_A_S, heartbeat)
+    await run_at_rate(count, REQUESTS_PER_S, heartbeat)
     return 1e6 * (processor_s(pid) - before) / count
 
 
@@ -462,7 +462,7 @@
                 raise RuntimeError(f"request {number} was answered {answer.status}")
 
         before, answered = processor_s(pid), server.answered
-        await at_rate(count, REQUESTS_A_S, ask)
+        await run_at_rate(count, REQUESTS_PER_S, ask)
         if server.answered - answered != count:
             raise RuntimeError(f"{count} requests were run {server.answered - answered} times")
         if client is front:
@@ -481,13 +481,13 @@
 
         async def stream(number: int, client: Client = client) -> None:
             answer = await client.send(request_bytes(b"/write/%d" % number), latencies[client])
-            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS_A_STREAM:
+            if answer.status != 200 or answer.body.count(b"\n\n") != EVENTS_PER_STREAM:
                 raise RuntimeError(f"stream {number} was answered {answer.status} {answer.body[-200:]!r}")
 
         before = processor_s(pid)
-        await at_rate(count, STREAMS_A_S, stream)
+        await run_at_rate(count, STREAMS_PER_S, stream)
         if client is front:
-            figures["data stream event, processor us"] = 1e6 * (processor_s(pid) - before) / (count * EVENTS_A_STREAM)
+            figures["data stream event, processor us"] = 1e6 * (processor_s(pid) - before) / (count * EVENTS_PER_STREAM)
     figures["event added median, us"] = 1e6 * (median(latencies[front]) - median(latencies[direct]))
     return figures
 
--- a/benchmarks/histories.py
+++ b/benchmarks/histories.py
@@ -1,4 +1,4 @@
-"""Play simulated histories of the core until a count is reached, and keep what was played: a campaign that resumes.
+"""Simulate histories of the control plane up to a given number and record them, so that a campaign can be resumed.
 
 Usage:
   histories [--machines N] [--tolerated N] [--zones N] [--zones-tolerated N] [--count N] [--first N] [--workers N]
@@ -6,20 +6,20 @@
   histories --quick
 
 Options:
-  --machines N         Core machines [default: 3].
-  --tolerated N        Machines that may be lost at once [default: 1].
-  --zones N            Zones that they stand in [default: 1].
-  --zones-tolerated N  Zones that may be lost at once [default: 0].
-  --count N            Histories in all [default: 3000].
+  --machines N         Number of control planes [default: 3].
+  --tolerated N        Machines that may fail at the same time [default: 1].
+  --zones N            Zones of the machines [default: 1].
+  --zones-tolerated N  Zones that may fail at the same time [default: 0].
+  --count N            Total number of histories [default: 3000].
   --first N            First seed [default: 100000].
-  --workers N          Processes; else half of the processors.
-  --record FILE        A line for each history; one that is listed there is not played again
+  --workers N          Number of processes; without it half of the processors.
+  --record FILE        File with a line for each history; recorded histories are not run again
                        [default: found/histories.jsonl].
-  --quick              Twelve histories of three machines, recorded nowhere.
+  --quick              Twelve histories, not recorded.
 
-A record holds for the text that it was played on: a digest of the package is part of each line. The last line printed is JSON
-with "holds"; the status is 1 where a history violates an invariant. A violating history is played again by its seed alone:
-`mulleinhatch.simulation.control_plane.play(SEED, MACHINES, TOLERATED, zones=..., zones_tolerated=...)`.
+A record is valid only for the sources that it was made with: each line has a digest of the package. The last line printed is
+JSON with "holds"; the exit status is 1 if a history violates an invariant. A history is determined by its seed;
+`mulleinhatch.simulation.control_plane.play(SEED, MACHINES, TOLERATED, zones=..., zones_tolerated=...)` runs it again.
 """
 
 from __future__ import annotations
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True)
 class Setting:
-    """What the histories of a campaign have in common."""
+    """The parameters that all histories of a campaign share."""
 
-    text: str  # digest of the package
+    text: str  # digest of the package's sources
     machines: int
     tolerated: int
     zones: int
@@ -60,11 +60,11 @@
     """The outcome of one history.
 
     Attributes:
-        setting: What it was played with.
-        seed: Its seed, which determines it.
-        violations: The invariants that it violated.
-        acknowledged: Changes that were acknowledged in it.
-        processor_s: Processor time that it took.
+        setting: Its parameters.
+        seed: Its seed.
+        violations: The violated invariants.
+        acknowledged: Number of acknowledged changes.
+        processor_s: Processor time in seconds.
     """
 
     setting: Setting
@@ -74,7 +74,7 @@
     processor_s: float
 
 
-def text_digest() -> str:
+def source_digest() -> str:
     """Return a digest of the package's sources."""
     digest = hashlib.sha256()
     for path in sorted(Path(mulleinhatch.__file__).parent.rglob("*.py")):
@@ -83,7 +83,7 @@
 
 
 def play_one(setting: Setting, seed: int) -> PlayedHistory:
-    """Play one history."""
+    """Run one history."""
     started_at = time.process_time()
     history = play(seed, setting.machines, setting.tolerated, zones=setting.zones, zones_tolerated=setting.zones_tolerated)
     processor_s = round(time.process_time() - started_at, 3)
@@ -91,7 +91,7 @@
 
 
 def read_record(path: Path, setting: Setting) -> dict[int, PlayedHistory]:
-    """Return the recorded histories of a setting by seed; a line that was cut off is left out."""
+    """Return the recorded histories of a setting by seed; malformed lines, as after an interrupted write, are skipped."""
     played = {}
     for line in path.read_text().splitlines() if path.exists() else ():
         try:
@@ -105,14 +105,14 @@
 
 
 def play_all(setting: Setting, seeds: Iterable[int], workers: int) -> Iterator[PlayedHistory]:
-    """Play histories in several processes and yield each as it ends."""
+    """Run histories in several processes and yield each when it completes."""
     with ProcessPoolExecutor(workers, get_context("spawn")) as pool:
         for done in as_completed([pool.submit(play_one, setting, seed) for seed in seeds]):
             yield done.result()
 
 
 def campaign(setting: Setting, seeds: range, workers: int, path: Path | None) -> list[PlayedHistory]:
-    """Return the histories of all seeds; those that the record lacks are played and recorded."""
+    """Return the histories of all seeds; those that are not recorded yet are run and recorded."""
     played = read_record(path, setting) if path else {}
     missing = [seed for seed in seeds if seed not in played]
     if path:
@@ -128,29 +128,29 @@
 
 
 def main() -> int:
-    """Play the campaign that the options describe; return 1 if an invariant was violated."""
+    """Run the campaign that the options describe; return 1 if an invariant was violated."""
     options = docopt(__doc__)
     quick = bool(options["--quick"])
     numbers = {name: int(options[name]) for name in ("--machines", "--tolerated", "--zones", "--zones-tolerated")}
-    setting = Setting(text_digest(), *numbers.values())
+    setting = Setting(source_digest(), *numbers.values())
     first, count = int(options["--first"]), QUICK_COUNT if quick else int(options["--count"])
     workers = int(options["--workers"] or max(1, (os.cpu_count() or 2) // 2))
     path = None if quick else Path(options["--record"])
     histories = campaign(setting, range(first, first + count), workers, path)
-    broken = [history.seed for history in histories if history.violations]
+    violating_seeds = [history.seed for history in histories if history.violations]
     seconds = sum(history.processor_s for history in histories)
-    print(f"{len(histories)} histories of {setting.machines} machines, {len(broken)} violate an invariant")
+    print(f"{len(histories)} histories of {setting.machines} machines, {len(violating_seeds)} violate an invariant")
     report = {
         "benchmark": "histories",
         "setting": asdict(setting),
         "histories": len(histories),
         "acknowledged": sum(history.acknowledged for history in histories),
         "processor_s_each": round(seconds / len(histories), 3),
-        "broken_seeds": broken,
-        "holds": {"no invariant is violated": not broken},
+        "broken_seeds": violating_seeds,
+        "holds": {"no invariant is violated": not violating_seeds},
     }
     print(json.dumps(report))
-    return 1 if broken else 0
+    return 1 if violating_seeds else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/plain_relay.py
+++ b/benchmarks/plain_relay.py
@@ -1,6 +1,6 @@
-"""A relay that copies bytes between each client's connection and one of its own to a backend: the least that any relay does.
+"""A minimal TCP relay: copies bytes between each client connection and a connection to a backend.
 
-`python -m benchmarks.plain_relay LISTEN BACKEND`, both HOST:PORT. It knows nothing of HTTP; `benchmarks.exchange` compares the
+`python -m benchmarks.plain_relay LISTEN BACKEND`, both HOST:PORT. It does not parse HTTP; `benchmarks.exchange` compares the
 data plane with it.
 """
 
--- a/benchmarks/quota_histories.py
+++ b/benchmarks/quota_histories.py
@@ -1,16 +1,16 @@
-"""Play simulated histories of quotas: owners, data planes, faults, checks of the rule after every event.
+"""Simulate histories of quotas with owners, data planes and faults, and check the invariants after every event.
 
 Usage:
   quota_histories [--first N] [--count N] [--workers N] [--defect NAME]
 
 Options:
   --first N      First seed [default: 100000].
-  --count N      Histories in all [default: 2000].
-  --workers N    Processes [default: 2].
-  --defect NAME  A planted defect (`simulation.quotas.Defect`) that the checks should find [default: NONE].
+  --count N      Total number of histories [default: 2000].
+  --workers N    Number of processes [default: 2].
+  --defect NAME  An injected defect (`simulation.quotas.Defect`) that the checks should detect [default: NONE].
 
-The last line printed is JSON with "holds"; the status is 1 where a history violates an invariant. One is played again by its
-seed alone: `mulleinhatch.simulation.quotas.play(SEED)`.
+The last line printed is JSON with "holds"; the exit status is 1 if a history violates an invariant. A history is determined by
+its seed; `mulleinhatch.simulation.quotas.play(SEED)` runs it again.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 from mulleinhatch.simulation.quotas import Defect, History, play
 
-CHUNK = 50  # histories that a process plays at a time
+CHUNK = 50  # histories that a process gets at a time
 
 
 def summary(histories: list[History]) -> dict[str, object]:
-    """Return what the histories showed together."""
+    """Return the totals of all histories."""
     violating = [history for history in histories if history.violations]
     return {
         "holds": not violating,
@@ -49,15 +49,15 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play the histories and print the summary."""
+    """Run the histories and print the summary; return 1 if one violates an invariant."""
     options = docopt(__doc__, argv)
     first, count = int(options["--first"]), int(options["--count"])
     play_one = partial(play, defect=Defect[options["--defect"]])
     with ProcessPoolExecutor(int(options["--workers"]), get_context("spawn")) as pool:
         histories = list(pool.map(play_one, range(first, first + count), chunksize=CHUNK))
-    shown = summary(histories)
-    print(json.dumps(shown))
-    return 0 if shown["holds"] else 1
+    totals = summary(histories)
+    print(json.dumps(totals))
+    return 0 if totals["holds"] else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,16 +1,16 @@
-"""Measure what quotas cost over a simulated day with a cut: leases, beside a fixed part a data plane and a question a request.
+"""Measure the cost of quotas in a simulation with a partition: leases, fixed shares, and one query to the owner per request.
 
 Usage:
   quotas [--quick] [--seed N]
 
 Options:
-  --quick   A shorter day of fewer data planes.
+  --quick   A shorter simulation with fewer data planes.
   --seed N  Seed of the arrivals [default: 1].
 
-The real quota clients and owners play in virtual time. Tenants ask for seven tenths of their rate, one for three times it; a
-control plane is cut off for a third of the day, and after the time of a view change the others own its tenants. The same
-requests go all three ways; clients come back once, as `Retry-After` says. The table counts tokens of the tenants below their
-limit; the last line is JSON with "holds", and the status is 1 where an objective is missed.
+The real quota clients and owners run in virtual time. Tenants request 0.7 of their rate, except for one that requests three
+times its rate. A control plane is partitioned for a third of the time; after a view change the others own its tenants. All
+strategies get the same requests; a rejected client retries once after `Retry-After`. The table counts tokens of the tenants
+below their limit. The last line is JSON with "holds"; the exit status is 1 if an objective is missed.
 """
 
 from __future__ import annotations
@@ -45,24 +45,24 @@
 from mulleinhatch.tenants.tenant import QuotaLimit, QuotaUnit, Tenant
 
 BOUNDS = QuotaBounds(window_s=8.0, overage=0.1, slack=17_000.0)
-TRIP_S = 0.003  # to a control plane and back
+ROUND_TRIP_S = 0.003  # round trip to a control plane
 TARGET_S, DEADLINE_S = 0.8, 5.0
-MIN_TOKENS, MAX_TOKENS = 1200, 3600  # of a request
+MIN_TOKENS, MAX_TOKENS = 1200, 3600  # per request
 LARGE = QuotaLimit(150_000.0, 150_000.0)
 SMALL = QuotaLimit(4_200.0, 4_200.0)
 HOT, HOT_LOAD, USUAL_LOAD = "small-0", 3.0, 0.7
-WARM_UP_S = 8.0  # before the first request: the buckets fill
+WARM_UP_S = 8.0  # time for the buckets to fill before the first request
 CONTROL_PLANES = tuple(f"control-{number}:1" for number in range(5))
 MAX_ADDED_P50_MS = 5.0
 
 
 @dataclass(frozen=True)
-class Day:
-    """What is played.
+class Scenario:
+    """The simulated deployment.
 
     Attributes:
-        data_planes: How many share the limits.
-        seconds: Length of the day.
+        data_planes: Number of data planes that share the limits.
+        seconds: Duration of the traffic.
         large_tenants: Tenants with the large limit.
         small_tenants: Tenants with the small limit.
     """
@@ -78,12 +78,12 @@
         return large | {f"small-{number}": SMALL for number in range(self.small_tenants)}
 
 
-FULL_DAY, QUICK_DAY = Day(89, 90.0, 3, 13), Day(30, 30.0, 1, 7)
+FULL_SCENARIO, QUICK_SCENARIO = Scenario(89, 90.0, 3, 13), Scenario(30, 30.0, 1, 7)
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request of a client: when it is sent first, to which data plane, and to which it comes back."""
+    """One request of a client: when and to which data plane it is first sent, and which data plane gets the retry."""
 
     at: float
     tenant: str
@@ -92,16 +92,16 @@
     second_data_plane: int
 
 
-def arrivals(day: Day, seed: int) -> list[Arrival]:
-    """Return the requests of a day in order of time."""
+def arrivals(scenario: Scenario, seed: int) -> list[Arrival]:
+    """Return all requests, ordered by time."""
     source = random.Random(seed)
     requests: list[Arrival] = []
-    for tenant, limit in day.limits().items():
+    for tenant, limit in scenario.limits().items():
         load = HOT_LOAD if tenant == HOT else USUAL_LOAD
         mean_s = (MIN_TOKENS + MAX_TOKENS) / 2 / (load * limit.rate_per_s)
         at = WARM_UP_S + source.expovariate(1 / mean_s)
-        while at < WARM_UP_S + day.seconds:
-            planes = source.randrange(day.data_planes), source.randrange(day.data_planes)
+        while at < WARM_UP_S + scenario.seconds:
+            planes = source.randrange(scenario.data_planes), source.randrange(scenario.data_planes)
             requests.append(Arrival(at, tenant, source.randint(MIN_TOKENS, MAX_TOKENS), *planes))
             at += source.expovariate(1 / mean_s)
     return sorted(requests, key=lambda request: request.at)
@@ -109,17 +109,17 @@
 
 @dataclass
 class Measured:
-    """What one way did. Tokens are of the tenants below their limit, but for the rule, which counts all.
+    """Measurements of one strategy. Tokens are those of tenants below their limit, unless stated otherwise.
 
     Attributes:
         asked: Tokens of all requests.
-        granted: Tokens that left owners' buckets or were held as a part; those of all tenants.
-        run: Tokens of requests that ran.
-        refused_once: Tokens of requests that ran when they came back.
-        refused: Tokens of requests that never ran.
-        stranded: Most tokens of a tenant that other data planes held while one of its requests was refused.
-        added_s: Time from the first sending at a data plane to the permit there, of requests that ran.
-        uses: When tokens were used, by tenant.
+        granted: Tokens granted by owners or added to fixed shares, for all tenants.
+        run: Tokens of requests that were executed.
+        refused_once: Tokens of requests that were executed by their retry.
+        refused: Tokens of requests that were never executed.
+        stranded: Most tokens of a tenant that data planes held while one of its requests was rejected.
+        added_s: Times from the arrival of an executed request at a data plane to its permit.
+        uses: Times and numbers of used tokens by tenant, for all tenants.
     """
 
     asked: int = 0
@@ -131,18 +131,18 @@
     added_s: list[float] = field(default_factory=list)
     uses: dict[str, list[tuple[float, int]]] = field(default_factory=lambda: defaultdict(list))
 
-    def part_of_rule(self, limits: dict[str, QuotaLimit]) -> float:
-        """Return the most that was used in any window, as a part of what the rule allows."""
+    def max_quota_utilization(self, limits: dict[str, QuotaLimit]) -> float:
+        """Return the most tokens used in any window, as a fraction of the allowed ones."""
         return max(
-            (most_in_window(uses, BOUNDS.window_s) / BOUNDS.allowed(limits[name]) for name, uses in self.uses.items()),
+            (max_tokens_in_window(uses, BOUNDS.window_s) / BOUNDS.allowed(limits[name]) for name, uses in self.uses.items()),
             default=0,
         )
 
 
-def most_in_window(uses: list[tuple[float, int]], window_s: float) -> int:
-    """Return the most tokens that were used within a window.
+def max_tokens_in_window(uses: list[tuple[float, int]], window_s: float) -> int:
+    """Return the most tokens that were used in one window.
 
-    >>> most_in_window([(0.0, 5), (1.0, 5), (8.5, 5)], 8.0)
+    >>> max_tokens_in_window([(0.0, 5), (1.0, 5), (8.5, 5)], 8.0)
     10
     """
     most = total = first = 0
@@ -156,11 +156,11 @@
     return most
 
 
-class Core:
-    """The control planes, and one that is cut off; an `HttpClient` to data planes.
+class ControlPlanes:
+    """Simulates the control planes, one of them partitioned; data planes use it as their `HttpClient`.
 
     Args:
-        limits: Of all tenants.
+        limits: Limits of all tenants.
     """
 
     def __init__(self, limits: dict[str, QuotaLimit]) -> None:
@@ -169,77 +169,77 @@
         self._tenants = tenants
         self.epoch, self.addresses = 0, CONTROL_PLANES
         self.owners = {address: QuotaOwner(BOUNDS, AUTHORITY_S) for address in CONTROL_PLANES}
-        self.silent: set[str] = set()
+        self.partitioned: set[str] = set()
         self.granted = 0
         self.on_view: list[Callable[[], None]] = []
         self.change_view(CONTROL_PLANES)
 
     def change_view(self, addresses: tuple[str, ...]) -> None:
-        """Put a view into force at all control planes that are in contact, and tell the data planes."""
+        """Install a view at its control planes, and notify the data planes."""
         self.epoch, self.addresses = self.epoch + 1, addresses
         for address in addresses:
             self.owners[address].update(OwnerView(self.epoch, address, addresses), self._tenants, 1, self._loop.time())
         for notify in self.on_view:
             notify()
 
-    def cut(self, address: str) -> None:
-        """Cut a control plane off; the others replace it."""
-        self.silent.add(address)
+    def partition(self, address: str) -> None:
+        """Partition a control plane; a view without it follows after the time of a view change."""
+        self.partitioned.add(address)
         rest = tuple(one for one in CONTROL_PLANES if one != address)
         self._loop.call_later(VIEW_CHANGE_S, self.change_view, rest)
 
     def heal(self, address: str) -> None:
-        """End the cut: the machine joins in the next view."""
-        self.silent.discard(address)
+        """End the partition: the control plane joins in the next view."""
+        self.partitioned.discard(address)
         self.change_view(CONTROL_PLANES)
 
     def forget(self, address: str) -> None:
-        """No connection is kept."""
+        """Do nothing: no connection is kept."""
 
     async def request(self, address: str, method: str, path: str, body: bytes, timeout_s: float) -> HttpResponse:
-        """Answer a question.
+        """Answer a quota request.
 
         Raises:
-            HttpCallError: The control plane is cut off.
+            HttpCallError: The control plane is partitioned.
         """
-        if address in self.silent:
+        if address in self.partitioned:
             await asyncio.sleep(timeout_s)
             raise HttpCallError(address, "no answer")
-        await asyncio.sleep(TRIP_S / 2)
-        question = QuotaRequest().parse(body)
-        grants = self.owners[address].answer(question, self._loop.time())
-        for need, grant in zip(question.needs, grants, strict=True):
+        await asyncio.sleep(ROUND_TRIP_S / 2)
+        query = QuotaRequest().parse(body)
+        grants = self.owners[address].answer(query, self._loop.time())
+        for need, grant in zip(query.needs, grants, strict=True):
             self.granted += sum(need.request_tokens[: grant.granted_requests]) + grant.ahead_tokens
-        await asyncio.sleep(TRIP_S / 2)
+        await asyncio.sleep(ROUND_TRIP_S / 2)
         return HttpResponse(200, None, bytes(QuotaResponse(self.epoch, True, grants, list(self.addresses))))
 
 
 class Leases:
-    """The system's way: `QuotaClient` at each data plane."""
+    """The strategy of the system: a `QuotaClient` at each data plane."""
 
-    def __init__(self, day: Day, core: Core) -> None:
-        self._loop, self._day, self._core = asyncio.get_running_loop(), day, core
-        self._limits = day.limits()
+    def __init__(self, scenario: Scenario, control_planes: ControlPlanes) -> None:
+        self._loop, self._scenario, self._control_planes = asyncio.get_running_loop(), scenario, control_planes
+        self._limits = scenario.limits()
         settings = Settings("d", "10.0.0.9", "z", "r", {}, "10.0.0.9:1", (), False, False, 1, 1.0, "", 100, 100.0, {}, Bounds())
-        self._clients = [QuotaClient(settings, core, self._loop) for _ in range(day.data_planes)]  # type: ignore[arg-type]
-        core.on_view.append(self._on_view)
+        self._clients = [QuotaClient(settings, control_planes, self._loop) for _ in range(scenario.data_planes)]  # type: ignore[arg-type]
+        control_planes.on_view.append(self._on_view)
         self._on_view()
 
     def _on_view(self) -> None:
         for client in self._clients:
-            client.update(self._core.epoch, self._core.addresses, 1, self._limits)
+            client.update(self._control_planes.epoch, self._control_planes.addresses, 1, self._limits)
 
     async def acquire(self, tenant: str, tokens: int, data_plane: int, deadline: float, is_retry: bool) -> float | None:
-        """Return None with a permit that is used at once, else the seconds of `Retry-After`."""
+        """Return None if a permit was granted and redeemed, else the seconds of `Retry-After`."""
         client, now = self._clients[data_plane], self._loop.time()
-        rate_per_s = RATE_OVERCOMMIT * self._limits[tenant].rate_per_s / self._day.data_planes
+        rate_per_s = RATE_OVERCOMMIT * self._limits[tenant].rate_per_s / self._scenario.data_planes
         patience = Patience(now, TARGET_S, deadline, is_retry, rate_per_s)
         late: asyncio.Future[Outcome] = self._loop.create_future()
         outcome = client.acquire(tenant, tokens, patience, late.set_result)
-        known = await late if isinstance(outcome, PermitWait) else outcome
-        if not isinstance(known, Ok):
-            return known.err_value.retry_after_s
-        return None if client.redeem(known.ok_value) else 0.05
+        result = await late if isinstance(outcome, PermitWait) else outcome
+        if not isinstance(result, Ok):
+            return result.err_value.retry_after_s
+        return None if client.redeem(result.ok_value) else 0.05
 
     def held(self, tenant: str) -> int:
         """Return the tokens of a tenant that data planes hold."""
@@ -248,26 +248,26 @@
 
     def granted(self) -> int:
         """Return the tokens that were granted."""
-        return self._core.granted
+        return self._control_planes.granted
 
 
-class FixedParts:
-    """An even part of each limit at each data plane."""
+class FixedShares:
+    """An equal share of each limit at each data plane."""
 
-    def __init__(self, day: Day, core: Core) -> None:
+    def __init__(self, scenario: Scenario, control_planes: ControlPlanes) -> None:
         self._loop = asyncio.get_running_loop()
-        self._began_at, self._limits = self._loop.time(), day.limits()
+        self._began_at, self._limits = self._loop.time(), scenario.limits()
         self._buckets = {
-            tenant: [self._bucket(limit, day.data_planes) for _ in range(day.data_planes)]
+            tenant: [self._bucket(limit, scenario.data_planes) for _ in range(scenario.data_planes)]
             for tenant, limit in self._limits.items()
         }
 
-    def _bucket(self, limit: QuotaLimit, parts: int) -> TokenBucket:
+    def _bucket(self, limit: QuotaLimit, shares: int) -> TokenBucket:
         rate, capacity = refill_rate(limit, BOUNDS, GRANT_LIFETIME_S), bucket_capacity(limit, BOUNDS, GRANT_LIFETIME_S)
-        return TokenBucket(rate / parts, capacity / parts, level=0.0, updated_at=self._began_at)
+        return TokenBucket(rate / shares, capacity / shares, level=0.0, updated_at=self._began_at)
 
     async def acquire(self, tenant: str, tokens: int, data_plane: int, deadline: float, is_retry: bool) -> float | None:
-        """Return None with tokens, else the seconds of `Retry-After`."""
+        """Return None if tokens were taken, else the seconds of `Retry-After`."""
         now, bucket = self._loop.time(), self._buckets[tenant][data_plane]
         if bucket.try_take(tokens, now):
             return None
@@ -280,64 +280,66 @@
         return int(sum(max(0.0, bucket.level) for bucket in self._buckets[tenant]))
 
     def granted(self) -> int:
-        """Return what all parts were filled with."""
+        """Return the tokens that were added to all shares."""
         passed_s = self._loop.time() - self._began_at
         return int(sum(refill_rate(limit, BOUNDS, GRANT_LIFETIME_S) * passed_s for limit in self._limits.values()))
 
 
-class AskEachTime:
-    """A question to the owner for each request; without an answer or tokens it is refused, with the `Retry-After` of leases.
+class OwnerQueryPerRequest:
+    """A query to the owner for each request; without an answer or tokens it is rejected, with the `Retry-After` of leases.
 
-    So what it refuses more shows what waiting is worth; what a fixed part refuses more, what sharing tokens is worth.
+    Its additional rejections compared with leases show the value of waiting; those of fixed shares, that of sharing tokens.
     """
 
-    def __init__(self, day: Day, core: Core) -> None:
-        self._loop, self._core, self._directory = asyncio.get_running_loop(), core, OwnerDirectory()
-        core.on_view.append(self._on_view)
+    def __init__(self, scenario: Scenario, control_planes: ControlPlanes) -> None:
+        self._loop, self._control_planes, self._directory = asyncio.get_running_loop(), control_planes, OwnerDirectory()
+        control_planes.on_view.append(self._on_view)
         self._on_view()
 
     def _on_view(self) -> None:
-        self._directory.update(self._core.epoch, self._core.addresses)
+        self._directory.update(self._control_planes.epoch, self._control_planes.addresses)
 
     async def acquire(self, tenant: str, tokens: int, data_plane: int, deadline: float, is_retry: bool) -> float | None:
-        """Return None with tokens, else the seconds of `Retry-After`."""
-        question = QuotaRequest(node="d", configuration_version=1, needs=[QuotaNeed(tenant=tenant, request_tokens=[tokens])])
+        """Return None if tokens were taken, else the seconds of `Retry-After`."""
+        query = QuotaRequest(node="d", configuration_version=1, needs=[QuotaNeed(tenant=tenant, request_tokens=[tokens])])
         owner = self._directory.owner_of(tenant)
         try:
-            answer = await self._core.request(owner, "POST", "", bytes(question), QUERY_TIMEOUT_S)
+            answer = await self._control_planes.request(owner, "POST", "", bytes(query), QUERY_TIMEOUT_S)
         except HttpCallError:
             return min(HANDOVER_S, (deadline - self._loop.time()) / 3)
         grant = QuotaResponse().parse(answer.body).grants[0]
         return None if grant.granted_requests else min(grant.retry_after_ms / 1000, (deadline - self._loop.time()) / 3)
 
     def held(self, tenant: str) -> int:
-        """Return 0: nothing is held."""
+        """Return 0: data planes hold no tokens."""
         return 0
 
     def granted(self) -> int:
         """Return the tokens that were granted."""
-        return self._core.granted
+        return self._control_planes.granted
 
 
-WAYS = {"leases": Leases, "fixed part 1/N": FixedParts, "ask each time": AskEachTime}
+STRATEGIES = {"leases": Leases, "fixed part 1/N": FixedShares, "ask each time": OwnerQueryPerRequest}
 
 
-async def _play(day: Day, requests: list[Arrival], way_type: type[Leases] | type[FixedParts] | type[AskEachTime]) -> Measured:
+async def _run_strategy(
+    scenario: Scenario, requests: list[Arrival], strategy_type: type[Leases] | type[FixedShares] | type[OwnerQueryPerRequest]
+) -> Measured:
     loop, measured = asyncio.get_running_loop(), Measured()
-    core = Core(day.limits())
-    way = way_type(day, core)
+    control_planes = ControlPlanes(scenario.limits())
+    strategy = strategy_type(scenario, control_planes)
     directory = OwnerDirectory()
     directory.update(1, CONTROL_PLANES)
-    cut_off = directory.owner_of("large-0")
-    loop.call_at(WARM_UP_S + day.seconds / 3, core.cut, cut_off)
-    loop.call_at(WARM_UP_S + 2 * day.seconds / 3, core.heal, cut_off)
+    partitioned = directory.owner_of("large-0")
+    loop.call_at(WARM_UP_S + scenario.seconds / 3, control_planes.partition, partitioned)
+    loop.call_at(WARM_UP_S + 2 * scenario.seconds / 3, control_planes.heal, partitioned)
 
     async def send(request: Arrival) -> None:
         counted = request.tenant != HOT
         deadline = loop.time() + DEADLINE_S
         for data_plane, is_retry in ((request.data_plane, False), (request.second_data_plane, True)):
             sent_at = loop.time()
-            retry_after_s = await way.acquire(request.tenant, request.tokens, data_plane, deadline, is_retry)
+            retry_after_s = await strategy.acquire(request.tenant, request.tokens, data_plane, deadline, is_retry)
             if retry_after_s is None:
                 measured.uses[request.tenant].append((loop.time(), request.tokens))
                 if counted:
@@ -346,7 +348,7 @@
                     measured.added_s.append(loop.time() - sent_at)
                 return
             if counted:
-                measured.stranded = max(measured.stranded, way.held(request.tenant))
+                measured.stranded = max(measured.stranded, strategy.held(request.tenant))
             if loop.time() + retry_after_s >= deadline:
                 break
             await asyncio.sleep(retry_after_s)
@@ -354,7 +356,7 @@
 
     await _send_all(requests, send)
     measured.asked = sum(request.tokens for request in requests if request.tenant != HOT)
-    measured.granted = way.granted()
+    measured.granted = strategy.granted()
     return measured
 
 
@@ -366,15 +368,15 @@
     await asyncio.gather(*tasks)
 
 
-def measure(day: Day, seed: int) -> dict[str, dict[str, float]]:
-    """Return the figures of each way by name."""
-    requests = arrivals(day, seed)
+def measure(scenario: Scenario, seed: int) -> dict[str, dict[str, float]]:
+    """Return the figures of each strategy by name."""
+    requests = arrivals(scenario, seed)
     figures: dict[str, dict[str, float]] = {}
-    for name, way_type in WAYS.items():
+    for name, strategy_type in STRATEGIES.items():
         loop = VirtualLoop()
-        measured = loop.run_until_complete(_play(day, requests, way_type))
+        measured = loop.run_until_complete(_run_strategy(scenario, requests, strategy_type))
         loop.close()
-        cuts = quantiles(measured.added_s, n=100)
+        percentiles = quantiles(measured.added_s, n=100)
         figures[name] = {
             "tokens asked": measured.asked,
             "tokens granted, with the hot tenant's": measured.granted,
@@ -382,16 +384,16 @@
             "of these after a refusal, %": round(100 * measured.refused_once / measured.asked, 3),
             "refused below the limit, %": round(100 * measured.refused / measured.asked, 3),
             "stranded tokens at a refusal, most": measured.stranded,
-            "most of the rule in a window": round(measured.part_of_rule(day.limits()), 3),
-            "added time p50, ms": round(1000 * cuts[49], 1),
-            "added time p99, ms": round(1000 * cuts[98], 1),
+            "most of the rule in a window": round(measured.max_quota_utilization(scenario.limits()), 3),
+            "added time p50, ms": round(1000 * percentiles[49], 1),
+            "added time p99, ms": round(1000 * percentiles[98], 1),
         }
     return figures
 
 
 def objectives_met(figures: dict[str, dict[str, float]]) -> dict[str, bool]:
     """Return whether each objective is met."""
-    leases, others = figures["leases"], [figures[name] for name in WAYS if name != "leases"]
+    leases, others = figures["leases"], [figures[name] for name in STRATEGIES if name != "leases"]
     refused = "refused below the limit, %"
     return {
         "leases keep the rule": leases["most of the rule in a window"] <= 1.0,
@@ -401,14 +403,14 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play the day, print the table and the JSON line; return 1 if an objective is missed."""
+    """Run the simulation, print the table and the JSON line; return 1 if an objective is missed."""
     options = docopt(__doc__, argv)
     logging.disable(logging.WARNING)
     quick, seed = bool(options["--quick"]), int(options["--seed"])
-    figures = measure(QUICK_DAY if quick else FULL_DAY, seed)
-    table = Table("", *WAYS)
+    figures = measure(QUICK_SCENARIO if quick else FULL_SCENARIO, seed)
+    table = Table("", *STRATEGIES)
     for name in figures["leases"]:
-        table.add_row(name, *(f"{figures[way][name]:,}" for way in WAYS))
+        table.add_row(name, *(f"{figures[strategy][name]:,}" for strategy in STRATEGIES))
     Console(width=110).print(table)
     holds = objectives_met(figures)
     print(json.dumps({"benchmark": "quotas", "quick": quick, "seed": seed, "figures": figures, "holds": holds}))
