--- a/benchmarks/deployed_tree.py
+++ b/benchmarks/deployed_tree.py
@@ -1,7 +1,7 @@
-"""Build a source tree and start its planes as its deploy file says, so that a measurement pays what a deployment pays.
+"""Build a source tree and start its planes as its deploy file says, so that measurements include the costs of a deployment.
 
-The build may leave compiled files; a started process writes none, because the root that it starts in is read-only where it is
-deployed. What the interpreter has to compile at each start is part of the cost of a start.
+The build may leave compiled files; a started process writes none, because its root directory is read-only in a deployment. What
+the interpreter has to compile at each start is part of the cost of a start.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any
 
 DEPLOY_FILE = Path("deploy") / "system.toml"
-ROLE_SUFFIX = "-plane"  # of the roles' names: data-plane, control-plane
+ROLE_SUFFIX = "-plane"  # role names are data-plane and control-plane
 INTERPRETER = "python3"  # as the deploy file names it
 
 
@@ -28,7 +28,7 @@
 
 
 def build(tree: Path) -> None:
-    """Run the deploy file's build in a tree, with the interpreter that the planes are started with.
+    """Run the deploy file's build in a tree with the interpreter that starts the planes.
 
     Raises:
         subprocess.CalledProcessError: The build failed.
@@ -49,6 +49,6 @@
 
 
 def environment(tree: Path) -> dict[str, str]:
-    """Return the variables of a started process: its own libraries come first, and it writes no compiled files."""
+    """Return the environment of a started process: its own libraries come first, and it writes no compiled files."""
     kept = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
     return {**kept, "PYTHONPATH": str(tree / "target" / "deps"), "PYTHONDONTWRITEBYTECODE": "1"}
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -1,23 +1,23 @@
-"""Compare two source trees: start, memory, processor time and added latency of both planes, and the cost of decisions.
+"""Compare two source trees: start, memory, processor time and added latency of both planes, and cost of admission decisions.
 
 Usage:
   footprint --before DIR --after DIR [--quick] [--rounds N] [--decisions | --planes] [--seed N]
 
 Options:
   --before DIR  A folder with control_plane.py, data_plane.py and mulleinhatch/.
-  --after DIR   Another one, or the same to see the scatter of equal texts.
+  --after DIR   Another one, or the same one to see the scatter of identical sources.
   --quick       Less load and fewer rounds.
-  --rounds N    Of each tree; else 7, or 3 when quick.
-  --decisions   Only the play of the decision module.
-  --planes      Only the two planes.
-  --seed N      Of the play of the decision module [default: 1].
+  --rounds N    Rounds of each tree; without it 7, or 3 with --quick.
+  --decisions   Measure only the admission decisions.
+  --planes      Measure only the two planes.
+  --seed N      Seed of the simulated load for the admission decisions [default: 1].
 
 The trees alternate, and which one is first changes from round to round, so that a busy machine affects both. Only the planes
-and the adapter come from the measured trees; the load comes from this benchmark. The conversation with the decision module is
-recorded once with the tree before and replayed to both, whose replies must be the same bytes. A figure fails if its median is
-over 3 % worse in the tree after. The table shows the interquartile range of its rounds (scatter) and whether the difference is
-larger than the scatter of both. Each tree is built and started as its deploy file says (a start pays for what its build left
-uncompiled), and started once without being measured.
+and the adapter come from the measured trees; the load comes from this benchmark. A session with the adapter of the admission
+controller is recorded once with the tree before and replayed to both, whose replies must be byte-identical. A figure fails if
+its median is over 3 % worse in the tree after. The table shows the interquartile range of its rounds (scatter) and whether the
+difference is larger than the scatter of both. Each tree is built and started as its deploy file says (a start includes
+compiling what its build left uncompiled), and started once before the measured rounds.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 
 from benchmarks import deployed_tree
 from benchmarks.footprint_planes import FULL_LOAD, QUICK_LOAD, measure_round, origin
-from benchmarks.footprint_play import record_play, replay
+from benchmarks.footprint_play import record_session, replay
 
-MAX_CHANGE = 0.03  # share by which a median may be worse
+MAX_CHANGE = 0.03  # fraction by which a median may be worse
 ROUNDS, QUICK_ROUNDS = 7, 3
-PLAY_S, QUICK_PLAY_S = 20.0, 5.0
-PLAY_FIGURE = "decision play, processor s"
+RECORDING_S, QUICK_RECORDING_S = 20.0, 5.0
+DECISION_FIGURE = "decision play, processor s"
 
 Figures = dict[str, float]
 
@@ -52,7 +52,7 @@
     Attributes:
         before: Median in the tree before.
         after: Median in the tree after.
-        scatter_before: Interquartile range as a share of the median, in the tree before.
+        scatter_before: Interquartile range as a fraction of the median, in the tree before.
         scatter_after: The same in the tree after.
         rounds: Rounds of each tree.
     """
@@ -66,7 +66,7 @@
 
     @property
     def change(self) -> float:
-        """By how much the tree after is worse, as a share of the tree before; negative if it is better."""
+        """By how much the tree after is worse, as a fraction of the tree before; negative if it is better."""
         return (self.after - self.before) / abs(self.before) if self.before else float(self.after > 0.0)
 
     @property
@@ -81,7 +81,7 @@
 
 
 def scatter(values: list[float]) -> float:
-    """Return the interquartile range as a share of the median, 0 for a single value.
+    """Return the interquartile range as a fraction of the median, 0 for a single value.
 
     >>> scatter([9.0, 10.0, 11.0]), scatter([5.0])
     (0.1, 0.0)
@@ -117,7 +117,7 @@
 
 
 def verdict(comparisons: list[Comparison], answers_equal: bool | None) -> dict[str, bool]:
-    """Return what holds, by name; the equality of decisions only if they were compared."""
+    """Return the result of each check by name; the equality of decisions is included only if they were compared."""
     checks = {comparison.name: comparison.holds for comparison in comparisons}
     return checks if answers_equal is None else {**checks, "same decisions": answers_equal}
 
@@ -138,7 +138,7 @@
     ]
 
 
-def show(comparisons: list[Comparison]) -> Table:
+def result_table(comparisons: list[Comparison]) -> Table:
     """Return the table of all figures."""
     table = Table("figure", "before", "after", "change", "scatter before", "scatter after", "")
     for row in rows(comparisons):
@@ -163,30 +163,35 @@
         deployed_tree.build(tree)
         asyncio.run(measure_round(tree, QUICK_LOAD))
     for order in round_orders(rounds):
-        for place in order:
-            measured[place].append(asyncio.run(measure_round(trees[place], load)))
+        for index in order:
+            measured[index].append(asyncio.run(measure_round(trees[index], load)))
     return measured
 
 
 def measure_decisions(
     trees: tuple[Path, Path], rounds: int, quick: bool, seed: int
 ) -> tuple[list[Figures], list[Figures], dict[str, object]]:
-    """Return the processor time of the decisions by tree and round, and a summary of the recorded conversation."""
-    play = record_play(trees[0], QUICK_PLAY_S if quick else PLAY_S, seed=seed)
+    """Return the processor time of the decisions by tree and round, and a summary of the recorded session."""
+    recording = record_session(trees[0], QUICK_RECORDING_S if quick else RECORDING_S, seed=seed)
     measured: tuple[list[Figures], list[Figures]] = ([], [])
-    digests, sizes = {play.digest}, set()
+    digests, sizes = {recording.digest}, set()
     for order in round_orders(rounds):
-        for place in order:
-            answer = replay(trees[place], play.batches)
+        for index in order:
+            answer = replay(trees[index], recording.batches)
             digests.add(answer.digest)
             sizes.add(answer.answer_bytes)
-            measured[place].append({PLAY_FIGURE: answer.processor_s})
-    summary = {"requests": play.requests, "events": play.records, "answer_bytes": sorted(sizes), "digests": sorted(digests)}
+            measured[index].append({DECISION_FIGURE: answer.processor_s})
+    summary = {
+        "requests": recording.requests,
+        "events": recording.records,
+        "answer_bytes": sorted(sizes),
+        "digests": sorted(digests),
+    }
     return *measured, summary
 
 
 def main() -> int:
-    """Measure and print the table and the JSON line; return 1 if the tree after is worse or decides otherwise."""
+    """Measure and print the table and the JSON line; return 1 if the tree after is worse or its decisions differ."""
     options = docopt(__doc__)
     quick = bool(options["--quick"])
     rounds = int(options["--rounds"] or (QUICK_ROUNDS if quick else ROUNDS))
@@ -203,7 +208,7 @@
         comparisons += compare(before, after)
         answers_equal = len(play["digests"]) == 1
         print("the decisions are the same" if answers_equal else "THE DECISIONS DIFFER", json.dumps(play))
-    Console(width=128).print(show(comparisons))
+    Console(width=128).print(result_table(comparisons))
     holds = verdict(comparisons, answers_equal)
     figures = {
         comparison.name: {**asdict(comparison), "change": comparison.change, "beyond_scatter": comparison.beyond_scatter}
--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -1,8 +1,8 @@
-"""Run both planes of one source tree as processes on loopback, under a small fixed load, and measure them from outside.
+"""Run both planes of one source tree as processes on loopback under a small fixed load, and measure them externally.
 
 The planes come from the measured tree. The model server and the clients run in the benchmark's process and speak plain HTTP
-without using any name of the package, so that trees with other module names meet the same load. A round starts one control
-plane and one data plane, leaves them idle, sends heartbeats, requests and streams at fixed rates, and kills them by pid.
+without importing the package, so that trees with other module names get the same load. A round starts one control
+plane and one data plane, leaves them idle, sends heartbeats, requests and streams at fixed rates, and kills them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT, READY_PORT, MODEL_PORT = 18146, 17660, 18144, 18140, 18300
 HOST, MODEL = "footprint.example", "model-0"
 REQUESTS_PER_S = 100.0  # the rate of the small sites
-GIVE_UP_S = 30.0
+READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.002
 EVENTS_PER_STREAM, EVENT_GAP_S = 20, 0.005
 STREAMS_PER_S = 10.0
@@ -95,7 +95,7 @@
 
 
 class Client:
-    """Sends requests to one address over connections that it keeps open."""
+    """Sends requests to one address over persistent connections."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
@@ -134,8 +134,8 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen, and register once a second from now on."""
-        self._server = await asyncio.start_server(self._converse, *self.address)
+        """Listen, and register once a second."""
+        self._server = await asyncio.start_server(self._serve_connection, *self.address)
         self._tasks.append(asyncio.ensure_future(self._register()))
 
     def stop(self) -> None:
@@ -175,7 +175,7 @@
     def _model_states() -> list[dict[str, object]]:
         return [{"name": MODEL, "version": 1, "adapters": []}]
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
             while True:
@@ -217,12 +217,12 @@
 
 
 def processor_s(pid: int) -> float:
-    """Seconds of processor time of all threads of another process, from the kernel's clock of that process."""
+    """Return the processor time of all threads of a process in seconds, from its CPU-time clock."""
     return time.clock_gettime(~pid << 3 | 2)
 
 
 def memory_mb(pid: int, name: str) -> float:
-    """A figure of /proc/PID/status, as VmRSS or VmHWM."""
+    """Return a value of /proc/PID/status, such as VmRSS or VmHWM, in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith(name + ":"):
             return int(line.split()[1]) / 1024.0
@@ -230,21 +230,21 @@
 
 
 def free_loopback() -> str:
-    """A loopback address on which none of the ports is taken."""
+    """Return a loopback address on which none of the ports is in use."""
     ports = (CONTROL_PORT, *range(INTERNAL_PORT, INTERNAL_PORT + 10), FRONT_PORT, READY_PORT, MODEL_PORT)
     while True:
         address = f"127.{random.randrange(64, 250)}.{random.randrange(1, 250)}.1"
         try:
             for port in ports:
-                with socket.socket() as tried:
-                    tried.bind((address, port))
+                with socket.socket() as probe:
+                    probe.bind((address, port))
         except OSError:
             continue
         return address
 
 
 def settings_text(kind: str, address: str, folder: Path) -> str:
-    """The settings file of one plane of a system that has one of each."""
+    """Return the settings file of a plane in a system with one control plane and one data plane."""
     lines = {
         "node_name": f"{kind}-0",
         "ip_address": address,
@@ -264,7 +264,7 @@
 
 
 def configuration() -> dict[str, object]:
-    """A route for single answers and one for streams, to one service with one model."""
+    """Return a configuration with a route for single responses and one for streams, to one service with one model."""
     common = {
         "host": HOST,
         "timeout_ms": 8000,
@@ -284,7 +284,7 @@
 
 
 def request_bytes(path: bytes) -> bytes:
-    """Return one request of a client, with an ID of its own."""
+    """Return one request of a client, with a random ID."""
     fields = {
         b"Host": HOST.encode(),
         b"Request-Id": b"%016x" % random.getrandbits(64),
@@ -296,7 +296,7 @@
 
 
 class Plane:
-    """One plane of a tree as a process."""
+    """Runs one plane of a tree as a process."""
 
     def __init__(self, tree: Path, kind: str, address: str, folder: Path) -> None:
         path = folder / f"{kind}.conf"
@@ -304,7 +304,7 @@
         self.log = path.with_suffix(".log")
         self.ready_at = (address, CONTROL_PORT if kind == "control" else READY_PORT)
         self.ready_path = b"/status" if kind == "control" else b"/ready"
-        self._begun = time.perf_counter()
+        self._started_at = time.perf_counter()
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 deployed_tree.command(tree, kind),
@@ -329,11 +329,11 @@
             TimeoutError: If it is not ready in time or has exited.
         """
         request = message_bytes(b"GET %b HTTP/1.1" % self.ready_path, {b"Host": b"plane"})
-        while time.perf_counter() - self._begun < GIVE_UP_S and self.process.poll() is None:
+        while time.perf_counter() - self._started_at < READY_TIMEOUT_S and self.process.poll() is None:
             client = Client(self.ready_at)
             try:
                 if (await client.send(request)).status == 200:
-                    return time.perf_counter() - self._begun
+                    return time.perf_counter() - self._started_at
             except (OSError, asyncio.IncompleteReadError):
                 pass
             finally:
@@ -347,24 +347,28 @@
         self.process.wait()
 
 
-async def run_at_rate(count: int, rate: float, act) -> None:
-    """Start `act(number)` at a fixed rate, however long the earlier ones take; return when all are done."""
+async def run_at_rate(count: int, rate: float, action) -> None:
+    """Start `action(number)` at a fixed rate, however long earlier calls take; return when all are done."""
     loop = asyncio.get_running_loop()
-    begun, tasks = loop.time(), []
+    started_at, tasks = loop.time(), []
     for number in range(count):
-        await asyncio.sleep(max(0.0, begun + number / rate - loop.time()))
-        tasks.append(asyncio.ensure_future(act(number)))
+        await asyncio.sleep(max(0.0, started_at + number / rate - loop.time()))
+        tasks.append(asyncio.ensure_future(action(number)))
     await asyncio.gather(*tasks)
 
 
 async def put_configuration(control: Client) -> None:
-    """Put the first configuration into the control plane."""
+    """Send the initial configuration until the control plane accepts it.
+
+    Raises:
+        TimeoutError: If it was not accepted in time.
+    """
     fields = {b"Host": b"control", b"Content-Type": b"application/json", b"If-Match": b"0"}
     request = message_bytes(b"PUT /configuration HTTP/1.1", fields, json.dumps(configuration()).encode())
-    end = time.perf_counter() + GIVE_UP_S
+    end = time.perf_counter() + READY_TIMEOUT_S
     while (answer := await control.send(request)).status != 200:
         if time.perf_counter() > end:
-            raise TimeoutError(f"the configuration was not taken: {answer.status} {answer.body[:500]!r}")
+            raise TimeoutError(f"the configuration was not accepted: {answer.status} {answer.body[:500]!r}")
         await asyncio.sleep(0.02)
 
 
@@ -372,9 +376,9 @@
     """Send requests until one is served.
 
     Raises:
-        TimeoutError: None was served in time.
+        TimeoutError: If none was served in time.
     """
-    end = time.perf_counter() + GIVE_UP_S
+    end = time.perf_counter() + READY_TIMEOUT_S
     while (answer := await front.send(request_bytes(b"/read/first"))).status != 200:
         if time.perf_counter() > end:
             raise TimeoutError(f"no request was served: {answer.status} {answer.body[:500]!r}")
@@ -382,14 +386,14 @@
 
 
 async def measure_round(tree: Path, load: Load) -> dict[str, float]:
-    """Start both planes of a tree, put them under load and end them.
+    """Start both planes of a tree, measure them idle and under load, and kill them.
 
     Args:
         tree: Folder with control_plane.py and data_plane.py.
         load: The load of the round.
 
     Returns:
-        Each figure by its name; lower is better.
+        The figures by name; lower is better.
     """
     address, figures = free_loopback(), {}
     planes: dict[str, Plane] = {}
@@ -437,7 +441,7 @@
 
 
 async def _measure_heartbeats(pid: int, server: ModelServer, count: int) -> float:
-    """Return the processor time of a heartbeat in the control plane, in us."""
+    """Return the processor time of the control plane per heartbeat, in us."""
 
     async def heartbeat(number: int) -> None:
         if (status := await server.heartbeat()) != 200:
@@ -449,12 +453,12 @@
 
 
 async def _measure_requests(pid: int, server: ModelServer, front: Client, direct: Client, count: int) -> dict[str, float]:
-    """Return the processor time of a request in the data plane and the latency that it adds."""
+    """Return the processor time of the data plane per request and the latency that it adds."""
     figures: dict[str, float] = {}
     latencies: dict[Client, list[float]] = {front: [], direct: []}
     for client in (direct, front):  # each opens its connections before the figures are taken
 
-        async def ask(number: int, client: Client = client) -> None:
+        async def send_request(number: int, client: Client = client) -> None:
             started_at = time.perf_counter()
             answer = await client.send(request_bytes(b"/read/%d" % number))
             latencies[client].append(time.perf_counter() - started_at)
@@ -462,7 +466,7 @@
                 raise RuntimeError(f"request {number} was answered {answer.status}")
 
         before, answered = processor_s(pid), server.answered
-        await run_at_rate(count, REQUESTS_PER_S, ask)
+        await run_at_rate(count, REQUESTS_PER_S, send_request)
         if server.answered - answered != count:
             raise RuntimeError(f"{count} requests were run {server.answered - answered} times")
         if client is front:
@@ -474,7 +478,7 @@
 
 
 async def _measure_streams(pid: int, front: Client, direct: Client, count: int) -> dict[str, float]:
-    """Return the processor time of a stream event in the data plane and the latency that it adds."""
+    """Return the processor time of the data plane per stream event and the latency that it adds."""
     figures: dict[str, float] = {}
     latencies: dict[Client, list[float]] = {front: [], direct: []}
     for client in (direct, front):
@@ -493,10 +497,10 @@
 
 
 def origin(tree: Path) -> str:
-    """Return the folder that a child of this tree imports the package from.
+    """Return the folder from which a child process of this tree imports the package.
 
     Raises:
-        RuntimeError: If that is in another tree.
+        RuntimeError: If it is outside the tree.
     """
     package_file = subprocess.run(
         [sys.executable, "-O", "-c", "import mulleinhatch; print(mulleinhatch.__file__)"],
@@ -507,5 +511,5 @@
         check=True,
     ).stdout.strip()
     if not Path(package_file).resolve().is_relative_to(tree):
-        raise RuntimeError(f"{tree}: the package would come from {package_file}")
+        raise RuntimeError(f"{tree}: the package would be imported from {package_file}")
     return os.path.dirname(package_file)
--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -1,9 +1,9 @@
-"""Record a fixed conversation in the simulator's protocol, and replay it to a source tree.
+"""Record a session in the simulator's protocol, and replay it to a source tree.
 
-`record_play` runs a small seeded world of instances against the adapter of one tree and stores every byte that the world sent.
+`record_session` simulates a few instances from a seed against the adapter of one tree and stores every byte that was sent.
 `replay` sends the same bytes to the adapter of any tree and returns the digest of its replies and its processor time. Equal
-digests mean equal decisions, in the same order, at the same times. Only the command `python -m mulleinhatch.benchlink` is used,
-no name inside the package, so trees with other module names can be compared.
+digests mean equal decisions, in the same order, at the same times. Only the command `python -m mulleinhatch.benchlink` is used
+and nothing is imported from the package, so trees with other module names can be compared.
 """
 
 from __future__ import annotations
@@ -25,38 +25,38 @@
 BATCH, REPLY = struct.Struct(">IdI"), struct.Struct(">III")
 REQUEST = struct.Struct(">BQddHfQBHQBdf")
 RESULT, REF, FIRED_HEAD = struct.Struct(">BQHd"), struct.Struct(">BQ"), struct.Struct(">BQB")
-SOURCE, RUN, SHED, FAIL, YANK, DIAL, DEGRADE, MEMO, ERASE, ANSWER_FROM = 0x50, 65, 66, 67, 68, 69, 70, 71, 72, 73
-SLEEP, GIVE_IN = 77, 79
-# The fields that follow the code of each action, without the lengths of texts.
+SOURCE, RUN, REJECT, FAIL, STOP, CALL, SKIP_CALL, KEEP, FORGET, ANSWER_FROM = 0x50, 65, 66, 67, 68, 69, 70, 71, 72, 73
+WAKE, MODULE_ERROR = 77, 79
+# The formats of the fields that follow the code of each action.
 ACTION_FIELDS = {
     SOURCE: ">H",
     RUN: ">Q",
-    SHED: ">QdB",
+    REJECT: ">QdB",
     FAIL: ">Q",
-    YANK: ">Q",
-    DIAL: ">Qd",
-    DEGRADE: ">Q",
-    MEMO: ">Qd",
-    ERASE: ">Q",
+    STOP: ">Q",
+    CALL: ">Qd",
+    SKIP_CALL: ">Q",
+    KEEP: ">Qd",
+    FORGET: ">Q",
     ANSWER_FROM: ">Q",
     74: ">BB",
     75: ">f",
     76: ">d",
-    SLEEP: ">dQ",
+    WAKE: ">dQ",
 }
 TICK_MS = 2.0
 SAFE, KEYED, UNSAFE = 0, 1, 2
 GAUGES = "core_use,on_cores,heap_share,links"
 CORES = 4
-WORK_MS = 24.0  # mean work of a request
-OVERLOAD = 1.25  # of the cores' capacity that the callers ask for on average
+MEAN_WORK_MS = 24.0  # mean processing time of a request
+LOAD_FACTOR = 1.25  # mean offered load, as a multiple of the capacity of the cores
 
 Action = tuple[int, tuple]
 
 
 @dataclass
-class Play:
-    """A recorded conversation: batches, digest of the recording tree's replies, and numbers of requests and events."""
+class Recording:
+    """A recorded session: batches, digest of the recording tree's replies, and numbers of requests and events."""
 
     batches: bytes
     digest: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Replay:
-    """The reply of one tree to a conversation; `answer_bytes` shows that there was one at all."""
+    """The replies of one tree to a recorded session; `answer_bytes` shows that it did reply."""
 
     digest: str
     answer_bytes: int
@@ -75,11 +75,11 @@
 
 @dataclass
 class Instance:
-    """What the world knows of one instance: its settings and the requests that were sent to it.
+    """Simulated state of one instance: its settings and the requests that were sent to it.
 
     Attributes:
-        running: By request, the run that counts; runs that were stopped end without effect.
-        kept: By request, the time until which its entry is kept.
+        running: Current run by request; the end of a stopped run has no effect.
+        kept: Time until which the entry of a request is kept, by request.
     """
 
     number: int
@@ -95,7 +95,7 @@
     kept: dict[int, float] = field(default_factory=dict)
 
     def forget(self, ref: int) -> None:
-        """Forget a request that has ended: no further event names it."""
+        """Forget a request that has ended; no further event refers to it."""
         for known in (self.works, self.operation_types, self.running):
             known.pop(ref, None)
         self.paused.discard(ref)
@@ -103,7 +103,7 @@
 
 
 def profile_of(number: int) -> tuple[str, str, bool, bool]:
-    """Return an instance's settings, its stop mode, whether it calls below, and whether disconnects are sent to it."""
+    """Return an instance's settings, stop mode, whether it calls a dependency, and whether disconnects are reported to it."""
     stop_mode = ("off", "discard", "freeze")[number % 3]
     calls_below, reports_disconnects = number % 2 == 1, number % 4 != 2
     say = ("floor", "allowance", "weight", "off")[number % 4]
@@ -142,7 +142,7 @@
         "classes.count": 3,
         "tenants.count": 3 if number % 2 == 0 else 0,
     }
-    for place, (effect, latency_target_ms, deadline_ms, class_value) in enumerate(
+    for index, (effect, latency_target_ms, deadline_ms, class_value) in enumerate(
         (("safe", 500.0, 1500.0, 1.0), ("keyed", 900.0, 2500.0, 3.0), ("unsafe", 1200.0, 3000.0, 5.0))
     ):
         settings = {
@@ -153,9 +153,9 @@
             "late_worth": 0.2,
             "memory_span": 4000.0,
         }
-        pairs |= {f"classes.{place}.{name}": value for name, value in settings.items()}
-    for place, fraction in enumerate((0.5, 0.3, 0.2) if number % 2 == 0 else ()):
-        pairs |= {f"tenants.{place}.fraction": fraction, f"tenants.{place}.quota_per_s": 200.0 * fraction}
+        pairs |= {f"classes.{index}.{name}": value for name, value in settings.items()}
+    for index, fraction in enumerate((0.5, 0.3, 0.2) if number % 2 == 0 else ()):
+        pairs |= {f"tenants.{index}.fraction": fraction, f"tenants.{index}.quota_per_s": 200.0 * fraction}
     return "".join(f"{name}={value}\n" for name, value in pairs.items()), stop_mode, calls_below, reports_disconnects
 
 
@@ -163,7 +163,7 @@
     """Yield the actions of a reply.
 
     Raises:
-        RuntimeError: If the adapter reports that it gave up.
+        RuntimeError: If the adapter reports an error.
 
     >>> list(read_actions(bytes.fromhex("500003" "41000aa7605d3a91c4")))
     [(80, (3,)), (65, (2998782089925060,))]
@@ -171,16 +171,16 @@
     at = 0
     while at < len(records):
         code = records[at]
-        if code == GIVE_IN:
+        if code == MODULE_ERROR:
             (size,) = struct.unpack_from(">H", records, at + 1)
-            raise RuntimeError(f"the adapter gave in: {records[at + 3 : at + 3 + size].decode()}")
+            raise RuntimeError(f"the adapter reported an error: {records[at + 3 : at + 3 + size].decode()}")
         shape = struct.Struct(ACTION_FIELDS[code])
         yield code, shape.unpack_from(records, at + 1)
         at += 1 + shape.size
 
 
 class World:
-    """Callers, cores and timers of some instances: sends batches and applies replies. All random draws come from one seed."""
+    """Simulates callers, cores and timers of instances: sends batches and applies replies. All draws come from one seed."""
 
     def __init__(self, instances: int, seed: int) -> None:
         self.random = random.Random(seed)
@@ -188,31 +188,31 @@
         self.now = 0.0
         self.requests = self.records = 0
         self._order = count()
-        self._due: list[tuple[float, int, int, tuple]] = []  # heap: time, order, instance, event
-        self._unique = count(1)
+        self._scheduled: list[tuple[float, int, int, tuple]] = []  # heap: time, order, instance, event
+        self._ids = count(1)
         for number in self.instances:
-            self._at(0.0, number, "create")
-            self._at(self._gap(), number, "arrive")
+            self._schedule(0.0, number, "create")
+            self._schedule(self._next_interarrival_ms(), number, "arrive")
 
-    def _gap(self) -> float:
-        surge = 1.6 if int(self.now / 3000.0) % 2 else 0.7  # busy and calm stretches of 3 s
-        return self.random.expovariate(surge * OVERLOAD * CORES / WORK_MS)
+    def _next_interarrival_ms(self) -> float:
+        load_multiple = 1.6 if int(self.now / 3000.0) % 2 else 0.7  # alternating high and low load, 3 s each
+        return self.random.expovariate(load_multiple * LOAD_FACTOR * CORES / MEAN_WORK_MS)
 
-    def _at(self, time_ms: float, number: int, *due: object) -> None:
-        heapq.heappush(self._due, (time_ms, next(self._order), number, due))
+    def _schedule(self, time_ms: float, number: int, *due: object) -> None:
+        heapq.heappush(self._scheduled, (time_ms, next(self._order), number, due))
 
     def batches(self, seconds: float) -> Iterator[tuple[float, bytes]]:
         """Yield the clock and body of each batch; each reply must be given to `apply_reply` before the next one."""
         for number in self.instances:
             if number % 3 == 1:
-                self._at(700.0 * seconds, number, "retire", int(150.0 * seconds))
+                self._schedule(700.0 * seconds, number, "retire", int(150.0 * seconds))
             if number % 3 != 2:
-                self._at(850.0 * seconds, number, "restart")
-        while self._due and self._due[0][0] < 1000.0 * seconds:
-            self.now = max(self.now + TICK_MS, self._due[0][0])
+                self._schedule(850.0 * seconds, number, "restart")
+        while self._scheduled and self._scheduled[0][0] < 1000.0 * seconds:
+            self.now = max(self.now + TICK_MS, self._scheduled[0][0])
             events_by_instance: dict[int, list[bytes]] = {}
-            while self._due and self._due[0][0] <= self.now:
-                _, _, number, due = heapq.heappop(self._due)
+            while self._scheduled and self._scheduled[0][0] <= self.now:
+                _, _, number, due = heapq.heappop(self._scheduled)
                 events_by_instance.setdefault(number, []).extend(self._events_of(self.instances[number], *due))
             parts = [
                 struct.pack(">BH", 10, number) + b"".join(events) for number, events in events_by_instance.items() if events
@@ -222,27 +222,27 @@
                 yield self.now, b"".join(parts)
 
     def _events_of(self, instance: Instance, kind: str, *arguments: int) -> list[bytes]:
-        """Return the events that the instance is sent for something that is due."""
+        """Return the events to send to the instance for one scheduled event."""
         match kind:
             case "create":
                 return [self._create(instance)]
             case "restart":
                 return [b"\x09", self._create(instance)]
             case "arrive":
-                self._at(self.now + self._gap(), instance.number, "arrive")
+                self._schedule(self.now + self._next_interarrival_ms(), instance.number, "arrive")
                 return [self._request(instance)]
             case "retire":
                 return [struct.pack(">Bd", 6, float(arguments[0]))]
             case "fired":
                 return [self._fired(instance, arguments[0])]
             case "gone":
-                return self._caller_gone(instance, arguments[0])
+                return self._caller_disconnected(instance, arguments[0])
             case "run end":
                 return self._run_end(instance, arguments[0], arguments[1])
             case "call end" if arguments[0] in instance.called:
                 return self._call_end(instance, arguments[0])
             case "stopped" if arguments[0] in instance.works:
-                return [RESULT.pack(3, arguments[0], 7, WORK_MS)]
+                return [RESULT.pack(3, arguments[0], 7, MEAN_WORK_MS)]
             case "ended" if arguments[0] in instance.works:
                 instance.forget(arguments[0])
                 return [RESULT.pack(3, arguments[0], arguments[1], 5.0)]
@@ -252,13 +252,15 @@
         for ref in list(instance.works):
             instance.forget(ref)
         instance.kept.clear()
-        # Timers and runs of the earlier life must not reach the new one.
-        self._due = [due for due in self._due if due[2] != instance.number or due[3][0] in ("arrive", "retire", "restart")]
-        heapq.heapify(self._due)
+        # Timers and runs of the previous incarnation must not reach the new one.
+        self._scheduled = [
+            due for due in self._scheduled if due[2] != instance.number or due[3][0] in ("arrive", "retire", "restart")
+        ]
+        heapq.heapify(self._scheduled)
         profile = instance.profile.encode()
         return struct.pack(">BQI", 1, self.random.getrandbits(64), len(profile)) + profile
 
-    def _caller_gone(self, instance: Instance, ref: int) -> list[bytes]:
+    def _caller_disconnected(self, instance: Instance, ref: int) -> list[bytes]:
         if ref not in instance.works:
             return []
         if ref not in instance.running and ref not in instance.called:
@@ -273,7 +275,7 @@
             instance.called.add(ref)
             return [REF.pack(4, ref)]
         instance.forget(ref)
-        return [RESULT.pack(3, ref, 1 if self.random.random() < 0.96 else 2, WORK_MS)]
+        return [RESULT.pack(3, ref, 1 if self.random.random() < 0.96 else 2, MEAN_WORK_MS)]
 
     def _call_end(self, instance: Instance, ref: int) -> list[bytes]:
         ending = self.random.choice((1, 1, 1, 1, 1, 1, 2, 4, 5))
@@ -284,16 +286,16 @@
     def _request(self, instance: Instance) -> bytes:
         self.requests += 1
         rng = self.random
-        ref = (rng.getrandbits(20) << 24 | next(self._unique)) & ((1 << 52) - 1)
+        ref = (rng.getrandbits(20) << 24 | next(self._ids)) & ((1 << 52) - 1)
         operation_type = rng.choices((SAFE, KEYED, UNSAFE), (6, 3, 1))[0]
         live = [kept for kept, until in instance.kept.items() if until > self.now]
         repeat_of = rng.choice(live) if live and operation_type == KEYED and rng.random() < 0.2 else 0
-        work = rng.lognormvariate(0.0, 0.6) * WORK_MS * (0.5, 1.0, 3.0)[operation_type]
+        work = rng.lognormvariate(0.0, 0.6) * MEAN_WORK_MS * (0.5, 1.0, 3.0)[operation_type]
         instance.works[ref], instance.operation_types[ref] = work, operation_type
         deadline = (1500.0, 2500.0, 3000.0)[operation_type]
         age = rng.expovariate(0.2)
         if instance.reports_disconnects and rng.random() < 0.3:
-            self._at(self.now + rng.uniform(50.0, deadline), instance.number, "gone", ref)
+            self._schedule(self.now + rng.uniform(50.0, deadline), instance.number, "gone", ref)
         state_bits = (rng.random() < 0.8) | 2 * (repeat_of > 0 or rng.random() < 0.1)
         tenant = rng.choices((0, 1, 2), (5, 3, 3))[0] if instance.number % 2 == 0 else 0
         rank = (operation_type + rng.random()) / 3.0
@@ -322,9 +324,11 @@
         if ref not in instance.works or ref in instance.running:
             return
         instance.paused.discard(ref)
-        instance.running[ref] = turn = next(self._unique)
-        crowd = max(1.0, len(instance.running) / CORES)
-        self._at(self.now + instance.works[ref] * crowd * self.random.uniform(0.8, 1.3), instance.number, "run end", ref, turn)
+        instance.running[ref] = run = next(self._ids)
+        slowdown = max(1.0, len(instance.running) / CORES)
+        self._schedule(
+            self.now + instance.works[ref] * slowdown * self.random.uniform(0.8, 1.3), instance.number, "run end", ref, run
+        )
 
     def apply_reply(self, records: bytes) -> None:
         """Apply the actions of the instances."""
@@ -332,36 +336,36 @@
         for code, arguments in read_actions(records):
             if code == SOURCE:
                 instance = self.instances[arguments[0]]
-            elif code == SLEEP:
-                self._at(self.now + max(TICK_MS, arguments[0]), instance.number, "fired", arguments[1])
+            elif code == WAKE:
+                self._schedule(self.now + max(TICK_MS, arguments[0]), instance.number, "fired", arguments[1])
             elif code in ACTION_FIELDS and arguments and isinstance(arguments[0], int):
-                self._act(instance, code, arguments)
+                self._apply_action(instance, code, arguments)
 
-    def _act(self, instance: Instance, code: int, arguments: tuple) -> None:
+    def _apply_action(self, instance: Instance, code: int, arguments: tuple) -> None:
         ref = arguments[0]
-        if code == MEMO:
+        if code == KEEP:
             instance.kept[ref] = self.now + arguments[1]
-        elif code == ERASE:
+        elif code == FORGET:
             instance.kept.pop(ref, None)
         elif ref not in instance.works:
             return
         elif code == RUN:
             self._run(instance, ref)
-        elif code == YANK and ref in instance.running:
+        elif code == STOP and ref in instance.running:
             del instance.running[ref]
             instance.paused.add(ref)
-            self._at(self.now, instance.number, "stopped", ref)
-        elif code in (SHED, FAIL):
+            self._schedule(self.now, instance.number, "stopped", ref)
+        elif code in (REJECT, FAIL):
             if ref in instance.called:
-                self._at(self.now, instance.number, "ended", ref, 7)
+                self._schedule(self.now, instance.number, "ended", ref, 7)
             elif ref not in instance.running:
                 instance.forget(ref)
-        elif code == DIAL:
-            self._at(self.now + self.random.expovariate(1.0 / 30.0), instance.number, "call end", ref)
-        elif code == DEGRADE:
+        elif code == CALL:
+            self._schedule(self.now + self.random.expovariate(1.0 / 30.0), instance.number, "call end", ref)
+        elif code == SKIP_CALL:
             self._run(instance, ref)
         elif code == ANSWER_FROM:
-            self._at(self.now + 5.0, instance.number, "ended", ref, 1)
+            self._schedule(self.now + 5.0, instance.number, "ended", ref, 1)
 
 
 def tree_environment(tree: Path) -> dict[str, str]:
@@ -372,8 +376,8 @@
     return {**environment, "PYTHONPATH": str(tree)}
 
 
-def record_play(tree: Path, seconds: float, instances: int = 6, seed: int = 1) -> Play:
-    """Run a world against the adapter of a tree.
+def record_session(tree: Path, seconds: float, instances: int = 6, seed: int = 1) -> Recording:
+    """Run a simulated world against the adapter of a tree.
 
     Args:
         tree: Folder of the tree.
@@ -382,7 +386,7 @@
         seed: Seed of all draws of the world.
 
     Returns:
-        The bytes that the world sent, and the digest of the replies.
+        The sent bytes and the digest of the replies.
 
     Raises:
         RuntimeError: If the adapter exits early.
@@ -399,12 +403,12 @@
             adapter.stdin.flush()
             head = adapter.stdout.read(REPLY.size)
             if len(head) < REPLY.size:
-                raise RuntimeError("the adapter ended before the play did")
+                raise RuntimeError("the adapter exited before the end of the session")
             records = adapter.stdout.read(REPLY.unpack(head)[1])
             answer.update(head + records)
             world.apply_reply(records)
         adapter.stdin.close()
-    return Play(b"".join(batches), answer.hexdigest(), world.requests, world.records)
+    return Recording(b"".join(batches), answer.hexdigest(), world.requests, world.records)
 
 
 def replay(tree: Path, batches: bytes) -> Replay:
@@ -412,7 +416,7 @@
 
     Args:
         tree: Folder of the tree.
-        batches: The batches of a `Play`.
+        batches: The batches of a `Recording`.
 
     Returns:
         Digest and size of the replies, and the processor time of the whole process.
@@ -427,7 +431,7 @@
         _, status, used = os.wait4(adapter.pid, 0)
         adapter.returncode = os.waitstatus_to_exitcode(status)
         if adapter.returncode:
-            raise RuntimeError(f"the adapter of {tree} ended with {adapter.returncode}")
+            raise RuntimeError(f"the adapter of {tree} exited with {adapter.returncode}")
         sink.seek(0)
         answer = sink.read()
     return Replay(hashlib.sha256(answer).hexdigest(), len(answer), used.ru_utime + used.ru_stime)
--- a/benchmarks/lost_value.py
+++ b/benchmarks/lost_value.py
@@ -20,11 +20,11 @@
 
 LOG_LINE = re.compile(r"^\s*(-?\d+\.\d+)\s+\S+\s+(\{.*\})\s*$")
 WINDOW_S = 2
-BACKEND_FRACTION = 0.5  # of the wait: a late response counts as the backend's if so much of it was spent there
-MAX_CAUSES_A_WINDOW = 4
+BACKEND_FRACTION = 0.5  # a late response is attributed to the backend if it spent at least this fraction of the wait there
+MAX_CAUSES_PER_WINDOW = 4
 MAX_MODELS = 12
 
-LATE_MESSAGES = ("response started after the latency target", "late")  # the second is that of older versions
+LATE_MESSAGES = ("response started after the latency target", "late")  # the second message is that of older versions
 REJECTED_MESSAGES = ("request rejected", "not served")
 ORDER_COMPLETED_MESSAGE = "order ended"
 FORMER_KEYS = {"wait_reason": "delay", "backend_latency_s": "at_stub_s", "is_probable_retry": "came_back"}
@@ -37,10 +37,10 @@
     Attributes:
         at: Time in seconds from the start of traffic.
         late: Whether it was late; otherwise it was rejected.
-        cause: Why.
-        model: Model that was asked for, empty for none.
-        priority: Class, 0 is the highest.
-        is_probable_retry: Whether the client had sent it before, as far as can be told.
+        cause: Why it was late or rejected.
+        model: Requested model, empty for none.
+        priority: Priority class; 0 is the highest.
+        is_probable_retry: Whether it was probably a retry of the client.
     """
 
     at: float
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class OrderTime:
-    """How long a placement order took from its sending to the report that showed its end."""
+    """Time of a placement order from its sending to the report that showed its completion."""
 
     operation: str
     adapter: bool
@@ -73,7 +73,7 @@
 
 
 def lost_requests(records: Iterable[tuple[float, dict[str, Any]]]) -> list[LostRequest]:
-    """Return the requests that lost value, with the cause of each."""
+    """Return the late and rejected requests, with the cause of each."""
     lost = []
     for at, record in records:
         message = record.get("message")
@@ -112,8 +112,8 @@
 
 def _print_causes(lost: list[LostRequest]) -> None:
     counts = Counter((request.cause, request.late, request.is_probable_retry) for request in lost)
-    print(f"{'cause':48} {'late':>6} {'of them back':>13} {'sent away':>10} {'of them back':>13}")
-    # Over a set and by a stable sort: causes of the same count come in no defined order.
+    print(f"{'cause':48} {'late':>6} {'retries':>13} {'rejected':>10} {'retries':>13}")
+    # Causes with equal counts have no defined order: the sort is stable and iterates over a set.
     for cause in sorted({request.cause for request in lost}, key=lambda cause: -sum(one.cause == cause for one in lost)):
         late_retries, rejected_retries = counts[cause, True, True], counts[cause, False, True]
         late = counts[cause, True, False] + late_retries
@@ -127,7 +127,7 @@
         windows[int(request.at // WINDOW_S) * WINDOW_S][request.cause] += 1
     print("\nfrom second")
     for start in sorted(windows):
-        causes = windows[start].most_common(MAX_CAUSES_A_WINDOW)
+        causes = windows[start].most_common(MAX_CAUSES_PER_WINDOW)
         print(f"{start:6}  " + ", ".join(f"{cause} {count}" for cause, count in causes))
 
 
@@ -154,7 +154,7 @@
         pyplot.bar(list(starts), heights, bottom=bottom, label=cause)
         bottom = [below + height for below, height in zip(bottom, heights)]
     pyplot.xlabel("second of traffic")
-    pyplot.ylabel("requests late or sent away")
+    pyplot.ylabel("requests late or rejected")
     pyplot.legend(fontsize=7)
     pyplot.savefig(file, dpi=110)
 
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,17 +1,17 @@
-"""Measure how long instances take to be ready when many start at once, some delayed by a busy address or a late interpreter.
+"""Measure the start time of many instances that start at once, some delayed by a busy address or a late interpreter.
 
 Usage:
   starts [--quick] [--seed N] [--count N]
 
 Options:
   --quick    12 instances.
-  --seed N   Seed of which instances are delayed [default: 1].
+  --seed N   Seed that selects the delayed instances [default: 1].
   --count N  Number of instances, all started at the same time; without it 30.
 
-An instance is ready when it answers a health check with 200 and has greeted its interpreter. A third find their address in use
-for a second, a third find their interpreter not listening for a second and a half. The time beyond need counts from when the
-delay was over. Aims: nine in ten ready within 10 s, and all within 30 s; the time beyond need under 1.5 s plus the median
-start of the undelayed ones, for nine in ten of the delayed.
+An instance is ready when it answers a health check with 200 and has greeted its interpreter. For a third of the instances the
+address is in use for a second; for another third the interpreter does not listen for 1.5 s. The "time beyond need" of a delayed
+instance is measured from the end of its delay. Objectives: 90 % ready within 10 s and all within 30 s; for 90 % of the delayed
+instances, a time beyond need under 1.5 s plus the median start time of undelayed instances.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 from mulleinhatch.testing.instance_harness import keep_environment
 
-ADDRESS_BUSY_S, INTERPRETER_DELAY_S, GIVE_UP_S = 1.0, 1.5, 30.0
+ADDRESS_BUSY_S, INTERPRETER_DELAY_S, READY_TIMEOUT_S = 1.0, 1.5, 30.0
 HEALTH_CHECK = b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -59,7 +59,7 @@
     }
 
 
-async def healthy(port: int) -> bool:
+async def is_healthy(port: int) -> bool:
     """Return whether the instance answers a health check with 200."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -75,10 +75,10 @@
 
 
 class StartingInstance:
-    """One instance that starts, with its interpreter stand-in.
+    """One starting instance and its fake interpreter.
 
     Attributes:
-        cause: What delays the start.
+        cause: Cause of the delay, "nothing" for none.
         ready: Seconds from the start until it was ready.
     """
 
@@ -87,7 +87,7 @@
         self.path = folder / f"{number}.json"
         self.path.write_text(json.dumps(instance_settings(f"n{number}", self.port, self.interpreter_port)))
         self.greeted = asyncio.Event()
-        self.ready = GIVE_UP_S
+        self.ready = READY_TIMEOUT_S
 
     async def serve_interpreter(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the instance's greeting as its interpreter."""
@@ -116,11 +116,11 @@
             await asyncio.sleep(INTERPRETER_DELAY_S)
             server = await asyncio.start_server(self.serve_interpreter, "127.0.0.1", self.interpreter_port)
         try:
-            while time.monotonic() - started_at < GIVE_UP_S:
+            while time.monotonic() - started_at < READY_TIMEOUT_S:
                 if (
                     self.greeted.is_set()
                     and not (blocking_socket and time.monotonic() - started_at < ADDRESS_BUSY_S)
-                    and await healthy(self.port)
+                    and await is_healthy(self.port)
                 ):
                     self.ready = time.monotonic() - started_at
                     return
@@ -132,7 +132,7 @@
 
     @property
     def beyond_need(self) -> float:
-        """Seconds that it took longer than the delay."""
+        """Seconds from the end of the delay until it was ready."""
         return self.ready - {"address held": ADDRESS_BUSY_S, "interpreter late": INTERPRETER_DELAY_S}.get(self.cause, 0.0)
 
 
@@ -152,13 +152,13 @@
 
 
 def main() -> int:
-    """Run the benchmark; return 1 if an aim is missed."""
+    """Run the benchmark; return 1 if an objective is missed."""
     options = docopt(__doc__)
     keep_environment()
     os.environ.pop("NODE_NAME", None)
     count = int(options["--count"] or (12 if options["--quick"] else 30))
     instances = asyncio.run(measure(count, int(options["--seed"])))
-    table = Table("held up by", "instances", "ready, s: median", "nine in ten", "most", "beyond need, nine in ten")
+    table = Table("delayed by", "instances", "ready, s: median", "90 %", "max", "beyond need, 90 %")
     figures: dict[str, Any] = {}
     for cause in ("nothing", "address held", "interpreter late"):
         ready = [instance.ready for instance in instances if instance.cause == cause]
@@ -174,7 +174,7 @@
     median_start_s = figures["nothing"]["median"]
     holds = {
         "nine in ten within 10 s": quantile([instance.ready for instance in instances], 0.9) <= 10.0,
-        "all ready": max(instance.ready for instance in instances) < GIVE_UP_S,
+        "all ready": max(instance.ready for instance in instances) < READY_TIMEOUT_S,
         "no wait beyond need": max(figures["address held"]["beyond"], figures["interpreter late"]["beyond"])
         < 1.5 + median_start_s,
     }
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -1,4 +1,4 @@
-"""The pure parts of the comparison of two trees: medians, scatter, judgement, table, and the wire of the play."""
+"""The comparison of two trees: medians, scatter, verdict, table, the simulator's protocol and HTTP messages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     assert doctest.testmod(module).failed == 0
 
 
-def test_medians_are_compared_not_means_or_extremes():
+def test_medians_are_compared():
     comparison = compared([100.0, 101.0, 900.0], [102.0, 1.0, 103.0])
     assert (comparison.before, comparison.after, comparison.rounds) == (101.0, 102.0, 3)
     assert comparison.change == pytest.approx(1.0 / 101.0)
@@ -36,38 +36,38 @@
 @pytest.mark.parametrize(
     ("before", "after", "holds"), [(0.0, 0.0, True), (0.0, 1.0, False), (-10.0, -9.0, False), (-10.0, -11.0, True)]
 )
-def test_figures_that_are_zero_or_less_are_judged_too(before, after, holds):
+def test_zero_and_negative_figures_are_compared(before, after, holds):
     assert compared([before], [after]).holds is holds
 
 
-def test_scatter_is_the_middle_half_and_shows_what_lies_beyond_it():
+def test_scatter_is_the_interquartile_range():
     assert scatter([80.0, 90.0, 100.0, 110.0, 500.0]) == pytest.approx(0.2)
     assert scatter([0.0, 0.0]) == 0.0
     assert not compared([80.0, 90.0, 100.0, 110.0, 120.0], [110.0] * 5).beyond_scatter
     assert compared([99.0, 100.0, 101.0], [110.0, 110.0, 110.0]).beyond_scatter
 
 
-def test_rounds_with_other_figures_are_refused():
+def test_rounds_with_different_figures_are_rejected():
     with pytest.raises(ValueError, match="different figures"):
         compare([{"start": 1.0}], [{"stop": 1.0}])
     with pytest.raises(ValueError, match="different figures"):
         compare([{"start": 1.0}, {"start": 1.0, "stop": 2.0}], [{"start": 1.0}])
 
 
-def test_the_verdict_names_each_figure_and_the_decisions_where_they_were_played():
+def test_verdict_contains_each_figure_and_the_decisions_if_compared():
     good, bad = Comparison("start", 1.0, 1.0, 0.0, 0.0, 3), Comparison("peak", 1.0, 1.5, 0.0, 0.0, 3)
     assert verdict([good, bad], None) == {"start": True, "peak": False}
     assert verdict([good], True) == {"start": True, "same decisions": True}
     assert verdict([good], False) == {"start": True, "same decisions": False}
 
 
-def test_the_table_shows_medians_change_scatter_and_judgement():
+def test_table_shows_medians_change_scatter_and_verdict():
     lines = rows([Comparison("start", 200.0, 150.0, 0.01, 0.02, 3), Comparison("peak", 10.0, 11.0, 0.2, 0.3, 3)])
     assert lines == [
         ("start", "200", "150", "-25.0 %", "1.0 %", "2.0 %", "holds, beyond scatter"),
         ("peak", "10", "11", "+10.0 %", "20.0 %", "30.0 %", "WORSE"),
     ]
-    assert footprint.show([Comparison("start", 1.0, 1.0, 0.0, 0.0, 3)]).row_count == 1
+    assert footprint.result_table([Comparison("start", 1.0, 1.0, 0.0, 0.0, 3)]).row_count == 1
 
 
 def test_each_tree_is_first_in_every_other_round():
@@ -75,7 +75,7 @@
     assert all(sorted(order) == [0, 1] for order in round_orders(5))
 
 
-def test_actions_of_a_reply_are_read_and_giving_in_is_an_error():
+def test_actions_of_a_reply_are_parsed_and_module_errors_raise():
     records = bytes.fromhex("50000341000aa7605d3a91c44d407f400000000000000000000000004d4a0001")
     assert list(footprint_play.read_actions(records)) == [
         (80, (3,)),
@@ -87,19 +87,19 @@
         list(footprint_play.read_actions(b"\x4f" + struct.pack(">H", 6) + b"broken"))
 
 
-def said(seed: int) -> list[tuple[float, bytes]]:
-    """Batches of a world whose instances hold everything."""
+def batches_without_actions(seed: int) -> list[tuple[float, bytes]]:
+    """Return the batches of a world whose instances never act."""
     return list(footprint_play.World(2, seed).batches(0.2))
 
 
-def test_the_same_seed_says_the_same_and_another_seed_something_else():
-    assert said(1) == said(1)
-    assert said(1) != said(2)
-    clocks = [clock for clock, _ in said(1)]
+def test_batches_depend_on_the_seed_only():
+    assert batches_without_actions(1) == batches_without_actions(1)
+    assert batches_without_actions(1) != batches_without_actions(2)
+    clocks = [clock for clock, _ in batches_without_actions(1)]
     assert clocks == sorted(set(clocks))
 
 
-def test_a_run_that_was_started_ends():
+def test_started_run_ends():
     world = footprint_play.World(1, 1)
     instance, ended = world.instances[0], []
     for _, body in world.batches(0.5):
@@ -109,7 +109,7 @@
     assert any(struct.pack(">BH", 10, 0) + b"\x03" in body for body in ended)
 
 
-def test_messages_by_length_and_in_chunks_are_read():
+def test_messages_with_length_and_chunked_messages_are_read():
     async def read(data: bytes, arrivals: list[float] | None = None) -> footprint_planes.Message:
         reader = asyncio.StreamReader()
         reader.feed_data(data)
@@ -121,7 +121,7 @@
     assert (answer.status, answer.fields[b"request-id"], answer.body) == (200, b"r", b"body")
     arrivals: list[float] = []
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    # The second event is cut in two by its chunks: it arrives with the latter.
+    # The second event is split over two chunks; it arrives with the latter.
     chunked = head + b"c\r\nid: 1\ndata: \r\n7\r\n1\n\nid: \r\n9\r\n2\ndata: 2\r\n2\r\n\n\n\r\n0\r\n\r\n"
     answer = asyncio.run(read(chunked, arrivals))
     assert answer.body == b"id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n"
@@ -130,7 +130,7 @@
         asyncio.run(read(by_length[:-1]))
 
 
-def test_trees_that_answer_otherwise_have_other_digests(tmp_path):
+def test_trees_with_different_replies_have_different_digests(tmp_path):
     answers = {}
     for name, text in (("one", "b'held'"), ("same", "b'he' + b'ld'"), ("other", "b'run'")):
         adapter = tmp_path / name / "mulleinhatch" / "benchlink"
