--- a/benchmarks/days/playing.py
+++ b/benchmarks/days/playing.py
@@ -14,15 +14,15 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class DayResult:
     """The outcome of one day.
 
     Attributes:
-        rules: Violated rules, with their counts.
+        rules: Numbers of violations by rule.
         fault: Failure that the bench reports; empty if there is none.
-        short: Requirements beside the rules that were not met.
-        value: Share of the achievable value.
-        served: Share of requests that were served.
+        short: Missed requirements other than the rules.
+        value: Fraction of the achievable value.
+        served: Fraction of requests that were served.
         processor_s: Processor time in seconds.
     """
 
@@ -48,11 +48,11 @@
 
 
 class DayFailedError(RuntimeError):
-    """The bench wrote no report; the message holds the end of its output."""
+    """The bench wrote no report; the message contains the end of its output."""
 
 
-def play(bench: Path, site: Path, day: Mapping[str, Any], why: str) -> Played:
-    """Run one day in full size.
+def run_day(bench: Path, site: Path, day: Mapping[str, Any], why: str) -> DayResult:
+    """Run one day at full scale.
 
     Raises:
         DayFailedError: If the bench writes no report.
@@ -65,7 +65,7 @@
         if not report.exists():
             raise DayFailedError(f"{day['name']}: {(run.stdout + run.stderr)[-600:]}")
         outcome = json.loads(report.read_text())
-    return Played(
+    return DayResult(
         site.stem,
         day["name"],
         {rule: int(count) if isinstance(count, (int, float)) else 1 for rule, count in (outcome.get("breaks") or {}).items()},
--- a/benchmarks/days/points.py
+++ b/benchmarks/days/points.py
@@ -1,6 +1,6 @@
-"""Days for the users' five points, at any deployment.
+"""Days for the five worst cases (points) of users, at any deployment.
 
-Times are seconds from the start of traffic. Failures follow each other as soon as the deployment's tolerance allows.
+Times are seconds from the start of traffic. Faults follow each other as soon as the fault tolerance of the deployment allows.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
     return {"at": round(at, 2), "kind": kind, **more}
 
 
-def _storm(at: float, for_s: float, gap_s: float) -> Entry:
+def _change_burst(at: float, for_s: float, gap_s: float) -> Entry:
     return _entry(at, "config_storm", for_s=round(for_s, 2), gap_s=gap_s, how="idle")
 
 
 def model_service(site: Mapping[str, Any]) -> str:
-    """Return the name of the service whose backends run models, else of the first service."""
+    """Return the name of the first service whose backends run models, else of the first service."""
     services = site["services"]
     return next((service["name"] for service in services if service.get("model")), services[0]["name"])
 
 
 def _cut_off(site: Mapping[str, Any], catch_up_s: float, length_s: float) -> tuple[list[Entry], list[Entry]]:
-    plan = [_storm(FIRST_S, length_s - FIRST_S - 4.0, 0.9), _entry(9.0, "scale_in", share=0.2)]
+    plan = [_change_burst(FIRST_S, length_s - FIRST_S - 4.0, 0.9), _entry(9.0, "scale_in", share=0.2)]
     cut_s = min(20.0, length_s - 12.0)
     faults = [_entry(FIRST_S + 1.0, "core_cut", count=1, for_s=cut_s, how="leader meet race drain hard")]
     faults.append(_entry(FIRST_S + 2.0, "ack_lost", x=0.4, for_s=cut_s))
@@ -58,12 +58,12 @@
         _entry(FIRST_S + number * step_s, "replace_core", x=0.8, how=hows[number % len(hows)])
         for number in range(max(2, replacements))
     ]
-    return [_storm(FIRST_S, length_s - FIRST_S - 4.0, 0.7)], faults
+    return [_change_burst(FIRST_S, length_s - FIRST_S - 4.0, 0.7)], faults
 
 
 def _hundreds_of_changes(site: Mapping[str, Any], catch_up_s: float, length_s: float) -> tuple[list[Entry], list[Entry]]:
     half_s = (length_s - FIRST_S) / 2
-    plan = [_storm(1.0, half_s, 0.1), _storm(FIRST_S + half_s, half_s - 6.0, 0.1)]
+    plan = [_change_burst(1.0, half_s, 0.1), _change_burst(FIRST_S + half_s, half_s - 6.0, 0.1)]
     faults = [
         _entry(4.0, "node_kill", on="core", count=1, for_s=half_s - 4.0, how="power"),
         _entry(4.0 + half_s + catch_up_s, "node_kill", on="core", count=1, for_s=2.0, how="leader power"),
@@ -85,7 +85,7 @@
     return [_entry(FIRST_S, "config_change", how="idle")], faults
 
 
-_MAKERS = {
+_BUILDERS = {
     "cut_off": _cut_off,
     "two_operators": _two_operators,
     "loss_after_repair": _loss_after_repair,
@@ -103,11 +103,11 @@
     if name not in POINTS:
         raise ValueError(f"no point {name!r}; there are {', '.join(POINTS)}")
     catch_up_s, length_s = float(site["timing"]["catch_up_s"]), float(site["length_s"])
-    makers = list(_MAKERS.values()) if name == "all_five" else [_MAKERS[name]]
+    builders = list(_BUILDERS.values()) if name == "all_five" else [_BUILDERS[name]]
     plan: list[Entry] = []
     faults: list[Entry] = []
-    for make in makers:
-        more_plan, more_faults = make(site, catch_up_s, length_s)
+    for build in builders:
+        more_plan, more_faults = build(site, catch_up_s, length_s)
         plan += more_plan
         faults += more_faults
     return {
--- a/benchmarks/days/toml_text.py
+++ b/benchmarks/days/toml_text.py
@@ -1,4 +1,4 @@
-"""Format a day as TOML, the form that the bench reads."""
+"""Format a day as TOML for the bench."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def day_text(day: Mapping[str, Any]) -> str:
-    """Format a day, one line a key; entries of lists have lines of their own."""
+    """Format a day with one line per key; each entry of a list of tables has its own line."""
     lines = []
     for key, value in day.items():
         if isinstance(value, list) and value and isinstance(value[0], Mapping):
--- a/benchmarks/pairs/__init__.py
+++ b/benchmarks/pairs/__init__.py
@@ -1,1 +1,1 @@
-"""Compares texts of the system by paired plays: the same days and seeds, each text; means, spread and the sign of each pair."""
+"""Compares source variants in paired runs: each runs the same days with the same seeds; means, spread, signs of the pairs."""
--- a/benchmarks/pairs/__main__.py
+++ b/benchmarks/pairs/__main__.py
@@ -1,9 +1,10 @@
 """`python -m benchmarks.pairs BENCH SITE... --text NAME=REVISION[,FILE:CONSTANT=VALUE]... [--text ...]`
 
-Compare source texts: run the same days with the same seeds on each (no processor time charged, scaled-down days with
-`--small`) and print each text beside the first: mean score, spread, mean difference with its standard error, pairs better and
-worse, violated rules, and the parts and prices that differ. Outcomes are stored in FOLDER/outcomes.jsonl and are not run
-again. The revision `WORK` is the working tree. FOLDER must be readable by the bench's processes, so it can't be below /tmp.
+Compare source variants: run the same days with the same seeds on each (no processor time charged, scaled-down days with
+`--small`) and print each variant next to the first: mean score, spread, mean difference with its standard error, pairs better
+and worse, violated rules, and the parts and prices that differ. Outcomes are stored in FOLDER/outcomes.jsonl; stored runs are
+not repeated. The revision `WORK` is the working tree. FOLDER must be readable by the processes of the bench, so it can't be
+below /tmp.
 """
 
 from __future__ import annotations
@@ -15,21 +16,21 @@
 from pathlib import Path
 
 from benchmarks.pairs.comparing import mean_parts, pair
-from benchmarks.pairs.playing import Outcome, OutcomeLog, PlayFailedError, Task, build, play, read_marks
-from benchmarks.pairs.variants import Variant, digest, prepare, read_variant
+from benchmarks.pairs.playing import Outcome, OutcomeLog, RunFailedError, Task, build, read_marks, run_day
+from benchmarks.pairs.variants import Variant, digest, parse_variant, prepare
 
-MIN_SHOWN_DIFFERENCE = 0.003  # parts and prices that differ by less are not printed
+MIN_SHOWN_DIFFERENCE = 0.003  # smaller differences of parts and prices are not printed
 
 
 def _arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.pairs", description="Paired plays of several texts.")
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.pairs", description="Paired runs of several source variants.")
     parser.add_argument("bench", type=Path)
     parser.add_argument("sites", type=Path, nargs="+")
-    parser.add_argument("--text", action="append", required=True, type=read_variant, dest="texts")
-    parser.add_argument("--days", default="", help="names by commas; all standard days where left out")
-    parser.add_argument("--seeds", default="21,22,23", help="by commas")
-    parser.add_argument("--small", action="store_true", help="small twins of large days")
-    parser.add_argument("--jobs", type=int, default=4, help="plays at a time")
+    parser.add_argument("--text", action="append", required=True, type=parse_variant, dest="texts")
+    parser.add_argument("--days", default="", help="names separated by commas; by default all standard days")
+    parser.add_argument("--seeds", default="21,22,23", help="separated by commas")
+    parser.add_argument("--small", action="store_true", help="scaled-down forms of large days")
+    parser.add_argument("--jobs", type=int, default=4, help="number of runs at the same time")
     parser.add_argument("--folder", type=Path, default=Path("../trials"))
     parser.add_argument("--why", default="paired plays")
     return parser.parse_args()
@@ -44,7 +45,7 @@
 
 
 def main() -> int:
-    """Run what is not stored yet and print the comparison; return 1 if nothing was run on all texts."""
+    """Run what is not stored yet and print the comparison; return 1 if no day was run on all variants."""
     options = _arguments()
     bench, folder = options.bench.absolute(), options.folder.absolute()
     sites = [site.absolute() for site in options.sites]
@@ -59,30 +60,30 @@
         if outcome_log.get(task) is not None:
             return
         try:
-            outcome_log.add(task, play(bench, roots[variant], site, task, f"{options.why}: text {variant.name}"))
-        except PlayFailedError as error:
-            print(f"not played: {error}", flush=True)
+            outcome_log.add(task, run_day(bench, roots[variant], site, task, f"{options.why}: text {variant.name}"))
+        except RunFailedError as error:
+            print(f"not run: {error}", flush=True)
 
     with ThreadPoolExecutor(options.jobs) as pool:
-        pending = [(v, *tasks[v][place]) for place in range(len(tasks[options.texts[0]])) for v in options.texts]
-        for waiting in [pool.submit(fill, *one) for one in pending]:
-            waiting.result()
+        pending = [(v, *tasks[v][index]) for index in range(len(tasks[options.texts[0]])) for v in options.texts]
+        for future in [pool.submit(fill, *arguments) for arguments in pending]:
+            future.result()
     return _print(outcome_log, tasks)
 
 
 def _print(outcome_log: OutcomeLog, tasks: dict[Variant, list[tuple[Path, Task]]]) -> int:
     first = next(iter(tasks))
     complete = [
-        place
-        for place in range(len(tasks[first]))
-        if all(outcome_log.get(results[place][1]) is not None for results in tasks.values())
+        index
+        for index in range(len(tasks[first]))
+        if all(outcome_log.get(results[index][1]) is not None for results in tasks.values())
     ]
     if not complete:
-        print("nothing was played on all texts")
+        print("no day was run on all variants")
         return 1
-    outcomes = {v: [outcome_log.get(results[place][1]) for place in complete] for v, results in tasks.items()}
-    days = [tasks[first][place][1] for place in complete]
-    print(f"{'text':24} mean  spread  difference      better worse of  broken")
+    outcomes = {v: [outcome_log.get(results[index][1]) for index in complete] for v, results in tasks.items()}
+    days = [tasks[first][index][1] for index in complete]
+    print(f"{'variant':24} mean  spread  difference      better worse of  broken")
     for variant, results in outcomes.items():
         pairing = pair(outcomes[first], results)
         broken = ", ".join(f"{rule} {count}" for rule, count in pairing.broken.items())
--- a/benchmarks/pairs/comparing.py
+++ b/benchmarks/pairs/comparing.py
@@ -1,4 +1,4 @@
-"""Compare paired outcomes: means, spread, signs, and the parts and prices that differ. Pure functions."""
+"""Compare paired outcomes: means, spread, better and worse pairs, parts and prices. Pure functions."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True)
 class Pairing:
-    """One text beside the first one, over the same days and seeds.
+    """Comparison of one source variant with the first one over the same days and seeds.
 
     Attributes:
-        mean: Mean score of this text.
-        first_mean: Mean score of the first text.
-        spread: Standard deviation of the scores of this text.
+        mean: Mean score of this variant.
+        first_mean: Mean score of the first variant.
+        spread: Standard deviation of the scores of this variant.
         difference: Mean difference of the scores.
         error: Standard error of the mean difference.
-        better: Number of pairs in which this text scored better.
+        better: Number of pairs in which this variant scored better.
         worse: Number of pairs in which it scored worse.
         count: Number of pairs.
-        broken: Violated rules, with the number of runs.
+        broken: Number of runs by violated rule.
     """
 
     mean: float
--- a/benchmarks/pairs/playing.py
+++ b/benchmarks/pairs/playing.py
@@ -1,4 +1,4 @@
-"""Run one day of one text with one seed, and store outcomes so that an interrupted comparison can be resumed."""
+"""Run one day on one source variant with one seed, and store outcomes so that an interrupted comparison can be resumed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """One run to make.
 
     Attributes:
-        text: Digest of the source text.
+        text: Digest of the sources.
         site: Name of the site.
         day: Name of the day.
         seed: Seed of the run.
@@ -37,9 +37,9 @@
 
     Attributes:
         score: Position of the value between the day's two marks, 0 to 1; 0 if a rule was violated.
-        value: Share of the achievable value.
-        served: Share of requests that were served.
-        refused: Share of requests that were rejected.
+        value: Fraction of the achievable value.
+        served: Fraction of requests that were served.
+        refused: Fraction of requests that were rejected.
         parts: Value by part.
         prices: Deductions by kind.
         broken: Names of violated rules.
@@ -54,8 +54,8 @@
     broken: tuple[str, ...] = ()
 
 
-class PlayFailedError(RuntimeError):
-    """The bench wrote no report; the message holds the end of its output."""
+class RunFailedError(RuntimeError):
+    """The build failed or the bench wrote no report; the message contains the end of the output."""
 
 
 @dataclass(frozen=True)
@@ -98,21 +98,21 @@
 
 
 def build(bench: Path, root: Path) -> None:
-    """Build a text once, so that concurrent runs do not.
+    """Build a variant once, so that concurrent runs do not.
 
     Raises:
-        PlayFailedError: If the build fails.
+        RunFailedError: If the build fails.
     """
     run = subprocess.run([str(bench), "build"], cwd=root, capture_output=True, text=True)
     if run.returncode:
-        raise PlayFailedError(f"{root.name}: not built: {(run.stdout + run.stderr)[-600:]}")
+        raise RunFailedError(f"{root.name}: build failed: {(run.stdout + run.stderr)[-600:]}")
 
 
-def play(bench: Path, root: Path, site: Path, task: Task, why: str) -> Outcome:
+def run_day(bench: Path, root: Path, site: Path, task: Task, why: str) -> Outcome:
     """Run one day.
 
     Raises:
-        PlayFailedError: If the bench writes no report.
+        RunFailedError: If the bench writes no report.
     """
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
@@ -121,7 +121,7 @@
         command += ["--report", str(report), "--why", why]
         run = subprocess.run(command, cwd=root, capture_output=True, text=True)
         if not report.exists():
-            raise PlayFailedError(f"{task}: {(run.stdout + run.stderr)[-600:]}")
+            raise RunFailedError(f"{task}: {(run.stdout + run.stderr)[-600:]}")
         return read_outcome(json.loads(report.read_text()), read_marks(site)[task.day])
 
 
--- a/benchmarks/pairs/variants.py
+++ b/benchmarks/pairs/variants.py
@@ -1,4 +1,4 @@
-"""Prepare source texts to compare: a checkout with some module constants replaced, for measuring only.
+"""Prepare source variants for a comparison: checkouts in which some module constants are replaced.
 
 A variant is written as `NAME=REVISION[,FILE:CONSTANT=VALUE]...`; `FILE` is below `mulleinhatch/`. Example:
 `slow=HEAD,control_plane/placement.py:KEEP_ADVANTAGE=3.0`.
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Replacement:
-    """Another value for a module constant."""
+    """A new value for a module constant."""
 
     file: str
     constant: str
@@ -30,20 +30,20 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A source text to measure."""
+    """A source variant to measure."""
 
     name: str
     revision: str
     replacements: tuple[Replacement, ...] = ()
 
 
-def read_variant(text: str) -> Variant:
+def parse_variant(text: str) -> Variant:
     """Parse `NAME=REVISION[,FILE:CONSTANT=VALUE]...`.
 
     Raises:
         VariantError: If the text has another form.
 
-    >>> read_variant("slow=HEAD,control_plane/placement.py:KEEP_ADVANTAGE=3.0").replacements
+    >>> parse_variant("slow=HEAD,control_plane/placement.py:KEEP_ADVANTAGE=3.0").replacements
     (Replacement(file='control_plane/placement.py', constant='KEEP_ADVANTAGE', value='3.0'),)
     """
     name, separator, rest = text.partition("=")
@@ -62,7 +62,7 @@
 
 
 def replace_constant(source: str, constant: str, value: str) -> str:
-    """Return source text with another value for a module constant; the trailing comment stays.
+    """Return source text with a new value for a module constant; the trailing comment stays.
 
     Raises:
         VariantError: Unless there is exactly one such constant.
@@ -80,16 +80,16 @@
 
 
 def prepare(variant: Variant, repository: Path, folder: Path) -> Path:
-    """Write a variant's text below `folder` and return its root; an existing one is replaced.
+    """Write the sources of a variant below `folder` and return their root; existing ones are replaced.
 
     Raises:
-        VariantError: If a replacement does not fit the text.
+        VariantError: If the file or constant of a replacement does not exist, or the constant is not unique.
     """
     root = folder / variant.name
     root.mkdir(parents=True, exist_ok=True)
     subprocess.run(["rm", "-rf", str(root / PACKAGE), str(root / "deploy")], check=True)
     if variant.revision == "WORK":
-        _copy_work(repository, root)
+        _copy_working_tree(repository, root)
     else:
         archive = subprocess.run(
             ["git", "-C", str(repository), "archive", variant.revision, "--", ".", ":!journal"], check=True, capture_output=True
@@ -108,7 +108,7 @@
     return root
 
 
-def _copy_work(repository: Path, root: Path) -> None:
+def _copy_working_tree(repository: Path, root: Path) -> None:
     """Copy the files of the working tree."""
     names = subprocess.run(
         ["git", "-C", str(repository), "ls-files", "-z", "--cached", "--others", "--exclude-standard", "--", ".", ":!journal"],
@@ -122,7 +122,7 @@
 
 
 def digest(root: Path) -> str:
-    """Return a short digest of what decides a run: the package, the programs and the deploy file."""
+    """Return a short digest of the files that determine a run: the package, the programs and the deploy file."""
     hasher = hashlib.sha256()
     files = [*sorted((root / PACKAGE).rglob("*.py")), *sorted(root.glob("*.py")), root / "deploy" / "system.toml"]
     for file in files:
--- a/benchmarks/pairs/varied.py
+++ b/benchmarks/pairs/varied.py
@@ -1,8 +1,8 @@
 """`python -m benchmarks.pairs.varied SITE OUT [--loads X] [--memory X] [--aims X] [--traffic X] [--models N]`
 
 Write a variant of a site file: scaled load times, backend memory, latency targets and traffic, and only the first N models. It
-serves to test texts on a deployment that none was tuned for. The marks are those of the original site, so only the difference
-of two texts is meaningful.
+serves to compare source variants on a deployment that none was tuned for. The marks are those of the original site, so only the
+difference between two source variants is meaningful.
 """
 
 from __future__ import annotations
@@ -22,12 +22,14 @@
     >>> scaled("{ load_s = 2.0, warm_load_s = 2.0 }", "load_s", 0.5)
     '{ load_s = 1.0, warm_load_s = 2.0 }'
     """
-    return re.sub(rf"\b{key} = {NUMBER}", lambda match: f"{key} = {_like(match[1], float(match[1]) * factor)}", text)
+    return re.sub(rf"\b{key} = {NUMBER}", lambda match: f"{key} = {_format_like(match[1], float(match[1]) * factor)}", text)
 
 
-def _like(written: str, value: float) -> str:
-    """Format a number like another one: integers stay integers."""
-    return f"{value:.6g}" if "." in written and value != int(value) else f"{value:.1f}" if "." in written else str(round(value))
+def _format_like(original: str, value: float) -> str:
+    """Format a value like the original number: integers stay integers."""
+    return (
+        f"{value:.6g}" if "." in original and value != int(value) else f"{value:.1f}" if "." in original else str(round(value))
+    )
 
 
 def fewer_models(text: str, limit: int) -> str:
@@ -43,19 +45,19 @@
 
 
 def varied(text: str, name: str, loads: float, memory: float, latency_targets: float, traffic: float, models: int) -> str:
-    """Return the text of a site file with other figures; `models` 0 keeps all models."""
+    """Return the text of a site file with scaled values; `models` 0 keeps all models."""
     text = re.sub(r'^name = "[^"]*"', f'name = "{name}"', text, count=1, flags=re.MULTILINE)
     for key, factor in {"load_s": loads, "warm_s": loads, "aim_ms": latency_targets, "per_s": traffic}.items():
         text = scaled(text, key, factor)
     text = re.sub(
-        rf"(kv_bytes = [^}}]*?\bmb = ){NUMBER}", lambda match: match[1] + _like(match[2], float(match[2]) * memory), text
+        rf"(kv_bytes = [^}}]*?\bmb = ){NUMBER}", lambda match: match[1] + _format_like(match[2], float(match[2]) * memory), text
     )
     return fewer_models(text, models) if models else text
 
 
 def main() -> int:
-    """Write the variant and the files that belong to it."""
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.pairs.varied", description="A deployment of our own kind.")
+    """Write the variant and copy the files that belong to the site."""
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.pairs.varied", description="Write a variant of a site file.")
     parser.add_argument("site", type=Path)
     parser.add_argument("out", type=Path)
     for key in ("loads", "memory", "aims", "traffic"):
