--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Generate the tables of docs/CAPACITY.md from recorded costs and from the rows that compare them with bounds.
+"""Generate the tables of docs/CAPACITY.md from recorded costs and from rows that compare them with bounds.
 
 Usage:
   capacity [--check | --write] [--page FILE] [--recorded FOLDER]
@@ -7,11 +7,11 @@
   --check            Exit with 1 and print the differences if page and records differ.
   --write            Write the tables into the page; without it they are printed.
   --page FILE        The page [default: docs/CAPACITY.md].
-  --recorded FOLDER  Records and rows.toml; else those beside this file.
+  --recorded FOLDER  Folder of the records and rows.toml; without it benchmarks/recorded.
 
 A row's need is the value measured at the target size, or else the fit of its cost there (times another cost, if the row says
 so). The ratio is need over bound. A row breaks at the size at which the fit reaches the bound, between the last run within it
-and the first run over it. Rows without a run state their arithmetic and are marked as reckoned.
+and the first run over it. Rows without a run state their calculation and are marked as reckoned.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
     page = Path(options["--page"])
     try:
         model = read_model(Path(options["--recorded"] or RECORDED))
-        wanted = tables(model)
+        expected_tables = tables(model)
         if options["--write"]:
-            page.write_text(with_tables(page.read_text(), wanted))
+            page.write_text(with_tables(page.read_text(), expected_tables))
         elif options["--check"]:
-            if differing := differences(page.read_text(), wanted):
-                print("\n".join(differing), file=sys.stderr)
+            if found_differences := differences(page.read_text(), expected_tables):
+                print("\n".join(found_differences), file=sys.stderr)
                 return 1
         else:
-            for name, text in wanted.items():
+            for name, text in expected_tables.items():
                 print(f"\n{name}\n\n{text}")
     except (InvalidRecordError, OSError) as error:
         print(f"capacity: {error}", file=sys.stderr)
--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -28,12 +28,12 @@
 
 
 class MissingMechanism(NamedTuple):
-    """A mechanism that does not exist yet and that rows over their bound wait for.
+    """A mechanism that does not exist yet and that rows over their bound need.
 
     Attributes:
         name: Its name in `rows.toml`.
         dependents: Modules that depend on it.
-        prerequisites: Other missing mechanisms that it depends on itself.
+        prerequisites: Other missing mechanisms that it depends on.
         why: Why it is needed.
     """
 
@@ -50,13 +50,13 @@
         cost: The measured cost, or None if the need is reckoned (computed by hand).
         times: Costs that the need is multiplied by.
         factor: Factor from the unit of the cost to the unit of the row.
-        reckoned: The arithmetic of a reckoned need, as text.
+        reckoned: The calculation of a reckoned need, as text.
         value: The reckoned need at the target size.
         size: What the need grows with; empty if it is constant.
         target: The target size.
         missing: Name of the missing mechanism if the need exceeds the bound.
         replaced_by: Name of the record whose mechanism replaces this one; empty if there is none.
-        adds: Whether the need adds up with others of the same bound on one instance.
+        adds: Whether the need is added to others with the same bound on one instance.
     """
 
     role: str
@@ -78,7 +78,7 @@
     adds: bool
 
     def need(self, size: float) -> float:
-        """Return the need at a size, by the fit or the reckoning."""
+        """Return the need at a size, by the fit or the calculation."""
         if self.cost is None:
             return self.factor * self.value * (size / self.target if self.size else 1.0)
         need = self.factor * self.cost.fit.at(size)
@@ -88,21 +88,21 @@
 
     @property
     def measured(self) -> list[tuple[float, float]]:
-        """Pairs of size and measured need; none for a product of costs."""
+        """Pairs of size and measured need; empty for a product of costs."""
         if self.cost is None or self.times:
             return []
         points = [*self.cost.points, *([self.cost.checked] if self.cost.checked else [])]
         return [(size, self.factor * value) for size, value in points]
 
     @property
-    def run_there(self) -> float | None:
+    def measured_at_target(self) -> float | None:
         """The need measured by a run at the target size, or None."""
         return max((value for size, value in self.measured if size == self.target), default=None)
 
     @property
     def at_target(self) -> float:
         """The need at the target size: measured if there is such a run, else by the fit."""
-        return self.need(self.target) if self.run_there is None else self.run_there
+        return self.need(self.target) if self.measured_at_target is None else self.measured_at_target
 
     @property
     def ratio(self) -> float:
@@ -137,14 +137,14 @@
         return low
 
     @property
-    def smallest(self) -> float:
-        """The smallest measured size; about a break below it nothing more is known."""
+    def min_measured_size(self) -> float:
+        """The smallest measured size; breaks below it can't be located more precisely."""
         return min(size for size, _ in self.cost.points) if self.cost else 0.0
 
     @property
     def share(self) -> float:
-        """The share of the target size at which the bound is certainly exceeded."""
-        return max(self.breaks_at, self.smallest) / self.target
+        """The size at which the bound is certainly exceeded, as a fraction of the target size."""
+        return max(self.breaks_at, self.min_measured_size) / self.target
 
 
 class CapacityModel(NamedTuple):
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -8,7 +8,7 @@
 
 
 def markers(name: str) -> tuple[str, str]:
-    """Return the text that begins and the text that ends a generated table."""
+    """Return the markers before and after a generated table."""
     return f"{TABLE_MARKER}{name} -->\n", "\n<!-- end -->"
 
 
@@ -27,15 +27,15 @@
     for name, text in expected_tables.items():
         inside = marked_text(page, name)
         if inside is None:
-            found.append(f"{name}: its markers are not in the page once, and in order")
+            found.append(f"{name}: its markers do not occur exactly once and in order")
             continue
         expected_lines, page_lines = text.splitlines(), inside.splitlines()
-        for place in range(max(len(expected_lines), len(page_lines))):
-            expected, actual = (lines[place] if place < len(lines) else "(nothing)" for lines in (expected_lines, page_lines))
+        for index in range(max(len(expected_lines), len(page_lines))):
+            expected, actual = (lines[index] if index < len(lines) else "(nothing)" for lines in (expected_lines, page_lines))
             if expected != actual:
-                found.append(f"{name}, line {place + 1}: the page has {actual!r}, the records give {expected!r}")
+                found.append(f"{name}, line {index + 1}: the page has {actual!r}, the records give {expected!r}")
     if extra := page.count(TABLE_MARKER) - len(expected_tables):
-        found.append(f"{extra} marked tables too many")
+        found.append(f"{extra} unexpected marked tables")
     return found
 
 
@@ -48,7 +48,7 @@
     for name, text in expected_tables.items():
         inside = marked_text(page, name)
         if inside is None:
-            raise InvalidRecordError(f"the page has no markers for {name}, or not once and in order")
+            raise InvalidRecordError(f"the markers of {name} do not occur exactly once and in order in the page")
         begin, end = markers(name)
         page = page.replace(begin + inside + end, begin + text + end)
     return page
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -7,13 +7,13 @@
 from benchmarks.capacity_model import KINDS, Bound, CapacityModel, MissingMechanism, Row
 from benchmarks.records import Cost, InvalidRecordError
 
-EXTRAPOLATION_FACTOR = 1.2  # times the largest measured size: a need beyond it is marked as extrapolated
+EXTRAPOLATION_FACTOR = 1.2  # needs beyond this multiple of the largest measured size are marked as extrapolated
 MAX_FIT_ERROR = 0.15  # relative error of the fit allowed at a run that it was not made from
-MAX_LISTED_SHARE = 3.0  # of the target size: rows that break beyond it are not listed
+MAX_LISTED_SHARE = 3.0  # rows that break beyond this multiple of the target size are not listed
 
 
 def number(value: float, figures: int = 3) -> str:
-    """Format a number with thousands separators and so many significant digits.
+    """Format a number with thousands separators and a number of significant digits.
 
     >>> number(28704.4), number(0.012345), number(3.0), number(0.0), number(1234567.8), number(1024.0), number(1.5e-6)
     ('28,700', '0.0123', '3', '0', '1,235,000', '1,024', '1.5e-06')
@@ -50,12 +50,14 @@
     over = {"linear": cost.size, "log2": f"log2({cost.size})", "square": f"{cost.size} squared"}
     slope = f"{number(abs(fit.slope))} x {over[fit.form]}" if fit.form != "constant" else ""
     sign = " + " if fit.slope >= 0.0 else " - "
-    law = slope if slope and not fit.constant and fit.slope >= 0.0 else number(fit.constant) + (sign + slope if slope else "")
-    text = f"{law}, off by {fit.residual:.0%} at most at {number(min(sizes))} to {number(max(sizes))}"
+    formula = (
+        slope if slope and not fit.constant and fit.slope >= 0.0 else number(fit.constant) + (sign + slope if slope else "")
+    )
+    text = f"{formula}, off by {fit.residual:.0%} at most at {number(min(sizes))} to {number(max(sizes))}"
     if cost.checked:
         size, value = cost.checked
-        off = fit.at(size) / value - 1.0 if value else 0.0
-        text += f"; {'met' if abs(off) <= MAX_FIT_ERROR else 'MISSED'} by a run at {number(size)} ({off:+.0%})"
+        error = fit.at(size) / value - 1.0 if value else 0.0
+        text += f"; {'met' if abs(error) <= MAX_FIT_ERROR else 'MISSED'} by a run at {number(size)} ({error:+.0%})"
     return text
 
 
@@ -64,13 +66,13 @@
     if row.cost is None:
         return f"reckoned: {row.reckoned}"
     text = fit_text(row.cost)
-    if row.run_there is not None and number(row.run_there) != number(row.need(row.target)):
-        text += f"; a run at that size took {number(row.run_there)}, which counts"
+    if row.measured_at_target is not None and number(row.measured_at_target) != number(row.need(row.target)):
+        text += f"; a run at that size took {number(row.measured_at_target)}, which counts"
     for cost in row.times:
         text += f"; times {fit_text(cost)}"
-    reached = max([size for size, _ in row.cost.points] + ([row.cost.checked[0]] if row.cost.checked else []))
-    if row.cost.fit.form != "constant" and row.target > EXTRAPOLATION_FACTOR * reached:
-        text += f"; set out {number(row.target / reached)} times beyond its largest run"
+    largest_measured = max([size for size, _ in row.cost.points] + ([row.cost.checked[0]] if row.cost.checked else []))
+    if row.cost.fit.form != "constant" and row.target > EXTRAPOLATION_FACTOR * largest_measured:
+        text += f"; set out {number(row.target / largest_measured)} times beyond its largest run"
     return text
 
 
@@ -142,8 +144,8 @@
 
 def breaks_text(row: Row) -> tuple[str, str]:
     """Return the size at which a row breaks and its share of the target size, as text."""
-    if row.breaks_at < row.smallest:
-        return f"under {number(row.smallest)} {row.size}, the smallest run", f"under {percent(row.share)}"
+    if row.breaks_at < row.min_measured_size:
+        return f"under {number(row.min_measured_size)} {row.size}, the smallest run", f"under {percent(row.share)}"
     return f"{number(row.breaks_at)} {row.size}" if row.size else "at any size", percent(row.share)
 
 
@@ -186,7 +188,7 @@
         names = {missing.name for missing, _ in remaining}
         ready = next((candidate for candidate in remaining if not names & set(candidate[0].prerequisites)), None)
         if ready is None:
-            raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(names))} stand on each other")
+            raise InvalidRecordError(f"rows.toml: missing: {', '.join(sorted(names))} depend on each other")
         remaining.remove(ready)
         order.append(ready)
     return order
@@ -197,7 +199,7 @@
     order = next_missing(model)
     lines = [
         (
-            str(place + 1),
+            str(index + 1),
             missing.name,
             row.what,
             breaks_text(row)[1],
@@ -205,7 +207,7 @@
             ", ".join(missing.prerequisites) or "none missing",
             missing.why,
         )
-        for place, (missing, row) in enumerate(order)
+        for index, (missing, row) in enumerate(order)
     ]
     head = f"Missing first: **{order[0][0].name}**.\n\n" if order else "Nothing is missing.\n\n"
     head_line = ("order", "mechanism", "its first bound to break", "at share", "stand on it", "stands itself on", "why")
--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -23,7 +23,7 @@
 
 ROUTES = 40
 COUNTS = (100, 500, 2_000, 20_000)
-MAX_GROWTH = 1.05  # factor of sizes from the first count with a first_full history of digests to the last count
+MAX_GROWTH = 1.05  # factor of sizes from the first count with a full history of digests to the last count
 
 
 @dataclass(frozen=True)
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -9,8 +9,8 @@
 
 from benchmarks.records import Fit, fitted
 
-MAX_CONSTANT_RESIDUAL = 0.03  # relative: up to it a constant is accepted without trying other forms
-MAX_CHECK_ERROR = 0.15  # relative error of a fit allowed at a size that it was not made from
+MAX_CONSTANT_RESIDUAL = 0.03  # relative residual up to which a constant is accepted without trying other forms
+MAX_CHECK_ERROR = 0.15  # allowed relative error of a fit at a size that was not used for it
 MIN_RESIDUAL_GAIN = 0.02  # reduction of the residual that justifies a slope
 FORMS = ("constant", "linear", "log2")
 
@@ -24,7 +24,7 @@
     ('log2', 'constant')
     """
     if not points or any(size < 1 for size, _ in points):
-        raise ValueError("a fit needs points of sizes from 1 on")
+        raise ValueError("a fit needs points with sizes of at least 1")
     found = {form: fitted(points, form) for form in FORMS}
     best = found["constant"]
     if best.residual > MAX_CONSTANT_RESIDUAL and len(points) > 2:
@@ -33,7 +33,7 @@
 
 
 def worthwhile(points: Sequence[Sequence[float]]) -> Fit:
-    """Return a growing fit only if it reduces the error of the constant by enough.
+    """Return a growing fit if it reduces the residual of the constant by over `MIN_RESIDUAL_GAIN`, else the constant.
 
     >>> worthwhile([[10, 105.0], [100, 150.0], [1000, 600.0], [10_000, 5100.0]])
     Fit(form='linear', constant=100.0, slope=0.5, residual=0.0)
@@ -41,15 +41,15 @@
     ('log2', 'constant')
     """
     if len(points) < 2:
-        raise ValueError(f"a fit of {len(points)} points")
-    constant, *grown = (fitted([(size, value) for size, value in points], form) for form in FORMS)
-    best = min(grown, key=lambda candidate: candidate.residual)
+        raise ValueError(f"a fit needs two points or more, not {len(points)}")
+    constant, *growing = (fitted([(size, value) for size, value in points], form) for form in FORMS)
+    best = min(growing, key=lambda candidate: candidate.residual)
     best = best if best.residual < constant.residual - MIN_RESIDUAL_GAIN else constant
     return Fit(best.form, rounded(best.constant), rounded(best.slope), round(best.residual, 4))
 
 
 def cost(unit: str, points: list[tuple[int, float]], checked: tuple[int, float] | None = None) -> dict[str, Any]:
-    """Return a cost over members as a record stores it."""
+    """Return a cost by the number of members in the form of a record."""
     best = fit([(float(size), value) for size, value in points])
     return {
         "unit": unit,
--- a/benchmarks/records.py
+++ b/benchmarks/records.py
@@ -1,8 +1,8 @@
 """Recorded costs: what a benchmark measured at several sizes, stored as JSON in `benchmarks/recorded/`, and fits over it.
 
-A cost is a constant, or a line over a size, its base-2 logarithm or its square, by least squares of the relative errors: sizes
-span orders of magnitude, so the absolute errors of the largest would hide all others. The residual is the largest error at the
-points, as a share of the measured value. `InvalidRecordError` names the file and key that are wrong.
+A cost is fitted as a constant or as linear in a size, its base-2 logarithm or its square, by least squares of the relative
+errors: sizes span orders of magnitude, so absolute errors at the largest sizes would dominate. The residual is the largest
+error at the points, as a fraction of the measured value. `InvalidRecordError` names the invalid file and key.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 RECORDED = Path(__file__).parent / "recorded"
 FORMS = ("constant", "log2", "linear", "square")
-MIN_POINTS = 3  # for a fit that grows: two points lie on any line
-ROUNDING_TOLERANCE = 1e-3  # relative, as records are rounded
+MIN_POINTS = 3  # for a growing fit: two points determine a line, so it would always match
+ROUNDING_TOLERANCE = 1e-3  # relative tolerance, because recorded values are rounded
 
 
 class InvalidRecordError(ValueError):
@@ -24,10 +24,10 @@
 
 
 class Fit(NamedTuple):
-    """A fitted law: `constant + slope * scale(form, size)`.
+    """A fitted function: `constant + slope * scale(form, size)`.
 
     Attributes:
-        residual: Largest error at the fitted points, as a share of the measured value.
+        residual: Largest error at the fitted points, as a fraction of the measured value.
     """
 
     form: str
@@ -44,25 +44,25 @@
         return self.constant + self.slope * scale(self.form, size)
 
     def reaches(self, value: float) -> float:
-        """Return the size at which the fit rises to a value; infinity if it never does, 0 if it is above it at any size.
+        """Return the size at which the fit reaches a value; infinity if it never does, 0 if it is above the value at any size.
 
         >>> Fit("linear", 10.0, 2.0).reaches(20.0), Fit("log2", 10.0, 2.0).reaches(16.0), Fit("constant", 10.0).reaches(9.0)
         (5.0, 8.0, 0.0)
         """
         if self.slope <= 0.0:
             return math.inf if self.constant <= value else 0.0
-        place = (value - self.constant) / self.slope
-        if place <= 0.0:
+        term = (value - self.constant) / self.slope
+        if term <= 0.0:
             return 0.0
-        return 2.0 ** min(place, 1000.0) if self.form == "log2" else math.sqrt(place) if self.form == "square" else place
+        return 2.0 ** min(term, 1000.0) if self.form == "log2" else math.sqrt(term) if self.form == "square" else term
 
 
 class Cost(NamedTuple):
     """One measured cost over a size.
 
     Attributes:
-        size: What the points are over: members, tenants, ...
-        checked: A run at another size, which the fit was not made from.
+        size: What the sizes count: members, tenants, ...
+        checked: A run at another size, which was not used for the fit.
     """
 
     unit: str
@@ -91,7 +91,7 @@
 
 
 def scale(form: str, size: float) -> float:
-    """Return the term of the size that a form is linear in."""
+    """Return the term of the size in which a form is linear."""
     return {"constant": 0.0, "log2": math.log2(max(1.0, size)), "linear": size, "square": size * size}[form]
 
 
@@ -103,26 +103,26 @@
     """
     weights = [1.0 / (value * value or 1.0) if relative else 1.0 for _, value in points]
     total = sum(weights)
-    places = [scale(form, size) for size, _ in points]
-    mean_place = sum(weight * place for weight, place in zip(weights, places)) / total
+    terms = [scale(form, size) for size, _ in points]
+    mean_term = sum(weight * term for weight, term in zip(weights, terms)) / total
     mean = sum(weight * value for weight, (_, value) in zip(weights, points)) / total
-    spread = sum(weight * (place - mean_place) ** 2 for weight, place in zip(weights, places))
-    both = sum(weight * (place - mean_place) * (value - mean) for weight, place, (_, value) in zip(weights, places, points))
-    slope = both / spread if spread else 0.0
-    constant = mean - slope * mean_place
-    fit = Fit(form, constant if abs(constant) > 1e-9 * abs(mean) else 0.0, slope)  # else a trace of rounding alone
+    spread = sum(weight * (term - mean_term) ** 2 for weight, term in zip(weights, terms))
+    covariance = sum(weight * (term - mean_term) * (value - mean) for weight, term, (_, value) in zip(weights, terms, points))
+    slope = covariance / spread if spread else 0.0
+    constant = mean - slope * mean_term
+    fit = Fit(form, constant if abs(constant) > 1e-9 * abs(mean) else 0.0, slope)  # a tiny constant is a rounding error
     return fit._replace(residual=residual(fit, points))
 
 
 def residual(fit: Fit, points: list[tuple[float, float]]) -> float:
-    """Return the largest error at the points, as a share of the value; at a value of 0 the absolute error."""
+    """Return the largest error at the points, as a fraction of the value; for a value of 0 the absolute error."""
     return max(abs(fit.at(size) - value) / (abs(value) or 1.0) for size, value in points)
 
 
 def cost(
     unit: str, size: str, points: list[tuple[float, float]], form: str, checked: tuple[float, float] | None = None
 ) -> dict[str, Any]:
-    """Return a cost as a record stores it, with its fit."""
+    """Return a cost with its fit in the form of a record."""
     points = [(size, rounded(value)) for size, value in points]
     fit = fitted(points, form)
     return {
@@ -157,8 +157,8 @@
     return git("rev-parse", "--short", "HEAD") + ("+" if git("status", "--porcelain", "--", "../mulleinhatch") else "")
 
 
-def keep(name: str, document: dict[str, Any], folder: Path = RECORDED) -> Path:
-    """Write a record with one cost a line, so that a diff shows which costs a new run changed."""
+def write_record(name: str, document: dict[str, Any], folder: Path = RECORDED) -> Path:
+    """Write a record with one cost per line, so that a diff shows which costs a new run changed."""
     inner = {key: {name: json.dumps(value) for name, value in document[key].items()} for key in ("costs", "events")}
     lines = [
         f" {json.dumps(key)}: "
@@ -183,14 +183,14 @@
     """Read and check one record.
 
     Raises:
-        InvalidRecordError: If it can't be read, misses a key or does not match its own fits.
+        InvalidRecordError: If it can't be read, lacks a key or has a fit that does not match its points.
     """
     try:
         document = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise InvalidRecordError(f"{path.name}: can't be read: {error}") from None
     if not isinstance(document, dict):
-        raise InvalidRecordError(f"{path.name}: an object is wanted")
+        raise InvalidRecordError(f"{path.name}: must be an object")
     text = {key: _required(path, document, key, str) for key in ("commit", "benchmark", "command", "mechanism")}
     for key, value in text.items():
         if not value:
@@ -199,48 +199,49 @@
     events = _required(path, document, "events", dict)
     for name, figures in events.items():
         if not isinstance(figures, dict):
-            raise InvalidRecordError(f"{path.name}: events.{name}: an object of figures is wanted")
+            raise InvalidRecordError(f"{path.name}: events.{name}: must be an object of figures")
     notes = document.get("notes", [])
     if not isinstance(notes, list) or not all(isinstance(note, str) for note in notes):
-        raise InvalidRecordError(f"{path.name}: notes: a list of texts is wanted")
+        raise InvalidRecordError(f"{path.name}: notes: must be a list of strings")
     return Record(path.stem, seed=_required(path, document, "seed", int), costs=costs, events=events, notes=notes, **text)
 
 
-def _required(path: Path, document: dict[str, Any], key: str, kind: type, way: str = "") -> Any:
-    """Return a value of the document after checking that it is there and of the right type."""
-    where = f"{path.name}: {way}{'.' if way else ''}{key}"
+def _required(path: Path, document: dict[str, Any], key: str, kind: type, location: str = "") -> Any:
+    """Return a value of the document after checking that it exists and has the right type."""
+    where = f"{path.name}: {location}{'.' if location else ''}{key}"
     if key not in document:
         raise InvalidRecordError(f"{where}: missing")
     value = document[key]
     if isinstance(value, bool) or not isinstance(value, (int, float) if kind is float else kind):
-        raise InvalidRecordError(f"{where}: {value!r} is no {'number' if kind is float else kind.__name__}")
+        raise InvalidRecordError(f"{where}: {value!r} is not a {'number' if kind is float else kind.__name__}")
     if kind is float and not math.isfinite(value):
-        raise InvalidRecordError(f"{where}: {value!r} is no finite number")
+        raise InvalidRecordError(f"{where}: {value!r} is not a finite number")
     return value
 
 
-def _cost(path: Path, way: str, document: Any) -> Cost:
+def _cost(path: Path, location: str, document: Any) -> Cost:
     if not isinstance(document, dict):
-        raise InvalidRecordError(f"{path.name}: {way}: an object is wanted")
+        raise InvalidRecordError(f"{path.name}: {location}: must be an object")
     points = [
-        _pair(path, f"{way}.points.{place}", pair) for place, pair in enumerate(_required(path, document, "points", list, way))
+        _pair(path, f"{location}.points.{index}", pair)
+        for index, pair in enumerate(_required(path, document, "points", list, location))
     ]
-    form = _required(path, document, "form", str, way)
+    form = _required(path, document, "form", str, location)
     if form not in FORMS:
-        raise InvalidRecordError(f"{path.name}: {way}.form: {form!r} is none of {', '.join(FORMS)}")
+        raise InvalidRecordError(f"{path.name}: {location}.form: {form!r} is none of {', '.join(FORMS)}")
     sizes = {size for size, _ in points}
     if len(sizes) < (1 if form == "constant" else MIN_POINTS):
-        raise InvalidRecordError(f"{path.name}: {way}.points: {len(sizes)} sizes are too few for a {form} fit")
-    fit = Fit(form, *(float(_required(path, document, key, float, way)) for key in ("constant", "slope", "residual")))
+        raise InvalidRecordError(f"{path.name}: {location}.points: {len(sizes)} sizes are too few for a {form} fit")
+    fit = Fit(form, *(float(_required(path, document, key, float, location)) for key in ("constant", "slope", "residual")))
     checked = document.get("checked")
     found = Cost(
-        _required(path, document, "unit", str, way),
-        _required(path, document, "size", str, way),
+        _required(path, document, "unit", str, location),
+        _required(path, document, "size", str, location),
         points,
         fit,
-        None if checked is None else _pair(path, f"{way}.checked", checked),
+        None if checked is None else _pair(path, f"{location}.checked", checked),
     )
-    _check_fit_reproduces(path, way, found)
+    _check_fit_reproduces(path, location, found)
     return found
 
 
@@ -250,29 +251,29 @@
         or len(pair) != 2
         or not all(isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value) for value in pair)
     ):
-        raise InvalidRecordError(f"{path.name}: {where}: {pair!r} is no pair of size and value")
+        raise InvalidRecordError(f"{path.name}: {where}: {pair!r} is not a pair of size and value")
     if pair[0] <= 0:
-        raise InvalidRecordError(f"{path.name}: {where}: {pair[0]!r} is no size")
+        raise InvalidRecordError(f"{path.name}: {where}: {pair[0]!r} is not a positive size")
     return float(pair[0]), float(pair[1])
 
 
-def _check_fit_reproduces(path: Path, way: str, found: Cost) -> None:
-    """Raise `InvalidRecordError` unless the recorded fit is what least squares give over its own points."""
-    off = residual(found.fit, found.points)
-    if off > found.fit.residual * (1.0 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE:
+def _check_fit_reproduces(path: Path, location: str, found: Cost) -> None:
+    """Raise `InvalidRecordError` unless the recorded fit is the least-squares fit of its points."""
+    error = residual(found.fit, found.points)
+    if error > found.fit.residual * (1.0 + ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE:
         raise InvalidRecordError(
-            f"{path.name}: {way}: the fit misses its points by {off:.2%}, its residual says {found.fit.residual:.2%}"
+            f"{path.name}: {location}: the fit misses its points by {error:.2%}, its residual says {found.fit.residual:.2%}"
         )
-    again = [fitted(found.points, found.fit.form, relative) for relative in (True, False)]
-    if not any(_same(found.fit, fit, found.points) for fit in again):
+    refits = [fitted(found.points, found.fit.form, relative) for relative in (True, False)]
+    if not any(_fits_agree(found.fit, fit, found.points) for fit in refits):
         name = "constant" if found.fit.form == "constant" else "slope"
         raise InvalidRecordError(
-            f"{path.name}: {way}.{name}: {found.fit.constant:g} and {found.fit.slope:g} are recorded, least squares "
-            f"over the points give {again[0].constant:g} and {again[0].slope:g}"
+            f"{path.name}: {location}.{name}: {found.fit.constant:g} and {found.fit.slope:g} are recorded, least squares "
+            f"over the points give {refits[0].constant:g} and {refits[0].slope:g}"
         )
 
 
-def _same(one: Fit, other: Fit, points: list[tuple[float, float]]) -> bool:
+def _fits_agree(one: Fit, other: Fit, points: list[tuple[float, float]]) -> bool:
     """Return whether two fits agree at each point and in the slope, up to the rounding of records."""
     return all(abs(one.at(size) - other.at(size)) <= ROUNDING_TOLERANCE * (abs(value) or 1.0) for size, value in points) and (
         abs(one.slope - other.slope) <= ROUNDING_TOLERANCE * abs(other.slope) + 1e-12
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md says what the records under benchmarks/recorded/ give, and what is wrong in either is found."""
+"""docs/CAPACITY.md matches the records under benchmarks/recorded/, and errors in either are detected."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     return capacity_reading.read_model()
 
 
-def changed(path: Path, cost: str, **values: object) -> None:
+def change_cost(path: Path, cost: str, **values: object) -> None:
     document = json.loads(path.read_text())
     document["costs"][cost].update(values)
     path.write_text(json.dumps(document))
 
 
-def some_cost(form: str) -> str:
+def first_growing_cost(form: str) -> str:
     return next(name for name, cost in records.read_all()["parts"].costs.items() if cost.fit.form == form and cost.fit.slope)
 
 
@@ -48,17 +48,17 @@
 # Page and records.
 
 
-def test_the_page_says_what_the_records_give(model: capacity_model.CapacityModel) -> None:
+def test_page_matches_the_records(model: capacity_model.CapacityModel) -> None:
     assert capacity_page.differences(PAGE.read_text(), capacity_tables.tables(model)) == []
 
 
-def test_the_command_checks_the_same(capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_command_accepts_the_page(capsys: pytest.CaptureFixture[str]) -> None:
     assert capacity.main(["--check", "--page", str(PAGE)]) == 0
     report = json.loads(capsys.readouterr().out)
     assert report["holds"] and report["rows"] > 20
 
 
-def test_a_wrong_figure_in_the_page_is_found(model: capacity_model.CapacityModel, tmp_path: Path) -> None:
+def test_wrong_figure_in_the_page_is_detected(model: capacity_model.CapacityModel, tmp_path: Path) -> None:
     text = PAGE.read_text()
     begin, _ = capacity_page.markers("voter")
     at = text.index(begin)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["lost", "twice", "stray"])
-def test_wrong_markers_are_found(model: capacity_model.CapacityModel, wrong: str) -> None:
+def test_wrong_markers_are_detected(model: capacity_model.CapacityModel, wrong: str) -> None:
     begin, end = capacity_page.markers("breaks")
     text = PAGE.read_text()
     page = {"lost": text.replace(begin, ""), "twice": text + "\n" + begin + end, "stray": text + capacity_page.markers("x")[0]}[
@@ -85,8 +85,8 @@
 # Records and their fits.
 
 
-def independent(points: list[tuple[float, float]], form: str, relative: bool) -> tuple[float, float]:
-    """Constant and slope by the normal equations, written out: beside `records.fitted`."""
+def least_squares(points: list[tuple[float, float]], form: str, relative: bool) -> tuple[float, float]:
+    """Return constant and slope by the normal equations, independently of `records.fitted`."""
     shape = {
         "constant": lambda size: 0.0,
         "linear": lambda size: size,
@@ -109,9 +109,9 @@
 
 
 @pytest.mark.parametrize("record, name", costs())
-def test_least_squares_give_what_is_recorded(record: str, name: str) -> None:
+def test_recorded_fits_are_least_squares_fits(record: str, name: str) -> None:
     cost = records.read_all()[record].costs[name]
-    fits = [independent(cost.points, cost.fit.form, relative) for relative in (True, False)]
+    fits = [least_squares(cost.points, cost.fit.form, relative) for relative in (True, False)]
     assert any(
         all(
             cost.fit.at(size) == pytest.approx(constant + slope * records.scale(cost.fit.form, size), rel=2e-3)
@@ -125,39 +125,39 @@
 
 
 @pytest.mark.parametrize("form", ["linear", "square"])
-def test_a_wrong_slope_in_a_record_is_found(folder: Path, form: str) -> None:
-    name = some_cost(form)
+def test_wrong_slope_in_a_record_is_detected(folder: Path, form: str) -> None:
+    name = first_growing_cost(form)
     slope = records.read_all()["parts"].costs[name].fit.slope
-    changed(folder / "parts.json", name, slope=1.05 * slope)
+    change_cost(folder / "parts.json", name, slope=1.05 * slope)
     with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.{re.escape(name)}"):
         capacity_reading.read_model(folder)
 
 
-def test_a_wrong_slope_is_found_under_a_wide_residual(folder: Path) -> None:
-    name = some_cost("linear")
+def test_wrong_slope_is_detected_despite_a_large_residual(folder: Path) -> None:
+    name = first_growing_cost("linear")
     slope = records.read_all()["parts"].costs[name].fit.slope
-    changed(folder / "parts.json", name, slope=1.05 * slope, residual=0.9)
+    change_cost(folder / "parts.json", name, slope=1.05 * slope, residual=0.9)
     with pytest.raises(InvalidRecordError, match=rf"costs\.{re.escape(name)}\.slope"):
         capacity_reading.read_model(folder)
 
 
-def test_another_point_parts_page_and_record(folder: Path) -> None:
-    """A record that is right in itself, and not the one that the page was made from."""
+def test_record_that_differs_from_the_page_is_detected(folder: Path) -> None:
+    """The record is consistent in itself, but the page was generated from another one."""
     name = "control.settings_bytes"
     cost = records.read_all()["parts"].costs[name]
     points = [(size, 2.0 * value) for size, value in cost.points]
-    changed(folder / "parts.json", name, **records.cost(cost.unit, cost.size, points, "linear"))
+    change_cost(folder / "parts.json", name, **records.cost(cost.unit, cost.size, points, "linear"))
     assert capacity_page.differences(PAGE.read_text(), capacity_tables.tables(capacity_reading.read_model(folder)))
 
 
-def test_a_lost_record_is_found(folder: Path) -> None:
+def test_missing_record_is_detected(folder: Path) -> None:
     (folder / "parts.json").unlink()
     with pytest.raises(InvalidRecordError, match=r"rows\.toml: row \d+ .*there is no parts\.json"):
         capacity_reading.read_model(folder)
     assert capacity.main(["--check", "--page", str(PAGE), "--recorded", str(folder)]) == 1
 
 
-def test_a_lost_cost_is_found(folder: Path) -> None:
+def test_missing_cost_is_detected(folder: Path) -> None:
     document = json.loads((folder / "parts.json").read_text())
     del document["costs"]["voter.bytes"]
     (folder / "parts.json").write_text(json.dumps(document))
@@ -169,11 +169,11 @@
     "text, why",
     [
         ("{", r"parts\.json: can't be read"),
-        ("[]", r"parts\.json: an object is wanted"),
+        ("[]", r"parts\.json: must be an object"),
         ("{}", r"parts\.json: commit: missing"),
     ],
 )
-def test_bad_json_names_file_and_key(folder: Path, text: str, why: str) -> None:
+def test_error_of_malformed_json_names_file_and_key(folder: Path, text: str, why: str) -> None:
     (folder / "parts.json").write_text(text)
     with pytest.raises(InvalidRecordError, match=why):
         capacity_reading.read_model(folder)
@@ -183,18 +183,18 @@
     "values, why",
     [
         ({"form": "cubic"}, r"form: 'cubic'"),
-        ({"slope": "3"}, r"slope: '3' is no number"),
+        ({"slope": "3"}, r"slope: '3' is not a number"),
         ({"points": [[1, 2]]}, r"points: 1 sizes"),
-        ({"points": [[1, 2], [0, 3], [4, 5]]}, r"points\.1: 0 is no size"),
+        ({"points": [[1, 2], [0, 3], [4, 5]]}, r"points\.1: 0 is not a positive size"),
         ({"points": [[1, 2], [2], [4, 5]]}, r"points\.1"),
-        ({"unit": None}, r"unit: None is no str"),
+        ({"unit": None}, r"unit: None is not a str"),
         ({"residual": True}, r"residual: True"),
-        ({"checked": 7}, r"checked: 7 is no pair"),
+        ({"checked": 7}, r"checked: 7 is not a pair"),
         ({"constant": math.inf}, r"constant: inf"),
     ],
 )
-def test_a_bad_cost_names_its_key(folder: Path, values: dict[str, object], why: str) -> None:
-    changed(folder / "parts.json", "voter.bytes", **values)
+def test_error_of_invalid_cost_names_its_key(folder: Path, values: dict[str, object], why: str) -> None:
+    change_cost(folder / "parts.json", "voter.bytes", **values)
     with pytest.raises(InvalidRecordError, match=rf"parts\.json: costs\.voter\.bytes\.{why}"):
         capacity_reading.read_model(folder)
 
@@ -202,7 +202,7 @@
 # Rows.
 
 
-def declared(folder: Path, was: str, now: str) -> None:
+def replace_in_rows(folder: Path, was: str, now: str) -> None:
     path = folder / "rows.toml"
     text = path.read_text()
     assert was in text
@@ -215,33 +215,33 @@
         (
             'mechanism = "mulleinhatch.instance.maintenance.schedule"',
             'mechanism = "mulleinhatch.instance.maintenance.orders"',
-            r"no module that can be imported",
+            r"not an importable module",
         ),
-        ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = "json"', r"no module of mulleinhatch"),
+        ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = "json"', r"not a module of mulleinhatch"),
         ('mechanism = "mulleinhatch.instance.maintenance.schedule"', 'mechanism = ""', r"mechanism: missing"),
         (
             'bound = "mulleinhatch.instance.gossip.core:MAX_MEMBERS"',
             'bound = "mulleinhatch.instance.gossip.core:MAX"',
-            r"is no number",
+            r"is not a number",
         ),
-        ('bound = "control_core"', 'bound = "control_cores"', r"no module of mulleinhatch"),
+        ('bound = "control_core"', 'bound = "control_cores"', r"not a module of mulleinhatch"),
         ('kind = "memory"', 'kind = "room"', r"kind: 'room'"),
         ("factor = 1e-6", "faktor = 1e-6", r"faktor: no such key"),
         ('missing = "configuration in versions"\n', "", r"over its bound"),
-        ('missing = "configuration in versions"\n', 'missing = "no such"\n', r"told of nowhere"),
-        ("value = 15.9\n", "", r"has a value"),
+        ('missing = "configuration in versions"\n', 'missing = "no such"\n', r"is not declared"),
+        ("value = 15.9\n", "", r"needs a value"),
         ('cost = "tools.fleet_answer_bytes"\n', "", r"neither a record's cost nor reckoned"),
         ('role = "tools"', 'role = "tool"', r"role 'tool' is none"),
     ],
 )
-def test_a_wrong_row_is_found(folder: Path, was: str, now: str, why: str) -> None:
-    declared(folder, was, now)
+def test_invalid_row_is_detected(folder: Path, was: str, now: str, why: str) -> None:
+    replace_in_rows(folder, was, now)
     with pytest.raises(InvalidRecordError, match=why):
         capacity_reading.read_model(folder)
 
 
 def test_ratios_and_breaks(model: capacity_model.CapacityModel) -> None:
-    """Of each row, by arithmetic of its own."""
+    """Recomputes the figures of each row independently."""
     for row in model.rows:
         need = row.factor * (
             row.value
@@ -267,16 +267,16 @@
 @pytest.mark.parametrize(
     "points, checked, ratio, breaks",
     [
-        ([(10, 1000.0), (20, 1100.0), (40, 1300.0)], 3300.0, 1.1, 100.0),  # by the fit 0.63, at 210
+        ([(10, 1000.0), (20, 1100.0), (40, 1300.0)], 3300.0, 1.1, 100.0),  # the fit alone gives 0.63 and a break at 210
         ([(10, 1000.0), (20, 2000.0), (40, 4000.0)], 2700.0, 0.9, 30.0),
     ],
-)  # by the fit 3.3; over its bound at 40 all the same
-def test_a_run_at_the_target_size_counts_before_the_fit(
+)  # in the second case the fit alone gives 3.3; the run at 40 is over the bound
+def test_run_at_the_target_size_takes_precedence_over_the_fit(
     tmp_path: Path, points: list[tuple[float, float]], checked: float, ratio: float, breaks: float
 ) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", points, "linear")
-    changed(tmp_path / "flat.json", "bytes", checked=[100, checked])
+    change_cost(tmp_path / "flat.json", "bytes", checked=[100, checked])
     row = capacity_reading.read_model(tmp_path).rows[0]
     assert (row.ratio, row.breaks_at) == (pytest.approx(ratio), pytest.approx(breaks))
     text = capacity_tables.slope_text(row)
@@ -290,14 +290,14 @@
     assert row.cost.fit.reaches(3000.0) < 40.0 and row.breaks_at == 40.0
 
 
-def test_what_breaks_first_is_in_order(model: capacity_model.CapacityModel) -> None:
+def test_breaking_rows_are_sorted(model: capacity_model.CapacityModel) -> None:
     shares = [row.share for row in capacity_tables.breaking(model)]
     assert shares == sorted(shares) and shares[0] < 1.0
 
 
-def test_missing_first_by_the_rule(model: capacity_model.CapacityModel) -> None:
-    """The smallest share of those on which others stand and that stand on no missing one; what nothing stands on comes behind,
-    but for what it stands on itself."""
+def test_missing_mechanisms_are_in_build_order(model: capacity_model.CapacityModel) -> None:
+    """Mechanisms with dependents come first, by the smallest share of the target size; each comes after its prerequisites and
+    mechanisms without dependents come last."""
     shares: dict[str, float] = {}
     for row in model.rows:
         if row.ratio > 1.0 and not row.replaced_by:
@@ -317,17 +317,17 @@
         (
             'stands_on = ["fleet state in levels"]',
             'stands_on = ["fleet state"]',
-            r"stands_on: 'fleet state' is told of nowhere",
+            r"stands_on: 'fleet state' is not declared",
         ),
         (
             'name = "fleet state in levels"',
             'name = "fleet state in levels"\nstands_on = ["configuration in versions"]',
-            r"stand on each other",
+            r"depend on each other",
         ),
     ],
 )
-def test_mechanisms_that_stand_on_each_other_are_found(folder: Path, was: str, now: str, why: str) -> None:
-    declared(folder, was, now)
+def test_invalid_prerequisites_are_detected(folder: Path, was: str, now: str, why: str) -> None:
+    replace_in_rows(folder, was, now)
     with pytest.raises(InvalidRecordError, match=why):
         capacity_tables.next_missing(capacity_reading.read_model(folder))
 
@@ -367,7 +367,7 @@
 
 
 def small_record(folder: Path, name: str, points: list[tuple[float, float]], form: str) -> None:
-    records.keep(
+    records.write_record(
         name,
         {
             "commit": "abc1234",
@@ -383,7 +383,7 @@
     )
 
 
-def test_a_row_counts_once_its_record_is_there(tmp_path: Path) -> None:
+def test_row_is_included_once_its_record_exists(tmp_path: Path) -> None:
     (tmp_path / "rows.toml").write_text(SMALL)
     small_record(tmp_path, "flat", [(10, 1000.0), (20, 2000.0), (40, 4000.0)], "linear")
     model = capacity_reading.read_model(tmp_path)
@@ -399,23 +399,23 @@
 # The benchmark of single parts.
 
 
-def test_a_voter_answers_what_is_timed() -> None:
-    core, query = parts.asked_voter(12)
+def test_measured_query_is_answered() -> None:
+    core, query = parts.voter_with_waiting_members(12)
     assert len(core.requests) == 12
-    parts.answered(core, query)
+    parts.answer_query(core, query)
     with pytest.raises(ValueError, match="no answer"):
-        parts.answered(core, b"?")
+        parts.answer_query(core, b"?")
 
 
-def test_an_answer_lists_all_members() -> None:
+def test_measured_answer_lists_all_members() -> None:
     for differ, tenants in ((False, 4), (True, 8)):
-        answer = json.loads(parts.fleet_side(25, differ).status_json())
+        answer = json.loads(parts.gossip_service_with_reports(25, differ).status_json())
         assert len(answer["members"]) == 25 and len(answer["loudest"]) == tenants
 
 
-def test_a_run_of_some_parts_keeps_the_others(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_partial_run_retains_costs_of_other_parts(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(parts, "RECORDED", folder)
-    monkeypatch.setattr(parts, "keep", lambda name, document: records.keep(name, document, folder))
+    monkeypatch.setattr(parts, "write_record", lambda name, document: records.write_record(name, document, folder))
     before = records.read(folder / "parts.json")
     one = parts.PartCosts(quick=True, seed=1)
     one.add("voter.table_bytes", "bytes", "permits", [(1, 2.0), (2, 4.0), (3, 6.0)], "linear")
@@ -425,6 +425,6 @@
     assert after.commit == before.commit and after.notes[-1].startswith("abc1234, voters: load average 1.0")
 
 
-def test_an_unknown_part_is_refused(capsys: pytest.CaptureFixture[str]) -> None:
+def test_unknown_part_is_rejected(capsys: pytest.CaptureFixture[str]) -> None:
     assert parts.main(["--only", "few,fewer"]) == 1
     assert "'fewer'" in capsys.readouterr().err
