--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -68,7 +68,7 @@
     return float(f"{value:.6g}")
 
 
-def written(file: Path, record: dict[str, Any]) -> None:
+def write_record(file: Path, record: dict[str, Any]) -> None:
     """Write a record to a file as JSON."""
     file.parent.mkdir(parents=True, exist_ok=True)
     file.write_text(json.dumps(record, indent=1) + "\n")
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -137,7 +137,7 @@
     command = "python -m benchmarks.scale " + " ".join(sys.argv[1:] if argv is None else argv)
     record = run.record(command)
     if arguments["--record"]:
-        fits.written(Path(arguments["--record"]), record)
+        fits.write_record(Path(arguments["--record"]), record)
     print(
         json.dumps(
             {
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -187,7 +187,7 @@
 
 def test_record_holds_points_fit_and_check(tmp_path: Path) -> None:
     cost = fits.cost("bytes/s", [(25, 100.0), (100, 400.0), (400, 1600.0)], (1000, 4100.0))
-    fits.written(tmp_path / "new" / "one.json", {"costs": {"instance.control.bytes": cost}})
+    fits.write_record(tmp_path / "new" / "one.json", {"costs": {"instance.control.bytes": cost}})
     report = json.loads((tmp_path / "new" / "one.json").read_text())["costs"]["instance.control.bytes"]
     assert (report["form"], report["constant"], report["slope"], report["checked"]) == ("linear", 0.0, 4.0, [1000, 4100.0])
 
