--- a/benchmarks/deployed_tree.py
+++ b/benchmarks/deployed_tree.py
@@ -50,5 +50,5 @@
 
 def environment(tree: Path) -> dict[str, str]:
     """Return the environment of a started process: its own libraries come first, and it writes no compiled files."""
-    kept = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
-    return {**kept, "PYTHONPATH": str(tree / "target" / "deps"), "PYTHONDONTWRITEBYTECODE": "1"}
+    inherited = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
+    return {**inherited, "PYTHONPATH": str(tree / "target" / "deps"), "PYTHONDONTWRITEBYTECODE": "1"}
--- a/benchmarks/pairs/__main__.py
+++ b/benchmarks/pairs/__main__.py
@@ -56,7 +56,7 @@
         build(bench, root)
     tasks = {v: _tasks(sites, options.days, options.seeds, options.small, digest(root)) for v, root in roots.items()}
 
-    def fill(variant: Variant, site: Path, task: Task) -> None:
+    def run_task(variant: Variant, site: Path, task: Task) -> None:
         if outcome_log.get(task) is not None:
             return
         try:
@@ -66,12 +66,12 @@
 
     with ThreadPoolExecutor(options.jobs) as pool:
         pending = [(v, *tasks[v][index]) for index in range(len(tasks[options.texts[0]])) for v in options.texts]
-        for future in [pool.submit(fill, *arguments) for arguments in pending]:
+        for future in [pool.submit(run_task, *arguments) for arguments in pending]:
             future.result()
-    return _print(outcome_log, tasks)
+    return _print_comparison(outcome_log, tasks)
 
 
-def _print(outcome_log: OutcomeLog, tasks: dict[Variant, list[tuple[Path, Task]]]) -> int:
+def _print_comparison(outcome_log: OutcomeLog, tasks: dict[Variant, list[tuple[Path, Task]]]) -> int:
     first = next(iter(tasks))
     complete = [
         index
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -112,21 +112,21 @@
     """Measurements of one strategy. Tokens are those of tenants below their limit, unless stated otherwise.
 
     Attributes:
-        asked: Tokens of all requests.
+        requested: Tokens of all requests.
         granted: Tokens granted by owners or added to fixed shares, for all tenants.
         run: Tokens of requests that were executed.
-        refused_once: Tokens of requests that were executed by their retry.
-        refused: Tokens of requests that were never executed.
+        run_by_retry: Tokens of requests that were executed by their retry.
+        rejected: Tokens of requests that were never executed.
         stranded: Most tokens of a tenant that data planes held while one of its requests was rejected.
         added_s: Times from the arrival of an executed request at a data plane to its permit.
         uses: Times and numbers of used tokens by tenant, for all tenants.
     """
 
-    asked: int = 0
+    requested: int = 0
     granted: int = 0
     run: int = 0
-    refused_once: int = 0
-    refused: int = 0
+    run_by_retry: int = 0
+    rejected: int = 0
     stranded: int = 0
     added_s: list[float] = field(default_factory=list)
     uses: dict[str, list[tuple[float, int]]] = field(default_factory=lambda: defaultdict(list))
@@ -241,12 +241,12 @@
             return result.err_value.retry_after_s
         return None if client.redeem(result.ok_value) else 0.05
 
-    def held(self, tenant: str) -> int:
+    def held_tokens(self, tenant: str) -> int:
         """Return the tokens of a tenant that data planes hold."""
         now = self._loop.time()
         return sum(client._balance.live_tokens(tenant, now) for client in self._clients)
 
-    def granted(self) -> int:
+    def granted_tokens(self) -> int:
         """Return the tokens that were granted."""
         return self._control_planes.granted
 
@@ -273,13 +273,13 @@
             return None
         return min(bucket.seconds_until(tokens, now), (deadline - now) / 3)
 
-    def held(self, tenant: str) -> int:
+    def held_tokens(self, tenant: str) -> int:
         """Return the tokens of a tenant that data planes hold."""
         for bucket in self._buckets[tenant]:
             bucket.refill(self._loop.time())
         return int(sum(max(0.0, bucket.level) for bucket in self._buckets[tenant]))
 
-    def granted(self) -> int:
+    def granted_tokens(self) -> int:
         """Return the tokens that were added to all shares."""
         passed_s = self._loop.time() - self._began_at
         return int(sum(refill_rate(limit, BOUNDS, GRANT_LIFETIME_S) * passed_s for limit in self._limits.values()))
@@ -310,11 +310,11 @@
         grant = QuotaResponse().parse(answer.body).grants[0]
         return None if grant.granted_requests else min(grant.retry_after_ms / 1000, (deadline - self._loop.time()) / 3)
 
-    def held(self, tenant: str) -> int:
+    def held_tokens(self, tenant: str) -> int:
         """Return 0: data planes hold no tokens."""
         return 0
 
-    def granted(self) -> int:
+    def granted_tokens(self) -> int:
         """Return the tokens that were granted."""
         return self._control_planes.granted
 
@@ -344,19 +344,19 @@
                 measured.uses[request.tenant].append((loop.time(), request.tokens))
                 if counted:
                     measured.run += request.tokens
-                    measured.refused_once += request.tokens if is_retry else 0
+                    measured.run_by_retry += request.tokens if is_retry else 0
                     measured.added_s.append(loop.time() - sent_at)
                 return
             if counted:
-                measured.stranded = max(measured.stranded, strategy.held(request.tenant))
+                measured.stranded = max(measured.stranded, strategy.held_tokens(request.tenant))
             if loop.time() + retry_after_s >= deadline:
                 break
             await asyncio.sleep(retry_after_s)
-        measured.refused += request.tokens if counted else 0
+        measured.rejected += request.tokens if counted else 0
 
     await _send_all(requests, send)
-    measured.asked = sum(request.tokens for request in requests if request.tenant != HOT)
-    measured.granted = strategy.granted()
+    measured.requested = sum(request.tokens for request in requests if request.tenant != HOT)
+    measured.granted = strategy.granted_tokens()
     return measured
 
 
@@ -378,11 +378,11 @@
         loop.close()
         percentiles = quantiles(measured.added_s, n=100)
         figures[name] = {
-            "tokens asked": measured.asked,
+            "tokens asked": measured.requested,
             "tokens granted, with the hot tenant's": measured.granted,
             "tokens run": measured.run,
-            "of these after a refusal, %": round(100 * measured.refused_once / measured.asked, 3),
-            "refused below the limit, %": round(100 * measured.refused / measured.asked, 3),
+            "of these after a refusal, %": round(100 * measured.run_by_retry / measured.requested, 3),
+            "refused below the limit, %": round(100 * measured.rejected / measured.requested, 3),
             "stranded tokens at a refusal, most": measured.stranded,
             "most of the rule in a window": round(measured.max_quota_utilization(scenario.limits()), 3),
             "added time p50, ms": round(1000 * percentiles[49], 1),
--- a/benchmarks/soak_parts/checks.py
+++ b/benchmarks/soak_parts/checks.py
@@ -141,8 +141,8 @@
                 and not self._is_public(request, run.at)
                 and self._history.was_ever_configured(request.key, run.at)
             ):
-                held = [one for one in self._observations.versions if request.key in one.key_owners]
-                later = next((one for one in self._observations.versions if one.number > held[-1].number), None)
+                versions_with_key = [one for one in self._observations.versions if request.key in one.key_owners]
+                later = next((one for one in self._observations.versions if one.number > versions_with_key[-1].number), None)
                 since = later.acknowledged_at if later is not None else math.nan
                 yield f"{_describe(request)}: ran at {run.at:.2f} s, its key removed since {since:.2f} s"
 
@@ -189,8 +189,8 @@
     """Return the fraction of successful responses to each tenant's requests whose key was configured when they were sent."""
     history, sent_requests, served = History(observations, bounds), Counter(), Counter()
     for request in observations.requests:
-        held = [one for one in observations.versions if one.sent_at <= request.sent_at]
-        if held and request.key in held[-1].key_owners:
+        sent_versions = [one for one in observations.versions if one.sent_at <= request.sent_at]
+        if sent_versions and request.key in sent_versions[-1].key_owners:
             name = history.owner(request.key)
             sent_requests[name] += 1
             served[name] += request.is_complete and 200 <= request.status < 300
--- a/benchmarks/soak_parts/history.py
+++ b/benchmarks/soak_parts/history.py
@@ -8,7 +8,7 @@
 from benchmarks.soak_parts.bounds import SoakBounds
 from benchmarks.soak_parts.records import ClientRequest, Disturbance, Interval, Observations, Version
 
-CORE_BOOT_S = 2.0  # seconds after its start until a control plane counts as running
+CONTROL_PLANE_START_S = 2.0  # seconds after its start until a control plane counts as running
 
 
 def overlaps(intervals: Iterable[Interval], begin: float, end: float) -> bool:
@@ -49,14 +49,14 @@
             [(one.began_at, one.ended_at) for one in self._by_process.get(process, ()) if not one.is_planned], begin, end
         )
 
-    def is_core_stable(self, begin: float, end: float) -> bool:
+    def are_control_planes_undisturbed(self, begin: float, end: float) -> bool:
         """Return whether no fault met a control plane in [begin, end]."""
         return not overlaps(self._control_plane_faults, begin, end)
 
-    def has_core_majority(self, begin: float, end: float) -> bool:
+    def has_control_plane_majority(self, begin: float, end: float) -> bool:
         """Return whether more than half of the control planes ran throughout [begin, end]."""
         running = sum(
-            not overlaps([(first, last + CORE_BOOT_S) for first, last in self._intervals(name)], begin, end)
+            not overlaps([(first, last + CONTROL_PLANE_START_S) for first, last in self._intervals(name)], begin, end)
             for name in self._observations.cores
         )
         return 2 * running > len(self._observations.cores)
@@ -76,10 +76,10 @@
         begin = request.sent_at - self._bounds.contact_s
         if not self.is_undisturbed(request.front, begin, until):
             return math.inf
-        if self.is_core_stable(begin, until):
+        if self.are_control_planes_undisturbed(begin, until):
             return self._bounds.apply_s
         outer_s = self._bounds.apply_s + self._bounds.outer_s
-        return outer_s if self.has_core_majority(request.sent_at - outer_s, until) else math.inf
+        return outer_s if self.has_control_plane_majority(request.sent_at - outer_s, until) else math.inf
 
     def possible_versions(self, request: ClientRequest, until: float) -> list[Version]:
         """Return the versions that the data plane of a request may have applied to it up to `until`."""
@@ -96,7 +96,7 @@
         """Return the tenant of a key, empty if unknown; no key changes its tenant in a soak."""
         return next((one.key_owners[key] for one in self._observations.versions if key in one.key_owners), "")
 
-    def binding_at(self, version: Version, end: float) -> float:
+    def binding_from(self, version: Version, end: float) -> float:
         """Return the time from which every data plane must apply a version, infinite if not before `end`.
 
         That is the first time at which each of them was in contact for the whole apply time after the acknowledgement.
@@ -105,7 +105,7 @@
         while time_s < end:
             begin = time_s - max(self._bounds.contact_s, self._bounds.apply_s)
             are_data_planes_undisturbed = all(self.is_undisturbed(front, begin, time_s) for front in self._observations.fronts)
-            if are_data_planes_undisturbed and self.is_core_stable(begin, time_s):
+            if are_data_planes_undisturbed and self.are_control_planes_undisturbed(begin, time_s):
                 return time_s
             time_s += step_s
         return math.inf
--- a/benchmarks/soak_parts/quota_check.py
+++ b/benchmarks/soak_parts/quota_check.py
@@ -76,7 +76,7 @@
         allowed = bounds.allowed_units(rate, burst) if rate else (math.inf if tenant in version.limits else 0.0)
         periods.append(LimitPeriod(allowed, version.sent_at, ends_at))
         if version.acknowledged_at < math.inf:
-            ends_at = min(ends_at, history.binding_at(version, end))
+            ends_at = min(ends_at, history.binding_from(version, end))
     return periods[::-1]
 
 
--- a/benchmarks/soak_parts/scene.py
+++ b/benchmarks/soak_parts/scene.py
@@ -261,9 +261,9 @@
     async def _probe_stalls(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            asked_at = loop.time()
+            started_at = loop.time()
             await asyncio.sleep(STALL_PROBE_S)
-            stall_s = loop.time() - asked_at - STALL_PROBE_S
+            stall_s = loop.time() - started_at - STALL_PROBE_S
             self.observations.largest_stall_s = max(self.observations.largest_stall_s, stall_s)
 
     async def _search_for_keys(self) -> None:
