--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -63,7 +63,7 @@
 HEADROOM = 2.0  # a tenant's total as a multiple of its mean rate at the peak
 MESSAGES_PER_HEARTBEAT = 4  # messages that a member sends and as many that it receives: two probes and two replies
 HEARTBEATS_PER_S = 10
-TURNS, QUICK_TURNS = 7, 3
+REPETITIONS, QUICK_REPETITIONS = 7, 3
 Points = list[tuple[float, float]]
 
 
@@ -77,15 +77,15 @@
     return float(size)
 
 
-def cpu_s(function: Callable[..., Any], times: int, turns: int, *arguments: Any) -> float:
-    """Return the CPU seconds per call of `function`: the median of `turns` repetitions of `times` calls."""
-    spent = []
-    for _ in range(turns):
+def cpu_s(function: Callable[..., Any], times: int, repetitions: int, *arguments: Any) -> float:
+    """Return the CPU seconds per call of `function`: the median of `repetitions` runs of `times` calls."""
+    samples = []
+    for _ in range(repetitions):
         started_at = time.process_time()
         for _ in range(times):
             function(*arguments)
-        spent.append((time.process_time() - started_at) / times)
-    return statistics.median(spent)
+        samples.append((time.process_time() - started_at) / times)
+    return statistics.median(samples)
 
 
 class PartCosts:
@@ -98,7 +98,7 @@
     """
 
     def __init__(self, quick: bool, seed: int) -> None:
-        self.quick, self.seed, self.turns = quick, seed, QUICK_TURNS if quick else TURNS
+        self.quick, self.seed, self.repetitions = quick, seed, QUICK_REPETITIONS if quick else REPETITIONS
         self.costs: dict[str, dict[str, Any]] = {}
         self.events: dict[str, dict[str, float]] = {}
         self.bounded: dict[str, Points] = {}
@@ -139,8 +139,8 @@
         sizes = self.sizes(16, 100, 1_000, 10_000)
         last = None if self.quick else 40_000
         memory = [(count, retained_bytes(budget_states, count)) for count in (*sizes, *([last] if last else []))]
-        spent = [(count, HEARTBEATS_PER_S * self._heartbeat_cpu_s(count)) for count in (*sizes, *([last] if last else []))]
-        for name, unit, points in (("control.budgets_memory", "bytes", memory), ("control.budgets_cpu", "cores", spent)):
+        cpu_points = [(count, HEARTBEATS_PER_S * self._heartbeat_cpu_s(count)) for count in (*sizes, *([last] if last else []))]
+        for name, unit, points in (("control.budgets_memory", "bytes", memory), ("control.budgets_cpu", "cores", cpu_points)):
             self.add(name, unit, "budgets", points[: len(sizes)], "linear", checked=points[-1] if last else None)
         bytes_per_s, datagrams = [], []
         for count in (1, 4, 8, 16):
@@ -171,7 +171,7 @@
                 for _ in range(1 + MESSAGES_PER_HEARTBEAT):
                     part.usable_pieces(now)
 
-        return cpu_s(heartbeat, max(1, 1_000 // count), self.turns)
+        return cpu_s(heartbeat, max(1, 1_000 // count), self.repetitions)
 
     def measure_small_fleets(self) -> None:
         """Measure the traffic of fleet state in small fleets, where it exceeds the bound of the target."""
@@ -229,65 +229,67 @@
             ],
             "linear",
         )
-        spent = []
+        cpu_points = []
         for count in callers:
-            spent.append(
+            cpu_points.append(
                 (
                     count,
                     1e6
                     * cpu_s(
                         first_attempt_of_random_caller(filled_retry_admission(default_bounds, count), count, self.seed),
                         5_000,
-                        self.turns,
+                        self.repetitions,
                     ),
                 )
             )
-        self.add("request.storms_cpu", "us a request", "callers", spent, "constant", bounded=True)
+        self.add("request.storms_cpu", "us a request", "callers", cpu_points, "constant", bounded=True)
 
     def measure_heavy_hitters(self) -> None:
         """Measure memory and CPU of the sketch of the most active tenants."""
-        memory, spent, adds = [], [], 20_000 if self.quick else 200_000
+        memory, cpu_points, adds = [], [], 20_000 if self.quick else 200_000
         for count in self.sizes(1_000, 10_000, 100_000, TENANTS):
             names = TenantNames(count, self.seed)
             memory.append((count, retained_bytes(filled_sketch, names, adds)))
-            spent.append(
+            cpu_points.append(
                 (
                     count,
-                    1e6 * cpu_s(sketch_adder(filled_sketch(names, adds), names, adds), 20_000, self.turns)
-                    - 1e6 * cpu_s(names.next, 20_000, self.turns),
+                    1e6 * cpu_s(sketch_adder(filled_sketch(names, adds), names, adds), 20_000, self.repetitions)
+                    - 1e6 * cpu_s(names.next, 20_000, self.repetitions),
                 )
             )
         self.add("request.loudest_memory", "bytes", "tenants", memory, "constant", bounded=True)
-        self.add("request.loudest_cpu", "us a request", "tenants", spent, "constant", bounded=True)
+        self.add("request.loudest_cpu", "us a request", "tenants", cpu_points, "constant", bounded=True)
 
     # Decisions.
 
     def measure_decisions(self) -> None:
         """Measure memory and CPU of admission decisions by the numbers of tenants and classes."""
-        memory, spent = [], []
+        memory, cpu_points = [], []
         for count in self.sizes(10, 1_000, 25_000, TENANTS):
             settings = deployment(count, 10)
             memory.append((count, retained_bytes(AdmissionController, settings, 1, 0.0)))
-            spent.append(
+            cpu_points.append(
                 (
                     count,
-                    1e6 * cpu_s(request_cycle(AdmissionController(settings, 1, 0.0), count, 10, self.seed), 500, self.turns),
+                    1e6
+                    * cpu_s(request_cycle(AdmissionController(settings, 1, 0.0), count, 10, self.seed), 500, self.repetitions),
                 )
             )
         self.add("request.decide_memory", "bytes", "tenants", memory, "linear")
-        self.add("request.decide_cpu", "us a request", "tenants", spent, "constant", bounded=True)
-        memory, spent = [], []
+        self.add("request.decide_cpu", "us a request", "tenants", cpu_points, "constant", bounded=True)
+        memory, cpu_points = [], []
         for count in self.sizes(10, 1_000, 10_000, CLASSES):
             settings = deployment(10, count)
             memory.append((count, retained_bytes(AdmissionController, settings, 1, 0.0)))
-            spent.append(
+            cpu_points.append(
                 (
                     count,
-                    1e6 * cpu_s(request_cycle(AdmissionController(settings, 1, 0.0), 10, count, self.seed), 500, self.turns),
+                    1e6
+                    * cpu_s(request_cycle(AdmissionController(settings, 1, 0.0), 10, count, self.seed), 500, self.repetitions),
                 )
             )
         self.add("request.decide_classes_memory", "bytes", "classes", memory, "linear")
-        self.add("request.decide_classes_cpu", "us a request", "classes", spent, "constant", bounded=True)
+        self.add("request.decide_classes_cpu", "us a request", "classes", cpu_points, "constant", bounded=True)
 
     def measure_settings(self) -> None:
         """Measure the size of the configuration file, which is sent completely at each change."""
@@ -314,18 +316,18 @@
         for name, unit, points in (("voter.messages", "words/s", messages), ("voter.bytes", "bytes/s", sent)):
             fitted = points if self.quick else points[:-1]
             self.add(name, unit, "members", fitted, "linear", checked=None if self.quick else points[-1])
-        spent = []
+        cpu_points = []
         for count in self.sizes(30, 100, 300, 990):
             core, query = voter_with_waiting_members(count)
-            turns = self.turns if count < 500 else QUICK_TURNS
-            spent.append((count, 1e6 * cpu_s(answer_query, max(2, 1_000 // count), turns, core, query)))
-        self.add("voter.query_cpu", "us a word", "members", spent, "square")
+            repetitions = self.repetitions if count < 500 else QUICK_REPETITIONS
+            cpu_points.append((count, 1e6 * cpu_s(answer_query, max(2, 1_000 // count), repetitions, core, query)))
+        self.add("voter.query_cpu", "us a word", "members", cpu_points, "square")
         for name, name_length in (("voter.table_bytes", 8), ("voter.table_bytes_longest", 40)):
             self.add(
                 name,
                 "bytes",
                 "permits",
-                [(out, float(table_bytes(out, name_length))) for out in (1, 3, 6, 9, MAX_PERMITS)],
+                [(permit_count, float(table_bytes(permit_count, name_length))) for permit_count in (1, 3, 6, 9, MAX_PERMITS)],
                 "linear",
             )
 
@@ -334,39 +336,45 @@
     def measure_operator_answers(self) -> None:
         """Measure status answers when all members report the same top tenants and when each reports different ones."""
         sizes = (25, 50, 100) if self.quick else (25, 100, 400, 1_000)
-        for name, differ, form in (("", False, "linear"), ("_tenants_differ", True, "square")):
-            size, spent = [], []
+        for name, has_distinct_tenants, form in (("", False, "linear"), ("_tenants_differ", True, "square")):
+            size, cpu_points = [], []
             for count in sizes:
-                service = gossip_service_with_reports(count, differ)
+                service = gossip_service_with_reports(count, has_distinct_tenants)
                 size.append((count, float(len(service.status_json()))))
-                spent.append(
-                    (count, 1e3 * cpu_s(service.status_json, max(1, 400 // count), self.turns if count < 400 else QUICK_TURNS))
+                cpu_points.append(
+                    (
+                        count,
+                        1e3
+                        * cpu_s(
+                            service.status_json, max(1, 400 // count), self.repetitions if count < 400 else QUICK_REPETITIONS
+                        ),
+                    )
                 )
-            if not differ:
+            if not has_distinct_tenants:
                 self.add("tools.fleet_answer_bytes", "bytes", "members", size, "linear")
-            self.add(f"tools.fleet_answer_cpu{name}", "ms an answer", "members", spent, form)
+            self.add(f"tools.fleet_answer_cpu{name}", "ms an answer", "members", cpu_points, form)
 
 
 class TenantNames:
     """Tenant names drawn by Zipf's law with exponent 1, in advance, so that the draw is not measured."""
 
     def __init__(self, count: int, seed: int) -> None:
-        draw = random.Random(seed)
-        drawn = draw.choices(range(count), [1.0 / rank for rank in range(1, count + 1)], k=100_000)
+        random_source = random.Random(seed)
+        drawn = random_source.choices(range(count), [1.0 / rank for rank in range(1, count + 1)], k=100_000)
         self.names = [f"tenant {index}" for index in drawn]
-        self.turn = 0
+        self.position = 0
 
     def next(self) -> str:
         """Return the next name."""
-        self.turn = (self.turn + 1) % len(self.names)
-        return self.names[self.turn]
+        self.position = (self.position + 1) % len(self.names)
+        return self.names[self.position]
 
 
 def filled_sketch(names: TenantNames, adds: int) -> HeavyHitters:
     """Return a sketch after a number of additions."""
     sketch = HeavyHitters(TENANTS_KEPT)
-    for turn in range(adds):
-        sketch.add(turn / 275.0, names.next())
+    for number in range(adds):
+        sketch.add(number / 275.0, names.next())
     return sketch
 
 
@@ -386,11 +394,11 @@
 
 def record_first_attempt(retry_admission: RetryAdmission, caller: int, number: int) -> None:
     """Process a first attempt that is rejected, as an instance does."""
-    fingerprint = request_fingerprint(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
-    repeat, fingerprints = retry_admission.duplicates.classify(1.0, fingerprint, is_marked_retry=False)
+    fingerprints = request_fingerprint(caller, "read", "t1", "", b"body %d" % number, 0.5, 0.05, 1.0)
+    repeat, keys = retry_admission.duplicates.classify(1.0, fingerprints, is_marked_retry=False)
     retry_admission.record_request(1.0, caller, True, 0.0)
-    retry_admission.duplicates.record_closed(fingerprints)
-    retry_admission.duplicates.record_rejected(1.0, fingerprints)
+    retry_admission.duplicates.record_closed(keys)
+    retry_admission.duplicates.record_rejected(1.0, keys)
 
 
 def filled_retry_admission(bounds: StormBounds, callers: int) -> RetryAdmission:
@@ -406,8 +414,8 @@
 
 def first_attempt_of_random_caller(retry_admission: RetryAdmission, callers: int, seed: int) -> Callable[[], None]:
     """Return a function that processes the first attempt of a random caller."""
-    draw = random.Random(seed)
-    return lambda: record_first_attempt(retry_admission, draw.randrange(callers), draw.randrange(10**9))
+    random_source = random.Random(seed)
+    return lambda: record_first_attempt(retry_admission, random_source.randrange(callers), random_source.randrange(10**9))
 
 
 def deployment(tenants: int, classes: int) -> Deployment:
@@ -427,13 +435,23 @@
 
 def request_cycle(controller: AdmissionController, tenants: int, classes: int, seed: int) -> Callable[[], None]:
     """Return a function that processes one request from arrival to end, at the target rate of an instance."""
-    draw, clock = random.Random(seed), count_from(0)
+    random_source, clock = random.Random(seed), count_from(0)
 
     def process_request() -> None:
-        turn = next(clock)
-        now = turn / 275.0
+        number = next(clock)
+        now = number / 275.0
         controller.record_arrival(
-            now, turn + 1, draw.randrange(classes), 0.0, 1.0, draw.randrange(tenants), 0, turn % 100, 0.002, 1.0, False
+            now,
+            number + 1,
+            random_source.randrange(classes),
+            0.0,
+            1.0,
+            random_source.randrange(tenants),
+            0,
+            number % 100,
+            0.002,
+            1.0,
+            False,
         )
         started = [decision.ref for decision in decisions(controller, now) if decision.verb is Verb.RUN]
         for ref in started:
@@ -514,7 +532,7 @@
         raise ValueError("the voter gave no answer")
 
 
-def table_bytes(out: int, name_length: int) -> int:
+def table_bytes(permit_count: int, name_length: int) -> int:
     """Return the size of the largest message with the permit table: the reply to a voter that lost its disk."""
     table = PermitTable(
         tuple(f"v{index}".ljust(name_length, "x") for index in range(7)),
@@ -524,7 +542,7 @@
         0,
         tuple(
             Permit(f"n{index}".ljust(name_length, "x"), "r1z1", 8_000 - index, "release".ljust(name_length, "x"))
-            for index in range(out)
+            for index in range(permit_count)
         ),
     )
     proposal = ProposalNumber(8_000, "n1.1700000000000.12")
@@ -535,7 +553,7 @@
     )
 
 
-def gossip_service_with_reports(count: int, differ: bool) -> GossipService:
+def gossip_service_with_reports(count: int, has_distinct_tenants: bool) -> GossipService:
     """Return an instance's gossip service with reports of `count` members; it has no socket and sends nothing."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
     placement = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
@@ -552,7 +570,7 @@
             0.0,
             [1_000] * len(FIGURES),
             [1],
-            [(f"tenant {(4 * number * differ + one) % TENANTS}", 5.0) for one in range(4)],
+            [(f"tenant {(4 * number * has_distinct_tenants + one) % TENANTS}", 5.0) for one in range(4)],
         )
         core.handle_message(
             now,
