--- a/benchmarks/histories.py
+++ b/benchmarks/histories.py
@@ -15,7 +15,7 @@
   --workers N          Number of processes; without it half of the processors.
   --record FILE        File with a line for each history; recorded histories are not run again
                        [default: found/histories.jsonl].
-  --quick              Twelve histories, not recorded.
+  --quick              Twelve histories of three machines, not recorded.
 
 A record is valid only for the sources that it was made with: each line has a digest of the package. The last line printed is
 JSON with "holds"; the exit status is 1 if a history violates an invariant. A history is determined by its seed;
--- a/benchmarks/pairs/variants.py
+++ b/benchmarks/pairs/variants.py
@@ -1,4 +1,4 @@
-"""Prepare source variants for a comparison: checkouts in which some module constants are replaced.
+"""Prepare source variants for a comparison: checkouts with some module constants replaced, for measurements only.
 
 A variant is written as `NAME=REVISION[,FILE:CONSTANT=VALUE]...`; `FILE` is below `mulleinhatch/`. Example:
 `slow=HEAD,control_plane/placement.py:KEEP_ADVANTAGE=3.0`.
