--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each run as `python -m benchmarks.NAME [--quick] [--seed N]`: a table, then one JSON line."""
+"""Benchmarks, each run as `python -m benchmarks.NAME [--quick] [--seed N]`; each prints a table, then one JSON line."""
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -4,22 +4,22 @@
   fleet [--quick] [--seed N] [--instances N] [--for SECONDS] [--faults FILE] [--only PART]
 
 Options:
-  --quick         24 processes and two parts, within 45 s.
+  --quick         24 processes and three parts; takes less than 45 s.
   --seed N        Seed of loads and losses [default: 1].
   --instances N   Number of processes; 24 with --quick, else 200.
   --for SECONDS   How long the script of --faults runs [default: 20].
   --faults FILE   Run only this script, with the checks that always hold.
   --only PART     members, cut, budget, even, beside or cost.
 
-members  a dead member is known to 0.99 of the others within 3 s; at 20% loss, with a twentieth of the members paused for 2 s,
+members  0.99 of the others know of a dead member within 3 s; at 20% loss, with a twentieth of the members paused for 2 s,
          no living member is declared gone
-cut      a partition into halves for 12 s (30 s in full): one view again within 3 s, nobody declared gone meanwhile
-budget   demand 3:1 between halves, with leases and with even shares: 0.9 of a total used, and the total kept in any window
-even     the same with a partition into halves: the isolated half uses its even share
-beside   in virtual time, 12 members, a partition into halves for 8 s: leases, even shares, and the total over all heard members
-cost     CPU, memory and bytes of an idle instance, beside the same processes without gossip, and with 20 beside many members
-Each part starts processes of its own. `late` is how late the simulated clients were: above 0.1 s the machine was too busy and
-the run proves nothing. The interpreters record what they run, on one clock: a window is shortened by four times that lateness.
+cut      a partition into halves for 12 s with --quick, else 30 s: one view again within 3 s, no member declared gone meanwhile
+budget   demand 3:1 between halves, with leases: 0.9 of a budget's total used, and never more than the total in any window
+even     the same with a partition into halves: the isolated half uses 0.9 of its even share
+beside   in virtual time, 12 members, a partition into halves for 8 s: leases, even shares, and usage counts sent by gossip
+cost     CPU, memory and bytes of an idle instance, compared with the same processes without gossip, and with few members
+Each part starts its own processes. `late` is the lateness of the simulated clients: above 0.1 s the machine was too busy for a
+valid result. The interpreters record their runs on one clock; a window is shortened by four times that lateness.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 
 MAX_KNOWN_S, MAX_MERGED_S, MIN_USED, MIN_EVEN_USED = 3.0, 3.0, 0.9, 0.9
 MAX_CPU_CORES, MAX_MEMORY_MB, MAX_GROWTH = 0.02, 6.0, 1.3
-MAX_BUSY_INSTANCES = 48  # instances whose requests one machine can run beside their simulated clients
-UNITS_PER_INSTANCE = 40  # of a budget's total, per instance and window
+MAX_BUSY_INSTANCES = 48  # instances under load that one machine can run together with their simulated clients
+UNITS_PER_INSTANCE = 40  # units of a budget's total, per instance and window
 Checks = dict[str, bool]
 
 
@@ -116,7 +116,7 @@
 
 
 async def run_partition(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Checks]:
-    """Measure how a fleet in two halves freezes and merges."""
+    """Measure how views freeze in a fleet partitioned into halves, and merge afterwards."""
     half, length = count // 2, 12.0 if quick else 30.0
     script = f"at 0.5 cut {node_range(0, half - 1)} from {node_range(half, count - 1)} for {length}"
     async with FleetHarness(FleetCase(count, script, seed=seed, run_for=length), folder) as harness:
@@ -139,7 +139,7 @@
 
 
 async def measure_use(case: FleetCase, folder: Path, since: float, first: int) -> dict[str, Any]:
-    """Return the runs in any window, and as a fraction of the total from `since` on; of the first half, of its even share."""
+    """Return the most runs in any window and the runs after `since`, as fractions of the total, and those of the first half."""
     async with FleetHarness(case, folder) as harness:
         names = {node.name for node in harness.nodes}
         await wait_for_complete_views(harness, names, 30.0)
@@ -164,7 +164,7 @@
 
 
 def uneven_demand(count: int, run_for: float, seed: int, script: str = "", leases: bool = True) -> FleetCase:
-    """Return a case with demand 3:1 between halves, slightly above the total; without leases no quota moves."""
+    """Return a case with demand 3:1 between halves, slightly above the total; without leases no quota is transferred."""
     half, total = count // 2, UNITS_PER_INSTANCE * count
     rates = (1.6 * UNITS_PER_INSTANCE * half, 0.53 * UNITS_PER_INSTANCE * (count - half))
     loads = []
@@ -198,7 +198,7 @@
 
 
 async def measure_usage(count: int, seed: int, seconds: float, fleet: bool, folder: Path) -> dict[str, float]:
-    """Return the median CPU and memory of an idle process, and the bytes per second that it sends."""
+    """Return the median CPU and memory of idle processes, and the bytes per second that one sends."""
     async with FleetHarness(
         FleetCase(count, seed=seed, fleet=fleet, total=UNITS_PER_INSTANCE * count if fleet else 0), folder
     ) as harness:
@@ -245,7 +245,7 @@
 
 
 async def run_comparison(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Checks]:
-    """Compare leases with even shares, and with a total that each member counts by itself."""
+    """Compare leases with even shares, and with members that each enforce the total on their own."""
     figures: dict[str, Any] = {}
     for name, how in (("leases", {}), ("even", {"leases": False}), ("gossip", {"leases": False, "gossip": True})):
         world = GossipWorld(
@@ -271,7 +271,7 @@
 
 
 async def run_script(count: int, seed: int, text: str, seconds: float, folder: Path) -> tuple[dict[str, Any], Checks]:
-    """Run a fault script and check that the total is kept."""
+    """Run a fault script and check that the total is never exceeded."""
     case = uneven_demand(count, seconds, seed, text)
     results = await measure_use(case, folder, 0.0, count // 2)
     return results, {"total kept": results["most"] <= 1.0}
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,36 +1,36 @@
-"""Measure what gossip costs an instance at the target size: simulated members in virtual time, slopes, the full size, events.
+"""Measure the cost of gossip per instance up to the target size, with simulated members in virtual time.
 
 Usage:
   scale [options] [--flat | --levels]
 
 Options:
-  --quick         Smaller sizes and shorter times, within 5 minutes.
+  --quick         Smaller sizes and shorter durations; takes less than 5 minutes.
   --seed N        Seed of the whole run [default: 1].
-  --faults FILE   Only this script (of `simulation/scale_instances.py`), at the size of --members; checks the invariants.
+  --faults FILE   Run only this fault script (see `simulation/scale_instances.py`) and check the invariants.
   --for SECONDS   How long the script of --faults runs [default: 30].
-  --members N     The full size; slopes are measured below it [default: 3600].
+  --members N     The full size; costs are fitted over smaller sizes [default: 3600].
   --only PART     slopes, full, events, instance, or one event by name.
   --flat          One flat fleet: every member knows every other.
-  --levels        Fleet state in levels; the default where the cores have it.
-  --workers N     Largest number of processes; without it 4, and 6 at the full size.
-  --record FILE   Write what was measured as JSON for docs/CAPACITY.md.
+  --levels        Aggregate fleet state in levels; the default where the code supports it.
+  --workers N     Maximum number of processes; without it 4, or 6 at 1,800 members or more.
+  --record FILE   Write the results as JSON for docs/CAPACITY.md.
 
 slopes    each cost (bytes and datagrams sent and received with UDP/IP headers, CPU, state by kind, memory) at four sizes,
-          fitted as constant, line or logarithm, whichever is off least, and set out at the full size
-full      the full size played as a whole, calm: the fits must meet it within 15%. Flat, more than MAX_MEMBERS are refused:
-          then the fits are checked at that many, or at 200 with --quick
-events    each: time until the death is known to the members that track the dead one and in the sums of the other zones, living
-          members declared gone, largest traffic, time until views and sums are merged again
-  dead      one dies             loss      5% loss, a twentieth stalled 2 s twice, then one dies
-  churn     8,000 a day          burst     an hour of that (333) in a minute
-  rack      40 of 400 at once    zone      a ninth, gone and back
-  cut       the regions from each other, for minutes      hour   the same for an hour, at 90 members (not with --quick)
-  restart   everybody in a minute                         start  everybody started in a minute
-instance  real processes, by `benchmarks/scale_instance.py`, where that is there
+          fitted by the constant, linear or logarithmic function with the smallest error and extrapolated to the full size
+full      a calm fleet of the full size: the fits must predict its costs within 15%. A flat fleet of more than MAX_MEMBERS is
+          refused; then the fits are checked at MAX_MEMBERS, or at 200 with --quick
+events    for each event: time until the members that track a dead one know of its death, time until the sums of the other zones
+          exclude it, living members declared gone, peak traffic, time until views and sums are merged again
+  dead      one member dies         loss   5% packet loss, a twentieth of the members paused for 2 s twice, then one dies
+  churn     8,000 restarts a day    burst  an hour's share of them (333) in a minute
+  rack      40 of 400 at once       zone   a ninth of the fleet lost and restored
+  cut       a partition between the regions, for minutes  hour   the same for an hour, at 90 members (not with --quick)
+  restart   all members within a minute                   start  the whole fleet started within a minute
+instance  real processes, measured by `benchmarks/scale_instance.py` if that module exists
 
 In virtual time, all figures but CPU seconds and memory are the same on any machine. CPU is thread time of the protocol code, so
 shared caches and sibling threads of a busy machine affect it; `load` shows how busy it was. Sizes of events scale with the
-members.
+number of members.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
             "wrong": wrong,
             "one": world.one(),
         }
-    run.judge("faults", {"no living one declared gone": wrong == 0})
+    run.record_failures("faults", {"no living one declared gone": wrong == 0})
 
 
 def measure_instance(run: ScaleRun) -> Figures:
@@ -79,10 +79,10 @@
     except ModuleNotFoundError as error:
         if error.name != "benchmarks.scale_instance":
             raise
-        run.notes.append("instance: benchmarks/scale_instance.py is not there, not run")
+        run.notes.append("instance: benchmarks/scale_instance.py does not exist, not run")
         return {}
     figures, holds = module.measure(run.options.quick, run.options.seed)
-    run.judge("instance", holds)
+    run.record_failures("instance", holds)
     return figures
 
 
@@ -90,7 +90,7 @@
     """Parse the command line.
 
     Raises:
-        SystemExit: With a line that names the wrong argument.
+        SystemExit: With a message that names the invalid argument.
     """
     arguments = docopt(__doc__, argv)
     try:
@@ -99,13 +99,13 @@
     except ValueError as error:
         sys.exit(f"scale: {error}: --members, --seed, --workers and --for are numbers")
     if members < 9 or not 0 <= workers <= 8 or seconds < 1.0:
-        sys.exit("scale: 9 members, 1 to 8 workers and a second are the least and most")
+        sys.exit("scale: --members must be at least 9, --workers 1 to 8, --for at least 1 second")
     only = arguments["--only"]
     if only and only not in (*PARTS, *EVENTS):
         sys.exit(f"scale: no part {only!r}; there are: {', '.join((*PARTS, *EVENTS))}")
     levels = arguments["--levels"] or knows_levels() and not arguments["--flat"]
     if levels and not knows_levels():
-        sys.exit("scale: these cores know no levels; --flat measures what there is")
+        sys.exit("scale: this version does not support levels; use --flat")
     quick = arguments["--quick"]
     return Options(quick, seed, members, levels, workers, sizes(levels, quick, members)), arguments
 
--- a/benchmarks/scale_calm.py
+++ b/benchmarks/scale_calm.py
@@ -41,18 +41,18 @@
 
 
 def measure_calm(options: Options, members: int, start: float = 0.1) -> Figures:
-    """Return all costs of a calm fleet, as the mean over its instances.
+    """Measure a calm fleet and return all costs as means over its instances.
 
     Args:
         options: Options of the run.
         members: Size of the fleet.
-        start: Virtual seconds in which the members start.
+        start: Virtual seconds within which the members start.
     """
     sizes, started_at = options.sizes, time.monotonic()
-    # A flat fleet of hundreds would spend most of the time on joining; only its costs afterwards are measured here.
+    # A flat fleet starts with complete member lists: hundreds of members would spend most of the run on joining.
     with World(options.plan(members, introduced=not options.levels, start_within=start), options.shards(members)) as world:
         joined = time_until_merged(world.play(max(1.0, start)), MAX_JOINED_S + 30.0)
-        # In a flat fleet reports reach all members the later, the more there are; after 5 s at 1,000 half the rows are missing.
+        # The larger a flat fleet, the longer reports take to reach all members: at 1,000, half are missing after 5 s.
         world.play(float(int(world.now + sizes.settle + (0.0 if options.levels else members / 40.0)) + 1))
         since = world.now
         world.ask("mark")
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -1,6 +1,7 @@
 """The events that the scale benchmark plays: deaths, packet loss, churn, partitions, restarts.
 
-An event joins a fleet, runs a fault script and checks how fast views and sums are correct again. Times are virtual seconds.
+For each event a fleet joins, a fault script runs, and the time until views and sums are correct again is checked. Times are
+virtual seconds.
 """
 
 from __future__ import annotations
@@ -35,28 +36,28 @@
     """A fault scenario.
 
     Attributes:
-        script: Returns the fault script, given the world and the time at which the script may begin.
-        lasts: Time from the begin until the faults are over.
+        script: Returns the fault script, given the world and the earliest time of a fault.
+        duration: Time from the start of the event until the faults are over.
         dead: Returns the places of members that the script kills and keeps down.
-        died: Time from the begin until they are killed.
-        down: Time for which they stay down.
-        members: Size of the fleet; 0 takes that of the run's events.
-        again: Allowed time until views and sums are correct again.
-        burst: Allowed traffic in any second, as a multiple of the calm mean; 0 sets no limit.
+        killed_after: Time from the start of the event until they are killed.
+        down_for: Time for which they stay down.
+        members: Size of the fleet; 0 uses the run's size for events.
+        recovery_limit: Maximum time until views and sums are correct again.
+        burst_limit: Maximum traffic in any second, as a multiple of the calm mean; 0 sets no limit.
     """
 
     script: Callable[[World, float], str]
-    lasts: float
+    duration: float
     dead: Callable[[World], list[int]] | None = None
-    died: float = 0.0
-    down: float = 12.0
+    killed_after: float = 0.0
+    down_for: float = 12.0
     members: int = 0
-    again: float = MAX_MERGED_S
-    burst: float = 0.0
+    recovery_limit: float = MAX_MERGED_S
+    burst_limit: float = 0.0
 
 
 def play_event(options: Options, event: Event) -> tuple[Figures, Checks]:
-    """Play one event: join, stay calm for 10 s, run the script, and observe until 10 s after the views have merged."""
+    """Play one event: join, idle for 10 s, run the script, and observe until 10 s after the views have merged."""
     members = event.members or options.sizes.events
     with World(options.plan(members), options.shards(members)) as world:
         joined = time_until_merged(world.play(world.plan.start_within), MAX_JOINED_S + 30.0)
@@ -64,17 +65,17 @@
         calm_from = world.now
         world.play(calm_from + 10.0)
         before = traffic_of(world.traffic(calm_from, world.now))
-        short = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
+        missing_in_sums = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
         wrongly_gone = world.counts()["wrong"]
         begin = world.now
         world.ask("mark")
         dead = event.dead(world) if event.dead else []
         world.script(event.script(world, begin))
-        world.play(begin + event.died)
+        world.play(begin + event.killed_after)
         holders = {place: there for place, (there, _) in world.holding(dead, frozenset(dead)).items()}
         frozen = 0
-        while world.now < begin + event.lasts:
-            world.play(min(begin + event.lasts, world.now + max(1.0, event.lasts / 8.0)))
+        while world.now < begin + event.duration:
+            world.play(min(begin + event.duration, world.now + max(1.0, event.duration / 8.0)))
             frozen = max(frozen, world.frozen())
         over = world.now
         merged_after_s = time_until_merged(world, 30.0, 0.25)
@@ -95,7 +96,7 @@
         "core": core,
         "wrong": wrongly_gone,
         "frozen": frozen,
-        "sums short in calm": short,
+        "sums short in calm": missing_in_sums,
         "again": merged_after_s,
         "virtual": virtual,
     }
@@ -104,32 +105,34 @@
         f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": after.worst <= MAX_BYTES_A_S,
         f"{MAX_CORE_SHARE:g} of a core": core < MAX_CORE_SHARE,
         "no living one declared gone": wrongly_gone == 0,
-        f"one again in {event.again:g} s": merged_after_s is not None and merged_after_s <= event.again,
+        f"one again in {event.recovery_limit:g} s": merged_after_s is not None and merged_after_s <= event.recovery_limit,
     }
     places = {look.place for look in looks}
     if dead:
-        died = begin + event.died
+        killed_at = begin + event.killed_after
         elsewhere = {place for place in places if ground.zone[place] not in {ground.zone[one] for one in dead}}
-        figures["known"] = known_after(gone, holders, died, 1.0 if options.levels else 0.99)
-        figures["in sums"] = in_sums(looks, elsewhere, died, min(died + event.down, virtual))
+        figures["known"] = known_after(gone, holders, killed_at, 1.0 if options.levels else 0.99)
+        figures["in sums"] = in_sums(looks, elsewhere, killed_at, min(killed_at + event.down_for, virtual))
         holds[f"known in {MAX_KNOWN_S:g} s"] = figures["known"] is not None and figures["known"] <= MAX_KNOWN_S
         holds[f"in sums in {MAX_IN_SUMS_S:g} s"] = figures["in sums"] is not None and figures["in sums"] <= MAX_IN_SUMS_S
     figures["sums again"] = in_sums(looks, places, over, virtual, 0.99)
-    holds[f"sums right in {event.again:g} s"] = figures["sums again"] is not None and figures["sums again"] <= event.again
-    if event.burst:
-        holds[f"no burst above {event.burst:g} x calm"] = figures["over calm"] <= event.burst
+    holds[f"sums right in {event.recovery_limit:g} s"] = (
+        figures["sums again"] is not None and figures["sums again"] <= event.recovery_limit
+    )
+    if event.burst_limit:
+        holds[f"no burst above {event.burst_limit:g} x calm"] = figures["over calm"] <= event.burst_limit
     return figures, holds
 
 
 def random_source(options: Options) -> random.Random:
-    """Return the source of the draws in fault scripts."""
+    """Return the random generator for fault scripts."""
     return random.Random(options.seed + 17)
 
 
-def regions_cut(begin: float, lasts: float, regions: int = 3) -> str:
-    """Return a script that separates all regions from each other."""
+def partition_regions(begin: float, duration: float, regions: int = 3) -> str:
+    """Return a fault script that partitions all regions from each other."""
     return "\n".join(
-        f"at {begin + 0.5:.2f} cut region{one} from region{other} for {lasts:g}"
+        f"at {begin + 0.5:.2f} cut region{one} from region{other} for {duration:g}"
         for one in range(regions)
         for other in range(one + 1, regions)
     )
@@ -168,21 +171,21 @@
 
 
 def play_churn(options: Options, at_once: bool) -> tuple[Figures, Checks]:
-    """Restart members at the rate of a day, or an hour's restarts in a minute."""
-    lasts = options.sizes.minute
+    """Restart members at the daily rate, or an hour's restarts within a minute."""
+    duration = options.sizes.minute
     rate = BURST_RESTARTS * 86_400.0 / 60.0 if at_once else RESTARTS_A_DAY
 
     def script(world: World, begin: float) -> str:
         members = world.plan.members
-        # At a small size and over a short time, less than one would restart; then one does.
-        rated = max(rate * members / TARGET_MEMBERS, 86_400.0 / lasts)
-        return churn(random_source(options), members, rated, begin, lasts)
+        # In a small fleet and a short run the rate would give less than one restart; at least one is played.
+        rated = max(rate * members / TARGET_MEMBERS, 86_400.0 / duration)
+        return churn(random_source(options), members, rated, begin, duration)
 
-    return play_event(options, Event(script, lasts + 8.0))
+    return play_event(options, Event(script, duration + 8.0))
 
 
 def play_rack_loss(options: Options) -> tuple[Figures, Checks]:
-    """Kill 40 of a zone's 400 members, so a tenth of a smaller zone: more would be most of a group."""
+    """Kill 40 of a zone's 400 members, or a tenth of a smaller zone: more would be the majority of a group."""
 
     def places(world: World) -> list[int]:
         size = max(2, RACK * world.plan.members // TARGET_MEMBERS)
@@ -205,41 +208,43 @@
 
 
 def play_partition(options: Options) -> tuple[Figures, Checks]:
-    """Separate the regions for minutes."""
-    lasts = options.sizes.cut
-    return play_event(options, Event(lambda world, begin: regions_cut(begin, lasts), lasts + 0.5, burst=MAX_BURST_FACTOR))
+    """Partition the regions for minutes."""
+    duration = options.sizes.cut
+    return play_event(
+        options, Event(lambda world, begin: partition_regions(begin, duration), duration + 0.5, burst_limit=MAX_BURST_FACTOR)
+    )
 
 
 def play_hour_of_partition(options: Options) -> tuple[Figures, Checks]:
-    """Separate the regions for an hour, in a small fleet."""
+    """Partition the regions for an hour, in a small fleet."""
     return play_event(
-        options, Event(lambda world, begin: regions_cut(begin, 3600.0), 3600.5, members=90, burst=MAX_BURST_FACTOR)
+        options, Event(lambda world, begin: partition_regions(begin, 3600.0), 3600.5, members=90, burst_limit=MAX_BURST_FACTOR)
     )
 
 
 def play_restart_of_all(options: Options) -> tuple[Figures, Checks]:
     """Restart all members within a minute."""
-    lasts = options.sizes.minute
+    duration = options.sizes.minute
     return play_event(
         options,
         Event(
-            lambda world, begin: restart_all(random_source(options), world.plan.members, begin, lasts),
-            lasts + 1.0,
-            again=MAX_JOINED_S,
+            lambda world, begin: restart_all(random_source(options), world.plan.members, begin, duration),
+            duration + 1.0,
+            recovery_limit=MAX_JOINED_S,
         ),
     )
 
 
 def play_start_of_all(options: Options) -> tuple[Figures, Checks]:
     """Start all members within a minute, and measure from the last start until views are merged and sums count 0.99."""
-    members, lasts = options.sizes.events, options.sizes.minute
-    with World(options.plan(members, start_within=lasts), options.shards(members)) as world:
-        world.play(lasts)
+    members, duration = options.sizes.events, options.sizes.minute
+    with World(options.plan(members, start_within=duration), options.shards(members)) as world:
+        world.play(duration)
         joined = time_until_merged(world, MAX_JOINED_S + 30.0)
         world.play(world.now + 5.0)
         looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
         traffic = traffic_of(world.traffic(0, int(world.now)))
-    in_sums_after_s = in_sums(looks, {look.place for look in looks}, lasts, virtual, 0.99)
+    in_sums_after_s = in_sums(looks, {look.place for look in looks}, duration, virtual, 0.99)
     figures = {
         "members": members,
         "joined": joined,
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -1,23 +1,25 @@
-"""What one real service instance costs at the target size: a request, a connection, a caller, a tenant, a class, a reload.
+"""Measure what requests, connections, callers, tenants, classes and reloads cost one real instance at the target size.
 
 Usage:
   scale_instance [--quick] [--seed N] [--only PART] [--record FILE]
 
 Options:
   --quick        Smaller sizes and shorter runs.
-  --seed N       Of the load [default: 1].
-  --only PART    One part: added, connections, callers, tenants, routes or reload.
-  --record FILE  Write the costs by size to FILE as JSON; with --only, beside the other parts that it holds.
-
-Real processes on loopback: an instance with -O, its stand-in interpreter, a driver of open load whose latencies count from
-when a request was due. `added` sets the latency through the instance beside the same driver that speaks the interpreter's own
-link to another interpreter of the same kind: the same requests with the same work, in turns, in the slices of time in which the
-driver itself was on time, if they are enough. The wait of what the instance holds back is in it, and what the driver needs for
-HTTP instead of the link's lines. A route is a class, which the last part of a request's path names: there is no other notion
-of one. Costs by size are fitted (`benchmarks/fits.py`); without --quick the largest size is left out of the fit and checks it.
-Aims: 2.6 ms added at p99 at 275 requests a second and when a zone or a region is gone; no request lost, also while the settings
-are read anew; in full, fits of CPU and memory of settings within 15% of their checks. What a size needs beside its bound is no
-aim here: docs/CAPACITY.md has that table. A busy machine shows in how late the driver itself is, and misses the first aim.
+  --seed N       Seed of the load [default: 1].
+  --only PART    Run one part: added, connections, callers, tenants, routes or reload.
+  --record FILE  Write the costs by size to FILE as JSON; with --only, other parts already in FILE are kept.
+
+Real processes run on loopback: an instance with -O, a fake interpreter, and an open-loop load generator ("driver") that
+measures latency from the time at which a request was due. `added` compares latency through the instance with that of the same
+driver speaking the interpreter's own protocol to a second interpreter of the same kind: the same requests with the same work,
+in alternating runs, over the time slices in which the driver itself was on time, if there are enough of them. Added latency
+includes queueing in the instance and the driver's extra cost of HTTP over the interpreter's protocol. A route is a class, named
+by the last segment of a request's path. Costs by size are fitted (`benchmarks/fits.py`); without --quick the largest size is
+excluded from the fit and checks it.
+Objectives: at most 2.6 ms added at p99 at 275 requests a second and after the loss of a zone or a region; no request lost, also
+during a reload of the settings; without --quick, fits of CPU and memory of settings within 15% of their checks. Whether a cost
+stays below its limit is not checked here but in docs/CAPACITY.md. On a busy machine the driver itself is late, and the first
+objective may fail.
 """
 
 from __future__ import annotations
@@ -54,8 +56,8 @@
 }
 
 
-def measured(quick: bool, seed: int, parts: list[str]) -> Measurements:
-    """Run parts, each in a new folder, and return what they measured."""
+def run_parts(quick: bool, seed: int, parts: list[str]) -> Measurements:
+    """Run parts, each in a new folder, and return their measurements."""
     measurements = Measurements(quick, seed)
     keep_environment()
     for part in parts:
@@ -88,9 +90,9 @@
     """Run all parts.
 
     Returns:
-        Figures by part, with `costs`, `events` and `notes` as a record has them, and the checks with whether they hold.
+        Figures by part, with `costs`, `events` and `notes` as in a record, and for each check whether it passed.
     """
-    measurements = measured(quick, seed, list(PARTS))
+    measurements = run_parts(quick, seed, list(PARTS))
     return {
         **measurements.figures,
         "costs": measurements.costs,
@@ -112,7 +114,7 @@
 def record(path: Path, measurements: Measurements, command: str, parts: list[str]) -> None:
     """Write the record; parts that did not run keep their recorded costs.
 
-    Each note begins with its part, by which the notes of a part are replaced.
+    Each note begins with the name of its part, so that the notes of a part that ran again are replaced.
     """
     old = json.loads(path.read_text()) if path.exists() and len(parts) < len(PARTS) else {}
     notes = [note for note in old.get("notes", []) if note.partition(":")[0] not in parts]
@@ -160,13 +162,13 @@
     """Run the chosen parts and print their figures; return 1 if a check failed, 2 for a wrong argument."""
     options = docopt(__doc__, argv)
     if options["--only"] and options["--only"] not in PARTS:
-        print(f"scale_instance: --only: {options['--only']!r} is none of {', '.join(PARTS)}", file=sys.stderr)
+        print(f"scale_instance: --only: {options['--only']!r} is not one of {', '.join(PARTS)}", file=sys.stderr)
         return 2
     if not options["--seed"].isdecimal():
         print(f"scale_instance: --seed: {options['--seed']!r} is no whole number", file=sys.stderr)
         return 2
     parts = [options["--only"]] if options["--only"] else list(PARTS)
-    measurements = measured(options["--quick"], int(options["--seed"]), parts)
+    measurements = run_parts(options["--quick"], int(options["--seed"]), parts)
     if options["--record"]:
         arguments = [
             argument
--- a/benchmarks/scale_instance_load.py
+++ b/benchmarks/scale_instance_load.py
@@ -11,11 +11,12 @@
 from mulleinhatch.testing.load_generator import calm_latencies
 from mulleinhatch.testing.single_instance import Driving, SingleInstance, driven, settings
 
-MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # milliseconds at p99; share of a core
+MAX_ADDED_MS, MAX_CORE_SHARE = 2.6, 0.9  # added milliseconds at p99; share of a core
+# Maximum lateness of the load generator in a calm time slice, in seconds, and the responses needed in such slices.
 MAX_DRIVER_LATE_S, MIN_CALM_ANSWERS = (
     0.0005,
     500,
-)  # seconds that a driver is late in a calm slice at most; answers that are enough
+)
 
 
 def quantile(values: list[float], fraction: float) -> float:
@@ -28,9 +29,9 @@
 ) -> dict[str, float]:
     """Compare latency to the interpreter alone and through the instance, in alternating runs.
 
-    `pair_p99` is the median of the pairs' differences over all responses. The `added_` figures are between all runs of each
-    kind, over the time slices in which the load generator itself was on time, if there are enough of them; that choice does
-    not depend on which side responds.
+    `pair_p99` is the median over the pairs of runs of their difference at p99, over all responses. The `added_` figures compare
+    all runs of each kind over the time slices in which the load generator itself was on time, if there are enough of them;
+    that selection does not depend on which side responds.
 
     Returns:
         Latencies in milliseconds, the instance's CPU use, and counts of lost and rejected requests.
@@ -73,7 +74,7 @@
 
 
 def added(measurements: Measurements, folder: Path) -> None:
-    """Measure the added latency at the rates of the target, and the highest rate that one instance carries."""
+    """Measure the added latency at the target rates, and the highest rate that one instance sustains."""
     count, seconds = (2, 2.0) if measurements.quick else (4, 4.0)
     with SingleInstance(folder, settings(1000)) as instance:
         other = SingleInstance._interpreter(port := free_port())
@@ -102,10 +103,11 @@
             other.kill()
             other.wait()
     by_rate = sorted([*rows, *rising], key=lambda row: row["rate"])
-    broke = next((row for row in by_rate if not is_within_limits(row)), by_rate[-1])
-    highest_rate = max((row["rate"] for row in by_rate if row["rate"] < broke["rate"]), default=0)
+    first_failure = next((row for row in by_rate if not is_within_limits(row)), by_rate[-1])
+    highest_rate = max((row["rate"] for row in by_rate if row["rate"] < first_failure["rate"]), default=0)
     measurements.figures["added"] = {"rows": rows, "rising": rising, "most": highest_rate}
-    steady = by_rate if by_rate[-1] is not broke else by_rate[:-1]  # beyond its capacity, waits grow with the run
+    # Above capacity, queueing times grow with the duration of a run.
+    steady = by_rate if by_rate[-1] is not first_failure else by_rate[:-1]
     for name, unit, key in (
         ("request.added_p50", "ms", "added_p50"),
         ("request.added_p99", "ms", "added_p99"),
@@ -132,9 +134,9 @@
         }
     measurements.events["most that one instance carries"] = {
         "rate": highest_rate,
-        "broke_at": broke["rate"],
-        "broke_added_p99": broke["added_p99"],
-        "broke_core": broke["core"],
+        "broke_at": first_failure["rate"],
+        "broke_added_p99": first_failure["added_p99"],
+        "broke_core": first_failure["core"],
     }
     for label, row in zip(("at 275/s", "a zone gone", "a region gone"), rows):
         measurements.holds[f"added p99 within {MAX_ADDED_MS} ms: {label}"] = row["added_p99"] <= MAX_ADDED_MS
@@ -166,10 +168,10 @@
 
 
 def callers(measurements: Measurements, folder: Path) -> None:
-    """Measure memory and CPU by the number of callers, without tenants, so that fairness goes by callers.
+    """Measure memory and CPU by the number of callers, without tenants, so that fairness is by caller.
 
-    A fifth of the requests are marked as retries, which the retry accounting by caller counts. Before, ten callers send enough
-    requests to fill everything that is kept by request.
+    A fifth of the requests are marked as retries, so that retries are counted by caller. During warm-up, ten callers send
+    enough requests to fill all state kept by request.
     """
     sizes = (10, 300, 1000, 3000) if measurements.quick else (10, 1000, 5000, 20_000, 48_000)
     warm, rate, rows, answered = 1600 if measurements.quick else 20_000, 800, [], 0
@@ -189,9 +191,8 @@
         "request.callers_cpu", "ms of CPU a request", "callers", [(row["callers"], row["cpu_ms"]) for row in rows]
     )
     if not measurements.quick:
-        with SingleInstance(
-            folder, settings()
-        ) as instance:  # as many requests, ten callers: what is by requests, and not by callers
+        # The same number of requests from ten callers shows which memory depends on requests rather than on callers.
+        with SingleInstance(folder, settings()) as instance:
             measurements.drive(instance, rate, (warm + answered) / rate, callers=10, repeats=0.2, connections=256)
             measurements.events["as many requests of ten callers"] = {
                 "requests": warm + answered,
--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -1,4 +1,4 @@
-"""What the parts of the instance benchmark collect: figures, costs by size, events and checks."""
+"""Results collected by the parts of the instance benchmark: figures, costs by size, events and checks."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     """Figures by part, costs by size, events and checks.
 
     Attributes:
-        late: The load generator's own lateness at p99 of each run, in ms.
+        late: Lateness of the load generator itself at p99 of each run, in ms.
         lost: Requests without a response.
-        broken: Those of them whose connection ended or was never established.
+        broken: Lost requests whose connection ended or was never established.
     """
 
     def __init__(self, quick: bool, seed: int) -> None:
@@ -62,7 +62,7 @@
         }
 
     def is_wait(self, name: str) -> bool:
-        """Return whether a cost is wall-clock time, which other processes on the machine influence."""
+        """Return whether a cost is wall-clock time, which other processes on the machine affect."""
         return self.costs[name]["unit"].split()[0] == "s" and "CPU" not in self.costs[name]["unit"]
 
     def check_error(self, name: str) -> float | None:
--- a/benchmarks/scale_instance_settings.py
+++ b/benchmarks/scale_instance_settings.py
@@ -1,4 +1,4 @@
-"""Costs of settings on one instance: start with many tenants or classes, and reloads."""
+"""Costs of settings on one instance: starts with many tenants or classes, and reloads."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
             "rejected": used["answered"] - used["statuses"].get("200", 0),
         }
         if "tenants" in load_options:
-            # Who sends bad requests is read more slowly the more it sent: many connections, a small rate.
+            # A connection is read more slowly the more invalid requests it has sent: use many connections and a low rate.
             unknown = measurements.drive(
                 instance, 60, 2.0 if measurements.quick else 6.0, connections=400, tenant="x%07d", **load_options
             )
@@ -60,7 +60,7 @@
         for size in sizes
     ]
     measurements.figures["tenants"] = rows
-    settings_costs(measurements, "tenants", rows)
+    add_settings_costs(measurements, "tenants", rows)
     measurements.cost(
         "request.tenants_unknown_cpu",
         "ms of CPU a request",
@@ -69,7 +69,7 @@
     )
 
 
-def settings_costs(measurements: Measurements, size: str, rows: list[dict[str, float]]) -> None:
+def add_settings_costs(measurements: Measurements, size: str, rows: list[dict[str, float]]) -> None:
     """Store the costs of starts over a size."""
     for name, unit, key in (
         ("json", "MB", "json_mb"),
@@ -86,7 +86,7 @@
 
 
 def routes(measurements: Measurements, folder: Path) -> None:
-    """Measure starts by the number of classes: four distinct values as a deployment has few, then one value per class."""
+    """Measure starts by the number of classes: with four distinct `worth` values, as in a deployment, then one per class."""
     sizes = (10, 100, 1000, 5000) if measurements.quick else (10, 100, 1000, 10_000, 44_000)
     run_for = 2.0 if measurements.quick else 8.0
     rows = [
@@ -94,7 +94,7 @@
         for size in sizes
     ]
     measurements.figures["routes"] = rows
-    settings_costs(measurements, "classes", rows)
+    add_settings_costs(measurements, "classes", rows)
     each = []
     for size in (1000, 2000) if measurements.quick else (1000, 5000, 10_000, 20_000):
         with SingleInstance(folder, settings(0, size, worths=size)) as instance:
@@ -108,15 +108,15 @@
 
 
 def measure_reload(measurements: Measurements, folder: Path, size: int, times: int) -> dict[str, float]:
-    """Reload settings with one tenant's quota changed, under an even load on connections that were opened before."""
+    """Reload settings with one tenant's quota changed, under even load on connections opened before the reload."""
     instance_settings, rate = settings(size), 40.0
     with SingleInstance(folder, instance_settings, sockets=4096) as instance:
         measurements.drive(instance, CALM_RATE, 0.5 * WARM_UP_S, tenants=size)
-        guess = 0.5 + 2.0 * instance.ready_cpu_s
+        expected_reload_s = 0.5 + 2.0 * instance.ready_cpu_s
         driving = Driving(
             instance.port,
             rate,
-            2.0 + times * (guess + 0.7),
+            2.0 + times * (expected_reload_s + 0.7),
             even=True,
             keep=True,
             connections=400,
@@ -128,7 +128,7 @@
         time.sleep(0.5)
         cpu, at = instance.cpu(), time.monotonic()
         time.sleep(1.0)
-        usual = (instance.cpu() - cpu) / (time.monotonic() - at)
+        baseline_cores = (instance.cpu() - cpu) / (time.monotonic() - at)
         before, spent, spans, memory_after = instance.memory(), [], [], []
         instance.forget_peak()
         for number in range(times):
@@ -141,10 +141,10 @@
                 time.sleep(0.1)
             time.sleep(0.3)
             end = time.monotonic()
-            spent.append(instance.cpu() - cpu - usual * (end - at))
+            spent.append(instance.cpu() - cpu - baseline_cores * (end - at))
             spans.append((at, end))
             memory_after.append(instance.memory())
-            time.sleep(max(0.0, guess - (end - at)))
+            time.sleep(max(0.0, expected_reload_s - (end - at)))
         report, counted, peak, left = (
             measurements.add_report(driving.done()),
             instance.counters(),
@@ -187,9 +187,7 @@
     measurements.cost("settings.reload_memory", "MB after the last reload", "tenants", points["after_last_mb"])
     measurements.cost("settings.reload_peak", "MB resident at most", "tenants", points["peak_mb"])
     measurements.cost("settings.reload_core", "share of a core at 5,700 a day", "tenants", points["core_at_target"])
-    measurements.notes.append(
-        f"reload: of the changed tenants nothing came into force, left until a restart: {rows[-1]['left']}"
-    )
+    measurements.notes.append(f"reload: changes to tenants take effect only after a restart; pending: {rows[-1]['left']}")
     for row in rows:
         measurements.events[f"reload with {row['tenants']} tenants"] = {
             key: value for key, value in row.items() if key not in ("tenants", "left")
--- a/benchmarks/scale_options.py
+++ b/benchmarks/scale_options.py
@@ -1,4 +1,4 @@
-"""What a run of the scale benchmark plays, and the limits that its figures must keep.
+"""Options and sizes of the scale benchmark, and the limits that its figures are checked against.
 
 Durations are seconds of virtual time.
 """
@@ -21,14 +21,14 @@
     """Numbers of members and durations in virtual seconds.
 
     Attributes:
-        slopes: Members of each fleet that costs are fitted over.
+        slopes: Members of each fleet used to fit the costs.
         checked: Members of the fleet that the fits are checked against.
         events: Members of the fleets that events are played in.
-        settle: Time after joining until its news has spread.
+        settle: Time after joining until all gossip about it has spread.
         calm: Time over which costs are measured.
         cut: Duration of the partition.
-        minute: Time in which a burst of churn comes, or all members restart.
-        start: Time in which the members of the checked fleet start.
+        minute: Time within which a burst of churn happens, or all members restart.
+        start: Time within which the members of the checked fleet start.
     """
 
     slopes: tuple[int, ...]
@@ -56,9 +56,9 @@
         steps = [25, 50, 100, 150] if quick else [25, 100, 200, 400]
         full, events = min(members, 200 if quick else MAX_MEMBERS), 27 if quick else 225
     small = [step for step in steps if step < full] or [full]
-    # In a flat fleet all know each other from the start: a member that starts late would be declared gone by the others.
+    # In a flat fleet all members know each other from the start, so the others would declare a late starter gone.
     start = 0.1 if not levels else 3.0 if quick else 60.0
-    # The news of starts within a minute has spread some 25 s after all have joined.
+    # With starts spread over a minute, gossip about them has reached all members some 25 s after the last join.
     full_times = (25.0, 10.0, 180.0, 60.0) if levels else (5.0, 10.0, 60.0, 60.0)
     settle, calm, cut, minute = (4.0, 5.0, 20.0, 10.0) if quick else full_times
     return Sizes(tuple(small), full, min(members, events), settle, calm, cut, minute, start)
@@ -70,7 +70,7 @@
     Attributes:
         members: The full size.
         levels: Whether fleet state is aggregated in levels; else every member knows every other.
-        workers: Largest number of processes; 0 chooses by size.
+        workers: Maximum number of processes; 0 chooses by size.
     """
 
     quick: bool
@@ -85,9 +85,9 @@
         return Plan(members=members, levels=self.levels, seed=self.seed, **more)
 
     def shards(self, members: int) -> int:
-        """Return the number of processes for a fleet: for few members, waking the processes would take longer than the work."""
+        """Return the number of processes for a fleet; with few members each, waking a process takes longer than its work."""
         return max(1, min(self.most_workers(members), members // (300 if self.levels else 100)))
 
     def most_workers(self, members: int) -> int:
-        """Return the largest number of processes for fleets up to a size."""
+        """Return the maximum number of processes for fleets up to a size."""
         return self.workers or (6 if members >= 1800 else 4)
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -1,4 +1,4 @@
-"""One run of the scale benchmark: slopes, the full size and events, with the record and the tables made of them."""
+"""One run of the scale benchmark: slopes, the full size and events, with its record and tables."""
 
 from __future__ import annotations
 
@@ -31,36 +31,36 @@
         self.notes: list[str] = []
         self.missed: dict[str, list[str]] = {}
 
-    def judge(self, part: str, holds: Checks) -> None:
-        """Note the checks of a part that failed."""
+    def record_failures(self, part: str, holds: Checks) -> None:
+        """Store the failed checks of a part."""
         if missed := [check for check, is_met in holds.items() if not is_met]:
             self.missed.setdefault(part, []).extend(missed)
 
     # Slopes and the full size.
 
     def run_concurrently(self, members: int, play: Callable[[Any], Any], jobs: list[Any]) -> list[Any]:
-        """Run jobs on worlds of up to a size, as many at a time as there may be processes."""
+        """Run jobs on fleets of up to a size concurrently, within the limit on processes."""
         at_a_time = max(1, self.options.most_workers(members) // self.options.shards(members))
         with ThreadPoolExecutor(at_a_time) as pool:
             return list(pool.map(play, jobs))
 
     def slopes(self) -> None:
-        """Measure calm fleets at each size that costs are fitted over."""
+        """Measure calm fleets at each size used to fit the costs."""
         small = [size for size in self.options.sizes.slopes if self.options.shards(size) == 1]
         large = [size for size in self.options.sizes.slopes if size not in small]
         for sizes in [small, *([size] for size in large)]:
             results = self.run_concurrently(max(sizes, default=2), lambda size: measure_calm(self.options, size), sizes)
             for size, figures in zip(sizes, results):
-                self.by_size[size] = self.measured(size, figures)
+                self.by_size[size] = self.check_calm_figures(size, figures)
 
-    def measured(self, members: int, figures: Figures) -> Figures:
-        """Note and check the figures of a calm fleet."""
+    def check_calm_figures(self, members: int, figures: Figures) -> Figures:
+        """Print and check the figures of a calm fleet, and return them."""
         print(f"{members} members: {figures_text(figures)}", file=sys.stderr, flush=True)
         self.notes.append(
             f"{members} members calm: {figures['speed']} virtual s a second by {self.options.shards(members)} "
             f"processes, load {figures['load']:.0f}"
         )
-        self.judge(
+        self.record_failures(
             "slopes",
             {
                 f"nobody living declared gone at {members}": figures["wrong"] == 0,
@@ -70,16 +70,16 @@
         return figures
 
     def play_full(self) -> None:
-        """Measure the full size as a whole and check limits and fits there."""
+        """Measure a fleet of the full size and check limits and fits against it."""
         members, options = self.options.sizes.checked, self.options
         if not options.levels and options.members > MAX_MEMBERS:
             self.notes.append(f"refused: a flat fleet holds {MAX_MEMBERS} members, so {options.members} cannot be played")
-            self.judge("full", {f"{options.members} members in one fleet": False})
+            self.record_failures("full", {f"{options.members} members in one fleet": False})
         if members < options.members:
             self.notes.append(f"played as a whole: {members} of {options.members}")
-        figures = self.measured(members, measure_calm(options, members, options.sizes.start))
+        figures = self.check_calm_figures(members, measure_calm(options, members, options.sizes.start))
         self.full = members, figures
-        self.judge(
+        self.record_failures(
             "full",
             {
                 f"{MAX_BYTES_A_S:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= MAX_BYTES_A_S,
@@ -93,7 +93,7 @@
                 error = abs(self.fit_of(cost).at(members) / max(cost["checked"][1], 1e-9) - 1.0)
                 if name.removeprefix(f"{ROLE}.") in ("bytes", "core", "state"):
                     check = f"fit of {name} within {fits.MAX_CHECK_ERROR:.0%} at {members} (off {error:.0%})"
-                    self.judge("full", {check: error <= fits.MAX_CHECK_ERROR})
+                    self.record_failures("full", {check: error <= fits.MAX_CHECK_ERROR})
 
     @staticmethod
     def fit_of(cost: Figures) -> records.Fit:
@@ -128,9 +128,9 @@
 
         for name, (figures, holds) in zip(names, self.run_concurrently(self.options.sizes.events, play, names)):
             self.events[name] = figures
-            self.judge(name, holds)
+            self.record_failures(name, holds)
 
-    # What comes out.
+    # Output.
 
     def record(self, command: str) -> Figures:
         """Return the record of the run."""
@@ -153,9 +153,9 @@
                 "unit",
                 *(str(size) for size in self.by_size),
                 "fit",
-                "off at most",
+                "max error",
                 f"at {self.options.members}",
-                "played",
+                "measured",
                 title="slopes",
             )
             for name, cost in costs.items():
