--- a/benchmarks/caller_books.py
+++ b/benchmarks/caller_books.py
@@ -1,15 +1,15 @@
-"""The sketch of heavy callers beside a plain dict of counts, by time and memory.
+"""Compare the sketch of heavy callers with a plain dict of counts, by time and memory.
 
 Usage:
   caller_books [--quick] [--seed N]
 
 Options:
-  --quick   Fewer adds.
-  --seed N  Of the callers [default: 1].
+  --quick   Fewer requests.
+  --seed N  Seed of the callers [default: 1].
 
-Half of all tries come from ten callers, the rest evenly from all. Memory is what the structures hold (tracemalloc), time
-the mean of an add. Aims: at 100,000 callers a twentieth of the dict's memory, the ten heaviest found, an add below six
-times the dict's.
+Half of all requests come from ten callers, the rest uniformly from all. Memory is that of the structures (tracemalloc), time
+is the mean per added request. Objectives at 100,000 callers: at most a twentieth of the dict's memory and six times its time,
+and the ten heaviest callers are found.
 """
 
 from __future__ import annotations
@@ -30,33 +30,39 @@
 CAPACITY = 512
 
 
-def measured(make, add, callers: list[int]) -> tuple[object, float, int]:
-    """The structure, microseconds an add, bytes held."""
+def measure(make, add, callers: list[int]) -> tuple[object, float, int]:
+    """Count the requests of callers in a new structure.
+
+    Returns:
+        The structure, microseconds per added request, and bytes in memory.
+    """
     tracemalloc.start()
-    kept = make()
+    counts = make()
     for caller in callers:
-        add(kept, caller)
+        add(counts, caller)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     timed, start = make(), time.perf_counter()
     for caller in callers:
         add(timed, caller)
-    return kept, 1e6 * (time.perf_counter() - start) / len(callers), memory_bytes
+    return counts, 1e6 * (time.perf_counter() - start) / len(callers), memory_bytes
 
 
-def plain_add(counts: dict[int, int], caller: int) -> None:
+def add_to_dict(counts: dict[int, int], caller: int) -> None:
+    """Count a request of a caller."""
     counts[caller] = counts.get(caller, 0) + 1
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the benchmark and print its figures; return 1 if an objective was missed."""
     options = docopt(__doc__, argv)
     draw, adds = random.Random(int(options["--seed"])), 200_000 if options["--quick"] else 1_000_000
     table = Table("callers", "dict us", "sketch us", "dict kB", "sketch kB", "heavy found")
     rows = []
     for count in (100, 1000, 10_000, 100_000):
         callers = [draw.randrange(10) if draw.random() < 0.5 else draw.randrange(count) for _ in range(adds)]
-        _, plain_us, plain_bytes = measured(dict, plain_add, callers)
-        sketch, us, memory_bytes = measured(lambda: HeavyCallers(CAPACITY), HeavyCallers.add, callers)
+        _, plain_us, plain_bytes = measure(dict, add_to_dict, callers)
+        sketch, us, memory_bytes = measure(lambda: HeavyCallers(CAPACITY), HeavyCallers.add, callers)
         heavy = {caller for caller, _ in Counter(callers).most_common(10)}
         found = len(heavy & {caller for caller, _ in sketch.most_frequent(10)})
         rows.append(
--- a/benchmarks/loudest.py
+++ b/benchmarks/loudest.py
@@ -1,4 +1,4 @@
-"""The most active of 100,000 tenants: a sketch of bounded memory beside a plain dict.
+"""Find the most active of 100,000 tenants: a sketch of bounded memory compared with a plain dict.
 
 Usage:
   loudest [--quick] [--seed N]
@@ -7,7 +7,7 @@
   --quick   Fewer requests.
   --seed N  Seed of the names [default: 1].
 
-Checked: the four most active are found, in under a tenth of the memory and six times the time.
+Objectives: the sketch finds the four most active with less than a tenth of the dict's memory and six times its time.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def draw_requests(count: int, seed: int) -> list[str]:
-    """Return names with a long tail and four active ones: 4, 3, 2 and 1.5% of all."""
+    """Return tenant names with a long tail, of which four active tenants make up 4, 3, 2 and 1.5%."""
     draw = random.Random(seed)
     active = [f"loud {index}" for index in range(ACTIVE)]
     return [
@@ -47,7 +47,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Compare the two and print the figures; return 1 where a check failed."""
+    """Compare the two and print the figures; return 1 if a check failed."""
     options = docopt(__doc__, argv)
     names = draw_requests(50_000 if options["--quick"] else 1_000_000, int(options["--seed"]))
     plain: Counter[str] = Counter()
@@ -68,10 +68,10 @@
         "dict": min(time_per_request_us(names, count) for _ in range(ROUNDS)),
         "sketch": min(time_per_request_us(names, HeavyHitters(CAPACITY).add) for _ in range(ROUNDS)),
     }
-    print(f"{'':8}{'us an op':>10}{'KB held':>10}{'names':>10}")
+    print(f"{'':8}{'us/request':>10}{'KB':>10}{'names':>10}")
     for what, names_kept in (("dict", len(plain)), ("sketch", len(sketch.counts))):
         print(f"{what:8}{cost[what]:10.2f}{memory_kb[what]:10.0f}{names_kept:10}")
-    print(f"of the {ACTIVE} loudest found: {len(found & expected)}")
+    print(f"of the {ACTIVE} most active found: {len(found & expected)}")
     passed = found == expected and memory_kb["sketch"] < 0.1 * memory_kb["dict"] and cost["sketch"] < 6.0 * cost["dict"]
     print(json.dumps({"us": cost, "kb": memory_kb, "found": len(found & expected), "holds": passed}))
     return 0 if passed else 1
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -6,9 +6,9 @@
 Options:
   --quick      Histories for 15 s and three planted defects.
   --seed N     Seed of the first history [default: 1].
-  --seconds N  Duration of the campaign without a defect; without it 15 s with --quick, else 300 s.
+  --seconds N  Duration of the campaign without a defect; the default is 15 s with --quick, else 300 s.
 
-Aims: each planted defect is detected within 60 s; without a defect nothing is reported.
+Objectives: each planted defect is detected within 60 s; without a defect nothing is reported.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the campaigns and print their figures; return 1 if an aim is missed."""
+    """Run the campaigns and print their figures; return 1 if an objective is missed."""
     options = docopt(__doc__, argv)
     quick, seed = options["--quick"], int(options["--seed"])
     without_defect = campaign.campaign(itertools.count(seed), float(options["--seconds"] or (15 if quick else 300)))
-    table, found = Table("planted", "seconds", "histories", "what was seen"), {}
+    table, found = Table("planted defect", "seconds", "histories", "violation"), {}
     for name in QUICK_DEFECTS if quick else defects.DEFECTS:
         with_defect = campaign.campaign(itertools.count(seed), MAX_DETECTION_S, name, stop_at_first=True)
         found[name] = round(with_defect.seconds, 1) if with_defect.findings else None
@@ -44,9 +44,9 @@
         )
     console = Console(width=150)
     console.print(table)
-    a_minute = 60.0 * without_defect.histories / without_defect.seconds
+    per_minute = 60.0 * without_defect.histories / without_defect.seconds
     console.print(
-        f"{without_defect.histories} histories, {a_minute:.0f} a minute, {without_defect.states} states, "
+        f"{without_defect.histories} histories, {per_minute:.0f} per minute, {without_defect.states} states, "
         f"growth {without_defect.growth}"
     )
     for finding in without_defect.findings:
@@ -57,7 +57,7 @@
         json.dumps(
             {
                 "histories": without_defect.histories,
-                "a minute": round(a_minute),
+                "a minute": round(per_minute),
                 "states": without_defect.states,
                 "growth": without_defect.growth,
                 "found": found,
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,23 +1,25 @@
-"""Load balancing between many instances that each see little: in virtual time, and with real processes on loopback.
+"""Load balancing between many instances, each with few samples of its own: in virtual time, and as processes on loopback.
 
 Usage:
   spread [--quick] [--seed N] [--instances N] [--for SECONDS] [--faults FILE] [--only PART] [--plot FILE]
 
 Options:
-  --quick         24 instances, three cases in virtual time and one with processes, within 45 s.
+  --quick         24 instances, three cases in virtual time and one with processes; takes less than 45 s.
   --seed N        Seed of loads and faults [default: 1].
   --instances N   24 with --quick, else 200 processes and 60 in virtual time.
-  --for SECONDS   How long to measure, after the warm-up.
-  --faults FILE   Run only this script, in virtual time and with processes, with the checks that always hold.
+  --for SECONDS   Duration of the measurement after warm-up; 8 with --quick, else 20.
+  --faults FILE   Run only this script, in virtual time and with processes, without comparing the modes.
   --only PART     estimates, virtual or processes.
   --plot FILE     Heat maps of busy instances over time, without and with handover, as PNG (matplotlib).
 
-estimates  the pace drawn towards the mean of similar instances beside the own window, at 0.2 to 20 requests per second
-virtual    no load balancing, advice, handover to random peers, by the freshest report, on offers; one common queue as the limit
-processes  no load balancing and handover on offers, one after the other; compared where no fault script is given
-In virtual time the rules are checked at each step: one answer per request, one run of what must not run twice, offers within
-the free slots. With processes, a second run of a sign-off is an instance's fault unless its client sent it again, to a new
-process, after a kill broke the connection: such runs are counted separately (`testing/duplicate_runs.py`).
+estimates  error of the estimated pace, shrunk towards the mean of similar instances ("drawn") and from the instance's own
+           window alone ("own"), at 0.2 to 20 requests per second
+virtual    no load balancing, advice, handover to random peers, to the peer with the freshest report, and on offers, compared
+           with a single queue in front of all instances as the optimum
+processes  no load balancing, then handover on offers; compared unless a fault script is given
+In virtual time the invariants are checked at each step: one answer per request, one run of what must not run twice, no more
+offers than free slots. With processes, a second run of a sign-off is an instance's fault unless its client sent it again, to a
+new process, after a kill broke the connection: such runs are counted separately (`testing/duplicate_runs.py`).
 """
 
 from __future__ import annotations
@@ -81,7 +83,7 @@
 
 
 def play(job: tuple[str, str, int, int, str, float, Load, bool]) -> tuple[str, str, dict[str, float], Any]:
-    """Play one case in one mode; a function of one argument, for a process pool."""
+    """Play one case in one mode; takes one argument, as a process pool requires."""
     name, mode, count, seed, script, length, load, plotted = job
     plan = Plan(count, script, until=SETTLED + length + 2.5, seed=seed)
     if mode == "one line":
@@ -91,7 +93,7 @@
 
 
 def run_virtual(count: int, seed: int, quick: bool, length: float, script: str | None, plot: str | None) -> tuple[dict, Checks]:
-    """Play the cases in all modes and check what load balancing must improve."""
+    """Play the cases in all modes and check the improvements that load balancing must give."""
     chosen = create_cases(count, length)
     if script is not None:
         chosen = {"own script": (script, length, Load(callers=max(4, count // 2)))}
@@ -156,7 +158,7 @@
 
 
 def run_estimates(count: int, seed: int, quick: bool) -> tuple[dict, Checks]:
-    """Return the root of the mean square error of the pace, as a fraction of it: own window of 2.5 s, and drawn estimate."""
+    """Return the root mean square relative error of the pace, from an own window of 2.5 s and from the shrunk estimate."""
     draw, figures, checks = random.Random(seed), {}, {}
     for rate in (0.2, 1.0, 5.0, 20.0):
         errors: Counter[str] = Counter()
@@ -173,7 +175,7 @@
                 measured.append((short, window.evidence(30.0)))
             mean, deviation = estimate_population([evidence for _, evidence in measured], SCATTER)
             for pace, (short, evidence) in zip(paces, measured):
-                # Without runs in the window, the instance has to assume the usual pace.
+                # Without runs in its window, an instance assumes the usual pace.
                 own = sum(short) / len(short) if short else 1.0
                 value = shrink_towards_mean(30.0, evidence, SCATTER, mean, deviation).value
                 errors["own"] += ((own - pace) / pace) ** 2
@@ -188,7 +190,7 @@
     """Run real processes without and with load balancing."""
     cores, work = (2, 200.0) if count <= 50 else (1, 400.0)
     rate = 0.9 * count * cores / work * 1000.0
-    few = f"0-{max(4, count // 5 - 1)}"  # known to callers of three tenths of the load, as five are of 24
+    few = f"0-{max(4, count // 5 - 1)}"  # three tenths of the load come from callers that know only these (5 of 24)
     figures: dict[str, Any] = {}
     for name, spread in (("alone", ""), ("spread", "-")):
         case = FleetCase(
@@ -249,7 +251,7 @@
 
 
 def table(name: str, figures: dict[str, Any]) -> Table:
-    """Return figures as a table with a row each."""
+    """Return a table with one row per entry."""
     shown = Table(name, *next(iter(figures.values())))
     for row, values in figures.items():
         shown.add_row(row, *(str(values.get(key, "-")) for key in next(iter(figures.values()))))
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -1,19 +1,19 @@
-"""Retry storms on loopback: this text beside damping switched off, in one run, for each kind of outage.
+"""Retry storms on loopback: damping on and off, compared in one run for each kind of outage.
 
 Usage:
   storms [--quick] [--seed N] [--only NAME] [--plot FILE]
 
 Options:
-  --quick      One outage, scaled down, within 45 s.
-  --seed N     Of load and habits [default: 1].
+  --quick      One outage, scaled down; takes less than 45 s.
+  --seed N     Seed of the load and of the callers' behaviour [default: 1].
   --only NAME  One case of the full list.
-  --plot FILE  First tries, and those acked in time, over time, for each case, as PNG (matplotlib).
+  --plot FILE  Share of first attempts that succeed in time, over time, for each case, as PNG (matplotlib).
 
-Real instances; stubs and interpreters in processes of their own, whose lateness is in the table: where it is above a
-tenth of a second the machine was too busy, and the run tells nothing. An instance serves 80 ops a second (4 cores, 50 ms an
-op). Callers try again after 50 ms until their patience ends. `in time` is the share of all first tries after the end of
-the outage that were acked within 1.8 s; `back` the seconds from its end until nine of ten are, from there to the end;
-`core` the most that an instance used of a core in 2 s, from 10 s after the end on.
+Instances, simulated clients and interpreters run as separate processes. The table gives the lateness of the simulated ones
+(`late`): above 0.1 s the machine was too busy for a valid result. An instance serves 80 requests a second (4 cores, 50 ms a
+request). Callers retry after 50 ms until their patience ends. `in time` is the share of first attempts after the end of the
+outage that succeed within 1.8 s; `back` is the number of seconds from the end of the outage until nine of ten do, until the end
+of the run; `core` is the highest CPU use of an instance over 2 s, as a share of a core, from 10 s after the end of the outage.
 """
 
 from __future__ import annotations
@@ -29,56 +29,57 @@
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.instance_harness import Case, keep_environment, outcome, played_beside
 
-OFF = "storms enabled=#false"
-CAN = 80.0  # ops a second of one instance
-FULL, LIGHT = 0.92 * CAN, 0.7 * CAN
-CORE, MEMORY_MB, SLOW_BACK, FAST_BACK = 0.85, 64.0, 10.0, 5.0
+DAMPING_OFF = "storms enabled=#false"
+CAPACITY = 80.0  # requests per second of one instance
+FULL_LOAD, LIGHT_LOAD = 0.92 * CAPACITY, 0.7 * CAPACITY
+MAX_CORE_SHARE, MAX_MEMORY_MB, MAX_RECOVERY_S, MAX_RECOVERY_HEEDING_S = 0.85, 64.0, 10.0, 5.0
 KILL = "at 4 kill 0 for 8"
 NOISE = "\nat 2 silent 200 at 0 for 30\nat 2 garble 50 at 0 for 30"
 CASES = {
-    "kill, none heeds": Case(KILL, 37.0, FULL),
-    "kill, 0.3 heed": Case(KILL, 37.0, FULL, heeding=0.3),
-    "kill, 0.8 heed": Case(KILL, 37.0, FULL, heeding=0.8),
-    "kill, patience 4.5 s": Case(KILL, 37.0, FULL, patience=4.5),
-    "kill, load 0.7": Case(KILL, 37.0, LIGHT),
-    "kill, half unmarked": Case(KILL, 37.0, FULL, marked=0.5),
-    "kill, cold for 10 s": Case(KILL, 37.0, LIGHT, cold_speed=0.5, warming=10.0),
-    "freeze, none heeds": Case("at 4 freeze 0 for 6", 35.0, FULL),
-    "freeze, 0.3 heed": Case("at 4 freeze 0 for 6", 35.0, FULL, heeding=0.3),
-    "flapping": Case("at 4 flap 0 every 3 until 17", 44.0, FULL),
-    "kill, 250 bad ones": Case(KILL + NOISE, 37.0, FULL),
-    "kill of 2 of 4": Case("at 4 kill 0,1 for 8", 37.0, 4 * FULL, instances=4, loads=4),
-    "all 4 back at once": Case("at 4 kill 0,1,2,3 for 8", 37.0, 4 * FULL, instances=4, loads=4),
+    "kill, none heeds": Case(KILL, 37.0, FULL_LOAD),
+    "kill, 0.3 heed": Case(KILL, 37.0, FULL_LOAD, heeding=0.3),
+    "kill, 0.8 heed": Case(KILL, 37.0, FULL_LOAD, heeding=0.8),
+    "kill, patience 4.5 s": Case(KILL, 37.0, FULL_LOAD, patience=4.5),
+    "kill, load 0.7": Case(KILL, 37.0, LIGHT_LOAD),
+    "kill, half unmarked": Case(KILL, 37.0, FULL_LOAD, marked=0.5),
+    "kill, cold for 10 s": Case(KILL, 37.0, LIGHT_LOAD, cold_speed=0.5, warming=10.0),
+    "freeze, none heeds": Case("at 4 freeze 0 for 6", 35.0, FULL_LOAD),
+    "freeze, 0.3 heed": Case("at 4 freeze 0 for 6", 35.0, FULL_LOAD, heeding=0.3),
+    "flapping": Case("at 4 flap 0 every 3 until 17", 44.0, FULL_LOAD),
+    "kill, 250 bad ones": Case(KILL + NOISE, 37.0, FULL_LOAD),
+    "kill of 2 of 4": Case("at 4 kill 0,1 for 8", 37.0, 4 * FULL_LOAD, instances=4, loads=4),
+    "all 4 back at once": Case("at 4 kill 0,1,2,3 for 8", 37.0, 4 * FULL_LOAD, instances=4, loads=4),
 }
-OVER = Case("", 16.0, 1.1 * CAN, heeding=0.5)  # no fault: more is asked for than can be done
-ALIKE = (0.0, 0.3, 1.0)  # shares of ops whose bodies are all the same; played side by side
-LOOKS = {
-    "kill, look-alikes": Case(KILL, 32.0, FULL),
-    "overload, look-alikes": OVER._replace(patience=4.5),
-    "overload, look-alikes, 30 s": OVER,
-    "kill, look-alikes, figures redrawn": Case(KILL, 32.0, FULL, steady=0.0),
+OVERLOAD = Case("", 16.0, 1.1 * CAPACITY, heeding=0.5)  # no fault: demand above capacity
+LOOKALIKE_SHARES = (0.0, 0.3, 1.0)  # shares of requests with identical bodies; run concurrently
+LOOKALIKE_CASES = {
+    "kill, look-alikes": Case(KILL, 32.0, FULL_LOAD),
+    "overload, look-alikes": OVERLOAD._replace(patience=4.5),
+    "overload, look-alikes, 30 s": OVERLOAD,
+    "kill, look-alikes, figures redrawn": Case(KILL, 32.0, FULL_LOAD, steady=0.0),
 }
-QUICK = {"kill, scaled down": Case("at 4 kill 0 for 5", 22.0, FULL)}
-ROW = ("alike", "in time", "back", "core", "MB", "lost", "twice", "calm", "tries/s", "hold-off", "late")
+QUICK = {"kill, scaled down": Case("at 4 kill 0 for 5", 22.0, FULL_LOAD)}
+COLUMNS = ("alike", "in time", "back", "core", "MB", "lost", "twice", "calm", "tries/s", "hold-off", "late")
 
 
-def holds(case: Case, figures: dict[str, Any], plain: dict[str, Any]) -> list[str]:
-    """The aims that were missed."""
-    calm = not case.script  # overload alone: nothing to be back from
-    within = FAST_BACK if case.heeding >= 0.8 else SLOW_BACK
-    kept = {
+def missed_objectives(case: Case, figures: dict[str, Any], plain: dict[str, Any]) -> list[str]:
+    """Return the objectives that were missed."""
+    calm = not case.script  # without a fault there is no recovery to measure
+    within = MAX_RECOVERY_HEEDING_S if case.heeding >= 0.8 else MAX_RECOVERY_S
+    objectives = {
         f"back within {within:g} s": calm or figures["back_after"] is not None and figures["back_after"] <= within,
-        f"core below {CORE}": calm or figures["core"] <= CORE,
+        f"core below {MAX_CORE_SHARE}": calm or figures["core"] <= MAX_CORE_SHARE,
         "no op lost": figures["lost"] == 0,
         "nothing ran twice": figures["twice"] == 0 and figures["wrong"] == 0,
-        f"memory below {MEMORY_MB:g} MB": figures["memory_mb"] <= MEMORY_MB,
+        f"memory below {MAX_MEMORY_MB:g} MB": figures["memory_mb"] <= MAX_MEMORY_MB,
         "no worse than without": figures["in_time"] >= plain["in_time"] - 0.02,
         "calm equal": figures["calm"] >= plain["calm"] - 0.02,
     }
-    return [objective for objective, kept_it in kept.items() if not kept_it]
+    return [objective for objective, is_met in objectives.items() if not is_met]
 
 
-def row(case: Case, figures: dict[str, Any]) -> list[str]:
+def format_row(case: Case, figures: dict[str, Any]) -> list[str]:
+    """Format the figures of a run as cells of the table."""
     back = figures["back_after"]
     return [
         f"{case.alike:g}",
@@ -95,13 +96,17 @@
     ]
 
 
-def look_alikes(name: str, case: Case, table: Table, result: dict[str, Any]) -> dict[str, list[str]]:
-    """One day with different shares of ops that look alike, and without the storm books, all at one time."""
-    cases = [*(case._replace(alike=share) for share in ALIKE), case._replace(operator=OFF, alike=1.0)]
+def compare_lookalikes(name: str, case: Case, table: Table, result: dict[str, Any]) -> dict[str, list[str]]:
+    """Run a case with different shares of identical requests, and once without damping, all concurrently.
+
+    Returns:
+        The missed objectives by the name of the case, if there are any.
+    """
+    cases = [*(case._replace(alike=share) for share in LOOKALIKE_SHARES), case._replace(operator=DAMPING_OFF, alike=1.0)]
     runs = [outcome(one, run) for one, run in zip(cases, played_beside(cases))]
     *damped, plain = runs
     for one, figures in zip(cases, runs):
-        table.add_row(name, "off" if one.operator else "damped", *row(one, figures))
+        table.add_row(name, "off" if one.operator else "damped", *format_row(one, figures))
     served = [figures["in_time"] for figures in damped]
     result[name] = {
         "in_time": [round(share, 3) for share in served],
@@ -110,13 +115,14 @@
         "told_apart": [sum(place.get("retries_told_apart", 0) for place in figures["counters"]) for figures in damped],
         "late": max(figures["late"] for figures in runs),
     }
-    lacks = {lack for one, figures in zip(cases, damped) for lack in holds(one, figures, plain)}
+    failed = {objective for one, figures in zip(cases, damped) for objective in missed_objectives(one, figures, plain)}
     if max(served) - min(served) > 0.03:
-        lacks.add("in time within 0.03 whatever share looks alike")
-    return {name: sorted(lacks)} if lacks else {}
+        failed.add("in time within 0.03 whatever share looks alike")
+    return {name: sorted(failed)} if failed else {}
 
 
 def plot(series: dict[str, tuple[Case, dict[str, Any], dict[str, Any]]], path: str) -> None:
+    """Plot for each case the share of first attempts that succeeded in time, by second."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -136,34 +142,35 @@
         axis.set_title(name, fontsize=9)
         axis.set_ylim(-0.02, 1.02)
     axes[0, 0].legend(fontsize=8)
-    axes[-1, 0].set_xlabel("seconds from the first op")
+    axes[-1, 0].set_xlabel("seconds from the first request")
     figure.tight_layout()
     figure.savefig(path, dpi=110)
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the chosen cases and print their figures; return 1 if an objective was missed."""
     options = docopt(__doc__, argv)
     keep_environment()
     only = options["--only"]
-    if only and only not in {**CASES, **LOOKS}:
-        sys.exit(f"storms: no case {only!r}; there are: {'; '.join({**CASES, **LOOKS})}")
-    cases = QUICK if options["--quick"] else {only: {**CASES, **LOOKS}[only]} if only else CASES
-    table, missed, result, series = Table("", "", *ROW), {}, {}, {}
+    if only and only not in {**CASES, **LOOKALIKE_CASES}:
+        sys.exit(f"storms: no case {only!r}; there are: {'; '.join({**CASES, **LOOKALIKE_CASES})}")
+    cases = QUICK if options["--quick"] else {only: {**CASES, **LOOKALIKE_CASES}[only]} if only else CASES
+    table, missed, result, series = Table("", "", *COLUMNS), {}, {}, {}
     console = Console(width=132)
     for name, case in cases.items():
-        if name in LOOKS:
+        if name in LOOKALIKE_CASES:
             continue
         case = case._replace(seed=int(options["--seed"]))
-        plain_case = case._replace(operator=OFF)
+        plain_case = case._replace(operator=DAMPING_OFF)
         if case.instances == 1:
             runs = played_beside([case, plain_case])
-        else:  # a fleet of four takes all the cores there are
+        else:  # four instances use all cores of the machine, so the two runs are sequential
             runs = [played_beside([one])[0] for one in (case, plain_case)]
         damped, plain = (outcome(case, run) for run in runs)
-        table.add_row(name, "damped", *row(case, damped))
-        table.add_row("", "off", *row(case, plain))
-        if lacks := holds(case, damped, plain):
-            missed[name] = lacks
+        table.add_row(name, "damped", *format_row(case, damped))
+        table.add_row("", "off", *format_row(case, plain))
+        if failed := missed_objectives(case, damped, plain):
+            missed[name] = failed
         series[name] = (case, damped, plain)
         result[name] = {
             how: {
@@ -173,10 +180,12 @@
             for how, figures in (("damped", damped), ("off", plain))
         }
         if not options["--quick"]:
-            console.print(f"{name}: {' '.join(row(case, damped))} | off {' '.join(row(case, plain))} | missed: {lacks}")
-    for name, case in LOOKS.items() if not options["--quick"] else ():
+            console.print(
+                f"{name}: {' '.join(format_row(case, damped))} | off {' '.join(format_row(case, plain))} | missed: {failed}"
+            )
+    for name, case in LOOKALIKE_CASES.items() if not options["--quick"] else ():
         if options["--only"] in (None, name):
-            missed |= look_alikes(name, case._replace(seed=int(options["--seed"])), table, result)
+            missed |= compare_lookalikes(name, case._replace(seed=int(options["--seed"])), table, result)
             console.print(f"{name}: {result[name]} missed: {missed.get(name)}")
     console.print(table)
     if options["--plot"]:
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -1,16 +1,17 @@
-"""Traces: bytes an op, records a second, index against scan, memory of a merge, and CPU of the op path with and without.
+"""Traces: bytes per request, records per second, index against scan, memory of a merge, and CPU per request with and without.
 
 Usage:
   traces [--quick] [--seed N]
 
 Options:
   --quick   A twentieth of the records.
-  --seed N  Of the ops [default: 1].
+  --seed N  Seed of the requests [default: 1].
 
-Ops are made as a day of them looks: read, run, ended, each with its pull; ids by chance, hints, waits and ages in
-milliseconds. The op path is a reducer in virtual time, with the recorder and its packing, and without, turn by turn in one
-process. Aims: 24 bytes an op; a seek 50 times faster than a scan; 100 MB for the merge; 5% of the CPU of an op as the service
-spends it (0.6 ms on the platform), told here beside the reducer alone.
+The requests resemble those of a day in operation: each is read, run and ended, and decisions are pulled after the read and
+after the end; ids are random, and hints, waits and ages are in milliseconds. CPU per request is that of a reducer in virtual
+time, with the recorder and the encoding of its blocks and without, in alternating runs of one process. Objectives: 24 bytes per
+request; a seek 50 times faster than a scan; 100 MB for the merge; 5% of the CPU that a request costs the whole service (0.6 ms
+on the platform). The CPU of the reducer alone is printed as well.
 """
 
 from __future__ import annotations
@@ -42,12 +43,12 @@
 from mulleinhatch.instance.traces.merging import merge
 from mulleinhatch.instance.traces.recorder import VERB_CODES, Recorder
 
-REQUEST_CPU = 0.6e-3  # seconds of CPU that an op costs the whole instance, as measured on the platform
-BYTES, SEEK, MERGE_MB, SHARE = 24.0, 50.0, 100.0, 0.05
+REQUEST_CPU = 0.6e-3  # seconds of CPU per request of a whole instance, measured on the platform
+MAX_REQUEST_BYTES, MIN_SEEK_SPEEDUP, MAX_MERGE_MB, MAX_CPU_SHARE = 24.0, 50.0, 100.0, 0.05
 
 
-def day(requests: int, seed: int) -> Iterator[Record]:
-    """Six records an op."""
+def draw_records(requests: int, seed: int) -> Iterator[Record]:
+    """Yield five records per request."""
     draw, now = random.Random(seed), 0.0
     for request in range(1, requests + 1):
         now = round(now + draw.expovariate(150.0), 6)
@@ -75,17 +76,21 @@
         yield Record(kinds.PULLED, now, ())
 
 
-def made(path: Path, requests: int, seed: int, name: str = "n1") -> tuple[int, int, float]:
-    """Records, bytes, seconds."""
+def write_trace(path: Path, requests: int, seed: int, name: str = "n1") -> tuple[int, int, float]:
+    """Write a trace and return the number of records, the bytes, and the seconds that it took."""
     start = time.perf_counter()
     with open(path, "wb") as file:
         records = write(
-            day(requests, seed), file, TraceMetadata(name, seed, op_types=["a", "b", "c"], tenants=["w", "x", "y", "z"]), 2
+            draw_records(requests, seed),
+            file,
+            TraceMetadata(name, seed, op_types=["a", "b", "c"], tenants=["w", "x", "y", "z"]),
+            2,
         )
     return records, path.stat().st_size, time.perf_counter() - start
 
 
 def read_all(path: Path) -> tuple[int, float]:
+    """Read a trace and return the number of records and the seconds that it took."""
     start = time.perf_counter()
     with open(path, "rb") as file:
         count = sum(1 for _ in Trace(file).records())
@@ -93,7 +98,7 @@
 
 
 def seek_and_scan(path: Path) -> tuple[float, float]:
-    """Seconds to a second in the middle by the index, and by reading from the front."""
+    """Return the seconds to find a time in the middle of a trace by its index, and by reading from the start."""
     with open(path, "rb") as file:
         middle = Trace(file).rows
         at = middle[len(middle) // 2].first
@@ -106,7 +111,7 @@
 
 
 def request_path(requests: int, traced: bool) -> float:
-    """CPU seconds an op of the reducer, with the recorder and the packing or without."""
+    """Return the CPU seconds per request of the reducer; `traced` adds the recorder and the encoding of its blocks."""
     writer = TraceWriter(io.BytesIO(), TraceMetadata("n1", 7))
 
     def on_batch(records: list[Record], newest: int) -> None:
@@ -137,17 +142,18 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the benchmark and print its figures; return 1 if an objective was missed."""
     options = docopt(__doc__, argv)
     seed, quick = int(options["--seed"]), options["--quick"]
     requests, merged_requests = (10_000, 1000) if quick else (200_000, 40_000)
     with tempfile.TemporaryDirectory() as folder:
         paths = [Path(folder) / f"{number}.mht" for number in range(8)]
-        records, size, written = made(paths[0], requests, seed)
+        records, size, written = write_trace(paths[0], requests, seed)
         count, read = read_all(paths[0])
         assert count == records
         seek, scan = seek_and_scan(paths[0])
         for number, path in enumerate(paths[1:], 1):
-            made(path, merged_requests, seed + number, f"n{number + 1}")
+            write_trace(path, merged_requests, seed + number, f"n{number + 1}")
         files = [open(path, "rb") for path in paths[1:]]  # noqa: SIM115
         tracemalloc.start()
         start = time.perf_counter()
@@ -158,12 +164,12 @@
         for one in files:
             one.close()
     path_requests = 4000 if quick else 20_000
-    request_path(path_requests, True)  # warms what both use
-    turns = [
+    request_path(path_requests, True)  # warms the caches that both variants use
+    pairs = [
         (request_path(path_requests, False), request_path(path_requests, True)) for _ in range(7)
-    ]  # in turns: the machine's pace drifts
-    plain, traced = median(one for one, _ in turns), median(other for _, other in turns)
-    more = median(other - one for one, other in turns)
+    ]  # alternating, because the speed of the machine drifts
+    plain, traced = median(one for one, _ in pairs), median(other for _, other in pairs)
+    more = median(other - one for one, other in pairs)
     figures = {
         "records": records,
         "bytes_an_op": round(size / requests, 1),
@@ -186,10 +192,10 @@
     missed = [
         name
         for name, kept in (
-            ("bytes", size / requests <= BYTES),
-            ("seek", quick or scan / seek >= SEEK),
-            ("merge memory", merge_mb <= MERGE_MB),
-            ("cpu", more / REQUEST_CPU <= SHARE),
+            ("bytes", size / requests <= MAX_REQUEST_BYTES),
+            ("seek", quick or scan / seek >= MIN_SEEK_SPEEDUP),
+            ("merge memory", merge_mb <= MAX_MERGE_MB),
+            ("cpu", more / REQUEST_CPU <= MAX_CPU_SHARE),
         )
         if not kept
     ]
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -1,17 +1,17 @@
-"""Machines out for work: all asked at once, by permits under load and faults, beside the same roll by list and no roll.
+"""Rolling maintenance of all machines by permits, under load and faults, compared with a fixed list and with no maintenance.
 
 Usage:
   upkeep [--quick] [--seed N] [--instances N] [--for SECONDS] [--faults FILE]
 
 Options:
-  --quick         12 processes at one a zone.
-  --seed N        Of loads and losses [default: 1].
-  --instances N   Else 12 quick, 60 in full at three a zone.
-  --for SECONDS   How long the roll may take at most [default: 240].
-  --faults FILE   This script, in place of the usual ones: the bound is checked as ever.
-
-An independent watcher counts processes that do not run, whatever the program says: never over the bound. Aims: all done within
-1.5 times the least possible time without faults, and service no worse than by the list.
+  --quick         12 processes, one per zone out at a time.
+  --seed N        Seed of loads and losses [default: 1].
+  --instances N   Number of processes; 12 with --quick, else 60 with three per zone out at a time.
+  --for SECONDS   Maximum duration of the roll [default: 240].
+  --faults FILE   Run this script instead of the default faults; the limits are checked as well.
+
+An independent watcher counts processes that are not running, without relying on the program: never more than the limits.
+Objectives: without faults all are done within 1.5 times the shortest possible time, and service is no worse than by the list.
 """
 
 from __future__ import annotations
@@ -32,12 +32,13 @@
 from mulleinhatch.testing.instance_harness import keep_environment
 from mulleinhatch.testing.maintenance_windows import MaintenanceWindows
 
-WORKS, STOPS = 1.0, 1.0  # seconds of the work, and from the permit to the stop
-STARTS = 4.3  # seconds from a process's start until it was found fit and its permit is back
+WORK_S, STOP_S = 1.0, 1.0  # seconds of maintenance, and from the permit to the stop
+START_S = 4.3  # seconds from the start of a process until it is healthy and its permit is returned
 ZONES = "xyz"
 
 
-def case(count: int, seed: int, script: str, length: float, zone_most: int) -> FleetCase:
+def create_case(count: int, seed: int, script: str, length: float, zone_most: int) -> FleetCase:
+    """Return a fleet in three zones with five voters, of which `zone_most` machines per zone may be out."""
     zones = "\n".join(
         f"  {zone} " + " ".join(f'"n{place}"' for place in range(number, count, len(ZONES)))
         for number, zone in enumerate(ZONES)
@@ -61,7 +62,16 @@
     )
 
 
-async def roll(fleet_case: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
+async def run_roll(fleet_case: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
+    """Take each machine out once and return the most that were out at a time, the duration and the service meanwhile.
+
+    Args:
+        fleet_case: The fleet, its load and faults.
+        folder: New folder for the fleet's files.
+        how: `permits`, `by list` or `none`.
+        zone_most: Maximum number of machines of a zone out at a time.
+        within: Maximum duration in seconds.
+    """
     folder.mkdir()
     zones = {place: ZONES[place % len(ZONES)] for place in range(fleet_case.instances)}
     async with FleetHarness(fleet_case, folder) as harness:
@@ -70,16 +80,19 @@
         await asyncio.sleep(5.0)
         await harness.go()
         await harness.until(1.0)
-        windows = MaintenanceWindows(harness, WORKS, zones)
+        windows = MaintenanceWindows(harness, WORK_S, zones)
         windows.start()
         begun, done = harness.now(), None
         if how == "permits":
             await asyncio.gather(
-                *(node.request_maintenance(do="ask", kind="kernel", seconds=WORKS + STOPS + STARTS) for node in harness.nodes)
+                *(
+                    node.request_maintenance(do="ask", kind="kernel", seconds=WORK_S + STOP_S + START_S)
+                    for node in harness.nodes
+                )
             )
             done = await windows.all_done(set(zones), within)
         elif how == "by list":
-            by_list = asyncio.ensure_future(windows.roll_by_list(list(zones), zone_most * len(ZONES), STARTS))
+            by_list = asyncio.ensure_future(windows.roll_by_list(list(zones), zone_most * len(ZONES), START_S))
             done = await windows.all_done(set(zones), within)
             by_list.cancel()
         await harness.until(max(harness.now(), fleet_case.run_for))
@@ -97,24 +110,25 @@
     }
 
 
-def least(count: int, zone_most: int) -> float:
-    """Seconds of a roll in which no place is ever free."""
-    turns = math.ceil(math.ceil(count / len(ZONES)) / zone_most)
-    return turns * (STOPS + WORKS + STARTS)
+def shortest_roll(count: int, zone_most: int) -> float:
+    """Return the duration in seconds of a roll that always has as many machines out as allowed."""
+    rounds = math.ceil(math.ceil(count / len(ZONES)) / zone_most)
+    return rounds * (STOP_S + WORK_S + START_S)
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the rolls and print their figures; return 1 if an objective was missed."""
     options = docopt(__doc__, argv)
     keep_environment()
     quick, seed = options["--quick"], int(options["--seed"])
     count = int(options["--instances"] or (12 if quick else 60))
     zone_most, within = (1 if count <= 15 else 3), float(options["--for"])
-    expected = least(count, zone_most)
-    usual = (
+    expected = shortest_roll(count, zone_most)
+    default_faults = (
         f"at 4 cut 0-{count // 3} from {count // 3 + 1}-{count - 1} for 8\nat 14 lossy all 0.2 for 10\n"
         f"at 26 stall 1,{count - 1} for 3"
     )
-    script = Path(options["--faults"]).read_text() if options["--faults"] else usual
+    script = Path(options["--faults"]).read_text() if options["--faults"] else default_faults
     runs = {"permits": ("", "permits")}
     if not quick:
         runs |= {"permits, faults": (script, "permits"), "by list": ("", "by list"), "no roll": ("", "none")}
@@ -124,8 +138,8 @@
     with tempfile.TemporaryDirectory() as folder:
         for name, (text, how) in runs.items():
             length = 1.3 * expected + 3.0
-            fleet_case = case(count, seed, text, length, zone_most)
-            figures[name] = asyncio.run(roll(fleet_case, Path(folder) / name.replace(" ", "-"), how, zone_most, within))
+            fleet_case = create_case(count, seed, text, length, zone_most)
+            figures[name] = asyncio.run(run_roll(fleet_case, Path(folder) / name.replace(" ", "-"), how, zone_most, within))
     holds = {}
     for name, sums in figures.items():
         if name.startswith("permits"):
@@ -137,7 +151,7 @@
         holds["within 1.5 times the least"] = figures["permits"]["seconds"] <= 1.5 * expected
     if "by list" in figures:
         holds["service as by the list"] = figures["permits"]["in time"] >= figures["by list"]["in time"] - 0.005
-    shown = Table(f"{count} processes, {zone_most} a zone, least {expected:.0f} s", *next(iter(figures.values())))
+    shown = Table(f"{count} processes, {zone_most} per zone, at least {expected:.0f} s", *next(iter(figures.values())))
     for name, sums in figures.items():
         shown.add_row(name, *map(str, sums.values()))
     Console(width=150).print(shown)
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -1,14 +1,14 @@
-"""The timer wheel beside a heap with lazy cancels, at many alarms.
+"""Compare the timer wheel with a heap with lazy cancellation, at large numbers of timers.
 
 Usage:
   wheel [--quick] [--seed N]
 
 Options:
-  --quick   Fewer alarms.
-  --seed N  Of the times [default: 1].
+  --quick   Fewer timers.
+  --seed N  Seed of the timers [default: 1].
 
-Each alarm is set, and nine of ten are cancelled before their time, as time-outs are. Aim: at the most alarms no more than
-twice the heap's time, and no more than a half of its entries held.
+Nine of ten timers are cancelled before they expire, as timeouts usually are. Objectives at the largest number of timers: at
+most twice the heap's time, and at most half of its entries.
 """
 
 from __future__ import annotations
@@ -27,20 +27,23 @@
 
 
 class Heap:
-    """What most programs use: cancelled alarms stay in until their time."""
+    """A binary heap of timers in which cancelled ones stay until they expire."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[float, int]] = []
         self.alive: dict[int, float] = {}
 
     def set(self, name: int, at: float) -> None:
+        """Set a timer."""
         self.alive[name] = at
         heapq.heappush(self.entries, (at, name))
 
     def cancel(self, name: int) -> bool:
+        """Cancel a timer; return whether it was set."""
         return self.alive.pop(name, None) is not None
 
     def pop_due(self, now: float) -> list[int]:
+        """Remove and return the timers that have expired."""
         names = []
         while self.entries and self.entries[0][0] <= now:
             at, name = heapq.heappop(self.entries)
@@ -50,8 +53,8 @@
         return names
 
 
-def played(timers: TimerWheel | Heap, count: int, seed: int) -> tuple[float, int, int]:
-    """Seconds, most entries held, alarms that went off."""
+def run_timers(timers: TimerWheel | Heap, count: int, seed: int) -> tuple[float, int, int]:
+    """Set and cancel timers, and return the seconds that it took, the peak number of entries, and the timers that expired."""
     draw, now, fired, most = random.Random(seed), 0.0, 0, 0
     waiting: list[int] = []
     start = time.perf_counter()
@@ -68,10 +71,14 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the benchmark and print its figures; return 1 if an objective was missed."""
     options = docopt(__doc__, argv)
-    table, rows = Table("alarms", "heap s", "wheel s", "heap held", "wheel held"), []
+    table, rows = Table("timers", "heap s", "wheel s", "heap entries", "wheel entries"), []
     for count in (10_000, 100_000) if options["--quick"] else (10_000, 100_000, 1_000_000):
-        heap, wheel = played(Heap(), count, int(options["--seed"])), played(TimerWheel(0.0), count, int(options["--seed"]))
+        heap, wheel = (
+            run_timers(Heap(), count, int(options["--seed"])),
+            run_timers(TimerWheel(0.0), count, int(options["--seed"])),
+        )
         rows.append(
             {
                 "alarms": count,
