--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,7 +16,7 @@
 cut      a partition into halves for 12 s with --quick, else 30 s: one view again within 3 s, no member declared gone meanwhile
 budget   demand 3:1 between halves, with leases: 0.9 of a budget's total used, and never more than the total in any window
 even     the same with a partition into halves: the isolated half uses 0.9 of its even share
-beside   in virtual time, 12 members, a partition into halves for 8 s: leases, even shares, and usage counts sent by gossip
+beside   in virtual time, 12 members, a partition into halves for 8 s: leases, even shares, and the total heard by gossip
 cost     CPU, memory and bytes of an idle instance, compared with the same processes without gossip, and with few members
 Each part starts its own processes. `late` is the lateness of the simulated clients: above 0.1 s the machine was too busy for a
 valid result. The interpreters record their runs on one clock; a window is shortened by four times that lateness.
@@ -245,7 +245,7 @@
 
 
 async def run_comparison(count: int, seed: int, quick: bool, folder: Path) -> tuple[dict[str, Any], Checks]:
-    """Compare leases with even shares, and with members that each enforce the total on their own."""
+    """Compare leases with even shares, and with a limit on the total of all members heard by gossip."""
     figures: dict[str, Any] = {}
     for name, how in (("leases", {}), ("even", {"leases": False}), ("gossip", {"leases": False, "gossip": True})):
         world = GossipWorld(
@@ -288,7 +288,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the chosen parts and print their figures; return 1 where a check failed."""
+    """Run the chosen parts and print their figures; return 1 if a check failed."""
     options = docopt(__doc__, argv)
     keep_environment()
     quick, seed = options["--quick"], int(options["--seed"])
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -13,7 +13,7 @@
 from benchmarks.scale_calm import time_until_merged
 from benchmarks.scale_options import (
     MAX_BURST_FACTOR,
-    MAX_BYTES_A_S,
+    MAX_BYTES_PER_S,
     MAX_CORE_SHARE,
     MAX_IN_SUMS_S,
     MAX_JOINED_S,
@@ -28,7 +28,7 @@
 from mulleinhatch.simulation.scale_instances import RACK, churn, listed, restart_all
 from mulleinhatch.simulation.scale_shards import World
 
-RESTARTS_A_DAY = 8000.0  # restarts and replacements at the target size
+RESTARTS_PER_DAY = 8000.0  # restarts and replacements at the target size
 BURST_RESTARTS = 333
 
 
@@ -102,7 +102,7 @@
     }
     holds: Checks = {
         "joined": joined is not None,
-        f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": after.worst <= MAX_BYTES_A_S,
+        f"{MAX_BYTES_PER_S:g} bytes/s in any 10 s": after.worst <= MAX_BYTES_PER_S,
         f"{MAX_CORE_SHARE:g} of a core": core < MAX_CORE_SHARE,
         "no living one declared gone": wrongly_gone == 0,
         f"one again in {event.recovery_limit:g} s": merged_after_s is not None and merged_after_s <= event.recovery_limit,
@@ -172,8 +172,8 @@
 
 def play_churn(options: Options, at_once: bool) -> tuple[Figures, Checks]:
     """Restart members at the daily rate, or an hour's restarts within a minute."""
-    duration = options.sizes.minute
-    rate = BURST_RESTARTS * 86_400.0 / 60.0 if at_once else RESTARTS_A_DAY
+    duration = options.sizes.burst_span
+    rate = BURST_RESTARTS * 86_400.0 / 60.0 if at_once else RESTARTS_PER_DAY
 
     def script(world: World, begin: float) -> str:
         members = world.plan.members
@@ -209,7 +209,7 @@
 
 def play_partition(options: Options) -> tuple[Figures, Checks]:
     """Partition the regions for minutes."""
-    duration = options.sizes.cut
+    duration = options.sizes.partition
     return play_event(
         options, Event(lambda world, begin: partition_regions(begin, duration), duration + 0.5, burst_limit=MAX_BURST_FACTOR)
     )
@@ -224,7 +224,7 @@
 
 def play_restart_of_all(options: Options) -> tuple[Figures, Checks]:
     """Restart all members within a minute."""
-    duration = options.sizes.minute
+    duration = options.sizes.burst_span
     return play_event(
         options,
         Event(
@@ -237,7 +237,7 @@
 
 def play_start_of_all(options: Options) -> tuple[Figures, Checks]:
     """Start all members within a minute, and measure from the last start until views are merged and sums count 0.99."""
-    members, duration = options.sizes.events, options.sizes.minute
+    members, duration = options.sizes.events, options.sizes.burst_span
     with World(options.plan(members, start_within=duration), options.shards(members)) as world:
         world.play(duration)
         joined = time_until_merged(world, MAX_JOINED_S + 30.0)
@@ -257,7 +257,7 @@
     return figures, {
         f"joined in {MAX_JOINED_S:g} s": joined is not None and joined <= MAX_JOINED_S,
         f"in sums in {MAX_JOINED_S:g} s": in_sums_after_s is not None and in_sums_after_s <= MAX_JOINED_S,
-        f"{MAX_BYTES_A_S:g} bytes/s in any 10 s": traffic.worst <= MAX_BYTES_A_S,
+        f"{MAX_BYTES_PER_S:g} bytes/s in any 10 s": traffic.worst <= MAX_BYTES_PER_S,
         "no living one declared gone": wrong == 0,
     }
 
--- a/benchmarks/scale_instance_settings.py
+++ b/benchmarks/scale_instance_settings.py
@@ -10,7 +10,7 @@
 from benchmarks.scale_instance_measurements import CALM_RATE, WARM_UP_S, Measurements
 from mulleinhatch.testing.single_instance import Driving, SingleInstance, settings
 
-CHANGES_A_DAY = 5700
+CHANGES_PER_DAY = 5700
 
 
 def measure_start(
@@ -169,7 +169,7 @@
         "left": left,
         "lost": report["lost"],
         "rejected": report["answered"] - report["statuses"].get("200", 0),
-        "core_at_target": round(median(spent) * CHANGES_A_DAY / 86_400, 5),
+        "core_at_target": round(median(spent) * CHANGES_PER_DAY / 86_400, 5),
     }
 
 
--- a/benchmarks/scale_options.py
+++ b/benchmarks/scale_options.py
@@ -10,7 +10,7 @@
 from mulleinhatch.instance.gossip.core import MAX_MEMBERS
 from mulleinhatch.simulation.scale_instances import Plan
 
-MAX_BYTES_A_S, MAX_CORE_SHARE, MAX_STATE_MB = 3000.0, 0.02, 8.0
+MAX_BYTES_PER_S, MAX_CORE_SHARE, MAX_STATE_MB = 3000.0, 0.02, 8.0
 MAX_KNOWN_S, MAX_IN_SUMS_S, MAX_MERGED_S, MAX_JOINED_S, MAX_BURST_FACTOR = 5.0, 7.0, 10.0, 30.0, 2.0
 TARGET_MEMBERS = 3600
 Checks = dict[str, bool]
@@ -18,7 +18,7 @@
 
 
 class Sizes(NamedTuple):
-    """Numbers of members and durations in virtual seconds.
+    """Sizes of fleets in members, and durations in virtual seconds.
 
     Attributes:
         slopes: Members of each fleet used to fit the costs.
@@ -26,8 +26,8 @@
         events: Members of the fleets that events are played in.
         settle: Time after joining until all gossip about it has spread.
         calm: Time over which costs are measured.
-        cut: Duration of the partition.
-        minute: Time within which a burst of churn happens, or all members restart.
+        partition: Duration of the partition.
+        burst_span: Time within which a burst of churn happens, or all members restart.
         start: Time within which the members of the checked fleet start.
     """
 
@@ -36,8 +36,8 @@
     events: int
     settle: float
     calm: float
-    cut: float
-    minute: float
+    partition: float
+    burst_span: float
     start: float
 
 
@@ -60,8 +60,8 @@
     start = 0.1 if not levels else 3.0 if quick else 60.0
     # With starts spread over a minute, gossip about them has reached all members some 25 s after the last join.
     full_times = (25.0, 10.0, 180.0, 60.0) if levels else (5.0, 10.0, 60.0, 60.0)
-    settle, calm, cut, minute = (4.0, 5.0, 20.0, 10.0) if quick else full_times
-    return Sizes(tuple(small), full, min(members, events), settle, calm, cut, minute, start)
+    settle, calm, partition, burst_span = (4.0, 5.0, 20.0, 10.0) if quick else full_times
+    return Sizes(tuple(small), full, min(members, events), settle, calm, partition, burst_span, start)
 
 
 class Options(NamedTuple):
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -14,7 +14,7 @@
 from benchmarks import fits, records
 from benchmarks.scale_calm import COSTS, figures_text, measure_calm, unit
 from benchmarks.scale_events import EVENTS
-from benchmarks.scale_options import MAX_BYTES_A_S, MAX_CORE_SHARE, MAX_JOINED_S, MAX_STATE_MB, Checks, Figures, Options
+from benchmarks.scale_options import MAX_BYTES_PER_S, MAX_CORE_SHARE, MAX_JOINED_S, MAX_STATE_MB, Checks, Figures, Options
 from mulleinhatch.instance.gossip.core import MAX_MEMBERS
 
 ROLE = "instance.control"
@@ -82,7 +82,7 @@
         self.record_failures(
             "full",
             {
-                f"{MAX_BYTES_A_S:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= MAX_BYTES_A_S,
+                f"{MAX_BYTES_PER_S:g} bytes/s, worst of {members} in any 10 s": figures["worst 10 s"] <= MAX_BYTES_PER_S,
                 f"{MAX_CORE_SHARE:g} of a core": figures["core"] < MAX_CORE_SHARE,
                 f"{MAX_STATE_MB:g} MB": figures["memory"] < MAX_STATE_MB * 1e6,
                 f"joined in {MAX_JOINED_S:g} s": figures["joined"] is not None and figures["joined"] <= MAX_JOINED_S,
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -74,7 +74,9 @@
             Load(callers=callers),
         ),
         "three in ten replaced in 7 s": (
-            "\n".join(f"at {6 + 7 * turn / max(1, 0.3 * count):.2f} kill {turn} for 1" for turn in range(round(0.3 * count))),
+            "\n".join(
+                f"at {6 + 7 * index / max(1, 0.3 * count):.2f} kill {index} for 1" for index in range(round(0.3 * count))
+            ),
             length + 6.0,
             Load(0.6, callers=callers),
         ),
@@ -259,7 +261,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the chosen parts and print their figures; return 1 where a check failed."""
+    """Run the chosen parts and print their figures; return 1 if a check failed."""
     options = docopt(__doc__, argv)
     keep_environment()
     quick, seed, script = options["--quick"], int(options["--seed"]), None
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -133,11 +133,11 @@
         for figures, colour, label in ((damped, "C0", "damped"), (plain, "C3", "off")):
             first, good = figures["series"]["first"], figures["series"]["good"]
             seconds = range(int(case.run_for))
-            parts = [
+            shares = [
                 sum(good.get(4 * s + q, 0) for q in range(4)) / max(1, sum(first.get(4 * s + q, 0) for q in range(4)))
                 for s in seconds
             ]
-            axis.plot(list(seconds), parts, colour, label=label)
+            axis.plot(list(seconds), shares, colour, label=label)
         axis.axvline(faults.end_of(faults.read(case.script)), color="0.6", lw=0.8)
         axis.set_title(name, fontsize=9)
         axis.set_ylim(-0.02, 1.02)
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -169,7 +169,7 @@
         (request_path(path_requests, False), request_path(path_requests, True)) for _ in range(7)
     ]  # alternating, because the speed of the machine drifts
     plain, traced = median(one for one, _ in pairs), median(other for _, other in pairs)
-    more = median(other - one for one, other in pairs)
+    overhead = median(other - one for one, other in pairs)
     figures = {
         "records": records,
         "bytes_an_op": round(size / requests, 1),
@@ -183,7 +183,7 @@
         "merge_mb": round(merge_mb, 1),
         "op_us_plain": round(1e6 * plain, 1),
         "op_us_traced": round(1e6 * traced, 1),
-        "share_of_an_op": round(more / REQUEST_CPU, 3),
+        "share_of_an_op": round(overhead / REQUEST_CPU, 3),
     }
     table = Table("", "")
     for name, value in figures.items():
@@ -195,7 +195,7 @@
             ("bytes", size / requests <= MAX_REQUEST_BYTES),
             ("seek", quick or scan / seek >= MIN_SEEK_SPEEDUP),
             ("merge memory", merge_mb <= MAX_MERGE_MB),
-            ("cpu", more / REQUEST_CPU <= MAX_CPU_SHARE),
+            ("cpu", overhead / REQUEST_CPU <= MAX_CPU_SHARE),
         )
         if not kept
     ]
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -63,7 +63,7 @@
 
 
 async def run_roll(fleet_case: FleetCase, folder: Path, how: str, zone_most: int, within: float) -> dict[str, Any]:
-    """Take each machine out once and return the most that were out at a time, the duration and the service meanwhile.
+    """Run one roll and return the most machines out at a time, the duration and the service meanwhile.
 
     Args:
         fleet_case: The fleet, its load and faults.
