--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -220,7 +220,7 @@
     for sizes in ((-1, 1), (0, 0), (0, 1, 0)):
         with pytest.raises(ValueError, match="sizes are too small"):
             settings(*sizes)
-    with pytest.raises(ValueError, match="a fit of 1 points"):
+    with pytest.raises(ValueError, match="a fit needs two points or more, not 1"):
         worthwhile([[1, 1.0]])
 
 
