--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -8,9 +8,9 @@
 
 from mulleinhatch.instance.request_state_machine.events import Event
 from mulleinhatch.simulation.fault_search.histories import FIRST, History
-from mulleinhatch.simulation.gossip_world import GRACE, Node, Plan
+from mulleinhatch.simulation.gossip_world import LEAVE_GRACE_S, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
-from mulleinhatch.simulation.load_balancing_world import TARGET, TIMEOUT, LoadBalancingWorld
+from mulleinhatch.simulation.load_balancing_world import REQUEST_TIMEOUT_S, TARGET_LATENCY_S, LoadBalancingWorld
 from mulleinhatch.simulation.maintenance_world import MaintenanceMixin, request_maintenance_of_all
 from mulleinhatch.testing import fault_script as faults
 
@@ -51,30 +51,30 @@
             self.at(FIRST, request_maintenance_of_all, self)
         self.at(FIRST - 2.0, self._see)
 
-    def goes_out(self, node: Node) -> None:
+    def go_out_of_service(self, node: Node) -> None:
         """Leave in the program's order: notify the reducer, hand over or answer queued requests, then stop."""
-        self._take(node, Event.SHUTDOWN_REQUESTED, GRACE)
+        self._reduce(node, Event.SHUTDOWN_REQUESTED, LEAVE_GRACE_S)
         self._send(node, node.core.leave(node.clock(self.now)))
-        self.at(self.now + GRACE, self._works_on, node, node.incarnations)
+        self.at(self.now + LEAVE_GRACE_S, self._works_on, node, node.incarnations)
 
     def _works_on(self, node: Node, incarnation: int) -> None:
         if node.incarnations == incarnation and node.core:
             for ref, owed in node.reducer.requests.items():
                 if owed.connection_id is not None and not node.stalled:
                     raise InvariantBrokenError(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
-            self._gone(node, incarnation)
+            self._stop(node, incarnation)
             self.at(self.now + self.works, self.start, node)
 
-    def _answered(self, request: object, place: int, what: str, result: object, heeds: bool) -> None:
-        over = request.over
-        super()._answered(request, place, what, result, heeds)
-        if what == "ack" and not over and self.now - request.born <= TARGET:
+    def _on_response(self, request: object, place: int, what: str, result: object, heeds: bool) -> None:
+        was_finished = request.is_finished
+        super()._on_response(request, place, what, result, heeds)
+        if what == "ack" and not was_finished and self.now - request.born <= TARGET_LATENCY_S:
             self.by_second.setdefault(int(request.born), [0.0, 0.0])[1] += request.kind[2]
 
-    def _try(self, request: object) -> None:
+    def _send_attempt(self, request: object) -> None:
         if request.tries == 0:
             self.by_second.setdefault(int(request.born), [0.0, 0.0])[0] += request.kind[2]
-        super()._try(request)
+        super()._send_attempt(request)
 
     def _see(self) -> None:
         self.at(self.now + LOOK, self._see)
@@ -108,7 +108,7 @@
                 if not node.stalled
                 else []
             )
-            if late and self.now > self.end + TIMEOUT:
+            if late and self.now > self.end + REQUEST_TIMEOUT_S:
                 raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
 
     def share(self, since: float, until: float) -> float:
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -20,14 +20,14 @@
 from mulleinhatch.simulation.virtual_time import EventQueue
 from mulleinhatch.testing import fault_script as faults
 
-LINK = (0.0003, 0.002)  # seconds that a datagram takes
-GRACE = 2.0  # seconds from the notice to leave to the end
-CUT_OFF = 2.0  # seconds after which a part knows that it is one
-QUEUE = 200  # datagrams that a stopped process's socket holds
+LINK_DELAY_S = (0.0003, 0.002)  # range of seconds that a datagram takes
+LEAVE_GRACE_S = 2.0  # seconds from the announcement of a departure to the end of the process
+PARTITION_DETECTION_S = 2.0  # seconds after a fault until each partition has detected that it is one
+SOCKET_QUEUE_SIZE = 200  # datagrams that the socket of a stalled process buffers
 
 
 class Plan(NamedTuple):
-    """Times are seconds; demand is in units a window for each instance, over the total's even part."""
+    """The parameters of a simulated fleet. Times are in seconds; `demand` is relative to the even share of the budget."""
 
     instances: int = 8
     script: str = ""
@@ -35,9 +35,9 @@
     heartbeat_s: float = 0.1
     budgets: tuple[tuple[str, int, float], ...] = (("quota", 400, 1.0),)  # name, total, window
     demand: Callable[[int, float], float] = lambda place, now: 1.0
-    clocks: tuple[float, ...] = ()  # rates, by place; else within 1%
-    leases: bool = True  # False: even parts that nobody lends
-    gossip: bool = False  # the total over all that are heard of, with no leases: what others might do
+    clocks: tuple[float, ...] = ()  # clock rates by place, repeated; if empty, drawn within 1%
+    leases: bool = True  # False: even shares that no instance lends
+    gossip: bool = False  # for comparison: the total divided by the instances heard from, without leases
     seed: int = 1
 
 
@@ -48,11 +48,11 @@
         self.place, self.name, self.address = place, f"n{place}", f"10.0.0.1:{place}"
         rates = world.plan.clocks
         self.rate = rates[place % len(rates)] if rates else world.draw.uniform(0.99, 1.01)
-        self.offset = world.draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
+        self.offset = world.draw.uniform(-3600.0, 3600.0)  # no clock shows the true time
         self.incarnations = 0
         self.core: GossipNode | None = None
         self.stalled = False
-        self.waiting: deque[bytes] = deque(maxlen=QUEUE)
+        self.waiting: deque[bytes] = deque(maxlen=SOCKET_QUEUE_SIZE)
         self.meters: list[QuotaMeter] = []
 
     def clock(self, now: float) -> float:
@@ -80,14 +80,14 @@
         self.took: Counter[int] = Counter()  # by place: units used
         self.wanted: Counter[int] = Counter()
         self.counts: Counter[str] = Counter()
-        self.declared: list[tuple[float, int, str]] = []  # when, by whom, whom
-        self.false: list[tuple[float, int, str]] = []  # and of them those that lived and could be reached by most
+        self.declared: list[tuple[float, int, str]] = []  # time, observer, subject
+        self.false_declarations: list[tuple[float, int, str]] = []  # of running subjects that a majority could reach
         self.nodes = [Node(self, place) for place in range(plan.instances)]
         self.links = [fault for fault in self.faults if fault.what in ("cut", "deaf")]
         for node in self.nodes:
             self.at(self.draw.uniform(0.0, plan.heartbeat_s), self.start, node)
         for fault in self.faults:
-            self.at(fault.at, self._fault, fault)
+            self.at(fault.at, self._apply_fault, fault)
 
     def play(self, until: float | None = None) -> GossipWorld:
         """Run all events up to `until` (the plan's end by default)."""
@@ -111,14 +111,14 @@
         incarnation = int(1000.0 * (self.now + 7200.0 + (node.offset if node.incarnations > 1 else 0.0)))
         node.core = GossipNode(self.bounds, node.name, node.address, incarnation, self.draw.getrandbits(48), local)
         if not self.plan.leases:
-            for part in node.core.quotas:
-                part.plan_requests = lambda *arguments: []
+            for quota in node.core.quotas:
+                quota.plan_requests = lambda *arguments: []
         node.meters = [QuotaMeter(budget.window) for budget in self.budgets]
         self.at(self.now, self._send_heartbeat, node, node.incarnations)
         for place in range(len(self.budgets)):
-            self.at(self.now + self.draw.uniform(0.0, 0.1), self._use, node, node.incarnations, place)
+            self.at(self.now + self.draw.uniform(0.0, 0.1), self._consume, node, node.incarnations, place)
 
-    def _fault(self, fault: faults.Fault) -> None:
+    def _apply_fault(self, fault: faults.Fault) -> None:
         for place in fault.places:
             node = self.nodes[place]
             if fault.what == "kill":
@@ -127,22 +127,22 @@
                 self.start(node)
             elif fault.what == "leave" and node.core:
                 self._send(node, node.core.leave(node.clock(self.now)))
-                self.at(self.now + GRACE, self._gone, node, node.incarnations)
+                self.at(self.now + LEAVE_GRACE_S, self._stop, node, node.incarnations)
             elif fault.what == "stall":
                 node.stalled = True
             elif fault.what == "go" and node.core:
                 node.stalled = False
-                self._send_heartbeat(node, node.incarnations, again=False)  # its timer is overdue, its socket full
+                self._send_heartbeat(node, node.incarnations, again=False)  # the timer is overdue, the socket buffer full
                 waiting = list(node.waiting)
                 node.waiting.clear()
                 for data in waiting:
                     self._heard(node, data)
 
-    def _gone(self, node: Node, incarnation: int) -> None:
+    def _stop(self, node: Node, incarnation: int) -> None:
         if node.incarnations == incarnation:
             node.core = None
 
-    # Beats, datagrams, uses.
+    # Heartbeats, datagrams, budgets.
 
     def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
         if node.core is None or node.incarnations != incarnation:
@@ -154,7 +154,7 @@
         gone = node.core.members.counts["declared_gone"]
         self._send(node, node.core.heartbeat(node.clock(self.now), self.local(node)))
         if node.core.members.counts["declared_gone"] > gone:
-            self._declared(node)
+            self._record_declarations(node)
 
     def local(self, node: Node) -> LocalState:
         """Return the local figures that the node reports."""
@@ -176,14 +176,14 @@
             )
             for _ in range(1 + (self.draw.random() < repeated)):
                 if self.draw.random() >= lossy:
-                    late = (
-                        self.draw.uniform(*LINK)
+                    delay_s = (
+                        self.draw.uniform(*LINK_DELAY_S)
                         + delayed
                         + (self.draw.uniform(0.0, 0.3) if self.draw.random() < swapped else 0.0)
                     )
-                    self.at(self.now + late, self._arrives, self.nodes[to], data)
+                    self.at(self.now + delay_s, self._deliver, self.nodes[to], data)
 
-    def _arrives(self, node: Node, data: bytes) -> None:
+    def _deliver(self, node: Node, data: bytes) -> None:
         if node.core is None:
             return
         if node.stalled:
@@ -194,28 +194,28 @@
     def _heard(self, node: Node, data: bytes) -> None:
         self._send(node, node.core.handle_datagram(node.clock(self.now), data))
 
-    def _use(self, node: Node, incarnation: int, budget: int) -> None:
+    def _consume(self, node: Node, incarnation: int, budget: int) -> None:
         """Request units one at a time, at the rate of the node's demand."""
         if node.core is None or node.incarnations != incarnation:
             return
         bounds = self.budgets[budget]
         even = bounds.total / self.plan.instances / bounds.window
         rate = max(0.01, even * self.plan.demand(node.place, self.now))
-        self.at(self.now + self.draw.expovariate(rate), self._use, node, incarnation, budget)
+        self.at(self.now + self.draw.expovariate(rate), self._consume, node, incarnation, budget)
         if node.stalled:
             return
         self.wanted[node.place] += 1
-        part = node.core.usable_quota(node.clock(self.now), budget)
+        share = node.core.usable_quota(node.clock(self.now), budget)
         if self.plan.gossip:
             heard = sum(node.clock(self.now) - row.made_at <= FRESH_FOR_S for row in node.core.fleet_counters.rows.values())
-            part = bounds.total // (1 + heard)
-        if part < 0:
-            raise InvariantBrokenError(f"at {self.now:.3f} {node.name} holds a part of {part}")
-        if node.meters[budget].take(node.clock(self.now), part):
+            share = bounds.total // (1 + heard)
+        if share < 0:
+            raise InvariantBrokenError(f"at {self.now:.3f} {node.name} holds a share of {share}")
+        if node.meters[budget].take(node.clock(self.now), share):
             self.took[node.place] += 1
             used = self.used[budget]
             used.append(self.now)
-            # Meters are on the members' own clocks: a window of the slowest is longer than one of ours by 1%.
+            # Meters run on the members' own clocks: the slowest member's window is 1% longer than one of the world's clock.
             while used[0] <= self.now - bounds.window * 0.98:
                 used.popleft()
             self.most_used[budget] = max(self.most_used[budget], len(used))
@@ -224,9 +224,9 @@
                     f"at {self.now:.3f} {len(used)} of {bounds.total} of {bounds.name} used in one window"
                 )
 
-    # What must hold of members.
+    # Invariants of the membership.
 
-    def _hears(self, node: Node) -> int:
+    def _count_reachable(self, node: Node) -> int:
         """Count the nodes that this one can exchange datagrams with in both directions."""
         return sum(
             other is not node
@@ -237,7 +237,7 @@
             for other in self.nodes
         )
 
-    def _in_hearing(self, node: Node) -> int:
+    def _count_heard(self, node: Node) -> int:
         """Count the nodes that this one can receive from, whether or not they receive from it: its own partition check."""
         return sum(
             other is not node
@@ -247,24 +247,24 @@
             for other in self.nodes
         )
 
-    def _declared(self, node: Node) -> None:
+    def _record_declarations(self, node: Node) -> None:
         for change in node.core.members.changes:
             if change.state == "gone" and change.why == "silent":
                 other = next(other for other in self.nodes if other.name == change.name)
                 self.declared.append((self.now, node.place, change.name))
-                lived = other.core is not None and not other.stalled
-                if lived and 2 * self._in_hearing(node) < self._living() - 1 and self._settled():
+                is_running = other.core is not None and not other.stalled
+                if is_running and 2 * self._count_heard(node) < self._count_running() - 1 and self._is_settled():
                     raise InvariantBrokenError(f"at {self.now:.3f} {node.name}, cut off from most, declared {other.name} gone")
-                if lived and 2 * self._hears(other) >= self._living() - 1 and self._settled():
-                    self.false.append((self.now, node.place, change.name))
+                if is_running and 2 * self._count_reachable(other) >= self._count_running() - 1 and self._is_settled():
+                    self.false_declarations.append((self.now, node.place, change.name))
         node.core.members.changes.clear()
 
-    def _settled(self) -> bool:
-        """Return whether no fault began or ended within the last `CUT_OFF` seconds."""
-        moments = [moment for fault in self.faults for moment in (fault.at, fault.until)]
-        return all(not 0.0 <= self.now - moment < CUT_OFF for moment in moments)
+    def _is_settled(self) -> bool:
+        """Return whether no fault began or ended within the last `PARTITION_DETECTION_S` seconds."""
+        boundaries = [time for fault in self.faults for time in (fault.at, fault.until)]
+        return all(not 0.0 <= self.now - time < PARTITION_DETECTION_S for time in boundaries)
 
-    def _living(self) -> int:
+    def _count_running(self) -> int:
         return sum(node.core is not None for node in self.nodes)
 
     def views_agree(self) -> bool:
@@ -287,7 +287,7 @@
 
 
 def draw_fault_script(draw: random.Random, instances: int, start: float, length: float) -> str:
-    """Draw a fault script: a few overlapping faults, all over by `start + length`."""
+    """Draw a script of a few overlapping faults that have all ended by `start + length`."""
     lines = []
     for _ in range(draw.randint(1, 4)):
         at = start + draw.uniform(0.0, 0.5 * length)
@@ -300,7 +300,7 @@
             lines.append(f"at {at:.2f} cut {one} from {other} for {last:.2f}")
         elif kind == "deaf":
             lines.append(f"at {at:.2f} deaf {one} to {other} for {last:.2f}")
-        elif kind == "chain":  # the first third hears the second, the second the third
+        elif kind == "chain":  # the first and the last third are connected only through the middle one
             third = max(1, instances // 3)
             lines.append(f"at {at:.2f} cut 0-{third - 1} from {instances - third}-{instances - 1} for {last:.2f}")
         elif kind == "flap":
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -2,8 +2,8 @@
 
 One seed gives one history. Checked at each step: one answer for each request and connection, no non-retryable request runs
 twice anywhere, and offers never exceed the free capacity. `mode` selects what the instances do: `alone` (no load balancing),
-`advice`, `spread` (the mechanism), and for comparison `random` and `freshest` (hand-over to any peer, or to the peer whose last
-report shows the most free capacity). `common_queue` gives the upper bound: one queue for all servers.
+`advice`, `spread` (the mechanism under test), and for comparison `random` and `freshest` (hand-over to any peer, or to the
+peer whose last report shows the most free capacity). `common_queue` gives an upper bound: one queue for all servers.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 from mulleinhatch.instance.load_balancing.offers import ReceivedOffer
 from mulleinhatch.instance.request_state_machine.events import Action, Event
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
-from mulleinhatch.simulation.gossip_world import GRACE, LINK, GossipWorld, Node, Plan
+from mulleinhatch.simulation.gossip_world import LEAVE_GRACE_S, LINK_DELAY_S, GossipWorld, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.testing import fault_script as faults
 from mulleinhatch.testing.fake_interpreter import Cores
 
-USUAL = LoadBalancingBounds()
+DEFAULT_BOUNDS = LoadBalancingBounds()
 MODES = ("alone", "advice", "spread", "random", "freshest")
 KINDS = (("read", Effect.RETRYABLE, 1.0, 0.85), ("signoff", Effect.NON_RETRYABLE, 5.0, 0.15))
-TARGET, TIMEOUT = 1.8, 4.5
-PAUSE = 0.05  # seconds before a caller's next try
-MOST_TRIES = 4
-NUDGE = 0.005  # seconds from what happens to a word on it
-LOOK = 0.05  # seconds between looks at who is idle
-CONNECT = 0.5  # seconds until a peer that does not answer counts as not there
-SETTLED = 4.0  # seconds until views and pace are known; nothing is measured before
-BAD_SPEED = 0.1  # of a run's time that one takes which fails
+TARGET_LATENCY_S, REQUEST_TIMEOUT_S = 1.8, 4.5
+RETRY_PAUSE_S = 0.05  # seconds before a client's next attempt
+MAX_ATTEMPTS = 4
+LOAD_CHANGE_DELAY_S = 0.005  # seconds from a load change until the balancer is told, so that changes are batched
+IDLE_CHECK_INTERVAL_S = 0.05  # seconds between samples of the idle instances
+CONNECT_TIMEOUT_S = 0.5  # seconds until a peer that does not answer counts as unreachable
+SETTLED = 4.0  # seconds until views and service rates are known; measurements begin then
+FAILING_RUN_FRACTION = 0.1  # duration of a failing run, as a fraction of a full run
 
 
 class Load(NamedTuple):
@@ -48,30 +48,30 @@
 
     load: float = 0.9
     cores: int = 2
-    work: float = 0.3  # seconds of a core, mean; runs scatter
+    work: float = 0.3  # mean core seconds of a run; runs vary
     callers: int = 12
     listed: int = 5  # instances that a caller knows
     mixed: bool = False  # lists drawn at random; else neighbours, so that busy callers know the same few
-    one: float = 0.0  # of all requests by one caller
-    uneven: float = 1.0  # how unevenly callers ask: 0 all alike, 1 the busiest three times the idlest
-    heeding: float = 0.8
-    list_delay: float = 1.0  # seconds until callers learn who is gone or new
-    speeds: tuple[float, ...] = ()  # by place, repeated; else all 1
+    one: float = 0.0  # fraction of all requests that one caller sends
+    uneven: float = 1.0  # 0: all callers send at the same rate; 1: the busiest at three times the idlest's rate
+    heeding: float = 0.8  # fraction of the requests whose clients respect hold-offs and levels
+    list_delay: float = 1.0  # seconds until callers learn which instances stopped or started
+    speeds: tuple[float, ...] = ()  # by place, repeated; if empty, all are 1
     marked: bool = True
-    cold_speed: float = 1.0  # of an instance that comes back, at first
-    cold_for: float = 0.0  # seconds until it is warm
-    busy_callers: int = 0  # so many instances alone are known to callers; 0: all
+    cold_speed: float = 1.0  # initial speed of a restarted instance
+    cold_for: float = 0.0  # seconds until a restarted instance runs at full speed
+    busy_callers: int = 0  # the callers know only this many instances; 0: all
 
 
 class Request:
     """A client's request through all its attempts; slotted, as a history holds many thousands."""
 
-    __slots__ = ("number", "kind", "born", "caller", "work", "tries", "over", "rank", "away")
+    __slots__ = ("number", "kind", "born", "caller", "work", "tries", "is_finished", "rank", "failed_places")
 
     def __init__(self, number: int, kind: tuple, born: float, caller: int, work: float, rank: float) -> None:
         self.number, self.kind, self.born, self.caller, self.work, self.rank = number, kind, born, caller, work, rank
-        self.tries, self.over = 0, False
-        self.away: set[int] = set()
+        self.tries, self.is_finished = 0, False
+        self.failed_places: set[int] = set()
 
 
 class Service(Node):
@@ -82,20 +82,20 @@
         self.spread: LoadBalancer | None = None
         self.reducer: Reducer | None = None
         self.cores: Cores | None = None
-        self.pending_requests: dict[int, Callable[..., None]] = {}  # by place on it: what is done with its answer
-        self.works: dict[str, tuple[float, bool, float]] = {}  # runs: work left to do, whether they fail, when they began
-        self.ends = 0
+        self.pending_requests: dict[int, Callable[..., None]] = {}  # response callback by connection id
+        self.runs: dict[str, tuple[float, bool, float]] = {}  # by ref: work, whether the run fails, when it began
+        self.end_timer_number = 0
         self.places = self.notices = 0
-        self.nudged = False
-        self.level = 0.0  # what callers were told last
+        self.is_notification_scheduled = False
+        self.level = 0.0  # the level in the last response to callers
         self.warming_up_since = -math.inf
-        self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while it is stalled
+        self.deferred_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while the process is stalled
 
 
 class LoadBalancingWorld(GossipWorld):
     """A gossip world whose instances serve requests and hand them over to peers."""
 
-    def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: LoadBalancingBounds = USUAL) -> None:
+    def __init__(self, plan: Plan, load: Load, mode: str = "spread", bounds: LoadBalancingBounds = DEFAULT_BOUNDS) -> None:
         assert mode in MODES
         self.load, self.mode, self.spread_bounds = (
             load,
@@ -109,19 +109,19 @@
         for node in self.nodes:
             self.at(draw.uniform(0.0, plan.heartbeat_s), self.start, node)
         for fault in self.faults:
-            self.at(fault.at, self._fault, fault)
+            self.at(fault.at, self._apply_fault, fault)
         speeds = load.speeds or (1.0,)
         self.speeds = [speeds[place % len(speeds)] for place in range(plan.instances)]
         self.capacity = sum(self.speeds) * load.cores / load.work  # requests a second
-        # Each caller knows `listed` next to each other: busy callers' instances are the busy ones.
+        # Each caller knows `listed` adjacent instances: those known to busy callers are the busy ones.
         step = plan.instances / load.callers
         self.lists = [
-            [int(caller * step + turn) % plan.instances for turn in range(min(load.listed, plan.instances))]
+            [int(caller * step + offset) % plan.instances for offset in range(min(load.listed, plan.instances))]
             for caller in range(load.callers)
         ]
         if load.busy_callers:
             self.lists = [
-                [(caller + turn) % load.busy_callers for turn in range(min(load.listed, load.busy_callers))]
+                [(caller + offset) % load.busy_callers for offset in range(min(load.listed, load.busy_callers))]
                 for caller in range(load.callers)
             ]
         if load.mixed:
@@ -131,10 +131,10 @@
             weights[0] = load.one / (1.0 - load.one) * sum(weights[1:])
         self.weights = weights
         self.known_up = [True] * plan.instances
-        self.turns = [0] * load.callers
+        self.attempt_counts = [0] * load.callers
         self.hold_off: dict[tuple[int, int], float] = {}
         self.requests = 0
-        self.asked = self.in_time = 0.0
+        self.requested_value = self.in_time = 0.0
         self.latencies: list[float] = []
         self.idle_needed = 0.0
         self.arrivals: Counter[tuple[int, int]] = Counter()
@@ -142,12 +142,12 @@
         self.once: set[int] = set()  # numbers of non-retryable requests
         self.handed = Counter[str]()
         # By place and incarnation: seconds from its start to each hand-over.
-        self.handed_while_warming_up: dict[tuple[int, int], list[float]] = {}
+        self.handovers_while_warming_up: dict[tuple[int, int], list[float]] = {}
         self.rejected_at = -1.0
-        self.busy: list[list[float]] = []  # each half second, the share of each instance's cores in use
-        self.wishes: list[list[float]] = []
-        self.at(SETTLED - 2.0, self._born)
-        self.at(SETTLED, self._look)
+        self.busy: list[list[float]] = []  # each half second, the fraction of each instance's cores in use
+        self.redirect_fractions: list[list[float]] = []
+        self.at(SETTLED - 2.0, self._create_request)
+        self.at(SETTLED, self._check_idle)
 
     # Instances.
 
@@ -163,10 +163,11 @@
             node.spread = LoadBalancer(bounds, node.core, self.draw.getrandbits(40), now, is_warming_up=node.incarnations > 1)
             node.core.handover_address = bounds.at
             if self.mode in ("random", "freshest"):
-                self._compared(node)
+                self._use_comparison_mode(node)
         deployment: Deployment = {
             "op_types": [
-                {"effect": kind[1], "importance": kind[2], "target_latency": TARGET, "op_timeout": TIMEOUT} for kind in KINDS
+                {"effect": kind[1], "importance": kind[2], "target_latency": TARGET_LATENCY_S, "op_timeout": REQUEST_TIMEOUT_S}
+                for kind in KINDS
             ],
             "cores": load.cores,
             "crowd_per_core": 8.0,
@@ -180,24 +181,24 @@
             "cold_speed": load.cold_speed,
         }
         node.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], node.place + 1)
-        node.cores, node.works, node.pending_requests, node.later = Cores(load.cores, lambda at: 1.0), {}, {}, []
+        node.cores, node.runs, node.pending_requests, node.deferred_calls = Cores(load.cores, lambda at: 1.0), {}, {}, []
         node.notices, node.level = 0, 0.0
         if node.spread:
             node.reducer.keeps_handover_data = self.spread_bounds.hand_over
             node.reducer.on_run_ended, node.reducer.on_client_request = node.spread.record_run, node.spread.record_arrival
-        self._take(node, Event.LINK_OPENED)
+        self._reduce(node, Event.LINK_OPENED)
         is_warming_up = node.incarnations > 1 and load.cold_for > 0.0
         node.warming_up_since = self.now if is_warming_up else -math.inf
-        self._take(node, Event.INTERPRETER_READY, is_warming_up, 0.0 if is_warming_up else 100.0)
-        self.at(self.now + load.list_delay, self._listed, node, node.incarnations, True)
+        self._reduce(node, Event.INTERPRETER_READY, is_warming_up, 0.0 if is_warming_up else 100.0)
+        self.at(self.now + load.list_delay, self._set_listed, node, node.incarnations, True)
 
-    def _listed(self, node: Service, incarnation: int, up: bool) -> None:
+    def _set_listed(self, node: Service, incarnation: int, up: bool) -> None:
         if not up and node.core and node.incarnations > incarnation:
             return
         self.known_up[node.place] = up
 
-    def _compared(self, node: Service) -> None:
-        """Replace offers by the peer selection of the compared modes; module and rules stay the same."""
+    def _use_comparison_mode(self, node: Service) -> None:
+        """Replace offers by the peer selection of the modes `random` and `freshest`; the rest of the balancer stays."""
         spread = node.spread
         spread.offer_issuer.issue = lambda *arguments, **more: []
 
@@ -219,31 +220,31 @@
 
         spread.take_offer, spread.count_offers = take, lambda now: 4 if choices() else 0
 
-    def _fault(self, fault: faults.Fault) -> None:
+    def _apply_fault(self, fault: faults.Fault) -> None:
         before = [(self.nodes[place], self.nodes[place].core) for place in fault.places]
         if fault.what == "leave":
             for node, core in before:
                 if core:
-                    self._take(node, Event.SHUTDOWN_REQUESTED, GRACE)
-        super()._fault(fault)
+                    self._reduce(node, Event.SHUTDOWN_REQUESTED, LEAVE_GRACE_S)
+        super()._apply_fault(fault)
         for node, core in before:
             if fault.what == "kill" and core:
-                self._died(node)
+                self._on_process_end(node)
             elif fault.what == "go" and node.core:
-                later, node.later = node.later, []
-                for act, arguments in later:
+                deferred_calls, node.deferred_calls = node.deferred_calls, []
+                for act, arguments in deferred_calls:
                     act(*arguments)
             elif fault.what == "leave" and core:
-                self.at(self.now + self.load.list_delay, self._listed, node, node.incarnations, False)
+                self.at(self.now + self.load.list_delay, self._set_listed, node, node.incarnations, False)
 
-    def _gone(self, node: Node, incarnation: int) -> None:
+    def _stop(self, node: Node, incarnation: int) -> None:
         if node.incarnations == incarnation and node.core:
-            super()._gone(node, incarnation)
-            self._died(node)
+            super()._stop(node, incarnation)
+            self._on_process_end(node)
 
-    def _died(self, node: Service) -> None:
-        waiting, node.pending_requests, node.works = node.pending_requests, {}, {}
-        self.at(self.now + self.load.list_delay, self._listed, node, node.incarnations, False)
+    def _on_process_end(self, node: Service) -> None:
+        waiting, node.pending_requests, node.runs = node.pending_requests, {}, {}
+        self.at(self.now + self.load.list_delay, self._set_listed, node, node.incarnations, False)
         for answered in waiting.values():
             answered("broken", b"")
 
@@ -252,9 +253,9 @@
             return
         if node.spread and not node.stalled:
             now = node.clock(self.now)
-            self._send(node, node.spread.heartbeat(now, self._here(node)))
+            self._send(node, node.spread.heartbeat(now, self._instance_load(node)))
             self._check_offers(node, now)
-            self._offers(node)
+            self._update_offers(node)
             conditions = (
                 node.core.free_fraction(now),
                 node.core.is_judged_unhealthy(),
@@ -263,7 +264,7 @@
             )
             if conditions != getattr(node, "last_conditions", None):
                 node.last_conditions = conditions
-                self._take(node, Event.PEER_LOAD_CHANGED, *conditions)
+                self._reduce(node, Event.PEER_LOAD_CHANGED, *conditions)
         super()._send_heartbeat(node, incarnation, again)
 
     def local(self, node: Node) -> Any:
@@ -289,12 +290,12 @@
         return super().local(node)._replace(figures=figures, opinions=opinions)
 
     def _check_offers(self, node: Service, now: float) -> None:
-        giver = node.spread.offer_issuer
-        if giver.counts["offers_given"] > getattr(node, "given", 0):
-            node.given = giver.counts["offers_given"]
-            if sum(given.until > now for given in giver.issued.values()) > max(0, node.spread.load.free_slots):
+        issuer = node.spread.offer_issuer
+        if issuer.counts["offers_given"] > getattr(node, "offers_seen", 0):
+            node.offers_seen = issuer.counts["offers_given"]
+            if sum(offer.until > now for offer in issuer.issued.values()) > max(0, node.spread.load.free_slots):
                 raise InvariantBrokenError(
-                    f"at {self.now:.3f} {node.name} offers {len(giver.issued)} with room for {node.spread.load.free_slots}"
+                    f"at {self.now:.3f} {node.name}: {len(issuer.issued)} offers for {node.spread.load.free_slots} free slots"
                 )
 
     def _heard(self, node: Node, data: bytes) -> None:
@@ -304,61 +305,63 @@
         if node.spread:
             self._send(node, node.spread.take_messages())
             self._check_offers(node, node.clock(self.now))
-            self._offers(node)
+            self._update_offers(node)
 
-    def _offers(self, node: Service) -> None:
+    def _update_offers(self, node: Service) -> None:
         if node.reducer.requests and self.spread_bounds.hand_over:
-            self._take(node, Event.PEER_OFFERS_CHANGED, node.spread.count_offers(node.clock(self.now)))
+            self._reduce(node, Event.PEER_OFFERS_CHANGED, node.spread.count_offers(node.clock(self.now)))
 
-    # What a reducer asks for.
+    # Actions of the reducer.
 
-    def _take(self, node: Service, event: Event, *arguments: Any) -> None:
+    def _reduce(self, node: Service, event: Event, *arguments: Any) -> None:
         if node.core is None:
             return
         if node.stalled:
-            node.later.append((self._take, (node, event, *arguments)))
+            node.deferred_calls.append((self._reduce, (node, event, *arguments)))
             return
         for action, *fields in node.reducer.reduce(node.clock(self.now), event, *arguments):
-            self._do(node, action, fields)
+            self._execute(node, action, fields)
         if (
             node.spread
             and self.spread_bounds.hand_over
-            and not node.nudged
+            and not node.is_notification_scheduled
             and event in (Event.REQUEST_RECEIVED, Event.RUN_ENDED)
         ):
-            node.nudged = True
-            self.at(self.now + NUDGE, self._nudged, node, node.incarnations)
+            node.is_notification_scheduled = True
+            self.at(self.now + LOAD_CHANGE_DELAY_S, self._notify_load_change, node, node.incarnations)
 
-    def _nudged(self, node: Service, incarnation: int) -> None:
-        node.nudged = False
+    def _notify_load_change(self, node: Service, incarnation: int) -> None:
+        node.is_notification_scheduled = False
         if node.incarnations == incarnation and node.core and not node.stalled:
-            self._send(node, node.spread.on_load_change(node.clock(self.now), self._here(node)))
+            self._send(node, node.spread.on_load_change(node.clock(self.now), self._instance_load(node)))
             self._check_offers(node, node.clock(self.now))
-            self._offers(node)
+            self._update_offers(node)
 
-    def _here(self, node: Service) -> InstanceLoad:
+    def _instance_load(self, node: Service) -> InstanceLoad:
         reducer, now = node.reducer, node.clock(self.now)
         return InstanceLoad(
             reducer.free_capacity(now), reducer.transferable_count(), int(reducer.controller.limit), reducer.stop_at is not None
         )
 
-    def _do(self, node: Service, action: Action, fields: list[Any]) -> None:
+    def _execute(self, node: Service, action: Action, fields: list[Any]) -> None:
         if action is Action.START_RUN:
-            self._run(node, fields[0], fields[2])
+            self._start_run(node, fields[0], fields[2])
         elif action is Action.REQUEST_GAUGES:
-            use = min(1.0, len(node.works) / self.load.cores)
+            use = min(1.0, len(node.runs) / self.load.cores)
             self.at(self.now, self._for_incarnation, node, node.incarnations, Event.GAUGES_RECEIVED, fields[0], [use])
         elif action is Action.SET_TIMER:
             self.at(self.now + fields[0], self._for_incarnation, node, node.incarnations, Event.TIMER_EXPIRED, fields[1])
         elif action is Action.HAND_OVER:
-            self._hand(node, *fields)
+            self._hand_over(node, *fields)
         elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
             answered = node.pending_requests.pop(fields[0], None)
             if answered is None:
-                raise InvariantBrokenError(f"at {self.now:.3f} {node.name} answers place {fields[0]} twice, or nobody there")
+                raise InvariantBrokenError(
+                    f"at {self.now:.3f} {node.name} sends a second or unexpected answer on connection {fields[0]}"
+                )
             node.level = fields[-1] or 0.0
             self.at(
-                self.now + self.draw.uniform(*LINK),
+                self.now + self.draw.uniform(*LINK_DELAY_S),
                 answered,
                 action.value,
                 fields[1] if action is Action.SEND_RESULT else fields[1:3] if action is Action.SEND_REJECTION else b"",
@@ -366,27 +369,27 @@
 
     def _for_incarnation(self, node: Service, incarnation: int, event: Event, *arguments: Any) -> None:
         if node.incarnations == incarnation:
-            self._take(node, event, *arguments)
+            self._reduce(node, event, *arguments)
 
-    def _run(self, node: Service, ref: str, body: bytes) -> None:
+    def _start_run(self, node: Service, ref: str, body: bytes) -> None:
         number, work = body.split()
-        if ref in node.works:
-            raise InvariantBrokenError(f"at {self.now:.3f} {node.name} runs {ref} twice at a time")
+        if ref in node.runs:
+            raise InvariantBrokenError(f"at {self.now:.3f} {node.name} starts {ref} while it is running")
         self.ran[int(number)] += 1
         if self.ran[int(number)] > 1 and int(number) in self.once:
-            raise InvariantBrokenError(f"at {self.now:.3f} a non-retryable op runs a second time, on {node.name}")
+            raise InvariantBrokenError(f"at {self.now:.3f} a non-retryable request runs a second time, on {node.name}")
         slow = (
             max(1.0, faults.amount(self.faults, "slow", self.now, node.place))
             / self.speeds[node.place]
-            / self.warmth(self.now - node.warming_up_since)
+            / self.speed_fraction(self.now - node.warming_up_since)
         )
-        bad = self.draw.random() < faults.amount(self.faults, "failing", self.now, node.place)
-        node.works[ref] = (float(work), bad, self.now)
-        node.cores.start(self.now, ref, float(work) * slow * (BAD_SPEED if bad else 1.0))
-        self._next_end(node)
+        fails = self.draw.random() < faults.amount(self.faults, "failing", self.now, node.place)
+        node.runs[ref] = (float(work), fails, self.now)
+        node.cores.start(self.now, ref, float(work) * slow * (FAILING_RUN_FRACTION if fails else 1.0))
+        self._schedule_next_end(node)
 
-    def warmth(self, since: float) -> float:
-        """Return the share of its speed that an instance has so many seconds after a cold start."""
+    def speed_fraction(self, since: float) -> float:
+        """Return the fraction of full speed that an instance reaches `since` seconds after a cold start."""
         load = self.load
         return 1.0 if since >= load.cold_for else load.cold_speed + (1.0 - load.cold_speed) * since / load.cold_for
 
@@ -398,32 +401,32 @@
             the number of requests handed over to such instances in all.
         """
         worst, count = -math.inf, 0
-        for times in self.handed_while_warming_up.values():
+        for times in self.handovers_while_warming_up.values():
             count += len(times)
             for first, at in enumerate(times):
                 came = sum(at <= other < at + window for other in times[first:])
-                allowed = window * self.load.cores / self.load.work * self.warmth(at + 0.5 * window)
+                allowed = window * self.load.cores / self.load.work * self.speed_fraction(at + 0.5 * window)
                 worst = max(worst, came - (allowed + 2.0 * math.sqrt(allowed) + 2.0))
         return worst, count
 
-    def _next_end(self, node: Service) -> None:
-        node.ends += 1
+    def _schedule_next_end(self, node: Service) -> None:
+        node.end_timer_number += 1
         left = node.cores.next_end(self.now)
         if left is not None:
-            self.at(self.now + max(0.0, left), self._ended, node, node.incarnations, node.ends)
+            self.at(self.now + max(0.0, left), self._on_run_end, node, node.incarnations, node.end_timer_number)
 
-    def _ended(self, node: Service, incarnation: int, number: int) -> None:
-        if node.incarnations != incarnation or node.core is None or node.ends != number:
+    def _on_run_end(self, node: Service, incarnation: int, number: int) -> None:
+        if node.incarnations != incarnation or node.core is None or node.end_timer_number != number:
             return
         for ref in node.cores.ended(self.now + 1e-9):
-            _, bad, _ = node.works.pop(ref, (0.0, False, 0.0))
+            _, fails, _ = node.runs.pop(ref, (0.0, False, 0.0))
             node.notices += 1
-            self._take(node, Event.RUN_ENDED, node.notices, ref, Ending.ERROR if bad else Ending.OK, ref.encode())
-        self._next_end(node)
+            self._reduce(node, Event.RUN_ENDED, node.notices, ref, Ending.ERROR if fails else Ending.OK, ref.encode())
+        self._schedule_next_end(node)
 
     # Hand-over.
 
-    def _hand(
+    def _hand_over(
         self,
         node: Service,
         ref: str,
@@ -448,7 +451,7 @@
         self.handed["to " + ("offers" if offer.number else "guesses")] += 1
         ended = []
 
-        def over(ending: Ending, result: bytes = b"") -> None:
+        def finish(ending: Ending, result: bytes = b"") -> None:
             if ended:
                 return
             ended.append(ending)
@@ -460,24 +463,24 @@
                     ending in (Ending.ERROR, Ending.INTERRUPTED),
                     ending in (Ending.UNREACHABLE, Ending.INTERRUPTED),
                 )
-                self._take(node, Event.HANDOVER_ENDED, ref, ending, result)
+                self._reduce(node, Event.HANDOVER_ENDED, ref, ending, result)
 
-        there = faults.passes(self.links, self.now, node.place, peer.place) and faults.passes(
+        is_link_up = faults.passes(self.links, self.now, node.place, peer.place) and faults.passes(
             self.links, self.now, peer.place, node.place
         )
-        if not there or peer.core is None:
-            self.at(self.now + (LINK[1] if there else CONNECT), over, Ending.UNREACHABLE)
+        if not is_link_up or peer.core is None:
+            self.at(self.now + (LINK_DELAY_S[1] if is_link_up else CONNECT_TIMEOUT_S), finish, Ending.UNREACHABLE)
             return
         if left:
-            self.at(self.now + max(0.01, left - 0.08), over, Ending.INTERRUPTED)
+            self.at(self.now + max(0.01, left - 0.08), finish, Ending.INTERRUPTED)
         self.at(
-            self.now + self.draw.uniform(*LINK),
-            self._arrives_handed,
+            self.now + self.draw.uniform(*LINK_DELAY_S),
+            self._receive_handover,
             node,
             peer,
             peer.incarnations,
             offer,
-            over,
+            finish,
             (
                 ref,
                 request_type,
@@ -495,14 +498,20 @@
             ),
         )
 
-    def _arrives_handed(
-        self, node: Service, peer: Service, incarnation: int, offer: ReceivedOffer, over: Callable[..., None], arguments: tuple
+    def _receive_handover(
+        self,
+        node: Service,
+        peer: Service,
+        incarnation: int,
+        offer: ReceivedOffer,
+        finish: Callable[..., None],
+        arguments: tuple,
     ) -> None:
         if peer.core is None or peer.incarnations != incarnation:
-            over(Ending.INTERRUPTED)
+            finish(Ending.INTERRUPTED)
             return
         if self.now - peer.warming_up_since < self.load.cold_for:
-            self.handed_while_warming_up.setdefault((peer.place, peer.incarnations), []).append(
+            self.handovers_while_warming_up.setdefault((peer.place, peer.incarnations), []).append(
                 self.now - peer.warming_up_since
             )
         if peer.spread:
@@ -511,27 +520,27 @@
         def answered(what: str, result: Any) -> None:
             passes = faults.passes(self.links, self.now, peer.place, node.place)
             if passes:
-                over(
+                finish(
                     {"ack": Ending.OK, "fail": Ending.ERROR, "broken": Ending.INTERRUPTED}.get(what, Ending.FULL),
                     result if what == "ack" else b"",
                 )
 
-        self._read(peer, answered, arguments)
+        self._receive_request(peer, answered, arguments)
 
-    def _read(self, node: Service, answered: Callable[..., None], arguments: tuple) -> None:
+    def _receive_request(self, node: Service, answered: Callable[..., None], arguments: tuple) -> None:
         if self.now >= SETTLED:
             self.arrivals[node.place, int(self.now)] += 1
         node.places += 1
         node.pending_requests[node.places] = answered
-        self._take(node, Event.REQUEST_RECEIVED, node.places, *arguments)
+        self._reduce(node, Event.REQUEST_RECEIVED, node.places, *arguments)
 
     # Callers.
 
-    def _born(self) -> None:
+    def _create_request(self) -> None:
         load, draw = self.load, self.calls
-        if self.now >= self.plan.until - TARGET - 0.5:
+        if self.now >= self.plan.until - TARGET_LATENCY_S - 0.5:
             return
-        self.at(self.now + draw.expovariate(load.load * self.capacity), self._born)
+        self.at(self.now + draw.expovariate(load.load * self.capacity), self._create_request)
         self.requests += 1
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
         caller = draw.choices(range(load.callers), self.weights)[0]
@@ -539,40 +548,40 @@
         if kind[1] is not Effect.RETRYABLE:
             self.once.add(request.number)
         if self.now >= SETTLED:
-            self.asked += kind[2]
-        self._try(request)
+            self.requested_value += kind[2]
+        self._send_attempt(request)
 
-    def _try(self, request: Request) -> None:
+    def _send_attempt(self, request: Request) -> None:
         load = self.load
-        wait = TIMEOUT - (self.now - request.born)
-        if request.over or request.tries >= MOST_TRIES or wait < 0.1:
-            request.over = True
+        wait = REQUEST_TIMEOUT_S - (self.now - request.born)
+        if request.is_finished or request.tries >= MAX_ATTEMPTS or wait < 0.1:
+            request.is_finished = True
             return
         request.tries += 1
         heeds = (request.number * 7919 % 1000) / 1000.0 < load.heeding
         listed = [place for place in self.lists[request.caller] if self.known_up[place]] or self.lists[request.caller]
-        self.turns[request.caller] += 1
-        start = self.turns[request.caller]
-        ordered = [listed[(start + turn) % len(listed)] for turn in range(len(listed))]
-        fresh = [place for place in ordered if place not in request.away] or ordered
+        self.attempt_counts[request.caller] += 1
+        start = self.attempt_counts[request.caller]
+        ordered = [listed[(start + offset) % len(listed)] for offset in range(len(listed))]
+        fresh = [place for place in ordered if place not in request.failed_places] or ordered
         chosen = fresh[0]
         if heeds:
             able = [place for place in fresh if self.hold_off.get((request.caller, place), 0.0) <= self.now]
             chosen = next((place for place in able if request.rank >= self.nodes[place].level), able[0] if able else chosen)
         node = self.nodes[chosen]
         if node.core is None:
-            self._broken(request, chosen, refused=True)
+            self._on_connection_error(request, chosen, refused=True)
             return
         ref = f"{self.draw.getrandbits(60):016x}"
         incarnation = node.incarnations
 
         def answered(what: str, result: Any) -> None:
-            self._answered(request, chosen, what, result, heeds)
+            self._on_response(request, chosen, what, result, heeds)
 
-        self.at(self.now + wait + 0.2, self._too_late, request)
+        self.at(self.now + wait + 0.2, self._on_timeout, request)
         self.at(
-            self.now + self.draw.uniform(*LINK),
-            self._reads,
+            self.now + self.draw.uniform(*LINK_DELAY_S),
+            self._deliver_request,
             node,
             incarnation,
             answered,
@@ -592,65 +601,67 @@
             ),
         )
 
-    def _reads(self, node: Service, incarnation: int, answered: Callable[..., None], arguments: tuple) -> None:
+    def _deliver_request(self, node: Service, incarnation: int, answered: Callable[..., None], arguments: tuple) -> None:
         if node.core is None or node.incarnations != incarnation:
             answered("broken", b"")
         else:
-            self._read(node, answered, arguments)
+            self._receive_request(node, answered, arguments)
 
-    def _too_late(self, request: Request) -> None:
-        request.over = request.over or self.now - request.born >= TIMEOUT
+    def _on_timeout(self, request: Request) -> None:
+        request.is_finished = request.is_finished or self.now - request.born >= REQUEST_TIMEOUT_S
 
-    def _answered(self, request: Request, place: int, what: str, result: Any, heeds: bool) -> None:
+    def _on_response(self, request: Request, place: int, what: str, result: Any, heeds: bool) -> None:
         if what == "ack":
-            if not request.over and request.born >= SETTLED:
+            if not request.is_finished and request.born >= SETTLED:
                 self.latencies.append(self.now - request.born)
-                if self.now - request.born <= TARGET:
+                if self.now - request.born <= TARGET_LATENCY_S:
                     self.in_time += request.kind[2]
-            request.over = True
+            request.is_finished = True
         elif what == "nack":
             self.rejected_at = self.now
             self.counts["nacked"] += 1
-            request.away.add(place)
+            request.failed_places.add(place)
             seconds, not_elsewhere = result
             if heeds and seconds:
                 self.hold_off[request.caller, place] = self.now + seconds
             if not (heeds and not_elsewhere):
-                self.at(self.now + PAUSE, self._try, request)
+                self.at(self.now + RETRY_PAUSE_S, self._send_attempt, request)
         elif what == "broken":
-            self._broken(request, place, refused=False)
+            self._on_connection_error(request, place, refused=False)
         else:
             self.counts["failed"] += 1
             if request.kind[1] is Effect.RETRYABLE:
-                self.at(self.now + PAUSE, self._try, request)
+                self.at(self.now + RETRY_PAUSE_S, self._send_attempt, request)
 
-    def _broken(self, request: Request, place: int, refused: bool) -> None:
+    def _on_connection_error(self, request: Request, place: int, refused: bool) -> None:
         self.counts["refused" if refused else "broken"] += 1
-        request.away.add(place)
+        request.failed_places.add(place)
         if refused or request.kind[1] is Effect.RETRYABLE:
-            self.at(self.now + PAUSE, self._try, request)
+            self.at(self.now + RETRY_PAUSE_S, self._send_attempt, request)
 
-    # What is seen from outside.
+    # Measurements.
 
-    def _look(self) -> None:
-        self.at(self.now + LOOK, self._look)
+    def _check_idle(self) -> None:
+        self.at(self.now + IDLE_CHECK_INTERVAL_S, self._check_idle)
         up = [node for node in self.nodes if node.core and not node.stalled]
         pending = {
             node.place: len(node.reducer.requests) - node.reducer.run_count - node.reducer.handed_over_count for node in up
         }
-        needing = sum(count > 0 for count in pending.values()) > 0 or self.now - self.rejected_at < LOOK
+        needing = sum(count > 0 for count in pending.values()) > 0 or self.now - self.rejected_at < IDLE_CHECK_INTERVAL_S
         if needing:
             idle = sum(
-                not node.works
+                not node.runs
                 and not pending[node.place]
                 and node.reducer.stop_at is None
                 and faults.amount(self.faults, "failing", self.now, node.place) < 0.5
                 for node in up
             )
-            self.idle_needed += LOOK * idle
+            self.idle_needed += IDLE_CHECK_INTERVAL_S * idle
         if len(self.busy) < 2.0 * (self.now - SETTLED):
-            self.busy.append([min(1.0, len(node.works) / self.load.cores) if node.core else -1.0 for node in self.nodes])
-            self.wishes.append([node.spread.redirect_fraction if node.spread else node.level for node in self.nodes])
+            self.busy.append([min(1.0, len(node.runs) / self.load.cores) if node.core else -1.0 for node in self.nodes])
+            self.redirect_fractions.append(
+                [node.spread.redirect_fraction if node.spread else node.level for node in self.nodes]
+            )
 
     def figures(self) -> dict[str, float]:
         """Return the measured figures of all requests since `SETTLED`."""
@@ -661,7 +672,7 @@
         )
         most = max((self.arrivals[place, second] for place in range(self.plan.instances) for second in seconds), default=0)
         return {
-            "in_time": self.in_time / max(1.0, self.asked),
+            "in_time": self.in_time / max(1.0, self.requested_value),
             "idle_needed": self.idle_needed,
             "most_over_mean": most / max(1e-9, mean),
             "p50": latencies[len(latencies) // 2],
@@ -682,33 +693,33 @@
     slots = [speeds[place % len(speeds)] for place in range(plan.instances) for _ in range(load.cores)]
     capacity = sum(slots) / load.work
     now, requests = SETTLED - 2.0, []
-    while now < plan.until - TARGET - 0.5:
+    while now < plan.until - TARGET_LATENCY_S - 0.5:
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
         requests.append((now, kind[2], load.work * draw.uniform(0.4, 1.6)))
         now += draw.expovariate(load.load * capacity)
     free = [(0.0, -speed) for speed in slots]
     heapq.heapify(free)
-    asked = in_time = 0.0
-    latencies, line, at = [], [], deque(requests)
-    while at or line:
-        moment, speed = heapq.heappop(free)
-        if not line and at:
-            moment = max(moment, at[0][0])
-        while at and at[0][0] <= moment:
-            born, value, work = at.popleft()
-            asked += value if born >= SETTLED else 0.0
-            heapq.heappush(line, (-value, born, work))
-        if line:
-            value, born, work = heapq.heappop(line)
-            took = moment + work / -speed - born
-            if took <= TARGET:
+    requested_value = in_time = 0.0
+    latencies, queue, arrivals = [], [], deque(requests)
+    while arrivals or queue:
+        free_at, speed = heapq.heappop(free)
+        if not queue and arrivals:
+            free_at = max(free_at, arrivals[0][0])
+        while arrivals and arrivals[0][0] <= free_at:
+            born, value, work = arrivals.popleft()
+            requested_value += value if born >= SETTLED else 0.0
+            heapq.heappush(queue, (-value, born, work))
+        if queue:
+            value, born, work = heapq.heappop(queue)
+            took = free_at + work / -speed - born
+            if took <= TARGET_LATENCY_S:
                 in_time += -value if born >= SETTLED else 0.0
                 latencies.append(took)
-                moment += work / -speed
-        heapq.heappush(free, (moment, speed))
+                free_at += work / -speed
+        heapq.heappush(free, (free_at, speed))
     latencies.sort()
     return {
-        "in_time": in_time / max(1.0, asked),
+        "in_time": in_time / max(1.0, requested_value),
         "p50": latencies[len(latencies) // 2],
         "p99": latencies[int(0.99 * (len(latencies) - 1))],
     }
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -20,40 +20,40 @@
     """Adds maintenance cores to a `GossipWorld`; it must precede the world in the list of bases."""
 
     def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
-        """Set up disks, permits and counters.
+        """Set up the disks, permits and counters.
 
         Args:
-            most: Machines that may be out at a time.
+            most: Machines that may be out of service at a time.
             voters: Number of voters.
             disks: Whether voters persist their state.
             works: Seconds that the work on a machine takes.
         """
         self.disks: dict[str, VoterState | None] = {node.name: None for node in self.nodes}
-        self.has_disks, self.works, self.most_out, self.most = disks, works, 0, most
+        self.voters_have_disks, self.works, self.most_out, self.most = disks, works, 0, most
         self.permits = MaintenanceBounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
         self.cores: dict[str, MaintenanceCoordinator] = {}
-        self.outside: set[str] = set()  # by permit, and not back yet
+        self.out_of_service: set[str] = set()  # machines that left by a permit and have not returned
         self.been: Counter[str] = Counter()
         self.to_go: set[str] = set()
         self.unfit: set[str] = set()
 
     def start(self, node: Node) -> None:
-        """Start the node with a maintenance core that has what its disk kept."""
+        """Start the node with a maintenance core that loads its voter state from the disk."""
         if node.core:
             return
         super().start(node)
-        self.outside.discard(node.name)
+        self.out_of_service.discard(node.name)
 
-        def keep(kept: VoterState) -> None:
-            self.disks[node.name] = kept
+        def persist(voter_state: VoterState) -> None:
+            self.disks[node.name] = voter_state
 
         self.cores[node.name] = MaintenanceCoordinator(
             self.permits,
             node.core,
             node.incarnations * 100 + node.place,
             node.clock(self.now),
-            self.disks[node.name] if self.has_disks else None,
-            keep if self.has_disks else None,
+            self.disks[node.name] if self.voters_have_disks else None,
+            persist if self.voters_have_disks else None,
         )
 
     def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
@@ -62,27 +62,27 @@
             if node.name in self.to_go and not self.been[node.name] and core.state is MaintenanceState.SERVING:
                 core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
-            self._look_at(node)
+            self._check_permit(node)
         super()._send_heartbeat(node, incarnation, again)
 
     def _heard(self, node: Node, data: bytes) -> None:
         if node.core:
             super()._heard(node, data)
             self._send(node, self.cores[node.name].take_outgoing())
-            self._look_at(node)
+            self._check_permit(node)
 
-    def _look_at(self, node: Node) -> None:
-        if self.cores[node.name].state is MaintenanceState.GOING and node.name not in self.outside:
+    def _check_permit(self, node: Node) -> None:
+        if self.cores[node.name].state is MaintenanceState.GOING and node.name not in self.out_of_service:
             self.been[node.name] += 1
-            self.outside.add(node.name)
-            self.most_out = max(self.most_out, len(self.outside))
-            if len(self.outside) > self.most:
+            self.out_of_service.add(node.name)
+            self.most_out = max(self.most_out, len(self.out_of_service))
+            if len(self.out_of_service) > self.most:
                 raise InvariantBrokenError(
-                    f"at {self.now:.2f} {' and '.join(sorted(self.outside))} are out, {self.most} may be"
+                    f"at {self.now:.2f} {' and '.join(sorted(self.out_of_service))} are out, {self.most} may be"
                 )
-            self.goes_out(node)
+            self.go_out_of_service(node)
 
-    def goes_out(self, node: Node) -> None:
+    def go_out_of_service(self, node: Node) -> None:
         """Stop the node and restart it when its work is done."""
         node.core = None
         self.at(self.now + self.works, self.start, node)
--- a/mulleinhatch/simulation/virtual_time.py
+++ b/mulleinhatch/simulation/virtual_time.py
@@ -49,7 +49,7 @@
 PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar("process", default=None)
 
 
-class _NothingToPoll(selectors.SelectSelector):
+class _SocketlessSelector(selectors.SelectSelector):
     """A selector without sockets: waiting advances the loop's clock instead."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("every task waits for something that never comes")
+            raise RuntimeError("deadlock: all tasks wait and no timer is scheduled")
         self.loop.now += max(0.0, timeout)
         return []
 
@@ -68,7 +68,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        selector = _NothingToPoll()
+        selector = _SocketlessSelector()
         selector.loop = self
         super().__init__(selector)
 
