--- a/mulleinhatch/simulation/budget_model_checker.py
+++ b/mulleinhatch/simulation/budget_model_checker.py
@@ -16,15 +16,15 @@
 from mulleinhatch.simulation import state_exploration as exploring
 
 NAMES = ("a", "b", "c")
-ASKS = ((1, 0), (2, 0), (0, 1))  # who may ask whom
-MAX_MESSAGES = 3  # on their way at a time
+REQUEST_PAIRS = ((1, 0), (2, 0), (0, 1))  # pairs of borrower and lender
+MAX_MESSAGES = 3  # messages in flight
 WINDOW, LEASE = 2, 3  # ticks
 
 
 class Model(NamedTuple):
     """The share implementation, clock drift and clock rates to explore."""
 
-    part: type[LeasedQuota] = LeasedQuota
+    share: type[LeasedQuota] = LeasedQuota
     drift: float = 0.25
     rates: tuple[float, float, float] = (1.1, 0.9, 1.0)  # of the members' clocks
     needed: int = 0
@@ -39,11 +39,11 @@
     """Shares by member (None: crashed), incarnations, messages in flight, the tick, usable units by tick of the window."""
 
     def __init__(self, model: Model) -> None:
-        self.parts: list[LeasedQuota | None] = [model.part(model.bounds, name, -1e3) for name in NAMES]
+        self.shares: list[LeasedQuota | None] = [model.share(model.bounds, name, -1e3) for name in NAMES]
         self.incarnations = [1, 1, 1]
-        self.messages: list[tuple[int, int, int, Any]] = []  # from, its incarnation, to, what
+        self.messages: list[tuple[int, int, int, Any]] = []  # sender, its incarnation, receiver, message
         self.tick = 0
-        self.most = [[0, 0, 0] for _ in range(WINDOW)]  # by tick of the window, the newest last
+        self.most = [[0, 0, 0] for _ in range(WINDOW)]  # usable units by tick of the window and member, the newest tick last
 
     def local(self, model: Model, place: int) -> float:
         """Return the member's local time in ticks."""
@@ -57,13 +57,13 @@
         yield "deliver", index
         yield "repeat", index
         yield "lose", index
-    for place, part in enumerate(state.parts):
-        yield ("crash" if part else "restart"), place
+    for place, share in enumerate(state.shares):
+        yield ("crash" if share else "restart"), place
     if len(state.messages) < MAX_MESSAGES:
-        for taker, giver in ASKS:
-            if state.parts[taker]:
+        for borrower, lender in REQUEST_PAIRS:
+            if state.shares[borrower]:
                 for want in (0, 2):
-                    yield "ask", taker, giver, want
+                    yield "ask", borrower, lender, want
 
 
 def act(model: Model, state: State, action: tuple) -> None:
@@ -75,15 +75,15 @@
     elif what == "lose":
         del state.messages[arguments[0]]
     elif what == "crash":
-        state.parts[arguments[0]] = None
+        state.shares[arguments[0]] = None
     elif what == "restart":
         place = arguments[0]
         state.incarnations[place] += 1
-        state.parts[place] = model.part(model.bounds, NAMES[place], state.local(model, place))
+        state.shares[place] = model.share(model.bounds, NAMES[place], state.local(model, place))
     elif what == "ask":
-        taker, giver, want = arguments
-        ask = state.parts[taker].create_request(state.local(model, taker), NAMES[giver], want)
-        state.messages.append((taker, state.incarnations[taker], giver, ask))
+        borrower, lender, want = arguments
+        request = state.shares[borrower].create_request(state.local(model, borrower), NAMES[lender], want)
+        state.messages.append((borrower, state.incarnations[borrower], lender, request))
     else:
         message = state.messages[arguments[0]]
         if what == "deliver":
@@ -92,26 +92,28 @@
 
 
 def _deliver(model: Model, state: State, sender: int, incarnation: int, to: int, message: LeaseRequest | LeaseGrant) -> None:
-    part, now = state.parts[to], state.local(model, to)
-    if part is None:
+    share, now = state.shares[to], state.local(model, to)
+    if share is None:
         return
     if isinstance(message, LeaseRequest):
-        give = part.handle_request(now, (NAMES[sender], incarnation), message, spare=part.own_units(now), reclaim=model.needed)
-        if give and len(state.messages) < MAX_MESSAGES:
-            state.messages.append((to, state.incarnations[to], sender, (incarnation, give)))
-    elif message[0] == state.incarnations[to]:  # an answer to an earlier incarnation of the asker finds nobody
-        part.handle_grant(now, NAMES[sender], message[1])
+        grant = share.handle_request(
+            now, (NAMES[sender], incarnation), message, spare=share.own_units(now), reclaim=model.needed
+        )
+        if grant and len(state.messages) < MAX_MESSAGES:
+            state.messages.append((to, state.incarnations[to], sender, (incarnation, grant)))
+    elif message[0] == state.incarnations[to]:  # a grant to an earlier incarnation of the borrower is dropped
+        share.handle_grant(now, NAMES[sender], message[1])
 
 
 def broken(model: Model, state: State) -> str:
     """Return the violated invariant, or an empty text; record what each member may use in this tick."""
-    for place, part in enumerate(state.parts):
-        usable = part.usable(state.local(model, place)) if part else 0
+    for place, share in enumerate(state.shares):
+        usable = share.usable(state.local(model, place)) if share else 0
         if usable < 0:
             return f"{NAMES[place]} may use {usable}"
         state.most[-1][place] = max(state.most[-1][place], usable)
-    together = sum(max(column) for column in zip(*state.most))
-    return f"{together} of {model.bounds.total} in one window" if together > model.bounds.total else ""
+    total = sum(max(column) for column in zip(*state.most))
+    return f"{total} of {model.bounds.total} in one window" if total > model.bounds.total else ""
 
 
 def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
--- a/mulleinhatch/simulation/fault_search/campaign.py
+++ b/mulleinhatch/simulation/fault_search/campaign.py
@@ -14,9 +14,9 @@
 from mulleinhatch.simulation.fault_search.histories import KINDS, History, draw_history
 from mulleinhatch.simulation.fault_search.play import SearchOutcome, play, violation_kind
 
-BATCH = 2  # histories a process between two looks at the weights
-NOVEL = 0.05  # of weight for each new state, LEAST at least and MOST at most
-LEAST, MOST = 0.5, 4.0
+HISTORIES_PER_PROCESS = 2  # histories for each process between two updates of the weights
+WEIGHT_PER_NEW_STATE = 0.05  # weight for each new state, between MIN_WEIGHT and MAX_WEIGHT
+MIN_WEIGHT, MAX_WEIGHT = 0.5, 4.0
 
 
 class Finding(NamedTuple):
@@ -24,8 +24,8 @@
 
     history: History
     what: str
-    short: History  # the shortest that still fails so
-    tries: int  # that it took
+    short: History  # the shortest that still fails in the same way
+    tries: int  # histories that shrinking played
 
 
 class Campaign(NamedTuple):
@@ -37,11 +37,11 @@
     growth: list[int]  # states known after each batch
     kinds: dict[str, int]
     findings: list[Finding]
-    worst: list[tuple[float, int]]  # service in the worst second, and the seed
-    slowest: list[tuple[float, int]]  # recovery, and the seed
+    worst: list[tuple[float, int]]  # fraction in time of the worst second, and the seed
+    slowest: list[tuple[float, int]]  # seconds until the recovery, and the seed
 
 
-def _played(job: tuple[int, dict[str, float], str]) -> tuple[History, SearchOutcome]:
+def _play_job(job: tuple[int, dict[str, float], str]) -> tuple[History, SearchOutcome]:
     seed, weights, defect = job
     history = draw_history(seed, weights)
     with defects.planted(defect):
@@ -67,19 +67,19 @@
     while chunk and tries < most:
         at = 0
         while at < len(history.lines) and tries < most:
-            less = history._replace(lines=history.lines[:at] + history.lines[at + chunk :])
-            if less.lines != history.lines and fails(less):
-                history = less
+            shorter = history._replace(lines=history.lines[:at] + history.lines[at + chunk :])
+            if shorter.lines != history.lines and fails(shorter):
+                history = shorter
             else:
                 at += chunk
         chunk //= 2
-    for plainer in (
+    for simpler in (
         history._replace(is_maintenance_requested=False),
         history._replace(load=history.load._replace(speeds=(), one=0.0)),
         history._replace(load=history.load._replace(uneven=0.0, heeding=0.0)),
     ):
-        if plainer != history and tries < most and fails(plainer):
-            history = plainer
+        if simpler != history and tries < most and fails(simpler):
+            history = simpler
     return history, tries
 
 
@@ -103,35 +103,38 @@
         processes: Worker processes; all cores by default.
         report_line: Called with one line for each new kind of violation.
     """
-    begun, states, growth = time.monotonic(), set[tuple](), list[int]()
-    weights, novel, kinds = dict.fromkeys(KINDS, 1.0), Counter[str](), Counter[str]()
+    started_at, states, growth = time.monotonic(), set[tuple](), list[int]()
+    weights, new_states, kinds = dict.fromkeys(KINDS, 1.0), Counter[str](), Counter[str]()
     findings: list[Finding] = []
-    seen: set[str] = set()
+    reported_kinds: set[str] = set()
     worst, slowest, count = [], [], 0
     with multiprocessing.Pool(processes) as pool:
-        workers = pool._processes  # as many as it made
-        while time.monotonic() - begun < within and count < most and not (stop_at_first and findings):
-            jobs = [(next(seeds), dict(weights), defect) for _ in range(min(BATCH * workers, most - count))]
-            for history, found in pool.imap_unordered(_played, jobs):
+        workers = pool._processes  # the actual size of the pool
+        while time.monotonic() - started_at < within and count < most and not (stop_at_first and findings):
+            jobs = [(next(seeds), dict(weights), defect) for _ in range(min(HISTORIES_PER_PROCESS * workers, most - count))]
+            for history, found in pool.imap_unordered(_play_job, jobs):
                 count += 1
                 new = len(found.states - states)
                 states |= found.states
                 for kind in history.kinds:
                     kinds[kind] += 1
-                    novel[kind] += new
+                    new_states[kind] += new
                 worst.append((round(found.worst, 3), history.seed))
                 slowest.append((found.recovered, history.seed))
-                if found.what and violation_kind(found.what) not in seen:
-                    seen.add(violation_kind(found.what))
+                if found.what and violation_kind(found.what) not in reported_kinds:
+                    reported_kinds.add(violation_kind(found.what))
                     report_line(f"seed {history.seed}: {found.what}")
                     short, tries = (history, 0) if stop_at_first else shrink_history(history, found.what, defect)
                     findings.append(Finding(history, found.what, short, tries))
             growth.append(len(states))
-            weights = {kind: min(MOST, max(LEAST, 1.0 + NOVEL * novel[kind] / max(1, kinds[kind]))) for kind in KINDS}
-            novel = Counter({kind: 0.7 * value for kind, value in novel.items()})
+            weights = {
+                kind: min(MAX_WEIGHT, max(MIN_WEIGHT, 1.0 + WEIGHT_PER_NEW_STATE * new_states[kind] / max(1, kinds[kind])))
+                for kind in KINDS
+            }
+            new_states = Counter({kind: 0.7 * value for kind, value in new_states.items()})
     return Campaign(
         count,
-        time.monotonic() - begun,
+        time.monotonic() - started_at,
         len(states),
         growth,
         dict(kinds),
@@ -169,7 +172,7 @@
 
 
 def report(done: Campaign, path: Path, before: dict[str, Any] | None = None) -> dict[str, Any]:
-    """Write one HTML page with its plots, and the same figures as JSON beside it; return the figures."""
+    """Write an HTML page with plots, and the same figures as JSON next to it; return the figures."""
     import base64
     import io
 
@@ -181,10 +184,10 @@
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 3))
     left.plot(done.growth)
-    left.set_title("states met, by batch")
+    left.set_title("states reached, by batch")
     names = sorted(done.kinds)
     right.barh(names, [done.kinds[name] for name in names])
-    right.set_title("kinds tried")
+    right.set_title("fault kinds played")
     figure.tight_layout()
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=90)
@@ -220,6 +223,6 @@
 {% else %}<p>none</p>{% endfor %}
 <h2>Worst second, by seed</h2><table>{% for share, seed in done.worst %}<tr><td>{{ share }}<td>{{ seed }}{% endfor %}</table>
 <h2>Slowest recovery, by seed</h2><table>
-{% for seconds, seed in done.slowest %}<tr><td>{{ seconds if seconds is not none else "not back" }}<td>{{ seed }}
+{% for seconds, seed in done.slowest %}<tr><td>{{ seconds if seconds is not none else "not recovered" }}<td>{{ seed }}
 {% endfor %}</table>
 """
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -16,18 +16,18 @@
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 
 
-def _offer_twice(giver: OfferIssuer, now: float) -> int:
-    return len([1 for given in giver.issued.values() if given.until > now]) // 2
+def _count_half_of_outstanding(issuer: OfferIssuer, now: float) -> int:
+    return len([1 for offer in issuer.issued.values() if offer.until > now]) // 2
 
 
-def _reruns_reducer(reducer: Reducer, now: float, ref: str, ending: Ending, result: bytes) -> None:
-    _USUAL["hand ended"](reducer, now, ref, Ending.FULL if ending is Ending.INTERRUPTED else ending, result)
+def _treat_interrupted_as_full(reducer: Reducer, now: float, ref: str, ending: Ending, result: bytes) -> None:
+    _ORIGINALS["hand ended"](reducer, now, ref, Ending.FULL if ending is Ending.INTERRUPTED else ending, result)
 
 
-_USUAL = {"hand ended": Reducer._handover_ended}
+_ORIGINALS = {"hand ended": Reducer._handover_ended}
 DEFECTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "an offer counts half": [(OfferIssuer, "outstanding", _offer_twice)],
-    "a broken link proves that nothing ran": [(Reducer, "_handover_ended", _reruns_reducer)],
+    "an offer counts half": [(OfferIssuer, "outstanding", _count_half_of_outstanding)],
+    "a broken link proves that nothing ran": [(Reducer, "_handover_ended", _treat_interrupted_as_full)],
     "a voter promises nothing": [(Voter, "_may_promise", lambda voter, proposal: True)],
     "one voter is a majority": [(ProposalRound, "_is_majority", lambda done, count: count >= 1)],
     "the bound is not looked at": [
@@ -35,7 +35,7 @@
             PermitTable,
             "grant",
             lambda table, name, zone, *more: (
-                table if table.permit(name) else table._next_version(out=(*table.out, _permit(table, name, zone)))
+                table if table.permit(name) else table._next_version(out=(*table.out, _make_permit(table, name, zone)))
             ),
         )
     ],
@@ -47,7 +47,7 @@
 }
 
 
-def _permit(table: PermitTable, name: str, zone: str) -> Any:
+def _make_permit(table: PermitTable, name: str, zone: str) -> Any:
     from mulleinhatch.instance.maintenance.table import Permit
 
     return Permit(name, zone, table.version + 1, "")
@@ -56,11 +56,11 @@
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
     """Plant a defect for the duration of the `with` block; an empty name plants none."""
-    before = [(place, what, getattr(place, what)) for place, what, _ in DEFECTS.get(name, ())]
-    for place, what, instead in DEFECTS.get(name, ()):
-        setattr(place, what, instead)
+    originals = [(owner, attribute, getattr(owner, attribute)) for owner, attribute, _ in DEFECTS.get(name, ())]
+    for owner, attribute, replacement in DEFECTS.get(name, ()):
+        setattr(owner, attribute, replacement)
     try:
         yield
     finally:
-        for place, what, usual in before:
-            setattr(place, what, usual)
+        for owner, attribute, original in originals:
+            setattr(owner, attribute, original)
--- a/mulleinhatch/simulation/fault_search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -1,6 +1,6 @@
-"""Random histories: fault kinds that occur together, load, maintenance; one seed gives the same history to the last figure.
+"""Random histories: fault kinds that occur together, load, maintenance; one seed always gives the same history.
 
-Neighbours fail together; slow is as likely as dead; links fail in one direction or in part; what failed comes back, sometimes
+Neighbours fail together; slowness is as likely as death; links fail in one direction or partly; what failed recovers, sometimes
 repeatedly. A fault kind is drawn more often the more new states it led to.
 """
 
@@ -11,7 +11,7 @@
 
 from mulleinhatch.simulation.load_balancing_world import Load
 
-FIRST, LENGTH = 8.0, 8.0  # seconds: when faults may begin, and within which all begin
+FIRST_FAULT_S, FAULT_PERIOD_S = 8.0, 8.0  # seconds: the earliest start of a fault, and the period within which all start
 KINDS = (
     "zone dies",
     "zone slow",
@@ -38,7 +38,7 @@
     kinds: tuple[str, ...]
     lines: tuple[str, ...]  # of the fault script
     load: Load
-    is_maintenance_requested: bool  # all are asked to go out for work when the faults begin
+    is_maintenance_requested: bool  # all machines request a window when the faults begin
 
     @property
     def script(self) -> str:
@@ -70,7 +70,7 @@
 
 
 def _lines(kind: str, draw: random.Random, instances: int) -> list[str]:
-    at, last = FIRST + draw.uniform(0.0, 0.5 * LENGTH), draw.uniform(0.5, 4.0)
+    at, last = FIRST_FAULT_S + draw.uniform(0.0, 0.5 * FAULT_PERIOD_S), draw.uniform(0.5, 4.0)
     size = draw.randint(1, max(1, instances // 3))
     first = draw.randint(0, instances - size)
     zone = f"{first}-{first + size - 1}"
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -7,30 +7,30 @@
 from typing import NamedTuple
 
 from mulleinhatch.instance.request_state_machine.events import Event
-from mulleinhatch.simulation.fault_search.histories import FIRST, History
+from mulleinhatch.simulation.fault_search.histories import FIRST_FAULT_S, History
 from mulleinhatch.simulation.gossip_world import LEAVE_GRACE_S, Node, Plan
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
 from mulleinhatch.simulation.load_balancing_world import REQUEST_TIMEOUT_S, TARGET_LATENCY_S, LoadBalancingWorld
 from mulleinhatch.simulation.maintenance_world import MaintenanceMixin, request_maintenance_of_all
 from mulleinhatch.testing import fault_script as faults
 
-AGREE_WITHIN = 4.0  # seconds after the last fault until views are one
-RECOVERS_WITHIN = 12.0  # seconds after it until service is back: who was ill asks for trade again after 3 to 10 s
-BACK = 0.9  # of the service before the faults: under it, with no cause left, it is down by itself
-MAINTENANCE_WITHIN_S = 60.0  # seconds after the last fault until all that were asked have been out
-LOOK = 0.25  # seconds between looks at states
-MAX_OWED = 400  # requests that one instance may owe answers at a time
+VIEWS_AGREE_WITHIN_S = 4.0  # seconds after the last fault within which the views agree
+RECOVERY_WITHIN_S = 12.0  # seconds after the last fault; an instance that was unhealthy takes part again after 3 to 10 s
+MIN_RECOVERED_FRACTION = 0.9  # of the service before the faults; less without any remaining fault is a sustained failure
+MAINTENANCE_WITHIN_S = 60.0  # seconds after the last fault within which every requested window has begun
+SAMPLE_INTERVAL_S = 0.25  # seconds between samples of the states
+MAX_PENDING_REQUESTS = 400  # pending requests of one instance
 
 
 class SearchOutcome(NamedTuple):
     """The first violation of a history, the states it reached, and its service figures."""
 
-    what: str  # empty: all held
+    what: str  # the violated invariant; empty if there is none
     states: frozenset[tuple]
-    before: float  # share in time before the faults
-    worst: float  # of any second
-    after: float  # once recovered
-    recovered: float  # seconds after the last fault
+    before: float  # fraction served in time before the faults
+    worst: float  # the least fraction of any second
+    after: float  # the fraction after the recovery
+    recovered: float  # seconds from the last fault to the recovery
     handed: int
     maintenance_windows: int
 
@@ -40,28 +40,28 @@
 
     def __init__(self, history: History) -> None:
         script = history.script
-        self.end = max(FIRST + 1.0, faults.end_of(faults.read(script, history.instances)))
-        last = self.end + RECOVERS_WITHIN + 6.0 + (MAINTENANCE_WITHIN_S if history.is_maintenance_requested else 0.0)
+        self.end = max(FIRST_FAULT_S + 1.0, faults.end_of(faults.read(script, history.instances)))
+        last = self.end + RECOVERY_WITHIN_S + 6.0 + (MAINTENANCE_WITHIN_S if history.is_maintenance_requested else 0.0)
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
         self.ready(most=2, voters=3, disks=True, works=1.0)
         self.history = history
-        self.by_second: dict[int, list[float]] = {}  # asked, in time, by the second in which a request was born
+        self.value_by_second: dict[int, list[float]] = {}  # requested value and value in time, by the second of arrival
         self.states: set[tuple] = set()
         if history.is_maintenance_requested:
-            self.at(FIRST, request_maintenance_of_all, self)
-        self.at(FIRST - 2.0, self._see)
+            self.at(FIRST_FAULT_S, request_maintenance_of_all, self)
+        self.at(FIRST_FAULT_S - 2.0, self._sample_states)
 
     def go_out_of_service(self, node: Node) -> None:
         """Leave in the program's order: notify the reducer, hand over or answer queued requests, then stop."""
         self._reduce(node, Event.SHUTDOWN_REQUESTED, LEAVE_GRACE_S)
         self._send(node, node.core.leave(node.clock(self.now)))
-        self.at(self.now + LEAVE_GRACE_S, self._works_on, node, node.incarnations)
+        self.at(self.now + LEAVE_GRACE_S, self._finish_leaving, node, node.incarnations)
 
-    def _works_on(self, node: Node, incarnation: int) -> None:
+    def _finish_leaving(self, node: Node, incarnation: int) -> None:
         if node.incarnations == incarnation and node.core:
-            for ref, owed in node.reducer.requests.items():
-                if owed.connection_id is not None and not node.stalled:
-                    raise InvariantBrokenError(f"at {self.now:.2f} {node.name} ends and owes {ref} an answer")
+            for ref, pending in node.reducer.requests.items():
+                if pending.connection_id is not None and not node.stalled:
+                    raise InvariantBrokenError(f"at {self.now:.2f} {node.name} stops and leaves {ref} unanswered")
             self._stop(node, incarnation)
             self.at(self.now + self.works, self.start, node)
 
@@ -69,15 +69,15 @@
         was_finished = request.is_finished
         super()._on_response(request, place, what, result, heeds)
         if what == "ack" and not was_finished and self.now - request.born <= TARGET_LATENCY_S:
-            self.by_second.setdefault(int(request.born), [0.0, 0.0])[1] += request.kind[2]
+            self.value_by_second.setdefault(int(request.born), [0.0, 0.0])[1] += request.kind[2]
 
     def _send_attempt(self, request: object) -> None:
         if request.tries == 0:
-            self.by_second.setdefault(int(request.born), [0.0, 0.0])[0] += request.kind[2]
+            self.value_by_second.setdefault(int(request.born), [0.0, 0.0])[0] += request.kind[2]
         super()._send_attempt(request)
 
-    def _see(self) -> None:
-        self.at(self.now + LOOK, self._see)
+    def _sample_states(self) -> None:
+        self.at(self.now + SAMPLE_INTERVAL_S, self._sample_states)
         for node in self.nodes:
             if node.core is None:
                 continue
@@ -97,25 +97,25 @@
                     bool(node.core.ejected),
                 )
             )
-            if len(node.reducer.requests) > MAX_OWED:
-                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {len(node.reducer.requests)} ops")
+            if len(node.reducer.requests) > MAX_PENDING_REQUESTS:
+                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} has {len(node.reducer.requests)} pending requests")
             late = (
                 [
                     ref
-                    for ref, owed in node.reducer.requests.items()
-                    if owed.connection_id is not None and owed.deadline < node.clock(self.now) - 0.3
+                    for ref, pending in node.reducer.requests.items()
+                    if pending.connection_id is not None and pending.deadline < node.clock(self.now) - 0.3
                 ]
                 if not node.stalled
                 else []
             )
             if late and self.now > self.end + REQUEST_TIMEOUT_S:
-                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} owes {late[0]} past its time")
+                raise InvariantBrokenError(f"at {self.now:.2f} {node.name} holds {late[0]} past its deadline")
 
-    def share(self, since: float, until: float) -> float:
-        """Return the share of requested value that was served in time between two seconds."""
-        seconds = [self.by_second.get(second, (0.0, 0.0)) for second in range(int(since), int(until))]
-        asked = sum(sums[0] for sums in seconds)
-        return sum(sums[1] for sums in seconds) / asked if asked else 1.0
+    def fraction_in_time(self, since: float, until: float) -> float:
+        """Return the fraction of the requested value that was served in time between two seconds."""
+        seconds = [self.value_by_second.get(second, (0.0, 0.0)) for second in range(int(since), int(until))]
+        requested = sum(sums[0] for sums in seconds)
+        return sum(sums[1] for sums in seconds) / requested if requested else 1.0
 
 
 def play(history: History) -> SearchOutcome:
@@ -123,44 +123,50 @@
     world = SearchWorld(history)
     what, recovered = "", math.inf
     try:
-        world.play(world.end + AGREE_WITHIN)
-        agreed = [world.play(world.end + AGREE_WITHIN + 0.25 * look).views_agree() for look in range(12)]
-        going = bool(history.is_maintenance_requested)  # while some go and come back views are never one for long
-        if not any(agreed) and not going:
-            raise InvariantBrokenError(f"views are not one {AGREE_WITHIN + 3.0:.0f} s after the last fault")
-        world.play(world.end + RECOVERS_WITHIN + 6.0)
-        quiet = world.end + RECOVERS_WITHIN
-        before, after = world.share(FIRST - 4.0, FIRST), world.share(quiet, quiet + 4.0)
+        world.play(world.end + VIEWS_AGREE_WITHIN_S)
+        agreed = [world.play(world.end + VIEWS_AGREE_WITHIN_S + 0.25 * step).views_agree() for step in range(12)]
+        is_maintained = bool(history.is_maintenance_requested)  # views do not agree for long while machines leave
+        if not any(agreed) and not is_maintained:
+            raise InvariantBrokenError(f"views do not agree {VIEWS_AGREE_WITHIN_S + 3.0:.0f} s after the last fault")
+        world.play(world.end + RECOVERY_WITHIN_S + 6.0)
+        recovered_from = world.end + RECOVERY_WITHIN_S
+        before, after = (
+            world.fraction_in_time(FIRST_FAULT_S - 4.0, FIRST_FAULT_S),
+            world.fraction_in_time(recovered_from, recovered_from + 4.0),
+        )
         dead = sum(node.core is None for node in world.nodes) / len(world.nodes)
         recovered = next(
             (
                 float(second)
                 for second in range(0, 30)
-                if world.share(world.end + second, world.end + second + 2) >= BACK * before
+                if world.fraction_in_time(world.end + second, world.end + second + 2) >= MIN_RECOVERED_FRACTION * before
             ),
             math.inf,
         )
-        if after < BACK * before * (1.0 - 2.0 * dead) and not going:
-            raise InvariantBrokenError(f"service is {after:.2f} long after the last fault, {before:.2f} before")
-        if going:
+        if after < MIN_RECOVERED_FRACTION * before * (1.0 - 2.0 * dead) and not is_maintained:
+            raise InvariantBrokenError(f"service is {after:.2f} after the recovery time, {before:.2f} before the faults")
+        if is_maintained:
             survivors = {node.name for node in world.nodes if not _dies_for_good(history, node.place)}
             gone = len(world.nodes) - len(survivors)
             voters = set(world.permits.voters)
             if voters - survivors:
-                survivors -= voters  # with one dead for good the others stay: a majority of the voters must
+                survivors -= voters  # a voter died for good, so the others must stay in service as the majority
             while world.now < world.end + MAINTENANCE_WITHIN_S and not survivors <= world.been.keys():
                 world.play(world.now + 1.0)
             if not survivors <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
-                raise InvariantBrokenError(f"{sorted(survivors - world.been.keys())} were asked and never went out")
+                raise InvariantBrokenError(f"{sorted(survivors - world.been.keys())} got no maintenance window")
     except InvariantBrokenError as error:
         what = str(error)
-    worst = min((sums[1] / sums[0] for second, sums in world.by_second.items() if sums[0] and second >= FIRST - 2), default=1.0)
+    worst = min(
+        (sums[1] / sums[0] for second, sums in world.value_by_second.items() if sums[0] and second >= FIRST_FAULT_S - 2),
+        default=1.0,
+    )
     return SearchOutcome(
         what,
         frozenset(world.states),
-        world.share(FIRST - 4.0, FIRST),
+        world.fraction_in_time(FIRST_FAULT_S - 4.0, FIRST_FAULT_S),
         worst,
-        world.share(world.end + RECOVERS_WITHIN, world.end + RECOVERS_WITHIN + 4),
+        world.fraction_in_time(world.end + RECOVERY_WITHIN_S, world.end + RECOVERY_WITHIN_S + 4),
         recovered,
         world.handed["to offers"] + world.handed["to guesses"],
         sum(world.been.values()),
--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -16,7 +16,7 @@
 from mulleinhatch.instance.maintenance.table import PermitTable
 from mulleinhatch.simulation import state_exploration as exploring
 
-MOST_COPIES = 2
+MAX_COPIES = 2
 
 
 class Model(NamedTuple):
@@ -27,14 +27,14 @@
     most: int = 1
     wipes: bool = False  # voters may lose their disks
     elects: bool = False  # the voters may change
-    releases: bool = False  # a person gives back the permit of one that serves, by what a voter shows
+    releases: bool = False  # an operator releases the permit of a machine in service, as a voter lists it
     voter: type[Voter] = Voter
     round: type[ProposalRound] = ProposalRound
     table: type[PermitTable] = PermitTable
-    waits: bool = True  # who lost its disk waits until no round of before is under way
+    waits: bool = True  # a voter that lost its disk learns only when no earlier round is in progress
 
 
-class Go:
+class RequestPermit:
     """A picklable table change: take a permit."""
 
     def __init__(self, name: str) -> None:
@@ -45,7 +45,7 @@
         return table.grant(self.name, "z", "work")
 
 
-class Back(Go):
+class ReturnPermit(RequestPermit):
     """A picklable table change: return the permit with this fencing token."""
 
     def __init__(self, name: str, fencing_token: int) -> None:
@@ -57,7 +57,7 @@
         return table.release(self.name, self.fencing_token)
 
 
-class Elect(Go):
+class ChangeElectorate(RequestPermit):
     """A picklable table change of the operator: replace the electorate."""
 
     def __init__(self, voters: tuple[str, ...]) -> None:
@@ -68,15 +68,15 @@
         return table.electorate(self.voters)
 
 
-class Asker:
+class Requester:
     """A machine that requests permits, or the operator."""
 
     def __init__(self, name: str, known: PermitTable) -> None:
         self.name, self.known, self.incarnation, self.number = name, known, 0, 0
         self.round: ProposalRound | None = None
-        self.fencing_token = 0  # of the permit by which it is out
-        self.down = False  # crashed
-        self.is_out = False  # really
+        self.fencing_token = 0  # of the permit by which it is out of service
+        self.is_crashed = False
+        self.is_out = False  # whether it is really out of service
 
 
 class State:
@@ -87,43 +87,46 @@
         first = model.table(voters=names, most=model.most, zone_most=model.most)
         spare = "abcdefghi"[model.voters : model.voters + (2 if model.elects else 0)]
         self.voters = {name: model.voter(name, VoterState()) for name in (*names, *spare)}
-        self.askers = [Asker(f"n{place}", first) for place in range(model.askers)]
+        self.requesters = [Requester(f"n{place}", first) for place in range(model.askers)]
         if model.elects or model.releases:
-            self.askers.append(Asker("operator", first))
-        self.copies: list[tuple[int, int, str, RegisterRequest]] = []  # asker, its incarnation, voter, ask
-        self.wiped: dict[str, list[tuple[int, int]]] = {}  # voters without a disk, and the rounds of that time
+            self.requesters.append(Requester("operator", first))
+        self.copies: list[tuple[int, int, str, RegisterRequest]] = []  # requester, its incarnation, voter, request
+        self.wiped: dict[
+            str, list[tuple[int, int]]
+        ] = {}  # voters that lost their disk, and the rounds in progress at that time
 
 
 def actions(model: Model, state: State) -> Iterator[tuple]:
     """Yield the actions that are possible in `state`."""
-    for place, asker in enumerate(state.askers):
-        if asker.down:
+    for place, requester in enumerate(state.requesters):
+        if requester.is_crashed:
             yield "restart", place
             continue
-        if asker.name == "operator":
-            if asker.round is None and model.releases:
-                for target, other in enumerate(state.askers):
+        if requester.name == "operator":
+            if requester.round is None and model.releases:
+                for target, other in enumerate(state.requesters):
                     for name, voter in state.voters.items():
-                        # Who asks just now may be out by the time that the word arrives: a person must not release it.
+                        # A machine with a round in progress may be out of service when the release arrives, so it must
+                        # not be released.
                         if (
-                            not (other.is_out or other.down or other.round)
+                            not (other.is_out or other.is_crashed or other.round)
                             and voter.voter_state.table
                             and (voter.voter_state.table.permit(other.name))
                         ):
                             yield "release", place, target, name
-            if asker.round is None and model.elects:
-                for voters in _electorates(model, state, asker.known):
+            if requester.round is None and model.elects:
+                for voters in _electorates(model, state, requester.known):
                     yield "elect", place, voters
-        elif asker.round is None:
-            yield ("return" if asker.is_out else "want"), place
-        if asker.round is not None:
+        elif requester.round is None:
+            yield ("return" if requester.is_out else "want"), place
+        if requester.round is not None:
             yield "stop", place
-            for voter, _ in asker.round.pending_requests():
+            for voter, _ in requester.round.pending_requests():
                 yield "step", place, voter
                 yield "lost", place, voter
-                if len(state.copies) < MOST_COPIES:
+                if len(state.copies) < MAX_COPIES:
                     yield "copy", place, voter
-        if asker.name != "operator":
+        if requester.name != "operator":
             yield "crash", place
     for index in range(len(state.copies)):
         yield "deliver", index
@@ -131,7 +134,7 @@
         for name in state.voters:
             if name in state.wiped:
                 yield "learn", name
-            elif not state.wiped:  # a minority at a time
+            elif not state.wiped:  # only one voter at a time
                 yield "wipe", name
 
 
@@ -150,92 +153,99 @@
     what, *arguments = action
     if what in ("step", "lost", "copy"):
         place, name = arguments
-        asker = state.askers[place]
-        ask = next(ask for voter, ask in asker.round.pending_requests() if voter == name)
+        requester = state.requesters[place]
+        request = next(request for voter, request in requester.round.pending_requests() if voter == name)
         if what == "copy":
-            state.copies.append((place, asker.incarnation, name, ask))
+            state.copies.append((place, requester.incarnation, name, request))
             return
-        answer = state.voters[name].handle_request(ask)
+        answer = state.voters[name].handle_request(request)
         if what == "step":
-            _heard(asker, answer)
+            _handle_response(requester, answer)
     elif what == "deliver":
-        place, incarnation, name, ask = state.copies.pop(arguments[0])
-        answer, asker = state.voters[name].handle_request(ask), state.askers[place]
-        if asker.incarnation == incarnation and not asker.down and asker.round is not None:
-            _heard(asker, answer)
+        place, incarnation, name, request = state.copies.pop(arguments[0])
+        answer, requester = state.voters[name].handle_request(request), state.requesters[place]
+        if requester.incarnation == incarnation and not requester.is_crashed and requester.round is not None:
+            _handle_response(requester, answer)
     elif what == "wipe":
-        state.wiped[arguments[0]] = [(place, asker.incarnation) for place, asker in enumerate(state.askers) if asker.round]
+        state.wiped[arguments[0]] = [
+            (place, requester.incarnation) for place, requester in enumerate(state.requesters) if requester.round
+        ]
         state.voters[arguments[0]] = model.voter(arguments[0], VoterState(), is_abstaining=True)
     elif what == "learn":
         name = arguments[0]
-        # As many others as a majority of the voters that the latest of them names; rounds of before the loss are over.
-        under_way = model.waits and any(
-            state.askers[place].incarnation == incarnation and state.askers[place].round
+        # It learns from as many others as form a majority; the rounds in progress at the loss must have ended.
+        has_earlier_round = model.waits and any(
+            state.requesters[place].incarnation == incarnation and state.requesters[place].round
             for place, incarnation in state.wiped[name]
         )
         others = [voter.voter_state for voter in state.voters.values() if voter.name != name and not voter.is_abstaining]
         if (
-            not under_way
+            not has_earlier_round
             and not (model.waits and state.copies)
             and state.voters[name].learn(others[: model.voters // 2 + 1], model.voters)
         ):
             del state.wiped[name]
     else:
-        _asker_does(model, state, what, *arguments)
+        _apply_to_requester(model, state, what, *arguments)
 
 
-def _asker_does(model: Model, state: State, what: str, place: int, *more: Any) -> None:
-    asker = state.askers[place]
+def _apply_to_requester(model: Model, state: State, what: str, place: int, *more: Any) -> None:
+    requester = state.requesters[place]
     if what == "crash":
-        asker.down, asker.round = True, None
+        requester.is_crashed, requester.round = True, None
     elif what == "restart":
-        # It serves again, whatever it was out for; what it knows is the operator's file.
-        asker.down, asker.is_out, asker.fencing_token, asker.incarnation = False, False, 0, asker.incarnation + 1
-        asker.known = State(model).askers[place].known
+        # It is in service again; it knows only the initial table, from the operator's file.
+        requester.is_crashed, requester.is_out, requester.fencing_token, requester.incarnation = (
+            False,
+            False,
+            0,
+            requester.incarnation + 1,
+        )
+        requester.known = State(model).requesters[place].known
     elif what == "stop":
-        asker.round = None
+        requester.round = None
     else:
-        asker.number += 1
-        asker.incarnation += 1
+        requester.number += 1
+        requester.incarnation += 1
         if what == "release":
-            name = state.askers[more[0]].name
-            change = Back(name, state.voters[more[1]].voter_state.table.permit(name).fence)
+            name = state.requesters[more[0]].name
+            change = ReturnPermit(name, state.voters[more[1]].voter_state.table.permit(name).fence)
         else:
-            change = _change_of(asker, what, more)
-        asker.round = model.round(f"{asker.name}.{asker.incarnation}", asker.number, asker.known, change)
+            change = _create_change(requester, what, more)
+        requester.round = model.round(f"{requester.name}.{requester.incarnation}", requester.number, requester.known, change)
         if what == "return":
-            asker.is_out = False  # it serves from here on; the permit follows
+            requester.is_out = False  # in service from now on; the permit is returned afterwards
 
 
-def _change_of(asker: Asker, what: str, more: tuple[Any, ...]) -> Go:
+def _create_change(requester: Requester, what: str, more: tuple[Any, ...]) -> RequestPermit:
     if what == "want":
-        return Go(asker.name)
+        return RequestPermit(requester.name)
     if what == "return":
-        return Back(asker.name, asker.fencing_token)
-    return Elect(more[0])
+        return ReturnPermit(requester.name, requester.fencing_token)
+    return ChangeElectorate(more[0])
 
 
-def _heard(asker: Asker, answer: object) -> None:
-    asker.round.handle_response(answer)
-    if not asker.round.outcome:
+def _handle_response(requester: Requester, answer: object) -> None:
+    requester.round.handle_response(answer)
+    if not requester.round.outcome:
         return
-    done, asker.round = asker.round, None
-    asker.number = max(asker.number, done.highest)
-    if done.outcome == "moved":
-        asker.known = done.known
-    elif done.outcome == "agreed":
-        asker.known = done.table
-        permit = done.table.permit(asker.name)
-        if isinstance(done.change, Back):
-            asker.fencing_token = 0
+    finished, requester.round = requester.round, None
+    requester.number = max(requester.number, finished.highest)
+    if finished.outcome == "moved":
+        requester.known = finished.known
+    elif finished.outcome == "agreed":
+        requester.known = finished.table
+        permit = finished.table.permit(requester.name)
+        if isinstance(finished.change, ReturnPermit):
+            requester.fencing_token = 0
         elif permit:
-            asker.is_out, asker.fencing_token = True, permit.fence
+            requester.is_out, requester.fencing_token = True, permit.fence
 
 
 def broken(model: Model, state: State) -> str:
     """Return the violated bound on machines out of service, or an empty text."""
-    out = [asker.name for asker in state.askers if asker.is_out]
-    return f"{' and '.join(out)} are out, {model.most} may be" if len(out) > model.most else ""
+    out = [requester.name for requester in state.requesters if requester.is_out]
+    return f"{' and '.join(out)} are out of service, {model.most} allowed" if len(out) > model.most else ""
 
 
 def explore(model: Model, depth: int, before: tuple[tuple, ...] = (), most_states: int = 10**9) -> tuple[int, str]:
@@ -258,7 +268,7 @@
     )
 
 
-LIKELY = {
+ACTION_WEIGHTS = {
     "step": 6.0,
     "lost": 1.0,
     "copy": 1.0,
@@ -283,11 +293,11 @@
         for action in before:
             act(model, state, action)
         for _ in range(steps):
-            able = list(actions(model, state))
-            action = draw.choices(able, [LIKELY[action[0]] for action in able])[0]
-            were_out = sum(asker.is_out for asker in state.askers)
+            possible = list(actions(model, state))
+            action = draw.choices(possible, [ACTION_WEIGHTS[action[0]] for action in possible])[0]
+            were_out = sum(requester.is_out for requester in state.requesters)
             act(model, state, action)
-            agreed += sum(asker.is_out for asker in state.askers) > were_out
+            agreed += sum(requester.is_out for requester in state.requesters) > were_out
             history.append(action)
             if what := broken(model, state):
                 return agreed, exploring.describe_violation(what, history)
--- a/mulleinhatch/simulation/state_exploration.py
+++ b/mulleinhatch/simulation/state_exploration.py
@@ -26,7 +26,7 @@
         broken: Returns the violated invariant, or an empty text.
         depth: Number of steps after `before`.
         before: The actions that led to `start`; they precede each reported history.
-        most_states: Stop after so many distinct states.
+        most_states: Stop after this number of distinct states.
 
     Returns:
         The number of states visited, and the first history that violates an invariant (empty if there is none).
@@ -38,21 +38,21 @@
         for action in actions(pickle.loads(packed)):
             state = pickle.loads(packed)
             act(state, action)
-            way = (*history, action)
+            path = (*history, action)
             if what := broken(state):
-                return len(seen), describe_violation(what, way)
+                return len(seen), describe_violation(what, path)
             after = pickle.dumps(state)
             if after not in seen:
                 seen.add(after)
-                if len(way) < len(before) + depth:
-                    queue.append((after, way))
+                if len(path) < len(before) + depth:
+                    queue.append((after, path))
     return len(seen), ""
 
 
-def describe_violation(what: str, way: Iterable[tuple]) -> str:
+def describe_violation(what: str, path: Iterable[tuple]) -> str:
     """Format a violated invariant with the actions that led to it.
 
     >>> describe_violation("two are out", [("want", 0), ("step", 0, "a")])
     'two are out: want 0 | step 0 a'
     """
-    return f"{what}: {' | '.join(' '.join(map(str, step)) for step in way)}"
+    return f"{what}: {' | '.join(' '.join(map(str, step)) for step in path)}"
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,4 @@
-"""The search: kept histories hold, the same seed is the same history, what is planted is found, shrinking keeps what fails."""
+"""The fault search: saved histories, reproducibility, planted defects, shrinking."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from mulleinhatch.simulation.fault_search.play import play, violation_kind
 from mulleinhatch.testing import fault_script as faults
 
-KEPT = sorted((Path(__file__).parent / "histories").glob("*.txt"))
+SAVED_HISTORIES = sorted((Path(__file__).parent / "histories").glob("*.txt"))
 
 
-@pytest.mark.parametrize("path", KEPT, ids=[path.stem for path in KEPT])
-def test_what_was_found_once_holds(path: Path) -> None:
+@pytest.mark.parametrize("path", SAVED_HISTORIES, ids=[path.stem for path in SAVED_HISTORIES])
+def test_saved_history_violates_no_invariant(path: Path) -> None:
     assert not play(parse_history(path.read_text())).what
 
 
-def test_a_history_is_its_seed_and_its_text() -> None:
+def test_seed_and_text_determine_a_history() -> None:
     for seed in range(30):
         history = draw_history(seed)
         assert draw_history(seed) == history and parse_history(format_history(history)) == history
         assert faults.read(history.script, history.instances)
 
 
-def test_the_same_history_is_played_the_same_way() -> None:
+def test_playing_a_history_twice_gives_the_same_outcome() -> None:
     assert play(draw_history(6)) == play(draw_history(6))
 
 
@@ -35,26 +35,26 @@
     "defect, seed",
     [("the bound is not looked at", 21), ("an offer counts half", 10), ("one that leaves forgets what it holds", 28)],
 )
-def test_what_is_planted_is_found(defect: str, seed: int) -> None:
+def test_planted_defect_is_found(defect: str, seed: int) -> None:
     history = draw_history(seed)
     with defects.planted(defect):
-        assert play(history).what, f"{defect}: not seen"
+        assert play(history).what, f"{defect}: not found"
     assert not play(history).what
 
 
-def test_shrinking_keeps_the_failure_and_takes_the_rest() -> None:
+def test_shrinking_keeps_the_failure_and_removes_other_faults() -> None:
     history = draw_history(21)
     with defects.planted("the bound is not looked at"):
         what = play(history).what
-    short, tries = shrink_history(history, what, "the bound is not looked at", most=6)
-    assert len(short.lines) < len(history.lines) and tries <= 6
+    shrunk, tries = shrink_history(history, what, "the bound is not looked at", most=6)
+    assert len(shrunk.lines) < len(history.lines) and tries <= 6
     with defects.planted("the bound is not looked at"):
-        assert violation_kind(play(short).what) == violation_kind(what)
+        assert violation_kind(play(shrunk).what) == violation_kind(what)
 
 
-def test_a_planted_defect_is_taken_out_again() -> None:
-    usual = [getattr(place, what) for patches in defects.DEFECTS.values() for place, what, _ in patches]
+def test_planted_defect_is_removed_after_an_error() -> None:
+    originals = [getattr(owner, attribute) for patches in defects.DEFECTS.values() for owner, attribute, _ in patches]
     for name in defects.DEFECTS:
         with pytest.raises(KeyError), defects.planted(name):
             raise KeyError
-    assert usual == [getattr(place, what) for patches in defects.DEFECTS.values() for place, what, _ in patches]
+    assert originals == [getattr(owner, attribute) for patches in defects.DEFECTS.values() for owner, attribute, _ in patches]
