--- a/mulleinhatch/simulation/scale_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -9,27 +9,27 @@
 
 from mulleinhatch.simulation.scale_instances import Plan, draw_fault_script
 from mulleinhatch.simulation.scale_shards import World
-from mulleinhatch.simulation.scale_world import Gone, Look
+from mulleinhatch.simulation.scale_world import Gone, SumSample
 
-WINDOW = 10  # seconds that the bound on bytes is a mean of
-CLOCKS = 0.98  # a window of the slowest clock is longer than one of ours
+TRAFFIC_WINDOW_S = 10  # seconds over which the bound on bytes is averaged
+SLOWEST_CLOCK_RATE = 0.98  # the slowest member's window is longer than one of the world's clock
 
 
 class Traffic(NamedTuple):
     """Bytes a second, sent and received, including headers."""
 
     mean: float  # of all instances over the whole time
-    worst: float  # the most of one instance in the mean of any 10 s
-    mean_worst: float  # the mean instance's, in the same sense
-    second: float  # the most of one instance in any second
-    mean_second: float  # the mean instance's
-    sent: float  # means, of them
-    heard: float
+    worst: float  # the largest 10 s mean of one instance
+    mean_worst: float  # the largest 10 s mean of the average instance
+    second: float  # the largest second of one instance
+    mean_second: float  # the largest second of the average instance
+    sent: float  # mean bytes sent
+    heard: float  # mean bytes received
     sent_count: float  # datagrams a second
     heard_count: float
 
 
-def any_window(seconds: list[float], window: int = WINDOW) -> float:
+def any_window(seconds: list[float], window: int = TRAFFIC_WINDOW_S) -> float:
     """Return the largest mean of any window; the mean of all seconds where there are fewer.
 
     >>> any_window([0, 10, 20, 0, 0], 2), any_window([1, 3], 10)
@@ -60,7 +60,7 @@
 
 
 def known_after(gone: Iterable[Gone], holders: dict[int, int], died: float, share: float) -> float | None:
-    """Return the seconds from the death until `share` of the holders know it, for the slowest of the dead.
+    """Return the seconds from the death until a `share` of the holders has detected it, for the dead place detected last.
 
     Args:
         gone: The declarations that were observed.
@@ -85,7 +85,7 @@
     return slowest
 
 
-def in_sums(looks: Iterable[Look], places: set[int], since: float, until: float, least: float = 0.0) -> float | None:
+def in_sums(looks: Iterable[SumSample], places: set[int], since: float, until: float, least: float = 0.0) -> float | None:
     """Return the seconds from `since` until the sums of all these places stay right up to `until`.
 
     A sum is right if it counts no instance that does not run, and at least the `least` share of those that do. None if it never
@@ -100,7 +100,7 @@
                 wrong_at[look.place] = look.at
     if set(last) != places or any(wrong_at.get(place) == at for place, at in last.items()):
         return None
-    # Right from the next look on.
+    # The sums are right from the next sample on.
     after = [min(look.at for look in looks if look.place == place and look.at > at) for place, at in wrong_at.items()]
     return max(after, default=since) - since
 
@@ -109,7 +109,7 @@
     """Return the most units used in any window; `times` must be in order."""
     first = most = 0
     for place, at in enumerate(times):
-        while times[first] <= at - window * CLOCKS:
+        while times[first] <= at - window * SLOWEST_CLOCK_RATE:
             first += 1
         most = max(most, place - first + 1)
     return most
@@ -125,9 +125,9 @@
 class History(NamedTuple):
     """The result of one random history."""
 
-    script: str  # with the seed it plays the same again
-    one_again: float | None  # seconds after its end until views are one and sums right, in steps of half a second
-    wrong: list[Gone]  # living ones declared gone, those stalled or cut off for long too
+    script: str  # reproduces the history together with the seed
+    one_again: float | None  # seconds from its end until views agree and sums are right, in steps of 0.5 s
+    wrong: list[Gone]  # running members declared gone, including stalled and isolated ones
     over: int  # units beyond a budget's total in any window
 
 
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -1,13 +1,13 @@
-"""Simulated instances at scale: topology, start-up configuration, reported figures, and the faults they meet.
+"""Simulated instances at scale: topology, start-up configuration, reported figures, and the faults they encounter.
 
-A simulated instance is the real cores (gossip; load balancing and maintenance as configured) with their real datagrams as
-bytes, without clients and interpreter. `scale_world.py` plays many of them in virtual time, `scale_shards.py` in several
+A simulated instance runs the real cores (gossip; load balancing and maintenance as configured), which exchange real datagrams
+as bytes, without clients and interpreter. `scale_world.py` plays many of them in virtual time, `scale_shards.py` in several
 processes.
 
-Places are numbered so that a zone, a region and a rack are a range each. Scripts are those of `testing/fault_script.py`, in
-which a list of places may also name `zone3`, `region0`, `rack17`, and which understand in addition:
+Places are numbered so that each zone, region and rack is a range. Scripts are those of `testing/fault_script.py`, in
+which a list of places may also name `zone3`, `region0`, `rack17`, with one more command:
 
-    at 4 replace 3,9 for 2                # they end; after 2 s others start in their places, by new names and addresses
+    at 4 replace 3,9 for 2                # they stop; after 2 s others start there with new names and addresses
 """
 
 from __future__ import annotations
@@ -20,36 +20,40 @@
 from mulleinhatch.instance.gossip.core import LocalState
 from mulleinhatch.testing import fault_script as faults
 
-LINKS = ((0.004, 0.006), (0.005, 0.008), (0.030, 0.045))  # seconds of a datagram with both loops: in a zone, a region, beyond
-LOOKAHEAD = min(low for low, _ in LINKS)  # nothing arrives sooner: so far may a process run ahead of the others
-HEADERS = 28  # bytes of UDP and IP round a datagram
+LINK_DELAYS_S = (
+    (0.004, 0.006),
+    (0.005, 0.008),
+    (0.030, 0.045),
+)  # seconds with both event loops: in a zone, in a region, between regions
+LOOKAHEAD_S = min(low for low, _ in LINK_DELAYS_S)  # no datagram arrives sooner, so a process may run this far ahead
+HEADER_BYTES = 28  # UDP and IP headers of a datagram
 RACK = 40  # instances
-PORT = 7300  # of an address's first holder; who replaces it has the next
-REQUESTS_PER_S = 275.0  # a second that each says it takes: figures of a usual length make reports of a usual length
-TENANTS = 250_000
+PORT = 7300  # of the first instance at a place; each replacement has the next port
+REQUESTS_PER_S = 275.0  # that each instance reports; realistic figures give reports of realistic length
+TENANT_COUNT = 250_000
 FLAT_HEARTBEAT_S, LEVELS_HEARTBEAT_S = 0.1, 0.25
-KINDS = re.compile(r"\b(zone|region|rack)(\d+)\b")
+PLACE_RANGE_NAME = re.compile(r"\b(zone|region|rack)(\d+)\b")
 
 
 class Plan(NamedTuple):
-    """What is played; times are seconds of virtual time."""
+    """The parameters of a simulated fleet; times are seconds of virtual time."""
 
     members: int = 225
     regions: int = 3
     zones: int = 3  # of each region
-    levels: bool = False  # zone, region and group are told; else one flat fleet
-    group_size: int = 25  # with levels: members in a group, about
-    heartbeat_s: float = 0.0  # 0: the mechanism's own
+    levels: bool = False  # zones, regions and groups are configured; otherwise one flat fleet
+    group_size: int = 25  # with levels: approximate members of a group
+    heartbeat_s: float = 0.0  # 0: the default of the topology
     script: str = ""
     seed: int = 1
-    start_within: float = 0.1  # all start in this time
-    introduced: bool = False  # flat: each knows all from the start, by letters that are no part of the count
-    busy: bool = True  # figures as long as those of an instance that takes 275 requests a second; else zeros
+    start_within: float = 0.1  # all instances start within this time
+    introduced: bool = False  # without levels: each instance knows all others from the start, by messages that are not counted
+    busy: bool = True  # report the figures of an instance that takes 275 requests a second; otherwise zeros
     spread: bool = False
     maintenance_voters: int = 0  # 0: no maintenance windows
     budgets: tuple[tuple[str, int, float], ...] = ()  # name, total, window
-    demand: float = 1.0  # units asked for over the even part
-    watched: int = 1  # in each zone, members whose sums are looked at each quarter of a second
+    demand: float = 1.0  # requested units relative to the even share
+    watched: int = 1  # members of each zone whose sums are sampled every quarter of a second
 
 
 class InvalidPlanError(ValueError):
@@ -76,9 +80,9 @@
         if plan.members < 2 or zones < 1 or plan.members % zones and plan.levels:
             raise InvalidPlanError(f"{plan.members} members do not fit evenly into {zones} zones")
         if plan.group_size < 2:
-            raise InvalidPlanError("a group has two members at least")
+            raise InvalidPlanError("a group needs at least two members")
         if plan.levels and not knows_levels():
-            raise InvalidPlanError("fleet state in levels is not there: FleetBounds has no zone")
+            raise InvalidPlanError("levels are not supported: FleetBounds has no zone")
         self.plan = plan
         self.zone = [place * zones // plan.members for place in range(plan.members)]
         self.region = [zone // plan.zones for zone in self.zone]
@@ -101,18 +105,18 @@
         return int(name.rpartition("/")[2][1:].partition("x")[0])
 
     def places_of(self, kind: str) -> tuple[int, int]:
-        """First and last place of `zone3`, `region0` or `rack17`."""
-        what, number = KINDS.fullmatch(kind).groups()
+        """Return the first and last place of `zone3`, `region0` or `rack17`."""
+        what, number = PLACE_RANGE_NAME.fullmatch(kind).groups()
         if what == "rack":
             return int(number) * RACK, min(int(number) * RACK + RACK, self.plan.members) - 1
         where = self.zone if what == "zone" else self.region
         if int(number) not in where:
-            raise InvalidPlanError(f"there is no {kind}")
+            raise InvalidPlanError(f"{kind} does not exist")
         return where.index(int(number)), len(where) - 1 - where[::-1].index(int(number))
 
     def translated(self, script: str) -> str:
         """Replace zones, regions and racks in a script by ranges of places."""
-        return KINDS.sub(lambda found: "{}-{}".format(*self.places_of(found[0])), script)
+        return PLACE_RANGE_NAME.sub(lambda found: "{}-{}".format(*self.places_of(found[0])), script)
 
     def faults(self, script: str) -> list[faults.Fault]:
         """Parse a script.
@@ -125,7 +129,7 @@
 
     def link(self, sender: int, to: int) -> tuple[float, float]:
         """Return the shortest and the longest delay between two places, in seconds."""
-        return LINKS[0 if self.zone[sender] == self.zone[to] else 1 if self.region[sender] == self.region[to] else 2]
+        return LINK_DELAYS_S[0 if self.zone[sender] == self.zone[to] else 1 if self.region[sender] == self.region[to] else 2]
 
     def path(self, place: int) -> str:
         """Return the name of a place with its region and zone."""
@@ -140,19 +144,21 @@
         plan = self.plan
         seats = self.seats() if plan.budgets else ()
         budgets = tuple(BudgetBounds(name, total, seats, window) for name, total, window in plan.budgets)
-        usual = FleetBounds(
+        common_bounds = FleetBounds(
             "hollow", heartbeat_s=plan.heartbeat_s or (LEVELS_HEARTBEAT_S if plan.levels else FLAT_HEARTBEAT_S), budgets=budgets
         )
         if not plan.levels:
             seeds = tuple(self.address(place, 0) for place in (0, 1, plan.members // 2))
-            return [usual._replace(seeds=seeds)] * len(self.firsts)
+            return [common_bounds._replace(seeds=seeds)] * len(self.firsts)
         bounds_by_zone = []
         for zone, first in enumerate(self.firsts):
             size = plan.members // len(self.firsts)
             seeds = tuple(self.address(first + place, 0) for place in sorted({0, 1, size // 2}))
             beyond = tuple(self.address(other + turn, 0) for turn in (0, 1) for other in self.firsts if other != first)
             bounds_by_zone.append(
-                usual._replace(seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups, beyond=beyond)
+                common_bounds._replace(
+                    seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups, beyond=beyond
+                )
             )
         return bounds_by_zone
 
@@ -162,14 +168,17 @@
         return sorted({first + min(size - 1, size // 3 + turn) for first in self.firsts for turn in range(self.plan.watched)})
 
 
-class Says:
-    """The figures that a simulated instance reports, as one that serves requests at the target's rate would."""
+class ReportedFigures:
+    """The figures that a simulated instance reports, like an instance that serves requests at `REQUESTS_PER_S`."""
 
     def __init__(self, plan: Plan, draw: random.Random) -> None:
         self.busy = plan.busy
         self.rate = REQUESTS_PER_S * draw.uniform(0.7, 1.3)
         self.heavy_hitters = (
-            [(f"tenant-{draw.randrange(TENANTS)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2)) for turn in range(4)]
+            [
+                (f"tenant-{draw.randrange(TENANT_COUNT)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2))
+                for turn in range(4)
+            ]
             if plan.busy
             else []
         )
@@ -199,13 +208,13 @@
         return LocalState(figures, demands, self.heavy_hitters)
 
 
-# Weather.
+# Fault scripts.
 
 
 def churn(
     draw: random.Random, members: int, a_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
 ) -> str:
-    """Draw restarts and replacements at a daily rate, each place once at most; `away` is the mean time out in seconds."""
+    """Draw restarts and replacements at a daily rate, each place at most once; `away` is the mean downtime in seconds."""
     count = round(a_day * length / 86_400.0)
     chosen = draw.sample(range(members), min(members, count))
     return "\n".join(
@@ -235,17 +244,17 @@
 
 
 def draw_fault_script(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
-    """Draw a fault script for a hierarchical fleet, all over by `start + length`.
+    """Draw a fault script for a hierarchical fleet; all faults end by `start + length`.
 
-    Group speakers die, stall or are cut from their zone, links fail in one direction, regions are separated, datagrams
-    are lost.
+    Group speakers die, stall or are cut off from their zone, links fail in one direction, regions are separated,
+    datagrams are lost.
 
     Args:
         draw: Source of random numbers.
         ground: The topology.
-        speakers: The places that speak for their groups now (`World.speakers`); any others will do.
+        speakers: The current group speakers (`World.speakers`); if empty, random places.
         start: When faults may begin.
-        length: Seconds until all are over.
+        length: Seconds until all faults have ended.
     """
     members, lines = ground.plan.members, []
     speakers = speakers or sorted(draw.sample(range(members), min(members, 9)))
@@ -258,16 +267,16 @@
             lines.append(f"at {at:.2f} kill {one} for {last:.2f}")
         elif kind == "stall":
             lines.append(f"at {at:.2f} stall {listed(draw.sample(speakers, min(3, len(speakers))))} for {last:.2f}")
-        elif kind == "pair":  # it comes back, slower than another took its place: both speak for a moment
+        elif kind == "pair":  # it resumes after another took over: for a moment both are speakers
             lines += [f"at {at + turn * last:.2f} stall {one} for {0.4 * last:.2f}" for turn in (0.0, 0.6)]
-        elif kind == "alone":  # it hears other zones and not its own
+        elif kind == "alone":  # it is connected to other zones and not to its own
             others = [place for place in range(members) if ground.zone[place] == ground.zone[one] and place != one]
             lines.append(f"at {at:.2f} cut {one} from {listed(others)} for {last:.2f}")
         elif kind in ("deaf", "cut"):
             first, second = draw.sample(range(max(2, ground.plan.regions)), 2)
             if ground.plan.regions > 1:
-                word = "to" if kind == "deaf" else "from"
-                lines.append(f"at {at:.2f} {kind} region{first} {word} region{second} for {last:.2f}")
+                preposition = "to" if kind == "deaf" else "from"
+                lines.append(f"at {at:.2f} {kind} region{first} {preposition} region{second} for {last:.2f}")
         elif kind == "zone":
             lines.append(f"at {at:.2f} kill zone{draw.randrange(len(ground.firsts))} for {last:.2f}")
         elif kind == "rack":
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -1,8 +1,8 @@
-"""A world of simulated instances played by several processes, in windows of virtual time; its history is that of one process.
+"""A world of simulated instances in several processes, in windows of virtual time; the history is that of a single process.
 
-The synchronisation is conservative: no datagram takes less than `LOOKAHEAD`, so each process may run that far beyond the
-earliest event of all without hearing from the others. Datagrams that cross a border are handed over at its end and ordered by
-(time, sender, sequence).
+The synchronisation is conservative: no datagram takes less than `LOOKAHEAD_S`, so each process may run that far beyond the
+earliest event of all without hearing from the others. Datagrams between shards are handed over at the end of the
+window and ordered by (time, sender, sequence).
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from mulleinhatch.simulation.scale_instances import LOOKAHEAD, Ground, InvalidPlanError, Plan
+from mulleinhatch.simulation.scale_instances import LOOKAHEAD_S, Ground, InvalidPlanError, Plan
 from mulleinhatch.simulation.scale_world import Event, Shard
 
-MOST_SHARDS = 8
-END = b"q"
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MAX_SHARDS = 8
+END_MESSAGE = b"q"
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
-def resident() -> int:
+def resident_bytes() -> int:
     """Return this process's resident memory in bytes."""
     with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * PAGE
+        return int(file.read().split()[1]) * PAGE_SIZE
 
 
-def owners(ground: Ground, shards: int) -> list[int]:
-    """Return the shard of each place, in ranges: most traffic of a zone stays in one process."""
+def assign_shards(ground: Ground, shards: int) -> list[int]:
+    """Return the shard of each place; shards are ranges, so that most traffic of a zone stays in one process."""
     return [place * shards // ground.plan.members for place in range(ground.plan.members)]
 
 
-class Player:
-    """One shard behind byte messages: a window to play, or a query."""
+class ShardServer:
+    """Serves one shard over byte messages: windows to play, and queries."""
 
     def __init__(self, plan: Plan, owner: list[int], index: int) -> None:
-        self.base = resident()
+        self.base = resident_bytes()
         self.shard = Shard(plan, owner, index)
 
     def ready(self) -> bytes:
@@ -53,24 +53,24 @@
         if data[:1] == b"w":
             until, batches = marshal.loads(data[1:])
             for batch in batches:
-                shard.take(marshal.loads(batch))
+                shard.add_events(marshal.loads(batch))
             shard.run(until)
-            out, shard.out = shard.out, {}
-            first = min((event[0] for events in out.values() for event in events), default=math.inf)
-            return marshal.dumps((shard.next(), first, {to: marshal.dumps(events) for to, events in out.items()}))
+            outgoing, shard.outgoing = shard.outgoing, {}
+            first = min((event[0] for events in outgoing.values() for event in events), default=math.inf)
+            return marshal.dumps((shard.next(), first, {to: marshal.dumps(events) for to, events in outgoing.items()}))
         name, args = pickle.loads(data[1:])
-        answers = resident() - self.base if name == "memory" else getattr(shard, name)(*args)
+        answers = resident_bytes() - self.base if name == "memory" else getattr(shard, name)(*args)
         return pickle.dumps((answers, shard.next()))
 
 
-class Inline:
-    """A player in this process with the interface of a pipe."""
+class InProcessPipe:
+    """A server in this process with the interface of a pipe."""
 
-    def __init__(self, player: Player) -> None:
-        self.player, self.answer = player, player.ready()
+    def __init__(self, server: ShardServer) -> None:
+        self.server, self.answer = server, server.ready()
 
     def send_bytes(self, data: bytes) -> None:
-        self.answer = self.player.answer(data)
+        self.answer = self.server.answer(data)
 
     def recv_bytes(self) -> bytes:
         return self.answer
@@ -79,17 +79,18 @@
         self.answer = b""
 
 
-def work(plan: Plan, owner: list[int], index: int, pipe: Connection, ends: list[Connection]) -> None:
+def run_shard(plan: Plan, owner: list[int], index: int, pipe: Connection, ends: list[Connection]) -> None:
     """Run a shard's process: play windows and answer queries until the pipe closes; send a traceback on any error."""
     for end in ends:
-        end.close()  # inherited: while one is open here, none is seen to close
-    # The cores make no cycles that matter here; walks over all instances' objects would count as each one's CPU.
+        end.close()  # inherited: while this process keeps one open, its peer never sees it close
+    # The cores create no significant reference cycles; collections over all instances' objects would count as CPU of
+    # single instances.
     gc.disable()
     try:
-        player = Player(plan, owner, index)
-        pipe.send_bytes(player.ready())
-        while (data := pipe.recv_bytes()) != END:
-            pipe.send_bytes(player.answer(data))
+        server = ShardServer(plan, owner, index)
+        pipe.send_bytes(server.ready())
+        while (data := pipe.recv_bytes()) != END_MESSAGE:
+            pipe.send_bytes(server.answer(data))
     except EOFError:
         pass
     except Exception:
@@ -109,34 +110,34 @@
     """
 
     def __init__(self, plan: Plan, shards: int = 1, processes: bool = True) -> None:
-        """`processes`: a process for each shard; else all in this one, in turn."""
-        if not 1 <= shards <= MOST_SHARDS:
-            raise InvalidPlanError(f"{shards} processes: 1 to {MOST_SHARDS} are allowed")
+        """`processes`: run each shard in its own process; otherwise all in this one."""
+        if not 1 <= shards <= MAX_SHARDS:
+            raise InvalidPlanError(f"{shards} processes: 1 to {MAX_SHARDS} are allowed")
         self.plan, self.ground, self.now = plan, Ground(plan), 0.0
         shards = min(shards, plan.members)
-        self.owner = owners(self.ground, shards)
-        self.ground.faults(plan.script)  # before processes are started for it
-        self.pipes: list[Connection | Inline] = []
+        self.owner = assign_shards(self.ground, shards)
+        self.ground.faults(plan.script)  # rejects a bad script before processes start
+        self.pipes: list[Connection | InProcessPipe] = []
         self.processes: list[multiprocessing.Process] = []
         self.batches: list[list[bytes]] = [[] for _ in range(shards)]
-        self.first = math.inf  # arrival of the earliest datagram that waits at the border
+        self.first_arrival = math.inf  # arrival of the earliest datagram in transit between shards
         context = multiprocessing.get_context("fork")
         for index in range(shards):
             if not processes:
-                self.pipes.append(Inline(Player(plan, self.owner, index)))
+                self.pipes.append(InProcessPipe(ShardServer(plan, self.owner, index)))
                 continue
             here, there = context.Pipe()
-            process = context.Process(target=work, args=(plan, self.owner, index, there, [*self.pipes, here]), daemon=True)
+            process = context.Process(target=run_shard, args=(plan, self.owner, index, there, [*self.pipes, here]), daemon=True)
             process.start()
             there.close()
             self.pipes.append(here)
             self.processes.append(process)
-        self.nexts = [self._answer(index)[0] for index in range(shards)]
+        self.next_event_times = [self._receive_answer(index)[0] for index in range(shards)]
 
     @property
     def local(self) -> Shard:
-        """The first shard, where it is played in this process."""
-        return self.pipes[0].player.shard
+        """The first shard, if it is played in this process."""
+        return self.pipes[0].server.shard
 
     def __enter__(self) -> World:
         return self
@@ -147,9 +148,9 @@
     def close(self) -> None:
         """End the processes."""
         for pipe in self.pipes if self.processes else ():
-            # Said, not shown by closing alone: another world's processes may hold this end too.
+            # Closing alone is not enough: another world's processes may have inherited this end.
             with contextlib.suppress(OSError):
-                pipe.send_bytes(END)
+                pipe.send_bytes(END_MESSAGE)
             pipe.close()
         for process in self.processes:
             process.join(5.0)
@@ -158,7 +159,7 @@
                 process.join()
         self.pipes, self.processes = [], []
 
-    def _answer(self, index: int) -> Any:
+    def _receive_answer(self, index: int) -> Any:
         try:
             data = self.pipes[index].recv_bytes()
         except EOFError:
@@ -170,21 +171,23 @@
     def play(self, until: float) -> World:
         """Run all events before `until`."""
         self.ask("prepare", until)
-        ahead = LOOKAHEAD if len(self.pipes) > 1 else math.inf
+        ahead = LOOKAHEAD_S if len(self.pipes) > 1 else math.inf
         while self.now < until:
-            start = min(*self.nexts, self.first) if len(self.nexts) > 1 else self.nexts[0]
+            start = (
+                min(*self.next_event_times, self.first_arrival) if len(self.next_event_times) > 1 else self.next_event_times[0]
+            )
             self.now = min(start + ahead, until)
-            self._window(self.now)
+            self._play_window(self.now)
         return self
 
-    def _window(self, border: float) -> None:
+    def _play_window(self, window_end: float) -> None:
         for index, pipe in enumerate(self.pipes):
             batches, self.batches[index] = self.batches[index], []
-            pipe.send_bytes(b"w" + marshal.dumps((border, batches)))
-        self.first = math.inf
+            pipe.send_bytes(b"w" + marshal.dumps((window_end, batches)))
+        self.first_arrival = math.inf
         for index in range(len(self.pipes)):
-            self.nexts[index], first, answers = self._answer(index)
-            self.first = min(self.first, first)
+            self.next_event_times[index], first, answers = self._receive_answer(index)
+            self.first_arrival = min(self.first_arrival, first)
             for to, batch in answers.items():
                 self.batches[to].append(batch)
 
@@ -197,18 +200,18 @@
             data = pipe.recv_bytes()
             if data[:1] == b"!":
                 raise ShardStoppedError(data[1:].decode())
-            answer, self.nexts[index] = pickle.loads(data)
+            answer, self.next_event_times[index] = pickle.loads(data)
             answers.append(answer)
         return answers
 
-    def _joined(self, name: str, *args: Any) -> dict[int, Any]:
-        """Merge the shards' answers, which are by place, in the order of places."""
+    def _merge_by_place(self, name: str, *args: Any) -> dict[int, Any]:
+        """Merge the shards' answers by place, in the order of places."""
         answers: dict[int, Any] = {}
         for answer in self.ask(name, *args):
             answers |= answer
         return dict(sorted(answers.items()))
 
-    # What is seen of it.
+    # Queries.
 
     def script(self, text: str) -> None:
         """Add faults, at times from now on."""
@@ -217,18 +220,18 @@
 
     def traffic(self, first: float, last: float) -> dict[int, Any]:
         """Return bytes and datagrams by place and second."""
-        return self._joined("traffic", int(first), int(last))
+        return self._merge_by_place("traffic", int(first), int(last))
 
     def cpu(self) -> dict[int, tuple[int, int]]:
         """Return CPU nanoseconds and calls by place."""
-        return self._joined("cpu")
+        return self._merge_by_place("cpu")
 
     def digest(self) -> dict[int, int]:
         """Return a checksum of all datagrams sent, by place."""
-        return self._joined("digest")
+        return self._merge_by_place("digest")
 
     def speakers(self) -> list[int]:
-        """Return the places that speak for their groups now."""
+        """Return the places that are speakers of their groups now."""
         return sorted(place for found in self.ask("speakers") for place in found)
 
     def listed(self, what: str) -> list[Any]:
@@ -255,28 +258,28 @@
         nobody suspected.
         Each view contains its owner, so a view held by as many instances as it has members is held by exactly those.
         """
-        alike: Counter[tuple[int, int]] = Counter()
-        unfit = running = 0
+        view_counts: Counter[tuple[int, int]] = Counter()
+        inaccurate = running = 0
         for views, wrong, _, count in self.ask("views"):
-            alike += views
-            unfit, running = unfit + wrong, running + count
+            view_counts += views
+            inaccurate, running = inaccurate + wrong, running + count
         groups = len(self.ground.firsts) * self.ground.groups if self.plan.levels else 1
         return (
             running > 0
-            and not unfit
-            and len(alike) <= groups
-            and all(count == size for (_, size), count in alike.items())
-            and sum(alike.values()) == running
+            and not inaccurate
+            and len(view_counts) <= groups
+            and all(count == size for (_, size), count in view_counts.items())
+            and sum(view_counts.values()) == running
         )
 
     def used(self) -> list[list[float]]:
-        """Return by budget the times at which units were used, in order."""
+        """Return the ordered times at which units of each budget were used."""
         answers = self.ask("attribute", "used")
         return [sorted(at for one in answers for at in one[budget]) for budget in range(len(self.plan.budgets))]
 
     def memory(self) -> float:
-        """Return the bytes that an instance adds to all processes."""
+        """Return the mean bytes of memory that an instance adds to the processes."""
         return sum(self.ask("memory")) / self.plan.members
 
 
-__all__ = ["Event", "ShardStoppedError", "World", "owners", "resident"]
+__all__ = ["Event", "ShardStoppedError", "World", "assign_shards", "resident_bytes"]
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -1,7 +1,7 @@
-"""Many simulated instances in virtual time: one shard of a world, which one process plays; `scale_shards.py` joins several.
+"""Many simulated instances in virtual time: one shard of a world, run by one process; `scale_shards.py` combines several.
 
-One seed gives one history, however many shards: random numbers are each instance's own, and simultaneous events are ordered by
-(time, sender, sequence). Figures are taken from outside: which places run is known from the script, not from the instances.
+One seed gives one history for any number of shards: each instance has its own random source, and simultaneous events are
+ordered by (time, sender, sequence). Figures are measured from outside: the script, not the instances, tells which places run.
 Bytes and datagrams are counted by instance and second, with 28 bytes of headers each; CPU is the thread's time in the cores.
 """
 
@@ -19,7 +19,7 @@
 from itertools import chain
 from typing import Any, NamedTuple
 
-from mulleinhatch.instance.gossip import messages as words
+from mulleinhatch.instance.gossip import messages
 from mulleinhatch.instance.gossip.budgets import QuotaMeter
 from mulleinhatch.instance.gossip.core import GossipNode
 from mulleinhatch.instance.gossip.messages import ALIVE, GONE, SUSPECT
@@ -27,28 +27,28 @@
 from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
 from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
-from mulleinhatch.simulation.scale_instances import HEADERS, LOOKAHEAD, Ground, Plan, Says
+from mulleinhatch.simulation.scale_instances import HEADER_BYTES, LOOKAHEAD_S, Ground, Plan, ReportedFigures
 from mulleinhatch.testing import fault_script as faults
 
-GRACE = 2.0  # seconds from the notice to leave to the end
-QUEUE = 200  # datagrams that a stopped process's socket holds
-WATCH_EVERY = 0.25  # seconds between looks at the watched members' sums
-MOST_KEPT = 200_000  # changes and wrong declarations that are kept one by one
-HEARTBEAT, USE = -1, -2  # what an event is that is no datagram
-Event = tuple[float, int, int, int, Any]  # when, sender (-1: the script), sequence, to whom, datagram or what else
+LEAVE_GRACE_S = 2.0  # seconds from the announcement of a departure to the end of the process
+SOCKET_QUEUE_SIZE = 200  # datagrams that the socket of a stalled process buffers
+SAMPLE_INTERVAL_S = 0.25  # seconds between samples of the watched members' sums
+MAX_RECORDED = 200_000  # recorded declarations of members as gone; further ones are only counted
+HEARTBEAT, USE = -1, -2  # kinds of events that are not datagrams
+Event = tuple[float, int, int, int, Any]  # time, sender (-1: the script), sequence, receiver, datagram or kind
 
 
 class Gone(NamedTuple):
-    """A member became gone in a view."""
+    """A declaration of a member as gone in the view of an observer."""
 
     at: float
     observer: int
     subject: int
     why: str
-    wrong: bool  # this incarnation of it ran just then
+    wrong: bool  # this incarnation of the subject was running
 
 
-class Look(NamedTuple):
+class SumSample(NamedTuple):
     """A sample of one watched member's sum of the whole fleet."""
 
     at: float
@@ -56,7 +56,7 @@
     members: int
     silent: int
     oldest: float
-    living: int  # in truth
+    living: int  # instances that really run
 
 
 class SimulatedInstance:
@@ -74,7 +74,7 @@
         "offset",
         "sequence",
         "incarnations",
-        "says",
+        "reported_figures",
         "meters",
         "born",
         "sent",
@@ -89,41 +89,41 @@
     def __init__(self, plan: Plan, place: int) -> None:
         draw = random.Random(plan.seed * 1_000_003 + place)
         self.place, self.random_source = place, draw
-        self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # nobody's clock is right
+        self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # no clock shows the true time
         self.core: GossipNode | None = None
         self.spread: LoadBalancer | None = None
         self.maintenance: MaintenanceCoordinator | None = None
         self.stalled = False
-        self.waiting: deque[bytes] = deque(maxlen=QUEUE)
+        self.waiting: deque[bytes] = deque(maxlen=SOCKET_QUEUE_SIZE)
         self.sequence = self.incarnations = self.cpu = self.calls = self.digest = 0
-        self.says, self.meters, self.born = Says(plan, draw), [], 0.0
+        self.reported_figures, self.meters, self.born = ReportedFigures(plan, draw), [], 0.0
         self.sent, self.heard, self.sent_count, self.heard_count = (array("I") for _ in range(4))
 
 
 class Shard:
-    """The instances at the shard's own places; the others are known from the script alone."""
+    """The instances at the shard's own places; the others are known only from the script."""
 
     def __init__(self, plan: Plan, owner: list[int] | None = None, index: int = 0) -> None:
         self.plan, self.ground, self.now, self.index = plan, Ground(plan), 0.0, index
         self.owner = owner or [0] * plan.members
         self.bounds = self.ground.bounds()
         self.nodes: list[SimulatedInstance | None] = [
-            SimulatedInstance(plan, place) if who == index else None for place, who in enumerate(self.owner)
+            SimulatedInstance(plan, place) if shard == index else None for place, shard in enumerate(self.owner)
         ]
         self.events: list[Event] = []
-        self.out: dict[int, list[Event]] = {}
-        self.turn = 0
+        self.outgoing: dict[int, list[Event]] = {}
+        self.script_sequence = 0
         members = plan.members
-        # What the script says of all places, the same in each shard.
+        # The state of all places according to the script, the same in each shard.
         self.up, self.incarnation = bytearray(members), [0] * members
         self.generation = [0] * members
-        self.whom = {self.ground.address(place, 0): place for place in range(members)}
+        self.place_by_address = {self.ground.address(place, 0): place for place in range(members)}
         self.active: list[faults.Fault] = []
         self.cuts: list[tuple[bytearray, bytearray, bool]] = []
         self.amounts: dict[str, list[float]] = {}
         self.gone: list[Gone] = []
         self.counts: Counter[str] = Counter()
-        self.looks: list[Look] = []
+        self.looks: list[SumSample] = []
         self.used: list[array[float]] = [array("d") for _ in plan.budgets]
         draw = random.Random(plan.seed)
         self.starts = [draw.uniform(0.0, plan.start_within) for _ in range(members)]
@@ -131,27 +131,27 @@
             self._at(start, ("start", (place,)))
         self.script(plan.script)
         self.watched = [place for place in self.ground.watched() if self.nodes[place]]
-        self._at(WATCH_EVERY, ("watch", ()))
+        self._at(SAMPLE_INTERVAL_S, ("sample_sums", ()))
 
     # Time.
 
     def _at(self, when: float, what: tuple[str, Any]) -> None:
-        """Schedule a step of the script, before what instances do at the same time."""
-        self.turn += 1
-        heapq.heappush(self.events, (when, -1, self.turn, -1, what))
+        """Schedule a step of the script; it precedes the events of instances at the same time."""
+        self.script_sequence += 1
+        heapq.heappush(self.events, (when, -1, self.script_sequence, -1, what))
 
     def script(self, text: str) -> None:
         """Add faults from now on; reject those in the past."""
         for fault in self.ground.faults(text):
             if fault.at < self.now:
-                raise faults.FaultScriptError(f"at {fault.at:g} is over: it is {self.now:g}")
-            self._at(fault.at, ("fault", fault))
+                raise faults.FaultScriptError(f"at {fault.at:g} is over: the time is {self.now:g}")
+            self._at(fault.at, ("apply_fault", fault))
 
     def next(self) -> float:
         """Return the time of the next event."""
         return self.events[0][0] if self.events else math.inf
 
-    def take(self, events: list[Event]) -> None:
+    def add_events(self, events: list[Event]) -> None:
         """Add events from other shards."""
         for event in events:
             heapq.heappush(self.events, event)
@@ -168,17 +168,17 @@
             if type(what) is bytes:
                 if node.core is not None:
                     second = int(self.now)
-                    node.heard[second] += len(what) + HEADERS
+                    node.heard[second] += len(what) + HEADER_BYTES
                     node.heard_count[second] += 1
                     if node.stalled:
                         node.waiting.append(what)
                     else:
-                        self._heard(node, what)
+                        self._receive(node, what)
             elif what[1] == node.incarnations and node.core is not None:
                 if what[0] == HEARTBEAT:
                     self._send_heartbeat(node)
                 else:
-                    self._use(node, what[2])
+                    self._consume(node, what[2])
         self.now = until
 
     def prepare(self, until: float) -> None:
@@ -199,14 +199,14 @@
             self.up[place] = 1
             self.incarnation[place] = self.incarnation_from(self.now)
             if node := self.nodes[place]:
-                self._begin(node)
+                self._start_instance(node)
 
     @staticmethod
     def incarnation_from(start: float) -> int:
         """Return the incarnation number of an instance that starts then."""
         return int(1000.0 * (start + 7200.0))
 
-    def _begin(self, node: SimulatedInstance) -> None:
+    def _start_instance(self, node: SimulatedInstance) -> None:
         place, plan = node.place, self.plan
         node.incarnations += 1
         node.stalled = False
@@ -242,23 +242,23 @@
         node.meters = [QuotaMeter(budget.window) for budget in bounds.budgets]
         if plan.introduced and node.incarnations == 1:
             self._introduce(node, now)
-        self._later(node, 0.0, (HEARTBEAT, node.incarnations))
+        self._schedule(node, 0.0, (HEARTBEAT, node.incarnations))
         for budget in range(len(plan.budgets)):
-            self._later(node, node.random_source.uniform(0.0, 0.1), (USE, node.incarnations, budget))
+            self._schedule(node, node.random_source.uniform(0.0, 0.1), (USE, node.incarnations, budget))
 
     def _introduce(self, node: SimulatedInstance, now: float) -> None:
-        """Deliver messages that name all others, as a member that knows them would send; none of it is gossiped on."""
+        """Deliver messages that name all other members, as one of them would; the instance does not forward the updates."""
         ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
             updates = [
-                words.MemberUpdate(
+                messages.MemberUpdate(
                     ground.name(place, 0), ground.address(place, 0), self.incarnation_from(self.starts[place]), 0, ALIVE
                 )
                 for place in some
             ]
-            message = words.GossipMessage(
-                words.VERSION,
+            message = messages.GossipMessage(
+                messages.VERSION,
                 "hollow",
                 updates[0].name,
                 updates[0].address,
@@ -267,11 +267,11 @@
                 "word",
                 member_updates=updates,
             )
-            node.core.handle_datagram(now, words.encode(message))
+            node.core.handle_datagram(now, messages.encode(message))
         node.core.members.updates.unsent.clear()
         node.core.members.changes.clear()
 
-    def _fault(self, fault: faults.Fault) -> None:
+    def _apply_fault(self, fault: faults.Fault) -> None:
         what = fault.what
         if what == "kill":
             for place in fault.places:
@@ -282,38 +282,38 @@
             self._start(fault.places)
         elif what == "renew":
             for place in fault.places:
-                self.whom.pop(self.ground.address(place, self.generation[place]), None)
+                self.place_by_address.pop(self.ground.address(place, self.generation[place]), None)
                 self.generation[place] += 1
-                self.whom[self.ground.address(place, self.generation[place])] = place
+                self.place_by_address[self.ground.address(place, self.generation[place])] = place
             self._start(fault.places)
         elif what == "leave":
             for place in fault.places:
                 if (node := self.nodes[place]) and node.core:
                     self._send(node, node.core.leave(self.now * node.rate + node.offset))
-            self._at(self.now + GRACE, ("fault", faults.Fault(self.now + GRACE, "kill", fault.places)))
+            self._at(self.now + LEAVE_GRACE_S, ("apply_fault", faults.Fault(self.now + LEAVE_GRACE_S, "kill", fault.places)))
         elif what in ("stall", "go"):
             for place in fault.places:
                 if (node := self.nodes[place]) and node.core:
                     was, node.stalled = node.stalled, what == "stall"
-                    if was and not node.stalled:  # else it was started anew meanwhile
-                        self._go_on(node)
+                    if was and not node.stalled:  # otherwise it has restarted meanwhile
+                        self._resume(node)
         elif what in faults.LINKS:
             self.active.append(fault)
-            self._links(None)
-            self._at(fault.until, ("links", fault))
+            self._update_links(None)
+            self._at(fault.until, ("update_links", fault))
         else:
-            raise faults.FaultScriptError(f"{what} is nothing that a hollow instance meets")
+            raise faults.FaultScriptError(f"{what} is not supported by simulated instances")
 
-    def _go_on(self, node: SimulatedInstance) -> None:
-        """Resume after a stall: the timer is overdue and the socket full."""
+    def _resume(self, node: SimulatedInstance) -> None:
+        """Resume after a stall: the timer is overdue and the socket buffer holds datagrams."""
         self._send_heartbeat(node, again=False)
         waiting = list(node.waiting)
         node.waiting.clear()
         for data in waiting:
-            self._heard(node, data)
+            self._receive(node, data)
 
-    def _links(self, over: faults.Fault | None) -> None:
-        """Which links are cut and how bad the rest is, as flags by place: a look at one costs the same at any size."""
+    def _update_links(self, over: faults.Fault | None) -> None:
+        """Compute cut links and impairments as arrays by place, so that a lookup costs the same at any fleet size."""
         if over:
             self.active.remove(over)
         members = self.plan.members
@@ -331,16 +331,16 @@
                 for place in fault.places:
                     amounts[place] = max(amounts[place], fault.amount)
 
-    def _watch(self, _: Any) -> None:
-        self._at(self.now + WATCH_EVERY, ("watch", ()))
+    def _sample_sums(self, _: Any) -> None:
+        self._at(self.now + SAMPLE_INTERVAL_S, ("sample_sums", ()))
         living = sum(self.up)
         for place in self.watched:
             node = self.nodes[place]
             if node.core and not node.stalled:
-                self.looks.append(Look(self.now, place, *self._sum(node), living))
+                self.looks.append(SumSample(self.now, place, *self._fleet_sum(node), living))
 
-    def _sum(self, node: SimulatedInstance) -> tuple[int, int, float]:
-        """Members alive in its sum of the fleet, silent ones, the oldest age; flat, what its own view holds."""
+    def _fleet_sum(self, node: SimulatedInstance) -> tuple[int, int, float]:
+        """Return alive members, silent members and the oldest age in its sum of the fleet; without levels, in its own view."""
         now = self.now * node.rate + node.offset
         if self.plan.levels:
             total = node.core.totals(now)["fleet"]
@@ -350,20 +350,20 @@
 
     # Instances.
 
-    def _later(self, node: SimulatedInstance, after: float, what: tuple) -> None:
+    def _schedule(self, node: SimulatedInstance, after: float, what: tuple) -> None:
         node.sequence += 1
         heapq.heappush(self.events, (self.now + after, node.place, node.sequence, node.place, what))
 
     def _send_heartbeat(self, node: SimulatedInstance, again: bool = True) -> None:
         if again:
-            self._later(
+            self._schedule(
                 node, node.core.bounds.heartbeat_s * node.random_source.uniform(0.95, 1.1), (HEARTBEAT, node.incarnations)
             )
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
-        local = node.says.local(self.now - node.born, tuple(meter.demand(now) for meter in node.meters))
-        begun = time.thread_time_ns()
+        local = node.reported_figures.local(self.now - node.born, tuple(meter.demand(now) for meter in node.meters))
+        started_at = time.thread_time_ns()
         datagrams = []
         if node.spread:
             datagrams += node.spread.heartbeat(now, InstanceLoad(8, 0, 48))
@@ -371,35 +371,35 @@
         if node.maintenance:
             datagrams += node.maintenance.tick(now, self.now + node.offset, True)
         datagrams += node.core.heartbeat(now, local)
-        node.cpu += time.thread_time_ns() - begun
+        node.cpu += time.thread_time_ns() - started_at
         node.calls += 1
         self._send(node, datagrams)
         if node.core.members.changes:
-            self._changes(node)
+            self._record_changes(node)
 
-    def _heard(self, node: SimulatedInstance, data: bytes) -> None:
-        begun = time.thread_time_ns()
+    def _receive(self, node: SimulatedInstance, data: bytes) -> None:
+        started_at = time.thread_time_ns()
         datagrams = node.core.handle_datagram(self.now * node.rate + node.offset, data)
         if node.spread:
             datagrams += node.spread.take_messages()
         if node.maintenance:
             datagrams += node.maintenance.take_outgoing()
-        node.cpu += time.thread_time_ns() - begun
+        node.cpu += time.thread_time_ns() - started_at
         node.calls += 1
         if datagrams:
             self._send(node, datagrams)
         if node.core.members.changes:
-            self._changes(node)
+            self._record_changes(node)
 
     def _send(self, node: SimulatedInstance, datagrams: list[tuple[str, bytes]]) -> None:
         place, second, owner, random_source = node.place, int(self.now), self.owner, node.random_source.random
         for address, data in datagrams:
-            if len(data) > words.MAX_DATAGRAM_BYTES:
+            if len(data) > messages.MAX_DATAGRAM_BYTES:
                 raise InvariantBrokenError(f"at {self.now:.3f} a datagram of {len(data)} bytes")
-            node.sent[second] += len(data) + HEADERS
+            node.sent[second] += len(data) + HEADER_BYTES
             node.sent_count[second] += 1
             node.digest = zlib.crc32(data, node.digest)
-            to = self.whom.get(address)
+            to = self.place_by_address.get(address)
             if to is None or self.cuts and self._is_cut(place, to):
                 continue
             low, high = self.ground.link(place, to)
@@ -414,7 +414,7 @@
                 if owner[to] == self.index:
                     heapq.heappush(self.events, event)
                 else:
-                    self.out.setdefault(owner[to], []).append(event)
+                    self.outgoing.setdefault(owner[to], []).append(event)
 
     def _is_cut(self, sender: int, to: int) -> bool:
         return any(here[to] and there[sender] or both and here[sender] and there[to] for here, there, both in self.cuts)
@@ -423,7 +423,7 @@
         amounts = self.amounts.get(what)
         return max(amounts[sender], amounts[to]) if amounts else 0.0
 
-    def _changes(self, node: SimulatedInstance) -> None:
+    def _record_changes(self, node: SimulatedInstance) -> None:
         changes, node.core.members.changes = node.core.members.changes, []
         for change in changes:
             self.counts[change.state] += 1
@@ -434,30 +434,32 @@
             known = node.core.members.view.get(change.name)
             wrong = bool(self.up[subject] and same and known and known.process_epoch == self.incarnation[subject])
             self.counts["wrong" if wrong else "right"] += 1
-            if len(self.gone) < MOST_KEPT:
+            if len(self.gone) < MAX_RECORDED:
                 self.gone.append(Gone(self.now, node.place, subject, change.why, wrong))
 
-    def _part(self, node: SimulatedInstance, now: float, budget: int) -> int:
+    def _usable_share(self, node: SimulatedInstance, now: float, budget: int) -> int:
         return node.core.usable_quota(now, budget)
 
-    def _use(self, node: SimulatedInstance, budget: int) -> None:
+    def _consume(self, node: SimulatedInstance, budget: int) -> None:
         """Request units one at a time, at the rate of the instance's demand."""
         _, total, window = self.plan.budgets[budget]
         rate = max(0.01, total / self.plan.members / (window or 1.0) * self.plan.demand)
-        self._later(node, node.random_source.expovariate(rate), (USE, node.incarnations, budget))
+        self._schedule(node, node.random_source.expovariate(rate), (USE, node.incarnations, budget))
         if node.stalled:
             return
         now = self.now * node.rate + node.offset
-        part = self._part(node, now, budget)
-        if part < 0:
-            raise InvariantBrokenError(f"at {self.now:.3f} {node.core.name} holds a part of {part}")
-        if node.meters[budget].take(now, part):
+        share = self._usable_share(node, now, budget)
+        if share < 0:
+            raise InvariantBrokenError(f"at {self.now:.3f} {node.core.name} holds a share of {share}")
+        if node.meters[budget].take(now, share):
             self.used[budget].append(self.now)
 
-    # What is asked from outside.
+    # Queries from outside.
 
     def traffic(self, first: int, last: int) -> dict[int, tuple[array, array, array, array]]:
-        """By place: bytes sent and heard, datagrams sent and heard, for the seconds from `first` to before `last`."""
+        """Return by place the bytes sent and received and the datagrams sent and received, in the seconds from `first` to
+        before `last`.
+        """
         return {
             node.place: (
                 node.sent[first:last],
@@ -484,10 +486,11 @@
         return {node.place: node.digest for node in self.nodes if node}
 
     def views(self) -> tuple[Counter[tuple[int, int]], int, int, int]:
-        """How many hold each view (its hash and size, themselves in it), how many hold one with somebody who does not run or
-        is suspected, how many are frozen, and how many run."""
-        alike: Counter[tuple[int, int]] = Counter()
-        unfit = frozen = running = 0
+        """Return the number of instances by view (its hash and size, the owner included), and the numbers of instances whose
+        view has a suspected member or one that does not run, that are frozen, and that run.
+        """
+        view_counts: Counter[tuple[int, int]] = Counter()
+        inaccurate = frozen = running = 0
         present = {self.ground.name(place, self.generation[place]): place for place, up in enumerate(self.up) if up}
         for node in self.nodes:
             if node is None or node.core is None:
@@ -496,12 +499,12 @@
             view = node.core.members.view
             places = [present.get(name.rpartition("/")[2], -1) for name, member in view.items() if member.state <= SUSPECT]
             frozen += node.core.members.frozen
-            unfit += -1 in places or any(member.state == SUSPECT for member in view.values())
-            alike[hash(frozenset([node.place, *places])), 1 + len(places)] += 1
-        return alike, unfit, frozen, running
+            inaccurate += -1 in places or any(member.state == SUSPECT for member in view.values())
+            view_counts[hash(frozenset([node.place, *places])), 1 + len(places)] += 1
+        return view_counts, inaccurate, frozen, running
 
     def holding(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
-        """By place: in how many views of those that run, `but` these, it is there, and in how many gone."""
+        """Return by place how many views have it present and gone; stalled instances and those in `but` are left out."""
         names = {place: self.ground.name(place, self.generation[place]) for place in places}
         counts = {place: [0, 0] for place in places}
         for node in self.nodes:
@@ -515,7 +518,7 @@
         return {place: (there, gone) for place, (there, gone) in counts.items()}
 
     def speakers(self) -> list[int]:
-        """Places that speak for their group just now, if levels can tell."""
+        """Return the places that are speakers of their groups now; none without levels."""
         found = []
         for node in self.nodes:
             if node and node.core and (speaks := getattr(getattr(node.core, "aggregation_tree", None), "is_speaker", None)):
@@ -523,7 +526,7 @@
         return found
 
     def state(self, places: list[int]) -> list[dict[str, float]]:
-        """Bytes of state by kind, each object counted once, in these instances that run."""
+        """Return the bytes of state by kind of these instances, if they run; each object counts once."""
         return [state_of(node) for place in places if (node := self.nodes[place]) and node.core]
 
     def attribute(self, name: str) -> Any:
@@ -549,7 +552,7 @@
     ),
     ("reports", lambda node: node.core.fleet_counters.rows),
     ("verdicts", lambda node: node.core.outlier_detector.__dict__),
-    ("budgets", lambda node: [part.__dict__ for part in node.core.quotas]),
+    ("budgets", lambda node: [quota.__dict__ for quota in node.core.quotas]),
     ("levels", lambda node: getattr(node.core, "aggregation_tree", None)),
     ("spread", lambda node: node.spread and _without_fleet(node.spread)),
     (
@@ -561,7 +564,7 @@
 
 def state_of(node: SimulatedInstance) -> dict[str, float]:
     """Return bytes of state by kind of one instance."""
-    # What is settings, or the instance itself, is no state of this kind.
+    # Settings and the instance itself do not count as state.
     seen = {
         id(node),
         id(node.core),
@@ -574,32 +577,32 @@
 
 
 def deep_size(thing: Any, seen: set[int]) -> int:
-    """Return the bytes of an object and all it refers to, without what was seen, code and types.
+    """Return the bytes of an object and all objects it refers to, except those in `seen`, code and types.
 
     >>> deep_size(["abc"], set()) == sys.getsizeof(["abc"]) + sys.getsizeof("abc")
     True
     """
-    size, todo = 0, [thing]
-    while todo:
-        one = todo.pop()
+    size, stack = 0, [thing]
+    while stack:
+        one = stack.pop()
         if id(one) in seen or one is None or callable(one) or isinstance(one, type | bool):
             continue
         seen.add(id(one))
         size += sys.getsizeof(one)
         if isinstance(one, dict):
-            todo += chain.from_iterable(one.items())
+            stack += chain.from_iterable(one.items())
         elif isinstance(one, list | tuple | set | frozenset | deque):
-            todo += one
+            stack += one
         else:
-            todo += [
+            stack += [
                 getattr(one, name)
                 for kind in type(one).__mro__
                 for name in getattr(kind, "__slots__", ())
                 if isinstance(name, str) and hasattr(one, name) and name not in ("__weakref__", "__dict__")
             ]
-            todo += [getattr(one, name) for name in getattr(type(one), "__struct_fields__", ())]
-            todo.append(getattr(one, "__dict__", None))
+            stack += [getattr(one, name) for name in getattr(type(one), "__struct_fields__", ())]
+            stack.append(getattr(one, "__dict__", None))
     return size
 
 
-__all__ = ["LOOKAHEAD", "Gone", "SimulatedInstance", "Look", "Shard", "deep_size", "state_of"]
+__all__ = ["LOOKAHEAD_S", "Gone", "SimulatedInstance", "SumSample", "Shard", "deep_size", "state_of"]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Simulated instances: one seed one history, by however many processes; what is counted, what checkers and fits find."""
+"""Simulated instances: reproducible histories in any number of processes, traffic counts, invariant checks and fits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from mulleinhatch.instance.gossip.messages import GONE
 from mulleinhatch.simulation.scale_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
 from mulleinhatch.simulation.scale_instances import (
-    HEADERS,
+    HEADER_BYTES,
     Ground,
     InvalidPlanError,
     Plan,
@@ -24,66 +24,68 @@
     restart_all,
 )
 from mulleinhatch.simulation.scale_shards import ShardStoppedError, World
-from mulleinhatch.simulation.scale_world import Gone, Look, Shard
+from mulleinhatch.simulation.scale_world import Gone, Shard, SumSample
 from mulleinhatch.testing import fault_script as faults
 
-STORMY = (
+FAULT_SCRIPT = (
     "at 1 lossy all 0.1 for 2\nat 1.5 kill 3 for 1\nat 1.2 stall 4,5 for 0.7\nat 2 replace 7 for 0.5\n"
     "at 1 cut zone0 from zone2 for 1"
 )
 
 
-def played(shards: int, seed: int = 1, until: float = 3.0, processes: bool = False, **more: object) -> tuple[dict, dict, list]:
-    with World(Plan(members=9, seed=seed, script=STORMY, **more), shards, processes) as world:
+def play_world(
+    shards: int, seed: int = 1, until: float = 3.0, processes: bool = False, **more: object
+) -> tuple[dict, dict, list]:
+    with World(Plan(members=9, seed=seed, script=FAULT_SCRIPT, **more), shards, processes) as world:
         world.play(until)
         return world.digest(), world.traffic(0, until), world.listed("looks")
 
 
-def test_one_seed_one_history_by_however_many_processes() -> None:
-    once = played(1)
-    assert once == played(1)
-    assert once == played(2) == played(5)
-    assert played(1, until=1.0) == played(2, until=1.0, processes=True)
-    assert once[0] != played(1, seed=2)[0]
+def test_history_is_independent_of_the_number_of_processes() -> None:
+    once = play_world(1)
+    assert once == play_world(1)
+    assert once == play_world(2) == play_world(5)
+    assert play_world(1, until=1.0) == play_world(2, until=1.0, processes=True)
+    assert once[0] != play_world(1, seed=2)[0]
 
 
-def test_load_balancing_maintenance_and_budgets_keep_one_history() -> None:
+def test_history_with_load_balancing_maintenance_and_budgets_is_reproducible() -> None:
     more = {"spread": True, "maintenance_voters": 3, "budgets": (("quota", 180, 1.0),)}
-    assert played(1, until=2.0, **more) == played(2, until=2.0, **more)
+    assert play_world(1, until=2.0, **more) == play_world(2, until=2.0, **more)
 
 
-def test_a_stop_between_plays_changes_nothing() -> None:
-    with World(Plan(members=9, script=STORMY), 2, processes=False) as world:
+def test_playing_in_steps_gives_the_same_history() -> None:
+    with World(Plan(members=9, script=FAULT_SCRIPT), 2, processes=False) as world:
         for until in (0.3, 1.0, 1.7, 3.0):
             world.play(until)
-        assert world.digest() == played(1)[0]
+        assert world.digest() == play_world(1)[0]
 
 
-def test_bytes_are_those_of_the_datagrams_with_headers(monkeypatch: pytest.MonkeyPatch) -> None:
-    seen: list[int] = []
-    send, heard = Shard._send, Shard._heard
-    received: list[int] = []
+def test_traffic_counts_datagrams_with_headers(monkeypatch: pytest.MonkeyPatch) -> None:
+    sent_sizes: list[int] = []
+    real_send, real_receive = Shard._send, Shard._receive
+    received_sizes: list[int] = []
 
-    def sends(shard: Shard, node: object, datagrams: list) -> None:
-        seen.extend(len(data) for _, data in datagrams)
-        send(shard, node, datagrams)
+    def record_sent(shard: Shard, node: object, datagrams: list) -> None:
+        sent_sizes.extend(len(data) for _, data in datagrams)
+        real_send(shard, node, datagrams)
 
-    def hears(shard: Shard, node: object, data: bytes) -> None:
-        received.append(len(data))
-        heard(shard, node, data)
+    def record_received(shard: Shard, node: object, data: bytes) -> None:
+        received_sizes.append(len(data))
+        real_receive(shard, node, data)
 
-    monkeypatch.setattr(Shard, "_send", sends)
-    monkeypatch.setattr(Shard, "_heard", hears)
+    monkeypatch.setattr(Shard, "_send", record_sent)
+    monkeypatch.setattr(Shard, "_receive", record_received)
     with World(Plan(members=9), processes=False) as world:
         world.play(3.0)
         report = world.traffic(0, 4)
-    assert sum(sum(series[0]) for series in report.values()) == sum(seen) + HEADERS * len(seen) > 0
-    assert sum(sum(series[1]) for series in report.values()) == sum(received) + HEADERS * len(received) > 0
-    assert sum(sum(series[2]) for series in report.values()) == len(seen)
-    assert sum(sum(series[3]) for series in report.values()) == len(received)
+    assert sum(sum(series[0]) for series in report.values()) == sum(sent_sizes) + HEADER_BYTES * len(sent_sizes) > 0
+    assert sum(sum(series[1]) for series in report.values()) == sum(received_sizes) + HEADER_BYTES * len(received_sizes) > 0
+    assert sum(sum(series[2]) for series in report.values()) == len(sent_sizes)
+    assert sum(sum(series[3]) for series in report.values()) == len(received_sizes)
 
 
-def test_what_is_lost_or_cut_is_sent_and_not_received() -> None:
+def test_lost_datagrams_count_as_sent_only() -> None:
     with World(Plan(members=9, script="at 2 cut 0-3 from 4-8 for 2"), processes=False) as world:
         world.play(5.0)
         report = world.traffic(0, 5)
@@ -93,17 +95,17 @@
     assert 0.98 * sent < heard <= 1.02 * sent
 
 
-def test_views_are_one_after_joining_and_not_while_cut() -> None:
+def test_views_agree_after_joining_and_not_during_a_partition() -> None:
     script = "at 2 cut region0 from region1 for 3\nat 2 cut region2 from region1 for 3"
     with World(Plan(members=9, script=script), processes=False) as world:
-        assert not world.one()  # nobody runs yet
+        assert not world.one()  # no instance runs yet
         assert world.play(2.0).one()
         assert not world.play(4.5).one()
         assert world.frozen() > 0 or world.counts()["wrong"] > 0
         assert world.play(11.0).one()
 
 
-def test_a_death_is_known_and_a_living_one_declared_gone_is_found() -> None:
+def test_death_is_detected_and_false_declaration_is_found() -> None:
     with World(Plan(members=12), processes=False) as world:
         world.play(4.0)
         assert world.holding([5], frozenset([5])) == {5: (11, 0)}
@@ -114,7 +116,7 @@
         assert known is not None and 1.5 < known < 4.0
         assert world.counts()["wrong"] == 0 and world.holding([5]) == {5: (0, 11)}
         assert known_after(gone, {5: 11, 6: 1}, 4.0, 1.0) is None
-        # Planted: one declares another gone that runs.
+        # Planted defect: an instance declares a running one gone.
         core = world.local.nodes[2].core
         core.members._set_state(0.0, core.members.view["n7"], GONE, "silent")
         world.play(9.3)
@@ -122,20 +124,20 @@
         assert world.counts()["wrong"] >= 1
 
 
-def test_one_replaced_is_a_new_name_and_its_former_name_is_gone_rightly() -> None:
+def test_replacement_has_a_new_name_and_the_former_name_is_gone() -> None:
     with World(Plan(members=12, script="at 3 replace 4 for 1"), processes=False) as world:
         assert world.play(10.0).one()
         assert world.counts()["wrong"] == 0
         assert {one.subject for one in world.listed("gone")} == {4}
 
 
-def test_over_use_of_a_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exceeded_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     plan = Plan(members=9, budgets=(("quota", 90, 1.0),), demand=3.0)
     with World(plan, processes=False) as world:
         used = world.play(8.3).used()
     assert len(used[0]) > 60 and over_budgets(used, plan.budgets) == 0
-    part = Shard._part
-    monkeypatch.setattr(Shard, "_part", lambda shard, node, now, budget: 2 * part(shard, node, now, budget))
+    usable_share = Shard._usable_share
+    monkeypatch.setattr(Shard, "_usable_share", lambda shard, node, now, budget: 2 * usable_share(shard, node, now, budget))
     with World(plan, processes=False) as world:
         used = world.play(8.3).used()
     assert over_budgets(used, plan.budgets) > 0
@@ -146,19 +148,19 @@
     assert over_budgets([[0.0, 0.1, 0.2]], [("q", 2, 1.0)]) == 1
 
 
-def test_sums_that_count_the_dead_or_miss_the_living_are_found() -> None:
+def test_in_sums_rejects_dead_and_missing_instances() -> None:
     looks = [
-        Look(at, place, members, 0, 0.0, 9)
+        SumSample(at, place, members, 0, 0.0, 9)
         for place, report in ((1, (10, 10, 9, 9)), (2, (10, 9, 9, 9)))
         for at, members in zip((1.0, 1.5, 2.0, 2.5), report)
     ]
     assert in_sums(looks, {1, 2}, 0.5, 3.0) == 1.5 and in_sums(looks, {2}, 0.5, 3.0) == 1.0
     assert in_sums(looks, {1, 3}, 0.5, 3.0) is None and in_sums(looks, {1}, 0.5, 1.8) is None
-    assert in_sums([Look(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0) == 0.0
-    assert in_sums([Look(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0, 0.99) is None
+    assert in_sums([SumSample(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0) == 0.0
+    assert in_sums([SumSample(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0, 0.99) is None
 
 
-def test_known_takes_the_share_that_is_asked_for_and_no_wrong_word() -> None:
+def test_known_after_requires_the_share_and_ignores_false_declarations() -> None:
     gone = [Gone(5.0 + place, place, 9, "silent", False) for place in range(4)] + [Gone(5.5, 8, 9, "told", True)]
     assert known_after(gone, {9: 4}, 4.0, 1.0) == 4.0 and known_after(gone, {9: 4}, 4.0, 0.5) == 2.0
     assert known_after(gone, {9: 5}, 4.0, 1.0) is None and known_after(gone, {9: 0}, 4.0, 1.0) == 0.0
@@ -172,7 +174,7 @@
     assert any_window([1.0] * 30) == 1.0
 
 
-def test_fit_recovers_a_known_line_and_log_and_reports_the_residual() -> None:
+def test_fit_recovers_linear_and_logarithmic_data_and_reports_the_residual() -> None:
     sizes = (25, 100, 400, 1000)
     line = fits.fit([(size, 30.0 + 0.25 * size) for size in sizes])
     assert (line.form, line.residual) == ("linear", 0.0) and math.isclose(line.at(3600), 930.0)
@@ -185,14 +187,14 @@
         fits.fit([])
 
 
-def test_record_holds_points_fit_and_check(tmp_path: Path) -> None:
+def test_record_contains_points_fit_and_check(tmp_path: Path) -> None:
     cost = fits.cost("bytes/s", [(25, 100.0), (100, 400.0), (400, 1600.0)], (1000, 4100.0))
     fits.written(tmp_path / "new" / "one.json", {"costs": {"instance.control.bytes": cost}})
     report = json.loads((tmp_path / "new" / "one.json").read_text())["costs"]["instance.control.bytes"]
     assert (report["form"], report["constant"], report["slope"], report["checked"]) == ("linear", 0.0, 4.0, [1000, 4100.0])
 
 
-def test_places_of_kinds_and_scripts() -> None:
+def test_places_of_zones_regions_racks_and_scripts() -> None:
     ground = Ground(Plan(members=3600))
     assert ground.places_of("zone8") == (3200, 3599) and ground.places_of("region1") == (1200, 2399)
     assert ground.places_of("rack89") == (3560, 3599)
@@ -210,11 +212,11 @@
 
 
 @pytest.mark.parametrize(
-    ("plan", "says"),
+    ("plan", "error"),
     [(Plan(members=1), "1 members"), (Plan(members=9, script="at 1 kill zone9"), "zone9"), (Plan(group_size=1), "group")],
 )
-def test_plan_that_does_not_fit_is_rejected(plan: Plan, says: str) -> None:
-    with pytest.raises(InvalidPlanError, match=says):
+def test_inconsistent_plan_is_rejected(plan: Plan, error: str) -> None:
+    with pytest.raises(InvalidPlanError, match=error):
         World(plan, 1)
 
 
@@ -230,7 +232,7 @@
 
 
 @pytest.mark.parametrize(
-    ("argv", "says"),
+    ("argv", "error"),
     [
         (["--members", "many"], "numbers"),
         (["--members", "3"], "least"),
@@ -240,12 +242,12 @@
         (["--for", "0"], "least"),
     ],
 )
-def test_bad_arguments_get_a_clear_error(argv: list[str], says: str) -> None:
-    with pytest.raises(SystemExit, match=says):
+def test_bad_arguments_get_a_clear_error(argv: list[str], error: str) -> None:
+    with pytest.raises(SystemExit, match=error):
         scale.main(["--quick", "--flat", *argv])
 
 
-def test_a_script_of_ones_own_is_played(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_script_from_a_file_is_played(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "f").write_text("at 2 kill 3 for 1\n")
     assert scale.main(["--flat", "--members", "12", "--faults", str(tmp_path / "f"), "--for", "7"]) == 0
     report = json.loads(capsys.readouterr().out.splitlines()[-1])
@@ -255,7 +257,7 @@
         scale.main(["--flat", "--members", "12", "--faults", str(tmp_path / "f")])
 
 
-def test_levels_join_by_groups_or_are_said_to_be_missing() -> None:
+def test_levels_join_by_groups_or_are_reported_as_missing() -> None:
     plan = Plan(members=90, levels=True, group_size=5)
     if not knows_levels():
         with pytest.raises(InvalidPlanError, match="levels"):
@@ -264,5 +266,5 @@
     with World(plan, 2) as world:
         world.play(15.0)
         assert world.one() and world.ground.groups == 2
-        world.play(20.0)  # sums follow views, and are to be right within 30 s
+        world.play(20.0)  # sums follow the views and must be right within 30 s
         assert {look.members for look in world.listed("looks") if look.at > 18.0} == {90}
