--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -51,7 +51,7 @@
         self._network = Network(world, self, None)
 
     async def call(self, machine: Machine, method: str, path: str, body: bytes, base: int | None = None) -> HttpResponse | None:
-        """Return the last answer, None where none came."""
+        """Return the last response, or None if there was none."""
         address = machine.control_address
         headers = {} if base is None else {"if-match": str(base)}
         for _ in range(MAX_REDIRECTS + 1):
@@ -102,7 +102,7 @@
         return SubmittedChange("PUT", base, json.dumps(value).encode(), version, note)
 
     async def _send(self, sent: SubmittedChange) -> int:
-        """Send a change once, to a random machine; return the status, 0 where there is no answer or it was lost."""
+        """Send a change once, to a random machine; return the status, or 0 if the response was missing or lost."""
         machine = self._world.rng.choice(self._world.machines)
         answer = await self._client.call(machine, sent.method, CONFIGURATION, sent.body, sent.base)
         if answer is None or self._world.rng.random() < ACK_LOSS_PROBABILITY:
@@ -201,7 +201,7 @@
 
 
 class DataPlane:
-    """A data plane: the real client of the control plane, and the snapshot that it would route by."""
+    """A data plane: the real client of the control plane, and the snapshot that it would use for routing."""
 
     def __init__(self, world: Any, number: int) -> None:
         self._world, self.number = world, number
--- a/mulleinhatch/simulation/control_plane/disk_faults.py
+++ b/mulleinhatch/simulation/control_plane/disk_faults.py
@@ -47,7 +47,7 @@
         if self._world.lost() == 0:
             other = self._world.rng.choice(others)
             self._world.note(f"disk of {other.number} lost, power of all others")
-            await self._strike(other)
+            await self._wipe_and_power_off(other)
 
     async def _rewrite(self, machine: Machine) -> None:
         await asyncio.sleep(0.05)
--- a/mulleinhatch/simulation/control_plane/fault_actions.py
+++ b/mulleinhatch/simulation/control_plane/fault_actions.py
@@ -1,4 +1,4 @@
-"""What all kinds of simulated faults share: losing, restarting and recovering machines."""
+"""Shared steps of all simulated faults: losing, restarting and recovering machines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from mulleinhatch.simulation.control_plane.machines import Machine
 
-CATCH_UP_S = 4.0  # how long a machine that is back still counts as lost
+CATCH_UP_S = 4.0  # how long a recovered machine still counts as lost
 
 
 class FaultActions:
-    """Base class of the kinds of faults. Each public method injects one fault and returns when it has ended."""
+    """Base class of the fault kinds. Each public method injects one fault and returns when it has ended."""
 
     def __init__(self, world: Any) -> None:
         self._world = world
@@ -28,13 +28,13 @@
     def _other_machines(self, machine: Machine) -> list[Any]:
         return [other for other in self._world.machines if other is not machine]
 
-    async def _strike(self, machine: Machine) -> None:
+    async def _wipe_and_power_off(self, machine: Machine) -> None:
         if self._world.closing.is_over:
             return  # no disk is lost after the closing
         machine.stop(wipe=True)
-        await self._all_down(self._world.machines, self._world.rng.uniform(0.1, 2.0), planes=True)
+        await self._power_cycle(self._world.machines, self._world.rng.uniform(0.1, 2.0), planes=True)
 
-    async def _all_down(self, machines: list[Machine], for_s: float, planes: bool) -> None:
+    async def _power_cycle(self, machines: list[Machine], for_s: float, planes: bool) -> None:
         world = self._world
         world.record_core_event()
         for machine in machines:
--- a/mulleinhatch/simulation/control_plane/history_plan.py
+++ b/mulleinhatch/simulation/control_plane/history_plan.py
@@ -18,10 +18,10 @@
         fault_period_s: Time in which users are active and faults are injected; afterwards the core must recover.
         change_interval_s: Time between two changes of one operator.
         overlapping_fraction: Fraction of the faults that exceed the tolerance; these lose no disk.
-        zones: Zones that the machines stand in, in turn.
+        zones: Zones, to which the machines are assigned in turn.
         zones_tolerated: Zones that may be lost at once, with all machines in them.
         zone_loss_fraction: Fraction of the other faults that take a whole zone, where one may be lost.
-        closing_fraction: Fraction of the histories with faults that close with lost disks and the power of all others.
+        closing_fraction: Fraction of the histories with faults that end with lost disks while all others lose power.
     """
 
     machines: int = 3
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -1,4 +1,4 @@
-"""Check the invariants of the core from outside: by its answers, the content of disks, and the data planes' snapshots."""
+"""Check the invariants of the core from outside: by its responses, the content of disks, and the data planes' snapshots."""
 
 from __future__ import annotations
 
@@ -195,7 +195,7 @@
                 return
 
     def _tolerated_losses(self, running: list[Machine]) -> list[tuple[Machine, ...]]:
-        """Return every set of machines whose loss at once is tolerated: any so many machines, any so many zones.
+        """Return every set of machines whose loss at once is tolerated: any machines and any zones up to the tolerated numbers.
 
         Voters move to other zones only after a fault has ended, so zones are lost only from a core that was stable.
         """
--- a/mulleinhatch/simulation/control_plane/machine_faults.py
+++ b/mulleinhatch/simulation/control_plane/machine_faults.py
@@ -17,14 +17,14 @@
 
     def __init__(self, world: Any) -> None:
         super().__init__(world)
-        self._armed: Machine | None = None  # loses its disk at the next acknowledgement, when all others lose power
+        self._armed: Machine | None = None  # loses its disk at the next acknowledgement, while all others lose power
 
     @property
     def is_armed(self) -> bool:
         """Whether a fault waits for the next acknowledgement."""
         return self._armed is not None
 
-    async def _down(self, machine: Machine, for_s: float, wipe: bool) -> None:
+    async def _stop_and_restart(self, machine: Machine, for_s: float, wipe: bool) -> None:
         self._world.record_core_event()
         machine.stop(wipe)
         await asyncio.sleep(for_s)
@@ -32,15 +32,15 @@
 
     async def kill(self, machine: Machine, for_s: float) -> None:
         """Kill the process; it restarts soon."""
-        await self._down(machine, min(for_s, 1.0), wipe=False)
+        await self._stop_and_restart(machine, min(for_s, 1.0), wipe=False)
 
     async def power(self, machine: Machine, for_s: float) -> None:
-        """Cut the power; the process restarts when it is back."""
-        await self._down(machine, for_s, wipe=False)
+        """Cut the power; the process restarts when the power returns."""
+        await self._stop_and_restart(machine, for_s, wipe=False)
 
     async def wipe(self, machine: Machine, for_s: float) -> None:
         """Cut the power and empty the disk."""
-        await self._down(machine, for_s, wipe=True)
+        await self._stop_and_restart(machine, for_s, wipe=True)
 
     async def freeze(self, machine: Machine, for_s: float) -> None:
         """Pause the process."""
@@ -58,7 +58,7 @@
         self._start(machine)
 
     async def _leave(self, machine: Machine) -> bool:
-        """Shut a machine down; return whether it ended by that and by no other fault."""
+        """Shut a machine down; return whether the shutdown, and no other fault, ended it."""
         self._world.record_core_event()
         process = machine.process
         if process is None:
@@ -92,7 +92,7 @@
         if machine.process is None or machine.lost_until > self._world.loop.time():
             self._start_recovery(successor)  # the old machine was lost before it could hand over
         if not await self._leave(machine):
-            machine.retiring = False  # it lost power while it shut down: it starts again, and stays
+            machine.retiring = False  # it lost power during the shutdown, so it restarts and stays
             return
         machine.removed, machine.records = True, []
         self._world.remove(machine)
@@ -110,4 +110,4 @@
         machine, self._armed = self._armed, None
         if machine is not None:
             self._world.note(f"disk of {machine.number} lost, power of all others")
-            self._world.loop.start(self._strike(machine))
+            self._world.loop.start(self._wipe_and_power_off(machine))
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -22,7 +22,7 @@
 
 
 class VirtualAppendLog:
-    """Replaces `storage.append_log.AppendLog`: records are kept in the memory of the machine."""
+    """Replaces `storage.append_log.AppendLog` and stores the records in memory."""
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
@@ -74,7 +74,7 @@
     """The process around a simulated node (`NodeObserver`): it answers data planes, and places no models."""
 
     def __init__(self) -> None:
-        self.distribution: Distribution | None = None  # none yet while the node reads its disk
+        self.distribution: Distribution | None = None  # None while the node reads its disk
 
     def on_change(self) -> None:
         """Answer polls."""
@@ -127,7 +127,7 @@
 
     Attributes:
         records: The content of the disk.
-        lost_until: Until when the machine counts as lost.
+        lost_until: Time until which the machine counts as lost.
     """
 
     def __init__(self, number: int, world: Any, zone: str = "") -> None:
@@ -166,7 +166,7 @@
         return process_settings(self._world, f"core-{self.number}", self.ip, self.control_address, self.zone)
 
     def start(self) -> None:
-        """Start a control plane process on what the disk has."""
+        """Start a control plane process from the content of the disk."""
         loop: VirtualLoop = self._world.loop
         self.starts += 1
         self.started_at = loop.time()
@@ -190,7 +190,7 @@
         return VirtualStateStore(self, self._world.loop.time)
 
     def stop(self, wipe: bool = False) -> None:
-        """Kill the process or cut the power: part of a write in progress may be durable."""
+        """Kill the process or cut the power; part of a write in progress may become durable."""
         if self.process is None:
             return
         self.process.dead = True
--- a/mulleinhatch/simulation/control_plane/majority_watch.py
+++ b/mulleinhatch/simulation/control_plane/majority_watch.py
@@ -1,4 +1,4 @@
-"""Which machines make up a majority, judged from outside the core: by their disks, their links and the time in contact."""
+"""Determine which machines form a majority, from outside the core: by their disks, their links and the time in contact."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class _Standing:
+class _MajorityContact:
     """How long a process on an emptied disk has been in contact with a majority, in seconds."""
 
     starts: int
@@ -18,7 +18,7 @@
 
 
 class MajorityWatch:
-    """Knows which machines count for a majority, and since when one has been in contact.
+    """Tracks which machines count for a majority, and since when a majority has been in contact.
 
     A machine whose disk was emptied holds neither state nor a vote. It counts again once its process has been in contact with a
     majority of the others for as long as the tolerance gives a successor (`CATCH_UP_S`).
@@ -26,16 +26,18 @@
 
     def __init__(self, world: Any) -> None:
         self._world = world
-        self._new: dict[int, _Standing] = {}  # by machine number: machines with emptied disks that don't count yet
-        self._broken_at = 0.0  # the last time at which no majority was in contact
+        self._uncounted: dict[
+            int, _MajorityContact
+        ] = {}  # by machine number: machines with emptied disks, which do not count yet
+        self._majority_lost_at = 0.0  # the last time at which no majority was in contact
 
     def on_disk_emptied(self, machine: Machine) -> None:
-        """Count a machine no more: its disk was emptied, or it is a new one."""
-        self._new[machine.number] = _Standing(machine.starts)
+        """Stop counting a machine whose disk was emptied, or that is new."""
+        self._uncounted[machine.number] = _MajorityContact(machine.starts)
 
     def counts(self, machine: Machine) -> bool:
         """Return whether a machine counts for a majority, running or not."""
-        return machine.number not in self._new
+        return machine.number not in self._uncounted
 
     def has_majority(self) -> bool:
         """Return whether more than half of the machines that count run and are in contact with one of them."""
@@ -43,22 +45,22 @@
 
     def has_majority_since(self, since: float) -> bool:
         """Return whether a majority has been in contact at each observation since a time."""
-        return self._broken_at < since and self.has_majority()
+        return self._majority_lost_at < since and self.has_majority()
 
     def observe(self, interval_s: float) -> None:
-        """Record the state of the links and processes; call it each `interval_s` seconds."""
+        """Record the state of the links and processes; must be called every `interval_s` seconds."""
         if not self.has_majority():
-            self._broken_at = self._world.loop.time()
+            self._majority_lost_at = self._world.loop.time()
             return
         for machine in self._contact_group():
-            standing = self._new.get(machine.number)
-            if standing is None:
+            contact = self._uncounted.get(machine.number)
+            if contact is None:
                 continue
-            if standing.starts != machine.starts:
-                standing.starts, standing.contact_s = machine.starts, 0.0
-            standing.contact_s += interval_s
-            if standing.contact_s >= CATCH_UP_S:
-                del self._new[machine.number]
+            if contact.starts != machine.starts:
+                contact.starts, contact.contact_s = machine.starts, 0.0
+            contact.contact_s += interval_s
+            if contact.contact_s >= CATCH_UP_S:
+                del self._uncounted[machine.number]
 
     def _total(self) -> int:
         return max(self._world.plan.machines, sum(map(self.counts, self._world.machines)))
--- a/mulleinhatch/simulation/control_plane/outages.py
+++ b/mulleinhatch/simulation/control_plane/outages.py
@@ -12,17 +12,17 @@
 
     async def kill_all(self, _: None, for_s: float) -> None:
         """Kill all processes of the core at once."""
-        await self._all_down(self._world.machines, min(1.0, for_s), planes=False)
+        await self._power_cycle(self._world.machines, min(1.0, for_s), planes=False)
 
     async def power_all(self, _: None, for_s: float) -> None:
         """Cut the power of all core machines, and sometimes of the data planes."""
-        await self._all_down(self._world.machines, for_s, planes=self._world.rng.random() < 0.5)
+        await self._power_cycle(self._world.machines, for_s, planes=self._world.rng.random() < 0.5)
 
     async def power_of_some(self, _: None, for_s: float) -> None:
         """Cut the power of a random set of machines."""
         world = self._world
         some = world.rng.sample(world.machines, world.rng.randint(1, len(world.machines)))
-        await self._all_down(some, for_s, planes=False)
+        await self._power_cycle(some, for_s, planes=False)
 
     async def restart_data_plane(self, _: None, for_s: float) -> None:
         """Kill one data plane; it restarts later."""
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -19,12 +19,12 @@
 
 RECOVERY_S = 12.0  # after the last fault the core must answer within this time
 CHECK_INTERVAL_S = 0.1
-CLAIM_S = 1.7
-FIRST_S = 2.0
+MAX_CLAIM_INTERVAL_S = 1.7
+STARTUP_S = 2.0
 
 
 class World:
-    """The shared state of a history's parts.
+    """The shared state of one history.
 
     Attributes:
         first: Whether the core starts for the first time.
@@ -116,7 +116,7 @@
         self.first = False
         self.loop.start(self._check_forever())
         self.loop.start(self._claim_forever())
-        await asyncio.sleep(FIRST_S)
+        await asyncio.sleep(STARTUP_S)
 
     async def play(self, with_faults: bool) -> None:
         """Play a history with clients and, if wanted, random faults; check the recovery at the end."""
@@ -135,7 +135,7 @@
     async def _claim_forever(self) -> None:
         """Let machines at the head of the chain claim the leadership at random times."""
         while True:
-            await asyncio.sleep(self.rng.uniform(0.2, CLAIM_S))
+            await asyncio.sleep(self.rng.uniform(0.2, MAX_CLAIM_INTERVAL_S))
             for machine in self.machines:
                 if machine.node is None or machine.claiming is machine.process:
                     continue
