--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -49,7 +49,7 @@
 from benchmarks.scale_options import Figures, Options, sizes
 from benchmarks.scale_run import ScaleRun
 from mulleinhatch.simulation.scale_checks import traffic_of
-from mulleinhatch.simulation.scale_instances import Ground, InvalidPlanError, knows_levels
+from mulleinhatch.simulation.scale_instances import InvalidPlanError, Topology, knows_levels
 from mulleinhatch.simulation.scale_shards import World
 from mulleinhatch.testing.fault_script import FaultScriptError
 
@@ -117,7 +117,7 @@
     if arguments["--faults"]:
         try:
             script = Path(arguments["--faults"]).read_text()
-            Ground(options.plan(options.members)).faults(script)
+            Topology(options.plan(options.members)).faults(script)
         except (OSError, FaultScriptError, InvalidPlanError) as error:
             sys.exit(f"scale: {error}")
         play_script(run, script, float(arguments["--for"]))
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -83,7 +83,7 @@
         looks, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
         wrongly_gone = world.counts()["wrong"] - wrongly_gone
         core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
-        ground = world.ground
+        topology = world.topology
     figures: Figures = {
         "members": members,
         "joined": joined,
@@ -109,7 +109,7 @@
     places = {look.place for look in looks}
     if dead:
         died = begin + event.died
-        elsewhere = {place for place in places if ground.zone[place] not in {ground.zone[one] for one in dead}}
+        elsewhere = {place for place in places if topology.zone[place] not in {topology.zone[one] for one in dead}}
         figures["known"] = known_after(gone, holders, died, 1.0 if options.levels else 0.99)
         figures["in sums"] = in_sums(looks, elsewhere, died, min(died + event.down, virtual))
         holds[f"known in {MAX_KNOWN_S:g} s"] = figures["known"] is not None and figures["known"] <= MAX_KNOWN_S
@@ -137,8 +137,8 @@
 
 def unwatched_place(world: World) -> int:
     """Return a place that is neither a seed nor watched."""
-    ground = world.ground
-    return next(place for place in range(ground.firsts[1] - 1, 0, -1) if place not in ground.watched())
+    topology = world.topology
+    return next(place for place in range(topology.firsts[1] - 1, 0, -1) if place not in topology.watched())
 
 
 def play_death(options: Options) -> tuple[Figures, Checks]:
@@ -186,8 +186,8 @@
 
     def places(world: World) -> list[int]:
         size = max(2, RACK * world.plan.members // TARGET_MEMBERS)
-        first = world.ground.firsts[1] + 2
-        return [place for place in range(first, first + size) if place not in world.ground.watched()]
+        first = world.topology.firsts[1] + 2
+        return [place for place in range(first, first + size) if place not in world.topology.watched()]
 
     return play_event(
         options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0, places, 0.5)
@@ -198,7 +198,7 @@
     """Kill a whole zone and bring it back."""
 
     def places(world: World) -> list[int]:
-        first, last = world.ground.places_of("zone1")
+        first, last = world.topology.places_of("zone1")
         return list(range(first, last + 1))
 
     return play_event(options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill zone1 for 14", 15.0, places, 0.5))
--- a/mulleinhatch/simulation/scale_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -140,7 +140,7 @@
     """
     with World(plan._replace(seed=seed), processes=False) as world:
         world.play(calm)
-        script = draw_fault_script(random.Random(seed), world.ground, world.speakers(), calm, length)
+        script = draw_fault_script(random.Random(seed), world.topology, world.speakers(), calm, length)
         world.script(script)
         world.play(calm + length)
         one = None
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -65,13 +65,13 @@
     return "zone" in FleetBounds._fields
 
 
-class Ground:
+class Topology:
     """Topology, names and addresses, derived from the plan alone and so the same in each process.
 
-    >>> ground = Ground(Plan(members=90))
-    >>> ground.zone[35], ground.region[35], ground.places_of("zone3"), ground.translated("at 1 kill zone3,5")
+    >>> topology = Topology(Plan(members=90))
+    >>> topology.zone[35], topology.region[35], topology.places_of("zone3"), topology.translated("at 1 kill zone3,5")
     (3, 1, (30, 39), 'at 1 kill 30-39,5')
-    >>> ground.address(35, 0), ground.place_named("r1/z3/n35x2")
+    >>> topology.address(35, 0), topology.place_named("r1/z3/n35x2")
     ('10.0.0.35:7300', 35)
     """
 
@@ -243,7 +243,7 @@
     return ",".join(f"{first}-{last}" if last > first else f"{first}" for first, last in runs)
 
 
-def draw_fault_script(draw: random.Random, ground: Ground, speakers: list[int], start: float, length: float) -> str:
+def draw_fault_script(draw: random.Random, topology: Topology, speakers: list[int], start: float, length: float) -> str:
     """Draw a fault script for a hierarchical fleet; all faults end by `start + length`.
 
     Group speakers die, stall or are cut off from their zone, links fail in one direction, regions are separated,
@@ -251,12 +251,12 @@
 
     Args:
         draw: Source of random numbers.
-        ground: The topology.
+        topology: The topology.
         speakers: The current group speakers (`World.speakers`); if empty, random places.
         start: When faults may begin.
         length: Seconds until all faults have ended.
     """
-    members, lines = ground.plan.members, []
+    members, lines = topology.plan.members, []
     speakers = speakers or sorted(draw.sample(range(members), min(members, 9)))
     for _ in range(draw.randint(2, 5)):
         at = start + draw.uniform(0.0, 0.5 * length)
@@ -270,15 +270,15 @@
         elif kind == "pair":  # it resumes after another took over: for a moment both are speakers
             lines += [f"at {at + turn * last:.2f} stall {one} for {0.4 * last:.2f}" for turn in (0.0, 0.6)]
         elif kind == "alone":  # it is connected to other zones and not to its own
-            others = [place for place in range(members) if ground.zone[place] == ground.zone[one] and place != one]
+            others = [place for place in range(members) if topology.zone[place] == topology.zone[one] and place != one]
             lines.append(f"at {at:.2f} cut {one} from {listed(others)} for {last:.2f}")
         elif kind in ("deaf", "cut"):
-            first, second = draw.sample(range(max(2, ground.plan.regions)), 2)
-            if ground.plan.regions > 1:
+            first, second = draw.sample(range(max(2, topology.plan.regions)), 2)
+            if topology.plan.regions > 1:
                 preposition = "to" if kind == "deaf" else "from"
                 lines.append(f"at {at:.2f} {kind} region{first} {preposition} region{second} for {last:.2f}")
         elif kind == "zone":
-            lines.append(f"at {at:.2f} kill zone{draw.randrange(len(ground.firsts))} for {last:.2f}")
+            lines.append(f"at {at:.2f} kill zone{draw.randrange(len(topology.firsts))} for {last:.2f}")
         elif kind == "rack":
             first = draw.randrange(members)
             lines.append(f"at {at:.2f} kill {listed(list(range(first, min(members, first + 5))))} for {last:.2f}")
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -19,7 +19,7 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from mulleinhatch.simulation.scale_instances import LOOKAHEAD_S, Ground, InvalidPlanError, Plan
+from mulleinhatch.simulation.scale_instances import LOOKAHEAD_S, InvalidPlanError, Plan, Topology
 from mulleinhatch.simulation.scale_world import Event, Shard
 
 MAX_SHARDS = 8
@@ -33,9 +33,9 @@
         return int(file.read().split()[1]) * PAGE_SIZE
 
 
-def assign_shards(ground: Ground, shards: int) -> list[int]:
+def assign_shards(topology: Topology, shards: int) -> list[int]:
     """Return the shard of each place; shards are ranges, so that most traffic of a zone stays in one process."""
-    return [place * shards // ground.plan.members for place in range(ground.plan.members)]
+    return [place * shards // topology.plan.members for place in range(topology.plan.members)]
 
 
 class ShardServer:
@@ -113,10 +113,10 @@
         """`processes`: run each shard in its own process; otherwise all in this one."""
         if not 1 <= shards <= MAX_SHARDS:
             raise InvalidPlanError(f"{shards} processes: 1 to {MAX_SHARDS} are allowed")
-        self.plan, self.ground, self.now = plan, Ground(plan), 0.0
+        self.plan, self.topology, self.now = plan, Topology(plan), 0.0
         shards = min(shards, plan.members)
-        self.owner = assign_shards(self.ground, shards)
-        self.ground.faults(plan.script)  # rejects a bad script before processes start
+        self.owner = assign_shards(self.topology, shards)
+        self.topology.faults(plan.script)  # rejects a bad script before processes start
         self.pipes: list[Connection | InProcessPipe] = []
         self.processes: list[multiprocessing.Process] = []
         self.batches: list[list[bytes]] = [[] for _ in range(shards)]
@@ -215,7 +215,7 @@
 
     def script(self, text: str) -> None:
         """Add faults, at times from now on."""
-        self.ground.faults(text)
+        self.topology.faults(text)
         self.ask("script", text)
 
     def traffic(self, first: float, last: float) -> dict[int, Any]:
@@ -263,7 +263,7 @@
         for views, wrong, _, count in self.ask("views"):
             view_counts += views
             inaccurate, running = inaccurate + wrong, running + count
-        groups = len(self.ground.firsts) * self.ground.groups if self.plan.levels else 1
+        groups = len(self.topology.firsts) * self.topology.groups if self.plan.levels else 1
         return (
             running > 0
             and not inaccurate
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -27,7 +27,7 @@
 from mulleinhatch.instance.load_balancing.core import InstanceLoad, LoadBalancer
 from mulleinhatch.instance.maintenance.core import MaintenanceBounds, MaintenanceCoordinator
 from mulleinhatch.simulation.instance_world import InvariantBrokenError
-from mulleinhatch.simulation.scale_instances import HEADER_BYTES, LOOKAHEAD_S, Ground, Plan, ReportedFigures
+from mulleinhatch.simulation.scale_instances import HEADER_BYTES, LOOKAHEAD_S, Plan, ReportedFigures, Topology
 from mulleinhatch.testing import fault_script as faults
 
 LEAVE_GRACE_S = 2.0  # seconds from the announcement of a departure to the end of the process
@@ -104,9 +104,9 @@
     """The instances at the shard's own places; the others are known only from the script."""
 
     def __init__(self, plan: Plan, owner: list[int] | None = None, index: int = 0) -> None:
-        self.plan, self.ground, self.now, self.index = plan, Ground(plan), 0.0, index
+        self.plan, self.topology, self.now, self.index = plan, Topology(plan), 0.0, index
         self.owner = owner or [0] * plan.members
-        self.bounds = self.ground.bounds()
+        self.bounds = self.topology.bounds()
         self.nodes: list[SimulatedInstance | None] = [
             SimulatedInstance(plan, place) if shard == index else None for place, shard in enumerate(self.owner)
         ]
@@ -117,7 +117,7 @@
         # The state of all places according to the script, the same in each shard.
         self.up, self.incarnation = bytearray(members), [0] * members
         self.generation = [0] * members
-        self.place_by_address = {self.ground.address(place, 0): place for place in range(members)}
+        self.place_by_address = {self.topology.address(place, 0): place for place in range(members)}
         self.active: list[faults.Fault] = []
         self.cuts: list[tuple[bytearray, bytearray, bool]] = []
         self.amounts: dict[str, list[float]] = {}
@@ -130,7 +130,7 @@
         for place, start in enumerate(self.starts):
             self._at(start, ("start", (place,)))
         self.script(plan.script)
-        self.watched = [place for place in self.ground.watched() if self.nodes[place]]
+        self.watched = [place for place in self.topology.watched() if self.nodes[place]]
         self._at(SAMPLE_INTERVAL_S, ("sample_sums", ()))
 
     # Time.
@@ -142,7 +142,7 @@
 
     def script(self, text: str) -> None:
         """Add faults from now on; reject those in the past."""
-        for fault in self.ground.faults(text):
+        for fault in self.topology.faults(text):
             if fault.at < self.now:
                 raise faults.FaultScriptError(f"at {fault.at:g} is over: the time is {self.now:g}")
             self._at(fault.at, ("apply_fault", fault))
@@ -213,12 +213,12 @@
         node.waiting.clear()
         node.born = self.now
         now = self.now * node.rate + node.offset
-        bounds = self.bounds[self.ground.zone[place]]
+        bounds = self.bounds[self.topology.zone[place]]
         generation = self.generation[place]
         node.core = GossipNode(
             bounds,
-            self.ground.name(place, generation),
-            self.ground.address(place, generation),
+            self.topology.name(place, generation),
+            self.topology.address(place, generation),
             self.incarnation[place],
             node.random_source.getrandbits(48),
             now,
@@ -235,7 +235,7 @@
             )
             node.core.handover_address = at
         if plan.maintenance_voters:
-            voters = tuple(self.ground.name(voter, 0) for voter in range(plan.maintenance_voters))
+            voters = tuple(self.topology.name(voter, 0) for voter in range(plan.maintenance_voters))
             node.maintenance = MaintenanceCoordinator(
                 MaintenanceBounds(voters, 1, 1, "z"), node.core, node.incarnations * 10_000 + place, now
             )
@@ -248,12 +248,12 @@
 
     def _introduce(self, node: SimulatedInstance, now: float) -> None:
         """Deliver messages that name all other members, as one of them would; the instance does not forward the updates."""
-        ground, names = self.ground, [place for place in range(self.plan.members) if place != node.place]
+        topology, names = self.topology, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
             updates = [
                 messages.MemberUpdate(
-                    ground.name(place, 0), ground.address(place, 0), self.incarnation_from(self.starts[place]), 0, ALIVE
+                    topology.name(place, 0), topology.address(place, 0), self.incarnation_from(self.starts[place]), 0, ALIVE
                 )
                 for place in some
             ]
@@ -282,9 +282,9 @@
             self._start(fault.places)
         elif what == "renew":
             for place in fault.places:
-                self.place_by_address.pop(self.ground.address(place, self.generation[place]), None)
+                self.place_by_address.pop(self.topology.address(place, self.generation[place]), None)
                 self.generation[place] += 1
-                self.place_by_address[self.ground.address(place, self.generation[place])] = place
+                self.place_by_address[self.topology.address(place, self.generation[place])] = place
             self._start(fault.places)
         elif what == "leave":
             for place in fault.places:
@@ -402,7 +402,7 @@
             to = self.place_by_address.get(address)
             if to is None or self.cuts and self._is_cut(place, to):
                 continue
-            low, high = self.ground.link(place, to)
+            low, high = self.topology.link(place, to)
             times = 1
             if self.amounts:
                 lossy, repeated, swapped, delayed = (self._amount(what, place, to) for what in faults.LINKS[2:])
@@ -429,8 +429,8 @@
             self.counts[change.state] += 1
             if change.state != "gone":
                 continue
-            subject = self.ground.place_named(change.name)
-            same = change.name.rpartition("/")[2] == self.ground.name(subject, self.generation[subject])
+            subject = self.topology.place_named(change.name)
+            same = change.name.rpartition("/")[2] == self.topology.name(subject, self.generation[subject])
             known = node.core.members.view.get(change.name)
             wrong = bool(self.up[subject] and same and known and known.process_epoch == self.incarnation[subject])
             self.counts["wrong" if wrong else "right"] += 1
@@ -491,7 +491,7 @@
         """
         view_counts: Counter[tuple[int, int]] = Counter()
         inaccurate = frozen = running = 0
-        present = {self.ground.name(place, self.generation[place]): place for place, up in enumerate(self.up) if up}
+        present = {self.topology.name(place, self.generation[place]): place for place, up in enumerate(self.up) if up}
         for node in self.nodes:
             if node is None or node.core is None:
                 continue
@@ -505,7 +505,7 @@
 
     def holding(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
         """Return by place how many views have it present and gone; stalled instances and those in `but` are left out."""
-        names = {place: self.ground.name(place, self.generation[place]) for place in places}
+        names = {place: self.topology.name(place, self.generation[place]) for place in places}
         counts = {place: [0, 0] for place in places}
         for node in self.nodes:
             if node is None or node.core is None or node.stalled or node.place in but:
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -20,7 +20,7 @@
 from mulleinhatch.instance.gossip.summary_table import MAX_ROWS, STALE_AFTER_S, ReceivedSummary
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.scale_checks import over_budgets
-from mulleinhatch.simulation.scale_instances import Ground, Plan, draw_fault_script
+from mulleinhatch.simulation.scale_instances import Plan, Topology, draw_fault_script
 from mulleinhatch.simulation.scale_shards import World
 
 BOUNDS = FleetBounds("f", zone="z", region="r", groups=4)
@@ -380,13 +380,15 @@
     plan = Plan(members=54, levels=True, group_size=6, seed=seed, budgets=(("quota", 540, 1.0),), demand=1.3)
     with World(plan, 1, processes=False) as world:
         assert wait_for_convergence(world.play(8.0))
-        script = draw_fault_script(draw, Ground(plan), world.speakers(), world.now + 1.0, 8.0)
+        script = draw_fault_script(draw, Topology(plan), world.speakers(), world.now + 1.0, 8.0)
         world.script(script)
         world.play(world.now + 9.0)
         assert wait_for_convergence(world, 30.0), script
         assert over_budgets(world.used(), plan.budgets) == 0, script
         # A member that stalled or was cut off from its group for longer than the suspicion timeout may be declared gone.
-        affected = {place for fault in Ground(plan).faults(script) if fault.what in ("stall", "cut") for place in fault.places}
+        affected = {
+            place for fault in Topology(plan).faults(script) if fault.what in ("stall", "cut") for place in fault.places
+        }
         wrong = [gone for gone in world.listed("gone") if gone.wrong and gone.subject not in affected]
         assert not wrong, (script, wrong)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,9 +15,9 @@
 from mulleinhatch.simulation.scale_checks import any_window, in_sums, known_after, most_used, over_budgets, traffic_of
 from mulleinhatch.simulation.scale_instances import (
     HEADER_BYTES,
-    Ground,
     InvalidPlanError,
     Plan,
+    Topology,
     churn,
     draw_fault_script,
     knows_levels,
@@ -195,18 +195,18 @@
 
 
 def test_places_of_zones_regions_racks_and_scripts() -> None:
-    ground = Ground(Plan(members=3600))
-    assert ground.places_of("zone8") == (3200, 3599) and ground.places_of("region1") == (1200, 2399)
-    assert ground.places_of("rack89") == (3560, 3599)
-    assert len({ground.address(place, 0) for place in range(3600)}) == 3600
-    assert [fault.places for fault in ground.faults("at 1 kill rack2,7 for 3")] == [(*range(80, 120), 7)] * 2
+    topology = Topology(Plan(members=3600))
+    assert topology.places_of("zone8") == (3200, 3599) and topology.places_of("region1") == (1200, 2399)
+    assert topology.places_of("rack89") == (3560, 3599)
+    assert len({topology.address(place, 0) for place in range(3600)}) == 3600
+    assert [fault.places for fault in topology.faults("at 1 kill rack2,7 for 3")] == [(*range(80, 120), 7)] * 2
     draw = random.Random(1)
-    assert len(ground.faults(churn(draw, 3600, 8000.0, 5.0, 3600.0))) == 2 * 333
-    assert len(ground.faults(restart_all(draw, 3600, 5.0, 60.0))) == 7200
+    assert len(topology.faults(churn(draw, 3600, 8000.0, 5.0, 3600.0))) == 2 * 333
+    assert len(topology.faults(restart_all(draw, 3600, 5.0, 60.0))) == 7200
     for seed in range(30):
         ends = [
             fault.until if fault.until < math.inf else fault.at
-            for fault in ground.faults(draw_fault_script(random.Random(seed), ground, [3, 5, 400], 10.0, 20.0))
+            for fault in topology.faults(draw_fault_script(random.Random(seed), topology, [3, 5, 400], 10.0, 20.0))
         ]
         assert max(ends, default=30.0) <= 30.01
 
@@ -265,6 +265,6 @@
         return
     with World(plan, 2) as world:
         world.play(15.0)
-        assert world.one() and world.ground.groups == 2
+        assert world.one() and world.topology.groups == 2
         world.play(20.0)  # sums follow the views and must be right within 30 s
         assert {look.members for look in world.listed("looks") if look.at > 18.0} == {90}
