--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -67,7 +67,7 @@
             "worst 10 s": traffic.worst,
             "worst second": traffic.second,
             "wrong": wrong,
-            "one": world.one(),
+            "one": world.views_agree(),
         }
     run.judge("faults", {"no living one declared gone": wrong == 0})
 
--- a/benchmarks/scale_calm.py
+++ b/benchmarks/scale_calm.py
@@ -33,7 +33,7 @@
         Virtual seconds that it took, or None after `within` seconds.
     """
     since = world.now
-    while not world.one():
+    while not world.views_agree():
         if world.now - since >= within:
             return None
         world.play(world.now + step)
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -64,7 +64,7 @@
         calm_from = world.now
         world.play(calm_from + 10.0)
         before = traffic_of(world.traffic(calm_from, world.now))
-        short = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
+        short = max((look.living - look.members for look in world.listed("samples") if look.at > calm_from), default=0)
         wrongly_gone = world.counts()["wrong"]
         begin = world.now
         world.ask("mark")
@@ -80,7 +80,7 @@
         merged_after_s = time_until_merged(world, 30.0, 0.25)
         world.play(float(int(world.now) + 11))
         after = traffic_of(world.traffic(begin, world.now))
-        looks, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
+        looks, gone, virtual = world.listed("samples"), world.listed("gone"), world.now
         wrongly_gone = world.counts()["wrong"] - wrongly_gone
         core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
         topology = world.topology
@@ -237,7 +237,7 @@
         world.play(lasts)
         joined = time_until_merged(world, MAX_JOINED_S + 30.0)
         world.play(world.now + 5.0)
-        looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
+        looks, virtual, wrong = world.listed("samples"), world.now, world.counts()["wrong"]
         traffic = traffic_of(world.traffic(0, int(world.now)))
     in_sums_after_s = in_sums(looks, {look.place for look in looks}, lasts, virtual, 0.99)
     figures = {
--- a/mulleinhatch/simulation/scale_checks.py
+++ b/mulleinhatch/simulation/scale_checks.py
@@ -85,7 +85,7 @@
     return slowest
 
 
-def in_sums(looks: Iterable[SumSample], places: set[int], since: float, until: float, least: float = 0.0) -> float | None:
+def in_sums(samples: Iterable[SumSample], places: set[int], since: float, until: float, least: float = 0.0) -> float | None:
     """Return the seconds from `since` until the sums of all these places stay right up to `until`.
 
     A sum is right if it counts no instance that does not run, and at least the `least` share of those that do. None if it never
@@ -93,15 +93,15 @@
     """
     wrong_at: dict[int, float] = {}
     last: dict[int, float] = {}
-    for look in looks:
-        if look.place in places and since < look.at < until:
-            last[look.place] = look.at
-            if look.members > look.living or look.members < least * look.living:
-                wrong_at[look.place] = look.at
+    for sample in samples:
+        if sample.place in places and since < sample.at < until:
+            last[sample.place] = sample.at
+            if sample.members > sample.living or sample.members < least * sample.living:
+                wrong_at[sample.place] = sample.at
     if set(last) != places or any(wrong_at.get(place) == at for place, at in last.items()):
         return None
     # The sums are right from the next sample on.
-    after = [min(look.at for look in looks if look.place == place and look.at > at) for place, at in wrong_at.items()]
+    after = [min(sample.at for sample in samples if sample.place == place and sample.at > at) for place, at in wrong_at.items()]
     return max(after, default=since) - since
 
 
@@ -146,8 +146,8 @@
         one = None
         while one is None and world.now < calm + length + within:
             world.play(world.now + 0.5)
-            looks = [look for look in world.listed("looks") if look.at > world.now - 0.5]
-            if world.one() and all(0.99 * look.living <= look.members <= look.living for look in looks):
+            samples = [sample for sample in world.listed("samples") if sample.at > world.now - 0.5]
+            if world.views_agree() and all(0.99 * sample.living <= sample.members <= sample.living for sample in samples):
                 one = world.now - calm - length
         wrong = [gone for gone in world.listed("gone") if gone.wrong]
         return History(script, one, wrong, over_budgets(world.used(), plan.budgets))
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -105,7 +105,7 @@
     """A sharded world; a context manager that ends its processes.
 
     >>> with World(Plan(members=9, seed=3), processes=False) as world:
-    ...     world.play(3.0).one()
+    ...     world.play(3.0).views_agree()
     True
     """
 
@@ -235,7 +235,7 @@
         return sorted(place for found in self.ask("speakers") for place in found)
 
     def listed(self, what: str) -> list[Any]:
-        """Return `gone` or `looks` of all shards, by time."""
+        """Return `gone` or `samples` of all shards, by time."""
         return sorted(one for answer in self.ask("attribute", what) for one in answer)
 
     def counts(self) -> Counter[str]:
@@ -251,7 +251,7 @@
         """Return how many views are frozen."""
         return sum(answer[2] for answer in self.ask("views"))
 
-    def one(self) -> bool:
+    def views_agree(self) -> bool:
         """Return whether the views agree.
 
         All running instances must be in groups whose members see exactly each other, as many groups as planned, with
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -123,7 +123,7 @@
         self.amounts: dict[str, list[float]] = {}
         self.gone: list[Gone] = []
         self.counts: Counter[str] = Counter()
-        self.looks: list[SumSample] = []
+        self.samples: list[SumSample] = []
         self.used: list[array[float]] = [array("d") for _ in plan.budgets]
         draw = random.Random(plan.seed)
         self.starts = [draw.uniform(0.0, plan.start_within) for _ in range(members)]
@@ -337,7 +337,7 @@
         for place in self.watched:
             node = self.nodes[place]
             if node.core and not node.stalled:
-                self.looks.append(SumSample(self.now, place, *self._fleet_sum(node), living))
+                self.samples.append(SumSample(self.now, place, *self._fleet_sum(node), living))
 
     def _fleet_sum(self, node: SimulatedInstance) -> tuple[int, int, float]:
         """Return alive members, silent members and the oldest age in its sum of the fleet; without levels, in its own view."""
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -346,10 +346,10 @@
 def wait_for_convergence(world: World, within: float = 45.0) -> bool:
     until = world.now + within
     while world.now < until:
-        if world.one():
+        if world.views_agree():
             return True
         world.play(world.now + 1.0)
-    return world.one()
+    return world.views_agree()
 
 
 @pytest.fixture(scope="module")
@@ -364,10 +364,10 @@
     speakers = converged_world.speakers()
     assert len(speakers) == 9, "one per group"
     for _ in range(20):  # the views have converged; the sums follow
-        if {sample.members for sample in converged_world.listed("looks")[-9:]} == {90}:
+        if {sample.members for sample in converged_world.listed("samples")[-9:]} == {90}:
             return
         converged_world.play(converged_world.now + 0.5)
-    raise AssertionError(converged_world.listed("looks")[-9:])
+    raise AssertionError(converged_world.listed("samples")[-9:])
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -38,7 +38,7 @@
 ) -> tuple[dict, dict, list]:
     with World(Plan(members=9, seed=seed, script=FAULT_SCRIPT, **more), shards, processes) as world:
         world.play(until)
-        return world.digest(), world.traffic(0, until), world.listed("looks")
+        return world.digest(), world.traffic(0, until), world.listed("samples")
 
 
 def test_history_is_independent_of_the_number_of_processes() -> None:
@@ -98,11 +98,11 @@
 def test_views_agree_after_joining_and_not_during_a_partition() -> None:
     script = "at 2 cut region0 from region1 for 3\nat 2 cut region2 from region1 for 3"
     with World(Plan(members=9, script=script), processes=False) as world:
-        assert not world.one()  # no instance runs yet
-        assert world.play(2.0).one()
-        assert not world.play(4.5).one()
+        assert not world.views_agree()  # no instance runs yet
+        assert world.play(2.0).views_agree()
+        assert not world.play(4.5).views_agree()
         assert world.frozen() > 0 or world.counts()["wrong"] > 0
-        assert world.play(11.0).one()
+        assert world.play(11.0).views_agree()
 
 
 def test_death_is_detected_and_false_declaration_is_found() -> None:
@@ -126,7 +126,7 @@
 
 def test_replacement_has_a_new_name_and_the_former_name_is_gone() -> None:
     with World(Plan(members=12, script="at 3 replace 4 for 1"), processes=False) as world:
-        assert world.play(10.0).one()
+        assert world.play(10.0).views_agree()
         assert world.counts()["wrong"] == 0
         assert {one.subject for one in world.listed("gone")} == {4}
 
@@ -149,13 +149,13 @@
 
 
 def test_in_sums_rejects_dead_and_missing_instances() -> None:
-    looks = [
+    samples = [
         SumSample(at, place, members, 0, 0.0, 9)
         for place, report in ((1, (10, 10, 9, 9)), (2, (10, 9, 9, 9)))
         for at, members in zip((1.0, 1.5, 2.0, 2.5), report)
     ]
-    assert in_sums(looks, {1, 2}, 0.5, 3.0) == 1.5 and in_sums(looks, {2}, 0.5, 3.0) == 1.0
-    assert in_sums(looks, {1, 3}, 0.5, 3.0) is None and in_sums(looks, {1}, 0.5, 1.8) is None
+    assert in_sums(samples, {1, 2}, 0.5, 3.0) == 1.5 and in_sums(samples, {2}, 0.5, 3.0) == 1.0
+    assert in_sums(samples, {1, 3}, 0.5, 3.0) is None and in_sums(samples, {1}, 0.5, 1.8) is None
     assert in_sums([SumSample(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0) == 0.0
     assert in_sums([SumSample(1.0, 1, 5, 0, 0.0, 9)], {1}, 0.0, 3.0, 0.99) is None
 
@@ -265,6 +265,6 @@
         return
     with World(plan, 2) as world:
         world.play(15.0)
-        assert world.one() and world.topology.groups == 2
+        assert world.views_agree() and world.topology.groups == 2
         world.play(20.0)  # sums follow the views and must be right within 30 s
-        assert {look.members for look in world.listed("looks") if look.at > 18.0} == {90}
+        assert {sample.members for sample in world.listed("samples") if sample.at > 18.0} == {90}
