--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -151,10 +151,10 @@
             voters = set(world.permits.voters)
             if voters - survivors:
                 survivors -= voters  # a voter died for good, so the others must stay in service as the majority
-            while world.now < world.end + MAINTENANCE_WITHIN_S and not survivors <= world.been.keys():
+            while world.now < world.end + MAINTENANCE_WITHIN_S and not survivors <= world.maintenance_counts.keys():
                 world.play(world.now + 1.0)
-            if not survivors <= world.been.keys() and gone < world.most and history.load.load <= 0.6:
-                raise InvariantBrokenError(f"{sorted(survivors - world.been.keys())} got no maintenance window")
+            if not survivors <= world.maintenance_counts.keys() and gone < world.most and history.load.load <= 0.6:
+                raise InvariantBrokenError(f"{sorted(survivors - world.maintenance_counts.keys())} got no maintenance window")
     except InvariantBrokenError as error:
         what = str(error)
     worst = min(
@@ -169,7 +169,7 @@
         world.fraction_in_time(world.end + RECOVERY_WITHIN_S, world.end + RECOVERY_WITHIN_S + 4),
         recovered,
         world.handed["to offers"] + world.handed["to guesses"],
-        sum(world.been.values()),
+        sum(world.maintenance_counts.values()),
     )
 
 
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -33,7 +33,7 @@
         self.permits = MaintenanceBounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
         self.cores: dict[str, MaintenanceCoordinator] = {}
         self.out_of_service: set[str] = set()  # machines that left by a permit and have not returned
-        self.been: Counter[str] = Counter()
+        self.maintenance_counts: Counter[str] = Counter()
         self.to_go: set[str] = set()
         self.unfit: set[str] = set()
 
@@ -59,7 +59,7 @@
     def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
         if node.core and node.incarnations == incarnation and not node.stalled:
             core = self.cores[node.name]
-            if node.name in self.to_go and not self.been[node.name] and core.state is MaintenanceState.SERVING:
+            if node.name in self.to_go and not self.maintenance_counts[node.name] and core.state is MaintenanceState.SERVING:
                 core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._check_permit(node)
@@ -73,7 +73,7 @@
 
     def _check_permit(self, node: Node) -> None:
         if self.cores[node.name].state is MaintenanceState.GOING and node.name not in self.out_of_service:
-            self.been[node.name] += 1
+            self.maintenance_counts[node.name] += 1
             self.out_of_service.add(node.name)
             self.most_out = max(self.most_out, len(self.out_of_service))
             if len(self.out_of_service) > self.most:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -295,8 +295,8 @@
     machines = MaintenanceWorld(6, script)
     machines.to_go = {f"n{place}" for place in range(6)}
     machines.play(within)
-    assert machines.most_out == 1 and set(machines.been) == machines.to_go, machines.been
-    assert max(machines.been.values()) == 1
+    assert machines.most_out == 1 and set(machines.maintenance_counts) == machines.to_go, machines.maintenance_counts
+    assert max(machines.maintenance_counts.values()) == 1
 
 
 def test_the_part_without_a_majority_sends_nobody() -> None:
@@ -304,9 +304,9 @@
     machines.play(5.5)
     machines.to_go = {"n0", "n3"}
     machines.play(19.0)
-    assert not machines.been
+    assert not machines.maintenance_counts
     machines.play(35.0)
-    assert set(machines.been) == {"n0", "n3"}
+    assert set(machines.maintenance_counts) == {"n0", "n3"}
 
 
 @pytest.mark.parametrize("disks", [True, False], ids=["disks", "no disks"])
@@ -321,7 +321,7 @@
         machines = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
         machines.to_go = {f"n{place}" for place in range(count)}
         machines.play(60.0)
-        assert set(machines.been) == machines.to_go, (script, machines.been)
+        assert set(machines.maintenance_counts) == machines.to_go, (script, machines.maintenance_counts)
 
 
 def test_a_voter_whose_disk_was_set_back_is_found_out_and_abstains_until_it_learned() -> None:
@@ -346,25 +346,25 @@
     machines.to_go = {"n3"}
     machines.cores["n3"].ask(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
     machines.play(16.0)
-    assert machines.been == {"n3": 1} and not machines.cores["n0"].voter.voter_state.table.out
+    assert machines.maintenance_counts == {"n3": 1} and not machines.cores["n0"].voter.voter_state.table.out
 
 
 def test_a_holder_that_never_returns_keeps_its_place_until_a_person_takes_it() -> None:
     machines = MaintenanceWorld(4, works=1000.0)
     machines.to_go = {"n2", "n3"}
     machines.play(30.0)
-    assert machines.most_out == 1 and len(machines.been) == 1
-    [gone] = machines.been
+    assert machines.most_out == 1 and len(machines.maintenance_counts) == 1
+    [gone] = machines.maintenance_counts
     core = machines.cores["n0"]
     fence = core.voter.voter_state.table.permit(gone).fence
     agreed(machines, lambda table: table.release(gone, fence))
     machines.play(45.0)
     # It is off, permit or not: nobody else goes until it is back, or a person allows one more.
-    assert len(machines.been) == 1
+    assert len(machines.maintenance_counts) == 1
     machines.most = 2
     agreed(machines, lambda table: table.bounds(2, 2))
     machines.play(machines.now + 10.0)
-    assert len(machines.been) == 2
+    assert len(machines.maintenance_counts) == 2
 
 
 def test_a_change_by_the_only_voter_has_its_outcome_at_once() -> None:
@@ -387,12 +387,12 @@
     agreed(machines, lambda table: table.freeze("the first are ill"))
     machines.to_go = {"n2", "n3"}
     machines.play(20.0)
-    assert not machines.been
+    assert not machines.maintenance_counts
     machines.to_go = {"n3"}
     machines.cores["n2"].cancel()
     agreed(machines, lambda table: table.freeze(""))
     machines.play(35.0)
-    assert set(machines.been) == {"n3"}
+    assert set(machines.maintenance_counts) == {"n3"}
 
 
 def test_one_person_asks_many_by_one_and_an_instance_that_stays_unfit_freezes_the_rest() -> None:
@@ -406,13 +406,13 @@
             machines.nodes[0].clock(machines.now), [MaintenanceRequest(name, "z", "release", 1.0, 0.0) for name in names]
         )
         machines.play(until)
-    assert set(machines.been) == {"n4"}
+    assert set(machines.maintenance_counts) == {"n4"}
     assert machines.cores["n0"].voter.voter_state.table.frozen == "n4 came back and is not fit"
     machines.unfit.clear()
     machines.play(44.0)
     agreed(machines, lambda table: table.freeze(""))
     machines.play(70.0)
-    assert set(machines.been) == {"n4", "n5", "n2"}
+    assert set(machines.maintenance_counts) == {"n4", "n5", "n2"}
 
 
 @pytest.mark.parametrize(
