--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -286,7 +286,7 @@
         for count in (18, 24, 30) if self.quick else (24, 40, 60, 80, 120):
             world = WaitingMachines(count, self.seed)
             world.play(4.0)
-            world.to_go = {node.name for node in world.nodes[3:]}
+            world.maintenance_candidates = {node.name for node in world.nodes[3:]}
             world.play(8.0)
             world.heard.clear()
             world.play(12.0)
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -34,7 +34,7 @@
         self.cores: dict[str, MaintenanceCoordinator] = {}
         self.out_of_service: set[str] = set()  # machines that left by a permit and have not returned
         self.maintenance_counts: Counter[str] = Counter()
-        self.to_go: set[str] = set()
+        self.maintenance_candidates: set[str] = set()
         self.unfit: set[str] = set()
 
     def start(self, node: Node) -> None:
@@ -59,7 +59,11 @@
     def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
         if node.core and node.incarnations == incarnation and not node.stalled:
             core = self.cores[node.name]
-            if node.name in self.to_go and not self.maintenance_counts[node.name] and core.state is MaintenanceState.SERVING:
+            if (
+                node.name in self.maintenance_candidates
+                and not self.maintenance_counts[node.name]
+                and core.state is MaintenanceState.SERVING
+            ):
                 core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._check_permit(node)
@@ -107,4 +111,4 @@
 
 def request_maintenance_of_all(world: Any) -> None:
     """Let every machine request a maintenance window at its next heartbeat."""
-    world.to_go = {node.name for node in world.nodes}
+    world.maintenance_candidates = {node.name for node in world.nodes}
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -293,16 +293,18 @@
 )
 def test_all_go_one_at_a_time_whatever_happens(script: str, within: float) -> None:
     machines = MaintenanceWorld(6, script)
-    machines.to_go = {f"n{place}" for place in range(6)}
+    machines.maintenance_candidates = {f"n{place}" for place in range(6)}
     machines.play(within)
-    assert machines.most_out == 1 and set(machines.maintenance_counts) == machines.to_go, machines.maintenance_counts
+    assert machines.most_out == 1 and set(machines.maintenance_counts) == machines.maintenance_candidates, (
+        machines.maintenance_counts
+    )
     assert max(machines.maintenance_counts.values()) == 1
 
 
 def test_the_part_without_a_majority_sends_nobody() -> None:
     machines = MaintenanceWorld(6, "at 5 cut 0,3 from 1,2,4,5 for 15")
     machines.play(5.5)
-    machines.to_go = {"n0", "n3"}
+    machines.maintenance_candidates = {"n0", "n3"}
     machines.play(19.0)
     assert not machines.maintenance_counts
     machines.play(35.0)
@@ -319,14 +321,14 @@
         if not disks:  # a voter that crashes while another is out would be one too many: promised with disks alone
             script = "\n".join(line for line in script.splitlines() if " kill " not in line) + "\nat 9 kill 3 for 1"
         machines = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
-        machines.to_go = {f"n{place}" for place in range(count)}
+        machines.maintenance_candidates = {f"n{place}" for place in range(count)}
         machines.play(60.0)
-        assert set(machines.maintenance_counts) == machines.to_go, (script, machines.maintenance_counts)
+        assert set(machines.maintenance_counts) == machines.maintenance_candidates, (script, machines.maintenance_counts)
 
 
 def test_a_voter_whose_disk_was_set_back_is_found_out_and_abstains_until_it_learned() -> None:
     machines = MaintenanceWorld(5, "at 12 kill 1 for 1")
-    machines.to_go = {"n3"}
+    machines.maintenance_candidates = {"n3"}
     machines.play(11.9)
     old = VoterState(ProposalNumber(1, "n9.1"), writes=1)
     assert machines.disks["n1"].writes > 1
@@ -343,7 +345,7 @@
     machines = MaintenanceWorld(4)
     machines.play(8.0)
     agreed(machines, lambda table: table.grant("n3", "z", "kernel"))
-    machines.to_go = {"n3"}
+    machines.maintenance_candidates = {"n3"}
     machines.cores["n3"].ask(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
     machines.play(16.0)
     assert machines.maintenance_counts == {"n3": 1} and not machines.cores["n0"].voter.voter_state.table.out
@@ -351,7 +353,7 @@
 
 def test_a_holder_that_never_returns_keeps_its_place_until_a_person_takes_it() -> None:
     machines = MaintenanceWorld(4, works=1000.0)
-    machines.to_go = {"n2", "n3"}
+    machines.maintenance_candidates = {"n2", "n3"}
     machines.play(30.0)
     assert machines.most_out == 1 and len(machines.maintenance_counts) == 1
     [gone] = machines.maintenance_counts
@@ -385,10 +387,10 @@
     machines = MaintenanceWorld(4)
     machines.play(8.0)
     agreed(machines, lambda table: table.freeze("the first are ill"))
-    machines.to_go = {"n2", "n3"}
+    machines.maintenance_candidates = {"n2", "n3"}
     machines.play(20.0)
     assert not machines.maintenance_counts
-    machines.to_go = {"n3"}
+    machines.maintenance_candidates = {"n3"}
     machines.cores["n2"].cancel()
     agreed(machines, lambda table: table.freeze(""))
     machines.play(35.0)
