--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -449,7 +449,7 @@
 
     def __init__(self, count: int, seed: int) -> None:
         self.heard: Counter[str] = Counter()
-        super().__init__(count, most=1, works=1e6, seed=seed)
+        super().__init__(count, most=1, work_duration_s=1e6, seed=seed)
 
     def _word(self, data: bytes) -> None:
         if words.decode(data, "virtual").extension:
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -43,7 +43,7 @@
         self.end = max(FIRST_FAULT_S + 1.0, faults.end_of(faults.read(script, history.instances)))
         last = self.end + RECOVERY_WITHIN_S + 6.0 + (MAINTENANCE_WITHIN_S if history.is_maintenance_requested else 0.0)
         super().__init__(Plan(history.instances, script, until=last, seed=history.seed), history.load)
-        self.ready(most=2, voters=3, disks=True, works=1.0)
+        self.ready(most=2, voters=3, disks=True, work_duration_s=1.0)
         self.history = history
         self.value_by_second: dict[int, list[float]] = {}  # requested value and value in time, by the second of arrival
         self.states: set[tuple] = set()
@@ -63,7 +63,7 @@
                 if pending.connection_id is not None and not node.stalled:
                     raise InvariantBrokenError(f"at {self.now:.2f} {node.name} stops and leaves {ref} unanswered")
             self._stop(node, incarnation)
-            self.at(self.now + self.works, self.start, node)
+            self.at(self.now + self.work_duration_s, self.start, node)
 
     def _on_response(self, request: object, place: int, what: str, result: object, heeds: bool) -> None:
         was_finished = request.is_finished
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -19,17 +19,17 @@
 class MaintenanceMixin:
     """Adds maintenance cores to a `GossipWorld`; it must precede the world in the list of bases."""
 
-    def ready(self, most: int, voters: int, disks: bool, works: float) -> None:
+    def ready(self, most: int, voters: int, disks: bool, work_duration_s: float) -> None:
         """Set up the disks, permits and counters.
 
         Args:
             most: Machines that may be out of service at a time.
             voters: Number of voters.
             disks: Whether voters persist their state.
-            works: Seconds that the work on a machine takes.
+            work_duration_s: Seconds that the work on a machine takes.
         """
         self.disks: dict[str, VoterState | None] = {node.name: None for node in self.nodes}
-        self.voters_have_disks, self.works, self.most_out, self.most = disks, works, 0, most
+        self.voters_have_disks, self.work_duration_s, self.most_out, self.most = disks, work_duration_s, 0, most
         self.permits = MaintenanceBounds(tuple(f"n{place}" for place in range(voters)), most, most, "z")
         self.cores: dict[str, MaintenanceCoordinator] = {}
         self.out_of_service: set[str] = set()  # machines that left by a permit and have not returned
@@ -64,7 +64,7 @@
                 and not self.maintenance_counts[node.name]
                 and core.state is MaintenanceState.SERVING
             ):
-                core.ask(MaintenanceRequest(node.name, "z", "kernel", self.works, 0.0))
+                core.ask(MaintenanceRequest(node.name, "z", "kernel", self.work_duration_s, 0.0))
             self._send(node, core.tick(node.clock(self.now), self.now + node.offset, node.name not in self.unfit))
             self._check_permit(node)
         super()._send_heartbeat(node, incarnation, again)
@@ -89,7 +89,7 @@
     def go_out_of_service(self, node: Node) -> None:
         """Stop the node and restart it when its work is done."""
         node.core = None
-        self.at(self.now + self.works, self.start, node)
+        self.at(self.now + self.work_duration_s, self.start, node)
 
 
 class MaintenanceWorld(MaintenanceMixin, GossipWorld):
@@ -103,10 +103,10 @@
         voters: int = 3,
         seed: int = 1,
         disks: bool = True,
-        works: float = 1.0,
+        work_duration_s: float = 1.0,
     ) -> None:
         super().__init__(Plan(count, script, until=1e9, budgets=(), seed=seed))
-        self.ready(most, voters, disks, works)
+        self.ready(most, voters, disks, work_duration_s)
 
 
 def request_maintenance_of_all(world: Any) -> None:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -352,7 +352,7 @@
 
 
 def test_a_holder_that_never_returns_keeps_its_place_until_a_person_takes_it() -> None:
-    machines = MaintenanceWorld(4, works=1000.0)
+    machines = MaintenanceWorld(4, work_duration_s=1000.0)
     machines.maintenance_candidates = {"n2", "n3"}
     machines.play(30.0)
     assert machines.most_out == 1 and len(machines.maintenance_counts) == 1
