--- a/mulleinhatch/simulation/permit_model_checker.py
+++ b/mulleinhatch/simulation/permit_model_checker.py
@@ -23,7 +23,7 @@
     """The number of voters and requesters, the failures allowed, and the implementation to explore."""
 
     voters: int = 5
-    askers: int = 2
+    requesters: int = 2
     most: int = 1
     wipes: bool = False  # voters may lose their disks
     elects: bool = False  # the voters may change
@@ -87,7 +87,7 @@
         first = model.table(voters=names, most=model.most, zone_most=model.most)
         spare = "abcdefghi"[model.voters : model.voters + (2 if model.elects else 0)]
         self.voters = {name: model.voter(name, VoterState()) for name in (*names, *spare)}
-        self.requesters = [Requester(f"n{place}", first) for place in range(model.askers)]
+        self.requesters = [Requester(f"n{place}", first) for place in range(model.requesters)]
         if model.elects or model.releases:
             self.requesters.append(Requester("operator", first))
         self.copies: list[tuple[int, int, str, RegisterRequest]] = []  # requester, its incarnation, voter, request
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -127,7 +127,7 @@
         Model(5),
         Model(5, wipes=True),
         Model(5, elects=True),
-        Model(3, askers=3, most=2, wipes=True),
+        Model(3, requesters=3, most=2, wipes=True),
         Model(3, elects=True, wipes=True),
         Model(3, releases=True),
     ],
