--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -462,10 +462,10 @@
                 self._word(data)
         super()._send(node, effects)
 
-    def _heard(self, node: Any, data: bytes) -> None:
+    def _receive(self, node: Any, data: bytes) -> None:
         if node.place == 1:
             self._word(data)
-        super()._heard(node, data)
+        super()._receive(node, data)
 
 
 def asked_voter(count: int) -> tuple[MaintenanceCoordinator, bytes]:
--- a/mulleinhatch/simulation/gossip_world.py
+++ b/mulleinhatch/simulation/gossip_world.py
@@ -136,7 +136,7 @@
                 waiting = list(node.waiting)
                 node.waiting.clear()
                 for data in waiting:
-                    self._heard(node, data)
+                    self._receive(node, data)
 
     def _stop(self, node: Node, incarnation: int) -> None:
         if node.incarnations == incarnation:
@@ -189,9 +189,9 @@
         if node.stalled:
             node.waiting.append(data)
         else:
-            self._heard(node, data)
+            self._receive(node, data)
 
-    def _heard(self, node: Node, data: bytes) -> None:
+    def _receive(self, node: Node, data: bytes) -> None:
         self._send(node, node.core.handle_datagram(node.clock(self.now), data))
 
     def _consume(self, node: Node, incarnation: int, budget: int) -> None:
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -298,10 +298,10 @@
                     f"at {self.now:.3f} {node.name}: {len(issuer.issued)} offers for {node.spread.load.free_slots} free slots"
                 )
 
-    def _heard(self, node: Node, data: bytes) -> None:
+    def _receive(self, node: Node, data: bytes) -> None:
         if node.spread:
             node.spread.load = node.spread.load._replace(free_slots=node.reducer.free_capacity(node.clock(self.now)))
-        super()._heard(node, data)
+        super()._receive(node, data)
         if node.spread:
             self._send(node, node.spread.take_messages())
             self._check_offers(node, node.clock(self.now))
--- a/mulleinhatch/simulation/maintenance_world.py
+++ b/mulleinhatch/simulation/maintenance_world.py
@@ -69,9 +69,9 @@
             self._check_permit(node)
         super()._send_heartbeat(node, incarnation, again)
 
-    def _heard(self, node: Node, data: bytes) -> None:
+    def _receive(self, node: Node, data: bytes) -> None:
         if node.core:
-            super()._heard(node, data)
+            super()._receive(node, data)
             self._send(node, self.cores[node.name].take_outgoing())
             self._check_permit(node)
 
