--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -307,7 +307,7 @@
         for count in (18, 24, 30) if self.quick else (24, 40, 60, 80, 120):
             world = WaitingMachines(count, self.seed)
             world.play(4.0)
-            world.to_go = {node.name for node in world.nodes[3:]}
+            world.maintenance_candidates = {node.name for node in world.nodes[3:]}
             world.play(8.0)
             world.voter_traffic.clear()
             world.play(12.0)
@@ -486,7 +486,7 @@
 
     def __init__(self, count: int, seed: int) -> None:
         self.voter_traffic: Counter[str] = Counter()
-        super().__init__(count, most=1, works=1e6, seed=seed)
+        super().__init__(count, most=1, work_duration_s=1e6, seed=seed)
 
     def _count_message(self, data: bytes) -> None:
         if wire_messages.decode(data, "virtual").extension:
@@ -499,10 +499,10 @@
                 self._count_message(data)
         super()._send(node, effects)
 
-    def _heard(self, node: Any, data: bytes) -> None:
+    def _receive(self, node: Any, data: bytes) -> None:
         if node.place == 1:
             self._count_message(data)
-        super()._heard(node, data)
+        super()._receive(node, data)
 
 
 def voter_with_waiting_members(count: int) -> tuple[MaintenanceCoordinator, bytes]:
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -65,7 +65,9 @@
         calm_from = world.now
         world.play(calm_from + 10.0)
         before = traffic_of(world.traffic(calm_from, world.now))
-        missing_in_sums = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
+        missing_in_sums = max(
+            (look.living - look.members for look in world.listed("samples") if look.at > calm_from), default=0
+        )
         wrongly_gone = world.counts()["wrong"]
         begin = world.now
         world.ask("mark")
@@ -81,10 +83,10 @@
         merged_after_s = time_until_merged(world, 30.0, 0.25)
         world.play(float(int(world.now) + 11))
         after = traffic_of(world.traffic(begin, world.now))
-        looks, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
+        looks, gone, virtual = world.listed("samples"), world.listed("gone"), world.now
         wrongly_gone = world.counts()["wrong"] - wrongly_gone
         core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
-        ground = world.ground
+        topology = world.topology
     figures: Figures = {
         "members": members,
         "joined": joined,
@@ -110,7 +112,7 @@
     places = {look.place for look in looks}
     if dead:
         killed_at = begin + event.killed_after
-        elsewhere = {place for place in places if ground.zone[place] not in {ground.zone[one] for one in dead}}
+        elsewhere = {place for place in places if topology.zone[place] not in {topology.zone[one] for one in dead}}
         figures["known"] = known_after(gone, holders, killed_at, 1.0 if options.levels else 0.99)
         figures["in sums"] = in_sums(looks, elsewhere, killed_at, min(killed_at + event.down_for, virtual))
         holds[f"known in {MAX_KNOWN_S:g} s"] = figures["known"] is not None and figures["known"] <= MAX_KNOWN_S
@@ -140,8 +142,8 @@
 
 def unwatched_place(world: World) -> int:
     """Return a place that is neither a seed nor watched."""
-    ground = world.ground
-    return next(place for place in range(ground.firsts[1] - 1, 0, -1) if place not in ground.watched())
+    topology = world.topology
+    return next(place for place in range(topology.firsts[1] - 1, 0, -1) if place not in topology.watched())
 
 
 def play_death(options: Options) -> tuple[Figures, Checks]:
@@ -189,8 +191,8 @@
 
     def places(world: World) -> list[int]:
         size = max(2, RACK * world.plan.members // TARGET_MEMBERS)
-        first = world.ground.firsts[1] + 2
-        return [place for place in range(first, first + size) if place not in world.ground.watched()]
+        first = world.topology.firsts[1] + 2
+        return [place for place in range(first, first + size) if place not in world.topology.watched()]
 
     return play_event(
         options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill {listed(places(world))} for 12", 13.0, places, 0.5)
@@ -201,7 +203,7 @@
     """Kill a whole zone and bring it back."""
 
     def places(world: World) -> list[int]:
-        first, last = world.ground.places_of("zone1")
+        first, last = world.topology.places_of("zone1")
         return list(range(first, last + 1))
 
     return play_event(options, Event(lambda world, begin: f"at {begin + 0.5:.2f} kill zone1 for 14", 15.0, places, 0.5))
@@ -242,7 +244,7 @@
         world.play(duration)
         joined = time_until_merged(world, MAX_JOINED_S + 30.0)
         world.play(world.now + 5.0)
-        looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
+        looks, virtual, wrong = world.listed("samples"), world.now, world.counts()["wrong"]
         traffic = traffic_of(world.traffic(0, int(world.now)))
     in_sums_after_s = in_sums(looks, {look.place for look in looks}, duration, virtual, 0.99)
     figures = {
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -20,7 +20,7 @@
 from mulleinhatch.instance.gossip.summary_table import MAX_ROWS, STALE_AFTER_S, ReceivedSummary
 from mulleinhatch.instance.runtime import operator_file as operator
 from mulleinhatch.simulation.scale_checks import over_budgets
-from mulleinhatch.simulation.scale_instances import Ground, Plan, draw_fault_script
+from mulleinhatch.simulation.scale_instances import Plan, Topology, draw_fault_script
 from mulleinhatch.simulation.scale_shards import World
 
 BOUNDS = FleetBounds("f", zone="z", region="r", groups=4)
@@ -346,10 +346,10 @@
 def wait_for_convergence(world: World, within: float = 45.0) -> bool:
     until = world.now + within
     while world.now < until:
-        if world.one():
+        if world.views_agree():
             return True
         world.play(world.now + 1.0)
-    return world.one()
+    return world.views_agree()
 
 
 @pytest.fixture(scope="module")
@@ -364,10 +364,10 @@
     speakers = converged_world.speakers()
     assert len(speakers) == 9, "one per group"
     for _ in range(20):  # the views have converged; the sums follow
-        if {sample.members for sample in converged_world.listed("looks")[-9:]} == {90}:
+        if {sample.members for sample in converged_world.listed("samples")[-9:]} == {90}:
             return
         converged_world.play(converged_world.now + 0.5)
-    raise AssertionError(converged_world.listed("looks")[-9:])
+    raise AssertionError(converged_world.listed("samples")[-9:])
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -380,13 +380,15 @@
     plan = Plan(members=54, levels=True, group_size=6, seed=seed, budgets=(("quota", 540, 1.0),), demand=1.3)
     with World(plan, 1, processes=False) as world:
         assert wait_for_convergence(world.play(8.0))
-        script = draw_fault_script(draw, Ground(plan), world.speakers(), world.now + 1.0, 8.0)
+        script = draw_fault_script(draw, Topology(plan), world.speakers(), world.now + 1.0, 8.0)
         world.script(script)
         world.play(world.now + 9.0)
         assert wait_for_convergence(world, 30.0), script
         assert over_budgets(world.used(), plan.budgets) == 0, script
         # A member that stalled or was cut off from its group for longer than the suspicion timeout may be declared gone.
-        affected = {place for fault in Ground(plan).faults(script) if fault.what in ("stall", "cut") for place in fault.places}
+        affected = {
+            place for fault in Topology(plan).faults(script) if fault.what in ("stall", "cut") for place in fault.places
+        }
         wrong = [gone for gone in world.listed("gone") if gone.wrong and gone.subject not in affected]
         assert not wrong, (script, wrong)
 
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -132,7 +132,7 @@
         Model(5),
         Model(5, wipes=True),
         Model(5, elects=True),
-        Model(3, askers=3, most=2, wipes=True),
+        Model(3, requesters=3, most=2, wipes=True),
         Model(3, elects=True, wipes=True),
         Model(3, releases=True),
     ],
@@ -300,20 +300,20 @@
 )
 def test_instances_leave_one_at_a_time_under_faults(script: str, within: float) -> None:
     world = MaintenanceWorld(6, script)
-    world.to_go = {f"n{place}" for place in range(6)}
+    world.maintenance_candidates = {f"n{place}" for place in range(6)}
     world.play(within)
-    assert world.most_out == 1 and set(world.been) == world.to_go, world.been
-    assert max(world.been.values()) == 1
+    assert world.most_out == 1 and set(world.maintenance_counts) == world.maintenance_candidates, world.maintenance_counts
+    assert max(world.maintenance_counts.values()) == 1
 
 
 def test_partition_without_a_majority_grants_no_permit() -> None:
     world = MaintenanceWorld(6, "at 5 cut 0,3 from 1,2,4,5 for 15")
     world.play(5.5)
-    world.to_go = {"n0", "n3"}
+    world.maintenance_candidates = {"n0", "n3"}
     world.play(19.0)
-    assert not world.been
+    assert not world.maintenance_counts
     world.play(35.0)
-    assert set(world.been) == {"n0", "n3"}
+    assert set(world.maintenance_counts) == {"n0", "n3"}
 
 
 @pytest.mark.parametrize("disks", [True, False], ids=["disks", "no disks"])
@@ -326,14 +326,14 @@
         if not disks:  # with a crash while another voter is out no majority would be left; only with disks is that supported
             script = "\n".join(line for line in script.splitlines() if " kill " not in line) + "\nat 9 kill 3 for 1"
         world = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
-        world.to_go = {f"n{place}" for place in range(count)}
+        world.maintenance_candidates = {f"n{place}" for place in range(count)}
         world.play(60.0)
-        assert set(world.been) == world.to_go, (script, world.been)
+        assert set(world.maintenance_counts) == world.maintenance_candidates, (script, world.maintenance_counts)
 
 
 def test_voter_with_a_restored_disk_abstains_until_it_has_learned() -> None:
     world = MaintenanceWorld(5, "at 12 kill 1 for 1")
-    world.to_go = {"n3"}
+    world.maintenance_candidates = {"n3"}
     world.play(11.9)
     old = VoterState(ProposalNumber(1, "n9.1"), writes=1)
     assert world.disks["n1"].writes > 1
@@ -350,28 +350,28 @@
     world = MaintenanceWorld(4)
     world.play(8.0)
     agree(world, lambda table: table.grant("n3", "z", "kernel"))
-    world.to_go = {"n3"}
+    world.maintenance_candidates = {"n3"}
     world.cores["n3"].request_maintenance(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
     world.play(16.0)
-    assert world.been == {"n3": 1} and not world.cores["n0"].voter.voter_state.table.out
+    assert world.maintenance_counts == {"n3": 1} and not world.cores["n0"].voter.voter_state.table.out
 
 
 def test_permit_of_a_lost_instance_is_held_until_an_operator_releases_it() -> None:
-    world = MaintenanceWorld(4, works=1000.0)
-    world.to_go = {"n2", "n3"}
+    world = MaintenanceWorld(4, work_duration_s=1000.0)
+    world.maintenance_candidates = {"n2", "n3"}
     world.play(30.0)
-    assert world.most_out == 1 and len(world.been) == 1
-    [gone] = world.been
+    assert world.most_out == 1 and len(world.maintenance_counts) == 1
+    [gone] = world.maintenance_counts
     core = world.cores["n0"]
     fence = core.voter.voter_state.table.permit(gone).fence
     agree(world, lambda table: table.release(gone, fence))
     world.play(45.0)
     # It counts as out without a permit, too: no other leaves until it returns or an operator raises the bound.
-    assert len(world.been) == 1
+    assert len(world.maintenance_counts) == 1
     world.most = 2
     agree(world, lambda table: table.set_bounds(2, 2))
     world.play(world.now + 10.0)
-    assert len(world.been) == 2
+    assert len(world.maintenance_counts) == 2
 
 
 def test_change_by_the_only_voter_completes_at_once() -> None:
@@ -392,14 +392,14 @@
     world = MaintenanceWorld(4)
     world.play(8.0)
     agree(world, lambda table: table.freeze("the first are ill"))
-    world.to_go = {"n2", "n3"}
+    world.maintenance_candidates = {"n2", "n3"}
     world.play(20.0)
-    assert not world.been
-    world.to_go = {"n3"}
+    assert not world.maintenance_counts
+    world.maintenance_candidates = {"n3"}
     world.cores["n2"].cancel()
     agree(world, lambda table: table.freeze(""))
     world.play(35.0)
-    assert set(world.been) == {"n3"}
+    assert set(world.maintenance_counts) == {"n3"}
 
 
 def test_operator_request_for_several_instances_and_freeze_by_an_unhealthy_one() -> None:
@@ -413,13 +413,13 @@
             world.nodes[0].clock(world.now), [MaintenanceRequest(name, "z", "release", 1.0, 0.0) for name in names]
         )
         world.play(until)
-    assert set(world.been) == {"n4"}
+    assert set(world.maintenance_counts) == {"n4"}
     assert world.cores["n0"].voter.voter_state.table.frozen == "n4 returned unhealthy"
     world.unfit.clear()
     world.play(44.0)
     agree(world, lambda table: table.freeze(""))
     world.play(70.0)
-    assert set(world.been) == {"n4", "n5", "n2"}
+    assert set(world.maintenance_counts) == {"n4", "n5", "n2"}
 
 
 @pytest.mark.parametrize(
