--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -54,7 +54,7 @@
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import request_fingerprint
 from mulleinhatch.instance.retry_storms.retry_admission import RetryAdmission
-from mulleinhatch.instance.runtime.gossip import TENANTS_KEPT, GossipService
+from mulleinhatch.instance.runtime.gossip import MAX_COUNTED_TENANTS, GossipService
 from mulleinhatch.simulation.gossip_world import GossipWorld, Plan
 from mulleinhatch.simulation.maintenance_world import MaintenanceWorld
 
@@ -372,7 +372,7 @@
 
 def filled_sketch(names: TenantNames, adds: int) -> HeavyHitters:
     """Return a sketch after a number of additions."""
-    sketch = HeavyHitters(TENANTS_KEPT)
+    sketch = HeavyHitters(MAX_COUNTED_TENANTS)
     for number in range(adds):
         sketch.add(number / 275.0, names.next())
     return sketch
--- a/mulleinhatch/instance/gossip/heavy_hitters.py
+++ b/mulleinhatch/instance/gossip/heavy_hitters.py
@@ -1,6 +1,6 @@
 """The most active tenants in bounded memory: a Space-Saving sketch with exponential decay.
 
-A plain dict by tenant grows with each name that callers invent. The sketch holds a fixed number of names, and a tenant with
+A plain dict by tenant grows with each name that clients invent. The sketch holds a fixed number of names, and a tenant with
 more than `total / capacity` requests is always among them. Each count has an error bound: the part that may belong to others.
 
 Source: Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams" (2005).
--- a/mulleinhatch/instance/load_balancing/core.py
+++ b/mulleinhatch/instance/load_balancing/core.py
@@ -73,7 +73,7 @@
     # Events of this instance.
 
     def record_arrival(self, now: float, work: float) -> None:
-        """Record a request of this instance's callers."""
+        """Record a request of this instance's clients."""
         self.statistics.record_arrival(now, work)
 
     def record_run(self, now: float, seconds: float, work: float, failed: bool) -> None:
--- a/mulleinhatch/instance/load_balancing/load_statistics.py
+++ b/mulleinhatch/instance/load_balancing/load_statistics.py
@@ -39,7 +39,7 @@
         self.failures = DecayingWindow(PACE_MEMORY_S)
 
     def record_arrival(self, now: float, work: float) -> None:
-        """Record a request of this instance's callers by its work, or by 1 if it states none."""
+        """Record a request of this instance's clients by its work, or by 1 if it states none."""
         self.loads.add(now, work or 1.0)
 
     def record_run(self, now: float, seconds: float, work: float, failed: bool) -> None:
--- a/mulleinhatch/instance/load_balancing/offers.py
+++ b/mulleinhatch/instance/load_balancing/offers.py
@@ -142,7 +142,7 @@
     (7, None, 0)
     >>> for number in range(3):
     ...     receiver.record_outcome(0.2, "b", is_bad=True)
-    >>> receiver.receive(0.2, ReceivedOffer("b", "h:1", 8, until=0.5)); receiver.count(0.2)     # one that fails all looks idle
+    >>> receiver.receive(0.2, ReceivedOffer("b", "h:1", 8, until=0.5)); receiver.count(0.2)     # a failing peer looks idle
     0
     """
 
--- a/mulleinhatch/instance/load_balancing/redirects.py
+++ b/mulleinhatch/instance/load_balancing/redirects.py
@@ -1,4 +1,4 @@
-"""Computes the fraction of requests that an instance asks its callers to send elsewhere.
+"""Computes the fraction of requests that an instance asks its clients to send elsewhere.
 
 Each instance compares its load with that of the fleet. A more loaded instance redirects the excess in bounded steps at random
 times, so that hundreds of instances do not step at once; the fraction decreases in bounded steps, too. No instance acts on a
@@ -41,11 +41,11 @@
 
     >>> controller = RedirectController(step=0.05, step_every=0.5, seed=1, now=0.0, is_warming_up=False)
     >>> fractions = [0.0]
-    >>> for turn in range(400):     # twice as loaded as the others, with callers that comply
+    >>> for turn in range(400):     # twice as loaded as the others, with clients that comply
     ...     fractions.append(controller.update(0.1 * turn, LoadObservation(1.6 * (1.0 - fractions[-1]), 0.8)))
     >>> max(later - earlier for earlier, later in zip(fractions, fractions[1:])) <= 0.05 + 1e-9, 0.42 < fractions[-1] < 0.56
     (True, True)
-    >>> [controller.update(40.0 + turn, LoadObservation(1.6, -1.0)) for turn in range(60)][-1]     # nobody is heard
+    >>> [controller.update(40.0 + turn, LoadObservation(1.6, -1.0)) for turn in range(60)][-1]     # no reports arrive
     0.0
     """
 
@@ -71,7 +71,7 @@
     def _balanced_fraction(self, observation: LoadObservation) -> float:
         """Return the fraction at which this instance would be as loaded as the fleet.
 
-        This instance's load already excludes redirected requests, so the compliance of callers need not be known.
+        This instance's load already excludes redirected requests, so the compliance of clients need not be known.
         """
         if observation.fleet < 0.0:
             return 0.0
--- a/mulleinhatch/instance/maintenance/paxos_register.py
+++ b/mulleinhatch/instance/maintenance/paxos_register.py
@@ -3,7 +3,7 @@
 A round has two phases. In the prepare phase a proposer asks the voters to promise that they ignore lower proposal numbers, and
 learns the latest table that any of a majority accepted. It applies its change to that table and asks the voters to accept the
 result. A table accepted by a majority is agreed whatever crashes, and the next round of any proposer learns it. A voter
-persists a promise or an accepted table before it responses. Messages may be lost, duplicated, delayed and reordered.
+persists a promise or an accepted table before it responds. Messages may be lost, duplicated, delayed and reordered.
 
 Source: D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018).
 """
@@ -169,11 +169,11 @@
 
     >>> first = PermitTable(voters=("a", "b", "c"), most=1, zone_most=1)
     >>> voters = {name: Voter(name, VoterState()) for name in first.voters}
-    >>> response = ProposalRound("n", 1, first, lambda table: table.grant("n", "z", "kernel"))
-    >>> while not response.outcome:
-    ...     for name, request in response.pending_requests():
-    ...         response.handle_response(voters[name].handle_request(request))
-    >>> response.outcome, response.table.permit("n").fence
+    >>> started = ProposalRound("n", 1, first, lambda table: table.grant("n", "z", "kernel"))
+    >>> while not started.outcome:
+    ...     for name, request in started.pending_requests():
+    ...         started.handle_response(voters[name].handle_request(request))
+    >>> started.outcome, started.table.permit("n").fence
     ('agreed', 1)
     """
 
--- a/mulleinhatch/instance/maintenance/table.py
+++ b/mulleinhatch/instance/maintenance/table.py
@@ -89,7 +89,7 @@
         matches.
 
         Args:
-            name: Instance that asks.
+            name: Instance that requests the permit.
             zone: Its zone.
             why: Reason, truncated to `MAX_REASON_LENGTH` characters.
             gone: Crashed members and their zones. They count as out of service.
--- a/mulleinhatch/instance/retry_storms/duplicate_detection.py
+++ b/mulleinhatch/instance/retry_storms/duplicate_detection.py
@@ -1,6 +1,6 @@
 """Recognises attempts of the same request by their fingerprints.
 
-Each caller is a backend with thousands of clients, so different requests may have identical bodies. A fingerprint that occurs
+Each caller is a service with thousands of users, so different requests may have identical bodies. A fingerprint that occurs
 on two pending requests, or again after a response, is shared by different requests and proves nothing from then on. The
 detailed fingerprint, which adds the stated costs of the request, then decides. `docs/design/lookalikes.md` has the table.
 """
--- a/mulleinhatch/instance/runtime/gossip.py
+++ b/mulleinhatch/instance/runtime/gossip.py
@@ -29,11 +29,18 @@
 LOG = logging.getLogger(__name__)
 MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before other work of the event loop
 RECEIVE_BUFFER_BYTES = 1 << 18  # messages that arrive during a stall of the process must not be lost: they show who is alive
-TENANTS_KEPT = 256  # tenants with a counter of their own
+MAX_COUNTED_TENANTS = 256  # tenants with a counter of their own
 RECENT_RUNS_S = 6.0  # time constant of the decayed run counts from which our interpreter is judged
 MIN_REPORTED_ERROR_SHARE = 0.1  # error rate below which our interpreter is not reported
 # Prefixes of the counters of dropped messages; the first drop of each kind is logged.
-DROPPED = ("unfit_", "members_refused", "names_elsewhere", "letters_without_levels", "upward_unfit", "sums_refused")
+DROP_COUNTER_PREFIXES = (
+    "unfit_",
+    "members_refused",
+    "names_elsewhere",
+    "letters_without_levels",
+    "upward_unfit",
+    "sums_refused",
+)
 CALL_TIMEOUT_S = 2.0  # maximum duration of a call under a budget of concurrent calls
 
 
@@ -65,7 +72,7 @@
             budget.tenant: [0, 0] for budget in self.bounds.budgets if budget.tenant and budget.window
         }
         self.window_started_at: dict[str, float] = {}
-        self.loudest = HeavyHitters(TENANTS_KEPT)
+        self.heavy_hitters = HeavyHitters(MAX_COUNTED_TENANTS)
         self.last_counts, self.recent, self.recent_at = (
             (0, 0),
             [0.0, 0.0],
@@ -119,7 +126,7 @@
             self._publish_budget_shares(now)
 
     def _record_tenant_request(self, now: float, tenant: str) -> None:
-        self.loudest.add(now, tenant)
+        self.heavy_hitters.add(now, tenant)
         if counts := self.requested_counts.get(tenant):
             counts[0] += 1
 
@@ -176,14 +183,14 @@
             figures += self.load_balancing.core.figures(now)
             opinions += self.load_balancing.core.opinions(now)
         assert len(figures) <= len(FIGURES)
-        loudest = [(hitter.name[:40], round(hitter.rate, 2)) for hitter in self.loudest.top(now, MAX_HEAVY_HITTERS)]
-        return LocalState(figures, self._demands(now), loudest, opinions)
+        hitters = [(hitter.name[:40], round(hitter.rate, 2)) for hitter in self.heavy_hitters.top(now, MAX_HEAVY_HITTERS)]
+        return LocalState(figures, self._demands(now), hitters, opinions)
 
     def _interpreter_opinions(self, now: float) -> list[tuple[str, int, int]]:
         """Return the recent error rate of our interpreter, or nothing while it is healthy."""
         current_counts = (self.reducer.counts["run_ok"] + self.reducer.counts["run_error"], self.reducer.counts["run_error"])
-        left = math.exp(-(now - self.recent_at) / RECENT_RUNS_S)
-        self.recent = [left * old + new - before for old, new, before in zip(self.recent, current_counts, self.last_counts)]
+        decay = math.exp(-(now - self.recent_at) / RECENT_RUNS_S)
+        self.recent = [decay * old + new - before for old, new, before in zip(self.recent, current_counts, self.last_counts)]
         self.last_counts, self.recent_at = current_counts, now
         runs, errors = self.recent
         if runs < 1.0 or errors < MIN_REPORTED_ERROR_SHARE * runs:
@@ -219,7 +226,7 @@
             **self.core.counts,
             **(self.core.aggregation_tree.counts if self.core.aggregation_tree else {}),
         }.items():
-            if count and name.startswith(DROPPED) and name not in self.logged_drops:
+            if count and name.startswith(DROP_COUNTER_PREFIXES) and name not in self.logged_drops:
                 self.logged_drops.add(name)
                 LOG.warning("dropped a gossip message", extra={"fields": {"why": name}})
 
@@ -321,7 +328,7 @@
                 }
             )
         sums: dict[str, Any] = {figure: core.fleet_counters.total(now, figure)._asdict() for figure in FIGURES}
-        loudest = [(name, *known) for name, known in core.fleet_counters.heavy_hitters(now, 8)]
+        hitters = [(name, *known) for name, known in core.fleet_counters.heavy_hitters(now, 8)]
         return json.dumps(
             {
                 "fleet": self.bounds.fleet,
@@ -331,7 +338,7 @@
                 "budgets": budgets,
                 "sums": sums,
                 "out": core.ejected,
-                "loudest": loudest,
+                "loudest": hitters,
                 "judged_ill": core.is_judged_unhealthy(),
                 "others_free": round(core.free_fraction(now), 3),
                 "alone": sorted(core.outlier_detector.single_accusers),
--- a/mulleinhatch/instance/runtime/instance_settings.py
+++ b/mulleinhatch/instance/runtime/instance_settings.py
@@ -34,7 +34,7 @@
         seed: Seed of all random choices.
         stop_after: Seconds from the shutdown notice to the stop.
         descriptors: Maximum number of file descriptors.
-        op_types: Names of the op types.
+        op_types: Names of the request types.
         tenants: Names of the tenants.
         deployment: Settings of the admission controller.
         storms: Settings of retry storm detection; None if it is off.
