--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -119,12 +119,12 @@
     table.add_column("")
     table.add_column("")
     for name, text in (
-        ("first tries acked within 1.8 s before the outage", f"{figures['calm']:.0%}"),
+        ("first attempts acked within 1.8 s before the outage", f"{figures['calm']:.0%}"),
         (f"and after its end at {ends:.0f} s", f"{figures['in_time']:.0%}"),
         ("90% in time again", "never" if back is None else f"{back:.1f} s after the end"),
-        ("tries, acked, nacked", f"{counts['tries']}, {counts['acked']}, {counts['nacked']}"),
-        ("most tries in a second", f"{figures['most_tries']:.0f}"),
-        ("unanswered tries; requests run twice", f"{figures['lost']}; {figures['twice']}"),
+        ("attempts, acked, nacked", f"{counts['tries']}, {counts['acked']}, {counts['nacked']}"),
+        ("most attempts in one second", f"{figures['most_tries']:.0f}"),
+        ("unanswered attempts; requests run twice", f"{figures['lost']}; {figures['twice']}"),
         ("peak core use from 10 s after the end", f"{figures['core']:.2f}"),
         ("peak memory", f"{figures['memory_mb']:.0f} MB"),
     ):
--- a/mulleinhatch/cli/instance/serve.py
+++ b/mulleinhatch/cli/instance/serve.py
@@ -18,20 +18,20 @@
     signals.remember_early_signals()
     start_logging(arguments["--log"])
 
-    def placed() -> InstanceSettings:
+    def read_settings() -> InstanceSettings:
         return load_settings(os.environ, arguments["--config"], arguments["--operator"])
 
     try:
-        place = placed()
+        settings = read_settings()
     except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(Instance(place, placed).serve())
+        asyncio.run(Instance(settings, read_settings).serve())
     except InvalidSettingsError as error:
         print(f"mulleinhatch: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"mulleinhatch: {':'.join(map(str, place.listen))}: {error}", file=sys.stderr)
+        print(f"mulleinhatch: {':'.join(map(str, settings.listen))}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/mulleinhatch/cli/instance/spread.py
+++ b/mulleinhatch/cli/instance/spread.py
@@ -33,7 +33,8 @@
 
 
 def rows(status: dict[str, Any]) -> list[tuple[str, ...]]:
-    """
+    """Return the table with its header.
+
     >>> row = {"name": "b", "age": 0.5, "held": 2, "running": 1, "room": 1, "places": 2, "pace": 1.0, "load": 0.5, "acked": 3.0}
     >>> own = {"held": 0, "room": 2, "places": 2, "pace": None, "load": 0.1}
     >>> status = {"members": [{"name": "a", "state": "self"}], "spread": own, "carried": [row]}
--- a/mulleinhatch/cli/instance/trace.py
+++ b/mulleinhatch/cli/instance/trace.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 try:
-    from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
+    from mulleinhatch.instance.traces.aliases import Aliases, anonymize_metadata, anonymize_records
     from mulleinhatch.instance.traces.codec import CorruptTraceError
     from mulleinhatch.instance.traces.cutting import RecordFilter, extract, write
     from mulleinhatch.instance.traces.file import Trace, UnreadableTraceError
@@ -99,7 +99,8 @@
 
 
 def parse_offsets(texts: list[str]) -> dict[str, float]:
-    """
+    """Return the clock offsets in seconds, by name of the node.
+
     >>> parse_offsets(["n2=-0.25"])
     {'n2': -0.25}
     """
@@ -135,7 +136,9 @@
     with open(arguments["FILE"][0], "rb") as source:
         trace = Trace(source)
         with open(arguments["--out"], "xb") as file:
-            count = write(anonymous(trace.records(), aliases), file, anonymous_facts(trace.metadata, aliases), trace.major)
+            count = write(
+                anonymize_records(trace.records(), aliases), file, anonymize_metadata(trace.metadata, aliases), trace.major
+            )
         print(f"{arguments['--out']}: {count} records")
         print(format_unreadable(trace), end="")
     return 0
--- a/mulleinhatch/cli/instance/upkeep.py
+++ b/mulleinhatch/cli/instance/upkeep.py
@@ -16,7 +16,8 @@
 
 
 def seconds(text: str) -> float:
-    """
+    """Return a duration such as `20m` in seconds.
+
     >>> seconds("20m"), seconds("90"), seconds("1.5h")
     (1200.0, 90.0, 5400.0)
     >>> seconds("soon")
--- a/mulleinhatch/instance/traces/aliases.py
+++ b/mulleinhatch/instance/traces/aliases.py
@@ -91,7 +91,7 @@
                 return low + value
 
 
-def anonymous_facts(metadata: TraceMetadata, aliases: Aliases) -> TraceMetadata:
+def anonymize_metadata(metadata: TraceMetadata, aliases: Aliases) -> TraceMetadata:
     """Return metadata with aliases; seed and deployment stay, because a replay needs them and they identify nobody."""
     return TraceMetadata(
         aliases.text(metadata.instance),
@@ -108,7 +108,7 @@
     )
 
 
-def anonymous(records: Iterable[Record], aliases: Aliases) -> Iterator[Record]:
+def anonymize_records(records: Iterable[Record], aliases: Aliases) -> Iterator[Record]:
     """Yield the records with aliases for request IDs, callers and the details of notes."""
     for record in records:
         values = record.values
--- a/mulleinhatch/instance/traces/writer.py
+++ b/mulleinhatch/instance/traces/writer.py
@@ -60,7 +60,7 @@
         self.queue: queue.Queue[tuple[list[Record], int] | None] = queue.Queue(MAX_QUEUED_BATCHES)
         self.lock = threading.Lock()  # guards the two fields below: the event loop and the thread both drop batches
         self.dropped, self.dropped_until = 0, 0.0
-        self.number, self.refused_at = 0, -RETRY_DELAY_S
+        self.number, self.disk_failed_at = 0, -RETRY_DELAY_S
         self.writer: TraceWriter | None = None
         self.path = Path()
         self.opened = 0.0
@@ -98,8 +98,8 @@
         self._end_file()
 
     def _write(self, records: list[Record], newest: int) -> None:
-        if time.monotonic() - self.refused_at < RETRY_DELAY_S:
-            self._refuse(records)
+        if time.monotonic() - self.disk_failed_at < RETRY_DELAY_S:
+            self._drop_after_disk_error(records)
             return
         try:
             if self.writer is None:
@@ -115,11 +115,11 @@
                 self._end_file()
         except OSError as error:
             LOG.warning("trace not written", extra={"fields": {"error": error}})
-            self.refused_at = time.monotonic()
-            self._refuse(records)
+            self.disk_failed_at = time.monotonic()
+            self._drop_after_disk_error(records)
             self._end_file()
 
-    def _refuse(self, records: list[Record]) -> None:
+    def _drop_after_disk_error(self, records: list[Record]) -> None:
         """Drop a batch after a disk error; the next batch that is written marks the gap."""
         self._drop(0, records)
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as some
 
 from mulleinhatch.instance.traces import block, cutting, kinds
-from mulleinhatch.instance.traces.aliases import Aliases, anonymous, anonymous_facts
+from mulleinhatch.instance.traces.aliases import Aliases, anonymize_metadata, anonymize_records
 from mulleinhatch.instance.traces.block import HEAD_SIZE, Block, BlockBuilder
 from mulleinhatch.instance.traces.codec import ColumnReader, ColumnWriter, CorruptTraceError
 from mulleinhatch.instance.traces.cutting import RecordFilter, extract, select
@@ -385,8 +385,8 @@
     replay still makes the same decisions."""
     aliases = Aliases(b"one key of sixteen bytes")
     source, file = Trace(io.BytesIO(recorded_trace[1])), io.BytesIO()
-    metadata = anonymous_facts(source.metadata, aliases)
-    cutting.write(anonymous(source.records(), aliases), file, metadata, 2)
+    metadata = anonymize_metadata(source.metadata, aliases)
+    cutting.write(anonymize_records(source.records(), aliases), file, metadata, 2)
     refs = {record.values[1] for record in source.records() if record.kind is kinds.READ}
     data = file.getvalue()
     trace = Trace(file)
@@ -401,9 +401,9 @@
     outcome = replay(trace.records(), trace.metadata)
     assert outcome.differences == 0 and outcome.decisions > 100
     part = Trace(io.BytesIO(make_node_file("n1", 1, 1, 0.0, [101.0])))
-    assert anonymous_facts(part.metadata, aliases).instance == metadata.instance
-    assert anonymous_facts(part.metadata, Aliases(b"another key of sixteen")).instance != metadata.instance
-    (note,) = anonymous([Record(kinds.NOTE, 1.0, ("reloaded", "by Juma at Moshi 17"))], aliases)
+    assert anonymize_metadata(part.metadata, aliases).instance == metadata.instance
+    assert anonymize_metadata(part.metadata, Aliases(b"another key of sixteen")).instance != metadata.instance
+    (note,) = anonymize_records([Record(kinds.NOTE, 1.0, ("reloaded", "by Juma at Moshi 17"))], aliases)
     assert note.values[0] == "reloaded" and "Juma" not in note.values[1] and len(note.values[1]) == 19
 
 
