--- a/mulleinhatch/testing/datagram_relay.py
+++ b/mulleinhatch/testing/datagram_relay.py
@@ -34,7 +34,7 @@
         self.start_at = settings["start_at"]
         self.draw = random.Random(settings.get("seed", 1))
         self.sockets: list[socket.socket] = []
-        self.directory = settings.get("directory")  # the relay's port for it, and its own
+        self.directory = settings.get("directory")  # the relay's port for it, and its own port
         self.counts = {"passed": 0, "dropped": 0, "strangers": 0, "bytes": 0, "to_directory": 0}
         self.by_sender = [[0, 0] for _ in self.here]  # by sender: datagrams and bytes
         self.late = 0.0
--- a/mulleinhatch/testing/duplicate_runs.py
+++ b/mulleinhatch/testing/duplicate_runs.py
@@ -22,7 +22,7 @@
     ref: str  # id of the attempt
 
 
-class BrokenTry(NamedTuple):
+class BrokenAttempt(NamedTuple):
     """An attempt whose connection ended before the answer, as a client observed it."""
 
     place: int  # where the client sent it
@@ -45,7 +45,7 @@
     repeats: list[str]  # requests that ran again because their clients retried them after a death
 
 
-def find_second_runs(runs: Iterable[Run], broken: Mapping[str, BrokenTry], deaths: Iterable[Death]) -> SecondRuns:
+def find_second_runs(runs: Iterable[Run], broken: Mapping[str, BrokenAttempt], deaths: Iterable[Death]) -> SecondRuns:
     """Compare each run with all earlier runs of its request.
 
     A later run counts as the client's retry only if each earlier attempt had lost its connection to a death by then, and none
@@ -57,10 +57,10 @@
         deaths: The processes that were killed.
 
     >>> first, second = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.2, 1, 1, "r2")
-    >>> find_second_runs([first, second], {"r1": BrokenTry(0, 4.9, 5.1)}, [Death(0, 5.05, 5.1)])
+    >>> find_second_runs([first, second], {"r1": BrokenAttempt(0, 4.9, 5.1)}, [Death(0, 5.05, 5.1)])
     SecondRuns(faults=[], repeats=['a'])
     >>> find_second_runs([first, second], {}, [])
-    SecondRuns(faults=['a ran at 0 as r1, and at 1 as r2: the first try had not ended by a death'], repeats=[])
+    SecondRuns(faults=['a ran at 0 as r1, and at 1 as r2: the first attempt had not ended by a death'], repeats=[])
     """
     deaths = list(deaths)
     by_request: dict[str, list[Run]] = {}
@@ -80,18 +80,18 @@
     return SecondRuns(faults, repeats)
 
 
-def _fault(first: Run, later: Run, broken: BrokenTry | None, deaths: list[Death]) -> str:
+def _fault(first: Run, later: Run, broken: BrokenAttempt | None, deaths: list[Death]) -> str:
     """Return why the later of two runs is an instance's fault; empty if its client may have retried."""
     if first.ref == later.ref:
-        return "one try"
+        return "same attempt"
     if (first.place, first.incarnation) == (later.place, later.incarnation):
-        return "one life"
+        return "same incarnation"
     if broken is None or broken.broken_at > later.at or not _ended_by_death(broken, deaths):
-        return "the first try had not ended by a death"
+        return "the first attempt had not ended by a death"
     return ""
 
 
-def _ended_by_death(broken: BrokenTry, deaths: list[Death]) -> bool:
+def _ended_by_death(broken: BrokenAttempt, deaths: list[Death]) -> bool:
     """Return whether a death explains the broken attempt.
 
     It was sent before the process was gone, and its connection ended after the kill had begun. A live or draining instance
@@ -110,5 +110,5 @@
         for place, host in enumerate(report["ran"])
         for at, incarnation, ref, request in host["once"]
     ]
-    broken = {ref: BrokenTry(*seen) for client in report["stubs"] for ref, seen in client["broken_once"].items()}
+    broken = {ref: BrokenAttempt(*seen) for client in report["stubs"] for ref, seen in client["broken_once"].items()}
     return find_second_runs(runs, broken, [Death(*death) for death in report["deaths"]])
--- a/mulleinhatch/testing/fake_model_server/registration.py
+++ b/mulleinhatch/testing/fake_model_server/registration.py
@@ -15,13 +15,13 @@
 
 
 class Registration:
-    """Sends heartbeats to one control plane instance, and fails over to the next if it does not answer.
+    """Sends heartbeats to one control-plane node, and fails over to the next if it does not answer.
 
     Args:
         backend_id: The id of this incarnation.
         config: Properties that the heartbeats report.
         store: The loaded models.
-        control_addresses: Addresses of the control plane instances.
+        control_addresses: Addresses of the control-plane nodes.
     """
 
     def __init__(self, backend_id: str, config: FakeModelServerConfig, store: ModelStore, control_addresses: list[str]) -> None:
@@ -38,7 +38,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def send_heartbeat(self) -> None:
-        """Send one heartbeat, at most once to each control plane instance."""
+        """Send one heartbeat, at most once to each control-plane node."""
         self._sequence += 1
         body = json.dumps(self._heartbeat()).encode()
         for _ in range(len(self._addresses)):
@@ -53,7 +53,7 @@
             self._addresses.append(self._addresses.pop(0))
 
     async def deregister(self) -> None:
-        """Report to the first control plane instance that answers that this backend has ended."""
+        """Report to the first control-plane node that answers that this backend has ended."""
         for address in self._addresses:
             try:
                 await self._http_client.request(address, "DELETE", self._path, b"", CALL_TIMEOUT_S)
--- a/mulleinhatch/testing/fake_model_server/server.py
+++ b/mulleinhatch/testing/fake_model_server/server.py
@@ -23,7 +23,7 @@
 
     Args:
         config: Its properties.
-        control_addresses: Addresses of the control plane instances.
+        control_addresses: Addresses of the control-plane nodes.
         models: Models that are loaded at the start, with their adapters.
         disk_models: Models on its disk; by default the loaded ones.
 
--- a/mulleinhatch/testing/maintenance_windows.py
+++ b/mulleinhatch/testing/maintenance_windows.py
@@ -28,12 +28,12 @@
 
     Args:
         harness: The fleet.
-        works: Duration of the work in seconds.
+        work_s: Duration of the work in seconds.
         zone_of: The zone of each place.
     """
 
-    def __init__(self, harness: FleetHarness, works: float, zone_of: dict[int, str]) -> None:
-        self.harness, self.works, self.zone_of = harness, works, zone_of
+    def __init__(self, harness: FleetHarness, work_s: float, zone_of: dict[int, str]) -> None:
+        self.harness, self.work_s, self.zone_of = harness, work_s, zone_of
         self.seen: list[Transition] = []
         self.most = 0
         self.zone_most: dict[str, int] = {}
@@ -67,7 +67,7 @@
                 self.zone_most[zone] = max(self.zone_most.get(zone, 0), count)
 
     async def _work(self, place: int) -> None:
-        await asyncio.sleep(self.works)
+        await asyncio.sleep(self.work_s)
         self.harness.host.stdin.write(f"reset {place}\n".encode())
         await self.harness.nodes[place].start()
         self.done[place] = self.harness.now()
@@ -81,11 +81,11 @@
             await asyncio.sleep(0.05)
         return None
 
-    async def roll_by_list(self, places: list[int], at_a_time: int, starts: float) -> None:
-        """Roll without permits: `at_a_time` leave at first, then another whenever one has been back for `starts` seconds."""
+    async def roll_by_list(self, places: list[int], at_a_time: int, settle_s: float) -> None:
+        """Roll without permits: `at_a_time` leave at first, then another whenever one has been back for `settle_s` seconds."""
         waiting, leaving = list(places), set[int]()
         while waiting or leaving:
-            leaving = {place for place in leaving if place not in self.done or self.harness.now() - self.done[place] < starts}
+            leaving = {place for place in leaving if place not in self.done or self.harness.now() - self.done[place] < settle_s}
             while waiting and len(leaving) < at_a_time:
                 place = waiting.pop(0)
                 leaving.add(place)
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -18,13 +18,13 @@
 from mulleinhatch.instance.request_state_machine.reducer import Reducer
 from mulleinhatch.instance.retry_storms.bounds import StormBounds
 from mulleinhatch.instance.retry_storms.duplicate_detection import STABLE_COSTS_RETRIES
-from mulleinhatch.testing.duplicate_runs import BrokenTry, Death, Run, SecondRuns, find_second_runs, second_runs_of_fleet
+from mulleinhatch.testing.duplicate_runs import BrokenAttempt, Death, Run, SecondRuns, find_second_runs, second_runs_of_fleet
 from mulleinhatch.testing.fake_callers import Habits, Load, RequestKind
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
 
 FIRST, LATER = Run("a", 5.0, 0, 1, "r1"), Run("a", 5.5, 1, 1, "r2")
-BROKEN, DEATH = BrokenTry(0, 4.9, 5.2), Death(0, 5.1, 5.2)
+BROKEN, DEATH = BrokenAttempt(0, 4.9, 5.2), Death(0, 5.1, 5.2)
 
 
 def test_a_second_run_after_a_kill_is_attributed_to_the_caller() -> None:
@@ -42,8 +42,8 @@
 @pytest.mark.parametrize(
     ("later", "broken", "deaths", "why"),
     [
-        (LATER._replace(ref="r1"), BROKEN, [DEATH], "one try"),
-        (LATER._replace(place=0), BROKEN, [DEATH], "one life"),
+        (LATER._replace(ref="r1"), BROKEN, [DEATH], "same attempt"),
+        (LATER._replace(place=0), BROKEN, [DEATH], "same incarnation"),
         (LATER, None, [DEATH], "had not ended by a death"),  # answered, or timed out
         (LATER, BROKEN, [], "had not ended by a death"),  # a live instance broke the connection
         (LATER, BROKEN, [DEATH._replace(place=1)], "had not ended by a death"),  # another instance died
@@ -63,7 +63,7 @@
     ],
 )
 def test_any_other_second_run_is_a_fault_of_an_instance(
-    later: Run, broken: BrokenTry | None, deaths: list[Death], why: str
+    later: Run, broken: BrokenAttempt | None, deaths: list[Death], why: str
 ) -> None:
     faults, repeats = find_second_runs([FIRST, later], {"r1": broken} if broken else {}, deaths)
     assert len(faults) == 1 and faults[0].endswith(why) and not repeats
@@ -73,7 +73,7 @@
     """The second run is attributed to the caller, as the first attempt had ended by a death; the second had not."""
     third = Run("a", 6.0, 2, 1, "r3")
     faults, repeats = find_second_runs([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
-    assert faults == ["a ran at 1 as r2, and at 2 as r3: the first try had not ended by a death"] and not repeats
+    assert faults == ["a ran at 1 as r2, and at 2 as r3: the first attempt had not ended by a death"] and not repeats
 
 
 # Reports of fake callers.
