--- a/benchmarks/footprint_planes.py
+++ b/benchmarks/footprint_planes.py
@@ -372,14 +372,14 @@
         await asyncio.sleep(0.02)
 
 
-async def wait_until_served(front: Client) -> None:
+async def wait_until_served(data_plane: Client) -> None:
     """Send requests until one is served.
 
     Raises:
         TimeoutError: If none was served in time.
     """
     end = time.perf_counter() + READY_TIMEOUT_S
-    while (answer := await front.send(request_bytes(b"/read/first"))).status != 200:
+    while (answer := await data_plane.send(request_bytes(b"/read/first"))).status != 200:
         if time.perf_counter() > end:
             raise TimeoutError(f"no request was served: {answer.status} {answer.body[:500]!r}")
         await asyncio.sleep(0.02)
@@ -398,7 +398,7 @@
     address, figures = free_loopback(), {}
     planes: dict[str, Plane] = {}
     server = ModelServer((address, MODEL_PORT), (address, CONTROL_PORT))
-    control, front = Client((address, CONTROL_PORT)), Client((address, FRONT_PORT))
+    control, data_plane = Client((address, CONTROL_PORT)), Client((address, FRONT_PORT))
     direct = Client(server.address)
     with tempfile.TemporaryDirectory(prefix="mulleinhatch-footprint-") as folder:
         try:
@@ -409,7 +409,7 @@
                 if kind == "control":
                     await put_configuration(control)
                     await server.start()
-            await wait_until_served(front)
+            await wait_until_served(data_plane)
             await asyncio.sleep(load.settle_s)
             pids = {kind: plane.pid for kind, plane in planes.items()}
             for kind, pid in pids.items():
@@ -418,13 +418,13 @@
             await asyncio.sleep(load.idle_s)
             for kind, pid in pids.items():
                 figures[f"{kind} idle, processor ms a second"] = 1000.0 * (processor_s(pid) - before[kind]) / load.idle_s
-            await _measure_load(figures, pids, server, front, direct, load)
+            await _measure_load(figures, pids, server, data_plane, direct, load)
             await asyncio.sleep(load.settle_s)
             for kind, pid in pids.items():
                 figures[f"{kind} after load, MB"] = memory_mb(pid, "VmRSS")
                 figures[f"{kind} peak, MB"] = memory_mb(pid, "VmHWM")
         finally:
-            for client in (control, front, direct):
+            for client in (control, data_plane, direct):
                 client.close()
             server.stop()
             for plane in planes.values():
@@ -433,11 +433,11 @@
 
 
 async def _measure_load(
-    figures: dict[str, float], pids: dict[str, int], server: ModelServer, front: Client, direct: Client, load: Load
+    figures: dict[str, float], pids: dict[str, int], server: ModelServer, data_plane: Client, direct: Client, load: Load
 ) -> None:
     figures["control heartbeat, processor us"] = await _measure_heartbeats(pids["control"], server, load.heartbeats)
-    figures |= await _measure_requests(pids["data"], server, front, direct, load.requests)
-    figures |= await _measure_streams(pids["data"], front, direct, load.streams)
+    figures |= await _measure_requests(pids["data"], server, data_plane, direct, load.requests)
+    figures |= await _measure_streams(pids["data"], data_plane, direct, load.streams)
 
 
 async def _measure_heartbeats(pid: int, server: ModelServer, count: int) -> float:
@@ -452,11 +452,11 @@
     return 1e6 * (processor_s(pid) - before) / count
 
 
-async def _measure_requests(pid: int, server: ModelServer, front: Client, direct: Client, count: int) -> dict[str, float]:
+async def _measure_requests(pid: int, server: ModelServer, data_plane: Client, direct: Client, count: int) -> dict[str, float]:
     """Return the processor time of the data plane per request and the latency that it adds."""
     figures: dict[str, float] = {}
-    latencies: dict[Client, list[float]] = {front: [], direct: []}
-    for client in (direct, front):  # each opens its connections before the figures are taken
+    latencies: dict[Client, list[float]] = {data_plane: [], direct: []}
+    for client in (direct, data_plane):  # each opens its connections before the figures are taken
 
         async def send_request(number: int, client: Client = client) -> None:
             started_at = time.perf_counter()
@@ -469,19 +469,19 @@
         await run_at_rate(count, REQUESTS_PER_S, send_request)
         if server.answered - answered != count:
             raise RuntimeError(f"{count} requests were run {server.answered - answered} times")
-        if client is front:
+        if client is data_plane:
             figures["data request, processor us"] = 1e6 * (processor_s(pid) - before) / count
     base = median(latencies[direct])
-    figures["request added median, us"] = 1e6 * (median(latencies[front]) - base)
-    figures["request added p99, us"] = 1e6 * (quantiles(latencies[front], n=100)[98] - base)
+    figures["request added median, us"] = 1e6 * (median(latencies[data_plane]) - base)
+    figures["request added p99, us"] = 1e6 * (quantiles(latencies[data_plane], n=100)[98] - base)
     return figures
 
 
-async def _measure_streams(pid: int, front: Client, direct: Client, count: int) -> dict[str, float]:
+async def _measure_streams(pid: int, data_plane: Client, direct: Client, count: int) -> dict[str, float]:
     """Return the processor time of the data plane per stream event and the latency that it adds."""
     figures: dict[str, float] = {}
-    latencies: dict[Client, list[float]] = {front: [], direct: []}
-    for client in (direct, front):
+    latencies: dict[Client, list[float]] = {data_plane: [], direct: []}
+    for client in (direct, data_plane):
 
         async def stream(number: int, client: Client = client) -> None:
             answer = await client.send(request_bytes(b"/write/%d" % number), latencies[client])
@@ -490,9 +490,9 @@
 
         before = processor_s(pid)
         await run_at_rate(count, STREAMS_PER_S, stream)
-        if client is front:
+        if client is data_plane:
             figures["data stream event, processor us"] = 1e6 * (processor_s(pid) - before) / (count * EVENTS_PER_STREAM)
-    figures["event added median, us"] = 1e6 * (median(latencies[front]) - median(latencies[direct]))
+    figures["event added median, us"] = 1e6 * (median(latencies[data_plane]) - median(latencies[direct]))
     return figures
 
 
--- a/benchmarks/footprint_play.py
+++ b/benchmarks/footprint_play.py
@@ -180,7 +180,7 @@
 
 
 class World:
-    """Simulates callers, cores and timers of instances: sends batches and applies replies. All draws come from one seed."""
+    """Simulates clients, cores and timers of instances: sends batches and applies replies. All draws come from one seed."""
 
     def __init__(self, instances: int, seed: int) -> None:
         self.random = random.Random(seed)
--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -65,7 +65,9 @@
         calm_from = world.now
         world.play(calm_from + 10.0)
         before = traffic_of(world.traffic(calm_from, world.now))
-        missing_in_sums = max((look.living - look.members for look in world.listed("looks") if look.at > calm_from), default=0)
+        missing_in_sums = max(
+            (sample.living - sample.members for sample in world.listed("looks") if sample.at > calm_from), default=0
+        )
         wrongly_gone = world.counts()["wrong"]
         begin = world.now
         world.ask("mark")
@@ -81,7 +83,7 @@
         merged_after_s = time_until_merged(world, 30.0, 0.25)
         world.play(float(int(world.now) + 11))
         after = traffic_of(world.traffic(begin, world.now))
-        looks, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
+        samples, gone, virtual = world.listed("looks"), world.listed("gone"), world.now
         wrongly_gone = world.counts()["wrong"] - wrongly_gone
         core = sum(nanoseconds for nanoseconds, _ in world.cpu().values()) / 1e9 / members / (virtual - begin)
         ground = world.ground
@@ -107,15 +109,15 @@
         "no living one declared gone": wrongly_gone == 0,
         f"one again in {event.recovery_limit:g} s": merged_after_s is not None and merged_after_s <= event.recovery_limit,
     }
-    places = {look.place for look in looks}
+    places = {sample.place for sample in samples}
     if dead:
         killed_at = begin + event.killed_after
         elsewhere = {place for place in places if ground.zone[place] not in {ground.zone[one] for one in dead}}
         figures["known"] = known_after(gone, holders, killed_at, 1.0 if options.levels else 0.99)
-        figures["in sums"] = in_sums(looks, elsewhere, killed_at, min(killed_at + event.down_for, virtual))
+        figures["in sums"] = in_sums(samples, elsewhere, killed_at, min(killed_at + event.down_for, virtual))
         holds[f"known in {MAX_KNOWN_S:g} s"] = figures["known"] is not None and figures["known"] <= MAX_KNOWN_S
         holds[f"in sums in {MAX_IN_SUMS_S:g} s"] = figures["in sums"] is not None and figures["in sums"] <= MAX_IN_SUMS_S
-    figures["sums again"] = in_sums(looks, places, over, virtual, 0.99)
+    figures["sums again"] = in_sums(samples, places, over, virtual, 0.99)
     holds[f"sums right in {event.recovery_limit:g} s"] = (
         figures["sums again"] is not None and figures["sums again"] <= event.recovery_limit
     )
@@ -242,9 +244,9 @@
         world.play(duration)
         joined = time_until_merged(world, MAX_JOINED_S + 30.0)
         world.play(world.now + 5.0)
-        looks, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
+        samples, virtual, wrong = world.listed("looks"), world.now, world.counts()["wrong"]
         traffic = traffic_of(world.traffic(0, int(world.now)))
-    in_sums_after_s = in_sums(looks, {look.place for look in looks}, duration, virtual, 0.99)
+    in_sums_after_s = in_sums(samples, {sample.place for sample in samples}, duration, virtual, 0.99)
     figures = {
         "members": members,
         "joined": joined,
--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -8,7 +8,7 @@
 from benchmarks.records import Fit
 from mulleinhatch.testing.single_instance import SingleInstance, run_load
 
-CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests a second
+CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests per second
 WARM_UP_S = 2.0  # at the calm rate, after which caches and pools no longer grow
 
 
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -1,4 +1,4 @@
-"""Measure the fault search over a simulated fleet: speed, coverage, and whether it detects planted defects.
+"""Measure the fault search over a simulated fleet: speed, coverage, and whether it detects injected defects.
 
 Usage:
   search [--quick] [--seed N] [--seconds N]
--- a/benchmarks/soak_parts/clients.py
+++ b/benchmarks/soak_parts/clients.py
@@ -120,17 +120,17 @@
     """One request and its response on a connection.
 
     Args:
-        front: Name of the data plane.
+        data_plane: Name of the data plane.
         plan: The request to send.
         now: The current time.
     """
 
-    def __init__(self, front: str, plan: PlannedRequest, now: float) -> None:
+    def __init__(self, data_plane: str, plan: PlannedRequest, now: float) -> None:
         request_id = uuid.uuid4().hex[:16]
         method_has_body = KINDS.get(plan.route, "safe") != "safe"
         self.request = ClientRequest(
             id=request_id,
-            front=front,
+            front=data_plane,
             route=plan.route,
             path=f"/{plan.route}/{request_id}?a=b",
             body=f"body of {request_id}".encode() if method_has_body else b"",
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -192,7 +192,7 @@
     """Run real processes without and with load balancing."""
     cores, work = (2, 200.0) if count <= 50 else (1, 400.0)
     rate = 0.9 * count * cores / work * 1000.0
-    few = f"0-{max(4, count // 5 - 1)}"  # three tenths of the load come from callers that know only these (5 of 24)
+    few = f"0-{max(4, count // 5 - 1)}"  # three tenths of the load come from clients that know only these (5 of 24)
     figures: dict[str, Any] = {}
     for name, spread in (("alone", ""), ("spread", "-")):
         case = FleetCase(
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -98,8 +98,8 @@
         await harness.until(max(harness.now(), fleet_case.run_for))
         await windows.stop()
         report = await harness.finish()
-    backends = report["stubs"]
-    asked, in_time = (sum(sum(backend[what].values()) for backend in backends) for what in ("first", "in_time"))
+    clients = report["stubs"]
+    asked, in_time = (sum(sum(client[what].values()) for client in clients) for what in ("first", "in_time"))
     return {
         "most out": windows.most,
         "most of a zone": max(windows.zone_most.values(), default=0),
