--- a/benchmarks/days/matrix.py
+++ b/benchmarks/days/matrix.py
@@ -76,7 +76,7 @@
 
 
 def cell_day(cell: Cell, site: Mapping[str, Any], seed: int) -> dict[str, Any]:
-    """Return the day: the fault twice, a burst of changes, and the kill of a control plane or a burst of traffic."""
+    """Return the day: the fault twice, a burst of changes, and the kill of a control-plane node or a burst of traffic."""
     length_s = float(site["length_s"])
     first, second = _occurrence_times(cell.phase, length_s)
     plan: list[dict[str, Any]] = [
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -32,12 +32,12 @@
     return Fit(best.form, *(round(value, 9) for value in best[1:]))
 
 
-def worthwhile(points: Sequence[Sequence[float]]) -> Fit:
+def fit_growth(points: Sequence[Sequence[float]]) -> Fit:
     """Return a growing fit if it reduces the residual of the constant by over `MIN_RESIDUAL_GAIN`, else the constant.
 
-    >>> worthwhile([[10, 105.0], [100, 150.0], [1000, 600.0], [10_000, 5100.0]])
+    >>> fit_growth([[10, 105.0], [100, 150.0], [1000, 600.0], [10_000, 5100.0]])
     Fit(form='linear', constant=100.0, slope=0.5, residual=0.0)
-    >>> worthwhile([[1, 3.0], [2, 5.0], [4, 7.0], [8, 9.0]]).form, worthwhile([[1, 3.0], [2, 3.01], [4, 3.0], [8, 2.99]]).form
+    >>> fit_growth([[1, 3.0], [2, 5.0], [4, 7.0], [8, 9.0]]).form, fit_growth([[1, 3.0], [2, 3.01], [4, 3.0], [8, 2.99]]).form
     ('log2', 'constant')
     """
     if len(points) < 2:
--- a/benchmarks/histories.py
+++ b/benchmarks/histories.py
@@ -6,7 +6,7 @@
   histories --quick
 
 Options:
-  --machines N         Number of control planes [default: 3].
+  --machines N         Number of control-plane nodes [default: 3].
   --tolerated N        Machines that may fail at the same time [default: 1].
   --zones N            Zones of the machines [default: 1].
   --zones-tolerated N  Zones that may fail at the same time [default: 0].
--- a/benchmarks/lost_value.py
+++ b/benchmarks/lost_value.py
@@ -97,7 +97,7 @@
 
 def _cause(record: dict[str, Any], is_late: bool) -> str:
     if is_late and _field(record, "backend_latency_s") >= BACKEND_FRACTION * record["waited_s"]:
-        return "slow at the stub" + (", sent again" if record["sends"] > 1 else "")
+        return "slow at the backend" + (", sent again" if record["sends"] > 1 else "")
     return _field(record, "wait_reason")
 
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -159,17 +159,17 @@
 
     def _heartbeat_cpu_s(self, count: int) -> float:
         """Return the CPU seconds of one heartbeat for all budgets."""
-        parts = budget_states(count)
+        quotas = budget_states(count)
         now = 100.0
 
         def heartbeat() -> None:
-            for part in parts:
-                part.usable(now)
-                part.plan_requests(now, 0.5, [])
+            for quota in quotas:
+                quota.usable(now)
+                quota.plan_requests(now, 0.5, [])
                 for _ in range(MESSAGES_PER_HEARTBEAT):
-                    part.spare_units(now, 0.5)
+                    quota.spare_units(now, 0.5)
                 for _ in range(1 + MESSAGES_PER_HEARTBEAT):
-                    part.usable_pieces(now)
+                    quota.usable_pieces(now)
 
         return cpu_s(heartbeat, max(1, 1_000 // count), self.repetitions)
 
@@ -556,8 +556,8 @@
 def gossip_service_with_reports(count: int, has_distinct_tenants: bool) -> GossipService:
     """Return an instance's gossip service with reports of `count` members; it has no socket and sends nothing."""
     bounds = FleetBounds("f", budgets=(BudgetBounds("q", MEMBERS, SEATS, tenant="t"),))
-    placement = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
-    service = GossipService(placement, SimpleNamespace(tenants=[]), lambda *arguments: None, lambda: None)
+    settings = SimpleNamespace(fleet=bounds, name="n0", seed=1, spread=None, upkeep=None)
+    service = GossipService(settings, SimpleNamespace(tenants=[]), lambda *arguments: None, lambda: None)
     service.socket.close()
     now = time.monotonic()
     service.core = core = GossipNode(bounds, "n0", "10.0.0.1:7300", 1_700_000_000_000, 1, now)
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -8,7 +8,7 @@
   --seed N  Seed of the arrivals [default: 1].
 
 The real quota clients and owners run in virtual time. Tenants request 0.7 of their rate, except for one that requests three
-times its rate. A control plane is partitioned for a third of the time; after a view change the others own its tenants. All
+times its rate. A control-plane node is partitioned for a third of the time; after a view change the others own its tenants. All
 strategies get the same requests; a rejected client retries once after `Retry-After`. The table counts tokens of the tenants
 below their limit. The last line is JSON with "holds"; the exit status is 1 if an objective is missed.
 """
@@ -45,7 +45,7 @@
 from mulleinhatch.tenants.tenant import QuotaLimit, QuotaUnit, Tenant
 
 BOUNDS = QuotaBounds(window_s=8.0, overage=0.1, slack=17_000.0)
-ROUND_TRIP_S = 0.003  # round trip to a control plane
+ROUND_TRIP_S = 0.003  # round trip to a control-plane node
 TARGET_S, DEADLINE_S = 0.8, 5.0
 MIN_TOKENS, MAX_TOKENS = 1200, 3600  # per request
 LARGE = QuotaLimit(150_000.0, 150_000.0)
@@ -157,7 +157,7 @@
 
 
 class ControlPlanes:
-    """Simulates the control planes, one of them partitioned; data planes use it as their `HttpClient`.
+    """Simulates the control-plane nodes, one of them partitioned; data planes use it as their `HttpClient`.
 
     Args:
         limits: Limits of all tenants.
@@ -175,7 +175,7 @@
         self.change_view(CONTROL_PLANES)
 
     def change_view(self, addresses: tuple[str, ...]) -> None:
-        """Install a view at its control planes, and notify the data planes."""
+        """Install a view at its control-plane nodes, and notify the data planes."""
         self.epoch, self.addresses = self.epoch + 1, addresses
         for address in addresses:
             self.owners[address].update(OwnerView(self.epoch, address, addresses), self._tenants, 1, self._loop.time())
@@ -183,13 +183,13 @@
             notify()
 
     def partition(self, address: str) -> None:
-        """Partition a control plane; a view without it follows after the time of a view change."""
+        """Partition a control-plane node; a view without it follows after the time of a view change."""
         self.partitioned.add(address)
         rest = tuple(one for one in CONTROL_PLANES if one != address)
         self._loop.call_later(VIEW_CHANGE_S, self.change_view, rest)
 
     def heal(self, address: str) -> None:
-        """End the partition: the control plane joins in the next view."""
+        """End the partition: the node joins in the next view."""
         self.partitioned.discard(address)
         self.change_view(CONTROL_PLANES)
 
@@ -200,7 +200,7 @@
         """Answer a quota request.
 
         Raises:
-            HttpCallError: The control plane is partitioned.
+            HttpCallError: The control-plane node is partitioned.
         """
         if address in self.partitioned:
             await asyncio.sleep(timeout_s)
--- a/benchmarks/scale_instance.py
+++ b/benchmarks/scale_instance.py
@@ -16,10 +16,10 @@
 includes queueing in the instance and the driver's extra cost of HTTP over the interpreter's protocol. A route is a class, named
 by the last segment of a request's path. Costs by size are fitted (`benchmarks/fits.py`); without --quick the largest size is
 excluded from the fit and checks it.
-Objectives: at most 2.6 ms added at p99 at 275 requests a second and after the loss of a zone or a region; no request lost, also
-during a reload of the settings; without --quick, fits of CPU and memory of settings within 15% of their checks. Whether a cost
-stays below its limit is not checked here but in docs/CAPACITY.md. On a busy machine the driver itself is late, and the first
-objective may fail.
+Objectives: at most 2.6 ms added at p99 at 275 requests per second and after the loss of a zone or a region; no request lost,
+also during a reload of the settings; without --quick, fits of CPU and memory of settings within 15% of their checks. Whether a
+cost stays below its limit is not checked here but in docs/CAPACITY.md. On a busy machine the driver itself is late, and the
+first objective may fail.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from benchmarks.fits import worthwhile
+from benchmarks.fits import fit_growth
 from benchmarks.records import Fit
 from mulleinhatch.testing.single_instance import SingleInstance, run_load
 
@@ -57,7 +57,7 @@
             "unit": unit,
             "size": size,
             "points": fitted_points,
-            **worthwhile(fitted_points)._asdict(),
+            **fit_growth(fitted_points)._asdict(),
             "checked": None if fitted_points is points else points[-1],
         }
 
--- a/benchmarks/search.py
+++ b/benchmarks/search.py
@@ -4,11 +4,11 @@
   search [--quick] [--seed N] [--seconds N]
 
 Options:
-  --quick      Histories for 15 s and three planted defects.
+  --quick      Histories for 15 s and three injected defects.
   --seed N     Seed of the first history [default: 1].
   --seconds N  Duration of the campaign without a defect; the default is 15 s with --quick, else 300 s.
 
-Objectives: each planted defect is detected within 60 s; without a defect nothing is reported.
+Objectives: each injected defect is detected within 60 s; without a defect nothing is reported.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     options = docopt(__doc__, argv)
     quick, seed = options["--quick"], int(options["--seed"])
     without_defect = campaign.campaign(itertools.count(seed), float(options["--seconds"] or (15 if quick else 300)))
-    table, found = Table("planted defect", "seconds", "histories", "violation"), {}
+    table, found = Table("injected defect", "seconds", "histories", "violation"), {}
     for name in QUICK_DEFECTS if quick else defects.DEFECTS:
         with_defect = campaign.campaign(itertools.count(seed), MAX_DETECTION_S, name, stop_at_first=True)
         found[name] = round(with_defect.seconds, 1) if with_defect.findings else None
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -3,11 +3,11 @@
 Usage: python -m benchmarks.soak [--seed=1] [--seeds=1] [--seconds=14] [--data-planes=3] [--control-planes=3] [--quick]
 [--logs=DIR]
 
-Control planes and data planes are processes on loopback; clients, backends and the operator are tasks of this program. Faults
-occur one after another and overlapping: SIGTERM and SIGKILL with a restart, SIGSTOP, SIGHUP, and backends that crash, leave and
-return, several at once, while the operator changes routes, timeouts, limits and keys. The checks use only what clients and
-backends observed. Each seed prints a table and a JSON line with "holds" and the seed; the exit status is 1 if a check fails.
-With `--logs`, the violations and logs of each failing seed are saved in that directory.
+Control-plane nodes and data planes are processes on loopback; clients, backends and the operator are tasks of this program.
+Faults occur one after another and overlapping: SIGTERM and SIGKILL with a restart, SIGSTOP, SIGHUP, and backends that crash,
+leave and return, several at once, while the operator changes routes, timeouts, limits and keys. The checks use only what
+clients and backends observed. Each seed prints a table and a JSON line with "holds" and the seed; the exit status is 1 if a
+check fails. With `--logs`, the violations and logs of each failing seed are saved in that directory.
 """
 
 from __future__ import annotations
@@ -95,7 +95,7 @@
         seeds: Number of consecutive seeds.
         seconds: Duration of the fault phase; startup and the recovery phase are added to it.
         data_planes: Number of data planes.
-        control_planes: Number of control planes.
+        control_planes: Number of control-plane nodes.
         quick: At most two data planes, and a shorter fault phase unless `seconds` is given.
         logs: Directory for the violations and logs of failing seeds.
     """
--- a/benchmarks/soak_parts/backends.py
+++ b/benchmarks/soak_parts/backends.py
@@ -43,7 +43,7 @@
         service: Its service.
         address: "HOST:PORT" to listen on.
         zone: Its zone.
-        control_addresses: Control planes that it sends heartbeats to; if empty, it does not register.
+        control_addresses: Control-plane nodes that it sends heartbeats to; if empty, it does not register.
         record: Called with each run.
         on_interrupted: Called with the ID of each request that `crash` interrupts.
     """
--- a/benchmarks/soak_parts/bounds.py
+++ b/benchmarks/soak_parts/bounds.py
@@ -13,7 +13,7 @@
         contact_s: How long a machine must have been undisturbed to count as in contact.
         acknowledge_s: The time limit for acknowledging a change while there are no faults.
         apply_s: The time from an acknowledgement until machines in contact apply the change.
-        outer_s: By how much faults of control planes may extend `apply_s`.
+        outer_s: By how much faults of control-plane nodes may extend `apply_s`.
         grace_s: The time from SIGTERM until the platform sends SIGKILL.
         recovery_s: The time from the last fault until requests are served again.
         loss_slack_s: If a connection closes sooner than this after a request was sent, the request may not have been read.
--- a/benchmarks/soak_parts/changes.py
+++ b/benchmarks/soak_parts/changes.py
@@ -127,7 +127,7 @@
     """Sends changes one after another, each unchanged until it is acknowledged or refused.
 
     Args:
-        control_addresses: Control addresses of all control planes.
+        control_addresses: Control addresses of all control-plane nodes.
         observations: Receives the versions, and the rejections of valid changes.
         random_source: Source of the draws.
     """
@@ -166,7 +166,7 @@
         )
 
     async def read(self) -> dict[str, Any] | None:
-        """Return the configuration from any control plane, or None if none returns it."""
+        """Return the configuration from any control-plane node, or None if none returns it."""
         for address in self._shuffled():
             answer = await self._send_with_redirects(address, "GET", b"", ())
             if answer is not None and answer.status == 200:
--- a/benchmarks/soak_parts/fleet.py
+++ b/benchmarks/soak_parts/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: control planes and data planes on separate loopback addresses, and the signals sent to them."""
+"""The processes of a soak: control-plane nodes and data planes on separate loopback addresses, and the signals sent to them."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 
 class Fleet:
-    """Runs control planes and data planes as processes; every signal is recorded as a disturbance.
+    """Runs control-plane nodes and data planes as processes; every signal is recorded as a disturbance.
 
     Args:
         folder: Directory of settings, logs and persisted state.
-        control_planes: Number of control planes.
+        control_planes: Number of control-plane nodes.
         data_planes: Number of data planes.
         bounds: Bounds to write to the settings.
     """
@@ -55,7 +55,7 @@
 
     @property
     def control_plane_names(self) -> list[str]:
-        """Return the names of the control planes."""
+        """Return the names of the control-plane nodes."""
         return [f"control-{number}" for number in range(self._control_planes)]
 
     @property
@@ -65,7 +65,7 @@
 
     @property
     def control_addresses(self) -> list[str]:
-        """Return the control addresses of all control planes."""
+        """Return the control addresses of all control-plane nodes."""
         return [f"{self.ip(name)}:{CONTROL_PORT}" for name in self.control_plane_names]
 
     def front_address(self, name: str) -> tuple[str, int]:
--- a/benchmarks/soak_parts/history.py
+++ b/benchmarks/soak_parts/history.py
@@ -8,7 +8,7 @@
 from benchmarks.soak_parts.bounds import SoakBounds
 from benchmarks.soak_parts.records import ClientRequest, Disturbance, Interval, Observations, Version
 
-CONTROL_PLANE_START_S = 2.0  # seconds after its start until a control plane counts as running
+CONTROL_PLANE_START_S = 2.0  # seconds after its start until a control-plane node counts as running
 
 
 def overlaps(intervals: Iterable[Interval], begin: float, end: float) -> bool:
@@ -50,11 +50,11 @@
         )
 
     def are_control_planes_undisturbed(self, begin: float, end: float) -> bool:
-        """Return whether no fault met a control plane in [begin, end]."""
+        """Return whether no fault met a control-plane node in [begin, end]."""
         return not overlaps(self._control_plane_faults, begin, end)
 
     def has_control_plane_majority(self, begin: float, end: float) -> bool:
-        """Return whether more than half of the control planes ran throughout [begin, end]."""
+        """Return whether more than half of the control-plane nodes ran throughout [begin, end]."""
         running = sum(
             not overlaps([(first, last + CONTROL_PLANE_START_S) for first, last in self._intervals(name)], begin, end)
             for name in self._observations.cores
--- a/benchmarks/soak_parts/records.py
+++ b/benchmarks/soak_parts/records.py
@@ -140,7 +140,7 @@
 
     Attributes:
         fronts: Names of the data planes.
-        cores: Names of the control planes.
+        cores: Names of the control-plane nodes.
         requests: All requests of the clients.
         runs: All runs at backends.
         versions: All versions that were sent, in order.
--- a/benchmarks/soak_parts/scene.py
+++ b/benchmarks/soak_parts/scene.py
@@ -36,7 +36,7 @@
     Attributes:
         seconds: Duration of the fault phase; startup and the recovery checks are added to it.
         data_planes: Number of data planes.
-        control_planes: Number of control planes.
+        control_planes: Number of control-plane nodes.
         backends: Number of backends.
     """
 
@@ -214,7 +214,7 @@
         read = await self._operator.read()
         expected = self._operator.document
         if read is None:
-            self.observations.unrecovered.append("no control plane returned the configuration")
+            self.observations.unrecovered.append("no control-plane node returned the configuration")
             return
         versions = [version for version in self.observations.versions if version.number == read.get("version")]
         if read.get("version", 0) < expected["version"]:
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -5,13 +5,13 @@
 
 Options:
   --quick      One outage, scaled down; takes less than 45 s.
-  --seed N     Seed of the load and of the callers' behaviour [default: 1].
+  --seed N     Seed of the load and of the clients' behaviour [default: 1].
   --only NAME  One case of the full list.
   --plot FILE  Share of first attempts that succeed in time, over time, for each case, as PNG (matplotlib).
 
 Instances, simulated clients and interpreters run as separate processes. The table gives the lateness of the simulated ones
-(`late`): above 0.1 s the machine was too busy for a valid result. An instance serves 80 requests a second (4 cores, 50 ms a
-request). Callers retry after 50 ms until their patience ends. `in time` is the share of first attempts after the end of the
+(`late`): above 0.1 s the machine was too busy for a valid result. An instance serves 80 requests per second (4 cores, 50 ms
+each). Clients retry after 50 ms until their patience ends. `in time` is the share of first attempts after the end of the
 outage that succeed within 1.8 s; `back` is the number of seconds from the end of the outage until nine of ten do, until the end
 of the run; `core` is the highest CPU use of an instance over 2 s, as a share of a core, from 10 s after the end of the outage.
 """
--- a/tests/system/test_request_log.py
+++ b/tests/system/test_request_log.py
@@ -54,7 +54,7 @@
         [lost] = lost_requests([(at, record)])
         self.assertEqual((lost.late, lost.cause, lost.model, lost.priority), (True, WaitReason.LOADING.value, "m", 1))
         [slow] = lost_requests(read_lines(self.lines(lambda: self.log.late(self.request(), 2.0, 1.5))))
-        self.assertEqual(slow.cause, "slow at the stub")
+        self.assertEqual(slow.cause, "slow at the backend")
 
     def test_rejection_can_be_parsed_and_is_stored_for_the_status_page(self):
         lines = self.lines(lambda: self.log.not_served(self.request(), "due", 0.25))
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -70,7 +70,7 @@
             (3.0, LATE | {"message": "not served"}),
             (4.0, {"message": "x"}),
         ]
-        self.assertEqual([one.cause for one in lost_requests(records)], ["slow at the stub", "held", "held"])
+        self.assertEqual([one.cause for one in lost_requests(records)], ["slow at the backend", "held", "held"])
         self.assertEqual([one.late for one in lost_requests(records)], [True, True, False])
 
     def test_lines_without_records_are_skipped(self):
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -17,7 +17,7 @@
 import pytest
 
 from benchmarks import scale_instance
-from benchmarks.fits import worthwhile
+from benchmarks.fits import fit_growth
 from benchmarks.records import Fit
 from mulleinhatch.instance.runtime.instance_settings import load_settings
 from mulleinhatch.testing.load_generator import Habits, LoadGenerator
@@ -221,7 +221,7 @@
         with pytest.raises(ValueError, match="sizes are too small"):
             settings(*sizes)
     with pytest.raises(ValueError, match="a fit needs two points or more, not 1"):
-        worthwhile([[1, 1.0]])
+        fit_growth([[1, 1.0]])
 
 
 def test_fit_is_checked_against_the_largest_of_five_sizes() -> None:
