--- a/mulleinhatch/cli/instance/demo.py
+++ b/mulleinhatch/cli/instance/demo.py
@@ -86,7 +86,7 @@
             await asyncio.wait([playing], timeout=REFRESH_INTERVAL_S)
             elapsed = time.time() - harness.start_at
             if 0.0 < elapsed < dashboard.seconds:
-                dashboard.update(elapsed, await harness.places[0].counters())
+                dashboard.update(elapsed, await harness.nodes[0].counters())
                 if live:
                     live.update(dashboard.table())
                 elif elapsed >= printed_until:
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -92,7 +92,7 @@
         return free.getsockname()[1]
 
 
-class Place:
+class Node:
     """An instance and its interpreter, whose addresses stay the same over their incarnations."""
 
     def __init__(self, case: Case, number: int, folder: Path) -> None:
@@ -185,8 +185,8 @@
     def __init__(self, case: Case, folder: Path, on_sample: Callable[[InstanceHarness], None] | None = None) -> None:
         self.case, self.folder, self.on_sample = case, folder, on_sample
         self.faults = faults.read(case.script)
-        self.places = [Place(case, number, folder) for number in range(case.instances)]
-        self.samples: list[tuple[float, list[float | None], list[int]]] = []  # time, CPU seconds and memory by place
+        self.nodes = [Node(case, number, folder) for number in range(case.instances)]
+        self.samples: list[tuple[float, list[float | None], list[int]]] = []  # time, CPU seconds and memory by node
         self.late = 0.0
         self.readings: list[tuple[float, float, dict[str, int]]] = []  # CPU seconds, time, counters
         self.disturbances: list[asyncio.Task[None]] = []
@@ -196,8 +196,8 @@
         """Run the case and return the reports of all processes."""
         loads: list[asyncio.subprocess.Process] = []
         try:
-            for place in self.places:
-                await place.start()
+            for node in self.nodes:
+                await node.start()
             await self._wait_until_up()
             self.start_at = time.time() + CLIENT_LEAD_S
             loads = [await self._start_load(number) for number in range(self.case.loads)]
@@ -206,8 +206,8 @@
             await self._play_faults()
             done = await asyncio.wait_for(asyncio.gather(*reports), self.case.run_for + 20.0)
             sampling.cancel()
-            counters = [await place.counters() for place in self.places]
-            ran = [[*place.lost_reports, await place.stop()] for place in self.places]
+            counters = [await node.counters() for node in self.nodes]
+            ran = [[*node.lost_reports, await node.stop()] for node in self.nodes]
             return {
                 "stubs": [json.loads(out) for out, _ in done],
                 "counters": counters,
@@ -223,23 +223,23 @@
             for load in loads:
                 if load.returncode is None:
                     load.kill()
-            for place in self.places:
+            for node in self.nodes:
                 with contextlib.suppress(ProcessLookupError):
-                    await place.stop()
+                    await node.stop()
 
     async def _wait_until_up(self) -> None:
         """Wait until all instances answer a health check and are connected to their interpreters."""
         until = time.monotonic() + STARTUP_TIMEOUT_S
-        for place in self.places:
-            while not (await place.counters()).get("link_opened"):
+        for node in self.nodes:
+            while not (await node.counters()).get("link_opened"):
                 if time.monotonic() > until:
-                    raise TimeoutError(f"instance {place.number} is not up: see {self.folder}")
+                    raise TimeoutError(f"instance {node.number} is not up: see {self.folder}")
                 await asyncio.sleep(0.05)
 
     async def _start_load(self, number: int) -> asyncio.subprocess.Process:
         case = self.case
         habits = {
-            "instances": [["127.0.0.1", place.port] for place in self.places],
+            "instances": [["127.0.0.1", node.port] for node in self.nodes],
             "kinds": KINDS,
             "start_at": self.start_at,
             "run_for": case.run_for,
@@ -271,32 +271,32 @@
             if wait > 0.0:
                 await asyncio.sleep(wait)
             self.late = max(self.late, time.time() - self.start_at - fault.at)
-            await asyncio.gather(*(self._apply_fault(fault, self.places[number]) for number in fault.places))
+            await asyncio.gather(*(self._apply_fault(fault, self.nodes[number]) for number in fault.places))
 
-    async def _apply_fault(self, fault: faults.Fault, place: Place) -> None:
+    async def _apply_fault(self, fault: faults.Fault, node: Node) -> None:
         if fault.what == "kill":
-            await place.kill()
+            await node.kill()
         elif fault.what == "start":
-            await place.start()
+            await node.start()
         elif fault.what in ("freeze", "thaw"):
-            place.interpreter.send_signal(signal.SIGSTOP if fault.what == "freeze" else signal.SIGCONT)
+            node.interpreter.send_signal(signal.SIGSTOP if fault.what == "freeze" else signal.SIGCONT)
         elif fault.what == "leave":
-            place.instance.send_signal(signal.SIGTERM)
+            node.instance.send_signal(signal.SIGTERM)
         elif fault.what == "look":
-            counters, times = await place.counters(), place.watched.cpu_times()
+            counters, times = await node.counters(), node.watched.cpu_times()
             self.readings.append((times.user + times.system, time.time() - self.start_at, counters))
         elif fault.what == "quiet":
             for task in self.disturbances:
                 task.cancel()
         else:
-            self.disturbances += [asyncio.ensure_future(self._disturb(place, fault.what)) for _ in range(fault.count)]
+            self.disturbances += [asyncio.ensure_future(self._disturb(node, fault.what)) for _ in range(fault.count)]
 
     @staticmethod
-    async def _disturb(place: Place, what: str) -> None:
+    async def _disturb(node: Node, what: str) -> None:
         """Open a connection that sends nothing or garbage, and reopen it whenever it is closed."""
         while True:
             with contextlib.suppress(OSError):
-                reader, writer = await asyncio.open_connection("127.0.0.1", place.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
                 try:
                     if what == "garble":
                         writer.write(GARBLE)
@@ -309,11 +309,11 @@
         while True:
             cpu: list[float | None] = []
             memory = []
-            for place in self.places:
+            for node in self.nodes:
                 try:
-                    times = place.watched.cpu_times() if place.watched else None
+                    times = node.watched.cpu_times() if node.watched else None
                     cpu.append(times and times.user + times.system)
-                    memory.append(place.watched.memory_info().rss if place.watched else 0)
+                    memory.append(node.watched.memory_info().rss if node.watched else 0)
                 except psutil.Error:
                     cpu.append(None)
                     memory.append(0)
@@ -354,9 +354,9 @@
         with tempfile.TemporaryDirectory() as folder:
             harnesses = []
             for number, case in enumerate(cases):
-                place = Path(folder) / str(number)
-                place.mkdir()
-                harnesses.append(InstanceHarness(case, place, on_sample))
+                case_folder = Path(folder) / str(number)
+                case_folder.mkdir()
+                harnesses.append(InstanceHarness(case, case_folder, on_sample))
             return list(await asyncio.gather(*(harness.play() for harness in harnesses)))
 
     return asyncio.run(run_all())
