--- a/mulleinhatch/cli/instance/upkeep.py
+++ b/mulleinhatch/cli/instance/upkeep.py
@@ -63,7 +63,10 @@
 
     return [
         ("position", "instance", "may go", "why"),
-        *((str(place) if row["may"] else "-", row["name"], at(row), row["why"]) for place, row in enumerate(status["order"])),
+        *(
+            (str(position) if row["may"] else "-", row["name"], at(row), row["why"])
+            for position, row in enumerate(status["order"])
+        ),
     ]
 
 
@@ -80,15 +83,15 @@
 def print_position(status: dict[str, Any], name: str) -> int:
     """Print the position of an instance as the queried instance knows it; only voters know all waiting instances."""
     permit = next((permit for permit in status["table"]["out"] if permit["name"] == name), None)
-    place = next(((at, row) for at, row in enumerate(status["order"]) if row["name"] == name), None)
+    position = next(((at, row) for at, row in enumerate(status["order"]) if row["name"] == name), None)
     if permit:
         print(f"{name} is out under permit {permit['fence']}: {permit['why']}")
-    elif place:
-        print(f"{name} has position {place[0]} of {len(status['order'])}: {place[1]['why']}")
+    elif position:
+        print(f"{name} has position {position[0]} of {len(status['order'])}: {position[1]['why']}")
     else:
         known = "" if status["voter"] == "votes" else ", as far as this instance knows: ask a voter"
         print(f"{name} is neither out nor waiting{known}")
-    return 0 if permit or place else 1
+    return 0 if permit or position else 1
 
 
 def run(arguments: dict[str, Any]) -> int:
--- a/mulleinhatch/instance/maintenance/schedule.py
+++ b/mulleinhatch/instance/maintenance/schedule.py
@@ -67,9 +67,9 @@
 
     >>> asked = [MaintenanceRequest(name, zone, "kernel", 60.0, 5.0, last_out=last) for name, zone, last in (
     ...     ("a", "x", 3.0), ("b", "x", 1.0), ("c", "y", 2.0))]
-    >>> [(place.request.name, place.reasons) for place in order(asked, (), {}, 10.0)][:2]
+    >>> [(position.request.name, position.reasons) for position in order(asked, (), {}, 10.0)][:2]
     [('b', ('zone x has 0 before it', 'out longest ago')), ('c', ('zone y has 0 before it', 'out longest ago'))]
-    >>> [place.request.name for place in order(asked, (), {"x": 1}, 10.0)]
+    >>> [position.request.name for position in order(asked, (), {"x": 1}, 10.0)]
     ['c', 'b', 'a']
     """
     latest: dict[str, MaintenanceRequest] = {}
@@ -165,7 +165,7 @@
     """
     running = [(back, zone) for zone, back in out.values()]
     start_times: dict[str, float] = {}
-    waiting = [place.request for place in positions if place.is_allowed]
+    waiting = [position.request for position in positions if position.is_allowed]
     start_time = now
     while waiting and most > 0 and zone_most > 0:
         running = [(back, zone) for back, zone in running if back > start_time]
--- a/mulleinhatch/instance/runtime/background_tasks.py
+++ b/mulleinhatch/instance/runtime/background_tasks.py
@@ -20,7 +20,7 @@
 
 
 class BackgroundTasks:
-    """Runs tasks until they are cancelled: `keep` for a permanent one, `every` for a periodic one.
+    """Runs tasks until they are cancelled: `run_forever` for a permanent one, `run_every` for a periodic one.
 
     Args:
         count: Increments a counter.
@@ -31,13 +31,13 @@
         self.count, self.draw = count, RandomSource(seed).below
         self.running: set[asyncio.Task[None]] = set()
 
-    def keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+    def run_forever(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         """Run a task and restart it when it fails."""
         task = asyncio.ensure_future(self._keep_running(name, work))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
-    def every(self, name: str, seconds: float, work: Callable[[], None]) -> None:
+    def run_every(self, name: str, seconds: float, work: Callable[[], None]) -> None:
         """Call a function periodically; a failed call does not stop later ones."""
 
         async def repeat() -> None:
@@ -48,7 +48,7 @@
                     self._record_failure(name)
                 await asyncio.sleep(seconds)
 
-        self.keep(name, repeat)
+        self.run_forever(name, repeat)
 
     async def _keep_running(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         loop, pause = asyncio.get_running_loop(), MIN_RESTART_PAUSE_S
--- a/mulleinhatch/instance/runtime/instance.py
+++ b/mulleinhatch/instance/runtime/instance.py
@@ -216,9 +216,9 @@
             if self.gossip.load_balancing:
                 self.action_handlers[Action.HAND_OVER] = self.gossip.load_balancing.hand_over
                 self.listener.accept_handovers(self.gossip.load_balancing.accept_handover)
-        self.tasks.keep("link", self.interpreter.link.run)
-        self.tasks.every("reports", REPORT_INTERVAL_S, self._send_report)
-        self.tasks.every("sweep", SWEEP_INTERVAL_S, self._sweep)
+        self.tasks.run_forever("link", self.interpreter.link.run)
+        self.tasks.run_every("reports", REPORT_INTERVAL_S, self._send_report)
+        self.tasks.run_every("sweep", SWEEP_INTERVAL_S, self._sweep)
         await self.stopped.wait()
         if self.gossip:
             self.gossip.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -469,7 +469,7 @@
             if len(calls) < 3:
                 raise RuntimeError("an unexpected error")
 
-        tasks.every("reports", 0.001, fail)
+        tasks.run_every("reports", 0.001, fail)
         await until(lambda: len(calls) >= 5)
         tasks.cancel()
         assert counts["errors_inside"] == 2
@@ -486,7 +486,7 @@
             started_at.append(time.monotonic())
             raise RuntimeError("an unexpected error")
 
-        tasks.keep("link", fail)
+        tasks.run_forever("link", fail)
         await until(lambda: len(started_at) >= 4)
         tasks.cancel()
         assert counts["errors_inside"] >= 4 and started_at[3] - started_at[0] > 0.15
@@ -546,7 +546,7 @@
         "127.0.0.1", port, on_open=lambda: None, on_line=on_line, count=lambda counter: counts.update([counter])
     )
     tasks = BackgroundTasks(lambda counter: counts.update([counter]), 1)
-    tasks.keep("link", link.run)
+    tasks.run_forever("link", link.run)
     return link, tasks, counts
 
 
