--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -203,7 +203,7 @@
             work_ms=work,
             seed=seed,
             signoffs=0.15,
-            tries=4,
+            max_attempts=4,
             heeding=0.8,
             loads=((few, 0.3 * rate), ("all", 0.7 * rate)),
             spread=spread,
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -59,7 +59,7 @@
     "kill, look-alikes, figures redrawn": Case(KILL, 32.0, FULL_LOAD, steady=0.0),
 }
 QUICK = {"kill, scaled down": Case("at 4 kill 0 for 5", 22.0, FULL_LOAD)}
-COLUMNS = ("alike", "in time", "back", "core", "MB", "lost", "twice", "calm", "tries/s", "hold-off", "late")
+COLUMNS = ("alike", "in time", "back", "core", "MB", "lost", "twice", "calm", "attempts/s", "hold-off", "late")
 
 
 def missed_objectives(case: Case, figures: dict[str, Any], plain: dict[str, Any]) -> list[str]:
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -55,7 +55,7 @@
         maintenance=lines,
         cores=2,
         work_ms=20.0,
-        tries=6,
+        max_attempts=6,
         heeding=0.8,
         directory=True,
         loads=(("all", min(6.0 * count, 150.0)),),
--- a/mulleinhatch/testing/fake_callers.py
+++ b/mulleinhatch/testing/fake_callers.py
@@ -151,7 +151,7 @@
         self.numbers = 0
         self.first: dict[int, int] = {}  # by bucket of arrival: requests
         self.in_time: dict[int, int] = {}  # by bucket of arrival: requests served within the target
-        self.tries: dict[int, int] = {}
+        self.attempts: dict[int, int] = {}
         self.by_kind: dict[str, list[int]] = {kind.name: [0, 0, 0, 0] for kind in habits.kinds}
         self.counts = dict.fromkeys(
             ("acked", "nacked", "failed", "unanswered", "broken", "refused", "gave_up", "wrong", "second_copies", "tries"), 0
@@ -241,7 +241,7 @@
         request.state[0] += 1
         self.counts["tries"] += 1
         bucket = int((now - self.habits.start_at) / BUCKET_S)
-        self.tries[bucket] = self.tries.get(bucket, 0) + 1
+        self.attempts[bucket] = self.attempts.get(bucket, 0) + 1
         place = self.listed[request.state[2] % len(self.listed)]
         if self.idle[place]:
             self.send(self.idle[place].pop(), request, now)
@@ -360,7 +360,7 @@
         return {
             "first": self.first,
             "in_time": self.in_time,
-            "tries": self.tries,
+            "tries": self.attempts,
             "counts": self.counts,
             "by_kind": self.by_kind,
             "late": quantiles(self.late),
--- a/mulleinhatch/testing/fleet_harness.py
+++ b/mulleinhatch/testing/fleet_harness.py
@@ -49,7 +49,7 @@
     spread: str = ""  # lines of a `spread` node; "-" for an empty one; "" disables load balancing
     maintenance: str = ""  # lines of an `upkeep` node, a template with "{folder}" and "{control}"
     signoffs: float = 0.0  # share of non-retryable requests
-    tries: int = 1  # maximum attempts of a request
+    max_attempts: int = 1  # of a request
     heeding: float = 0.0  # share of the clients that obey retry delays
 
 
@@ -310,7 +310,7 @@
                 "patience": 4.5,
                 "work_ms": self.case.work_ms,
                 "connections": 24,
-                "most_tries": case.tries,
+                "most_tries": case.max_attempts,
                 "tenant": "t",
                 "names": [self.nodes[place].name for place in chosen],
                 "directory": self.lists if self.case.directory else 0,
--- a/mulleinhatch/testing/instance_harness.py
+++ b/mulleinhatch/testing/instance_harness.py
@@ -398,10 +398,10 @@
         ]
         twice["signoff"] = twice.get("signoff", 0) + len(owners) - len(set(owners))
     counts = {name: sum(client["counts"][name] for client in report["stubs"]) for name in report["stubs"][0]["counts"]}
-    tries = {}
+    attempts = {}
     for client in report["stubs"]:
         for key, count in client["tries"].items():
-            tries[int(key)] = tries.get(int(key), 0) + count
+            attempts[int(key)] = attempts.get(int(key), 0) + count
     return {
         "in_time": served / max(1, after),
         "calm": sum(good.get(b, 0) for b in before) / max(1, calm),
@@ -412,12 +412,12 @@
         "lost": counts["unanswered"],
         "wrong": counts["wrong"],
         "twice": twice.get("signoff", 0) + twice.get("stamp", 0),
-        "most_tries": max(tries.values()) / bucket,
+        "most_tries": max(attempts.values()) / bucket,
         "told": max((client["told"] for client in report["stubs"]), key=lambda hold_off: hold_off["50"]),
         "late": max([late, report["rig_late"], *(client["late"]["99"] for client in report["stubs"])]),
         "counts": counts,
         "counters": report["counters"],
-        "series": {"first": first, "good": good, "tries": tries},
+        "series": {"first": first, "good": good, "tries": attempts},
     }
 
 
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -151,7 +151,7 @@
     Its callers retry at the other one. Counting the runs of both finds second runs, which are no fault of an instance.
     """
     keep_environment()
-    case = FleetCase(2, run_for=3.0, cores=8, work_ms=200.0, loads=(("all", 15.0),), signoffs=1.0, tries=4)
+    case = FleetCase(2, run_for=3.0, cores=8, work_ms=200.0, loads=(("all", 15.0),), signoffs=1.0, max_attempts=4)
 
     async def scenario() -> dict:
         async with FleetHarness(case, tmp_path) as harness:
