--- a/benchmarks/scale_instance_measurements.py
+++ b/benchmarks/scale_instance_measurements.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from benchmarks.fits import worthwhile
+from benchmarks.fits import fit_growth
 from benchmarks.records import Fit
 from mulleinhatch.testing.single_instance import SingleInstance, run_load
 
-CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests a second
+CALM_RATE, ZONE_LOST_RATE, REGION_LOST_RATE = 275, 309, 413  # requests per second
 WARM_UP_S = 2.0  # at the calm rate, after which caches and pools no longer grow
 
 
@@ -57,7 +57,7 @@
             "unit": unit,
             "size": size,
             "points": fitted_points,
-            **worthwhile(fitted_points)._asdict(),
+            **fit_growth(fitted_points)._asdict(),
             "checked": None if fitted_points is points else points[-1],
         }
 
