--- a/mulleinhatch/data_plane/backend_health.py
+++ b/mulleinhatch/data_plane/backend_health.py
@@ -17,7 +17,7 @@
 LATENCY_HALVING_TIME_S = 2.0  # Half-life of a measured latency; the decay makes idle backends attractive again.
 MODEL_ABSENT_S = 0.5  # How long a backend that reported lacking a model is not used for that model.
 MODEL_BUSY_S = 0.25  # How long a backend that loads or unloads a model is not used for that model.
-# With fewer of our requests than this fraction of its slots, a backend is assumed to be loading a model, not overloaded.
+# A backend with fewer requests of this data plane than this fraction of its slots is probably loading a model, not overloaded.
 BUSY_SLOT_FRACTION = 0.5
 
 
--- a/mulleinhatch/data_plane/backend_selection.py
+++ b/mulleinhatch/data_plane/backend_selection.py
@@ -15,7 +15,7 @@
 from mulleinhatch.data_plane.registry_snapshot import ModelKey, RegisteredBackend, RegistrySnapshot
 from mulleinhatch.membership.rendezvous import rendezvous_weight
 
-COST_PER_RUNNING_REQUEST_S = 0.1  # Delay of later requests by each of our requests running at a backend.
+COST_PER_RUNNING_REQUEST_S = 0.1  # Added for each request that this data plane runs at a backend.
 NEW_CONNECTION_COST_S = 0.03  # Opening a connection, including the backend's cost.
 OTHER_ZONE_COST_S = 0.01  # Crossing zones, including the cost of the traffic.
 PREFIX_AFFINITY_S = 0.2  # Extra expected latency accepted at the backend that hosts the prefix.
@@ -40,7 +40,7 @@
         prefix: Identifier of the prompt's shared prefix, empty for none.
         zone: Zone of this data plane.
         model_key: Requested model.
-        idle: Backends with an idle connection; None to ignore the cost of connect_cost.
+        idle: Backends with an idle connection; None to ignore the cost of new connections.
         now: Loop time.
         extra_cost_s: Returns additional costs of a backend, in seconds.
 
@@ -58,7 +58,7 @@
 
     if prefix and len(candidates) > 1:
         key = f"{model_key.model}/{model_key.adapter}/{prefix}"
-        preferred = max(candidates, key=lambda backend: rendezvous_weight(key, backend.id))  # rendezvous hashing
+        preferred = max(candidates, key=lambda backend: rendezvous_weight(key, backend.id))  # Rendezvous hashing.
         if expected_s(preferred) <= min(expected_s(backend) for backend in candidates) + PREFIX_AFFINITY_S:
             return preferred
 
--- a/mulleinhatch/data_plane/control_plane_client.py
+++ b/mulleinhatch/data_plane/control_plane_client.py
@@ -25,17 +25,17 @@
 from mulleinhatch.tenants.api_keys import KeyDigester
 
 LOG = logging.getLogger(__name__)
-POLL_WAIT_S = 1.0  # short enough to leave a silent control plane well within `configuration_apply_s`
-POLL_RESPONSE_MARGIN_S = 0.5  # added to the wait; a control plane that does not answer by then counts as unreachable
-FIRST_POLL_TIMEOUT_S = 0.8  # short: a control plane that has not answered before may be down
+POLL_WAIT_S = 1.0  # short enough to leave a silent node well within `configuration_apply_s`
+POLL_RESPONSE_MARGIN_S = 0.5  # added to the wait; a node that does not answer by then counts as unreachable
+FIRST_POLL_TIMEOUT_S = 0.8  # short: a node that has not answered before may be down
 POLL_RETRY_DELAY_S = 0.1
 DEMAND_REPORT_TIMEOUT_S = 0.6
 DIGEST_KEY_BYTES = 32  # length of the random key for this process's digests of the tenants' API keys
-COOLDOWN_S = 2.0  # a control plane that failed, or has no majority, is polled last for this time
+COOLDOWN_S = 2.0  # a node that failed, or has no majority, is polled last for this time
 
 
 class UnusableConfigurationError(ConfigurationError):
-    """A configuration update from a control plane can't be applied; the complete configuration is requested instead."""
+    """A configuration update from a node can't be applied; the complete configuration is requested instead."""
 
 
 class ControlPlaneClient:
@@ -46,7 +46,7 @@
 
     Args:
         settings: Settings of this data plane.
-        http: Client for calls to control planes.
+        http: Client for calls to control-plane nodes.
         clock: Loop time in seconds.
         on_snapshot: Called with each new snapshot.
         on_new_leader: Called when the placement leader changes.
@@ -65,7 +65,7 @@
         self._document: Document = EMPTY
         self._table = RouteTable()
         self._tenants = TenantTableBuilder(KeyDigester(os.urandom(DIGEST_KEY_BYTES)))
-        self._confirmed_at = -math.inf  # when a control plane with a majority last confirmed the configuration in force
+        self._confirmed_at = -math.inf  # when a node with a majority last confirmed the configuration in force
         self._needs_complete_configuration = False  # an update could not be applied to the one in force
         self._registry_source, self._registry_cursor = "", 0
         port = settings.internal_address.rpartition(":")[2]
@@ -74,7 +74,7 @@
         self._control_epoch = 0  # epoch of the view that the addresses belong to
         self._cooldown_until: dict[str, float] = {}  # by address
         self._responsive: set[str] = set()  # addresses whose last poll was answered
-        self._epoch = 0  # epoch of the newest view that a control plane reported
+        self._epoch = 0  # epoch of the newest view that a node reported
         self._deregistrations_index = 0  # log index up to which deregistered backends are known
         self._unconfirmed_since: float | None = None  # when a first configuration was offered without a majority
         self.snapshot = ControlPlaneSnapshot()
@@ -94,7 +94,7 @@
                 await asyncio.sleep(POLL_RETRY_DELAY_S / 4)
 
     def _next_address(self) -> str:
-        """Return the control plane to poll: ranked by rendezvous hashing to spread the data planes, with failed ones last."""
+        """Return the address to poll: ranked by rendezvous hashing to spread the data planes, with failed nodes last."""
         now = self._clock()
         if not self._control_addresses:
             addresses = self._seeds
@@ -122,7 +122,7 @@
             departure_index=self._deregistrations_index,
         )
         timeout_s = max(FIRST_POLL_TIMEOUT_S, wait_s + POLL_RESPONSE_MARGIN_S)
-        asked_at = self._clock()
+        sent_at = self._clock()
         response = await self._http.request(address, "POST", "/internal/poll", bytes(request), timeout_s)
         if response.status != 200:
             raise HttpCallError(address, f"status {response.status}")
@@ -132,11 +132,11 @@
             LOG.error("poll response can't be read; another control plane is asked", extra={"error": str(error)})
             raise HttpCallError(address, str(error)) from error
         if update.epoch < self._epoch:
-            update.authoritative = False  # the machine has not learned of a newer view yet
+            update.authoritative = False  # the node has not learned of a newer view yet
         self._epoch = max(self._epoch, update.epoch)
         self._responsive.add(address)
-        # After a pause of this process the response may have lain unread: it counts as no newer than the timeout allows.
-        self._apply(update, min(self._clock(), asked_at + timeout_s))
+        # After a pause of this process the response may be old: it counts as no newer than the timeout allows.
+        self._apply(update, min(self._clock(), sent_at + timeout_s))
         if not update.authoritative or self._needs_complete_configuration:
             self._cooldown_until[address] = self._clock() + COOLDOWN_S
             await asyncio.sleep(POLL_RETRY_DELAY_S)
@@ -149,7 +149,7 @@
             self._confirmed_at = max(self._confirmed_at, answered_at)
         self._apply_control_addresses(update)
         backends = self.snapshot.backends
-        # A partitioned machine gets no heartbeats from backends, so a backend missing from its list may still be alive.
+        # A partitioned node gets no heartbeats from backends, so a backend missing from its list may still be alive.
         is_complete = update.is_full_registry and update.authoritative
         if update.backends or is_complete or backends.unconfirmed or update.departed_backends:
             backends = backends.updated(update.backends, is_complete, self._clock(), update.departed_backends)
@@ -264,7 +264,7 @@
 
 
 def _build_table(document: Document, tenants: TenantTableBuilder) -> RouteTable:
-    """Return the route table of a configuration from a control plane.
+    """Return the route table of a configuration that a control-plane node sent.
 
     Raises:
         UnusableConfigurationError: The value is not a valid configuration.
--- a/mulleinhatch/data_plane/control_plane_snapshot.py
+++ b/mulleinhatch/data_plane/control_plane_snapshot.py
@@ -8,7 +8,7 @@
 from mulleinhatch.configuration.routes import RouteTable
 from mulleinhatch.data_plane.registry_snapshot import RegistrySnapshot
 
-# A poll takes at most one second plus a margin of half a second, after which another control plane is polled.
+# A poll takes at most one second plus a margin of half a second, after which another control-plane node is polled.
 MAX_CONFIRMATION_AGE_S = 2.0
 
 
@@ -20,10 +20,10 @@
         table: Routes, services and limits of the configuration in force.
         backends: Registered backends.
         data_planes: Number of data planes that share the backends and the retry budgets.
-        authoritative: Whether the machine that answered last was in contact with a majority.
-        confirmed_at: Loop time at which a machine with contact to a majority last confirmed that `table` is the newest.
+        authoritative: Whether the control-plane node that answered last was in contact with a majority.
+        confirmed_at: Loop time at which a node in contact with a majority last confirmed that `table` is the newest.
         control_epoch: Epoch of the view that `control_addresses` belong to.
-        control_addresses: Internal addresses of the chain of control planes in that view.
+        control_addresses: Internal addresses of the chain of control-plane nodes in that view.
     """
 
     table: RouteTable = field(default_factory=RouteTable)
--- a/mulleinhatch/data_plane/owner_contact.py
+++ b/mulleinhatch/data_plane/owner_contact.py
@@ -1,14 +1,14 @@
-"""Tracks which control planes answer quota queries, and when the tenants of a silent one will have tokens again. Pure.
+"""Tracks which control-plane nodes answer quota queries, and when tenants of a silent one will have tokens again. Pure.
 
-| control plane | becomes | when |
+| control-plane node | becomes | when |
 | --- | --- | --- |
 | in contact | slow | a query to it has been unanswered for `SLOW_ANSWER_S` |
 | in contact, slow | lost | a query times out, or it answers that it has no majority contact |
 | lost, slow | in contact | it sends an authoritative response |
 | any | forgotten | a view without it is in force |
 
-The core replaces a lost machine within a known time (`membership.view_timing`), counted from the first query that it did not
-answer. Once that time is exceeded, the expected remaining time is the time by which the replacement is overdue.
+The control plane replaces a lost node within a known time (`membership.view_timing`), counted from the first query that the
+node did not answer. Once that time is exceeded, the expected remaining time is the time by which the replacement is overdue.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from mulleinhatch.membership.view_timing import HANDOVER_S
 
 SLOW_ANSWER_S = 0.1  # an answer normally takes milliseconds; after this time it will probably not come
-OWNER_COOLDOWN_S = 0.5  # a control plane that did not answer is queried last for this time
+OWNER_COOLDOWN_S = 0.5  # a node that did not answer is queried last for this time
 MIN_EXPECTED_S = 0.1
 
 
 class OwnerContact:
-    """Contact of one data plane with the control planes that it queries.
+    """Contact of one data plane with the control-plane nodes that it queries.
 
     >>> contact = OwnerContact()
     >>> contact.on_sent("a:1", 0.0)
@@ -68,7 +68,7 @@
         return self._lost_since.pop(address, None) is not None
 
     def keep_only(self, addresses: Collection[str]) -> None:
-        """Forget the control planes that are not in a new view."""
+        """Forget the nodes that are not in a new view."""
         for by_address in (self._lost_since, self._avoided_until):
             for address in [address for address in by_address if address not in addresses]:
                 del by_address[address]
--- a/mulleinhatch/data_plane/permit_patience.py
+++ b/mulleinhatch/data_plane/permit_patience.py
@@ -25,11 +25,11 @@
 from mulleinhatch.data_plane.admission_queue import RESPONSE_MARGIN_S
 from mulleinhatch.data_plane.client_timeouts import EARLY_ANSWER_FRACTION, EARLY_FRACTION
 
-MAX_WAIT_FRACTION = 0.5  # of the latency target: the rest of the target suffices for the work
-MAX_RETRY_AFTER_FRACTION = 1 / 3  # of the time until the deadline: clients do not wait longer
+MAX_WAIT_FRACTION = 0.5  # fraction of the latency target; the rest suffices to execute the request
+MAX_RETRY_AFTER_FRACTION = 1 / 3  # fraction of the time until the deadline; clients do not wait longer
 MIN_RETRY_AFTER_S = 0.05
 RATE_OVERCOMMIT = 2.0  # multiple of an even share of a tenant's rate: clients are not spread evenly over data planes
-MAX_DOUBLINGS = 5  # of an owner's retry time, while it grants a tenant nothing here
+MAX_DOUBLINGS = 5  # doublings of an owner's retry time while it grants a tenant nothing here
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         deadline: When its client or route times out.
         is_probable_retry: Whether it was probably refused before.
         was_queued: Whether it was queued before it had tokens, or until its tokens expired.
-        rate_per_s: Units a second that its tenant gets here, the rate at which the queue before it drains.
+        rate_per_s: Units per second that its tenant gets here, the rate at which the queue before it drains.
     """
 
     arrived_at: float
--- a/mulleinhatch/data_plane/permit_waits.py
+++ b/mulleinhatch/data_plane/permit_waits.py
@@ -1,4 +1,4 @@
-"""Queues of requests that wait for quota tokens at a data plane, by tenant, in the order in which they asked for tokens."""
+"""Queues of requests that wait for quota tokens at a data plane, by tenant, in the order in which they requested tokens."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         tokens: Tokens of the request.
         patience: How long the request may wait.
         on_outcome: Called once with the permit or the refusal, unless cancelled.
-        position: Its sequence number among all waits; a lower one asked earlier.
+        position: Its sequence number among all waits; a wait with a lower one requested tokens earlier.
         timer: Ends or re-evaluates the wait if no answer has come by then.
         attempts: Queries sent for it since it was last parked.
         was_parked: Whether it was ever parked until tokens were expected.
@@ -69,7 +69,7 @@
         waits = self._waits.setdefault(wait.tenant, [])
         waits.append(wait)
         if len(waits) > 1 and waits[-2].position > wait.position:
-            waits.sort(key=lambda one: one.position)
+            waits.sort(key=lambda other: other.position)
 
     def tenants(self) -> list[str]:
         """Return the tenants that may have waits that are not over."""
@@ -85,7 +85,7 @@
 
     def tokens_before(self, wait: PermitWait) -> int:
         """Return the tokens of the waits of the same tenant that precede a wait."""
-        return sum(one.tokens for one in self.of(wait.tenant) if one.position < wait.position)
+        return sum(other.tokens for other in self.of(wait.tenant) if other.position < wait.position)
 
     def count(self) -> int:
         """Return the number of waits that are not over."""
--- a/mulleinhatch/data_plane/quota_client.py
+++ b/mulleinhatch/data_plane/quota_client.py
@@ -1,9 +1,9 @@
-"""Gets quota tokens for requests: from the local balance at once, else from the control plane that owns the tenant.
+"""Gets quota tokens for requests: from the local balance at once, else from the control-plane node that owns the tenant.
 
 Needs for the same owner are batched into one query. At most `MAX_QUERIES` queries per owner are in flight; later needs go with
-the next one. A query that is not answered is retried once at the next control plane in the ranking, which owns the tenants in a
-view without the first. A request that gets no tokens then waits or is refused early (`permit_patience`), depending on when
-tokens are expected: the owner's `retry_after_ms`, or the time that the core takes to replace an owner that does not answer
+the next one. A query that is not answered is retried once at the next node in the ranking, which owns the tenants in a view
+without the first. A request that gets no tokens then waits or is refused early (`permit_patience`), depending on when tokens
+are expected: the owner's `retry_after_ms`, or the time that the control plane takes to replace an owner that does not answer
 (`owner_contact`). Waiting requests of a tenant are retried together and in order, and at once when the tenant's owner changes.
 """
 
@@ -36,7 +36,7 @@
 QUOTA_PATH = "/internal/quota"
 QUERY_TIMEOUT_S = 0.25
 MAX_QUERIES = 2  # in flight to one owner
-MAX_ATTEMPTS = 2  # control planes queried for one request before it waits or is refused
+MAX_ATTEMPTS = 2  # nodes queried for one request before it waits or is refused
 ANSWER_TIMEOUT_S = MAX_ATTEMPTS * QUERY_TIMEOUT_S  # all attempts for a request have ended by then
 # For at most this time after an owner's refusal, requests of at least that size are not sent to it.
 LOCAL_REFUSAL_S = 0.1
@@ -65,7 +65,7 @@
 
     Args:
         settings: Settings of this data plane.
-        http: Client for calls to control planes.
+        http: Client for calls to control-plane nodes.
         loop: Clock and timers.
     """
 
@@ -113,7 +113,7 @@
     def acquire(
         self, tenant: str, tokens: int, patience: Patience, on_outcome: Callable[[Outcome], None]
     ) -> Outcome | PermitWait:
-        """Take a permit from the local balance, or ask the owner.
+        """Take a permit from the local balance, or query the owner.
 
         Args:
             tenant: The tenant's name.
@@ -298,7 +298,7 @@
         """Return the needs of a batch, and the tokens to return for all tenants of that owner."""
         self._balance.prune(now)
         with_returns = {tenant: [] for tenant in self._balance.tenants_with_returns() if tenant not in batch}
-        owned = {tenant: none for tenant, none in with_returns.items() if self._directory.owner_of(tenant) == address}
+        owned = {tenant: no_waits for tenant, no_waits in with_returns.items() if self._directory.owner_of(tenant) == address}
         return [
             QuotaNeed(
                 tenant=tenant,
@@ -310,7 +310,7 @@
         ]
 
     async def _call(self, address: str, request: QuotaRequest) -> QuotaResponse:
-        """Send one query to one control plane.
+        """Send one query to one control-plane node.
 
         Raises:
             HttpCallError: It did not answer in time, or answered with a status other than 200.
@@ -352,7 +352,8 @@
         expires_at = sent_at + grant.lifetime_ms / 1000
         granted, refused = waits[: grant.granted_requests], waits[grant.granted_requests :]
         granted_tokens = sum(wait.tokens for wait in granted)
-        # A permit expires with the first grant it draws on: merged, the rest of one part would shorten the other's permits.
+        # Two grants, because a permit expires with the earliest grant that it draws on: if they were merged, the
+        # rest of one part would shorten the permits of the other.
         self._balance.add_grant(tenant, granted_tokens, expires_at, now)
         self._balance.add_grant(tenant, grant.ahead_tokens, expires_at, now)
         self.counters["granted_tokens"] += granted_tokens + grant.ahead_tokens
@@ -384,7 +385,7 @@
                 self._park_or_refuse(wait, refusal.retry_at, retry_after_s + self._queue_s(wait, tokens))
 
     def _retry_elsewhere(self, batch: dict[str, list[PermitWait]], failed_address: str) -> None:
-        """Retry at another control plane if one is known; otherwise the requests wait for the next owner, or are refused."""
+        """Retry at another node if one is known; otherwise the requests wait for the next owner, or are refused."""
         now = self._loop.time()
         for tenant, waits in batch.items():
             next_address = self._owner_to_query(tenant, now)
--- a/mulleinhatch/data_plane/registry_snapshot.py
+++ b/mulleinhatch/data_plane/registry_snapshot.py
@@ -7,8 +7,8 @@
 
 from mulleinhatch.messages.cluster import Backend
 
-MAX_DEREGISTERED_IDS = 2048  # Ids remembered so that a lagging control plane does not restore a deregistered backend.
-UNCONFIRMED_GRACE_S = 6.0  # How long a backend that a new control plane does not list is kept.
+MAX_DEREGISTERED_IDS = 2048  # Ids remembered so that a lagging control-plane node does not restore a deregistered backend.
+UNCONFIRMED_GRACE_S = 6.0  # How long a backend that a new control-plane node does not list is kept.
 
 
 @dataclass(frozen=True)
@@ -65,7 +65,7 @@
 
 
 def backend_from_message(message: Backend, now: float) -> RegisteredBackend:
-    """Convert a backend of a control plane's message; remaining times become loop times."""
+    """Convert a backend of a control-plane node's message; remaining times become loop times."""
     return RegisteredBackend(
         id=message.id,
         service=message.service,
@@ -89,7 +89,7 @@
     Attributes:
         by_id: Backends by identifier.
         by_service: Backends of each service, ordered by identifier.
-        unconfirmed: Loop time since which a backend has been missing from a new control plane's complete list, by identifier.
+        unconfirmed: Loop time since which a new control-plane node's complete list has lacked a backend, by identifier.
         deregistered: Identifiers of draining or deregistered backends, latest last (an ordered set).
     """
 
@@ -101,9 +101,9 @@
     def updated(
         self, backends: Collection[Backend], is_complete: bool, now: float, deregistered: Iterable[str] = ()
     ) -> RegistrySnapshot:
-        """Return the registry after an update from a control plane.
+        """Return the registry after an update from a control-plane node.
 
-        A backend that a new control plane's complete list lacks is not necessarily gone: that control plane may just have
+        A backend that a new control-plane node's complete list lacks is not necessarily gone: that node may just have
         started. The backend is removed after it has been unlisted for `UNCONFIRMED_GRACE_S`.
 
         Args:
@@ -135,7 +135,7 @@
 
 
 def _mark_draining(by_id: dict[str, RegisteredBackend], deregistered: Iterable[str]) -> None:
-    """Mark deregistered backends as draining even if a lagging control plane lists them as ready."""
+    """Mark deregistered backends as draining even if a lagging control-plane node lists them as ready."""
     for backend_id in deregistered:
         if backend_id in by_id and not by_id[backend_id].draining:
             by_id[backend_id] = replace(by_id[backend_id], draining=True)
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -71,7 +71,7 @@
     def acquire(
         self, tenant: str, tokens: int, patience: Patience, on_outcome: Callable[[Outcome], None]
     ) -> Outcome | PermitWait:
-        """Return a permit or a rejection, or a pending wait for one of them."""
+        """Return a permit or a refusal, or a pending wait for one of them."""
 
     def redeem(self, permit: Permit) -> bool:
         """Spend a permit on a request that is about to be written; return whether the request may be written."""
--- a/mulleinhatch/data_plane/response_relay.py
+++ b/mulleinhatch/data_plane/response_relay.py
@@ -1,6 +1,6 @@
 """Forwards a backend's response to the client as it arrives.
 
-A relay is the `AnswerSink` of one attempt's connection, so that a body chunk passes from the connection to the client's
+A relay is the `ResponseSink` of one attempt's connection, so that a body chunk passes from the connection to the client's
 session without intermediate objects. The route determines the mode: a plain response is buffered until it is complete or too
 long; a stream is forwarded byte for byte; a resumable stream is forwarded in complete events, each exactly once.
 """
--- a/mulleinhatch/data_plane/retry_budget.py
+++ b/mulleinhatch/data_plane/retry_budget.py
@@ -9,8 +9,8 @@
 
 from collections import deque
 
-RATIO_FRACTION = 0.8  # Used fraction of the ratio: the window slides, and the requests are counted at another place.
-SLACK_FRACTION = 0.6  # Used fraction of the slack, divided among the data planes.
+RATIO_FRACTION = 0.8  # Fraction of the ratio that is used, because the window slides and requests are counted elsewhere.
+SLACK_FRACTION = 0.6  # Fraction of the slack that is used, divided among the data planes.
 
 
 class RetryBudget:
--- a/mulleinhatch/data_plane/router.py
+++ b/mulleinhatch/data_plane/router.py
@@ -39,9 +39,8 @@
 
 SWEEP_INTERVAL_S = 0.1
 POOL_SWEEP_INTERVAL_S = 1.0
-MAX_REQUEST_VALUE = (
-    3.0  # Reported value of a request of the highest class; the lowest counts 1. The configuration has only ranks, no values.
-)
+# Reported value of a request of the highest class; the lowest counts 1. The configuration has only ranks, no values.
+MAX_REQUEST_VALUE = 3.0
 
 
 class Router:
@@ -51,7 +50,7 @@
         settings: Settings of this data plane.
         loop: Clock and timers.
         on_missing_model: Called with a requested model that no backend can serve.
-        http: Client for calls to control planes; a new one is created if None.
+        http: Client for calls to control-plane nodes; a new one is created if None.
     """
 
     def __init__(
--- a/mulleinhatch/leadership/lease.py
+++ b/mulleinhatch/leadership/lease.py
@@ -50,7 +50,7 @@
     | WAITING | the previous leader's lease has expired, or it was this node, or it is fenced | CLAIMING |
     | CLAIMING | the claim is committed: its entry's index is the fencing token | LEADER |
     | LEADER | the node cannot lead for a moment, for example during a view change | PAUSED: sends no orders |
-    | PAUSED | it can lead again within MAX_PAUSE_S and the recorded token is still its own: no claim came between | LEADER |
+    | PAUSED | it can lead again within MAX_PAUSE_S and the recorded token is still its own: nobody claimed since | LEADER |
     | PAUSED | MAX_PAUSE_S passed, or another token is recorded | FOLLOWER |
     | WAITING, CLAIMING | the node cannot lead | FOLLOWER |
     | LEADER, PAUSED | a backend rejects the token as too low, or another leader is recorded | FOLLOWER |
--- a/mulleinhatch/quotas/balance.py
+++ b/mulleinhatch/quotas/balance.py
@@ -9,7 +9,7 @@
 | reserved | refunded | its request ends without having been written |
 | redeemed | reserved | the backend reports that it did not execute the request |
 
-A redeemed permit whose request may have run is used for good.
+A redeemed permit whose request may have run stays redeemed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from result import Err, Ok, Result
 
-MIN_USE_S = 0.1  # grants closer to expiry give no permits: the request would rarely be written in time
+MIN_USE_S = 0.1  # no permit is taken from a grant closer to its expiry: the request would rarely be written in time
 
 
 class PermitState(Enum):
@@ -140,7 +140,7 @@
             self.add_grant(permit.tenant, permit.tokens, permit.expires_at, now)
 
     def take_returns(self, tenant: str) -> int:
-        """Return the tokens that go back to the owner and forget them: the caller sends them at most once."""
+        """Return the tokens that go back to the owner and forget them: they are sent at most once."""
         return self._returns.pop(tenant, 0)
 
     def tenants_with_returns(self) -> list[str]:
--- a/mulleinhatch/quotas/deferral.py
+++ b/mulleinhatch/quotas/deferral.py
@@ -32,7 +32,7 @@
         Args:
             tenant: The tenant's name.
             tokens: Tokens of the request.
-            rate_per_s: The tenant's limit, in units a second.
+            rate_per_s: The tenant's limit, in units per second.
             data_planes: Number of data planes that share the limit.
         """
         queued = self._tokens.get(tenant, 0)
--- a/mulleinhatch/quotas/demand.py
+++ b/mulleinhatch/quotas/demand.py
@@ -11,7 +11,7 @@
 
 AVERAGING_S = 1.0  # time constant of the moving averages
 REFUSED_WEIGHT = 0.25  # weight of refused tokens relative to admitted ones
-MAX_REFUSED_FRACTION = 0.5  # of the admitted tokens: upper bound of the weighted refused tokens
+MAX_REFUSED_FRACTION = 0.5  # upper bound of the weighted refused tokens, as a fraction of the admitted ones
 MIN_REQUESTS_AHEAD = 0.5  # requests expected within a grant's lifetime, below which no tokens are requested in advance
 
 
--- a/mulleinhatch/quotas/former_authority.py
+++ b/mulleinhatch/quotas/former_authority.py
@@ -50,7 +50,7 @@
             voter: Identity of the voter.
             epoch: The epoch of the newest view that the voter knows.
             age_s: Minimum time since the voter last confirmed a view to the owner, in seconds.
-            received_at: When the answer was received, in seconds of this process's steady clock.
+            received_at: When the answer was received, in seconds of this process's monotonic clock.
         """
         if epoch >= self._epoch and voter in self._voters and age_s >= 0:
             self._confirmed_at[voter] = max(received_at - age_s, self._confirmed_at.get(voter, received_at - age_s))
--- a/mulleinhatch/quotas/limits.py
+++ b/mulleinhatch/quotas/limits.py
@@ -6,10 +6,10 @@
 
 from mulleinhatch.tenants.tenant import QuotaLimit
 
-GRANT_LIFETIME_S = 0.5  # from just before the query is sent to the last write that a grant allows
+GRANT_LIFETIME_S = 0.5  # time from just before the query is sent to the last write that a grant allows
 FLIGHT_S = 0.3  # bytes written before a grant expired arrive at a backend within this time
-RETURNED_FRACTION = 0.25  # of what the rule leaves above the burst: reserved for returned grants
-MIN_CAPACITY_FRACTION = 1 / 16  # of what the rule allows in a window: lower bound of a bucket's capacity
+RETURNED_FRACTION = 0.25  # fraction reserved for returned grants of what the rule leaves above the burst
+MIN_CAPACITY_FRACTION = 1 / 16  # lower bound of a bucket's capacity, as a fraction of what the rule allows in a window
 
 
 @dataclass(frozen=True)
--- a/mulleinhatch/quotas/owner.py
+++ b/mulleinhatch/quotas/owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of quotas: a bucket for each tenant that this control plane owns, from which it grants to data planes. Pure.
+"""The owner's side of quotas: a bucket for each tenant that this node owns, from which it grants to data planes. Pure.
 
 A tenant has one owner at a time, chosen by rendezvous hashing over the chain of the view in force. No state is durable: a new
 owner waits until the former owner's authority has certainly ended and then starts with an empty bucket, so both together grant
@@ -37,8 +37,8 @@
 
 MIN_RETRY_S = 0.05
 MAX_RETRY_S = 5.0
-HANDOVER_TIMEOUT_S = 0.3  # for a former owner's response; a later one would be useless
-AHEAD_RESERVE_FRACTION = 0.5  # of the capacity: only tokens above this level are granted in advance
+HANDOVER_TIMEOUT_S = 0.3  # timeout of a former owner's response; a later one would be useless
+AHEAD_RESERVE_FRACTION = 0.5  # fraction of the capacity; only tokens above this level are granted in advance
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
 
     Attributes:
         epoch: Epoch of the membership view in force; each view increments it by one.
-        own_address: Internal address of this control plane.
+        own_address: Internal address of this control-plane node.
         chain_addresses: Internal addresses of the view's chain.
     """
 
@@ -61,7 +61,7 @@
     """Changes in the ownership of tenants with a limit.
 
     Attributes:
-        taken_over: Names of the tenants that this control plane owns since the update.
+        taken_over: Names of the tenants that this node owns since the update.
         released: Names of the tenants that it no longer owns.
         former_owners: Names of the tenants taken over whose previous owner is known, by that owner's internal address.
     """
@@ -97,7 +97,7 @@
 
     Attributes:
         limit: The limit in force.
-        owned_since: When this control plane became the owner.
+        owned_since: When this node became the owner.
         grants_from: Nothing is granted before this time.
         awaits_level_until: Until when the former owner may still report its remaining level.
         bucket: The tenant's bucket.
@@ -196,7 +196,7 @@
 
 
 class QuotaOwner:
-    """Grants quota tokens of the tenants that this control plane owns.
+    """Grants quota tokens of the tenants that this control-plane node owns.
 
     The caller checks before each call of `answer` that a majority confirmed the view of the last `update`.
 
@@ -213,20 +213,20 @@
         self._view = OwnerView(0, "", ())
         self._view_since = self._former_view_since = 0.0
         self._configuration_version = 0
-        self._owned: dict[str, bool] = {}  # by configured tenant: whether this control plane owns it
+        self._owned: dict[str, bool] = {}  # by configured tenant: whether this node owns it
         self._closed: dict[str, QuotaAccount] = {}  # owned in the previous view and not handed over yet
 
     def update(self, view: OwnerView, tenants: Mapping[str, Tenant], configuration_version: int, now: float) -> OwnershipChange:
         """Put a view and a configuration into force.
 
-        An owner keeps its accounts only from one view to the directly following one: if an epoch was skipped, another control
-        plane may have been the owner in between.
+        An owner keeps its accounts only from one view to the directly following one: if an epoch was skipped, another node may
+        have been the owner in between.
 
         Args:
             view: The view in force.
             tenants: The tenants of the configuration, by name.
             configuration_version: The version of the configuration.
-            now: The steady time in seconds.
+            now: The monotonic time in seconds.
 
         Returns:
             The tenants with a limit that were taken over or released.
@@ -248,7 +248,7 @@
         return OwnershipChange(taken_over, released, self._former_owners(taken_over, former_view, now) if is_next else {})
 
     def _close_accounts(self, accounts: Mapping[str, QuotaAccount], tenants: Mapping[str, Tenant], now: float) -> None:
-        """Keep the accounts that another control plane now owns, with the limits in force, until it requests their levels."""
+        """Keep the accounts that another node now owns, with the limits in force, until it requests their levels."""
         self._closed = {}
         for name, account in accounts.items():
             tenant = tenants.get(name)
@@ -270,9 +270,9 @@
         """Return the remaining levels of tenants that were owned in the previous view, each only once.
 
         Args:
-            names: The tenants that another control plane owns in the view in force.
+            names: The tenants that another node owns in the view in force.
             epoch: The epoch of that view at the requester; nothing is returned if it differs from the epoch here.
-            now: The steady time in seconds.
+            now: The monotonic time in seconds.
         """
         if epoch != self._view.epoch:
             return []
@@ -285,7 +285,7 @@
         Args:
             levels: The levels in their responses.
             epoch: The epoch of the view in the request; no effect if another one is in force.
-            now: The steady time in seconds.
+            now: The monotonic time in seconds.
 
         Returns:
             The names of the tenants whose wait has ended.
@@ -315,7 +315,7 @@
             names: Tenants of one former owner, which owned them in the previous view (`OwnershipChange.former_owners`).
             epoch: The epoch of the view in which they were taken over; no effect if another one is in force.
             ended_at: The time from which the former owner granted nothing (`FormerAuthority.ended_at`); may lie in the past.
-            now: The steady time in seconds.
+            now: The monotonic time in seconds.
 
         Returns:
             The names of the tenants whose wait was shortened.
--- a/mulleinhatch/quotas/owner_directory.py
+++ b/mulleinhatch/quotas/owner_directory.py
@@ -1,7 +1,7 @@
-"""Determines which control plane owns a tenant's quota, from the view that a data plane knows. Pure.
+"""Determines which control-plane node owns a tenant's quota, from the view that a data plane knows. Pure.
 
-The owner is computed by rendezvous hashing over the control planes of the newest known view. If it does not answer, the next
-one in the ranking is asked: it is the owner in any view without the first, and its response contains the view in force.
+The owner is computed by rendezvous hashing over the control-plane nodes of the newest known view. If it does not answer, the
+next one in the ranking is queried: it is the owner in any view without the first, and its response contains the view in force.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from mulleinhatch.membership.rendezvous import rank_by_weight
 
-OWNER_KEY_PREFIX = "quota/"  # prepended to the tenant's name to form the hash key that ranks the control planes
+OWNER_KEY_PREFIX = "quota/"  # prepended to the tenant's name to form the hash key that ranks the nodes
 
 
 class OwnerDirectory:
-    """The control planes of the newest known view.
+    """The control-plane nodes of the newest known view.
 
     >>> directory = OwnerDirectory()
     >>> directory.owner_of("t") is None, directory.update(3, ["a:1", "b:1"]), directory.update(2, ["c:1"])
@@ -47,7 +47,7 @@
         """Return the address of a tenant's owner, or of the first in the ranking that is not `avoided`.
 
         Returns:
-            The address; None if no control plane is known or all are avoided.
+            The address; None if no node is known or all are avoided.
         """
         ranking = self._ranking.get(tenant)
         if ranking is None:
--- a/mulleinhatch/quotas/token_bucket.py
+++ b/mulleinhatch/quotas/token_bucket.py
@@ -12,7 +12,7 @@
 
 
 class TokenBucket:
-    """A token bucket; all times are seconds on one steady clock.
+    """A token bucket; all times are seconds on one monotonic clock.
 
     Args:
         rate_per_s: Tokens gained per second.
