--- a/mulleinhatch/admission/backpressure.py
+++ b/mulleinhatch/admission/backpressure.py
@@ -1,4 +1,4 @@
-"""Backpressure: the fraction of load that callers should divert, and the delay before a rejected caller retries."""
+"""Backpressure: the fraction of load that clients should divert, and the delay before a rejected client retries."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 # Wait of a new request, as a fraction of the shortest target latency, above which load is diverted.
 TOLERATED_WAIT_FRACTION = 0.18
 
-# Change of the diverted fraction per second, for a wait of one target latency above that threshold. Callers react with a
-# delay; a higher gain made all instances divert and attract load at the same time.
+# Change of the diverted fraction per second, for a wait of one target latency above that threshold. Clients react with a
+# delay; a higher gain made all instances divert and attract load in step.
 BACKPRESSURE_GAIN_PER_S = 0.3
 
 # Smallest change of the diverted fraction that is reported.
@@ -27,10 +27,10 @@
 # Initial diverted fraction of an instance that warms up, as a fraction of the speed that it lacks.
 WARM_UP_DIVERSION = 0.5
 
-# Shortest retry delay given to a rejected caller.
+# Shortest retry delay given to a rejected client.
 MIN_HOLD_OFF_S = 0.05
 
-# Concurrent requests per core allowed to all callers together, where the host reports an allowance.
+# Concurrent requests per core allowed to all clients together, where the host reports an allowance.
 ALLOWED_PER_CORE = 4
 
 
@@ -79,7 +79,7 @@
         self.diverted_fraction = min(1.0, max(0.0, self.diverted_fraction + change))
 
     def hold_off_s(self) -> float:
-        """Return the seconds after which a rejected caller should retry."""
+        """Return the seconds after which a rejected client should retry."""
         if self._table.now >= self._drain.started_at:
             return self._max_hold_off_s
         wait = self._unread_wait_s + self._throughput.queued_wait_s() - TOLERATED_WAIT_FRACTION * self._shortest_target_s
@@ -89,8 +89,8 @@
         """Report the backpressure level, in the form that the host expects, if it changed."""
         if self._advice is None:
             return None
-        # A caller that receives a floor of 1 tries no other instance either, so a draining instance does not report it: its
-        # rejections send callers to other instances.
+        # A client that receives a floor of 1 tries no other instance either, so a draining instance does not report it: its
+        # rejections send clients to other instances.
         is_floor_open = self._advice is Advice.FLOOR and self._table.now >= self._health.unhealthy_until
         is_open = is_floor_open or self._health.is_healthy()
         diverted = max(self.diverted_fraction, self.peer_diversion) if is_open else 1.0
--- a/mulleinhatch/admission/constants.py
+++ b/mulleinhatch/admission/constants.py
@@ -8,7 +8,7 @@
 # An answer leaves this long before its deadline, plus two ticks of the host's timer: a timer may fire late.
 ANSWER_MARGIN_S = 0.03
 
-# Seconds before the stop of the process by which all answers must be sent: later ones may not reach their callers.
+# Seconds before the stop of the process by which all answers must be sent: later ones may not reach their clients.
 STOP_MARGIN_S = 0.15
 
 # Endings that prove that the request or call was never executed, so it may be retried.
--- a/mulleinhatch/admission/controller.py
+++ b/mulleinhatch/admission/controller.py
@@ -41,7 +41,7 @@
 
 
 class AdmissionController:
-    """Wires the components, passes events to them and asks them for decisions in a fixed order.
+    """Wires the components, passes events to them and polls them for decisions in a fixed order.
 
     Args:
         deployment: Settings of the instance; the component that reads a key defines its default.
@@ -120,10 +120,10 @@
             ref: Its id.
             type_number: Number of its type.
             age_s: Seconds since it arrived at the machine.
-            wait_s: Seconds that its caller still waits; 0 if unknown.
+            wait_s: Seconds that its client still waits; 0 if unknown.
             tenant: Number of its tenant.
             repeat_of: Id of the request that it repeats; empty or 0 if none.
-            caller: Number of its caller.
+            caller: Number of its client.
             work: Hint of its work, in seconds of run time; 0 without one.
             memory_kb: Memory that it takes while it is queued.
             is_retry: Whether it is marked as a retry.
@@ -139,7 +139,7 @@
         request.arrived_at, request.stage_since = now - age_s, now
         request.is_retry, request.has_work_hint = is_retry, work > 0.0
         request.deadline = now + wait_s if wait_s > 0.0 else max(now, request.arrived_at + timeout_s)
-        # The caller of a retry has already waited: at most the part of the timeout that its remaining wait does not cover.
+        # The client of a retry has already waited, at most the part of the timeout that its remaining wait does not cover.
         waited_before = timeout_s - wait_s - age_s if is_retry and wait_s > 0.0 else 0.0
         loses_value_at = request.arrived_at + request_class.target_latency_s - max(0.0, waited_before)
         request.latency_deadline = min(request.deadline, loses_value_at)
@@ -154,7 +154,7 @@
         self._backpressure.record_unread_wait(request, age_s)
 
     def record_run_end(self, now: float, ref: Ref, ending: int) -> None:
-        """Close a request whose run ended, or pause one whose run was stopped although its caller still waits."""
+        """Close a request whose run ended, or pause one whose run was stopped although its client still waits."""
         self._advance_time(now)
         request = self._table.by_ref.get(ref)
         if request is None:
@@ -186,7 +186,7 @@
             self._table.move(request, Stage.RUNNING if ending == Ending.OK else Stage.AWAITING_CALL)
 
     def record_abandonment(self, now: float, ref: Ref) -> None:
-        """Record that the caller of a request disconnected."""
+        """Record that the client of a request disconnected."""
         self._advance_time(now)
         if request := self._table.by_ref.get(ref):
             self._table.release(request)
--- a/mulleinhatch/admission/dependency_limit.py
+++ b/mulleinhatch/admission/dependency_limit.py
@@ -129,12 +129,12 @@
     def is_saturated(self) -> bool:
         """Return whether the requests in progress already use all calls, so that another run could not get its call."""
         run_time = self._throughput.pace * self._throughput.mean_work()
-        max_callers = self.call_limit * (1.0 + run_time / self.call_time_s) if self.call_time_s else math.inf
-        return self._count_callers(self._in_progress) >= max(1.0, max_callers)
+        max_requests = self.call_limit * (1.0 + run_time / self.call_time_s) if self.call_time_s else math.inf
+        return self._count_must_call(self._in_progress) >= max(1.0, max_requests)
 
     def wait_s(self) -> float:
         """Return how long a call requested now would take, including the queue before it."""
-        queue = self._count_callers((self._running, self._awaiting))
+        queue = self._count_must_call((self._running, self._awaiting))
         return self.call_time_s * (1.0 + queue / self.call_limit) + max(0.0, self._pause_s())
 
     def longest_call_s(self) -> float:
@@ -149,7 +149,7 @@
         return self._last_call_at + self._last_call_time_s * (1.0 / self.call_limit - 1.0) - self._table.now
 
     @staticmethod
-    def _count_callers(stages: Iterable[dict[Ref, Request]]) -> int:
+    def _count_must_call(stages: Iterable[dict[Ref, Request]]) -> int:
         """Count the requests in some stages that cannot be answered without a call."""
         return sum(
             request.request_class.must_call and not request.is_answered for stage in stages for request in stage.values()
--- a/mulleinhatch/admission/drain.py
+++ b/mulleinhatch/admission/drain.py
@@ -24,6 +24,6 @@
         """Cap a request's deadline before the stop."""
         request.deadline = min(request.deadline, self.stop_at - STOP_MARGIN_S)
 
-    def refuses(self, request: Request, margin_s: float) -> bool:
-        """Return whether a request arrived after the grace period in which callers may still send."""
+    def rejects(self, request: Request, margin_s: float) -> bool:
+        """Return whether a request arrived after the grace period in which clients may still send."""
         return request.arrived_at > self.started_at + self._arrival_grace_s - margin_s
--- a/mulleinhatch/admission/health.py
+++ b/mulleinhatch/admission/health.py
@@ -1,4 +1,4 @@
-"""Health of the instance: whether callers should send requests to it."""
+"""Health of the instance: whether clients should send requests to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 # Ratio of the mean run time to the shortest target latency above which the instance counts as slow.
 SLOW_RUN_FACTOR = 1.2
 
-# Fraction of failed recent runs above which the instance is unhealthy: fast failures look like low load and attract callers.
+# Fraction of failed recent runs above which the instance is unhealthy: fast failures look like low load and attract clients.
 FAILING_RUN_FRACTION = 0.5
 
 # Seconds of an unhealthy period, doubled for each consecutive period; each period has a jitter of plus or minus a quarter.
@@ -27,7 +27,7 @@
 
 
 class HealthMonitor:
-    """Detects that the instance is slow, stuck or failing, except for a warm-up, with an exponential backoff between attempts.
+    """Detects that the instance is slow, stuck or failing, except during a warm-up; consecutive unhealthy periods grow.
 
     Attributes:
         unhealthy_until: End of the current unhealthy period, or of the last one.
@@ -66,7 +66,7 @@
     def update(self) -> None:
         """Evaluate the health again.
 
-        A slow instance stays healthy while the fleet is full: callers would find no better instance.
+        A slow instance stays healthy while the fleet is full: clients would find no better instance.
         """
         now = self._table.now
         run_time = self._throughput.pace * self._throughput.mean_work() * self._limit.speed()
@@ -82,7 +82,7 @@
             self._unhealthy_period_s = MIN_UNHEALTHY_S
 
     def is_healthy(self) -> bool:
-        """Return whether callers should send requests here: neither unhealthy nor draining."""
+        """Return whether clients should send requests here: neither unhealthy nor draining."""
         now = self._table.now
         return now < self._drain.started_at and now >= self.unhealthy_until
 
--- a/mulleinhatch/admission/interface.py
+++ b/mulleinhatch/admission/interface.py
@@ -36,10 +36,10 @@
 
 
 class Advice(Enum):
-    """The form of backpressure that callers understand."""
+    """The form of backpressure that clients understand."""
 
     FLOOR = "floor"  # fraction of the load that should go elsewhere; 1 closes the instance
-    ALLOWANCE = "allowance"  # concurrent requests that each caller may have here
+    ALLOWANCE = "allowance"  # concurrent requests that each client may have here
     WEIGHT = "weight"  # load balancing weight of this instance
 
 
@@ -80,7 +80,7 @@
     cold_speed: float  # lowest speed during warm-up, as a fraction of full speed
     cold_for: float  # longest duration of a warm-up
     crowd_per_core: float  # requests in progress per core that a warm instance survives
-    drain_grace: float  # how long callers may still send after draining began
+    drain_grace: float  # how long clients may still send after draining began
     memory_kb: float
     run_factor: float  # ratio of a running request's memory to that of a queued one
     key_kb: float  # memory of a remembered idempotency key
--- a/mulleinhatch/admission/mechanism.py
+++ b/mulleinhatch/admission/mechanism.py
@@ -43,7 +43,7 @@
     """Return how much may be queued for a class: L_max = mu x W_max, never below `floor`.
 
     Args:
-        mu: Service rate, in work or requests a second.
+        mu: Service rate, in work or requests per second.
         longest_wait: Seconds that may pass before the start.
         floor: Amount that may always be queued, in work or requests as in `mu`.
     """
--- a/mulleinhatch/admission/placement.py
+++ b/mulleinhatch/admission/placement.py
@@ -37,7 +37,7 @@
         while table.undecided:
             request = next(iter(table.undecided.values()))
             drain.shorten_deadline(request)
-            if drain.refuses(request, table.answer_margin_s):
+            if drain.rejects(request, table.answer_margin_s):
                 return self._rejections.drop(request, "drain")
             del table.undecided[request.ref]
             if request.may_have_run:
--- a/mulleinhatch/admission/request.py
+++ b/mulleinhatch/admission/request.py
@@ -73,7 +73,7 @@
     Args:
         ref: The host's id of it.
         request_class: Its class.
-        tenant: Number of its tenant, or of its caller where there are no tenants.
+        tenant: Number of its tenant, or of its client where there are no tenants.
         work: Its expected work, by its hint or by the mean of all hints.
         memory_kb: Memory that it takes while it is queued.
     """
@@ -113,7 +113,7 @@
         self.stage = Stage.QUEUED
         # All times are seconds on the host's clock.
         self.arrived_at = 0.0  # arrival at the machine, so time spent unread counts as waiting
-        self.deadline = 0.0  # time at which its caller stops waiting
+        self.deadline = 0.0  # time at which its client stops waiting
         self.latency_deadline = 0.0  # time after which its answer loses value
         self.stage_since = 0.0
         self.call_until = 0.0  # time at which its call in progress times out
--- a/mulleinhatch/admission/request_table.py
+++ b/mulleinhatch/admission/request_table.py
@@ -44,7 +44,7 @@
         self._run_factor = deployment.get("run_factor", 1.0)
 
     def add(self, request: Request) -> None:
-        """Queue a request that just arrived."""
+        """Queue a request that has just arrived."""
         ref = request.ref
         self.by_ref[ref] = self.by_stage[Stage.QUEUED][ref] = self.undecided[ref] = request
         self.memory_used_kb += request.memory_kb
--- a/mulleinhatch/admission/tenant_limits.py
+++ b/mulleinhatch/admission/tenant_limits.py
@@ -14,7 +14,7 @@
 from mulleinhatch.admission.throughput import ThroughputMeter
 from mulleinhatch.sliding_window import BUCKET_COUNT, BUCKET_S, SlidingWindow
 
-# Ratio of a tenant's share of the running limit to its fraction of the service: traffic is never even.
+# Ratio of a tenant's share of the running limit to its fraction of the service; above 1, as traffic is never even.
 TENANT_SHARE_FACTOR = 2.0
 
 # Points added to a request when all its tenant's traffic is over quota: the whole BASE_SPAN.
@@ -24,7 +24,7 @@
 
 
 class TenantLimits:
-    """Limits each tenant's runs; without tenants, each caller's."""
+    """Limits each tenant's runs; without tenants, each client's."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         tenants = get("tenants", [])
         instances = max(1, get("instances", 1))
         self._shares = [TENANT_SHARE_FACTOR * tenant.get("fraction", 1.0) for tenant in tenants]
-        self._caller_share = TENANT_SHARE_FACTOR / max(1, get("callers", 1))
+        self._client_share = TENANT_SHARE_FACTOR / max(1, get("callers", 1))
         self._quotas_per_s = [tenant.get("quota_per_s", math.inf) / instances for tenant in tenants]
         self._first_tries = [SlidingWindow() for _ in tenants]
         self._rate_budgets: dict[int, tuple[float, BudgetPieces]] = {}
@@ -51,7 +51,7 @@
         self._concurrency_budgets: dict[int, tuple[float, BudgetPieces]] = {}
 
     def account_of(self, tenant: int, caller: int) -> int:
-        """Return the account that a request counts against: its tenant, or its caller where there are no tenants."""
+        """Return the account that a request counts against: its tenant, or its client where there are no tenants."""
         return tenant if self._shares else caller
 
     def quota_penalty(self, request: Request) -> float:
@@ -71,7 +71,7 @@
     def is_under_cap(self, request: Request) -> bool:
         """Return whether a request's tenant may have another request in progress while others wait."""
         tenant = request.tenant
-        share = self._shares[tenant] if tenant < len(self._shares) else self._caller_share
+        share = self._shares[tenant] if tenant < len(self._shares) else self._client_share
         return self._table.running_by_tenant[tenant] < account_cap(self._limit.current, share)
 
     def set_budget(self, tenant: int, window_s: float, pieces: BudgetPieces) -> None:
--- a/mulleinhatch/admission/traffic.py
+++ b/mulleinhatch/admission/traffic.py
@@ -5,7 +5,7 @@
 from mulleinhatch.admission.request_table import RequestTable
 from mulleinhatch.sliding_window import SlidingWindow
 
-# Fraction of retries among arrivals above which the fleet counts as full: callers retry here because other instances reject.
+# Fraction of retries among arrivals above which the fleet counts as full: clients retry here because other instances reject.
 FLEET_FULL_RETRY_FRACTION = 0.25
 
 # Free fraction of the peers' capacity below which the fleet counts as full, where the host reports it.
@@ -44,7 +44,7 @@
             window.add(now, float(count))
 
     def is_fleet_full(self) -> bool:
-        """Return whether callers would find no capacity elsewhere either."""
+        """Return whether clients would find no capacity elsewhere either."""
         if self.peer_free_fraction >= 0.0:
             return self.peer_free_fraction < FLEET_FULL_FREE_FRACTION
         now = self._table.now
