--- a/mulleinhatch/instance/protocol/http_peers.py
+++ b/mulleinhatch/instance/protocol/http_peers.py
@@ -78,7 +78,7 @@
     """Parse the head of a peer's response. An interim response (1xx) has no body.
 
     Raises:
-        BadRequestError: It is no response head, or the length of its body is ambiguous (a second response could hide there).
+        BadRequestError: It is not a response head, or the length of its body is ambiguous (a second response could hide there).
 
     >>> parse_response_head(b"HTTP/1.1 103 Early Hints\\r\\nLink: </a>\\r\\n\\r\\n")
     ResponseHead(status=103, body_length=0, closes_connection=False)
--- a/mulleinhatch/instance/protocol/http_requests.py
+++ b/mulleinhatch/instance/protocol/http_requests.py
@@ -115,7 +115,7 @@
             Method, path, header fields by lower-case name, and body.
 
         Raises:
-            BadRequestError: The bytes are no valid request; the start of the next one is unknown.
+            BadRequestError: The bytes are not a valid request; the start of the next one is unknown.
         """
         while self.end >= len(LINE_END) and self.view[: len(LINE_END)] == LINE_END:
             self._shift(len(LINE_END))  # RFC 9112, 2.2: some senders add an empty line after a body
--- a/mulleinhatch/instance/protocol/http_responses.py
+++ b/mulleinhatch/instance/protocol/http_responses.py
@@ -12,7 +12,7 @@
 
     Args:
         level: Load signal from 0 to 1; None to send none.
-        hold_off: Seconds after which the client may come back; 0 to name none.
+        hold_off: Seconds after which the client may retry; 0 to send none.
 
     >>> write_retry_rejection(0.25, 1.5) == b"".join(write_response(429, level=0.25, hold_off=1.5, not_elsewhere=True))
     True
@@ -20,8 +20,8 @@
     False
     """
     signal = b"" if level is None else b"X-Load-Signal: %.4f\r\n" % level
-    back = b"Retry-After-Ms: %d\r\n" % max(1, round(hold_off * 1000.0)) if hold_off > 0.0 else b""
-    return RETRY_REJECTION % (signal, back)
+    retry_after = b"Retry-After-Ms: %d\r\n" % max(1, round(hold_off * 1000.0)) if hold_off > 0.0 else b""
+    return RETRY_REJECTION % (signal, retry_after)
 
 
 def write_response(
@@ -38,7 +38,7 @@
         status: HTTP status; one of `REASONS`.
         body: Response body.
         level: Load signal from 0 to 1; None to send none.
-        hold_off: Seconds after which the client may come back; 0 to name none.
+        hold_off: Seconds after which the client may retry; 0 to send none.
         not_elsewhere: Whether the client should not try another instance either.
         close: Whether the connection closes after the response.
 
--- a/mulleinhatch/instance/protocol/interpreter_messages.py
+++ b/mulleinhatch/instance/protocol/interpreter_messages.py
@@ -47,7 +47,7 @@
     """Parse a notice.
 
     Raises:
-        ValueError: The line is no JSON object.
+        ValueError: The line is not a JSON object.
     """
     fields = json.loads(line.decode())
     if not isinstance(fields, dict):
@@ -84,7 +84,7 @@
     """Return a whole number that is sent as a number or as a string of digits.
 
     Raises:
-        ValueError: It is no whole number, or below zero.
+        ValueError: It is not a whole number, or below zero.
 
     >>> parse_non_negative_int(7), parse_non_negative_int("12")
     (7, 12)
@@ -111,7 +111,7 @@
     """Return a list of gauges.
 
     Raises:
-        ValueError: It is no list, or one of them is no finite number of 0 or more.
+        ValueError: It is not a list, or one of them is not a finite number of 0 or more.
     """
     if not isinstance(values, list):
         raise ValueError("no list")
--- a/mulleinhatch/instance/request_state_machine/arrivals.py
+++ b/mulleinhatch/instance/request_state_machine/arrivals.py
@@ -1,4 +1,4 @@
-"""Arriving requests: validation, duplicates, retries that may already have executed."""
+"""Arriving requests: validation, duplicates, and retries of requests that may already have executed."""
 
 from __future__ import annotations
 
@@ -240,7 +240,6 @@
     def _fail_possible_second_run(self, request: PendingRequest, fingerprints: RequestFingerprint, now: float) -> None:
         """Fail a retry that might execute a second time."""
         self.counts["repeats_of_run"] += 1
-        self.storms.counts["repeats_of_run_alike"] += self.storms.duplicates.shared.contains(
-            now, fingerprints.coarse
-        )  # possibly of a different request that looks the same
+        # Possibly the retry of a different request that looks the same.
+        self.storms.counts["repeats_of_run_alike"] += self.storms.duplicates.shared.contains(now, fingerprints.coarse)
         self._respond(now, request, Action.SEND_FAILURE)
--- a/mulleinhatch/instance/request_state_machine/peers.py
+++ b/mulleinhatch/instance/request_state_machine/peers.py
@@ -1,4 +1,4 @@
-"""Peers: handing requests over, capacity reported to them, budgets and load reported by them."""
+"""Peers: handing requests over, reporting capacity to them, and applying the budgets and load that they report."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/instance/request_state_machine/reducer.py
+++ b/mulleinhatch/instance/request_state_machine/reducer.py
@@ -30,7 +30,7 @@
     several, and creating an object for each would cost processor time.
 
     Args:
-        deployment: Facts about the machine and the request types.
+        deployment: Settings of the instance and the request types.
         request_types: Names of the request types, in the order of `deployment["op_types"]`.
         tenants: Names of the tenants; empty if requests carry no tenant.
         seed: Seed of the random draws.
@@ -97,10 +97,8 @@
         """
         if self.controller is None:
             if self.record:
-                now, since = (
-                    round(now, 6),
-                    round(since, 6),
-                )  # the recording keeps microseconds: a replay must see the same times
+                # The recording keeps microseconds, and a replay must see the same times.
+                now, since = round(now, 6), round(since, 6)
             self.controller = AdmissionController({**self.deployment, "fresh_start": cold}, self.seed, now - since)
             if cold:
                 self.warmed_up_at = now - since + self.deployment.get("cold_for", 0.0)
--- a/mulleinhatch/instance/request_state_machine/runs.py
+++ b/mulleinhatch/instance/request_state_machine/runs.py
@@ -47,8 +47,8 @@
             self.counts["notices_strange"] += 1  # never requested: the runs that they would confirm may still be in transit
             return
         self.gauge_readings, self.gauges_read_at, self.interpreter_message_at = gauge_readings, now, now
-        confirmed_runs = [request_id for request_id, asked in self.unconfirmed_runs.items() if asked < mark]
-        confirmed_resumes = [request_id for request_id, (asked, _) in self.unconfirmed_resumes.items() if asked < mark]
+        confirmed_runs = [request_id for request_id, last_mark in self.unconfirmed_runs.items() if last_mark < mark]
+        confirmed_resumes = [request_id for request_id, (last_mark, _) in self.unconfirmed_resumes.items() if last_mark < mark]
         if mark < self.resync_mark:
             return
         for request_id in confirmed_runs:
--- a/mulleinhatch/instance/transport/connection.py
+++ b/mulleinhatch/instance/transport/connection.py
@@ -26,7 +26,7 @@
         """Return the next complete message, or None.
 
         Raises:
-            ValueError: The bytes are no message.
+            ValueError: The bytes are not a message.
         """
 
     def started(self) -> bool:
@@ -50,7 +50,7 @@
         write_closed_at: Time at which the local side was closed; infinite before.
         response_written: Set while no response is pending.
         rank_members: All connections of its eviction rank, including itself.
-        retry_at: Time at which the last response asked the caller to retry; 0 if it did not.
+        retry_at: Time at which the last response asked the client to retry; 0 if it did not.
     """
 
     def __init__(self, number: int, stream: GatheringStream, reader: MessageReader, now: float) -> None:
@@ -74,7 +74,7 @@
         return not self.is_response_pending and not self.is_closing and not self.reader.started() and self.stream.reading()
 
     def eviction_rank(self) -> int:
-        """Return its eviction rank; a reused connection is the most valuable one to its caller."""
+        """Return its eviction rank; a reused connection is the most valuable one to its client."""
         if self.is_response_pending:
             return RANK_RESPONSE_PENDING
         if self.is_closing:
--- a/mulleinhatch/instance/transport/connections.py
+++ b/mulleinhatch/instance/transport/connections.py
@@ -106,7 +106,7 @@
         return False
 
     def _evict_one(self) -> None:
-        """Half-close the connection that is least valuable to its caller, but none with unread bytes: they may be a request."""
+        """Half-close the connection that is least valuable to its client, but none with unread bytes: they may be a request."""
         if self.ranks.closing_count() > self.max_connections // RESERVED_FRACTION_DIVISOR:
             return  # enough connections are closing already
         if connection := self.ranks.find_evictable():
@@ -164,7 +164,7 @@
         return True
 
     def record_retry_time(self, number: int, at: float) -> None:
-        """Record when a connection's response asked its caller to retry."""
+        """Record when a connection's response asked its client to retry."""
         if connection := self.open.get(number):
             connection.retry_at = at
 
@@ -181,7 +181,7 @@
             connection.response_written.set()
 
     def sweep(self, max_idle_s: float) -> None:
-        """Close connections that are idle or past their deadline, and detect resets by callers.
+        """Close connections that are idle or past their deadline, and detect resets by clients.
 
         The event loop does not watch a connection on which a response is due, so its reset is only detected here.
 
--- a/mulleinhatch/instance/transport/eviction.py
+++ b/mulleinhatch/instance/transport/eviction.py
@@ -36,7 +36,7 @@
         return next(iter(self._ranks[RANK_CLOSING].values()), None)
 
     def find_evictable(self) -> Connection | None:
-        """Return the open connection that is least valuable to its caller, or None if each may carry a request."""
+        """Return the open connection that is least valuable to its client, or None if each may carry a request."""
         for members in self._ranks[RANK_SILENT:RANK_RESPONSE_PENDING]:
             for connection in islice(members.values(), MAX_EVICTION_CHECKS):
                 if connection.is_evictable():
--- a/mulleinhatch/instance/transport/listener.py
+++ b/mulleinhatch/instance/transport/listener.py
@@ -13,14 +13,11 @@
 
 BACKLOG = 256  # a connection in the backlog may already carry a request whose deadline approaches
 ACCEPT_RETRY_S = 0.06  # pause of a listener that cannot accept; longer than `limits.IN_FLIGHT_S`
-MAX_ACCEPTS_PER_TURN = 16  # so that a flood of new connections does not block the event loop for the open ones
+MAX_ACCEPTS_PER_TURN = 16  # bounds how long a flood of new connections blocks the event loop for the open ones
 MAX_ACCEPT_DELAY_S, MAX_SHEDS_PER_TURN = 0.2, 256  # if the backlog is not empty for this long, new connections are closed
-HARMLESS_ACCEPT_ERRNOS = (
-    errno.EAGAIN,
-    errno.ECONNABORTED,
-    errno.EINTR,
-    errno.EPROTO,
-)  # none is pending, or the peer has closed it
+
+# No connection is pending, or the peer has closed it.
+HARMLESS_ACCEPT_ERRNOS = (errno.EAGAIN, errno.ECONNABORTED, errno.EINTR, errno.EPROTO)
 
 
 class AcceptedConnections(Protocol):
@@ -78,7 +75,7 @@
         is_overloaded = now - self.backlogged_since > MAX_ACCEPT_DELAY_S
         for _ in range(MAX_SHEDS_PER_TURN if is_overloaded else MAX_ACCEPTS_PER_TURN):
             if not self.owner.has_capacity():
-                self._pause(listener)  # closed after accept it would fail; in the backlog it may still be served in time
+                self._pause(listener)  # if accepted and closed, it would fail; in the backlog it may still be served in time
                 return
             try:
                 sock = listener.accept()[0]
@@ -89,7 +86,7 @@
                 self.backlogged_since = math.inf
                 return
             if is_overloaded:
-                # The caller sees that no request of it ran, and the other callers get their responses.
+                # This client sees that no request of it ran, and the other clients get their responses.
                 self.owner.count("connections_shed")
                 sock.close()
             else:
--- a/mulleinhatch/instance/transport/observer.py
+++ b/mulleinhatch/instance/transport/observer.py
@@ -30,10 +30,10 @@
             number: The connection.
             now: Current time.
             data: Bytes that have arrived; they may be part of a message.
-            retry_at: Time at which the connection's last response asked its caller to retry; 0 if it did not.
+            retry_at: Time at which the connection's last response asked its client to retry; 0 if it did not.
 
         Returns:
-            The response and the time at which it asks the caller to retry, or None to process the message as usual.
+            The response and the time at which it asks the client to retry, or None to process the message as usual.
         """
 
     def count(self, counter: str) -> None:
--- a/mulleinhatch/instance/transport/stream.py
+++ b/mulleinhatch/instance/transport/stream.py
@@ -29,7 +29,7 @@
         self.set_nodelay(True)
 
     def pause_reading(self) -> None:
-        """Read nothing until the next `read_into`.
+        """Pause reading until the next `read_into`.
 
         IOStream treats a close of the peer's side as a lost connection; a half-closed peer must still get its response.
         """
