--- a/mulleinhatch/instance/transport/listener.py
+++ b/mulleinhatch/instance/transport/listener.py
@@ -13,8 +13,8 @@
 
 BACKLOG = 256  # a connection in the backlog may already carry a request whose deadline approaches
 ACCEPT_RETRY_S = 0.06  # pause of a listener that cannot accept; longer than `limits.IN_FLIGHT_S`
-MAX_ACCEPTS_PER_TURN = 16  # bounds how long a flood of new connections blocks the event loop for the open ones
-MAX_ACCEPT_DELAY_S, MAX_SHEDS_PER_TURN = 0.2, 256  # if the backlog is not empty for this long, new connections are closed
+MAX_ACCEPTS_PER_ITERATION = 16  # bounds how long a flood of new connections blocks the event loop for the open ones
+MAX_ACCEPT_DELAY_S, MAX_SHEDS_PER_ITERATION = 0.2, 256  # if the backlog is not empty for this long, new connections are closed
 
 # No connection is pending, or the peer has closed it.
 HARMLESS_ACCEPT_ERRNOS = (errno.EAGAIN, errno.ECONNABORTED, errno.EINTR, errno.EPROTO)
@@ -73,7 +73,7 @@
         now = self.clock()
         self.backlogged_since = min(self.backlogged_since, now)
         is_overloaded = now - self.backlogged_since > MAX_ACCEPT_DELAY_S
-        for _ in range(MAX_SHEDS_PER_TURN if is_overloaded else MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_SHEDS_PER_ITERATION if is_overloaded else MAX_ACCEPTS_PER_ITERATION):
             if not self.owner.has_capacity():
                 self._pause(listener)  # if accepted and closed, it would fail; in the backlog it may still be served in time
                 return
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -22,7 +22,7 @@
 from mulleinhatch.instance.retry_storms.request_log import ExpiringSet, HeavyCallers
 from mulleinhatch.instance.retry_storms.storm_detector import UPDATE_INTERVAL_S, Stage, StormDetector
 from mulleinhatch.instance.runtime import operator_file as operator
-from mulleinhatch.instance.transport.listener import MAX_ACCEPT_DELAY_S, MAX_ACCEPTS_PER_TURN
+from mulleinhatch.instance.transport.listener import MAX_ACCEPT_DELAY_S, MAX_ACCEPTS_PER_ITERATION
 from mulleinhatch.networking.http_grammar import BadRequestError
 from mulleinhatch.simulation.instance_world import Scenario, World
 from mulleinhatch.testing import fault_script as faults
@@ -327,7 +327,7 @@
 
     Health checks on an open connection are answered meanwhile, timers fire in time, and every new connection is served.
     """
-    turn_s = 0.9 * MAX_ACCEPT_DELAY_S / math.ceil(400 / MAX_ACCEPTS_PER_TURN)
+    turn_s = 0.9 * MAX_ACCEPT_DELAY_S / math.ceil(400 / MAX_ACCEPTS_PER_ITERATION)
     burst = connect_at_once(400, turn_s)
     assert set(burst.answers) == {b"HTTP/1.1 200"} and burst.shed == 0
     assert burst.slowest_check_s < 1.5 and burst.latest_alarm_ms < 1000, burst
@@ -337,7 +337,7 @@
     turns = 4  # within the delay bound
     burst = connect_at_once(400, MAX_ACCEPT_DELAY_S / turns)
     assert set(burst.answers) <= {b"HTTP/1.1 200", b""} and burst.answers.count(b"") == burst.shed
-    assert burst.answers.count(b"HTTP/1.1 200") >= turns * MAX_ACCEPTS_PER_TURN
+    assert burst.answers.count(b"HTTP/1.1 200") >= turns * MAX_ACCEPTS_PER_ITERATION
     assert burst.slowest_check_s < 1.5 and burst.latest_alarm_ms < 1000, burst
 
 
