--- a/mulleinhatch/data_plane/registry_snapshot.py
+++ b/mulleinhatch/data_plane/registry_snapshot.py
@@ -89,7 +89,7 @@
     Attributes:
         by_id: Backends by identifier.
         by_service: Backends of each service, ordered by identifier.
-        unconfirmed: Loop time since which a new control-plane node's complete list has lacked a backend, by identifier.
+        unconfirmed: Loop time since which a backend has been missing from a new node's complete list, by identifier.
         deregistered: Identifiers of draining or deregistered backends, latest last (an ordered set).
     """
 
--- a/mulleinhatch/quotas/limits.py
+++ b/mulleinhatch/quotas/limits.py
@@ -14,8 +14,9 @@
 
 @dataclass(frozen=True)
 class QuotaBounds:
-    """The deployment's rule: in each window all data planes together use at most
-    (`rate` x window + `burst`) x (1 + `overage`) + `slack` units of a tenant.
+    """The deployment's rule on how many units of a tenant all data planes together may use.
+
+    In each window they use at most (`rate` x window + `burst`) x (1 + `overage`) + `slack` units.
 
     Attributes:
         window_s: Length of the sliding window (`bounds.quota_window_s`).
--- a/mulleinhatch/quotas/owner.py
+++ b/mulleinhatch/quotas/owner.py
@@ -257,7 +257,7 @@
                 self._closed[name] = account
 
     def _former_owners(self, names: Sequence[str], former_view: OwnerView, now: float) -> dict[str, tuple[str, ...]]:
-        """Return the tenants whose former owner will be asked for the level, by its address."""
+        """Return the tenants whose former owner will be queried for the level, by its address."""
         by_address: dict[str, tuple[str, ...]] = {}
         for name in names:
             address = owner_address(name, former_view.chain_addresses)
--- a/mulleinhatch/simulator_adapter/adapter.py
+++ b/mulleinhatch/simulator_adapter/adapter.py
@@ -69,7 +69,7 @@
 
 
 class FrameReader:
-    """Reads the body of one batch from front to back.
+    """Reads the body of one batch sequentially.
 
     Args:
         body: The bytes of the body.
@@ -115,7 +115,7 @@
     """Holds the controllers of all simulated instances, passes events to them and encodes their decisions.
 
     Attributes:
-        current: Number of the instance that was handled last, which errors are reported for.
+        current: Number of the instance that was handled last; errors are reported for it.
     """
 
     def __init__(self) -> None:
--- a/mulleinhatch/tenants/api_keys.py
+++ b/mulleinhatch/tenants/api_keys.py
@@ -29,10 +29,10 @@
 
 
 class Secret:
-    """A text that `repr` does not show.
+    """A value that `repr` does not show.
 
     Args:
-        value: The text as sent on the wire.
+        value: The value as sent on the wire.
     """
 
     __slots__ = ("_value",)
@@ -41,7 +41,7 @@
         self._value = value
 
     def reveal(self) -> bytes:
-        """Return the text; the caller must keep it out of logs, errors and status pages."""
+        """Return the value; the caller must keep it out of logs, errors and status pages."""
         return self._value
 
     def __repr__(self) -> str:
