--- a/mulleinhatch/quotas/limits.py
+++ b/mulleinhatch/quotas/limits.py
@@ -6,16 +6,17 @@
 
 from mulleinhatch.tenants.tenant import QuotaLimit
 
-GRANT_LIFETIME_S = 0.5  # from just before the query is sent to the last write that a grant allows
+GRANT_LIFETIME_S = 0.5  # time from just before the query is sent to the last write that a grant allows
 FLIGHT_S = 0.3  # bytes written before a grant expired arrive at a backend within this time
-RETURNED_FRACTION = 0.25  # of what the rule leaves above the burst: reserved for returned grants
-MIN_CAPACITY_FRACTION = 1 / 16  # of what the rule allows in a window: lower bound of a bucket's capacity
+RETURNED_FRACTION = 0.25  # fraction reserved for returned grants of what the rule leaves above the burst
+MIN_CAPACITY_FRACTION = 1 / 16  # lower bound of a bucket's capacity, as a fraction of what the rule allows in a window
 
 
 @dataclass(frozen=True)
 class QuotaBounds:
-    """The deployment's rule: in each window all data planes together use at most
-    (`rate` x window + `burst`) x (1 + `overage`) + `slack` units of a tenant.
+    """The deployment's rule on how many units of a tenant all data planes together may use.
+
+    In each window they use at most (`rate` x window + `burst`) x (1 + `overage`) + `slack` units.
 
     Attributes:
         window_s: Length of the sliding window (`bounds.quota_window_s`).
