--- a/mulleinhatch/configuration/tenants.py
+++ b/mulleinhatch/configuration/tenants.py
@@ -32,7 +32,7 @@
 def tenants_by_name(value: Mapping[str, Any]) -> dict[str, Tenant]:
     """Return the tenants of an accepted configuration by name, without their keys; an invalid tenant is left out.
 
-    Only a process without the checks of this module can have accepted such a tenant.
+    Such a tenant was accepted by a process that runs a version without the checks of this module.
     """
     return {item["name"]: build_tenant(item) for item in tenants_of(value) if not _find_error(item)}
 
@@ -48,7 +48,7 @@
         if not isinstance(name, str) or not name:
             return Err(ConfigurationError(f"tenants: item {number}: {fault}; {REMEDY}"))
         if not fault and name in names:
-            fault = "name occurs twice; give each tenant its own"
+            fault = "name occurs twice; give each tenant a unique one"
         if fault:
             return Err(ConfigurationError(f"tenants: item {name!r}: {fault}; {REMEDY}"))
         names.add(name)
@@ -61,10 +61,10 @@
         return "a tenant must be an object"
     name = item.get("name")
     if not isinstance(name, str) or not name or not name.isprintable():  # it is sent in a header field
-        return "name must be a text of printable characters that is not empty"
+        return "name must be a non-empty string of printable characters"
     keys = item.get("api_keys")
     if not isinstance(keys, list) or not all(isinstance(key, str) and key for key in keys):
-        return "api_keys must be a list of texts that are not empty"
+        return "api_keys must be a list of non-empty strings"
     unit = item.get("unit")
     if not (unit is None or isinstance(unit, str)) or unit not in UNITS:
         return "unit must be token_count, or be left out where requests are counted"
@@ -96,7 +96,7 @@
 
     Args:
         items: All tenants after the change.
-        changed: Those of them that the change adds or replaces.
+        changed: The tenants that the change adds or replaces.
     """
     if isinstance(checked := check_shared_keys(changed), Err):
         return checked
@@ -165,7 +165,7 @@
         return self._table
 
     def _record(self, item: Mapping[str, Any]) -> _Record:
-        if fault := _find_error(item):  # a process without these checks accepted the configuration
+        if fault := _find_error(item):  # a version without these checks accepted the configuration
             raise ValueError(f"tenants: {fault}")
         digests = tuple(self._digester.digest(Secret(key.encode("utf-8", "surrogatepass"))) for key in item["api_keys"])
         return _Record(item, build_tenant(item), digests)
--- a/mulleinhatch/networking/http_client.py
+++ b/mulleinhatch/networking/http_client.py
@@ -26,7 +26,7 @@
 class HttpCallError(CallError):
     """No complete response arrived; the message names the address.
 
-    The caller can call another process, or retry later. If `sent` is true, the request may have been executed.
+    The request can be sent to another process, or retried later. If `sent` is true, the request may have been executed.
 
     Args:
         address: The address that was called, "HOST:PORT".
@@ -61,7 +61,7 @@
         self.chunks.append(data)
         self.size += len(data)
         if self.size > MAX_RESPONSE_BYTES:
-            self._fail("the answer is too long")
+            self._fail("the response is too long")
 
     def on_end(self) -> None:
         """Complete the future."""
@@ -113,7 +113,7 @@
             async with asyncio.timeout(timeout_s):
                 return await self._exchange(address, data)
         except TimeoutError:
-            raise HttpCallError(address, f"no answer in {timeout_s:.1f} s") from None
+            raise HttpCallError(address, f"no response in {timeout_s:.1f} s") from None
 
     async def _exchange(self, address: str, data: bytes) -> HttpResponse:
         connection = await self._acquire(address)
--- a/mulleinhatch/networking/http_server.py
+++ b/mulleinhatch/networking/http_server.py
@@ -1,6 +1,6 @@
 """HTTP server: circuits.web on the asyncio loop of the process.
 
-The event loop of circuits would wake ten times a second. Here the events of circuits are dispatched whenever the asyncio loop
+The event loop of circuits would wake ten times per second. Here the events of circuits are dispatched whenever the asyncio loop
 reports one of its sockets as ready, in the same thread as everything else.
 """
 
--- a/mulleinhatch/process/settings.py
+++ b/mulleinhatch/process/settings.py
@@ -247,7 +247,7 @@
     try:
         properties.load(text, "utf-8")
     except (ParseError, UnicodeError) as error:
-        return Err(SettingsError(f"{path}: {error}; write one KEY=VALUE a line"))
+        return Err(SettingsError(f"{path}: {error}; write one KEY=VALUE per line"))
     return _validate({key: pair.data for key, pair in properties.items()}, path)
 
 
--- a/mulleinhatch/storage/records.py
+++ b/mulleinhatch/storage/records.py
@@ -99,7 +99,7 @@
         return
     if header.startswith(FORMAT_ID):
         raise UnsupportedVersionError("the control state file is of another version; start the version that wrote it")
-    raise ForeignFileError("not a control state file; move it away, and the state comes from the other machines")
+    raise ForeignFileError("not a control state file; move it away, and the state is fetched from the other nodes")
 
 
 def _is_torn(header: bytes) -> bool:
