--- a/mulleinhatch/cli/system/__init__.py
+++ b/mulleinhatch/cli/system/__init__.py
@@ -1,4 +1,4 @@
 """Provide the system's command line: `python -m mulleinhatch.console COMMAND`.
 
-It is for operators and for trying the system on one machine. It calls running processes and keeps no state.
+For operators, and for trials of the system on one machine. It calls running processes and keeps no state.
 """
--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -48,7 +48,7 @@
 class Console:
     """The commands, one per public method.
 
-    CONTROL is the control address of a control plane instance, READY the ready address of a data plane, both "HOST:PORT".
+    CONTROL is the control address of a control-plane node, READY the ready address of a data plane, both "HOST:PORT".
     """
 
     def check(self, settings: str) -> str:
--- a/mulleinhatch/cli/system/demo.py
+++ b/mulleinhatch/cli/system/demo.py
@@ -1,6 +1,6 @@
-"""Run a complete system on one machine: three control planes, two data planes, simulated backends, streaming clients.
+"""Run a complete system on one machine: three control-plane nodes, two data planes, simulated backends, streaming clients.
 
-Each plane is a process with its own loopback address; all of them end with the demonstration.
+Each node is a process with its own loopback address; all of them end with the demonstration.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
     """Outcomes of the clients' requests."""
 
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     first_token_s: list[float] = field(default_factory=list)
 
 
 def control_plane_ip(number: int) -> str:
-    """Return the loopback address of a control plane."""
+    """Return the loopback address of a control-plane node."""
     return f"127.1.{number}.1"
 
 
@@ -50,14 +50,14 @@
     return f"127.2.{number}.1"
 
 
-def write_settings(folder: Path, kind: str, number: int, cores: int, first: bool) -> Path:
-    """Write the settings file of one plane.
+def write_settings(folder: Path, kind: str, number: int, control_nodes: int, first: bool) -> Path:
+    """Write the settings file of one node.
 
     Args:
         folder: The directory of the file and of the persisted state.
         kind: "control" or "data".
-        number: The number of the plane among those of its kind.
-        cores: The number of control planes.
+        number: The number of the node among those of its kind.
+        control_nodes: The number of control-plane nodes.
         first: Whether the whole system starts for the first time.
 
     Returns:
@@ -70,9 +70,9 @@
         f"zone=zone-{number}",
         "region=here",
         f"internal_port_range={INTERNAL_PORT},{INTERNAL_PORT + 9}",
-        "seeds=" + ",".join(f"{control_plane_ip(core)}:{CONTROL_PORT}" for core in range(cores)),
+        "seeds=" + ",".join(f"{control_plane_ip(node)}:{CONTROL_PORT}" for node in range(control_nodes)),
         f"first_start={str(first).lower()}",
-        f"fault_tolerance.machines={1 if cores > 2 else 0}",
+        f"fault_tolerance.machines={1 if control_nodes > 2 else 0}",
         "heartbeat_interval_ms=1000",
     ]
     if kind == "control":
@@ -84,9 +84,9 @@
     return path
 
 
-def start_plane(folder: Path, kind: str, number: int, cores: int, first: bool = True) -> subprocess.Popen[bytes]:
-    """Start one plane as a process; its log goes to a file beside its settings (see `write_settings` for the arguments)."""
-    path = write_settings(folder, kind, number, cores, first)
+def start_plane(folder: Path, kind: str, number: int, control_nodes: int, first: bool = True) -> subprocess.Popen[bytes]:
+    """Start one node as a process; its log goes to a file beside its settings (see `write_settings` for the arguments)."""
+    path = write_settings(folder, kind, number, control_nodes, first)
     script = "control_plane.py" if kind == "control" else "data_plane.py"
     with open(path.with_suffix(".log"), "ab") as log:
         return subprocess.Popen(
@@ -120,10 +120,10 @@
 
 
 async def put_configuration(client: HttpClient, address: str, within_s: float = 20.0) -> None:
-    """Send the first configuration until a control plane accepts it.
+    """Send the first configuration until a control-plane node accepts it.
 
     Raises:
-        TimeoutError: No control plane accepted it within `within_s` seconds.
+        TimeoutError: No control-plane node accepted it within `within_s` seconds.
     """
     loop = asyncio.get_running_loop()
     end, target = loop.time() + within_s, address
@@ -149,7 +149,7 @@
 
 
 def make_backends(count: int, control: list[str]) -> list[FakeModelServer]:
-    """Return simulated backends that send heartbeats to the control planes."""
+    """Return simulated backends that send heartbeats to the control-plane nodes."""
     backends = []
     for number in range(count):
         config = FakeModelServerConfig(
@@ -166,7 +166,7 @@
     return backends
 
 
-async def send_request(front: str, model: str, tally: ClientTally) -> str:
+async def send_request(data_plane: str, model: str, tally: ClientTally) -> str:
     """Send one streaming request, count its outcome and return its id."""
     request_id = uuid.uuid4().hex[:16]
     fields = [
@@ -180,7 +180,7 @@
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     try:
-        host, _, port = front.rpartition(":")
+        host, _, port = data_plane.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(write_request(b"POST", b"/write/letter", fields, b"dear"))
         head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 9.0)
@@ -195,19 +195,19 @@
                 body += data
             tally.served += 1
         else:
-            tally.refused += 1
+            tally.rejected += 1
         writer.close()
     except (OSError, asyncio.IncompleteReadError):
         tally.failed += 1
     return request_id
 
 
-async def _client(fronts: list[str], tally: ClientTally, until: float) -> None:
+async def _client(data_planes: list[str], tally: ClientTally, until: float) -> None:
     loop = asyncio.get_running_loop()
     while loop.time() < until:
         model = MODELS[min(len(MODELS) - 1, int(random.expovariate(0.6)))]
         adapter = f"/a{random.randrange(1, 5)}" if random.random() < 0.3 else ""
-        await send_request(random.choice(fronts), model + adapter, tally)
+        await send_request(random.choice(data_planes), model + adapter, tally)
         await asyncio.sleep(random.uniform(0.0, 0.3))
 
 
@@ -215,7 +215,7 @@
     """Print the clients' outcomes and the models of each backend."""
     first = sorted(tally.first_token_s) or [0.0]
     print(
-        f"\n{max(0.0, left_s):4.0f} s left   served {tally.served}  refused {tally.refused}  failed {tally.failed}  "
+        f"\n{max(0.0, left_s):4.0f} s left   served {tally.served}  rejected {tally.rejected}  failed {tally.failed}  "
         f"first token p50 {1000 * first[len(first) // 2]:.0f} ms, p95 {1000 * first[int(0.95 * (len(first) - 1))]:.0f} ms"
     )
     print(f"{'backend':<14}{'running':>8}  models")
@@ -228,10 +228,10 @@
 
 
 async def _demo(seconds: float, folder: Path) -> ClientTally:
-    cores, fronts, client, tally = 3, 2, HttpClient(), ClientTally()
-    planes = [start_plane(folder, "control", number, cores) for number in range(cores)]
-    planes += [start_plane(folder, "data", number, cores) for number in range(fronts)]
-    control = [f"{control_plane_ip(number)}:{CONTROL_PORT}" for number in range(cores)]
+    control_nodes, data_planes, client, tally = 3, 2, HttpClient(), ClientTally()
+    planes = [start_plane(folder, "control", number, control_nodes) for number in range(control_nodes)]
+    planes += [start_plane(folder, "data", number, control_nodes) for number in range(data_planes)]
+    control = [f"{control_plane_ip(number)}:{CONTROL_PORT}" for number in range(control_nodes)]
     backends = make_backends(4, control)
     try:
         for backend in backends:
@@ -239,7 +239,7 @@
         await put_configuration(client, control[0])
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        addresses = [f"{data_plane_ip(number)}:{FRONT_PORT}" for number in range(fronts)]
+        addresses = [f"{data_plane_ip(number)}:{FRONT_PORT}" for number in range(data_planes)]
         clients = [asyncio.ensure_future(_client(addresses, tally, until)) for _ in range(CLIENTS)]
         while loop.time() < until:
             await asyncio.sleep(min(STATUS_INTERVAL_S, max(0.05, until - loop.time())))
@@ -260,4 +260,4 @@
     """Run the demonstration with `seconds` of traffic."""
     with tempfile.TemporaryDirectory(prefix="mulleinhatch-demo-") as folder:
         tally = asyncio.run(_demo(seconds, Path(folder)))
-        print(f"\nserved {tally.served}, refused {tally.refused}, failed {tally.failed}")
+        print(f"\nserved {tally.served}, rejected {tally.rejected}, failed {tally.failed}")
--- a/mulleinhatch/simulation/quotas/faults.py
+++ b/mulleinhatch/simulation/quotas/faults.py
@@ -1,4 +1,4 @@
-"""Random faults of one history: events that affect machines, views, limits and the network."""
+"""Random faults of one history: events that affect control-plane nodes, views, limits and the network."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         world.history.faults.extend(self._kinds)
 
     def draw_release(self, flood_from: float) -> float:
-        """Return until when requests are held back, chosen so that faults which prolong the use of a grant do most harm."""
+        """Return the time until which writes are delayed: the worst one for faults that prolong the use of a grant."""
         if "slow_answers" in self._kinds:
             return flood_from + SLOW_ANSWER_S + longest_use_s(GRANT_LIFETIME_S) - 0.01
         if "all_holders_freeze" in self._kinds:
@@ -68,12 +68,12 @@
         return [address for address, machine in self._world.machines.items() if not machine.is_dead]
 
     def _owner(self) -> str:
-        """Return the owner in the newest view, or another control plane if it is dead."""
+        """Return the owner in the newest view, or another control-plane node if it is dead."""
         address = self._world.owner()
         return address if address in self._alive() else self._source.choice(self._alive())
 
     def _view_change(self) -> None:
-        """Decide a view with some of the control planes, with or without the owner."""
+        """Decide a view with some of the control-plane nodes, with or without the owner."""
         chain = [address for address in self._alive() if self._source.random() < 0.7] or self._alive()
         self._world.decide_view(tuple(chain))
 
@@ -106,7 +106,7 @@
         self._schedule_follow_up(0.3, 2.5, self._heal_into, owner, last)
 
     def _heal_into(self, owner: str, chain: tuple[str, ...]) -> None:
-        """End the partition of a control plane and decide a view, which it learns first."""
+        """End the partition of a control-plane node and decide a view, which it learns first."""
         self._world.machines[owner].heal(self._world.queue.now)
         self._decide_alive(chain)
 
--- a/mulleinhatch/simulation/quotas/holder.py
+++ b/mulleinhatch/simulation/quotas/holder.py
@@ -31,9 +31,9 @@
     """One query to an owner.
 
     Attributes:
-        address: The control plane that is queried.
+        address: The control-plane node that is queried.
         pending: The requests that need tokens.
-        waiting: Those of them that still wait for the response.
+        waiting: The requests that still wait for the response.
         sent_at: When it was sent, in simulation time.
         is_over: Whether it was answered or abandoned.
     """
@@ -66,7 +66,7 @@
     demand: QuotaDemand = field(default_factory=QuotaDemand)
 
     def clock(self, now: float) -> float:
-        """Return the time on the data plane's steady clock."""
+        """Return the time on the data plane's monotonic clock."""
         return now + self.clock_offset_s
 
     def restart(self, clock_offset_s: float) -> None:
--- a/mulleinhatch/simulation/quotas/machines.py
+++ b/mulleinhatch/simulation/quotas/machines.py
@@ -1,7 +1,7 @@
-"""Simulated control planes around the real `QuotaOwner`: the views and limits that each knows, and whether it may answer.
+"""Simulated control-plane nodes around the real `QuotaOwner`: the views and limits that each knows, and whether it may answer.
 
-Authority is the worst case that the real protocol allows: a control plane whose view has a decided successor keeps answering
-for a random fraction of `AUTHORITY_S` after that decision, and may never learn of a view.
+Authority is the worst case that the real protocol allows: a node whose view has a decided successor keeps answering for a
+random fraction of `AUTHORITY_S` after that decision, and may never learn of a view.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 
 class ControlPlaneMachine:
-    """One control plane.
+    """One control-plane node.
 
     Args:
         address: Its internal address.
@@ -82,7 +82,7 @@
         self.frozen_until = 0.0
         self.started_at = 0.0
         self.died_at = math.inf
-        self.epoch = 0  # of the view that it knows
+        self.epoch = 0  # the epoch of the view that it knows
         self.owner = QuotaOwner(bounds, takeover_s)
         self._views, self._authority_s = views, authority_s
         self._cut_since = math.inf
@@ -121,11 +121,11 @@
 
     @property
     def lost_at(self) -> float:
-        """Since when it requests no confirmations, because it is partitioned or dead."""
+        """The time since which it requests no confirmations, because it is partitioned or dead."""
         return min(self._cut_since, self.died_at)
 
     def cut(self, now: float) -> None:
-        """Partition it from all other control planes; data planes still reach it."""
+        """Partition it from all other control-plane nodes; data planes still reach it."""
         self._cut_since = min(self._cut_since, now)
 
     def heal(self, now: float) -> None:
--- a/mulleinhatch/simulation/quotas/world.py
+++ b/mulleinhatch/simulation/quotas/world.py
@@ -25,8 +25,8 @@
 TENANT = "fern"
 ADDRESSES = tuple(f"10.0.0.{number}:7000" for number in range(1, 6))
 QUERY_TIMEOUT_S = 0.25
-MAX_LEARN_S = 0.3  # a connected control plane learns a view or a configuration within this time
-CALM_LOAD = 0.8  # load in the calm time, as a fraction of the rate
+MAX_LEARN_S = 0.3  # a connected control-plane node learns a view or a configuration within this time
+CALM_LOAD = 0.8  # the load in the calm time, as a fraction of the rate
 CALM_S = 4.0  # length of the settled part of the calm time, in which nothing may be refused
 WRITE_MARGIN_S = 0.001  # the latest write is this long before a permit's expiry
 LIMIT_APPLY_S = AUTHORITY_S + MAX_LEARN_S + FLIGHT_S + GRANT_LIFETIME_S  # a former limit may still have an effect for this time
@@ -44,7 +44,7 @@
         arrivals: Requests that arrived at backends.
         refused: Requests that were refused.
         refused_in_calm: Refused requests after the faults had ended and settled.
-        asked_in_calm: Requests in that time.
+        asked_in_calm: Requests that arrived in that time.
         most_part: Highest fraction of a window's allowance that arrived.
         handovers: Number of handovers, after which a new owner granted at once.
         shortened: Number of waits of a new owner that were shortened by the voters' answers.
@@ -64,12 +64,12 @@
 
 
 class QuotaWorld:
-    """The machines, the network, the clients and the checks of one history.
+    """The control-plane nodes, the network, the clients and the checks of one history.
 
     Args:
         source: Random source for all choices.
         history: Receives the results.
-        defect: A defect that the world implements itself.
+        defect: The injected defect; the world itself implements those that have no patch.
     """
 
     def __init__(self, source: random.Random, history: History, defect: Defect = Defect.NONE) -> None:
@@ -136,7 +136,7 @@
         self.history.refused += 1
         if self._is_settled(request):
             self.history.refused_in_calm += 1
-            self._violate(f"refused at {self.queue.now:.3f} although the tenant asks less than its rate")
+            self._violate(f"refused at {self.queue.now:.3f} although the tenant requests less than its rate")
 
     def _violate(self, what: str) -> None:
         if what:
@@ -290,7 +290,7 @@
     # Views and configurations.
 
     def decide_view(self, chain: tuple[str, ...], missed_by: frozenset[str] = frozenset()) -> None:
-        """Decide the next view; all connected control planes learn it, except those in `missed_by`."""
+        """Decide the next view; all connected control-plane nodes learn it, except those in `missed_by`."""
         voters, now = sorted(self.machines), self.queue.now
         minority = len(voters) - self._majority
         acceptors = frozenset(self.source.sample(voters, self._majority))
@@ -308,14 +308,14 @@
         return owner_address(TENANT, self.views.latest.chain)
 
     def change_limit(self, limit: QuotaLimit) -> None:
-        """Put another limit into force; connected control planes learn it soon."""
+        """Put another limit into force; connected control-plane nodes learn it soon."""
         self.limits.change(limit, self.queue.now)
         self._version += 1
         for address in self.machines:
             self.queue.at(self.queue.now + self.source.uniform(0.0, MAX_LEARN_S), self._learn_limit, address)
 
     def learn(self, address: str) -> None:
-        """Let a control plane learn the newest view and configuration if it is connected."""
+        """Let a control-plane node learn the newest view and configuration if it is connected."""
         machine = self.machines[address]
         if not machine.is_cut:
             self._learn_view(machine, self.views.latest)
@@ -401,14 +401,14 @@
             self.history.handovers += len(asker.owner.adopt_levels(levels, epoch, now))
 
     def restart_machine(self, address: str) -> None:
-        """Replace the process of a control plane by a new one without state."""
+        """Replace the process of a control-plane node by a new one without state."""
         self.kill_machine(address)
         self.machines[address] = self._machine(address)
         self.machines[address].started_at = self.queue.now
         self.queue.at(self.queue.now + self.source.uniform(0.0, MAX_LEARN_S), self.learn, address)
 
     def kill_machine(self, address: str) -> None:
-        """Kill the process of a control plane."""
+        """Kill the process of a control-plane node."""
         self.machines[address].is_dead = True
         self.machines[address].died_at = self.queue.now
 
@@ -420,7 +420,7 @@
             holder.learn_view(self.views.latest.epoch, self.views.latest.chain)
 
     def _end_fault(self) -> None:
-        """End all faults; a view with all live machines is decided, and all learn it soon."""
+        """End all faults; a view with all live nodes is decided, and all learn it soon."""
         self.has_fault = False
         for machine in self.machines.values():
             machine.heal(self.queue.now)
