--- a/mulleinhatch/consensus/fault_tolerance.py
+++ b/mulleinhatch/consensus/fault_tolerance.py
@@ -1,4 +1,4 @@
-"""Compute which sets of core nodes survive the failures that a deployment tolerates. Pure.
+"""Compute which sets of control-plane nodes survive the failures that a deployment tolerates. Pure.
 
 A deployment tolerates the simultaneous loss of a number of machines, zones or regions; a lost zone or region takes all its
 machines with it. The worst loss for a set of nodes is that of its largest groups. A node whose zone or region is unknown (it
@@ -32,7 +32,7 @@
     """The simultaneous failures that a deployment tolerates.
 
     Attributes:
-        machines: Number of core machines that may fail.
+        machines: Number of control-plane nodes that may fail.
         zones: Number of zones that may fail, with all machines in them.
         regions: Number of regions that may fail, with all machines in them.
     """
--- a/mulleinhatch/consensus/paxos.py
+++ b/mulleinhatch/consensus/paxos.py
@@ -38,7 +38,7 @@
 
 
 class Voter:
-    """One core node as a Paxos acceptor.
+    """One control-plane node as a Paxos acceptor.
 
     Methods replace `state` and never modify it. The caller persists the new state before it sends the response.
 
--- a/mulleinhatch/consensus/view_planner.py
+++ b/mulleinhatch/consensus/view_planner.py
@@ -4,7 +4,7 @@
 
 * Survivors keep their order in the chain, so that each predecessor still holds every entry that its successor holds.
 * Only nodes that are caught up in the current epoch join, at the tail.
-* The head's log is complete: it certainly holds every committed entry.
+* The head's log is complete: it is known to hold every committed entry.
 * Any tolerated loss (of machines, of zones or of regions) leaves a replica of the chain.
 
 Rules that preserve a majority:
@@ -15,7 +15,7 @@
 * Voters are spread over zones and regions where there are enough nodes: they are replaced one by one until any tolerated
   loss leaves a majority.
 
-Voters of a view choose the next view on their own, so any number of them may change at once (reconfiguration by the former
+The voters of a view alone choose the next view, so any number of them may change at once (reconfiguration by the former
 members). Source: L. Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and Primary-Backup Replication" (2009); J. Lorch et al., "The
 SMART Way to Migrate Replicated Stateful Services" (2006).
 """
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class MemberHealth:
-    """The health of one core node, as the planner sees it.
+    """The health of one control-plane node, as the planner sees it.
 
     Attributes:
         member: The node.
--- a/mulleinhatch/control_plane/api/internal.py
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -34,7 +34,7 @@
         self._routes: dict[str, MessageRoute] = {}
 
     def register(self, name: str, message_type: Callable[[], Any], handler: MessageHandler) -> None:
-        """Serve a message type at /internal/`name`; if the handler raises OSError, the caller gets a 503."""
+        """Serve a message type at /internal/`name`; if the handler raises OSError, the response is a 503."""
         self._routes[INTERNAL_PREFIX + name] = MessageRoute(message_type, handler)
 
     async def handle_request(self, request: HttpServerRequest) -> HttpServerResponse:
--- a/mulleinhatch/control_plane/api/responses.py
+++ b/mulleinhatch/control_plane/api/responses.py
@@ -17,7 +17,7 @@
 
 
 def unavailable_response(message: str) -> HttpServerResponse:
-    """Return a 503 that asks the caller to send the same request again after a short delay."""
+    """Return a 503 that asks the client to send the same request again after a short delay."""
     return error_response(HTTPStatus.SERVICE_UNAVAILABLE, message, {"Retry-After": RETRY_AFTER_S})
 
 
--- a/mulleinhatch/control_plane/backend_departures.py
+++ b/mulleinhatch/control_plane/backend_departures.py
@@ -1,4 +1,4 @@
-"""Record departures of backends in the replicated log, so that no failure of a machine lets a data plane use them again."""
+"""Record departures of backends in the replicated log, so that no failure of a node lets a data plane use them again."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/control_plane/confirmation_ages.py
+++ b/mulleinhatch/control_plane/confirmation_ages.py
@@ -1,4 +1,4 @@
-"""Tracks when this voter last confirmed a view to each control plane, which bounds that one's remaining authority. Pure.
+"""Tracks when this voter last confirmed a view to each control-plane node, which bounds that node's remaining authority. Pure.
 
 Source: C. Gray and D. Cheriton, "Leases" (SOSP 1989): the grantor of a lease knows when it expires.
 """
@@ -27,7 +27,7 @@
         self._confirmed_at: dict[str, float] = {}  # by internal address
 
     def record(self, address: str, now: float) -> None:
-        """Record that any view was confirmed to the control plane at an internal address."""
+        """Record that any view was confirmed to the control-plane node at an internal address."""
         self._confirmed_at[address] = now
 
     def ages_ms(self, addresses: Iterable[str], now: float) -> list[int]:
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -52,7 +52,7 @@
 
 @dataclass
 class PollerState:
-    """A data plane that polls this process. Times are on the steady clock, in seconds."""
+    """A data plane that polls this process. Times are on the monotonic clock, in seconds."""
 
     polled_at: float
     answered_at: float = NEVER_S
@@ -63,7 +63,7 @@
 
     Args:
         node: The node whose configuration and backends are distributed.
-        clock: Returns the steady time in seconds.
+        clock: Returns the monotonic time in seconds.
     """
 
     def __init__(self, node: DistributionNode, clock: Callable[[], float]) -> None:
--- a/mulleinhatch/control_plane/heartbeats.py
+++ b/mulleinhatch/control_plane/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between core machines: liveness, replication progress, view confirmation and changes of backends.
+"""Heartbeats between control-plane nodes: liveness, replication progress, view confirmation and changes of backends.
 
 Each node sends to every other; the responses confirm its view (see `MajorityContact`).
 """
@@ -21,7 +21,7 @@
 from mulleinhatch.messages.cluster import ConfirmationAgeRequest, ConfirmationAgeResponse, Heartbeat, HeartbeatResponse
 
 MIN_GAP_S = 0.03  # minimum time between two heartbeats, where one is requested before the interval ends
-MAX_IN_FLIGHT = 3  # heartbeats to one address, so that a lost one does not look like a failed machine
+MAX_IN_FLIGHT = 3  # heartbeats to one address, so that a lost one does not look like a failed node
 
 
 class HeartbeatScheduler:
@@ -50,7 +50,7 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     def request_heartbeat(self) -> None:
-        """Send a heartbeat to every core machine now, or up to `MIN_GAP_S` later where the last one was just sent."""
+        """Send a heartbeat to every control-plane node now, or up to `MIN_GAP_S` later where the last one was just sent."""
         if self._is_scheduled:
             return
         self._is_scheduled = True
@@ -88,7 +88,7 @@
         self._handoff, self._status, self._contact = handoff, status, contact
 
     async def send(self, address: str) -> None:
-        """Send a heartbeat to an address. An unreachable machine is not an error."""
+        """Send a heartbeat to an address. An unreachable node is not an error."""
         try:
             await self._exchange(address)
         except OSError:
@@ -161,7 +161,7 @@
         return response
 
     async def on_confirmation_age(self, request: ConfirmationAgeRequest) -> ConfirmationAgeResponse:
-        """Learn a view, so that this voter confirms no older one any more; then report when it last confirmed one.
+        """Learn a view, so that this voter no longer confirms an older one; then report when it last confirmed one.
 
         Raises:
             OSError: The view could not be written to disk.
--- a/mulleinhatch/control_plane/internal_client.py
+++ b/mulleinhatch/control_plane/internal_client.py
@@ -1,4 +1,4 @@
-"""Send internal messages to other core machines."""
+"""Send internal messages to other control-plane nodes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InternalClient:
-    """Calls the internal API of other core machines: a protobuf message by POST to `/internal/PATH`."""
+    """Calls the internal API of other control-plane nodes: a protobuf message by POST to `/internal/PATH`."""
 
     def __init__(self, http_client: HttpClient) -> None:
         self._http_client = http_client
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -1,4 +1,4 @@
-"""One core machine: wiring and lifecycle of its voter, its replica in the chain and its heartbeats.
+"""One control-plane node: wiring and lifecycle of its voter, its replica in the chain and its heartbeats.
 
 Decisions are made by pure code (`consensus`, `replication`, `peers`); the jobs that this module wires do the sending,
 receiving, writing and waiting. Each job receives only the objects that it uses; none receives the node.
@@ -61,7 +61,7 @@
 
 
 class CoreNode:
-    """One core machine.
+    """One control-plane node.
 
     `open` reads the disk and wires the jobs; before it returns, only `settings`, `clock`, `state` and `start_task` may be
     used. `run` runs the jobs.
@@ -247,7 +247,7 @@
     # Heartbeats.
 
     def request_heartbeat(self) -> None:
-        """Send a heartbeat to every core machine soon."""
+        """Send a heartbeat to every control-plane node soon."""
         self._heartbeats.request_heartbeat()
 
     def _heartbeat_addresses(self) -> list[str]:
@@ -255,7 +255,7 @@
         return self.peers.addresses(self.view, seeds)
 
     def _internal_address_of(self, control_address: str) -> str:
-        """Return the internal address of the machine with a control address: all machines use the same internal port."""
+        """Return the internal address of the node with a control address: all nodes use the same internal port."""
         port = self.settings.internal_address.rpartition(":")[2]
         return f"{control_address.rpartition(':')[0]}:{port}"
 
--- a/mulleinhatch/control_plane/pause_detector.py
+++ b/mulleinhatch/control_plane/pause_detector.py
@@ -20,7 +20,7 @@
     peers as failures.
 
     Args:
-        clock: The steady clock, in seconds.
+        clock: The monotonic clock, in seconds.
         on_pause: Called with the current time when a pause has ended.
     """
 
--- a/mulleinhatch/control_plane/peers.py
+++ b/mulleinhatch/control_plane/peers.py
@@ -1,4 +1,4 @@
-"""What one core machine knows about its peers: liveness, replication progress and unacknowledged backend records. Pure."""
+"""What a control-plane node knows about its peers: liveness, replication progress, unacknowledged backend records. Pure."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @dataclass
 class Peer:
-    """Another core machine, as its heartbeats and responses describe it. Times are on this node's steady clock, in seconds."""
+    """Another control-plane node, as its heartbeats and responses describe it. Times are monotonic seconds of this node."""
 
     member: Member
     answered_at: float = NEVER  # when it last responded to a heartbeat of this node
-    known_since: float = 0.0  # when it was first named, or the end of this node's last pause
+    known_since: float = 0.0  # when this node first learned of it, or the end of this node's last pause
     epoch: int = 0  # the newest epoch that it reported
     confirmed_epoch: int = 0  # the epoch of the view that it last confirmed as the newest that it knows
     confirmed_at: float = NEVER  # when the heartbeat was sent that this confirmation answers
@@ -39,7 +39,7 @@
 
 
 class Peers:
-    """All other core machines that this node knows, by identity."""
+    """All other control-plane nodes that this node knows, by identity."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
@@ -106,13 +106,13 @@
         return peer
 
     def _expire_former_identities(self, peer: Peer) -> None:
-        """Mark former identities at a peer's address as unreachable: a machine with a wiped disk has a new identity."""
+        """Mark former identities at a peer's address as unreachable: a node with a wiped disk has a new identity."""
         for other in self.by_identity.values():
             if other is not peer and other.member.internal_address == peer.member.internal_address:
                 other.answered_at = other.confirmed_at = NEVER
 
     def remove_stale(self, view: View, now: float) -> None:
-        """Remove silent machines that are neither voters nor in the chain."""
+        """Remove silent nodes that are neither voters nor in the chain."""
         members = set(identities(view.voters)) | set(identities(view.chain))
         for identity, peer in list(self.by_identity.items()):
             if identity not in members and now - max(peer.answered_at, peer.known_since) > PEER_EXPIRY_S:
@@ -124,19 +124,19 @@
             peer.known_since = max(peer.known_since, now)
 
     def is_alive(self, identity: str, now: float) -> bool:
-        """Return whether a machine responded within the last `ALIVE_S` seconds; always true for this node."""
+        """Return whether a node responded within the last `ALIVE_S` seconds; always true for this node."""
         if identity == self.own.identity:
             return True
         peer = self.by_identity.get(identity)
         return peer is not None and now - peer.answered_at < ALIVE_S
 
     def is_fit(self, identity: str, now: float) -> bool:
-        """Return whether another machine responded within the last `ALIVE_S` seconds and is not leaving."""
+        """Return whether another node responded within the last `ALIVE_S` seconds and is not leaving."""
         peer = self.by_identity.get(identity)
         return peer is not None and not peer.leaving and now - peer.answered_at < ALIVE_S
 
     def all_keep_tenants(self, view: View, now: float) -> bool:
-        """Return whether each replica of the chain, and each other reachable core machine, applies the tenants of a patch.
+        """Return whether each replica of the chain, and each other node that is reachable, applies the tenants of a patch.
 
         A replica from which nothing was received since this process started counts as one that does not.
         """
@@ -191,7 +191,7 @@
         )
 
     def health(self, view: View, now: float, own: MemberHealth) -> dict[str, MemberHealth]:
-        """Return the health of every known machine, this node included, by identity."""
+        """Return the health of every known node, this node included, by identity."""
         states = {self.own.identity: own}
         for identity, peer in self.by_identity.items():
             alive = self.is_alive(identity, now) and not peer.leaving
--- a/mulleinhatch/control_plane/placement/controller.py
+++ b/mulleinhatch/control_plane/placement/controller.py
@@ -47,7 +47,7 @@
     """Runs the reconcile loop and wires the placement modules.
 
     Args:
-        node: The control plane node.
+        node: The control-plane node.
         http_client: Client for requests to backends.
         clock: Monotonic time in seconds.
         bounds: The lease duration, the window of the weight store's load rate limit, and whether backends enforce fencing.
--- a/mulleinhatch/control_plane/placement/interfaces.py
+++ b/mulleinhatch/control_plane/placement/interfaces.py
@@ -1,4 +1,4 @@
-"""Narrow interfaces of the control plane node that placement depends on.
+"""Narrow interfaces of the control-plane node that placement depends on.
 
 `control_plane.node.CoreNode` satisfies all of them; tests pass small fakes. Attributes are read at each use and never cached,
 because the node creates its registry, peers and replica only when it opens its state on disk.
@@ -80,7 +80,7 @@
 
 
 class HoldingsTarget(Protocol):
-    """Where the holdings of backends are published."""
+    """The target to which the holdings of backends are published."""
 
     @property
     def registry(self) -> BackendSource:
@@ -98,4 +98,4 @@
 
 
 class ClusterMember(LeadershipSource, HoldingsTarget, TaskRunner, Protocol):
-    """The control plane node as the placement controller uses it."""
+    """The control-plane node as the placement controller uses it."""
--- a/mulleinhatch/control_plane/placement/leadership.py
+++ b/mulleinhatch/control_plane/placement/leadership.py
@@ -14,7 +14,7 @@
     """The placement leader's lease, updated by observations of the cluster.
 
     Args:
-        source: The control plane node.
+        source: The control-plane node.
         clock: Monotonic time in seconds.
         lease_s: The lease duration: how long a leader may act without confirmation, in seconds.
         is_fenced: Whether backends reject orders with a lower fencing token than the highest they have seen. A leader
--- a/mulleinhatch/control_plane/placement/order_client.py
+++ b/mulleinhatch/control_plane/placement/order_client.py
@@ -38,7 +38,7 @@
     """Encodes orders, sends them with the leader's fencing token, and records when the latest was sent.
 
     Args:
-        source: The control plane node, whose name orders carry.
+        source: The control-plane node, whose name orders carry.
         http_client: Client for requests to backends.
         clock: Monotonic time in seconds.
         leadership: Source of the fencing token.
--- a/mulleinhatch/control_plane/placement/order_dispatch.py
+++ b/mulleinhatch/control_plane/placement/order_dispatch.py
@@ -128,7 +128,7 @@
     async def _follow_unload(self, backend: Backend, state: BackendState, unload: OrderInFlight, load: Order) -> None:
         """Send the load that needs the freed memory, without waiting for a report that shows the completed unload.
 
-        A backend that is still unloading rejects the load. After the last attempt it is left to the planner, which issues
+        A backend that is still unloading rejects the load. After the last attempt the planner takes over and issues
         the load again once a report shows the freed memory.
         """
         for delay_s in FOLLOW_UP_RETRY_DELAYS_S:
--- a/mulleinhatch/control_plane/placement/published_holdings.py
+++ b/mulleinhatch/control_plane/placement/published_holdings.py
@@ -62,7 +62,7 @@
     """Writes holdings to the registry, from which heartbeats and polls carry them to all data planes.
 
     Args:
-        target: The control plane node.
+        target: The control-plane node.
         clock: Monotonic time in seconds.
         leadership: Source of the fencing token that orders publications of successive leaders.
     """
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -1,4 +1,4 @@
-"""Run one control plane process: wire its parts, serve its interfaces, handle signals and the planned shutdown."""
+"""Run one control plane process: wire its components, serve its interfaces, handle signals and the planned shutdown."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     # `NodeObserver`: callbacks of the node, and the activity that its heartbeats report.
 
     def on_change(self) -> None:
-        """Answer the data planes' polls, reconcile the placement, and recompute the owned tenants.
+        """Respond to the data planes' polls, reconcile the placement, and recompute the owned tenants.
 
         Called when the configuration, the view or the node's role changed.
         """
@@ -62,7 +62,7 @@
         self.quotas.on_change()
 
     def on_backend_change(self, backend_id: str) -> None:
-        """Answer the data planes' polls when a backend's record changed."""
+        """Respond to the data planes' polls when a backend's record changed."""
         self.distribution.notify_changed()
 
     def on_store_load(self) -> None:
@@ -78,9 +78,9 @@
         return self.placement.idle_s()
 
     async def run(self) -> None:
-        """Serve until SIGTERM, and then until the other core machines no longer need this one."""
+        """Serve until SIGTERM, and then until the other control-plane nodes no longer need this one."""
         await self._open_state()
-        self.quotas.on_change()  # starts the waiting period of a new quota owner
+        self.quotas.on_change()  # starts the wait of a new quota owner
         self._listen()
         self.loop.add_signal_handler(signal.SIGTERM, self._on_terminate)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: LOG.info("SIGHUP ignored: settings are read only at start"))
--- a/mulleinhatch/control_plane/quorum_calls.py
+++ b/mulleinhatch/control_plane/quorum_calls.py
@@ -1,4 +1,4 @@
-"""Send one request to several machines and consume the responses in the order of their arrival."""
+"""Send one request to several nodes and consume the responses in the order of their arrival."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/control_plane/quota_handover.py
+++ b/mulleinhatch/control_plane/quota_handover.py
@@ -22,8 +22,8 @@
 
     Args:
         owner: Adopts the levels.
-        clock: Returns the steady time in seconds.
-        client: Sends messages to control planes.
+        clock: Returns the monotonic time in seconds.
+        client: Sends messages to other control-plane nodes.
         start_task: Runs a coroutine in the background; an `OSError` is an expected failure.
     """
 
@@ -40,7 +40,7 @@
         """Ask all former owners concurrently, in the background.
 
         Args:
-            view: The view in which this control plane owns the tenants.
+            view: The view in which this control-plane node owns the tenants.
             tenants_by_owner: Names of the tenants, by the internal address of their owner in the previous view.
         """
         for address, tenants in tenants_by_owner.items():
--- a/mulleinhatch/control_plane/quota_takeover.py
+++ b/mulleinhatch/control_plane/quota_takeover.py
@@ -21,7 +21,7 @@
 CONFIRMATION_AGE_PATH = "confirmation_age"
 ANSWER_TIMEOUT_S = 0.3
 
-AnswerHere = Callable[[ConfirmationAgeRequest], Awaitable[ConfirmationAgeResponse]]
+AnswerAsVoter = Callable[[ConfirmationAgeRequest], Awaitable[ConfirmationAgeResponse]]
 
 
 class TakeoverInquirer:
@@ -29,10 +29,10 @@
 
     Args:
         owner: The quota owner whose wait is shortened.
-        clock: Returns the steady time in seconds.
-        client: Sends messages to control planes.
+        clock: Returns the monotonic time in seconds.
+        client: Sends messages to control-plane nodes.
         start_task: Runs a coroutine in the background; an `OSError` is an expected failure.
-        answer_here: This node's own answer as a voter.
+        answer_as_voter: This node's own answer as a voter.
     """
 
     def __init__(
@@ -41,18 +41,18 @@
         clock: Callable[[], float],
         client: InternalClient,
         start_task: Callable[[Coroutine[Any, Any, Any]], None],
-        answer_here: AnswerHere,
+        answer_as_voter: AnswerAsVoter,
     ) -> None:
         self._owner, self._clock, self._client = owner, clock, client
-        self._start_task, self._answer_here = start_task, answer_here
+        self._start_task, self._answer_as_voter = start_task, answer_as_voter
 
     def inquire(self, own: Member, former: View, view: View, tenants_by_owner: Mapping[str, tuple[str, ...]]) -> None:
         """Ask the voters in the background.
 
         Args:
-            own: This control plane.
+            own: This control-plane node.
             former: The view before `view`.
-            view: The view in which this control plane owns the tenants.
+            view: The view in which this control-plane node owns the tenants.
             tenants_by_owner: Names of the tenants, by the internal address of their owner in `former`.
         """
         for address, tenants in tenants_by_owner.items():
@@ -70,12 +70,12 @@
             )
 
     async def _find_end(self, own: Member, former: View, view: View, address: str) -> float | None:
-        """Return the time from which the control plane at `address` has no majority of a former view, None if unknown."""
+        """Return the time from which the control-plane node at `address` has no majority of a former view, None if unknown."""
         request = ConfirmationAgeRequest(newest=view, addresses=[address])
         voters = [voter for voter in former.voters if voter.internal_address != address]
         responses = QuorumCall(
             [
-                self._answer_here(request)
+                self._answer_as_voter(request)
                 if voter.identity == own.identity
                 else self._client.call(
                     voter.internal_address,
--- a/mulleinhatch/control_plane/quotas.py
+++ b/mulleinhatch/control_plane/quotas.py
@@ -1,4 +1,4 @@
-"""Answers quota queries of data planes for the tenants that this control plane owns (`quotas.owner`), and reports status."""
+"""Answers quota queries of data planes for the tenants that this node owns (`quotas.owner`), and reports status."""
 
 from __future__ import annotations
 
@@ -84,13 +84,13 @@
 
 
 class QuotaService:
-    """Grants quota tokens on behalf of this control plane.
+    """Grants quota tokens on behalf of this control-plane node.
 
     Args:
         node: The node whose view and configuration determine ownership and limits; it is read at each use.
-        clock: Returns the steady time in seconds.
+        clock: Returns the monotonic time in seconds.
         bounds: The deployment's quota rule.
-        client: Sends messages to other control planes.
+        client: Sends messages to other control-plane nodes.
     """
 
     def __init__(self, node: QuotaNode, clock: Callable[[], float], bounds: QuotaBounds, client: InternalClient) -> None:
@@ -152,7 +152,7 @@
         )
 
     async def on_handover(self, request: QuotaHandoverRequest) -> QuotaHandoverResponse:
-        """Learn the view in which another control plane owns the tenants, stop granting for them, and return their levels.
+        """Learn the view in which another control-plane node owns the tenants, stop granting for them, and return their levels.
 
         Raises:
             OSError: The view could not be stored on disk; nothing is handed over.
--- a/mulleinhatch/control_plane/shutdown.py
+++ b/mulleinhatch/control_plane/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned shutdown of a core machine: it runs until the core no longer needs it, at most for its grace period."""
+"""The planned shutdown of a control-plane node: it runs until the others no longer need it, or its grace period ends."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from mulleinhatch.replication.chain import Replica
 
 LOG = logging.getLogger(__name__)
-MIN_SHUTDOWN_S = 1.0  # minimum time from the announcement to the end, to answer requests received before
+MIN_SHUTDOWN_S = 1.0  # minimum time from the announcement to the end, to respond to requests received before
 GRACE_MARGIN_S = 1.0  # the process ends this long before its grace period does
 CHECK_INTERVAL_S = 0.1
 
@@ -31,11 +31,11 @@
         """The view in force."""
 
     def request_heartbeat(self) -> None:
-        """Send a heartbeat to every core machine soon."""
+        """Send a heartbeat to every control-plane node soon."""
 
 
 def _has_replacement_voter(node: LeavingNode) -> bool:
-    """Return whether a reachable machine without a vote can replace this node as a voter."""
+    """Return whether a reachable node without a vote can replace this node as a voter."""
     now, voting = node.clock(), identities(node.view.voters)
     return any(
         node.peers.is_alive(identity, now) and not peer.leaving and identity not in voting
@@ -44,10 +44,10 @@
 
 
 def may_stop(node: LeavingNode) -> bool:
-    """Return whether the core no longer needs a leaving node.
+    """Return whether the control plane no longer needs a leaving node.
 
     A majority of the voters has persisted a view whose chain lacks this node, each replica of that chain has the complete
-    log, and no other machine is about to replace this node as a voter.
+    log, and no other node is about to replace this node as a voter.
     """
     view = node.view
     if node.replica.position >= 0 or not node.peers.is_known_to_majority(view):
--- a/mulleinhatch/control_plane/snapshot_transfer.py
+++ b/mulleinhatch/control_plane/snapshot_transfer.py
@@ -61,7 +61,7 @@
         """
         for member in reversed(self._log.replica.view.chain):
             if not self._peers.is_alive(member.identity, self._clock()):
-                continue  # the call to an unreachable machine would take the whole timeout
+                continue  # the call to an unreachable node would take the whole timeout
             try:
                 if await self._fetch_from(member):
                     return True
--- a/mulleinhatch/control_plane/state_store.py
+++ b/mulleinhatch/control_plane/state_store.py
@@ -1,4 +1,7 @@
-"""The durable state of a core machine: one append log, written by one thread so that the event loop never waits on the disk."""
+"""The durable state of a control-plane node: one append log.
+
+A thread of its own writes the log, so that the event loop never waits on the disk.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +84,7 @@
 
     Args:
         directory: The directory of the append log.
-        clock: The steady clock, in seconds.
+        clock: The monotonic clock, in seconds.
         append_log: Used instead of an append log in `directory`.
     """
 
--- a/mulleinhatch/control_plane/status.py
+++ b/mulleinhatch/control_plane/status.py
@@ -31,7 +31,7 @@
 
 
 class PeerStatus(TypedDict):
-    """One other core machine."""
+    """One other control-plane node."""
 
     answered_s_ago: float
     leaving: bool
@@ -87,7 +87,7 @@
         orders: The latest placement orders, oldest first.
         data_planes: The number of data planes in the whole system.
         quotas: The tenants with a limit that this process owns, by name.
-        now: The time of the steady clock in seconds.
+        now: The time of the monotonic clock in seconds.
     """
     return {
         "name": node.member.name,
--- a/mulleinhatch/control_plane/view_change.py
+++ b/mulleinhatch/control_plane/view_change.py
@@ -1,4 +1,4 @@
-"""The Paxos acceptor and proposer of a core machine: votes on views are durable before the response.
+"""The Paxos acceptor and proposer of a control-plane node: votes on views are durable before the response.
 
 Source: Lamport, "Paxos Made Simple", 2001, section 2; one decision per view as in Lamport, Malkhi and Zhou, "Vertical Paxos
 and Primary-Backup Replication", PODC 2009.
--- a/mulleinhatch/replication/chain.py
+++ b/mulleinhatch/replication/chain.py
@@ -33,7 +33,7 @@
 
 
 class Replica:
-    """The log of one core node. Indexes count entries from 1.
+    """The log of one control-plane node. Indexes count entries from 1.
 
     | event | in the view's epoch | in another epoch |
     | --- | --- | --- |
--- a/mulleinhatch/replication/state.py
+++ b/mulleinhatch/replication/state.py
@@ -39,7 +39,7 @@
 CONFIGURATION_KINDS = (EntryKind.CONFIGURATION, EntryKind.PATCH)
 # Number of changes that are recognised when they are sent again: about nine hours of changes at the target rate.
 MAX_DIGESTS = 2048
-# Number of patches that a data plane can receive one by one; one further behind gets the complete configuration.
+# Number of patches that a data plane can receive one by one; a data plane further behind gets the complete configuration.
 MAX_RECENT_PATCHES = 64
 # A departed backend serves for a few seconds, and its heartbeats are at most seconds late: older ids are not needed.
 MAX_DEPARTED_BACKENDS = 1024
@@ -172,7 +172,7 @@
         """Apply the committed entry that follows the last applied one.
 
         Raises:
-            LogGapError: The entry is another one.
+            LogGapError: The entry does not directly follow the last applied one.
         """
         if entry.index != self.index + 1:
             raise LogGapError(self.index, entry.index)
