--- a/mulleinhatch/control_plane/api/backend_heartbeats.py
+++ b/mulleinhatch/control_plane/api/backend_heartbeats.py
@@ -17,7 +17,7 @@
 
 
 class BackendNode(Protocol):
-    """The part of the node that `BackendApi` uses; `CoreNode` satisfies it."""
+    """The part of the node that `BackendApi` uses; `ControlPlaneNode` satisfies it."""
 
     registry: BackendRegistry
     backend_handoff: BackendHandoff
--- a/mulleinhatch/control_plane/api/control.py
+++ b/mulleinhatch/control_plane/api/control.py
@@ -14,7 +14,7 @@
 
 
 class ControlNode(ConfigurationNode, BackendNode, Protocol):
-    """The part of the node that both interfaces at the `control` address use; `CoreNode` satisfies it."""
+    """The part of the node that both interfaces at the `control` address use; `ControlPlaneNode` satisfies it."""
 
 
 class ControlApi:
--- a/mulleinhatch/control_plane/api/internal.py
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -10,7 +10,7 @@
 
 from mulleinhatch.control_plane.api.paths import INTERNAL_PREFIX
 from mulleinhatch.control_plane.api.responses import error_response
-from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.node import ControlPlaneNode
 from mulleinhatch.messages import cluster
 from mulleinhatch.messages.parsing import UnreadableMessageError, parse_message
 from mulleinhatch.networking.http_server import BINARY_TYPE, HttpServerRequest, HttpServerResponse
@@ -54,7 +54,7 @@
         return HttpServerResponse(HTTPStatus.OK, bytes(response), BINARY_TYPE)
 
 
-def build_internal_api(node: CoreNode) -> InternalApi:
+def build_internal_api(node: ControlPlaneNode) -> InternalApi:
     """Return an interface that routes each message to the part of the node that handles it."""
     api = InternalApi()
     api.register("heartbeat", cluster.Heartbeat, node.heartbeat_responder.on_heartbeat)
--- a/mulleinhatch/control_plane/api/operator.py
+++ b/mulleinhatch/control_plane/api/operator.py
@@ -14,7 +14,7 @@
 
 
 class ConfigurationNode(Protocol):
-    """The part of the node that `OperatorApi` uses; `CoreNode` satisfies it."""
+    """The part of the node that `OperatorApi` uses; `ControlPlaneNode` satisfies it."""
 
     state: ControlState
 
--- a/mulleinhatch/control_plane/distribution.py
+++ b/mulleinhatch/control_plane/distribution.py
@@ -29,7 +29,7 @@
 
 
 class DistributionNode(Protocol):
-    """The interface of the node that `Distribution` uses; `CoreNode` implements it."""
+    """The interface of the node that `Distribution` uses; `ControlPlaneNode` implements it."""
 
     peers: Peers
     registry: BackendRegistry
--- a/mulleinhatch/control_plane/node.py
+++ b/mulleinhatch/control_plane/node.py
@@ -60,7 +60,7 @@
         """Handle that a backend began to load a model from the weight store."""
 
 
-class CoreNode:
+class ControlPlaneNode:
     """One control-plane node.
 
     `open` reads the disk and wires the jobs; before it returns, only `settings`, `clock`, `state` and `start_task` may be
--- a/mulleinhatch/control_plane/placement/interfaces.py
+++ b/mulleinhatch/control_plane/placement/interfaces.py
@@ -1,7 +1,7 @@
 """Narrow interfaces of the control-plane node that placement depends on.
 
-`control_plane.node.CoreNode` satisfies all of them; tests pass small fakes. Attributes are read at each use and never cached,
-because the node creates its registry, peers and replica only when it opens its state on disk.
+`control_plane.node.ControlPlaneNode` satisfies all of them; tests pass small fakes. Attributes are read at each use and never
+cached, because the node creates its registry, peers and replica only when it opens its state on disk.
 """
 
 from __future__ import annotations
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -10,7 +10,7 @@
 from mulleinhatch.control_plane.api import ControlApi, InternalApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
 from mulleinhatch.control_plane.internal_client import InternalClient
-from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.node import ControlPlaneNode
 from mulleinhatch.control_plane.placement.controller import PlacementController
 from mulleinhatch.control_plane.quota_handover import HANDOVER_PATH
 from mulleinhatch.control_plane.quota_takeover import CONFIRMATION_AGE_PATH
@@ -42,7 +42,7 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.http_client = HttpClient()
-        self.node = CoreNode(settings, self.http_client, self.clock, self)
+        self.node = ControlPlaneNode(settings, self.http_client, self.clock, self)
         self.distribution = Distribution(self.node, self.clock)
         self.placement = PlacementController(self.node, self.http_client, self.clock, settings.bounds)
         bounds = settings.bounds
--- a/mulleinhatch/control_plane/quotas.py
+++ b/mulleinhatch/control_plane/quotas.py
@@ -46,7 +46,7 @@
 
 
 class QuotaNode(Protocol):
-    """The part of the node that granting quota tokens needs; `CoreNode` satisfies it once its state is open."""
+    """The part of the node that granting quota tokens needs; `ControlPlaneNode` satisfies it once its state is open."""
 
     member: Member
     state: ControlState
--- a/mulleinhatch/control_plane/status.py
+++ b/mulleinhatch/control_plane/status.py
@@ -14,7 +14,7 @@
 
 
 class StatusNode(Protocol):
-    """The interface of the node that the status reads; `CoreNode` implements it."""
+    """The interface of the node that the status reads; `ControlPlaneNode` implements it."""
 
     member: Member
     peers: Peers
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -9,7 +9,7 @@
 
 from mulleinhatch.control_plane.api import ControlApi, InternalApi, build_internal_api
 from mulleinhatch.control_plane.distribution import Distribution
-from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.node import ControlPlaneNode
 from mulleinhatch.control_plane.state_store import StateStore, replay
 from mulleinhatch.messages import cluster
 from mulleinhatch.process.settings import Bounds, Settings
@@ -140,7 +140,7 @@
         self.records: list[Record] = []
         self.pending_write: tuple[Any, list[Record]] | None = None
         self.slowdown, self.stalled, self.full, self.refuse_folder_sync = 1.0, False, False, False
-        self.node: CoreNode | None = None
+        self.node: ControlPlaneNode | None = None
         self.process: Process | None = None
         self.control: ControlApi | None = None
         self.internal_api: InternalApi | None = None
@@ -172,7 +172,7 @@
         self.started_at = loop.time()
         self.process = Process(f"core-{self.number}.{self.starts}")
         observer = _DistributionObserver()
-        node = CoreNode(self.settings(), self._world.caller(self, self.process), loop.time, observer, self._disk())
+        node = ControlPlaneNode(self.settings(), self._world.caller(self, self.process), loop.time, observer, self._disk())
         node.open()
         distribution = observer.distribution = Distribution(node, loop.time)
         self.control = ControlApi(node, loop.time, dict)
