--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -118,7 +118,7 @@
         return rejections
 
     def quotas(self, address: str) -> dict[str, Any]:
-        """Print tenants' quotas: those held by a data plane (READY) or owned by a control plane (CONTROL)."""
+        """Print tenants' quotas: those held by a data plane (READY) or owned by a control-plane node (CONTROL)."""
         return _status(address)["quotas"]
 
     def demo(self, seconds: float = 20.0) -> None:
--- a/mulleinhatch/cli/system/start.py
+++ b/mulleinhatch/cli/system/start.py
@@ -29,7 +29,7 @@
 
 
 def start_control_plane() -> int:
-    """Run a control plane until it ends; return the exit status of the process."""
+    """Run a control-plane node until it ends; return the exit status of the process."""
     # Imported here, so that a process loads one plane only.
     from mulleinhatch.control_plane.process import ControlPlaneProcess
 
--- a/mulleinhatch/control_plane/api/__init__.py
+++ b/mulleinhatch/control_plane/api/__init__.py
@@ -1,4 +1,4 @@
-"""The two HTTP interfaces of a control plane process.
+"""The two HTTP interfaces of a control-plane node.
 
 `ControlApi` serves operators and backends at the `control` address; `InternalApi` serves the other processes of the system at
 the internal address.
--- a/mulleinhatch/control_plane/process.py
+++ b/mulleinhatch/control_plane/process.py
@@ -1,4 +1,4 @@
-"""Run one control plane process: wire its components, serve its interfaces, handle signals and the planned shutdown."""
+"""Run one control-plane node: wire its components, serve its interfaces, handle signals and the planned shutdown."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ControlPlaneProcess:
-    """Owns the node, the placement controller and the distribution of one control plane.
+    """Owns the node, the placement controller and the distribution of one control-plane node.
 
     Create it in a running event loop.
 
--- a/mulleinhatch/control_plane/registry/__init__.py
+++ b/mulleinhatch/control_plane/registry/__init__.py
@@ -1,4 +1,4 @@
-"""The registry of backends of one control plane process.
+"""The registry of backends of one control-plane node.
 
 Heartbeats from backends and from the other control-plane nodes update it; distribution and placement read it.
 """
--- a/mulleinhatch/control_plane/status.py
+++ b/mulleinhatch/control_plane/status.py
@@ -1,4 +1,4 @@
-"""Build the response to GET /status of a control plane process. Its keys are part of the operators' interface."""
+"""Build the response to GET /status of a control-plane node. Its keys are part of the operators' interface."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/messages/cluster.py
+++ b/mulleinhatch/messages/cluster.py
@@ -429,8 +429,7 @@
 @dataclass
 class QuotaRequest(Message):
     """
-    Asks the owner of tenants, or a neighbour that has grants of theirs, for
-    quota tokens.
+    Asks the control-plane node that owns tenants for quota tokens.
     """
 
     node: str = betterproto.string_field(1)
--- a/mulleinhatch/storage/append_log.py
+++ b/mulleinhatch/storage/append_log.py
@@ -1,6 +1,6 @@
 """The control state file: opened once, appended and synced, and replaced by a rewritten file when it gets long.
 
-All calls block on the disk; the control plane makes them from its single disk thread.
+All calls block on the disk; a control-plane node makes them from its single disk thread.
 """
 
 from __future__ import annotations
