--- a/benchmarks/quota_histories.py
+++ b/benchmarks/quota_histories.py
@@ -41,7 +41,7 @@
         "refused": sum(history.refused for history in histories),
         "asked_in_calm": sum(history.asked_in_calm for history in histories),
         "refused_in_calm": sum(history.refused_in_calm for history in histories),
-        "most_part_of_the_rule": max((history.most_part for history in histories), default=0.0),
+        "most_part_of_the_rule": max((history.highest_fraction for history in histories), default=0.0),
         "handovers": sum(history.handovers for history in histories),
         "shortened": sum(history.shortened for history in histories),
         "faults": dict(sorted(Counter(fault for history in histories for fault in history.faults).items())),
--- a/mulleinhatch/simulation/quotas/checks.py
+++ b/mulleinhatch/simulation/quotas/checks.py
@@ -58,7 +58,7 @@
         self._limits, self._bounds, self._lifetime_s = limits, bounds, lifetime_s
         self._arrivals: deque[tuple[float, int]] = deque()
         self._arrived = 0
-        self.most_part = 0.0  # highest fraction of a window's allowance that arrived
+        self.highest_fraction = 0.0  # highest fraction of a window's allowance that arrived
 
     def record_arrival(self, tokens: int, now: float) -> str:
         """Record a request that arrived; return a description of the violation, empty if there is none."""
@@ -68,7 +68,7 @@
             self._arrived -= self._arrivals.popleft()[1]
         begin = now - self._bounds.window_s - longest_use_s(self._lifetime_s)
         allowed = self._bounds.allowed(self._limits.loosest(begin, now))
-        self.most_part = max(self.most_part, self._arrived / allowed)
+        self.highest_fraction = max(self.highest_fraction, self._arrived / allowed)
         if self._arrived > allowed * (1 + TOLERANCE):
             return f"{self._arrived} units arrived within a window that allows {allowed:.0f}"
         return ""
--- a/mulleinhatch/simulation/quotas/world.py
+++ b/mulleinhatch/simulation/quotas/world.py
@@ -45,7 +45,7 @@
         refused: Requests that were refused.
         refused_in_calm: Refused requests after the faults had ended and settled.
         asked_in_calm: Requests that arrived in that time.
-        most_part: Highest fraction of a window's allowance that arrived.
+        highest_fraction: The highest fraction of a window's allowance that arrived.
         handovers: Number of handovers, after which a new owner granted at once.
         shortened: Number of waits of a new owner that were shortened by the voters' answers.
         faults: Names of the faults.
@@ -57,7 +57,7 @@
     refused: int = 0
     refused_in_calm: int = 0
     asked_in_calm: int = 0
-    most_part: float = 0.0
+    highest_fraction: float = 0.0
     handovers: int = 0
     shortened: int = 0
     faults: list[str] = field(default_factory=list)
@@ -114,7 +114,7 @@
         for _ in self.queue.run_until(self.end):
             if self.history.violations:
                 break
-        self.history.most_part = round(self.window_check.most_part, 4)
+        self.history.highest_fraction = round(self.window_check.highest_fraction, 4)
 
     # Clients.
 
--- a/tests/system/test_quota_histories.py
+++ b/tests/system/test_quota_histories.py
@@ -37,7 +37,7 @@
         histories = [play(seed) for seed in SEEDS]
         self.assertEqual([(history.seed, history.violations) for history in histories if history.violations], [])
         self.assertGreater(
-            max(history.most_part for history in histories), 0.98, "no history comes close to the limit of the rule"
+            max(history.highest_fraction for history in histories), 0.98, "no history comes close to the limit of the rule"
         )
         self.assertGreater(sum(history.asked_in_calm for history in histories), 1000)
         self.assertGreater(sum(history.handovers for history in histories), 20, "too few handovers")
