--- a/mulleinhatch/cli/system/commands.py
+++ b/mulleinhatch/cli/system/commands.py
@@ -48,7 +48,7 @@
 class Console:
     """The commands, one per public method.
 
-    CONTROL is the control address of a control plane instance, READY the ready address of a data plane, both "HOST:PORT".
+    CONTROL is the control address of a control-plane node, READY the ready address of a data plane, both "HOST:PORT".
     """
 
     def check(self, settings: str) -> str:
@@ -118,7 +118,7 @@
         return rejections
 
     def quotas(self, address: str) -> dict[str, Any]:
-        """Print tenants' quotas: those held by a data plane (READY) or owned by a control plane (CONTROL)."""
+        """Print tenants' quotas: those held by a data plane (READY) or owned by a control-plane node (CONTROL)."""
         return _status(address)["quotas"]
 
     def demo(self, seconds: float = 20.0) -> None:
--- a/mulleinhatch/control_plane/api/internal.py
+++ b/mulleinhatch/control_plane/api/internal.py
@@ -10,7 +10,7 @@
 
 from mulleinhatch.control_plane.api.paths import INTERNAL_PREFIX
 from mulleinhatch.control_plane.api.responses import error_response
-from mulleinhatch.control_plane.node import CoreNode
+from mulleinhatch.control_plane.node import ControlPlaneNode
 from mulleinhatch.messages import cluster
 from mulleinhatch.messages.parsing import UnreadableMessageError, parse_message
 from mulleinhatch.networking.http_server import BINARY_TYPE, HttpServerRequest, HttpServerResponse
@@ -34,7 +34,7 @@
         self._routes: dict[str, MessageRoute] = {}
 
     def register(self, name: str, message_type: Callable[[], Any], handler: MessageHandler) -> None:
-        """Serve a message type at /internal/`name`; if the handler raises OSError, the caller gets a 503."""
+        """Serve a message type at /internal/`name`; if the handler raises OSError, the response is a 503."""
         self._routes[INTERNAL_PREFIX + name] = MessageRoute(message_type, handler)
 
     async def handle_request(self, request: HttpServerRequest) -> HttpServerResponse:
@@ -54,7 +54,7 @@
         return HttpServerResponse(HTTPStatus.OK, bytes(response), BINARY_TYPE)
 
 
-def build_internal_api(node: CoreNode) -> InternalApi:
+def build_internal_api(node: ControlPlaneNode) -> InternalApi:
     """Return an interface that routes each message to the part of the node that handles it."""
     api = InternalApi()
     api.register("heartbeat", cluster.Heartbeat, node.heartbeat_responder.on_heartbeat)
--- a/mulleinhatch/control_plane/status.py
+++ b/mulleinhatch/control_plane/status.py
@@ -1,4 +1,4 @@
-"""Build the response to GET /status of a control plane process. Its keys are part of the operators' interface."""
+"""Build the response to GET /status of a control-plane node. Its keys are part of the operators' interface."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StatusNode(Protocol):
-    """The interface of the node that the status reads; `CoreNode` implements it."""
+    """The interface of the node that the status reads; `ControlPlaneNode` implements it."""
 
     member: Member
     peers: Peers
@@ -31,7 +31,7 @@
 
 
 class PeerStatus(TypedDict):
-    """One other core machine."""
+    """One other control-plane node."""
 
     answered_s_ago: float
     leaving: bool
@@ -87,7 +87,7 @@
         orders: The latest placement orders, oldest first.
         data_planes: The number of data planes in the whole system.
         quotas: The tenants with a limit that this process owns, by name.
-        now: The time of the steady clock in seconds.
+        now: The time of the monotonic clock in seconds.
     """
     return {
         "name": node.member.name,
