--- a/tests/system/placement_fakes.py
+++ b/tests/system/placement_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for placement tests: a backend that follows its API's rules, and a control plane node that leads a chain of one."""
+"""Fakes for placement tests: a backend that follows its API's rules, and a control-plane node that leads a chain of one."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
 
 def fake_node(loop: VirtualLoop) -> SimpleNamespace:
-    """Return the only control plane node of a chain, with one backend that has model `a` loaded."""
+    """Return the only control-plane node of a chain, with one backend that has model `a` loaded."""
     registry = BackendRegistry(1.0, lambda backend_id: None)
     record = Backend(id="i", service="s", address="i:1", slots=8, sequence=1, models=[LoadedModel(name="a")])
     registry.merge(record, 0.0)
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -159,13 +159,13 @@
             self.check_rejected({**COMPLETE, "services": services}, "'llm'", "connection_limit")
             self.check_rejected({**COMPLETE, "limits": {"max_body_bytes": value}}, "limits")
 
-    def test_a_priority_that_the_messages_can_not_carry_is_rejected(self):
+    def test_a_priority_that_the_messages_cannot_carry_is_rejected(self):
         """Guards against unreadable demand reports, which carry the priority of waiting requests."""
         self.assertIsInstance(read_complete(changed(priority=2**62), 0), Ok)
         for value in (1e300, 2**70):
             self.check_rejected(changed(priority=value), "'r1'", "priority")
 
-    def test_a_version_that_the_messages_can_not_carry_is_rejected(self):
+    def test_a_version_that_the_messages_cannot_carry_is_rejected(self):
         self.assertIsInstance(read_complete({**COMPLETE, "version": MAX_COUNT}, 0), Ok)
         self.assertIsInstance(read_complete({**COMPLETE, "version": MAX_COUNT + 1}, 0), Err)
         document = read_complete(COMPLETE, 0).ok_value
--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -108,7 +108,7 @@
         self.arrive(pending("a", deadline=10.0))
         self.assertEqual(self.started(), [])
 
-    def test_removes_requests_that_can_not_be_served_before_their_deadline(self):
+    def test_removes_requests_that_cannot_be_served_before_their_deadline(self):
         self.slots, self.ready = 0.0, 6.0
         self.arrive(pending("a", deadline=5.0), pending("b", deadline=10.0))
         expired = self.queue.remove_expired(0.5)
--- a/tests/system/test_exchange_sockets.py
+++ b/tests/system/test_exchange_sockets.py
@@ -198,18 +198,18 @@
         router.apply_snapshot(ControlPlaneSnapshot(table, registry, 1, True))
         listener = Listener(lambda: table.limits, router.begin)
         with socket.create_server(("127.0.0.1", 0)) as unused:
-            front = unused.getsockname()
-        await listener.listen("%s:%d" % front)
+            address = unused.getsockname()
+        await listener.listen("%s:%d" % address)
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                yield front
+                yield address
         finally:
             listener.close()
             for server in servers:
                 server.close()
 
-    async def send_request(self, front: tuple[str, int], route: str, request_id: bytes = b"r1") -> Response:
-        reader, writer = await asyncio.open_connection(*front)
+    async def send_request(self, address: tuple[str, int], route: str, request_id: bytes = b"r1") -> Response:
+        reader, writer = await asyncio.open_connection(*address)
         writer.write(
             b"POST /%b/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %b\r\nContent-Length: 2\r\n\r\nhi" % (route.encode(), request_id)
         )
@@ -223,8 +223,8 @@
         backends = [Backend([action, second]), Backend([action, second])]
         for backend, other in zip(backends, reversed(backends)):
             backend.on_arrival = lambda other=other: other.script.remove(action) if action in other.script else None
-        async with self.data_plane(*backends) as front:
-            return await self.send_request(front, route), backends
+        async with self.data_plane(*backends) as address:
+            return await self.send_request(address, route), backends
 
     def request_count(self, backends: list[Backend]) -> int:
         return sum(len(backend.requests) for backend in backends)
@@ -272,17 +272,17 @@
 
     async def test_a_surplus_response_reaches_no_client(self):
         backend = Backend(["respond_with_surplus", "respond"])
-        async with self.data_plane(backend) as front:
-            first = await self.send_request(front, "safe", b"r1")
-            second = await self.send_request(front, "safe", b"r2")
+        async with self.data_plane(backend) as address:
+            first = await self.send_request(address, "safe", b"r1")
+            second = await self.send_request(address, "safe", b"r2")
         self.assertEqual((first, second), (Response(200, BODY, True), Response(200, BODY, True)))
         self.assertEqual(backend.requests, [b"r1", b"r2"])
 
     async def test_a_client_that_disconnects_frees_its_backend(self):
         for route in ROUTES:
             backend = Backend(["execute"])
-            async with self.data_plane(backend) as front:
-                _, writer = await asyncio.open_connection(*front)
+            async with self.data_plane(backend) as address:
+                _, writer = await asyncio.open_connection(*address)
                 request = b"POST /%b/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nContent-Length: 0\r\n\r\n" % route.encode()
                 writer.write(request)
                 await backend.arrived.wait()
@@ -292,18 +292,18 @@
 
     async def test_an_incomplete_request_reaches_no_backend(self):
         backend = Backend(["respond"])
-        async with self.data_plane(backend) as front:
-            _, writer = await asyncio.open_connection(*front)
+        async with self.data_plane(backend) as address:
+            _, writer = await asyncio.open_connection(*address)
             writer.write(b"POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: cut\r\nContent-Length: 9\r\n\r\nhal")
             await writer.drain()
             reset(writer)
-            response = await self.send_request(front, "safe", b"next")
+            response = await self.send_request(address, "safe", b"next")
         self.assertEqual((response.status, backend.requests), (200, [b"next"]))
 
     async def test_sequential_requests_on_one_connection_get_their_own_responses(self):
         backend = Backend(["respond", "failure", "not_executed", "respond"])
-        async with self.data_plane(backend) as front:
-            reader, writer = await asyncio.open_connection(*front)
+        async with self.data_plane(backend) as address:
+            reader, writer = await asyncio.open_connection(*address)
             statuses = []
             for number in range(3):
                 writer.write(b"POST /unsafe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r%d\r\nContent-Length: 0\r\n\r\n" % number)
--- a/tests/system/test_node_parts.py
+++ b/tests/system/test_node_parts.py
@@ -1,4 +1,4 @@
-"""Test the parts of a core machine that need no network or disk: waiting, pauses, quorum calls, handoff and write gate."""
+"""The parts of a control-plane node that need no network or disk: waiting, pauses, quorum calls, handoff and write gate."""
 
 from __future__ import annotations
 
--- a/tests/system/test_overlapping_losses.py
+++ b/tests/system/test_overlapping_losses.py
@@ -1,6 +1,7 @@
 """Overlapping failures, scripted in virtual time: a partition, then loss of the tolerated disks and power loss everywhere.
 
-The surviving disks hold every acknowledged change, so the core must serve again and must not serve an older version meanwhile.
+The surviving disks hold every acknowledged change, so the control plane must serve again, and must not serve an
+older version meanwhile.
 """
 
 from __future__ import annotations
@@ -166,7 +167,7 @@
 
         async def script(world: World) -> None:
             await change(world)
-            await asyncio.sleep(0.3)  # no append is under way
+            await asyncio.sleep(0.3)  # no append is in flight
             first, second, _ = world.machines
             operator = Operator(world, "lost")
             sent = operator.change(world.checker.assumed_version)
@@ -206,7 +207,7 @@
 
 class Majority(unittest.TestCase):
     def test_a_machine_with_a_wiped_disk_counts_after_enough_time_in_contact(self):
-        """The checker considered a core of one voter and one empty machine stable (seeds 100237, 730225)."""
+        """The checker considered a control plane of one voter and one empty machine stable (seeds 100237, 730225)."""
 
         async def script(world: World) -> None:
             first, second, third = world.machines
@@ -242,7 +243,7 @@
 
         async def script(world: World) -> None:
             await change(world)
-            await asyncio.sleep(0.3)  # no append is under way
+            await asyncio.sleep(0.3)  # no append is in flight
             first, second, third = world.machines
             world.links.disconnect(third, second, both=False)
             operator = Operator(world, "pending")
--- a/tests/system/test_permit_patience.py
+++ b/tests/system/test_permit_patience.py
@@ -76,8 +76,8 @@
         """Guards against late refusals: one after a quarter of the target has no value, even for the first request."""
 
         async def script(world: World) -> None:
-            world.planes.silent |= set(ADDRESSES)
-            wait = world.ask(target_s=0.8)
+            world.owners.silent |= set(ADDRESSES)
+            wait = world.acquire(target_s=0.8)
             await asyncio.sleep(0.19)
             self.assertTrue(wait.is_over)
             [retry_after_s] = world.refusals()
@@ -87,28 +87,28 @@
 
     def test_later_requests_to_a_lost_owner_are_refused_at_once_with_the_time_of_its_replacement(self):
         async def script(world: World) -> None:
-            world.planes.silent |= set(ADDRESSES)
-            world.ask()
+            world.owners.silent |= set(ADDRESSES)
+            world.acquire()
             await asyncio.sleep(0.6)
             world.outcomes.clear()
-            queries = len(world.planes.queries)
-            self.assertIsNone(world.ask(deadline_s=20.0))
+            queries = len(world.owners.queries)
+            self.assertIsNone(world.acquire(deadline_s=20.0))
             [retry_after_s] = world.refusals()
             self.assertAlmostEqual(retry_after_s, HANDOVER_S - 0.6 + 100 / RATE_PER_S, delta=0.02)
-            self.assertEqual(len(world.planes.queries), queries)
+            self.assertEqual(len(world.owners.queries), queries)
 
         run_script(script)
 
     def test_a_retry_waits_for_the_new_view_and_is_then_served_at_once(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 1000
+            world.owners.tokens["t"] = 1000
             first = world.owner()
-            world.planes.silent.add(first)
-            world.ask(is_probable_retry=True)
+            world.owners.silent.add(first)
+            world.acquire(is_probable_retry=True)
             await asyncio.sleep(2.0)
             self.assertEqual(world.outcomes, [])
-            world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != first)
-            world.client.update(2, world.planes.addresses, 1, ["t", "u"])
+            world.owners.epoch, world.owners.addresses = 2, tuple(one for one in ADDRESSES if one != first)
+            world.client.update(2, world.owners.addresses, 1, ["t", "u"])
             await asyncio.sleep(0.02 + QUERY_TIMEOUT_S)  # one query may be in flight
             self.assertEqual(len(world.permits()), 1)
 
@@ -116,45 +116,45 @@
 
     def test_a_waiting_request_is_retried_at_the_owners_retry_time(self):
         async def script(world: World) -> None:
-            world.planes.retry_after_ms = 200
-            world.ask()
+            world.owners.retry_after_ms = 200
+            world.acquire()
             await asyncio.sleep(0.1)
-            world.planes.tokens["t"] = 100
+            world.owners.tokens["t"] = 100
             self.assertEqual((world.outcomes, world.client.status()["waiting"]), ([], 1))
             await asyncio.sleep(0.12)
-            self.assertEqual((len(world.permits()), len(world.planes.queries)), (1, 2))
+            self.assertEqual((len(world.permits()), len(world.owners.queries)), (1, 2))
 
         run_script(script)
 
     def test_waiting_requests_keep_their_order_and_share_one_query(self):
         async def script(world: World) -> None:
-            world.planes.retry_after_ms = 200
+            world.owners.retry_after_ms = 200
             served: list[int] = []
             for number in range(4):
                 patience = Patience(world.loop.time(), 5.0, world.loop.time() + 9.0, False, RATE_PER_S)
                 world.client.acquire("t", 100 + number, patience, lambda outcome, number=number: served.append(number))
                 await asyncio.sleep(0.01)
-            world.planes.tokens["t"] = 1000
+            world.owners.tokens["t"] = 1000
             await asyncio.sleep(0.25)
             self.assertEqual(served, [0, 1, 2, 3])
-            self.assertEqual([len(need.request_tokens) for need in world.planes.queries[-1][1].needs], [4])
+            self.assertEqual([len(need.request_tokens) for need in world.owners.queries[-1][1].needs], [4])
 
         run_script(script)
 
     def test_a_later_request_does_not_take_the_tokens_of_those_that_wait(self):
         async def script(world: World) -> None:
-            world.planes.retry_after_ms = 200
+            world.owners.retry_after_ms = 200
             served: list[str] = []
 
-            def ask(name: str) -> None:
+            def acquire(name: str) -> None:
                 patience = Patience(world.loop.time(), 5.0, world.loop.time() + 9.0, False, RATE_PER_S)
                 world.client.acquire("t", 100, patience, lambda outcome: served.append(name))
 
-            ask("first")
+            acquire("first")
             await asyncio.sleep(0.15)  # the local refusal has ended
             world.client._balance.add_grant("t", 100, world.loop.time() + 0.5, world.loop.time())
-            world.planes.tokens["t"] = 100
-            ask("second")
+            world.owners.tokens["t"] = 100
+            acquire("second")
             await asyncio.sleep(0.3)
             self.assertEqual(served, ["first", "second"])
 
@@ -162,10 +162,10 @@
 
     def test_a_refusal_of_a_large_request_does_not_apply_to_a_small_one(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 100
-            world.ask(tokens=500)
+            world.owners.tokens["t"] = 100
+            world.acquire(tokens=500)
             await asyncio.sleep(0.01)
-            world.ask(tokens=100)
+            world.acquire(tokens=100)
             await asyncio.sleep(0.01)
             self.assertEqual((len(world.refusals()), len(world.permits())), (1, 1))
 
@@ -173,13 +173,13 @@
 
     def test_a_refusal_does_not_outlive_a_change_of_owner(self):
         async def script(world: World) -> None:
-            world.ask()
+            world.acquire()
             await asyncio.sleep(0.01)
             former = world.owner()
-            world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != former)
-            world.planes.tokens["t"] = 100
-            world.client.update(2, world.planes.addresses, 1, ["t", "u"])
-            world.ask()
+            world.owners.epoch, world.owners.addresses = 2, tuple(one for one in ADDRESSES if one != former)
+            world.owners.tokens["t"] = 100
+            world.client.update(2, world.owners.addresses, 1, ["t", "u"])
+            world.acquire()
             await asyncio.sleep(0.01)
             self.assertEqual((len(world.refusals()), len(world.permits())), (1, 1))
 
@@ -189,9 +189,9 @@
         """Guards against a growing queue: requests wait for at most the tokens that the rate yields within their wait."""
 
         async def script(world: World) -> None:
-            world.planes.retry_after_ms = 100
+            world.owners.retry_after_ms = 100
             for _ in range(200):
-                world.ask(target_s=2.0)
+                world.acquire(target_s=2.0)
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.0)
             self.assertLessEqual(100 * world.client.status()["waiting"], RATE_PER_S * 2.0)
@@ -204,10 +204,10 @@
 
     def test_no_wait_exceeds_its_limit(self):
         async def script(world: World) -> None:
-            world.planes.silent |= set(ADDRESSES)
+            world.owners.silent |= set(ADDRESSES)
             for target_s in (0.13, 0.8, 2.0, 6.0):
                 for is_retry in (False, True):
-                    world.ask(target_s=target_s, deadline_s=4.0, is_probable_retry=is_retry)
+                    world.acquire(target_s=target_s, deadline_s=4.0, is_probable_retry=is_retry)
             for _ in range(20):
                 await asyncio.sleep(0.2)
             await asyncio.sleep(ANSWER_TIMEOUT_S)
--- a/tests/system/test_planes.py
+++ b/tests/system/test_planes.py
@@ -71,7 +71,7 @@
             self.kill(kind, number)
 
     async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> HttpResponse | None:
-        """Return the first response with a status below 500 of any control plane, after redirects; None if there is none."""
+        """Return the first response below 500 of any control-plane node, after redirects; None if there is none."""
         fields = ((b"If-Match", b"%d" % base),) if base is not None else ()
         for first_address in self.control_addresses:
             response = await self._follow(first_address, method, path, body, fields)
--- a/tests/system/test_quota_balance.py
+++ b/tests/system/test_quota_balance.py
@@ -99,8 +99,8 @@
     @invariant()
     def sum_is_conserved(self) -> None:
         for tenant in TENANTS:
-            held = sum(permit.tokens for permit in self.permits if permit.tenant == tenant)
-            elsewhere = held + self.used[tenant] + self.returned[tenant]
+            reserved = sum(permit.tokens for permit in self.permits if permit.tenant == tenant)
+            elsewhere = reserved + self.used[tenant] + self.returned[tenant]
             assert self.balance.stored_tokens(tenant) + elsewhere == self.granted[tenant]
 
     @invariant()
@@ -151,9 +151,9 @@
                 demand.record_admitted("a", 100, 0.05 * tick)
             for _ in range(50):
                 flooded.record_refused("a", 100, 0.05 * tick)
-        admitted, asked = (demand.tokens_ahead("a", 0.5, 10.0) for demand in (calm, flooded))
+        admitted, requested = (demand.tokens_ahead("a", 0.5, 10.0) for demand in (calm, flooded))
         self.assertGreater(admitted, 800)
-        self.assertLessEqual(asked, 1.5 * admitted + 1)
+        self.assertLessEqual(requested, 1.5 * admitted + 1)
 
     def test_no_tokens_are_requested_in_advance_for_rare_requests(self):
         demand = QuotaDemand()
--- a/tests/system/test_quota_client.py
+++ b/tests/system/test_quota_client.py
@@ -35,7 +35,7 @@
 RATE_PER_S = 1000.0
 
 
-class ControlPlanes:
+class FakeOwners:
     """Fake owners that grant the tokens that a test provides; stands in for the data plane's `HttpClient`.
 
     Attributes:
@@ -134,21 +134,21 @@
 
 
 class World:
-    """One data plane's quota client and the control planes."""
+    """One data plane's quota client and the fake owners."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.planes = ControlPlanes()
-        self.client = QuotaClient(SETTINGS, self.planes, self.loop)  # type: ignore[arg-type]
+        self.owners = FakeOwners()
+        self.client = QuotaClient(SETTINGS, self.owners, self.loop)  # type: ignore[arg-type]
         self.client.update(1, ADDRESSES, 1, ["t", "u"])
         self.outcomes: list[Outcome] = []
 
     def owner(self, tenant: str = "t") -> str:
         directory = OwnerDirectory()
-        directory.update(self.planes.epoch, self.planes.addresses)
+        directory.update(self.owners.epoch, self.owners.addresses)
         return directory.owner_of(tenant)
 
-    def ask(
+    def acquire(
         self,
         tokens: int = 100,
         tenant: str = "t",
@@ -189,11 +189,11 @@
 class QuotaClients(unittest.TestCase):
     def test_simultaneous_needs_share_one_query_and_are_granted_in_order(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 250
+            world.owners.tokens["t"] = 250
             for _ in range(3):
-                world.ask()
+                world.acquire()
             await asyncio.sleep(0.1)
-            [(address, query)] = world.planes.queries
+            [(address, query)] = world.owners.queries
             self.assertEqual((address, list(query.needs[0].request_tokens)), (world.owner(), [100, 100, 100]))
             self.assertEqual((len(world.permits()), world.refusals()), (2, [0.7]))
             self.assertEqual((query.node, query.zone, query.configuration_version), ("d", "z", 1))
@@ -202,14 +202,14 @@
 
     def test_at_most_two_queries_to_one_owner_are_in_flight(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 10_000
-            world.planes.round_trip_s = 0.1
+            world.owners.tokens["t"] = 10_000
+            world.owners.round_trip_s = 0.1
             for _ in range(10):
-                world.ask(target_s=PATIENT_TARGET_S)
+                world.acquire(target_s=PATIENT_TARGET_S)
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
-            self.assertEqual((world.planes.max_in_flight, len(world.permits())), (MAX_QUERIES, 10))
-            self.assertLessEqual(len(world.planes.queries), 4)
+            self.assertEqual((world.owners.max_in_flight, len(world.permits())), (MAX_QUERIES, 10))
+            self.assertLessEqual(len(world.owners.queries), 4)
 
         run_script(script)
 
@@ -217,10 +217,10 @@
         """Guards against an expiry that counts from the response's arrival and is later than the owner assumes."""
 
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 100
-            world.planes.round_trip_s = 0.2
+            world.owners.tokens["t"] = 100
+            world.owners.round_trip_s = 0.2
             asked_at = world.loop.time()
-            world.ask(target_s=PATIENT_TARGET_S)
+            world.acquire(target_s=PATIENT_TARGET_S)
             await asyncio.sleep(0.25)
             [outcome] = world.permits()
             self.assertAlmostEqual(outcome.ok_value.expires_at, asked_at + 0.001 * LIFETIME_MS)
@@ -231,57 +231,57 @@
         """Guards against using expired grants after a pause of the process."""
 
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 1000
-            world.ask(target_s=PATIENT_TARGET_S)
+            world.owners.tokens["t"] = 1000
+            world.acquire(target_s=PATIENT_TARGET_S)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             world.loop.now += 3.0  # type: ignore[attr-defined]
             await asyncio.sleep(0.1)
-            self.assertEqual(len(world.planes.queries), 2)  # the first grant had expired
+            self.assertEqual(len(world.owners.queries), 2)  # the first grant had expired
             [outcome] = world.permits()
             self.assertGreater(outcome.ok_value.expires_at, world.loop.time())
-            self.assertEqual(world.planes.granted["t"] - world.planes.returned["t"], 100)
+            self.assertEqual(world.owners.granted["t"] - world.owners.returned["t"], 100)
 
         run_script(script)
 
-    def test_after_a_silent_owner_the_next_control_plane_is_queried(self):
+    def test_after_a_silent_owner_the_next_node_is_queried(self):
         async def script(world: World) -> None:
             first = world.owner()
-            world.planes.silent.add(first)
-            world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != first)
-            world.planes.tokens["t"] = 1000
-            world.ask(target_s=PATIENT_TARGET_S)
+            world.owners.silent.add(first)
+            world.owners.epoch, world.owners.addresses = 2, tuple(one for one in ADDRESSES if one != first)
+            world.owners.tokens["t"] = 1000
+            world.acquire(target_s=PATIENT_TARGET_S)
             await asyncio.sleep(0.5)
-            self.assertEqual([address for address, _ in world.planes.queries], [first, world.owner()])
+            self.assertEqual([address for address, _ in world.owners.queries], [first, world.owner()])
             self.assertEqual(len(world.permits()), 1)
-            world.ask()  # the response contained the new view
+            world.acquire()  # the response contained the new view
             await asyncio.sleep(0.1)
-            self.assertEqual((world.planes.queries[-1][0], len(world.permits())), (world.owner(), 2))
+            self.assertEqual((world.owners.queries[-1][0], len(world.permits())), (world.owner(), 2))
 
         run_script(script)
 
     def test_without_an_owner_the_wait_is_bounded_and_further_requests_are_refused_at_once(self):
         async def script(world: World) -> None:
-            world.planes.silent |= set(ADDRESSES)
+            world.owners.silent |= set(ADDRESSES)
             began_at = world.loop.time()
-            wait = world.ask(target_s=PATIENT_TARGET_S, deadline_s=PATIENCE_S)
+            wait = world.acquire(target_s=PATIENT_TARGET_S, deadline_s=PATIENCE_S)
             while not wait.is_over:
                 await asyncio.sleep(0.01)
             self.assertLessEqual(world.loop.time() - began_at, PATIENCE_S + 0.02)
             [retry_after_s] = world.refusals()
             self.assertLess(retry_after_s, 0.2)
-            self.assertEqual(len(world.planes.queries), 2)
+            self.assertEqual(len(world.owners.queries), 2)
 
         run_script(script)
 
     def test_a_response_of_a_former_owner_leads_to_the_new_owner(self):
         async def script(world: World) -> None:
             former = world.owner()
-            world.planes.epoch, world.planes.addresses = 2, tuple(one for one in ADDRESSES if one != former)
-            world.planes.tokens["t"] = 1000
-            world.ask()
+            world.owners.epoch, world.owners.addresses = 2, tuple(one for one in ADDRESSES if one != former)
+            world.owners.tokens["t"] = 1000
+            world.acquire()
             await asyncio.sleep(0.1)
-            self.assertEqual([address for address, _ in world.planes.queries], [former, world.owner()])
+            self.assertEqual([address for address, _ in world.owners.queries], [former, world.owner()])
             self.assertEqual(len(world.permits()), 1)
 
         run_script(script)
@@ -289,31 +289,31 @@
     def test_an_owner_without_a_majority_is_avoided(self):
         async def script(world: World) -> None:
             first = world.owner()
-            world.planes.without_majority.add(first)
-            world.planes.tokens["t"] = 1000
-            world.ask()
+            world.owners.without_majority.add(first)
+            world.owners.tokens["t"] = 1000
+            world.acquire()
             await asyncio.sleep(0.1)
-            self.assertEqual((len(world.planes.queries), len(world.refusals())), (2, 1))
-            world.planes.without_majority.clear()
+            self.assertEqual((len(world.owners.queries), len(world.refusals())), (2, 1))
+            world.owners.without_majority.clear()
             await asyncio.sleep(OWNER_COOLDOWN_S)
-            world.ask()
+            world.acquire()
             await asyncio.sleep(0.1)
-            self.assertEqual((world.planes.queries[-1][0], len(world.permits())), (first, 1))
+            self.assertEqual((world.owners.queries[-1][0], len(world.permits())), (first, 1))
 
         run_script(script)
 
     def test_after_a_refusal_only_that_tenant_is_refused_locally_for_a_short_time(self):
         async def script(world: World) -> None:
-            world.planes.tokens["u"] = 100
-            world.ask()
+            world.owners.tokens["u"] = 100
+            world.acquire()
             await asyncio.sleep(0.01)
-            world.ask()
-            world.ask(tenant="u")
+            world.acquire()
+            world.acquire(tenant="u")
             await asyncio.sleep(0.01)
-            self.assertEqual((len(world.planes.queries), len(world.refusals()), len(world.permits())), (2, 2, 1))
-            world.planes.tokens["t"] = 100
+            self.assertEqual((len(world.owners.queries), len(world.refusals()), len(world.permits())), (2, 2, 1))
+            world.owners.tokens["t"] = 100
             await asyncio.sleep(LOCAL_REFUSAL_S)
-            world.ask()
+            world.acquire()
             await asyncio.sleep(0.01)
             self.assertEqual(len(world.permits()), 2)
 
@@ -321,14 +321,14 @@
 
     def test_tokens_of_a_cancelled_request_serve_the_next_one(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 100
-            wait = world.ask()
+            world.owners.tokens["t"] = 100
+            wait = world.acquire()
             await asyncio.sleep(0)
             wait.cancel()
             await asyncio.sleep(0.01)
             self.assertEqual(world.outcomes, [])
-            world.ask()
-            self.assertEqual((len(world.permits()), len(world.planes.queries)), (1, 1))
+            world.acquire()
+            self.assertEqual((len(world.permits()), len(world.owners.queries)), (1, 1))
 
         run_script(script)
 
@@ -336,30 +336,30 @@
         """Guards against returning tokens twice, after which they would be granted twice."""
 
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 100
-            world.ask()
+            world.owners.tokens["t"] = 100
+            world.acquire()
             await asyncio.sleep(0.01)
             world.client.refund(world.permits()[0].ok_value)
             await asyncio.sleep(0.6)
-            world.planes.silent.add(world.owner())
-            world.ask()
+            world.owners.silent.add(world.owner())
+            world.acquire()
             await asyncio.sleep(1.0)
-            world.planes.silent.clear()
-            world.ask()
+            world.owners.silent.clear()
+            world.acquire()
             await asyncio.sleep(0.1)
-            returns = [need.returned_tokens for _, query in world.planes.queries for need in query.needs]
+            returns = [need.returned_tokens for _, query in world.owners.queries for need in query.needs]
             self.assertEqual(sum(returns), 100)
 
         run_script(script)
 
     def test_a_removed_tenant_loses_its_grants(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 100
-            world.ask()
+            world.owners.tokens["t"] = 100
+            world.acquire()
             await asyncio.sleep(0.01)
             world.client.refund(world.permits()[0].ok_value)
             world.client.update(1, ADDRESSES, 2, ["u"])
-            world.ask()
+            world.acquire()
             await asyncio.sleep(0.1)
             self.assertEqual((len(world.permits()), len(world.refusals())), (1, 1))
 
@@ -367,27 +367,27 @@
 
     def test_a_busy_data_plane_is_granted_tokens_in_advance(self):
         async def script(world: World) -> None:
-            world.planes.tokens["t"] = 1_000_000
+            world.owners.tokens["t"] = 1_000_000
             for _ in range(200):
-                world.ask()
+                world.acquire()
                 await asyncio.sleep(0.01)
             self.assertEqual(len(world.permits()), 200)
-            self.assertLess(len(world.planes.queries), 40)
-            self.assertLess(world.planes.granted["t"], 2 * 200 * 100)
+            self.assertLess(len(world.owners.queries), 40)
+            self.assertLess(world.owners.granted["t"], 2 * 200 * 100)
 
         run_script(script)
 
     def test_loss_and_return_of_an_owner_are_logged_once_each(self):
         async def script(world: World) -> None:
             first = world.owner()
-            world.planes.tokens["t"] = 1000
-            world.planes.silent.add(first)
+            world.owners.tokens["t"] = 1000
+            world.owners.silent.add(first)
             for _ in range(4):
-                world.ask()
+                world.acquire()
                 await asyncio.sleep(0.8)
-            world.planes.silent.clear()
+            world.owners.silent.clear()
             for _ in range(3):
-                world.ask()
+                world.acquire()
                 await asyncio.sleep(0.3)
             self.assertEqual(world.client.status()["silent_owners"], [])
 
--- a/tests/system/test_quota_queues.py
+++ b/tests/system/test_quota_queues.py
@@ -50,7 +50,7 @@
 
 
 class Owner:
-    """The control plane that owns the tenant; stands in for the data planes' `HttpClient`."""
+    """The control-plane node that owns the tenant; stands in for the data planes' `HttpClient`."""
 
     def __init__(self, limit: QuotaLimit) -> None:
         self.owner = QuotaOwner(BOUNDS, takeover_s=0.0)
@@ -112,7 +112,7 @@
     def close_backends(self) -> None:
         self.router.apply_snapshot(self._closed_snapshot)
 
-    def ask(self, name: str) -> None:
+    def begin_request(self, name: str) -> None:
         self.kinds[name], self.clients[name] = "safe", TimedClient(name)
         self.began_at[name] = self.loop.time()
         lines = ("POST /safe/x HTTP/1.1", "Host: h", f"Request-Id: {name}", "Content-Length: 1")
@@ -163,7 +163,7 @@
             loop.call_at(began_at + 2.0 + closed_s, lambda: [plane.open_backends() for plane in planes])
         interval_s = TOKENS / (load * limit.rate_per_s)
         while loop.time() < began_at + seconds:
-            planes[count % PLANES].ask(f"r{count}")
+            planes[count % PLANES].begin_request(f"r{count}")
             count += 1
             waiting = max(sum(len(queue.waiting) for queue in plane.router.queue.by_model.values()) for plane in planes)
             most_waiting = max(most_waiting, waiting)
--- a/tests/system/test_quota_requests.py
+++ b/tests/system/test_quota_requests.py
@@ -30,7 +30,7 @@
 from mulleinhatch.tenants.api_keys import KeyDigester
 from mulleinhatch.tenants.tenant import QuotaLimit, QuotaUnit, Tenant
 from tests.system.test_exchange_model import PAIRS, ROUTES, World
-from tests.system.test_quota_client import ADDRESSES, ControlPlanes
+from tests.system.test_quota_client import ADDRESSES, FakeOwners
 
 TOKENS = 100  # per request
 TENANT = Tenant("t", QuotaLimit(1000.0, 1000.0), QuotaUnit.TOKENS, TOKENS)
@@ -58,7 +58,7 @@
 
     def append(self, arrival: tuple[str, str]) -> None:
         super().append(arrival)
-        if self._world.loop.time() >= self._world.planes.last_expiry:
+        if self._world.loop.time() >= self._world.owners.last_expiry:
             self._world.late_writes.append(arrival[0])
 
 
@@ -66,21 +66,21 @@
     """The world of the exchange model, with quota owners.
 
     Attributes:
-        planes: The owners.
+        owners: The fake quota owners.
         open_s: Seconds that opening a connection takes.
         late_writes: Requests that were written after every grant expired.
     """
 
     def __init__(self, kinds: tuple[str, str]) -> None:
         super().__init__(kinds)
-        self.planes = ControlPlanes()
-        self.planes.retry_after_ms = RETRY_AFTER_MS
-        self.router.quotas._http = self.planes  # type: ignore[assignment]
+        self.owners = FakeOwners()
+        self.owners.retry_after_ms = RETRY_AFTER_MS
+        self.router.quotas._http = self.owners  # type: ignore[assignment]
         table = build_route_table(Document(1, configuration(1)))
         self.router.apply_snapshot(
             dataclasses.replace(self.router.snapshot, table=table, control_epoch=1, control_addresses=ADDRESSES)
         )
-        self.planes.tokens["t"] = 1000
+        self.owners.tokens["t"] = 1000
         self.open_s = 0.0
         self.late_writes: list[str] = []
         self.arrivals = Arrivals(self)
@@ -112,8 +112,8 @@
 
     def quota_violations(self) -> Iterator[str]:
         """Yield the violations after both requests have ended."""
-        kept = self.balance.stored_tokens("t") + self.planes.returned.get("t", 0) + self.planes.lost
-        granted = self.planes.granted.get("t", 0)
+        kept = self.balance.stored_tokens("t") + self.owners.returned.get("t", 0) + self.owners.lost
+        granted = self.owners.granted.get("t", 0)
         if self.used() + kept != granted:
             yield f"{granted} tokens granted, {self.used()} used, {kept} kept, returned or lost"
         if self.late_writes:
@@ -169,7 +169,7 @@
     def test_a_request_is_sent_with_the_tokens_that_the_owner_granted(self):
         async def script(world: MeteredWorld) -> None:
             await world.begin("a")
-            self.assertEqual((len(world.arrivals), world.planes.granted["t"]), (1, TOKENS))
+            self.assertEqual((len(world.arrivals), world.owners.granted["t"]), (1, TOKENS))
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
             self.assertEqual(world.router.quotas.status()["permits"], 1)
@@ -180,7 +180,7 @@
         """Guards against exceeding the quota; a 429 also promises that the request did not run."""
 
         async def script(world: MeteredWorld) -> None:
-            world.planes.tokens["t"] = TOKENS - 1
+            world.owners.tokens["t"] = TOKENS - 1
             await world.begin("a")
             self.assertEqual((world.clients["a"].status, world.arrivals), (429, []))
             self.assertEqual(world.router.request_log.counters["over_quota"], 1)
@@ -194,7 +194,7 @@
                 request = world.router.begin(world.clients["a"], head, b"a")
             self.assertIsNotNone(request._attempt)  # without an iteration of the loop
             await world.run_callbacks()
-            self.assertEqual((world.planes.queries, len(world.arrivals)), ([], 1))
+            self.assertEqual((world.owners.queries, len(world.arrivals)), ([], 1))
             request.cancel()
             world.arrivals.clear()
             world.late_writes.clear()
@@ -203,20 +203,20 @@
 
     def test_a_client_that_disconnects_while_its_request_waits_uses_no_tokens(self):
         async def script(world: MeteredWorld) -> None:
-            world.planes.round_trip_s = 0.2
+            world.owners.round_trip_s = 0.2
             await world.begin("a")
             await world.event("client gone", 0)
             await asyncio.sleep(0.3)
             self.assertEqual(world.arrivals, [])
             await world.begin("b")  # uses the tokens of the first request
-            self.assertEqual((len(world.planes.queries), world.arrivals[0][0]), (1, "b"))
+            self.assertEqual((len(world.owners.queries), world.arrivals[0][0]), (1, "b"))
             await world.event("answer", 0)
 
         run_script(script)
 
     def test_a_deadline_while_the_request_waits_is_answered_with_503(self):
         async def script(world: MeteredWorld) -> None:
-            world.planes.round_trip_s = 0.2
+            world.owners.round_trip_s = 0.2
             await world.begin("a")
             await world.event("time over", 0)
             await asyncio.sleep(0.3)
@@ -226,7 +226,7 @@
 
     def test_a_shutdown_while_the_request_waits_is_answered_in_time(self):
         async def script(world: MeteredWorld) -> None:
-            world.planes.silent |= set(ADDRESSES)
+            world.owners.silent |= set(ADDRESSES)
             await world.begin("a")
             world.router.begin_shutdown(world.loop.time() + 0.5)
             await asyncio.sleep(0.15)
@@ -236,7 +236,7 @@
 
     def test_without_any_owner_the_response_is_429_within_the_wait_limit(self):
         async def script(world: MeteredWorld) -> None:
-            world.planes.silent |= set(ADDRESSES)
+            world.owners.silent |= set(ADDRESSES)
             await world.begin("a")
             await asyncio.sleep(0.7)
             self.assertEqual((world.clients["a"].status, world.arrivals), (429, []))
@@ -252,8 +252,8 @@
             self.assertEqual(world.arrivals, [])
             world.router.apply_snapshot(snapshot)
             await asyncio.sleep(ANSWER_WAIT_S)
-            self.assertEqual((len(world.arrivals), len(world.planes.queries)), (1, 2))
-            self.assertEqual(world.planes.returned["t"], TOKENS)
+            self.assertEqual((len(world.arrivals), len(world.owners.queries)), (1, 2))
+            self.assertEqual(world.owners.returned["t"], TOKENS)
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
 
@@ -268,10 +268,10 @@
             world.drain()
             await world.begin("a")
             await asyncio.sleep(3.0)
-            self.assertEqual(world.planes.queries, [])
+            self.assertEqual(world.owners.queries, [])
             world.router.apply_snapshot(snapshot)
             await asyncio.sleep(ANSWER_WAIT_S)
-            self.assertEqual((len(world.arrivals), len(world.planes.queries)), (1, 1))
+            self.assertEqual((len(world.arrivals), len(world.owners.queries)), (1, 1))
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
             self.assertEqual(world.router.quotas._deferred._tokens, {})
@@ -283,7 +283,7 @@
             world.drain()
             await world.begin("a")
             await world.event("client gone", 0)
-            self.assertEqual((world.planes.queries, world.router.quotas._deferred._tokens), ([], {}))
+            self.assertEqual((world.owners.queries, world.router.quotas._deferred._tokens), ([], {}))
 
         run_script(script)
 
@@ -298,7 +298,7 @@
             self.assertEqual(
                 (len(world.transports), len(world.arrivals)), (1, 1)
             )  # the second attempt used the same connection
-            self.assertEqual(len(world.planes.queries), 2)
+            self.assertEqual(len(world.owners.queries), 2)
             self.assertEqual(world.requests["a"].context.state.sends, 1)
             await world.event("answer", 0)
             self.assertEqual(world.clients["a"].status, 200)
@@ -311,7 +311,7 @@
         async def script(world: MeteredWorld) -> None:
             world.open_s = 0.1
             await world.begin("a")
-            world.planes.tokens["t"] = 0
+            world.owners.tokens["t"] = 0
             world.loop.now += 2.0  # type: ignore[attr-defined]
             await asyncio.sleep(0.2)
             self.assertEqual((world.clients["a"].status, world.arrivals), (429, []))
@@ -322,7 +322,7 @@
         async def script(world: MeteredWorld) -> None:
             await world.begin("a")
             await world.event("not executed", 0)
-            self.assertEqual((len(world.arrivals), world.planes.granted["t"], len(world.planes.queries)), (2, TOKENS, 1))
+            self.assertEqual((len(world.arrivals), world.owners.granted["t"], len(world.owners.queries)), (2, TOKENS, 1))
             await world.event("answer", 1)
             self.assertEqual(world.clients["a"].status, 200)
 
@@ -359,7 +359,7 @@
             await world.begin("a")
             await world.event("reset", 0)
             await asyncio.sleep(ANSWER_WAIT_S)
-            self.assertEqual((len(world.arrivals), world.planes.granted["t"]), (2, 2 * TOKENS))
+            self.assertEqual((len(world.arrivals), world.owners.granted["t"]), (2, 2 * TOKENS))
             await world.event("answer", 1)
             self.assertEqual(world.clients["a"].status, 200)
 
@@ -369,7 +369,7 @@
         """Guards against running a request twice: after a 429 a client retries."""
 
         async def script(world: MeteredWorld) -> None:
-            world.planes.tokens["t"] = TOKENS
+            world.owners.tokens["t"] = TOKENS
             await world.begin("a")
             await world.event("reset", 0)
             await asyncio.sleep(ANSWER_WAIT_S)
@@ -379,7 +379,7 @@
 
     def test_a_stream_that_is_not_resumed_for_lack_of_tokens_does_not_look_complete(self):
         async def script(world: MeteredWorld) -> None:
-            world.planes.tokens["t"] = TOKENS
+            world.owners.tokens["t"] = TOKENS
             await world.begin("a")
             await world.event("half and reset", 0)
             await asyncio.sleep(ANSWER_WAIT_S)
@@ -390,14 +390,14 @@
 
     def test_a_request_that_ends_unwritten_returns_its_tokens(self):
         async def script(world: MeteredWorld) -> None:
-            world.planes.tokens["t"] = TOKENS
+            world.owners.tokens["t"] = TOKENS
             world.open_s = 0.05
             await world.begin("a")
             await world.event("client gone", 0)
             await world.begin("b")
             await asyncio.sleep(0.1)
             self.assertEqual([name for name, _ in world.arrivals], ["b"])
-            self.assertEqual(world.planes.granted["t"], TOKENS)
+            self.assertEqual(world.owners.granted["t"], TOKENS)
 
         run_script(script)
 
@@ -411,7 +411,7 @@
         snapshot = dataclasses.replace(self.router.snapshot, table=table, confirmed_at=self.loop.time())
         self.router.apply_snapshot(snapshot)
 
-    async def ask(self, name: str, key: str, usage: str = "60,40") -> None:
+    async def send_request(self, name: str, key: str, usage: str = "60,40") -> None:
         lines = ("POST /safe/x HTTP/1.1", "Host: h", f"Request-Id: {name}", "Content-Length: 1", f"Authorization: Bearer {key}")
         head = parse_request_head("\r\n".join((*lines, f"Token-Usage: {usage}", "", "")).encode())
         self.requests[name] = self.router.begin(self.clients[name], head, name.encode())
@@ -439,10 +439,10 @@
     def test_a_request_costs_its_token_usage_or_one_depending_on_the_unit(self):
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t"), tenant("u", "key-u", unit=""))
-            world.planes.tokens |= {"t": 1000, "u": 1000}
-            await world.ask("a", "key-t", "60,40")
-            await world.ask("b", "key-u", "60,40")
-            self.assertEqual(world.planes.granted, {"t": 100, "u": 1})
+            world.owners.tokens |= {"t": 1000, "u": 1000}
+            await world.send_request("a", "key-t", "60,40")
+            await world.send_request("b", "key-u", "60,40")
+            self.assertEqual(world.owners.granted, {"t": 100, "u": 1})
             self.assertEqual(len(world.arrivals), 2)
 
         self.run_script(script)
@@ -450,8 +450,8 @@
     def test_a_tenant_without_a_limit_causes_no_query(self):
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t", rate=0))
-            await world.ask("a", "key-t")
-            self.assertEqual((world.planes.queries, len(world.arrivals)), ([], 1))
+            await world.send_request("a", "key-t")
+            self.assertEqual((world.owners.queries, len(world.arrivals)), ([], 1))
 
         self.run_script(script)
 
@@ -460,8 +460,8 @@
 
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t"))
-            world.planes.round_trip_s = 0.2
-            await world.ask("a", "key-t")
+            world.owners.round_trip_s = 0.2
+            await world.send_request("a", "key-t")
             world.configure(2, tenant("t", "another"))
             await asyncio.sleep(0.3)
             self.assertEqual((world.clients["a"].status, world.arrivals), (401, []))
@@ -473,13 +473,13 @@
 
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key"), tenant("u", "key-u"))
-            world.planes.tokens |= {"t": 1000, "u": 1000}
-            world.planes.round_trip_s = 0.2
-            await world.ask("a", "key")
+            world.owners.tokens |= {"t": 1000, "u": 1000}
+            world.owners.round_trip_s = 0.2
+            await world.send_request("a", "key")
             world.configure(2, tenant("t", "key-t"), tenant("u", "key"))
             await asyncio.sleep(0.5)
             self.assertEqual(len(world.arrivals), 1)
-            self.assertEqual(world.planes.granted["u"], 100)
+            self.assertEqual(world.owners.granted["u"], 100)
             self.assertEqual(world.balance.stored_tokens("t"), 100)  # returned unused
 
         self.run_script(script)
@@ -488,7 +488,7 @@
         async def script(world: ConfiguredWorld) -> None:
             world.configure(1, tenant("t", "key-t"))
             world.open_s = 0.6
-            await world.ask("a", "key-t")
+            await world.send_request("a", "key-t")
             world.configure(2, tenant("t", "key-t", rate=0))
             await asyncio.sleep(1.0)
             self.assertEqual(len(world.arrivals), 1)
@@ -513,9 +513,9 @@
         world.loop.now += 0.7  # type: ignore[attr-defined]
         await asyncio.sleep(0)
     elif event == "silence":
-        world.planes.silent = set() if world.planes.silent else set(ADDRESSES)
+        world.owners.silent = set() if world.owners.silent else set(ADDRESSES)
     elif event == "refill":
-        world.planes.tokens["t"] += TOKENS
+        world.owners.tokens["t"] += TOKENS
     else:
         await world.event(event, index)
         await asyncio.sleep(ANSWER_WAIT_S)
@@ -523,8 +523,8 @@
 
 async def violations_of(rng: random.Random, kinds: tuple[str, str], events: list[tuple[str, int]]) -> list[str]:
     world = MeteredWorld(kinds)
-    world.planes.tokens["t"] = rng.choice([0, TOKENS, 2 * TOKENS, 3 * TOKENS])
-    world.planes.round_trip_s = rng.choice([0.002, 0.1, 0.4])
+    world.owners.tokens["t"] = rng.choice([0, TOKENS, 2 * TOKENS, 3 * TOKENS])
+    world.owners.round_trip_s = rng.choice([0.002, 0.1, 0.4])
     world.open_s = rng.choice([0.0, 0.0, 0.3, 0.65])
     started = rng.sample(range(len(events)), 2)
     for position, (event, index) in enumerate(events):
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -139,7 +139,7 @@
     return QuotaNeed(tenant=tenant, request_tokens=list(request_tokens), ahead_tokens=ahead, returned_tokens=returned)
 
 
-def ask(*needs: QuotaNeed, version: int = 1) -> QuotaRequest:
+def quota_request(*needs: QuotaNeed, version: int = 1) -> QuotaRequest:
     return QuotaRequest(node="f-1", zone="z", configuration_version=version, needs=list(needs))
 
 
@@ -153,10 +153,10 @@
         self.own = owner_of("fern")
         self.change = self.owner.update(OwnerView(1, self.own, CHAIN), tenants(fern=SMALL), 1, 0.0)
 
-    def grant(self, now: float, asked: QuotaNeed, version: int = 1):
-        return self.owner.answer(ask(asked, version=version), now)[0]
+    def grant(self, now: float, quota_need: QuotaNeed, version: int = 1):
+        return self.owner.answer(quota_request(quota_need, version=version), now)[0]
 
-    def test_requests_are_granted_in_order_while_the_level_covers_each_whole(self):
+    def test_requests_are_granted_in_order_until_the_level_does_not_cover_the_next(self):
         grant = self.grant(60.0, need("fern", 6_000, 9_000, 5_000, 10))
         self.assertEqual((grant.granted_requests, grant.lifetime_ms, grant.not_owner), (2, 500, False))
         self.assertGreaterEqual(grant.retry_after_ms, 50)
@@ -195,14 +195,14 @@
         self.assertEqual(change.taken_over, ("fern",))
         self.assertEqual(self.grant(60.9, need("fern", 1)).granted_requests, 0)
 
-    def test_a_control_plane_that_is_not_the_owner_says_so(self):
+    def test_a_node_that_is_not_the_owner_reports_it(self):
         other = next(address for address in CHAIN if address != self.own)
         owner = QuotaOwner(BOUNDS, TAKEOVER_S)
         owner.update(OwnerView(1, other, CHAIN), tenants(fern=SMALL), 1, 0.0)
-        grant = owner.answer(ask(need("fern", 1)), 60.0)[0]
+        grant = owner.answer(quota_request(need("fern", 1)), 60.0)[0]
         self.assertEqual((grant.not_owner, grant.granted_requests), (True, 0))
 
-    def test_a_control_plane_that_left_the_chain_releases_its_tenants(self):
+    def test_a_node_that_left_the_chain_releases_its_tenants(self):
         chain = tuple(address for address in CHAIN if address != self.own)
         change = self.owner.update(OwnerView(2, self.own, chain), tenants(fern=SMALL), 1, 60.0)
         self.assertEqual(change.released, ("fern",))
@@ -218,8 +218,8 @@
         self.assertEqual([(level.tenant, level.level) for level in levels], [("fern", capacity)])
         self.assertEqual(former.hand_over(["fern"], 2, 60.0), [])
         self.assertEqual(new.adopt_levels(levels, 2, 60.2), ("fern",))
-        self.assertEqual(new.answer(ask(need("fern", int(capacity))), 60.2)[0].granted_requests, 1)
-        self.assertEqual(new.answer(ask(need("fern", 10)), 60.2)[0].granted_requests, 0)
+        self.assertEqual(new.answer(quota_request(need("fern", int(capacity))), 60.2)[0].granted_requests, 1)
+        self.assertEqual(new.answer(quota_request(need("fern", 10)), 60.2)[0].granted_requests, 0)
 
     def test_no_refill_is_counted_between_response_and_receipt(self):
         former, new = self.owners_after_view_change(60.0, used=int(bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S)))
@@ -232,9 +232,9 @@
         """Guards against granting one bucket twice: by the former owner and the new one, or by an owner that returns."""
         former, _ = self.owners_after_view_change(60.0)
         former.hand_over(["fern"], 2, 60.0)
-        self.assertTrue(former.answer(ask(need("fern", 1)), 60.1)[0].not_owner)
+        self.assertTrue(former.answer(quota_request(need("fern", 1)), 60.1)[0].not_owner)
         former.update(OwnerView(3, self.own, CHAIN), tenants(fern=SMALL), 1, 60.2)
-        self.assertEqual(former.answer(ask(need("fern", 1)), 60.3)[0].granted_requests, 0)
+        self.assertEqual(former.answer(quota_request(need("fern", 1)), 60.3)[0].granted_requests, 0)
 
     def test_a_handover_is_possible_only_between_consecutive_epochs(self):
         """Guards against exceeding the quota by tokens that the owner of a view in between granted."""
@@ -268,11 +268,11 @@
         self.assertEqual(new.adopt_levels([QuotaLevel("fern", 1e9, 1e9)], 2, 60.1), ())
         self.assertEqual(new.accounts["fern"].bucket.level, bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S))
 
-    def test_the_retry_time_is_short_while_the_former_owner_is_asked(self):
+    def test_the_retry_time_is_short_while_the_former_owner_is_queried(self):
         _, new = self.owners_after_view_change(60.0)
-        refused = new.answer(ask(need("fern", 2_400)), 60.0)[0]
+        refused = new.answer(quota_request(need("fern", 2_400)), 60.0)[0]
         self.assertEqual((refused.granted_requests, refused.retry_after_ms, refused.not_owner), (0, 150, False))
-        self.assertGreater(new.answer(ask(need("fern", 2_400)), 60.31)[0].retry_after_ms, 600)
+        self.assertGreater(new.answer(quota_request(need("fern", 2_400)), 60.31)[0].retry_after_ms, 600)
 
     def test_a_lower_limit_applies_to_the_handed_over_level(self):
         """Guards against a handover that restores the level of a former, higher limit."""
@@ -296,11 +296,11 @@
         _, new = self.owners_after_view_change(60.0)
         self.assertEqual(new.shorten_wait(["fern"], 2, 59.8, 60.0), ("fern",))
         self.assertAlmostEqual(new.accounts["fern"].bucket.seconds_until(0.2 * 4_200, 60.0), 0.0, delta=0.001)
-        self.assertEqual(new.answer(ask(need("fern", 800)), 60.0)[0].granted_requests, 1)
-        self.assertEqual(new.answer(ask(need("fern", 100)), 60.0)[0].granted_requests, 0)
+        self.assertEqual(new.answer(quota_request(need("fern", 800)), 60.0)[0].granted_requests, 1)
+        self.assertEqual(new.answer(quota_request(need("fern", 100)), 60.0)[0].granted_requests, 0)
 
     def test_a_wait_is_never_extended_nor_shortened_in_another_view_or_after_its_end(self):
-        """Guards against a takeover based on voters' answers about another view."""
+        """Guards against a takeover based on voters' responses about another view."""
         _, new = self.owners_after_view_change(60.0)
         self.assertEqual(new.shorten_wait(["fern"], 2, 61.5, 60.0), ())
         self.assertEqual(new.shorten_wait(["fern"], 3, 59.0, 60.0), ())
@@ -325,7 +325,7 @@
         for owner, address in ((former, self.own), (new, successor)):
             owner.update(OwnerView(1, address, CHAIN), tenants(fern=SMALL), 1, 0.0)
         if used:
-            self.assertEqual(former.answer(ask(need("fern", used)), at)[0].granted_requests, 1)
+            self.assertEqual(former.answer(quota_request(need("fern", used)), at)[0].granted_requests, 1)
         former.update(OwnerView(2, self.own, self.without_own), tenants(fern=SMALL), 1, at)
         change = new.update(OwnerView(2, successor, self.without_own), tenants(fern=SMALL), 1, at)
         self.assertEqual(change.former_owners, {self.own: ("fern",)})
@@ -367,7 +367,7 @@
         for wait_s, tokens in returns:
             now += wait_s
             before = account.counters.credited_tokens
-            owner.answer(ask(need("fern", returned=tokens)), now)
+            owner.answer(quota_request(need("fern", returned=tokens)), now)
             credits.append((now, account.counters.credited_tokens - before))
             account.bucket.try_take(max(0.0, account.bucket.level), now)
         span_s = BOUNDS.window_s + longest_use_s(GRANT_LIFETIME_S)
@@ -388,7 +388,7 @@
         self.authority = FormerAuthority(epoch=3, voters=["b", "c", "d", "e"], majority=3, authority_s=1.0)
 
     def test_the_latest_confirmation_of_a_majority_counts(self):
-        """Guards against a takeover while a voter that was not asked still confirms the former owner's view."""
+        """Guards against a takeover while a voter that was not queried still confirms the former owner's view."""
         self.authority.record("b", 3, 9.0, 10.0)
         self.authority.record("b", 3, 9.0, 10.0)
         self.authority.record("c", 3, 0.5, 10.0)
@@ -449,8 +449,8 @@
         self.confirms = False
         self.now = 13.0
         self.beat()
-        asked = ConfirmationAgeRequest(newest=view_of(2), addresses=["a:1", "c:1"])
-        answer = asyncio.run(self.voter.on_confirmation_age(asked))
+        age_request = ConfirmationAgeRequest(newest=view_of(2), addresses=["a:1", "c:1"])
+        answer = asyncio.run(self.voter.on_confirmation_age(age_request))
         self.assertEqual((answer.voter, answer.epoch, answer.ages_ms), ("b", 2, [1250, 3250]))
 
 
@@ -530,7 +530,7 @@
         self.node.state.document = Document(version, {"tenants": [{"name": "fern", "api_keys": ["k"], **quota}]})
 
     def answer(self, *needs: QuotaNeed) -> QuotaResponse:
-        answer = asyncio.run(self.service.on_request(ask(*needs)))
+        answer = asyncio.run(self.service.on_request(quota_request(*needs)))
         return parse_message(QuotaResponse, bytes(answer))
 
     def test_a_response_contains_the_view_and_the_grants(self):
@@ -580,7 +580,7 @@
         service.on_change()
         return node, service
 
-    def test_a_new_owner_asks_the_former_one_which_learns_the_view_by_it(self):
+    def test_a_new_owner_queries_the_former_one_which_learns_the_view_from_the_query(self):
         """Guards against a second of refusals at each view change between two live owners."""
         without_own = tuple(address for address in CHAIN if address != self.node.member.internal_address)
         node, service = self.successor(without_own)
@@ -588,7 +588,7 @@
         self.answer(need("fern", 2_400))
         node.view = view_of(2, without_own)
         service.on_change()
-        self.assertEqual(asyncio.run(service.on_request(ask(need("fern", 1)))).grants[0].granted_requests, 0)
+        self.assertEqual(asyncio.run(service.on_request(quota_request(need("fern", 1)))).grants[0].granted_requests, 0)
         asking, inquiring = node.tasks
         asyncio.run(asking)
         asyncio.run(inquiring)
@@ -596,7 +596,7 @@
         self.assertTrue(self.answer(need("fern", 1)).grants[0].not_owner)
         left = bucket_capacity(SMALL, BOUNDS, GRANT_LIFETIME_S) - 2_400
         self.assertAlmostEqual(service.status()["fern"]["level"], left, delta=0.1)
-        self.assertEqual(asyncio.run(service.on_request(ask(need("fern", int(left))))).grants[0].granted_requests, 1)
+        self.assertEqual(asyncio.run(service.on_request(quota_request(need("fern", int(left))))).grants[0].granted_requests, 1)
 
     def test_without_an_answer_of_the_former_owner_the_wait_and_the_empty_bucket_remain(self):
         """Guards against grants of two owners if the former one is partitioned from the new one only."""
@@ -611,7 +611,7 @@
             asyncio.run(asking)
         asyncio.run(inquiring)
         for self.now, granted in ((60.999, 0), (61.0, 0), (61.1, 1)):
-            answer = asyncio.run(service.on_request(ask(need("fern", 400))))
+            answer = asyncio.run(service.on_request(quota_request(need("fern", 400))))
             self.assertEqual(answer.grants[0].granted_requests, granted)
 
     def take_over(self, answering: int, learn: bool = True) -> int:
@@ -633,7 +633,7 @@
         asking, inquiring = node.tasks
         asking.close()
         asyncio.run(inquiring)
-        answer = asyncio.run(service.on_request(ask(need("fern", *[400] * 100))))
+        answer = asyncio.run(service.on_request(quota_request(need("fern", *[400] * 100))))
         return answer.grants[0].granted_requests
 
     def test_after_answers_of_a_majority_a_lost_owners_tenants_are_granted_at_once(self):
@@ -641,7 +641,7 @@
         self.assertGreater(self.take_over(answering=2), 10)
 
     def test_answers_of_a_minority_or_of_voters_without_the_new_view_do_not_shorten_the_wait(self):
-        """Guards against two owners that grant: the former one may have a majority that was not asked."""
+        """Guards against two owners that grant: the former one may have a majority that was not queried."""
         self.assertEqual(self.take_over(answering=1), 0)
         self.assertEqual(self.take_over(answering=3, learn=False), 0)
 
--- a/tests/system/test_report_poller.py
+++ b/tests/system/test_report_poller.py
@@ -69,7 +69,7 @@
         self.now += 10.0
         self.assertFalse(await self.poll(self.report("a")))
 
-    async def test_backend_is_polled_while_it_carries_out_a_foreign_order(self):
+    async def test_backend_is_polled_while_it_executes_an_order_of_another_node(self):
         await self.poll(self.report("a", busy=True))
         self.assertFalse(self.state.is_idle())
         self.assertFalse(await self.poll(self.report("a")))
--- a/tests/system/test_supervisor.py
+++ b/tests/system/test_supervisor.py
@@ -73,7 +73,7 @@
 
 class LeadershipClaims(unittest.IsolatedAsyncioTestCase):
     async def test_claim_fails_when_the_disk_is_full(self):
-        """A fault found by randomized tests: a control plane with a full disk terminated itself when it claimed leadership."""
+        """Found by randomized tests: a control-plane node with a full disk terminated itself when it claimed leadership."""
         controller = PlacementController(FullDiskNode(), None, lambda: 0.0, Bounds())
         self.assertEqual(await controller.leadership.claim(), 0)
 
--- a/tests/system/test_tenant_wire.py
+++ b/tests/system/test_tenant_wire.py
@@ -37,7 +37,7 @@
 
 
 class ScriptedBackend(RecordingBackend):
-    """A backend that holds requests whose path contains `held` until it is told to abort their connections."""
+    """A backend that delays its response to requests whose path contains `held` until it is told to abort their connections."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -62,7 +62,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self.writer, self._messages = reader, writer, MessageReader(reads_responses=True)
 
-    async def ask(self, data: bytes) -> tuple[int, bytes]:
+    async def exchange(self, data: bytes) -> tuple[int, bytes]:
         """Write bytes and return status and body of the next response; status 0 if the connection ended first."""
         self.writer.write(data)
         return await self.answer()
@@ -173,7 +173,7 @@
 
     async def until_served(self) -> None:
         async with asyncio.timeout(TIMEOUT_S):
-            while (await self.ask_once(request("/read/x", bearer(self.first))))[0] != 200:
+            while (await self.exchange_once(request("/read/x", bearer(self.first))))[0] != 200:
                 await asyncio.sleep(POLL_S)
 
     async def connect(self) -> Connection:
@@ -187,8 +187,8 @@
                 self.addCleanup(connection.writer.transport.abort)
                 return connection
 
-    async def ask_once(self, data: bytes) -> tuple[int, bytes]:
-        return await (await self.connect()).ask(data)
+    async def exchange_once(self, data: bytes) -> tuple[int, bytes]:
+        return await (await self.connect()).exchange(data)
 
     async def remove_first_key(self) -> None:
         """Remove the first tenant's first key; return once it must be refused."""
@@ -217,51 +217,53 @@
 
     async def test_a_persistent_connection_is_refused_once_its_key_was_removed(self):
         connection = await self.connect()
-        self.assertEqual((await connection.ask(request("/read/a", bearer(self.first), request_id="before")))[0], 200)
+        self.assertEqual((await connection.exchange(request("/read/a", bearer(self.first), request_id="before")))[0], 200)
         await self.remove_first_key()
-        status, body = await connection.ask(request("/read/b", bearer(self.first), request_id="after"))
+        status, body = await connection.exchange(request("/read/b", bearer(self.first), request_id="after"))
         self.assertEqual((status, self.runs_of("after")), (401, []))
         self.assertEqual(find_leaks({"answer": body}, self.keys), [])
-        self.assertEqual((await connection.ask(request("/read/c", bearer(self.spare), request_id="spare")))[0], 200)
+        self.assertEqual((await connection.exchange(request("/read/c", bearer(self.spare), request_id="spare")))[0], 200)
         self.assert_runs_as("before", "first")
         self.assert_runs_as("spare", "first")
 
     async def test_a_stream_that_its_client_resumes_is_refused_once_its_key_was_removed(self):
         fields = bearer(self.first), "Last-Event-Id: 2"
         connection = await self.connect()
-        self.assertEqual((await connection.ask(request("/write/a", *fields, body=b"x", request_id="before")))[0], 200)
+        self.assertEqual((await connection.exchange(request("/write/a", *fields, body=b"x", request_id="before")))[0], 200)
         await self.remove_first_key()
-        status, _ = await connection.ask(request("/write/b", *fields, body=b"x", request_id="after"))
+        status, _ = await connection.exchange(request("/write/b", *fields, body=b"x", request_id="after"))
         self.assertEqual((status, self.runs_of("after")), (401, []))
         self.assert_runs_as("before", "first")
 
     async def test_a_broken_stream_is_not_resumed_at_another_backend_once_its_key_was_removed(self):
         connection = await self.connect()
-        asked = asyncio.ensure_future(connection.ask(request("/write/held", bearer(self.first), body=b"x", request_id="held")))
+        exchange = asyncio.ensure_future(
+            connection.exchange(request("/write/held", bearer(self.first), body=b"x", request_id="held"))
+        )
         await self.until_run("held")
         await self.remove_first_key()
         self.break_off()
-        await asked
+        await exchange
         self.assertEqual(len(self.runs_of("held")), 1)
 
     async def test_a_request_is_not_sent_to_another_backend_once_its_key_was_removed(self):
         connection = await self.connect()
-        asked = asyncio.ensure_future(connection.ask(request("/read/held", bearer(self.first), request_id="held")))
+        exchange = asyncio.ensure_future(connection.exchange(request("/read/held", bearer(self.first), request_id="held")))
         await self.until_run("held")
         await self.remove_first_key()
         self.break_off()
-        status, _ = await asked
+        status, _ = await exchange
         self.assertNotEqual(status, 200)
         self.assertEqual(len(self.runs_of("held")), 1)
 
     async def test_a_retry_after_a_change_that_keeps_its_key_carries_the_tenant_again(self):
         connection = await self.connect()
-        asked = asyncio.ensure_future(connection.ask(request("/read/held", bearer(self.first), request_id="held")))
+        exchange = asyncio.ensure_future(connection.exchange(request("/read/held", bearer(self.first), request_id="held")))
         await self.until_run("held")
         await self.patch({"upsert": {"tenants": [tenant("first", [self.first], 0, 0)]}})
         await asyncio.sleep(BOUNDS.apply_s)
         self.break_off()
-        status, _ = await asked
+        status, _ = await exchange
         self.assertEqual((status, len(self.runs_of("held"))), (200, 2))
         self.assert_runs_as("held", "first")
 
@@ -288,7 +290,7 @@
             "other case": (bearer(self.first.upper()),),
         }
         for number, (name, fields) in enumerate(cases.items()):
-            status, body = await self.ask_once(request("/once/a", *fields, body=b"x", request_id=f"case-{number}"))
+            status, body = await self.exchange_once(request("/once/a", *fields, body=b"x", request_id=f"case-{number}"))
             self.assertEqual((status, self.runs_of(f"case-{number}")), (401, []), name)
             self.assertEqual(find_leaks({"answer": body}, self.keys), [], name)
 
@@ -296,13 +298,13 @@
         right, wrong = bearer(self.first), bearer(self.unknown)
         cases = [(right, wrong), (wrong, right), (right, "Authorization: x"), ("authorization:", right)]
         for number, fields in enumerate(cases):
-            status, _ = await self.ask_once(request("/once/a", *fields, body=b"x", request_id=f"case-{number}"))
+            status, _ = await self.exchange_once(request("/once/a", *fields, body=b"x", request_id=f"case-{number}"))
             self.assertIn(status, (400, 401), fields)
             self.assertEqual(self.runs_of(f"case-{number}"), [], fields)
 
     async def test_the_same_authorization_field_twice_runs_as_its_tenant_or_not_at_all(self):
         fields = bearer(self.first), bearer(self.first)
-        status, _ = await self.ask_once(request("/once/a", *fields, body=b"x", request_id="twice"))
+        status, _ = await self.exchange_once(request("/once/a", *fields, body=b"x", request_id="twice"))
         self.assertIn(status, (200, 400, 401))
         if status == 200:
             self.assert_runs_as("twice", "first")
@@ -310,13 +312,13 @@
             self.assertEqual(self.runs_of("twice"), [])
 
     async def test_a_public_route_needs_no_key_and_passes_no_tenant_of_the_client(self):
-        status, _ = await self.ask_once(request("/open/a", "Tenant: second", request_id="public"))
+        status, _ = await self.exchange_once(request("/open/a", "Tenant: second", request_id="public"))
         self.assertEqual(status, 200)
         self.assert_runs_as("public", "")
 
     async def test_a_key_is_checked_after_the_route(self):
-        self.assertEqual((await self.ask_once(request("/nowhere/a", bearer(self.unknown))))[0], 404)
-        self.assertEqual((await self.ask_once(request("/nowhere/a", bearer(self.first))))[0], 404)
+        self.assertEqual((await self.exchange_once(request("/nowhere/a", bearer(self.unknown))))[0], 404)
+        self.assertEqual((await self.exchange_once(request("/nowhere/a", bearer(self.first))))[0], 404)
 
     # The tenant's name.
 
@@ -324,7 +326,7 @@
         cases = [("tenant: second",), ("Tenant: second", "TENANT: low"), ("tEnAnT:second",), ("Tenant:",), ("Tenant: first",)]
         for number, fields in enumerate(cases):
             request_id = f"case-{number}"
-            status, _ = await self.ask_once(request("/read/a", *fields, bearer(self.first), request_id=request_id))
+            status, _ = await self.exchange_once(request("/read/a", *fields, bearer(self.first), request_id=request_id))
             self.assertEqual(status, 200, fields)
             self.assert_runs_as(request_id, "first", str(fields))
 
@@ -333,14 +335,14 @@
             request_id = f"case-{number}"
             head = request("/once/a", bearer(self.first), "Transfer-Encoding: chunked", request_id=request_id)
             data = head.replace(b"GET ", b"POST ", 1) + f"1\r\nx\r\n0\r\n{trailer}\r\n\r\n".encode()
-            status, _ = await self.ask_once(data)
+            status, _ = await self.exchange_once(data)
             self.assertEqual(status, 200, trailer)
             self.assert_runs_as(request_id, "first", trailer)
             self.assertNotIn(b"second", self.runs_of(request_id)[0].raw, trailer)
 
     async def test_a_connection_option_does_not_remove_the_tenant(self):
         """`Connection: tenant` tells a proxy to drop the field; the data plane's own must still arrive."""
-        status, _ = await self.ask_once(request("/read/a", bearer(self.first), "Connection: tenant", request_id="option"))
+        status, _ = await self.exchange_once(request("/read/a", bearer(self.first), "Connection: tenant", request_id="option"))
         self.assertEqual(status, 200)
         self.assert_runs_as("option", "first")
 
@@ -360,7 +362,7 @@
         moved = [tenant("first", [self.spare], 0, 0), tenant("second", [self.second, self.first], 0, 0)]
         await self.patch({"upsert": {"tenants": moved}})
         await asyncio.sleep(BOUNDS.apply_s)
-        self.assertEqual((await connection.ask(request("/read/a", bearer(self.first), request_id="moved")))[0], 200)
+        self.assertEqual((await connection.exchange(request("/read/a", bearer(self.first), request_id="moved")))[0], 200)
         self.assert_runs_as("moved", "second")
 
     # Bodies of refused requests.
@@ -375,9 +377,9 @@
                 connection = await self.connect()
                 connection.writer.write(head + rest[:begun])
                 await asyncio.sleep(2 * POLL_S)  # the response may come before or after the body
-                status, _ = await connection.ask(rest[begun:])
+                status, _ = await connection.exchange(rest[begun:])
                 self.assertEqual(status, 401, (head[-40:], begun))
-                status, body = await connection.ask(request("/read/next", bearer(self.second), request_id="next"))
+                status, body = await connection.exchange(request("/read/next", bearer(self.second), request_id="next"))
                 self.assertIn(status, (0, 200), (head[-40:], begun))  # the body was drained, or the connection closed
                 self.assertTrue(status == 0 or b" next /read/next " in body, body)
         self.assertEqual(self.runs_of("hidden"), [])
@@ -390,7 +392,7 @@
         connections = [await self.connect() for _ in range(6)]
 
         async def use(connection: Connection) -> list[int]:
-            return [(await connection.ask(request("/read/a", bearer(key), *fields)))[0] for _ in range(FLOOD // 6)]
+            return [(await connection.exchange(request("/read/a", bearer(key), *fields)))[0] for _ in range(FLOOD // 6)]
 
         statuses = [status for part in await asyncio.gather(*map(use, connections)) for status in part]
         return len(self.seen.runs) - before, statuses
@@ -401,7 +403,7 @@
         self.assertLessEqual(ran * units, BOUNDS.allowed_units(LOW_RATE, LOW_BURST), fields)
         self.assertIn(429, statuses, fields)
         self.assertLessEqual(set(statuses), {200, 400, 429}, fields)
-        self.assertEqual((await self.ask_once(request("/read/a", bearer(self.first))))[0], 200)
+        self.assertEqual((await self.exchange_once(request("/read/a", bearer(self.first))))[0], 200)
         self.assertEqual(self.fleet.ended_by_themselves(), [])
 
     async def test_requests_beyond_the_limit_are_refused(self):
@@ -422,24 +424,24 @@
                 ran, statuses = await self.flood(key, f"Token-Usage: {text}")
                 self.assertLessEqual(ran * LEAST_UNITS, BOUNDS.allowed_units(LOW_RATE, LOW_BURST))
                 self.assertLessEqual(set(statuses), {200, 400, 429})
-                self.assertEqual((await self.ask_once(request("/read/a", bearer(self.first))))[0], 200)
+                self.assertEqual((await self.exchange_once(request("/read/a", bearer(self.first))))[0], 200)
         self.assertEqual(self.fleet.ended_by_themselves(), [])
 
     async def test_a_request_that_costs_more_than_a_window_allows_never_runs(self):
         for number, text in enumerate(("9" * 30 + ",1", "1," + "9" * 30, "5000,5000", str(2**63) + ",0")):
-            status, _ = await self.ask_once(
+            status, _ = await self.exchange_once(
                 request("/read/a", bearer(self.low), f"Token-Usage: {text}", request_id=f"c{number}")
             )
             self.assertIn(status, (400, 429), text)
             self.assertEqual(self.runs_of(f"c{number}"), [], text)
         async with asyncio.timeout(TIMEOUT_S):  # a request within the limit is served once the bucket has refilled
-            while (await self.ask_once(request("/read/a", bearer(self.low), "Token-Usage: 20,20")))[0] != 200:
+            while (await self.exchange_once(request("/read/a", bearer(self.low), "Token-Usage: 20,20")))[0] != 200:
                 await asyncio.sleep(POLL_S)
 
     async def test_a_huge_token_usage_of_a_tenant_without_a_limit_is_served(self):
         for number, text in enumerate(("9" * 30 + ",1", "5000,5000", "1,2,3", "-1,-1")):
             fields = bearer(self.first), f"Token-Usage: {text}"
-            self.assertEqual((await self.ask_once(request("/read/a", *fields, request_id=f"c{number}")))[0], 200, text)
+            self.assertEqual((await self.exchange_once(request("/read/a", *fields, request_id=f"c{number}")))[0], 200, text)
             self.assert_runs_as(f"c{number}", "first")
 
     # What operators see.
@@ -458,7 +460,7 @@
         cut = await self.put_bytes(json.dumps({**base, "version": 200}).encode()[:-5])
         self.assertEqual(cut.status, 400)
         self.assertEqual(find_leaks({"answer": cut.body}, self.keys), [])
-        self.assertEqual((await self.ask_once(request("/read/a", bearer(self.first))))[0], 200)
+        self.assertEqual((await self.exchange_once(request("/read/a", bearer(self.first))))[0], 200)
 
     async def put(self, document: dict[str, Any]) -> HttpResponse:
         return await self.put_bytes(json.dumps(document).encode())
--- a/tests/system/test_tenants_mixed_fleet.py
+++ b/tests/system/test_tenants_mixed_fleet.py
@@ -1,4 +1,4 @@
-"""Patches of tenants while some core machines run a version without tenant support, which ignores a patch's tenants."""
+"""Patches of tenants while some control-plane nodes run a version without tenant support, which ignores a patch's tenants."""
 
 from __future__ import annotations
 
@@ -110,14 +110,14 @@
         self.assertIs(await self.patched_kind(PATCH_WITHOUT_TENANTS), EntryKind.PATCH)
         self.assertEqual(self.log.old_replica.document, self.log.state.document)
 
-    async def test_a_reachable_older_machine_that_may_join_the_chain_counts(self):
+    async def test_a_reachable_older_node_that_may_join_the_chain_counts(self):
         self.record_heartbeats(True, True)
         joining = Member(identity="d", name="d", internal_address="d:2")
         self.peers.record_heartbeat(Heartbeat(sender=joining, epoch=1), 1.0)
         self.peers.record_response(HeartbeatResponse(sender=joining, epoch=1), 1.0)
         self.assertIs(await self.patched_kind(), EntryKind.CONFIGURATION)
 
-    async def test_a_machine_that_is_downgraded_counts(self):
+    async def test_a_node_that_is_downgraded_counts(self):
         self.record_heartbeats(True, True)
         self.record_heartbeats(False, True)
         self.assertIs(await self.patched_kind(), EntryKind.CONFIGURATION)
--- a/tests/system/test_tenants_requests.py
+++ b/tests/system/test_tenants_requests.py
@@ -136,7 +136,7 @@
         body = await self._reader.readexactly(int(fields.get(b"content-length", b"0")))
         return Answer(int(lines[0].split()[1]), fields, body)
 
-    async def ask(self, path: str, *fields: bytes, **more: Any) -> Answer:
+    async def exchange(self, path: str, *fields: bytes, **more: Any) -> Answer:
         self.send(path, *fields, **more)
         return await self.answer()
 
@@ -144,8 +144,8 @@
 class World:
     """One data plane, its backends, and the configuration in force."""
 
-    def __init__(self, router: Router, front: tuple[str, int], backends: list[Backend], registry: RegistrySnapshot) -> None:
-        self.router, self.front, self.backends, self.registry = router, front, backends, registry
+    def __init__(self, router: Router, address: tuple[str, int], backends: list[Backend], registry: RegistrySnapshot) -> None:
+        self.router, self.address, self.backends, self.registry = router, address, backends, registry
         self.builder = TenantTableBuilder(KeyDigester(b"k" * 32))
         self.version = 0
         self.loop = asyncio.get_running_loop()
@@ -164,11 +164,11 @@
         self.router.apply_snapshot(ControlPlaneSnapshot(table, self.registry, 1, True, confirmed_at))
 
     async def connect(self) -> Client:
-        return Client(*await asyncio.open_connection(*self.front))
+        return Client(*await asyncio.open_connection(*self.address))
 
-    async def ask(self, path: str, *fields: bytes, **more: Any) -> Answer:
+    async def exchange(self, path: str, *fields: bytes, **more: Any) -> Answer:
         client = await self.connect()
-        answer = await client.ask(path, *fields, **more)
+        answer = await client.exchange(path, *fields, **more)
         client.writer.close()
         return answer
 
@@ -199,9 +199,9 @@
             backend.gate.set()
         listener = Listener(lambda: router.snapshot.table.limits, router.begin)
         with socket.create_server(("127.0.0.1", 0)) as unused:
-            front = unused.getsockname()
-        await listener.listen("%s:%d" % front)
-        world = World(router, front, made, RegistrySnapshot({one.id: one for one in registered}, {"s": registered}))
+            address = unused.getsockname()
+        await listener.listen("%s:%d" % address)
+        world = World(router, address, made, RegistrySnapshot({one.id: one for one in registered}, {"s": registered}))
         world.configure()
         try:
             async with asyncio.timeout(TIMEOUT_S):
@@ -217,7 +217,7 @@
         """Guards against passing keys on to backends, and against requests without the tenant's name."""
         async with self.world() as world:
             for key, tenant in ((b"key-1", b"t1"), (b"key-1b", b"t1"), (b"key-2", b"t2")):
-                answer = await world.ask("/private/x", b"Authorization: bearer " + key)
+                answer = await world.exchange("/private/x", b"Authorization: bearer " + key)
                 self.assertEqual((answer.status, answer.body), (200, b"ok"))
                 self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([tenant], []))
 
@@ -225,13 +225,13 @@
         """Guards against passing on a client's own `Tenant` field, in any letter case, repeated or in trailers."""
         async with self.world() as world:
             own = (b"tenant: t2", b"TENANT: t2", b"Tenant: other")
-            await world.ask("/private/x", AUTHORIZED, *own)
+            await world.exchange("/private/x", AUTHORIZED, *own)
             self.assertEqual(world.sent_fields(b"tenant"), [b"t1"])
             trailers = [b"Tenant: t2", AUTHORIZED]
-            await world.ask("/private/x", *own, AUTHORIZED, b"Trailer: Tenant", trailers=trailers)
+            await world.exchange("/private/x", *own, AUTHORIZED, b"Trailer: Tenant", trailers=trailers)
             self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([b"t1"], []))
             self.assertEqual(world.backends[0].bodies[-1], b"hi")
-            answer = await world.ask("/private/x", trailers=trailers)  # a key in trailers does not count
+            answer = await world.exchange("/private/x", trailers=trailers)  # a key in trailers does not count
             self.assertEqual(answer.status, 401)
             self.assertEqual(len(world.heads), 2)
 
@@ -245,14 +245,14 @@
                 ((b"Authorization: nonsense",), []),
                 ((AUTHORIZED, AUTHORIZED), []),
             ):
-                self.assertEqual((await world.ask("/public/x", *fields)).status, 200)
+                self.assertEqual((await world.exchange("/public/x", *fields)).status, 200)
                 self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), (tenant, []), fields)
 
     async def test_without_tenants_fields_are_passed_on_as_sent(self):
         async with self.world() as world:
             for tenants in (None, []):
                 world.configure(tenants)
-                self.assertEqual((await world.ask("/private/x", b"Authorization: Basic x", b"Tenant: own")).status, 200)
+                self.assertEqual((await world.exchange("/private/x", b"Authorization: Basic x", b"Tenant: own")).status, 200)
                 sent = world.sent_fields(b"authorization"), world.sent_fields(b"tenant")
                 self.assertEqual(sent, ([b"Basic x"], [b"own"]))
 
@@ -265,7 +265,7 @@
                 (b"key-1", "/safe/x", b"2"),
                 (b"key-1", "/private/x", b"3"),
             ):
-                await world.ask(path, b"Authorization: Bearer " + key)
+                await world.exchange(path, b"Authorization: Bearer " + key)
                 self.assertEqual(world.sent_fields(b"priority"), [priority], path)
 
     async def send_in_order(self, world: World, *requests: tuple[str, str]) -> list[Client]:
@@ -322,7 +322,7 @@
                 (AUTHORIZED, b"authorization: Bearer key-2"),
                 (b"Tenant: t1",),
             ):
-                answer = await world.ask("/private/x", *fields)
+                answer = await world.exchange("/private/x", *fields)
                 self.assertEqual(answer.status, 401, fields)
                 self.assertEqual(answer.fields[b"www-authenticate"], b"Bearer")
                 self.assertNotIn(b"unknown", answer.body)
@@ -331,7 +331,7 @@
 
     async def test_a_missing_route_takes_precedence_over_a_missing_key(self):
         async with self.world() as world:
-            self.assertEqual((await world.ask("/nowhere/x")).status, 404)
+            self.assertEqual((await world.exchange("/nowhere/x")).status, 404)
 
     async def test_out_of_touch_a_request_that_a_newer_configuration_may_allow_gets_503(self):
         """Guards against rejecting valid requests: with an outdated configuration no key is known to be wrong."""
@@ -343,28 +343,28 @@
                 ("/private/x", (AUTHORIZED, AUTHORIZED)),
                 ("/nowhere/x", (AUTHORIZED,)),
             ):
-                answer = await world.ask(path, *fields)
+                answer = await world.exchange(path, *fields)
                 self.assertEqual(answer.status, 503, (path, fields))
                 self.assertGreater(float(answer.fields[b"retry-after"]), 0.0)
             self.assertEqual(world.router.request_log.counters["out_of_touch"], 4)
-            self.assertEqual((await world.ask("/private/x", AUTHORIZED)).status, 200)
-            self.assertEqual((await world.ask("/public/x")).status, 200)
+            self.assertEqual((await world.exchange("/private/x", AUTHORIZED)).status, 200)
+            self.assertEqual((await world.exchange("/public/x")).status, 200)
 
     async def test_a_snapshot_becomes_outdated_without_responses_of_the_control_plane(self):
         async with self.world() as world:
             world.configure(confirmed_s_ago=SETTINGS.bounds.configuration_apply_s - 0.3)
-            self.assertEqual((await world.ask("/private/x")).status, 401)
+            self.assertEqual((await world.exchange("/private/x")).status, 401)
             await asyncio.sleep(0.4)
-            self.assertEqual((await world.ask("/private/x")).status, 503)
+            self.assertEqual((await world.exchange("/private/x")).status, 503)
 
     async def test_a_401_leaves_the_connection_usable(self):
         """The request is read completely before it is rejected, so that the next one starts where it ends."""
         async with self.world() as world:
             client = await world.connect()
             for body in (b"POST /private/x HTTP/1.1\r\nHost: h\r\n\r\n", b"x" * 100_000):
-                self.assertEqual((await client.ask("/private/x", body=body)).status, 401)
-                self.assertEqual((await client.ask("/private/x", body=body, trailers=[])).status, 401)
-                self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 200)
+                self.assertEqual((await client.exchange("/private/x", body=body)).status, 401)
+                self.assertEqual((await client.exchange("/private/x", body=body, trailers=[])).status, 401)
+                self.assertEqual((await client.exchange("/private/x", AUTHORIZED)).status, 200)
             self.assertEqual(len(world.heads), 2)
 
     # Keys that are added and removed.
@@ -373,13 +373,13 @@
         """Guards against running a request whose key was removed since the connection's previous request."""
         async with self.world() as world:
             client = await world.connect()
-            self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 200)
+            self.assertEqual((await client.exchange("/private/x", AUTHORIZED)).status, 200)
             world.configure(tenants=[TENANTS[1]])
-            self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 401)
-            self.assertEqual((await client.ask("/private/x", b"Authorization: Bearer key-2")).status, 200)
+            self.assertEqual((await client.exchange("/private/x", AUTHORIZED)).status, 401)
+            self.assertEqual((await client.exchange("/private/x", b"Authorization: Bearer key-2")).status, 200)
             self.assertEqual(world.sent_fields(b"tenant"), [b"t2"])
             world.configure()
-            self.assertEqual((await client.ask("/private/x", AUTHORIZED)).status, 200)
+            self.assertEqual((await client.exchange("/private/x", AUTHORIZED)).status, 200)
 
     async def test_a_pipelined_request_is_checked_by_its_own_key(self):
         async with self.world() as world:
@@ -392,7 +392,7 @@
     async def test_a_key_that_moved_runs_under_its_new_tenant(self):
         async with self.world() as world:
             world.configure([{"name": "t3", "api_keys": ["key-1"]}])
-            await world.ask("/private/x", AUTHORIZED)
+            await world.exchange("/private/x", AUTHORIZED)
             self.assertEqual(world.sent_fields(b"tenant"), [b"t3"])
 
     async def wait_in_queue(self, world: World, *fields: bytes, path: str = "/private/x") -> tuple[list[Client], Client]:
--- a/tests/system/test_tenants_secrecy.py
+++ b/tests/system/test_tenants_secrecy.py
@@ -177,7 +177,7 @@
         answer = await self.http.request(address, "GET", path, b"", 2.0)
         return f"{answer.status} {answer.head.fields!r} {answer.body!r}"
 
-    async def ask(self, *authorization: str) -> tuple[int, str]:
+    async def exchange(self, *authorization: str) -> tuple[int, str]:
         """Return the status and the complete response to a request with these `Authorization` fields."""
         host, _, port = self.front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -258,9 +258,9 @@
     async def play(self, planes: Planes, texts: dict[str, str]) -> set[int]:
         """Send valid and invalid configuration changes, and requests; return the statuses that clients received."""
         await until(lambda: self.status_of(planes.change("PUT", document(1), 0)), 200)
-        await until(lambda: self.status_of(planes.ask(f"Bearer {KEYS['second']}")), 200)
-        asked = [
-            await planes.ask(*authorization)
+        await until(lambda: self.status_of(planes.exchange(f"Bearer {KEYS['second']}")), 200)
+        exchanges = [
+            await planes.exchange(*authorization)
             for authorization in (
                 (f"Bearer {KEYS['first']}",),
                 (f"bearer {KEYS['spare']}",),
@@ -289,14 +289,14 @@
             texts[f"answer-{number}"] = repr(answer.body)
         patch = {"version": 3, "upsert": {"tenants": [{"name": "t1", "api_keys": [NEW, PATCHED]}]}}
         await until(lambda: self.status_of(planes.change("PATCH", patch, 1)), 200)
-        await until(lambda: self.status_of(planes.ask(f"Bearer {KEYS['first']}")), 401)
-        await until(lambda: self.status_of(planes.ask(f"Bearer {NEW}")), 200)
-        texts |= {f"client-{number}": text for number, (_, text) in enumerate(asked)}
-        return {status for status, _ in asked}
+        await until(lambda: self.status_of(planes.exchange(f"Bearer {KEYS['first']}")), 401)
+        await until(lambda: self.status_of(planes.exchange(f"Bearer {NEW}")), 200)
+        texts |= {f"client-{number}": text for number, (_, text) in enumerate(exchanges)}
+        return {status for status, _ in exchanges}
 
     @staticmethod
-    async def status_of(asked: Any) -> int:
-        answer = await asked
+    async def status_of(exchange: Any) -> int:
+        answer = await exchange
         return answer[0] if isinstance(answer, tuple) else answer.status if answer is not None else 0
 
 
--- a/tests/system/test_virtual_core.py
+++ b/tests/system/test_virtual_core.py
@@ -1,4 +1,4 @@
-"""Simulated histories of the core: none violates an invariant, and each injected defect causes a violation.
+"""Simulated histories of the control plane: none violates an invariant, and each injected defect causes a violation.
 
 Each case takes some seconds; pytest-xdist distributes them over the processors.
 """
@@ -10,7 +10,7 @@
 from mulleinhatch.replication.state import LogGapError
 from mulleinhatch.simulation.control_plane import Defect, History, play
 
-FIRST_SEED = 5000  # seed of the first history in which an injected defect is searched
+FIRST_SEED = 5000  # seed of the first history that is searched for an injected defect
 MAX_HISTORIES = 60  # number of histories within which an injected defect must be found
 # Random histories expose these too rarely: test_worst_days and test_overlapping_losses have scripts for them.
 SCRIPTED = (Defect.SHORT_CHAIN, Defect.CURRENT_BEFORE_COMMIT, Defect.FORMER_HEAD_ACKNOWLEDGES)
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -80,7 +80,7 @@
 
 
 class IsolatedMachine(ScriptedHistory):
-    """Incident 1: a control machine was isolated for about twenty seconds."""
+    """Incident 1: a control-plane node was isolated for about twenty seconds."""
 
     def test_neither_acknowledges_nor_rejects_nor_reads(self):
         async def script(world: World) -> None:
