--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,6 +1,6 @@
 """Fakes of the services that an instance communicates with, and the runner of the socket scenarios.
 
-Each line of a scenario names an actor, then an action or an expectation. `a` to `z` are callers with one connection each.
+Each line of a scenario names an actor, then an action or an expectation. `a` to `z` are clients with one connection each.
 `told` lines change the settings of the instance before its start. Expectations wait up to `STEP_TIMEOUT_S`.
 """
 
@@ -54,7 +54,7 @@
 
 
 class FakeInterpreter:
-    """Stores its notices, sends them again after a CONNECT, and answers every TOP unless told not to."""
+    """Stores its notices, sends them again after a CONNECT, and answers every TOP unless `ignores_gauge_requests` is set."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[dict] = asyncio.Queue()
@@ -127,7 +127,7 @@
             writer.close()
 
 
-class FakeCaller:
+class FakeClient:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
@@ -148,7 +148,7 @@
         self.settings_overrides: dict = {}  # fields of the settings that are not in the JSON
         self.interpreter = FakeInterpreter()
         self.database = FakeDependency()
-        self.callers: dict[str, FakeCaller] = {}
+        self.clients: dict[str, FakeClient] = {}
         self.instance: Instance | None = None
 
     async def run_file(self, path: Path) -> None:
@@ -165,18 +165,18 @@
                 await asyncio.wait_for(self.serving, STEP_TIMEOUT_S)
         assert not self.instance.counts["errors_inside"], "unexpected errors in the instance, see the log"
 
-    async def run_step(self, who: str, *words: str) -> None:
+    async def run_step(self, who: str, *parts: str) -> None:
         if who in ("told", "held"):
-            getattr(self, who)(*words)
+            getattr(self, who)(*parts)
             return
         if self.instance is None:
             await self.start()
         if who == "wait":
-            await asyncio.sleep(float(words[0]))
+            await asyncio.sleep(float(parts[0]))
         elif who in ("interpreter", "directory", "database", "instance", "crowd"):
-            await getattr(self, f"{who}_{words[0]}")(*words[1:])
+            await getattr(self, f"{who}_{parts[0]}")(*parts[1:])
         else:
-            await getattr(self, f"caller_{words[0]}")(who, *words[1:])
+            await getattr(self, f"caller_{parts[0]}")(who, *parts[1:])
 
     def held(self, seconds: str) -> None:
         """Occupy the listen address for some seconds."""
@@ -253,8 +253,8 @@
     async def interpreter_nests(self, depth: str) -> None:
         self.interpreter.writer.write(int(depth) * b"[" + b"\n")
 
-    async def interpreter_says(self, *words: str) -> None:
-        text = re.sub('"(r[0-9]+)"', lambda ref: f'"{wire_request_id(ref[1])}"', " ".join(words))
+    async def interpreter_says(self, *parts: str) -> None:
+        text = re.sub('"(r[0-9]+)"', lambda ref: f'"{wire_request_id(ref[1])}"', " ".join(parts))
         self.interpreter.writer.write(text.encode() + b"\n")
 
     async def interpreter_down(self) -> None:
@@ -269,8 +269,8 @@
     async def interpreter_gauges(self, *readings: str) -> None:
         self.interpreter.gauges = [float(reading) for reading in readings]
 
-    async def directory_hears(self, *words: str) -> None:
-        while await self.directory.received.get() != " ".join(words):
+    async def directory_hears(self, *parts: str) -> None:
+        while await self.directory.received.get() != " ".join(parts):
             pass
 
     async def database_hears(self, ref: str, query: str) -> None:
@@ -287,8 +287,8 @@
             f"HTTP/1.1 {status} Some\r\n{fields}Content-Length: {len(text)}\r\n\r\n{text}".encode()
         )
 
-    async def database_writes(self, ref: str, *words: str) -> None:
-        self.database.waiting.pop(wire_request_id(ref)).write(" ".join(words).encode().decode("unicode_escape").encode())
+    async def database_writes(self, ref: str, *parts: str) -> None:
+        self.database.waiting.pop(wire_request_id(ref)).write(" ".join(parts).encode().decode("unicode_escape").encode())
 
     async def database_breaks(self, ref: str) -> None:
         self.database.waiting.pop(wire_request_id(ref)).close()
@@ -316,7 +316,7 @@
         while self.instance.counters().get(name, 0) != int(count):
             await asyncio.sleep(0.01)
 
-    # Callers.
+    # Clients.
 
     async def crowd_of(self, count: str, what: str) -> None:
         for number in range(int(count)):
@@ -326,12 +326,12 @@
                 await self.caller_hears(who, "200")
 
     async def caller_opens(self, who: str) -> None:
-        self.callers[who] = FakeCaller(*await asyncio.open_connection("127.0.0.1", self.instance.port))
+        self.clients[who] = FakeClient(*await asyncio.open_connection("127.0.0.1", self.instance.port))
 
     async def caller_sends(self, who: str, ref: str, op_type: str, *more: str) -> None:
         """Send a request with the body `in-REF`, or `body=...`.
 
-        `more` adds or replaces header fields. `and-ends` closes the caller's side at once. `ago=MS` is the age of the request
+        `more` adds or replaces header fields. `and-ends` closes the client's side at once. `ago=MS` is the age of the request
         in milliseconds.
         """
         extra_fields = dict(word.split("=", 1) for word in more if "=" in word)
@@ -364,21 +364,21 @@
     async def caller_checks(self, who: str) -> None:
         await self.write(who, b"GET /status/live HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
 
-    async def caller_writes(self, who: str, *words: str) -> None:
-        text = " ".join(words).replace("%now%", f"{time.time() * 1000:.0f}").replace("%junk%", 9000 * "x")
+    async def caller_writes(self, who: str, *parts: str) -> None:
+        text = " ".join(parts).replace("%now%", f"{time.time() * 1000:.0f}").replace("%junk%", 9000 * "x")
         text = re.sub("(?i)(?<=x-request-id:)(r[0-9]+)", lambda ref: wire_request_id(ref[1]), text)
         await self.write(who, text.encode().decode("unicode_escape").encode())
 
     async def write(self, who: str, data: bytes, last: bool = False) -> None:
-        if who not in self.callers:
+        if who not in self.clients:
             await self.caller_opens(who)
-        self.callers[who].writer.write(data)
+        self.clients[who].writer.write(data)
         if last:
-            self.callers[who].writer.write_eof()
-        await self.callers[who].writer.drain()
+            self.clients[who].writer.write_eof()
+        await self.clients[who].writer.drain()
 
     async def caller_hears(self, who: str, status: str, body: str = "", *more: str) -> None:
-        got, fields, text = await self.callers[who].answer()
+        got, fields, text = await self.clients[who].answer()
         assert got == int(status) and (body in ("", "-") or text == body), (got, fields, text)
         for name, _, wanted in (word.partition("=") for word in more):
             assert name in fields and wanted in ("", fields[name]), fields
@@ -391,15 +391,15 @@
         raise AssertionError("the connection was accepted")
 
     async def caller_half_closes(self, who: str) -> None:
-        self.callers[who].writer.write_eof()
+        self.clients[who].writer.write_eof()
 
     async def caller_resets(self, who: str) -> None:
-        self.callers[who].reset()
+        self.clients[who].reset()
 
     async def caller_is_closed(self, who: str) -> None:
-        """Expect an orderly close, not a reset; then close the caller's side."""
+        """Expect an orderly close, not a reset; then close the client's side."""
         try:
-            assert await self.callers[who].reader.read() == b""
+            assert await self.clients[who].reader.read() == b""
         except ConnectionResetError:
             raise AssertionError("the connection was reset") from None
-        self.callers[who].writer.close()
+        self.clients[who].writer.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -44,7 +44,7 @@
 
 
 class ListenerHarness(ConnectionObserver):
-    """A listener on loopback that records messages and responds as the test wants."""
+    """A listener on loopback that records messages and responds as the test specifies."""
 
     def __init__(self, max_connections: int = 100) -> None:
         self.counts: Counter[str] = Counter()
@@ -74,7 +74,7 @@
         self.timed_out.append(number)
         self.connections.respond(number, http_responses.write_response(408, self.body, close=True), is_last=True)
 
-    def caller(self, receive: int = 0) -> socket.socket:
+    def connect_client(self, receive: int = 0) -> socket.socket:
         sock = socket.socket()
         if receive:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -102,12 +102,12 @@
 
 
 async def send_partial_request(harness: ListenerHarness, receive: int = 0) -> tuple[socket.socket, Connection]:
-    """Return a caller and its connection, on which a part of a request was read."""
-    caller = harness.caller(receive)
+    """Return a client and its connection, on which a part of a request was read."""
+    client = harness.connect_client(receive)
     connection = (await harness.wait_until_idle())[0]
-    caller.send(HEALTH_REQUEST[:9])
+    client.send(HEALTH_REQUEST[:9])
     await until(lambda: connection.reader.started() and connection.stream.reading())
-    return caller, connection
+    return client, connection
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
@@ -155,21 +155,21 @@
 ) -> None:
     async def scenario() -> None:
         harness = ListenerHarness()
-        caller = harness.caller()
+        client = harness.connect_client()
         connection = (await harness.wait_until_idle())[0]
         original_check = connection.stream.has_unread
 
         def check_then_receive() -> bool:
             value = original_check()
-            caller.send(HEALTH_REQUEST)
+            client.send(HEALTH_REQUEST)
             wait_until_readable(connection.stream.socket)
             return value
 
         connection.stream.has_unread = check_then_receive
         end(harness)
-        assert await read_to_end(caller) == b""
+        assert await read_to_end(client) == b""
         assert harness.received == []
-        caller.close()
+        client.close()
         await until(lambda: not harness.connections.open)
 
     run_with_timeout(scenario())
@@ -181,15 +181,15 @@
 
     async def scenario() -> None:
         harness = ListenerHarness()
-        caller = harness.caller()
+        client = harness.connect_client()
         stream = (await harness.wait_until_idle())[0].stream
-        caller.send(HEALTH_REQUEST)
+        client.send(HEALTH_REQUEST)
         wait_until_readable(stream.socket)
         stream._handle_events(stream.fileno(), IOLoop.READ)
         end(harness)
-        answer = await asyncio.get_running_loop().sock_recv(caller, 4096)
+        answer = await asyncio.get_running_loop().sock_recv(client, 4096)
         assert answer.startswith(b"HTTP/1.1 200") and len(harness.received) == 1
-        caller.close()
+        client.close()
 
     run_with_timeout(scenario())
 
@@ -197,11 +197,11 @@
 def test_a_partial_request_at_the_close_is_answered_and_not_reset() -> None:
     async def scenario() -> None:
         harness = ListenerHarness()
-        caller, _ = await send_partial_request(harness)
+        client, _ = await send_partial_request(harness)
         harness.connections.shut_down()
-        caller.send(HEALTH_REQUEST[9:])  # the rest is read and not processed
-        assert (await read_to_end(caller)).startswith(b"HTTP/1.1 408") and harness.received == []
-        caller.close()
+        client.send(HEALTH_REQUEST[9:])  # the rest is read and not processed
+        assert (await read_to_end(client)).startswith(b"HTTP/1.1 408") and harness.received == []
+        client.close()
 
     run_with_timeout(scenario())
 
@@ -210,22 +210,22 @@
     async def scenario() -> None:
         harness = ListenerHarness()
         harness.body = bytes(3_000_000)
-        caller, connection = await send_partial_request(harness, receive=4096)
+        client, connection = await send_partial_request(harness, receive=4096)
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         harness.clock_offset = limits.MESSAGE_TIMEOUT_S + 1.0
         harness.connections.sweep(max_idle_s=1e9)
         assert harness.timed_out and connection.stream.writing()
         harness.clock_offset = 0.0
-        assert len(await read_to_end(caller)) > len(harness.body)
-        caller.close()
+        assert len(await read_to_end(client)) > len(harness.body)
+        client.close()
 
     run_with_timeout(scenario())
 
 
-def test_a_caller_that_never_closes_or_keeps_sending_is_dropped() -> None:
+def test_a_client_that_never_closes_or_keeps_sending_is_dropped() -> None:
     async def scenario() -> None:
         harness = ListenerHarness()
-        quiet, loud = harness.caller(), harness.caller()
+        quiet, loud = harness.connect_client(), harness.connect_client()
         await harness.wait_until_idle(2)
         harness.connections.shut_down()
         loud.send(HEALTH_REQUEST)
@@ -243,10 +243,10 @@
 def test_small_responses_are_sent_without_delay() -> None:
     async def scenario() -> None:
         harness = ListenerHarness()
-        caller = harness.caller()
+        client = harness.connect_client()
         connection = (await harness.wait_until_idle())[0]
         assert connection.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-        caller.close()
+        client.close()
 
     run_with_timeout(scenario())
 
@@ -254,15 +254,15 @@
 def test_a_request_in_the_backlog_is_answered_before_the_listener_closes() -> None:
     async def scenario() -> None:
         harness = ListenerHarness()
-        callers = [harness.caller() for _ in range(20)]
-        for caller in callers:
-            caller.send(HEALTH_REQUEST)  # in the backlog: the event loop has not run
+        clients = [harness.connect_client() for _ in range(20)]
+        for client in clients:
+            client.send(HEALTH_REQUEST)  # in the backlog: the event loop has not run
         harness.connections.shut_down()
         with pytest.raises(ConnectionRefusedError):
-            harness.caller()
-        for caller in callers:
-            assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
-            caller.close()
+            harness.connect_client()
+        for client in clients:
+            assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
+            client.close()
         assert len(harness.received) == 20
         harness.connections.shut_down()  # repeated, as before a stop
 
@@ -305,24 +305,24 @@
     run_with_timeout(scenario())
 
 
-def test_a_new_caller_is_served_in_time_when_idle_callers_hold_all_connections() -> None:
+def test_a_new_client_is_served_in_time_when_idle_clients_hold_all_connections() -> None:
     """They never close, not even after the server has: their descriptors are freed once no request can be in transit."""
 
     async def scenario() -> None:
         harness = ListenerHarness(max_connections=20)
-        idle = [harness.caller() for _ in range(40)]
+        idle = [harness.connect_client() for _ in range(40)]
         await until(lambda: harness.counts["connections_accepted"] >= 20)
         started = time.monotonic()
         for _ in range(5):
-            caller = harness.caller()
-            caller.send(HEALTH_REQUEST)
-            answer = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(caller, 4096), TIMEOUT_S)
+            client = harness.connect_client()
+            client.send(HEALTH_REQUEST)
+            answer = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(client, 4096), TIMEOUT_S)
             assert answer.startswith(b"HTTP/1.1 200")
-            idle.append(caller)
+            idle.append(client)
         assert time.monotonic() - started < TIMEOUT_S and len(harness.connections.open) <= 21
         assert not harness.counts["connections_shed"]
-        for caller in idle:
-            caller.close()
+        for client in idle:
+            client.close()
 
     run_with_timeout(scenario())
 
@@ -331,17 +331,17 @@
     async def scenario() -> None:
         harness = ListenerHarness(max_connections=4)
         harness.on_message = lambda number, *_: harness.received.append(number)
-        callers = [harness.caller() for _ in range(5)]
-        for caller in callers:
-            caller.send(HEALTH_REQUEST)
+        clients = [harness.connect_client() for _ in range(5)]
+        for client in clients:
+            client.send(HEALTH_REQUEST)
         await until(lambda: len(harness.received) == 5 and harness.counts["accepts_paused"])
-        later = harness.caller()
+        later = harness.connect_client()
         later.send(HEALTH_REQUEST)
         for number in list(harness.received):
             harness.connections.respond(number, http_responses.write_response(200), is_last=True)
-        for caller in callers:
-            assert (await read_to_end(caller)).startswith(b"HTTP/1.1 200")
-            caller.close()
+        for client in clients:
+            assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
+            client.close()
         await until(lambda: len(harness.received) == 6)
         harness.connections.respond(harness.received[5], http_responses.write_response(200))
         assert (await asyncio.get_running_loop().sock_recv(later, 4096)).startswith(b"HTTP/1.1 200")
@@ -362,20 +362,20 @@
             harness.connections.respond(number, http_responses.write_response(404))
 
         harness.on_message = reject
-        bad_callers = [harness.caller() for _ in range(8)]
-        for caller in bad_callers:
-            caller.send(200 * HEALTH_REQUEST)
+        bad_clients = [harness.connect_client() for _ in range(8)]
+        for client in bad_clients:
+            client.send(200 * HEALTH_REQUEST)
         await until(lambda: all(harness.received.count(number) for number in range(1, 9)))
         for connection in harness.connections.open.values():
             connection.bad_request_count = limits.MAX_BAD_REQUESTS
         del harness.on_message
-        good_caller = harness.caller()
-        good_caller.send(HEALTH_REQUEST)
-        assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(good_caller, 4096), TIMEOUT_S)).startswith(
+        good_client = harness.connect_client()
+        good_client.send(HEALTH_REQUEST)
+        assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(good_client, 4096), TIMEOUT_S)).startswith(
             b"HTTP/1.1 200"
         )
-        for caller in (*bad_callers, good_caller):
-            caller.close()
+        for client in (*bad_clients, good_client):
+            client.close()
 
     run_with_timeout(scenario())
 
@@ -413,7 +413,7 @@
     async def scenario() -> None:
         harness = ListenerHarness()
         harness.connections.make_reader = BoundedReader
-        long_sender, other = harness.caller(), harness.caller()
+        long_sender, other = harness.connect_client(), harness.connect_client()
         await harness.wait_until_idle(2)
         head_prefix = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % http_requests.MAX_BODY_BYTES
         request = (
@@ -431,21 +431,21 @@
         answer = await asyncio.wait_for(loop.sock_recv(long_sender, 4096), TIMEOUT_S)
         assert answer.startswith(b"HTTP/1.1 200" if head <= http_requests.MAX_HEAD_BYTES else b"HTTP/1.1 400")
         assert not harness.counts["errors_inside"]
-        for caller in (long_sender, other):
-            caller.close()
+        for client in (long_sender, other):
+            client.close()
 
     run_with_timeout(scenario())
 
 
-def test_a_reader_without_space_costs_its_connection_and_no_other() -> None:
+def test_a_reader_without_space_closes_only_its_own_connection() -> None:
     async def scenario() -> None:
         harness, full = ListenerHarness(), FullReader()
         harness.connections.make_reader = lambda: full
-        stuck = harness.caller()
+        stuck = harness.connect_client()
         await until(lambda: harness.counts["errors_inside"])
         assert full.buffer_requests == 1
         harness.connections.make_reader = http_requests.RequestReader
-        other = harness.caller()
+        other = harness.connect_client()
         other.send(HEALTH_REQUEST)
         assert (await asyncio.wait_for(asyncio.get_running_loop().sock_recv(other, 4096), TIMEOUT_S)).startswith(
             b"HTTP/1.1 200"
@@ -459,7 +459,7 @@
 # Background work.
 
 
-def test_a_report_that_fails_costs_one_report() -> None:
+def test_a_failed_report_does_not_prevent_the_next_ones() -> None:
     async def scenario() -> None:
         counts: Counter[str] = Counter()
         tasks, calls = BackgroundTasks(lambda counter: counts.update([counter]), 1), []
@@ -494,7 +494,7 @@
     run_with_timeout(scenario())
 
 
-def test_an_instance_whose_report_and_sweep_fail_goes_on_reporting() -> None:
+def test_an_instance_whose_report_and_sweep_fail_continues_reporting() -> None:
     async def scenario() -> None:
         instance_harness = SocketScenario()
         await instance_harness.run_step("interpreter", "up")
@@ -523,7 +523,7 @@
 
 
 class FakeServer:
-    """Accepts links and sends what the test wants."""
+    """Accepts links and sends what the test specifies."""
 
     def __init__(self) -> None:
         self.links: list[asyncio.StreamWriter] = []
@@ -605,7 +605,7 @@
     run_with_timeout(scenario())
 
 
-def test_without_a_descriptor_the_link_waits_and_the_loop_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_descriptor_the_link_waits_and_the_loop_continues(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         server, attempts, real = FakeServer(), [], socket.socket
         port = await server.listen()
@@ -673,8 +673,8 @@
         return sock.getsockname()[1]
 
 
-def test_hangups_during_the_start_neither_end_it_nor_are_missed(tmp_path: Path) -> None:
-    """They arrive at every moment of the start, the last one before it listens; the last address in the file is used."""
+def test_sighups_during_the_start_neither_end_it_nor_are_missed(tmp_path: Path) -> None:
+    """Signals arrive throughout the start, the last one before the instance listens; it uses the last address in the file."""
 
     async def scenario() -> None:
         old, new, path = FakeServer(), FakeServer(), tmp_path / "settings.json"
@@ -686,7 +686,7 @@
         }
         new_config = json.dumps({**node_config, "vm": f"127.0.0.1:{await new.listen()}"})
 
-        async def send_hangups(process: asyncio.subprocess.Process) -> None:
+        async def send_sighups(process: asyncio.subprocess.Process) -> None:
             replaced = False
             await until(lambda: "mulleinhatch" in psutil.Process(process.pid).cmdline())  # the shell has been replaced
             while not old.links and not new.links:
@@ -700,7 +700,7 @@
             await until(lambda: new.links)
             process.terminate()
 
-        status, log = await run_process(node_config, path, then=send_hangups)
+        status, log = await run_process(node_config, path, then=send_sighups)
         assert status == 0 and "Traceback" not in log, log
 
     run_with_timeout(scenario())
@@ -769,7 +769,7 @@
         parse_settings(node_config)
 
 
-def test_callers_that_reset_after_a_half_close_leave_no_garbage() -> None:
+def test_clients_that_reset_after_a_half_close_leave_no_garbage() -> None:
     """A stream's error references its traceback, which references the stream: a cycle until a full garbage collection."""
 
     async def scenario() -> None:
@@ -778,12 +778,12 @@
         gc.disable()
         try:
             for _ in range(30):
-                caller = harness.caller()
+                client = harness.connect_client()
                 await harness.wait_until_idle()
                 half_closed = next(iter(harness.connections.open.values()))
                 harness.connections._half_close(half_closed, "connections_trimmed")
-                caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                caller.close()
+                client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                client.close()
                 await until(lambda: not harness.connections.open)
                 del half_closed
             await asyncio.sleep(0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,7 +48,7 @@
         )
     )
     world.play(end + 3.0)
-    agreed = [world.play(end + 3.0 + 0.2 * look).views_agree() for look in range(5)]
+    agreed = [world.play(end + 3.0 + 0.2 * poll).views_agree() for poll in range(5)]
     assert any(agreed), (
         script,
         [
@@ -248,15 +248,15 @@
     """A single observer or an isolated member ejects nobody; at most a fifth are ejected, and none if most look unhealthy."""
     observers = {f"v{number}" for number in range(10)}
 
-    def judged(unhealthy: int, by: int, cut_off: bool = False) -> list[str]:
+    def ejected_by(unhealthy: int, by: int, cut_off: bool = False) -> list[str]:
         outlier_detector = OutlierDetector()
         for observer in sorted(observers)[:by]:
             for subject in range(10):
                 outlier_detector.record(1.0, observer, f"s{subject}", 1.0 if subject < unhealthy else 0.0, 1000)
         return outlier_detector.judge(1.0, observers, cut_off)
 
-    assert judged(1, 1) == [] and judged(1, 3) == ["s0"] and judged(4, 10) == ["s0", "s1"]
-    assert judged(6, 10) == [] and judged(1, 10, cut_off=True) == []
+    assert ejected_by(1, 1) == [] and ejected_by(1, 3) == ["s0"] and ejected_by(4, 10) == ["s0", "s1"]
+    assert ejected_by(6, 10) == [] and ejected_by(1, 10, cut_off=True) == []
 
 
 def test_ejection_has_hysteresis() -> None:
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -391,7 +391,7 @@
         assert not wrong, (script, wrong)
 
 
-# Planted defects: a test fails when its guard is removed.
+# Injected defects: a test fails when its guard is removed.
 
 
 def test_suspects_are_probed_by_each_peer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -400,12 +400,12 @@
     now = run_heartbeats(nodes, 0.0, 3.0)
     node, suspect = nodes[0], nodes[1]
     node.members._set_state(now, node.members.view[suspect.name], wire.SUSPECT, "told")
-    asked = [address for address, data in node.heartbeat(now + 0.25, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
-    assert suspect.members.address in asked
+    probed = [address for address, data in node.heartbeat(now + 0.25, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
+    assert suspect.members.address in probed
     monkeypatch.setattr(PeerGroup, "_probe_suspects", lambda self, now: iter(()))
     node.members.ring_probed_at = node.members.random_probed_at = node.members.predecessor_probed_at = now + 10.0
-    asked = [address for address, data in node.heartbeat(now + 0.5, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
-    assert suspect.members.address not in asked
+    probed = [address for address, data in node.heartbeat(now + 0.5, LOCAL_STATE) if wire.decode(data, "f").kind == "ping"]
+    assert suspect.members.address not in probed
 
 
 def test_probe_carries_the_suspicion_and_the_suspect_refutes_it_to_all_peers(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_lookalikes.py
+++ b/tests/test_lookalikes.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("scenario, span", [(AFTER_KILL, (13.0, 23.0)), (OVERLOAD, (2.0, 19.0))], ids=["kill", "overload"])
 def test_service_does_not_depend_on_the_share_of_lookalikes(scenario: Scenario, span: tuple[float, float]) -> None:
-    """Guards against treating first tries as retries: with identical bodies, 0.43 were in time on loopback instead of 0.95."""
+    """Guards against treating first attempts as retries: with equal bodies, 0.43 were in time on loopback instead of 0.95."""
     worlds = {share: World(scenario._replace(alike=share), 2).play() for share in (0.0, 0.3, 1.0)}
     served = {share: world.share_in_time(*span) for share, world in worlds.items()}
     assert max(served.values()) - min(served.values()) <= 0.03, served
--- a/tests/test_others.py
+++ b/tests/test_others.py
@@ -154,7 +154,7 @@
     assert {decision.verb: decision for decision in harness.pull(0.2)}[Verb.ADVISE].level == pytest.approx(0.3)
     harness.read(0.2, "running", wait=3.0)
     harness.read(0.2, "held", wait=1.0)
-    harness.controller.begin_drain(0.3, 0.1)  # no instance has free slots, so the caller should not try other instances, either
+    harness.controller.begin_drain(0.3, 0.1)  # no instance has free slots, so the client should not try other instances, either
     rejections = [decision for decision in harness.pull(0.3) if decision.verb is Verb.REJECT]
     assert [(rejection.ref, rejection.flag) for rejection in rejections] == [("held", True)]
 
@@ -175,7 +175,7 @@
 
 
 def test_heavy_hitters_are_found_among_invented_names() -> None:
-    """No tenant above 1/capacity of the requests is missed, and memory stays bounded when callers invent names."""
+    """No tenant above 1/capacity of the requests is missed, and memory stays bounded when clients invent names."""
     draw, hitters, true = random.Random(3), HeavyHitters(64), Counter()
     for number in range(60_000):
         name = draw.choice(("loud", "loud", "also", "third")) if draw.random() < 0.4 else f"made up {draw.randrange(100_000)}"
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -35,12 +35,12 @@
     return KINDS.get(text) or json.loads(text)
 
 
-def parse_facts(words: list[str]) -> dict[str, object]:
+def parse_fields(fields: list[str]) -> dict[str, object]:
     """
-    >>> parse_facts(["importance=5", "effect=keyed"])
+    >>> parse_fields(["importance=5", "effect=keyed"])
     {'importance': 5, 'effect': <Effect.KEYED: 'keyed'>}
     """
-    return {name: parse_value(text) for name, text in (word.split("=") for word in words)}
+    return {name: parse_value(text) for name, text in (field.split("=") for field in fields)}
 
 
 def describe_decision(decision: Decision) -> str:
@@ -59,24 +59,24 @@
         self.counts: Counter[str] = Counter()
 
     def run_line(self, text: str) -> None:
-        word, *rest = text.split()
-        if word in ("deployment", "type", "tenant"):
-            target = {"type": "op_types", "tenant": "tenants"}.get(word)
-            self.deployment[target].append(parse_facts(rest)) if target else self.deployment.update(parse_facts(rest))
-        elif word == ">":
+        keyword, *rest = text.split()
+        if keyword in ("deployment", "type", "tenant"):
+            target = {"type": "op_types", "tenant": "tenants"}.get(keyword)
+            self.deployment[target].append(parse_fields(rest)) if target else self.deployment.update(parse_fields(rest))
+        elif keyword == ">":
             assert self.decisions == [said.strip() for said in " ".join(rest).split(",") if said]
-        elif word == "~":
+        elif keyword == "~":
             assert set(said.strip() for said in " ".join(rest).split(",")) <= set(self.decisions), self.decisions
-        elif word == "all":
+        elif keyword == "all":
             assert self.counts[" ".join(rest[:-1])] == int(rest[-1]), self.counts
         else:
-            self.report_event(float(word), *rest)
+            self.report_event(float(keyword), *rest)
 
     def report_event(self, now: float, what: str, *rest: str) -> None:
         self.now = now
         self.controller = self.controller or AdmissionController(self.deployment, 7, 0.0)
         for ref in self.refs(rest):
-            self.report(what, ref, parse_facts([word for word in rest if "=" in word]))
+            self.report(what, ref, parse_fields([argument for argument in rest if "=" in argument]))
         self.decisions = []
         while decision := self.controller.next_decision(now):
             self.counts[decision.verb.value] += 1
@@ -84,9 +84,9 @@
                 self.decisions.append(describe_decision(decision))
 
     @staticmethod
-    def refs(words: tuple[str, ...]) -> list[int]:
+    def refs(arguments: tuple[str, ...]) -> list[int]:
         """Return request ids: `3` is one, `3-6` are four; no id is an event without a request."""
-        first, _, last = next((word for word in words if "=" not in word), "0").partition("-")
+        first, _, last = next((argument for argument in arguments if "=" not in argument), "0").partition("-")
         return list(range(int(first), int(last or first) + 1))
 
     def report(self, what: str, ref: int, more: dict) -> None:
@@ -146,8 +146,8 @@
 def test_a_batch_through_the_adapter() -> None:
     pairs = b"family_info.cores=1\nclasses.count=1\nclasses.0.aim=1000.0\nclasses.0.deadline=2000.0\nnovel=1"
     create = b"\x0a\x00\x03\x01" + struct.pack(">QI", 9, len(pairs)) + pairs
-    op = b"\x02" + struct.pack(">QddHfQBHQBdf", 77, 1.5, 900.0, 0, 0.5, 0, 0, 4, 0, 1, 12.0, 8.0)
-    done = run_adapter(encode_batch(create + op))
+    request = b"\x02" + struct.pack(">QddHfQBHQBdf", 77, 1.5, 900.0, 0, 0.5, 0, 0, 4, 0, 1, 12.0, 8.0)
+    done = run_adapter(encode_batch(create + request))
     assert done.returncode == 0 and not done.stderr
     assert done.stdout[8:12] == struct.pack(">I", 1)
     assert done.stdout[12:24] == b"\x50\x00\x03\x41" + struct.pack(">Q", 77)
@@ -195,13 +195,13 @@
         connections = Connections(100, RequestReader, lambda: now[0], observer)
         with socket.create_server(("127.0.0.1", 0), backlog=64) as listener:
             listener.setblocking(False)
-            callers = [socket.create_connection(listener.getsockname()) for _ in range(40)]
+            clients = [socket.create_connection(listener.getsockname()) for _ in range(40)]
             connections.listener._accept(listener, 0)
             taken, now[0] = len(connections.open), 5.3
             connections.listener._accept(listener, 0)
-            callers.append(socket.create_connection(listener.getsockname()))
+            clients.append(socket.create_connection(listener.getsockname()))
             connections.listener._accept(listener, 0)
-            for sock in callers:
+            for sock in clients:
                 sock.close()
         return taken, counts["connections_shed"], len(connections.open)
 
@@ -232,8 +232,8 @@
         MAX_HEAD_BYTES + MAX_BODY_BYTES - 1,
         MAX_HEAD_BYTES + MAX_BODY_BYTES,
     ):
-        words = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % MAX_BODY_BYTES
-        text = words + (length - len(words) - len(HEAD_END)) * b"a" + HEAD_END + MAX_BODY_BYTES * b"b"
+        head_prefix = b"POST /svc/a HTTP/1.1\r\nContent-Length: %d\r\nX-Long: " % MAX_BODY_BYTES
+        text = head_prefix + (length - len(head_prefix) - len(HEAD_END)) * b"a" + HEAD_END + MAX_BODY_BYTES * b"b"
         reader, found, most = RequestReader(), None, first
         while text and not found:
             free_space_left = reader.free_space()
@@ -248,10 +248,10 @@
         assert (found == 431) == (length > MAX_HEAD_BYTES) and found, length
 
 
-def run_command(folder: Path, node_config: dict, *words: str) -> subprocess.CompletedProcess:
+def run_command(folder: Path, node_config: dict, *arguments: str) -> subprocess.CompletedProcess:
     (folder / "settings.json").write_text(json.dumps(node_config))
     return subprocess.run(
-        [sys.executable, "-m", "mulleinhatch", *words, "--config", folder / "settings.json"],
+        [sys.executable, "-m", "mulleinhatch", *arguments, "--config", folder / "settings.json"],
         capture_output=True,
         text=True,
         cwd=ROOT.parent,
--- a/tests/test_second_runs.py
+++ b/tests/test_second_runs.py
@@ -27,11 +27,11 @@
 BROKEN, DEATH = BrokenTry(0, 4.9, 5.2), Death(0, 5.1, 5.2)
 
 
-def test_a_second_run_after_a_kill_is_attributed_to_the_caller() -> None:
+def test_a_second_run_after_a_kill_is_attributed_to_the_client() -> None:
     assert find_second_runs([LATER, FIRST], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
-def test_a_second_run_by_the_restarted_instance_is_attributed_to_the_caller() -> None:
+def test_a_second_run_by_the_restarted_instance_is_attributed_to_the_client() -> None:
     assert find_second_runs([FIRST, LATER._replace(place=0, incarnation=2)], {"r1": BROKEN}, [DEATH]) == SecondRuns([], ["a"])
 
 
@@ -70,7 +70,7 @@
 
 
 def test_each_of_three_runs_is_compared_with_all_before() -> None:
-    """The second run is attributed to the caller, as the first attempt had ended by a death; the second had not."""
+    """The second run is attributed to the client, as the first attempt had ended by a death; the second had not."""
     third = Run("a", 6.0, 2, 1, "r3")
     faults, repeats = find_second_runs([FIRST, LATER, third], {"r1": BROKEN}, [DEATH])
     assert faults == ["a ran at 1 as r2, and at 2 as r3: the first try had not ended by a death"] and not repeats
@@ -145,10 +145,10 @@
 
 
 @pytest.mark.processes
-def test_requests_of_a_killed_instance_run_again_only_for_their_callers(tmp_path: Path) -> None:
-    """With two real instances, one is killed while it executes runs that outlast their callers' timeouts.
+def test_requests_of_a_killed_instance_run_again_only_for_their_clients(tmp_path: Path) -> None:
+    """With two real instances, one is killed while it executes runs that outlast their clients' timeouts.
 
-    Its callers retry at the other one. Counting the runs of both finds second runs, which are no fault of an instance.
+    Its clients retry at the other one. Counting the runs of both finds second runs, which are no fault of an instance.
     """
     keep_environment()
     case = FleetCase(2, run_for=3.0, cores=8, work_ms=200.0, loads=(("all", 15.0),), signoffs=1.0, tries=4)
@@ -206,7 +206,7 @@
 def test_a_retry_of_a_handed_over_request_does_not_run_again(rank: str, cost: str, kb: str, key: str) -> None:
     """The instance that received the first attempt hands it over to a peer, which runs it, and then dies.
 
-    The caller's marked retry arrives at the peer, which must recognize it however its numbers are written. The peer has learned
+    The client's marked retry arrives at the peer, which must recognize it however its numbers are written. The peer has learned
     from other requests that numbers stay the same over the attempts of a request.
     """
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -99,14 +99,14 @@
 
 
 @pytest.mark.parametrize("compliance", [0.0, 0.3, 0.8, 1.0])
-def test_redirects_converge_however_many_callers_comply(compliance: float) -> None:
+def test_redirects_converge_however_many_clients_comply(compliance: float) -> None:
     """With twelve instances, four at twice the load, the fractions converge in bounded steps and the load is balanced."""
-    asked = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
+    offered_loads = [2.0 if place % 3 == 0 else 1.0 for place in range(12)]
     controllers = [RedirectController(0.05, 0.5, place, 0.0, False) for place in range(12)]
     fractions, history = [0.0] * 12, []
     for step in range(900):
-        redirected = [compliance * fraction * load for fraction, load in zip(fractions, asked)]
-        loads = [0.6 * (load - removed + sum(redirected) / 12) for load, removed in zip(asked, redirected)]
+        redirected = [compliance * fraction * load for fraction, load in zip(fractions, offered_loads)]
+        loads = [0.6 * (load - removed + sum(redirected) / 12) for load, removed in zip(offered_loads, redirected)]
         fleet = sum(loads) / 12
         before, fractions = (
             fractions,
@@ -126,7 +126,7 @@
     assert opened[-1] == 0.0 and opened[3] > 0.3
 
 
-def test_request_to_a_peer_is_parsed_by_the_own_reader() -> None:
+def test_request_to_a_peer_is_parsed_by_the_request_reader() -> None:
     handed_over = http_requests.IncomingRequest("00000000000000ab", "read", "t", 0.0, 1.5, 3, 0.05, 0.0, True, "", 1.0)
     pieces = http_peers.write_handover_request(handed_over, b"body", 1e9, 17, "h:1")
     reader = http_requests.RequestReader()
@@ -199,7 +199,7 @@
     assert spread["idle_needed"] < 0.5 * alone["idle_needed"] and spread["most_over_mean"] < 3.0
 
 
-def test_choosing_the_freshest_report_herds_and_offers_do_not() -> None:
+def test_choosing_the_freshest_report_causes_herding_and_offers_do_not() -> None:
     plan, load = Plan(16, until=10.0, seed=3), Load(1.0, callers=8, cores=1)
     freshest, spread = (LoadBalancingWorld(plan, load, mode).play() for mode in ("freshest", "spread"))
     assert freshest.handed["full"] > 5 * max(1, spread.handed["full"])
@@ -218,14 +218,14 @@
     assert world.counts["broken"] == 0 and world.handed["ok"] > 0
 
 
-def test_partition_during_handover_fails_what_must_not_run_twice() -> None:
+def test_partition_during_handover_runs_no_non_retryable_request_twice() -> None:
     plan = Plan(8, "at 5 cut 0-3 from 4-7 for 3", until=12.0, seed=6)
     world = LoadBalancingWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
     assert world.handed["interrupted"] + world.handed["unreachable"] > 0
     assert not [number for number in world.once if world.ran[number] > 1]
 
 
-def test_without_handover_no_request_is_passed() -> None:
+def test_without_handover_no_request_goes_to_a_peer() -> None:
     world = LoadBalancingWorld(Plan(6, until=9.0), Load(1.0, callers=2, listed=2), "advice").play()
     assert not world.handed and not any(node.spread.offer_issuer.counts["offers_given"] for node in world.nodes)
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -39,16 +39,16 @@
         self.detector = StormDetector(StormBounds())
 
     def play_line(self, text: str) -> None:
-        word, *rest = text.split()
-        if word == ">":
+        keyword, *rest = text.split()
+        if keyword == ">":
             assert self.detector.stage.value == rest[0], self.detector.stage
-        elif word == "all":
+        elif keyword == "all":
             assert self.detector.entered[Stage.STORM] == int(rest[1]), self.detector.entered
         elif rest == ["outage"]:
-            self.detector.record_outage(float(word))
+            self.detector.record_outage(float(keyword))
         else:
             counts = dict(zip(rest[::2], map(int, rest[1::2])))
-            first, _, last = word.partition("-")
+            first, _, last = keyword.partition("-")
             now = float(first)
             while now < float(last or first) + 1e-9:
                 now += UPDATE_INTERVAL_S
@@ -70,17 +70,17 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_heavy_callers_against_a_plain_count(seed: int) -> None:
-    """Bounds of the sketch: they enclose the true count, and no caller with more than 1/capacity of the requests is missing."""
+def test_heavy_clients_against_a_plain_count(seed: int) -> None:
+    """Bounds of the sketch: they enclose the true count, and no client with more than 1/capacity of the requests is missing."""
     draw, sketch, plain = random.Random(seed), HeavyCallers(32), Counter()
     for _ in range(5000):
-        caller = int(draw.paretovariate(0.9)) % 3000
-        sketch.add(caller)
-        plain[caller] += 1
+        client = int(draw.paretovariate(0.9)) % 3000
+        sketch.add(client)
+        plain[client] += 1
     assert len(sketch) <= 32 and sketch.total == 5000 and len(sketch.order) <= 32
-    for caller, count in plain.items():
-        assert sketch.lower_bound(caller) <= count
-        assert count <= 5000 / 32 or sketch.upper_bound(caller) >= count, caller
+    for client, count in plain.items():
+        assert sketch.lower_bound(client) <= count
+        assert count <= 5000 / 32 or sketch.upper_bound(client) >= count, client
 
 
 def test_expiring_set_is_bounded() -> None:
@@ -174,7 +174,7 @@
 
 
 def test_service_recovers_within_seconds_only_with_retry_admission() -> None:
-    """The outage of the design note on half the cores: 8 s at load 0.92; callers retry for 30 s and ignore retry times."""
+    """The outage of the design note on half the cores: 8 s at load 0.92; clients retry for 30 s and ignore retry times."""
     scenario = Scenario(rate=36.8, cores=2, patience=30.0, outage=(4.0, 12.0), load_until=22.0, until=24.0)
     assert World(scenario, 1).play().share_in_time(14.0, 21.0) > 0.9
     assert World(scenario, 1, storm_bounds=None).play().share_in_time(14.0, 21.0) < 0.6
@@ -276,7 +276,7 @@
 
 
 class ConnectBurst(NamedTuple):
-    """Result of many simultaneous connects: the first bytes that each received, and the delays of others meanwhile."""
+    """Result of many simultaneous connects: the first bytes that each received, and the delays of other events meanwhile."""
 
     answers: list[bytes]
     shed: int
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -23,7 +23,7 @@
 
 
 class NoPromise(Voter):
-    """Accepts any proposal, whatever it promised."""
+    """Accepts any proposal, regardless of its promises."""
 
     def _may_promise(self, proposal: ProposalNumber) -> bool:
         return True
@@ -85,7 +85,7 @@
     ("want", 0),
     *(("step", 0, name) for name in "adeade"),
 )  # and gets the permit from three of them
-# A voter accepts, its response counts, and it loses its disk and learns before the round is over.
+# A voter accepts and its response counts; then it loses its disk and learns the state before the round is over.
 FORGOTTEN_ACCEPT = (("want", 0), ("step", 0, "a"), ("step", 0, "b"), ("step", 0, "b"), ("wipe", "b"), ("learn", "b"))
 # An instance in service still has a permit, an operator releases it, and before the release arrives the holder leaves again.
 LATE_RELEASE = (
@@ -275,7 +275,7 @@
 # A simulated fleet in virtual time with the real coordinators.
 
 
-def agree(world: MaintenanceWorld, change: Callable[[PermitTable], PermitTable]) -> None:
+def commit_change(world: MaintenanceWorld, change: Callable[[PermitTable], PermitTable]) -> None:
     """Make an operator's change at n0; retry while other instances run rounds at the same time."""
     for _ in range(20):
         if world.cores["n0"].round is None:
@@ -323,7 +323,7 @@
         draw = random.Random(seed)
         count = draw.choice((4, 5, 7))
         script = draw_fault_script(draw, count, 6.0, 6.0)
-        if not disks:  # with a crash while another voter is out no majority would be left; only with disks is that supported
+        if not disks:  # a crash while another voter is out leaves no majority, which only disks allow
             script = "\n".join(line for line in script.splitlines() if " kill " not in line) + "\nat 9 kill 3 for 1"
         world = MaintenanceWorld(count, script, seed=seed, disks=disks, most=2, voters=3)
         world.to_go = {f"n{place}" for place in range(count)}
@@ -349,14 +349,14 @@
     """Seen with 30 processes: another proposer beat a round and completed its table, and the requester waited forever."""
     world = MaintenanceWorld(4)
     world.play(8.0)
-    agree(world, lambda table: table.grant("n3", "z", "kernel"))
+    commit_change(world, lambda table: table.grant("n3", "z", "kernel"))
     world.to_go = {"n3"}
     world.cores["n3"].request_maintenance(MaintenanceRequest("n3", "z", "kernel", 1.0, 0.0))
     world.play(16.0)
     assert world.been == {"n3": 1} and not world.cores["n0"].voter.voter_state.table.out
 
 
-def test_permit_of_a_lost_instance_is_held_until_an_operator_releases_it() -> None:
+def test_permit_of_a_lost_instance_stays_granted_until_an_operator_releases_it() -> None:
     world = MaintenanceWorld(4, works=1000.0)
     world.to_go = {"n2", "n3"}
     world.play(30.0)
@@ -364,12 +364,12 @@
     [gone] = world.been
     core = world.cores["n0"]
     fence = core.voter.voter_state.table.permit(gone).fence
-    agree(world, lambda table: table.release(gone, fence))
+    commit_change(world, lambda table: table.release(gone, fence))
     world.play(45.0)
-    # It counts as out without a permit, too: no other leaves until it returns or an operator raises the bound.
+    # Without its permit it still counts as out of service: no other leaves until it returns or an operator raises the bound.
     assert len(world.been) == 1
     world.most = 2
-    agree(world, lambda table: table.set_bounds(2, 2))
+    commit_change(world, lambda table: table.set_bounds(2, 2))
     world.play(world.now + 10.0)
     assert len(world.been) == 2
 
@@ -391,13 +391,13 @@
 def test_freeze_stops_permits_and_cancelled_request_is_dropped() -> None:
     world = MaintenanceWorld(4)
     world.play(8.0)
-    agree(world, lambda table: table.freeze("the first are ill"))
+    commit_change(world, lambda table: table.freeze("the first are ill"))
     world.to_go = {"n2", "n3"}
     world.play(20.0)
     assert not world.been
     world.to_go = {"n3"}
     world.cores["n2"].cancel()
-    agree(world, lambda table: table.freeze(""))
+    commit_change(world, lambda table: table.freeze(""))
     world.play(35.0)
     assert set(world.been) == {"n3"}
 
@@ -417,7 +417,7 @@
     assert world.cores["n0"].voter.voter_state.table.frozen == "n4 returned unhealthy"
     world.unfit.clear()
     world.play(44.0)
-    agree(world, lambda table: table.freeze(""))
+    commit_change(world, lambda table: table.freeze(""))
     world.play(70.0)
     assert set(world.been) == {"n4", "n5", "n2"}
 
@@ -439,7 +439,7 @@
 
 @pytest.mark.processes
 def test_processes_leave_by_permit_under_a_partition_and_a_stall(tmp_path: Path) -> None:
-    """Six processes in two zones, all requested at once: at most two are out, one per zone, and all complete maintenance."""
+    """Maintenance of six processes in two zones, requested at once: at most one per zone is out of service; all complete."""
     keep_environment()
     zones = {place: "xy"[place % 2] for place in range(6)}
     lines = (
@@ -452,7 +452,7 @@
         async with FleetHarness(case, tmp_path) as harness:
             names = {node.name for node in harness.nodes}
             assert await harness.wait_for(lambda views: views_agree(views, names), 15.0) is not None
-            await asyncio.sleep(5.0)  # voters that start for the first time abstain that long
+            await asyncio.sleep(5.0)  # voters that start for the first time abstain for this time
             await harness.go()
             maintenance_windows = MaintenanceWindows(harness, 0.5, zones)
             maintenance_windows.start()
--- a/tests/test_warm_up_load.py
+++ b/tests/test_warm_up_load.py
@@ -10,7 +10,7 @@
 from mulleinhatch.simulation.gossip_world import Plan
 from mulleinhatch.simulation.load_balancing_world import Load, LoadBalancingWorld
 
-WINDOWS_S = (1.5, 5.0)  # over which the settings limit what peers send
+WINDOWS_S = (1.5, 5.0)  # windows over which the settings limit what peers send
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
 def test_handed_over_requests_stay_within_the_warm_up_ramp(
     senders: int, warming: int, joining: int, load: float, until: float
 ) -> None:
-    """Several instances restart at once, after reports of the time before; some senders join while they warm up."""
+    """Several instances restart at once, and peers still have their earlier reports; some senders join during the warm-up."""
     script = "\n".join(
         [f"at 6 kill {place} for 1" for place in range(senders, senders + warming)]
         + [f"at {4 + place} kill {place} for 4" for place in range(joining)]
