--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -281,7 +281,7 @@
         self.assertEqual(tracker.report([], 80.0), [])
 
     def test_a_report_with_an_extreme_priority_can_be_parsed(self):
-        """Guards against losing the whole report to one extreme priority: older control planes accept any finite number."""
+        """Guards against losing the whole report to one extreme priority: older control-plane nodes accept any finite one."""
         tracker, waiting = DemandTracker(), ModelQueue(MODEL_KEY, waiting=[pending("a", priority=10**300)])
         tracker.record_request(MODEL_KEY, 1.0, 0.0)
         report = DemandReport(node="d", demand=tracker.report([waiting], 0.0))
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -417,7 +417,7 @@
 
 
 class Voter(unittest.TestCase):
-    """A voter's answers to heartbeats, and the confirmation ages that it reports afterwards."""
+    """A voter's responses to heartbeats, and the confirmation ages that it reports afterwards."""
 
     def setUp(self):
         self.now, self.confirms, self.known = 10.0, True, view_of(1)
@@ -551,14 +551,14 @@
             self.assertEqual(self.answer(need("fern", 2_400)).grants[0].granted_requests, 1)
         self.assertEqual(len(logs.records), 2)
 
-    def test_just_after_a_change_of_view_the_answer_waits_for_a_majority(self):
+    def test_just_after_a_change_of_view_the_response_waits_for_a_majority(self):
         """Guards against 0.5 s of refusals while data planes avoid a new owner whose view is not confirmed yet."""
         self.now = 60.0
         self.node.view, self.node.has_contact, self.node.gains_contact = view_of(2), False, True
         self.assertEqual(self.answer(need("fern", 2_400)).grants[0].granted_requests, 1)
         self.assertEqual(self.node.waits, 1)
 
-    def test_an_owner_that_stays_without_a_majority_answers_at_once_and_grants_nothing(self):
+    def test_an_owner_that_stays_without_a_majority_responds_at_once_and_grants_nothing(self):
         """Guards against grants without a majority, and against queries that wait for a partitioned owner."""
         self.now = 60.0
         self.node.view, self.node.has_contact = view_of(2), False
@@ -598,7 +598,7 @@
         self.assertAlmostEqual(service.status()["fern"]["level"], left, delta=0.1)
         self.assertEqual(asyncio.run(service.on_request(quota_request(need("fern", int(left))))).grants[0].granted_requests, 1)
 
-    def test_without_an_answer_of_the_former_owner_the_wait_and_the_empty_bucket_remain(self):
+    def test_without_a_response_of_the_former_owner_the_wait_and_the_empty_bucket_remain(self):
         """Guards against grants of two owners if the former one is partitioned from the new one only."""
         without_own = tuple(address for address in CHAIN if address != self.node.member.internal_address)
         node, service = self.successor(without_own)
@@ -636,11 +636,11 @@
         answer = asyncio.run(service.on_request(quota_request(need("fern", *[400] * 100))))
         return answer.grants[0].granted_requests
 
-    def test_after_answers_of_a_majority_a_lost_owners_tenants_are_granted_at_once(self):
+    def test_after_responses_of_a_majority_a_lost_owners_tenants_are_granted_at_once(self):
         """Guards against a second of refusals after the loss of an owner that was last confirmed long ago."""
         self.assertGreater(self.take_over(answering=2), 10)
 
-    def test_answers_of_a_minority_or_of_voters_without_the_new_view_do_not_shorten_the_wait(self):
+    def test_responses_of_a_minority_or_of_voters_without_the_new_view_do_not_shorten_the_wait(self):
         """Guards against two owners that grant: the former one may have a majority that was not queried."""
         self.assertEqual(self.take_over(answering=1), 0)
         self.assertEqual(self.take_over(answering=3, learn=False), 0)
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -107,7 +107,7 @@
         self.observations.runs.append(self.run_of(self.add(2, "talk")))
         self.assertEqual(self.violated_checks(), ["none run twice"])
 
-    def test_wrong_and_incomplete_answers_are_violations(self):
+    def test_wrong_and_incomplete_responses_are_violations(self):
         for changes in ({"answer": b"x"}, {"signature": "s2"}, {"answered_id": "r9"}, {"answer": b""}):
             with self.subTest(changes):
                 self.observations.requests.clear()
--- a/tests/system/test_tenant_wire.py
+++ b/tests/system/test_tenant_wire.py
@@ -65,16 +65,16 @@
     async def exchange(self, data: bytes) -> tuple[int, bytes]:
         """Write bytes and return status and body of the next response; status 0 if the connection ended first."""
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_response()
 
-    async def answer(self) -> tuple[int, bytes]:
+    async def read_response(self) -> tuple[int, bytes]:
         async with asyncio.timeout(TIMEOUT_S):
             try:
-                return await self._read_answer()
+                return await self._read_response()
             except OSError:
                 return 0, b""
 
-    async def _read_answer(self) -> tuple[int, bytes]:
+    async def _read_response(self) -> tuple[int, bytes]:
         while (head := self._messages.head()) is None:
             if not await self._feed():
                 return 0, b""
@@ -350,7 +350,7 @@
         connection = await self.connect()
         keys = {"a": self.first, "b": self.second, "c": self.unknown, "d": self.first}
         connection.writer.write(b"".join(request(f"/read/{name}", bearer(key), request_id=name) for name, key in keys.items()))
-        statuses = [(await connection.answer())[0] for _ in keys]
+        statuses = [(await connection.read_response())[0] for _ in keys]
         self.assertEqual(statuses, [200, 200, 401, 200])
         self.assert_runs_as("a", "first")
         self.assert_runs_as("b", "second")
--- a/tests/system/test_tenants_requests.py
+++ b/tests/system/test_tenants_requests.py
@@ -105,7 +105,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """A response that the client received."""
 
     status: int
@@ -130,15 +130,15 @@
             data = b"\r\n".join([*lines, b"Transfer-Encoding: chunked", b"", b""]) + chunk + b"\r\n".join([*trailers, b"", b""])
         self.writer.write(data)
 
-    async def answer(self) -> Answer:
+    async def read_response(self) -> Response:
         lines = (await self._reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
         fields = {name.lower(): text for name, _, text in (line.partition(b": ") for line in lines[1:]) if name}
         body = await self._reader.readexactly(int(fields.get(b"content-length", b"0")))
-        return Answer(int(lines[0].split()[1]), fields, body)
+        return Response(int(lines[0].split()[1]), fields, body)
 
-    async def exchange(self, path: str, *fields: bytes, **more: Any) -> Answer:
+    async def exchange(self, path: str, *fields: bytes, **more: Any) -> Response:
         self.send(path, *fields, **more)
-        return await self.answer()
+        return await self.read_response()
 
 
 class World:
@@ -166,11 +166,11 @@
     async def connect(self) -> Client:
         return Client(*await asyncio.open_connection(*self.address))
 
-    async def exchange(self, path: str, *fields: bytes, **more: Any) -> Answer:
+    async def exchange(self, path: str, *fields: bytes, **more: Any) -> Response:
         client = await self.connect()
-        answer = await client.exchange(path, *fields, **more)
+        response = await client.exchange(path, *fields, **more)
         client.writer.close()
-        return answer
+        return response
 
     @property
     def heads(self) -> list[Head]:
@@ -217,8 +217,8 @@
         """Guards against passing keys on to backends, and against requests without the tenant's name."""
         async with self.world() as world:
             for key, tenant in ((b"key-1", b"t1"), (b"key-1b", b"t1"), (b"key-2", b"t2")):
-                answer = await world.exchange("/private/x", b"Authorization: bearer " + key)
-                self.assertEqual((answer.status, answer.body), (200, b"ok"))
+                response = await world.exchange("/private/x", b"Authorization: bearer " + key)
+                self.assertEqual((response.status, response.body), (200, b"ok"))
                 self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([tenant], []))
 
     async def test_a_tenant_field_of_the_client_is_never_passed_on(self):
@@ -231,8 +231,8 @@
             await world.exchange("/private/x", *own, AUTHORIZED, b"Trailer: Tenant", trailers=trailers)
             self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([b"t1"], []))
             self.assertEqual(world.backends[0].bodies[-1], b"hi")
-            answer = await world.exchange("/private/x", trailers=trailers)  # a key in trailers does not count
-            self.assertEqual(answer.status, 401)
+            response = await world.exchange("/private/x", trailers=trailers)  # a key in trailers does not count
+            self.assertEqual(response.status, 401)
             self.assertEqual(len(world.heads), 2)
 
     async def test_a_public_route_requires_no_key_and_passes_none_on(self):
@@ -278,10 +278,10 @@
         return clients
 
     async def order_of_sending(self, world: World, clients: list[Client]) -> list[tuple[bytes, bytes]]:
-        """Let the backend answer, and return the path and `Priority` of each request in the order in which they were sent."""
+        """Let the backend respond, and return the path and `Priority` of each request in the order in which they were sent."""
         world.backends[0].gate.set()
         for client in clients:
-            self.assertEqual((await client.answer()).status, 200)
+            self.assertEqual((await client.read_response()).status, 200)
         return [(head.target, head.field_values[b"priority"]) for head in world.heads]
 
     async def test_tenants_of_equal_priority_are_ordered_by_the_routes_priority(self):
@@ -322,10 +322,10 @@
                 (AUTHORIZED, b"authorization: Bearer key-2"),
                 (b"Tenant: t1",),
             ):
-                answer = await world.exchange("/private/x", *fields)
-                self.assertEqual(answer.status, 401, fields)
-                self.assertEqual(answer.fields[b"www-authenticate"], b"Bearer")
-                self.assertNotIn(b"unknown", answer.body)
+                response = await world.exchange("/private/x", *fields)
+                self.assertEqual(response.status, 401, fields)
+                self.assertEqual(response.fields[b"www-authenticate"], b"Bearer")
+                self.assertNotIn(b"unknown", response.body)
             self.assertEqual(world.heads, [])
             self.assertEqual(world.router.request_log.counters["unauthorized"], 7)
 
@@ -343,9 +343,9 @@
                 ("/private/x", (AUTHORIZED, AUTHORIZED)),
                 ("/nowhere/x", (AUTHORIZED,)),
             ):
-                answer = await world.exchange(path, *fields)
-                self.assertEqual(answer.status, 503, (path, fields))
-                self.assertGreater(float(answer.fields[b"retry-after"]), 0.0)
+                response = await world.exchange(path, *fields)
+                self.assertEqual(response.status, 503, (path, fields))
+                self.assertGreater(float(response.fields[b"retry-after"]), 0.0)
             self.assertEqual(world.router.request_log.counters["out_of_touch"], 4)
             self.assertEqual((await world.exchange("/private/x", AUTHORIZED)).status, 200)
             self.assertEqual((await world.exchange("/public/x")).status, 200)
@@ -386,7 +386,7 @@
             client = await world.connect()
             for fields in ((AUTHORIZED,), (b"Authorization: Bearer key-2",), ()):
                 client.send("/private/x", *fields)
-            self.assertEqual([(await client.answer()).status for _ in range(3)], [200, 200, 401])
+            self.assertEqual([(await client.read_response()).status for _ in range(3)], [200, 200, 401])
             self.assertEqual([head.field_values[b"tenant"] for head in world.heads], [b"t1", b"t2"])
 
     async def test_a_key_that_moved_runs_under_its_new_tenant(self):
@@ -415,8 +415,8 @@
             running, waiting = await self.wait_in_queue(world, AUTHORIZED)
             world.configure(tenants=[TENANTS[1]])
             world.backends[0].gate.set()
-            self.assertEqual((await waiting.answer()).status, 401)
-            self.assertEqual([(await client.answer()).status for client in running], [200, 200])
+            self.assertEqual((await waiting.read_response()).status, 401)
+            self.assertEqual([(await client.read_response()).status for client in running], [200, 200])
             self.assertEqual(len(world.heads), 2)
             self.assertEqual([queue.running for queue in world.router.queue.by_model.values()], [0])
 
@@ -425,7 +425,7 @@
             _, waiting = await self.wait_in_queue(world, AUTHORIZED)
             world.configure(routes=ROUTES[1:])
             world.backends[0].gate.set()
-            self.assertEqual((await waiting.answer()).status, 404)
+            self.assertEqual((await waiting.read_response()).status, 404)
             self.assertEqual(len(world.heads), 2)
 
     async def test_a_queued_request_runs_under_the_tenants_in_force_when_it_starts(self):
@@ -434,7 +434,7 @@
             _, waiting = await self.wait_in_queue(world, AUTHORIZED, b"Tenant: own")
             world.configure()
             world.backends[0].gate.set()
-            self.assertEqual((await waiting.answer()).status, 200)
+            self.assertEqual((await waiting.read_response()).status, 200)
             self.assertEqual((world.sent_fields(b"tenant"), world.sent_fields(b"authorization")), ([b"t1"], []))
 
     async def test_a_retry_is_authorized_again(self):
@@ -454,7 +454,7 @@
                 world.configure(tenants=[TENANTS[1]])
                 for backend in world.backends:
                     backend.gate.set()
-                self.assertEqual((await client.answer()).status, expected, path)
+                self.assertEqual((await client.read_response()).status, expected, path)
                 self.assertEqual(len(world.heads), 1)
 
     async def test_a_stream_is_not_resumed_after_its_key_was_removed(self):
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -143,7 +143,7 @@
         self.play_checked(script)
 
     def test_has_no_majority_contact_while_its_disk_refuses_the_view(self):
-        """Regression: with a full disk the machine stayed in the former view for 17 s, and data planes used its answers."""
+        """Regression: with a full disk the machine stayed in the former view for 17 s, and data planes used its responses."""
 
         async def script(world: World) -> None:
             former = head(world)
@@ -228,7 +228,7 @@
 
         self.play_checked(script)
 
-    def test_the_next_head_acknowledges_a_change_whose_answer_was_lost(self):
+    def test_the_next_head_acknowledges_a_change_whose_response_was_lost(self):
         async def script(world: World) -> None:
             sent = await change(world)
             former = head(world)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -395,7 +395,7 @@
 
 
 def test_suspects_are_probed_by_each_peer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If only one peer probed a suspect, the other peers would get no answer from it and rely on relayed updates alone."""
+    """If only one peer probed a suspect, the other peers would get no response from it and rely on relayed updates alone."""
     nodes = create_group_of_five()
     now = run_heartbeats(nodes, 0.0, 3.0)
     node, suspect = nodes[0], nodes[1]
@@ -409,7 +409,7 @@
 
 
 def test_probe_carries_the_suspicion_and_the_suspect_refutes_it_to_all_peers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A member that answers but does not know of the suspicion does not refute it, and is declared gone between answers."""
+    """A member that responds but does not know of the suspicion does not refute it, and is declared gone between responses."""
     nodes = create_group_of_five()
     now = run_heartbeats(nodes, 0.0, 3.0)
     node, suspect = nodes[0], nodes[1]
--- a/tests/test_scale_instance.py
+++ b/tests/test_scale_instance.py
@@ -27,14 +27,14 @@
 
 
 @contextmanager
-def server(answer: Callable[[bytes], bytes | None]) -> Iterator[int]:
-    """Run a server with one thread per connection; `answer` maps received data to a reply, None to close the connection."""
+def server(respond: Callable[[bytes], bytes | None]) -> Iterator[int]:
+    """Run a server with one thread per connection; `respond` maps received data to a reply, None to close the connection."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
 
-    def converse(sock: socket.socket) -> None:
+    def serve_connection(sock: socket.socket) -> None:
         with sock:
             while data := sock.recv(65536):
-                if (reply := answer(data)) is None:
+                if (reply := respond(data)) is None:
                     return
                 if reply:
                     sock.sendall(reply)
@@ -45,7 +45,7 @@
                 sock = listener.accept()[0]
             except OSError:
                 return
-            threading.Thread(target=converse, args=(sock,), daemon=True).start()
+            threading.Thread(target=serve_connection, args=(sock,), daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
     try:
@@ -68,13 +68,13 @@
     begun = time.monotonic()
     stall = begun + 0.2, begun + 0.6
 
-    def answer(data: bytes) -> bytes:
+    def respond(data: bytes) -> bytes:
         now = time.monotonic()
         if stall[0] <= now < stall[1]:
             time.sleep(stall[1] - now)
         return GOOD
 
-    with server(answer) as port:
+    with server(respond) as port:
         report = run_generator(port, connections=2)
     assert report["lost"] == 0 and report["answered"] == report["sent"] > 50
     assert report["latency_ms"]["p100"] >= 350.0
@@ -101,11 +101,11 @@
 def test_requests_on_a_closed_connection_are_lost() -> None:
     received: list[bytes] = []
 
-    def answer(data: bytes) -> bytes | None:
+    def respond(data: bytes) -> bytes | None:
         received.append(data)
         return None if len(received) % 5 == 0 else GOOD
 
-    with server(answer) as port:
+    with server(respond) as port:
         report = run_generator(port)
     assert report["broken"] == report["lost"] == len(received) // 5 > 5
     assert report["answered"] + report["lost"] == report["sent"] == len(received)
@@ -114,23 +114,23 @@
 def test_rejections_are_counted_by_status() -> None:
     rejected = b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
 
-    def answer(data: bytes) -> bytes:
+    def respond(data: bytes) -> bytes:
         return rejected if b"X-Retry" in data else GOOD
 
-    with server(answer) as port:
+    with server(respond) as port:
         report = run_generator(port, repeats=0.5)
     assert report["lost"] == 0 and report["statuses"]["429"] + report["statuses"]["200"] == report["sent"]
     assert report["statuses"]["429"] > 10
 
 
 def test_runs_without_a_notice_on_the_link_are_lost() -> None:
-    def answer(data: bytes) -> bytes:
+    def respond(data: bytes) -> bytes:
         refs = re.findall(rb'"rid":"([0-9a-f]{16})"', data)
         return b"".join(
             b'{"t": "VALUE", "no": 1, "rid": "%b", "status": "good", "b64": ""}\n' % ref for ref in refs if ref < b"8"
         )
 
-    with server(answer) as port:
+    with server(respond) as port:
         report = run_generator(port, wire="link", drain=0.1)
     assert 10 < report["lost"] < report["sent"] - 10 and report["lost"] + report["answered"] == report["sent"]
 
