--- a/tests/system/test_data_plane.py
+++ b/tests/system/test_data_plane.py
@@ -108,7 +108,7 @@
         self.arrive(pending("a", deadline=10.0))
         self.assertEqual(self.started(), [])
 
-    def test_removes_requests_that_can_not_be_served_before_their_deadline(self):
+    def test_removes_requests_that_cannot_be_served_before_their_deadline(self):
         self.slots, self.ready = 0.0, 6.0
         self.arrive(pending("a", deadline=5.0), pending("b", deadline=10.0))
         expired = self.queue.remove_expired(0.5)
@@ -281,7 +281,7 @@
         self.assertEqual(tracker.report([], 80.0), [])
 
     def test_a_report_with_an_extreme_priority_can_be_parsed(self):
-        """Guards against losing the whole report to one extreme priority: older control planes accept any finite number."""
+        """Guards against losing the whole report to one extreme priority: older control-plane nodes accept any finite one."""
         tracker, waiting = DemandTracker(), ModelQueue(MODEL_KEY, waiting=[pending("a", priority=10**300)])
         tracker.record_request(MODEL_KEY, 1.0, 0.0)
         report = DemandReport(node="d", demand=tracker.report([waiting], 0.0))
