--- a/mulleinhatch/simulation/control_plane/disk_faults.py
+++ b/mulleinhatch/simulation/control_plane/disk_faults.py
@@ -14,7 +14,7 @@
 
     async def _disk(self, machine: Machine, for_s: float, **fault: Any) -> None:
         normal = {name: getattr(machine, name) for name in fault}
-        self._world.record_core_event()
+        self._world.record_fault_event()
         for name, value in fault.items():
             setattr(machine, name, value)
         await asyncio.sleep(for_s)
--- a/mulleinhatch/simulation/control_plane/fault_actions.py
+++ b/mulleinhatch/simulation/control_plane/fault_actions.py
@@ -18,7 +18,7 @@
 
     def _start_recovery(self, machine: Machine) -> None:
         machine.lost_until = self._world.loop.time() + CATCH_UP_S
-        self._world.record_core_event()
+        self._world.record_fault_event()
 
     def _start(self, machine: Machine) -> None:
         if machine.node is None and not machine.removed:
@@ -36,7 +36,7 @@
 
     async def _power_cycle(self, machines: list[Machine], for_s: float, planes: bool) -> None:
         world = self._world
-        world.record_core_event()
+        world.record_fault_event()
         for machine in machines:
             machine.stop()
         for plane in world.planes if planes else []:
@@ -49,4 +49,4 @@
             machine.lost_until = max(machine.lost_until if machine.lost_until < 1e8 else 0.0, world.loop.time() + CATCH_UP_S)
         for plane in world.planes if planes else []:
             plane.start()
-        world.record_core_event()
+        world.record_fault_event()
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -137,7 +137,7 @@
         if self._world.lost() == 0 and self._world.majority.has_majority_since(self._world.loop.time() - CATCH_UP_S):
             self._check_next_loss()
         now = self._world.loop.time()
-        if not self._world.is_core_stable(now - CONTACT_S):
+        if not self._world.is_control_plane_stable(now - CONTACT_S):
             return
         due = max((version for at, version in self._acknowledged if at <= now - CONFIGURATION_APPLY_S), default=0)
         for plane in self._world.planes:
@@ -201,7 +201,7 @@
         """
         plan = self._world.plan
         losses = list(itertools.combinations(running, plan.tolerated))
-        if not plan.zones_tolerated or not self._world.is_core_stable(self._world.loop.time() - CATCH_UP_S):
+        if not plan.zones_tolerated or not self._world.is_control_plane_stable(self._world.loop.time() - CATCH_UP_S):
             return losses
         zones = sorted({machine.zone for machine in running})
         for lost_zones in itertools.combinations(zones, plan.zones_tolerated):
--- a/mulleinhatch/simulation/control_plane/link_faults.py
+++ b/mulleinhatch/simulation/control_plane/link_faults.py
@@ -14,7 +14,7 @@
 
     async def _disconnect_links(self, machine: Machine, others: list[Any], for_s: float, both: bool = True) -> None:
         links = self._world.links
-        self._world.record_core_event()
+        self._world.record_fault_event()
         for other in others:
             links.disconnect(machine, other, both)
         await asyncio.sleep(for_s)
@@ -39,7 +39,7 @@
         world = self._world
         half = world.rng.sample(world.machines, len(world.machines) // 2)
         pairs = [(machine, other) for machine in half for other in world.machines if other not in half]
-        world.record_core_event()
+        world.record_fault_event()
         for machine, other in pairs:
             world.links.disconnect(machine, other)
         await asyncio.sleep(for_s)
@@ -47,4 +47,4 @@
             world.links.reconnect(machine, other)
         for machine in world.machines:
             machine.lost_until = max(machine.lost_until, world.loop.time() + CATCH_UP_S)
-        world.record_core_event()
+        world.record_fault_event()
--- a/mulleinhatch/simulation/control_plane/machine_faults.py
+++ b/mulleinhatch/simulation/control_plane/machine_faults.py
@@ -25,7 +25,7 @@
         return self._armed is not None
 
     async def _stop_and_restart(self, machine: Machine, for_s: float, wipe: bool) -> None:
-        self._world.record_core_event()
+        self._world.record_fault_event()
         machine.stop(wipe)
         await asyncio.sleep(for_s)
         self._start(machine)
@@ -46,7 +46,7 @@
         """Pause the process."""
         process = machine.process
         process.frozen = True
-        self._world.record_core_event()
+        self._world.record_fault_event()
         await asyncio.sleep(for_s)
         self._world.loop.thaw(process)
         self._start_recovery(machine)
@@ -59,7 +59,7 @@
 
     async def _leave(self, machine: Machine) -> bool:
         """Shut a machine down; return whether the shutdown, and no other fault, ended it."""
-        self._world.record_core_event()
+        self._world.record_fault_event()
         process = machine.process
         if process is None:
             return False
@@ -70,12 +70,12 @@
         has_ended = machine.process is process
         if has_ended:
             machine.stop()
-        self._world.record_core_event()
+        self._world.record_fault_event()
         return has_ended
 
     async def replace(self, machine: Machine, for_s: float) -> None:
         """Remove a machine for good; an empty one starts later at another address."""
-        self._world.record_core_event()
+        self._world.record_fault_event()
         machine.stop(wipe=True)
         machine.removed = True
         await asyncio.sleep(for_s)
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -37,7 +37,7 @@
         self.first = True
         self.machines = [Machine(number, self) for number in range(plan.machines)]
         self._numbers = plan.machines
-        self._core_event_at = 0.0
+        self._fault_event_at = 0.0
         self.planes = [DataPlane(self, number) for number in range(2)]
         self.checker = InvariantChecker(self, history)
         self.faults = FaultInjector(self)
@@ -73,7 +73,7 @@
             self.machines.append(machine)
         machine.start()
         machine.lost_until = self.loop.time() + CATCH_UP_S
-        self.record_core_event()
+        self.record_fault_event()
         self.note(f"{machine.number} comes for {former.number}")
         return machine
 
@@ -86,13 +86,13 @@
         now = self.loop.time()
         return sum(machine.node is None or machine.lost_until > now for machine in self.machines)
 
-    def record_core_event(self) -> None:
+    def record_fault_event(self) -> None:
         """Record that a fault hit the core or ended."""
-        self._core_event_at = self.loop.time()
+        self._fault_event_at = self.loop.time()
 
-    def is_core_stable(self, since: float) -> bool:
+    def is_control_plane_stable(self, since: float) -> bool:
         """Return whether no fault hit the core since a time, and a majority of its machines run and are in contact."""
-        return self._core_event_at < since and self.majority.has_majority()
+        return self._fault_event_at < since and self.majority.has_majority()
 
     def is_connected(self, plane: DataPlane, since: float) -> bool:
         """Return whether a data plane has run since a time."""
--- a/mulleinhatch/simulation/control_plane/zone_faults.py
+++ b/mulleinhatch/simulation/control_plane/zone_faults.py
@@ -23,7 +23,7 @@
     async def inject(self, fault: ZoneFault, zone: str, for_s: float) -> None:
         """Inject one fault and return when it has ended; the machines then recover."""
         machines = [machine for machine in self._world.machines if machine.zone == zone and not machine.removed]
-        self._world.record_core_event()
+        self._world.record_fault_event()
         if fault is ZoneFault.ISOLATE:
             await self._isolate(machines, for_s)
         else:
--- a/tests/system/test_overlapping_losses.py
+++ b/tests/system/test_overlapping_losses.py
@@ -36,7 +36,7 @@
 
 
 def disconnect_from_others(world: World, machines: list[Machine]) -> None:
-    world.record_core_event()
+    world.record_fault_event()
     for machine in machines:
         for other in world.machines:
             if other not in machines:
@@ -44,7 +44,7 @@
 
 
 def power_off_all(world: World, wiped: list[Machine]) -> None:
-    world.record_core_event()
+    world.record_fault_event()
     for machine in world.machines:
         machine.stop(wipe=machine in wiped)
         machine.lost_until = 1e9
@@ -59,7 +59,7 @@
         machine.lost_until = world.loop.time() + CATCH_UP_S
     for plane in world.planes:
         plane.start()
-    world.record_core_event()
+    world.record_fault_event()
 
 
 async def until(world: World, condition: Callable[[], bool], within_s: float = 5.0) -> None:
@@ -125,14 +125,14 @@
                 for member in world.machines[0].node.view.chain[1:]
             )
             world.links.disconnect(middle, tail)
-            world.record_core_event()
+            world.record_fault_event()
             await until(world, lambda: middle.node.replica.log_complete)
             end = world.loop.time() + 3.0
             while world.loop.time() < end:
                 check(middle, sent)
                 await asyncio.sleep(STEP_S)
             world.links.clear()
-            world.record_core_event()
+            world.record_fault_event()
             await asyncio.sleep(CATCH_UP_S)
             await change(world)
 
--- a/tests/system/test_worst_days.py
+++ b/tests/system/test_worst_days.py
@@ -50,13 +50,13 @@
 def stop(world: World, machine: Machine, wipe: bool = False) -> None:
     machine.stop(wipe)
     machine.lost_until = 1e9
-    world.record_core_event()
+    world.record_fault_event()
 
 
 def start(world: World, machine: Machine) -> None:
     machine.start()
     machine.lost_until = world.loop.time() + CATCH_UP_S
-    world.record_core_event()
+    world.record_fault_event()
 
 
 def head(world: World) -> Machine:
