--- a/mulleinhatch/simulation/control_plane/__init__.py
+++ b/mulleinhatch/simulation/control_plane/__init__.py
@@ -1,7 +1,7 @@
-"""Simulate the control plane in virtual time: the real nodes, APIs and data planes' clients on virtual disks and networks.
+"""Simulate the control plane in virtual time: the real nodes, APIs and clients of data planes, on virtual disks and networks.
 
 Faults (losses, replacements, partitions, failing disks) are injected in any order, and invariants are checked from outside, by
-the responses to clients. `play(seed)` returns a `History`; a seed determines it completely. Each planted `Defect` must
+the responses to clients. `play(seed)` returns a `History`; a seed determines it completely. Each injected `Defect` must
 violate an invariant in some history.
 """
 
@@ -85,7 +85,7 @@
     zones: int = 1,
     zones_tolerated: int = 0,
 ) -> History:
-    """Play one history whose events come from a script, on a core that has just started."""
+    """Play one history whose events come from a script, on a control plane that has just started."""
 
     async def begin(world: World) -> None:
         await world.start()
--- a/mulleinhatch/simulation/control_plane/clients.py
+++ b/mulleinhatch/simulation/control_plane/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the core: operators change and read the configuration, backends start and leave, data planes poll."""
+"""Clients of the control plane: operators change and read the configuration, backends start and leave, data planes poll."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from mulleinhatch.simulation.control_plane.network import Network
 from mulleinhatch.simulation.virtual_time import Process
 
-CALL_TIMEOUT_S = 1.0  # of operators and backends
+CALL_TIMEOUT_S = 1.0  # timeout of a call by an operator or a backend
 MAX_REDIRECTS = 2
 MAX_ATTEMPTS = 14
 ACK_LOSS_PROBABILITY = 0.2
@@ -44,7 +44,7 @@
 
 
 class ControlApiClient:
-    """Calls the `control` address of core machines and follows redirects."""
+    """Calls the `control` address of control-plane nodes and follows redirects."""
 
     def __init__(self, world: Any) -> None:
         self._world = world
--- a/mulleinhatch/simulation/control_plane/defects.py
+++ b/mulleinhatch/simulation/control_plane/defects.py
@@ -1,7 +1,7 @@
-"""Defects that are planted in the real code to show that the invariant checks find them.
+"""Defects that are injected into the real code to show that the invariant checks find them.
 
-There is one for each guarantee of the core, and one for each defect that was found earlier. Each patches one or two functions
-for the duration of a history.
+There is one for each guarantee of the control plane, and one for each defect that was found earlier. Each patches one or two
+functions for the duration of a history.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Defect(Enum):
-    """A planted defect."""
+    """An injected defect."""
 
     NONE = "none"
     LOSE_SYNCED_WRITE = "a synced write may be lost"
--- a/mulleinhatch/simulation/control_plane/history_plan.py
+++ b/mulleinhatch/simulation/control_plane/history_plan.py
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True)
 class HistoryPlan:
-    """The size of the core, its disks, its users and its faults. Times in virtual seconds; pairs are ranges of random draws.
+    """The size of the control plane, its disks, users and faults. Times in virtual seconds; pairs are ranges of random draws.
 
     Attributes:
-        machines: Core machines at the start.
+        machines: Control-plane nodes at the start.
         tolerated: Machines that may be lost at once, with their disks.
         sync_duration_s: Duration of a write to disk.
-        fault_period_s: Time in which users are active and faults are injected; afterwards the core must recover.
+        fault_period_s: Time in which users are active and faults are injected; afterwards the control plane must recover.
         change_interval_s: Time between two changes of one operator.
         overlapping_fraction: Fraction of the faults that exceed the tolerance; these lose no disk.
-        zones: Zones, to which the machines are assigned in turn.
+        zones: Zones, to which the machines are assigned round-robin.
         zones_tolerated: Zones that may be lost at once, with all machines in them.
         zone_loss_fraction: Fraction of the other faults that take a whole zone, where one may be lost.
         closing_fraction: Fraction of the histories with faults that end with lost disks while all others lose power.
--- a/mulleinhatch/simulation/control_plane/invariant_checks.py
+++ b/mulleinhatch/simulation/control_plane/invariant_checks.py
@@ -1,4 +1,4 @@
-"""Check the invariants of the core from outside: by its responses, the content of disks, and the data planes' snapshots."""
+"""Check the invariants of the control plane from outside: by responses, the content of disks, and data planes' snapshots."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     reads: int = 0
     leaves: int = 0
     views: int = 0
-    connected_checks: int = 0  # checks of data planes that were connected to a stable core
+    connected_checks: int = 0  # checks of data planes that were connected to a stable control plane
 
 
 class InvariantChecker:
@@ -197,7 +197,7 @@
     def _tolerated_losses(self, running: list[Machine]) -> list[tuple[Machine, ...]]:
         """Return every set of machines whose loss at once is tolerated: any machines and any zones up to the tolerated numbers.
 
-        Voters move to other zones only after a fault has ended, so zones are lost only from a core that was stable.
+        Voters move to other zones only after a fault has ended, so zones are lost only while the control plane is stable.
         """
         plan = self._world.plan
         losses = list(itertools.combinations(running, plan.tolerated))
@@ -218,7 +218,7 @@
     # The end.
 
     def check_end(self) -> None:
-        """Check that the core has all acknowledged changes and no rejected one at the end."""
+        """Check that the control plane has all acknowledged changes and no rejected one at the end."""
         running = [machine.node for machine in self._world.machines if machine.node is not None]
         newest = max(running, key=lambda node: (node.view.epoch, node.state.index))
         state = newest.state
--- a/mulleinhatch/simulation/control_plane/link_faults.py
+++ b/mulleinhatch/simulation/control_plane/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults of links between core machines."""
+"""Faults of links between control-plane nodes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         await self._disconnect_links(machine, [self._world.rng.choice(self._other_machines(machine))], for_s)
 
     async def partition(self, _: None, for_s: float) -> None:
-        """Partition the core into two halves."""
+        """Partition the control-plane nodes into two halves."""
         world = self._world
         half = world.rng.sample(world.machines, len(world.machines) // 2)
         pairs = [(machine, other) for machine in half for other in world.machines if other not in half]
--- a/mulleinhatch/simulation/control_plane/machines.py
+++ b/mulleinhatch/simulation/control_plane/machines.py
@@ -1,4 +1,4 @@
-"""Simulated core machines: a disk with its faults, and the process that runs on the machine, if any."""
+"""The simulated machines of control-plane nodes: each has a disk with its faults, and the node's process while it runs."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         return list(self._machine.records)
 
     def append(self, records: list[Record]) -> None:
-        """Append records, unless a planted defect loses them."""
+        """Append records, unless an injected defect loses them."""
         if self._is_unlinked:
             return
         if self._machine.defect is Defect.LOSE_SYNCED_WRITE and self._machine.rng.random() < 0.3:
@@ -99,7 +99,7 @@
 
 
 def process_settings(world: Any, name: str, ip: str, control_address: str = "", zone: str = "z0") -> Settings:
-    """Return the settings of a process; only control planes have a `control_address`."""
+    """Return the settings of a process; only control-plane nodes have a `control_address`."""
     return Settings(
         name=name,
         ip_address=ip,
@@ -123,7 +123,7 @@
 
 
 class Machine:
-    """One core machine: address, disk, and the process that runs on it, if any.
+    """The machine of one control-plane node: its address, its disk, and the node's process while it runs.
 
     Attributes:
         records: The content of the disk.
@@ -162,17 +162,19 @@
         return f"{self.ip}:80"
 
     def settings(self) -> Settings:
-        """Return the settings of the machine's control plane."""
+        """Return the settings of the control-plane node."""
         return process_settings(self._world, f"core-{self.number}", self.ip, self.control_address, self.zone)
 
     def start(self) -> None:
-        """Start a control plane process from the content of the disk."""
+        """Start a control-plane process from the content of the disk."""
         loop: VirtualLoop = self._world.loop
         self.starts += 1
         self.started_at = loop.time()
         self.process = Process(f"core-{self.number}.{self.starts}")
         observer = _DistributionObserver()
-        node = ControlPlaneNode(self.settings(), self._world.caller(self, self.process), loop.time, observer, self._disk())
+        node = ControlPlaneNode(
+            self.settings(), self._world.network_client(self, self.process), loop.time, observer, self._disk()
+        )
         node.open()
         distribution = observer.distribution = Distribution(node, loop.time)
         self.control = ControlApi(node, loop.time, dict)
--- a/mulleinhatch/simulation/control_plane/majority_watch.py
+++ b/mulleinhatch/simulation/control_plane/majority_watch.py
@@ -1,4 +1,4 @@
-"""Determine which machines form a majority, from outside the core: by their disks, their links and the time in contact."""
+"""Determine from outside which machines form a majority: by their disks, their links and the time in contact."""
 
 from __future__ import annotations
 
--- a/mulleinhatch/simulation/control_plane/network.py
+++ b/mulleinhatch/simulation/control_plane/network.py
@@ -11,7 +11,7 @@
 from mulleinhatch.simulation.virtual_time import Process
 
 DELAY_S = (0.001, 0.006)
-MESSAGE_LOSS_PROBABILITY = 0.02  # of each message between core machines
+MESSAGE_LOSS_PROBABILITY = 0.02  # of each message between control-plane nodes
 RESET_S = 0.001  # a machine without a process refuses connections at once
 
 
@@ -45,7 +45,7 @@
 
 
 class Network:
-    """The calls of one process to core machines, in place of `networking.http_client.HttpClient`."""
+    """The calls of one process to control-plane nodes, in place of `networking.http_client.HttpClient`."""
 
     def __init__(self, world: Any, endpoint: Any, process: Process | None) -> None:
         self._world, self._endpoint, self._process = world, endpoint, process
@@ -56,7 +56,7 @@
     async def request(
         self, address: str, method: str, path: str, body: bytes, within: float, *_: Any, headers: dict[str, str] | None = None
     ) -> HttpResponse:
-        """Send a request to a core machine.
+        """Send a request to a control-plane node.
 
         Raises:
             HttpCallError: No response came within `within` seconds.
--- a/mulleinhatch/simulation/control_plane/outages.py
+++ b/mulleinhatch/simulation/control_plane/outages.py
@@ -1,4 +1,4 @@
-"""Outages beyond the tolerance of the core, in which no disk is lost."""
+"""Outages beyond the tolerance of the control plane, in which no disk is lost."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     """Crashes and power losses of several machines at once, and restarts of data planes."""
 
     async def kill_all(self, _: None, for_s: float) -> None:
-        """Kill all processes of the core at once."""
+        """Kill all control-plane processes at once."""
         await self._power_cycle(self._world.machines, min(1.0, for_s), planes=False)
 
     async def power_all(self, _: None, for_s: float) -> None:
-        """Cut the power of all core machines, and sometimes of the data planes."""
+        """Cut the power of all control-plane nodes, and sometimes of the data planes."""
         await self._power_cycle(self._world.machines, for_s, planes=self._world.rng.random() < 0.5)
 
     async def power_of_some(self, _: None, for_s: float) -> None:
--- a/mulleinhatch/simulation/control_plane/world.py
+++ b/mulleinhatch/simulation/control_plane/world.py
@@ -17,7 +17,7 @@
 from mulleinhatch.simulation.control_plane.network import Links, Network
 from mulleinhatch.simulation.virtual_time import Process, VirtualLoop
 
-RECOVERY_S = 12.0  # after the last fault the core must answer within this time
+RECOVERY_S = 12.0  # after the last fault the control plane must answer within this time
 CHECK_INTERVAL_S = 0.1
 MAX_CLAIM_INTERVAL_S = 1.7
 STARTUP_S = 2.0
@@ -27,7 +27,7 @@
     """The shared state of one history.
 
     Attributes:
-        first: Whether the core starts for the first time.
+        first: Whether the control plane starts for the first time.
     """
 
     def __init__(self, history: History, loop: VirtualLoop, plan: HistoryPlan) -> None:
@@ -54,7 +54,7 @@
         """Return the control addresses of the first three machines, as the settings files name them."""
         return tuple(machine.control_address for machine in self.machines[:3])
 
-    def caller(self, endpoint: Any, process: Process) -> Any:
+    def network_client(self, endpoint: Any, process: Process) -> Any:
         """Return the network client of one process."""
         return Network(self, endpoint, process)
 
@@ -87,11 +87,11 @@
         return sum(machine.node is None or machine.lost_until > now for machine in self.machines)
 
     def record_fault_event(self) -> None:
-        """Record that a fault hit the core or ended."""
+        """Record that a fault hit the control plane or ended."""
         self._fault_event_at = self.loop.time()
 
     def is_control_plane_stable(self, since: float) -> bool:
-        """Return whether no fault hit the core since a time, and a majority of its machines run and are in contact."""
+        """Return whether no fault hit the control plane since a time, and a majority of its nodes run and are in contact."""
         return self._fault_event_at < since and self.majority.has_majority()
 
     def is_connected(self, plane: DataPlane, since: float) -> bool:
@@ -153,7 +153,7 @@
             self.checker.record_claim(token)
 
     async def _verify_recovery(self) -> None:
-        """Check that the core answers after all faults, and that it has all acknowledged changes and no rejected one."""
+        """Check that the control plane answers after all faults, and has all acknowledged changes and no rejected one."""
         await asyncio.sleep(9.0)  # operations in progress end: a shutdown may take its grace period
         self.links.clear()
         for machine in self.machines:
@@ -171,7 +171,7 @@
         self.checker.check_end()
 
     async def _verify_change_accepted(self, end: float) -> None:
-        """Check that the core accepts a change again."""
+        """Check that the control plane accepts a change again."""
         operator = Operator(self, "last")
         while self.loop.time() < end:
             await Reader(self).read()
--- a/mulleinhatch/simulation/control_plane/zone_faults.py
+++ b/mulleinhatch/simulation/control_plane/zone_faults.py
@@ -1,4 +1,4 @@
-"""Losses of a zone with all core machines in it."""
+"""Losses of a zone with all control-plane nodes in it."""
 
 from __future__ import annotations
 
