--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -40,7 +40,7 @@
 
 from mulleinhatch.instance.load_balancing.estimates import SCATTER, DecayingWindow, estimate_population, shrink_towards_mean
 from mulleinhatch.simulation.gossip_world import Plan
-from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED, Load, LoadBalancingWorld, common_queue
+from mulleinhatch.simulation.load_balancing_world import MODES, SETTLED_AT_S, Load, LoadBalancingWorld, common_queue
 from mulleinhatch.testing import duplicate_runs as second_runs
 from mulleinhatch.testing.fleet_harness import FleetCase, FleetHarness, views_agree
 from mulleinhatch.testing.instance_harness import keep_environment
@@ -87,7 +87,7 @@
 def play(job: tuple[str, str, int, int, str, float, Load, bool]) -> tuple[str, str, dict[str, float], Any]:
     """Play one case in one mode; takes one argument, as a process pool requires."""
     name, mode, count, seed, script, length, load, plotted = job
-    plan = Plan(count, script, until=SETTLED + length + 2.5, seed=seed)
+    plan = Plan(count, script, until=SETTLED_AT_S + length + 2.5, seed=seed)
     if mode == "one line":
         return name, mode, common_queue(plan, load), None
     world = LoadBalancingWorld(plan, load, mode).play()
@@ -150,7 +150,7 @@
             vmax=1.0,
             cmap="viridis",
             interpolation="nearest",
-            extent=(SETTLED, SETTLED + 0.5 * len(busy), len(busy[0]) - 0.5, -0.5),
+            extent=(SETTLED_AT_S, SETTLED_AT_S + 0.5 * len(busy), len(busy[0]) - 0.5, -0.5),
         )
         axis.set_title(title)
         axis.set_ylabel("instance")
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -36,7 +36,7 @@
 LOAD_CHANGE_DELAY_S = 0.005  # seconds from a load change until the balancer is told, so that changes are batched
 IDLE_CHECK_INTERVAL_S = 0.05  # seconds between samples of the idle instances
 CONNECT_TIMEOUT_S = 0.5  # seconds until a peer that does not answer counts as unreachable
-SETTLED = 4.0  # seconds until views and service rates are known; measurements begin then
+SETTLED_AT_S = 4.0  # seconds until views and service rates are known; measurements begin then
 FAILING_RUN_FRACTION = 0.1  # duration of a failing run, as a fraction of a full run
 
 
@@ -138,16 +138,16 @@
         self.latencies: list[float] = []
         self.idle_needed = 0.0
         self.arrivals: Counter[tuple[int, int]] = Counter()
-        self.ran: Counter[int] = Counter()
-        self.once: set[int] = set()  # numbers of non-retryable requests
+        self.run_counts: Counter[int] = Counter()
+        self.non_retryable: set[int] = set()  # numbers of non-retryable requests
         self.handed = Counter[str]()
         # By place and incarnation: seconds from its start to each hand-over.
         self.handovers_while_warming_up: dict[tuple[int, int], list[float]] = {}
         self.rejected_at = -1.0
         self.busy: list[list[float]] = []  # each half second, the fraction of each instance's cores in use
         self.redirect_fractions: list[list[float]] = []
-        self.at(SETTLED - 2.0, self._create_request)
-        self.at(SETTLED, self._check_idle)
+        self.at(SETTLED_AT_S - 2.0, self._create_request)
+        self.at(SETTLED_AT_S, self._check_idle)
 
     # Instances.
 
@@ -375,8 +375,8 @@
         number, work = body.split()
         if ref in node.runs:
             raise InvariantBrokenError(f"at {self.now:.3f} {node.name} starts {ref} while it is running")
-        self.ran[int(number)] += 1
-        if self.ran[int(number)] > 1 and int(number) in self.once:
+        self.run_counts[int(number)] += 1
+        if self.run_counts[int(number)] > 1 and int(number) in self.non_retryable:
             raise InvariantBrokenError(f"at {self.now:.3f} a non-retryable request runs a second time, on {node.name}")
         slow = (
             max(1.0, faults.amount(self.faults, "slow", self.now, node.place))
@@ -528,7 +528,7 @@
         self._receive_request(peer, answered, arguments)
 
     def _receive_request(self, node: Service, answered: Callable[..., None], arguments: tuple) -> None:
-        if self.now >= SETTLED:
+        if self.now >= SETTLED_AT_S:
             self.arrivals[node.place, int(self.now)] += 1
         node.places += 1
         node.pending_requests[node.places] = answered
@@ -546,8 +546,8 @@
         caller = draw.choices(range(load.callers), self.weights)[0]
         request = Request(self.requests, kind, self.now, caller, load.work * draw.uniform(0.4, 1.6), draw.random())
         if kind[1] is not Effect.RETRYABLE:
-            self.once.add(request.number)
-        if self.now >= SETTLED:
+            self.non_retryable.add(request.number)
+        if self.now >= SETTLED_AT_S:
             self.requested_value += kind[2]
         self._send_attempt(request)
 
@@ -612,7 +612,7 @@
 
     def _on_response(self, request: Request, place: int, what: str, result: Any, heeds: bool) -> None:
         if what == "ack":
-            if not request.is_finished and request.born >= SETTLED:
+            if not request.is_finished and request.born >= SETTLED_AT_S:
                 self.latencies.append(self.now - request.born)
                 if self.now - request.born <= TARGET_LATENCY_S:
                     self.in_time += request.kind[2]
@@ -657,14 +657,14 @@
                 for node in up
             )
             self.idle_needed += IDLE_CHECK_INTERVAL_S * idle
-        if len(self.busy) < 2.0 * (self.now - SETTLED):
+        if len(self.busy) < 2.0 * (self.now - SETTLED_AT_S):
             self.busy.append([min(1.0, len(node.runs) / self.load.cores) if node.core else -1.0 for node in self.nodes])
             self.redirect_fractions.append(
                 [node.spread.redirect_fraction if node.spread else node.level for node in self.nodes]
             )
 
     def figures(self) -> dict[str, float]:
-        """Return the measured figures of all requests since `SETTLED`."""
+        """Return the measured figures of all requests since `SETTLED_AT_S`."""
         latencies = sorted(self.latencies) or [math.inf]
         seconds = sorted({second for _, second in self.arrivals})[:-1]
         mean = sum(self.arrivals[place, second] for place in range(self.plan.instances) for second in seconds) / max(
@@ -692,7 +692,7 @@
     speeds = load.speeds or (1.0,)
     slots = [speeds[place % len(speeds)] for place in range(plan.instances) for _ in range(load.cores)]
     capacity = sum(slots) / load.work
-    now, requests = SETTLED - 2.0, []
+    now, requests = SETTLED_AT_S - 2.0, []
     while now < plan.until - TARGET_LATENCY_S - 0.5:
         kind = draw.choices(KINDS, [kind[3] for kind in KINDS])[0]
         requests.append((now, kind[2], load.work * draw.uniform(0.4, 1.6)))
@@ -707,13 +707,13 @@
             free_at = max(free_at, arrivals[0][0])
         while arrivals and arrivals[0][0] <= free_at:
             born, value, work = arrivals.popleft()
-            requested_value += value if born >= SETTLED else 0.0
+            requested_value += value if born >= SETTLED_AT_S else 0.0
             heapq.heappush(queue, (-value, born, work))
         if queue:
             value, born, work = heapq.heappop(queue)
             took = free_at + work / -speed - born
             if took <= TARGET_LATENCY_S:
-                in_time += -value if born >= SETTLED else 0.0
+                in_time += -value if born >= SETTLED_AT_S else 0.0
                 latencies.append(took)
                 free_at += work / -speed
         heapq.heappush(free, (free_at, speed))
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -222,7 +222,7 @@
     plan = Plan(8, "at 5 cut 0-3 from 4-7 for 3", until=12.0, seed=6)
     world = LoadBalancingWorld(plan, Load(0.9, callers=4, uneven=3.0, listed=2)).play()
     assert world.handed["interrupted"] + world.handed["unreachable"] > 0
-    assert not [number for number in world.once if world.ran[number] > 1]
+    assert not [number for number in world.non_retryable if world.run_counts[number] > 1]
 
 
 def test_without_handover_no_request_is_passed() -> None:
