--- a/mulleinhatch/simulation/fault_search/campaign.py
+++ b/mulleinhatch/simulation/fault_search/campaign.py
@@ -14,7 +14,7 @@
 from mulleinhatch.simulation.fault_search.histories import KINDS, History, draw_history
 from mulleinhatch.simulation.fault_search.play import SearchOutcome, play, violation_kind
 
-HISTORIES_PER_PROCESS = 2  # histories for each process between two updates of the weights
+HISTORIES_PER_PROCESS = 2  # histories per process between two updates of the weights
 WEIGHT_PER_NEW_STATE = 0.05  # weight for each new state, between MIN_WEIGHT and MAX_WEIGHT
 MIN_WEIGHT, MAX_WEIGHT = 0.5, 4.0
 
@@ -24,7 +24,7 @@
 
     history: History
     what: str
-    short: History  # the shortest that still fails in the same way
+    short: History  # the shortest history found that still fails in the same way
     tries: int  # histories that shrinking played
 
 
@@ -37,7 +37,7 @@
     growth: list[int]  # states known after each batch
     kinds: dict[str, int]
     findings: list[Finding]
-    worst: list[tuple[float, int]]  # fraction in time of the worst second, and the seed
+    worst: list[tuple[float, int]]  # fraction served in time in the worst second, and the seed
     slowest: list[tuple[float, int]]  # seconds until the recovery, and the seed
 
 
@@ -49,7 +49,7 @@
 
 
 def shrink_history(history: History, what: str, defect: str = "", most: int = 60) -> tuple[History, int]:
-    """Remove lines and load options that the failure does not need (delta debugging).
+    """Remove fault-script lines and load options that are not needed to reproduce the failure (delta debugging).
 
     Returns:
         The shortest history found that still fails in the same way, and the number of histories played.
@@ -97,9 +97,9 @@
     Args:
         seeds: The seeds to play, in order.
         within: Seconds of real time.
-        defect: Name of the defect to plant; empty for none.
+        defect: Name of the defect to inject; empty for none.
         stop_at_first: Stop at the first finding and do not shrink it.
-        most: Histories at most.
+        most: Maximum number of histories.
         processes: Worker processes; all cores by default.
         report_line: Called with one line for each new kind of violation.
     """
--- a/mulleinhatch/simulation/fault_search/defects.py
+++ b/mulleinhatch/simulation/fault_search/defects.py
@@ -1,4 +1,4 @@
-"""Defects that can be planted one at a time, to check that the search finds them; each removes one safeguard."""
+"""Defects that can be injected one at a time, to check that the search finds them; each removes one safeguard."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
-    """Plant a defect for the duration of the `with` block; an empty name plants none."""
+    """Inject a defect for the duration of the `with` block; an empty name injects none."""
     originals = [(owner, attribute, getattr(owner, attribute)) for owner, attribute, _ in DEFECTS.get(name, ())]
     for owner, attribute, replacement in DEFECTS.get(name, ()):
         setattr(owner, attribute, replacement)
--- a/mulleinhatch/simulation/fault_search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -1,7 +1,7 @@
 """Random histories: fault kinds that occur together, load, maintenance; one seed always gives the same history.
 
-Neighbours fail together; slowness is as likely as death; links fail in one direction or partly; what failed recovers, sometimes
-repeatedly. A fault kind is drawn more often the more new states it led to.
+Adjacent instances fail together; slow instances are as likely as crashes; links fail in one direction or partly; most failed
+instances and links recover, some of them repeatedly. A fault kind that led to more new states is drawn more often.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from mulleinhatch.simulation.load_balancing_world import Load
 
-FIRST_FAULT_S, FAULT_PERIOD_S = 8.0, 8.0  # seconds: the earliest start of a fault, and the period within which all start
+FIRST_FAULT_S, FAULT_PERIOD_S = 8.0, 8.0  # seconds: the earliest start of a fault, and the period in which all faults start
 KINDS = (
     "zone dies",
     "zone slow",
--- a/mulleinhatch/simulation/fault_search/play.py
+++ b/mulleinhatch/simulation/fault_search/play.py
@@ -1,4 +1,4 @@
-"""Play one history: reducers, gossip, load-balancing and maintenance cores together, with invariants checked from outside."""
+"""Play one history of reducers, gossip, load balancing and maintenance together, and check invariants from outside."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 VIEWS_AGREE_WITHIN_S = 4.0  # seconds after the last fault within which the views agree
 RECOVERY_WITHIN_S = 12.0  # seconds after the last fault; an instance that was unhealthy takes part again after 3 to 10 s
-MIN_RECOVERED_FRACTION = 0.9  # of the service before the faults; less without any remaining fault is a sustained failure
+MIN_RECOVERED_FRACTION = 0.9  # of the service before the faults; a lower level after them is a sustained failure
 MAINTENANCE_WITHIN_S = 60.0  # seconds after the last fault within which every requested window has begun
 SAMPLE_INTERVAL_S = 0.25  # seconds between samples of the states
 MAX_PENDING_REQUESTS = 400  # pending requests of one instance
@@ -52,7 +52,7 @@
         self.at(FIRST_FAULT_S - 2.0, self._sample_states)
 
     def go_out_of_service(self, node: Node) -> None:
-        """Leave in the program's order: notify the reducer, hand over or answer queued requests, then stop."""
+        """Leave in the order of the real program: notify the reducer, hand over or answer queued requests, then stop."""
         self._reduce(node, Event.SHUTDOWN_REQUESTED, LEAVE_GRACE_S)
         self._send(node, node.core.leave(node.clock(self.now)))
         self.at(self.now + LEAVE_GRACE_S, self._finish_leaving, node, node.incarnations)
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -1,4 +1,4 @@
-"""Load on a fleet in virtual time: real reducers, gossip and load-balancing cores; clients that know a few instances each.
+"""Load on a fleet in virtual time: real reducers, gossip nodes and load balancers; each client knows a few instances.
 
 One seed gives one history. Checked at each step: one answer for each request and connection, no non-retryable request runs
 twice anywhere, and offers never exceed the free capacity. `mode` selects what the instances do: `alone` (no load balancing),
@@ -33,7 +33,7 @@
 TARGET_LATENCY_S, REQUEST_TIMEOUT_S = 1.8, 4.5
 RETRY_PAUSE_S = 0.05  # seconds before a client's next attempt
 MAX_ATTEMPTS = 4
-LOAD_CHANGE_DELAY_S = 0.005  # seconds from a load change until the balancer is told, so that changes are batched
+LOAD_CHANGE_DELAY_S = 0.005  # seconds from a load change to the notification of the balancer, so that changes are batched
 IDLE_CHECK_INTERVAL_S = 0.05  # seconds between samples of the idle instances
 CONNECT_TIMEOUT_S = 0.5  # seconds until a peer that does not answer counts as unreachable
 SETTLED_AT_S = 4.0  # seconds until views and service rates are known; measurements begin then
@@ -50,17 +50,17 @@
     cores: int = 2
     work: float = 0.3  # mean core seconds of a run; runs vary
     callers: int = 12
-    listed: int = 5  # instances that a caller knows
-    mixed: bool = False  # lists drawn at random; else neighbours, so that busy callers know the same few
-    one: float = 0.0  # fraction of all requests that one caller sends
-    uneven: float = 1.0  # 0: all callers send at the same rate; 1: the busiest at three times the idlest's rate
+    listed: int = 5  # instances that a client knows
+    mixed: bool = False  # lists are drawn at random; otherwise adjacent instances, so that busy clients know the same few
+    one: float = 0.0  # fraction of all requests that one client sends
+    uneven: float = 1.0  # 0: all clients send at the same rate; 1: the busiest at three times the rate of the idlest
     heeding: float = 0.8  # fraction of the requests whose clients respect hold-offs and levels
-    list_delay: float = 1.0  # seconds until callers learn which instances stopped or started
+    list_delay: float = 1.0  # seconds until clients learn which instances stopped or started
     speeds: tuple[float, ...] = ()  # by place, repeated; if empty, all are 1
     marked: bool = True
     cold_speed: float = 1.0  # initial speed of a restarted instance
     cold_for: float = 0.0  # seconds until a restarted instance runs at full speed
-    busy_callers: int = 0  # the callers know only this many instances; 0: all
+    busy_callers: int = 0  # the clients know only this many instances; 0: all
 
 
 class Request:
@@ -85,9 +85,9 @@
         self.pending_requests: dict[int, Callable[..., None]] = {}  # response callback by connection id
         self.runs: dict[str, tuple[float, bool, float]] = {}  # by ref: work, whether the run fails, when it began
         self.end_timer_number = 0
-        self.places = self.notices = 0
+        self.last_connection_id = self.last_notice_id = 0
         self.is_notification_scheduled = False
-        self.level = 0.0  # the level in the last response to callers
+        self.level = 0.0  # the level in the last response to clients
         self.warming_up_since = -math.inf
         self.deferred_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while the process is stalled
 
@@ -103,7 +103,7 @@
             bounds._replace(hand_over=mode not in ("alone", "advice"), advice=mode == "advice" or bounds.advice),
         )
         super().__init__(plan._replace(budgets=()))
-        draw = self.calls = random.Random(plan.seed + 77)
+        draw = self.client_random = random.Random(plan.seed + 77)
         self.nodes = [Service(self, place) for place in range(plan.instances)]
         self.events.clear()
         for node in self.nodes:
@@ -112,8 +112,8 @@
             self.at(fault.at, self._apply_fault, fault)
         speeds = load.speeds or (1.0,)
         self.speeds = [speeds[place % len(speeds)] for place in range(plan.instances)]
-        self.capacity = sum(self.speeds) * load.cores / load.work  # requests a second
-        # Each caller knows `listed` adjacent instances: those known to busy callers are the busy ones.
+        self.capacity = sum(self.speeds) * load.cores / load.work  # requests per second
+        # Each client knows `listed` adjacent instances; those known to busy clients receive more requests.
         step = plan.instances / load.callers
         self.lists = [
             [int(caller * step + offset) % plan.instances for offset in range(min(load.listed, plan.instances))]
@@ -144,7 +144,7 @@
         # By place and incarnation: seconds from its start to each hand-over.
         self.handovers_while_warming_up: dict[tuple[int, int], list[float]] = {}
         self.rejected_at = -1.0
-        self.busy: list[list[float]] = []  # each half second, the fraction of each instance's cores in use
+        self.busy: list[list[float]] = []  # for each half second, the fraction of each instance's cores in use
         self.redirect_fractions: list[list[float]] = []
         self.at(SETTLED_AT_S - 2.0, self._create_request)
         self.at(SETTLED_AT_S, self._check_idle)
@@ -152,7 +152,7 @@
     # Instances.
 
     def start(self, node: Node) -> None:
-        """Start a new incarnation with its reducer, interpreter and load-balancing core."""
+        """Start a new incarnation with its reducer, interpreter and load balancer."""
         if node.core:
             return
         super().start(node)
@@ -182,7 +182,7 @@
         }
         node.reducer = Reducer(deployment, [kind[0] for kind in KINDS], [], node.place + 1)
         node.cores, node.runs, node.pending_requests, node.deferred_calls = Cores(load.cores, lambda at: 1.0), {}, {}, []
-        node.notices, node.level = 0, 0.0
+        node.last_notice_id, node.level = 0, 0.0
         if node.spread:
             node.reducer.keeps_handover_data = self.spread_bounds.hand_over
             node.reducer.on_run_ended, node.reducer.on_client_request = node.spread.record_run, node.spread.record_arrival
@@ -245,8 +245,8 @@
     def _on_process_end(self, node: Service) -> None:
         waiting, node.pending_requests, node.runs = node.pending_requests, {}, {}
         self.at(self.now + self.load.list_delay, self._set_listed, node, node.incarnations, False)
-        for answered in waiting.values():
-            answered("broken", b"")
+        for respond in waiting.values():
+            respond("broken", b"")
 
     def _send_heartbeat(self, node: Node, incarnation: int, again: bool = True) -> None:
         if node.core is None or node.incarnations != incarnation:
@@ -354,15 +354,15 @@
         elif action is Action.HAND_OVER:
             self._hand_over(node, *fields)
         elif action in (Action.SEND_RESULT, Action.SEND_REJECTION, Action.SEND_FAILURE, Action.SEND_INVALID):
-            answered = node.pending_requests.pop(fields[0], None)
-            if answered is None:
+            respond = node.pending_requests.pop(fields[0], None)
+            if respond is None:
                 raise InvariantBrokenError(
                     f"at {self.now:.3f} {node.name} sends a second or unexpected answer on connection {fields[0]}"
                 )
             node.level = fields[-1] or 0.0
             self.at(
                 self.now + self.draw.uniform(*LINK_DELAY_S),
-                answered,
+                respond,
                 action.value,
                 fields[1] if action is Action.SEND_RESULT else fields[1:3] if action is Action.SEND_REJECTION else b"",
             )
@@ -394,11 +394,11 @@
         return 1.0 if since >= load.cold_for else load.cold_speed + (1.0 - load.cold_speed) * since / load.cold_for
 
     def over_ramp(self, window: float) -> tuple[float, int]:
-        """Measure how far hand-overs to warming-up instances exceeded the ramp.
+        """Measure by how much the hand-overs to warming-up instances exceeded their allowed rate.
 
         Returns:
-            The most requests in any `window` seconds beyond N + 2 sqrt(N) + 2, N being what the ramp allows then; and
-            the number of requests handed over to such instances in all.
+            The largest excess of requests in any `window` seconds over N + 2 sqrt(N) + 2, where N is the allowed number at that
+            speed; and the total number of requests handed over to such instances.
         """
         worst, count = -math.inf, 0
         for times in self.handovers_while_warming_up.values():
@@ -420,8 +420,8 @@
             return
         for ref in node.cores.ended(self.now + 1e-9):
             _, fails, _ = node.runs.pop(ref, (0.0, False, 0.0))
-            node.notices += 1
-            self._reduce(node, Event.RUN_ENDED, node.notices, ref, Ending.ERROR if fails else Ending.OK, ref.encode())
+            node.last_notice_id += 1
+            self._reduce(node, Event.RUN_ENDED, node.last_notice_id, ref, Ending.ERROR if fails else Ending.OK, ref.encode())
         self._schedule_next_end(node)
 
     # Hand-over.
@@ -517,7 +517,7 @@
         if peer.spread:
             peer.spread.offer_issuer.redeem(peer.clock(self.now), offer.number)
 
-        def answered(what: str, result: Any) -> None:
+        def respond(what: str, result: Any) -> None:
             passes = faults.passes(self.links, self.now, peer.place, node.place)
             if passes:
                 finish(
@@ -525,19 +525,19 @@
                     result if what == "ack" else b"",
                 )
 
-        self._receive_request(peer, answered, arguments)
+        self._receive_request(peer, respond, arguments)
 
-    def _receive_request(self, node: Service, answered: Callable[..., None], arguments: tuple) -> None:
+    def _receive_request(self, node: Service, respond: Callable[..., None], arguments: tuple) -> None:
         if self.now >= SETTLED_AT_S:
             self.arrivals[node.place, int(self.now)] += 1
-        node.places += 1
-        node.pending_requests[node.places] = answered
-        self._reduce(node, Event.REQUEST_RECEIVED, node.places, *arguments)
+        node.last_connection_id += 1
+        node.pending_requests[node.last_connection_id] = respond
+        self._reduce(node, Event.REQUEST_RECEIVED, node.last_connection_id, *arguments)
 
-    # Callers.
+    # Clients.
 
     def _create_request(self) -> None:
-        load, draw = self.load, self.calls
+        load, draw = self.load, self.client_random
         if self.now >= self.plan.until - TARGET_LATENCY_S - 0.5:
             return
         self.at(self.now + draw.expovariate(load.load * self.capacity), self._create_request)
@@ -575,7 +575,7 @@
         ref = f"{self.draw.getrandbits(60):016x}"
         incarnation = node.incarnations
 
-        def answered(what: str, result: Any) -> None:
+        def respond(what: str, result: Any) -> None:
             self._on_response(request, chosen, what, result, heeds)
 
         self.at(self.now + wait + 0.2, self._on_timeout, request)
@@ -584,7 +584,7 @@
             self._deliver_request,
             node,
             incarnation,
-            answered,
+            respond,
             (
                 ref,
                 request.kind[0],
@@ -601,11 +601,11 @@
             ),
         )
 
-    def _deliver_request(self, node: Service, incarnation: int, answered: Callable[..., None], arguments: tuple) -> None:
+    def _deliver_request(self, node: Service, incarnation: int, respond: Callable[..., None], arguments: tuple) -> None:
         if node.core is None or node.incarnations != incarnation:
-            answered("broken", b"")
+            respond("broken", b"")
         else:
-            self._receive_request(node, answered, arguments)
+            self._receive_request(node, respond, arguments)
 
     def _on_timeout(self, request: Request) -> None:
         request.is_finished = request.is_finished or self.now - request.born >= REQUEST_TIMEOUT_S
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -1,8 +1,8 @@
 """Simulated instances at scale: topology, start-up configuration, reported figures, and the faults they encounter.
 
-A simulated instance runs the real cores (gossip; load balancing and maintenance as configured), which exchange real datagrams
-as bytes, without clients and interpreter. `scale_world.py` plays many of them in virtual time, `scale_shards.py` in several
-processes.
+A simulated instance runs the real protocol code (gossip; load balancing and maintenance as configured), which exchanges real
+datagrams as bytes, without clients and interpreter. `scale_world.py` plays many of them in virtual time,
+`scale_shards.py` in several processes.
 
 Places are numbered so that each zone, region and rack is a range. Scripts are those of `testing/fault_script.py`, in
 which a list of places may also name `zone3`, `region0`, `rack17`, with one more command:
@@ -24,12 +24,12 @@
     (0.004, 0.006),
     (0.005, 0.008),
     (0.030, 0.045),
-)  # seconds with both event loops: in a zone, in a region, between regions
+)  # seconds with both event loops: within a zone, within a region, between regions
 LOOKAHEAD_S = min(low for low, _ in LINK_DELAYS_S)  # no datagram arrives sooner, so a process may run this far ahead
 HEADER_BYTES = 28  # UDP and IP headers of a datagram
-RACK = 40  # instances
-PORT = 7300  # of the first instance at a place; each replacement has the next port
-REQUESTS_PER_S = 275.0  # that each instance reports; realistic figures give reports of realistic length
+RACK = 40  # instances per rack
+FIRST_PORT = 7300  # port of the first instance at a place; each replacement uses the next one
+REQUESTS_PER_S = 275.0  # reported by each instance, so that reports have a realistic length
 TENANT_COUNT = 250_000
 FLAT_HEARTBEAT_S, LEVELS_HEARTBEAT_S = 0.1, 0.25
 PLACE_RANGE_NAME = re.compile(r"\b(zone|region|rack)(\d+)\b")
@@ -48,7 +48,7 @@
     seed: int = 1
     start_within: float = 0.1  # all instances start within this time
     introduced: bool = False  # without levels: each instance knows all others from the start, by messages that are not counted
-    busy: bool = True  # report the figures of an instance that takes 275 requests a second; otherwise zeros
+    busy: bool = True  # report the figures of an instance that serves 275 requests per second; otherwise zeros
     spread: bool = False
     maintenance_voters: int = 0  # 0: no maintenance windows
     budgets: tuple[tuple[str, int, float], ...] = ()  # name, total, window
@@ -97,7 +97,7 @@
     @staticmethod
     def address(place: int, generation: int) -> str:
         """Return the address of the `generation`-th instance at a place."""
-        return f"10.{place >> 16}.{place >> 8 & 255}.{place & 255}:{PORT + generation}"
+        return f"10.{place >> 16}.{place >> 8 & 255}.{place & 255}:{FIRST_PORT + generation}"
 
     @staticmethod
     def place_named(name: str) -> int:
@@ -122,7 +122,7 @@
         """Parse a script.
 
         Raises:
-            FaultScriptError: A line is no fault.
+            FaultScriptError: A line is not a valid fault.
             InvalidPlanError: A zone, region or rack does not exist.
         """
         return faults.read(self.translated(script), self.plan.members)
@@ -212,10 +212,10 @@
 
 
 def churn(
-    draw: random.Random, members: int, a_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
+    draw: random.Random, members: int, per_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
 ) -> str:
     """Draw restarts and replacements at a daily rate, each place at most once; `away` is the mean downtime in seconds."""
-    count = round(a_day * length / 86_400.0)
+    count = round(per_day * length / 86_400.0)
     chosen = draw.sample(range(members), min(members, count))
     return "\n".join(
         f"at {start + draw.uniform(0.0, length):.3f} {'replace' if draw.random() < replaced else 'kill'} {place} "
@@ -230,7 +230,8 @@
 
 
 def listed(places: list[int]) -> str:
-    """
+    """Format places as ranges.
+
     >>> listed([4, 1, 2, 3, 9])
     '1-4,9'
     """
@@ -267,9 +268,9 @@
             lines.append(f"at {at:.2f} kill {one} for {last:.2f}")
         elif kind == "stall":
             lines.append(f"at {at:.2f} stall {listed(draw.sample(speakers, min(3, len(speakers))))} for {last:.2f}")
-        elif kind == "pair":  # it resumes after another took over: for a moment both are speakers
+        elif kind == "pair":  # the speaker resumes after another took over, so both are speakers for a moment
             lines += [f"at {at + turn * last:.2f} stall {one} for {0.4 * last:.2f}" for turn in (0.0, 0.6)]
-        elif kind == "alone":  # it is connected to other zones and not to its own
+        elif kind == "alone":  # the speaker is connected to other zones but not to its own
             others = [place for place in range(members) if topology.zone[place] == topology.zone[one] and place != one]
             lines.append(f"at {at:.2f} cut {one} from {listed(others)} for {last:.2f}")
         elif kind in ("deaf", "cut"):
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -1,8 +1,8 @@
 """A world of simulated instances in several processes, in windows of virtual time; the history is that of a single process.
 
 The synchronisation is conservative: no datagram takes less than `LOOKAHEAD_S`, so each process may run that far beyond the
-earliest event of all without hearing from the others. Datagrams between shards are handed over at the end of the
-window and ordered by (time, sender, sequence).
+earliest event of all processes without receiving anything from the others. Datagrams between shards are handed over at the
+end of the window and ordered by (time, sender, sequence).
 """
 
 from __future__ import annotations
@@ -82,9 +82,9 @@
 def run_shard(plan: Plan, owner: list[int], index: int, pipe: Connection, ends: list[Connection]) -> None:
     """Run a shard's process: play windows and answer queries until the pipe closes; send a traceback on any error."""
     for end in ends:
-        end.close()  # inherited: while this process keeps one open, its peer never sees it close
-    # The cores create no significant reference cycles; collections over all instances' objects would count as CPU of
-    # single instances.
+        end.close()  # inherited by fork: while this process keeps one open, the peer does not see it close
+    # The protocol code creates no significant reference cycles, and a collection over the objects of all instances would
+    # be counted as CPU time of a single instance.
     gc.disable()
     try:
         server = ShardServer(plan, owner, index)
@@ -255,7 +255,7 @@
         """Return whether the views agree.
 
         All running instances must be in groups whose members see exactly each other, as many groups as planned, with
-        nobody suspected.
+        no member suspected.
         Each view contains its owner, so a view held by as many instances as it has members is held by exactly those.
         """
         view_counts: Counter[tuple[int, int]] = Counter()
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -2,7 +2,8 @@
 
 One seed gives one history for any number of shards: each instance has its own random source, and simultaneous events are
 ordered by (time, sender, sequence). Figures are measured from outside: the script, not the instances, tells which places run.
-Bytes and datagrams are counted by instance and second, with 28 bytes of headers each; CPU is the thread's time in the cores.
+Bytes and datagrams are counted by instance and second, with 28 bytes of headers each; CPU is the thread's time in the
+protocol code.
 """
 
 from __future__ import annotations
@@ -56,11 +57,11 @@
     members: int
     silent: int
     oldest: float
-    living: int  # instances that really run
+    living: int  # instances that are running
 
 
 class SimulatedInstance:
-    """One instance: its cores, clock, random source and counts; slotted, as a world holds thousands."""
+    """One instance: its protocol state machines, clock, random source and counts; slotted, as a world holds thousands."""
 
     __slots__ = (
         "place",
@@ -78,9 +79,9 @@
         "meters",
         "born",
         "sent",
-        "heard",
+        "received",
         "sent_count",
-        "heard_count",
+        "received_count",
         "cpu",
         "calls",
         "digest",
@@ -89,7 +90,7 @@
     def __init__(self, plan: Plan, place: int) -> None:
         draw = random.Random(plan.seed * 1_000_003 + place)
         self.place, self.random_source = place, draw
-        self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # no clock shows the true time
+        self.rate, self.offset = draw.uniform(0.99, 1.01), draw.uniform(-3600.0, 3600.0)  # each clock drifts and has an offset
         self.core: GossipNode | None = None
         self.spread: LoadBalancer | None = None
         self.maintenance: MaintenanceCoordinator | None = None
@@ -97,7 +98,7 @@
         self.waiting: deque[bytes] = deque(maxlen=SOCKET_QUEUE_SIZE)
         self.sequence = self.incarnations = self.cpu = self.calls = self.digest = 0
         self.reported_figures, self.meters, self.born = ReportedFigures(plan, draw), [], 0.0
-        self.sent, self.heard, self.sent_count, self.heard_count = (array("I") for _ in range(4))
+        self.sent, self.received, self.sent_count, self.received_count = (array("I") for _ in range(4))
 
 
 class Shard:
@@ -114,7 +115,7 @@
         self.outgoing: dict[int, list[Event]] = {}
         self.script_sequence = 0
         members = plan.members
-        # The state of all places according to the script, the same in each shard.
+        # The state of all places as the script sets it; it is the same in each shard.
         self.up, self.incarnation = bytearray(members), [0] * members
         self.generation = [0] * members
         self.place_by_address = {self.topology.address(place, 0): place for place in range(members)}
@@ -168,8 +169,8 @@
             if type(what) is bytes:
                 if node.core is not None:
                     second = int(self.now)
-                    node.heard[second] += len(what) + HEADER_BYTES
-                    node.heard_count[second] += 1
+                    node.received[second] += len(what) + HEADER_BYTES
+                    node.received_count[second] += 1
                     if node.stalled:
                         node.waiting.append(what)
                     else:
@@ -187,7 +188,7 @@
         for node in self.nodes:
             if node and len(node.sent) < seconds:
                 more = bytes(4 * (seconds - len(node.sent)))
-                for series in (node.sent, node.heard, node.sent_count, node.heard_count):
+                for series in (node.sent, node.received, node.sent_count, node.received_count):
                     series.frombytes(more)
 
     # The script.
@@ -247,7 +248,7 @@
             self._schedule(node, node.random_source.uniform(0.0, 0.1), (USE, node.incarnations, budget))
 
     def _introduce(self, node: SimulatedInstance, now: float) -> None:
-        """Deliver messages that name all other members, as one of them would; the instance does not forward the updates."""
+        """Deliver messages that name all other members, as a peer would; the instance does not forward the updates."""
         topology, names = self.topology, [place for place in range(self.plan.members) if place != node.place]
         for first in range(0, len(names), 12):
             some = names[first : first + 12]
@@ -463,9 +464,9 @@
         return {
             node.place: (
                 node.sent[first:last],
-                node.heard[first:last],
+                node.received[first:last],
                 node.sent_count[first:last],
-                node.heard_count[first:last],
+                node.received_count[first:last],
             )
             for node in self.nodes
             if node
@@ -478,7 +479,7 @@
                 node.cpu = node.calls = 0
 
     def cpu(self) -> dict[int, tuple[int, int]]:
-        """Return by place the nanoseconds in the cores and the calls since `mark`."""
+        """Return by place the CPU nanoseconds in the protocol code and the calls to it since `mark`."""
         return {node.place: (node.cpu, node.calls) for node in self.nodes if node}
 
     def digest(self) -> dict[int, int]:
@@ -526,7 +527,7 @@
         return found
 
     def state(self, places: list[int]) -> list[dict[str, float]]:
-        """Return the bytes of state by kind of these instances, if they run; each object counts once."""
+        """Return the bytes of state by kind, for each of these instances that runs; each object counts once."""
         return [state_of(node) for place in places if (node := self.nodes[place]) and node.core]
 
     def attribute(self, name: str) -> Any:
@@ -563,7 +564,7 @@
 
 
 def state_of(node: SimulatedInstance) -> dict[str, float]:
-    """Return bytes of state by kind of one instance."""
+    """Return the bytes of state of one instance, by kind."""
     # Settings and the instance itself do not count as state.
     seen = {
         id(node),
