--- a/benchmarks/scale_events.py
+++ b/benchmarks/scale_events.py
@@ -74,7 +74,7 @@
         dead = event.dead(world) if event.dead else []
         world.script(event.script(world, begin))
         world.play(begin + event.killed_after)
-        holders = {place: there for place, (there, _) in world.holding(dead, frozenset(dead)).items()}
+        holders = {place: there for place, (there, _) in world.count_views_of(dead, frozenset(dead)).items()}
         frozen = 0
         while world.now < begin + event.duration:
             world.play(min(begin + event.duration, world.now + max(1.0, event.duration / 8.0)))
--- a/mulleinhatch/simulation/load_balancing_world.py
+++ b/mulleinhatch/simulation/load_balancing_world.py
@@ -393,7 +393,7 @@
         load = self.load
         return 1.0 if since >= load.cold_for else load.cold_speed + (1.0 - load.cold_speed) * since / load.cold_for
 
-    def over_ramp(self, window: float) -> tuple[float, int]:
+    def ramp_excess(self, window: float) -> tuple[float, int]:
         """Measure by how much the hand-overs to warming-up instances exceeded their allowed rate.
 
         Returns:
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -504,7 +504,7 @@
             view_counts[hash(frozenset([node.place, *places])), 1 + len(places)] += 1
         return view_counts, inaccurate, frozen, running
 
-    def holding(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
+    def count_views_of(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
         """Return by place how many views have it present and gone; stalled instances and those in `but` are left out."""
         names = {place: self.topology.name(place, self.generation[place]) for place in places}
         counts = {place: [0, 0] for place in places}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -108,13 +108,13 @@
 def test_death_is_detected_and_false_declaration_is_found() -> None:
     with World(Plan(members=12), processes=False) as world:
         world.play(4.0)
-        assert world.holding([5], frozenset([5])) == {5: (11, 0)}
+        assert world.count_views_of([5], frozenset([5])) == {5: (11, 0)}
         world.script("at 4 kill 5 for 6")
         world.play(9.0)
         gone = world.listed("gone")
         known = known_after(gone, {5: 11}, 4.0, 1.0)
         assert known is not None and 1.5 < known < 4.0
-        assert world.counts()["wrong"] == 0 and world.holding([5]) == {5: (0, 11)}
+        assert world.counts()["wrong"] == 0 and world.count_views_of([5]) == {5: (0, 11)}
         assert known_after(gone, {5: 11, 6: 1}, 4.0, 1.0) is None
         # Planted defect: an instance declares a running one gone.
         core = world.local.nodes[2].core
--- a/tests/test_warm_up_load.py
+++ b/tests/test_warm_up_load.py
@@ -31,7 +31,7 @@
         "spread",
     ).play()
     for window in WINDOWS_S:
-        excess, received = world.over_ramp(window)
+        excess, received = world.ramp_excess(window)
         assert received > 10 and excess <= 0.0, (window, excess, received)
 
 
