--- a/mulleinhatch/simulation/fault_search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -101,9 +101,9 @@
     if kind == "black hole":
         return [f"at {at:.2f} failing {one} 1.0 for {last:.2f}"]
     if kind == "flapping":
-        return [f"at {at + 1.2 * turn:.2f} cut {zone} from {rest} for 0.60" for turn in range(draw.randint(2, 5))]
+        return [f"at {at + 1.2 * index:.2f} cut {zone} from {rest} for 0.60" for index in range(draw.randint(2, 5))]
     if kind == "rolling":
-        return [f"at {at + 0.8 * turn:.2f} kill {(first + turn) % instances} for 0.50" for turn in range(size + 1)]
+        return [f"at {at + 0.8 * index:.2f} kill {(first + index) % instances} for 0.50" for index in range(size + 1)]
     if kind == "chain":
         third = max(1, instances // 3)
         return [f"at {at:.2f} cut 0-{third - 1} from {instances - third}-{instances - 1} for {last:.2f}"]
--- a/mulleinhatch/simulation/scale_instances.py
+++ b/mulleinhatch/simulation/scale_instances.py
@@ -154,7 +154,7 @@
         for zone, first in enumerate(self.firsts):
             size = plan.members // len(self.firsts)
             seeds = tuple(self.address(first + place, 0) for place in sorted({0, 1, size // 2}))
-            beyond = tuple(self.address(other + turn, 0) for turn in (0, 1) for other in self.firsts if other != first)
+            beyond = tuple(self.address(other + index, 0) for index in (0, 1) for other in self.firsts if other != first)
             bounds_by_zone.append(
                 common_bounds._replace(
                     seeds=seeds, zone=f"z{zone}", region=f"r{zone // plan.zones}", groups=self.groups, beyond=beyond
@@ -165,7 +165,7 @@
     def watched(self) -> list[int]:
         """Return the places whose sums are sampled; seeds (the first of a zone) are left out."""
         size = self.plan.members // len(self.firsts)
-        return sorted({first + min(size - 1, size // 3 + turn) for first in self.firsts for turn in range(self.plan.watched)})
+        return sorted({first + min(size - 1, size // 3 + index) for first in self.firsts for index in range(self.plan.watched)})
 
 
 class ReportedFigures:
@@ -176,8 +176,8 @@
         self.rate = REQUESTS_PER_S * draw.uniform(0.7, 1.3)
         self.heavy_hitters = (
             [
-                (f"tenant-{draw.randrange(TENANT_COUNT)}", round(8.0 / (1 + turn) * draw.uniform(0.7, 1.3), 2))
-                for turn in range(4)
+                (f"tenant-{draw.randrange(TENANT_COUNT)}", round(8.0 / (1 + index) * draw.uniform(0.7, 1.3), 2))
+                for index in range(4)
             ]
             if plan.busy
             else []
@@ -212,14 +212,20 @@
 
 
 def churn(
-    draw: random.Random, members: int, per_day: float, start: float, length: float, replaced: float = 0.3, away: float = 5.0
+    draw: random.Random,
+    members: int,
+    per_day: float,
+    start: float,
+    length: float,
+    replaced: float = 0.3,
+    mean_down_s: float = 5.0,
 ) -> str:
-    """Draw restarts and replacements at a daily rate, each place at most once; `away` is the mean downtime in seconds."""
+    """Draw restarts and replacements at a daily rate, each place at most once; `mean_down_s` is the mean downtime."""
     count = round(per_day * length / 86_400.0)
     chosen = draw.sample(range(members), min(members, count))
     return "\n".join(
         f"at {start + draw.uniform(0.0, length):.3f} {'replace' if draw.random() < replaced else 'kill'} {place} "
-        f"for {away * draw.uniform(0.5, 1.5):.3f}"
+        f"for {mean_down_s * draw.uniform(0.5, 1.5):.3f}"
         for place in chosen
     )
 
@@ -269,7 +275,7 @@
         elif kind == "stall":
             lines.append(f"at {at:.2f} stall {listed(draw.sample(speakers, min(3, len(speakers))))} for {last:.2f}")
         elif kind == "pair":  # the speaker resumes after another took over, so both are speakers for a moment
-            lines += [f"at {at + turn * last:.2f} stall {one} for {0.4 * last:.2f}" for turn in (0.0, 0.6)]
+            lines += [f"at {at + fraction * last:.2f} stall {one} for {0.4 * last:.2f}" for fraction in (0.0, 0.6)]
         elif kind == "alone":  # the speaker is connected to other zones but not to its own
             others = [place for place in range(members) if topology.zone[place] == topology.zone[one] and place != one]
             lines.append(f"at {at:.2f} cut {one} from {listed(others)} for {last:.2f}")
--- a/mulleinhatch/simulation/scale_shards.py
+++ b/mulleinhatch/simulation/scale_shards.py
@@ -242,9 +242,9 @@
         """Return the counters, summed over shards."""
         return sum(self.ask("attribute", "counts"), Counter())
 
-    def count_views_of(self, places: list[int], but: frozenset[int] = frozenset()) -> dict[int, tuple[int, int]]:
-        """Return by place how many views have it present, and how many gone."""
-        answers = self.ask("count_views_of", places, but)
+    def count_views_of(self, places: list[int], excluded: frozenset[int] = frozenset()) -> dict[int, tuple[int, int]]:
+        """Return by place how many views have it present and how many gone; views of `excluded` places do not count."""
+        answers = self.ask("count_views_of", places, excluded)
         return {place: (sum(one[place][0] for one in answers), sum(one[place][1] for one in answers)) for place in places}
 
     def frozen(self) -> int:
--- a/mulleinhatch/simulation/scale_world.py
+++ b/mulleinhatch/simulation/scale_world.py
@@ -504,12 +504,12 @@
             view_counts[hash(frozenset([node.place, *places])), 1 + len(places)] += 1
         return view_counts, inaccurate, frozen, running
 
-    def count_views_of(self, places: list[int], but: frozenset[int]) -> dict[int, tuple[int, int]]:
-        """Return by place how many views have it present and gone; stalled instances and those in `but` are left out."""
+    def count_views_of(self, places: list[int], excluded: frozenset[int]) -> dict[int, tuple[int, int]]:
+        """Return by place how many views have it present and how many gone; stalled and `excluded` places do not count."""
         names = {place: self.topology.name(place, self.generation[place]) for place in places}
         counts = {place: [0, 0] for place in places}
         for node in self.nodes:
-            if node is None or node.core is None or node.stalled or node.place in but:
+            if node is None or node.core is None or node.stalled or node.place in excluded:
                 continue
             view = node.core.members.view
             prefix = next((name.rpartition("/")[0] + "/" for name in view if "/" in name), "")
