--- a/mulleinhatch/simulation/control_plane/link_faults.py
+++ b/mulleinhatch/simulation/control_plane/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults of links between core machines."""
+"""Faults of links between control-plane nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     async def _disconnect_links(self, machine: Machine, others: list[Any], for_s: float, both: bool = True) -> None:
         links = self._world.links
-        self._world.record_core_event()
+        self._world.record_fault_event()
         for other in others:
             links.disconnect(machine, other, both)
         await asyncio.sleep(for_s)
@@ -35,11 +35,11 @@
         await self._disconnect_links(machine, [self._world.rng.choice(self._other_machines(machine))], for_s)
 
     async def partition(self, _: None, for_s: float) -> None:
-        """Partition the core into two halves."""
+        """Partition the control-plane nodes into two halves."""
         world = self._world
         half = world.rng.sample(world.machines, len(world.machines) // 2)
         pairs = [(machine, other) for machine in half for other in world.machines if other not in half]
-        world.record_core_event()
+        world.record_fault_event()
         for machine, other in pairs:
             world.links.disconnect(machine, other)
         await asyncio.sleep(for_s)
@@ -47,4 +47,4 @@
             world.links.reconnect(machine, other)
         for machine in world.machines:
             machine.lost_until = max(machine.lost_until, world.loop.time() + CATCH_UP_S)
-        world.record_core_event()
+        world.record_fault_event()
--- a/mulleinhatch/simulation/fault_search/histories.py
+++ b/mulleinhatch/simulation/fault_search/histories.py
@@ -1,7 +1,7 @@
 """Random histories: fault kinds that occur together, load, maintenance; one seed always gives the same history.
 
-Neighbours fail together; slowness is as likely as death; links fail in one direction or partly; what failed recovers, sometimes
-repeatedly. A fault kind is drawn more often the more new states it led to.
+Adjacent instances fail together; slow instances are as likely as crashes; links fail in one direction or partly; most failed
+instances and links recover, some of them repeatedly. A fault kind that led to more new states is drawn more often.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from mulleinhatch.simulation.load_balancing_world import Load
 
-FIRST_FAULT_S, FAULT_PERIOD_S = 8.0, 8.0  # seconds: the earliest start of a fault, and the period within which all start
+FIRST_FAULT_S, FAULT_PERIOD_S = 8.0, 8.0  # seconds: the earliest start of a fault, and the period in which all faults start
 KINDS = (
     "zone dies",
     "zone slow",
@@ -101,9 +101,9 @@
     if kind == "black hole":
         return [f"at {at:.2f} failing {one} 1.0 for {last:.2f}"]
     if kind == "flapping":
-        return [f"at {at + 1.2 * turn:.2f} cut {zone} from {rest} for 0.60" for turn in range(draw.randint(2, 5))]
+        return [f"at {at + 1.2 * index:.2f} cut {zone} from {rest} for 0.60" for index in range(draw.randint(2, 5))]
     if kind == "rolling":
-        return [f"at {at + 0.8 * turn:.2f} kill {(first + turn) % instances} for 0.50" for turn in range(size + 1)]
+        return [f"at {at + 0.8 * index:.2f} kill {(first + index) % instances} for 0.50" for index in range(size + 1)]
     if kind == "chain":
         third = max(1, instances // 3)
         return [f"at {at:.2f} cut 0-{third - 1} from {instances - third}-{instances - 1} for {last:.2f}"]
