--- a/mulleinhatch/configuration/document.py
+++ b/mulleinhatch/configuration/document.py
@@ -56,7 +56,7 @@
     try:
         value = json.loads(body, object_pairs_hook=_reject_duplicate_keys)
     except (ValueError, RecursionError) as error:
-        return Err(ConfigurationError(f"the body is not complete, valid JSON ({error}); correct it and send it again"))
+        return Err(ConfigurationError(f"the body is no JSON that can be read whole ({error}); send it again complete"))
     if not isinstance(value, dict):
         return Err(ConfigurationError("the body must be one JSON object"))
     return Ok(value)
@@ -161,7 +161,7 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
-        raise ValueError("a key occurs twice in one object")
+        raise ValueError("a key stands twice in one object")
     return value
 
 
--- a/mulleinhatch/configuration/tenants.py
+++ b/mulleinhatch/configuration/tenants.py
@@ -48,7 +48,7 @@
         if not isinstance(name, str) or not name:
             return Err(ConfigurationError(f"tenants: item {number}: {fault}; {REMEDY}"))
         if not fault and name in names:
-            fault = "name occurs twice; give each tenant a unique one"
+            fault = "name occurs twice; give each tenant its own"
         if fault:
             return Err(ConfigurationError(f"tenants: item {name!r}: {fault}; {REMEDY}"))
         names.add(name)
@@ -61,10 +61,10 @@
         return "a tenant must be an object"
     name = item.get("name")
     if not isinstance(name, str) or not name or not name.isprintable():  # it is sent in a header field
-        return "name must be a non-empty string of printable characters"
+        return "name must be a text of printable characters that is not empty"
     keys = item.get("api_keys")
     if not isinstance(keys, list) or not all(isinstance(key, str) and key for key in keys):
-        return "api_keys must be a list of non-empty strings"
+        return "api_keys must be a list of texts that are not empty"
     unit = item.get("unit")
     if not (unit is None or isinstance(unit, str)) or unit not in UNITS:
         return "unit must be token_count, or be left out where requests are counted"
--- a/mulleinhatch/configuration/validation.py
+++ b/mulleinhatch/configuration/validation.py
@@ -49,7 +49,7 @@
 
 NUMBER = And(is_number, error="{!r} must be a finite number")
 NOT_NEGATIVE = And(is_number, lambda value: value >= 0, error="{!r} must be a finite number, 0 or more")
-NAME = And(str, len, error="{!r} must be a non-empty string")
+NAME = And(str, len, error="{!r} must be a text that is not empty")
 WEIGHTED_SERVICE_SCHEMA = Schema({"service": NAME, "weight": NOT_NEGATIVE, Optional(str): object})
 ROUTE_SCHEMA = Schema(
     {
@@ -60,7 +60,7 @@
         "timeout_ms": And(is_number, lambda value: value > 0, error="timeout_ms {!r} must be a finite number above 0"),
         Optional("target_latency_ms"): NOT_NEGATIVE,
         Optional("priority"): And(
-            NOT_NEGATIVE, lambda value: value <= MAX_COUNT, error="{!r} must be a number of at most 2^63 - 1"
+            NOT_NEGATIVE, lambda value: value <= MAX_COUNT, error="{!r} must be a number that is not so large"
         ),
         Optional("max_attempts"): NOT_NEGATIVE,
         Optional("gap_aim_ms"): NOT_NEGATIVE,
@@ -98,7 +98,7 @@
     """Check that a document's version is above the current one."""
     version = value.get("version")
     if not isinstance(version, int) or isinstance(version, bool) or version <= current:
-        return Err(ConfigurationError(f"version {version!r} must be a whole number above {current}; choose a higher one"))
+        return Err(ConfigurationError(f"version {version!r} must be a whole number above {current}; number it higher"))
     return Ok(version)
 
 
@@ -106,7 +106,7 @@
     """Check the version of a proposed document, including that the internal messages can carry it."""
     if isinstance(version := check_version(value, current), Err) or version.ok_value <= MAX_COUNT:
         return version
-    return Err(ConfigurationError(f"version must be at most {MAX_COUNT}; choose a lower one"))
+    return Err(ConfigurationError(f"version must be {MAX_COUNT} at most; number it lower"))
 
 
 def check_items(kind: str, items: Any) -> Result[None, ConfigurationError]:
@@ -136,7 +136,7 @@
     for kind in ITEM_KINDS:
         names = [item["name"] for item in value[kind]]
         if len(set(names)) != len(names):
-            return Err(ConfigurationError(f"{kind}: two items have the same name; give each a unique one"))
+            return Err(ConfigurationError(f"{kind}: two items share a name; give each its own"))
     services = {service["name"] for service in value["services"]}
     addresses: set[tuple[str, str]] = set()
     for route in value["routes"]:
--- a/mulleinhatch/control_plane/api/responses.py
+++ b/mulleinhatch/control_plane/api/responses.py
@@ -7,7 +7,7 @@
 
 from mulleinhatch.networking.http_server import HttpServerResponse
 
-NO_MAJORITY_MESSAGE = "this node has no contact with a majority of voters; call another one"
+NO_MAJORITY_MESSAGE = "this machine is not in touch with the core; call another one"
 RETRY_AFTER_S = "0.2"
 
 
--- a/mulleinhatch/control_plane/configuration_changes.py
+++ b/mulleinhatch/control_plane/configuration_changes.py
@@ -55,9 +55,7 @@
     text: bytes = b""
 
 
-VIEW_CHANGING = ConfigurationResult(
-    ResultKind.RETRY, "the control plane is changing its members; send the request again in a moment"
-)
+VIEW_CHANGING = ConfigurationResult(ResultKind.RETRY, "the core is regrouping; send it again in a moment")
 REJECTION_KINDS = {ChangeOutcome.INVALID: ResultKind.INVALID, ChangeOutcome.CONFLICT: ResultKind.CONFLICT}
 
 
@@ -95,11 +93,11 @@
             async with asyncio.timeout(CHANGE_TIMEOUT_S):
                 await self._gate.change_lock.acquire()
         except TimeoutError:
-            return ConfigurationResult(ResultKind.RETRY, "another change is in progress; send this one again")
+            return ConfigurationResult(ResultKind.RETRY, "another change is under way; send it again")
         try:
             return await self._change(method, base, body, started_at)
         except OSError:
-            return ConfigurationResult(ResultKind.RETRY, "the change could not be written to disk; send it again")
+            return ConfigurationResult(ResultKind.RETRY, "the disk refused the change; send it again")
         finally:
             self._gate.change_lock.release()
 
@@ -111,7 +109,7 @@
 
         no_change_pending = await log.progress.wait_for(lambda: not log.has_pending_change(), remaining_s())
         if not no_change_pending or not self._gate.can_accept_writes():
-            return ConfigurationResult(ResultKind.RETRY, "an earlier change is not committed yet; send this one again")
+            return ConfigurationResult(ResultKind.RETRY, "an earlier change is not settled yet; send it again")
         checked = log.state.check(method, base, body)
         if isinstance(checked, Err):
             return await self._reject(checked.err_value)
@@ -121,7 +119,7 @@
             if log.has_pending_change() or not await log.propose(int(change.kind), change.body, change.digest, epoch):
                 return VIEW_CHANGING
         if not await log.progress.wait_for(lambda: change.digest in log.state.digests, remaining_s() + 0.5 * CHANGE_TIMEOUT_S):
-            return ConfigurationResult(ResultKind.RETRY, "the change is not committed yet; send it again unchanged")
+            return ConfigurationResult(ResultKind.RETRY, "not settled yet; send it again unchanged")
         if not self._gate.can_accept_writes():
             # A former head can learn of the commit before the head does: from the tail by a snapshot, or as the next tail.
             return VIEW_CHANGING
@@ -169,6 +167,4 @@
             return VIEW_CHANGING
         if not self._peers.is_alive(member.identity, self._clock()):
             return VIEW_CHANGING
-        return ConfigurationResult(
-            ResultKind.REDIRECT, "another control-plane node serves this request", control_address=member.control_address
-        )
+        return ConfigurationResult(ResultKind.REDIRECT, "another machine answers this", control_address=member.control_address)
--- a/mulleinhatch/data_plane/listener.py
+++ b/mulleinhatch/data_plane/listener.py
@@ -107,7 +107,7 @@
             self.transport.close()
 
     def _on_read_timeout(self) -> None:
-        self.respond_error(408, "the request was not received completely in time")
+        self.respond_error(408, "the request did not come whole in time")
 
     def data_received(self, data: bytes) -> None:
         """Read a request; a pipelined request waits until the preceding response is written."""
--- a/mulleinhatch/data_plane/request_lifecycle.py
+++ b/mulleinhatch/data_plane/request_lifecycle.py
@@ -339,7 +339,7 @@
         next_step = self.context.state.connection_lost()
         if next_step is NextStep.RETRY and self.context.event_filter is not None:
             self.context.event_filter.discard_partial_event()
-        self._perform_step(next_step, "the stub did not complete its response; the request may have run")
+        self._perform_step(next_step, "the stub broke off; whether it ran is not known")
 
     def on_completed(self) -> None:
         """Finish the request after its complete response was forwarded."""
--- a/mulleinhatch/instance/maintenance/core.py
+++ b/mulleinhatch/instance/maintenance/core.py
@@ -244,7 +244,7 @@
         self.rounds.begin(now, lambda table: table.release(self.name, fencing_token))
 
     def _freeze(self, table: PermitTable) -> PermitTable:
-        return table if table.frozen else table.freeze(f"{self.name} returned unhealthy")
+        return table if table.frozen else table.freeze(f"{self.name} came back and is not fit")
 
     def _send_maintenance_requests(self, now: float) -> None:
         self.requests_sent_at = now
--- a/mulleinhatch/replication/state.py
+++ b/mulleinhatch/replication/state.py
@@ -146,9 +146,7 @@
             return _reject(ChangeOutcome.INVALID, str(read.err_value))
         version = read.ok_value.get("version")
         if isinstance(version, int) and version <= self.forgotten_version:
-            return _reject(
-                ChangeOutcome.HISTORY_COMPACTED, "a change this old may have been applied already; read the configuration"
-            )
+            return _reject(ChangeOutcome.HISTORY_COMPACTED, "so old a change may have been taken; read the configuration")
         if base is None:
             return _reject(ChangeOutcome.INVALID, "If-Match must give the version that the change builds on, 0 for the first")
         document = self._check_document(method, read.ok_value)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -414,7 +414,7 @@
         )
         world.play(until)
     assert set(world.maintenance_counts) == {"n4"}
-    assert world.cores["n0"].voter.voter_state.table.frozen == "n4 returned unhealthy"
+    assert world.cores["n0"].voter.voter_state.table.frozen == "n4 came back and is not fit"
     world.unfit.clear()
     world.play(44.0)
     commit_change(world, lambda table: table.freeze(""))
